--- /dev/null
+++ b/benchmarks/capacity/counting_fleet.py
@@ -0,0 +1,154 @@
+"""A fleet in virtual time that counts, for each node, what it sends and receives and what that costs it.
+
+Bytes are those of the datagrams on the wire: the packed envelope and `HEADER` bytes of IP and UDP. Processor
+time is that of the agent's calls, packing and unpacking, measured with the thread's own clock; sockets are not
+in it, and the time that the virtual network takes is left out.
+"""
+
+from __future__ import annotations
+
+import time
+from collections import defaultdict
+from dataclasses import dataclass, field
+from typing import Any
+
+from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
+from sailrun.lab.scheduler import BEGIN_US
+from sailrun.members.messages import MemberBody
+from sailrun.members.terms import MembersTerms
+from sailrun.owners.agent import AgentTerms, Out
+from sailrun.owners.envelope import Body, Envelope, pack, unpack
+from sailrun.owners.messages import Ask, Deny, Grant, NotMine, Order, Question, Recall, Recalled, Refusal
+from sailrun.owners.messages import Release, Yield
+from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
+from sailrun.replica.messages import ReplicaBody
+from sailrun.replica.terms import ReplicaTerms
+
+SECOND = 1_000_000
+HEADER = 28
+VOTERS = 7
+MEMBERS, LEASES, COPIES, OTHER = "members", "leases", "copies", "other"
+_ASKED_OF_OWNERS = (Question, Order, NotMine, Refusal)
+_OF_LEASES = (Ask, Grant, Deny, Release, Yield, Recall, Recalled)
+
+
+def terms_of_all(index: int, voters: list[str], joins: list[str]) -> AgentTerms:
+    """Every table of the operator's file on, with the defaults of the program."""
+    return AgentTerms(
+        MembersTerms(enabled=True, fleet="capacity", name=f"n{index}", join=tuple(joins)),
+        OwnersTerms(enabled=True, voters=tuple(voters)),
+        PermitsTerms(enabled=True),
+        ReaderTerms(enabled=True),
+        pace=True,
+        replica=ReplicaTerms(enabled=True),
+    )
+
+
+def group_of(body: Body) -> str:
+    """What a message is for: `members`, `leases`, `copies`, or the name of the task that is asked about."""
+    if isinstance(body, MemberBody):
+        return MEMBERS
+    if isinstance(body, _ASKED_OF_OWNERS):
+        return body.task
+    if isinstance(body, _OF_LEASES):
+        return LEASES
+    return COPIES if isinstance(body, ReplicaBody) else OTHER
+
+
+@dataclass(slots=True)
+class Tally:
+    messages: int = 0
+    bytes: int = 0
+
+    def add(self, count: int) -> None:
+        self.messages += 1
+        self.bytes += count
+
+
+@dataclass(slots=True)
+class NodeCounts:
+    """Of one node, in and out together."""
+
+    groups: defaultdict[str, Tally] = field(default_factory=lambda: defaultdict(Tally))
+    seconds: defaultdict[int, int] = field(default_factory=lambda: defaultdict(int))  # bytes by second
+    cpu_ns: int = 0
+
+    @property
+    def bytes(self) -> int:
+        return sum(tally.bytes for tally in self.groups.values())
+
+    @property
+    def messages(self) -> int:
+        return sum(tally.messages for tally in self.groups.values())
+
+    def of(self, group: str) -> Tally:
+        return self.groups.get(group, Tally())
+
+
+class CountingFleet(VirtualFleet):
+    def __init__(self, nodes: int, seed: int = 1, zones: int = 1) -> None:
+        super().__init__(nodes, min(VOTERS, nodes), zones, terms_of_all, seed)
+        self.counts: dict[str, NodeCounts] = {}
+        self._aside_ns = 0  # time of the virtual network within a node's own
+        self.forget_counts()
+
+    # ------------------------------------------------------------------ looks
+
+    def forget_counts(self) -> None:
+        self.counts = {name: NodeCounts() for name in self.names}
+
+    def now_s(self) -> float:
+        return (self.time.now_us - BEGIN_US) / SECOND
+
+    def run_for(self, seconds: float) -> None:
+        self.run(self.now_s() + seconds)
+
+    def running(self) -> list[VirtualNode]:
+        return [node for node in self.nodes.values() if node.agent is not None]
+
+    def complete(self) -> bool:
+        """Whether every node that runs knows all that run, and nobody else to live."""
+        running = self.running()
+        return all(
+            node.agent is not None and len(node.agent.members.names) == len(running) for node in running
+        )
+
+    def run_until_complete(self, most_s: float, step_s: float = 0.25) -> float:
+        """Seconds until the members are complete everywhere; infinity if they are not within `most_s`."""
+        began_s = self.now_s()
+        while not self.complete():
+            if self.now_s() - began_s >= most_s:
+                return float("inf")
+            self.run_for(step_s)
+        return self.now_s() - began_s
+
+    # ------------------------------------------------------------------ what is counted
+
+    def row(self, kind: str, node: str, **facts: Any) -> None:
+        """Nothing is kept: no judge looks at this fleet, and rows would be taken for memory of nodes."""
+
+    def _turn(self, node: VirtualNode, waking: int) -> None:
+        began_ns, self._aside_ns = time.thread_time_ns(), 0
+        super()._turn(node, waking)
+        self.counts[node.name].cpu_ns += time.thread_time_ns() - began_ns - self._aside_ns
+
+    def _arrive(self, sender: str, address: str, to: VirtualNode, envelope: Envelope) -> None:
+        if to.agent is None or self._is_cut(sender, to.name):
+            return
+        data = pack(envelope)
+        self._count(to, envelope, len(data))
+        began_ns, self._aside_ns = time.thread_time_ns(), 0
+        super()._arrive(sender, address, to, unpack(data))
+        self.counts[to.name].cpu_ns += time.thread_time_ns() - began_ns - self._aside_ns
+
+    def _put(self, node: VirtualNode, out: Out) -> None:
+        length = len(pack(out.envelope))
+        packed_ns = time.thread_time_ns()
+        self._count(node, out.envelope, length)
+        super()._put(node, out)
+        self._aside_ns += time.thread_time_ns() - packed_ns
+
+    def _count(self, node: VirtualNode, envelope: Envelope, length: int) -> None:
+        counts = self.counts[node.name]
+        counts.groups[group_of(envelope.body)].add(length + HEADER)
+        counts.seconds[self.time.now_us // SECOND] += length + HEADER
--- /dev/null
+++ b/benchmarks/capacity/measure_pure.py
@@ -0,0 +1,257 @@
+"""Parts that are measured by themselves, as pure modules: leases of shards one by one, the score that places a
+task, the pace that one owner lends out, the rounds in which loads are added up, records in memory.
+"""
+
+from __future__ import annotations
+
+import time
+import tracemalloc
+from collections.abc import Callable
+from itertools import count
+from statistics import median
+
+from benchmarks.capacity.counting_fleet import HEADER
+from benchmarks.capacity.record import Measurement
+from benchmarks.knowledge import measure as rounds_of
+from sailrun.fleet.digest import LONGEST, Digest, room, write
+from sailrun.fleet.rounds import NODE_US, ROUND_US
+from sailrun.owners.envelope import Envelope, pack, unpack
+from sailrun.owners.messages import Ask, Grant, Order, Question
+from sailrun.owners.pace import ASK_US, PaceOffice
+from sailrun.owners.quorum import Voters
+from sailrun.owners.tenure import RENEWALS, Tenures, placed_best
+from sailrun.owners.terms import OwnersTerms
+from sailrun.owners.voter import Voter
+from sailrun.replica.records import written
+from sailrun.replica.store import Store
+from sailrun.replica.terms import ReplicaTerms
+from tests.stand_ins import roster_entry
+
+SECOND = 1_000_000
+VOTERS = ("v1", "v2", "v3", "v4", "v5")
+TERMS = OwnersTerms(enabled=True, voters=VOTERS)
+RENEW_US = int(TERMS.lease_s * SECOND) // RENEWALS
+# Leases of shards are held for so many renewals; what is scored for so many tasks; what is asked so often.
+ROUNDS, TASKS, ASKS = 8, 20, 2_000
+SHARDS, ZONES = 1_000, 23
+
+
+def _sizes(
+    prefix: str, counted: str, sizes: tuple[int, ...], how: str, run: Callable[[int], dict[str, float]]
+) -> list[Measurement]:
+    found = [run(size) for size in sizes]
+    units = {"moved_by_node": "of all shards", "moved_by_zone": "of all shards", "places": "form servers", "bytes_s": "bytes/s", "messages_s": "messages/s", "cpu": "of a core", "cpu_us": "us"}
+    return [
+        Measurement(
+            f"{prefix}.{what}",
+            counted,
+            units.get(what, "s" if "seconds" in what else "MB" if what == "memory_mb" else "bytes"),
+            [float(size) for size in sizes],
+            [one[what] for one in found],
+            how,
+        )
+        for what in found[0]
+    ]
+
+
+# ---------------------------------------------------------------------- a lease for each shard
+
+
+def _leases(shards: int) -> dict[str, float]:
+    """One node renews a lease for each of its shards with five voters; one of them is played as well."""
+    tasks = {f"shard/{n:06}": ["n1"] for n in range(shards)}
+    holder = Tenures("n1", Voters(TERMS), TERMS, 1, 0)
+    voters = {name: Voter(name, Voters(TERMS), TERMS, 0, lambda: 1_000) for name in VOTERS}
+    for voter in voters.values():
+        voter.remembers = True
+    now_us = messages = bytes_ = 0
+    holder_ns = voter_ns = 0
+    for turn in range(ROUNDS + 1):
+        began_ns = time.thread_time_ns()
+        sent = [
+            (name, pack(Envelope("capacity", "n1", 1 << 60, 1, body)))
+            for name, body in holder.turn(now_us, tasks)
+        ]
+        turned_ns = time.thread_time_ns()
+        answers: list[tuple[str, bytes]] = []
+        first_ns = 0
+        for name, data in sent:
+            asked_ns = time.thread_time_ns()
+            body = unpack(data).body
+            assert isinstance(body, Ask)
+            answer = voters[name].asked(now_us, "n1", 1, body)
+            answers.append((name, pack(Envelope("capacity", name, 1 << 60, 1, answer))))
+            first_ns += time.thread_time_ns() - asked_ns if name == VOTERS[0] else 0
+        heard_ns = time.thread_time_ns()
+        for name, data in answers:
+            grant = unpack(data).body
+            assert isinstance(grant, Grant)
+            holder.granted(now_us, name, grant)
+        holder.due_us(now_us, tasks)
+        ended_ns = time.thread_time_ns()
+        if turn:  # the first is how leases are had, the others how they are kept
+            holder_ns += turned_ns - began_ns + ended_ns - heard_ns
+            voter_ns += first_ns
+            messages += len(sent) + len(answers)
+            bytes_ += sum(len(data) + HEADER for _, data in sent + answers)
+        now_us += RENEW_US
+    if sum(bool(holder.holds(task, now_us)) for task in tasks) < shards:
+        raise RuntimeError("a lease was not kept")
+    seconds = ROUNDS * RENEW_US / SECOND
+    return {
+        "messages_s": messages / seconds,
+        "bytes_s": bytes_ / seconds,
+        "cpu": holder_ns / 1e9 / seconds,
+        "voter_cpu": voter_ns / 1e9 / seconds,
+        "voter_messages_s": messages / len(VOTERS) / seconds,
+        "voter_bytes_s": bytes_ / len(VOTERS) / seconds,
+    }
+
+
+def leases() -> list[Measurement]:
+    how = "one node's leases (`Tenures`) and five voters (`Voter`), packed and unpacked, without sockets"
+    return _sizes("shard_leases", "shards of one node", (50, 100, 200, 400), how, _leases)
+
+
+# ---------------------------------------------------------------------- who is best placed
+
+
+def _placed(nodes: int) -> dict[str, float]:
+    names = [f"node-{n:05}" for n in range(nodes)]
+    took: list[float] = []
+    for n in range(TASKS):
+        began_ns = time.thread_time_ns()
+        placed_best(f"{nodes}/{n}", names)
+        took.append((time.thread_time_ns() - began_ns) / 1e3)
+    return {"cpu_us": median(took)}
+
+
+def placement() -> list[Measurement]:
+    how = f"`placed_best` for one task among so many names, median of {TASKS} tasks"
+    return _sizes("placed", "nodes", (100, 200, 400, 800, 1_600), how, _placed)
+
+
+# ---------------------------------------------------------------------- the pace that is lent
+
+
+def _pace(nodes: int) -> dict[str, float]:
+    office, numbers = PaceOffice(1, 0), count(1)
+    now_us = 10 * SECOND
+    for n in range(nodes):
+        office.asked(now_us, f"node-{n:05}")
+    began_ns = time.thread_time_ns()
+    for n in range(ASKS):
+        now_us += ASK_US // nodes
+        question = unpack(pack(_envelope(Question("pace", 1, next(numbers))))).body
+        assert isinstance(question, Question)
+        lent = office.asked(now_us, f"node-{n % nodes:05}")
+        answer = pack(_envelope(Order("pace", 1, question.number, lent)))
+    took_us = (time.thread_time_ns() - began_ns) / 1e3 / ASKS
+    length = len(pack(_envelope(Question("pace", 1, 1)))) + len(answer) + 2 * HEADER
+    asks_s = nodes * SECOND / ASK_US
+    return {"cpu_us": took_us, "bytes_s": asks_s * length, "messages_s": 2 * asks_s}
+
+
+def _envelope(body: Question | Order) -> Envelope:
+    return Envelope("capacity", "node-00001", 1 << 60, 1, body)
+
+
+def pace() -> list[Measurement]:
+    how = "`PaceOffice` while every node moves clients and asks every half second"
+    return _sizes("pace_lent", "nodes that move clients", (50, 100, 200, 400, 800), how, _pace)
+
+
+# ---------------------------------------------------------------------- sums of loads
+
+
+def _rounds(nodes: int) -> dict[str, float]:
+    half_s, most_s, sent_s, bytes_s, _ = rounds_of(nodes, 0.0, 1)
+    return {
+        "seconds_half": half_s,
+        "seconds_99": most_s,
+        "messages_s": 2 * sent_s,
+        "bytes_s": 2 * (bytes_s + HEADER * sent_s),
+        "round_seconds": max(ROUND_US, NODE_US * nodes) / SECOND,
+    }
+
+
+def rounds() -> list[Measurement]:
+    how = "`benchmarks.knowledge`: 90 form servers, a change at two nodes in five, no datagram lost, seed 1"
+    return _sizes("rounds", "nodes", (50, 100, 200, 400), how, _rounds)
+
+
+def sum_bytes(nodes: int) -> tuple[int, int]:
+    """How many form servers a sum has room for, and its length with that many; `LONGEST` is allowed."""
+    places = room(nodes)
+    loads = {n * 600: 1.0 for n in range(places)}
+    return places, len(write(Digest(1, loads, 1, False, voices=frozenset(range(nodes))), nodes))
+
+
+def _sums(nodes: int) -> dict[str, float]:
+    places, length = sum_bytes(nodes)
+    return {"places": float(places), "bytes": float(length)}
+
+
+def sums() -> list[Measurement]:
+    how = f"`digest.write` of a sum with as many form servers as `room` allows; longest allowed: {LONGEST} bytes"
+    return _sizes("sum", "nodes", (200, 400, 1_000, 1_600, 3_800), how, _sums)
+
+
+# ---------------------------------------------------------------------- records of a copy
+
+
+def _records(records: int) -> dict[str, float]:
+    tracemalloc.start()
+    store = Store(ReplicaTerms(enabled=True, records=1_000_000), b"fleet")
+    before = tracemalloc.get_traced_memory()[0]
+    for n in range(records):
+        store.put(0, written(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
+    after = tracemalloc.get_traced_memory()[0]
+    tracemalloc.stop()
+    return {"memory_mb": (after - before) / 1e6}
+
+
+def records() -> list[Measurement]:
+    return _sizes("copy", "records", (1_000, 2_000, 4_000, 8_000), "`Store`, records of a mark's size", _records)
+
+
+# ---------------------------------------------------------------------- a roster's list, a move of shards
+
+
+def _list(servers: int) -> dict[str, float]:
+    members = [roster_entry(f"s-{n:08x}", "10.20.30.40:5000", "SERVING") for n in range(servers)]
+    order = Order("roster/z1", 1, 1, ["roster", 1, members])
+    return {"list_bytes": len(pack(_envelope(order))) + HEADER}
+
+
+def lists() -> list[Measurement]:
+    return _sizes("roster", "form servers", (100, 200, 400, 800), "the reader's answer, packed", _list)
+
+
+def _moved(nodes: int) -> dict[str, float]:
+    names = [f"node-{n:05}" for n in range(nodes)]
+    tasks = [f"{nodes}-shard-{n:04}" for n in range(SHARDS)]
+    before = [placed_best(task, names)[0] for task in tasks]
+    figures = {}
+    for what, lost in (("node", 1), ("zone", max(1, round(nodes / ZONES)))):
+        left = names[lost:]
+        after = [placed_best(task, left)[0] for task in tasks]
+        figures[f"moved_by_{what}"] = sum(a != b for a, b in zip(before, after, strict=True)) / SHARDS
+    return figures
+
+
+def moved() -> list[Measurement]:
+    how = f"`placed_best` for {SHARDS} shards before and after a node, and a 23rd of the nodes, are gone"
+    return _sizes("shards", "nodes", (50, 100, 200, 400), how, _moved)
+
+
+PURE: dict[str, Callable[[], list[Measurement]]] = {
+    "leases": leases,
+    "placement": placement,
+    "pace": pace,
+    "rounds": rounds,
+    "sums": sums,
+    "records": records,
+    "lists": lists,
+    "moved": moved,
+}
--- /dev/null
+++ b/benchmarks/capacity/rows.py
@@ -0,0 +1,43 @@
+"""All rows, in the order of the page, and their ranking."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from msgspec import structs
+
+from benchmarks.capacity import (
+    rows_connections,
+    rows_control,
+    rows_delivery,
+    rows_loads,
+    rows_membership,
+    rows_replica,
+    rows_shards,
+    rows_tasks,
+)
+from benchmarks.capacity.record import Record, Row
+
+SECTIONS: dict[str, Callable[[Record], list[Row]]] = {
+    "Members": rows_membership.rows,
+    "Leases, votes and owners of fleet tasks": rows_tasks.rows,
+    "Copies and changes of configuration": rows_replica.rows,
+    "Sums of loads": rows_loads.rows,
+    "Shards": rows_shards.rows,
+    "Connections": rows_connections.rows,
+    "Deliveries": rows_delivery.rows,
+    "Restarts and control machines": rows_control.rows,
+}
+
+
+def all_rows(record: Record) -> list[Row]:
+    return [
+        structs.replace(row, section=name) for name, section in SECTIONS.items() for row in section(record)
+    ]
+
+
+def ranked(rows: list[Row], target: int = 1) -> list[Row]:
+    """By cost over limit, the worst first; `target` is the place in `target.TARGETS`. Rows without a ratio
+    are left out.
+    """
+    return sorted((row for row in rows if row.ratios), key=lambda row: -row.ratios[target])
--- /dev/null
+++ b/benchmarks/capacity/rows_replica.py
@@ -0,0 +1,119 @@
+"""Rows of the copies that every node keeps, and of changes of configuration."""
+
+from __future__ import annotations
+
+from benchmarks.capacity.record import Record, Row
+from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, MEMORY, by_nodes, row
+from sailrun.replica.replica import WHERE_NODES, WHERE_US
+from sailrun.replica.terms import ReplicaTerms
+
+COPIES = "replica/: one owner writes, a majority of voters keeps, rumors and comparisons spread"
+RECORDS = ReplicaTerms().records
+
+
+def behind(record: Record) -> Row:
+    def seconds(nodes: float) -> float:
+        return WHERE_US / 1e6 * max(1, nodes // WHERE_NODES)
+
+    return row(
+        record,
+        "marks.bytes_s",
+        lambda fit, target: seconds(target.nodes),
+        role="every node",
+        cost="until a node notices that its copy is behind the owner",
+        bound=IN_FORCE,
+        mechanism="replica/replica.py: `WHERE_US` and `WHERE_NODES`",
+        arithmetic="1 s * (nodes // 200), from the constants; samples are the owner's bytes/s meanwhile",
+        reckoned=True,
+        why="what nodes tell each other unasked is quicker most of the time: see the next rows",
+    )
+
+
+def spread(record: Record) -> list[Row]:
+    about = (
+        ("mark.seconds_most", "one change at a time: until every node has it, the slowest of 20", "log"),
+        ("burst.seconds", "a thousand changes at once: until every node has all", "log"),
+        ("cut.alike_seconds", "a region cut off while the changes of an hour are made: until all have all", "log"),
+    )
+    return [
+        row(
+            record,
+            name,
+            by_nodes,
+            role="every node",
+            cost=cost,
+            bound=IN_FORCE,
+            mechanism=COPIES,
+            arithmetic="fit at the number of nodes; nothing lost, 1 to 3 ms between nodes",
+            kind=kind,
+        )
+        for name, cost, kind in about
+    ]
+
+
+def cost(record: Record) -> list[Row]:
+    about = (
+        ("mark_rate.bytes_s", "ordinary node", "bytes", BYTES),
+        ("mark_rate.cpu", "ordinary node", "processor time, without sockets", CORE),
+        ("mark_rate.owner_bytes_s", "owner of marks", "bytes", BYTES),
+        ("mark_rate.owner_cpu", "owner of marks", "processor time, without sockets", CORE),
+    )
+    return [
+        row(
+            record,
+            name,
+            lambda fit, target: fit.slope * target.changes_s,
+            role=role,
+            cost=f"the day's changes, on top of rest: {what}",
+            bound=bound,
+            mechanism=COPIES,
+            arithmetic="cost of a change (100 nodes) * changes a day / 86,400 s",
+            kind="line",
+        )
+        for name, role, what, bound in about
+    ]
+
+
+def burst_bytes(record: Record) -> Row:
+    return row(
+        record,
+        "burst.bytes_busiest_second",
+        by_nodes,
+        role="busiest node",
+        cost="a thousand changes at once: bytes in the busiest second",
+        bound=BYTES,
+        mechanism=COPIES,
+        arithmetic="fit at the number of nodes; a single second against a limit meant for longer",
+    )
+
+
+def memory(record: Record) -> list[Row]:
+    return [
+        row(
+            record,
+            "copy.memory_mb",
+            lambda fit, target: fit.at(RECORDS),
+            role="every node",
+            cost=f"memory of a full copy ({RECORDS:,} records)",
+            bound=MEMORY,
+            mechanism="replica/store.py",
+            arithmetic="memory for a record * the most records allowed by default",
+            kind="line",
+        ),
+        row(
+            record,
+            "copy.memory_mb",
+            lambda fit, target: fit.at(target.changes_day * 30),
+            role="every node",
+            cost="memory of a copy that keeps a month's changes, each its own record",
+            bound=MEMORY,
+            mechanism="replica/store.py",
+            arithmetic="memory for a record * changes a day * 30 (assumed)",
+            kind="line",
+            reckoned=True,
+        ),
+    ]
+
+
+def rows(record: Record) -> list[Row]:
+    return [behind(record), *spread(record), *cost(record), burst_bytes(record), *memory(record)]
--- /dev/null
+++ b/benchmarks/capacity/rows_shards.py
@@ -0,0 +1,124 @@
+"""Rows of who owns 750,000 shards: with a lease for each as tasks have them today."""
+
+from __future__ import annotations
+
+from benchmarks.capacity.record import Record, Row
+from benchmarks.capacity.target import Target
+from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, WHOLE_CORE, Bound, row
+
+LEASES = "owners/tenure.py and voter.py: a lease for each shard, 8 renewals in 2 s, 5 voters"
+SCORES = "owners/agent.py `Agent.tasks`: every task is scored against every node at each change of members"
+COUNTED = Bound("shards", 0.0, "")
+
+
+def holders(record: Record) -> list[Row]:
+    about = (
+        ("shard_leases.messages_s", "messages", Bound("messages/s", 0.0, "")),
+        ("shard_leases.bytes_s", "bytes", BYTES),
+        ("shard_leases.cpu", "processor time, without sockets", CORE),
+    )
+    return [
+        row(
+            record,
+            name,
+            lambda fit, target: fit.slope * target.shards_node,
+            role="every node that owns shards",
+            cost=f"a lease for each shard: {what}",
+            bound=bound,
+            mechanism=LEASES,
+            arithmetic="cost of a lease * shards / nodes",
+            kind="line",
+        )
+        for name, what, bound in about
+    ]
+
+
+def voters(record: Record) -> list[Row]:
+    about = (
+        ("shard_leases.voter_messages_s", "messages in and out", Bound("messages/s", 0.0, "")),
+        ("shard_leases.voter_bytes_s", "bytes", BYTES),
+        ("shard_leases.voter_cpu", "processor time, without sockets", WHOLE_CORE),
+    )
+    return [
+        row(
+            record,
+            name,
+            lambda fit, target: fit.slope * target.shards,
+            role="each of five voters",
+            cost=f"a lease for each shard: {what}",
+            bound=bound,
+            mechanism=LEASES,
+            arithmetic="cost of a lease at a voter * shards",
+            kind="line",
+            why="a voter may be one of the machines set aside for control: against one core, not 2.4%"
+            if bound is WHOLE_CORE
+            else "",
+        )
+        for name, what, bound in about
+    ]
+
+
+def scoring(record: Record) -> list[Row]:
+    def change_s(us: float, target: Target) -> float:
+        return us / 1e6 * target.shards
+
+    return [
+        row(
+            record,
+            "placed.cpu_us",
+            lambda fit, target: change_s(fit.at(target.nodes), target),
+            role="every node",
+            cost="shards scored after one change of members: seconds",
+            bound=IN_FORCE,
+            mechanism=SCORES,
+            arithmetic="time to place one task by its fit * shards",
+            kind="line",
+        ),
+        row(
+            record,
+            "placed.cpu_us",
+            lambda fit, target: change_s(fit.at(target.nodes), target) * target.member_changes_day / 86_400,
+            role="every node",
+            cost="shards scored after each change of members of a day: processor time",
+            bound=CORE,
+            mechanism=SCORES,
+            arithmetic="the same * (33 + 520) * 2 changes of a day / 86,400 s",
+            kind="line",
+        ),
+    ]
+
+
+def moves(record: Record) -> list[Row]:
+    why = "no more than those of the nodes that go, by rendezvous; what a move costs is not known yet"
+    return [
+        row(
+            record,
+            "shards.moved_by_node",
+            lambda fit, target: target.shards_node * target.member_changes_day,
+            role="the fleet",
+            cost="shards that change owner on an ordinary day",
+            bound=COUNTED,
+            mechanism="owners/tenure.py `placed_best`",
+            arithmetic="shards / nodes * (33 + 520) * 2; the share moved by a node was measured as 1 / nodes",
+            kind="line",
+            reckoned=True,
+            why=why,
+        ),
+        row(
+            record,
+            "shards.moved_by_zone",
+            lambda fit, target: target.shards / target.zones,
+            role="the fleet",
+            cost="shards that change owner when a zone goes",
+            bound=COUNTED,
+            mechanism="owners/tenure.py `placed_best`",
+            arithmetic="shards / 23; the share moved was measured",
+            kind="constant",
+            reckoned=True,
+            why=why,
+        ),
+    ]
+
+
+def rows(record: Record) -> list[Row]:
+    return holders(record) + voters(record) + scoring(record) + moves(record)
