--- /dev/null
+++ b/benchmarks/capacity/rows_shards_by_node.py
@@ -0,0 +1,140 @@
+"""Rows of who owns 750,000 shards with one lease per node: what replaces a lease for each shard."""
+
+from __future__ import annotations
+
+from benchmarks.capacity.record import Record, Row
+from benchmarks.capacity.target import DAY_S, Target
+from benchmarks.capacity.working import AWARE, BYTES, CORE, IN_FORCE, LINK, MEMORY, WHOLE_CORE, Bound, fit_of, row
+
+SESSIONS = "shards/session.py and assigner.py: a heartbeat four times in 8 s to the region's assigner"
+PLACES = "shards/placement.py: every node places its region's shards by itself, with numpy"
+
+
+def _in_region(target: Target) -> float:
+    return target.region_nodes
+
+
+def _changes_s(target: Target) -> float:
+    """Changes of a region's members a second."""
+    return target.member_changes_day / target.regions / DAY_S
+
+
+def sessions(record: Record) -> list[Row]:
+    about = (
+        ("region.bytes_s", "every node that owns shards", "one lease per node: bytes", BYTES),
+        ("region.assigner_bytes_s", "assigner of a region", "heartbeats of its nodes: bytes", LINK),
+        ("region.assigner_messages_s", "assigner of a region", "heartbeats: messages", Bound("messages/s")),
+        (
+            "region.assigner_cpu",
+            "assigner of a region",
+            "processor time of the whole machine, without sockets",
+            WHOLE_CORE,
+        ),
+        ("region.voter_bytes_s", "voter of a region", "the assigner's lease and its table: bytes", LINK),
+    )
+    return [
+        row(
+            record,
+            name,
+            lambda fit, target: fit.at(_in_region(target)),
+            role=role,
+            cost=cost,
+            bound=bound,
+            mechanism=SESSIONS,
+            arithmetic="fit at the nodes of a region (633)",
+            why="a control machine: not held to a node's limits" if bound in (LINK, WHOLE_CORE) else "",
+        )
+        for name, role, cost, bound in about
+    ]
+
+
+def taken_over(record: Record) -> list[Row]:
+    about = (("node", "a node dies"), ("zone", "a quarter of a region's nodes die at once"))
+    return [
+        row(
+            record,
+            f"region.{what}_goes.seconds",
+            lambda fit, target: fit.at(_in_region(target)),
+            role="its shards",
+            cost=f"{words}: until every shard may be used again",
+            bound=AWARE,
+            mechanism=SESSIONS,
+            arithmetic="fit at the nodes of a region; a lease of 8 s is in it",
+        )
+        for what, words in about
+    ]
+
+
+def placing(record: Record) -> list[Row]:
+    def change_s(target: Target) -> float:
+        """A node left or joined, in equal parts."""
+        nodes = _in_region(target)
+        return (
+            fit_of(record, "placement.left_cpu_s").at(nodes) + fit_of(record, "placement.joined_cpu_s").at(nodes)
+        ) / 2
+
+    return [
+        row(
+            record,
+            "placement.scored_cpu_s",
+            lambda fit, target: fit.at(_in_region(target)),
+            role="every node",
+            cost="before: a region's shards scored one by one after one change: seconds",
+            bound=IN_FORCE,
+            mechanism="owners/leases.py `best_placed`, as tasks are placed; same run as the next rows",
+            arithmetic="fit at the nodes of a region",
+        ),
+        row(
+            record,
+            "placement.joined_cpu_s",
+            lambda fit, target: fit.at(_in_region(target)),
+            role="every node",
+            cost="now: the same after a node joined: seconds",
+            bound=IN_FORCE,
+            mechanism=PLACES,
+            arithmetic="fit at the nodes of a region",
+        ),
+        row(
+            record,
+            "placement.left_cpu_s",
+            lambda fit, target: change_s(target) * _changes_s(target),
+            role="every node",
+            cost="now: shards placed after each change of members of a day: processor time",
+            bound=CORE,
+            mechanism=PLACES,
+            arithmetic="mean of a node that left and one that joined * (33 + 520) * 2 / 6 regions / 86,400 s",
+        ),
+        row(
+            record,
+            "placement.begin_cpu_s",
+            lambda fit, target: fit.at(_in_region(target)),
+            role="every node",
+            cost="now: a region's shards placed from nothing: seconds",
+            bound=IN_FORCE,
+            mechanism=PLACES,
+            arithmetic="fit at the nodes of a region",
+        ),
+    ]
+
+
+def memory(record: Record) -> list[Row]:
+    return [
+        row(
+            record,
+            name,
+            lambda fit, target: fit.at(_in_region(target)),
+            role="every node",
+            cost=cost,
+            bound=MEMORY,
+            mechanism=PLACES,
+            arithmetic="fit at the nodes of a region, 125,000 shards",
+        )
+        for name, cost in (
+            ("placement.memory_mb", "a region's placement: memory kept"),
+            ("placement.memory_most_mb", "a region's placement: memory while it is made from nothing"),
+        )
+    ]
+
+
+def rows(record: Record) -> list[Row]:
+    return sessions(record) + taken_over(record) + placing(record) + memory(record)
