--- a/sailrun/members/messages.py
+++ b/sailrun/members/messages.py
@@ -16,9 +16,13 @@
     LEFT = 3
 
 
+# The role of members set aside for work on behalf of the fleet.
+CONTROL = "control"
+
+
 class Record(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """One member as somebody knows it. A process is a `life`; its incarnation grows when it refutes, and a
-    returning name begins above the one it had.
+    returning name begins above the one it had. `region` and `role` came later: an older version skips them.
     """
 
     name: str
@@ -27,6 +31,8 @@
     state: State
     address: str
     zone: str = ""
+    region: str = ""
+    role: str = ""
 
     def overrules(self, other: Record) -> bool:
         """Any two are in order, the same everywhere: copies converge whatever the order of arrival."""
--- a/sailrun/members/swim.py
+++ b/sailrun/members/swim.py
@@ -18,6 +18,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from msgspec.structs import replace
+
 from sailrun.members.messages import (
     Ack,
     Join,
@@ -56,6 +58,11 @@
 _LIVING = (State.ALIVE, State.SUSPECT)
 
 
+def _place(record: Record) -> tuple[str, str, str]:
+    """What decides which work a member may be given."""
+    return record.zone, record.region, record.role
+
+
 def _mark(record: Record) -> int:
     return zlib.crc32(f"{record.name},{record.life},{record.incarnation},{int(record.state)}".encode())
 
@@ -206,7 +213,7 @@
         known = self._known.get(name)
         if known is not None and known.record.life == life and incarnation > known.record.incarnation:
             r = known.record
-            self._learn(now_us, Record(name, life, incarnation, State.ALIVE, r.address, r.zone), name)
+            self._learn(now_us, replace(r, incarnation=incarnation, state=State.ALIVE), name)
 
     def hear_news(self, now_us: int, records: list[Record], teller: str) -> None:
         for record in records:
@@ -281,7 +288,7 @@
                 Letter(address, Refused("name", known.record.address)),
                 Letter(known.record.address, Join(record)),
             ]
-        newer = Record(record.name, record.life, incarnation, State.ALIVE, record.address, record.zone)
+        newer = replace(record, incarnation=incarnation, state=State.ALIVE)
         self._learn(now_us, newer, record.name)
         return [Letter(address, Joined(incarnation, self.me))]
 
@@ -310,8 +317,7 @@
         self.joined, self._join_us = False, now_us + 5 * SECOND
 
     def _be(self, now_us: int, incarnation: int, state: State = State.ALIVE) -> None:
-        old = self.me
-        self.me = Record(old.name, old.life, incarnation, state, old.address, old.zone)
+        self.me = replace(self.me, incarnation=incarnation, state=state)
         self._set(now_us, self.me)
 
     def _set(self, now_us: int, record: Record) -> _Known:
@@ -338,7 +344,7 @@
             bisect.insort(self._living, name)
         elif lived and not lives:
             self._living.remove(name)
-        if lives is not lived or (before is not None and after is not None and before.zone != after.zone):
+        if lives is not lived or (before is not None and after is not None and _place(before) != _place(after)):
             self.version += 1
 
     def _tell(self, name: str) -> None:
@@ -552,14 +558,13 @@
             self._missed = min(MISSED_MOST, self._missed + 1)
         if known.record.state is State.ALIVE:
             r = known.record
-            suspect = Record(r.name, r.life, r.incarnation, State.SUSPECT, r.address, r.zone)
-            self._accuse(now_us, self._set(now_us, suspect), self.me.name)
+            self._accuse(now_us, self._set(now_us, replace(r, state=State.SUSPECT)), self.me.name)
         elif known.record.state is State.SUSPECT:
             self._shared(now_us, known, self.me.name)
 
     def _give_up(self, now_us: int, known: _Known) -> None:
         r = known.record
-        self._set(now_us, Record(r.name, r.life, r.incarnation, State.GONE, r.address, r.zone))
+        self._set(now_us, replace(r, state=State.GONE))
         self.changes.append(Change("gone", r, f"silent, {len(known.accusers)} said so"))
 
     def _knock(self, now_us: int) -> list[Letter]:
--- a/sailrun/members/terms.py
+++ b/sailrun/members/terms.py
@@ -30,6 +30,16 @@
     join: Annotated[
         tuple[str, ...], Meta(description="HOST:PORT of members to join by; one that lives is enough.")
     ] = ()
+    region: Annotated[
+        str, Meta(max_length=32, description="The region this node is in; `[shards]` places by it.")
+    ] = ""
+    role: Annotated[
+        str,
+        Meta(
+            pattern="^(|node|control)$",
+            description="`control`: set aside for work on behalf of the fleet, which then is done by such members only.",
+        ),
+    ] = ""
     probe_s: Annotated[
         Seconds, Meta(description="One other member is probed so often; it is suspected at the end.")
     ] = 1.0
--- a/sailrun/operator.py
+++ b/sailrun/operator.py
@@ -16,8 +16,18 @@
 from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
 from sailrun.rebalance.terms import RebalanceTerms
 from sailrun.replica.terms import ReplicaTerms
+from sailrun.shards.terms import ShardsTerms, shard_faults
 
-Table = RebalanceTerms | MembersTerms | OwnersTerms | PermitsTerms | ReaderTerms | ReplicaTerms | LastingTerms
+Table = (
+    RebalanceTerms
+    | MembersTerms
+    | OwnersTerms
+    | PermitsTerms
+    | ReaderTerms
+    | ReplicaTerms
+    | LastingTerms
+    | ShardsTerms
+)
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -30,6 +40,7 @@
     reader: ReaderTerms = ReaderTerms()
     replica: ReplicaTerms = ReplicaTerms()
     lasting: LastingTerms = LastingTerms()
+    shards: ShardsTerms = ShardsTerms()
 
     def tables(self) -> Iterator[tuple[str, Table]]:
         """Every subsystem's name and terms."""
@@ -66,12 +77,15 @@
         ("permits", told.permits),
         ("reader", told.reader),
         ("replica", told.replica),
+        ("shards", told.shards),
     ):
         needs, there = ("members", members) if name == "owners" else ("owners", owners)
         if table.enabled and not there.enabled:
             yield f"{name}.enabled", f"is true, but {needs}.enabled is not"
     if members.enabled:
         yield from _member_faults(members)
+    if told.shards.enabled:
+        yield from shard_faults(told.shards, members.region, owners)
     if told.replica.enabled and told.replica.absent_s < told.replica.keep_s:
         # Else a node could be given up before what it has to know was kept for as long as stated.
         yield (
--- a/sailrun/owners/agent.py
+++ b/sailrun/owners/agent.py
@@ -10,13 +10,13 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from sailrun.lasting.ledger import Done
 from sailrun.lasting.messages import Stand, Stood
-from sailrun.members.messages import Joined, MemberBody, Record, Refused, State
+from sailrun.members.messages import CONTROL, Joined, MemberBody, Record, Refused, State
 from sailrun.members.swim import Change, Letter, Members
 from sailrun.members.terms import MembersTerms
 from sailrun.owners.backing import Backing
@@ -48,6 +48,11 @@
 from sailrun.owners.walk import Walks
 from sailrun.replica.replica import MARKS, Replica
 from sailrun.replica.terms import ReplicaTerms
+from sailrun.shards.messages import Ballot, ShardBody
+from sailrun.shards.terms import ShardsTerms
+
+if TYPE_CHECKING:
+    from sailrun.shards.part import ShardsPart
 
 SECOND = 1_000_000
 READER = "roster/"  # and the data centre
@@ -78,6 +83,7 @@
     reader: ReaderTerms = field(default_factory=ReaderTerms)
     pace: bool = False
     replica: ReplicaTerms = field(default_factory=ReplicaTerms)
+    shards: ShardsTerms = field(default_factory=ShardsTerms)
 
 
 @dataclass(slots=True)
@@ -131,6 +137,7 @@
         self.walks = Walks(me.name, self.holder)
         self.replica = self._new_replica(chance.getrandbits(32), now_us) if terms.replica.enabled else None
         self.backing.serve(lambda: self.voter, self.replica, self.walks)
+        self.shards = self._new_shards(me, chance, now_us) if terms.shards.enabled else None
         self.office: PermitOffice | None = None
         # Work that others do: who answers questions about a task, asked with the asker's name and content.
         self.answers: dict[str, Callable[[int, str, Any], Any]] = {}
@@ -172,6 +179,23 @@
             self.backing.book,
         )
 
+    def _new_shards(self, me: Record, chance: random.Random, now_us: int) -> ShardsPart:
+        # Loaded only where it is switched on: it needs numpy.
+        from sailrun.shards.part import ShardsPart
+
+        terms = self.terms
+        return ShardsPart(
+            me,
+            terms.shards,
+            terms.owners,
+            self.members,
+            chance.getrandbits,
+            now_us,
+            self._founding,
+            self._off,
+            self._act,
+        )
+
     # ------------------------------------------------------------------ what outlasts the process
 
     def take_up(self, now_us: int, lasting: Lasting) -> None:
@@ -194,7 +218,7 @@
         """The tasks this node may own, with the best placed of the living members that may as well."""
         if self.members.version != self._tasks_of:
             self._tasks_of = self.members.version
-            living = self.members.living()
+            living = self._candidates()
             names = [r.name for r in living]
             tasks = {}
             if self.terms.permits.enabled:
@@ -209,6 +233,11 @@
             self._tasks = tasks
         return self._tasks
 
+    def _candidates(self) -> list[Record]:
+        """The living members set aside for such work; all that live where there are none."""
+        living = self.members.living()
+        return [r for r in living if r.role == CONTROL] or living
+
     def owns(self, task: str, now_us: int) -> int:
         """The term under which this node may act for the task now; 0: it may not, or rests.
 
@@ -284,6 +313,9 @@
                 return self._post(sender, self.walks.asked(now_us, body))
             case Walking():
                 self.walks.told(now_us, sender, body)
+            case _ if isinstance(body, ShardBody):
+                if self.shards is not None and self.members.joined:
+                    return self._posts(self.shards.hear(now_us, sender, life, body))
             case Stand() | Stood():
                 if sender in self.voters.all():
                     return self._backed(*self.backing.heard(now_us, sender, body))
@@ -428,6 +460,8 @@
             due_us = min(due_us, self.holder.due_us(now_us))
         if self.replica is not None:
             due_us = min(due_us, self.replica.due_us(now_us))
+        if self.shards is not None:
+            due_us = min(due_us, self.shards.due_us(now_us))
         backing_us = self.backing.due_us()
         return due_us if backing_us is None else min(due_us, backing_us)
 
@@ -449,6 +483,8 @@
         outs += self._posts(self.walks.turn(now_us))
         if self.replica is not None and self.members.joined and not self.members.leaving:
             outs += self._turn_replica(now_us, self.replica)
+        if self.shards is not None and self.members.joined and not self.members.leaving:
+            outs += self._posts(self.shards.turn(now_us))
         return outs + self._changes(now_us)
 
     def _turn_replica(self, now_us: int, replica: Replica) -> list[Out]:
@@ -492,6 +528,8 @@
                 self.holder.give_back(now_us, kind, subject)
             for want in self.holder.turn(now_us):
                 outs += self._ask_permit(now_us, want)
+        if self.shards is not None:
+            outs += self._posts(self.shards.leave(now_us))
         outs += self._mail(self.members.leave(now_us))
         return outs + self._changes(now_us)
 
@@ -524,6 +562,8 @@
                 self._acted[task] = tenure.until_us
                 self._act("hold", task=task, term=tenure.term, until_us=tenure.until_us)
         self.notes += self._emptied(self.backing.notes)
+        if self.shards is not None:
+            self.notes += self._emptied(self.shards.notes)
         if self.holder is not None:
             for use in self._emptied(self.holder.uses):
                 if not use.yes:
@@ -589,10 +629,16 @@
     def _posts(self, posts: Any) -> list[Out]:
         outs: list[Out] = []
         for name, body in posts:
-            if not isinstance(body, Ask) or self.tenures.wants(body):
+            if self._still_wanted(body):
                 outs += self._post(name, body)
         return outs
 
+    def _still_wanted(self, body: Any) -> bool:
+        """A lease that this node's own vote has denied is not asked for any more."""
+        if isinstance(body, Ask):
+            return self.tenures.wants(body)
+        return not isinstance(body, Ballot) or self.shards is None or self.shards.wants(body)
+
     def _post(self, name: str, body: Body, guard: tuple[str, int] | None = None) -> list[Out]:
         """To a member by name; a promise is held until the disk has what it rests on."""
         if self.backing.keeps_back(self._now_us, name, body):
--- a/sailrun/owners/envelope.py
+++ b/sailrun/owners/envelope.py
@@ -13,13 +13,14 @@
 from sailrun.members.messages import MemberBody, Record
 from sailrun.owners.messages import Claim, OwnerBody
 from sailrun.replica.messages import ReplicaBody
+from sailrun.shards.messages import ShardBody
 
 LONGEST_DATAGRAM = 1200
 LONGEST_FRAME = 4 * 1024 * 1024
 # What rides along, so that a datagram stays below its limit whatever the names are.
 MOST_NEWS, MOST_CLAIMS = 4, 3
 
-Body = MemberBody | OwnerBody | ReplicaBody | LastingBody
+Body = MemberBody | OwnerBody | ReplicaBody | LastingBody | ShardBody
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -49,7 +49,13 @@
     """The agent's part of an operator's file."""
     pace = operator.rebalance.enabled and operator.owners.enabled
     return AgentTerms(
-        operator.members, operator.owners, operator.permits, operator.reader, pace, operator.replica
+        operator.members,
+        operator.owners,
+        operator.permits,
+        operator.reader,
+        pace,
+        operator.replica,
+        operator.shards,
     )
 
 
@@ -73,6 +79,8 @@
             State.ALIVE,
             told.advertise or told.listen,
             config.settings.zone,
+            told.region,
+            told.role,
         )
         record = _record if terms.owners.record else _forget
         self.agent = Agent(me, terms, secrets.randbits(32), boot_us(), _founding, record=record)
--- /dev/null
+++ b/sailrun/shards/fence.py
@@ -0,0 +1,28 @@
+"""What receivers of acts for shards check: no token below the highest that was seen for the shard."""
+
+from __future__ import annotations
+
+from sailrun.shards.messages import Token
+
+MOST_SHARDS_REMEMBERED = 1_000_000
+
+
+class TokenFence:
+    """One receiver's memory. Of more shards than it holds, those that were heard of longest ago are forgotten."""
+
+    def __init__(self, most: int = MOST_SHARDS_REMEMBERED, off: frozenset[str] = frozenset()) -> None:
+        self._most, self._off = most, off
+        self._highest: dict[tuple[str, int], Token] = {}
+
+    def highest(self, region: str, shard: int) -> Token | None:
+        """The highest token seen for a shard."""
+        return self._highest.get((region, shard))
+
+    def takes(self, region: str, shard: int, token: Token) -> bool:
+        """Whether an act with this token may be carried out; from then on lower ones may not."""
+        key = (region, shard)
+        seen = self._highest.pop(key, token)
+        self._highest[key] = max(seen, token)
+        if len(self._highest) > self._most:
+            del self._highest[next(iter(self._highest))]
+        return token >= seen or "token" in self._off
--- /dev/null
+++ b/sailrun/shards/part.py
@@ -0,0 +1,414 @@
+"""A member's whole part in the ownership of shards: as a node with a session, as a voter, and as the assigner.
+
+Pure. `owners/agent.py` drives it and carries its messages. Every region stands alone: its voters are its own, and
+nothing another region says changes anything here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import Any, Protocol
+
+from sailrun.members.messages import CONTROL, Record
+from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
+from sailrun.owners.quorum import Voters
+from sailrun.owners.tenure import Tenures, placed_best
+from sailrun.owners.terms import DRIFT, OwnersTerms
+from sailrun.owners.voter import Voter
+from sailrun.shards.assigner import Assigner
+from sailrun.shards.fence import TokenFence
+from sailrun.shards.messages import (
+    Ballot,
+    Post,
+    ReadTable,
+    Renew,
+    Renewed,
+    RenewRefused,
+    ShardAct,
+    ShardActRefused,
+    ShardBody,
+    TableRead,
+    TableRefused,
+    TableWritten,
+    WriteTable,
+)
+from sailrun.shards.register import TableAcceptor, TableWriter
+from sailrun.shards.session import NodeSession
+from sailrun.shards.terms import ShardsTerms, region_owners
+
+SECOND = 1_000_000
+# Heartbeats without an answer before another member is asked who the assigner is.
+PATIENT_HEARTBEATS = 1
+SEED_BITS = 32
+Note = tuple[str, dict[str, object]]
+
+
+class MembersView(Protocol):
+    """What is asked of the membership."""
+
+    version: int
+
+    def living(self) -> list[Record]: ...
+    def record(self, name: str) -> Record | None: ...
+    def lives(self, name: str) -> bool: ...
+
+
+class ShardsPart:
+    def __init__(
+        self,
+        me: Record,
+        terms: ShardsTerms,
+        owners: OwnersTerms,
+        members: MembersView,
+        draw: Callable[[int], int],
+        now_us: int,
+        founding: Callable[[], int],
+        off: frozenset[str] = frozenset(),
+        record: Callable[..., None] = lambda kind, **facts: None,
+    ) -> None:
+        """`draw` gives that many random bits; `founding` a number above all that were ever given, as far as
+        chance and a clock can. Raises ValueError where the table names no such region.
+        """
+        region = terms.region(me.region)
+        if region is None:
+            raise ValueError(f"no region '{me.region}'")
+        self.region, self.terms, self._members = region, terms, members
+        self._name, self._life, self._off, self._act = me.name, me.life, off, record
+        self._founding = founding
+        self._digest = terms.digest(region.name)
+        self.task = f"shards/{region.name}"
+        self._owners = region_owners(region, owners)
+        self.voters = Voters(self._owners, off)
+        self.leases = Tenures(me.name, self.voters, self._owners, draw(SEED_BITS), now_us, off)
+        votes = me.name in region.voters
+        self.voter = Voter(me.name, self.voters, self._owners, now_us, founding, off) if votes else None
+        self.acceptor = TableAcceptor(region.name, me.life, off) if votes else None
+        self.assigner: Assigner | None = None
+        self.session: NodeSession | None = None
+        if me.role != CONTROL:
+            self.session = NodeSession(region, terms, draw(SEED_BITS), now_us, off, record)
+        self.fence = TokenFence(off=off)
+        self.notes: list[Note] = []  # for the log; emptied by whoever drives this
+        self.acts_taken = self.acts_refused = self.bad_settings = 0
+        self._assigner_name = ""  # hearsay
+        self._asked = draw(SEED_BITS)  # which voter is asked where the assigner is not known
+        self._candidates: list[str] = []
+        self._candidates_of = -1
+        self._act_number = 0
+        self._held_until_us = 0  # as last recorded
+        self._in_touch = True
+
+    # ------------------------------------------------------------------ who may be the assigner
+
+    def candidates(self) -> dict[str, list[str]]:
+        """By task, the best placed of the region's living control members; of all its members without any."""
+        if self._members.version != self._candidates_of:
+            self._candidates_of = self._members.version
+            living = [r for r in self._members.living() if r.region == self.region.name]
+            control = [r for r in living if r.role == CONTROL]
+            self._candidates = placed_best(self.task, [r.name for r in control or living])
+        return {self.task: self._candidates}
+
+    def is_assigner(self, now_us: int) -> bool:
+        """Whether this member may act as its region's assigner now."""
+        return bool(self.leases.holds(self.task, now_us))
+
+    def wants(self, ballot: Ballot) -> bool:
+        """Whether what is asked of a voter is still asked: this member's own vote may have been denied."""
+        return not isinstance(ballot.body, Ask) or self.leases.wants(ballot.body)
+
+    # ------------------------------------------------------------------ what comes in
+
+    def hear(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[Post]:
+        if body.region != self.region.name:
+            return []
+        digest = getattr(body, "digest", self._digest)
+        if digest != self._digest:
+            return self._strange(sender, body)
+        posts = self._heard(now_us, sender, life, body)
+        return posts + self._follow(now_us)
+
+    def _strange(self, sender: str, body: ShardBody) -> list[Post]:
+        """From a member with other settings: it is told, and nothing else is done."""
+        self.bad_settings += 1
+        if self.bad_settings == 1:
+            self.notes.append(("shards-settings-differ", {"name": sender}))
+        if isinstance(body, Renew):
+            return [(sender, RenewRefused(self.region.name, body.number, "settings"))]
+        return []
+
+    def _heard(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[Post]:
+        match body:
+            case Ballot():
+                return self._voted(now_us, sender, life, body)
+            case Renew():
+                return self._renew(now_us, sender, body)
+            case Renewed() | RenewRefused():
+                self._told(now_us, sender, body)
+            case ReadTable():
+                return [(sender, self.acceptor.read(body))] if self.acceptor is not None else []
+            case WriteTable():
+                return [(sender, self.acceptor.write(body))] if self.acceptor is not None else []
+            case TableRead() | TableWritten() | TableRefused():
+                if self.assigner is not None and self.is_assigner(now_us):
+                    self.assigner.writer.hear(now_us, sender, body)
+            case ShardAct():
+                return self._acted(sender, body)
+            case ShardActRefused():
+                self.acts_refused += 1
+        return []
+
+    def _voted(self, now_us: int, sender: str, life: int, ballot: Ballot) -> list[Post]:
+        match ballot.body:
+            case Grant():
+                self.leases.granted(now_us, sender, ballot.body)
+            case Deny():
+                return self._ballots(self.leases.denied(now_us, sender, ballot.body))
+            case Yield():
+                self.leases.yielded(now_us, ballot.body)
+                return self._turn_leases(now_us)
+            case body:
+                return self._ballots(self._asked_to_vote(now_us, sender, life, body))
+        return []
+
+    def _asked_to_vote(
+        self, now_us: int, sender: str, life: int, body: Ask | Release | Recall | Recalled
+    ) -> list[tuple[str, Any]]:
+        if self.voter is None:
+            return []
+        match body:
+            case Ask():
+                return [(sender, self.voter.asked(now_us, sender, life, body))]
+            case Release():
+                self.voter.released(sender, life, body)
+            case Recall():
+                return [(sender, self.voter.recall(body))]
+            case Recalled():
+                self.voter.told(now_us, sender, body)
+        return []
+
+    def _renew(self, now_us: int, sender: str, asked: Renew) -> list[Post]:
+        if self.assigner is not None and self.is_assigner(now_us):
+            answer = self.assigner.hear(now_us, sender, asked)
+            return [(sender, answer)] if answer is not None else []
+        refusal = RenewRefused(self.region.name, asked.number, "elsewhere", self._holder(now_us))
+        return [(sender, refusal)]
+
+    def _holder(self, now_us: int) -> str:
+        """Who is the assigner, as far as this member knows; empty: nobody."""
+        if self.voter is not None:
+            held = self.voter.holders(now_us).get(self.task)
+            if held is not None:
+                return held[0]
+        return self.leases.of(self.task).holder
+
+    def _told(self, now_us: int, sender: str, body: Renewed | RenewRefused) -> None:
+        if self.session is None:
+            return
+        if isinstance(body, Renewed):
+            self._assigner_name = sender
+            self.session.renewed(now_us, body)
+        elif body.why == "elsewhere":
+            self._sent_on(now_us, sender, body)
+        else:
+            self.session.refused(now_us, body)
+
+    def _sent_on(self, now_us: int, sender: str, body: RenewRefused) -> None:
+        """Whoever was asked is not the assigner: whom it names is asked next."""
+        assert self.session is not None
+        named = body.holder if body.holder != sender and self._members.lives(body.holder) else ""
+        if named and named != self._assigner_name:
+            self._assigner_name = named
+            self.session.again(now_us)
+        elif self._assigner_name == sender:
+            self._assigner_name = ""
+
+    # ------------------------------------------------------------------ acts for a shard
+
+    def act(self, now_us: int, shard: int, to: str) -> list[Post]:
+        """Asks another member for work on a shard's behalf, with the token; nothing where this node may not."""
+        token = self.session.token(shard, now_us) if self.session is not None else None
+        if token is None:
+            return []
+        self._act_number += 1
+        self._act(
+            "shard-act", shard=shard, generation=token.generation, session=token.session, to=to, made_us=now_us
+        )
+        return [(to, ShardAct(self.region.name, shard, token, self._act_number))]
+
+    def _acted(self, sender: str, act: ShardAct) -> list[Post]:
+        token = act.token
+        facts = {"shard": act.shard, "generation": token.generation, "session": token.session, "of": sender}
+        if self.fence.takes(act.region, act.shard, token):
+            self.acts_taken += 1
+            self._act("shard-take", **facts)
+            return []
+        self._act("shard-refuse", **facts)
+        highest = self.fence.highest(act.region, act.shard) or token
+        return [(sender, ShardActRefused(act.region, act.shard, act.number, highest))]
+
+    # ------------------------------------------------------------------ time
+
+    def due_us(self, now_us: int) -> int:
+        """When `turn` wants to be called next."""
+        due = [self.leases.due_us(now_us, self.candidates())]
+        if self.voter is not None:
+            due.append(self.voter.due_us() or due[0])
+        if self.assigner is not None:
+            due.append(self.assigner.due_us(now_us))
+        if self.session is not None:
+            due.append(self.session.due_us(now_us))
+        return min(due)
+
+    def turn(self, now_us: int) -> list[Post]:
+        posts = self._turn_leases(now_us)
+        if self.voter is not None:
+            posts += self._ballots(self.voter.turn(now_us))
+        posts += self._follow(now_us)
+        if self.session is not None:
+            renew = self.session.turn(now_us)
+            if renew is not None:
+                posts += self._heartbeat(renew)
+        self._notes_of(now_us)
+        return posts
+
+    def _turn_leases(self, now_us: int) -> list[Post]:
+        return self._ballots(self.leases.turn(now_us, self.candidates()))
+
+    def _ballots(self, posts: Iterable[tuple[str, Any]]) -> list[Post]:
+        return [(name, Ballot(self.region.name, self._digest, body)) for name, body in posts]
+
+    def _heartbeat(self, renew: Renew) -> list[Post]:
+        assert self.session is not None
+        if self.session.unanswered > PATIENT_HEARTBEATS + 1 or not self._members.lives(self._assigner_name):
+            self._assigner_name = ""
+        to = self._assigner_name
+        if not to:
+            self._asked += 1
+            to = self.region.voters[self._asked % len(self.region.voters)]
+        return [(to, renew)]
+
+    def _follow(self, now_us: int) -> list[Post]:
+        """Becomes the assigner, or ceases to be, as the lease says; and does an assigner's work."""
+        for change in self._emptied(self.leases.turned):
+            self.assigner = self._new_assigner(change.term, now_us) if change.mine else None
+            facts = {"region": self.region.name, "term": change.term, "mine": change.mine, "why": change.why}
+            self.notes.append(("shards-assigner", facts))
+            if not change.mine:
+                self._act("lost", task=self.task, term=change.term, why=change.why)
+        tenure = self.leases.of(self.task)
+        if tenure.until_us and tenure.until_us != self._held_until_us:
+            self._held_until_us = tenure.until_us
+            self._act("hold", task=self.task, term=tenure.term, until_us=tenure.until_us)
+        if self.assigner is None or not self.is_assigner(now_us):
+            return []
+        return self._work(now_us, self.assigner)
+
+    def _work(self, now_us: int, assigner: Assigner) -> list[Post]:
+        higher = assigner.writer.higher_term
+        if higher > assigner.term:
+            # A voter has promised a higher term: this one is over, and the next is above that.
+            self.leases.heard_of(self.task, higher, "", now_us)
+            return []
+        return assigner.turn(now_us)
+
+    def _new_assigner(self, term: int, now_us: int) -> Assigner:
+        patience_us = int(self.terms.lease_s * SECOND * (1 + DRIFT))
+        writer = TableWriter(
+            self.region.name,
+            self._digest,
+            term,
+            self.voters,
+            self._life_of,
+            self._founding,
+            patience_us,
+            now_us,
+            self._off,
+        )
+        return Assigner(self.region.name, self.terms, writer, now_us, self._off)
+
+    def _life_of(self, name: str) -> int | None:
+        if name == self._name:
+            return self._life
+        record = self._members.record(name)
+        return record.life if record is not None and self._members.lives(name) else None
+
+    def leave(self, now_us: int) -> list[Post]:
+        """The process ends in good order: what is held goes to the next at once."""
+        posts: list[Post] = []
+        if self.session is not None:
+            self.session.leaving = True
+            self.session.release(now_us)
+            renew = self.session.turn(now_us)
+            posts += self._heartbeat(renew) if renew is not None else []
+        posts += self._ballots(self.leases.leave(now_us, self.candidates()))
+        self._follow(now_us)
+        return posts
+
+    def plan_to_leave(self, now_us: int, on: bool) -> None:
+        """A planned stop: the node's shards move once the assigner lets them."""
+        if self.session is not None:
+            self.session.plan_to_leave(now_us, on)
+
+    # ------------------------------------------------------------------ what is told
+
+    def _notes_of(self, now_us: int) -> None:
+        if self.assigner is not None:
+            for change in self._emptied(self.assigner.committed):
+                joined = ",".join(s.name for s in change.joined) or None
+                facts = {
+                    "region": self.region.name,
+                    "generation": change.generation,
+                    "nodes": len(self.assigner.sessions),
+                    "joined": joined,
+                    "left": len(change.left) or None,
+                }
+                self.notes.append(("shards-generation", facts))
+        if self.session is not None:
+            while self.session.events:
+                event = self.session.events.popleft()
+                facts = {
+                    "what": event.what,
+                    "generation": event.generation,
+                    "shards": event.shards,
+                    "why": event.why or None,
+                }
+                self.notes.append(("shards", facts))
+        if self.voter is not None and self._in_touch is not self.leases.in_touch(now_us):
+            self._in_touch = not self._in_touch
+            what = "shards-in-touch" if self._in_touch else "shards-rest"
+            self.notes.append((what, {"region": self.region.name, "voters": len(self.region.voters)}))
+
+    @staticmethod
+    def _emptied(queue: list[Any]) -> list[Any]:
+        items = queue[:]
+        queue.clear()
+        return items
+
+    def show(self, now_us: int, node: str = "") -> dict[str, Any]:
+        """For staff: this node's session and shards, or those placed on another node."""
+        session = self.session
+        shown: dict[str, Any] = {
+            "region": self.region.name,
+            "assigner": self._name if self.is_assigner(now_us) else self._assigner_name or None,
+            "is_assigner": self.is_assigner(now_us),
+            "shards": self.region.shards,
+        }
+        if self.assigner is not None and self.is_assigner(now_us):
+            shown["generation"] = self.assigner.generation
+            shown["settled"] = self.assigner.settled
+            shown["nodes"] = len(self.assigner.sessions)
+        if session is None:
+            return shown
+        shown |= {"generation": session.generation, "settled": session.settled}
+        shown["nodes"] = len(session.sessions())
+        if node and node != self._name:
+            shown["node"] = node
+            shown["placed"] = session.placed_of(node)
+            return shown
+        usable = session.usable(now_us)
+        shown["node"] = self._name
+        shown["usable"] = sorted(usable)
+        shown["moving"] = [shard for shard in session.placed() if shard not in usable]
+        shown["ends_in_s"] = round((session.until_us - now_us) / SECOND, 3) if session.session else None
+        return shown
--- /dev/null
+++ b/sailrun/shards/placement.py
@@ -0,0 +1,141 @@
+"""Which session each shard of a region is placed on: the design's own score, for all shards at once.
+
+The score of a shard and a node is the product of two MurmurHash3 values, modulo 2^32; the highest wins, ties go
+to the lower name. Beside each shard's owner the highest generation is kept that has to be settled before the
+owner may begin (`wait`). Arrays of numpy; needs the packages of `requirements-operator.txt`.
+"""
+
+from __future__ import annotations
+
+import mmh3
+import numpy as np
+import numpy.typing as npt
+
+from sailrun.decide import key_hash, server_hash
+from sailrun.shards.messages import Change, Session
+
+# Products are formed for so many at a time, to bound the memory of a placement from nothing.
+CELLS = 4_000_000
+NOBODY = -1
+
+
+def shard_key(region: str, shard: int) -> str:
+    """A shard's name in the whole fleet."""
+    return f"{region}/{shard}"
+
+
+class Placement:
+    """The shards of one region and the sessions they are placed on, by generation."""
+
+    def __init__(self, region: str, shards: int) -> None:
+        keys = (key_hash(shard_key(region, shard)) for shard in range(shards))
+        self._keys: npt.NDArray[np.uint32] = np.fromiter(keys, np.uint32, shards)
+        self.generation = 0
+        self.sessions: dict[int, Session] = {}
+        # By shard: the number of the session it is placed on, and what has to be settled first.
+        self.owner: npt.NDArray[np.int64] = np.full(shards, NOBODY, np.int64)
+        self.wait: npt.NDArray[np.int64] = np.zeros(shards, np.int64)
+
+    @property
+    def memory_bytes(self) -> int:
+        """Of the arrays."""
+        return self._keys.nbytes + self.owner.nbytes + self.wait.nbytes
+
+    def begin(self, generation: int, sessions: list[Session]) -> None:
+        """Goes by a whole table: whatever was owned under an earlier one has to be settled first."""
+        self.generation = generation
+        self.sessions = {session.number: session for session in sessions}
+        self.owner = self._best(np.arange(len(self._keys)))
+        self.wait = np.full(len(self._keys), generation, np.int64)
+
+    def apply(self, change: Change) -> npt.NDArray[np.int64]:
+        """Goes on to the next generation; returns the shards that were placed elsewhere.
+
+        A shard of a session that left may be taken up at once: nobody uses that session any more. One that
+        a living session loses waits until this generation is settled.
+        """
+        self.generation = change.generation
+        left = [number for number in change.left if number in self.sessions]
+        for number in left:
+            del self.sessions[number]
+        orphaned = np.flatnonzero(np.isin(self.owner, left) | (self.owner == NOBODY)) if self._uncertain(
+            left
+        ) else np.empty(0, np.int64)
+        for session in change.joined:
+            self.sessions[session.number] = session
+        moved = self._taken_over(change.joined, orphaned)
+        self.owner[orphaned] = self._best(orphaned)
+        self.wait[moved] = change.generation
+        return np.concatenate([orphaned, moved])
+
+    def _uncertain(self, left: list[int]) -> bool:
+        return bool(left) or bool((self.owner == NOBODY).any())
+
+    def _taken_over(
+        self, joined: list[Session], orphaned: npt.NDArray[np.int64]
+    ) -> npt.NDArray[np.int64]:
+        """Moves to those that joined what they score highest for, away from living sessions."""
+        if not joined:
+            return np.empty(0, np.int64)
+        kept = np.ones(len(self._keys), bool)
+        kept[orphaned] = False
+        shards = np.flatnonzero(kept)
+        if not len(shards):
+            return shards
+        new = self._best(shards, self._ranked(joined))
+        moves = self._beats(shards, new)
+        self.owner[shards[moves]] = new[moves]
+        return shards[moves]
+
+    def _beats(
+        self, shards: npt.NDArray[np.int64], rivals: npt.NDArray[np.int64]
+    ) -> npt.NDArray[np.bool_]:
+        """Where a rival's score is above that of the present owner, or as high with a lower name."""
+        numbers = np.array(sorted(self.sessions), np.int64)
+        ranks = {s.number: rank for rank, s in enumerate(self._ranked(list(self.sessions.values())))}
+        rank = np.array([ranks[number] for number in numbers.tolist()], np.int64)
+        hashes = np.array([node_hash(self.sessions[n].name) for n in numbers.tolist()], np.uint32)
+        mine = np.searchsorted(numbers, self.owner[shards])
+        its = np.searchsorted(numbers, rivals)
+        keys = self._keys[shards]
+        now, then = keys * hashes[mine], keys * hashes[its]
+        better: npt.NDArray[np.bool_] = (then > now) | ((then == now) & (rank[its] < rank[mine]))
+        return better
+
+    @staticmethod
+    def _ranked(sessions: list[Session]) -> list[Session]:
+        return sorted(sessions, key=lambda session: session.name)
+
+    def _best(
+        self, shards: npt.NDArray[np.int64], sessions: list[Session] | None = None
+    ) -> npt.NDArray[np.int64]:
+        """The number of the session that scores highest, for each of the shards."""
+        ranked = self._ranked(list(self.sessions.values())) if sessions is None else sessions
+        best = np.full(len(shards), NOBODY, np.int64)
+        if not ranked or not len(shards):
+            return best
+        hashes = np.array([node_hash(session.name) for session in ranked], np.uint32)
+        numbers = np.array([session.number for session in ranked], np.int64)
+        step = max(1, CELLS // len(ranked))
+        for begin in range(0, len(shards), step):
+            keys = self._keys[shards[begin : begin + step]]
+            scores = keys[:, None] * hashes[None, :]  # of 32 bits: what is above is cut off
+            best[begin : begin + step] = numbers[scores.argmax(axis=1)]
+        return best
+
+    def placed_on(self, session: int) -> npt.NDArray[np.int64]:
+        """The shards placed on a session, whether it may use them yet or not."""
+        return np.flatnonzero(self.owner == session)
+
+    def usable(self, session: int, settled: int) -> npt.NDArray[np.int64]:
+        """The shards that a session may use, all sessions in force going by `settled` or later."""
+        return np.flatnonzero((self.owner == session) & (self.wait <= settled))
+
+    def may_use(self, shard: int, session: int, settled: int) -> bool:
+        """The same for one shard."""
+        return bool(self.owner[shard] == session and self.wait[shard] <= settled)
+
+
+def node_hash(name: str) -> int:
+    """As for every other task of the fleet: a node's name stands for a server's id."""
+    return server_hash(mmh3.hash(name, signed=False))
--- /dev/null
+++ b/sailrun/shards/terms.py
@@ -0,0 +1,90 @@
+"""What an operator sets of shards: the table `[shards]` of the operator's file."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Iterator
+from typing import Annotated
+
+import msgspec
+from msgspec import Meta, Struct
+
+from sailrun.owners.quorum import check_voters
+from sailrun.owners.terms import OwnersTerms
+
+MOST_SHARDS = 1_000_000
+# Times a lease is asked for while it lasts.
+RENEWALS = 4
+
+
+class RegionTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """One region: the shards whose home it is, and the members that decide there."""
+
+    name: Annotated[str, Meta(min_length=1, max_length=32, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
+    shards: Annotated[
+        int, Meta(ge=1, le=MOST_SHARDS, description="Shards whose home is this region, numbered from 0.")
+    ]
+    voters: Annotated[
+        tuple[str, ...],
+        Meta(description="Names of the 3, 5 or 7 members of the region that grant leases and keep its table."),
+    ]
+
+
+class ShardsTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """Who owns shards, and for how long without word. The same on every node of a region."""
+
+    enabled: Annotated[bool, Meta(description="Whether this node takes part in the ownership of shards.")] = (
+        False
+    )
+    lease_s: Annotated[
+        float, Meta(ge=1.0, le=120.0, description="A node keeps its shards without word for so long.")
+    ] = 8.0
+    gather_s: Annotated[
+        float, Meta(ge=0.05, le=60.0, description="Nodes that arrive within this are added together.")
+    ] = 1.0
+    leaving: Annotated[
+        int,
+        Meta(ge=1, le=1000, description="Nodes of a region that hand over for a planned stop at a time."),
+    ] = 2
+    regions: Annotated[tuple[RegionTerms, ...], Meta(description="Every region, with its shards.")] = ()
+
+    def region(self, name: str) -> RegionTerms | None:
+        """The region of that name."""
+        return next((region for region in self.regions if region.name == name), None)
+
+    def digest(self, region: str) -> int:
+        """Of what has to be the same at all nodes of a region; part of every message between them."""
+        told = self.region(region)
+        return zlib.crc32(msgspec.msgpack.encode([self.lease_s, told]))
+
+
+def region_owners(region: RegionTerms, owners: OwnersTerms) -> OwnersTerms:
+    """The terms of the lease on the region's assigner: the fleet's, with the region's own voters."""
+    return OwnersTerms(
+        enabled=True,
+        voters=region.voters,
+        lease_s=owners.lease_s,
+        order_s=owners.order_s,
+        give_back_s=owners.give_back_s,
+    )
+
+
+def shard_faults(
+    shards: ShardsTerms, members_region: str, owners: OwnersTerms
+) -> Iterator[tuple[str, str]]:
+    """What is wrong with the table, given the node's own region: pairs of key and fault."""
+    if not shards.regions:
+        yield "shards.regions", "is missing: at least one region is needed"
+    names = [region.name for region in shards.regions]
+    for n, region in enumerate(shards.regions):
+        if names.index(region.name) != n:
+            yield f"shards.regions[{n}].name", f"'{region.name}' comes twice"
+        what = check_voters(region.voters)
+        if what is not None:
+            yield f"shards.regions[{n}].voters", what
+    if names and members_region not in names:
+        yield "members.region", f"'{members_region}' is none of {', '.join(names)}"
+    change_s = 2 * (owners.lease_s + owners.order_s)
+    if shards.lease_s < change_s:
+        # Else every change of assigner would end the leases of all nodes.
+        yield "shards.lease_s", f"is {shards.lease_s:g}, under the {change_s:g} of a change of assigner"
