--- a/sailrun/members/swim.py
+++ b/sailrun/members/swim.py
@@ -344,7 +344,9 @@
             bisect.insort(self._living, name)
         elif lived and not lives:
             self._living.remove(name)
-        if lives is not lived or (before is not None and after is not None and _place(before) != _place(after)):
+        if lives is not lived or (
+            before is not None and after is not None and _place(before) != _place(after)
+        ):
             self.version += 1
 
     def _tell(self, name: str) -> None:
--- a/sailrun/members/terms.py
+++ b/sailrun/members/terms.py
@@ -37,7 +37,7 @@
         str,
         Meta(
             pattern="^(|node|control)$",
-            description="`control`: set aside for work on behalf of the fleet, which then is done by such members only.",
+            description="`control`: set aside for work on behalf of the fleet, done by such members only.",
         ),
     ] = ""
     probe_s: Annotated[
--- a/sailrun/shards/assigner.py
+++ b/sailrun/shards/assigner.py
@@ -185,8 +185,8 @@
     def _ended(self, now_us: int) -> list[int]:
         """Sessions that nobody uses any more: released, or not heard of for a whole lease.
 
-        A node counts its lease from when it asked, less what two clocks may differ; what an assigner before this
-        one extended is counted from this one's beginning.
+        A node counts its lease from when it asked, less what two clocks may differ; what an assigner before
+        this one extended is counted from this one's beginning.
         """
         return [
             number
--- a/sailrun/shards/fence.py
+++ b/sailrun/shards/fence.py
@@ -8,7 +8,7 @@
 
 
 class TokenFence:
-    """One receiver's memory. Of more shards than it holds, those that were heard of longest ago are forgotten."""
+    """One receiver's memory. Where it is full, those heard of longest ago are forgotten."""
 
     def __init__(self, most: int = MOST_SHARDS_REMEMBERED, off: frozenset[str] = frozenset()) -> None:
         self._most, self._off = most, off
--- a/sailrun/shards/messages.py
+++ b/sailrun/shards/messages.py
@@ -22,7 +22,7 @@
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """From generation `generation - 1` to this one. Those that left had released, or their lease had ended."""
+    """From generation `generation - 1` to this one. Who left had released, or its lease had ended."""
 
     generation: int
     joined: list[Session]
@@ -84,7 +84,7 @@
 
 
 class RenewRefused(msgspec.Struct, array_like=True, frozen=True, tag="shard-refused"):
-    """`why`: `over` (no such session), `settings` (another digest), `elsewhere` (not the assigner; `holder` is)."""
+    """`why`: `over` (no such session), `settings` (another digest), `elsewhere` (`holder` is asked)."""
 
     region: str
     number: int
@@ -133,7 +133,7 @@
 
 
 class TableRefused(msgspec.Struct, array_like=True, frozen=True, tag="shard-no"):
-    """`promised`: a higher term the voter has promised; 0: the write was for another life, which is `life`."""
+    """`promised`: a higher term the voter has promised; 0: the write was for a life other than `life`."""
 
     region: str
     term: int
--- a/sailrun/shards/part.py
+++ b/sailrun/shards/part.py
@@ -1,7 +1,7 @@
-"""A member's whole part in the ownership of shards: as a node with a session, as a voter, and as the assigner.
+"""A member's whole part in the ownership of shards: as a node, as a voter, as the assigner.
 
-Pure. `owners/agent.py` drives it and carries its messages. Every region stands alone: its voters are its own, and
-nothing another region says changes anything here.
+Pure. `owners/agent.py` drives it and carries its messages. Every region stands alone: its voters are its own,
+and nothing another region says changes anything here.
 """
 
 from __future__ import annotations
@@ -226,13 +226,18 @@
     # ------------------------------------------------------------------ acts for a shard
 
     def act(self, now_us: int, shard: int, to: str) -> list[Post]:
-        """Asks another member for work on a shard's behalf, with the token; nothing where this node may not."""
+        """Asks another member for work on a shard's behalf, with the token; nothing where it may not."""
         token = self.session.token(shard, now_us) if self.session is not None else None
         if token is None:
             return []
         self._act_number += 1
         self._act(
-            "shard-act", shard=shard, generation=token.generation, session=token.session, to=to, made_us=now_us
+            "shard-act",
+            shard=shard,
+            generation=token.generation,
+            session=token.session,
+            to=to,
+            made_us=now_us,
         )
         return [(to, ShardAct(self.region.name, shard, token, self._act_number))]
 
--- a/sailrun/shards/placement.py
+++ b/sailrun/shards/placement.py
@@ -1,8 +1,8 @@
 """Which session each shard of a region is placed on: the design's own score, for all shards at once.
 
-The score of a shard and a node is the product of two MurmurHash3 values, modulo 2^32; the highest wins, ties go
-to the lower name. Beside each shard's owner the highest generation is kept that has to be settled before the
-owner may begin (`wait`). Arrays of numpy; needs the packages of `requirements-operator.txt`.
+The score of a shard and a node is the product of two MurmurHash3 values, modulo 2^32; the highest wins, ties
+go to the lower name. Beside each shard's owner stands the generation that has to be settled before the owner
+may begin (`wait`). Arrays of numpy; needs the packages of `requirements-operator.txt`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from sailrun.shards.messages import Change, Session
 
 # Products are formed for so many at a time, to bound the memory of a placement from nothing.
-CELLS = 4_000_000
+CELLS = 400_000
 NOBODY = -1
 
 
@@ -58,9 +58,11 @@
         left = [number for number in change.left if number in self.sessions]
         for number in left:
             del self.sessions[number]
-        orphaned = np.flatnonzero(np.isin(self.owner, left) | (self.owner == NOBODY)) if self._uncertain(
-            left
-        ) else np.empty(0, np.int64)
+        orphaned = (
+            np.flatnonzero(np.isin(self.owner, left) | (self.owner == NOBODY))
+            if self._uncertain(left)
+            else np.empty(0, np.int64)
+        )
         for session in change.joined:
             self.sessions[session.number] = session
         moved = self._taken_over(change.joined, orphaned)
@@ -71,9 +73,7 @@
     def _uncertain(self, left: list[int]) -> bool:
         return bool(left) or bool((self.owner == NOBODY).any())
 
-    def _taken_over(
-        self, joined: list[Session], orphaned: npt.NDArray[np.int64]
-    ) -> npt.NDArray[np.int64]:
+    def _taken_over(self, joined: list[Session], orphaned: npt.NDArray[np.int64]) -> npt.NDArray[np.int64]:
         """Moves to those that joined what they score highest for, away from living sessions."""
         if not joined:
             return np.empty(0, np.int64)
@@ -87,9 +87,7 @@
         self.owner[shards[moves]] = new[moves]
         return shards[moves]
 
-    def _beats(
-        self, shards: npt.NDArray[np.int64], rivals: npt.NDArray[np.int64]
-    ) -> npt.NDArray[np.bool_]:
+    def _beats(self, shards: npt.NDArray[np.int64], rivals: npt.NDArray[np.int64]) -> npt.NDArray[np.bool_]:
         """Where a rival's score is above that of the present owner, or as high with a lower name."""
         numbers = np.array(sorted(self.sessions), np.int64)
         ranks = {s.number: rank for rank, s in enumerate(self._ranked(list(self.sessions.values())))}
--- a/sailrun/shards/register.py
+++ b/sailrun/shards/register.py
@@ -158,7 +158,7 @@
     # ------------------------------------------------------------------ what voters say
 
     def hear(self, now_us: int, sender: str, body: TableRead | TableWritten | TableRefused) -> None:
-        """Takes a voter's answer. To be called only while the lease is held: what comes later counts no more."""
+        """Takes a voter's answer. To be called only while the lease is held: later it counts no more."""
         if body.term != self.term or sender not in self._voters.all():
             return
         match body:
--- a/sailrun/shards/terms.py
+++ b/sailrun/shards/terms.py
@@ -26,7 +26,9 @@
     ]
     voters: Annotated[
         tuple[str, ...],
-        Meta(description="Names of the 3, 5 or 7 members of the region that grant leases and keep its table."),
+        Meta(
+            description="Names of the 3, 5 or 7 members of the region that grant leases and keep its table."
+        ),
     ]
 
 
@@ -69,9 +71,7 @@
     )
 
 
-def shard_faults(
-    shards: ShardsTerms, members_region: str, owners: OwnersTerms
-) -> Iterator[tuple[str, str]]:
+def shard_faults(shards: ShardsTerms, members_region: str, owners: OwnersTerms) -> Iterator[tuple[str, str]]:
     """What is wrong with the table, given the node's own region: pairs of key and fault."""
     if not shards.regions:
         yield "shards.regions", "is missing: at least one region is needed"
--- /dev/null
+++ b/tests/test_shards.py
@@ -0,0 +1,532 @@
+"""Ownership of shards, part by part: placement, the voters' table, the assigner, and a node's session."""
+
+from __future__ import annotations
+
+import itertools
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from sailrun.decide import MASK, key_hash
+from sailrun.owners.quorum import Voters
+from sailrun.owners.terms import OwnersTerms
+from sailrun.shards.assigner import Assigner
+from sailrun.shards.fence import TokenFence
+from sailrun.shards.messages import (
+    MOST_CHANGED,
+    Change,
+    ReadTable,
+    Renew,
+    Renewed,
+    RenewRefused,
+    Session,
+    TableRead,
+    TableRefused,
+    TableState,
+    TableWritten,
+    Token,
+    WriteTable,
+)
+from sailrun.shards.placement import Placement, node_hash, shard_key
+from sailrun.shards.register import TableAcceptor, TableWriter, next_state
+from sailrun.shards.session import NodeSession
+from sailrun.shards.terms import RegionTerms, ShardsTerms
+
+SECOND = 1_000_000
+VOTERS = ("c1", "c2", "c3")
+REGION = RegionTerms(name="east", shards=60, voters=VOTERS)
+TERMS = ShardsTerms(enabled=True, lease_s=6.0, gather_s=0.1, leaving=1, regions=(REGION,))
+LEASE_US = int(TERMS.lease_s * SECOND)
+
+
+def session(name: str, number: int) -> Session:
+    return Session(name, number, number)
+
+
+def best_of(shard: int, sessions: list[Session]) -> int:
+    """The design's score, the long way: the highest product wins, ties go to the lower name."""
+    key = key_hash(shard_key("east", shard))
+    ranked = sorted(sessions, key=lambda s: (-((key * node_hash(s.name)) & MASK), s.name))
+    return ranked[0].number if ranked else -1
+
+
+# ---------------------------------------------------------------------- placement
+
+
+def test_every_shard_is_placed_by_the_highest_product_with_ties_to_the_lower_name() -> None:
+    sessions = [session(f"n{n}", n) for n in range(1, 12)]
+    placement = Placement("east", 300)
+    placement.begin(5, sessions)
+    assert placement.owner.tolist() == [best_of(shard, sessions) for shard in range(300)]
+    assert set(placement.wait.tolist()) == {5}
+
+
+NAMES = st.lists(st.integers(0, 30), unique=True, max_size=8)
+
+
+@settings(max_examples=60, deadline=None)
+@given(st.lists(st.tuples(NAMES, NAMES), max_size=6), st.integers(1, 40))
+def test_a_change_moves_only_what_it_has_to_and_says_what_waits(
+    steps: list[tuple[list[int], list[int]]], shards: int
+) -> None:
+    placement = Placement("east", shards)
+    placement.begin(1, [])
+    there: dict[str, Session] = {}
+    numbers = itertools.count(100)
+    for generation, (joins, leaves) in enumerate(steps, start=2):
+        left = [there.pop(f"n{n}").number for n in leaves if f"n{n}" in there]
+        joined = [Session(f"n{n}", next(numbers), 1) for n in joins if f"n{n}" not in there]
+        there |= {s.name: s for s in joined}
+        before, waited = placement.owner.tolist(), placement.wait.tolist()
+        moved = set(placement.apply(Change(generation, joined, left)).tolist())
+        for shard in range(shards):
+            now = int(placement.owner[shard])
+            assert now == best_of(shard, list(there.values()))
+            if now == before[shard]:
+                assert placement.wait[shard] == waited[shard]
+                continue
+            assert shard in moved
+            # What a living session loses waits for it; what an ended one had does not.
+            living = before[shard] != -1 and before[shard] not in left
+            assert placement.wait[shard] == (generation if living else waited[shard])
+            assert not living or now in {s.number for s in joined}
+
+
+def test_a_whole_region_is_placed_again_after_everybody_left() -> None:
+    placement = Placement("east", 20)
+    placement.begin(1, [session("a", 1)])
+    placement.apply(Change(2, [], [1]))
+    assert set(placement.owner.tolist()) == {-1}
+    placement.apply(Change(3, [session("b", 2)], []))
+    assert set(placement.owner.tolist()) == {2}
+    assert set(placement.wait.tolist()) == {1}  # `a` had ended: nothing more to wait for
+
+
+# ---------------------------------------------------------------------- the voters' table
+
+
+def written(term: int, generation: int, sessions: list[Session] | None = None) -> TableState:
+    return TableState(term, generation, sessions or [], [])
+
+
+def test_a_voter_takes_nothing_below_its_promise_and_nothing_for_another_life() -> None:
+    acceptor = TableAcceptor("east", 7)
+    assert acceptor.read(ReadTable("east", 0, 3, 1)) == TableRead("east", 3, 1, 7, False, None)
+    lower = acceptor.write(WriteTable("east", 0, 1, 7, written(2, 9)))
+    assert lower == TableRefused("east", 2, 1, 7, 3)
+    other = acceptor.write(WriteTable("east", 0, 1, 6, written(3, 9)))
+    assert other == TableRefused("east", 3, 1, 7, 0)
+    assert acceptor.state is None and not acceptor.remembers
+    assert isinstance(acceptor.write(WriteTable("east", 0, 1, 7, written(3, 9))), TableWritten)
+    assert acceptor.remembers
+    acceptor.write(WriteTable("east", 0, 1, 7, written(3, 8)))  # late
+    assert acceptor.state is not None and acceptor.state.generation == 9
+    assert isinstance(acceptor.read(ReadTable("east", 0, 2, 1)), TableRefused)
+
+
+class Region:
+    """Three voters' acceptors and a writer, with messages carried by hand."""
+
+    def __init__(self) -> None:
+        self.lives = dict.fromkeys(VOTERS, 1)
+        self.acceptors = {name: TableAcceptor("east", 1) for name in VOTERS}
+        self.reached = set(VOTERS)
+        self.founded_with = 1000
+
+    def restart(self, name: str) -> None:
+        self.lives[name] += 1
+        self.acceptors[name] = TableAcceptor("east", self.lives[name])
+
+    def life_of(self, name: str) -> int | None:
+        return self.lives[name] if name in self.reached else None
+
+    def writer(self, term: int, now_us: int) -> TableWriter:
+        voters = Voters(OwnersTerms(enabled=True, voters=VOTERS))
+        return TableWriter("east", 0, term, voters, self.life_of, lambda: self.founded_with, LEASE_US, now_us)
+
+    def carry(self, writer: TableWriter, now_us: int) -> None:
+        for name, body in writer.turn(now_us):
+            if name in self.reached:
+                acceptor = self.acceptors[name]
+                if isinstance(body, ReadTable):
+                    writer.hear(now_us, name, acceptor.read(body))
+                elif isinstance(body, WriteTable):
+                    writer.hear(now_us, name, acceptor.write(body))
+
+    def ready(self, term: int, now_us: int) -> TableWriter:
+        writer = self.writer(term, now_us)
+        for step in range(4):
+            self.carry(writer, now_us + step * 200_000)
+        return writer
+
+    def founded(self) -> TableWriter:
+        writer = self.ready(1, 0)
+        assert writer.state is None  # nobody remembers: the leases of nodes have to end first
+        for step in range(4):
+            self.carry(writer, LEASE_US + step * SECOND)
+        assert writer.state is not None and writer.founded
+        return writer
+
+
+def test_a_table_is_begun_anew_only_once_the_leases_of_all_nodes_have_ended() -> None:
+    region = Region()
+    writer = region.founded()
+    assert writer.state == TableState(1, 1001, [], [])
+
+
+def test_the_next_writer_goes_on_from_what_a_majority_keeps() -> None:
+    region = Region()
+    first = region.founded()
+    assert first.state is not None
+    region.reached = {"c1", "c2"}
+    first.write(next_state(first.state, 1, [session("a", 1)], []))
+    region.carry(first, 20 * SECOND)
+    assert first.state.generation == 1002
+    for gone in VOTERS:
+        region.reached = set(VOTERS) - {gone}
+        second = region.ready(2, 30 * SECOND)
+        assert second.state is not None
+        assert (second.state.generation, second.state.sessions) == (1002, [session("a", 1)])
+
+
+def test_what_no_majority_keeps_is_not_told() -> None:
+    region = Region()
+    first = region.founded()
+    assert first.state is not None
+    region.reached = {"c1"}
+    first.write(next_state(first.state, 1, [session("a", 1)], []))
+    region.carry(first, 20 * SECOND)
+    assert first.state.generation == 1001 and not first.idle
+
+
+def test_a_voter_that_was_restarted_counts_only_once_this_life_was_written_to() -> None:
+    region = Region()
+    first = region.founded()
+    assert first.state is not None
+    region.reached = {"c1", "c2"}
+    first.write(next_state(first.state, 1, [session("a", 1)], []))
+    late = next(body for name, body in first.turn(20 * SECOND) if name == "c1")
+    region.carry(first, 21 * SECOND)
+    assert first.state.generation == 1002
+    region.restart("c1")  # it held the change, as c2 does; c3 never heard of it
+    assert isinstance(late, WriteTable)
+    assert isinstance(region.acceptors["c1"].write(late), TableRefused)  # for its former life
+    region.reached = {"c1", "c3"}
+    second = region.ready(2, 30 * SECOND)
+    assert second.state is None  # c1 does not remember, and c3 alone is no majority
+    region.reached = {"c2", "c3"}
+    region.carry(second, 31 * SECOND)
+    region.carry(second, 32 * SECOND)
+    assert second.state is not None and second.state.generation == 1002
+    # Told again in this life, c1 counts.
+    region.reached = set(VOTERS)
+    region.carry(second, 40 * SECOND)
+    region.reached = {"c1", "c3"}
+    third = region.ready(3, 50 * SECOND)
+    assert third.state is not None and third.state.generation == 1002
+
+
+def test_a_table_begun_anew_is_above_all_that_was_heard_of() -> None:
+    region = Region()
+    region.founded()
+    for name in VOTERS:
+        region.restart(name)
+    region.founded_with = 5  # the wall clock was set back
+    second = region.writer(2, 30 * SECOND)
+    second.heard_of(4321)
+    for step in range(4):
+        region.carry(second, 30 * SECOND + LEASE_US + step * SECOND)
+    assert second.state is not None and second.state.generation == 4322
+
+
+# ---------------------------------------------------------------------- the assigner
+
+
+class Assigned:
+    """An assigner whose voters always answer, and nodes that talk to it."""
+
+    def __init__(self) -> None:
+        self.region = Region()
+        self.now_us = 0
+        self.writer = self.region.founded()
+        self.now_us = 20 * SECOND
+        self.assigner = Assigner("east", TERMS, self.writer, self.now_us)
+        self.work()
+
+    def work(self) -> list[tuple[str, Renewed]]:
+        told: list[tuple[str, Renewed]] = []
+        for _ in range(4):
+            for name, body in self.assigner.turn(self.now_us):
+                if isinstance(body, WriteTable):
+                    self.writer.hear(self.now_us, name, self.region.acceptors[name].write(body))
+                elif isinstance(body, Renewed):
+                    told.append((name, body))
+        return told
+
+    def renew(self, name: str, number: int, applied: int = 0, nonce: int = 1, **told: bool) -> object:
+        asked = Renew("east", 0, 1, number, nonce, applied, **told)
+        return self.assigner.hear(self.now_us, name, asked)
+
+    def pass_s(self, seconds: float) -> list[tuple[str, Renewed]]:
+        self.now_us += int(seconds * SECOND)
+        return self.work()
+
+    def join(self, *names: str) -> list[int]:
+        for name in names:
+            assert isinstance(self.renew(name, 0), Renewed)
+        self.pass_s(TERMS.gather_s)
+        self.pass_s(0.5)
+        numbers = {s.name: s.number for s in self.assigner.sessions}
+        return [numbers[name] for name in names]
+
+
+def test_newcomers_are_added_together_and_get_the_whole_table_in_pages() -> None:
+    assigned = Assigned()
+    names = [f"n{n:03}" for n in range(MOST_CHANGED + 3)]
+    numbers = assigned.join(*names)
+    assert len(set(numbers)) == len(names)
+    assert assigned.assigner.generation == 1001 + 2  # more than fit one generation
+    first = assigned.renew(names[0], 0)
+    assert isinstance(first, Renewed) and first.session == numbers[0] and first.more
+    asked = Renew("east", 0, 2, numbers[0], 1, 0, first.table, len(first.sessions))
+    second = assigned.assigner.hear(assigned.now_us, names[0], asked)
+    assert isinstance(second, Renewed) and not second.more
+    assert [s.name for s in (*first.sessions, *second.sessions)] == names
+
+
+def test_a_session_not_heard_of_for_a_lease_is_ended_and_others_are_told() -> None:
+    assigned = Assigned()
+    one, other = assigned.join("a", "b")
+    generation = assigned.assigner.generation
+    assigned.pass_s(TERMS.lease_s - 0.1)
+    assert isinstance(assigned.renew("a", one, generation), Renewed)
+    told = assigned.pass_s(0.3)
+    assert [(name, body.changes[0].left) for name, body in told] == [("a", [other])]
+    assert assigned.renew("b", other) == RenewRefused("east", 1, "over")
+
+
+def test_a_new_assigner_counts_every_session_from_its_own_beginning() -> None:
+    assigned = Assigned()
+    assigned.join("a")
+    assigned.pass_s(TERMS.lease_s - 1.0)
+    second = assigned.region.ready(2, assigned.now_us)
+    assigned.assigner = Assigner("east", TERMS, second, assigned.now_us)
+    assigned.writer = second
+    assigned.work()
+    assigned.pass_s(TERMS.lease_s - 0.1)
+    assert [s.name for s in assigned.assigner.sessions] == ["a"]
+    assigned.pass_s(0.2)
+    assert assigned.assigner.sessions == []
+
+
+def test_a_name_gets_another_session_only_once_its_former_one_has_ended() -> None:
+    assigned = Assigned()
+    (old,) = assigned.join("a")
+    waits = assigned.renew("a", 0, nonce=2)  # the process was restarted
+    assert isinstance(waits, Renewed) and not waits.session
+    assigned.pass_s(1.0)
+    assert [s.number for s in assigned.assigner.sessions] == [old]
+    for _ in range(6):
+        assigned.pass_s(1.0)
+        assigned.renew("a", 0, nonce=2)
+    assigned.pass_s(1.0)
+    assert [(s.name, s.nonce) for s in assigned.assigner.sessions] == [("a", 2)]
+
+
+def test_settled_is_what_all_sessions_go_by() -> None:
+    assigned = Assigned()
+    one, other = assigned.join("a", "b")
+    generation = assigned.assigner.generation
+    answer = assigned.renew("a", one, generation)
+    assert isinstance(answer, Renewed) and answer.settled < generation
+    answer = assigned.renew("b", other, generation)
+    assert isinstance(answer, Renewed) and answer.settled == generation
+
+
+def test_planned_stops_are_let_through_one_after_another() -> None:
+    assigned = Assigned()
+    one, other = assigned.join("a", "b")
+    generation = assigned.assigner.generation
+    for name, number in (("a", one), ("b", other)):
+        assigned.renew(name, number, generation)
+    first = assigned.renew("a", one, generation, leaving=True)
+    second = assigned.renew("b", other, generation, leaving=True)
+    assert isinstance(first, Renewed) and first.may_leave
+    assert isinstance(second, Renewed) and not second.may_leave
+    assert isinstance(assigned.renew("a", one, generation, released=True), RenewRefused)
+    told = assigned.pass_s(0.01)
+    assert [body.changes[0].left for _, body in told] == [[one]]
+    second = assigned.renew("b", other, generation + 1, leaving=True)
+    assert isinstance(second, Renewed) and second.may_leave
+
+
+# ---------------------------------------------------------------------- a node's session
+
+
+def node() -> NodeSession:
+    return NodeSession(REGION, TERMS, 1, 0)
+
+
+def whole(number: int, own: Session, others: list[Session], settled: int) -> Renewed:
+    sessions = [own, *others]
+    return Renewed("east", number, own.number, 50, settled, [], 50, 0, False, sessions)
+
+
+def begun(settled: int = 50) -> tuple[NodeSession, Session]:
+    """A node with a session since 1 s, in a generation with one other."""
+    made = node()
+    asked = made.turn(SECOND)
+    assert asked is not None and not asked.session
+    own = Session("a", 12, asked.nonce)
+    made.renewed(SECOND + 1000, whole(asked.number, own, [session("b", 13)], settled))
+    return made, own
+
+
+def test_a_node_uses_its_shards_from_when_it_asked_for_less_than_a_lease() -> None:
+    made, own = begun()
+    mine = [s for s in range(60) if best_of(s, [own, session("b", 13)]) == 12]
+    assert made.usable(2 * SECOND) == set(mine) and made.token(mine[0], 2 * SECOND) == Token(50, 12)
+    assert made.usable(SECOND + int(0.979 * LEASE_US)) == set(mine)
+    assert not made.usable(SECOND + int(0.981 * LEASE_US))
+    assert made.token(mine[0], SECOND + int(0.981 * LEASE_US)) is None
+
+
+def test_a_node_that_lapsed_asks_for_another_session_and_takes_no_late_answer() -> None:
+    made, own = begun()
+    late = made.turn(3 * SECOND)
+    assert late is not None and late.session == 12
+    again = made.turn(SECOND + LEASE_US)
+    assert again is not None and not again.session and again.nonce != own.nonce
+    answer = Renewed("east", late.number, 12, 50, 50, [])
+    made.renewed(SECOND + LEASE_US + 1, answer)
+    assert not made.session and not made.usable(SECOND + LEASE_US + 1)
+
+
+def test_nothing_is_used_before_it_is_settled() -> None:
+    made, _ = begun(settled=49)
+    assert made.placed() and not made.usable(2 * SECOND)
+    made.renewed(2 * SECOND, Renewed("east", 0, 0, 50, 50, []))
+    assert made.usable(2 * SECOND) == set(made.placed())
+
+
+def test_a_joiner_takes_over_only_once_all_go_by_its_generation_and_the_dead_are_inherited_at_once() -> None:
+    made, own = begun()
+    before = made.usable(2 * SECOND)
+    third = session("c", 14)
+    made.renewed(2 * SECOND, Renewed("east", 0, 0, 51, 50, [Change(51, [third], [])]))
+    kept = {s for s in range(60) if best_of(s, [own, session("b", 13), third]) == 12}
+    assert made.usable(2 * SECOND) == kept < before
+    made.renewed(2 * SECOND, Renewed("east", 0, 0, 52, 50, [Change(52, [], [13])]))
+    heir = {s for s in range(60) if best_of(s, [own, third]) == 12}
+    assert made.usable(2 * SECOND) == heir > kept
+    made.renewed(2 * SECOND, Renewed("east", 0, 0, 53, 50, [Change(53, [], [14])]))
+    # What the joiner had for a moment was `a`'s own, or `b`'s: it waits until `a` is known to go by 51.
+    assert made.usable(2 * SECOND) < set(range(60))
+    made.renewed(2 * SECOND, Renewed("east", 0, 0, 53, 51, []))
+    assert made.usable(2 * SECOND) == set(range(60))
+
+
+def test_a_change_that_was_missed_is_asked_for() -> None:
+    made, _ = begun()
+    made.renewed(2 * SECOND, Renewed("east", 0, 0, 52, 50, [Change(52, [], [13])]))
+    assert made.generation == 50
+    asked = made.turn(4 * SECOND)
+    assert asked is not None and asked.applied == 50
+    changes = [Change(51, [session("c", 14)], []), Change(52, [], [13])]
+    made.renewed(4 * SECOND, Renewed("east", asked.number, 12, 52, 50, changes))
+    assert made.generation == 52
+
+
+def test_a_refused_session_is_given_up_at_once() -> None:
+    made, _ = begun()
+    asked = made.turn(4 * SECOND)
+    assert asked is not None
+    made.refused(4 * SECOND, RenewRefused("east", asked.number, "over"))
+    assert not made.usable(4 * SECOND) and not made.session
+
+
+def test_a_planned_stop_hands_over_when_it_may_and_comes_back_when_taken_back() -> None:
+    made, own = begun()
+    made.plan_to_leave(2 * SECOND, True)
+    asked = made.turn(2 * SECOND)
+    assert asked is not None and asked.leaving and made.usable(2 * SECOND)
+    made.renewed(2 * SECOND, Renewed("east", asked.number, 12, 50, 50, [], may_leave=True))
+    assert not made.usable(2 * SECOND)
+    told = made.turn(2 * SECOND)
+    assert told is not None and told.released and (told.session, told.nonce) == (12, own.nonce)
+    made.refused(2 * SECOND, RenewRefused("east", told.number, "over"))
+    assert made.turn(5 * SECOND) is None  # asks for nothing while it is stopped
+    made.plan_to_leave(6 * SECOND, False)
+    asked = made.turn(6 * SECOND)
+    assert asked is not None and not asked.session and not asked.leaving
+
+
+# ---------------------------------------------------------------------- receivers
+
+
+@settings(max_examples=50, deadline=None)
+@given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 5), st.integers(0, 3)), max_size=40))
+def test_no_token_is_taken_below_one_that_was(acts: list[tuple[int, int, int]]) -> None:
+    fence = TokenFence()
+    highest: dict[int, Token] = {}
+    for shard, generation, number in acts:
+        token = Token(generation, number)
+        assert fence.takes("east", shard, token) is (token >= highest.get(shard, token))
+        highest[shard] = max(highest.get(shard, token), token)
+        assert fence.highest("east", shard) == highest[shard]
+
+
+def test_a_fence_forgets_those_heard_of_longest_ago() -> None:
+    fence = TokenFence(most=2)
+    for shard in (1, 2, 1, 3):
+        assert fence.takes("east", shard, Token(9, 1))
+    assert fence.highest("east", 2) is None and fence.highest("east", 1) == Token(9, 1)
+
+
+# ---------------------------------------------------------------------- settings
+
+
+@pytest.mark.parametrize(
+    ("text", "line"),
+    [
+        ("regions = []", "shards.regions: is missing: at least one region is needed"),
+        ('regions = [{ name = "e", shards = 4, voters = ["a", "b"] }]', "shards.regions[0].voters: names 2"),
+        ('regions = [{ name = "e", shards = 0, voters = [] }]', "shards.regions[0].shards: "),
+        ('regions = [{ name = "w", shards = 4, voters = ["a", "b", "c"] }]', "region: 'e' is none of w"),
+        (
+            'lease_s = 5.0\nregions = [{ name = "e", shards = 4, voters = ["a", "b", "c"] }]',
+            "shards.lease_s: is 5, under the 6 of a change of assigner",
+        ),
+        (
+            'regions = [{ name = "e", shards = 4, voters = ["a", "b", "c"] },'
+            ' { name = "e", shards = 4, voters = ["a", "b", "c"] }]',
+            "shards.regions[1].name: 'e' comes twice",
+        ),
+        ("shards = 4", "shards: object contains unknown field `shards`"),
+    ],
+)
+def test_each_fault_of_the_table_is_one_line_with_its_key(tmp_path, text: str, line: str) -> None:  # type: ignore[no-untyped-def]
+    from sailrun.bad_config import BadConfig
+    from sailrun.operator import read_operator
+
+    path = tmp_path / "operator.toml"
+    path.write_text(
+        '[members]\nenabled = true\nname = "a"\nlisten = "127.0.0.1:1"\nregion = "e"\n'
+        '[owners]\nenabled = true\nvoters = ["a", "b", "c"]\n[shards]\nenabled = true\n' + text + "\n"
+    )
+    with pytest.raises(BadConfig) as fault:
+        read_operator(path)
+    assert line in str(fault.value) and "\n" not in str(fault.value)
+
+
+def test_the_table_is_off_by_default_and_its_package_is_not_loaded_with_the_operators_file() -> None:
+    import subprocess
+    import sys
+
+    check = (
+        "import sys, sailrun.operator, sailrun.owners.agent\n"
+        "assert not sailrun.operator.Operator().shards.enabled\n"
+        "assert 'numpy' not in sys.modules and 'sailrun.shards.part' not in sys.modules"
+    )
+    subprocess.run([sys.executable, "-c", check], check=True, timeout=30)
