--- a/sailrun/control/calls.py
+++ b/sailrun/control/calls.py
@@ -41,10 +41,12 @@
     (["mark"], 8),
     (["marked"], 3),
     (["look"], 4),
+    (["shards"], 2),
+    (["shards"], 3),
 )
 _FLEET_CALLS = (
     "members, owners, permits, counts, walk NAME MS NODES, walked NAME, state, state KIND, ranges, "
-    "mark KIND SUBJECT on|off majority|all|none WHO WHY, marked ID or look KIND SUBJECT"
+    "mark KIND SUBJECT on|off majority|all|none WHO WHY, marked ID, look KIND SUBJECT, shards or shards NODE"
 )
 
 
--- a/sailrun/control/cli.py
+++ b/sailrun/control/cli.py
@@ -99,6 +99,35 @@
     _show(_asked(at, "fleet counts"), as_json)
 
 
+@app.command()
+def shards(
+    at: At = "127.0.0.1:9600",
+    as_json: Json = False,
+    node: Annotated[str, typer.Option(help="The shards placed on another node.")] = "",
+    moving: Annotated[
+        bool, typer.Option("--moving", help="Only those that wait for another node to let go.")
+    ] = False,
+) -> None:
+    """Which shards of its region a node has, in which generation, and who assigns them."""
+    shown = _asked(at, f"fleet shards {node}" if node else "fleet shards")
+    if as_json:
+        print(json.dumps(shown, indent=1))
+        return
+    print(
+        f"region {shown['region']}: {shown['shards']} shards, assigner {shown['assigner'] or 'not known'}, "
+        f"generation {shown.get('generation', 'not known here')}, {shown.get('nodes', '-')} nodes"
+    )
+    if "node" not in shown:
+        print("a control member has no shards; ask a node for its own")
+        return
+    waiting = shown.get("moving", [])
+    if node or not moving:
+        held = shown.get("placed", shown.get("usable", []))
+        print(f"{shown['node']} has {len(held)}: {' '.join(map(str, held)) or '-'}")
+    if not node:
+        print(f"{len(waiting)} moving here: {' '.join(map(str, waiting)) or '-'}")
+
+
 @app.command()
 def drain(
     nodes: list[str],
--- a/sailrun/control/desk.py
+++ b/sailrun/control/desk.py
@@ -182,6 +182,9 @@
                 return fail(f"no walk '{name[:80]}' was begun here") if shown is None else answer(shown)
             case (("mark" | "marked" | "look" | "state" | "ranges"), *_):
                 return await self._of_copies(fleet, words)
+            case "shards", *_:
+                shown = await answer_to(partial(fleet.show, " ".join(words)))
+                return fail("[shards] is off here") if shown is None else answer(shown)
         return answer(await answer_to(partial(fleet.show, words[0])))
 
     async def _marked(self, fleet: FleetPart, copies: CopiesPart, call: Call) -> bytes:
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -21,6 +21,7 @@
 from sailrun.lasting.folder import Sound, new_identity
 from sailrun.members.messages import Record, State
 from sailrun.node.clock import log
+from sailrun.node.leaving import Reason
 from sailrun.owners.agent import PACE, Agent, AgentTerms, Out
 from sailrun.owners.carrier import Carrier
 from sailrun.owners.clock import boot_us
@@ -37,6 +38,7 @@
     from sailrun.lasting.service import LastingPart
     from sailrun.node.core import Node
     from sailrun.operator import Operator
+    from sailrun.shards.part import ShardsPart
 
 SECOND = 1_000_000
 # While a node drains for a walk, it is looked at this often whether it is empty.
@@ -96,6 +98,7 @@
         self._share, self._wants_pace = -1.0, False
         self._look_us = 0
         self._drain_by_hand = False
+        self._drains = False
         if terms.pace:
             self.agent.answers[PACE] = self._lend
         self.copies = CopiesPart(node, self.agent.replica, self) if self.agent.replica is not None else None
@@ -181,6 +184,8 @@
         if self.agent.walks.draining and now_us >= self._look_us:
             self._look_us = now_us + LOOK_US
             self._node.figures(lambda figures: self._standing(figures.inflight))
+        if self.agent.shards is not None:
+            self._follow_drain(now_us, self.agent.shards)
         if self.agent.terms.pace:
             outs += self._ask_pace(now_us)
         if self.copies is not None:
@@ -189,6 +194,13 @@
             self._lasting.turn()
         return outs
 
+    def _follow_drain(self, now_us: int, shards: ShardsPart) -> None:
+        """A node that is drained hands its shards over too, in its turn, and has some again afterwards."""
+        drains = Reason.DRAIN in self._node.leaving
+        if drains is not self._drains:
+            self._drains = drains
+            shards.plan_to_leave(now_us, drains)
+
     def _standing(self, sessions: int) -> None:
         def call(now_us: int) -> list[Out]:
             self.agent.walks.standing(now_us, sessions)
@@ -324,6 +336,8 @@
                 reply(self.copies.show(now_us, what) if self.copies is not None else None)
             elif what == "counts":
                 reply(self._counts())
+            elif what.startswith("shards"):
+                reply(self._shards(now_us, what.removeprefix("shards").strip()))
             else:
                 reply(self._walk(what.removeprefix("walk ")))
             return []
@@ -390,6 +404,11 @@
             "in_touch": self.agent.tenures.in_touch(boot_us()),
         }
 
+    def _shards(self, now_us: int, node: str) -> dict[str, Any] | None:
+        """This node's shards, or those placed on another; None where the table is off."""
+        shards = self.agent.shards
+        return shards.show(now_us, node) if shards is not None else None
+
     def _walk(self, walk: str) -> Any:
         begun = self.agent.walks.begun.get(walk)
         if begun is None:
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -321,6 +321,8 @@
         kept = msgspec.structs.replace(
             after.owners, lease_s=before.owners.lease_s, order_s=before.owners.order_s
         )
+        if after.shards != before.shards:
+            raise ValueError("shards: is taken over at the next start, on every node of the region")
         permits = msgspec.structs.replace(
             after.permits, lease_s=before.permits.lease_s, enabled=before.permits.enabled
         )
