--- a/sailrun/shards/part.py
+++ b/sailrun/shards/part.py
@@ -348,6 +348,7 @@
             posts += self._heartbeat(renew) if renew is not None else []
         posts += self._ballots(self.leases.leave(now_us, self.candidates()))
         self._follow(now_us)
+        self._notes_of(now_us)
         return posts
 
     def plan_to_leave(self, now_us: int, on: bool) -> None:
