--- a/sailrun/lab/faults/explore.py
+++ b/sailrun/lab/faults/explore.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from sailrun.owners.leases import Leases
 from sailrun.owners.messages import Ask, Grant, Recall, Recalled, Release
 from sailrun.owners.quorum import Voters
-from sailrun.owners.tenure import Tenures
 from sailrun.owners.terms import OwnersTerms
 from sailrun.owners.voter import Voter, abstain_us
 
@@ -68,7 +68,7 @@
     """One state. Messages are (from, to, body); all that was ever sent and not delivered may still come."""
 
     now_us: int = 0
-    tenures: dict[str, Tenures] = field(default_factory=dict)
+    leases: dict[str, Leases] = field(default_factory=dict)
     voters: dict[str, Voter] = field(default_factory=dict)
     lives: dict[str, int] = field(default_factory=dict)
     flying: list[tuple[str, str, Any]] = field(default_factory=list)
@@ -86,13 +86,13 @@
     """Copies what changes; messages never do. (A copy of everything takes fifty times as long.)"""
     after = copy.copy(world)
     after.flying, after.given, after.lives = world.flying[:], dict(world.given), dict(world.lives)
-    after.tenures = {}
-    for name, old in world.tenures.items():
-        tenures = after.tenures[name] = copy.copy(old)
-        tenures.tenures, tenures.turned = {}, []
-        tenures.news, tenures.heard_us = dict(old.news), dict(old.heard_us)
-        for task, tenure in old.tenures.items():
-            one = tenures.tenures[task] = copy.copy(tenure)
+    after.leases = {}
+    for name, old in world.leases.items():
+        leases = after.leases[name] = copy.copy(old)
+        leases.by_task, leases.changes = {}, []
+        leases.news, leases.heard_us = dict(old.news), dict(old.heard_us)
+        for task, lease in old.by_task.items():
+            one = leases.by_task[task] = copy.copy(lease)
             one.sent, one.granted, one.denied = dict(one.sent), dict(one.granted), set(one.denied)
     after.voters = {}
     for name, was in world.voters.items():
@@ -119,10 +119,10 @@
             voter.remembers = True
             world.voters[name], world.lives[name] = voter, 0
         for name in CANDIDATES:
-            tenures = Tenures(name, self._quorum, self._terms, 1, world.now_us, self._off)
-            tenures._random = _Even()  # type: ignore[assignment]
-            tenures._number = 0
-            world.tenures[name] = tenures
+            leases = Leases(name, self._quorum, self._terms, 1, world.now_us, self._off)
+            leases._random = _Even()  # type: ignore[assignment]
+            leases._number = 0
+            world.leases[name] = leases
         return world
 
     def explore(self) -> Found:
@@ -180,7 +180,7 @@
                     self._fly(world, name, voter.turn(world.now_us))
             case "turn", str(name):
                 world.turns += 1
-                posts = world.tenures[name].turn(world.now_us, {TASK: list(CANDIDATES)})
+                posts = world.leases[name].turn(world.now_us, {TASK: list(CANDIDATES)})
                 self._fly(world, name, posts)
             case "restart", str(name):
                 world.restarts += 1
@@ -207,11 +207,11 @@
             case Recalled():
                 world.voters[to].told(now_us, sender, body)
             case Grant():
-                world.tenures[to].granted(now_us, sender, body)
+                world.leases[to].granted(now_us, sender, body)
 
     def _judge(self, world: World, found: Found) -> str:
         """What must hold in every state."""
-        owners = {n: t.holds(TASK, world.now_us) for n, t in world.tenures.items()}
+        owners = {n: t.holds(TASK, world.now_us) for n, t in world.leases.items()}
         holding = {n: term for n, term in owners.items() if term}
         if len(holding) > 1:
             return f"two owners at {world.now_us} us: {holding}"
@@ -240,12 +240,12 @@
             world.highest,
             world.owner,
         ]
-        for tenures in world.tenures.values():
-            for t in tenures.tenures.values():
+        for leases in world.leases.values():
+            for t in leases.by_task.values():
                 parts.append(
                     (t.term, t.until_us and t.until_us - now_us, t.asking_us and t.asking_us - now_us)
                 )
-                parts.append((t.try_us - now_us, t.renewed_us - now_us, t.floor, tenures._number))
+                parts.append((t.try_us - now_us, t.renewed_us - now_us, t.floor, leases._number))
                 parts.append([(number, sent_us - now_us) for number, sent_us in t.sent.items()])
         among = [m for m in world.flying if m[0] in VOTERS and m[1] in VOTERS]
         about = []
@@ -257,8 +257,8 @@
             waited_us = min(now_us - voter._began_us, abstain_us(self._terms))
             granted = [
                 t.granted[name] - now_us if name in t.granted else None
-                for tenures in world.tenures.values()
-                for t in tenures.tenures.values()
+                for leases in world.leases.values()
+                for t in leases.by_task.values()
             ]
             flying = sorted(
                 f"{m[0] == name} {m[1] if m[0] == name else m[0]} {m[2]}"
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -360,7 +360,7 @@
 
     def _read(self, node: VirtualNode, agent: Agent, reading: Reading, now_us: int) -> list[Out]:
         task = READER + node.zone
-        reading.owner = bool(agent.tenures.holds(task, now_us))
+        reading.owner = bool(agent.leases.holds(task, now_us))
         if reading.reads(now_us):
             reading.read(self.revision, [])
         has = reading.due(now_us)
@@ -436,7 +436,7 @@
     def _op(self, name: str, what: str, subject: str, on: bool) -> Op:
         agent = self.nodes[name].agent
         assert agent is not None and agent.replica is not None
-        under = agent.tenures.of(MARKS).owned
+        under = agent.leases.of(MARKS).owned
         return Op(what, agent.replica.new_id(), under, "out", subject, on, "staff", "a test")
 
     def mark(self, name: str, subject: str, on: bool) -> None:
@@ -525,7 +525,7 @@
 
     def owner(self, task: str) -> str | None:
         for node in self.nodes.values():
-            if node.agent is not None and node.agent.tenures.holds(task, self.clock_us(node)):
+            if node.agent is not None and node.agent.leases.holds(task, self.clock_us(node)):
                 return node.name
         return None
 
--- a/sailrun/owners/agent.py
+++ b/sailrun/owners/agent.py
@@ -22,6 +22,7 @@
 from sailrun.owners.backing import Backing
 from sailrun.owners.envelope import MOST_CLAIMS, MOST_NEWS, Body, Envelope
 from sailrun.owners.lasting import Lasting
+from sailrun.owners.leases import CANDIDATES, Leases, OwnershipChange, best_placed
 from sailrun.owners.messages import (
     Ask,
     Deny,
@@ -42,7 +43,6 @@
 from sailrun.owners.permits import OUT, PermitHolder, PermitOffice, Use
 from sailrun.owners.permits import TASK as PERMITS
 from sailrun.owners.quorum import Voters
-from sailrun.owners.tenure import CANDIDATES, Tenures, Turned, placed_best
 from sailrun.owners.terms import DRIFT, OwnersTerms, PermitsTerms, ReaderTerms
 from sailrun.owners.voter import Voter
 from sailrun.owners.walk import Walks
@@ -122,7 +122,7 @@
         self.name, self.life, self.zone = me.name, me.life, me.zone
         self.voters = Voters(terms.owners, off)
         self._founding = founding
-        self.tenures = Tenures(me.name, self.voters, terms.owners, chance.getrandbits(32), now_us, off)
+        self.leases = Leases(me.name, self.voters, terms.owners, chance.getrandbits(32), now_us, off)
         self.backing = Backing(
             me.name, me.life, lambda: self.voters, lambda name: self.members.lives(name), record, off
         )
@@ -134,7 +134,7 @@
         self.office: PermitOffice | None = None
         # Work that others do: who answers questions about a task, asked with the asker's name and content.
         self.answers: dict[str, Callable[[int, str, Any], Any]] = {}
-        self.on_turned: Callable[[int, Turned], None] = lambda now_us, turned: None
+        self.on_ownership_change: Callable[[int, OwnershipChange], None] = lambda now_us, change: None
         self.on_use: Callable[[Use], None] = lambda use: None
         self.tallies = Tallies()
         self.notes: list[tuple[str, dict[str, object]]] = []  # for the log; emptied by whoever drives this
@@ -198,14 +198,14 @@
             names = [r.name for r in living]
             tasks = {}
             if self.terms.permits.enabled:
-                tasks[PERMITS] = placed_best(PERMITS, names)
+                tasks[PERMITS] = best_placed(PERMITS, names)
             if self.terms.pace:
-                tasks[PACE] = placed_best(PACE, names)
+                tasks[PACE] = best_placed(PACE, names)
             if self.terms.replica.enabled:
-                tasks[MARKS] = placed_best(MARKS, names)
+                tasks[MARKS] = best_placed(MARKS, names)
             if self.terms.reader.enabled:
                 task = READER + self.zone
-                tasks[task] = placed_best(task, [r.name for r in living if r.zone == self.zone])
+                tasks[task] = best_placed(task, [r.name for r in living if r.zone == self.zone])
             self._tasks = tasks
         return self._tasks
 
@@ -214,22 +214,22 @@
 
         An owner rests at first, until no order of the one before it is taken any more.
         """
-        term = self.tenures.holds(task, now_us)
+        term = self.leases.holds(task, now_us)
         rest_us = int(self._order_us * (1 + 3 * DRIFT))
-        if not term or now_us - self.tenures.of(task).since_us < rest_us:
+        if not term or now_us - self.leases.of(task).since_us < rest_us:
             return 0
         return term
 
     def still(self, guard: tuple[str, int], now_us: int) -> bool:
         """Whether what was made under that term may still be sent."""
-        yes = self.tenures.holds(guard[0], now_us) == guard[1]
+        yes = self.leases.holds(guard[0], now_us) == guard[1]
         if not yes:
             self.tallies.orders_dropped += 1
         return yes
 
     def holder_of(self, task: str) -> str:
         """Hearsay: who owns the task; empty where none is known to live."""
-        holder = self.tenures.of(task).holder
+        holder = self.leases.of(task).holder
         return holder if holder and self.members.lives(holder) else ""
 
     # ------------------------------------------------------------------ what comes in
@@ -257,7 +257,7 @@
         return outs + self._changes(now_us)
 
     def _claimed(self, now_us: int, task: str, term: int, holder: str) -> None:
-        self.tenures.heard_of(task, term, holder, now_us)
+        self.leases.heard_of(task, term, holder, now_us)
         if self.voter is not None:
             self.voter.heard_of(task, term)
 
@@ -266,12 +266,12 @@
             case Ask() | Release() | Recall() | Recalled():
                 return self._voted(now_us, sender, life, body)
             case Grant():
-                self.tenures.granted(now_us, sender, body)
+                self.leases.granted(now_us, sender, body)
             case Deny():
-                return self._posts(self.tenures.denied(now_us, sender, body))
+                return self._posts(self.leases.denied(now_us, sender, body))
             case Yield():
-                self.tenures.yielded(now_us, body)
-                return self._turn_tenures(now_us)
+                self.leases.yielded(now_us, body)
+                return self._turn_leases(now_us)
             case Question():
                 return self._questioned(now_us, sender, life, body)
             case Order():
@@ -326,9 +326,9 @@
 
     def _send_question(self, now_us: int, number: int, asked: _Asked) -> list[Out]:
         task = asked.task
-        question = Question(task, self.tenures.of(task).owned, number, asked.content)
+        question = Question(task, self.leases.of(task).owned, number, asked.content)
         holder = self.holder_of(task)
-        if holder == self.name or (not holder and self.tenures.holds(task, now_us)):
+        if holder == self.name or (not holder and self.leases.holds(task, now_us)):
             return self._questioned(now_us, self.name, self.life, question)
         if not holder:
             names = [n for n in self.tasks().get(task, ())[:CANDIDATES] if n != self.name]
@@ -343,8 +343,8 @@
         if not term:
             if sender == self.name:
                 return []
-            tenure = self.tenures.of(question.task)
-            return self._post(sender, NotMine(question.task, tenure.owned, tenure.holder, question.number))
+            lease = self.leases.of(question.task)
+            return self._post(sender, NotMine(question.task, lease.owned, lease.holder, question.number))
         content = self._answer(now_us, question.task, term, sender, life, question.content)
         if content is None:
             return []
@@ -372,7 +372,7 @@
 
     def _ordered(self, now_us: int, sender: str, order: Order) -> list[Out]:
         asked = self._questions.pop(order.number, None)
-        owned = self.tenures.of(order.task).owned
+        owned = self.leases.of(order.task).owned
         late = asked is None or asked.task != order.task or now_us - asked.sent_us > self._order_us
         if "fence" in self._off:
             late, owned = False, 0
@@ -395,8 +395,8 @@
         return []
 
     def _refused(self, now_us: int, refusal: Refusal) -> None:
-        tenure = self.tenures.of(refusal.task)
-        tenure.refused += 1
+        lease = self.leases.of(refusal.task)
+        lease.refused += 1
         self.notes.append(
             ("order-refused", {"task": refusal.task, "term": refusal.term, "late": refusal.late})
         )
@@ -405,10 +405,10 @@
     def _sent_on(self, now_us: int, sender: str, told: NotMine) -> list[Out]:
         """Whom we asked does not own it: asked once more, of whom it names or of another candidate."""
         asked = self._questions.get(told.number)
-        tenure = self.tenures.of(told.task)
+        lease = self.leases.of(told.task)
         self._claimed(now_us, told.task, told.term, told.holder)
-        if tenure.holder == sender and told.term >= tenure.owned:
-            tenure.holder = ""
+        if lease.holder == sender and told.term >= lease.owned:
+            lease.holder = ""
         if asked is None or asked.tries >= CANDIDATES:
             return []
         asked.tries += 1
@@ -421,7 +421,7 @@
         due_us = self.members.due_us(now_us)
         if not self.members.joined:
             return due_us
-        due_us = min(due_us, self.tenures.due_us(now_us, self.tasks()))
+        due_us = min(due_us, self.leases.due_us(now_us, self.tasks()))
         if self.voter is not None:
             due_us = min(due_us, self.voter.due_us() or due_us)
         if self.holder is not None and self.holder.wanted:
@@ -438,7 +438,7 @@
             outs += self._posts(self.voter.turn(now_us))
             outs += self._posts(self.backing.turn(now_us))
         if self.members.joined and not self.members.leaving:
-            outs += self._turn_tenures(now_us)
+            outs += self._turn_leases(now_us)
         for number, asked in list(self._questions.items()):
             if now_us - asked.sent_us <= self._order_us:
                 break
@@ -455,7 +455,7 @@
         office = replica.office
         if office is not None and office.higher > office.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
-            self.tenures.heard_of(MARKS, office.higher, "", now_us)
+            self.leases.heard_of(MARKS, office.higher, "", now_us)
             self._changes(now_us)
         outs = self._posts(replica.turn(now_us, self.holder_of(MARKS)))
         for op, done in self._emptied(replica.questions):
@@ -463,8 +463,8 @@
         self.notes += self._emptied(replica.sync.notes)
         return outs
 
-    def _turn_tenures(self, now_us: int) -> list[Out]:
-        return self._posts(self.tenures.turn(now_us, self.tasks()))
+    def _turn_leases(self, now_us: int) -> list[Out]:
+        return self._posts(self.leases.turn(now_us, self.tasks()))
 
     def _ask_permit(self, now_us: int, want: Want) -> list[Out]:
         def answered(now_us: int, sent_us: int, content: Any) -> None:
@@ -486,7 +486,7 @@
         more.
         """
         self._now_us = now_us
-        outs = self._posts(self.tenures.leave(now_us, self.tasks()))
+        outs = self._posts(self.leases.leave(now_us, self.tasks()))
         if self.holder is not None:
             for kind, subject in list(self.holder.wanted):
                 self.holder.give_back(now_us, kind, subject)
@@ -499,7 +499,7 @@
         """Takes over an operator's file that was read again."""
         if terms.owners != self.terms.owners:
             self.voters = Voters(terms.owners, self._off)
-            self.tenures.use(self.voters, terms.owners)
+            self.leases.use(self.voters, terms.owners)
             if self.name not in self.voters.all():
                 self.voter = None
             elif self.voter is None:
@@ -517,12 +517,12 @@
         """Tells the log and the work what has changed."""
         for change in self._emptied(self.members.changes):
             self._note_change(change)
-        for turned in self._emptied(self.tenures.turned):
-            self._note_turned(now_us, turned)
-        for task, tenure in self.tenures.tenures.items():
-            if tenure.until_us and self._acted.get(task) != tenure.until_us:
-                self._acted[task] = tenure.until_us
-                self._act("hold", task=task, term=tenure.term, until_us=tenure.until_us)
+        for ownership in self._emptied(self.leases.changes):
+            self._note_ownership(now_us, ownership)
+        for task, lease in self.leases.by_task.items():
+            if lease.until_us and self._acted.get(task) != lease.until_us:
+                self._acted[task] = lease.until_us
+                self._act("hold", task=task, term=lease.term, until_us=lease.until_us)
         self.notes += self._emptied(self.backing.notes)
         if self.holder is not None:
             for use in self._emptied(self.holder.uses):
@@ -536,7 +536,7 @@
                 )
                 self.walks.used(use)
                 self.on_use(use)
-        if self._in_touch is not self.tenures.in_touch(now_us):
+        if self._in_touch is not self.leases.in_touch(now_us):
             self._in_touch = not self._in_touch
             self.notes.append(
                 ("owners-in-touch" if self._in_touch else "owners-rest", {"voters": len(self.voters.all())})
@@ -565,21 +565,21 @@
         )
         self._act("member", what=change.what, name=r.name, life=r.life)
 
-    def _note_turned(self, now_us: int, turned: Turned) -> None:
-        if turned.task == PERMITS:
+    def _note_ownership(self, now_us: int, change: OwnershipChange) -> None:
+        if change.task == PERMITS:
             self.office = (
-                PermitOffice(self.terms.permits, turned.term, now_us, self._off) if turned.mine else None
+                PermitOffice(self.terms.permits, change.term, now_us, self._off) if change.mine else None
             )
-        if not turned.mine:
-            self._act("lost", task=turned.task, term=turned.term, why=turned.why)
-        if turned.task == MARKS and self.replica is not None:
-            self.replica.turned(now_us, turned.term if turned.mine else 0)
-            self._acted.pop(turned.task, None)
-        self.tallies.changes[turned.why] = self.tallies.changes.get(turned.why, 0) + 1
+        if not change.mine:
+            self._act("lost", task=change.task, term=change.term, why=change.why)
+        if change.task == MARKS and self.replica is not None:
+            self.replica.turned(now_us, change.term if change.mine else 0)
+            self._acted.pop(change.task, None)
+        self.tallies.changes[change.why] = self.tallies.changes.get(change.why, 0) + 1
         self.notes.append(
-            ("owner", {"task": turned.task, "term": turned.term, "mine": turned.mine, "why": turned.why})
+            ("owner", {"task": change.task, "term": change.term, "mine": change.mine, "why": change.why})
         )
-        self.on_turned(now_us, turned)
+        self.on_ownership_change(now_us, change)
 
     # ------------------------------------------------------------------ what goes out
 
@@ -589,7 +589,7 @@
     def _posts(self, posts: Any) -> list[Out]:
         outs: list[Out] = []
         for name, body in posts:
-            if not isinstance(body, Ask) or self.tenures.wants(body):
+            if not isinstance(body, Ask) or self.leases.wants(body):
                 outs += self._post(name, body)
         return outs
 
@@ -613,8 +613,8 @@
         # Hearsay rides on what members say anyway, and on nothing that must be small or soon.
         light = isinstance(body, MemberBody) and not isinstance(body, Refused)
         news = members.news(MOST_NEWS, first) if light else []
-        claims = self.tenures.claims(MOST_CLAIMS, CLAIM_TIMES) if light else []
+        claims = self.leases.claims(MOST_CLAIMS, CLAIM_TIMES) if light else []
         if isinstance(body, Joined):
             # A newcomer may be a voter that has forgotten: it hears of every term there is.
-            claims = self.tenures.known(MOST_CLAIMS)
+            claims = self.leases.known(MOST_CLAIMS)
         return Envelope(self.terms.members.fleet, me.name, me.life, me.incarnation, body, news, claims)
--- a/sailrun/owners/tenure.py
+++ b/sailrun/owners/leases.py
@@ -1,9 +1,10 @@
-"""One node's hold on the tasks of the fleet: asking for them, renewing, handing over, and knowing when it
-ends.
+"""One node's leases on the fleet's tasks: candidacy, renewal, handover and expiry.
 
-An owner's end is counted from when it sent the request that a majority granted, and cut by what two clocks
-may
-differ: it takes itself for the owner for a shorter time than any of those voters keeps the task for it.
+A lease is granted by a majority of the voters. Its holder counts the end of the lease from when it sent the
+request that the majority granted, and subtracts what two clocks may drift apart meanwhile. So the holder
+stops to act as the owner before any of these voters may grant the task to another node.
+
+Pure: messages and the time (microseconds of one monotonic clock) come in, messages go out.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
 Post = tuple[str, Ask | Release | Yield]
 
 
-def placed_best(task: str, names: list[str]) -> list[str]:
-    """The best placed of the names, by the design's own score: those that try for the task."""
+def best_placed(task: str, names: list[str]) -> list[str]:
+    """The candidates for a task among the names, by rendezvous hashing: the highest score first."""
     return heapq.nsmallest(CANDIDATES, names, key=lambda name: (-_score(task, name), name))
 
 
@@ -43,8 +44,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
-    """A change in who owns a task, as this node knows it; `why`: granted, lapsed, released, outvoted."""
+class OwnershipChange:
+    """This node became a task's owner, or is none any more. `why`: granted, lapsed, released, outvoted."""
 
     task: str
     term: int
@@ -53,8 +54,8 @@
 
 
 @dataclass(slots=True)
-class Tenure:
-    """Of one task."""
+class TaskLease:
+    """What this node knows of the lease of one task, whether it holds it or not."""
 
     task: str
     term: int = 0  # asked for or held
@@ -75,8 +76,11 @@
     refused: int = 0  # orders of ours that were refused for their term
 
 
-class Tenures:
-    """Of all tasks."""
+class Leases:
+    """The leases of all tasks, as one node holds, seeks or hears of them.
+
+    `off` names safety rules that the laboratory switches off.
+    """
 
     def __init__(
         self,
@@ -90,8 +94,8 @@
         self._name, self.voters, self._terms, self._off = name, voters, terms, off
         self._random = random.Random(seed)
         self._number = self._random.getrandbits(30) << 20
-        self.tenures: dict[str, Tenure] = {}
-        self.turned: list[Turned] = []  # for whoever drives this; emptied by him
+        self.by_task: dict[str, TaskLease] = {}
+        self.changes: list[OwnershipChange] = []  # the driver reads and empties it
         self.news: dict[str, int] = {}  # tasks whose owner is to be told, and how often that was done
         self.heard_us: dict[str, int] = {}  # by voter, when it last answered
         self._lease_us = int(terms.lease_s * SECOND)
@@ -102,28 +106,28 @@
     def use(self, voters: Voters, terms: OwnersTerms) -> None:
         """From now on these voters count, also for what is held: a renewal of before is none any more."""
         self.voters, self._terms, self._lease_us = voters, terms, int(terms.lease_s * SECOND)
-        for tenure in self.tenures.values():
-            tenure.sent.clear()
-            tenure.granted.clear()
+        for lease in self.by_task.values():
+            lease.sent.clear()
+            lease.granted.clear()
 
-    def of(self, task: str) -> Tenure:
-        tenure = self.tenures.get(task)
-        if tenure is None:
-            tenure = self.tenures[task] = Tenure(task)
-        return tenure
+    def of(self, task: str) -> TaskLease:
+        lease = self.by_task.get(task)
+        if lease is None:
+            lease = self.by_task[task] = TaskLease(task)
+        return lease
 
     # ------------------------------------------------------------------ what holds
 
     def holds(self, task: str, now_us: int) -> int:
         """The term under which this node owns the task now; 0: it does not."""
-        tenure = self.tenures.get(task)
-        if tenure is None or not tenure.until_us:
+        lease = self.by_task.get(task)
+        if lease is None or not lease.until_us:
             return 0
-        return tenure.term if now_us < tenure.until_us or "clock" in self._off else 0
+        return lease.term if now_us < lease.until_us or "clock" in self._off else 0
 
     def until_us(self, task: str) -> int:
-        tenure = self.tenures.get(task)
-        return tenure.until_us if tenure is not None else 0
+        lease = self.by_task.get(task)
+        return lease.until_us if lease is not None else 0
 
     def in_touch(self, now_us: int) -> bool:
         """Whether a majority of the voters has answered of late, or there was no time for it yet."""
@@ -132,13 +136,13 @@
 
     def heard_of(self, task: str, term: int, holder: str, now_us: int) -> None:
         """Hearsay: a term that was granted, and to whom."""
-        tenure = self.of(task)
-        tenure.floor = max(tenure.floor, term)
-        if term > tenure.owned or (term == tenure.owned and not tenure.holder):
-            tenure.owned, tenure.holder = term, holder or tenure.holder
+        lease = self.of(task)
+        lease.floor = max(lease.floor, term)
+        if term > lease.owned or (term == lease.owned and not lease.holder):
+            lease.owned, lease.holder = term, holder or lease.holder
             self.news[task] = 0
-        if tenure.until_us and term > tenure.term:
-            self._lose(tenure, "outvoted", now_us)
+        if lease.until_us and term > lease.term:
+            self._lose(lease, "outvoted", now_us)
 
     def claims(self, most: int, times: int) -> list[Claim]:
         """Hearsay to ride along: what was told least often; each so many times."""
@@ -147,14 +151,14 @@
             self.news[task] += 1
             if self.news[task] >= times:
                 del self.news[task]
-            tenure = self.tenures[task]
-            told.append(Claim(task, tenure.owned, tenure.holder))
+            lease = self.by_task[task]
+            told.append(Claim(task, lease.owned, lease.holder))
         return told
 
     def known(self, most: int) -> list[Claim]:
         """The highest terms heard of, the latest changes of owner first."""
-        tenures = sorted(self.tenures.values(), key=lambda t: (-t.owned, t.task))
-        return [Claim(t.task, t.owned, t.holder) for t in tenures[:most] if t.owned]
+        leases = sorted(self.by_task.values(), key=lambda t: (-t.owned, t.task))
+        return [Claim(t.task, t.owned, t.holder) for t in leases[:most] if t.owned]
 
     # ------------------------------------------------------------------ time
 
@@ -162,89 +166,89 @@
         """When `turn` wants to be called next."""
         due_us = now_us + self._lease_us
         for task, names in tasks.items():
-            tenure = self.of(task)
-            if tenure.until_us or tenure.asking_us:
-                due_us = min(due_us, tenure.renewed_us + self._lease_us // RENEWALS)
-                if tenure.until_us:
-                    due_us = min(due_us, tenure.until_us)
+            lease = self.of(task)
+            if lease.until_us or lease.asking_us:
+                due_us = min(due_us, lease.renewed_us + self._lease_us // RENEWALS)
+                if lease.until_us:
+                    due_us = min(due_us, lease.until_us)
             elif not self.leaving and self._name in names:
-                due_us = min(due_us, tenure.try_us)
+                due_us = min(due_us, lease.try_us)
         return due_us
 
     def turn(self, now_us: int, tasks: dict[str, list[str]]) -> list[Post]:
         """`tasks`: by name, the living members that may own it, best placed first."""
         posts: list[Post] = []
-        for tenure in list(self.tenures.values()):
-            if tenure.until_us and now_us >= tenure.until_us and "clock" not in self._off:
-                self._lose(tenure, "lapsed", now_us)
-                posts += [(voter, Release(tenure.task, tenure.term)) for voter in self.voters.all()]
+        for lease in list(self.by_task.values()):
+            if lease.until_us and now_us >= lease.until_us and "clock" not in self._off:
+                self._lose(lease, "lapsed", now_us)
+                posts += [(voter, Release(lease.task, lease.term)) for voter in self.voters.all()]
         for task, names in tasks.items():
-            tenure = self.of(task)
-            if tenure.until_us:
-                if now_us - tenure.renewed_us >= self._lease_us // RENEWALS:
-                    posts += self._ask(now_us, tenure)
-                posts += self._give_back(now_us, tenure, names)
-            elif tenure.asking_us:
-                if now_us - tenure.asking_us >= GIVEN_UP * self._lease_us:
-                    posts += self._give_up(now_us, tenure)
-                elif now_us - tenure.renewed_us >= self._lease_us // RENEWALS:
-                    posts += self._ask(now_us, tenure)
-            elif not self.leaving and self._name in names and now_us >= tenure.try_us:
-                tenure.term = tenure.floor + (0 if "terms" in self._off and tenure.floor else 1)
-                tenure.asking_us, tenure.rank = now_us, names.index(self._name)
-                tenure.sent.clear()
-                tenure.granted.clear()
-                tenure.denied.clear()
-                posts += self._ask(now_us, tenure)
+            lease = self.of(task)
+            if lease.until_us:
+                if now_us - lease.renewed_us >= self._lease_us // RENEWALS:
+                    posts += self._ask(now_us, lease)
+                posts += self._give_back(now_us, lease, names)
+            elif lease.asking_us:
+                if now_us - lease.asking_us >= GIVEN_UP * self._lease_us:
+                    posts += self._give_up(now_us, lease)
+                elif now_us - lease.renewed_us >= self._lease_us // RENEWALS:
+                    posts += self._ask(now_us, lease)
+            elif not self.leaving and self._name in names and now_us >= lease.try_us:
+                lease.term = lease.floor + (0 if "terms" in self._off and lease.floor else 1)
+                lease.asking_us, lease.rank = now_us, names.index(self._name)
+                lease.sent.clear()
+                lease.granted.clear()
+                lease.denied.clear()
+                posts += self._ask(now_us, lease)
         return posts
 
-    def _ask(self, now_us: int, tenure: Tenure) -> list[Post]:
+    def _ask(self, now_us: int, lease: TaskLease) -> list[Post]:
         self._number += 1
-        tenure.renewed_us = now_us
-        tenure.sent[self._number] = now_us
-        while len(tenure.sent) > 4 * RENEWALS:
-            del tenure.sent[next(iter(tenure.sent))]
-        ask = Ask(tenure.task, tenure.term, self._number, self.voters.stage, bool(tenure.until_us))
+        lease.renewed_us = now_us
+        lease.sent[self._number] = now_us
+        while len(lease.sent) > 4 * RENEWALS:
+            del lease.sent[next(iter(lease.sent))]
+        ask = Ask(lease.task, lease.term, self._number, self.voters.stage, bool(lease.until_us))
         # Its own voter first: where that one denies, nobody else is asked.
         return [(voter, ask) for voter in sorted(self.voters.all(), key=lambda name: name != self._name)]
 
     def wants(self, ask: Ask) -> bool:
         """Whether that is still asked for: its own voter may have denied it meanwhile."""
-        tenure = self.of(ask.task)
-        return tenure.term == ask.term and bool(tenure.asking_us or tenure.until_us)
+        lease = self.of(ask.task)
+        return lease.term == ask.term and bool(lease.asking_us or lease.until_us)
 
-    def _give_up(self, now_us: int, tenure: Tenure) -> list[Post]:
+    def _give_up(self, now_us: int, lease: TaskLease) -> list[Post]:
         """No majority in time: those that granted are freed at once, and the next try is at another
         moment.
         """
-        posts: list[Post] = [(v, Release(tenure.task, tenure.term)) for v in self.voters.all()]
-        tenure.floor = max(tenure.floor, tenure.term)
-        tenure.asking_us = 0
-        tenure.try_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
+        posts: list[Post] = [(v, Release(lease.task, lease.term)) for v in self.voters.all()]
+        lease.floor = max(lease.floor, lease.term)
+        lease.asking_us = 0
+        lease.try_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
         return posts
 
-    def _give_back(self, now_us: int, tenure: Tenure, names: list[str]) -> list[Post]:
+    def _give_back(self, now_us: int, lease: TaskLease, names: list[str]) -> list[Post]:
         """A better placed member that has been there for long gets the task, one task at a time."""
         if not names or names[0] == self._name:
-            tenure.better_us = 0
+            lease.better_us = 0
             return []
-        tenure.better_us = tenure.better_us or now_us
+        lease.better_us = lease.better_us or now_us
         wait_us = int(self._terms.give_back_s * SECOND)
-        if now_us - tenure.better_us < wait_us or now_us - self._given_back_us < GIVE_BACK_US:
+        if now_us - lease.better_us < wait_us or now_us - self._given_back_us < GIVE_BACK_US:
             return []
         self._given_back_us = now_us
-        return self.release(now_us, tenure.task, names[0])
+        return self.release(now_us, lease.task, names[0])
 
     def release(self, now_us: int, task: str, to: str | None) -> list[Post]:
         """Gives a task up, in good order: the voters are freed, and the next one is told."""
-        tenure = self.of(task)
-        if not tenure.until_us:
+        lease = self.of(task)
+        if not lease.until_us:
             return []
-        term = tenure.term
-        self._lose(tenure, "released", now_us)
+        term = lease.term
+        self._lose(lease, "released", now_us)
         posts: list[Post] = [(voter, Release(task, term)) for voter in self.voters.all()]
         if to is not None and to != self._name:
-            tenure.try_us = now_us + 2 * self._lease_us
+            lease.try_us = now_us + 2 * self._lease_us
             posts.append((to, Yield(task, term)))
         return posts
 
@@ -252,80 +256,79 @@
         """This node ends: what it owns goes to the next at once, what it asks for is let go."""
         self.leaving = True
         posts: list[Post] = []
-        for task, tenure in self.tenures.items():
-            if tenure.until_us:
+        for task, lease in self.by_task.items():
+            if lease.until_us:
                 others = [n for n in tasks.get(task, ()) if n != self._name]
                 posts += self.release(now_us, task, others[0] if others else None)
-            elif tenure.asking_us:
-                posts += self._give_up(now_us, tenure)
+            elif lease.asking_us:
+                posts += self._give_up(now_us, lease)
         return posts
 
     # ------------------------------------------------------------------ what voters say
 
     def granted(self, now_us: int, voter: str, grant: Grant) -> None:
         self.heard_us[voter] = now_us
-        tenure = self.of(grant.task)
-        sent_us = tenure.sent.get(grant.number)
-        if sent_us is None or grant.term != tenure.term or not (tenure.asking_us or tenure.until_us):
+        lease = self.of(grant.task)
+        sent_us = lease.sent.get(grant.number)
+        if sent_us is None or grant.term != lease.term or not (lease.asking_us or lease.until_us):
             return
-        if tenure.until_us and now_us >= tenure.until_us and "clock" not in self._off:
+        if lease.until_us and now_us >= lease.until_us and "clock" not in self._off:
             # It had ended before this came: what was owned under the term is over.
-            self._lose(tenure, "lapsed", now_us)
+            self._lose(lease, "lapsed", now_us)
             return
-        tenure.granted[voter] = max(sent_us, tenure.granted.get(voter, 0))
-        end_us = self.voters.ends(tenure.granted)
+        lease.granted[voter] = max(sent_us, lease.granted.get(voter, 0))
+        end_us = self.voters.ends(lease.granted)
         if not end_us:
             return
         until_us = end_us + int(self._lease_us * (1 - 2 * DRIFT))
-        if tenure.asking_us:
+        if lease.asking_us:
             if now_us >= until_us:
                 return
-            tenure.asking_us, tenure.since_us, tenure.better_us = 0, now_us, 0
-            tenure.floor = tenure.owned = tenure.term
-            tenure.holder, tenure.until_us = self._name, until_us
-            self.news[tenure.task] = 0
-            self.turned.append(Turned(tenure.task, tenure.term, True, "granted"))
-        tenure.until_us = max(tenure.until_us, until_us)
+            lease.asking_us, lease.since_us, lease.better_us = 0, now_us, 0
+            lease.floor = lease.owned = lease.term
+            lease.holder, lease.until_us = self._name, until_us
+            self.news[lease.task] = 0
+            self.changes.append(OwnershipChange(lease.task, lease.term, True, "granted"))
+        lease.until_us = max(lease.until_us, until_us)
 
     def denied(self, now_us: int, voter: str, deny: Deny) -> list[Post]:
         self.heard_us[voter] = now_us
-        tenure = self.of(deny.task)
-        if deny.number not in tenure.sent:
+        lease = self.of(deny.task)
+        if deny.number not in lease.sent:
             return []
-        tenure.floor = max(tenure.floor, deny.term)
+        lease.floor = max(lease.floor, deny.term)
         if deny.holder and deny.holder != self._name:
-            tenure.holder = deny.holder
-        if tenure.asking_us:
-            tenure.denied.add(voter)
+            lease.holder = deny.holder
+        if lease.asking_us:
+            lease.denied.add(voter)
             # One whose lease ends in a moment is waited for. Otherwise nothing that was granted is kept:
-            # it would
-            # be in the way of whoever owns the task, or of a candidate that has more.
+            # it would be in the way of whoever owns the task, or of a candidate that has more.
             short = deny.why == "held" and deny.left_us < self._lease_us // RENEWALS
-            enough = self.voters.majority(set(self.voters.all()) - tenure.denied)
+            enough = self.voters.majority(set(self.voters.all()) - lease.denied)
             if not enough or (not short and deny.why in ("held", "term")):
-                posts = self._give_up(now_us, tenure)
-                tenure.try_us = now_us + self._wait_us(now_us, tenure, deny)
+                posts = self._give_up(now_us, lease)
+                lease.try_us = now_us + self._wait_us(now_us, lease, deny)
                 return posts
         # A voter that denies a renewal takes away its own grant, no more: the others' may be a majority.
         return []
 
-    def _wait_us(self, now_us: int, tenure: Tenure, deny: Deny) -> int:
-        if now_us < tenure.eager_until_us:
+    def _wait_us(self, now_us: int, lease: TaskLease, deny: Deny) -> int:
+        if now_us < lease.eager_until_us:
             return EAGER_US
-        jitter_us = int(STAGGER_US * (tenure.rank + 0.3 * self._random.random()))
+        jitter_us = int(STAGGER_US * (lease.rank + 0.3 * self._random.random()))
         if deny.why == "term":
             return jitter_us
         return min(max(deny.left_us, EAGER_US), 2 * self._lease_us) + jitter_us
 
     def yielded(self, now_us: int, told: Yield) -> None:
         """Its owner has given the task up, for this node to take."""
-        tenure = self.of(told.task)
-        tenure.floor = max(tenure.floor, told.term)
+        lease = self.of(told.task)
+        lease.floor = max(lease.floor, told.term)
         if not self.leaving:
-            tenure.try_us, tenure.eager_until_us = now_us, now_us + EAGER_FOR_US
+            lease.try_us, lease.eager_until_us = now_us, now_us + EAGER_FOR_US
 
-    def _lose(self, tenure: Tenure, why: str, now_us: int) -> None:
-        tenure.until_us = tenure.asking_us = 0
-        tenure.floor = max(tenure.floor, tenure.term)
-        tenure.try_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
-        self.turned.append(Turned(tenure.task, tenure.term, False, why))
+    def _lose(self, lease: TaskLease, why: str, now_us: int) -> None:
+        lease.until_us = lease.asking_us = 0
+        lease.floor = max(lease.floor, lease.term)
+        lease.try_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
+        self.changes.append(OwnershipChange(lease.task, lease.term, False, why))
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -26,11 +26,11 @@
 from sailrun.owners.clock import boot_us
 from sailrun.owners.founding import founding_term
 from sailrun.owners.lasting import Lasting
+from sailrun.owners.leases import OwnershipChange
 from sailrun.owners.pace import PaceOffice, PaceShare
 from sailrun.owners.permits import DRAIN, OUT, Use
 from sailrun.owners.permits import TASK as PERMITS
 from sailrun.owners.shared import SharedRoster
-from sailrun.owners.tenure import Turned
 from sailrun.replica.service import CopiesPart
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
         record = _record if terms.owners.record else _forget
         self.agent = Agent(me, terms, secrets.randbits(32), boot_us(), _founding, record=record)
         self.agent.on_use = self._used
-        self.agent.on_turned = self._turned
+        self.agent.on_ownership_change = self._ownership_changed
         self.carrier = Carrier(self.agent, split_address(told.listen), patient)
         self.carrier.after = self._after
         self._shared: SharedRoster | None = None
@@ -188,9 +188,9 @@
 
         self.carrier.post(call)
 
-    def _turned(self, now_us: int, turned: Turned) -> None:
-        if turned.task == PACE:
-            self._pace_office = PaceOffice(turned.term, now_us) if turned.mine else None
+    def _ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
+        if change.task == PACE:
+            self._pace_office = PaceOffice(change.term, now_us) if change.mine else None
 
     # ------------------------------------------------------------------ the rebalancer's pace
 
@@ -338,17 +338,17 @@
         ]
 
     def _owners(self, now_us: int) -> list[dict[str, Any]]:
-        tenures = self.agent.tenures.tenures
+        leases = self.agent.leases.by_task
         return [
             {
                 "task": task,
                 "holder": t.holder or None,
                 "term": t.owned,
-                "held": bool(self.agent.tenures.holds(task, now_us)),
+                "held": bool(self.agent.leases.holds(task, now_us)),
                 "ends_in_s": round((t.until_us - now_us) / SECOND, 3) if t.until_us else None,
                 "refused_orders": t.refused,
             }
-            for task, t in sorted(tenures.items())
+            for task, t in sorted(leases.items())
         ]
 
     def _permits(self, now_us: int) -> list[dict[str, Any]]:
@@ -379,7 +379,7 @@
             "strangers": members.stray,
             "slowness": members.slowness,
             "bytes_out": self.carrier.bytes_out,
-            "in_touch": self.agent.tenures.in_touch(boot_us()),
+            "in_touch": self.agent.leases.in_touch(boot_us()),
         }
 
     def _walk(self, walk: str) -> Any:
--- a/sailrun/owners/shared.py
+++ b/sailrun/owners/shared.py
@@ -103,7 +103,7 @@
 
     def turn(self, now_us: int) -> list[Out]:
         """Called by the agent's task."""
-        self._reading.owner = bool(self._agent.tenures.holds(self._task, now_us))
+        self._reading.owner = bool(self._agent.leases.holds(self._task, now_us))
         replica, revision = self._agent.replica, self._reading.revision
         if replica is not None and self._reading.owner and revision != self._kept and replica.sync.whole:
             self._kept = revision
--- a/sailrun/replica/service.py
+++ b/sailrun/replica/service.py
@@ -143,7 +143,7 @@
         op = Op(
             "mark",
             self._replica.new_id(),
-            self._fleet.agent.tenures.of(MARKS).owned,
+            self._fleet.agent.leases.of(MARKS).owned,
             kind,
             subject,
             on,
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -13,12 +13,12 @@
 from sailrun.bad_config import BadConfig
 from sailrun.operator import read_operator, voters_follow
 from sailrun.owners.founding import founding_term
+from sailrun.owners.leases import Leases, best_placed
 from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Say, Want
 from sailrun.owners.pace import LENT_US, PaceOffice, PaceShare
 from sailrun.owners.permits import DRAIN, OUT, PermitHolder, PermitOffice
 from sailrun.owners.quorum import Voters
 from sailrun.owners.reader import Reading
-from sailrun.owners.tenure import Tenures, placed_best
 from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
 from sailrun.owners.voter import Voter, abstain_us
 from sailrun.owners.walk import Walks
@@ -117,8 +117,8 @@
 # ---------------------------------------------------------------------- holding
 
 
-def asking(now_us: int) -> tuple[Tenures, int]:
-    one = Tenures("x", Voters(TERMS), TERMS, 1, now_us)
+def asking(now_us: int) -> tuple[Leases, int]:
+    one = Leases("x", Voters(TERMS), TERMS, 1, now_us)
     posts = one.turn(now_us, {"t": ["x"]})
     assert [to for to, _ in posts] == ["a", "b", "c"]
     return one, posts[0][1].number  # type: ignore[union-attr]
@@ -137,13 +137,13 @@
     one, number = asking(SECOND)
     for name in ("a", "b", "c"):
         one.granted(3 * SECOND, name, Grant("t", 1, number))
-    assert not one.holds("t", 3 * SECOND) and not one.turned
+    assert not one.holds("t", 3 * SECOND) and not one.changes
 
 
 def test_tasks_are_placed_by_the_designs_score_and_stay_when_others_come() -> None:
     names = [f"n{n}" for n in range(40)]
-    first = [placed_best(f"task{n}", names)[0] for n in range(200)]
-    without = [placed_best(f"task{n}", names[1:])[0] for n in range(200)]
+    first = [best_placed(f"task{n}", names)[0] for n in range(200)]
+    without = [best_placed(f"task{n}", names[1:])[0] for n in range(200)]
     assert all(a == b for a, b in zip(first, without, strict=True) if a != "n0")
     assert len(set(first)) > 25
 
