--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -151,17 +151,17 @@
         for to, body in node.turn(self.now_us, ""):
             self._send(name, to, body)
         node.questions.clear()
-        office = node.office
-        if office is not None:
+        coordinator = node.coordinator
+        if coordinator is not None:
             for id_ in list(self.made):
-                said = office.asked(self.now_us, name, Op("poll", id_))
+                said = coordinator.asked(self.now_us, name, Op("poll", id_))
                 if said is not None and said.state == "done" and id_ not in self._told:
                     self._told.add(id_)
                     self.acked.append(id_)
-                    self._note(f"{id_} is acknowledged by {name} under {office.term}")
-                    self._fenced(office.term, id_)
-            if office.open and office.term not in self._opened:
-                self._opened.add(office.term)
+                    self._note(f"{id_} is acknowledged by {name} under {coordinator.term}")
+                    self._fenced(coordinator.term, id_)
+            if coordinator.open and coordinator.term not in self._opened:
+                self._opened.add(coordinator.term)
                 self.found.opened += 1
                 self._look(name, node)
 
@@ -172,12 +172,12 @@
     def _fenced(self, term: int, id_: str) -> None:
         """Nothing is acknowledged under a term that an open owner of a higher one does not know."""
         for name, node in self.nodes.items():
-            office = node.office
-            if office is None or not office.open or office.term <= term:
+            coordinator = node.coordinator
+            if coordinator is None or not coordinator.open or coordinator.term <= term:
                 continue
             if max((self.made.get(i, -1) for i in self._held(node)), default=-1) < self.made[id_]:
                 self.found.fault = (
-                    f"{id_} is acknowledged under {term}, {name} under {office.term} knows it not"
+                    f"{id_} is acknowledged under {term}, {name} under {coordinator.term} knows it not"
                 )
 
     def _look(self, name: str, node: Replica) -> None:
@@ -185,35 +185,35 @@
         record holds it, or one that was made later.
         """
         held = self._held(node)
-        office = node.office
-        assert office is not None
+        coordinator = node.coordinator
+        assert coordinator is not None
         latest = max((self.made[i] for i in self.acked), default=-1)
         if self.acked and max((self.made.get(i, -1) for i in held), default=-1) < latest:
-            told = f"{name} opens under {office.term} with {held or 'nothing'}"
+            told = f"{name} opens under {coordinator.term} with {held or 'nothing'}"
             self.found.fault = f"{told}, {self.acked[-1]} was acknowledged"
 
     def _write(self) -> None:
         name = self.luck.choice(self.owners)  # also one that does not know of the next
         node = self.nodes[name]
-        office = node.office
-        if office is None or not office.open:
+        coordinator = node.coordinator
+        if coordinator is None or not coordinator.open:
             return
         if self.luck.random() < 0.4:
-            newest = office.term == self.term  # the lease sees to it that no older one answers
-            said = office.asked(self.now_us, name, Op("look", "", office.term, "out", SUBJECT))
+            newest = coordinator.term == self.term  # the lease sees to it that no older one answers
+            said = coordinator.asked(self.now_us, name, Op("look", "", coordinator.term, "out", SUBJECT))
             if newest and said is not None and said.state == "done":
                 shown = [i for i in self._held(node) if i in self.made and i not in self._told]
                 self._told.update(shown)
                 self.acked += shown
                 if shown:
-                    self._note(f"{shown[0]} is shown by {name} under {office.term}")
+                    self._note(f"{shown[0]} is shown by {name} under {coordinator.term}")
             return
         id_ = f"w{len(self.made)}"
-        op = Op("mark", id_, office.term, "out", SUBJECT, True)
-        said = office.asked(self.now_us, name, op)
+        op = Op("mark", id_, coordinator.term, "out", SUBJECT, True)
+        said = coordinator.asked(self.now_us, name, op)
         if said is not None and said.state == "pending":
             self.made[id_] = len(self.made)
-            self._note(f"{id_} is made by {name} under {office.term}")
+            self._note(f"{id_} is made by {name} under {coordinator.term}")
 
     def _send(self, sender: str, to: str, body: object) -> None:
         if isinstance(body, Sum) or to not in self.nodes:
--- a/sailrun/owners/agent.py
+++ b/sailrun/owners/agent.py
@@ -40,7 +40,7 @@
     Want,
     Yield,
 )
-from sailrun.owners.permits import OUT, PermitHolder, PermitOffice, Use
+from sailrun.owners.permits import OUT, PermitCoordinator, PermitHolder, Use
 from sailrun.owners.permits import TASK as PERMITS
 from sailrun.owners.quorum import Voters
 from sailrun.owners.terms import DRIFT, OwnersTerms, PermitsTerms, ReaderTerms
@@ -131,7 +131,7 @@
         self.walks = Walks(me.name, self.holder)
         self.replica = self._new_replica(chance.getrandbits(32), now_us) if terms.replica.enabled else None
         self.backing.serve(lambda: self.voter, self.replica, self.walks)
-        self.office: PermitOffice | None = None
+        self.permit_coordinator: PermitCoordinator | None = None
         # Work that others do: who answers questions about a task, asked with the asker's name and content.
         self.answers: dict[str, Callable[[int, str, Any], Any]] = {}
         self.on_ownership_change: Callable[[int, OwnershipChange], None] = lambda now_us, change: None
@@ -362,9 +362,9 @@
             except msgspec.ValidationError:
                 self.tallies.bad_messages += 1
                 return None
-            if self.office is None or self.office.term != term:
-                self.office = PermitOffice(self.terms.permits, term, now_us, self._off)
-            return msgspec.to_builtins(self.office.asked(now_us, sender, life, want))
+            if self.permit_coordinator is None or self.permit_coordinator.term != term:
+                self.permit_coordinator = PermitCoordinator(self.terms.permits, term, now_us, self._off)
+            return msgspec.to_builtins(self.permit_coordinator.asked(now_us, sender, life, want))
         if task == MARKS:
             return self.replica.answer(now_us, sender, content) if self.replica is not None else None
         answer = self.answers.get(task)
@@ -452,10 +452,10 @@
         return outs + self._changes(now_us)
 
     def _turn_replica(self, now_us: int, replica: Replica) -> list[Out]:
-        office = replica.office
-        if office is not None and office.higher > office.term:
+        coordinator = replica.coordinator
+        if coordinator is not None and coordinator.higher > coordinator.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
-            self.leases.heard_of(MARKS, office.higher, "", now_us)
+            self.leases.heard_of(MARKS, coordinator.higher, "", now_us)
             self._changes(now_us)
         outs = self._posts(replica.turn(now_us, self.holder_of(MARKS)))
         for op, done in self._emptied(replica.questions):
@@ -508,8 +508,8 @@
                 self.voter.voters = self.voters
             if self.replica is not None:
                 self.replica.use_voters(now_us)
-        if self.office is not None:
-            self.office.use(terms.permits)
+        if self.permit_coordinator is not None:
+            self.permit_coordinator.use(terms.permits)
         self.terms = terms
         self._tasks_of = -1
 
@@ -567,8 +567,8 @@
 
     def _note_ownership(self, now_us: int, change: OwnershipChange) -> None:
         if change.task == PERMITS:
-            self.office = (
-                PermitOffice(self.terms.permits, change.term, now_us, self._off) if change.mine else None
+            self.permit_coordinator = (
+                PermitCoordinator(self.terms.permits, change.term, now_us, self._off) if change.mine else None
             )
         if not change.mine:
             self._act("lost", task=change.task, term=change.term, why=change.why)
--- a/sailrun/owners/pace.py
+++ b/sailrun/owners/pace.py
@@ -1,9 +1,7 @@
-"""The pace at which households are moved for balance, shared out by one owner: no node guesses what others
-do.
+"""The fleet's pace of moving households for balance, shared out among the nodes by one owner.
 
-Shares are lent for a short time and never add up to more than the whole: what was lent counts until it has
-ended,
-and a new owner lends nothing until all that the one before may have lent has ended.
+Shares are lent for a short time and never add up to more than the whole. What was lent counts until it has
+ended, and a new owner lends nothing until all that the one before may have lent has ended.
 """
 
 from __future__ import annotations
@@ -25,8 +23,8 @@
     share: float
 
 
-class PaceOffice:
-    """The owner's side, made anew at each term."""
+class PaceCoordinator:
+    """The owner's side: lends shares. Made anew at each term."""
 
     def __init__(self, term: int, now_us: int) -> None:
         self.term = term
@@ -49,7 +47,7 @@
 
 
 class PaceShare:
-    """The asker's side: what it was lent, until when."""
+    """The client's side: what this node was lent, and until when."""
 
     def __init__(self) -> None:
         self._share, self._until_us, self._ask_us = 0.0, 0, 0
--- a/sailrun/owners/permits.py
+++ b/sailrun/owners/permits.py
@@ -1,8 +1,11 @@
-"""Permits: how much may be out of service at a time. One owner hands them out; each is a lease of its own.
+"""Permits limit how much may be out of service at a time: nodes that drain, form servers taken out by staff.
 
-Nothing is stored: whoever holds a permit, or waits for one, says so again and again, and a new owner first
-listens for as long as a permit may last that its predecessor gave. What nobody claims by then is in use by
+The owner of the task `permits` is their coordinator. Each permit is a lease of its own, which its holder
+renews. Nothing is stored: holders and those that wait repeat their requests. A new coordinator therefore only
+listens at first, for as long as a permit of its predecessor may last; what nobody claims by then is in use by
 nobody, since its holder's own clock has ended it before.
+
+Pure: requests and the time (microseconds of one monotonic clock) come in, answers go out.
 """
 
 from __future__ import annotations
@@ -36,8 +39,8 @@
     until_us: int
 
 
-class PermitOffice:
-    """The owner's side. Made anew at each term: it knows nothing, and gives nothing until it has listened."""
+class PermitCoordinator:
+    """The owner's side: limits, grants and the queue. Made anew at each term; closed until `open_us`."""
 
     def __init__(
         self, terms: PermitsTerms, term: int, now_us: int, off: frozenset[str] = frozenset()
@@ -180,13 +183,13 @@
 
 
 class PermitHolder:
-    """The side of those who ask: what this node wants, holds, and until when, by its own clock."""
+    """The client's side: what this node wants and holds, and until when by its own clock."""
 
     def __init__(self, terms: PermitsTerms) -> None:
         self._terms = terms
         self._lease_us = int(terms.lease_s * SECOND)
         self.wanted: dict[Key, Wanted] = {}
-        self.uses: list[Use] = []  # for whoever drives this; emptied by him
+        self.uses: list[Use] = []  # the driver reads and empties it
 
     @property
     def ask_us(self) -> int:
@@ -224,8 +227,7 @@
         wants: list[Want] = []
         for key, wanted in list(self.wanted.items()):
             if wanted.state == "held" and now_us >= wanted.until_us:
-                # Whoever gives permits counts it as free from now on: it is used no longer, and asked for
-                # anew.
+                # The coordinator counts it as free from now on: it is used no longer, and asked for anew.
                 wanted.state, wanted.until_us = "want", 0
                 self.uses.append(Use(*key, False, "lapsed: its owner was not heard of in time"))
             if wanted.state == "back" and now_us >= wanted.back_until_us:
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -27,7 +27,7 @@
 from sailrun.owners.founding import founding_term
 from sailrun.owners.lasting import Lasting
 from sailrun.owners.leases import OwnershipChange
-from sailrun.owners.pace import PaceOffice, PaceShare
+from sailrun.owners.pace import PaceCoordinator, PaceShare
 from sailrun.owners.permits import DRAIN, OUT, Use
 from sailrun.owners.permits import TASK as PERMITS
 from sailrun.owners.shared import SharedRoster
@@ -83,7 +83,7 @@
         self._shared: SharedRoster | None = None
         self._by_hand: dict[str, bool] = {}  # form servers that a permit was asked for: whether it is in use
         self._waiting: dict[tuple[str, str], list[Callable[[str], None]]] = {}
-        self._pace_office: PaceOffice | None = None
+        self._pace_coordinator: PaceCoordinator | None = None
         self._pace = PaceShare()
         self._share, self._wants_pace = -1.0, False
         self._look_us = 0
@@ -190,12 +190,12 @@
 
     def _ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
         if change.task == PACE:
-            self._pace_office = PaceOffice(change.term, now_us) if change.mine else None
+            self._pace_coordinator = PaceCoordinator(change.term, now_us) if change.mine else None
 
     # ------------------------------------------------------------------ the rebalancer's pace
 
     def _lend(self, now_us: int, sender: str, content: Any) -> Any:
-        return self._pace_office.asked(now_us, sender) if self._pace_office is not None else None
+        return self._pace_coordinator.asked(now_us, sender) if self._pace_coordinator is not None else None
 
     def _ask_pace(self, now_us: int) -> list[Out]:
         share = self._pace.share(now_us)
@@ -352,9 +352,9 @@
         ]
 
     def _permits(self, now_us: int) -> list[dict[str, Any]]:
-        holder, office = self.agent.holder, self.agent.office
-        if office is not None and self.agent.owns(PERMITS, now_us):
-            return office.table(now_us)
+        holder, coordinator = self.agent.holder, self.agent.permit_coordinator
+        if coordinator is not None and self.agent.owns(PERMITS, now_us):
+            return coordinator.table(now_us)
         return [
             {
                 "kind": w.kind,
--- a/sailrun/replica/office.py
+++ b/sailrun/replica/coordinator.py
@@ -1,12 +1,11 @@
-"""The owner's side of marks: one writer at a time, under its term.
+"""The owner's side of replicated marks: a single proposer at a time, fenced by its term (as in Multi-Paxos).
 
-Before anything is written, a majority of voters has promised to take nothing of a lower term, what each of
-them held at that moment was taken over, and a majority holds all of that (so that what the owner has seen
-cannot go away again). A write is acknowledged once a majority of voters holds it. What is needed for that
-rests on terms and majorities alone: an owner whose lease has run out without its knowledge finds that no
-majority keeps anything for it any more.
+Before it writes, a majority of the acceptors has promised to accept nothing of a lower term, the coordinator
+has read what each of them held at that moment, and a majority holds all of that (so that what it has seen
+cannot be lost again). A write is acknowledged once a majority has accepted it. Safety rests on terms and
+majorities alone: a coordinator whose lease has ended without its knowledge gets no majority any more.
 
-Pure. Made anew at each term.
+Pure: messages and the time (microseconds) come in, messages go out.
 """
 
 from __future__ import annotations
@@ -63,7 +62,9 @@
     waits: bool
 
 
-class Office:
+class MarksCoordinator:
+    """Writes, promotes and forgets marks for as long as this node owns them. Made anew at each term."""
+
     def __init__(
         self,
         term: int,
@@ -75,7 +76,9 @@
         now_us: int,
         off: frozenset[str] = frozenset(),
     ) -> None:
-        """`limit` gives how many marks of a kind may be in force at a time; None: any number."""
+        """`limit` gives how many marks of a kind may be in force at a time; None: any number. `off` names
+        safety rules that the laboratory switches off.
+        """
         self.term, self._me, self._voters, self._members = term, me, voters, members
         self._sync, self._store, self._limit, self._off = sync, sync.store, limit, off
         self.state = "promise"
--- a/sailrun/replica/replica.py
+++ b/sailrun/replica/replica.py
@@ -15,6 +15,7 @@
 
 from sailrun.members.swim import Members
 from sailrun.owners.quorum import Voters
+from sailrun.replica.coordinator import MarksCoordinator
 from sailrun.replica.diary import Diary
 from sailrun.replica.keeper import Keeper
 from sailrun.replica.marks import KINDS, Mark, Standing, in_force, keeps_out, marks, pack, unpack
@@ -36,7 +37,6 @@
     Recovering,
     Said,
 )
-from sailrun.replica.office import Office
 from sailrun.replica.records import Key, Record, written
 from sailrun.replica.store import GROUP, RANGES, Store
 from sailrun.replica.sync import Sync
@@ -55,7 +55,7 @@
 LISTS_US = 10 * SECOND
 BELIEF, LIST = "belief", "list"
 _KEEPER = (Promise, Put, Level, Knows, Known, Recover, Recovering)
-_OFFICE = (Promised, Kept, Higher, Has)
+_FOR_COORDINATOR = (Promised, Kept, Higher, Has)
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
             self._diary,
         )
         self.keeper: Keeper | None = None
-        self.office: Office | None = None
+        self.coordinator: MarksCoordinator | None = None
         self.use_voters(now_us)
         self.sync.on_thrown = self._thrown
         self.sync.on_founded = lambda: self._act("founded", what="marks")
@@ -177,9 +177,9 @@
 
     def turned(self, now_us: int, term: int) -> None:
         """This node owns the marks under that term from now on; 0: it does not any more."""
-        self.office = None
+        self.coordinator = None
         if term:
-            self.office = Office(
+            self.coordinator = MarksCoordinator(
                 term,
                 self.name,
                 self._voters,
@@ -199,9 +199,9 @@
             if isinstance(body, Put):
                 return self._keep_for(now_us, sender, body)
             return []
-        if isinstance(body, _OFFICE):
-            if self.office is not None:
-                self.office.hear(now_us, sender, body)
+        if isinstance(body, _FOR_COORDINATOR):
+            if self.coordinator is not None:
+                self.coordinator.hear(now_us, sender, body)
             return []
         if isinstance(body, Have):
             same = body.epoch == self.sync.epoch
@@ -223,9 +223,9 @@
             op = msgspec.convert(content, Op)
         except msgspec.ValidationError:
             return None
-        if self.office is None:
+        if self.coordinator is None:
             return None
-        said = self.office.asked(now_us, sender, op)
+        said = self.coordinator.asked(now_us, sender, op)
         return msgspec.to_builtins(said, builtin_types=(bytes,)) if said is not None else None
 
     # ------------------------------------------------------------------ what staff want
@@ -302,8 +302,8 @@
         due_us = min(self.sync.due_us(now_us), self._where_us)
         if self.keeper is not None:
             due_us = min(due_us, self.keeper.due_us() or due_us)
-        if self.office is not None:
-            due_us = min(due_us, self.office.due_us())
+        if self.coordinator is not None:
+            due_us = min(due_us, self.coordinator.due_us())
         for writing in self._writing.values():
             due_us = min(due_us, writing.next_us)
         for looking in self._looking.values():
@@ -315,8 +315,8 @@
         posts = self.sync.turn(now_us)
         if self.keeper is not None:
             posts += self.keeper.turn(now_us)
-        if self.office is not None:
-            posts += self.office.turn(now_us)
+        if self.coordinator is not None:
+            posts += self.coordinator.turn(now_us)
         posts += self._compare(now_us, owner)
         self._ask(now_us)
         self._apply(now_us)
@@ -325,7 +325,7 @@
 
     def _compare(self, now_us: int, owner: str) -> list[Post]:
         """Asks the owner whether this copy is behind."""
-        if self.office is not None and self.office.open:
+        if self.coordinator is not None and self.coordinator.open:
             self.level_us, self.lacks = now_us, 0
         if now_us < self._where_us:
             return []
--- a/sailrun/replica/sync.py
+++ b/sailrun/replica/sync.py
@@ -1,7 +1,7 @@
 """Copies that become alike: what changes is told on, what differs is found by digests and taken over, and who
 has nothing, or something too old, begins with a whole copy.
 
-Pure. Safety of what a majority keeps is not here (see `keeper.py` and `office.py`): here nothing is lost
+Pure. Safety of what a majority keeps is not here (see `keeper.py` and `coordinator.py`): here nothing is lost
 because copies only ever learn, and nothing that was taken back returns because copies of different epochs are
 never merged.
 """
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -15,8 +15,8 @@
 from sailrun.owners.founding import founding_term
 from sailrun.owners.leases import Leases, best_placed
 from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Say, Want
-from sailrun.owners.pace import LENT_US, PaceOffice, PaceShare
-from sailrun.owners.permits import DRAIN, OUT, PermitHolder, PermitOffice
+from sailrun.owners.pace import LENT_US, PaceCoordinator, PaceShare
+from sailrun.owners.permits import DRAIN, OUT, PermitCoordinator, PermitHolder
 from sailrun.owners.quorum import Voters
 from sailrun.owners.reader import Reading
 from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
@@ -151,54 +151,57 @@
 # ---------------------------------------------------------------------- permits
 
 
-def held(office: PermitOffice, now_us: int, name: str, kind: str, subject: str, state: str = "want") -> Say:
-    return office.asked(now_us, name, 1, Want(kind, subject, state))
+def held(
+    coordinator: PermitCoordinator, now_us: int, name: str, kind: str, subject: str, state: str = "want"
+) -> Say:
+    return coordinator.asked(now_us, name, 1, Want(kind, subject, state))
 
 
-def open_office(now_us: int = 10 * SECOND) -> PermitOffice:
-    return PermitOffice(PERMITS, 5, now_us - 5 * SECOND)
+def open_coordinator(now_us: int = 10 * SECOND) -> PermitCoordinator:
+    return PermitCoordinator(PERMITS, 5, now_us - 5 * SECOND)
 
 
 def test_permits_go_in_the_order_of_the_queue_and_no_more_than_allowed() -> None:
-    office, now_us = open_office(), 10 * SECOND
-    assert held(office, now_us, "a", DRAIN, "a").yes
-    second, third = (held(office, now_us, n, DRAIN, n) for n in ("b", "c"))
+    coordinator, now_us = open_coordinator(), 10 * SECOND
+    assert held(coordinator, now_us, "a", DRAIN, "a").yes
+    second, third = (held(coordinator, now_us, n, DRAIN, n) for n in ("b", "c"))
     assert (second.yes, second.ahead, third.ahead) == (False, 0, 1)
     assert "1 of 1 in use: a" in second.why
-    held(office, now_us, "a", DRAIN, "a", "back")
-    assert not held(office, now_us, "c", DRAIN, "c").yes
-    assert held(office, now_us, "b", DRAIN, "b").yes
+    held(coordinator, now_us, "a", DRAIN, "a", "back")
+    assert not held(coordinator, now_us, "c", DRAIN, "c").yes
+    assert held(coordinator, now_us, "b", DRAIN, "b").yes
 
 
 def test_the_same_form_server_out_at_several_nodes_is_one_permit() -> None:
-    office, now_us = open_office(), 10 * SECOND
-    assert all(held(office, now_us, name, OUT, "s-1").yes for name in "abc")
-    assert held(office, now_us, "a", OUT, "s-2").yes and not held(office, now_us, "a", OUT, "s-3").yes
+    coordinator, now_us = open_coordinator(), 10 * SECOND
+    assert all(held(coordinator, now_us, name, OUT, "s-1").yes for name in "abc")
+    assert held(coordinator, now_us, "a", OUT, "s-2").yes
+    assert not held(coordinator, now_us, "a", OUT, "s-3").yes
     for name in "ab":
-        held(office, now_us, name, OUT, "s-1", "back")
-    assert not held(office, now_us, "a", OUT, "s-3").yes
-    held(office, now_us, "c", OUT, "s-1", "back")
-    assert held(office, now_us, "a", OUT, "s-3").yes
+        held(coordinator, now_us, name, OUT, "s-1", "back")
+    assert not held(coordinator, now_us, "a", OUT, "s-3").yes
+    held(coordinator, now_us, "c", OUT, "s-1", "back")
+    assert held(coordinator, now_us, "a", OUT, "s-3").yes
 
 
 def test_a_dead_holders_permit_ends_and_the_next_one_has_it() -> None:
-    office, now_us = open_office(), 10 * SECOND
-    held(office, now_us, "a", DRAIN, "a")
-    assert not held(office, now_us + 3 * SECOND, "b", DRAIN, "b").yes
-    assert held(office, now_us + 4 * SECOND, "b", DRAIN, "b").yes
+    coordinator, now_us = open_coordinator(), 10 * SECOND
+    held(coordinator, now_us, "a", DRAIN, "a")
+    assert not held(coordinator, now_us + 3 * SECOND, "b", DRAIN, "b").yes
+    assert held(coordinator, now_us + 4 * SECOND, "b", DRAIN, "b").yes
 
 
 def test_a_new_owner_listens_first_and_keeps_the_places_of_the_one_before() -> None:
-    office = PermitOffice(PERMITS, 6, 0)
-    assert held(office, 1, "a", OUT, "s-1", "held").yes
-    assert not held(office, 1, "b", OUT, "s-2").yes
-    waiting = office.asked(1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
+    coordinator = PermitCoordinator(PERMITS, 6, 0)
+    assert held(coordinator, 1, "a", OUT, "s-1", "held").yes
+    assert not held(coordinator, 1, "b", OUT, "s-2").yes
+    waiting = coordinator.asked(1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
     assert not waiting.yes and waiting.place == (5, 1)
-    held(office, office.open_us - 1, "a", OUT, "s-1", "held")
-    office.asked(office.open_us - 1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
-    held(office, office.open_us - 1, "b", OUT, "s-2")
-    assert not held(office, office.open_us, "b", OUT, "s-2").yes  # s-3 has the earlier place
-    assert office.asked(office.open_us, "c", 1, Want(OUT, "s-3", "want", (5, 1))).yes
+    held(coordinator, coordinator.open_us - 1, "a", OUT, "s-1", "held")
+    coordinator.asked(coordinator.open_us - 1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
+    held(coordinator, coordinator.open_us - 1, "b", OUT, "s-2")
+    assert not held(coordinator, coordinator.open_us, "b", OUT, "s-2").yes  # s-3 has the earlier place
+    assert coordinator.asked(coordinator.open_us, "c", 1, Want(OUT, "s-3", "want", (5, 1))).yes
 
 
 class Permitting(RuleBasedStateMachine):
@@ -207,7 +210,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now_us = 100 * SECOND
-        self.office = PermitOffice(PERMITS, 1, 0)
+        self.coordinator = PermitCoordinator(PERMITS, 1, 0)
         self.term = 1
         self.holders = {name: PermitHolder(PERMITS) for name in "abcd"}
         self.flying: list[tuple[str, int, Want]] = []
@@ -233,7 +236,7 @@
     def answer(self, data: Any, lost: bool) -> None:
         at = data.draw(st.integers(0, len(self.flying) - 1))
         name, sent_us, want = self.flying.pop(at)
-        say = self.office.asked(self.now_us, name, 1, want)
+        say = self.coordinator.asked(self.now_us, name, 1, want)
         if not lost:
             self.holders[name].told(self.now_us, sent_us, want, say)
 
@@ -243,7 +246,7 @@
         # It rests until no answer of the one before is taken any more.
         self.now_us += SECOND + 1
         self.flying.clear()
-        self.office = PermitOffice(PERMITS, self.term, self.now_us)
+        self.coordinator = PermitCoordinator(PERMITS, self.term, self.now_us)
 
     @invariant()
     def never_more_than_allowed(self) -> None:
@@ -261,7 +264,7 @@
 
 
 def test_a_walk_goes_on_with_the_same_name_and_drains_nobody_twice() -> None:
-    office = open_office(0)
+    coordinator = open_coordinator(0)
     holders = {name: PermitHolder(PERMITS) for name in "abc"}
     walks = {name: Walks(name, holder) for name, holder in holders.items()}
     drained: list[str] = []
@@ -271,7 +274,7 @@
             walks["a"].told(now_us, to, walks[to].asked(now_us, word))
         for name, holder in holders.items():
             for want in holder.turn(now_us):
-                holder.told(now_us, now_us, want, office.asked(now_us, name, 1, want))
+                holder.told(now_us, now_us, want, coordinator.asked(now_us, name, 1, want))
             for use in holder.uses:
                 walks[name].used(use)
             holder.uses.clear()
@@ -310,16 +313,16 @@
 
 
 def test_shares_of_the_pace_never_come_to_more_than_the_whole() -> None:
-    office, shares = PaceOffice(1, 0), {name: PaceShare() for name in "abc"}
+    coordinator, shares = PaceCoordinator(1, 0), {name: PaceShare() for name in "abc"}
     now_us = LENT_US
-    assert office.asked(now_us, "a") == [0.0]
+    assert coordinator.asked(now_us, "a") == [0.0]
     seen = []
     for step in range(60):
         now_us += 100_000
         for n, (name, share) in enumerate(shares.items()):
             # Some join later, and some answers get lost.
             if step >= 10 * n and (step + n) % 4:
-                answer = office.asked(now_us, name)
+                answer = coordinator.asked(now_us, name)
                 if (step + n) % 3:
                     share.told(now_us, answer)
         seen.append(sum(share.share(now_us) for share in shares.values()))
