--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -68,9 +68,9 @@
         self._opened: set[int] = set()
         for name in self.lives:
             self._start(name)
-            keeper = self.nodes[name].keeper
-            if keeper is not None:  # all have been there for long
-                keeper.life, keeper.remembers = 1, True
+            acceptor = self.nodes[name].acceptor
+            if acceptor is not None:  # all have been there for long
+                acceptor.life, acceptor.remembers = 1, True
 
     def _start(self, name: str) -> None:
         self.lives[name] += 1
@@ -131,7 +131,7 @@
     def _restart(self, name: str) -> None:
         """Only one voter at a time has forgotten: a majority of them remembers throughout."""
         if "lives" not in self.off and any(
-            (k := self.nodes[v].keeper) is not None and not k.remembers for v in self.voters if v != name
+            (k := self.nodes[v].acceptor) is not None and not k.remembers for v in self.voters if v != name
         ):
             return
         self.found.restarts += 1
--- a/sailrun/owners/agent.py
+++ b/sailrun/owners/agent.py
@@ -169,7 +169,7 @@
             now_us,
             self._off,
             self._act,
-            self.backing.book,
+            self.backing.journal,
         )
 
     # ------------------------------------------------------------------ what outlasts the process
--- a/sailrun/owners/backing.py
+++ b/sailrun/owners/backing.py
@@ -18,7 +18,7 @@
 from sailrun.lasting.ledger import Done
 from sailrun.lasting.messages import Stand, Stood
 from sailrun.lasting.standing import Own, Standing, Trust
-from sailrun.owners.lasting import Book, Lasting, known_slots, replica_entries, voter_entries
+from sailrun.owners.lasting import Lasting, MemberJournal, known_slots, replica_entries, voter_entries
 from sailrun.owners.messages import Grant, Recalled
 from sailrun.owners.quorum import Voters
 from sailrun.owners.voter import Voter
@@ -48,7 +48,7 @@
         off: frozenset[str] = frozenset(),
     ) -> None:
         self._run, self._act, self._off = run, record, off
-        self.book = Book()
+        self.journal = MemberJournal()
         self.notes: list[tuple[str, dict[str, object]]] = []  # for the log; emptied by whoever drives this
         # What else is to be known after a restart; told by whoever drives this.
         self.aside: Callable[[], list[e.Entry]] = list
@@ -56,7 +56,7 @@
             name,
             lambda: voters().all(),
             lambda names: voters().majority(names),
-            self.book.noted,
+            self.journal.noted,
             (run & 0xFFFFFFFF) << 20,
             lives,
             off,
@@ -74,14 +74,14 @@
     def serve(self, voter: Callable[[], Voter | None], replica: Replica | None, walks: Walks) -> None:
         """The parts whose state outlasts the process; who votes may change."""
         self._voter, self._replica, self._walks = voter, replica, walks
-        walks.on_end, walks.on_plan = self.book.walked, self.book.planned
+        walks.on_end, walks.on_plan = self.journal.walked, self.journal.planned
         walks.on_done = lambda walk: self._act("walked", walk=walk)
         walks.safe = self.ready
 
     def back(self, voter: Voter) -> None:
         """A voter that has just been made writes down what it promises."""
-        voter.write_slot, voter.write_floor = self.book.slot, self.book.floor
-        voter.write_votes = self.book.votes
+        voter.write_slot, voter.write_floor = self.journal.slot, self.journal.floor
+        voter.write_votes = self.journal.votes
         voter.on_founded = lambda: self._act("founded", what="terms")
         voter.on_remembered = lambda: self._act("remembered", what="terms")
         voter.registered = lambda: self.standing.registered
@@ -100,13 +100,13 @@
         whether they know of a newer one, and grants nothing before.
         """
         self._lasting, memory, sound = lasting, lasting.memory, lasting.sound
-        ledger = self.book.ledger = lasting.ledger
+        ledger = self.journal.ledger = lasting.ledger
         ledger.whole = self.whole
         ledger.on_dropped = lambda answer: answer(False) if callable(answer) else None
         own = Own(lasting.identity, self._run, memory.life + 1, lasting.loaded, ledger.synced)
         self.standing.take_up(own, sound, memory.notes)
         self._trusted = self.standing.trust
-        self._begun_at = self.book.begun(own.life, lasting.wall_s)
+        self._begun_at = self.journal.begun(own.life, lasting.wall_s)
         voter = self._voter()
         if voter is not None:
             voter.lasts = True
@@ -133,8 +133,8 @@
             facts: dict[str, object] = {"records": len(replica.store), "epoch": memory.epoch}
             self.notes.append(("copy-found", {**facts, "left": left or None}))
         keeps = memory.keeps
-        if replica.keeper is not None and keeps is not None:
-            replica.keeper.take_up(keeps.life, keeps.promised, keeps.lives, keeps.remembers)
+        if replica.acceptor is not None and keeps is not None:
+            replica.acceptor.take_up(keeps.life, keeps.promised, keeps.lives, keeps.remembers)
             if not keeps.remembers:
                 self._act("folder", what="learning", of="marks")
 
@@ -270,15 +270,15 @@
             elif standing.trust is Trust.LEARNED:
                 self._act("folder", what="learned")
         if standing.own.life != life:
-            self._begun_at = self.book.begun(standing.own.life, lasting.wall_s)
+            self._begun_at = self.journal.begun(standing.own.life, lasting.wall_s)
 
     def _trust(self) -> None:
         """Nobody knows of a newer folder: this voter has forgotten nothing of what that says it remembers."""
-        voter, keeper = self._voter(), self._replica.keeper if self._replica is not None else None
+        voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None and voter.may_remember:
             voter.trust()
-        if keeper is not None and keeper.may_remember:
-            keeper.trust()
+        if acceptor is not None and acceptor.may_remember:
+            acceptor.trust()
         self._act("folder", what="trusted")
         own = self.standing.own
         self.notes.append(("lasting-trusted", {"life": own.life if own is not None else None}))
@@ -294,12 +294,12 @@
         self._trusted = standing.trust
         self._untold.clear()  # promised by what is not gone by any more
         lasting.ledger.renew(bytes.fromhex(lasting.identity))
-        voter, keeper = self._voter(), self._replica.keeper if self._replica is not None else None
+        voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None:
             voter.forget(now_us)
-        if keeper is not None:
-            keeper.may_remember = False
-            keeper.restart(now_us)
+        if acceptor is not None:
+            acceptor.may_remember = False
+            acceptor.restart(now_us)
         facts: dict[str, object] = {"why": standing.why_old, "loaded": lasting.loaded}
         if known is not None:
             facts |= {"known_life": known.life, "known_position": known.position}
--- a/sailrun/owners/lasting.py
+++ b/sailrun/owners/lasting.py
@@ -1,4 +1,4 @@
-"""A member's memory beyond its process: what of it is written down, and what is taken up again at a start.
+"""A member's durable state: what of it is journalled, and what is taken up again at a start.
 
 Pure. The ledger knows what is on the disk; the standing, whether the folder is the newest there is.
 """
@@ -12,7 +12,7 @@
 from sailrun.lasting import entries as e
 from sailrun.lasting.ledger import Ledger
 from sailrun.owners.voter import Slot, Voter
-from sailrun.replica.diary import Diary
+from sailrun.replica.journal import Journal
 from sailrun.replica.records import Key, Record
 from sailrun.replica.replica import Replica
 
@@ -32,8 +32,8 @@
     new_identity: Callable[[], str]
 
 
-class Book(Diary):
-    """Where the parts of a member write to: nothing, until there is a ledger."""
+class MemberJournal(Journal):
+    """Records the changes of all parts of a member; nothing is recorded until there is a ledger."""
 
     def __init__(self) -> None:
         self.ledger: Ledger | None = None
@@ -96,6 +96,6 @@
 def replica_entries(replica: Replica) -> Iterable[e.Entry]:
     """As they are now; gone through later, and by another thread."""
     state = [e.Copy(replica.sync.epoch, replica.sync.whole)]
-    keeps = [e.Keeps(*replica.keeper.state())] if replica.keeper is not None else []
+    keeps = [e.Keeps(*replica.acceptor.state())] if replica.acceptor is not None else []
     held = replica.store.firm()
     return chain(state, keeps, (e.Held(record, mark) for record, mark in held))
--- a/sailrun/replica/keeper.py
+++ b/sailrun/replica/acceptor.py
@@ -1,12 +1,13 @@
-"""A voter's memory of marks: what it has promised, in which of its lives, and what it must know before it may
-speak again. A voter without a folder is trusted because every majority has somebody who remembers; one that
-goes by its folder has forgotten nothing, and goes on in the life it was in.
-
-After a start without one it numbers its life (one more than any voter remembers of it), has a majority of
-remembering voters write that number down, and takes over what they hold as it was after that. What it said in
-an earlier life is void from then on: whoever counts answers of voters finds an answer of theirs that knows of
-a later life, and counts the older one no more (crash-consistent quorums: Michael, Ports, Sharma, Szekeres
-2017).
+"""The acceptor of replicated marks: a voter's promises, what it accepts, and its recovery after a restart.
+
+An acceptor with a durable folder has forgotten nothing and goes on in its former life. One without a folder
+has lost its memory at a restart, and is trusted again only by way of the others, since every majority has
+somebody who remembers. It numbers its new life (one more than any voter remembers of it), has a majority of
+remembering voters store that number, and then takes over what they hold. What it said in an earlier life is
+void from then on: whoever counts the voters' answers finds one that knows of the later life, and does not
+count the older one (crash-consistent quorums: Michael, Ports, Sharma, Szekeres 2017).
+
+Pure: messages and the time (microseconds) come in, messages go out.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 import msgspec
 
 from sailrun.owners.quorum import Voters
-from sailrun.replica.diary import Diary
+from sailrun.replica.journal import Journal
 from sailrun.replica.messages import (
     Higher,
     Kept,
@@ -65,7 +66,9 @@
     }
 
 
-class Keeper:
+class Acceptor:
+    """One voter's part in writing marks. `off` names safety rules that the laboratory switches off."""
+
     def __init__(
         self,
         name: str,
@@ -74,10 +77,10 @@
         sync: Sync,
         now_us: int,
         off: frozenset[str] = frozenset(),
-        diary: Diary | None = None,
+        journal: Journal | None = None,
     ) -> None:
         self._name, self._voters, self._store, self._sync, self._off = name, voters, store, sync, off
-        self._diary = diary or Diary()
+        self._journal = journal or Journal()
         self.may_remember = False  # a folder is being compared with what the others know of it
         self.life = 0
         self.lives: dict[str, int] = {}
@@ -110,11 +113,11 @@
         self.remembers = self._sync.whole
 
     def state(self) -> tuple[int, int, dict[str, int], bool]:
-        """What the diary is told."""
+        """As the journal has it: life, highest promised term, known lives, whether nothing is forgotten."""
         return self.life, self.promised, dict(self.lives), self.remembers or self.may_remember
 
     def _write(self) -> None:
-        self._diary.keeps(*self.state())
+        self._journal.keeps(*self.state())
 
     def _promise(self, term: int) -> None:
         if term > self.promised:
--- a/sailrun/replica/coordinator.py
+++ b/sailrun/replica/coordinator.py
@@ -18,7 +18,7 @@
 from sailrun.members.messages import State
 from sailrun.members.swim import Members
 from sailrun.owners.quorum import Voters
-from sailrun.replica.keeper import consistent
+from sailrun.replica.acceptor import consistent
 from sailrun.replica.marks import KINDS, LONGEST_WHY, MOST_IDS, Mark, pack, standing, unpack
 from sailrun.replica.messages import Has, Have, Higher, Kept, Level, Op, Promise, Promised, Put, Said
 from sailrun.replica.records import STRONG, Key, Record, written
--- a/sailrun/replica/diary.py
+++ b/sailrun/replica/journal.py
@@ -1,12 +1,12 @@
-"""To whom a copy tells what has to be known after a restart; nobody, where nothing lasts."""
+"""Where a replica records what has to be known after a restart. This one is for nodes without a folder."""
 
 from __future__ import annotations
 
 from sailrun.replica.records import Key, Record
 
 
-class Diary:
-    """Keeps nothing. Each call states how something is from now on."""
+class Journal:
+    """Stores nothing; `owners/lasting.py` has a durable one. Each call states how something is from now."""
 
     def record(self, record: Record, mark: int) -> None:
         """This copy has the record so; `mark` is its hash."""
@@ -18,4 +18,4 @@
         """The copy is of this epoch, and whole or not. `cleared`: all records were thrown away."""
 
     def keeps(self, life: int, promised: int, lives: dict[str, int], remembers: bool) -> None:
-        """What the voter here has promised, and knows of lives."""
+        """What the acceptor here has promised, and knows of the voters' lives."""
--- a/sailrun/replica/replica.py
+++ b/sailrun/replica/replica.py
@@ -15,9 +15,9 @@
 
 from sailrun.members.swim import Members
 from sailrun.owners.quorum import Voters
+from sailrun.replica.acceptor import Acceptor
 from sailrun.replica.coordinator import MarksCoordinator
-from sailrun.replica.diary import Diary
-from sailrun.replica.keeper import Keeper
+from sailrun.replica.journal import Journal
 from sailrun.replica.marks import KINDS, Mark, Standing, in_force, keeps_out, marks, pack, unpack
 from sailrun.replica.messages import (
     Fetch,
@@ -54,7 +54,7 @@
 # The latest list is written down so often, where anything is.
 LISTS_US = 10 * SECOND
 BELIEF, LIST = "belief", "list"
-_KEEPER = (Promise, Put, Level, Knows, Known, Recover, Recovering)
+_FOR_ACCEPTOR = (Promise, Put, Level, Knows, Known, Recover, Recovering)
 _FOR_COORDINATOR = (Promised, Kept, Higher, Has)
 
 
@@ -103,9 +103,9 @@
         now_us: int,
         off: frozenset[str] = frozenset(),
         record: Callable[..., None] = lambda kind, **facts: None,
-        diary: Diary | None = None,
+        journal: Journal | None = None,
     ) -> None:
-        self._diary = diary or Diary()
+        self._journal = journal or Journal()
         self._lists: set[Key] = set()  # changed lists, which nobody counts on and which change often
         self._lists_us = now_us
         self.terms, self.name, self._members, self._voters, self._off = terms, name, members, voters, off
@@ -123,9 +123,9 @@
             self._luck.getrandbits(32),
             now_us,
             off,
-            self._diary,
+            self._journal,
         )
-        self.keeper: Keeper | None = None
+        self.acceptor: Acceptor | None = None
         self.coordinator: MarksCoordinator | None = None
         self.use_voters(now_us)
         self.sync.on_thrown = self._thrown
@@ -154,10 +154,10 @@
 
     def use_voters(self, now_us: int) -> None:
         if self.name not in self._voters().all():
-            self.keeper = None
-        elif self.keeper is None:
-            self.keeper = Keeper(
-                self.name, self._voters, self.store, self.sync, now_us, self._off, self._diary
+            self.acceptor = None
+        elif self.acceptor is None:
+            self.acceptor = Acceptor(
+                self.name, self._voters, self.store, self.sync, now_us, self._off, self._journal
             )
 
     def take_up(self, now_us: int, records: Iterable[tuple[Record, int]], epoch: int) -> int:
@@ -172,8 +172,8 @@
     def _thrown(self, now_us: int, counted: bool) -> None:
         self.level_us = -1
         self._look_over = True
-        if counted and self.keeper is not None:
-            self.keeper.restart(now_us)
+        if counted and self.acceptor is not None:
+            self.acceptor.restart(now_us)
 
     def turned(self, now_us: int, term: int) -> None:
         """This node owns the marks under that term from now on; 0: it does not any more."""
@@ -193,9 +193,9 @@
     # ------------------------------------------------------------------ messages
 
     def hear(self, now_us: int, sender: str, body: object) -> list[Post]:
-        if isinstance(body, _KEEPER):
-            if self.keeper is not None:
-                return self.keeper.hear(now_us, sender, body)
+        if isinstance(body, _FOR_ACCEPTOR):
+            if self.acceptor is not None:
+                return self.acceptor.hear(now_us, sender, body)
             if isinstance(body, Put):
                 return self._keep_for(now_us, sender, body)
             return []
@@ -300,8 +300,8 @@
 
     def due_us(self, now_us: int) -> int:
         due_us = min(self.sync.due_us(now_us), self._where_us)
-        if self.keeper is not None:
-            due_us = min(due_us, self.keeper.due_us() or due_us)
+        if self.acceptor is not None:
+            due_us = min(due_us, self.acceptor.due_us() or due_us)
         if self.coordinator is not None:
             due_us = min(due_us, self.coordinator.due_us())
         for writing in self._writing.values():
@@ -313,8 +313,8 @@
     def turn(self, now_us: int, owner: str) -> list[Post]:
         """`owner`: who owns the marks, by hearsay; empty: nobody is known to."""
         posts = self.sync.turn(now_us)
-        if self.keeper is not None:
-            posts += self.keeper.turn(now_us)
+        if self.acceptor is not None:
+            posts += self.acceptor.turn(now_us)
         if self.coordinator is not None:
             posts += self.coordinator.turn(now_us)
         posts += self._compare(now_us, owner)
@@ -449,7 +449,7 @@
         if record.kind == LIST:
             self._lists.add(record.key)
         elif not record.soft:
-            self._diary.record(record, self.store.mark(record.key))
+            self._journal.record(record, self.store.mark(record.key))
 
     def _write_lists(self, now_us: int) -> None:
         """Lists are long, change often, and are told again by the roster: the latest now and then."""
@@ -459,7 +459,7 @@
         while self._lists:
             record = self.store.get(self._lists.pop())
             if record is not None:
-                self._diary.record(record, self.store.mark(record.key))
+                self._journal.record(record, self.store.mark(record.key))
 
     def _apply(self, now_us: int) -> None:
         """Notes what came into force. What a copy held that is taken anew stays so until it is whole."""
--- a/sailrun/replica/state.py
+++ b/sailrun/replica/state.py
@@ -24,7 +24,7 @@
         "epoch": replica.sync.epoch,
         "copies": replica.sync.copies,  # thrown away since the start
         # Of a voter: whether it remembers, or waits for those who do.
-        "voter": None if replica.keeper is None else "remembers" if replica.keeper.remembers else "waits",
+        "voter": None if replica.acceptor is None else "remembers" if replica.acceptor.remembers else "waits",
         "behind": {
             "records": replica.lacks if replica.sync.whole else max(replica.lacks, replica.sync.missing),
             "s": None if behind_s is None else round(behind_s, 3),
--- a/sailrun/replica/sync.py
+++ b/sailrun/replica/sync.py
@@ -1,9 +1,9 @@
 """Copies that become alike: what changes is told on, what differs is found by digests and taken over, and who
 has nothing, or something too old, begins with a whole copy.
 
-Pure. Safety of what a majority keeps is not here (see `keeper.py` and `coordinator.py`): here nothing is lost
-because copies only ever learn, and nothing that was taken back returns because copies of different epochs are
-never merged.
+Pure. Safety of what a majority keeps is not here (see `acceptor.py` and `coordinator.py`): here nothing is
+lost because copies only ever learn, and nothing that was taken back returns because copies of different
+epochs are never merged.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from sailrun.members.messages import State
 from sailrun.members.swim import Members
-from sailrun.replica.diary import Diary
+from sailrun.replica.journal import Journal
 from sailrun.replica.messages import (
     Busy,
     Differs,
@@ -92,9 +92,9 @@
         seed: int,
         now_us: int,
         off: frozenset[str] = frozenset(),
-        diary: Diary | None = None,
+        journal: Journal | None = None,
     ) -> None:
-        self._diary = diary or Diary()
+        self._journal = journal or Journal()
         self._name, self.store, self.terms, self._members = name, store, terms, members
         self._voters, self._majority, self._off = voters, majority, off
         self._luck = random.Random(seed)
@@ -281,7 +281,7 @@
         self._sums.clear()  # answers under way are about the copy that is no more
         self._left, self._assigned, self._places = set(range(ALL)), {}, {}
         self._answered.clear()
-        self._diary.copy(epoch, False, cleared=True)
+        self._journal.copy(epoch, False, cleared=True)
         self.on_thrown(now_us, spoilt)
 
     def _copy_from(self, now_us: int, giver: str, told: Differs, ranges: list[int]) -> None:
@@ -330,7 +330,7 @@
 
     def _have_copied(self, now_us: int) -> None:
         self.whole = True
-        self._diary.copy(self.epoch, True)
+        self._journal.copy(self.epoch, True)
         self.note("copy-whole", records=len(self.store), epoch=self.epoch, pieces=self.taker.pieces)
         self.missing = 0
         attic, self._attic = self._attic, []
@@ -394,10 +394,10 @@
             known = self.store.get(key)
             if known is not None and [v.dot for v in known.versions] == [(actor, count)] and known.gone:
                 self.store.remove(key)
-                self._diary.dropped(key)
+                self._journal.dropped(key)
                 self._hot.pop(key, None)
         self.epoch = told.epoch
-        self._diary.copy(self.epoch, True)
+        self._journal.copy(self.epoch, True)
         if self.store.get(FORGOTTEN) != record:
             self.store.put(now_us, record)
         self.note("forgotten", epoch=self.epoch, records=len(told.items))
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -539,7 +539,8 @@
     fleet.run(now_s(fleet) + 0.5)  # a lease is 2 s
     agent = fleet.nodes[voter].agent
     assert agent is not None and agent.voter is not None and agent.voter.remembers
-    assert agent.replica is not None and agent.replica.keeper is not None and agent.replica.keeper.remembers
+    assert agent.replica is not None and agent.replica.acceptor is not None
+    assert agent.replica.acceptor.remembers
     assert fleet.owner("marks") == owner
 
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -27,8 +27,8 @@
 from sailrun.owners.quorum import Voters
 from sailrun.owners.terms import OwnersTerms
 from sailrun.replica import messages
+from sailrun.replica.acceptor import consistent
 from sailrun.replica.beliefs import Belief, Voice, heard
-from sailrun.replica.keeper import consistent
 from sailrun.replica.lists import keep_list, kept_list
 from sailrun.replica.marks import Mark, standing
 from sailrun.replica.marks import pack as pack_mark
@@ -276,8 +276,8 @@
 def test_no_message_of_a_member_ends_a_node_whatever_is_in_it(data: st.DataObject) -> None:
     node = replica()
     node.turned(0, 5)
-    assert node.keeper is not None
-    node.keeper.remembers = data.draw(st.booleans())
+    assert node.acceptor is not None
+    node.acceptor.remembers = data.draw(st.booleans())
     for n in range(data.draw(st.integers(1, 4))):
         kind = data.draw(st.sampled_from(KINDS))
         hints = typing.get_type_hints(kind)
