--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -36,9 +36,9 @@
 from sailrun.lasting import entries as e
 from sailrun.lasting.files import OsFiles
 from sailrun.lasting.folder import Folder, Found, Sound, read_folder
-from sailrun.lasting.ledger import Ledger
-from sailrun.lasting.scribe import Scribe
 from sailrun.lasting.terms import LastingTerms
+from sailrun.lasting.write_ahead_log import WriteAheadLog
+from sailrun.lasting.writer import Writer
 from sailrun.replica.marks import Mark, pack
 from sailrun.replica.records import mark_of, written
 
@@ -53,46 +53,46 @@
     return e.Held(record, mark_of(record, b"census"))
 
 
-def _folder(path: Path, generation_mb: float = 64.0) -> tuple[Ledger, Scribe]:
+def _folder(path: Path, generation_mb: float = 64.0) -> tuple[WriteAheadLog, Writer]:
     files = OsFiles(path)
     files.make()
-    ledger = Ledger(LastingTerms(folder=str(path), generation_mb=generation_mb), SECOND, 0, frozenset())
-    ledger.renew(os.urandom(16))
-    scribe = Scribe(Folder(files, Found(Sound.NEW)), "n1", "fleet")
-    work = ledger.turn(0)
+    wal = WriteAheadLog(LastingTerms(folder=str(path), generation_mb=generation_mb), SECOND, 0, frozenset())
+    wal.renew(os.urandom(16))
+    writer = Writer(Folder(files, Found(Sound.NEW)), "n1", "fleet")
+    work = wal.turn(0)
     assert work is not None
-    ledger.done(0, scribe.do(work))
-    return ledger, scribe
+    wal.done(0, writer.do(work))
+    return wal, writer
 
 
 def _shared(path: Path, writers: int) -> tuple[float, float]:
     """Writers that each wait for the answer before the next write: acknowledged writes and syncs a second."""
-    ledger, scribe = _folder(path)
+    wal, writer = _folder(path)
     number = done = 0
     waiting = list(range(writers))
-    syncs = scribe.folder.syncs
+    syncs = writer.folder.syncs
     began = time.monotonic()
     while time.monotonic() - began < FOR_S:
-        for writer in waiting:
+        for client in waiting:
             number += 1
-            ledger.hold(0, ledger.add(a_mark(number)), writer, writer)
-        work = ledger.turn(0)
+            wal.hold(0, wal.add(a_mark(number)), client, client)
+        work = wal.turn(0)
         assert work is not None
-        waiting = ledger.done(0, scribe.do(work))
+        waiting = wal.done(0, writer.do(work))
         done += len(waiting)
     took = time.monotonic() - began
-    return done / took, (scribe.folder.syncs - syncs) / took
+    return done / took, (writer.folder.syncs - syncs) / took
 
 
 def _each(path: Path) -> float:
     """One sync for each write."""
-    _, scribe = _folder(path)
+    _, writer = _folder(path)
     number = 0
     began = time.monotonic()
     while time.monotonic() - began < FOR_S:
         number += 1
-        scribe.folder.write([a_mark(number)])
-        scribe.folder.sync()
+        writer.folder.write([a_mark(number)])
+        writer.folder.sync()
     return number / (time.monotonic() - began)
 
 
@@ -150,26 +150,26 @@
 
 def _cost(path: Path, per_s: int, for_s: float) -> tuple[float, float, float, int]:
     """A core's part, changes a second, bytes written in an hour, and bytes on the disk at the end."""
-    ledger, scribe = _folder(path, 8.0)
+    wal, writer = _folder(path, 8.0)
     marks = [a_mark(n) for n in range(5000)]
-    ledger.whole = lambda: marks
-    before, count = scribe.folder.written, 0
+    wal.whole = lambda: marks
+    before, count = writer.folder.written, 0
     cpu, began = time.process_time(), time.monotonic()
     while (now := time.monotonic()) - began < for_s:
         due = int((now - began) * per_s)
         while count < due:
-            ledger.add(marks[count % len(marks)])
+            wal.add(marks[count % len(marks)])
             count += 1
-        work = ledger.turn(int(now * SECOND))
+        work = wal.turn(int(now * SECOND))
         if work is not None:
-            ledger.done(int(now * SECOND), scribe.do(work))
-            while scribe.idle():
+            wal.done(int(now * SECOND), writer.do(work))
+            while writer.idle():
                 pass
         time.sleep(0.05)
     took = time.monotonic() - began
     share = (time.process_time() - cpu) / took
     on_disk = sum(f.stat().st_size for f in path.iterdir())
-    return share, count / took, (scribe.folder.written - before) / took * 3600, on_disk
+    return share, count / took, (writer.folder.written - before) / took * 3600, on_disk
 
 
 def _attempts(kept: bool, away_s: float) -> tuple[int, int, int]:
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -16,10 +16,10 @@
 from sailrun.lab.faults.history import Row
 from sailrun.lab.scheduler import BEGIN_US, Scheduler
 from sailrun.lasting.folder import Sound, read_folder
-from sailrun.lasting.ledger import Done, Ledger, Work
 from sailrun.lasting.opening import open_folder
-from sailrun.lasting.scribe import Scribe
 from sailrun.lasting.terms import LastingTerms
+from sailrun.lasting.write_ahead_log import Done, Work, WriteAheadLog
+from sailrun.lasting.writer import Writer
 from sailrun.members.messages import Record, State
 from sailrun.owners.agent import READER, Agent, AgentTerms, Out
 from sailrun.owners.envelope import Envelope, pack
@@ -61,8 +61,8 @@
     waking: int = 0  # the number of its next turn; turns of an older one are void
     wakes_us: int = 0  # when that is, in shared time
     files: SimFiles = field(default_factory=SimFiles)
-    scribe: Scribe | None = None
-    ledger: Ledger | None = None
+    writer: Writer | None = None
+    write_ahead_log: WriteAheadLog | None = None
     stalled_us: int = 0  # its disk does nothing until then
     # A folder of before, and whether it comes back with its inodes.
     backup: tuple[SimFiles, bool] | None = None
@@ -190,7 +190,7 @@
         if node.agent is None:
             return
         self.row("died", name)
-        node.scribe = node.ledger = None
+        node.writer = node.write_ahead_log = None
         node.stop += 1
         node.agent, node.inbox, node.stopped = None, [], False
         node.waking += 1
@@ -248,44 +248,44 @@
 
         slow_us, now_us = int(agent.terms.owners.lease_s * SECOND) // 2, self.clock_us(node)
         opened = open_folder(node.files, terms, slow_us, node.name, "lab", another, now_us, self._off)
-        node.ledger, node.scribe, found = opened.ledger, opened.scribe, opened.found
+        node.write_ahead_log, node.writer, found = opened.write_ahead_log, opened.writer, opened.found
         sound = found.sound is Sound.SOUND
         self.row("folder", node.name, what="found", sound=found.sound.value, why=found.why, torn=found.torn)
         lasting = Lasting(
-            opened.ledger, opened.identity, found.memory, sound, found.position, wall_s, another
+            opened.write_ahead_log, opened.identity, found.memory, sound, found.position, wall_s, another
         )
         agent.take_up(self.clock_us(node), lasting)
 
     def _to_disk(self, node: VirtualNode) -> None:
         """Has a node's disk do what there is to do, some time from now."""
-        ledger = node.ledger
-        if ledger is None or node.stopped:
+        wal = node.write_ahead_log
+        if wal is None or node.stopped:
             return
-        work = ledger.turn(self.clock_us(node))
-        if ledger.notes:
-            for what, facts in ledger.notes:
+        work = wal.turn(self.clock_us(node))
+        if wal.notes:
+            for what, facts in wal.notes:
                 self.row("folder", node.name, what=what, facts=str(facts))
-            ledger.notes.clear()
+            wal.notes.clear()
         if work is not None:
             wait_us = max(int(self._luck.uniform(*SYNC_US)), node.stalled_us - self.time.now_us)
-            self.time.after(wait_us // 2, self._written, node, node.scribe, work, wait_us - wait_us // 2)
+            self.time.after(wait_us // 2, self._written, node, node.writer, work, wait_us - wait_us // 2)
 
-    def _written(self, node: VirtualNode, scribe: Scribe | None, work: Work, told_us: int) -> None:
+    def _written(self, node: VirtualNode, writer: Writer | None, work: Work, told_us: int) -> None:
         """The disk has done it, or the process that asked for it is gone; a moment later, if it is not
         stopped, the process knows.
         """
-        if scribe is None or node.scribe is not scribe:
+        if writer is None or node.writer is not writer:
             return
-        done = scribe.do(work)
-        while scribe.idle():
+        done = writer.do(work)
+        while writer.idle():
             pass
-        self.time.after(told_us, self._wrote, node, scribe, done)
+        self.time.after(told_us, self._wrote, node, writer, done)
 
-    def _wrote(self, node: VirtualNode, scribe: Scribe, done: Done) -> None:
-        if node.scribe is not scribe or node.agent is None:
+    def _wrote(self, node: VirtualNode, writer: Writer, done: Done) -> None:
+        if node.writer is not writer or node.agent is None:
             return
         if node.stopped:
-            self.time.after(SECOND // 10, self._wrote, node, scribe, done)
+            self.time.after(SECOND // 10, self._wrote, node, writer, done)
             return
         now_us = self.clock_us(node)
         self._send(node, node.agent.wrote(now_us, done))
@@ -354,8 +354,8 @@
             agent.walks.standing(now_us, 0)
         if not node.stopped:
             due_us = agent.due_us(now_us)
-            if node.ledger is not None:
-                due_us = min(due_us, node.ledger.due_us(now_us) or due_us)
+            if node.write_ahead_log is not None:
+                due_us = min(due_us, node.write_ahead_log.due_us(now_us) or due_us)
             self._wake(node, max(1_000, due_us - now_us))
 
     def _read(self, node: VirtualNode, agent: Agent, reading: Reading, now_us: int) -> list[Out]:
--- a/sailrun/lasting/opening.py
+++ b/sailrun/lasting/opening.py
@@ -7,16 +7,16 @@
 
 from sailrun.lasting.files import Files
 from sailrun.lasting.folder import Folder, Found, Sound, read_folder
-from sailrun.lasting.ledger import Done, Ledger
-from sailrun.lasting.scribe import Scribe
 from sailrun.lasting.terms import LastingTerms
+from sailrun.lasting.write_ahead_log import Done, WriteAheadLog
+from sailrun.lasting.writer import Writer
 
 
 @dataclass(slots=True)
 class Opened:
     found: Found
-    ledger: Ledger
-    scribe: Scribe
+    write_ahead_log: WriteAheadLog
+    writer: Writer
     identity: str  # that of the folder from now on: another one, unless it is sound
 
 
@@ -40,15 +40,15 @@
         found = Found(Sound.DOUBTFUL, f"cannot be read: {error.strerror or error}")
     if found.sound is Sound.SOUND and (found.node, found.fleet) != (node, fleet):
         found = Found(Sound.DOUBTFUL, f"of node {found.node} of fleet {found.fleet}")
-    ledger = Ledger(terms, slow_us, found.position, off)
+    wal = WriteAheadLog(terms, slow_us, found.position, off)
     folder = Folder(files, found, off)
     identity = found.identity.hex()
     if found.sound is Sound.SOUND:
         try:
             folder.go_on()
         except OSError as error:
-            ledger.done(now_us, Done(0, 0, error.strerror or str(error)))
+            wal.done(now_us, Done(0, 0, error.strerror or str(error)))
     else:
         identity = new_identity()
-        ledger.renew(bytes.fromhex(identity))
-    return Opened(found, ledger, Scribe(folder, node, fleet), identity)
+        wal.renew(bytes.fromhex(identity))
+    return Opened(found, wal, Writer(folder, node, fleet), identity)
--- a/sailrun/lasting/service.py
+++ b/sailrun/lasting/service.py
@@ -24,10 +24,10 @@
 from sailrun.lasting.files import OsFiles
 from sailrun.lasting.folder import Folder, Found, Sound, new_identity
 from sailrun.lasting.frames import NewerSchema
-from sailrun.lasting.ledger import Disk, Done, Ledger, Work
 from sailrun.lasting.opening import open_folder
-from sailrun.lasting.scribe import Scribe
 from sailrun.lasting.terms import LastingTerms
+from sailrun.lasting.write_ahead_log import Disk, Done, Work, WriteAheadLog
+from sailrun.lasting.writer import Writer
 from sailrun.node.clock import log
 from sailrun.node.passage import State
 from sailrun.node.session import RosterNews
@@ -65,9 +65,9 @@
         self._slow_us = int(terms.slow_s * SECOND) or slow_us
         self.found = Found(Sound.NEW)
         self.identity = ""
-        self.ledger = Ledger(terms, self._slow_us, 0, frozenset())
+        self.write_ahead_log = WriteAheadLog(terms, self._slow_us, 0, frozenset())
         self.open = False
-        self._scribe = Scribe(Folder(self._files, self.found), name, fleet)
+        self._writer = Writer(Folder(self._files, self.found), name, fleet)
         # Told what became of a piece of work, in the loop.
         self.on_done: Callable[[Done], None] = lambda done: None
         self._work: Work | None = None
@@ -114,7 +114,8 @@
         except NewerSchema as error:
             raise BadConfig(self._files.folder, "lasting.folder", str(error)) from None
         found = self.found = opened.found
-        self.ledger, self._scribe, self.identity = opened.ledger, opened.scribe, opened.identity
+        self.write_ahead_log, self._writer = opened.write_ahead_log, opened.writer
+        self.identity = opened.identity
         self.open = True
         log(
             "lasting",
@@ -167,8 +168,8 @@
         def whole() -> Iterable[e.Entry]:
             return [begun, *([self._hand] if self._hand is not None else []), *self.aside()]
 
-        self.ledger.whole, self.on_done = whole, self._done_last
-        self.ledger.add(begun)
+        self.write_ahead_log.whole, self.on_done = whole, self._done_last
+        self.write_ahead_log.add(begun)
 
     # ------------------------------------------------------------------ running
 
@@ -192,7 +193,7 @@
                     node.pass_on(self._learns)
                 if self._alone:
                     node.out_by_hand(self._out_by_hand)
-                due_us = min(self.ledger.due_us(now_us) or self._learn_us, self._learn_us)
+                due_us = min(self.write_ahead_log.due_us(now_us) or self._learn_us, self._learn_us)
                 due_us = min(due_us, now_us + HAND_US) if self._alone else due_us
                 self._kicked = anyio.Event()
                 wait_s = max(1_000, due_us - now_us) / SECOND
@@ -214,14 +215,14 @@
         """Has the disk do what there is to do. Called after every turn of whoever adds entries."""
         if not self.open:
             return
-        if self._thread is not None and (work := self.ledger.turn(self._clock_us())) is not None:
+        if self._thread is not None and (work := self.write_ahead_log.turn(self._clock_us())) is not None:
             self._give(work)
-        for what, facts in self.ledger.notes:
+        for what, facts in self.write_ahead_log.notes:
             log(what, **facts)
-        self.ledger.notes.clear()
+        self.write_ahead_log.notes.clear()
 
     def _done_last(self, done: Done) -> None:
-        self.ledger.done(self._clock_us(), done)
+        self.write_ahead_log.done(self._clock_us(), done)
 
     def _give(self, work: Work) -> None:
         with self._changed:
@@ -244,8 +245,8 @@
                     return
             try:
                 if work is not None:
-                    told(self._scribe.do(work))
-                more = self._scribe.idle()
+                    told(self._writer.do(work))
+                more = self._writer.idle()
             except Exception:  # a fault in here costs the vote, as a disk that fails does, and nothing else
                 log("fault", where="lasting", trace=traceback.format_exc())
                 more = False
@@ -256,12 +257,12 @@
         """Writes what is left, unless the disk takes too long, and lets go of the folder."""
         until_us = self._clock_us() + LAST_US
         self.on_done = self._done_last
-        self.ledger.add(e.Ended(time.time()))
-        while self._clock_us() < until_us and self.ledger.disk is Disk.ABLE:
-            work = self.ledger.take(self._clock_us())
+        self.write_ahead_log.add(e.Ended(time.time()))
+        while self._clock_us() < until_us and self.write_ahead_log.disk is Disk.ABLE:
+            work = self.write_ahead_log.take(self._clock_us())
             if work is not None:
                 self._give(work)
-            elif self.ledger.ready(self.ledger.position):
+            elif self.write_ahead_log.ready(self.write_ahead_log.position):
                 break
             await anyio.sleep_until(anyio.current_time() + 0.005)
         with self._changed:
@@ -272,7 +273,7 @@
         while thread is not None and thread.is_alive() and self._clock_us() < until_us:
             await anyio.sleep_until(anyio.current_time() + 0.005)
         if thread is None or not thread.is_alive():
-            self._scribe.close()
+            self._writer.close()
             self._files.unlock()  # else the folder is this process's until that has ended
 
     # ------------------------------------------------------------------ what was learned of form servers
@@ -283,13 +284,13 @@
         names = {s.number: s.name for s in state.roster.form_servers}
         content = beliefs.pack(now_us, state.learned, names)
         self._learned = e.Learned(now_us / SECOND, content)
-        self.ledger.add(self._learned)
+        self.write_ahead_log.add(self._learned)
         self.turn()
 
     def _out_by_hand(self, names: frozenset[str]) -> None:
         if self.open and names != frozenset(self._hand.out if self._hand is not None else ()):
             self._hand = e.Hand(sorted(names))
-            self.ledger.add(self._hand)
+            self.write_ahead_log.add(self._hand)
 
     def aside(self) -> list[e.Entry]:
         """What is to be known after a restart, but for what members write."""
--- a/sailrun/lasting/ledger.py
+++ b/sailrun/lasting/write_ahead_log.py
@@ -1,9 +1,12 @@
-"""What is to be written down, what is on the disk, and the answers that wait for it. Pure.
+"""A write-ahead log with group commit: entries not written yet, how far the disk is, and answers that wait.
 
-Entries are numbered as they are made. One piece of work is with the disk at a time; what is made meanwhile
-goes with the next, so that many writes share a sync. An answer that promises something is held until
-everything it rests on is on the disk; where the disk fails or takes too long it is never sent, as if it had
-been lost.
+Entries are numbered as they are added; the number is their position. One piece of work is with the disk at a
+time; what is added meanwhile goes with the next, so that many writes share a sync. An answer that promises
+something is held until everything it rests on is on the disk. Where the disk fails or takes too long the
+answer is never sent, as if the network had lost it.
+
+Pure: entries, the results of the disk and the time (microseconds) come in; work for the disk (see
+`writer.py`) and answers come out.
 """
 
 from __future__ import annotations
@@ -53,15 +56,17 @@
     why: str = ""
 
 
-class Ledger:
-    """`whole` gives all entries that hold now. `off`: rules that the laboratory switches off."""
+class WriteAheadLog:
+    """`whole` gives all entries that hold now, for a snapshot. `off` names safety rules that the laboratory
+    switches off.
+    """
 
     def __init__(self, terms: LastingTerms, slow_us: int, position: int, off: frozenset[str]) -> None:
         self.terms, self._slow_us, self._off = terms, slow_us, off
         self.position = self.synced = position
         self.disk = Disk.ABLE
         self.whole: Callable[[], Iterable[Entry]] = list
-        self.notes: list[tuple[str, dict[str, object]]] = []  # for the log; emptied by whoever drives this
+        self.notes: list[tuple[str, dict[str, object]]] = []  # for the operator's log; the driver empties it
         self.dropped = 0  # answers that were never sent
         self.on_dropped: Callable[[Any], None] = lambda answer: None
         self._entries: list[Entry] = []
--- a/sailrun/lasting/scribe.py
+++ b/sailrun/lasting/writer.py
@@ -1,15 +1,15 @@
-"""Does a ledger's work on a folder, and tells what became of it. Pure but for the files it is given."""
+"""Carries out the write-ahead log's work on a folder. Pure but for the files it is given."""
 
 from __future__ import annotations
 
 import errno
 
 from sailrun.lasting.folder import Folder
-from sailrun.lasting.ledger import Done, Work
+from sailrun.lasting.write_ahead_log import Done, Work
 
 
-class Scribe:
-    """One at a time; a process's own has a thread to itself, see `service.py`."""
+class Writer:
+    """Does one piece of work at a time. A running node has a thread for it, see `service.py`."""
 
     def __init__(self, folder: Folder, node: str, fleet: str) -> None:
         self._folder, self._node, self._fleet = folder, node, fleet
--- a/sailrun/owners/agent.py
+++ b/sailrun/owners/agent.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from sailrun.lasting.ledger import Done
 from sailrun.lasting.messages import Stand, Stood
+from sailrun.lasting.write_ahead_log import Done
 from sailrun.members.messages import Joined, MemberBody, Record, Refused, State
 from sailrun.members.swim import Change, Letter, Members
 from sailrun.members.terms import MembersTerms
--- a/sailrun/owners/backing.py
+++ b/sailrun/owners/backing.py
@@ -1,8 +1,8 @@
 """What of a member outlasts its process: promises are held back until its folder has what they rest on and a
 majority knows so, and a voter goes by its folder once the others know of no newer one.
 
-Pure. The ledger knows what is on the disk (`lasting/ledger.py`), the standing what other voters know of this
-folder and of theirs (`lasting/standing.py`).
+Pure. The write-ahead log knows what is on the disk (`lasting/write_ahead_log.py`), the standing what other
+voters know of this folder and of theirs (`lasting/standing.py`).
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 from sailrun.lasting import entries as e
 from sailrun.lasting.folder import uncollected
-from sailrun.lasting.ledger import Done
 from sailrun.lasting.messages import Stand, Stood
 from sailrun.lasting.standing import Own, Standing, Trust
+from sailrun.lasting.write_ahead_log import Done
 from sailrun.owners.lasting import Lasting, MemberJournal, known_slots, replica_entries, voter_entries
 from sailrun.owners.messages import Grant, Recalled
 from sailrun.owners.quorum import Voters
@@ -85,13 +85,13 @@
         voter.on_founded = lambda: self._act("founded", what="terms")
         voter.on_remembered = lambda: self._act("remembered", what="terms")
         voter.registered = lambda: self.standing.registered
-        voter.able = lambda: self._lasting is None or self._lasting.ledger.able
+        voter.able = lambda: self._lasting is None or self._lasting.write_ahead_log.able
         # What a folder has of another time as a voter may not be all: `take_up` comes after.
         self.standing.trust = self._trusted = Trust.LEARNS
 
     def ready(self, position: int) -> bool:
         """Whether everything up to that entry is on the disk, if there is any."""
-        return self._lasting is None or self._lasting.ledger.ready(position)
+        return self._lasting is None or self._lasting.write_ahead_log.ready(position)
 
     # ------------------------------------------------------------------ beginning
 
@@ -100,10 +100,10 @@
         whether they know of a newer one, and grants nothing before.
         """
         self._lasting, memory, sound = lasting, lasting.memory, lasting.sound
-        ledger = self.journal.ledger = lasting.ledger
-        ledger.whole = self.whole
-        ledger.on_dropped = lambda answer: answer(False) if callable(answer) else None
-        own = Own(lasting.identity, self._run, memory.life + 1, lasting.loaded, ledger.synced)
+        wal = self.journal.write_ahead_log = lasting.write_ahead_log
+        wal.whole = self.whole
+        wal.on_dropped = lambda answer: answer(False) if callable(answer) else None
+        own = Own(lasting.identity, self._run, memory.life + 1, lasting.loaded, wal.synced)
         self.standing.take_up(own, sound, memory.notes)
         self._trusted = self.standing.trust
         self._begun_at = self.journal.begun(own.life, lasting.wall_s)
@@ -158,15 +158,15 @@
         """Whether a message is held until the disk has what it rests on; where that fails, it never goes."""
         if self._lasting is None or not isinstance(body, PROMISES):
             return False
-        ledger, voter = self._lasting.ledger, self._voter()
-        position = ledger.position
+        wal, voter = self._lasting.write_ahead_log, self._voter()
+        position = wal.position
         if isinstance(body, Grant) and voter is not None:
             position = voter.position(body.task)  # a renewal rests on the grant alone
-        if ledger.ready(position):
+        if wal.ready(position):
             return self._waits_for_notes(position, name, body)
-        if ledger.able:
+        if wal.able:
             key = (name, type(body), body.term if isinstance(body, Grant) else body.number)
-            ledger.hold(now_us, position, key, (name, body))
+            wal.hold(now_us, position, key, (name, body))
         return True
 
     def _waits_for_notes(self, position: int, name: str, body: Any) -> bool:
@@ -177,7 +177,7 @@
         told = isinstance(body, TOLD) and self._voter() is not None and not self._off & {"generation", "sync"}
         if not told or own is None or self._lasting is None or self.standing.known(position):
             return False
-        own.synced = self._lasting.ledger.synced  # told to the others at the next turn
+        own.synced = self._lasting.write_ahead_log.synced  # told to the others at the next turn
         self._untold = [*self._untold[-MOST_UNTOLD:], (position, name, body)]
         return True
 
@@ -185,34 +185,34 @@
         """Calls with whether all that was written so far is on the disk: once it is, or at once where there
         is none, or it fails.
         """
-        ledger = self._lasting.ledger if self._lasting is not None else None
-        if ledger is None or ledger.ready(ledger.position):
+        wal = self._lasting.write_ahead_log if self._lasting is not None else None
+        if wal is None or wal.ready(wal.position):
             call(True)
-        elif not ledger.able:
+        elif not wal.able:
             call(False)
         else:
-            ledger.hold(now_us, ledger.position, call, call)
+            wal.hold(now_us, wal.position, call, call)
 
     def wrote(self, now_us: int, done: Done) -> tuple[list[Post], list[Post]]:
         """What became of the work of the disk; returns answers that may go out, and other posts."""
         assert self._lasting is not None
-        ledger = self._lasting.ledger
+        wal = self._lasting.write_ahead_log
         answers: list[Post] = []
-        for answer in ledger.done(now_us, done):
+        for answer in wal.done(now_us, done):
             if callable(answer):
                 answer(True)
                 continue
             name, body = answer
             if isinstance(body, TOLD) and self._voter() is not None:
                 if "generation" not in self._off:
-                    self._untold = [*self._untold[-MOST_UNTOLD:], (ledger.synced, name, body)]
+                    self._untold = [*self._untold[-MOST_UNTOLD:], (wal.synced, name, body)]
                     continue
-                self._act("promised", position=ledger.synced)
+                self._act("promised", position=wal.synced)
             answers.append((name, body))
         posts: list[Post] = []
         if self._untold and self.standing.own is not None:
             # Something is promised: a majority is to know how far the folder has come.
-            self.standing.own.synced = ledger.synced
+            self.standing.own.synced = wal.synced
             posts += self.standing.tell(now_us)
         return answers, posts
 
@@ -293,7 +293,7 @@
         standing.begin_anew(lasting.identity)
         self._trusted = standing.trust
         self._untold.clear()  # promised by what is not gone by any more
-        lasting.ledger.renew(bytes.fromhex(lasting.identity))
+        lasting.write_ahead_log.renew(bytes.fromhex(lasting.identity))
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None:
             voter.forget(now_us)
--- a/sailrun/owners/lasting.py
+++ b/sailrun/owners/lasting.py
@@ -1,6 +1,6 @@
 """A member's durable state: what of it is journalled, and what is taken up again at a start.
 
-Pure. The ledger knows what is on the disk; the standing, whether the folder is the newest there is.
+Pure. The write-ahead log knows what is on the disk; the standing, whether the folder is the newest there is.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from itertools import chain
 
 from sailrun.lasting import entries as e
-from sailrun.lasting.ledger import Ledger
+from sailrun.lasting.write_ahead_log import WriteAheadLog
 from sailrun.owners.voter import Slot, Voter
 from sailrun.replica.journal import Journal
 from sailrun.replica.records import Key, Record
@@ -23,7 +23,7 @@
     folder itself can tell, it holds all that was ever promised from it.
     """
 
-    ledger: Ledger
+    write_ahead_log: WriteAheadLog
     identity: str
     memory: e.Memory
     sound: bool
@@ -33,13 +33,13 @@
 
 
 class MemberJournal(Journal):
-    """Records the changes of all parts of a member; nothing is recorded until there is a ledger."""
+    """Records the changes of all parts of a member; nothing is recorded until there is a log."""
 
     def __init__(self) -> None:
-        self.ledger: Ledger | None = None
+        self.write_ahead_log: WriteAheadLog | None = None
 
     def _add(self, entry: e.Entry) -> int:
-        return self.ledger.add(entry) if self.ledger is not None else 0
+        return self.write_ahead_log.add(entry) if self.write_ahead_log is not None else 0
 
     def record(self, record: Record, mark: int) -> None:
         self._add(e.Held(record, mark))
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -108,7 +108,7 @@
         self.agent.take_up(
             boot_us(),
             Lasting(
-                lasting.ledger,
+                lasting.write_ahead_log,
                 lasting.identity,
                 found.memory,
                 found.sound is Sound.SOUND,
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -27,11 +27,11 @@
 from sailrun.lasting.files import OsFiles
 from sailrun.lasting.folder import Folder, Found, Sound, read_folder
 from sailrun.lasting.frames import FRAME_BYTES, HEAD_BYTES, NewerSchema
-from sailrun.lasting.ledger import Disk, Ledger
 from sailrun.lasting.messages import Stand
-from sailrun.lasting.scribe import Scribe
 from sailrun.lasting.standing import GRACE_US, Own, Standing, Trust
 from sailrun.lasting.terms import LastingTerms
+from sailrun.lasting.write_ahead_log import Disk, WriteAheadLog
+from sailrun.lasting.writer import Writer
 from sailrun.owners.agent import Out
 from sailrun.owners.messages import Ask, Grant
 from sailrun.owners.voter import Slot
@@ -224,65 +224,65 @@
     other.unlock()
 
 
-# ---------------------------------------------------------------------- the ledger
+# ---------------------------------------------------------------------- the write-ahead log
 
 
-def a_ledger(terms: LastingTerms = TERMS) -> tuple[Ledger, Scribe, SimFiles]:
+def a_log(terms: LastingTerms = TERMS) -> tuple[WriteAheadLog, Writer, SimFiles]:
     files = SimFiles()
-    ledger = Ledger(terms, SECOND, 0, frozenset())
-    ledger.renew(bytes(16))
-    scribe = Scribe(Folder(files, Found(Sound.NEW)), "n1", "fleet")
-    return ledger, scribe, files
+    wal = WriteAheadLog(terms, SECOND, 0, frozenset())
+    wal.renew(bytes(16))
+    writer = Writer(Folder(files, Found(Sound.NEW)), "n1", "fleet")
+    return wal, writer, files
 
 
-def step(ledger: Ledger, scribe: Scribe, now_us: int) -> list[Any]:
-    work = ledger.turn(now_us)
-    return ledger.done(now_us, scribe.do(work)) if work is not None else []
+def step(wal: WriteAheadLog, writer: Writer, now_us: int) -> list[Any]:
+    work = wal.turn(now_us)
+    return wal.done(now_us, writer.do(work)) if work is not None else []
 
 
 def test_answers_wait_for_the_disk_and_share_a_sync() -> None:
-    ledger, scribe, files = a_ledger()
-    step(ledger, scribe, 0)
+    wal, writer, files = a_log()
+    step(wal, writer, 0)
     for n in range(10):
-        ledger.hold(0, ledger.add(entry_of(n + 1)), n, n)
-    syncs = scribe.folder.syncs
-    work = ledger.turn(0)
-    assert work is not None and ledger.turn(0) is None
-    ledger.hold(0, ledger.add(entry_of(11)), "late", "late")
-    assert ledger.done(1000, scribe.do(work)) == list(range(10))
-    assert scribe.folder.syncs == syncs + 1
-    assert step(ledger, scribe, 2000) == ["late"]
+        wal.hold(0, wal.add(entry_of(n + 1)), n, n)
+    syncs = writer.folder.syncs
+    work = wal.turn(0)
+    assert work is not None and wal.turn(0) is None
+    wal.hold(0, wal.add(entry_of(11)), "late", "late")
+    assert wal.done(1000, writer.do(work)) == list(range(10))
+    assert writer.folder.syncs == syncs + 1
+    assert step(wal, writer, 2000) == ["late"]
     assert last_of(read_folder(files).memory) == 11
 
 
 def test_a_slow_disk_drops_answers_and_a_failing_one_begins_a_generation() -> None:
-    ledger, scribe, files = a_ledger()
-    step(ledger, scribe, 0)
-    ledger.whole = lambda: list(everything(3))
-    ledger.hold(0, ledger.add(entry_of(1)), "a", "a")
-    work = ledger.turn(0)
+    wal, writer, files = a_log()
+    step(wal, writer, 0)
+    wal.whole = lambda: list(everything(3))
+    wal.hold(0, wal.add(entry_of(1)), "a", "a")
+    work = wal.turn(0)
     assert work is not None
-    assert ledger.turn(SECOND + 1) is None and not ledger.able
-    assert ledger.done(2 * SECOND, scribe.do(work)) == []  # it was given up
-    assert ledger.able and ledger.dropped == 1
+    assert wal.turn(SECOND + 1) is None and not wal.able
+    assert wal.done(2 * SECOND, writer.do(work)) == []  # it was given up
+    assert wal.able and wal.dropped == 1
 
     def full(what: str, name: str) -> None:
         if what == "sync":
             raise OSError(5, "Input/output error")
 
     files.fault = full
-    ledger.hold(0, ledger.add(entry_of(2)), "b", "b")
-    assert step(ledger, scribe, 3 * SECOND) == [] and not ledger.able
-    position = ledger.add(entry_of(3))
-    assert not ledger.ready(position) and ledger.turn(3 * SECOND + 1) is None  # not at once
-    step(ledger, scribe, 5 * SECOND)
-    assert ledger.disk is Disk.FAILED
+    wal.hold(0, wal.add(entry_of(2)), "b", "b")
+    assert step(wal, writer, 3 * SECOND) == [] and not wal.able
+    position = wal.add(entry_of(3))
+    assert not wal.ready(position) and wal.turn(3 * SECOND + 1) is None  # not at once
+    step(wal, writer, 5 * SECOND)
+    assert wal.disk is Disk.FAILED
     files.fault = lambda what, name: None
-    step(ledger, scribe, 7 * SECOND)
-    assert ledger.able and ledger.ready(position)
+    step(wal, writer, 7 * SECOND)
+    assert wal.able and wal.ready(position)
     found = read_folder(files)
     assert found.sound is Sound.SOUND and last_of(found.memory) == 3
-    assert [what for what, _ in ledger.notes] == [
+    assert [what for what, _ in wal.notes] == [
         "lasting-slow",
         "lasting-able",
         "lasting-failed",
@@ -291,13 +291,13 @@
 
 
 def test_more_than_the_queue_bears_is_written_as_a_whole() -> None:
-    ledger, scribe, files = a_ledger(LastingTerms(folder="f", queue_mb=0.1))
-    step(ledger, scribe, 0)
-    ledger.whole = lambda: list(everything(4000))
+    wal, writer, files = a_log(LastingTerms(folder="f", queue_mb=0.1))
+    step(wal, writer, 0)
+    wal.whole = lambda: list(everything(4000))
     for n in range(4000):
-        ledger.add(entry_of(n + 1))
-    assert len(ledger._entries) == 0
-    step(ledger, scribe, SECOND)
+        wal.add(entry_of(n + 1))
+    assert len(wal._entries) == 0
+    step(wal, writer, SECOND)
     assert last_of(read_folder(files).memory) == 4000
 
 
@@ -513,7 +513,7 @@
     fleet = a_fleet()
     node = fleet.nodes["n4"]
     agent = node.agent
-    assert agent is not None and node.ledger is not None
+    assert agent is not None and node.write_ahead_log is not None
     told: list[bool] = []
     fleet.mark_here("n4", "s-00000002", True)
     agent.backing.when_kept(fleet.clock_us(node), told.append)
