--- a/sailrun/control/desk.py
+++ b/sailrun/control/desk.py
@@ -175,7 +175,7 @@
                 if not ms.isdigit():
                     return fail(f"'{ms[:40]}' is no number of milliseconds")
                 names = nodes.split(",")
-                why = await answer_to(partial(fleet.walk, name, names, int(ms) * 1000))
+                why = await answer_to(partial(fleet.begin_rolling_drain, name, names, int(ms) * 1000))
                 return fail(why) if why else OK
             case "walked", str(name):
                 shown = await answer_to(partial(fleet.show, f"walk {name}"))
--- a/sailrun/lab/faults/folders.py
+++ b/sailrun/lab/faults/folders.py
@@ -5,7 +5,7 @@
 - `folder` what: `found` (with sound: new, sound, doubtful), `trusted` (the voter goes by it), `old` (the
   others knew a newer one), `learning` of: by its own word it does not know all that it ever promised;
 - `founded` what: too few voters remembered, and one of them began anew; `remembered`: one knows again;
-- `walked` walk: the node has done its part in a walk;
+- `walked` walk: the node has done its part in the rolling drain of that name;
 - `fault` with what `restore` and position: a folder that had come up to there was put in the place of
   another.
 - `promised` position: the voter promised something that its folder holds up to there.
@@ -27,10 +27,10 @@
         self.rows = sorted((r for r in rows if r["at_us"] <= end_us), key=lambda row: row["at_us"])
         self._begin_us = begin_us
 
-    def checks(self, walks: bool, older: bool) -> list[Check]:
-        """`walks` and `older`: whether nodes are drained one after another that day, and folders put back."""
+    def checks(self, drains: bool, older: bool) -> list[Check]:
+        """Of a day on which nodes are drained one after another (`drains`), or folders put back (`older`)."""
         checks: list[Check] = [self._nothing_begun_anew()]
-        if walks:
+        if drains:
             checks.append(self._drained_once())
         if older:
             checks.append(self._older_found())
@@ -94,7 +94,7 @@
         return check
 
     def _drained_once(self) -> Check:
-        """No node does its part in a walk twice, whoever was killed meanwhile. Occasions: parts done."""
+        """No node drains twice for one rolling drain, whoever was killed meanwhile. Occasions: parts done."""
         check = Counted("drained-once", occasions=0)
         done: set[tuple[str, str]] = set()
         for row in self.rows:
--- a/sailrun/lab/faults/nemesis.py
+++ b/sailrun/lab/faults/nemesis.py
@@ -36,7 +36,7 @@
     def weather(self, lost: float, delay_us: tuple[int, int], doubled: float) -> None: ...
     def hold_back(self, name: str, for_us: int) -> None: ...
     def want(self, name: str, kind: str, subject: str, for_us: int) -> None: ...
-    def walk(self, name: str, names: list[str], for_us: int) -> None: ...
+    def begin_rolling_drain(self, name: str, names: list[str], for_us: int) -> None: ...
     def told(self, what: str, **facts: object) -> None: ...
     def mark(self, name: str, subject: str, on: bool) -> None: ...
     def mark_here(self, name: str, subject: str, on: bool) -> None: ...
@@ -271,7 +271,9 @@
     for n in range(14):
         nemesis.at(CALM_BEGIN_S + 1.3 * n, want)
     walkers = luck.sample(fleet.names, min(len(fleet.names), 4))
-    nemesis.at(CALM_BEGIN_S + 1.0, lambda: fleet.walk(luck.choice(fleet.names), walkers, SECOND))
+    nemesis.at(
+        CALM_BEGIN_S + 1.0, lambda: fleet.begin_rolling_drain(luck.choice(fleet.names), walkers, SECOND)
+    )
     nemesis.every(4.0, 8.0, trouble)
 
 
@@ -464,13 +466,13 @@
 
 
 def _lasting_walk(nemesis: Nemesis) -> None:
-    """The whole fleet is killed amid a rolling drain, and staff say the same walk again."""
+    """The whole fleet is killed amid a rolling drain, and staff begin the same one again."""
     luck, fleet = nemesis.luck, nemesis.fleet
     nemesis.weather(0.02, 1, 10)
     folders = _Folders(nemesis)
     walkers = luck.sample(fleet.names, min(len(fleet.names), 4))
     begins = luck.choice(fleet.names)
-    nemesis.at(CALM_BEGIN_S + 1.0, lambda: fleet.walk(begins, walkers, SECOND))
+    nemesis.at(CALM_BEGIN_S + 1.0, lambda: fleet.begin_rolling_drain(begins, walkers, SECOND))
     nemesis.at(CALM_BEGIN_S + luck.uniform(2.0, 6.0), lambda: folders.everybody(0.0))
     nemesis.at(CALM_BEGIN_S + luck.uniform(12.0, 20.0), lambda: folders.everybody(0.0))
     nemesis.surely(CALM_BEGIN_S + 24.0, lambda name: nemesis.kill_for(name, 2.0 * nemesis.lease_s))
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -334,7 +334,7 @@
         self.group.start_soon(self.call, name, f"set-down {server}")
         self.after(for_us, self._ask, name, f"set-up {server}")
 
-    def walk(self, name: str, names: list[str], for_us: int) -> None:
+    def begin_rolling_drain(self, name: str, names: list[str], for_us: int) -> None:
         self.told("walk", node=name, names=",".join(names))
         line = f"fleet walk walk-{self._seed} {for_us // 1000} {','.join(names)}"
         self.group.start_soon(self.call, name, line)
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -350,8 +350,8 @@
         if node.reading is not None:
             outs += self._read(node, agent, node.reading, now_us)
         self._send(node, outs)
-        if agent.walks.draining:
-            agent.walks.standing(now_us, 0)
+        if agent.rolling_drains.draining:
+            agent.rolling_drains.standing(now_us, 0)
         if not node.stopped:
             due_us = agent.due_us(now_us)
             if node.write_ahead_log is not None:
@@ -560,8 +560,8 @@
         node.agent.holder.give_back(self.clock_us(node), kind, subject)
         self._send(node, node.agent._changes(self.clock_us(node)))
 
-    def walk(self, name: str, names: list[str], for_us: int) -> None:
+    def begin_rolling_drain(self, name: str, names: list[str], for_us: int) -> None:
         agent = self.nodes[name].agent
         if agent is not None:
             self.told("walk", node=name, names=",".join(names))
-            agent.walks.begin(self.clock_us(self.nodes[name]), f"walk-{self._seed}", names, for_us)
+            agent.rolling_drains.begin(self.clock_us(self.nodes[name]), f"walk-{self._seed}", names, for_us)
--- a/sailrun/lasting/cli.py
+++ b/sailrun/lasting/cli.py
@@ -83,7 +83,7 @@
         "learned_age_s": round(age_s, 1) if memory.learned is not None else None,
         "learned_weight": round(weight, 3),
         "kept_away_from_s": {name: round(left / 1e6, 1) for name, left in sorted(out.items())},
-        "walks": list(memory.walks),
+        "walks": list(memory.drained),
         "walks_to_go_on_with": [p.walk for p in memory.plans.values()],
     }
 
--- a/sailrun/lasting/entries.py
+++ b/sailrun/lasting/entries.py
@@ -115,14 +115,14 @@
     out: list[str]
 
 
-class Walked(msgspec.Struct, array_like=True, frozen=True, tag="walked"):
-    """A walk that this node has been drained for: not to be drained for it again."""
+class Drained(msgspec.Struct, array_like=True, frozen=True, tag="walked"):
+    """The rolling drain `walk` (so called on the disk and by `export`) has drained this node: not again."""
 
     walk: str
 
 
-class Planned(msgspec.Struct, array_like=True, frozen=True, tag="planned"):
-    """A walk that was begun here, to be gone on with; over once there are no names."""
+class DrainPlan(msgspec.Struct, array_like=True, frozen=True, tag="planned"):
+    """A rolling drain that was begun here, to be gone on with; over once there are no names."""
 
     walk: str
     for_us: int
@@ -142,11 +142,11 @@
     | Noted
     | Learned
     | Hand
-    | Walked
-    | Planned
+    | Drained
+    | DrainPlan
 )
-# Walks that are remembered; the oldest make room.
-MOST_WALKS = 256
+# Rolling drains that are remembered; the oldest make room.
+MOST_DRAINS = 256
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
@@ -195,8 +195,8 @@
     notes: dict[str, Noted] = field(default_factory=dict)
     learned: Learned | None = None
     hand: Hand | None = None
-    walks: dict[str, None] = field(default_factory=dict)
-    plans: dict[str, Planned] = field(default_factory=dict)
+    drained: dict[str, None] = field(default_factory=dict)
+    plans: dict[str, DrainPlan] = field(default_factory=dict)
 
     def apply(self, entry: Entry) -> None:
         if isinstance(entry, Held):  # most are
@@ -230,15 +230,15 @@
                 self.learned = entry
             case Hand():
                 self.hand = entry
-            case Walked(walk):
-                self.walks[walk] = None
-                while len(self.walks) > MOST_WALKS:
-                    del self.walks[next(iter(self.walks))]
-            case Planned(walk, _, names):
+            case Drained(walk):
+                self.drained[walk] = None
+                while len(self.drained) > MOST_DRAINS:
+                    del self.drained[next(iter(self.drained))]
+            case DrainPlan(walk, _, names):
                 self.plans.pop(walk, None)
                 if names:
                     self.plans[walk] = entry
-                while len(self.plans) > MOST_WALKS:
+                while len(self.plans) > MOST_DRAINS:
                     del self.plans[next(iter(self.plans))]
 
     def entries(self) -> Iterator[Entry]:
@@ -259,7 +259,7 @@
             yield self.learned
         if self.hand is not None:
             yield self.hand
-        yield from (Walked(walk) for walk in self.walks)
+        yield from (Drained(walk) for walk in self.drained)
         yield from self.plans.values()
 
     def highest(self) -> dict[str, int]:
--- a/sailrun/owners/agent.py
+++ b/sailrun/owners/agent.py
@@ -26,6 +26,8 @@
 from sailrun.owners.messages import (
     Ask,
     Deny,
+    DrainRequest,
+    DrainStatus,
     Grant,
     NotMine,
     Order,
@@ -35,17 +37,15 @@
     Refusal,
     Release,
     Say,
-    Walk,
-    Walking,
     Want,
     Yield,
 )
 from sailrun.owners.permits import OUT, PermitCoordinator, PermitHolder, Use
 from sailrun.owners.permits import TASK as PERMITS
 from sailrun.owners.quorum import Voters
+from sailrun.owners.rolling_drain import RollingDrains
 from sailrun.owners.terms import DRIFT, OwnersTerms, PermitsTerms, ReaderTerms
 from sailrun.owners.voter import Voter
-from sailrun.owners.walk import Walks
 from sailrun.replica.replica import MARKS, Replica
 from sailrun.replica.terms import ReplicaTerms
 
@@ -128,9 +128,9 @@
         )
         self.voter = self._new_voter(now_us) if me.name in self.voters.all() else None
         self.holder = PermitHolder(terms.permits) if terms.permits.enabled else None
-        self.walks = Walks(me.name, self.holder)
+        self.rolling_drains = RollingDrains(me.name, self.holder)
         self.replica = self._new_replica(chance.getrandbits(32), now_us) if terms.replica.enabled else None
-        self.backing.serve(lambda: self.voter, self.replica, self.walks)
+        self.backing.serve(lambda: self.voter, self.replica, self.rolling_drains)
         self.permit_coordinator: PermitCoordinator | None = None
         # Work that others do: who answers questions about a task, asked with the asker's name and content.
         self.answers: dict[str, Callable[[int, str, Any], Any]] = {}
@@ -280,10 +280,10 @@
                 self._refused(now_us, body)
             case NotMine():
                 return self._sent_on(now_us, sender, body)
-            case Walk():
-                return self._post(sender, self.walks.asked(now_us, body))
-            case Walking():
-                self.walks.told(now_us, sender, body)
+            case DrainRequest():
+                return self._post(sender, self.rolling_drains.asked(now_us, body))
+            case DrainStatus():
+                self.rolling_drains.told(now_us, sender, body)
             case Stand() | Stood():
                 if sender in self.voters.all():
                     return self._backed(*self.backing.heard(now_us, sender, body))
@@ -446,7 +446,7 @@
         if self.holder is not None:
             for want in self.holder.turn(now_us):
                 outs += self._ask_permit(now_us, want)
-        outs += self._posts(self.walks.turn(now_us))
+        outs += self._posts(self.rolling_drains.turn(now_us))
         if self.replica is not None and self.members.joined and not self.members.leaving:
             outs += self._turn_replica(now_us, self.replica)
         return outs + self._changes(now_us)
@@ -534,7 +534,7 @@
                         {"kind": use.kind, "subject": use.subject, "yes": use.yes, "why": use.why or None},
                     )
                 )
-                self.walks.used(use)
+                self.rolling_drains.used(use)
                 self.on_use(use)
         if self._in_touch is not self.leases.in_touch(now_us):
             self._in_touch = not self._in_touch
--- a/sailrun/owners/backing.py
+++ b/sailrun/owners/backing.py
@@ -21,8 +21,8 @@
 from sailrun.owners.lasting import Lasting, MemberJournal, known_slots, replica_entries, voter_entries
 from sailrun.owners.messages import Grant, Recalled
 from sailrun.owners.quorum import Voters
+from sailrun.owners.rolling_drain import RollingDrains
 from sailrun.owners.voter import Voter
-from sailrun.owners.walk import Walks
 from sailrun.replica.messages import Kept, Promised, Recovering
 from sailrun.replica.replica import Replica
 
@@ -64,19 +64,21 @@
         self._lasting: Lasting | None = None
         self._voter: Callable[[], Voter | None] = lambda: None
         self._replica: Replica | None = None
-        self._walks: Walks | None = None
+        self._drains: RollingDrains | None = None
         self._untold: list[tuple[int, str, Any]] = []  # promises that wait for a majority to know of them
         self._begun_at = 0  # the entry that says in which life of the folder this process is
         self._trusted = Trust.LEARNS
 
     # ------------------------------------------------------------------ whom it is for
 
-    def serve(self, voter: Callable[[], Voter | None], replica: Replica | None, walks: Walks) -> None:
+    def serve(
+        self, voter: Callable[[], Voter | None], replica: Replica | None, drains: RollingDrains
+    ) -> None:
         """The parts whose state outlasts the process; who votes may change."""
-        self._voter, self._replica, self._walks = voter, replica, walks
-        walks.on_end, walks.on_plan = self.journal.walked, self.journal.planned
-        walks.on_done = lambda walk: self._act("walked", walk=walk)
-        walks.safe = self.ready
+        self._voter, self._replica, self._drains = voter, replica, drains
+        drains.on_end, drains.on_plan = self.journal.drained, self.journal.planned
+        drains.on_done = lambda name: self._act("walked", walk=name)
+        drains.safe = self.ready
 
     def back(self, voter: Voter) -> None:
         """A voter that has just been made writes down what it promises."""
@@ -117,9 +119,9 @@
             for task, term in memory.highest().items():
                 voter.heard_of(task, term)
             self._act("folder", what="learning", of="terms")
-        if sound and self._walks is not None:
+        if sound and self._drains is not None:
             plans = [(p.walk, p.for_us, p.names) for p in memory.plans.values()]
-            self._walks.take_up(now_us, memory.walks, plans)
+            self._drains.take_up(now_us, memory.drained, plans)
         if sound and self._replica is not None:
             self._take_up_copy(now_us, self._replica, memory)
         if self.standing.trust is Trust.TRUSTED:
@@ -146,9 +148,9 @@
         if voter is not None:
             entries += voter_entries(voter)
         entries += self.standing.notes.values()
-        if self._walks is not None:
-            entries += (e.Walked(walk) for walk in self._walks.done())
-            entries += (e.Planned(*plan) for plan in self._walks.plans())
+        if self._drains is not None:
+            entries += (e.Drained(name) for name in self._drains.done())
+            entries += (e.DrainPlan(*plan) for plan in self._drains.plans())
         copied = replica_entries(self._replica) if self._replica is not None else []
         return chain(entries, self.aside(), copied)
 
--- a/sailrun/owners/lasting.py
+++ b/sailrun/owners/lasting.py
@@ -68,11 +68,11 @@
     def begun(self, life: int, wall_s: float) -> int:
         return self._add(e.Begun(life, wall_s))
 
-    def walked(self, walk: str) -> int:
-        return self._add(e.Walked(walk))
+    def drained(self, name: str) -> int:
+        return self._add(e.Drained(name))
 
-    def planned(self, walk: str, for_us: int, names: list[str]) -> None:
-        self._add(e.Planned(walk, for_us, names))
+    def planned(self, name: str, for_us: int, nodes: list[str]) -> None:
+        self._add(e.DrainPlan(name, for_us, nodes))
 
 
 def slot_entry(task: str, slot: Slot) -> e.Slot:
--- a/sailrun/owners/messages.py
+++ b/sailrun/owners/messages.py
@@ -1,4 +1,8 @@
-"""What owners, voters and those who take orders say to each other; `members/messages.py` carries it."""
+"""The messages of leases, orders, permits and rolling drains; `envelope.py` has what they travel in.
+
+Tags and the order of fields are the wire format, which nodes of other versions read as well: a name in this
+program may change, a tag never (`DrainRequest` is `walk` on the wire, `DrainStatus` is `walking`).
+"""
 
 from __future__ import annotations
 
@@ -112,19 +116,19 @@
     number: int
 
 
-class Walk(msgspec.Struct, array_like=True, frozen=True, tag="walk"):
-    """Drain yourself once a permit is yours, and stay empty for so long. The same walk is taken up but
-    once.
+class DrainRequest(msgspec.Struct, array_like=True, frozen=True, tag="walk"):
+    """Drain yourself once a permit is yours, and stay empty for so long. `name` is the rolling drain's; the
+    same one again is not drained for again.
     """
 
-    walk: str
+    name: str
     for_us: int
 
 
-class Walking(msgspec.Struct, array_like=True, frozen=True, tag="walking"):
+class DrainStatus(msgspec.Struct, array_like=True, frozen=True, tag="walking"):
     """How far a node is with it: `asked`, `queued`, `draining`, `empty`, `done` or `refused`."""
 
-    walk: str
+    name: str
     state: str
     why: str = ""
 
@@ -164,6 +168,6 @@
     | Order
     | Refusal
     | NotMine
-    | Walk
-    | Walking
+    | DrainRequest
+    | DrainStatus
 )
--- /dev/null
+++ b/sailrun/owners/rolling_drain.py
@@ -0,0 +1,199 @@
+"""Rolling drains: a list of nodes drained one after another, as many at a time as permits allow.
+
+Nobody owns the list. Each node queues for its own permit, in the order of the list, and the order of that
+queue makes the drain a rolling one. So nothing is lost with a coordinator that dies half way, and a node that
+has done its part is not drained again.
+
+On the wire (`walk`, `walking`), in the folder (`walked`), in the log and in the operator's calls a rolling
+drain is called a walk. These names are interfaces to older versions and to scripts, and stay.
+
+Pure: messages and the time (microseconds of one monotonic clock) come in, messages go out.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+
+from sailrun.owners.messages import DrainRequest, DrainStatus
+from sailrun.owners.permits import DRAIN, PermitHolder, Use
+
+SECOND = 1_000_000
+ASK_US = 300_000
+# A node that has not answered for so long is passed over, so that the others get their turn.
+SILENT_US = 10 * SECOND
+# What a node has done is on its disk within this, or said all the same.
+WRITE_US = 5 * SECOND
+# So many rolling drains are remembered, here and where one was begun.
+KEPT = 64
+# The states in which nothing more is asked of a node.
+OVER = ("done", "refused", "silent")
+
+
+@dataclass(slots=True)
+class Step:
+    """How far one node of the list is, as it last said."""
+
+    node: str
+    state: str = "not asked"
+    why: str = ""
+    asked_us: int = 0
+    heard_us: int = 0
+
+
+@dataclass(slots=True)
+class RollingDrain:
+    """One that was begun at this node; each node stays empty for `for_us`."""
+
+    name: str
+    for_us: int
+    steps: list[Step] = field(default_factory=list)
+
+    @property
+    def over(self) -> bool:
+        return all(step.state in OVER for step in self.steps)
+
+
+@dataclass(slots=True)
+class _OwnDrain:
+    """This node's own part in a rolling drain."""
+
+    name: str
+    for_us: int
+    state: str = "asked"
+    why: str = ""
+    empty_us: int = 0
+    ends: int = -1  # the entry that says that it ends
+    ends_us: int = 0
+
+
+class RollingDrains:
+    """Both sides: the rolling drains begun here, and this node's own part in any."""
+
+    def __init__(self, name: str, holder: PermitHolder | None) -> None:
+        self._name, self._holder = name, holder
+        self.begun: dict[str, RollingDrain] = {}
+        self._own: dict[str, _OwnDrain] = {}
+        self.drain: bool | None = None  # what the core is to do; the driver reads and empties it
+        # Told what is to be known after a restart: that this node's own part ends, which is answered with the
+        # position of that entry, and is done once the position is `safe`; a rolling drain begun here, with
+        # how long each node stays empty, and without names once it is over.
+        self.on_end: Callable[[str], int] = lambda name: 0
+        self.safe: Callable[[int], bool] = lambda entry: True
+        self.on_done: Callable[[str], None] = lambda name: None
+        self.on_plan: Callable[[str, int, list[str]], None] = lambda name, for_us, names: None
+
+    def take_up(self, now_us: int, done: Iterable[str], plans: Iterable[tuple[str, int, list[str]]]) -> None:
+        """What a process before this one knew: parts that are done, rolling drains to go on with."""
+        for name in done:
+            self._own[name] = _OwnDrain(name, 0, "done")
+        for name, for_us, nodes in plans:
+            self._begin(now_us, name, nodes, for_us)
+
+    def plans(self) -> list[tuple[str, int, list[str]]]:
+        return [(b.name, b.for_us, [s.node for s in b.steps]) for b in self.begun.values() if not b.over]
+
+    def done(self) -> list[str]:
+        return [own.name for own in self._own.values() if own.state == "done"]
+
+    # ------------------------------------------------------------------ where it was begun
+
+    def begin(self, now_us: int, name: str, nodes: list[str], for_us: int) -> None:
+        """Drains the nodes in this order. The same name again changes nothing."""
+        if name not in self.begun:
+            self._begin(now_us, name, nodes, for_us)
+            self.on_plan(name, for_us, nodes)
+
+    def _begin(self, now_us: int, name: str, nodes: list[str], for_us: int) -> None:
+        while len(self.begun) >= KEPT:
+            del self.begun[next(iter(self.begun))]
+        self.begun[name] = RollingDrain(name, for_us, [Step(node, heard_us=now_us) for node in nodes])
+
+    def turn(self, now_us: int) -> list[tuple[str, DrainRequest]]:
+        """Tells each node in turn: the next one once the one before has its place in the queue."""
+        posts: list[tuple[str, DrainRequest]] = []
+        for begun in self.begun.values():
+            for step in begun.steps:
+                if step.state in OVER:
+                    continue
+                if step.asked_us == 0:
+                    step.heard_us = now_us
+                if now_us - step.heard_us > SILENT_US and step.state in ("not asked", "asked"):
+                    # Passed over; one that has its place and is silent may be restarting.
+                    step.state, step.why = "silent", "not reached"
+                    continue
+                if now_us - step.asked_us >= ASK_US:
+                    step.asked_us = now_us
+                    posts.append((step.node, DrainRequest(begun.name, begun.for_us)))
+                if step.state in ("not asked", "asked"):
+                    break  # the order of the list is the order of the queue
+        self._go_on(now_us)
+        return posts
+
+    def told(self, now_us: int, sender: str, status: DrainStatus) -> None:
+        begun = self.begun.get(status.name)
+        for step in begun.steps if begun is not None else ():
+            if step.node == sender and step.state != "done":
+                step.state, step.why, step.heard_us = status.state, status.why, now_us
+                if begun is not None and begun.over:
+                    self.on_plan(begun.name, 0, [])
+
+    # ------------------------------------------------------------------ the node's own part
+
+    def asked(self, now_us: int, request: DrainRequest) -> DrainStatus:
+        """This node is to drain itself; the answer says how far that is."""
+        if self._holder is None:
+            return DrainStatus(request.name, "refused", "permits are off here")
+        own = self._own.get(request.name)
+        if own is None:
+            while len(self._own) >= KEPT:
+                del self._own[next(iter(self._own))]
+            own = self._own[request.name] = _OwnDrain(request.name, request.for_us)
+        self._go_on(now_us)
+        return DrainStatus(own.name, own.state, own.why)
+
+    def used(self, use: Use) -> None:
+        """A permit has come or gone: the drain begins, or is broken off and waits for the next permit."""
+        if (use.kind, use.subject) != (DRAIN, self._name):
+            return
+        for own in self._own.values():
+            if use.yes and own.state in ("asked", "queued"):
+                own.state, own.why, own.empty_us = "draining", "", 0
+                self.drain = True
+                return
+            if not use.yes and own.state in ("draining", "empty"):
+                own.state, own.why, self.drain = "queued", use.why, False
+                return
+
+    def standing(self, now_us: int, sessions: int) -> None:
+        """How many sessions this node holds; asked only while it drains."""
+        for own in self._own.values():
+            if own.state == "draining" and not sessions:
+                own.state, own.empty_us = "empty", now_us
+        self._go_on(now_us)
+
+    @property
+    def draining(self) -> bool:
+        return any(own.state in ("draining", "empty") for own in self._own.values())
+
+    def _go_on(self, now_us: int) -> None:
+        if self._holder is None:
+            return
+        working = self.draining
+        for own in self._own.values():
+            if own.state == "empty" and now_us - own.empty_us >= own.for_us:
+                if own.ends < 0:
+                    own.ends, own.ends_us = self.on_end(own.name), now_us
+                # A disk that fails holds nobody up for longer than this.
+                if not self.safe(own.ends) and now_us - own.ends_us < WRITE_US:
+                    continue
+                own.state = "done"
+                self.on_done(own.name)
+                self._holder.give_back(now_us, DRAIN, self._name)
+                self.drain, working = False, False
+            elif own.state in ("asked", "queued") and not working:
+                wanted = self._holder.want(DRAIN, self._name)
+                own.why = wanted.why
+                if wanted.place != (0, 0):
+                    own.state = "queued"
+                working = True  # one part after another
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -39,7 +39,7 @@
     from sailrun.operator import Operator
 
 SECOND = 1_000_000
-# While a node drains for a walk, it is looked at this often whether it is empty.
+# While a node drains for a rolling drain, it is looked at this often whether it is empty.
 LOOK_US = 200_000
 # Two clocks are looked at within this, or once more.
 CLOCKS_US, CLOCKS_TRIES = 500, 10
@@ -167,10 +167,10 @@
         outs: list[Out] = []
         if self._shared is not None:
             outs += self._shared.turn(now_us)
-        if self.agent.walks.drain is not None:
-            on, self.agent.walks.drain = self.agent.walks.drain, None
+        if self.agent.rolling_drains.drain is not None:
+            on, self.agent.rolling_drains.drain = self.agent.rolling_drains.drain, None
             self._node.drain(on, lambda done: None)
-        if self.agent.walks.draining and now_us >= self._look_us:
+        if self.agent.rolling_drains.draining and now_us >= self._look_us:
             self._look_us = now_us + LOOK_US
             self._node.figures(lambda figures: self._standing(figures.inflight))
         if self.agent.terms.pace:
@@ -183,7 +183,7 @@
 
     def _standing(self, sessions: int) -> None:
         def call(now_us: int) -> list[Out]:
-            self.agent.walks.standing(now_us, sessions)
+            self.agent.rolling_drains.standing(now_us, sessions)
             return []
 
         self.carrier.post(call)
@@ -289,15 +289,19 @@
 
         self.carrier.post(call)
 
-    def walk(self, walk: str, names: list[str], for_us: int, reply: Callable[[str], None]) -> None:
+    def begin_rolling_drain(
+        self, name: str, nodes: list[str], for_us: int, reply: Callable[[str], None]
+    ) -> None:
+        """`reply` is called with "" once it is begun, or with why it is not."""
+
         def call(now_us: int) -> list[Out]:
-            unknown = [n for n in names if not self.agent.members.lives(n)]
+            unknown = [n for n in nodes if not self.agent.members.lives(n)]
             if unknown:
                 reply(f"no member {', '.join(unknown[:5])}")
             elif self.agent.holder is None:
                 reply("permits are off")
             else:
-                self.agent.walks.begin(now_us, walk, names, for_us)
+                self.agent.rolling_drains.begin(now_us, name, nodes, for_us)
                 reply("")
             return []
 
@@ -306,7 +310,7 @@
     # ------------------------------------------------------------------ what staff see
 
     def show(self, what: str, reply: Callable[[Any], None]) -> None:
-        """`members`, `owners`, `permits`, `counts`, or a walk's name; as JSON would have it."""
+        """`members`, `owners`, `permits`, `counts`, or `walk NAME`: a rolling drain; as JSON has it."""
 
         def call(now_us: int) -> list[Out]:
             shown = {"members": self._members, "owners": self._owners, "permits": self._permits}
@@ -317,7 +321,7 @@
             elif what == "counts":
                 reply(self._counts())
             else:
-                reply(self._walk(what.removeprefix("walk ")))
+                reply(self._rolling_drain(what.removeprefix("walk ")))
             return []
 
         self.carrier.post(call)
@@ -382,11 +386,11 @@
             "in_touch": self.agent.leases.in_touch(boot_us()),
         }
 
-    def _walk(self, walk: str) -> Any:
-        begun = self.agent.walks.begun.get(walk)
+    def _rolling_drain(self, name: str) -> Any:
+        begun = self.agent.rolling_drains.begun.get(name)
         if begun is None:
             return None
-        return [{"name": s.name, "state": s.state, "why": s.why} for s in begun.steps]
+        return [{"name": s.node, "state": s.state, "why": s.why} for s in begun.steps]
 
 
 def _founding() -> int:
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -5,23 +5,36 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from sailrun.bad_config import BadConfig
+from sailrun.lasting import entries
 from sailrun.operator import read_operator, voters_follow
 from sailrun.owners.founding import founding_term
 from sailrun.owners.leases import Leases, best_placed
-from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Say, Want
+from sailrun.owners.messages import (
+    Ask,
+    Deny,
+    DrainRequest,
+    DrainStatus,
+    Grant,
+    Recall,
+    Recalled,
+    Release,
+    Say,
+    Want,
+)
 from sailrun.owners.pace import LENT_US, PaceCoordinator, PaceShare
 from sailrun.owners.permits import DRAIN, OUT, PermitCoordinator, PermitHolder
 from sailrun.owners.quorum import Voters
 from sailrun.owners.reader import Reading
+from sailrun.owners.rolling_drain import RollingDrains
 from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
 from sailrun.owners.voter import Voter, abstain_us
-from sailrun.owners.walk import Walks
 
 SECOND = 1_000_000
 TERMS = OwnersTerms(enabled=True, voters=("a", "b", "c"))
@@ -266,33 +279,43 @@
 def test_a_walk_goes_on_with_the_same_name_and_drains_nobody_twice() -> None:
     coordinator = open_coordinator(0)
     holders = {name: PermitHolder(PERMITS) for name in "abc"}
-    walks = {name: Walks(name, holder) for name, holder in holders.items()}
+    drains = {name: RollingDrains(name, holder) for name, holder in holders.items()}
     drained: list[str] = []
 
     def play(now_us: int) -> None:
-        for to, word in walks["a"].turn(now_us):
-            walks["a"].told(now_us, to, walks[to].asked(now_us, word))
+        for to, word in drains["a"].turn(now_us):
+            drains["a"].told(now_us, to, drains[to].asked(now_us, word))
         for name, holder in holders.items():
             for want in holder.turn(now_us):
                 holder.told(now_us, now_us, want, coordinator.asked(now_us, name, 1, want))
             for use in holder.uses:
-                walks[name].used(use)
+                drains[name].used(use)
             holder.uses.clear()
-            if walks[name].drain:
+            if drains[name].drain:
                 drained.append(name)
-            walks[name].drain = None
-            if walks[name].draining:
-                walks[name].standing(now_us, 0)
+            drains[name].drain = None
+            if drains[name].draining:
+                drains[name].standing(now_us, 0)
 
-    walks["a"].begin(0, "w", ["c", "a", "b"], SECOND)
+    drains["a"].begin(0, "w", ["c", "a", "b"], SECOND)
     for tenth in range(400):
         play(tenth * SECOND // 10)
-    assert walks["a"].begun["w"].over and drained == ["c", "a", "b"]
-    walks["a"].begun.clear()
-    walks["a"].begin(40 * SECOND, "w", ["c", "a", "b"], SECOND)
+    assert drains["a"].begun["w"].over and drained == ["c", "a", "b"]
+    drains["a"].begun.clear()
+    drains["a"].begin(40 * SECOND, "w", ["c", "a", "b"], SECOND)
     for tenth in range(400, 500):
         play(tenth * SECOND // 10)
-    assert drained == ["c", "a", "b"] and walks["a"].begun["w"].over
+    assert drained == ["c", "a", "b"] and drains["a"].begun["w"].over
+
+
+def test_a_rolling_drain_keeps_its_older_names_on_the_wire_and_on_the_disk() -> None:
+    """Nodes of other versions, folders and scripts know them."""
+    messages = (DrainRequest("w", 5), DrainStatus("w", "queued", "why"))
+    assert list(map(msgspec.to_builtins, messages)) == [["walk", "w", 5], ["walking", "w", "queued", "why"]]
+    kept = (entries.Drained("w"), entries.DrainPlan("w", 5, ["a"]))
+    assert list(map(msgspec.to_builtins, kept)) == [["walked", "w"], ["planned", "w", 5, ["a"]]]
+    # What `sailrun lasting export` calls them.
+    assert [entry.__struct_fields__ for entry in kept] == [("walk",), ("walk", "for_us", "names")]
 
 
 # ---------------------------------------------------------------------- the reader, the pace, the file
