--- a/sailrun/owners/agent.py
+++ b/sailrun/owners/agent.py
@@ -2,27 +2,30 @@
 owners for.
 
 Pure: envelopes and the time come in, envelopes go out. `carrier.py` drives it by sockets, the laboratory in
-virtual time. The time is one clock of this process that goes on while the machine sleeps and is never set.
+virtual time. The time is one clock of this process that goes on while the machine sleeps and is never set, in
+microseconds.
+
+The agent joins its parts and passes messages to them; each part has a module of its own.
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any
+from collections.abc import Callable, Iterable
+from typing import Any, TypeVar
 
 import msgspec
 
 from sailrun.lasting.messages import Stand, Stood
 from sailrun.lasting.write_ahead_log import Done
-from sailrun.members.messages import Joined, MemberBody, Record, Refused, State
-from sailrun.members.swim import Change, Letter, Members
-from sailrun.members.terms import MembersTerms
+from sailrun.members.messages import MemberBody, Record, State
+from sailrun.members.swim import Members
+from sailrun.owners.agent_terms import AgentTerms
 from sailrun.owners.backing import Backing
-from sailrun.owners.envelope import MOST_CLAIMS, MOST_NEWS, Body, Envelope
+from sailrun.owners.change_log import ChangeLog, Note
+from sailrun.owners.envelope import Body, Envelope
 from sailrun.owners.lasting import Lasting
-from sailrun.owners.leases import CANDIDATES, Leases, OwnershipChange, best_placed
+from sailrun.owners.leases import Leases, OwnershipChange
 from sailrun.owners.messages import (
     Ask,
     Deny,
@@ -36,75 +39,31 @@
     Recalled,
     Refusal,
     Release,
-    Say,
-    Want,
     Yield,
 )
-from sailrun.owners.permits import OUT, PermitCoordinator, PermitHolder, Use
+from sailrun.owners.outgoing import Guard, Out, Outgoing
+from sailrun.owners.ownership import PACE, READER, Ownership
+from sailrun.owners.permit_part import PermitPart
 from sailrun.owners.permits import TASK as PERMITS
+from sailrun.owners.permits import PermitCoordinator, PermitHolder, Use
+from sailrun.owners.questions import Addressed, Asker, OnAnswer, Questions
 from sailrun.owners.quorum import Voters
 from sailrun.owners.rolling_drain import RollingDrains
-from sailrun.owners.terms import DRIFT, OwnersTerms, PermitsTerms, ReaderTerms
+from sailrun.owners.vote_part import VotePart
 from sailrun.owners.voter import Voter
 from sailrun.replica.replica import MARKS, Replica
-from sailrun.replica.terms import ReplicaTerms
-
-SECOND = 1_000_000
-READER = "roster/"  # and the data centre
-PACE = "pace"
-# Hearsay of who owns what is told so many times, to whoever a message goes to anyway.
-CLAIM_TIMES = 30
-# So many questions wait for answers at a time; the oldest make room.
-MOST_QUESTIONS = 4096
-
-
-@dataclass(frozen=True, slots=True)
-class Out:
-    """An envelope for an address. With a guard it may only be sent while this node owns that task under that
-    term: whoever sends looks at the clock once more, after any wait.
-    """
-
-    address: str
-    envelope: Envelope
-    to: str = ""
-    guard: tuple[str, int] | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class AgentTerms:
-    members: MembersTerms
-    owners: OwnersTerms
-    permits: PermitsTerms = field(default_factory=PermitsTerms)
-    reader: ReaderTerms = field(default_factory=ReaderTerms)
-    pace: bool = False
-    replica: ReplicaTerms = field(default_factory=ReplicaTerms)
 
+__all__ = ["PACE", "READER", "Agent", "AgentTerms", "Out"]
 
-@dataclass(slots=True)
-class _Asked:
-    task: str
-    content: Any
-    sent_us: int
-    done: Callable[[int, int, Any], None]  # now, when it was sent, what was answered
-    tries: int = 0
-
-
-@dataclass(slots=True)
-class Tallies:
-    """Counts since the process started."""
-
-    orders_sent: int = 0
-    orders_dropped: int = 0  # the term had ended before they were sent
-    orders_taken: int = 0
-    orders_refused: int = 0  # by this node, for their term
-    orders_late: int = 0  # by this node, for their age
-    bad_messages: int = 0
-    wrong_fleet: int = 0
-    changes: dict[str, int] = field(default_factory=dict)  # of owner, by why
+# Messages for members by name.
+Posts = Iterable[tuple[str, Any]]
+Item = TypeVar("Item")
 
 
 class Agent:
-    """`off`: safety rules that the laboratory switches off. `record` is told every act, for its checks."""
+    """`founding` gives the term that a fleet without any memory begins with. `off` names safety rules that
+    the laboratory switches off. `record` is told every act, for the laboratory's checks.
+    """
 
     def __init__(
         self,
@@ -117,46 +76,29 @@
         record: Callable[..., None] = lambda kind, **facts: None,
     ) -> None:
         self.terms, self._off, self._act = terms, off, record
-        chance = random.Random(seed)
-        self.members = Members(me, terms.members, chance.getrandbits(32), now_us)
+        self._now_us = now_us
         self.name, self.life, self.zone = me.name, me.life, me.zone
+        # Work that others do: who answers questions about a task, asked with the asker's name and content.
+        self.answers: dict[str, Callable[[int, str, Any], Any]] = {}
+        self.on_ownership_change: Callable[[int, OwnershipChange], None] = lambda now_us, change: None
+        self.on_use: Callable[[Use], None] = lambda use: None
+        chance = random.Random(seed)  # each part has its own number, always in this order
         self.voters = Voters(terms.owners, off)
-        self._founding = founding
+        self.members = Members(me, terms.members, chance.getrandbits(32), now_us)
         self.leases = Leases(me.name, self.voters, terms.owners, chance.getrandbits(32), now_us, off)
-        self.backing = Backing(
-            me.name, me.life, lambda: self.voters, lambda name: self.members.lives(name), record, off
-        )
-        self.voter = self._new_voter(now_us) if me.name in self.voters.all() else None
-        self.holder = PermitHolder(terms.permits) if terms.permits.enabled else None
+        self._change_log = ChangeLog(record)
+        self.tallies = self._change_log.tallies
+        self._ownership = Ownership(self.members, self.leases, me.zone, terms, self.tallies)
+        self._outgoing = Outgoing(lambda: self.terms.members.fleet, self.members, self.leases)
+        self.backing = Backing(me.name, me.life, lambda: self.voters, self.members.lives, record, off)
+        self._vote = VotePart(me.name, self.voters, terms.owners, self.backing, founding, now_us, off)
+        self._permits = PermitPart(terms.permits, self._change_log, off)
         self.rolling_drains = RollingDrains(me.name, self.holder)
         self.replica = self._new_replica(chance.getrandbits(32), now_us) if terms.replica.enabled else None
         self.backing.serve(lambda: self.voter, self.replica, self.rolling_drains)
-        self.permit_coordinator: PermitCoordinator | None = None
-        # Work that others do: who answers questions about a task, asked with the asker's name and content.
-        self.answers: dict[str, Callable[[int, str, Any], Any]] = {}
-        self.on_ownership_change: Callable[[int, OwnershipChange], None] = lambda now_us, change: None
-        self.on_use: Callable[[Use], None] = lambda use: None
-        self.tallies = Tallies()
-        self.notes: list[tuple[str, dict[str, object]]] = []  # for the log; emptied by whoever drives this
-        self._questions: dict[int, _Asked] = {}
-        self._number = chance.getrandbits(30) << 20
-        self._tasks: dict[str, list[str]] = {}
-        self._tasks_of = -1  # the members' version that they are of
-        self._in_touch = True
-        self._order_us = int(terms.owners.order_s * SECOND)
-        self._acted: dict[str, int] = {}  # until when a task was held, as last recorded
-        self._now_us = now_us
-
-    def _new_voter(self, now_us: int) -> Voter:
-        voter = Voter(self.name, self.voters, self.terms.owners, now_us, self._founding, self._off)
-        self.backing.back(voter)
-        return voter
+        self._questions = self._new_questions(chance.getrandbits(30) << 20)
 
     def _new_replica(self, seed: int, now_us: int) -> Replica:
-        def limit(kind: str) -> int | None:
-            permits = self.terms.permits
-            return permits.out if permits.enabled and kind == OUT else None
-
         return Replica(
             self.name,
             self.life,
@@ -164,7 +106,7 @@
             self.terms.members.fleet,
             self.members,
             lambda: self.voters,
-            limit,
+            lambda kind: self.terms.most_marks(kind),
             seed,
             now_us,
             self._off,
@@ -172,6 +114,39 @@
             self.backing.journal,
         )
 
+    def _new_questions(self, number: int) -> Questions:
+        return Questions(
+            Asker(self.name, self.life),
+            self.leases,
+            self._ownership,
+            self._answer,
+            self._heard_of,
+            self._change_log,
+            self.terms.owners.order_s,
+            number,
+            self._off,
+        )
+
+    @property
+    def notes(self) -> list[Note]:
+        """Lines for the log; the driver empties them."""
+        return self._change_log.notes
+
+    @property
+    def voter(self) -> Voter | None:
+        """None: this node does not vote."""
+        return self._vote.voter
+
+    @property
+    def holder(self) -> PermitHolder | None:
+        """The permits this node wants or holds; None: permits are off."""
+        return self._permits.holder
+
+    @property
+    def permit_coordinator(self) -> PermitCoordinator | None:
+        """The fleet's permits, while this node owns them."""
+        return self._permits.coordinator
+
     # ------------------------------------------------------------------ what outlasts the process
 
     def take_up(self, now_us: int, lasting: Lasting) -> None:
@@ -184,7 +159,7 @@
         outs = self._backed(*self.backing.wrote(now_us, done))
         return outs + self._changes(now_us)
 
-    def _backed(self, answers: Any, posts: Any) -> list[Out]:
+    def _backed(self, answers: Posts, posts: Posts) -> list[Out]:
         """Answers were held back as long as they had to be."""
         return [out for name, body in answers for out in self._deliver(name, body)] + self._posts(posts)
 
@@ -192,45 +167,19 @@
 
     def tasks(self) -> dict[str, list[str]]:
         """The tasks this node may own, with the best placed of the living members that may as well."""
-        if self.members.version != self._tasks_of:
-            self._tasks_of = self.members.version
-            living = self.members.living()
-            names = [r.name for r in living]
-            tasks = {}
-            if self.terms.permits.enabled:
-                tasks[PERMITS] = best_placed(PERMITS, names)
-            if self.terms.pace:
-                tasks[PACE] = best_placed(PACE, names)
-            if self.terms.replica.enabled:
-                tasks[MARKS] = best_placed(MARKS, names)
-            if self.terms.reader.enabled:
-                task = READER + self.zone
-                tasks[task] = best_placed(task, [r.name for r in living if r.zone == self.zone])
-            self._tasks = tasks
-        return self._tasks
+        return self._ownership.tasks()
 
     def owns(self, task: str, now_us: int) -> int:
-        """The term under which this node may act for the task now; 0: it may not, or rests.
-
-        An owner rests at first, until no order of the one before it is taken any more.
-        """
-        term = self.leases.holds(task, now_us)
-        rest_us = int(self._order_us * (1 + 3 * DRIFT))
-        if not term or now_us - self.leases.of(task).since_us < rest_us:
-            return 0
-        return term
+        """The term under which this node may act for the task now; 0: it may not, or rests at first."""
+        return self._ownership.owns(task, now_us)
 
-    def still(self, guard: tuple[str, int], now_us: int) -> bool:
+    def still(self, guard: Guard, now_us: int) -> bool:
         """Whether what was made under that term may still be sent."""
-        yes = self.leases.holds(guard[0], now_us) == guard[1]
-        if not yes:
-            self.tallies.orders_dropped += 1
-        return yes
+        return self._ownership.still(guard, now_us)
 
     def holder_of(self, task: str) -> str:
         """Hearsay: who owns the task; empty where none is known to live."""
-        holder = self.leases.of(task).holder
-        return holder if holder and self.members.lives(holder) else ""
+        return self._ownership.holder_of(task)
 
     # ------------------------------------------------------------------ what comes in
 
@@ -245,26 +194,28 @@
         outs: list[Out] = []
         if isinstance(body, MemberBody):
             sender = Record(name, life, envelope.incarnation, State.ALIVE, address)
-            outs = self._mail(self.members.hear(now_us, sender, body))
+            outs = self._outgoing.letters(self.members.hear(now_us, sender, body))
         elif not self.members.knows(name, life):
             return []
         if self.members.is_current(name, life):
             self.members.hear_news(now_us, envelope.news, name)
             for claim in envelope.claims:
-                self._claimed(now_us, claim.task, claim.term, claim.holder)
+                self._heard_of(now_us, claim.task, claim.term, claim.holder)
             if not isinstance(body, MemberBody):
                 outs += self._heard(now_us, name, life, body)
         return outs + self._changes(now_us)
 
-    def _claimed(self, now_us: int, task: str, term: int, holder: str) -> None:
+    def _heard_of(self, now_us: int, task: str, term: int, holder: str) -> None:
+        """Hearsay: a term of a task, and who owned it then, if that is known."""
         self.leases.heard_of(task, term, holder, now_us)
-        if self.voter is not None:
-            self.voter.heard_of(task, term)
+        self._vote.heard_of(task, term)
 
     def _heard(self, now_us: int, sender: str, life: int, body: Body) -> list[Out]:
         match body:
             case Ask() | Release() | Recall() | Recalled():
-                return self._voted(now_us, sender, life, body)
+                # One that was refused its name is no voter.
+                if self.members.joined:
+                    return self._posts(self._vote.hear(now_us, sender, life, body))
             case Grant():
                 self.leases.granted(now_us, sender, body)
             case Deny():
@@ -273,13 +224,13 @@
                 self.leases.yielded(now_us, body)
                 return self._turn_leases(now_us)
             case Question():
-                return self._questioned(now_us, sender, life, body)
+                return self._send(self._questions.questioned(now_us, Asker(sender, life), body))
             case Order():
-                return self._ordered(now_us, sender, body)
+                return self._send(self._questions.ordered(now_us, sender, body))
             case Refusal():
-                self._refused(now_us, body)
+                self._questions.refused(now_us, body)
             case NotMine():
-                return self._sent_on(now_us, sender, body)
+                return self._send(self._questions.sent_on(now_us, sender, body))
             case DrainRequest():
                 return self._post(sender, self.rolling_drains.asked(now_us, body))
             case DrainStatus():
@@ -292,127 +243,20 @@
                     return self._posts(self.replica.hear(now_us, sender, body))
         return []
 
-    def _voted(
-        self, now_us: int, sender: str, life: int, body: Ask | Release | Recall | Recalled
-    ) -> list[Out]:
-        """What concerns this node as a voter; one that was refused its name is none."""
-        voter = self.voter
-        if voter is None or not self.members.joined:
-            return []
-        match body:
-            case Ask():
-                return self._post(sender, voter.asked(now_us, sender, life, body))
-            case Release():
-                voter.released(sender, life, body)
-            case Recall():
-                if not body.lasts:
-                    self.backing.standing.forgot(sender, life)
-                return self._post(sender, voter.recall(body))
-            case Recalled():
-                voter.told(now_us, sender, body)
-        return []
+    # ------------------------------------------------------------------ questions and orders
 
-    # ------------------------------------------------------------------ orders
+    def ask(self, now_us: int, task: str, content: Any, done: OnAnswer) -> list[Out]:
+        """A question to a task's owner, whoever that is; see `Questions.ask`."""
+        return self._send(self._questions.ask(now_us, task, content, done))
 
-    def ask(self, now_us: int, task: str, content: Any, done: Callable[[int, int, Any], None]) -> list[Out]:
-        """A question to a task's owner, whoever that is. `done` is called with its answer, if one comes in
-        time and of no lower term than was heard of; else nothing is, and the question is to be asked again.
-        """
-        self._number += 1
-        while len(self._questions) >= MOST_QUESTIONS:
-            del self._questions[next(iter(self._questions))]
-        asked = self._questions[self._number] = _Asked(task, content, now_us, done)
-        return self._send_question(now_us, self._number, asked)
-
-    def _send_question(self, now_us: int, number: int, asked: _Asked) -> list[Out]:
-        task = asked.task
-        question = Question(task, self.leases.of(task).owned, number, asked.content)
-        holder = self.holder_of(task)
-        if holder == self.name or (not holder and self.leases.holds(task, now_us)):
-            return self._questioned(now_us, self.name, self.life, question)
-        if not holder:
-            names = [n for n in self.tasks().get(task, ())[:CANDIDATES] if n != self.name]
-            if not names:
-                return []
-            holder = names[(number + asked.tries) % len(names)]
-        return self._post(holder, question)
-
-    def _questioned(self, now_us: int, sender: str, life: int, question: Question) -> list[Out]:
-        self._claimed(now_us, question.task, question.term, "")
-        term = self.owns(question.task, now_us)
-        if not term:
-            if sender == self.name:
-                return []
-            lease = self.leases.of(question.task)
-            return self._post(sender, NotMine(question.task, lease.owned, lease.holder, question.number))
-        content = self._answer(now_us, question.task, term, sender, life, question.content)
-        if content is None:
-            return []
-        order = Order(question.task, term, question.number, content)
-        self._act("act", task=question.task, term=term, number=question.number, to=sender, made_us=now_us)
-        self.tallies.orders_sent += 1
-        if sender == self.name:
-            return self._ordered(now_us, self.name, order)
-        return self._post(sender, order, (question.task, term))
-
-    def _answer(self, now_us: int, task: str, term: int, sender: str, life: int, content: Any) -> Any:
+    def _answer(self, now_us: int, task: str, term: int, asker: Asker, content: Any) -> Any:
+        """As the owner of the task, under its term; None: there is no answer."""
         if task == PERMITS:
-            try:
-                want = msgspec.convert(content, Want)
-            except msgspec.ValidationError:
-                self.tallies.bad_messages += 1
-                return None
-            if self.permit_coordinator is None or self.permit_coordinator.term != term:
-                self.permit_coordinator = PermitCoordinator(self.terms.permits, term, now_us, self._off)
-            return msgspec.to_builtins(self.permit_coordinator.asked(now_us, sender, life, want))
+            return self._permits.answer(now_us, term, asker.name, asker.life, content)
         if task == MARKS:
-            return self.replica.answer(now_us, sender, content) if self.replica is not None else None
+            return self.replica.answer(now_us, asker.name, content) if self.replica is not None else None
         answer = self.answers.get(task)
-        return answer(now_us, sender, content) if answer is not None else None
-
-    def _ordered(self, now_us: int, sender: str, order: Order) -> list[Out]:
-        asked = self._questions.pop(order.number, None)
-        owned = self.leases.of(order.task).owned
-        late = asked is None or asked.task != order.task or now_us - asked.sent_us > self._order_us
-        if "fence" in self._off:
-            late, owned = False, 0
-        if late or order.term < owned:
-            if late:
-                self.tallies.orders_late += 1
-            else:
-                self.tallies.orders_refused += 1
-            self._act("refuse", task=order.task, term=order.term, number=order.number, late=late)
-            return (
-                self._post(sender, Refusal(order.task, owned, order.number, late))
-                if sender != self.name
-                else []
-            )
-        self.tallies.orders_taken += 1
-        self._act("take", task=order.task, term=order.term, number=order.number, of=sender)
-        self._claimed(now_us, order.task, order.term, sender)
-        if asked is not None:
-            asked.done(now_us, asked.sent_us, order.content)
-        return []
-
-    def _refused(self, now_us: int, refusal: Refusal) -> None:
-        lease = self.leases.of(refusal.task)
-        lease.refused += 1
-        self.notes.append(
-            ("order-refused", {"task": refusal.task, "term": refusal.term, "late": refusal.late})
-        )
-        self._claimed(now_us, refusal.task, refusal.term, "")
-
-    def _sent_on(self, now_us: int, sender: str, told: NotMine) -> list[Out]:
-        """Whom we asked does not own it: asked once more, of whom it names or of another candidate."""
-        asked = self._questions.get(told.number)
-        lease = self.leases.of(told.task)
-        self._claimed(now_us, told.task, told.term, told.holder)
-        if lease.holder == sender and told.term >= lease.owned:
-            lease.holder = ""
-        if asked is None or asked.tries >= CANDIDATES:
-            return []
-        asked.tries += 1
-        return self._send_question(now_us, told.number, asked)
+        return answer(now_us, asker.name, content) if answer is not None else None
 
     # ------------------------------------------------------------------ time
 
@@ -433,24 +277,26 @@
 
     def turn(self, now_us: int) -> list[Out]:
         self._now_us = now_us
-        outs = self._mail(self.members.turn(now_us))
+        outs = self._outgoing.letters(self.members.turn(now_us))
         if self.voter is not None and self.members.joined:
             outs += self._posts(self.voter.turn(now_us))
             outs += self._posts(self.backing.turn(now_us))
         if self.members.joined and not self.members.leaving:
             outs += self._turn_leases(now_us)
-        for number, asked in list(self._questions.items()):
-            if now_us - asked.sent_us <= self._order_us:
-                break
-            del self._questions[number]
-        if self.holder is not None:
-            for want in self.holder.turn(now_us):
-                outs += self._ask_permit(now_us, want)
+        self._questions.forget_late(now_us)
+        outs += self._turn_permits(now_us)
         outs += self._posts(self.rolling_drains.turn(now_us))
         if self.replica is not None and self.members.joined and not self.members.leaving:
             outs += self._turn_replica(now_us, self.replica)
         return outs + self._changes(now_us)
 
+    def _turn_leases(self, now_us: int) -> list[Out]:
+        return self._posts(self.leases.turn(now_us, self.tasks()))
+
+    def _turn_permits(self, now_us: int) -> list[Out]:
+        questions = self._permits.questions(now_us)
+        return [out for content, done in questions for out in self.ask(now_us, PERMITS, content, done)]
+
     def _turn_replica(self, now_us: int, replica: Replica) -> list[Out]:
         coordinator = replica.coordinator
         if coordinator is not None and coordinator.higher > coordinator.term:
@@ -458,41 +304,20 @@
             self.leases.heard_of(MARKS, coordinator.higher, "", now_us)
             self._changes(now_us)
         outs = self._posts(replica.turn(now_us, self.holder_of(MARKS)))
-        for op, done in self._emptied(replica.questions):
+        for op, done in _emptied(replica.questions):
             outs += self.ask(now_us, MARKS, msgspec.to_builtins(op), done)
-        self.notes += self._emptied(replica.sync.notes)
+        self._change_log.move_from(replica.sync.notes)
         return outs
 
-    def _turn_leases(self, now_us: int) -> list[Out]:
-        return self._posts(self.leases.turn(now_us, self.tasks()))
-
-    def _ask_permit(self, now_us: int, want: Want) -> list[Out]:
-        def answered(now_us: int, sent_us: int, content: Any) -> None:
-            try:
-                say = msgspec.convert(content, Say)
-            except msgspec.ValidationError:
-                self.tallies.bad_messages += 1
-                return
-            if self.holder is not None:
-                self.holder.told(now_us, sent_us, want, say)
-                wanted = self.holder.wanted.get((say.kind, say.subject))
-                if wanted is not None and wanted.state == "held":
-                    self._act("use", subject=f"{say.kind}/{say.subject}", until_us=wanted.until_us)
-
-        return self.ask(now_us, PERMITS, msgspec.to_builtins(want), answered)
-
     def leave(self, now_us: int) -> list[Out]:
         """In good order: what this node owns is handed over, permits are given back, and it is a member no
         more.
         """
         self._now_us = now_us
         outs = self._posts(self.leases.leave(now_us, self.tasks()))
-        if self.holder is not None:
-            for kind, subject in list(self.holder.wanted):
-                self.holder.give_back(now_us, kind, subject)
-            for want in self.holder.turn(now_us):
-                outs += self._ask_permit(now_us, want)
-        outs += self._mail(self.members.leave(now_us))
+        self._permits.give_all_back(now_us)
+        outs += self._turn_permits(now_us)
+        outs += self._outgoing.letters(self.members.leave(now_us))
         return outs + self._changes(now_us)
 
     def use_terms(self, now_us: int, terms: AgentTerms) -> None:
@@ -500,121 +325,66 @@
         if terms.owners != self.terms.owners:
             self.voters = Voters(terms.owners, self._off)
             self.leases.use(self.voters, terms.owners)
-            if self.name not in self.voters.all():
-                self.voter = None
-            elif self.voter is None:
-                self.voter = self._new_voter(now_us)
-            else:
-                self.voter.voters = self.voters
+            self._vote.use(now_us, self.voters, terms.owners)
             if self.replica is not None:
                 self.replica.use_voters(now_us)
-        if self.permit_coordinator is not None:
-            self.permit_coordinator.use(terms.permits)
+        self._permits.use(terms.permits)
+        self._ownership.use(terms)
         self.terms = terms
-        self._tasks_of = -1
+
+    # ------------------------------------------------------------------ what has changed
 
     def _changes(self, now_us: int) -> list[Out]:
         """Tells the log and the work what has changed."""
-        for change in self._emptied(self.members.changes):
-            self._note_change(change)
-        for ownership in self._emptied(self.leases.changes):
-            self._note_ownership(now_us, ownership)
-        for task, lease in self.leases.by_task.items():
-            if lease.until_us and self._acted.get(task) != lease.until_us:
-                self._acted[task] = lease.until_us
-                self._act("hold", task=task, term=lease.term, until_us=lease.until_us)
-        self.notes += self._emptied(self.backing.notes)
-        if self.holder is not None:
-            for use in self._emptied(self.holder.uses):
-                if not use.yes:
-                    self._act("unuse", subject=f"{use.kind}/{use.subject}")
-                self.notes.append(
-                    (
-                        "permit",
-                        {"kind": use.kind, "subject": use.subject, "yes": use.yes, "why": use.why or None},
-                    )
-                )
-                self.rolling_drains.used(use)
-                self.on_use(use)
-        if self._in_touch is not self.leases.in_touch(now_us):
-            self._in_touch = not self._in_touch
-            self.notes.append(
-                ("owners-in-touch" if self._in_touch else "owners-rest", {"voters": len(self.voters.all())})
-            )
+        for change in _emptied(self.members.changes):
+            self._change_log.member(change)
+        for ownership in _emptied(self.leases.changes):
+            self._ownership_changed(now_us, ownership)
+        self._change_log.held(self.leases)
+        self._change_log.move_from(self.backing.notes)
+        for use in _emptied(self.holder.uses) if self.holder is not None else ():
+            self._change_log.permit(use)
+            self.rolling_drains.used(use)
+            self.on_use(use)
+        self._change_log.in_touch(self.leases.in_touch(now_us), len(self.voters.all()))
         return []
 
-    @staticmethod
-    def _emptied(queue: list[Any]) -> list[Any]:
-        items = queue[:]
-        queue.clear()
-        return items
-
-    def _note_change(self, change: Change) -> None:
-        r = change.record
-        self.notes.append(
-            (
-                "member",
-                {
-                    "what": change.what,
-                    "name": r.name,
-                    "incarnation": r.incarnation,
-                    "at": r.address,
-                    "why": change.why or None,
-                },
-            )
-        )
-        self._act("member", what=change.what, name=r.name, life=r.life)
-
-    def _note_ownership(self, now_us: int, change: OwnershipChange) -> None:
+    def _ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
+        self._change_log.owner(change)
         if change.task == PERMITS:
-            self.permit_coordinator = (
-                PermitCoordinator(self.terms.permits, change.term, now_us, self._off) if change.mine else None
-            )
-        if not change.mine:
-            self._act("lost", task=change.task, term=change.term, why=change.why)
+            self._permits.ownership_changed(now_us, change)
         if change.task == MARKS and self.replica is not None:
             self.replica.turned(now_us, change.term if change.mine else 0)
-            self._acted.pop(change.task, None)
-        self.tallies.changes[change.why] = self.tallies.changes.get(change.why, 0) + 1
-        self.notes.append(
-            ("owner", {"task": change.task, "term": change.term, "mine": change.mine, "why": change.why})
-        )
+            self._change_log.record_hold_anew(change.task)
         self.on_ownership_change(now_us, change)
 
     # ------------------------------------------------------------------ what goes out
 
-    def _mail(self, letters: list[Letter]) -> list[Out]:
-        return [Out(x.address, self._envelope(x.body, x.record)) for x in letters]
+    def _send(self, messages: list[Addressed]) -> list[Out]:
+        return [out for one in messages for out in self._post(one.name, one.body, one.guard)]
 
-    def _posts(self, posts: Any) -> list[Out]:
+    def _posts(self, posts: Posts) -> list[Out]:
         outs: list[Out] = []
         for name, body in posts:
             if not isinstance(body, Ask) or self.leases.wants(body):
                 outs += self._post(name, body)
         return outs
 
-    def _post(self, name: str, body: Body, guard: tuple[str, int] | None = None) -> list[Out]:
+    def _post(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
         """To a member by name; a promise is held until the disk has what it rests on."""
         if self.backing.keeps_back(self._now_us, name, body):
             return []
         return self._deliver(name, body, guard)
 
-    def _deliver(self, name: str, body: Body, guard: tuple[str, int] | None = None) -> list[Out]:
+    def _deliver(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
         """To this node itself, at once."""
         if name == self.name:
             return self._heard(self._now_us, name, self.life, body)
-        record = self.members.record(name)
-        if record is None:
-            return []
-        return [Out(record.address, self._envelope(body), name, guard)]
-
-    def _envelope(self, body: Body, first: Record | None = None) -> Envelope:
-        me, members = self.members.me, self.members
-        # Hearsay rides on what members say anyway, and on nothing that must be small or soon.
-        light = isinstance(body, MemberBody) and not isinstance(body, Refused)
-        news = members.news(MOST_NEWS, first) if light else []
-        claims = self.leases.claims(MOST_CLAIMS, CLAIM_TIMES) if light else []
-        if isinstance(body, Joined):
-            # A newcomer may be a voter that has forgotten: it hears of every term there is.
-            claims = self.leases.known(MOST_CLAIMS)
-        return Envelope(self.terms.members.fleet, me.name, me.life, me.incarnation, body, news, claims)
+        return self._outgoing.message(name, body, guard)
+
+
+def _emptied(queue: list[Item]) -> list[Item]:
+    """What the queue held; it is empty then."""
+    items = queue[:]
+    queue.clear()
+    return items
--- a/sailrun/owners/carrier.py
+++ b/sailrun/owners/carrier.py
@@ -120,8 +120,8 @@
             now_us = boot_us()
             self._send(datagrams, self.agent.turn(now_us))
             self._send(datagrams, self.after(now_us))
-            for what, facts in self.agent.notes:
-                log(what, **facts)
+            for note in self.agent.notes:
+                log(note.what, **note.facts)
             self.agent.notes.clear()
 
     def _send(self, datagrams: socket.socket, outs: list[Out]) -> None:
--- /dev/null
+++ b/sailrun/owners/change_log.py
@@ -0,0 +1,77 @@
+"""What changed at one agent: lines for the operator's log, and acts for the laboratory's checks."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from sailrun.members.swim import Change
+from sailrun.owners.leases import Leases, OwnershipChange
+from sailrun.owners.permits import Use
+from sailrun.owners.tallies import Tallies
+
+
+class Note(NamedTuple):
+    """A line for the log: its name, and its fields."""
+
+    what: str
+    facts: dict[str, object]
+
+
+class ChangeLog:
+    """`act` is told the kind of every act, and its facts. The driver writes `notes` down and empties them."""
+
+    def __init__(self, act: Callable[..., None]) -> None:
+        self.act = act
+        self.tallies = Tallies()
+        self.notes: list[Note] = []
+        self._in_touch = True
+        self._held_until_us: dict[str, int] = {}  # until when a task was held, as last recorded
+
+    def add(self, what: str, /, **facts: object) -> None:
+        self.notes.append(Note(what, facts))
+
+    def move_from(self, notes: list[tuple[str, dict[str, object]]]) -> None:
+        """Takes over the lines of a part, which has none then."""
+        self.notes += [Note(*note) for note in notes]
+        notes.clear()
+
+    def member(self, change: Change) -> None:
+        record = change.record
+        self.add(
+            "member",
+            what=change.what,
+            name=record.name,
+            incarnation=record.incarnation,
+            at=record.address,
+            why=change.why or None,
+        )
+        self.act("member", what=change.what, name=record.name, life=record.life)
+
+    def owner(self, change: OwnershipChange) -> None:
+        if not change.mine:
+            self.act("lost", task=change.task, term=change.term, why=change.why)
+        self.tallies.changes[change.why] = self.tallies.changes.get(change.why, 0) + 1
+        self.add("owner", task=change.task, term=change.term, mine=change.mine, why=change.why)
+
+    def permit(self, use: Use) -> None:
+        if not use.yes:
+            self.act("unuse", subject=f"{use.kind}/{use.subject}")
+        self.add("permit", kind=use.kind, subject=use.subject, yes=use.yes, why=use.why or None)
+
+    def held(self, leases: Leases) -> None:
+        """Records until when this node owns its tasks, where that has changed."""
+        for task, lease in leases.by_task.items():
+            if lease.until_us and self._held_until_us.get(task) != lease.until_us:
+                self._held_until_us[task] = lease.until_us
+                self.act("hold", task=task, term=lease.term, until_us=lease.until_us)
+
+    def record_hold_anew(self, task: str) -> None:
+        """The next `held` records the task's end, whether it has changed or not."""
+        self._held_until_us.pop(task, None)
+
+    def in_touch(self, in_touch: bool, voters: int) -> None:
+        """Whether a majority of that many voters answers."""
+        if self._in_touch is not in_touch:
+            self._in_touch = in_touch
+            self.add("owners-in-touch" if in_touch else "owners-rest", voters=voters)
--- /dev/null
+++ b/sailrun/owners/outgoing.py
@@ -0,0 +1,57 @@
+"""Envelopes to other members: their addresses, the sender's identity, and the gossip that rides along."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from sailrun.members.messages import Joined, MemberBody, Record, Refused
+from sailrun.members.swim import Letter, Members
+from sailrun.owners.envelope import MOST_CLAIMS, MOST_NEWS, Body, Envelope
+from sailrun.owners.leases import Leases
+
+# A change of owner is gossiped so many times, on messages that go out anyway.
+CLAIM_TIMES = 30
+# A task, and the term under which the sender has to own it yet when the message leaves.
+Guard = tuple[str, int]
+
+
+@dataclass(frozen=True, slots=True)
+class Out:
+    """An envelope for an address. With a guard it may only be sent while this node owns that task under that
+    term: whoever sends looks at the clock once more, after any wait.
+    """
+
+    address: str
+    envelope: Envelope
+    to: str = ""
+    guard: Guard | None = None
+
+
+class Outgoing:
+    """Puts messages into envelopes of this node. `fleet` gives the fleet's name."""
+
+    def __init__(self, fleet: Callable[[], str], members: Members, leases: Leases) -> None:
+        self._fleet, self._members, self._leases = fleet, members, leases
+
+    def letters(self, letters: list[Letter]) -> list[Out]:
+        """The membership protocol's own messages, which go by address."""
+        return [Out(letter.address, self._envelope(letter.body, letter.record)) for letter in letters]
+
+    def message(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
+        """To a member by name; empty where its address is not known."""
+        record = self._members.record(name)
+        if record is None:
+            return []
+        return [Out(record.address, self._envelope(body), name, guard)]
+
+    def _envelope(self, body: Body, first: Record | None = None) -> Envelope:
+        me = self._members.me
+        # Gossip rides on what members say anyway, and on nothing that must be small or soon.
+        light = isinstance(body, MemberBody) and not isinstance(body, Refused)
+        news = self._members.news(MOST_NEWS, first) if light else []
+        claims = self._leases.claims(MOST_CLAIMS, CLAIM_TIMES) if light else []
+        if isinstance(body, Joined):
+            # A newcomer may be a voter that has forgotten: it hears of every term there is.
+            claims = self._leases.known(MOST_CLAIMS)
+        return Envelope(self._fleet(), me.name, me.life, me.incarnation, body, news, claims)
--- /dev/null
+++ b/sailrun/owners/ownership.py
@@ -0,0 +1,79 @@
+"""Which tasks of the fleet this node may own, and whether it may act for one now."""
+
+from __future__ import annotations
+
+from sailrun.members.swim import Members
+from sailrun.owners.agent_terms import AgentTerms
+from sailrun.owners.leases import Leases, best_placed
+from sailrun.owners.outgoing import Guard
+from sailrun.owners.permits import TASK as PERMITS
+from sailrun.owners.tallies import Tallies
+from sailrun.owners.terms import DRIFT
+from sailrun.replica.replica import MARKS
+
+SECOND = 1_000_000
+READER = "roster/"  # and the data centre
+PACE = "pace"
+
+
+class Ownership:
+    """Times are microseconds of the clock that leases are counted by."""
+
+    def __init__(
+        self, members: Members, leases: Leases, zone: str, terms: AgentTerms, tallies: Tallies
+    ) -> None:
+        self._members, self._leases, self._zone = members, leases, zone
+        self._terms, self._tallies = terms, tallies
+        self._rest_us = int(int(terms.owners.order_s * SECOND) * (1 + 3 * DRIFT))
+        self._tasks: dict[str, list[str]] = {}
+        self._tasks_version = -1  # the version of the members that they were made of
+
+    def use(self, terms: AgentTerms) -> None:
+        """Takes over an operator's file that was read again."""
+        self._terms = terms
+        self._tasks_version = -1
+
+    def tasks(self) -> dict[str, list[str]]:
+        """The tasks this node may own, with the best placed of the living members that may as well."""
+        if self._members.version != self._tasks_version:
+            self._tasks_version = self._members.version
+            self._tasks = self._candidates()
+        return self._tasks
+
+    def _candidates(self) -> dict[str, list[str]]:
+        living = self._members.living()
+        names = [record.name for record in living]
+        tasks = {}
+        if self._terms.permits.enabled:
+            tasks[PERMITS] = best_placed(PERMITS, names)
+        if self._terms.pace:
+            tasks[PACE] = best_placed(PACE, names)
+        if self._terms.replica.enabled:
+            tasks[MARKS] = best_placed(MARKS, names)
+        if self._terms.reader.enabled:
+            task = READER + self._zone
+            tasks[task] = best_placed(task, [record.name for record in living if record.zone == self._zone])
+        return tasks
+
+    def owns(self, task: str, now_us: int) -> int:
+        """The term under which this node may act for the task now; 0: it may not, or rests.
+
+        An owner rests at first, until no order of the one before it is taken any more.
+        """
+        term = self._leases.holds(task, now_us)
+        if not term or now_us - self._leases.of(task).since_us < self._rest_us:
+            return 0
+        return term
+
+    def still(self, guard: Guard, now_us: int) -> bool:
+        """Whether what was made under that term may still be sent."""
+        task, term = guard
+        yes = self._leases.holds(task, now_us) == term
+        if not yes:
+            self._tallies.orders_dropped += 1
+        return yes
+
+    def holder_of(self, task: str) -> str:
+        """Hearsay: who owns the task; empty where none is known to live."""
+        holder = self._leases.of(task).holder
+        return holder if holder and self._members.lives(holder) else ""
--- /dev/null
+++ b/sailrun/owners/permit_part.py
@@ -0,0 +1,80 @@
+"""Both sides of permits at one node: what it wants as a client, and what it grants while it owns the task."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from sailrun.owners.change_log import ChangeLog
+from sailrun.owners.leases import OwnershipChange
+from sailrun.owners.messages import Say, Want
+from sailrun.owners.permits import PermitCoordinator, PermitHolder
+from sailrun.owners.questions import OnAnswer
+from sailrun.owners.terms import PermitsTerms
+
+
+class PermitPart:
+    """`off` names safety rules that the laboratory switches off."""
+
+    def __init__(self, terms: PermitsTerms, change_log: ChangeLog, off: frozenset[str]) -> None:
+        self._terms, self._change_log, self._off = terms, change_log, off
+        self.holder = PermitHolder(terms) if terms.enabled else None
+        self.coordinator: PermitCoordinator | None = None
+
+    def use(self, terms: PermitsTerms) -> None:
+        """Takes over an operator's file that was read again."""
+        self._terms = terms
+        if self.coordinator is not None:
+            self.coordinator.use(terms)
+
+    # ------------------------------------------------------------------ as the owner
+
+    def ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
+        self.coordinator = self._new_coordinator(now_us, change.term) if change.mine else None
+
+    def _new_coordinator(self, now_us: int, term: int) -> PermitCoordinator:
+        return PermitCoordinator(self._terms, term, now_us, self._off)
+
+    def answer(self, now_us: int, term: int, sender: str, life: int, content: Any) -> Any:
+        """The answer to a `Want` as it came in, under this node's term; None: it is none."""
+        try:
+            want = msgspec.convert(content, Want)
+        except msgspec.ValidationError:
+            self._change_log.tallies.bad_messages += 1
+            return None
+        if self.coordinator is None or self.coordinator.term != term:
+            self.coordinator = self._new_coordinator(now_us, term)
+        return msgspec.to_builtins(self.coordinator.asked(now_us, sender, life, want))
+
+    # ------------------------------------------------------------------ as a client
+
+    def questions(self, now_us: int) -> list[tuple[Any, OnAnswer]]:
+        """What is to be asked of the owner now, each with who is told the answer."""
+        wants = self.holder.turn(now_us) if self.holder is not None else []
+        return [(msgspec.to_builtins(want), self._on_answer(want)) for want in wants]
+
+    def _on_answer(self, want: Want) -> OnAnswer:
+        def answered(now_us: int, sent_us: int, content: Any) -> None:
+            try:
+                say = msgspec.convert(content, Say)
+            except msgspec.ValidationError:
+                self._change_log.tallies.bad_messages += 1
+                return
+            self._told(now_us, sent_us, want, say)
+
+        return answered
+
+    def _told(self, now_us: int, sent_us: int, want: Want, say: Say) -> None:
+        if self.holder is None:
+            return
+        self.holder.told(now_us, sent_us, want, say)
+        wanted = self.holder.wanted.get((say.kind, say.subject))
+        if wanted is not None and wanted.state == "held":
+            self._change_log.act("use", subject=f"{say.kind}/{say.subject}", until_us=wanted.until_us)
+
+    def give_all_back(self, now_us: int) -> None:
+        if self.holder is None:
+            return
+        for kind, subject in list(self.holder.wanted):
+            self.holder.give_back(now_us, kind, subject)
--- /dev/null
+++ b/sailrun/owners/questions.py
@@ -0,0 +1,182 @@
+"""Questions to the owners of tasks, and the orders that answer them.
+
+Nothing of an owner's comes but as an answer, so that the asker's own clock tells how old an order is. An
+order is taken if it answers a question that waits here, came in time, and is of no lower term than was heard
+of. An owner answers only while it may act under its term.
+
+Pure: messages and the time (microseconds) come in, messages for members go out.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from sailrun.owners.change_log import ChangeLog
+from sailrun.owners.leases import CANDIDATES, Leases
+from sailrun.owners.messages import NotMine, Order, Question, Refusal
+from sailrun.owners.outgoing import Guard
+from sailrun.owners.ownership import Ownership
+
+SECOND = 1_000_000
+# So many questions wait for answers at a time; the oldest make room.
+MOST_QUESTIONS = 4096
+# Told the time, when the question was sent, and what was answered.
+OnAnswer = Callable[[int, int, Any], None]
+
+
+@dataclass(frozen=True, slots=True)
+class Addressed:
+    """A message for a member by name; for `guard` see `Out`."""
+
+    name: str
+    body: Question | NotMine | Order | Refusal
+    guard: Guard | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Asker:
+    """Who asked a question: a member's name, and the number of its process."""
+
+    name: str
+    life: int
+
+
+@dataclass(slots=True)
+class _Asked:
+    task: str
+    content: Any
+    sent_us: int
+    done: OnAnswer
+    tries: int = 0
+
+
+class Questions:
+    """Both sides at one node: what it asks of owners, and what it answers as the owner.
+
+    `answer` gives the owner's answer to a question (now, its task, its term, who asked, the content); None:
+    there is none. `heard_of` is told of every term that is heard of. `number` is where the numbers of this
+    node's questions begin.
+    """
+
+    def __init__(
+        self,
+        me: Asker,
+        leases: Leases,
+        ownership: Ownership,
+        answer: Callable[[int, str, int, Asker, Any], Any],
+        heard_of: Callable[[int, str, int, str], None],
+        change_log: ChangeLog,
+        order_s: float,
+        number: int,
+        off: frozenset[str],
+    ) -> None:
+        self._me, self._leases, self._ownership = me, leases, ownership
+        self._answer, self._heard_of = answer, heard_of
+        self._change_log, self._tallies = change_log, change_log.tallies
+        self._order_us, self._number, self._off = int(order_s * SECOND), number, off
+        self._waiting: dict[int, _Asked] = {}
+
+    # ------------------------------------------------------------------ as the one that asks
+
+    def ask(self, now_us: int, task: str, content: Any, done: OnAnswer) -> list[Addressed]:
+        """A question to a task's owner, whoever that is. `done` is called with its answer, if one comes in
+        time and of no lower term than was heard of; else nothing is, and the question is to be asked again.
+        """
+        self._number += 1
+        while len(self._waiting) >= MOST_QUESTIONS:
+            del self._waiting[next(iter(self._waiting))]
+        asked = self._waiting[self._number] = _Asked(task, content, now_us, done)
+        return self._send(now_us, self._number, asked)
+
+    def _send(self, now_us: int, number: int, asked: _Asked) -> list[Addressed]:
+        task = asked.task
+        question = Question(task, self._leases.of(task).owned, number, asked.content)
+        holder = self._ownership.holder_of(task)
+        if holder == self._me.name or (not holder and self._leases.holds(task, now_us)):
+            return self.questioned(now_us, self._me, question)
+        if not holder:
+            others = self._ownership.tasks().get(task, ())[:CANDIDATES]
+            names = [name for name in others if name != self._me.name]
+            if not names:
+                return []
+            holder = names[(number + asked.tries) % len(names)]
+        return [Addressed(holder, question)]
+
+    def ordered(self, now_us: int, sender: str, order: Order) -> list[Addressed]:
+        """An answer has come: it is taken, or its sender is told that it is not."""
+        asked = self._waiting.pop(order.number, None)
+        owned = self._leases.of(order.task).owned
+        late = asked is None or asked.task != order.task or now_us - asked.sent_us > self._order_us
+        if "fence" in self._off:
+            late, owned = False, 0
+        if late or order.term < owned:
+            return self._refuse(sender, order, Refusal(order.task, owned, order.number, late))
+        self._tallies.orders_taken += 1
+        self._change_log.act("take", task=order.task, term=order.term, number=order.number, of=sender)
+        self._heard_of(now_us, order.task, order.term, sender)
+        if asked is not None:
+            asked.done(now_us, asked.sent_us, order.content)
+        return []
+
+    def _refuse(self, sender: str, order: Order, refusal: Refusal) -> list[Addressed]:
+        if refusal.late:
+            self._tallies.orders_late += 1
+        else:
+            self._tallies.orders_refused += 1
+        self._change_log.act(
+            "refuse", task=order.task, term=order.term, number=order.number, late=refusal.late
+        )
+        return [Addressed(sender, refusal)] if sender != self._me.name else []
+
+    def sent_on(self, now_us: int, sender: str, told: NotMine) -> list[Addressed]:
+        """Whom we asked does not own it: asked once more, of whom it names or of another candidate."""
+        asked = self._waiting.get(told.number)
+        lease = self._leases.of(told.task)
+        self._heard_of(now_us, told.task, told.term, told.holder)
+        if lease.holder == sender and told.term >= lease.owned:
+            lease.holder = ""
+        if asked is None or asked.tries >= CANDIDATES:
+            return []
+        asked.tries += 1
+        return self._send(now_us, told.number, asked)
+
+    def forget_late(self, now_us: int) -> None:
+        """Questions that no order would be in time for wait no longer."""
+        for number, asked in list(self._waiting.items()):
+            if now_us - asked.sent_us <= self._order_us:
+                break  # the others were sent later
+            del self._waiting[number]
+
+    # ------------------------------------------------------------------ as the owner
+
+    def questioned(self, now_us: int, asker: Asker, question: Question) -> list[Addressed]:
+        """A question has come: answered under this node's term, or sent on."""
+        self._heard_of(now_us, question.task, question.term, "")
+        term = self._ownership.owns(question.task, now_us)
+        if not term:
+            return self._send_on(asker, question)
+        content = self._answer(now_us, question.task, term, asker, question.content)
+        if content is None:
+            return []
+        order = Order(question.task, term, question.number, content)
+        self._change_log.act(
+            "act", task=order.task, term=term, number=order.number, to=asker.name, made_us=now_us
+        )
+        self._tallies.orders_sent += 1
+        if asker.name == self._me.name:
+            return self.ordered(now_us, self._me.name, order)
+        return [Addressed(asker.name, order, (question.task, term))]
+
+    def _send_on(self, asker: Asker, question: Question) -> list[Addressed]:
+        if asker.name == self._me.name:
+            return []
+        lease = self._leases.of(question.task)
+        return [Addressed(asker.name, NotMine(question.task, lease.owned, lease.holder, question.number))]
+
+    def refused(self, now_us: int, refusal: Refusal) -> None:
+        """An order of this node was not taken."""
+        self._leases.of(refusal.task).refused += 1
+        self._change_log.add("order-refused", task=refusal.task, term=refusal.term, late=refusal.late)
+        self._heard_of(now_us, refusal.task, refusal.term, "")
--- /dev/null
+++ b/sailrun/owners/vote_part.py
@@ -0,0 +1,73 @@
+"""This node's part as a voter, for as long as it is listed as one."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from sailrun.owners.backing import Backing
+from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release
+from sailrun.owners.quorum import Voters
+from sailrun.owners.terms import OwnersTerms
+from sailrun.owners.voter import Voter
+
+Post = tuple[str, Grant | Deny | Recalled]
+
+
+class VotePart:
+    """`founding` gives the term that a fleet without any memory begins with. `off` names safety rules that
+    the laboratory switches off.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        voters: Voters,
+        terms: OwnersTerms,
+        backing: Backing,
+        founding: Callable[[], int],
+        now_us: int,
+        off: frozenset[str],
+    ) -> None:
+        self._name, self._terms, self._backing = name, terms, backing
+        self._founding, self._off = founding, off
+        self.voter = self._new_voter(now_us, voters) if name in voters.all() else None
+
+    def _new_voter(self, now_us: int, voters: Voters) -> Voter:
+        voter = Voter(self._name, voters, self._terms, now_us, self._founding, self._off)
+        self._backing.back(voter)
+        return voter
+
+    def use(self, now_us: int, voters: Voters, terms: OwnersTerms) -> None:
+        """From now on these are the voters; this node may have become one, or be none any more."""
+        if self._name not in voters.all():
+            self.voter = None
+        elif self.voter is None:
+            self.voter = self._new_voter(now_us, voters)
+        else:
+            self.voter.voters = voters
+        self._terms = terms
+
+    def heard_of(self, task: str, term: int) -> None:
+        """Hearsay: a term of a task."""
+        if self.voter is not None:
+            self.voter.heard_of(task, term)
+
+    def hear(
+        self, now_us: int, sender: str, life: int, body: Ask | Release | Recall | Recalled
+    ) -> list[Post]:
+        """What candidates, and voters that have started, ask or tell a voter."""
+        voter = self.voter
+        if voter is None:
+            return []
+        match body:
+            case Ask():
+                return [(sender, voter.asked(now_us, sender, life, body))]
+            case Release():
+                voter.released(sender, life, body)
+            case Recall():
+                if not body.lasts:
+                    self._backing.standing.forgot(sender, life)
+                return [(sender, voter.recall(body))]
+            case Recalled():
+                voter.told(now_us, sender, body)
+        return []
