--- a/sailrun/lab/seeing.py
+++ b/sailrun/lab/seeing.py
@@ -9,20 +9,18 @@
 
 import heapq
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from itertools import accumulate, count
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from sailrun.interface import BackendState, Cause, Outcome
 from sailrun.lab.chance import Stream
-from sailrun.lab.form_servers import Phase
+from sailrun.lab.form_servers import FormServerModel, Phase
+from sailrun.lab.scheduler import Scheduler
 from sailrun.lab.terms import SECOND
 from sailrun.node.session import FormServer, FormSession, Placement
 
-if TYPE_CHECKING:
-    from sailrun.lab.virtual import VirtualDay
-
 # How often the world is looked at, and what is filled up to: over it a form server takes nobody new.
 LOOK_US, FULL = SECOND // 4, 0.92
 MOST_ATTEMPTS = 5
@@ -30,6 +28,20 @@
 LEAVE_US = 3 * SECOND // 2
 
 
+class Day(Protocol):
+    """What is looked at of a day in virtual time, `virtual.py`, which begins such nodes."""
+
+    @property
+    def time(self) -> Scheduler: ...
+
+    @property
+    def seed(self) -> int: ...
+
+    @property
+    def servers(self) -> Mapping[int, FormServerModel]:
+        """The true state of the form servers, by number."""
+
+
 @dataclass(frozen=True, slots=True)
 class Seen:
     """One form server, as it was when it was looked at. Loads and capacities in us of work a second."""
@@ -41,7 +53,7 @@
 class Eyes:
     """The true state, kept until it is old enough to be seen. One for the whole world."""
 
-    def __init__(self, day: VirtualDay, late_us: int) -> None:
+    def __init__(self, day: Day, late_us: int) -> None:
         self._day, self._late_us = day, late_us
         self._kept: deque[tuple[int, dict[int, Seen]]] = deque()
         self.seen: dict[int, Seen] = {}
@@ -65,7 +77,7 @@
 class SeeingNode:
     """In a node's place. It takes the calls of the core that the world makes, and only those."""
 
-    def __init__(self, day: VirtualDay, eyes: Eyes, index: int) -> None:
+    def __init__(self, day: Day, eyes: Eyes, index: int) -> None:
         self._day, self._eyes = day, eyes
         self._chance = Stream(day.seed, f"seeing-{index}-{day.time.now_us}")
         self._open: dict[str, tuple[FormSession, set[int]]] = {}  # asking, and where it was tried
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -161,6 +161,29 @@
 
         self.carrier.post(call)
 
+    # ------------------------------------------------------------------ for the copies
+
+    def call_soon(self, call: Callable[[int], None]) -> None:
+        """Has the agent's task call this with the time (microseconds)."""
+
+        def called(now_us: int) -> list[Out]:
+            call(now_us)
+            return []
+
+        self.carrier.post(called)
+
+    def living(self) -> set[str]:
+        """The names of the members that live, as far as is known."""
+        return set(self.agent.members.names)
+
+    def highest_term(self, task: str) -> int:
+        """The highest term under which anybody is known to have owned the task."""
+        return self.agent.leases.of(task).owned
+
+    def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
+        """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
+        self.agent.backing.when_kept(now_us, call)
+
     # ------------------------------------------------------------------ after each turn
 
     def _after(self, now_us: int) -> list[Out]:
--- a/sailrun/replica/service.py
+++ b/sailrun/replica/service.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 from sailrun.node.clock import log
 from sailrun.node.hearsay import Believed
@@ -21,8 +21,6 @@
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
-    from sailrun.owners.agent import Out
-    from sailrun.owners.service import FleetPart
 
 SECOND = 1_000_000
 # Beliefs are asked of the core, and given to it, this often; a mark of a form server that the core does not
@@ -32,12 +30,39 @@
 MOST_ANSWERS = 1000
 
 
+class Fleet(Protocol):
+    """What this part needs of the node's part in its fleet, `owners/service.py`, which makes it."""
+
+    @property
+    def permits(self) -> bool:
+        """Whether drains wait for permits."""
+
+    def ask_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
+        """`reply` is called with "" once the permit is in use, or with why it is not."""
+
+    def give_back(self, kind: str, subject: str) -> None: ...
+
+    def call_soon(self, call: Callable[[int], None]) -> None:
+        """Has the agent's task call this with the time (microseconds)."""
+
+    def living(self) -> set[str]:
+        """The names of the members that live, as far as is known."""
+
+    def highest_term(self, task: str) -> int:
+        """The highest term under which anybody is known to have owned the task."""
+
+    def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
+        """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
+
+
 def _unkept(answer: Answer) -> Answer:
     return replace(answer, why="not on the disk: it is gone with this process unless it has spread")
 
 
 class CopiesPart:
-    def __init__(self, node: Node, replica: Replica, fleet: FleetPart) -> None:
+    """Joins the core, the replica and the fleet's other services of one running node."""
+
+    def __init__(self, node: Node, replica: Replica, fleet: Fleet) -> None:
         self._node, self._replica, self._fleet = node, replica, fleet
         self._voice = Voice(replica.terms.belief_s)
         self._believe_us = 0
@@ -63,20 +88,20 @@
         self._believe_us = now_us + BELIEVE_US
         if not self._settled and not self._replica.stale(now_us):
             self._settled = True
-            self._node.out_by_hand(lambda names: self._fleet.carrier.post(self._settle(names)))
+            self._node.out_by_hand(lambda names: self._fleet.call_soon(self._settle(names)))
         for subject in sorted(self._unknown):
             self._out(subject, True)
-        self._node.believed(lambda believed: self._fleet.carrier.post(self._said(believed)))
+        self._node.believed(lambda believed: self._fleet.call_soon(self._said(believed)))
         self._hear_say(now_us)
 
     def begins_with(self, drains: bool) -> None:
         """What the node began with, by its folder: it drains already."""
         self._drains = drains
 
-    def _settle(self, names: frozenset[str]) -> Callable[[int], list[Out]]:
+    def _settle(self, names: frozenset[str]) -> Callable[[int], None]:
         """What a predecessor on this machine had out, and the fleet has put back since, goes back."""
 
-        def call(now_us: int) -> list[Out]:
+        def call(now_us: int) -> None:
             marked = {s.subject for s in self._replica.standings() if s.kind == OUT and s.on}
             for name in sorted(names - marked):
                 log("mark", kind=OUT, subject=name, on=False)
@@ -84,7 +109,6 @@
             own = (DRAIN, self._replica.name)
             if self._drains and own not in {(s.kind, s.subject) for s in self._replica.standings() if s.on}:
                 self._drain(False)
-            return []
 
         return call
 
@@ -108,19 +132,18 @@
 
     # ------------------------------------------------------------------ beliefs
 
-    def _said(self, believed: Believed) -> Callable[[int], list[Out]]:
-        def call(now_us: int) -> list[Out]:
+    def _said(self, believed: Believed) -> Callable[[int], None]:
+        def call(now_us: int) -> None:
             word = self._voice.word(now_us, believed.out, believed.setup_us)
             if word is not None and self._replica.sync.whole:
                 self._replica.believe(now_us, word)
-            return []
 
         return call
 
     def _hear_say(self, now_us: int) -> None:
         store = self._replica.store
         records = ((r, store.age_us(now_us, r.key)) for r in store.records(BELIEF))
-        living = set(self._fleet.agent.members.names)
+        living = self._fleet.living()
         out, setup_us = heard(records, living, self._replica.name, self._replica.terms.voices)
         if out or setup_us:
             self._node.hear_say(out, setup_us)
@@ -143,7 +166,7 @@
         op = Op(
             "mark",
             self._replica.new_id(),
-            self._fleet.agent.leases.of(MARKS).owned,
+            self._fleet.highest_term(MARKS),
             kind,
             subject,
             on,
@@ -170,17 +193,15 @@
             )
             reply(answer)
 
-        def call(now_us: int) -> list[Out]:
+        def call(now_us: int) -> None:
             if wait == "none":
                 made = self._replica.mark_here(now_us, op)
                 # Of a node that has a folder, it is there when that is said.
-                backing = self._fleet.agent.backing
-                backing.when_kept(now_us, lambda kept: answered(made if kept else _unkept(made)))
+                self._fleet.when_kept(now_us, lambda kept: answered(made if kept else _unkept(made)))
             else:
                 self._replica.mark(now_us, op, answered)
-            return []
 
-        self._fleet.carrier.post(call)
+        self._fleet.call_soon(call)
         return op.id
 
     def look(self, kind: str, subject: str, reply: Callable[[Any], None]) -> None:
@@ -193,11 +214,10 @@
                 else [{"id": m.id, "on": m.on and not gone, "who": m.who, "why": m.why} for m, gone in words]
             )
 
-        def call(now_us: int) -> list[Out]:
+        def call(now_us: int) -> None:
             self._replica.look(now_us, kind, subject, seen)
-            return []
 
-        self._fleet.carrier.post(call)
+        self._fleet.call_soon(call)
 
     def show(self, now_us: int, what: str) -> Any:
         """`state`, `state KIND` or `ranges`, as JSON would have it."""
