--- a/sailrun/control/desk.py
+++ b/sailrun/control/server.py
@@ -1,4 +1,4 @@
-"""Listens at the second address and answers one call a connection, also where nothing else gets a socket."""
+"""The control server: one call a connection at the second address, also where nothing else gets a socket."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     return {"id": id_, "state": made.state, "copies": made.copies, "of": made.of, "why": made.why}
 
 
-class Desk:
-    """The second address of one node."""
+class ControlServer:
+    """Answers the calls of operators to one node."""
 
     def __init__(
         self, node: Node, listener: socket.socket, fleet: Callable[[], FleetPart | None] = lambda: None
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -153,9 +153,9 @@
             listener = self._handed(key, config.amqp.listen) or listen(config.amqp.listen, shared)
             return amqp_door(self.node, listener, terms, self._descriptors)
         if key == "control" and config.control is not None:
-            from sailrun.control.desk import Desk
+            from sailrun.control.server import ControlServer
 
-            return Desk(self.node, listen(config.control), lambda: self._fleet)
+            return ControlServer(self.node, listen(config.control), lambda: self._fleet)
         return None
 
     def _handed(self, key: str, address: Address) -> socket.socket | None:
