--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -24,10 +24,10 @@
 from sailrun.node.aside import Aside
 from sailrun.node.clock import Clock, log
 from sailrun.node.counts import Counts, Figures
-from sailrun.node.hearsay import Believed, Hearsay
 from sailrun.node.leaving import Leaving, Reason
 from sailrun.node.parcel import Take
 from sailrun.node.passage import Held, State
+from sailrun.node.peer_beliefs import Beliefs, PeerBeliefs
 from sailrun.node.reply import Reply
 from sailrun.node.session import FormServer, FormSession, Placement, RosterNews, server_number
 from sailrun.node.tier import Tier
@@ -70,7 +70,7 @@
         self._out_by_hand: set[str] = set()  # form servers that staff took out, by name
         self._now = clock.now_us()
         self._module = Balancer(settings, seed, self._now)
-        self._hearsay = Hearsay(self._module, log)
+        self._peer_beliefs = PeerBeliefs(self._module, log)
         rounds = None
         if settings.peer_messages and settings.instances > 1:
             rounds = Rounds(settings.index, settings.instances, seed, self._now)
@@ -221,12 +221,12 @@
 
     # What nodes of a fleet tell each other.
 
-    def believed(self, reply: Reply[Believed]) -> None:
-        self._post(lambda: reply(self._hearsay.believed(self._now, self._form_servers)))
+    def beliefs(self, reply: Reply[Beliefs]) -> None:
+        self._post(lambda: reply(self._peer_beliefs.own(self._now, self._form_servers)))
 
-    def hear_say(self, out: dict[str, int], setup_us: int) -> None:
+    def hear_beliefs(self, out: dict[str, int], setup_us: int) -> None:
         """Form servers by name that others keep away from, with for how much longer (us)."""
-        self._post(self._hear_say, out, setup_us)
+        self._post(self._hear_beliefs, out, setup_us)
 
     # What passes between two processes that are one node.
 
@@ -685,9 +685,9 @@
                 self.aside(lambda rebalancer: rebalancer.listed(self._now, i.ListKind.DELTA, entries))
         return True
 
-    def _hear_say(self, out: dict[str, int], setup_us: int) -> None:
+    def _hear_beliefs(self, out: dict[str, int], setup_us: int) -> None:
         sound = [n for n, watch in self._watches.items() if self._now - watch.heard_us < 10 * SECOND]
-        event = self._hearsay.told(
+        event = self._peer_beliefs.told(
             self._now, {server_number(n): left for n, left in out.items()}, sound, setup_us
         )
         if event is not None:
--- a/sailrun/node/hearsay.py
+++ b/sailrun/node/peer_beliefs.py
@@ -1,6 +1,6 @@
 """What other nodes believe of form servers, brought to the decision module as what it could have learned
 itself: ejected for so long, and then on trial. It reads the module's own fields by the names that
-`sailrun/interface.py` lists, and decides nothing.
+`sailrun/interface.py` lists, and decides nothing. Its line in the log is `hearsay`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Believed:
+class Beliefs:
     """What a node believes itself: form servers that it keeps away from, with how much longer (us), and what
     a set-up usually takes (us); 0: it does not know.
     """
@@ -31,15 +31,15 @@
     setup_us: int
 
 
-class Hearsay:
+class PeerBeliefs:
     """This node's part: what it tells of itself, and what it takes from others."""
 
     def __init__(self, module: Balancer, log: Callable[..., None]) -> None:
         self._module, self._log = module, log
         self._until_us: dict[int, int] = {}  # by form server, how long hearsay kept it away
 
-    def believed(self, now_us: int, form_servers: dict[int, FormServer]) -> Believed:
-        """What is hearsay here is not told on: nobody is to hear his own word as another's."""
+    def own(self, now_us: int, form_servers: dict[int, FormServer]) -> Beliefs:
+        """What this node found out itself; what it heard of peers is not passed on, or it would come back."""
         learned = recollection.learned(self._module)
         out = {
             form_servers[one.id].name: one.ejected_until - now_us
@@ -49,7 +49,7 @@
             and one.ejected_until > self._until_us.get(one.id, 0)
         }
         pace = dict(zip(i.PACE, learned.pace, strict=True))
-        return Believed(out, int(pace["setup_us"]) if pace["sends"] else 0)
+        return Beliefs(out, int(pace["setup_us"]) if pace["sends"] else 0)
 
     def told(
         self, now_us: int, out: dict[int, int], sound: Collection[int], setup_us: int
--- a/sailrun/replica/service.py
+++ b/sailrun/replica/service.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from sailrun.node.clock import log
-from sailrun.node.hearsay import Believed
+from sailrun.node.peer_beliefs import Beliefs
 from sailrun.replica.beliefs import Voice, heard
 from sailrun.replica.marks import DRAIN, OUT
 from sailrun.replica.messages import Op
@@ -91,8 +91,8 @@
             self._node.out_by_hand(lambda names: self._fleet.call_soon(self._settle(names)))
         for subject in sorted(self._unknown):
             self._out(subject, True)
-        self._node.believed(lambda believed: self._fleet.call_soon(self._said(believed)))
-        self._hear_say(now_us)
+        self._node.beliefs(lambda beliefs: self._fleet.call_soon(self._said(beliefs)))
+        self._hear_beliefs(now_us)
 
     def begins_with(self, drains: bool) -> None:
         """What the node began with, by its folder: it drains already."""
@@ -132,21 +132,21 @@
 
     # ------------------------------------------------------------------ beliefs
 
-    def _said(self, believed: Believed) -> Callable[[int], None]:
+    def _said(self, beliefs: Beliefs) -> Callable[[int], None]:
         def call(now_us: int) -> None:
-            word = self._voice.word(now_us, believed.out, believed.setup_us)
+            word = self._voice.word(now_us, beliefs.out, beliefs.setup_us)
             if word is not None and self._replica.sync.whole:
                 self._replica.believe(now_us, word)
 
         return call
 
-    def _hear_say(self, now_us: int) -> None:
+    def _hear_beliefs(self, now_us: int) -> None:
         store = self._replica.store
         records = ((r, store.age_us(now_us, r.key)) for r in store.records(BELIEF))
         living = self._fleet.living()
         out, setup_us = heard(records, living, self._replica.name, self._replica.terms.voices)
         if out or setup_us:
-            self._node.hear_say(out, setup_us)
+            self._node.hear_beliefs(out, setup_us)
 
     # ------------------------------------------------------------------ staff
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -22,7 +22,7 @@
 from sailrun.members.messages import State
 from sailrun.members.swim import Members
 from sailrun.members.terms import MembersTerms
-from sailrun.node.hearsay import Hearsay
+from sailrun.node.peer_beliefs import PeerBeliefs
 from sailrun.owners.envelope import BadMessage, Envelope, pack, unpack
 from sailrun.owners.quorum import Voters
 from sailrun.owners.terms import OwnersTerms
@@ -588,15 +588,15 @@
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 21)))
     bad = 7
-    hearsay = Hearsay(relay.balancer, lambda *a, **k: None)
+    peers = PeerBeliefs(relay.balancer, lambda *a, **k: None)
 
-    def hear_say(n: int) -> None:
+    def hear_beliefs(n: int) -> None:
         if hearsay_again_us is not None and n % 5 == 0:
-            event = hearsay.told(relay.now, {bad: 30 * SECOND - n * 200_000}, (), 10_000)
+            event = peers.told(relay.now, {bad: 30 * SECOND - n * 200_000}, (), 10_000)
             if event is not None:
                 relay.feed(event)
 
-    brought_up = ten_seconds(relay, bad, hear_say)
+    brought_up = ten_seconds(relay, bad, hear_beliefs)
     relay.finish()
     sends = [backend for promise in relay.promises.values() for backend, _ in promise.sends]
     return sends.count(bad), brought_up
@@ -612,13 +612,13 @@
 def test_hearsay_never_keeps_away_from_much_nor_for_long_nor_from_who_answered_here() -> None:
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 10)))
-    hearsay = Hearsay(relay.balancer, lambda *a, **k: None)
-    event = hearsay.told(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND), {1}, 0)
+    peers = PeerBeliefs(relay.balancer, lambda *a, **k: None)
+    event = peers.told(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND), {1}, 0)
     assert event is not None
     relay.feed(event)
     away = relay.balancer.avoided(relay.now)
     assert len(away) == 3 and 1 not in away
-    assert hearsay.believed(relay.now, {}).out == {}
-    assert hearsay.told(relay.now + 12 * SECOND, {away[0]: 60 * SECOND}, (), 0) is None  # tried first
+    assert peers.own(relay.now, {}).out == {}
+    assert peers.told(relay.now + 12 * SECOND, {away[0]: 60 * SECOND}, (), 0) is None  # tried first
     relay.advance(10 * SECOND)
     assert relay.balancer.avoided(relay.now) == []
