--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -416,7 +416,8 @@
         node = Node(settings, seed, VirtualClock(self.time), known, log, passed)
         node.roster, node.neighbours = NodeRoster(self, slot), Datagrams(self, slot)
         if self._rebalance.enabled:
-            node.aside.rebalancer = watched = WatchedRebalancer(self._rebalance, settings, self.time.now_us)
+            watched = WatchedRebalancer(self._rebalance, settings, self.time.now_us)
+            node.rebalancing.rebalancer = watched
             watched.moved = slot.moved = {}
         self._run_node(slot, node, passed)
 
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -21,13 +21,13 @@
 from sailrun.decide import Balancer
 from sailrun.fleet.rounds import Holding, Outgoing, Rounds
 from sailrun.node.around import Neighbours, Prober, Roster
-from sailrun.node.aside import Aside
 from sailrun.node.clock import Clock, log
 from sailrun.node.counts import Counts, Figures
 from sailrun.node.leaving import Leaving, Reason
 from sailrun.node.parcel import Take
 from sailrun.node.passage import Held, State
 from sailrun.node.peer_beliefs import Beliefs, PeerBeliefs
+from sailrun.node.rebalancing import GuardedRebalancer
 from sailrun.node.reply import Reply
 from sailrun.node.session import FormServer, FormSession, Placement, RosterNews, server_number
 from sailrun.node.tier import Tier
@@ -63,7 +63,7 @@
         self.roster: Roster | None = None
         self.neighbours: Neighbours | None = None
         self.prober: Prober | None = None
-        self.aside = Aside(log)
+        self.rebalancing = GuardedRebalancer(log)
         self.counts = Counts(c.name for c in settings.classes)
         # Everybody is being sent away: to stop, for a drain, or to a successor.
         self.leaving = Leaving(max(c.deadline_us for c in settings.classes))
@@ -217,7 +217,7 @@
 
     def lend(self, share: float, reply: Reply[bool]) -> None:
         """This node's part of the fleet's pace of moves, 0 to 1; answers whether it moves any households."""
-        self._post(lambda: reply(self.aside.lend(share)))
+        self._post(lambda: reply(self.rebalancing.lend(share)))
 
     # What nodes of a fleet tell each other.
 
@@ -331,7 +331,7 @@
             case i.Refuse():
                 if (session := self._answerable(action.request)) is not None:
                     self._refuse(session, action.retry_after_us)
-                    self.aside(lambda rebalancer: rebalancer.refused(self._now))
+                    self.rebalancing(lambda rebalancer: rebalancer.refused(self._now))
             case i.Fail():
                 if (session := self._answerable(action.request)) is not None:
                     self._fail(session)
@@ -415,7 +415,7 @@
     def _asked(self, session: FormSession) -> None:
         self._sessions[session.id] = session
         if session.resumed_at is None:
-            self.aside(lambda rebalancer: rebalancer.arrived(self._now, session.returning))
+            self.rebalancing(lambda rebalancer: rebalancer.arrived(self._now, session.returning))
         if session.resumed_at is not None:
             named = self._form_servers.get(server_number(session.resumed_at))
             if named is not None and named.name == session.resumed_at:
@@ -453,7 +453,7 @@
         self._part(session)
         resumed = session.resumed_at is not None
         returned, took = session.returning and not resumed, None if resumed else took_us
-        self.aside(lambda rebalancer: self._stands_for(rebalancer, session, number, returned, took))
+        self.rebalancing(lambda rebalancer: self._stands_for(rebalancer, session, number, returned, took))
 
     def _written(self) -> None:
         self.counts.backend_calls += 1
@@ -466,9 +466,9 @@
         if stood:
             self._watches[number].sessions.pop(session.id, None)
             session.stands = False
-            self.aside(lambda rebalancer: rebalancer.ended(self._now, session.id, outcome))
+            self.rebalancing(lambda rebalancer: rebalancer.ended(self._now, session.id, outcome))
         elif outcome is i.Outcome.REJECTED:
-            self.aside(lambda rebalancer: rebalancer.turned_away(self._now, number))
+            self.rebalancing(lambda rebalancer: rebalancer.turned_away(self._now, number))
         session.placement = None
         if outcome not in (i.Outcome.REJECTED, i.Outcome.CONNECT_FAILED, i.Outcome.NOT_SENT):
             session.may_have_run = True
@@ -497,7 +497,7 @@
             self._feed(
                 i.AttemptNotice(session.id, session.placement.attempt, number, i.NoticeKind.LOAD, load)
             )
-            self.aside(lambda rebalancer: rebalancer.loaded(session.id, load))
+            self.rebalancing(lambda rebalancer: rebalancer.loaded(session.id, load))
 
     def _told_delay(self, session: FormSession, value_ms: float) -> None:
         if session.placement is None or not session.stands:
@@ -526,7 +526,7 @@
             self._form_servers[form_server.number] = form_server
         entries = tuple(s.as_backend() for s in news.form_servers)
         takes = tuple(self._as_it_takes(s) for s in news.form_servers)
-        self.aside(lambda rebalancer: rebalancer.listed(self._now, news.kind, takes))
+        self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, news.kind, takes))
         self._feed(i.ListUpdate(news.kind, news.revision, entries))
 
     def _as_it_takes(self, form_server: FormServer) -> i.Backend:
@@ -536,7 +536,7 @@
 
     def _roster_failed(self, why: str) -> None:
         self._log("roster-failed", why=why)
-        self.aside(lambda rebalancer: rebalancer.roster_lost(self._now))
+        self.rebalancing(lambda rebalancer: rebalancer.roster_lost(self._now))
         self._feed(i.ListUpdate(i.ListKind.FAILED))
 
     @property
@@ -560,7 +560,7 @@
         if outgoing is not None:
             self._tier_says(outgoing)
             return
-        self.aside(lambda rebalancer: rebalancer.heard(self._now, neighbour, content))
+        self.rebalancing(lambda rebalancer: rebalancer.heard(self._now, neighbour, content))
         self._feed(i.PeerMessage(neighbour, content))
 
     # ------------------------------------------------------------------ by the clock
@@ -585,7 +585,7 @@
                 self._feed(i.AttemptNotice(told.id, attempt, number, i.NoticeKind.DELAY, value))
             if watch.at_rest():
                 del self._talking[number]
-        self.aside(self._rebalance)
+        self.rebalancing(self._rebalance)
         if self._now >= self._pulse_us:
             self._pulse_us = self._now + PULSE_US
             self._pulse()
@@ -597,8 +597,8 @@
 
     def _rebalance_with(self, rebalancer: Rebalancer | None) -> None:
         """A new one is told what stands. Whom an old one has moved it can't know: all may be among them."""
-        old, self.aside.rebalancer = self.aside.rebalancer, rebalancer
-        self.aside(lambda one: self._tell_what_stands(one, old))
+        old, self.rebalancing.rebalancer = self.rebalancing.rebalancer, rebalancer
+        self.rebalancing(lambda one: self._tell_what_stands(one, old))
 
     def _tell_what_stands(self, rebalancer: Rebalancer, old: Rebalancer | None) -> None:
         entries = tuple(map(self._as_it_takes, self._form_servers.values()))
@@ -682,7 +682,7 @@
             self.on_staff("hand", [name, out])
             if (known := self._form_servers.get(server_number(name))) is not None:
                 entries = (self._as_it_takes(known),)
-                self.aside(lambda rebalancer: rebalancer.listed(self._now, i.ListKind.DELTA, entries))
+                self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, i.ListKind.DELTA, entries))
         return True
 
     def _hear_beliefs(self, out: dict[str, int], setup_us: int) -> None:
@@ -701,7 +701,7 @@
         elif self.leaving.withdraw(Reason.DRAIN):
             self._log("drain-over", sessions=len(self._standing()))
             if not self.leaving:
-                self.aside(lambda rebalancer: rebalancer.leave(False))
+                self.rebalancing(lambda rebalancer: rebalancer.leave(False))
         return True
 
     def _state(self) -> State:
@@ -725,7 +725,7 @@
         if session.unanswered:
             self._talking[number] = watch
         self._resume(session, number)
-        self.aside(lambda rebalancer: self._stands_for(rebalancer, session, number, True, None))
+        self.rebalancing(lambda rebalancer: self._stands_for(rebalancer, session, number, True, None))
         known = self._form_servers.get(number)
         if known is None or self._as_it_takes(known).state is not i.BackendState.READY:
             self._move(session.id, i.Cause.DRAINS)
@@ -780,7 +780,7 @@
 
     def _leave(self, reason: Reason) -> None:
         if self.leaving.begin(reason, self._now):
-            self.aside(lambda rebalancer: rebalancer.leave())
+            self.rebalancing(lambda rebalancer: rebalancer.leave())
             self._log("leaving", reason=reason.value, sessions=len(self._standing()))
 
     def _standing(self) -> list[FormSession]:
--- a/sailrun/node/aside.py
+++ b/sailrun/node/rebalancing.py
@@ -10,8 +10,8 @@
     from sailrun.rebalance.balance import Rebalancer
 
 
-class Aside:
-    """What only makes things better must not take the node down with it."""
+class GuardedRebalancer:
+    """Calls the rebalancer, and drops it after a fault: it is an improvement, and must not end the node."""
 
     def __init__(self, log: Callable[..., None]) -> None:
         self._log = log
