--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -20,13 +20,13 @@
 from sailrun import recollection
 from sailrun.decide import Balancer
 from sailrun.fleet.rounds import Holding, Outgoing, Rounds
-from sailrun.node.around import Neighbours, Prober, Roster
 from sailrun.node.clock import Clock, log
 from sailrun.node.counts import Counts, Figures
 from sailrun.node.leaving import Leaving, Reason
 from sailrun.node.parcel import Take
 from sailrun.node.passage import Held, State
 from sailrun.node.peer_beliefs import Beliefs, PeerBeliefs
+from sailrun.node.ports import Neighbours, Prober, Roster
 from sailrun.node.rebalancing import GuardedRebalancer
 from sailrun.node.reply import Reply
 from sailrun.node.session import FormServer, FormSession, Placement, RosterNews, server_number
--- a/sailrun/node/around.py
+++ b/sailrun/node/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of those around it. None of these calls waits."""
+"""The ports of the core: what it asks of the parts around it. None of these calls waits."""
 
 from __future__ import annotations
 
