--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -22,8 +22,8 @@
 from sailrun.lab.world import GAP_US, RESTART_US, RosterBook, Slot, World
 from sailrun.node.core import Node
 from sailrun.node.parcel import Take
-from sailrun.node.passage import State
 from sailrun.node.session import FormSession, Placement, RosterNews
+from sailrun.node.succession_state import NodeState
 from sailrun.rebalance.balance import Elsewhere, Orders, Rebalancer
 from sailrun.rebalance.terms import RebalanceTerms
 from sailrun.succession.handover import TELL_US
@@ -387,7 +387,7 @@
         self.rules.end(self.time.now_us)
         return self.checks()
 
-    def _start(self, slot: VirtualSlot, passed: State | None = None) -> None:
+    def _start(self, slot: VirtualSlot, passed: NodeState | None = None) -> None:
         if slot.index not in self._settings:
             self._settings[slot.index] = read_settings(self.terms.settings(slot.index))
         settings = self._settings[slot.index]
@@ -421,7 +421,7 @@
             watched.moved = slot.moved = {}
         self._run_node(slot, node, passed)
 
-    def _run_node(self, slot: VirtualSlot, node: Node, passed: State | None) -> None:
+    def _run_node(self, slot: VirtualSlot, node: Node, passed: NodeState | None) -> None:
         slot.node, slot.turn_us = node, None
         slot.admitted = slot.admitted or passed is None
         node.wake = lambda: self._arm(slot, self.time.now_us + self.terms.tick_us)
@@ -591,13 +591,13 @@
         self.note("replace", node=slot.index)
         old = slot.node
 
-        def passed(state: State) -> None:
+        def passed(state: NodeState) -> None:
             if slot.node is old:
                 self._succeed(slot, state)
 
         old.pass_on(passed)
 
-    def _succeed(self, slot: VirtualSlot, state: State) -> None:
+    def _succeed(self, slot: VirtualSlot, state: NodeState) -> None:
         old = slot.node
         assert old is not None
         before = VirtualSlot(slot.index, slot.zone)
--- a/sailrun/lasting/service.py
+++ b/sailrun/lasting/service.py
@@ -29,8 +29,8 @@
 from sailrun.lasting.write_ahead_log import Disk, Done, Work, WriteAheadLog
 from sailrun.lasting.writer import Writer
 from sailrun.node.clock import log
-from sailrun.node.passage import State
 from sailrun.node.session import RosterNews
+from sailrun.node.succession_state import NodeState
 from sailrun.replica.marks import DRAIN, OUT, keeps_out
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
         self._kicked = anyio.Event()
         self._learn_us = 0
         self._learned: e.Learned | None = None
-        self._learns: Callable[[State], None] = lambda state: None
+        self._learns: Callable[[NodeState], None] = lambda state: None
         self.drains = False  # the node began with a drain that a mark had said
         self._alone = False
         self._hand: e.Hand | None = None
@@ -142,7 +142,7 @@
                 await anyio.sleep_until(anyio.current_time() + TRY_S)
         return True
 
-    def passed(self, known: RosterNews, now_us: int, drains: bool) -> State:
+    def passed(self, known: RosterNews, now_us: int, drains: bool) -> NodeState:
         """What a node begins with, as if a predecessor had told it: what was out by hand is out before
         anybody is placed, and what was learned of the form servers in `known`, aged by its clock. `drains`:
         whether it drains where a mark said so.
@@ -158,7 +158,7 @@
             learned = beliefs.unpack(memory.learned.content, now_us, self.terms.half_life_s, listed)
         self.drains = drains and drain is not None and keeps_out(drain)
         by_hand = frozenset(memory.hand.out) if memory.hand is not None else frozenset()
-        return State(known, out | by_hand, self.drains, learned)
+        return NodeState(known, out | by_hand, self.drains, learned)
 
     def alone(self) -> None:
         """There is no fleet to write anything: what was learned of form servers is all."""
@@ -278,7 +278,7 @@
 
     # ------------------------------------------------------------------ what was learned of form servers
 
-    def _learn(self, state: State, now_us: int) -> None:
+    def _learn(self, state: NodeState, now_us: int) -> None:
         if state.learned is None or not self.open:
             return
         names = {s.number: s.name for s in state.roster.form_servers}
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -24,12 +24,12 @@
 from sailrun.node.counts import Counts, Figures
 from sailrun.node.leaving import Leaving, Reason
 from sailrun.node.parcel import Take
-from sailrun.node.passage import Held, State
 from sailrun.node.peer_beliefs import Beliefs, PeerBeliefs
 from sailrun.node.ports import Neighbours, Prober, Roster
 from sailrun.node.rebalancing import GuardedRebalancer
 from sailrun.node.reply import Reply
 from sailrun.node.session import FormServer, FormSession, Placement, RosterNews, server_number
+from sailrun.node.succession_state import HeldSessions, NodeState
 from sailrun.node.tier import Tier
 from sailrun.node.watch import ServerWatch
 
@@ -53,7 +53,7 @@
         clock: Clock,
         known: RosterNews,
         log: Callable[..., None] = log,
-        passed: State | None = None,
+        passed: NodeState | None = None,
     ) -> None:
         """`passed`: what a predecessor has told this process, which succeeds it."""
         self.clock = clock
@@ -230,10 +230,10 @@
 
     # What passes between two processes that are one node.
 
-    def pass_on(self, reply: Reply[State]) -> None:
+    def pass_on(self, reply: Reply[NodeState]) -> None:
         self._post(lambda: reply(self._state()))
 
-    def holds(self, reply: Reply[Held]) -> None:
+    def holds(self, reply: Reply[HeldSessions]) -> None:
         self._post(lambda: reply(self._held()))
 
     def succeeded(self, take: Take | None) -> None:
@@ -246,7 +246,7 @@
         """A session that stood with the predecessor stands here now."""
         self._post(self._adopted, session, placement)
 
-    def predecessor_holds(self, held: Held | None) -> None:
+    def predecessor_holds(self, held: HeldSessions | None) -> None:
         """None: it has ended."""
         self._post(self._predecessor_holds, held)
 
@@ -704,15 +704,15 @@
                 self.rebalancing(lambda rebalancer: rebalancer.leave(False))
         return True
 
-    def _state(self) -> State:
+    def _state(self) -> NodeState:
         listed = tuple(s for s in self._form_servers.values() if s.state is not i.BackendState.GONE)
         roster = RosterNews(i.ListKind.CACHED, self._revision, listed)
         draining = Reason.DRAIN in self.leaving
-        return State(roster, frozenset(self._out_by_hand), draining, recollection.learned(self._module))
+        return NodeState(roster, frozenset(self._out_by_hand), draining, recollection.learned(self._module))
 
-    def _held(self) -> Held:
+    def _held(self) -> HeldSessions:
         holding = Holding(*self._module.holding())
-        return Held(holding.loads, holding.connections, holding.told)
+        return HeldSessions(holding.loads, holding.connections, holding.told)
 
     def _adopted(self, session: FormSession, placement: Placement) -> None:
         number = placement.form_server.number
@@ -767,7 +767,7 @@
         elif self.leaving.withdraw(Reason.SUCCEEDED):
             self._log("successor-lost", sessions=len(self._standing()))
 
-    def _predecessor_holds(self, held: Held | None) -> None:
+    def _predecessor_holds(self, held: HeldSessions | None) -> None:
         self._tier.predecessor = held
         self._feed(self._tier.others_hold(self._now))
 
--- a/sailrun/node/passage.py
+++ b/sailrun/node/succession_state.py
@@ -1,4 +1,4 @@
-"""What a process tells the one that succeeds it, so that the two are one node."""
+"""The state that a process hands to the one that succeeds it, so that the two are one node."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class NodeState:
     """Told once, when the successor starts. Times are Unix microseconds of the machine's one clock."""
 
     roster: RosterNews
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class HeldSessions:
     """Told again and again: what the predecessor still holds."""
 
     loads: Mapping[int, float]  # by the form servers' numbers
--- a/sailrun/node/tier.py
+++ b/sailrun/node/tier.py
@@ -11,7 +11,7 @@
 from sailrun.fleet.digest import VERSION
 from sailrun.fleet.known import Others
 from sailrun.fleet.rounds import AGE_US, Holding, Outgoing, Rounds
-from sailrun.node.passage import Held
+from sailrun.node.succession_state import HeldSessions
 
 FLEET = bytes((VERSION,))
 # What is known of the others is told anew as it ages; should that fail to come, it ends.
@@ -26,7 +26,7 @@
         self._others: Others | None = None  # what the other nodes hold, for as long as that is known
         self._others_until_us = now_us
         self.news = False  # whether the last call brought a new sum
-        self.predecessor: Held | None = None  # what the process before this one still holds
+        self.predecessor: HeldSessions | None = None  # what the process before this one still holds
 
     def due_us(self) -> int | None:
         return self._rounds.due_us() if self._rounds is not None else None
--- a/sailrun/succession/handover.py
+++ b/sailrun/succession/handover.py
@@ -19,8 +19,8 @@
 from sailrun.node.core import Node
 from sailrun.node.leaving import Reason
 from sailrun.node.parcel import Parcel
-from sailrun.node.passage import State
 from sailrun.node.reply import answer_to
+from sailrun.node.succession_state import NodeState
 from sailrun.succession.link import MOST_SOCKETS, Doorstep, Link, hand, is_ours, knock, receive
 from sailrun.succession.rules import Succession
 from sailrun.succession.state import (
@@ -52,7 +52,7 @@
     """What a predecessor handed over."""
 
     link: Link
-    state: State | None  # None: what came was not usable
+    state: NodeState | None  # None: what came was not usable
     sockets: dict[str, socket.socket] = field(default_factory=dict)
 
     def socket_for(self, key: str, address: tuple[str, int]) -> socket.socket | None:
--- a/sailrun/succession/state.py
+++ b/sailrun/succession/state.py
@@ -14,8 +14,8 @@
 
 from sailrun import interface as i
 from sailrun.connection import show_address
-from sailrun.node.passage import Held, State
 from sailrun.node.session import FormServer
+from sailrun.node.succession_state import HeldSessions, NodeState
 from sailrun.roster import BadRoster, phase_of, read_news
 
 VERSION = 1
@@ -50,7 +50,7 @@
     return kind, content
 
 
-def write_state(state: State) -> dict[str, Any]:
+def write_state(state: NodeState) -> dict[str, Any]:
     learned = state.learned or i.Recalled((), (), {})
     return {
         "roster": {
@@ -83,7 +83,7 @@
     return None if isinstance(value, float) and math.isinf(value) else value
 
 
-def read_state(content: Any) -> State:
+def read_state(content: Any) -> NodeState:
     try:
         roster = read_news(content["roster"], cached=True)
         by_hand, draining = content["out_by_hand"], content["draining"]
@@ -104,7 +104,7 @@
         raise BadPassage("'out_by_hand' is no list of ids")
     if not isinstance(draining, bool):
         raise BadPassage("'draining' is neither true nor false")
-    return State(roster, frozenset(by_hand), draining, i.Recalled(backends, pace, class_load))
+    return NodeState(roster, frozenset(by_hand), draining, i.Recalled(backends, pace, class_load))
 
 
 def _finite(value: Any) -> float:
@@ -128,7 +128,7 @@
     return i.Learned(**given)
 
 
-def write_held(held: Held) -> dict[str, Any]:
+def write_held(held: HeldSessions) -> dict[str, Any]:
     loads = [[number, load] for number, load in held.loads.items() if load > 0]
     return {
         "loads": loads,
@@ -138,10 +138,10 @@
     }
 
 
-def read_held(content: Any) -> Held:
+def read_held(content: Any) -> HeldSessions:
     try:
         loads = {int(_finite(number)): _finite(load) for number, load in content["loads"]}
         connections, descriptors = int(content["connections"]), int(content["descriptors"])
-        return Held(loads, connections, content["told"] is True, descriptors)
+        return HeldSessions(loads, connections, content["told"] is True, descriptors)
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         raise BadPassage(f"not in its form: {error!r}") from None
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -19,9 +19,9 @@
 from hypothesis import strategies as st
 
 from sailrun import interface as i
-from sailrun.node.passage import Held, State
 from sailrun.node.session import FormServer as Entry
 from sailrun.node.session import RosterNews
+from sailrun.node.succession_state import HeldSessions, NodeState
 from sailrun.succession.rules import Role, Succession
 from sailrun.succession.state import BadPassage, pack, read_held, read_state, unpack, write_held, write_state
 from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, free_port, node
@@ -209,7 +209,7 @@
 SINCE = 1_700_000_000_000_000
 ENTRY = Entry("s-5be2a07c", ("127.0.0.1", 5000), i.BackendState.READY, "daejeon-1", 3, 1.5, SINCE)
 LEARNED = i.Learned(ENTRY.number, SINCE, 0, 5, 1, 0, 2, True, 3.5, 7, math.inf, 8, -1, 0.25, SINCE + 1)
-STATE = State(
+STATE = NodeState(
     RosterNews(i.ListKind.CACHED, 41, (ENTRY,)),
     frozenset({"s-5be2a07c", "s-gone"}),
     True,
@@ -220,7 +220,7 @@
 def test_a_state_comes_over_whole() -> None:
     kind, content = unpack(pack("state", write_state(STATE)))
     assert kind == "state" and read_state(content) == STATE
-    held = Held({ENTRY.number: 812.5}, 3, True, 40)
+    held = HeldSessions({ENTRY.number: 812.5}, 3, True, 40)
     assert read_held(unpack(pack("held", write_held(held)))[1]) == held
 
 
