--- a/sailrun/amqp/households.py
+++ b/sailrun/amqp/households.py
@@ -17,8 +17,8 @@
 from sailrun.interface import Outcome
 from sailrun.node.clock import log
 from sailrun.node.core import Node
-from sailrun.node.parcel import Take
 from sailrun.node.session import FormSession, Placement
+from sailrun.node.session_transfer import SendTransfer
 
 SECOND = 1_000_000
 # The properties of an attach that make it a request.
@@ -189,7 +189,7 @@
             self._moving = True
             self._front.group.start_soon(self._move)
 
-    def part(self, take: Take) -> None:
+    def hand_over(self, send: SendTransfer) -> None:
         """Links can't: the engine's side of the connection is in this process. They are moved."""
 
     # ------------------------------------------------------------------ the life of the link
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -21,8 +21,8 @@
 from sailrun.lab.terms import SECOND, WorldTerms
 from sailrun.lab.world import GAP_US, RESTART_US, RosterBook, Slot, World
 from sailrun.node.core import Node
-from sailrun.node.parcel import Take
 from sailrun.node.session import FormSession, Placement, RosterNews
+from sailrun.node.session_transfer import SendTransfer
 from sailrun.node.succession_state import NodeState
 from sailrun.rebalance.balance import Elsewhere, Orders, Rebalancer
 from sailrun.rebalance.terms import RebalanceTerms
@@ -101,7 +101,7 @@
     def fail(self) -> None:
         self._answer("failed", 0)
 
-    def part(self, take: Take) -> None:
+    def hand_over(self, send: SendTransfer) -> None:
         if self.server is not None:
             self.day.hand_over(self)
 
@@ -610,7 +610,7 @@
         old.roster, old.neighbours = NodeRoster(self, before), Datagrams(self, before)
         old.wake = lambda: self._arm(before, self.time.now_us + self.terms.tick_us)
         self._start(slot, state)
-        old.succeeded(lambda parcel: None)  # sessions go by `hand_over`
+        old.succeeded(lambda transfer: None)  # sessions go by `hand_over`
         self._arm(before, self.time.now_us + self.terms.tick_us)
         self.time.after(self.luck.below(6 * SECOND), old.leave)
         self._tell_held(before)
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -23,12 +23,12 @@
 from sailrun.node.clock import Clock, log
 from sailrun.node.counts import Counts, Figures
 from sailrun.node.leaving import Leaving, Reason
-from sailrun.node.parcel import Take
 from sailrun.node.peer_beliefs import Beliefs, PeerBeliefs
 from sailrun.node.ports import Neighbours, Prober, Roster
 from sailrun.node.rebalancing import GuardedRebalancer
 from sailrun.node.reply import Reply
 from sailrun.node.session import FormServer, FormSession, Placement, RosterNews, server_number
+from sailrun.node.session_transfer import SendTransfer
 from sailrun.node.succession_state import HeldSessions, NodeState
 from sailrun.node.tier import Tier
 from sailrun.node.watch import ServerWatch
@@ -90,7 +90,7 @@
         self.told_from_ms = self._slow_us / 1000 if settings.tells_delay else 0.0
         self._known, self._passed = known, passed
         self._revision = known.revision
-        self._take: Take | None = None  # hands a standing session to the successor
+        self._send_transfer: SendTransfer | None = None  # hands a standing session to the successor
         # Told of what staff ask of this process, where another one is to hear of it.
         self.on_staff: Callable[[str, Any], None] = lambda kind, content: None
         self.stopped = False
@@ -236,11 +236,11 @@
     def holds(self, reply: Reply[HeldSessions]) -> None:
         self._post(lambda: reply(self._held()))
 
-    def succeeded(self, take: Take | None) -> None:
-        """A successor takes the households from now on, and standing sessions by `take`; None: it is gone,
+    def succeeded(self, send: SendTransfer | None) -> None:
+        """A successor takes the households from now on, and standing sessions by `send`; None: it is gone,
         and they are this process's again.
         """
-        self._post(self._succeeded, take)
+        self._post(self._succeeded, send)
 
     def adopted(self, session: FormSession, placement: Placement) -> None:
         """A session that stood with the predecessor stands here now."""
@@ -450,7 +450,7 @@
             self._resume(session, number)
         else:
             self._feed(i.ConnectionOpened(session.id, placement.attempt, number, took_us))
-        self._part(session)
+        self._hand_over(session)
         resumed = session.resumed_at is not None
         returned, took = session.returning and not resumed, None if resumed else took_us
         self.rebalancing(lambda rebalancer: self._stands_for(rebalancer, session, number, returned, took))
@@ -743,12 +743,12 @@
             )
         )
 
-    def _part(self, session: FormSession) -> None:
+    def _hand_over(self, session: FormSession) -> None:
         """Hands a standing session to the successor, if there is one. Whom a drain sends away, the node's or
         its form server's, is moved from here: its time is under way.
         """
         if (
-            self._take is None
+            self._send_transfer is None
             or session.moved_for
             or Reason.DRAIN in self.leaving
             or session.placement is None
@@ -756,14 +756,14 @@
             return
         known = self._form_servers.get(session.placement.form_server.number)
         if known is not None and self._as_it_takes(known).state is i.BackendState.READY:
-            session.household.part(self._take)
+            session.household.hand_over(self._send_transfer)
 
-    def _succeeded(self, take: Take | None) -> None:
-        self._take = take
-        if take is not None:
+    def _succeeded(self, send: SendTransfer | None) -> None:
+        self._send_transfer = send
+        if send is not None:
             self._leave(Reason.SUCCEEDED)
             for session in self._standing():
-                self._part(session)
+                self._hand_over(session)
         elif self.leaving.withdraw(Reason.SUCCEEDED):
             self._log("successor-lost", sessions=len(self._standing()))
 
--- a/sailrun/node/session.py
+++ b/sailrun/node/session.py
@@ -13,7 +13,7 @@
 from sailrun.interface import Backend, BackendState, Cause, ListKind
 
 if TYPE_CHECKING:
-    from sailrun.node.parcel import Take
+    from sailrun.node.session_transfer import SendTransfer
 
 
 @lru_cache(maxsize=8192)
@@ -74,7 +74,7 @@
     def refuse(self, retry_after_us: int) -> None: ...
     def fail(self) -> None: ...
     def move(self) -> None: ...
-    def part(self, take: Take) -> None:
+    def hand_over(self, send: SendTransfer) -> None:
         """Hands the session over as it stands, once it is at rest; a front that can't leaves it alone."""
         ...
 
--- a/sailrun/node/parcel.py
+++ b/sailrun/node/session_transfer.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Parcel:
+class SessionTransfer:
     """A standing session on its way to the successor: its front's words for it, and its two sockets. They are
     this process's too until `settled` is set: then, if it has `gone`, they are the successor's alone.
     """
@@ -27,4 +27,4 @@
             self.settled.set()
 
 
-Take = Callable[[Parcel], None]  # sends a parcel, and has it settled whatever comes
+SendTransfer = Callable[[SessionTransfer], None]  # sends a transfer, and has it settled whatever comes
--- a/sailrun/platform/households.py
+++ b/sailrun/platform/households.py
@@ -16,8 +16,8 @@
 from sailrun.interface import BackendState, Outcome
 from sailrun.node.clock import log
 from sailrun.node.core import Node
-from sailrun.node.parcel import Parcel, Take
 from sailrun.node.session import FormServer, FormSession, Placement
+from sailrun.node.session_transfer import SendTransfer, SessionTransfer
 from sailrun.platform.figures import Figures, Load
 from sailrun.platform.lines import ANSWERS, ENDINGS, BadLine, Opening, load_told, parse_opening, word_of
 
@@ -88,7 +88,7 @@
         self._broken = False
         # Standing sessions only: what hands it to a successor; while it hears the household, and once it no
         # longer does.
-        self._take: Take | None = None
+        self._send_transfer: SendTransfer | None = None
         self._listening: anyio.CancelScope | None = None
         self._deaf = anyio.Event()
         self._placement: Placement | None = None
@@ -97,7 +97,7 @@
     def adopted(
         cls, front: Households, content: Any, sockets: Sequence[socket.socket]
     ) -> HouseholdConnection:
-        """What `_parcel` wrote, in another process."""
+        """What `_transfer` wrote, in another process."""
         try:
             household, server = sockets
             opening = parse_opening(content["line"].encode("latin-1"), front.classes)
@@ -124,7 +124,7 @@
         self._session.unanswered.extend(unanswered)
         return self
 
-    def _parcel(self, server: Connection) -> Parcel:
+    def _transfer(self, server: Connection) -> SessionTransfer:
         assert self._opening is not None and self._session is not None and self._placement is not None
         content = {
             "line": self._opening.line.decode("latin-1"),
@@ -136,7 +136,7 @@
             "held": self._household.peek().decode("latin-1"),
             "half_said": server.peek().decode("latin-1"),
         }
-        return Parcel(content, (self._household.sock, server.sock))
+        return SessionTransfer(content, (self._household.sock, server.sock))
 
     # ------------------------------------------------------------------ orders of the core
 
@@ -173,9 +173,9 @@
             if self._reading is not None:
                 self._reading.cancel()
 
-    def part(self, take: Take) -> None:
+    def hand_over(self, send: SendTransfer) -> None:
         if self._form_server is not None and not self._moving_since_us:
-            self._take = take
+            self._send_transfer = send
             for scope in (self._listening, self._reading):
                 if scope is not None:
                     scope.cancel()
@@ -361,7 +361,7 @@
     async def _listen(self) -> bool:
         """Waits for the household to say more; False once it has ended, or the session is handed over."""
         more = False
-        if self._take is None:
+        if self._send_transfer is None:
             with anyio.CancelScope() as self._listening:
                 more = await self._household.fill()
             self._listening = None
@@ -450,24 +450,24 @@
             server.stop_sending()  # and is read to its end when the household has parted
         return outcome
 
-    async def _handed_over(self, server: Connection, take: Take) -> bool:
+    async def _handed_over(self, server: Connection, send: SendTransfer) -> bool:
         """Whether the successor has the session now. Meanwhile nothing is read here; what was, is told."""
         # A move, or the household's end, does not wait for a line that can't go out.
         with anyio.CancelScope() as self._reading:
             await self._deaf.wait()
         self._reading = None
         if self._moving_since_us or self._household.ended or not self._deaf.is_set():
-            self._take = None
+            self._send_transfer = None
             if self._deaf.is_set() and not self._household.ended:
                 self._hear_again()
             return False
-        parcel = self._parcel(server)
-        take(parcel)
-        await parcel.settled.wait()
-        self._take = None
-        if not parcel.gone:
+        transfer = self._transfer(server)
+        send(transfer)
+        await transfer.settled.wait()
+        self._send_transfer = None
+        if not transfer.gone:
             self._hear_again()
-        return parcel.gone
+        return transfer.gone
 
     def _hear_again(self) -> None:
         self._deaf = anyio.Event()
@@ -542,7 +542,7 @@
                 return Outcome.CANCELLED
             if self._household.ended:
                 return Outcome.CANCELLED
-            if (take := self._take) is not None and await self._handed_over(server, take):
+            if (send := self._send_transfer) is not None and await self._handed_over(server, send):
                 self._reason = "handed-over"
                 return Outcome.CANCELLED
             scope = anyio.CancelScope()
--- a/sailrun/succession/handover.py
+++ b/sailrun/succession/handover.py
@@ -18,8 +18,8 @@
 from sailrun.node.clock import log
 from sailrun.node.core import Node
 from sailrun.node.leaving import Reason
-from sailrun.node.parcel import Parcel
 from sailrun.node.reply import answer_to
+from sailrun.node.session_transfer import SessionTransfer
 from sailrun.node.succession_state import NodeState
 from sailrun.succession.link import MOST_SOCKETS, Doorstep, Link, hand, is_ours, knock, receive
 from sailrun.succession.rules import Succession
@@ -271,8 +271,8 @@
     def __init__(self, link: Link) -> None:
         self.link = link
         self._lines: list[bytes] = []
-        self._parcels: deque[Parcel] = deque()
-        self._under_way: dict[int, Parcel] = {}
+        self._transfers: deque[SessionTransfer] = deque()
+        self._under_way: dict[int, SessionTransfer] = {}
         self._number = 0
         self._news = anyio.Event()
         self._over = False
@@ -281,18 +281,18 @@
         self._lines.append(pack(kind, content))
         self._news.set()
 
-    def send(self, parcel: Parcel) -> None:
+    def send(self, transfer: SessionTransfer) -> None:
         """A session; it is settled once the other process has said whether it took it, or has ended."""
         if self._over:
-            parcel.settle(False)
+            transfer.settle(False)
             return
-        self._parcels.append(parcel)
+        self._transfers.append(transfer)
         self._news.set()
 
     def settle(self, number: Any, gone: bool) -> None:
-        parcel = self._under_way.pop(number, None) if isinstance(number, int) else None
-        if parcel is not None:
-            parcel.settle(gone)
+        transfer = self._under_way.pop(number, None) if isinstance(number, int) else None
+        if transfer is not None:
+            transfer.settle(gone)
             self._news.set()
 
     async def write(self) -> None:
@@ -301,17 +301,17 @@
             self._news = anyio.Event()
             lines, self._lines = self._lines, []
             await self.link.write(b"".join(lines))
-            while self._parcels and len(self._under_way) < WINDOW:
-                parcel = self._parcels.popleft()
+            while self._transfers and len(self._under_way) < WINDOW:
+                transfer = self._transfers.popleft()
                 self._number += 1
-                self._under_way[self._number] = parcel
-                line = pack("session", {"number": self._number, "session": parcel.content})
-                await hand(self.link, line, parcel.sockets)
+                self._under_way[self._number] = transfer
+                line = pack("session", {"number": self._number, "session": transfer.content})
+                await hand(self.link, line, transfer.sockets)
 
     def close(self) -> None:
         self._over = True
-        for parcel in (*self._under_way.values(), *self._parcels):
-            parcel.settle(False)
+        for transfer in (*self._under_way.values(), *self._transfers):
+            transfer.settle(False)
         self.link.close()
 
 
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -10,8 +10,8 @@
 from sailrun.lab.scheduler import BEGIN_US, Scheduler, VirtualClock
 from sailrun.node.core import Node
 from sailrun.node.counts import Figures
-from sailrun.node.parcel import Take
 from sailrun.node.session import FormServer, FormSession, Placement, RosterNews
+from sailrun.node.session_transfer import SendTransfer
 from tests.stand_ins import SETTINGS
 
 SERVERS = tuple(FormServer(f"s-0000000{n}", ("", 0), BackendState.READY) for n in range(3))
@@ -31,7 +31,7 @@
 
     def withdraw(self, attempt: int) -> None: ...
     def move(self) -> None: ...
-    def part(self, take: Take) -> None: ...
+    def hand_over(self, send: SendTransfer) -> None: ...
 
     def refuse(self, retry_after_us: int) -> None:
         self.answers.append("busy")
