--- a/sailrun/owners/backing.py
+++ b/sailrun/owners/backing.py
@@ -1,8 +1,8 @@
 """What of a member outlasts its process: promises are held back until its folder has what they rest on and a
 majority knows so, and a voter goes by its folder once the others know of no newer one.
 
-Pure. The ledger knows what is on the disk (`lasting/ledger.py`), the standing what other voters know of this
-folder and of theirs (`lasting/standing.py`).
+Pure. The write-ahead log knows what is on the disk (`lasting/write_ahead_log.py`), the standing what other
+voters know of this folder and of theirs (`lasting/standing.py`).
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 from sailrun.lasting import entries as e
 from sailrun.lasting.folder import uncollected
-from sailrun.lasting.ledger import Done
 from sailrun.lasting.messages import Stand, Stood
 from sailrun.lasting.standing import Own, Standing, Trust
-from sailrun.owners.lasting import Book, Lasting, known_slots, replica_entries, voter_entries
+from sailrun.lasting.write_ahead_log import Done
+from sailrun.owners.lasting import Lasting, MemberJournal, known_slots, replica_entries, voter_entries
 from sailrun.owners.messages import Grant, Recalled
 from sailrun.owners.quorum import Voters
+from sailrun.owners.rolling_drain import RollingDrains
 from sailrun.owners.voter import Voter
-from sailrun.owners.walk import Walks
 from sailrun.replica.messages import Kept, Promised, Recovering
 from sailrun.replica.replica import Replica
 
@@ -48,7 +48,7 @@
         off: frozenset[str] = frozenset(),
     ) -> None:
         self._run, self._act, self._off = run, record, off
-        self.book = Book()
+        self.journal = MemberJournal()
         self.notes: list[tuple[str, dict[str, object]]] = []  # for the log; emptied by whoever drives this
         # What else is to be known after a restart; told by whoever drives this.
         self.aside: Callable[[], list[e.Entry]] = list
@@ -56,7 +56,7 @@
             name,
             lambda: voters().all(),
             lambda names: voters().majority(names),
-            self.book.noted,
+            self.journal.noted,
             (run & 0xFFFFFFFF) << 20,
             lives,
             off,
@@ -64,34 +64,36 @@
         self._lasting: Lasting | None = None
         self._voter: Callable[[], Voter | None] = lambda: None
         self._replica: Replica | None = None
-        self._walks: Walks | None = None
+        self._drains: RollingDrains | None = None
         self._untold: list[tuple[int, str, Any]] = []  # promises that wait for a majority to know of them
         self._begun_at = 0  # the entry that says in which life of the folder this process is
         self._trusted = Trust.LEARNS
 
     # ------------------------------------------------------------------ whom it is for
 
-    def serve(self, voter: Callable[[], Voter | None], replica: Replica | None, walks: Walks) -> None:
+    def serve(
+        self, voter: Callable[[], Voter | None], replica: Replica | None, drains: RollingDrains
+    ) -> None:
         """The parts whose state outlasts the process; who votes may change."""
-        self._voter, self._replica, self._walks = voter, replica, walks
-        walks.on_end, walks.on_plan = self.book.walked, self.book.planned
-        walks.on_done = lambda walk: self._act("walked", walk=walk)
-        walks.safe = self.ready
+        self._voter, self._replica, self._drains = voter, replica, drains
+        drains.on_end, drains.on_plan = self.journal.drained, self.journal.planned
+        drains.on_done = lambda name: self._act("walked", walk=name)
+        drains.safe = self.ready
 
     def back(self, voter: Voter) -> None:
         """A voter that has just been made writes down what it promises."""
-        voter.write_slot, voter.write_floor = self.book.slot, self.book.floor
-        voter.write_votes = self.book.votes
+        voter.write_slot, voter.write_floor = self.journal.slot, self.journal.floor
+        voter.write_votes = self.journal.votes
         voter.on_founded = lambda: self._act("founded", what="terms")
         voter.on_remembered = lambda: self._act("remembered", what="terms")
         voter.registered = lambda: self.standing.registered
-        voter.able = lambda: self._lasting is None or self._lasting.ledger.able
+        voter.able = lambda: self._lasting is None or self._lasting.write_ahead_log.able
         # What a folder has of another time as a voter may not be all: `take_up` comes after.
         self.standing.trust = self._trusted = Trust.LEARNS
 
     def ready(self, position: int) -> bool:
         """Whether everything up to that entry is on the disk, if there is any."""
-        return self._lasting is None or self._lasting.ledger.ready(position)
+        return self._lasting is None or self._lasting.write_ahead_log.ready(position)
 
     # ------------------------------------------------------------------ beginning
 
@@ -100,13 +102,13 @@
         whether they know of a newer one, and grants nothing before.
         """
         self._lasting, memory, sound = lasting, lasting.memory, lasting.sound
-        ledger = self.book.ledger = lasting.ledger
-        ledger.whole = self.whole
-        ledger.on_dropped = lambda answer: answer(False) if callable(answer) else None
-        own = Own(lasting.identity, self._run, memory.life + 1, lasting.loaded, ledger.synced)
+        wal = self.journal.write_ahead_log = lasting.write_ahead_log
+        wal.whole = self.whole
+        wal.on_dropped = lambda answer: answer(False) if callable(answer) else None
+        own = Own(lasting.identity, self._run, memory.life + 1, lasting.loaded, wal.synced)
         self.standing.take_up(own, sound, memory.notes)
         self._trusted = self.standing.trust
-        self._begun_at = self.book.begun(own.life, lasting.wall_s)
+        self._begun_at = self.journal.begun(own.life, lasting.wall_s)
         voter = self._voter()
         if voter is not None:
             voter.lasts = True
@@ -117,9 +119,9 @@
             for task, term in memory.highest().items():
                 voter.heard_of(task, term)
             self._act("folder", what="learning", of="terms")
-        if sound and self._walks is not None:
+        if sound and self._drains is not None:
             plans = [(p.walk, p.for_us, p.names) for p in memory.plans.values()]
-            self._walks.take_up(now_us, memory.walks, plans)
+            self._drains.take_up(now_us, memory.drained, plans)
         if sound and self._replica is not None:
             self._take_up_copy(now_us, self._replica, memory)
         if self.standing.trust is Trust.TRUSTED:
@@ -133,8 +135,8 @@
             facts: dict[str, object] = {"records": len(replica.store), "epoch": memory.epoch}
             self.notes.append(("copy-found", {**facts, "left": left or None}))
         keeps = memory.keeps
-        if replica.keeper is not None and keeps is not None:
-            replica.keeper.take_up(keeps.life, keeps.promised, keeps.lives, keeps.remembers)
+        if replica.acceptor is not None and keeps is not None:
+            replica.acceptor.take_up(keeps.life, keeps.promised, keeps.lives, keeps.remembers)
             if not keeps.remembers:
                 self._act("folder", what="learning", of="marks")
 
@@ -146,9 +148,9 @@
         if voter is not None:
             entries += voter_entries(voter)
         entries += self.standing.notes.values()
-        if self._walks is not None:
-            entries += (e.Walked(walk) for walk in self._walks.done())
-            entries += (e.Planned(*plan) for plan in self._walks.plans())
+        if self._drains is not None:
+            entries += (e.Drained(name) for name in self._drains.done())
+            entries += (e.DrainPlan(*plan) for plan in self._drains.plans())
         copied = replica_entries(self._replica) if self._replica is not None else []
         return chain(entries, self.aside(), copied)
 
@@ -158,15 +160,15 @@
         """Whether a message is held until the disk has what it rests on; where that fails, it never goes."""
         if self._lasting is None or not isinstance(body, PROMISES):
             return False
-        ledger, voter = self._lasting.ledger, self._voter()
-        position = ledger.position
+        wal, voter = self._lasting.write_ahead_log, self._voter()
+        position = wal.position
         if isinstance(body, Grant) and voter is not None:
             position = voter.position(body.task)  # a renewal rests on the grant alone
-        if ledger.ready(position):
+        if wal.ready(position):
             return self._waits_for_notes(position, name, body)
-        if ledger.able:
+        if wal.able:
             key = (name, type(body), body.term if isinstance(body, Grant) else body.number)
-            ledger.hold(now_us, position, key, (name, body))
+            wal.hold(now_us, position, key, (name, body))
         return True
 
     def _waits_for_notes(self, position: int, name: str, body: Any) -> bool:
@@ -177,7 +179,7 @@
         told = isinstance(body, TOLD) and self._voter() is not None and not self._off & {"generation", "sync"}
         if not told or own is None or self._lasting is None or self.standing.known(position):
             return False
-        own.synced = self._lasting.ledger.synced  # told to the others at the next turn
+        own.synced = self._lasting.write_ahead_log.synced  # told to the others at the next turn
         self._untold = [*self._untold[-MOST_UNTOLD:], (position, name, body)]
         return True
 
@@ -185,34 +187,34 @@
         """Calls with whether all that was written so far is on the disk: once it is, or at once where there
         is none, or it fails.
         """
-        ledger = self._lasting.ledger if self._lasting is not None else None
-        if ledger is None or ledger.ready(ledger.position):
+        wal = self._lasting.write_ahead_log if self._lasting is not None else None
+        if wal is None or wal.ready(wal.position):
             call(True)
-        elif not ledger.able:
+        elif not wal.able:
             call(False)
         else:
-            ledger.hold(now_us, ledger.position, call, call)
+            wal.hold(now_us, wal.position, call, call)
 
     def wrote(self, now_us: int, done: Done) -> tuple[list[Post], list[Post]]:
         """What became of the work of the disk; returns answers that may go out, and other posts."""
         assert self._lasting is not None
-        ledger = self._lasting.ledger
+        wal = self._lasting.write_ahead_log
         answers: list[Post] = []
-        for answer in ledger.done(now_us, done):
+        for answer in wal.done(now_us, done):
             if callable(answer):
                 answer(True)
                 continue
             name, body = answer
             if isinstance(body, TOLD) and self._voter() is not None:
                 if "generation" not in self._off:
-                    self._untold = [*self._untold[-MOST_UNTOLD:], (ledger.synced, name, body)]
+                    self._untold = [*self._untold[-MOST_UNTOLD:], (wal.synced, name, body)]
                     continue
-                self._act("promised", position=ledger.synced)
+                self._act("promised", position=wal.synced)
             answers.append((name, body))
         posts: list[Post] = []
         if self._untold and self.standing.own is not None:
             # Something is promised: a majority is to know how far the folder has come.
-            self.standing.own.synced = ledger.synced
+            self.standing.own.synced = wal.synced
             posts += self.standing.tell(now_us)
         return answers, posts
 
@@ -270,15 +272,15 @@
             elif standing.trust is Trust.LEARNED:
                 self._act("folder", what="learned")
         if standing.own.life != life:
-            self._begun_at = self.book.begun(standing.own.life, lasting.wall_s)
+            self._begun_at = self.journal.begun(standing.own.life, lasting.wall_s)
 
     def _trust(self) -> None:
         """Nobody knows of a newer folder: this voter has forgotten nothing of what that says it remembers."""
-        voter, keeper = self._voter(), self._replica.keeper if self._replica is not None else None
+        voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None and voter.may_remember:
             voter.trust()
-        if keeper is not None and keeper.may_remember:
-            keeper.trust()
+        if acceptor is not None and acceptor.may_remember:
+            acceptor.trust()
         self._act("folder", what="trusted")
         own = self.standing.own
         self.notes.append(("lasting-trusted", {"life": own.life if own is not None else None}))
@@ -293,13 +295,13 @@
         standing.begin_anew(lasting.identity)
         self._trusted = standing.trust
         self._untold.clear()  # promised by what is not gone by any more
-        lasting.ledger.renew(bytes.fromhex(lasting.identity))
-        voter, keeper = self._voter(), self._replica.keeper if self._replica is not None else None
+        lasting.write_ahead_log.renew(bytes.fromhex(lasting.identity))
+        voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None:
             voter.forget(now_us)
-        if keeper is not None:
-            keeper.may_remember = False
-            keeper.restart(now_us)
+        if acceptor is not None:
+            acceptor.may_remember = False
+            acceptor.restart(now_us)
         facts: dict[str, object] = {"why": standing.why_old, "loaded": lasting.loaded}
         if known is not None:
             facts |= {"known_life": known.life, "known_position": known.position}
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -27,11 +27,11 @@
 from sailrun.owners.clock import boot_us
 from sailrun.owners.founding import founding_term
 from sailrun.owners.lasting import Lasting
-from sailrun.owners.pace import PaceOffice, PaceShare
+from sailrun.owners.leases import OwnershipChange
+from sailrun.owners.pace import PaceCoordinator, PaceShare
 from sailrun.owners.permits import DRAIN, OUT, Use
 from sailrun.owners.permits import TASK as PERMITS
 from sailrun.owners.shared import SharedRoster
-from sailrun.owners.tenure import Turned
 from sailrun.replica.service import CopiesPart
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     from sailrun.shards.part import ShardsPart
 
 SECOND = 1_000_000
-# While a node drains for a walk, it is looked at this often whether it is empty.
+# While a node drains for a rolling drain, it is looked at this often whether it is empty.
 LOOK_US = 200_000
 # Two clocks are looked at within this, or once more.
 CLOCKS_US, CLOCKS_TRIES = 500, 10
@@ -87,13 +87,13 @@
         record = _record if terms.owners.record else _forget
         self.agent = Agent(me, terms, secrets.randbits(32), boot_us(), _founding, record=record)
         self.agent.on_use = self._used
-        self.agent.on_turned = self._turned
+        self.agent.on_ownership_change = self._ownership_changed
         self.carrier = Carrier(self.agent, split_address(told.listen), patient)
         self.carrier.after = self._after
         self._shared: SharedRoster | None = None
         self._by_hand: dict[str, bool] = {}  # form servers that a permit was asked for: whether it is in use
         self._waiting: dict[tuple[str, str], list[Callable[[str], None]]] = {}
-        self._pace_office: PaceOffice | None = None
+        self._pace_coordinator: PaceCoordinator | None = None
         self._pace = PaceShare()
         self._share, self._wants_pace = -1.0, False
         self._look_us = 0
@@ -119,7 +119,7 @@
         self.agent.take_up(
             boot_us(),
             Lasting(
-                lasting.ledger,
+                lasting.write_ahead_log,
                 lasting.identity,
                 found.memory,
                 found.sound is Sound.SOUND,
@@ -172,16 +172,39 @@
 
         self.carrier.post(call)
 
+    # ------------------------------------------------------------------ for the copies
+
+    def call_soon(self, call: Callable[[int], None]) -> None:
+        """Has the agent's task call this with the time (microseconds)."""
+
+        def called(now_us: int) -> list[Out]:
+            call(now_us)
+            return []
+
+        self.carrier.post(called)
+
+    def living(self) -> set[str]:
+        """The names of the members that live, as far as is known."""
+        return set(self.agent.members.names)
+
+    def highest_term(self, task: str) -> int:
+        """The highest term under which anybody is known to have owned the task."""
+        return self.agent.leases.of(task).owned
+
+    def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
+        """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
+        self.agent.backing.when_kept(now_us, call)
+
     # ------------------------------------------------------------------ after each turn
 
     def _after(self, now_us: int) -> list[Out]:
         outs: list[Out] = []
         if self._shared is not None:
             outs += self._shared.turn(now_us)
-        if self.agent.walks.drain is not None:
-            on, self.agent.walks.drain = self.agent.walks.drain, None
+        if self.agent.rolling_drains.drain is not None:
+            on, self.agent.rolling_drains.drain = self.agent.rolling_drains.drain, None
             self._node.drain(on, lambda done: None)
-        if self.agent.walks.draining and now_us >= self._look_us:
+        if self.agent.rolling_drains.draining and now_us >= self._look_us:
             self._look_us = now_us + LOOK_US
             self._node.figures(lambda figures: self._standing(figures.inflight))
         if self.agent.shards is not None:
@@ -203,19 +226,19 @@
 
     def _standing(self, sessions: int) -> None:
         def call(now_us: int) -> list[Out]:
-            self.agent.walks.standing(now_us, sessions)
+            self.agent.rolling_drains.standing(now_us, sessions)
             return []
 
         self.carrier.post(call)
 
-    def _turned(self, now_us: int, turned: Turned) -> None:
-        if turned.task == PACE:
-            self._pace_office = PaceOffice(turned.term, now_us) if turned.mine else None
+    def _ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
+        if change.task == PACE:
+            self._pace_coordinator = PaceCoordinator(change.term, now_us) if change.mine else None
 
     # ------------------------------------------------------------------ the rebalancer's pace
 
     def _lend(self, now_us: int, sender: str, content: Any) -> Any:
-        return self._pace_office.asked(now_us, sender) if self._pace_office is not None else None
+        return self._pace_coordinator.asked(now_us, sender) if self._pace_coordinator is not None else None
 
     def _ask_pace(self, now_us: int) -> list[Out]:
         share = self._pace.share(now_us)
@@ -309,15 +332,19 @@
 
         self.carrier.post(call)
 
-    def walk(self, walk: str, names: list[str], for_us: int, reply: Callable[[str], None]) -> None:
+    def begin_rolling_drain(
+        self, name: str, nodes: list[str], for_us: int, reply: Callable[[str], None]
+    ) -> None:
+        """`reply` is called with "" once it is begun, or with why it is not."""
+
         def call(now_us: int) -> list[Out]:
-            unknown = [n for n in names if not self.agent.members.lives(n)]
+            unknown = [n for n in nodes if not self.agent.members.lives(n)]
             if unknown:
                 reply(f"no member {', '.join(unknown[:5])}")
             elif self.agent.holder is None:
                 reply("permits are off")
             else:
-                self.agent.walks.begin(now_us, walk, names, for_us)
+                self.agent.rolling_drains.begin(now_us, name, nodes, for_us)
                 reply("")
             return []
 
@@ -326,7 +353,7 @@
     # ------------------------------------------------------------------ what staff see
 
     def show(self, what: str, reply: Callable[[Any], None]) -> None:
-        """`members`, `owners`, `permits`, `counts`, or a walk's name; as JSON would have it."""
+        """`members`, `owners`, `permits`, `counts`, or `walk NAME`: a rolling drain; as JSON has it."""
 
         def call(now_us: int) -> list[Out]:
             shown = {"members": self._members, "owners": self._owners, "permits": self._permits}
@@ -339,7 +366,7 @@
             elif what.startswith("shards"):
                 reply(self._shards(now_us, what.removeprefix("shards").strip()))
             else:
-                reply(self._walk(what.removeprefix("walk ")))
+                reply(self._rolling_drain(what.removeprefix("walk ")))
             return []
 
         self.carrier.post(call)
@@ -360,23 +387,23 @@
         ]
 
     def _owners(self, now_us: int) -> list[dict[str, Any]]:
-        tenures = self.agent.tenures.tenures
+        leases = self.agent.leases.by_task
         return [
             {
                 "task": task,
                 "holder": t.holder or None,
                 "term": t.owned,
-                "held": bool(self.agent.tenures.holds(task, now_us)),
+                "held": bool(self.agent.leases.holds(task, now_us)),
                 "ends_in_s": round((t.until_us - now_us) / SECOND, 3) if t.until_us else None,
                 "refused_orders": t.refused,
             }
-            for task, t in sorted(tenures.items())
+            for task, t in sorted(leases.items())
         ]
 
     def _permits(self, now_us: int) -> list[dict[str, Any]]:
-        holder, office = self.agent.holder, self.agent.office
-        if office is not None and self.agent.owns(PERMITS, now_us):
-            return office.table(now_us)
+        holder, coordinator = self.agent.holder, self.agent.permit_coordinator
+        if coordinator is not None and self.agent.owns(PERMITS, now_us):
+            return coordinator.table(now_us)
         return [
             {
                 "kind": w.kind,
@@ -401,7 +428,7 @@
             "strangers": members.stray,
             "slowness": members.slowness,
             "bytes_out": self.carrier.bytes_out,
-            "in_touch": self.agent.tenures.in_touch(boot_us()),
+            "in_touch": self.agent.leases.in_touch(boot_us()),
         }
 
     def _shards(self, now_us: int, node: str) -> dict[str, Any] | None:
@@ -409,11 +436,11 @@
         shards = self.agent.shards
         return shards.show(now_us, node) if shards is not None else None
 
-    def _walk(self, walk: str) -> Any:
-        begun = self.agent.walks.begun.get(walk)
+    def _rolling_drain(self, name: str) -> Any:
+        begun = self.agent.rolling_drains.begun.get(name)
         if begun is None:
             return None
-        return [{"name": s.name, "state": s.state, "why": s.why} for s in begun.steps]
+        return [{"name": s.node, "state": s.state, "why": s.why} for s in begun.steps]
 
 
 def _founding() -> int:
--- a/sailrun/shards/part.py
+++ b/sailrun/shards/part.py
@@ -10,9 +10,9 @@
 from typing import Any, Protocol
 
 from sailrun.members.messages import CONTROL, Record
+from sailrun.owners.leases import Leases, best_placed
 from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
 from sailrun.owners.quorum import Voters
-from sailrun.owners.tenure import Tenures, placed_best
 from sailrun.owners.terms import DRIFT, OwnersTerms
 from sailrun.owners.voter import Voter
 from sailrun.shards.assigner import Assigner
@@ -79,7 +79,7 @@
         self.task = f"shards/{region.name}"
         self._owners = region_owners(region, owners)
         self.voters = Voters(self._owners, off)
-        self.leases = Tenures(me.name, self.voters, self._owners, draw(SEED_BITS), now_us, off)
+        self.leases = Leases(me.name, self.voters, self._owners, draw(SEED_BITS), now_us, off)
         votes = me.name in region.voters
         self.voter = Voter(me.name, self.voters, self._owners, now_us, founding, off) if votes else None
         self.acceptor = TableAcceptor(region.name, me.life, off) if votes else None
@@ -106,7 +106,7 @@
             self._candidates_of = self._members.version
             living = [r for r in self._members.living() if r.region == self.region.name]
             control = [r for r in living if r.role == CONTROL]
-            self._candidates = placed_best(self.task, [r.name for r in control or living])
+            self._candidates = best_placed(self.task, [r.name for r in control or living])
         return {self.task: self._candidates}
 
     def is_assigner(self, now_us: int) -> bool:
@@ -295,16 +295,16 @@
 
     def _follow(self, now_us: int) -> list[Post]:
         """Becomes the assigner, or ceases to be, as the lease says; and does an assigner's work."""
-        for change in self._emptied(self.leases.turned):
+        for change in self._emptied(self.leases.changes):
             self.assigner = self._new_assigner(change.term, now_us) if change.mine else None
             facts = {"region": self.region.name, "term": change.term, "mine": change.mine, "why": change.why}
             self.notes.append(("shards-assigner", facts))
             if not change.mine:
                 self._act("lost", task=self.task, term=change.term, why=change.why)
-        tenure = self.leases.of(self.task)
-        if tenure.until_us and tenure.until_us != self._held_until_us:
-            self._held_until_us = tenure.until_us
-            self._act("hold", task=self.task, term=tenure.term, until_us=tenure.until_us)
+        lease = self.leases.of(self.task)
+        if lease.until_us and lease.until_us != self._held_until_us:
+            self._held_until_us = lease.until_us
+            self._act("hold", task=self.task, term=lease.term, until_us=lease.until_us)
         if self.assigner is None or not self.is_assigner(now_us):
             return []
         return self._work(now_us, self.assigner)
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -5,23 +5,36 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from sailrun.bad_config import BadConfig
+from sailrun.lasting import entries
 from sailrun.operator import read_operator, voters_follow
 from sailrun.owners.founding import founding_term
-from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Say, Want
-from sailrun.owners.pace import LENT_US, PaceOffice, PaceShare
-from sailrun.owners.permits import DRAIN, OUT, PermitHolder, PermitOffice
+from sailrun.owners.leases import Leases, best_placed
+from sailrun.owners.messages import (
+    Ask,
+    Deny,
+    DrainRequest,
+    DrainStatus,
+    Grant,
+    Recall,
+    Recalled,
+    Release,
+    Say,
+    Want,
+)
+from sailrun.owners.pace import LENT_US, PaceCoordinator, PaceShare
+from sailrun.owners.permits import DRAIN, OUT, PermitCoordinator, PermitHolder
 from sailrun.owners.quorum import Voters
 from sailrun.owners.reader import Reading
-from sailrun.owners.tenure import Tenures, placed_best
+from sailrun.owners.rolling_drain import RollingDrains
 from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
 from sailrun.owners.voter import Voter, abstain_us
-from sailrun.owners.walk import Walks
 
 SECOND = 1_000_000
 TERMS = OwnersTerms(enabled=True, voters=("a", "b", "c"))
@@ -117,8 +130,8 @@
 # ---------------------------------------------------------------------- holding
 
 
-def asking(now_us: int) -> tuple[Tenures, int]:
-    one = Tenures("x", Voters(TERMS), TERMS, 1, now_us)
+def asking(now_us: int) -> tuple[Leases, int]:
+    one = Leases("x", Voters(TERMS), TERMS, 1, now_us)
     posts = one.turn(now_us, {"t": ["x"]})
     assert [to for to, _ in posts] == ["a", "b", "c"]
     return one, posts[0][1].number  # type: ignore[union-attr]
@@ -137,13 +150,13 @@
     one, number = asking(SECOND)
     for name in ("a", "b", "c"):
         one.granted(3 * SECOND, name, Grant("t", 1, number))
-    assert not one.holds("t", 3 * SECOND) and not one.turned
+    assert not one.holds("t", 3 * SECOND) and not one.changes
 
 
 def test_tasks_are_placed_by_the_designs_score_and_stay_when_others_come() -> None:
     names = [f"n{n}" for n in range(40)]
-    first = [placed_best(f"task{n}", names)[0] for n in range(200)]
-    without = [placed_best(f"task{n}", names[1:])[0] for n in range(200)]
+    first = [best_placed(f"task{n}", names)[0] for n in range(200)]
+    without = [best_placed(f"task{n}", names[1:])[0] for n in range(200)]
     assert all(a == b for a, b in zip(first, without, strict=True) if a != "n0")
     assert len(set(first)) > 25
 
@@ -151,54 +164,57 @@
 # ---------------------------------------------------------------------- permits
 
 
-def held(office: PermitOffice, now_us: int, name: str, kind: str, subject: str, state: str = "want") -> Say:
-    return office.asked(now_us, name, 1, Want(kind, subject, state))
+def held(
+    coordinator: PermitCoordinator, now_us: int, name: str, kind: str, subject: str, state: str = "want"
+) -> Say:
+    return coordinator.asked(now_us, name, 1, Want(kind, subject, state))
 
 
-def open_office(now_us: int = 10 * SECOND) -> PermitOffice:
-    return PermitOffice(PERMITS, 5, now_us - 5 * SECOND)
+def open_coordinator(now_us: int = 10 * SECOND) -> PermitCoordinator:
+    return PermitCoordinator(PERMITS, 5, now_us - 5 * SECOND)
 
 
 def test_permits_go_in_the_order_of_the_queue_and_no_more_than_allowed() -> None:
-    office, now_us = open_office(), 10 * SECOND
-    assert held(office, now_us, "a", DRAIN, "a").yes
-    second, third = (held(office, now_us, n, DRAIN, n) for n in ("b", "c"))
+    coordinator, now_us = open_coordinator(), 10 * SECOND
+    assert held(coordinator, now_us, "a", DRAIN, "a").yes
+    second, third = (held(coordinator, now_us, n, DRAIN, n) for n in ("b", "c"))
     assert (second.yes, second.ahead, third.ahead) == (False, 0, 1)
     assert "1 of 1 in use: a" in second.why
-    held(office, now_us, "a", DRAIN, "a", "back")
-    assert not held(office, now_us, "c", DRAIN, "c").yes
-    assert held(office, now_us, "b", DRAIN, "b").yes
+    held(coordinator, now_us, "a", DRAIN, "a", "back")
+    assert not held(coordinator, now_us, "c", DRAIN, "c").yes
+    assert held(coordinator, now_us, "b", DRAIN, "b").yes
 
 
 def test_the_same_form_server_out_at_several_nodes_is_one_permit() -> None:
-    office, now_us = open_office(), 10 * SECOND
-    assert all(held(office, now_us, name, OUT, "s-1").yes for name in "abc")
-    assert held(office, now_us, "a", OUT, "s-2").yes and not held(office, now_us, "a", OUT, "s-3").yes
+    coordinator, now_us = open_coordinator(), 10 * SECOND
+    assert all(held(coordinator, now_us, name, OUT, "s-1").yes for name in "abc")
+    assert held(coordinator, now_us, "a", OUT, "s-2").yes
+    assert not held(coordinator, now_us, "a", OUT, "s-3").yes
     for name in "ab":
-        held(office, now_us, name, OUT, "s-1", "back")
-    assert not held(office, now_us, "a", OUT, "s-3").yes
-    held(office, now_us, "c", OUT, "s-1", "back")
-    assert held(office, now_us, "a", OUT, "s-3").yes
+        held(coordinator, now_us, name, OUT, "s-1", "back")
+    assert not held(coordinator, now_us, "a", OUT, "s-3").yes
+    held(coordinator, now_us, "c", OUT, "s-1", "back")
+    assert held(coordinator, now_us, "a", OUT, "s-3").yes
 
 
 def test_a_dead_holders_permit_ends_and_the_next_one_has_it() -> None:
-    office, now_us = open_office(), 10 * SECOND
-    held(office, now_us, "a", DRAIN, "a")
-    assert not held(office, now_us + 3 * SECOND, "b", DRAIN, "b").yes
-    assert held(office, now_us + 4 * SECOND, "b", DRAIN, "b").yes
+    coordinator, now_us = open_coordinator(), 10 * SECOND
+    held(coordinator, now_us, "a", DRAIN, "a")
+    assert not held(coordinator, now_us + 3 * SECOND, "b", DRAIN, "b").yes
+    assert held(coordinator, now_us + 4 * SECOND, "b", DRAIN, "b").yes
 
 
 def test_a_new_owner_listens_first_and_keeps_the_places_of_the_one_before() -> None:
-    office = PermitOffice(PERMITS, 6, 0)
-    assert held(office, 1, "a", OUT, "s-1", "held").yes
-    assert not held(office, 1, "b", OUT, "s-2").yes
-    waiting = office.asked(1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
+    coordinator = PermitCoordinator(PERMITS, 6, 0)
+    assert held(coordinator, 1, "a", OUT, "s-1", "held").yes
+    assert not held(coordinator, 1, "b", OUT, "s-2").yes
+    waiting = coordinator.asked(1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
     assert not waiting.yes and waiting.place == (5, 1)
-    held(office, office.open_us - 1, "a", OUT, "s-1", "held")
-    office.asked(office.open_us - 1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
-    held(office, office.open_us - 1, "b", OUT, "s-2")
-    assert not held(office, office.open_us, "b", OUT, "s-2").yes  # s-3 has the earlier place
-    assert office.asked(office.open_us, "c", 1, Want(OUT, "s-3", "want", (5, 1))).yes
+    held(coordinator, coordinator.open_us - 1, "a", OUT, "s-1", "held")
+    coordinator.asked(coordinator.open_us - 1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
+    held(coordinator, coordinator.open_us - 1, "b", OUT, "s-2")
+    assert not held(coordinator, coordinator.open_us, "b", OUT, "s-2").yes  # s-3 has the earlier place
+    assert coordinator.asked(coordinator.open_us, "c", 1, Want(OUT, "s-3", "want", (5, 1))).yes
 
 
 class Permitting(RuleBasedStateMachine):
@@ -207,7 +223,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now_us = 100 * SECOND
-        self.office = PermitOffice(PERMITS, 1, 0)
+        self.coordinator = PermitCoordinator(PERMITS, 1, 0)
         self.term = 1
         self.holders = {name: PermitHolder(PERMITS) for name in "abcd"}
         self.flying: list[tuple[str, int, Want]] = []
@@ -233,7 +249,7 @@
     def answer(self, data: Any, lost: bool) -> None:
         at = data.draw(st.integers(0, len(self.flying) - 1))
         name, sent_us, want = self.flying.pop(at)
-        say = self.office.asked(self.now_us, name, 1, want)
+        say = self.coordinator.asked(self.now_us, name, 1, want)
         if not lost:
             self.holders[name].told(self.now_us, sent_us, want, say)
 
@@ -243,7 +259,7 @@
         # It rests until no answer of the one before is taken any more.
         self.now_us += SECOND + 1
         self.flying.clear()
-        self.office = PermitOffice(PERMITS, self.term, self.now_us)
+        self.coordinator = PermitCoordinator(PERMITS, self.term, self.now_us)
 
     @invariant()
     def never_more_than_allowed(self) -> None:
@@ -261,35 +277,45 @@
 
 
 def test_a_walk_goes_on_with_the_same_name_and_drains_nobody_twice() -> None:
-    office = open_office(0)
+    coordinator = open_coordinator(0)
     holders = {name: PermitHolder(PERMITS) for name in "abc"}
-    walks = {name: Walks(name, holder) for name, holder in holders.items()}
+    drains = {name: RollingDrains(name, holder) for name, holder in holders.items()}
     drained: list[str] = []
 
     def play(now_us: int) -> None:
-        for to, word in walks["a"].turn(now_us):
-            walks["a"].told(now_us, to, walks[to].asked(now_us, word))
+        for to, word in drains["a"].turn(now_us):
+            drains["a"].told(now_us, to, drains[to].asked(now_us, word))
         for name, holder in holders.items():
             for want in holder.turn(now_us):
-                holder.told(now_us, now_us, want, office.asked(now_us, name, 1, want))
+                holder.told(now_us, now_us, want, coordinator.asked(now_us, name, 1, want))
             for use in holder.uses:
-                walks[name].used(use)
+                drains[name].used(use)
             holder.uses.clear()
-            if walks[name].drain:
+            if drains[name].drain:
                 drained.append(name)
-            walks[name].drain = None
-            if walks[name].draining:
-                walks[name].standing(now_us, 0)
+            drains[name].drain = None
+            if drains[name].draining:
+                drains[name].standing(now_us, 0)
 
-    walks["a"].begin(0, "w", ["c", "a", "b"], SECOND)
+    drains["a"].begin(0, "w", ["c", "a", "b"], SECOND)
     for tenth in range(400):
         play(tenth * SECOND // 10)
-    assert walks["a"].begun["w"].over and drained == ["c", "a", "b"]
-    walks["a"].begun.clear()
-    walks["a"].begin(40 * SECOND, "w", ["c", "a", "b"], SECOND)
+    assert drains["a"].begun["w"].over and drained == ["c", "a", "b"]
+    drains["a"].begun.clear()
+    drains["a"].begin(40 * SECOND, "w", ["c", "a", "b"], SECOND)
     for tenth in range(400, 500):
         play(tenth * SECOND // 10)
-    assert drained == ["c", "a", "b"] and walks["a"].begun["w"].over
+    assert drained == ["c", "a", "b"] and drains["a"].begun["w"].over
+
+
+def test_a_rolling_drain_keeps_its_older_names_on_the_wire_and_on_the_disk() -> None:
+    """Nodes of other versions, folders and scripts know them."""
+    messages = (DrainRequest("w", 5), DrainStatus("w", "queued", "why"))
+    assert list(map(msgspec.to_builtins, messages)) == [["walk", "w", 5], ["walking", "w", "queued", "why"]]
+    kept = (entries.Drained("w"), entries.DrainPlan("w", 5, ["a"]))
+    assert list(map(msgspec.to_builtins, kept)) == [["walked", "w"], ["planned", "w", 5, ["a"]]]
+    # What `sailrun lasting export` calls them.
+    assert [entry.__struct_fields__ for entry in kept] == [("walk",), ("walk", "for_us", "names")]
 
 
 # ---------------------------------------------------------------------- the reader, the pace, the file
@@ -310,16 +336,16 @@
 
 
 def test_shares_of_the_pace_never_come_to_more_than_the_whole() -> None:
-    office, shares = PaceOffice(1, 0), {name: PaceShare() for name in "abc"}
+    coordinator, shares = PaceCoordinator(1, 0), {name: PaceShare() for name in "abc"}
     now_us = LENT_US
-    assert office.asked(now_us, "a") == [0.0]
+    assert coordinator.asked(now_us, "a") == [0.0]
     seen = []
     for step in range(60):
         now_us += 100_000
         for n, (name, share) in enumerate(shares.items()):
             # Some join later, and some answers get lost.
             if step >= 10 * n and (step + n) % 4:
-                answer = office.asked(now_us, name)
+                answer = coordinator.asked(now_us, name)
                 if (step + n) % 3:
                     share.told(now_us, answer)
         seen.append(sum(share.share(now_us) for share in shares.values()))
