--- a/sailrun/shards/session.py
+++ b/sailrun/shards/session.py
@@ -138,6 +138,8 @@
         if sent_us is not None and not self._extended(now_us, sent_us, told):
             return
         if not self.session:
+            if self._added_by(told):
+                self._soon(now_us, self._luck.randrange(ACKNOWLEDGE_US))
             return
         behind = self.generation
         self._take_in(now_us, told)
@@ -150,6 +152,10 @@
         if told.may_leave and self.leaving:
             self.release(now_us)
 
+    def _added_by(self, told: Renewed) -> bool:
+        """Whether a change adds the session that this node has asked for."""
+        return any(session.nonce == self._nonce for change in told.changes for session in change.joined)
+
     def _extended(self, now_us: int, sent_us: int, told: Renewed) -> bool:
         """Whether the answer is one for this session, which lasts from when it was asked for."""
         self.unanswered = 0
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -438,6 +438,20 @@
     assert made.generation == 52
 
 
+def test_a_newcomer_asks_at_once_when_it_hears_that_it_was_added() -> None:
+    made = node()
+    asked = made.turn(SECOND)
+    assert asked is not None
+    made.renewed(SECOND + 1, Renewed("east", asked.number, 0, 50, 50, []))
+    due_us = made.due_us(SECOND + 1)
+    other = Change(51, [Session("b", 13, asked.nonce + 1)], [])
+    made.renewed(SECOND + 2, Renewed("east", 0, 0, 51, 50, [other]))
+    assert made.due_us(SECOND + 2) == due_us
+    own = Change(52, [Session("a", 14, asked.nonce)], [])
+    made.renewed(SECOND + 3, Renewed("east", 0, 0, 52, 50, [own]))
+    assert made.due_us(SECOND + 3) < 2 * SECOND < due_us and not made.session
+
+
 def test_a_refused_session_is_given_up_at_once() -> None:
     made, _ = begun()
     asked = made.turn(4 * SECOND)
