--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -21,6 +21,7 @@
 from sailrun.lasting.folder import Sound, new_identity
 from sailrun.members.messages import Record, State
 from sailrun.node.clock import log
+from sailrun.owners import status
 from sailrun.owners.agent import PACE, Agent, AgentTerms, Out
 from sailrun.owners.carrier import Carrier
 from sailrun.owners.clock import boot_us
@@ -29,7 +30,6 @@
 from sailrun.owners.leases import OwnershipChange
 from sailrun.owners.pace import PaceCoordinator, PaceShare
 from sailrun.owners.permits import DRAIN, OUT, Use
-from sailrun.owners.permits import TASK as PERMITS
 from sailrun.owners.shared import SharedRoster
 from sailrun.replica.service import CopiesPart
 
@@ -336,63 +336,19 @@
         """`members`, `owners`, `permits`, `counts`, or `walk NAME`: a rolling drain; as JSON has it."""
 
         def call(now_us: int) -> list[Out]:
-            shown = {"members": self._members, "owners": self._owners, "permits": self._permits}
+            shown = {"members": status.members, "owners": status.owners, "permits": status.permits}
             if what in shown:
-                reply(shown[what](now_us))
+                reply(shown[what](self.agent, now_us))
             elif what.startswith(("state", "ranges")):
                 reply(self.copies.show(now_us, what) if self.copies is not None else None)
             elif what == "counts":
                 reply(self._counts())
             else:
-                reply(self._rolling_drain(what.removeprefix("walk ")))
+                reply(status.rolling_drain(self.agent, what.removeprefix("walk ")))
             return []
 
         self.carrier.post(call)
 
-    def _members(self, now_us: int) -> list[dict[str, Any]]:
-        voters = self.agent.voters.all()
-        return [
-            {
-                "name": r.name,
-                "incarnation": r.incarnation,
-                "state": r.state.name.lower(),
-                "since_s": round((now_us - since_us) / SECOND, 3),
-                "voter": r.name in voters,
-                "address": r.address,
-                "zone": r.zone,
-            }
-            for r, since_us in self.agent.members.known()
-        ]
-
-    def _owners(self, now_us: int) -> list[dict[str, Any]]:
-        leases = self.agent.leases.by_task
-        return [
-            {
-                "task": task,
-                "holder": t.holder or None,
-                "term": t.owned,
-                "held": bool(self.agent.leases.holds(task, now_us)),
-                "ends_in_s": round((t.until_us - now_us) / SECOND, 3) if t.until_us else None,
-                "refused_orders": t.refused,
-            }
-            for task, t in sorted(leases.items())
-        ]
-
-    def _permits(self, now_us: int) -> list[dict[str, Any]]:
-        holder, coordinator = self.agent.holder, self.agent.permit_coordinator
-        if coordinator is not None and self.agent.owns(PERMITS, now_us):
-            return coordinator.table(now_us)
-        return [
-            {
-                "kind": w.kind,
-                "subject": w.subject,
-                "holder": self.agent.name,
-                "state": {"want": "waiting"}.get(w.state, w.state),
-                "ends_in_s": round((w.until_us - now_us) / SECOND, 3) if w.until_us else None,
-            }
-            for w in (holder.wanted.values() if holder is not None else ())
-        ]
-
     def _counts(self) -> dict[str, Any]:
         tallies, members = self.agent.tallies, self.agent.members
         return {
@@ -409,12 +365,6 @@
             "in_touch": self.agent.leases.in_touch(boot_us()),
         }
 
-    def _rolling_drain(self, name: str) -> Any:
-        begun = self.agent.rolling_drains.begun.get(name)
-        if begun is None:
-            return None
-        return [{"name": s.node, "state": s.state, "why": s.why} for s in begun.steps]
-
 
 def _founding() -> int:
     return founding_term(time.time(), random.SystemRandom().getrandbits(12))
--- /dev/null
+++ b/sailrun/owners/status.py
@@ -0,0 +1,73 @@
+"""What staff are shown of one agent, as rows that JSON can have. Times left are in seconds.
+
+The names of the fields are an interface to scripts.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from sailrun.owners.agent import Agent
+from sailrun.owners.permits import TASK as PERMITS
+
+SECOND = 1_000_000
+Rows = list[dict[str, Any]]
+
+
+def members(agent: Agent, now_us: int) -> Rows:
+    voters = agent.voters.all()
+    return [
+        {
+            "name": record.name,
+            "incarnation": record.incarnation,
+            "state": record.state.name.lower(),
+            "since_s": _seconds(now_us - since_us),
+            "voter": record.name in voters,
+            "address": record.address,
+            "zone": record.zone,
+        }
+        for record, since_us in agent.members.known()
+    ]
+
+
+def owners(agent: Agent, now_us: int) -> Rows:
+    return [
+        {
+            "task": task,
+            "holder": lease.holder or None,
+            "term": lease.owned,
+            "held": bool(agent.leases.holds(task, now_us)),
+            "ends_in_s": _seconds(lease.until_us - now_us) if lease.until_us else None,
+            "refused_orders": lease.refused,
+        }
+        for task, lease in sorted(agent.leases.by_task.items())
+    ]
+
+
+def permits(agent: Agent, now_us: int) -> Rows:
+    """The fleet's, at their owner; elsewhere those that this node holds or wants."""
+    holder, coordinator = agent.holder, agent.permit_coordinator
+    if coordinator is not None and agent.owns(PERMITS, now_us):
+        return coordinator.table(now_us)
+    return [
+        {
+            "kind": wanted.kind,
+            "subject": wanted.subject,
+            "holder": agent.name,
+            "state": {"want": "waiting"}.get(wanted.state, wanted.state),
+            "ends_in_s": _seconds(wanted.until_us - now_us) if wanted.until_us else None,
+        }
+        for wanted in (holder.wanted.values() if holder is not None else ())
+    ]
+
+
+def rolling_drain(agent: Agent, name: str) -> Rows | None:
+    """None: no rolling drain of that name was begun here."""
+    begun = agent.rolling_drains.begun.get(name)
+    if begun is None:
+        return None
+    return [{"name": step.node, "state": step.state, "why": step.why} for step in begun.steps]
+
+
+def _seconds(us: int) -> float:
+    return round(us / SECOND, 3)
