--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -19,6 +19,8 @@
 
 
 DRIVERS = ("virtual", "sockets")
+SCALE = "scale"
+SCALE_RANGES = {"nodes": (0, 1_000), "hollow": (0, 100_000), "seconds": (1, 3_600)}
 
 
 def _complain(error: object) -> typer.Exit:
@@ -64,6 +66,35 @@
 
     for line in about():
         print(line)
+    print(f"{SCALE:20} real processes and many hollow nodes, with what each role uses (3 nodes, 60 hollow, 30 s)")
+
+
+def _run_scale(out: Path, driver: str | None, faults: str | None, **sizes: Any) -> None:
+    """Refuses a run that does not fit before anything is started."""
+    from sailrun.lab.run import write
+    from sailrun.lab.scale.command import play_scale
+    from sailrun.lab.scale.plan import FAULTS, DoesNotFit, ScalePlan
+
+    for option, value, known in (("driver", driver, DRIVERS), ("faults", faults, FAULTS)):
+        if value is not None and value not in known:
+            raise _complain(f"--{option}: '{value}' is none of {', '.join(known)}")
+    for option, (least, most) in SCALE_RANGES.items():
+        value = sizes[option]
+        if value is not None and not least <= value <= most:
+            raise _complain(f"--{option}: {value:g} is not from {least} to {most}")
+    asked = {"driver": driver, "faults": faults, **sizes}
+    plan = ScalePlan(**{option: value for option, value in asked.items() if value is not None})
+    try:
+        with _progress(SCALE) as told:
+            summary, records = play_scale(plan, told)
+        write(out, summary, records)
+    except DoesNotFit as error:
+        raise _complain(f"{SCALE}: {error}") from None
+    except OSError as error:
+        raise _complain(f"{out}: {error.strerror or error}") from None
+    _show(summary)
+    print(f"records: {out / 'history.parquet'}, {out / 'uses.parquet'}")
+    raise typer.Exit(0 if summary.holds else 1)
 
 
 def _fault_day(name: str, off: list[str] | None, nodes: int | None, seconds: float | None) -> FaultDay | None:
@@ -154,8 +185,17 @@
     datagrams_lost: Lost = None,
     off: Off = None,
     operator: Terms = None,
+    hollow: Annotated[int | None, typer.Option(help="Of `scale`: how many hollow nodes there are.")] = None,
+    faults: Annotated[
+        str | None, typer.Option(help="Of `scale`: rest, hosts, rack, zone, cut, roll or begin.")
+    ] = None,
 ) -> None:
     """Play one experiment. Exit 0 if every check holds, 1 if one does not."""
+    if name == SCALE:
+        _run_scale(out, driver, faults, nodes=nodes, hollow=hollow, seed=seed, seconds=seconds)
+    for option, value in (("hollow", hollow), ("faults", faults)):
+        if value is not None:
+            raise _complain(f"--{option}: only '{SCALE}' takes it")
     if (day := _fault_day(name, off, nodes, seconds)) is not None:
         _run_faults(replace(day, seed=seed), driver or "virtual", out)
     request = _request(
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -71,6 +71,8 @@
 class VirtualFleet:
     """The nemesis's `Fleet`, in virtual time."""
 
+    agent_class: type[Agent] = Agent
+
     def __init__(
         self,
         nodes: int,
@@ -161,7 +163,7 @@
             self.row(kind, name, **facts)
 
         wall_s = (self.time.now_us - BEGIN_US) / SECOND + 1.8e9 + clock_s
-        node.agent = Agent(
+        node.agent = self.agent_class(
             me,
             terms,
             luck.getrandbits(32),
--- /dev/null
+++ b/sailrun/lab/scale/command.py
@@ -0,0 +1,34 @@
+"""Plays a scale run by either driver."""
+
+from __future__ import annotations
+
+import resource
+import time
+from collections.abc import Callable
+
+from sailrun.lab.run import Summary
+from sailrun.lab.scale.faults import Step, fault_steps
+from sailrun.lab.scale.plan import ScalePlan, check_fit, place_nodes
+from sailrun.lab.scale.real_run import play_sockets
+from sailrun.lab.scale.results import ScaleRecords, summary_of
+from sailrun.lab.scale.virtual_run import play_virtual
+
+
+def play_scale(
+    plan: ScalePlan,
+    told: Callable[[float], None] = lambda share: None,
+    steps: list[Step] | None = None,
+) -> tuple[Summary, ScaleRecords]:
+    """`steps`: other faults than the plan's. Raises DoesNotFit before anything is started, and OSError."""
+    check_fit(plan)
+    began_s, cpu_s = time.monotonic(), time.process_time()
+    if steps is None:
+        steps = fault_steps(plan, place_nodes(plan))
+    play = play_sockets if plan.driver == "sockets" else play_virtual
+    measured = play(plan, steps, told)
+    cost = {
+        "wall_s": round(time.monotonic() - began_s, 2),
+        "cpu_s": round(time.process_time() - cpu_s, 2),  # of this process, without hosts
+        "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
+    }
+    return summary_of(plan, measured, cost), ScaleRecords(measured)
--- /dev/null
+++ b/sailrun/lab/scale/hollow_host.py
@@ -0,0 +1,204 @@
+"""One host process with many hollow nodes: `python -m sailrun.lab.scale.hollow_host`.
+
+Reads commands on stdin and answers on stdout, see `host_messages.py`. Ends when stdin does.
+"""
+
+from __future__ import annotations
+
+import gc
+import os
+import resource
+import sys
+import time
+from pathlib import Path
+from typing import Any
+
+import anyio
+import msgspec
+from anyio.abc import TaskGroup
+
+from sailrun.lab.scale.delay_line import DelayLine
+from sailrun.lab.scale.hollow_node import HollowNode, life_of, member_record
+from sailrun.lab.scale.host_messages import (
+    Answer,
+    Command,
+    Cut,
+    End,
+    Heal,
+    HostReport,
+    Kill,
+    Leave,
+    Look,
+    Looked,
+    NodeReport,
+    Ready,
+    Recorded,
+    Report,
+    Setup,
+    Silence,
+    Start,
+    line_of,
+    read_command,
+)
+from sailrun.lab.scale.network_model import NetworkModel
+from sailrun.lab.scale.plan import place_nodes
+from sailrun.lab.scale.terms import node_terms
+from sailrun.members.messages import Record
+from sailrun.owners.clock import boot_us
+
+# The event loop is looked at so often for how late it is.
+LATE_STEP_S = 0.05
+# So many nodes that lack something are named.
+NAMED = 5
+# What is recorded of owners; the rest would be a row for every question.
+KEPT = ("hold", "lost")
+
+
+class HollowHost:
+    def __init__(self, setup: Setup, group: TaskGroup) -> None:
+        self._setup, self._group = setup, group
+        self._places = place_nodes(setup.plan, setup.block)
+        self._by_name = {place.name: place for place in self._places}
+        self._network = NetworkModel(
+            self._places, setup.plan.regions, f"network/{setup.plan.seed}/{setup.host}"
+        )
+        self._delays = DelayLine()
+        self._nodes: dict[str, HollowNode] = {}
+        self._late_ms: list[float] = []
+        group.start_soon(self._delays.run)
+        group.start_soon(self._measure_lateness)
+
+    async def _measure_lateness(self) -> None:
+        while True:
+            due_s = anyio.current_time() + LATE_STEP_S
+            await anyio.sleep_until(due_s)
+            self._late_ms.append(round((anyio.current_time() - due_s) * 1000, 2))
+
+    async def carry_out(self, command: Command) -> Answer | None:
+        match command:
+            case Start(lives, known):
+                await self._start(lives, known)
+            case Kill(names):
+                for name in names:
+                    self._kill(name)
+            case Leave(names):
+                for node in [self._nodes[name] for name in names if name in self._nodes]:
+                    self._group.start_soon(self._leave, node)
+            case Silence(names, on):
+                self._network.silence(names, on)
+            case Cut(one, other):
+                self._network.cut(one, other)
+            case Heal():
+                self._network.heal()
+            case Look():
+                return await self._look(command)
+            case Report():
+                return await self._report()
+        return None
+
+    # ------------------------------------------------------------------ nodes
+
+    async def _start(self, lives: dict[str, int], known: bool) -> None:
+        seed = self._setup.plan.seed
+        hollow = [place for place in self._places if not place.real] if known else []
+        packed = msgspec.msgpack.encode([member_record(seed, place, 1) for place in hollow])
+        decoder = msgspec.msgpack.Decoder(list[Record])
+        for name, number in lives.items():
+            node = self._new_node(name, number)
+            if known:
+                # Each has records of its own, as if they had come by its own sockets.
+                node.know([record for record in decoder.decode(packed) if record.name != name])
+            self._nodes[name] = node
+            self._group.start_soon(node.run)
+            await anyio.sleep(0)
+        # What stands from now on is not walked through by the collector: real nodes hold little, and many of
+        # them in one process would stop each other for as long as all of it takes.
+        gc.collect()
+        gc.freeze()
+
+    def _new_node(self, name: str, number: int) -> HollowNode:
+        setup, place = self._setup, self._by_name[name]
+
+        def record(kind: str, **facts: Any) -> None:
+            if kind in KEPT:
+                self._row(kind, name, **facts)
+
+        self._row("started", name, life=life_of(setup.plan.seed, name, number))
+        return HollowNode(
+            place,
+            node_terms(setup.plan, self._places, place),
+            setup.plan.seed,
+            number,
+            self._network,
+            self._delays,
+            setup.roster,
+            setup.began_us,
+            record,
+        )
+
+    def _row(self, kind: str, node: str, **facts: Any) -> None:
+        _answer(Recorded({"at_us": boot_us(), "node": node, "kind": kind, **facts}))
+
+    def _kill(self, name: str) -> None:
+        node = self._nodes.pop(name, None)
+        if node is not None:
+            node.kill()
+            self._row("died", name)
+
+    async def _leave(self, node: HollowNode) -> None:
+        await node.leave()
+        if self._nodes.get(node.place.name) is node:
+            self._kill(node.place.name)
+
+    # ------------------------------------------------------------------ what is asked
+
+    async def _look(self, asked: Look) -> Looked:
+        lacking = []
+        nodes = list(self._nodes.values())
+        for node in nodes:
+            if not node.knows(asked, self._setup.plan.seed):
+                lacking.append(node.place.name)
+            await anyio.sleep(0)
+        return Looked(len(nodes), lacking[:NAMED], len(lacking))
+
+    async def _report(self) -> HostReport:
+        reports: list[NodeReport] = []
+        cpu_s = time.process_time()
+        for node in list(self._nodes.values()):
+            reports.append(node.report())
+            await anyio.sleep(0)
+        late_ms, self._late_ms = self._late_ms, []
+        return HostReport(reports, cpu_s, rss_mb(os.getpid()), late_ms)
+
+
+def rss_mb(pid: int) -> float:
+    """The memory that a process has in use now. Raises OSError where there is none."""
+    pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
+    return pages * resource.getpagesize() / 1024 / 1024
+
+
+async def _serve() -> None:
+    stdin = anyio.wrap_file(sys.stdin.buffer)
+    setup = read_command(await stdin.readline())
+    if not isinstance(setup, Setup):
+        raise SystemExit("hollow_host: the first line is no setup")
+    async with anyio.create_task_group() as group:
+        host = HollowHost(setup, group)
+        _answer(Ready(rss_mb(os.getpid())))
+        while line := await stdin.readline():
+            command = read_command(line)
+            if isinstance(command, End):
+                break
+            answer = await host.carry_out(command)
+            if answer is not None:
+                _answer(answer)
+        group.cancel_scope.cancel()
+
+
+def _answer(answer: Answer) -> None:
+    sys.stdout.buffer.write(line_of(answer))
+    sys.stdout.buffer.flush()
+
+
+if __name__ == "__main__":
+    anyio.run(_serve)
--- /dev/null
+++ b/sailrun/lab/scale/hollow_node.py
@@ -0,0 +1,223 @@
+"""A hollow node: a real node's agent and carrier, without clients, form servers and a core."""
+
+from __future__ import annotations
+
+import random
+import socket
+import time
+import zlib
+from collections.abc import Callable
+from functools import partial
+from time import thread_time
+from typing import Any
+
+import anyio
+
+from sailrun.connection import split_address
+from sailrun.lab.scale.delay_line import AT_ONCE_S, DelayLine
+from sailrun.lab.scale.host_messages import Look, NodeReport
+from sailrun.lab.scale.metered_agent import MeteredAgent
+from sailrun.lab.scale.network_model import NetworkModel
+from sailrun.lab.scale.plan import Place
+from sailrun.members.messages import Record, State
+from sailrun.owners.agent import READER, AgentTerms, Out
+from sailrun.owners.carrier import Carrier
+from sailrun.owners.clock import boot_us
+from sailrun.owners.envelope import Envelope
+from sailrun.owners.founding import founding_term
+from sailrun.owners.reader import Reading
+
+SECOND = 1_000_000
+# The server roster changes so often in a scale run.
+ROSTER_S = 60
+# A node that leaves goes on for a moment, as one does that moves its households.
+LEAVING_S = 0.5
+
+
+def life_of(seed: int, name: str, number: int) -> int:
+    """The life of a hollow node, known beforehand to every host."""
+    return random.Random(f"{seed}/{name}/{number}").getrandbits(62)
+
+
+def member_record(seed: int, place: Place, number: int) -> Record:
+    return Record(
+        place.name, life_of(seed, place.name, number), 1, State.ALIVE, place.address, place.zone
+    )
+
+
+def names_crc(names: list[str]) -> int:
+    """Of names in their order."""
+    return zlib.crc32("\n".join(names).encode())
+
+
+def roster_revision(began_us: int, now_us: int) -> int:
+    return 1 + max(0, now_us - began_us) // (ROSTER_S * SECOND)
+
+
+class ModelledCarrier(Carrier):
+    """Its datagrams and frames take the network model's way. A frame waits before it is queued for its link,
+    so that its owner's term is looked at after the delay, not before.
+    """
+
+    def __init__(
+        self, agent: MeteredAgent, place: Place, network: NetworkModel, delays: DelayLine
+    ) -> None:
+        super().__init__(agent, split_address(place.address), patient=False)
+        self._metered, self._place, self._network, self._delays = agent, place, network, delays
+
+    def _send(self, datagrams: socket.socket, outs: list[Out]) -> None:
+        began_s = thread_time()
+        super()._send(datagrams, outs)
+        self._metered.cpu_s += thread_time() - began_s
+
+    def _put(self, datagrams: socket.socket, data: bytes, address: str) -> None:
+        to = self._network.by_address.get(address)
+        if to is None:
+            return
+        wait_s = self._network.datagram_s(self._place, to)
+        if wait_s is None:
+            self.traffic.sent(len(data))
+            return
+        if wait_s < AT_ONCE_S:
+            super()._put(datagrams, data, address)
+        else:
+            self._delays.after(wait_s, partial(self._put_late, datagrams, data, address))
+
+    def _put_late(self, datagrams: socket.socket, data: bytes, address: str) -> None:
+        began_s = thread_time()
+        super()._put(datagrams, data, address)
+        self._metered.cpu_s += thread_time() - began_s
+
+    def _by_link(self, out: Out, data: bytes) -> None:
+        to = self._network.by_address.get(out.address)
+        if to is None:
+            return
+        wait_s = self._network.frame_s(self._place, to)
+        if wait_s is not None:
+            self._delays.after(wait_s, partial(super()._by_link, out, data))
+
+    def _unpacked(self, data: bytes) -> Envelope:
+        began_s = thread_time()
+        try:
+            return super()._unpacked(data)
+        finally:
+            self._metered.cpu_s += thread_time() - began_s
+
+    def _hear(self, address: str, envelope: Envelope) -> None:
+        """A real process knows no model: what it sends takes its way here."""
+        sender = self._network.by_name.get(envelope.sender)
+        if sender is None or not sender.real:
+            if sender is None or self._network.passes(sender, self._place):
+                super()._hear(address, envelope)
+            return
+        wait_s = self._network.datagram_s(sender, self._place)
+        if wait_s is not None:
+            self._delays.after(wait_s, partial(super()._hear, address, envelope))
+
+
+class HollowNode:
+    """One life of a hollow node."""
+
+    def __init__(
+        self,
+        place: Place,
+        terms: AgentTerms,
+        seed: int,
+        number: int,
+        network: NetworkModel,
+        delays: DelayLine,
+        roster: str,
+        began_us: int,
+        record: Callable[..., None],
+    ) -> None:
+        """Raises OSError for an address that is not to be had."""
+        self.place, self.number = place, number
+        self._began_us = began_us
+        luck = random.Random(f"{seed}/{place.name}/{number}/agent")
+        self.agent = MeteredAgent(
+            member_record(seed, place, number),
+            terms,
+            luck.getrandbits(32),
+            boot_us(),
+            lambda: founding_term(time.time(), luck.getrandbits(12)),
+            record=record,
+        )
+        self.carrier = ModelledCarrier(self.agent, place, network, delays)
+        self.carrier.after = self._after
+        self._task = READER + place.zone
+        self._reading = Reading(roster, terms.reader, boot_us())
+        self.agent.answers[self._task] = lambda now_us, sender, content: self._reading.answer(content)
+        self._scope = anyio.CancelScope()
+        self._checked = (-1, 0)  # the members' version, and the sum of their names
+
+    async def run(self) -> None:
+        with self._scope:
+            await self.carrier.run()
+
+    def kill(self) -> None:
+        """Its sockets are closed as soon as its tasks have ended."""
+        self._scope.cancel()
+
+    async def leave(self) -> None:
+        self.carrier.post(self.agent.leave)
+        await anyio.sleep(LEAVING_S)
+        self.kill()
+
+    def know(self, records: list[Record]) -> None:
+        """Begins with these members known, as if it had joined long ago and had told all news."""
+        know_members(self.agent, boot_us(), records)
+
+    # ------------------------------------------------------------------ the roster's list
+
+    def _after(self, now_us: int) -> list[Out]:
+        """As a real node does after each turn: the reader of its zone reads, the others ask the reader."""
+        reading = self._reading
+        reading.owner = bool(self.agent.owns(self._task, now_us))
+        if reading.reads(now_us):
+            reading.read(roster_revision(self._began_us, now_us), [])
+        has = reading.due(now_us)
+        if has is None or not self.agent.members.joined:
+            return []
+        return self.agent.ask(now_us, self._task, [has.source, has.revision], self._answered)
+
+    def _answered(self, now_us: int, sent_us: int, content: Any) -> None:
+        self._reading.told(now_us, content)
+
+    # ------------------------------------------------------------------ what is looked at
+
+    def report(self) -> NodeReport:
+        now_us = boot_us()
+        tasks = [task for task in self.agent.tasks() if self.agent.owns(task, now_us)]
+        return NodeReport(
+            self.place.name,
+            self.number,
+            self.carrier.traffic,
+            self.agent.cpu_s,
+            tasks,
+            self.agent.voter is not None,
+        )
+
+    def knows(self, asked: Look, seed: int) -> bool:
+        """Whether it knows exactly the members that were asked for."""
+        members = self.agent.members
+        if not members.joined or len(members.names) != asked.count:
+            return False
+        if self._checked[0] != members.version:
+            self._checked = (members.version, names_crc(members.names))
+        if self._checked[1] != asked.names_crc:
+            return False
+        return all(self._knows_life(seed, name, number) for name, number in asked.lives.items())
+
+    def _knows_life(self, seed: int, name: str, number: int) -> bool:
+        record = self.agent.members.record(name)
+        return record is not None and record.life == life_of(seed, name, number)
+
+
+def know_members(agent: MeteredAgent, now_us: int, records: list[Record]) -> None:
+    """A faster start: the members are known, and the news of them has been told to all."""
+    members = agent.members
+    members.hear_news(now_us, records, agent.name)
+    members.joined = True
+    members._news.clear()
+    members.changes.clear()
+    agent.cpu_s = 0.0
--- /dev/null
+++ b/sailrun/lab/scale/host_process.py
@@ -0,0 +1,129 @@
+"""The run's hold on one host process: its start, its commands and answers, signals, and its end."""
+
+from __future__ import annotations
+
+import signal
+import subprocess
+import sys
+from collections.abc import Callable
+from contextlib import suppress
+from pathlib import Path
+
+import anyio
+from anyio.abc import Process, TaskGroup
+from anyio.streams.buffered import BufferedByteReceiveStream
+from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
+
+from sailrun.lab.faults.history import Row
+from sailrun.lab.scale.host_messages import Answer, Command, Ready, Recorded, Setup, line_of, read_answer
+
+LONGEST_ANSWER = 256 * 1024 * 1024
+MOST_ANSWERS = 16
+BROKEN = (
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    anyio.EndOfStream,
+    anyio.IncompleteRead,
+    anyio.DelimiterNotFound,
+    OSError,
+)
+
+
+class HostProcess:
+    def __init__(self, number: int, folder: Path, group: TaskGroup, record: Callable[[Row], None]) -> None:
+        """`record` is given every row that the host records."""
+        self.name, self.number, self._record = f"host-{number}", number, record
+        self._log, self._group = folder / f"host-{number}.log", group
+        self._turn = anyio.Lock()
+        self._process: Process | None = None
+        self._answers: MemoryObjectReceiveStream[Answer] | None = None
+        self.lives = 0
+        self.base_mb = 0.0  # without nodes
+        self.stopped = False
+        self.ends = False  # somebody has it end
+        self.ended_by_itself = False
+
+    @property
+    def runs(self) -> bool:
+        return self._process is not None and not self.stopped
+
+    async def start(self, setup: Setup) -> None:
+        """Returns once the host has said that it is ready."""
+        self.lives, self.ends = self.lives + 1, False
+        with self._log.open("ab") as log:
+            process = await anyio.open_process(
+                [sys.executable, "-m", "sailrun.lab.scale.hollow_host"],
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=log,
+            )
+        self._process = process
+        into, self._answers = anyio.create_memory_object_stream[Answer](MOST_ANSWERS)
+        self._group.start_soon(self._watch, process, into)
+        answer = await self.ask(setup)
+        if isinstance(answer, Ready):
+            self.base_mb = answer.rss_mb
+
+    async def _watch(self, process: Process, answers: MemoryObjectSendStream[Answer]) -> None:
+        assert process.stdout is not None
+        lines = BufferedByteReceiveStream(process.stdout)
+        try:
+            with answers, suppress(*BROKEN):
+                while True:
+                    answer = read_answer(await lines.receive_until(b"\n", LONGEST_ANSWER))
+                    if isinstance(answer, Recorded):
+                        self._record(answer.row)
+                    else:
+                        await answers.send(answer)
+            await process.wait()
+        finally:
+            if process.returncode is None:
+                process.kill()
+            if self._process is process:
+                self._process = None
+            self.ended_by_itself = self.ended_by_itself or not self.ends
+
+    async def tell(self, command: Command) -> None:
+        """Has the host do something that it does not answer."""
+        process = self._process
+        if process is not None and process.stdin is not None:
+            with suppress(*BROKEN):
+                await process.stdin.send(line_of(command))
+
+    async def ask(self, command: Command) -> Answer | None:
+        """Its answer; None where it does not run, is stopped or ends meanwhile."""
+        async with self._turn:
+            if not self.runs or self._answers is None:
+                return None
+            await self.tell(command)
+            with suppress(*BROKEN):
+                return await self._answers.receive()
+        return None
+
+    # ------------------------------------------------------------------ signals
+
+    def kill(self) -> None:
+        self.ends = True
+        self._signal(signal.SIGKILL)
+
+    def stop(self) -> None:
+        self.stopped = True
+        self._signal(signal.SIGSTOP)
+
+    def go_on(self) -> None:
+        self.stopped = False
+        self._signal(signal.SIGCONT)
+
+    def _signal(self, number: signal.Signals) -> None:
+        if self._process is not None and self._process.returncode is None:
+            with suppress(ProcessLookupError):
+                self._process.send_signal(number)
+
+    async def ended(self) -> None:
+        while self._process is not None:
+            await anyio.sleep(0.02)
+
+    def last_words(self) -> str:
+        """The last line of its log."""
+        lines = self._log.read_text(errors="replace").strip().splitlines() if self._log.exists() else []
+        return lines[-1] if lines else ""
--- /dev/null
+++ b/sailrun/lab/scale/metered_agent.py
@@ -0,0 +1,36 @@
+"""The agent of a real node with a stopwatch on what its carrier calls."""
+
+from __future__ import annotations
+
+from time import thread_time
+from typing import Any
+
+from sailrun.owners.agent import Agent, Out
+from sailrun.owners.envelope import Envelope
+
+
+class MeteredAgent(Agent):
+    """`cpu_s`: processor time spent in its calls, in seconds; a carrier may add its own."""
+
+    def __init__(self, *arguments: Any, **options: Any) -> None:
+        self.cpu_s = 0.0
+        super().__init__(*arguments, **options)
+
+    def hear(self, now_us: int, address: str, envelope: Envelope) -> list[Out]:
+        began_s = thread_time()
+        outs = super().hear(now_us, address, envelope)
+        self.cpu_s += thread_time() - began_s
+        return outs
+
+    def turn(self, now_us: int) -> list[Out]:
+        began_s = thread_time()
+        outs = super().turn(now_us)
+        self.notes.clear()  # nobody reads a log of hundreds of nodes
+        self.cpu_s += thread_time() - began_s
+        return outs
+
+    def due_us(self, now_us: int) -> int:
+        began_s = thread_time()
+        due_us = super().due_us(now_us)
+        self.cpu_s += thread_time() - began_s
+        return due_us
--- /dev/null
+++ b/sailrun/lab/scale/real_process.py
@@ -0,0 +1,201 @@
+"""Real processes of the program beside the hollow nodes: `sailrun serve` with an operator's file."""
+
+from __future__ import annotations
+
+import json
+import os
+import signal
+import subprocess
+import sys
+import time
+from collections.abc import Callable
+from contextlib import suppress
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+import anyio
+import msgspec
+import tomli_w
+from anyio.abc import Process
+from anyio.streams.buffered import BufferedByteReceiveStream
+
+from sailrun.control.cli import ANSWER_S
+from sailrun.lab.faults.relays import Address
+from sailrun.lab.faults.rig import FORM_SERVERS, LONGEST_LINE, RigRoster, free_address
+from sailrun.lab.scale.hollow_host import rss_mb
+from sailrun.lab.scale.hollow_node import names_crc, roster_revision
+from sailrun.lab.scale.host_messages import Look, NodeReport
+from sailrun.lab.scale.plan import Place, ScalePlan
+from sailrun.lab.terms import WorldTerms
+from sailrun.owners.agent import AgentTerms
+from sailrun.owners.clock import boot_us
+from sailrun.owners.traffic import Traffic
+
+BROKEN = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
+KEPT_ACTS = ("hold", "lost")
+_LIVING = ("alive", "suspect")
+
+
+class SteadyRoster(RigRoster):
+    """A server roster whose list has a new revision once in `ROSTER_S`, the same that hollow readers tell."""
+
+    def __init__(self, began_us: int) -> None:
+        super().__init__()
+        self._began_us = began_us
+
+    async def _change(self) -> None:
+        while True:
+            self.revision = roster_revision(self._began_us, boot_us())
+            await anyio.sleep(1.0)
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessFiles:
+    """The platform's file, and the operator's."""
+
+    config: Path
+    operator: Path
+
+
+class RealProcess:
+    """One place for a real process; `run` is one life of it."""
+
+    def __init__(self, place: Place, row: Callable[..., None]) -> None:
+        """`row` is told what the process did with tasks: kind, node, at_us, facts."""
+        self.place, self._row = place, row
+        self.listen, self.control = free_address(), free_address()
+        self.lives = 0
+        self.process: Process | None = None
+        self.ends = False  # somebody has it end
+
+    async def run(self, files: ProcessFiles) -> None:
+        """From its start to its end, which takes it away."""
+        self.lives, self.ends = self.lives + 1, False
+        environment = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "SAILRUN_"))}
+        command = [sys.executable, "-m", "sailrun", "serve"]
+        process = self.process = await anyio.open_process(
+            [*command, "--config", str(files.config), "--operator", str(files.operator)],
+            stdin=subprocess.DEVNULL,
+            stdout=subprocess.DEVNULL,
+            env={**environment, "TMPDIR": str(files.config.parent)},
+        )
+        self._row("started", self.place.name, boot_us(), life=self.lives)
+        try:
+            assert process.stderr is not None
+            lines = BufferedByteReceiveStream(process.stderr)
+            with suppress(*BROKEN, anyio.IncompleteRead, anyio.DelimiterNotFound):
+                while True:
+                    self._heard((await lines.receive_until(b"\n", LONGEST_LINE)).decode("utf-8", "replace"))
+            await process.wait()
+        finally:
+            if process.returncode is None:
+                process.kill()
+            with anyio.CancelScope(shield=True):
+                await process.aclose()
+            self.process = None
+            self._row("died", self.place.name, boot_us(), code=process.returncode)
+
+    def _heard(self, line: str) -> None:
+        """A log line `TIME act kind=hold at_us=... task=... left_us=...`: times are monotonic, as it says."""
+        _, _, rest = line.strip().partition(" ")
+        what, *words = rest.split(" ")
+        facts: dict[str, Any] = dict(word.split("=", 1) for word in words if "=" in word)
+        if what != "act" or facts.get("kind") not in KEPT_ACTS:
+            return
+        at_us = int(facts["at_us"]) + _boot_offset_us()
+        if facts["kind"] == "lost":
+            self._row("lost", self.place.name, at_us, task=facts["task"], term=int(facts["term"]))
+            return
+        until_us = at_us + int(facts["left_us"])
+        task, term = facts["task"], int(facts["term"])
+        self._row("hold", self.place.name, at_us, task=task, term=term, until_us=until_us)
+
+    def send_signal(self, number: signal.Signals) -> None:
+        """To this process by its pid, while it runs."""
+        if number in (signal.SIGKILL, signal.SIGTERM):
+            self.ends = True
+        if self.process is not None and self.process.returncode is None:
+            with suppress(ProcessLookupError):
+                self.process.send_signal(number)
+
+    # ------------------------------------------------------------------ what is looked at
+
+    async def report(self) -> NodeReport | None:
+        """None: it does not run, or does not answer."""
+        counts = await self._asked("fleet counts")
+        process = self.process
+        if counts is None or process is None:
+            return None
+        try:
+            cpu_s, memory = process_cpu_s(process.pid), rss_mb(process.pid)
+        except OSError:
+            return None
+        keys = ("messages_in", "messages_out", "bytes_in", "bytes_out")
+        traffic = Traffic(*(counts[key] for key in keys))
+        return NodeReport(self.place.name, self.lives, traffic, cpu_s, [], False, memory)
+
+    async def knows(self, asked: Look) -> bool:
+        """Whether it knows exactly the members that were asked for, by name."""
+        members = await self._asked("fleet members")
+        if members is None:
+            return False
+        names = sorted(m["name"] for m in members if m["state"] in _LIVING)
+        return len(names) == asked.count and names_crc(names) == asked.names_crc
+
+    async def _asked(self, line: str) -> Any:
+        """What the process answers to a call of staff, as JSON; None where it does not."""
+        answer = b""
+        with anyio.move_on_after(ANSWER_S), suppress(*BROKEN):
+            async with await anyio.connect_tcp(*self.control) as stream:
+                await stream.send(f"{line}\r\n".encode())
+                while True:
+                    answer += await stream.receive()
+        text = answer.decode("utf-8", "replace").strip()
+        return json.loads(text.removeprefix("ok ")) if text.startswith("ok ") else None
+
+
+def process_cpu_s(pid: int) -> float:
+    """Processor time of a process so far. Raises OSError where there is none."""
+    words = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
+    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+
+
+def write_files(
+    folder: Path, process: RealProcess, plan: ScalePlan, terms: AgentTerms, roster: RigRoster
+) -> ProcessFiles:
+    """The platform's file and the operator's file of one process."""
+    place = process.place
+    settings = WorldTerms(nodes=plan.total, form_servers=FORM_SERVERS).settings(place.index)
+    settings["az"] = place.zone
+    config = {
+        "name": place.name,
+        "listen": _text(process.listen),
+        "control": _text(process.control),
+        "discovery": _text(roster.address),
+        "seed": f"{plan.seed * 10_000 + place.index:x}",
+        "peers": [],
+        "known": roster.whole(),
+        "settings": settings,
+    }
+    tables: dict[str, Any] = {
+        "members": msgspec.structs.asdict(terms.members),
+        "owners": {**msgspec.structs.asdict(terms.owners), "record": True},
+        "permits": msgspec.structs.asdict(terms.permits),
+        "reader": msgspec.structs.asdict(terms.reader),
+        "replica": msgspec.structs.asdict(terms.replica),
+        "rebalance": {"enabled": terms.pace},
+    }
+    files = ProcessFiles(folder / f"{place.name}.json", folder / f"{place.name}.toml")
+    files.config.write_text(json.dumps(config))
+    files.operator.write_text(tomli_w.dumps(tables))
+    return files
+
+
+def _text(address: Address) -> str:
+    return f"{address[0]}:{address[1]}"
+
+
+def _boot_offset_us() -> int:
+    """From the clock in which nodes record to the clock of leases: the time that the machine slept."""
+    return boot_us() - time.monotonic_ns() // 1000
--- /dev/null
+++ b/sailrun/lab/scale/results.py
@@ -0,0 +1,94 @@
+"""What a scale run leaves behind: its summary and its records, the same for both drivers."""
+
+from __future__ import annotations
+
+import json
+from dataclasses import asdict, dataclass, field
+
+from sailrun.lab.faults.history import Row
+from sailrun.lab.records import Records, Table
+from sailrun.lab.run import Outcome, Summary, finite
+from sailrun.lab.scale.checks import ended_check, known_check, late_check, owner_checks
+from sailrun.lab.scale.plan import ScalePlan
+from sailrun.lab.scale.roles import NodeUse, role_figures
+
+EXPERIMENT = "scale"
+# Stretches of a run; the figures of rest have no prefix.
+BEGIN, REST, FAULT = "begin", "rest", "fault"
+PREFIXES = {BEGIN: "begin.", REST: "", FAULT: "fault."}
+
+
+@dataclass(slots=True)
+class Known:
+    """After how many seconds every node knew every other; infinite: never, and who lacked something."""
+
+    seconds: float
+    lacking: list[str] = field(default_factory=list)
+
+
+@dataclass(slots=True)
+class Measured:
+    """`late_ms`, by host, and `processes` are of real time only. Times of rows in us of one clock."""
+
+    begin: Known
+    after: Known | None
+    uses: dict[str, list[NodeUse]]
+    rows: list[Row]
+    begin_us: int
+    end_us: int
+    late_ms: dict[str, list[float]] | None = None
+    ended: list[str] = field(default_factory=list)
+    processes: int = 0
+    figures: dict[str, float] = field(default_factory=dict)
+
+
+class ScaleRecords(Records):
+    """Two tables: what happened (`history`), and what each node used in each stretch (`uses`)."""
+
+    def __init__(self, measured: Measured) -> None:
+        super().__init__()
+        self.history, self.uses = Table("history"), Table("uses")
+        for row in sorted(measured.rows, key=lambda r: r["at_us"]):
+            facts = {k: v for k, v in row.items() if k not in ("at_us", "node", "kind")}
+            self.history.add(
+                at_us=row["at_us"] - measured.begin_us,
+                node=row["node"],
+                kind=row["kind"],
+                facts=json.dumps(facts, sort_keys=True, default=str),
+            )
+        for stretch, uses in measured.uses.items():
+            for use in uses:
+                self.uses.add(stretch=stretch, **{**asdict(use), "roles": ",".join(use.roles)})
+
+    def tables(self) -> tuple[Table, ...]:
+        return self.history, self.uses
+
+
+def summary_of(plan: ScalePlan, measured: Measured, cost: dict[str, float]) -> Summary:
+    figures: dict[str, float] = {"known_after_begin_s": measured.begin.seconds}
+    if measured.after is not None:
+        figures["known_after_fault_s"] = measured.after.seconds
+    figures |= measured.figures
+    for stretch in (REST, FAULT, BEGIN):
+        figures |= role_figures(measured.uses.get(stretch, ()), PREFIXES[stretch])
+    return Summary(
+        EXPERIMENT,
+        plan.driver,
+        plan.seed,
+        asdict(plan),
+        [],
+        {name: finite(value) for name, value in figures.items()},
+        _checks(measured),
+        cost,
+    )
+
+
+def _checks(measured: Measured) -> list[Outcome]:
+    checks = [known_check("all-known-after-begin-s", measured.begin.seconds, measured.begin.lacking)]
+    if measured.after is not None:
+        after = measured.after
+        checks.append(known_check("all-known-after-fault-s", after.seconds, after.lacking))
+    checks += owner_checks(measured.rows, measured.begin_us, measured.end_us)
+    if measured.late_ms is not None:
+        checks += [late_check(measured.late_ms), ended_check(measured.ended, measured.processes)]
+    return checks
--- /dev/null
+++ b/sailrun/lab/scale/roles.py
@@ -0,0 +1,81 @@
+"""What nodes of each role use: pure figures out of two reports of the same nodes."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from sailrun.lab.figures import quantile
+from sailrun.lab.scale.host_messages import NodeReport
+from sailrun.owners.agent import READER
+
+ORDINARY, VOTER, READER_ROLE, REAL = "ordinary", "voter", "reader", "real"
+# What is told of every node, each a second but for memory.
+MEASURES = ("bytes_in", "bytes_out", "messages_in", "messages_out", "cpu", "cpu_whole", "memory_mb")
+
+
+@dataclass(frozen=True, slots=True)
+class NodeUse:
+    """What one node used in a stretch of time. Bytes and messages a second, `cpu` as a share of one core:
+    inside the agent, packing, unpacking and sending. `cpu_whole`: its share of its whole process.
+    """
+
+    name: str
+    roles: tuple[str, ...]
+    bytes_in: float
+    bytes_out: float
+    messages_in: float
+    messages_out: float
+    cpu: float
+    cpu_whole: float
+    memory_mb: float
+
+
+def roles_of(report: NodeReport, is_real: bool = False) -> tuple[str, ...]:
+    """A real process is told of by itself; a node with several roles counts in each of them."""
+    if is_real:
+        return (REAL,)
+    roles = [READER_ROLE if task.startswith(READER) else f"owner_{task}" for task in report.tasks]
+    if report.voter:
+        roles.append(VOTER)
+    return tuple(roles) or (ORDINARY,)
+
+
+def use_between(
+    before: NodeReport,
+    after: NodeReport,
+    seconds: float,
+    cpu_whole: float,
+    memory_mb: float,
+    is_real: bool = False,
+) -> NodeUse:
+    """Roles are those at the end."""
+    one, other = before.traffic, after.traffic
+    return NodeUse(
+        after.name,
+        roles_of(after, is_real),
+        (other.bytes_in - one.bytes_in) / seconds,
+        (other.bytes_out - one.bytes_out) / seconds,
+        (other.messages_in - one.messages_in) / seconds,
+        (other.messages_out - one.messages_out) / seconds,
+        (after.cpu_s - before.cpu_s) / seconds,
+        cpu_whole,
+        memory_mb,
+    )
+
+
+def role_figures(uses: Iterable[NodeUse], prefix: str = "") -> dict[str, float]:
+    """`ROLE.MEASURE.median` and `ROLE.MEASURE.most`, and `ROLE.nodes`."""
+    by_role: dict[str, list[NodeUse]] = defaultdict(list)
+    for use in uses:
+        for role in use.roles:
+            by_role[role].append(use)
+    figures: dict[str, float] = {}
+    for role, its in sorted(by_role.items()):
+        figures[f"{prefix}{role}.nodes"] = float(len(its))
+        for measure in MEASURES:
+            values = [getattr(use, measure) for use in its]
+            figures[f"{prefix}{role}.{measure}.median"] = round(quantile(values, 0.5), 6)
+            figures[f"{prefix}{role}.{measure}.most"] = round(max(values), 6)
+    return figures
--- /dev/null
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -0,0 +1,332 @@
+"""All processes of a scale run in real time: hosts with hollow nodes, and real processes."""
+
+from __future__ import annotations
+
+import random
+import signal
+import socket
+import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+import anyio
+from anyio.abc import TaskGroup
+
+from sailrun.lab.faults.history import Row
+from sailrun.lab.scale.faults import (
+    Action,
+    ContinueHost,
+    ContinueNodes,
+    CutRegions,
+    HealRegions,
+    KillHost,
+    KillNodes,
+    LeaveNodes,
+    SilenceNodes,
+    StartHost,
+    StartNodes,
+    StopHost,
+    StopNodes,
+)
+from sailrun.lab.scale.hollow_node import names_crc
+from sailrun.lab.scale.host_messages import (
+    Command,
+    Cut,
+    End,
+    Heal,
+    HostReport,
+    Kill,
+    Leave,
+    Look,
+    Looked,
+    NodeReport,
+    Report,
+    Setup,
+    Silence,
+    Start,
+)
+from sailrun.lab.scale.host_process import HostProcess
+from sailrun.lab.scale.plan import PORT, ScalePlan, place_nodes
+from sailrun.lab.scale.real_process import RealProcess, SteadyRoster, write_files
+from sailrun.lab.scale.roles import NodeUse, use_between
+from sailrun.lab.scale.terms import node_terms
+from sailrun.owners.clock import boot_us
+from sailrun.owners.traffic import Traffic
+
+# Blocks of loopback addresses, by their second octet, that a run may take.
+BLOCKS = range(16, 240)
+ENDED_S = 5.0
+
+
+@dataclass(frozen=True, slots=True)
+class HostSample:
+    """A host's report, when it came (seconds, monotonic), and in which of its lives."""
+
+    at_s: float
+    life: int
+    base_mb: float
+    report: HostReport
+
+
+@dataclass(frozen=True, slots=True)
+class Sample:
+    """What all nodes had used by then. Real processes with the time of their answer."""
+
+    hosts: dict[int, HostSample]
+    real: dict[str, tuple[float, NodeReport]]
+
+
+def uses_between(before: Sample, after: Sample) -> list[NodeUse]:
+    """Of the nodes that lived from the one to the other."""
+    uses = []
+    for number, end in after.hosts.items():
+        begin = before.hosts.get(number)
+        if begin is None or begin.life != end.life or not end.report.nodes:
+            continue
+        seconds, nodes = end.at_s - begin.at_s, len(end.report.nodes)
+        cpu_whole = (end.report.cpu_s - begin.report.cpu_s) / seconds / nodes
+        memory_mb = (end.report.rss_mb - end.base_mb) / nodes
+        were = {report.name: report for report in begin.report.nodes}
+        for report in end.report.nodes:
+            was = were.get(report.name)
+            if was is not None and was.life == report.life:
+                uses.append(use_between(was, report, seconds, cpu_whole, memory_mb))
+    for name, (end_s, report) in after.real.items():
+        begin_s, was = before.real.get(name, (0.0, None))
+        if was is not None and was.life == report.life:
+            seconds = end_s - begin_s
+            cpu = (report.cpu_s - was.cpu_s) / seconds
+            uses.append(use_between(was, report, seconds, cpu, report.rss_mb, is_real=True))
+    return uses
+
+
+class SocketFleet:
+    def __init__(self, plan: ScalePlan, block: int, folder: Path, group: TaskGroup) -> None:
+        self.plan, self._block, self._folder, self._group = plan, block, folder, group
+        self.begin_us = boot_us()
+        self.places = place_nodes(plan, block)
+        self.rows: list[Row] = []
+        self.late_ms: dict[str, list[float]] = {}
+        self.hosts = [HostProcess(number, folder, group, self.rows.append) for number in range(plan.hosts)]
+        self.real = {p.name: RealProcess(p, self._row) for p in self.places if p.real}
+        self._roster_us = self.begin_us
+        self._roster = SteadyRoster(self._roster_us)
+        self._numbers: dict[str, int] = {}  # of each node's latest life
+        self._running: set[str] = set()
+        self._ends = False
+        self.ended: list[str] = []  # processes that ended by themselves
+
+    def _row(self, kind: str, node: str, at_us: int, **facts: Any) -> None:
+        self.rows.append({"at_us": at_us, "node": node, "kind": kind, **facts})
+
+    # ------------------------------------------------------------------ begin and end
+
+    async def open(self) -> None:
+        """Starts the hosts, without nodes."""
+        await self._roster.open(self._group)
+        async with anyio.create_task_group() as starting:
+            for host in self.hosts:
+                starting.start_soon(host.start, self._setup(host.number))
+
+    def _setup(self, host: int) -> Setup:
+        source = "{}:{}".format(*self._roster.address)
+        return Setup(self.plan, host, self._block, self._roster_us, source)
+
+    async def start_all(self, known: bool) -> None:
+        """Every node, all at once."""
+        for host in self.hosts:
+            await self._start_hollow(host, self._names_of(host), known)
+        for name in self.real:
+            self._start_real(name)
+
+    def _names_of(self, host: HostProcess) -> list[str]:
+        return [place.name for place in self.places if place.host == host.number]
+
+    async def _start_hollow(self, host: HostProcess, names: list[str], known: bool = False) -> None:
+        for name in names:
+            self._numbers[name] = self._numbers.get(name, 0) + 1
+        self._running.update(names)
+        await host.tell(Start({name: self._numbers[name] for name in names}, known))
+
+    def _start_real(self, name: str) -> None:
+        self._running.add(name)
+        self._group.start_soon(self._run_real, self.real[name])
+
+    async def _run_real(self, process: RealProcess) -> None:
+        terms = node_terms(self.plan, self.places, process.place)
+        await process.run(write_files(self._folder, process, self.plan, terms, self._roster))
+        if not process.ends and not self._ends:
+            self.ended.append(process.place.name)
+
+    async def end(self) -> None:
+        """Ends every process that was started, and waits until each has ended."""
+        self._ends = True
+        for host in self.hosts:
+            if host.ended_by_itself:
+                self.ended.append(f"{host.name} ({host.last_words()})")
+            host.ends = True
+            if host.stopped:
+                host.go_on()
+            await host.tell(End())
+        for process in self.real.values():
+            process.send_signal(signal.SIGKILL)
+        with anyio.move_on_after(ENDED_S):
+            for host in self.hosts:
+                await host.ended()
+        for host in self.hosts:
+            host.kill()
+            await host.ended()
+        while any(process.process is not None for process in self.real.values()):
+            await anyio.sleep(0.02)
+
+    # ------------------------------------------------------------------ faults
+
+    async def carry_out(self, action: Action) -> None:
+        self._row("fault", "", boot_us(), what=type(action).__name__, facts=str(action)[:500])
+        match action:
+            case KillHost(number):
+                self.hosts[number].kill()
+                for name in self._names_of(self.hosts[number]):
+                    self._running.discard(name)
+                    self._row("died", name, boot_us())
+            case StartHost(number):
+                host = self.hosts[number]
+                await host.ended()
+                await host.start(self._setup(number))
+                await self._start_hollow(host, self._names_of(host))
+            case StopHost(number):
+                self.hosts[number].stop()
+            case ContinueHost(number):
+                self.hosts[number].go_on()
+            case KillNodes(names):
+                await self._end_nodes(names, signal.SIGKILL)
+            case LeaveNodes(names):
+                await self._end_nodes(names, signal.SIGTERM)
+            case StartNodes(names):
+                await self._start_nodes(names)
+            case StopNodes(names):
+                self._signal(names, signal.SIGSTOP)
+            case ContinueNodes(names):
+                self._signal(names, signal.SIGCONT)
+            case SilenceNodes(names, on):
+                await self._tell_all(Silence(list(names), on))
+            case CutRegions(one, other):
+                await self._tell_all(Cut(one, other))
+            case HealRegions():
+                await self._tell_all(Heal())
+
+    async def _tell_all(self, command: Command) -> None:
+        for host in self.hosts:
+            await host.tell(command)
+
+    def _signal(self, names: tuple[str, ...], number: signal.Signals) -> None:
+        for name in names:
+            if name in self.real:
+                self.real[name].send_signal(number)
+
+    async def _end_nodes(self, names: tuple[str, ...], number: signal.Signals) -> None:
+        self._running.difference_update(names)
+        self._signal(names, number)
+        for host in self.hosts:
+            its = [place.name for place in self.places if place.host == host.number and place.name in names]
+            if its:
+                await host.tell(Kill(its) if number is signal.SIGKILL else Leave(its))
+
+    async def _start_nodes(self, names: tuple[str, ...]) -> None:
+        for host in self.hosts:
+            its = [place.name for place in self.places if place.host == host.number and place.name in names]
+            if its:
+                await self._start_hollow(host, its)
+        for name in names:
+            if name in self.real:
+                while self.real[name].process is not None:
+                    await anyio.sleep(0.02)
+                self._start_real(name)
+
+    # ------------------------------------------------------------------ what is looked at
+
+    async def lacking(self) -> list[str]:
+        """Some of the nodes that do not know exactly those that run; empty: all do."""
+        names = sorted(self._running)
+        again = {n: number for n, number in self._numbers.items() if number > 1 and n in self._running}
+        asked = Look(len(names), names_crc(names), again)
+        lacking: list[str] = []
+
+        async def look_at_host(host: HostProcess) -> None:
+            expected = [name for name in self._names_of(host) if name in self._running]
+            answer = await host.ask(asked)
+            if not isinstance(answer, Looked) or answer.nodes != len(expected):
+                lacking.extend(expected[:1])
+            else:
+                lacking.extend(answer.lacking)
+
+        async def look_at_real(process: RealProcess) -> None:
+            if not await process.knows(asked):
+                lacking.append(process.place.name)
+
+        async with anyio.create_task_group() as looking:
+            for host in self.hosts:
+                looking.start_soon(look_at_host, host)
+            for name, process in self.real.items():
+                if name in self._running:
+                    looking.start_soon(look_at_real, process)
+        return sorted(lacking)
+
+    async def sample(self) -> Sample:
+        hosts: dict[int, HostSample] = {}
+        real: dict[str, tuple[float, NodeReport]] = {}
+
+        async def of_host(host: HostProcess) -> None:
+            report = await host.ask(Report())
+            if isinstance(report, HostReport):
+                hosts[host.number] = HostSample(time.monotonic(), host.lives, host.base_mb, report)
+                self.late_ms.setdefault(host.name, []).extend(report.late_ms)
+
+        async def of_real(process: RealProcess) -> None:
+            report = await process.report()
+            if report is not None:
+                real[process.place.name] = (time.monotonic(), report)
+
+        async with anyio.create_task_group() as asking:
+            for host in self.hosts:
+                asking.start_soon(of_host, host)
+            for process in self.real.values():
+                asking.start_soon(of_real, process)
+        return Sample(hosts, real)
+
+    def nothing_used(self, sample: Sample) -> Sample:
+        """The sample of before the begin, for the same nodes."""
+
+        def fresh(report: NodeReport) -> NodeReport:
+            return NodeReport(report.name, report.life, Traffic(), 0.0, [], report.voter)
+
+        began_s = time.monotonic() - (boot_us() - self.begin_us) / 1e6
+        hosts = {
+            number: HostSample(
+                began_s,
+                host.life,
+                host.base_mb,
+                HostReport([fresh(r) for r in host.report.nodes], 0.0, host.base_mb, []),
+            )
+            for number, host in sample.hosts.items()
+        }
+        return Sample(hosts, {name: (began_s, fresh(report)) for name, (_, report) in sample.real.items()})
+
+
+@contextmanager
+def loopback_block(seed: int) -> Iterator[int]:
+    """A block of loopback addresses that no other run has: 127.BLOCK.0.0/16. Raises OSError for none left."""
+    blocks = list(BLOCKS)
+    random.Random(f"{seed}/{time.monotonic_ns()}").shuffle(blocks)
+    for block in blocks:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as held:
+            try:
+                held.bind((f"127.{block}.255.1", PORT))
+            except OSError:
+                continue
+            yield block
+            return
+    raise OSError("no block of loopback addresses is free")
--- /dev/null
+++ b/sailrun/lab/scale/virtual_run.py
@@ -0,0 +1,274 @@
+"""Plays a scale run in virtual time: the same agents, the same network model, in one process.
+
+Neither an event loop nor sockets are there, so that `cpu` lacks unpacking and sending, and all nodes share the
+records of members with which they begin: memory is less than of separate nodes.
+"""
+
+from __future__ import annotations
+
+import gc
+import math
+import os
+import time
+from collections.abc import Callable
+from time import thread_time
+from typing import Any
+
+from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
+from sailrun.lab.scale.faults import (
+    Action,
+    ContinueHost,
+    ContinueNodes,
+    CutRegions,
+    HealRegions,
+    KillHost,
+    KillNodes,
+    LeaveNodes,
+    SilenceNodes,
+    StartHost,
+    StartNodes,
+    Step,
+    StopHost,
+    StopNodes,
+)
+from sailrun.lab.scale.hollow_host import KEPT, rss_mb
+from sailrun.lab.scale.hollow_node import ROSTER_S, know_members
+from sailrun.lab.scale.host_messages import NodeReport
+from sailrun.lab.scale.metered_agent import MeteredAgent
+from sailrun.lab.scale.network_model import NetworkModel
+from sailrun.lab.scale.plan import Place, ScalePlan, place_nodes, voters_of
+from sailrun.lab.scale.real_run import GIVEN_UP_S, LOOK_S, SETTLE_S
+from sailrun.lab.scale.results import BEGIN, FAULT, REST, Known, Measured
+from sailrun.lab.scale.roles import NodeUse, use_between
+from sailrun.lab.scale.terms import node_terms
+from sailrun.lab.scheduler import BEGIN_US
+from sailrun.owners.agent import Out
+from sailrun.owners.envelope import LONGEST_DATAGRAM, Envelope, pack
+from sailrun.owners.traffic import Traffic
+
+SECOND = 1_000_000
+RECORDED = (*KEPT, "started", "died", "fault")
+Told = Callable[[float], None]
+
+
+class VirtualScaleFleet(VirtualFleet):
+    agent_class = MeteredAgent
+
+    def __init__(self, plan: ScalePlan) -> None:
+        places = place_nodes(plan)
+        super().__init__(
+            plan.total,
+            len(voters_of(places)),
+            plan.zones,
+            lambda index, voters, joins: node_terms(plan, places, places[index]),
+            plan.seed,
+        )
+        self.plan, self.places = plan, places
+        self.place_of = {place.name: place for place in places}
+        self.network = NetworkModel(places, plan.regions, f"network/{plan.seed}")
+        for place in places:
+            node = self.nodes[place.name]
+            node.address, node.zone = place.address, place.zone
+        self._at = {node.address: node for node in self.nodes.values()}
+        self.traffic: dict[str, Traffic] = {}
+        self._stops: dict[str, int] = {}
+
+    def begin(self) -> None:
+        """All at once. But for `begin`, every node knows every other from the first moment on."""
+        self.time.after(ROSTER_S * SECOND, self._publish)
+        for name in self.names:
+            self.start(name)
+        if self.plan.faults == "begin":
+            return
+        records = [self.agent(name).members.me for name in self.names]
+        gc.disable()  # nothing of this is garbage
+        for name in self.names:
+            others = [record for record in records if record.name != name]
+            know_members(self.agent(name), self.clock_us(self.nodes[name]), others)
+        gc.enable()
+        gc.freeze()
+
+    def agent(self, name: str) -> MeteredAgent:
+        agent = self.nodes[name].agent
+        assert isinstance(agent, MeteredAgent)
+        return agent
+
+    def start(self, name: str, clock_s: float = 0.0) -> None:
+        self.traffic[name] = Traffic()
+        super().start(name, clock_s)
+
+    def row(self, kind: str, node: str, **facts: Any) -> None:
+        if kind in RECORDED:
+            super().row(kind, node, **facts)
+
+    def _publish(self) -> None:
+        self.revision += 1
+        self.time.after(ROSTER_S * SECOND, self._publish)
+
+    # ------------------------------------------------------------------ the network
+
+    def _put(self, node: VirtualNode, out: Out) -> None:
+        began_s = thread_time()
+        size = len(pack(out.envelope))
+        if isinstance(node.agent, MeteredAgent):
+            node.agent.cpu_s += thread_time() - began_s
+        self.traffic[node.name].sent(size)
+        to = self._at.get(out.address)
+        if to is None:
+            return
+        model, sender, receiver = self.network, self.place_of[node.name], self.place_of[to.name]
+        by_link = size > LONGEST_DATAGRAM
+        wait_s = model.frame_s(sender, receiver) if by_link else model.datagram_s(sender, receiver)
+        if wait_s is not None:
+            self.time.after(int(wait_s * SECOND), self._come, sender, to, out.envelope, size)
+
+    def _come(self, sender: Place, to: VirtualNode, envelope: Envelope, size: int) -> None:
+        if to.agent is not None and self.network.passes(sender, self.place_of[to.name]):
+            self.traffic[to.name].received(size)
+            self._hear(to, sender.address, envelope)
+
+    # ------------------------------------------------------------------ faults
+
+    def carry_out(self, action: Action) -> None:
+        self.told(type(action).__name__, facts=str(action)[:500])
+        match action:
+            case KillHost(number):
+                self._each(self._names_of(number), self.kill)
+            case StartHost(number):
+                self._each(self._names_of(number), self.start)
+            case StopHost(number):
+                self._each(self._names_of(number), self._stop)
+            case ContinueHost(number):
+                self._each(self._names_of(number), self._continue)
+            case KillNodes(names):
+                self._each(names, self.kill)
+            case LeaveNodes(names):
+                self._each(names, self.leave)
+            case StartNodes(names):
+                self._each(names, self.start)
+            case StopNodes(names):
+                self._each(names, self._stop)
+            case ContinueNodes(names):
+                self._each(names, self._continue)
+            case SilenceNodes(names, on):
+                self.network.silence(names, on)
+            case CutRegions(one, other):
+                self.network.cut(one, other)
+            case HealRegions():
+                self.network.heal()
+
+    def _names_of(self, host: int) -> tuple[str, ...]:
+        return tuple(place.name for place in self.places if place.host == host)
+
+    @staticmethod
+    def _each(names: tuple[str, ...], act: Callable[[str], None]) -> None:
+        for name in names:
+            act(name)
+
+    def _stop(self, name: str) -> None:
+        self._stops[name] = self.stop(name)
+
+    def _continue(self, name: str) -> None:
+        self.go_on(name, self._stops.get(name, 0))
+
+    # ------------------------------------------------------------------ what is looked at
+
+    @property
+    def now_s(self) -> float:
+        """Seconds since the begin."""
+        return (self.time.now_us - BEGIN_US) / SECOND
+
+    def run_for(self, seconds: float) -> None:
+        self.run(self.now_s + seconds)
+
+    def lacking(self) -> list[str]:
+        """The nodes that do not know exactly those that run."""
+        running = [self.nodes[name] for name in sorted(self.names) if self.nodes[name].agent is not None]
+        names = [node.name for node in running]
+        again = {n.name: self.agent(n.name).life for n in running if n.life > 1}
+        return [node.name for node in running if not self._knows(node.name, names, again)]
+
+    def _knows(self, name: str, names: list[str], lives: dict[str, int]) -> bool:
+        members = self.agent(name).members
+        if not members.joined or members.names != names:
+            return False
+        known = {other: members.record(other) for other in lives}
+        return all(record is not None and record.life == lives[other] for other, record in known.items())
+
+    def until_known(self) -> Known:
+        began_s = self.now_s
+        lacking: list[str] = []
+        while self.now_s - began_s < GIVEN_UP_S:
+            lacking = self.lacking()
+            if not lacking:
+                return Known(self.now_s - began_s)
+            self.run_for(LOOK_S)
+        return Known(math.inf, lacking)
+
+    def reports(self) -> dict[str, NodeReport]:
+        return {node.name: self._report(node) for node in self.nodes.values() if node.agent is not None}
+
+    def _report(self, node: VirtualNode) -> NodeReport:
+        agent, counted = self.agent(node.name), self.traffic[node.name]
+        now_us = self.clock_us(node)
+        tasks = [task for task in agent.tasks() if agent.owns(task, now_us)]
+        traffic = Traffic(counted.messages_in, counted.messages_out, counted.bytes_in, counted.bytes_out)
+        return NodeReport(node.name, node.life, traffic, agent.cpu_s, tasks, agent.voter is not None)
+
+
+class _Stretch:
+    """A stretch of a run: what was used since it began."""
+
+    def __init__(self, fleet: VirtualScaleFleet, base_mb: float) -> None:
+        self._fleet, self._base_mb = fleet, base_mb
+        self._reports, self._begin_s, self._cpu_s = fleet.reports(), fleet.now_s, time.process_time()
+
+    def uses(self) -> list[NodeUse]:
+        fleet = self._fleet
+        seconds, nodes = max(0.001, fleet.now_s - self._begin_s), fleet.plan.total
+        cpu_whole = (time.process_time() - self._cpu_s) / seconds / nodes
+        memory_mb = (rss_mb(os.getpid()) - self._base_mb) / nodes
+        return [
+            use_between(self._reports[name], report, seconds, cpu_whole, memory_mb)
+            for name, report in fleet.reports().items()
+            if name in self._reports and self._reports[name].life == report.life
+        ]
+
+
+def play_virtual(plan: ScalePlan, steps: list[Step], told: Told) -> Measured:
+    base_mb = rss_mb(os.getpid())
+    fleet = VirtualScaleFleet(plan)
+    try:
+        return _measure(fleet, steps, told, base_mb)
+    finally:
+        gc.unfreeze()
+
+
+def _measure(fleet: VirtualScaleFleet, steps: list[Step], told: Told, base_mb: float) -> Measured:
+    fleet.begin()
+    stretch = _Stretch(fleet, base_mb)
+    begin = fleet.until_known()
+    uses = {BEGIN: stretch.uses()} if fleet.now_s else {}
+    told(0.2)
+    fleet.run_for(SETTLE_S)
+    stretch = _Stretch(fleet, base_mb)
+    fleet.run_for(fleet.plan.seconds)
+    uses[REST] = stretch.uses()
+    told(0.6)
+    after = None
+    if steps:
+        stretch = _Stretch(fleet, base_mb)
+        after = _play_steps(fleet, steps)
+        uses[FAULT] = stretch.uses()
+    told(1.0)
+    return Measured(begin, after, uses, fleet.rows, BEGIN_US, fleet.time.now_us)
+
+
+def _play_steps(fleet: VirtualScaleFleet, steps: list[Step]) -> Known:
+    began_s = fleet.now_s
+    for step in steps:
+        fleet.run(max(fleet.now_s, began_s + step.at_s))
+        fleet.carry_out(step.action)
+    known = fleet.until_known()
+    fleet.run_for(SETTLE_S)
+    return known
--- a/sailrun/owners/carrier.py
+++ b/sailrun/owners/carrier.py
@@ -30,7 +30,8 @@
 from sailrun.node.clock import log
 from sailrun.owners.agent import Agent, Out
 from sailrun.owners.clock import boot_us
-from sailrun.owners.envelope import LONGEST_DATAGRAM, LONGEST_FRAME, BadMessage, pack, unpack
+from sailrun.owners.envelope import LONGEST_DATAGRAM, LONGEST_FRAME, BadMessage, Envelope, pack, unpack
+from sailrun.owners.traffic import Traffic
 
 SECOND = 1_000_000
 # Frames that wait for one link, and links that are open, each way.
@@ -55,7 +56,7 @@
         self._called = anyio.Event()
         self._links: dict[str, _Link] = {}
         self._accepted = 0
-        self.bytes_out = 0
+        self.traffic = Traffic()
         self.bad_frames = 0
         self._sockets: tuple[socket.socket, socket.socket] | None = None
         self.ends = False  # after what is to be sent now, the address is given up
@@ -133,11 +134,14 @@
             # The clock is looked at last of all.
             if out.guard is not None and not self.agent.still(out.guard, boot_us()):
                 continue
-            try:
-                datagrams.sendto(data, split_address(out.address))
-                self.bytes_out += len(data)
-            except (OSError, ValueError):
-                pass  # as if it were lost
+            self._put(datagrams, data, out.address)
+
+    def _put(self, datagrams: socket.socket, data: bytes, address: str) -> None:
+        try:
+            datagrams.sendto(data, split_address(address))
+        except (OSError, ValueError):
+            return  # as if it were lost
+        self.traffic.sent(len(data))
 
     # ------------------------------------------------------------------ what comes in
 
@@ -153,14 +157,21 @@
             await anyio.sleep(0)
 
     def _came(self, data: bytes, address: str) -> bool:
+        self.traffic.received(len(data))
         try:
-            envelope = unpack(data)
+            envelope = self._unpacked(data)
         except BadMessage:
             self.agent.tallies.bad_messages += 1
             return False
-        self.post(lambda now_us: self.agent.hear(now_us, address, envelope))
+        self._hear(address, envelope)
         return True
 
+    def _unpacked(self, data: bytes) -> Envelope:
+        return unpack(data)
+
+    def _hear(self, address: str, envelope: Envelope) -> None:
+        self.post(lambda now_us: self.agent.hear(now_us, address, envelope))
+
     async def _accept(self, listener: socket.socket, group: TaskGroup) -> None:
         while True:
             try:
@@ -183,6 +194,7 @@
                         data = await _frame(link)
                     if waiting.cancelled_caught or data is None:
                         return
+                    self.traffic.bytes_in += _HEAD
                     if not self._came(data, show_address(link.sock.getpeername()[:2])):
                         self.bad_frames += 1
                         log("link-ended", reason="bad-frame", peer=show_address(link.sock.getpeername()[:2]))
@@ -223,7 +235,7 @@
                     await connection.write(len(data).to_bytes(_HEAD, "big") + data)
                 if writing.cancelled_caught:
                     return  # half a frame may be out
-                self.bytes_out += len(data) + _HEAD
+                self.traffic.sent(len(data) + _HEAD)
         except (OSError, ValueError):
             pass  # what waits is dropped, and asked for again
         finally:
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -378,7 +378,10 @@
             "wrong_fleet": tallies.wrong_fleet,
             "strangers": members.stray,
             "slowness": members.slowness,
-            "bytes_out": self.carrier.bytes_out,
+            "messages_in": self.carrier.traffic.messages_in,
+            "messages_out": self.carrier.traffic.messages_out,
+            "bytes_in": self.carrier.traffic.bytes_in,
+            "bytes_out": self.carrier.traffic.bytes_out,
             "in_touch": self.agent.tenures.in_touch(boot_us()),
         }
 
--- /dev/null
+++ b/tests/test_scale.py
@@ -0,0 +1,367 @@
+"""The scale run: where its nodes stand, what it refuses, what it finds out, and a small run of each driver."""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+from dataclasses import replace
+from pathlib import Path
+
+import pytest
+
+from sailrun.lab.faults.history import Row
+from sailrun.lab.run import Outcome, Summary
+from sailrun.lab.scale.checks import KNOWN_S, LATE_MS, known_check, late_check, owner_checks
+from sailrun.lab.scale.command import play_scale
+from sailrun.lab.scale.faults import (
+    CutRegions,
+    HealRegions,
+    KillHost,
+    KillNodes,
+    LeaveNodes,
+    StartHost,
+    StartNodes,
+    Step,
+    fault_steps,
+)
+from sailrun.lab.scale.host_messages import Look, NodeReport, line_of, read_command
+from sailrun.lab.scale.network_model import LOST_BETWEEN_REGIONS, REGION_STEP_S, NetworkModel
+from sailrun.lab.scale.plan import (
+    FAULTS,
+    MOST_MB,
+    DoesNotFit,
+    Place,
+    ScalePlan,
+    check_fit,
+    memory_mb,
+    place_nodes,
+    voters_of,
+)
+from sailrun.lab.scale.roles import MEASURES, NodeUse, role_figures, roles_of, use_between
+from sailrun.lab.scale.terms import node_terms
+from sailrun.owners.traffic import Traffic
+
+SECOND = 1_000_000
+SMALL = ScalePlan(nodes=3, hollow=60, seconds=3.0)
+
+
+# ---------------------------------------------------------------------- the plan
+
+
+def test_nodes_stand_in_all_zones_and_real_ones_in_the_first_region() -> None:
+    places = place_nodes(SMALL, block=20)
+    assert len({place.address for place in places}) == len(places) == 63
+    assert len({place.zone for place in places}) == 23 and len({place.region for place in places}) == 6
+    assert {place.region for place in places if place.real} == {"r0"}
+    assert all(place.zone.startswith(place.region + "-") for place in places)
+    assert {place.host for place in places} == {-1, 0, 1}
+
+
+def test_voters_stand_in_every_region_and_one_is_a_real_process() -> None:
+    places = place_nodes(SMALL)
+    voters = [place for place in places if place.name in voters_of(places)]
+    assert len(voters) == 7 and {place.region for place in voters} == {f"r{n}" for n in range(6)}
+    assert sum(place.real for place in voters) == 1
+
+
+def test_no_virtual_node_is_a_process() -> None:
+    assert not any(place.real for place in place_nodes(replace(SMALL, driver="virtual")))
+
+
+def test_terms_are_those_of_the_place() -> None:
+    places = place_nodes(replace(SMALL, replica=False))
+    terms = node_terms(replace(SMALL, replica=False), places, places[1])
+    assert terms.members.name == "n1" and terms.members.listen == places[1].address
+    assert places[1].address not in terms.members.join and len(terms.members.join) == 2
+    assert terms.owners.enabled and terms.reader.enabled and not terms.replica.enabled
+
+
+@pytest.mark.parametrize(
+    "plan, why",
+    [
+        (ScalePlan(nodes=3, hollow=4_000), "MB are expected, more than 12000"),
+        (ScalePlan(nodes=299, hollow=10), "processes are more than 300"),
+        (ScalePlan(nodes=0, hollow=3_801, driver="virtual"), "more than 3800"),
+        (ScalePlan(nodes=1, hollow=1), "fewer than 3"),
+    ],
+)
+def test_a_run_that_does_not_fit_is_refused_before_it_begins(plan: ScalePlan, why: str) -> None:
+    with pytest.raises(DoesNotFit, match=why):
+        play_scale(plan)
+
+
+def test_the_largest_runs_that_are_allowed_fit() -> None:
+    check_fit(ScalePlan(nodes=20, hollow=1_600))
+    check_fit(ScalePlan(nodes=0, hollow=3_800, driver="virtual"))
+    assert memory_mb(ScalePlan(nodes=0, hollow=3_800, driver="virtual")) < MOST_MB
+
+
+@pytest.mark.parametrize(
+    "arguments, line",
+    [
+        (("--nodes", "3", "--hollow", "5000"), "sailrun: scale: "),
+        (("--faults", "flood"), "sailrun: --faults: 'flood' is none of rest, hosts"),
+        (("--driver", "magic"), "sailrun: --driver: 'magic' is none of"),
+        (("--seconds", "0"), "sailrun: --seconds: 0 is not from 1"),
+    ],
+)
+def test_the_command_refuses_in_one_line(tmp_path: Path, arguments: tuple[str, ...], line: str) -> None:
+    command = [sys.executable, "-m", "sailrun", "lab", "run", "scale", *arguments]
+    done = subprocess.run([*command, "--out", str(tmp_path / "out")], capture_output=True, text=True)
+    assert done.returncode == 2 and done.stdout == ""
+    assert done.stderr.startswith(line) and done.stderr.count("\n") == 1
+    assert not (tmp_path / "out").exists()
+
+
+def test_other_experiments_take_no_hollow_nodes(tmp_path: Path) -> None:
+    command = [sys.executable, "-m", "sailrun", "lab", "run", "calm", "--hollow", "5", "--out", str(tmp_path)]
+    done = subprocess.run(command, capture_output=True, text=True)
+    assert done.returncode == 2 and "--hollow: only 'scale' takes it" in done.stderr
+
+
+# ---------------------------------------------------------------------- the network
+
+
+def _place(name: str, region: int, zone: int) -> Place:
+    return Place(0, name, f"r{region}", f"r{region}-z{zone}", f"r{region}-z{zone}-k0", f"127.1.0.1:{zone}", 0)
+
+
+def test_delays_grow_with_the_way_along_the_ring_of_regions() -> None:
+    here, near, far, round_about = (_place(f"n{n}", n, n) for n in (0, 1, 3, 5))
+    model = NetworkModel([here, near, far, round_about], 6, "seed")
+
+    def way_s(to: Place) -> float:
+        delay = model.frame_s(here, to)
+        assert delay is not None
+        return delay
+
+    assert way_s(_place("same", 0, 0)) < way_s(_place("beside", 0, 6)) < 0.002
+    for to, steps in ((near, 1), (far, 3), (round_about, 1)):
+        assert REGION_STEP_S * steps <= way_s(to) <= REGION_STEP_S * steps * 1.2
+
+
+def test_datagrams_between_regions_are_lost_in_the_stated_share() -> None:
+    here, there = _place("n0", 0, 0), _place("n1", 1, 1)
+    model = NetworkModel([here, there], 6, "seed")
+    lost = sum(model.datagram_s(here, there) is None for _ in range(50_000))
+    assert 0.5 * LOST_BETWEEN_REGIONS < lost / 50_000 < 1.5 * LOST_BETWEEN_REGIONS
+    assert all(model.frame_s(here, there) is not None for _ in range(5_000))
+
+
+def test_a_cut_holds_both_ways_until_it_is_healed() -> None:
+    here, there, third = _place("n0", 0, 0), _place("n1", 1, 1), _place("n2", 2, 2)
+    model = NetworkModel([here, there, third], 6, "seed")
+    model.cut("r0", "r1")
+    for sender, receiver in ((here, there), (there, here)):
+        assert model.datagram_s(sender, receiver) is None and model.frame_s(sender, receiver) is None
+    assert model.passes(here, third) and model.passes(third, there)
+    model.heal()
+    assert model.passes(here, there)
+
+
+def test_nobody_hears_a_silent_node() -> None:
+    here, there = _place("n0", 0, 0), _place("n1", 0, 0)
+    model = NetworkModel([here, there], 6, "seed")
+    model.silence(["n1"], True)
+    assert not model.passes(here, there) and not model.passes(there, here)
+    model.silence(["n1"], False)
+    assert model.passes(here, there)
+
+
+# ---------------------------------------------------------------------- faults
+
+
+@pytest.mark.parametrize("faults", FAULTS)
+def test_faults_come_in_their_order_and_whoever_ends_starts_again(faults: str) -> None:
+    plan = replace(SMALL, faults=faults)
+    steps = fault_steps(plan, place_nodes(plan))
+    assert bool(steps) is (faults not in ("rest", "begin"))
+    assert [step.at_s for step in steps] == sorted(step.at_s for step in steps)
+    ended: set[object] = set()
+    for step in steps:
+        match step.action:
+            case KillNodes(names) | LeaveNodes(names):
+                ended |= set(names)
+            case StartNodes(names):
+                ended -= set(names)
+            case KillHost(number):
+                ended.add(number)
+            case StartHost(number):
+                ended.discard(number)
+    assert not ended
+
+
+def test_a_rolling_restart_is_of_every_node_once() -> None:
+    plan = replace(SMALL, faults="roll")
+    left = [
+        name
+        for step in fault_steps(plan, place_nodes(plan))
+        if isinstance(step.action, LeaveNodes)
+        for name in step.action.names
+    ]
+    assert sorted(left) == sorted(place.name for place in place_nodes(plan))
+
+
+def test_commands_are_read_as_they_were_written() -> None:
+    asked = Look(3, 17, {"n1": 2})
+    assert read_command(line_of(asked)) == asked
+
+
+# ---------------------------------------------------------------------- figures by role
+
+
+def _report(name: str, sent: int, cpu_s: float, *tasks: str, voter: bool = False) -> NodeReport:
+    return NodeReport(name, 1, Traffic(sent, 2 * sent, 10 * sent, 100 * sent), cpu_s, list(tasks), voter)
+
+
+def test_a_nodes_use_is_what_was_added_each_second() -> None:
+    use = use_between(_report("n1", 10, 1.0), _report("n1", 60, 1.5), 10.0, 0.125, 24.0)
+    assert use == NodeUse("n1", ("ordinary",), 50.0, 500.0, 5.0, 10.0, 0.05, 0.125, 24.0)
+
+
+def test_roles_are_the_tasks_owned_the_vote_or_none() -> None:
+    assert roles_of(_report("n1", 0, 0.0)) == ("ordinary",)
+    both = _report("n1", 0, 0.0, "marks", "roster/r0-z0", voter=True)
+    assert roles_of(both) == ("owner_marks", "reader", "voter")
+    assert roles_of(both, is_real=True) == ("real",)
+
+
+def test_figures_are_the_median_and_the_busiest_of_each_role() -> None:
+    uses = [
+        use_between(_report(f"n{n}", 0, 0.0), _report(f"n{n}", n, 0.0), 1.0, 0.0, 1.0) for n in (1, 2, 9)
+    ]
+    uses.append(use_between(_report("v", 0, 0.0), _report("v", 5, 0.0, voter=True), 1.0, 0.0, 1.0))
+    figures = role_figures(uses)
+    assert figures["ordinary.nodes"] == 3 and figures["voter.nodes"] == 1
+    assert figures["ordinary.messages_in.median"] == 2 and figures["ordinary.messages_in.most"] == 9
+    assert figures["voter.bytes_out.median"] == figures["voter.bytes_out.most"] == 500
+    assert {name.split(".")[1] for name in figures} == {*MEASURES, "nodes"}
+    assert set(role_figures(uses, "fault.")) == {f"fault.{name}" for name in figures}
+
+
+# ---------------------------------------------------------------------- checks
+
+
+def _hold(node: str, at_s: float, until_s: float, term: int, task: str = "permits") -> Row:
+    times = {"at_us": int(at_s * SECOND), "until_us": int(until_s * SECOND)}
+    return {"node": node, "kind": "hold", "task": task, "term": term, **times}
+
+
+def _named(checks: list[Outcome], name: str) -> Outcome:
+    return next(check for check in checks if check.name == name)
+
+
+def test_two_owners_at_an_instant_are_found() -> None:
+    one_after_another = [_hold("n1", 0, 2, 1), _hold("n1", 1, 3, 1), _hold("n2", 4, 6, 2)]
+    check = _named(owner_checks(one_after_another, 0, 5 * SECOND), "one-owner-a-task")
+    assert check.holds and check.occasions == 1
+    at_once = [_hold("n1", 0, 2, 1), _hold("n1", 1, 3, 1), _hold("n2", 2.5, 6, 2)]
+    check = _named(owner_checks(at_once, 0, 5 * SECOND), "one-owner-a-task")
+    assert not check.holds and check.faults == ["2.500 s: permits: n2 and n1 both own it"]
+
+
+def test_an_owner_that_died_owns_nothing() -> None:
+    died: Row = {"node": "n1", "kind": "died", "at_us": 1 * SECOND}
+    rows = [_hold("n1", 0, 3, 1), died, _hold("n2", 2, 6, 2)]
+    assert _named(owner_checks(rows, 0, 5 * SECOND), "one-owner-a-task").holds
+
+
+def test_a_task_without_an_owner_at_the_end_is_found() -> None:
+    rows = [_hold("n1", 0, 2, 1), _hold("n2", 4, 6, 1, "marks")]
+    check = _named(owner_checks(rows, 0, 5 * SECOND), "every-task-owned-at-the-end")
+    assert not check.holds and check.faults == ["permits has no owner"]
+
+
+def test_a_run_in_which_nobody_owned_anything_does_not_hold() -> None:
+    assert not any(check.holds for check in owner_checks([], 0, SECOND))
+
+
+def test_a_late_host_makes_the_figures_mean_nothing() -> None:
+    on_time, late = [1.0] * 100, [1.0] * 97 + [LATE_MS + 50] * 3
+    assert late_check({"host-0": on_time, "host-1": on_time}).holds
+    check = late_check({"host-0": on_time, "host-1": late})
+    assert not check.holds and check.faults == ["host-1 was late by 150 ms: the figures of this run mean nothing"]
+    assert not late_check({}).holds
+
+
+def test_members_that_are_never_known_break_the_check() -> None:
+    assert known_check("known", KNOWN_S, []).holds
+    never = known_check("known", float("inf"), ["n4"])
+    assert not never.holds and never.value is None and never.faults == ["n4 knows other members"]
+
+
+# ---------------------------------------------------------------------- small runs
+
+
+def _checked(summary: Summary) -> None:
+    assert summary.holds, [check for check in summary.checks if not check.holds]
+    assert all(check.occasions for check in summary.checks)
+
+
+def test_a_zone_goes_and_returns_in_virtual_time() -> None:
+    plan = ScalePlan(nodes=0, hollow=60, zones=6, regions=3, seconds=5.0, faults="zone", driver="virtual")
+    summary, records = play_scale(plan)
+    _checked(summary)
+    figures = summary.figures
+    assert figures["ordinary.nodes"] and figures["voter.nodes"] == 7 and figures["reader.nodes"] == 6
+    for role in ("ordinary", "voter", "reader", "owner_permits", "owner_marks", "owner_pace"):
+        for measure in MEASURES:
+            median, most = (figures[f"{role}.{measure}.{which}"] for which in ("median", "most"))
+            assert median is not None and most is not None and 0 < median <= most, (role, measure)
+    assert figures["known_after_fault_s"] is not None and "fault.ordinary.bytes_out.most" in figures
+    kinds = set(records.history.columns["kind"])
+    assert {"started", "died", "hold", "fault"} <= kinds
+
+
+def test_the_same_seed_gives_the_same_traffic_in_virtual_time() -> None:
+    plan = ScalePlan(nodes=0, hollow=30, zones=6, regions=3, seconds=5.0, driver="virtual")
+    runs = [play_scale(plan)[0].figures for _ in range(2)]
+    same = [name for name in runs[0] if ".bytes_" in name or ".messages_" in name]
+    assert same and all(runs[0][name] == runs[1][name] for name in same)
+
+
+def test_all_begin_at_once_in_virtual_time() -> None:
+    plan = ScalePlan(nodes=0, hollow=40, zones=6, regions=3, seconds=2.0, faults="begin", driver="virtual")
+    summary, _ = play_scale(plan)
+    _checked(summary)
+    assert summary.figures["known_after_begin_s"] and "begin.ordinary.bytes_in.most" in summary.figures
+
+
+def test_hollow_nodes_and_real_processes_stand_a_kill_and_a_cut(tmp_path: Path) -> None:
+    """60 hollow nodes in two hosts and three real processes; a host and a real process are killed and start
+    again, and two regions are cut apart and healed.
+    """
+    real = place_nodes(SMALL)[-1].name
+    steps = [
+        Step(0.0, KillHost(0)),
+        Step(0.0, KillNodes((real,))),
+        Step(1.0, StartHost(0)),
+        Step(1.0, StartNodes((real,))),
+        Step(1.5, CutRegions("r0", "r1")),
+        Step(5.0, HealRegions()),
+    ]
+    summary, _ = play_scale(SMALL, steps=steps)
+    on_time = [check for check in summary.checks if check.name == "hosts-on-time-ms"]
+    assert len(on_time) == 1
+    # How late the hosts were says something of the machine, not of the program: it is there, and told.
+    others = [check for check in summary.checks if check.name != "hosts-on-time-ms"]
+    assert all(check.holds for check in others), others
+    figures = summary.figures
+    assert figures["real.nodes"] == 3 and figures["voter.nodes"] == 6 and figures["hosts"] == 2
+    for role in ("ordinary", "voter", "real"):
+        for measure in MEASURES:
+            median, most = (figures[f"{role}.{measure}.{which}"] for which in ("median", "most"))
+            assert median is not None and most is not None and 0 < median <= most, (role, measure)
+
+
+def test_the_command_leaves_a_summary_and_records(tmp_path: Path) -> None:
+    out = tmp_path / "out"
+    command = [sys.executable, "-m", "sailrun", "lab", "run", "scale", "--driver", "virtual"]
+    sizes = ["--nodes", "0", "--hollow", "30", "--seconds", "3", "--out", str(out)]
+    done = subprocess.run([*command, *sizes], capture_output=True, text=True)
+    assert done.returncode == 0, done.stdout + done.stderr
+    summary = json.loads((out / "summary.json").read_text())
+    assert summary["experiment"] == "scale" and summary["world"]["hollow"] == 30
+    assert "ordinary.bytes_out.median" in summary["figures"]
+    assert {path.name for path in out.iterdir()} == {"summary.json", "history.parquet", "uses.parquet"}
