--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -66,7 +66,7 @@
 
     for line in about():
         print(line)
-    print(f"{SCALE:20} real processes and many hollow nodes, with what each role uses (3 nodes, 60 hollow, 30 s)")
+    print(f"{SCALE:20} real processes and many hollow nodes: what each role uses (3 nodes, 60 hollow, 30 s)")
 
 
 def _run_scale(out: Path, driver: str | None, faults: str | None, **sizes: Any) -> None:
--- a/sailrun/lab/scale/checks.py
+++ b/sailrun/lab/scale/checks.py
@@ -25,9 +25,7 @@
     """Rows are `hold`, `lost`, `started` and `died`, as in `sailrun.lab.faults.history`."""
     holds = Judge(rows, {}, begin_us, end_us).holds
     faults = [fault for task, spans in sorted(holds.items()) for fault in _overlaps(task, spans, begin_us)]
-    unowned = [
-        task for task, spans in sorted(holds.items()) if not any(s.end_us >= end_us for s in spans)
-    ]
+    unowned = [task for task, spans in sorted(holds.items()) if not any(s.end_us >= end_us for s in spans)]
     return [
         Outcome("one-owner-a-task", len(faults), 0, not faults and bool(holds), faults[:NAMED], len(holds)),
         Outcome(
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -40,9 +40,7 @@
 
 
 def member_record(seed: int, place: Place, number: int) -> Record:
-    return Record(
-        place.name, life_of(seed, place.name, number), 1, State.ALIVE, place.address, place.zone
-    )
+    return Record(place.name, life_of(seed, place.name, number), 1, State.ALIVE, place.address, place.zone)
 
 
 def names_crc(names: list[str]) -> int:
@@ -59,9 +57,7 @@
     so that its owner's term is looked at after the delay, not before.
     """
 
-    def __init__(
-        self, agent: MeteredAgent, place: Place, network: NetworkModel, delays: DelayLine
-    ) -> None:
+    def __init__(self, agent: MeteredAgent, place: Place, network: NetworkModel, delays: DelayLine) -> None:
         super().__init__(agent, split_address(place.address), patient=False)
         self._metered, self._place, self._network, self._delays = agent, place, network, delays
 
--- a/sailrun/lab/scale/host_messages.py
+++ b/sailrun/lab/scale/host_messages.py
@@ -124,8 +124,8 @@
 Answer = Ready | Looked | HostReport | Recorded
 
 _encoder = msgspec.json.Encoder()
-_command_decoder = msgspec.json.Decoder(Command)
-_answer_decoder = msgspec.json.Decoder(Answer)
+_command_decoder: msgspec.json.Decoder[Command] = msgspec.json.Decoder(Command)
+_answer_decoder: msgspec.json.Decoder[Answer] = msgspec.json.Decoder(Answer)
 
 
 def line_of(message: Command | Answer) -> bytes:
--- a/sailrun/lab/scale/plan.py
+++ b/sailrun/lab/scale/plan.py
@@ -14,10 +14,10 @@
 MOST_VIRTUAL = 3_800
 MOST_PROCESSES = 300
 MOST_MB = 12_000.0
-# Memory, as measured: one node's knowledge of another, a host without nodes, a real process, and in virtual
-# time, where all nodes share one record of a member.
-PAIR_KB, HOST_MB, REAL_MB = 0.8, 45.0, 75.0
-VIRTUAL_PAIR_KB, VIRTUAL_MB = 0.6, 120.0
+# Memory, as measured and rounded up: one node's knowledge of another, a hollow node that knows nobody, a host
+# without nodes, a real process, and in virtual time, where all nodes share one record of a member.
+PAIR_KB, HOLLOW_MB, HOST_MB, REAL_MB = 0.8, 0.15, 30.0, 50.0
+VIRTUAL_PAIR_KB, VIRTUAL_MB = 0.4, 60.0
 # Hollow nodes of one host, the fewest and the most hosts: leave a core for the real processes and the run.
 HOLLOW_A_HOST, FEWEST_HOSTS, MOST_HOSTS = 100, 2, 7
 # A hollow node's own sockets and the links that it may have open, and what else a host holds open.
@@ -135,8 +135,9 @@
     """What the run is expected to take."""
     pairs = plan.total * plan.total
     if plan.driver == "virtual":
-        return VIRTUAL_MB + pairs * VIRTUAL_PAIR_KB / 1024
-    return plan.hosts * HOST_MB + plan.nodes * REAL_MB + pairs * PAIR_KB / 1024
+        return VIRTUAL_MB + plan.total * HOLLOW_MB + pairs * VIRTUAL_PAIR_KB / 1024
+    processes_mb = plan.hosts * HOST_MB + plan.nodes * REAL_MB
+    return processes_mb + plan.hollow * HOLLOW_MB + pairs * PAIR_KB / 1024
 
 
 def check_fit(plan: ScalePlan) -> None:
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -14,6 +14,7 @@
 from sailrun.lab.scale.faults import Step
 from sailrun.lab.scale.plan import ScalePlan
 from sailrun.lab.scale.results import BEGIN, FAULT, REST, Known, Measured
+from sailrun.lab.scale.roles import NodeUse
 from sailrun.lab.scale.socket_fleet import Sample, SocketFleet, loopback_block, uses_between
 from sailrun.owners.clock import boot_us
 
@@ -81,7 +82,7 @@
 
 
 async def _play_steps(
-    fleet: SocketFleet, steps: list[Step], before: Sample, uses: dict[str, list]
+    fleet: SocketFleet, steps: list[Step], before: Sample, uses: dict[str, list[NodeUse]]
 ) -> Known:
     began_s = time.monotonic()
     for step in steps:
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -87,19 +87,23 @@
         if begin is None or begin.life != end.life or not end.report.nodes:
             continue
         seconds, nodes = end.at_s - begin.at_s, len(end.report.nodes)
-        cpu_whole = (end.report.cpu_s - begin.report.cpu_s) / seconds / nodes
         memory_mb = (end.report.rss_mb - end.base_mb) / nodes
-        were = {report.name: report for report in begin.report.nodes}
-        for report in end.report.nodes:
-            was = were.get(report.name)
-            if was is not None and was.life == report.life:
-                uses.append(use_between(was, report, seconds, cpu_whole, memory_mb))
+        were = {(report.name, report.life): report for report in begin.report.nodes}
+        lived = [(were[r.name, r.life], r) for r in end.report.nodes if (r.name, r.life) in were]
+        spent_s = end.report.cpu_s - begin.report.cpu_s
+        agents_s = sum(report.cpu_s - was.cpu_s for was, report in lived)
+        for was, report in lived:
+            # Of the whole process a node has the same part as of the agents' time.
+            part = (report.cpu_s - was.cpu_s) / agents_s if agents_s else 0.0
+            uses.append(use_between(was, report, seconds, spent_s * part / seconds, memory_mb))
     for name, (end_s, report) in after.real.items():
-        begin_s, was = before.real.get(name, (0.0, None))
-        if was is not None and was.life == report.life:
+        if name not in before.real:
+            continue
+        begin_s, first = before.real[name]
+        if first.life == report.life:
             seconds = end_s - begin_s
-            cpu = (report.cpu_s - was.cpu_s) / seconds
-            uses.append(use_between(was, report, seconds, cpu, report.rss_mb, is_real=True))
+            cpu = (report.cpu_s - first.cpu_s) / seconds
+            uses.append(use_between(first, report, seconds, cpu, report.rss_mb, is_real=True))
     return uses
 
 
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -1,7 +1,7 @@
 """Plays a scale run in virtual time: the same agents, the same network model, in one process.
 
-Neither an event loop nor sockets are there, so that `cpu` lacks unpacking and sending, and all nodes share the
-records of members with which they begin: memory is less than of separate nodes.
+Neither an event loop nor sockets are there, so that `cpu` lacks unpacking and sending. All nodes share the
+records of members with which they begin: memory is less than that of separate nodes.
 """
 
 from __future__ import annotations
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: where its nodes stand, what it refuses, what it finds out, and a small run of each driver."""
+"""The scale run: where its nodes stand, what it refuses, what it finds, and a small run of each driver."""
 
 from __future__ import annotations
 
@@ -228,9 +228,7 @@
 
 
 def test_figures_are_the_median_and_the_busiest_of_each_role() -> None:
-    uses = [
-        use_between(_report(f"n{n}", 0, 0.0), _report(f"n{n}", n, 0.0), 1.0, 0.0, 1.0) for n in (1, 2, 9)
-    ]
+    uses = [use_between(_report(f"n{n}", 0, 0.0), _report(f"n{n}", n, 0.0), 1.0, 0.0, 1.0) for n in (1, 2, 9)]
     uses.append(use_between(_report("v", 0, 0.0), _report("v", 5, 0.0, voter=True), 1.0, 0.0, 1.0))
     figures = role_figures(uses)
     assert figures["ordinary.nodes"] == 3 and figures["voter.nodes"] == 1
@@ -281,7 +279,9 @@
     on_time, late = [1.0] * 100, [1.0] * 97 + [LATE_MS + 50] * 3
     assert late_check({"host-0": on_time, "host-1": on_time}).holds
     check = late_check({"host-0": on_time, "host-1": late})
-    assert not check.holds and check.faults == ["host-1 was late by 150 ms: the figures of this run mean nothing"]
+    assert not check.holds and check.faults == [
+        "host-1 was late by 150 ms: the figures of this run mean nothing"
+    ]
     assert not late_check({}).holds
 
 
