--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -92,7 +92,7 @@
         raise _complain(f"{SCALE}: {error}") from None
     except OSError as error:
         raise _complain(f"{out}: {error.strerror or error}") from None
-    _show(summary)
+    _show_scale(summary)
     print(f"records: {out / 'history.parquet'}, {out / 'uses.parquet'}")
     raise typer.Exit(0 if summary.holds else 1)
 
@@ -264,8 +264,26 @@
 
 
 def _show(summary: Summary) -> None:
-    for figure, value in summary.figures.items():
+    _show_figures(summary.figures)
+    _show_checks(summary)
+
+
+def _show_scale(summary: Summary) -> None:
+    """Figures by role as a table."""
+    from sailrun.lab.scale.role_table import is_of_role, role_lines
+
+    _show_figures({name: value for name, value in summary.figures.items() if not is_of_role(name)})
+    for line in role_lines(summary.figures):
+        print(line)
+    _show_checks(summary)
+
+
+def _show_figures(figures: dict[str, float | None]) -> None:
+    for figure, value in figures.items():
         print(f"{figure:36} {'-' if value is None else format(value, '.6g')}")
+
+
+def _show_checks(summary: Summary) -> None:
     for figure, cost in summary.cost.items():
         print(f"{figure:36} {cost:g}")
     for check in summary.checks:
--- a/sailrun/lab/scale/checks.py
+++ b/sailrun/lab/scale/checks.py
@@ -11,14 +11,17 @@
 # All know all within this after the begin, and after the last fault.
 KNOWN_S = 60.0
 # A host whose event loop was later than this, 99 times in 100 it was not, says nothing of its nodes.
-LATE_MS = 100.0
+LATE_MS, LATE_SHARE = 100.0, 0.99
 NAMED = 5
 
 
-def known_check(name: str, seconds: float, lacking: Iterable[str]) -> Outcome:
-    """`seconds`: after how long every node knew every other; infinite where it never did."""
+def known_check(name: str, seconds: float, lacking: Iterable[str], occasions: int) -> Outcome:
+    """`seconds`: after how long every node knew every other; infinite where it never did. `occasions`: what
+    they had to get over; without any, nothing was tried.
+    """
     faults = [f"{node} knows other members" for node in lacking][:NAMED]
-    return Outcome(name, finite(seconds), KNOWN_S, seconds <= KNOWN_S, faults, occasions=1)
+    holds = seconds <= KNOWN_S and occasions > 0
+    return Outcome(name, finite(seconds), KNOWN_S, holds, faults, occasions)
 
 
 def owner_checks(rows: list[Row], begin_us: int, end_us: int) -> list[Outcome]:
@@ -39,6 +42,18 @@
     ]
 
 
+def longest_gap_s(rows: list[Row], begin_us: int, end_us: int) -> float:
+    """The longest time that any task had no owner between two that it had."""
+    longest_us = 0
+    for spans in Judge(rows, {}, begin_us, end_us).holds.values():
+        covered_us: int | None = None
+        for span in sorted(spans, key=lambda s: s.begin_us):
+            if covered_us is not None:
+                longest_us = max(longest_us, span.begin_us - covered_us)
+            covered_us = max(covered_us or 0, span.end_us)
+    return longest_us / 1e6
+
+
 def _overlaps(task: str, spans: list[Span], begin_us: int) -> list[str]:
     faults = []
     latest: Span | None = None
@@ -53,7 +68,7 @@
 
 def late_check(late_ms: dict[str, list[float]]) -> Outcome:
     """By host. Where it does not hold, the figures of this run mean nothing."""
-    worst = {host: quantile(values, 0.99) for host, values in late_ms.items()}
+    worst = {host: quantile(values, LATE_SHARE) for host, values in late_ms.items()}
     faults = [
         f"{host} was late by {late:.0f} ms: the figures of this run mean nothing"
         for host, late in sorted(worst.items())
@@ -64,6 +79,11 @@
     return Outcome("hosts-on-time-ms", value, LATE_MS, not faults and looks > 0, faults[:NAMED], looks)
 
 
+def most_late_ms(late_ms: dict[str, list[float]]) -> float:
+    """How late the worst host was, 99 times in 100 no later."""
+    return max((quantile(values, LATE_SHARE) for values in late_ms.values()), default=0.0)
+
+
 def ended_check(ended: list[str], processes: int) -> Outcome:
     """Processes that ended although nobody had them end."""
     faults = [f"{name} ended by itself" for name in ended]
--- a/sailrun/lab/scale/hollow_host.py
+++ b/sailrun/lab/scale/hollow_host.py
@@ -48,8 +48,6 @@
 
 # The event loop is looked at so often for how late it is.
 LATE_STEP_S = 0.05
-# So many nodes that lack something are named.
-NAMED = 5
 # What is recorded of owners; the rest would be a row for every question.
 KEPT = ("hold", "lost")
 
@@ -159,7 +157,7 @@
             if not node.knows(asked, self._setup.plan.seed):
                 lacking.append(node.place.name)
             await anyio.sleep(0)
-        return Looked(len(nodes), lacking[:NAMED], len(lacking))
+        return Looked(len(nodes), lacking)
 
     async def _report(self) -> HostReport:
         reports: list[NodeReport] = []
@@ -168,7 +166,7 @@
             reports.append(node.report())
             await anyio.sleep(0)
         late_ms, self._late_ms = self._late_ms, []
-        return HostReport(reports, cpu_s, rss_mb(os.getpid()), late_ms)
+        return HostReport(reports, cpu_s, rss_mb(os.getpid()), late_ms, self._network.stopped)
 
 
 def rss_mb(pid: int) -> float:
--- a/sailrun/lab/scale/host_messages.py
+++ b/sailrun/lab/scale/host_messages.py
@@ -88,8 +88,7 @@
 
 class Looked(msgspec.Struct, frozen=True, tag="looked"):
     nodes: int
-    lacking: list[str]  # names of some nodes that know other members than was asked
-    lacking_count: int
+    lacking: list[str]  # the nodes that know other members than was asked
 
 
 class NodeReport(msgspec.Struct, frozen=True):
@@ -107,12 +106,15 @@
 
 
 class HostReport(msgspec.Struct, frozen=True, tag="reported"):
-    """`late_ms`: by how much the event loop was late, at every look since the last report."""
+    """`late_ms`: by how much the event loop was late, at every look since the last report. `stopped`:
+    messages that cuts and silences kept back so far.
+    """
 
     nodes: list[NodeReport]
     cpu_s: float
     rss_mb: float
     late_ms: list[float]
+    stopped: int
 
 
 class Recorded(msgspec.Struct, frozen=True, tag="recorded"):
--- a/sailrun/lab/scale/network_model.py
+++ b/sailrun/lab/scale/network_model.py
@@ -46,6 +46,7 @@
         self._paths: dict[tuple[str, str], Path] = {}  # by zones
         self._cut: set[frozenset[str]] = set()  # pairs of regions
         self._silent: set[str] = set()  # names
+        self.stopped = 0  # messages that a cut or a silence kept back
 
     # ------------------------------------------------------------------ faults
 
@@ -65,9 +66,12 @@
             self._silent.difference_update(names)
 
     def passes(self, sender: Place, receiver: Place) -> bool:
-        if self._cut and frozenset((sender.region, receiver.region)) in self._cut:
+        """Whether anything gets from the one to the other now; what does not is counted."""
+        cut = bool(self._cut) and frozenset((sender.region, receiver.region)) in self._cut
+        if cut or sender.name in self._silent or receiver.name in self._silent:
+            self.stopped += 1
             return False
-        return sender.name not in self._silent and receiver.name not in self._silent
+        return True
 
     # ------------------------------------------------------------------ paths
 
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -10,12 +10,14 @@
 
 import anyio
 
-from sailrun.lab.scale.checks import KNOWN_S
+from sailrun.lab.scale.checks import KNOWN_S, most_late_ms
+from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import Step
-from sailrun.lab.scale.plan import ScalePlan
-from sailrun.lab.scale.results import BEGIN, FAULT, REST, Known, Measured
+from sailrun.lab.scale.plan import ScalePlan, memory_mb
+from sailrun.lab.scale.results import Known, Measured
 from sailrun.lab.scale.roles import NodeUse
 from sailrun.lab.scale.socket_fleet import Sample, SocketFleet, loopback_block, uses_between
+from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
 from sailrun.owners.clock import boot_us
 
 # Whether all know all is looked at so often, and no longer than this.
@@ -38,7 +40,7 @@
         async with anyio.create_task_group() as group:
             fleet = SocketFleet(plan, block, Path(folder), group)
             try:
-                measured = await _measure(fleet, steps, told)
+                measured = await _RealRun(fleet, steps, told).measure()
             finally:
                 with anyio.CancelScope(shield=True):
                     await fleet.end()
@@ -47,59 +49,88 @@
         return measured
 
 
-async def _measure(fleet: SocketFleet, steps: list[Step], told: Told) -> Measured:
-    plan = fleet.plan
-    await fleet.open()
-    fleet.begin_us = boot_us()
-    await fleet.start_all(known=plan.faults != "begin")
-    begin = await _until_known(fleet)
-    first = await fleet.sample()
-    uses = {BEGIN: uses_between(fleet.nothing_used(first), first)}
-    told(0.2)
-    if plan.faults != "begin":
-        fleet.late_ms.clear()  # nothing of the begin counts, which is not what is measured
-    await anyio.sleep(SETTLE_S)
-    before = await fleet.sample()
-    await anyio.sleep(plan.seconds)
-    rest = await fleet.sample()
-    uses[REST] = uses_between(before, rest)
-    told(0.6)
-    after = await _play_steps(fleet, steps, rest, uses) if steps else None
-    end_us = boot_us()
-    await fleet.sample()  # the rows of the last moments
-    told(1.0)
-    return Measured(
-        begin,
-        after,
-        uses,
-        fleet.rows,
-        fleet.begin_us,
-        end_us,
-        fleet.late_ms,
-        processes=len(fleet.hosts) + len(fleet.real),
-        figures={"hosts": float(len(fleet.hosts))},
-    )
-
-
-async def _play_steps(
-    fleet: SocketFleet, steps: list[Step], before: Sample, uses: dict[str, list[NodeUse]]
-) -> Known:
-    began_s = time.monotonic()
-    for step in steps:
-        await anyio.sleep(max(0.0, began_s + step.at_s - time.monotonic()))
-        await fleet.carry_out(step.action)
-    known = await _until_known(fleet)
-    await anyio.sleep(SETTLE_S)  # whose owner was hit has another one
-    uses[FAULT] = uses_between(before, await fleet.sample())
-    return known
-
-
-async def _until_known(fleet: SocketFleet) -> Known:
-    began_s = time.monotonic()
-    lacking: list[str] = []
-    while time.monotonic() - began_s < GIVEN_UP_S:
-        lacking = await fleet.lacking()
-        if not lacking:
-            return Known(time.monotonic() - began_s)
-        await anyio.sleep(LOOK_S)
-    return Known(math.inf, lacking)
+class _RealRun:
+    """Goes through the stretches of a run, and measures each."""
+
+    def __init__(self, fleet: SocketFleet, steps: list[Step], told: Told) -> None:
+        self._fleet, self._steps, self._told = fleet, steps, told
+        self._watch = FaultWatch()
+        self._uses: dict[str, list[NodeUse]] = {}
+        self._figures = {"hosts": float(len(fleet.hosts)), "memory_expected_mb": memory_mb(fleet.plan)}
+
+    async def measure(self) -> Measured:
+        fleet = self._fleet
+        await fleet.open()
+        begin = await self._begin()
+        rest = await self._rest()
+        after = await self._faults(rest) if self._steps else None
+        end_us = boot_us()
+        last = await fleet.sample()
+        self._figures["memory_mb"] = last.memory_mb()
+        self._told(1.0)
+        return Measured(
+            begin,
+            after,
+            self._uses,
+            fleet.rows,
+            fleet.begin_us,
+            end_us,
+            fleet.late_ms,
+            processes=len(fleet.hosts) + len(fleet.real),
+            figures=self._figures,
+        )
+
+    async def _begin(self) -> Known:
+        fleet = self._fleet
+        all_at_once = fleet.plan.faults == "begin"
+        fleet.begin_us = boot_us()
+        await fleet.start_all(known=not all_at_once)
+        known = await self._until_known()
+        sample = await fleet.sample()
+        self._uses[BEGIN] = uses_between(fleet.nothing_used(sample), sample)
+        self._figures["hosts_late_in_begin_ms"] = most_late_ms(fleet.late_ms)
+        if not all_at_once:
+            fleet.late_ms.clear()  # such a begin is not what is measured
+        self._told(0.2)
+        return known
+
+    async def _rest(self) -> Sample:
+        await anyio.sleep(SETTLE_S)
+        before = await self._fleet.sample()
+        await anyio.sleep(self._fleet.plan.seconds)
+        after = await self._fleet.sample()
+        self._uses[REST] = uses_between(before, after)
+        self._told(0.6)
+        return after
+
+    async def _faults(self, before: Sample) -> Known:
+        began_s = time.monotonic()
+        for step in self._steps:
+            await self._watch_until(began_s + step.at_s)
+            await self._fleet.carry_out(step.action)
+            self._watch.acted(time.monotonic(), step.action)
+        known = await self._until_known()
+        await anyio.sleep(SETTLE_S)  # whose owner was hit has another one
+        after = await self._fleet.sample()
+        self._uses[FAULT] = uses_between(before, after)
+        known.occasions = self._watch.occasions(after.stopped())
+        self._figures |= self._watch.figures()
+        self._figures["messages_stopped"] = float(after.stopped())
+        return known
+
+    async def _watch_until(self, due_s: float) -> None:
+        while (left_s := due_s - time.monotonic()) > 0:
+            if self._watch.actions:
+                self._watch.saw(time.monotonic(), len(await self._fleet.lacking()))
+                left_s = due_s - time.monotonic()
+            await anyio.sleep(max(0.0, min(LOOK_S, left_s)))
+
+    async def _until_known(self) -> Known:
+        began_s = time.monotonic()
+        lacking: list[str] = []
+        while time.monotonic() - began_s < GIVEN_UP_S:
+            lacking = await self._fleet.lacking()
+            if not lacking:
+                return Known(time.monotonic() - began_s)
+            await anyio.sleep(LOOK_S)
+        return Known(math.inf, lacking)
--- a/sailrun/lab/scale/results.py
+++ b/sailrun/lab/scale/results.py
@@ -8,22 +8,29 @@
 from sailrun.lab.faults.history import Row
 from sailrun.lab.records import Records, Table
 from sailrun.lab.run import Outcome, Summary, finite
-from sailrun.lab.scale.checks import ended_check, known_check, late_check, owner_checks
+from sailrun.lab.scale.checks import (
+    ended_check,
+    known_check,
+    late_check,
+    longest_gap_s,
+    owner_checks,
+)
 from sailrun.lab.scale.plan import ScalePlan
 from sailrun.lab.scale.roles import NodeUse, role_figures
+from sailrun.lab.scale.stretches import PREFIXES
 
 EXPERIMENT = "scale"
-# Stretches of a run; the figures of rest have no prefix.
-BEGIN, REST, FAULT = "begin", "rest", "fault"
-PREFIXES = {BEGIN: "begin.", REST: "", FAULT: "fault."}
 
 
 @dataclass(slots=True)
 class Known:
-    """After how many seconds every node knew every other; infinite: never, and who lacked something."""
+    """After how many seconds every node knew every other; infinite: never, and who lacked something.
+    `occasions`: how much had happened that they had to get over.
+    """
 
     seconds: float
     lacking: list[str] = field(default_factory=list)
+    occasions: int = 1
 
 
 @dataclass(slots=True)
@@ -68,9 +75,10 @@
     figures: dict[str, float] = {"known_after_begin_s": measured.begin.seconds}
     if measured.after is not None:
         figures["known_after_fault_s"] = measured.after.seconds
+    figures["longest_without_owner_s"] = longest_gap_s(measured.rows, measured.begin_us, measured.end_us)
     figures |= measured.figures
-    for stretch in (REST, FAULT, BEGIN):
-        figures |= role_figures(measured.uses.get(stretch, ()), PREFIXES[stretch])
+    for stretch, prefix in PREFIXES.items():
+        figures |= role_figures(measured.uses.get(stretch, ()), prefix)
     return Summary(
         EXPERIMENT,
         plan.driver,
@@ -84,10 +92,10 @@
 
 
 def _checks(measured: Measured) -> list[Outcome]:
-    checks = [known_check("all-known-after-begin-s", measured.begin.seconds, measured.begin.lacking)]
-    if measured.after is not None:
-        after = measured.after
-        checks.append(known_check("all-known-after-fault-s", after.seconds, after.lacking))
+    begin, after = measured.begin, measured.after
+    checks = [known_check("all-known-after-begin-s", begin.seconds, begin.lacking, begin.occasions)]
+    if after is not None:
+        checks.append(known_check("all-known-after-fault-s", after.seconds, after.lacking, after.occasions))
     checks += owner_checks(measured.rows, measured.begin_us, measured.end_us)
     if measured.late_ms is not None:
         checks += [late_check(measured.late_ms), ended_check(measured.ended, measured.processes)]
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -78,6 +78,14 @@
     hosts: dict[int, HostSample]
     real: dict[str, tuple[float, NodeReport]]
 
+    def stopped(self) -> int:
+        """Messages that cuts and silences kept back, since the hosts that answered started."""
+        return sum(host.report.stopped for host in self.hosts.values())
+
+    def memory_mb(self) -> float:
+        hosts_mb = sum(host.report.rss_mb for host in self.hosts.values())
+        return hosts_mb + sum(report.rss_mb for _, report in self.real.values())
+
 
 def uses_between(before: Sample, after: Sample) -> list[NodeUse]:
     """Of the nodes that lived from the one to the other."""
@@ -120,6 +128,7 @@
         self._roster = SteadyRoster(self._roster_us)
         self._numbers: dict[str, int] = {}  # of each node's latest life
         self._running: set[str] = set()
+        self._stopped: set[str] = set()  # by SIGSTOP
         self._ends = False
         self.ended: list[str] = []  # processes that ended by themselves
 
@@ -202,8 +211,10 @@
                 await host.start(self._setup(number))
                 await self._start_hollow(host, self._names_of(host))
             case StopHost(number):
+                self._stopped.update(self._names_of(self.hosts[number]))
                 self.hosts[number].stop()
             case ContinueHost(number):
+                self._stopped.difference_update(self._names_of(self.hosts[number]))
                 self.hosts[number].go_on()
             case KillNodes(names):
                 await self._end_nodes(names, signal.SIGKILL)
@@ -212,8 +223,10 @@
             case StartNodes(names):
                 await self._start_nodes(names)
             case StopNodes(names):
+                self._stopped.update(names)
                 self._signal(names, signal.SIGSTOP)
             case ContinueNodes(names):
+                self._stopped.difference_update(names)
                 self._signal(names, signal.SIGCONT)
             case SilenceNodes(names, on):
                 await self._tell_all(Silence(list(names), on))
@@ -253,19 +266,20 @@
     # ------------------------------------------------------------------ what is looked at
 
     async def lacking(self) -> list[str]:
-        """Some of the nodes that do not know exactly those that run; empty: all do."""
-        names = sorted(self._running)
-        again = {n: number for n, number in self._numbers.items() if number > 1 and n in self._running}
+        """The nodes that do not know exactly those that run; who is stopped counts as not running."""
+        running = self._running - self._stopped
+        names = sorted(running)
+        again = {n: number for n, number in self._numbers.items() if number > 1 and n in running}
         asked = Look(len(names), names_crc(names), again)
         lacking: list[str] = []
 
         async def look_at_host(host: HostProcess) -> None:
-            expected = [name for name in self._names_of(host) if name in self._running]
-            answer = await host.ask(asked)
-            if not isinstance(answer, Looked) or answer.nodes != len(expected):
-                lacking.extend(expected[:1])
-            else:
+            expected = [name for name in self._names_of(host) if name in running]
+            answer = await host.ask(asked) if expected else None
+            if isinstance(answer, Looked) and answer.nodes == len(expected):
                 lacking.extend(answer.lacking)
+            else:
+                lacking.extend(expected)
 
         async def look_at_real(process: RealProcess) -> None:
             if not await process.knows(asked):
@@ -275,7 +289,7 @@
             for host in self.hosts:
                 looking.start_soon(look_at_host, host)
             for name, process in self.real.items():
-                if name in self._running:
+                if name in running:
                     looking.start_soon(look_at_real, process)
         return sorted(lacking)
 
@@ -297,8 +311,9 @@
         async with anyio.create_task_group() as asking:
             for host in self.hosts:
                 asking.start_soon(of_host, host)
-            for process in self.real.values():
-                asking.start_soon(of_real, process)
+            for name, process in self.real.items():
+                if name not in self._stopped:
+                    asking.start_soon(of_real, process)
         return Sample(hosts, real)
 
     def nothing_used(self, sample: Sample) -> Sample:
@@ -313,7 +328,7 @@
                 began_s,
                 host.life,
                 host.base_mb,
-                HostReport([fresh(r) for r in host.report.nodes], 0.0, host.base_mb, []),
+                HostReport([fresh(r) for r in host.report.nodes], 0.0, host.base_mb, [], 0),
             )
             for number, host in sample.hosts.items()
         }
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
+from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import (
     Action,
     ContinueHost,
@@ -36,10 +37,11 @@
 from sailrun.lab.scale.host_messages import NodeReport
 from sailrun.lab.scale.metered_agent import MeteredAgent
 from sailrun.lab.scale.network_model import NetworkModel
-from sailrun.lab.scale.plan import Place, ScalePlan, place_nodes, voters_of
+from sailrun.lab.scale.plan import Place, ScalePlan, memory_mb, place_nodes, voters_of
 from sailrun.lab.scale.real_run import GIVEN_UP_S, LOOK_S, SETTLE_S
-from sailrun.lab.scale.results import BEGIN, FAULT, REST, Known, Measured
+from sailrun.lab.scale.results import Known, Measured
 from sailrun.lab.scale.roles import NodeUse, use_between
+from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
 from sailrun.lab.scale.terms import node_terms
 from sailrun.lab.scheduler import BEGIN_US
 from sailrun.owners.agent import Out
@@ -182,8 +184,9 @@
         self.run(self.now_s + seconds)
 
     def lacking(self) -> list[str]:
-        """The nodes that do not know exactly those that run."""
-        running = [self.nodes[name] for name in sorted(self.names) if self.nodes[name].agent is not None]
+        """The nodes that do not know exactly those that run; who is stopped counts as not running."""
+        nodes = [self.nodes[name] for name in sorted(self.names)]
+        running = [node for node in nodes if node.agent is not None and not node.stopped]
         names = [node.name for node in running]
         again = {n.name: self.agent(n.name).life for n in running if n.life > 1}
         return [node.name for node in running if not self._knows(node.name, names, again)]
@@ -255,20 +258,28 @@
     fleet.run_for(fleet.plan.seconds)
     uses[REST] = stretch.uses()
     told(0.6)
-    after = None
+    after, watch = None, FaultWatch()
     if steps:
         stretch = _Stretch(fleet, base_mb)
-        after = _play_steps(fleet, steps)
+        after = _play_steps(fleet, steps, watch)
         uses[FAULT] = stretch.uses()
     told(1.0)
-    return Measured(begin, after, uses, fleet.rows, BEGIN_US, fleet.time.now_us)
+    figures = {"memory_expected_mb": memory_mb(fleet.plan), "memory_mb": rss_mb(os.getpid())}
+    if steps:
+        figures |= {**watch.figures(), "messages_stopped": float(fleet.network.stopped)}
+    return Measured(begin, after, uses, fleet.rows, BEGIN_US, fleet.time.now_us, figures=figures)
 
 
-def _play_steps(fleet: VirtualScaleFleet, steps: list[Step]) -> Known:
+def _play_steps(fleet: VirtualScaleFleet, steps: list[Step], watch: FaultWatch) -> Known:
     began_s = fleet.now_s
     for step in steps:
-        fleet.run(max(fleet.now_s, began_s + step.at_s))
+        while (left_s := began_s + step.at_s - fleet.now_s) > 0:
+            fleet.run_for(min(LOOK_S, left_s))
+            if watch.actions:
+                watch.saw(fleet.now_s, len(fleet.lacking()))
         fleet.carry_out(step.action)
+        watch.acted(fleet.now_s, step.action)
     known = fleet.until_known()
     fleet.run_for(SETTLE_S)
+    known.occasions = watch.occasions(fleet.network.stopped)
     return known
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,8 +12,16 @@
 
 from sailrun.lab.faults.history import Row
 from sailrun.lab.run import Outcome, Summary
-from sailrun.lab.scale.checks import KNOWN_S, LATE_MS, known_check, late_check, owner_checks
+from sailrun.lab.scale.checks import (
+    KNOWN_S,
+    LATE_MS,
+    known_check,
+    late_check,
+    longest_gap_s,
+    owner_checks,
+)
 from sailrun.lab.scale.command import play_scale
+from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import (
     CutRegions,
     HealRegions,
@@ -38,6 +46,7 @@
     place_nodes,
     voters_of,
 )
+from sailrun.lab.scale.role_table import is_of_role, role_lines
 from sailrun.lab.scale.roles import MEASURES, NodeUse, role_figures, roles_of, use_between
 from sailrun.lab.scale.terms import node_terms
 from sailrun.owners.traffic import Traffic
@@ -238,6 +247,14 @@
     assert set(role_figures(uses, "fault.")) == {f"fault.{name}" for name in figures}
 
 
+def test_the_table_has_a_row_for_each_stretch_and_role() -> None:
+    use = use_between(_report("n1", 0, 0.0), _report("n1", 400, 0.25), 10.0, 0.05, 1.5)
+    lines = list(role_lines(role_figures([use]) | role_figures([use], "fault.")))
+    assert [line.split()[0] for line in lines] == ["rest:", "ordinary", "fault:", "ordinary"]
+    assert "400, 400" in lines[1] and "2.50%, 2.50%" in lines[1] and "1.50, 1.50" in lines[1]
+    assert is_of_role("ordinary.nodes") and not is_of_role("known_after_begin_s")
+
+
 # ---------------------------------------------------------------------- checks
 
 
@@ -286,11 +303,43 @@
 
 
 def test_members_that_are_never_known_break_the_check() -> None:
-    assert known_check("known", KNOWN_S, []).holds
-    never = known_check("known", float("inf"), ["n4"])
+    assert known_check("known", KNOWN_S, [], occasions=1).holds
+    assert not known_check("known", 0.0, [], occasions=0).holds
+    never = known_check("known", float("inf"), ["n4"], occasions=1)
     assert not never.holds and never.value is None and never.faults == ["n4 knows other members"]
 
 
+def test_the_longest_time_without_an_owner_is_between_two_that_there_were() -> None:
+    rows = [_hold("n1", 0, 2, 1), _hold("n2", 3.5, 5, 2), _hold("n1", 0, 9, 1, "marks")]
+    assert longest_gap_s(rows, 0, 9 * SECOND) == 1.5
+    assert longest_gap_s([], 0, SECOND) == 0.0
+
+
+def test_how_long_a_kill_was_not_known_is_told() -> None:
+    watch = FaultWatch()
+    watch.acted(10.0, KillNodes(("n1",)))
+    for at_s, lacking in ((11.0, 40), (15.0, 3), (17.0, 0), (18.0, 0)):
+        watch.saw(at_s, lacking)
+    watch.acted(20.0, StartNodes(("n1",)))
+    assert watch.figures() == {"fault_actions": 2.0, "most_lacking_in_fault": 40.0, "gone_known_s": 7.0}
+    assert watch.occasions(0) == 2
+
+
+def test_whoever_returns_before_all_knew_that_he_was_gone_leaves_that_unknown() -> None:
+    watch = FaultWatch()
+    watch.acted(0.0, KillHost(0))
+    watch.saw(1.0, 5)
+    watch.acted(2.0, StartHost(0))
+    assert watch.figures()["gone_known_s"] == float("inf")
+
+
+def test_a_cut_that_kept_nothing_back_was_none() -> None:
+    watch = FaultWatch()
+    watch.acted(0.0, CutRegions("r0", "r1"))
+    watch.acted(5.0, HealRegions())
+    assert watch.occasions(0) == 0 and watch.occasions(3) == 5
+
+
 # ---------------------------------------------------------------------- small runs
 
 
@@ -328,7 +377,7 @@
     assert summary.figures["known_after_begin_s"] and "begin.ordinary.bytes_in.most" in summary.figures
 
 
-def test_hollow_nodes_and_real_processes_stand_a_kill_and_a_cut(tmp_path: Path) -> None:
+def test_hollow_nodes_and_real_processes_stand_a_kill_and_a_cut() -> None:
     """60 hollow nodes in two hosts and three real processes; a host and a real process are killed and start
     again, and two regions are cut apart and healed.
     """
@@ -349,6 +398,9 @@
     assert all(check.holds for check in others), others
     figures = summary.figures
     assert figures["real.nodes"] == 3 and figures["voter.nodes"] == 6 and figures["hosts"] == 2
+    assert figures["fault_actions"] == len(steps) and figures["messages_stopped"]
+    memory, expected = figures["memory_mb"], figures["memory_expected_mb"]
+    assert memory is not None and expected is not None and memory < 1.25 * expected
     for role in ("ordinary", "voter", "real"):
         for measure in MEASURES:
             median, most = (figures[f"{role}.{measure}.{which}"] for which in ("median", "most"))
