--- a/sailrun/lab/scale/hollow_host.py
+++ b/sailrun/lab/scale/hollow_host.py
@@ -182,7 +182,7 @@
         raise SystemExit("hollow_host: the first line is no setup")
     async with anyio.create_task_group() as group:
         host = HollowHost(setup, group)
-        _answer(Ready(rss_mb(os.getpid())))
+        _answer(Ready(rss_mb(os.getpid()), time.process_time()))
         while line := await stdin.readline():
             command = read_command(line)
             if isinstance(command, End):
--- a/sailrun/lab/scale/host_messages.py
+++ b/sailrun/lab/scale/host_messages.py
@@ -81,9 +81,10 @@
 
 
 class Ready(msgspec.Struct, frozen=True, tag="ready"):
-    """The host has no nodes yet, and takes so much memory."""
+    """The host has no nodes yet, and has taken so much memory and processor time."""
 
     rss_mb: float
+    cpu_s: float
 
 
 class Looked(msgspec.Struct, frozen=True, tag="looked"):
--- a/sailrun/lab/scale/host_process.py
+++ b/sailrun/lab/scale/host_process.py
@@ -38,7 +38,7 @@
         self._process: Process | None = None
         self._answers: MemoryObjectReceiveStream[Answer] | None = None
         self.lives = 0
-        self.base_mb = 0.0  # without nodes
+        self.base_mb = self.base_cpu_s = 0.0  # without nodes
         self.stopped = False
         self.ends = False  # somebody has it end
         self.ended_by_itself = False
@@ -62,7 +62,7 @@
         self._group.start_soon(self._watch, process, into)
         answer = await self.ask(setup)
         if isinstance(answer, Ready):
-            self.base_mb = answer.rss_mb
+            self.base_mb, self.base_cpu_s = answer.rss_mb, answer.cpu_s
 
     async def _watch(self, process: Process, answers: MemoryObjectSendStream[Answer]) -> None:
         assert process.stdout is not None
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import math
+import signal
 import tempfile
+import threading
 import time
 from collections.abc import Callable
 from pathlib import Path
@@ -37,7 +39,9 @@
         tempfile.TemporaryDirectory(prefix="sailrun-scale-") as folder,
         loopback_block(plan.seed) as block,
     ):
+        measured: Measured | None = None
         async with anyio.create_task_group() as group:
+            group.start_soon(_end_on_signal, group.cancel_scope)
             fleet = SocketFleet(plan, block, Path(folder), group)
             try:
                 measured = await _RealRun(fleet, steps, told).measure()
@@ -45,10 +49,21 @@
                 with anyio.CancelScope(shield=True):
                     await fleet.end()
                 group.cancel_scope.cancel()
+        if measured is None:
+            raise KeyboardInterrupt
         measured.ended = fleet.ended
         return measured
 
 
+async def _end_on_signal(run: anyio.CancelScope) -> None:
+    """A run that is told to end leaves no process behind."""
+    if threading.current_thread() is not threading.main_thread():
+        return  # signals come to the main thread only
+    with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
+        async for _ in signals:
+            run.cancel()
+
+
 class _RealRun:
     """Goes through the stretches of a run, and measures each."""
 
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -63,11 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSample:
-    """A host's report, when it came (seconds, monotonic), and in which of its lives."""
+    """A host's report, when it came (seconds, monotonic), in which of its lives, and what it took without
+    nodes.
+    """
 
     at_s: float
     life: int
     base_mb: float
+    base_cpu_s: float
     report: HostReport
 
 
@@ -300,7 +303,9 @@
         async def of_host(host: HostProcess) -> None:
             report = await host.ask(Report())
             if isinstance(report, HostReport):
-                hosts[host.number] = HostSample(time.monotonic(), host.lives, host.base_mb, report)
+                hosts[host.number] = HostSample(
+                    time.monotonic(), host.lives, host.base_mb, host.base_cpu_s, report
+                )
                 self.late_ms.setdefault(host.name, []).extend(report.late_ms)
 
         async def of_real(process: RealProcess) -> None:
@@ -328,7 +333,8 @@
                 began_s,
                 host.life,
                 host.base_mb,
-                HostReport([fresh(r) for r in host.report.nodes], 0.0, host.base_mb, [], 0),
+                host.base_cpu_s,
+                HostReport([fresh(r) for r in host.report.nodes], host.base_cpu_s, host.base_mb, [], 0),
             )
             for number, host in sample.hosts.items()
         }
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -5,6 +5,7 @@
 import json
 import subprocess
 import sys
+import time
 from dataclasses import replace
 from pathlib import Path
 
@@ -417,3 +418,22 @@
     assert summary["experiment"] == "scale" and summary["world"]["hollow"] == 30
     assert "ordinary.bytes_out.median" in summary["figures"]
     assert {path.name for path in out.iterdir()} == {"summary.json", "history.parquet", "uses.parquet"}
+
+
+def _children(pid: int) -> list[int]:
+    return [int(child) for child in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
+
+
+def test_a_run_that_is_told_to_end_leaves_no_process_behind(tmp_path: Path) -> None:
+    command = [sys.executable, "-m", "sailrun", "lab", "run", "scale", "--nodes", "2", "--hollow", "20"]
+    run = subprocess.Popen([*command, "--seconds", "600", "--out", str(tmp_path / "out")])
+    try:
+        deadline = time.monotonic() + 20
+        while len(children := _children(run.pid)) < 4 and time.monotonic() < deadline:
+            time.sleep(0.05)
+        assert len(children) == 4  # two hosts and two real processes
+        run.terminate()
+        assert run.wait(timeout=15) != 0
+    finally:
+        run.kill()
+    assert not [child for child in children if Path(f"/proc/{child}").exists()]
