--- a/sailrun/lab/scale/faults.py
+++ b/sailrun/lab/scale/faults.py
@@ -9,6 +9,8 @@
 
 # Killed nodes and silent switches are away for so long, regions cut apart, processes stopped.
 AWAY_S, CUT_S, STOPPED_S = 40.0, 30.0, 6.0
+# What was stopped has gone on for some time when others are killed.
+KILL_AT_S = 12.0
 # A rolling restart: so many parts of the fleet one after the other, each away for a moment.
 ROLL_PARTS, ROLL_STEP_S, ROLL_AWAY_S = 20, 4.0, 2.0
 
@@ -129,24 +131,23 @@
 
 
 def _hosts(plan: ScalePlan, places: list[Place]) -> list[Step]:
-    """One host and one real process are killed and start again; another of each is stopped for a moment."""
+    """A host and a real process are stopped for a moment; later others are killed, and start again. All at
+    once could leave no majority of voters, which is another fault.
+    """
+    real = [place.name for place in places if place.real]
+    back_s = KILL_AT_S + AWAY_S
     steps = []
-    if plan.hosts:
-        steps += [Step(0.0, KillHost(0)), Step(AWAY_S, StartHost(0))]
-    if plan.hosts > FEWEST_TO_STOP:
+    if plan.hosts > 1:
         steps += [Step(0.0, StopHost(1)), Step(STOPPED_S, ContinueHost(1))]
-    real = [place.name for place in places if place.real]
-    if real:
-        steps += [Step(0.0, KillNodes((real[-1],))), Step(AWAY_S, StartNodes((real[-1],)))]
     if len(real) > 1:
         steps += [Step(0.0, StopNodes((real[-2],))), Step(STOPPED_S, ContinueNodes((real[-2],)))]
+    if plan.hosts:
+        steps += [Step(KILL_AT_S, KillHost(0)), Step(back_s, StartHost(0))]
+    if real:
+        steps += [Step(KILL_AT_S, KillNodes((real[-1],))), Step(back_s, StartNodes((real[-1],)))]
     return sorted(steps, key=lambda step: step.at_s)
 
 
-# With fewer hosts, one killed and one stopped would be all.
-FEWEST_TO_STOP = 2
-
-
 def _some_rack(places: list[Place]) -> tuple[str, ...]:
     """The hollow nodes of the last zone's first rack: a switch of a real process cannot fail."""
     hollow = [place for place in places if not place.real]
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -90,7 +90,7 @@
             fleet.rows,
             fleet.begin_us,
             end_us,
-            fleet.late_ms,
+            fleet.late_ms if fleet.hosts else None,
             processes=len(fleet.hosts) + len(fleet.real),
             figures=self._figures,
         )
@@ -147,5 +147,7 @@
             lacking = await self._fleet.lacking()
             if not lacking:
                 return Known(time.monotonic() - began_s)
+            if self._fleet.ended_by_itself():
+                break  # it will never be whole
             await anyio.sleep(LOOK_S)
         return Known(math.inf, lacking)
--- a/sailrun/lab/scale/results.py
+++ b/sailrun/lab/scale/results.py
@@ -35,7 +35,9 @@
 
 @dataclass(slots=True)
 class Measured:
-    """`late_ms`, by host, and `processes` are of real time only. Times of rows in us of one clock."""
+    """`late_ms`, by host, where there are hosts; `processes` in real time only. Times of rows in us of one
+    clock.
+    """
 
     begin: Known
     after: Known | None
@@ -98,5 +100,7 @@
         checks.append(known_check("all-known-after-fault-s", after.seconds, after.lacking, after.occasions))
     checks += owner_checks(measured.rows, measured.begin_us, measured.end_us)
     if measured.late_ms is not None:
-        checks += [late_check(measured.late_ms), ended_check(measured.ended, measured.processes)]
+        checks.append(late_check(measured.late_ms))
+    if measured.processes:
+        checks.append(ended_check(measured.ended, measured.processes))
     return checks
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -133,7 +133,8 @@
         self._running: set[str] = set()
         self._stopped: set[str] = set()  # by SIGSTOP
         self._ends = False
-        self.ended: list[str] = []  # processes that ended by themselves
+        self.ended: list[str] = []  # once the run is over: processes that ended by themselves
+        self._real_ended: list[str] = []
 
     def _row(self, kind: str, node: str, at_us: int, **facts: Any) -> None:
         self.rows.append({"at_us": at_us, "node": node, "kind": kind, **facts})
@@ -175,14 +176,13 @@
         terms = node_terms(self.plan, self.places, process.place)
         await process.run(write_files(self._folder, process, self.plan, terms, self._roster))
         if not process.ends and not self._ends:
-            self.ended.append(process.place.name)
+            self._real_ended.append(process.place.name)
 
     async def end(self) -> None:
         """Ends every process that was started, and waits until each has ended."""
+        self.ended += self.ended_by_itself()
         self._ends = True
         for host in self.hosts:
-            if host.ended_by_itself:
-                self.ended.append(f"{host.name} ({host.last_words()})")
             host.ends = True
             if host.stopped:
                 host.go_on()
@@ -198,6 +198,11 @@
         while any(process.process is not None for process in self.real.values()):
             await anyio.sleep(0.02)
 
+    def ended_by_itself(self) -> list[str]:
+        """Processes that ended although nobody had them end; hosts with the last words of their log."""
+        hosts = [f"{host.name} ({host.last_words()})" for host in self.hosts if host.ended_by_itself]
+        return hosts + self._real_ended
+
     # ------------------------------------------------------------------ faults
 
     async def carry_out(self, action: Action) -> None:
