--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -71,6 +71,8 @@
 class VirtualFleet:
     """The nemesis's `Fleet`, in virtual time."""
 
+    agent_class: type[Agent] = Agent
+
     def __init__(
         self,
         nodes: int,
@@ -152,7 +154,7 @@
         node.offset_us = luck.randrange(10**9)  # a monotonic clock begins anywhere
         joins = [n.address for n in self.nodes.values() if n.index < 3 and n is not node]
         terms = self._terms(node.index, self.voters, joins)
-        me = Record(name, luck.getrandbits(62), 1, State.ALIVE, node.address, node.zone)
+        me = self._record_of(node, luck.getrandbits(62))
 
         def record(kind: str, **facts: Any) -> None:
             if "until_us" in facts:
@@ -161,7 +163,7 @@
             self.row(kind, name, **facts)
 
         wall_s = (self.time.now_us - BEGIN_US) / SECOND + 1.8e9 + clock_s
-        node.agent = Agent(
+        node.agent = self.agent_class(
             me,
             terms,
             luck.getrandbits(32),
@@ -176,6 +178,10 @@
         self.row("started", name, life=me.life, clock_s=clock_s)
         self._wake(node, 0)
 
+    def _record_of(self, node: VirtualNode, life: int) -> Record:
+        """What a node says of itself as it starts."""
+        return Record(node.name, life, 1, State.ALIVE, node.address, node.zone)
+
     def _give_work(self, node: VirtualNode) -> None:
         agent = node.agent
         assert agent is not None
--- /dev/null
+++ b/sailrun/lab/scale/terms.py
@@ -0,0 +1,57 @@
+"""The terms of a node in a scale run: the program's defaults, with every part of the fleet switched on."""
+
+from __future__ import annotations
+
+from sailrun.lab.scale.plan import Place, ScalePlan, control_of, region_name, voters_of
+from sailrun.members.messages import Record, State
+from sailrun.members.terms import MembersTerms
+from sailrun.owners.agent import AgentTerms
+from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
+from sailrun.replica.terms import ReplicaTerms
+from sailrun.shards.terms import RegionTerms, ShardsTerms
+
+FLEET = "scale"
+# Nodes join by the first so many, which stand in as many regions.
+JOIN_BY = 3
+
+
+def node_terms(plan: ScalePlan, places: list[Place], place: Place) -> AgentTerms:
+    """The terms of one node. The owner of the rebalancer's pace is kept, although nobody asks it."""
+    joins = tuple(p.address for p in places[:JOIN_BY] if p.name != place.name)
+    return AgentTerms(
+        MembersTerms(
+            enabled=True,
+            fleet=FLEET,
+            name=place.name,
+            listen=place.address,
+            join=joins,
+            region=place.region,
+            role=place.role,
+        ),
+        OwnersTerms(enabled=True, voters=voters_of(places)),
+        PermitsTerms(enabled=True),
+        ReaderTerms(enabled=True),
+        pace=True,
+        replica=ReplicaTerms(enabled=plan.replica),
+        shards=shards_terms(plan, places),
+    )
+
+
+def shards_terms(plan: ScalePlan, places: list[Place]) -> ShardsTerms:
+    """Every region has the same number of shards, and its control members vote."""
+    if not plan.shards:
+        return ShardsTerms()
+    regions = tuple(
+        RegionTerms(
+            name=region_name(number),
+            shards=plan.shards_of_a_region,
+            voters=control_of(places, region_name(number)),
+        )
+        for number in range(plan.regions)
+    )
+    return ShardsTerms(enabled=True, regions=regions)
+
+
+def record_of(place: Place, life: int) -> Record:
+    """What a node says of itself as it starts."""
+    return Record(place.name, life, 1, State.ALIVE, place.address, place.zone, place.region, place.role)
--- a/sailrun/members/messages.py
+++ b/sailrun/members/messages.py
@@ -39,6 +39,12 @@
         return (self.incarnation, self.state, self.life) > (other.incarnation, other.state, other.life)
 
 
+def eligible(records: list[Record]) -> list[str]:
+    """The names of those set aside for work on behalf of the fleet; of all where there are none."""
+    control = [record for record in records if record.role == CONTROL]
+    return [record.name for record in control or records]
+
+
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping"):
     number: int
 
--- a/sailrun/owners/ownership.py
+++ b/sailrun/owners/ownership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sailrun.members.messages import CONTROL, Record
+from sailrun.members.messages import eligible
 from sailrun.members.swim import Members
 from sailrun.owners.agent_terms import AgentTerms
 from sailrun.owners.leases import Leases, best_placed
@@ -42,8 +42,8 @@
         return self._tasks
 
     def _candidates(self) -> dict[str, list[str]]:
-        living = self._eligible()
-        names = [record.name for record in living]
+        living = self._members.living()
+        names = eligible(living)
         tasks = {}
         if self._terms.permits.enabled:
             tasks[PERMITS] = best_placed(PERMITS, names)
@@ -53,14 +53,9 @@
             tasks[MARKS] = best_placed(MARKS, names)
         if self._terms.reader.enabled:
             task = READER + self._zone
-            tasks[task] = best_placed(task, [record.name for record in living if record.zone == self._zone])
+            tasks[task] = best_placed(task, eligible([r for r in living if r.zone == self._zone]))
         return tasks
 
-    def _eligible(self) -> list[Record]:
-        """The living members set aside for such work; all that live where there are none."""
-        living = self._members.living()
-        return [record for record in living if record.role == CONTROL] or living
-
     def owns(self, task: str, now_us: int) -> int:
         """The term under which this node may act for the task now; 0: it may not, or rests.
 
--- a/sailrun/shards/part.py
+++ b/sailrun/shards/part.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from sailrun.members.messages import CONTROL, Record
+from sailrun.members.messages import CONTROL, Record, eligible
 from sailrun.owners.leases import Leases, best_placed
 from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
 from sailrun.owners.quorum import Voters
@@ -105,8 +105,7 @@
         if self._members.version != self._candidates_of:
             self._candidates_of = self._members.version
             living = [r for r in self._members.living() if r.region == self.region.name]
-            control = [r for r in living if r.role == CONTROL]
-            self._candidates = best_placed(self.task, [r.name for r in control or living])
+            self._candidates = best_placed(self.task, eligible(living))
         return {self.task: self._candidates}
 
     def is_assigner(self, now_us: int) -> bool:
--- a/sailrun/shards/placement.py
+++ b/sailrun/shards/placement.py
@@ -7,6 +7,8 @@
 
 from __future__ import annotations
 
+from functools import lru_cache
+
 import mmh3
 import numpy as np
 import numpy.typing as npt
@@ -24,12 +26,19 @@
     return f"{region}/{shard}"
 
 
+@lru_cache(maxsize=16)
+def shard_hashes(region: str, shards: int) -> npt.NDArray[np.uint32]:
+    """Of a region's shards, by number; the same array for all that ask in one process."""
+    hashes = np.fromiter((key_hash(shard_key(region, shard)) for shard in range(shards)), np.uint32, shards)
+    hashes.setflags(write=False)
+    return hashes
+
+
 class Placement:
     """The shards of one region and the sessions they are placed on, by generation."""
 
     def __init__(self, region: str, shards: int) -> None:
-        keys = (key_hash(shard_key(region, shard)) for shard in range(shards))
-        self._keys: npt.NDArray[np.uint32] = np.fromiter(keys, np.uint32, shards)
+        self._keys = shard_hashes(region, shards)
         self.generation = 0
         self.sessions: dict[int, Session] = {}
         # By shard: the number of the session it is placed on, and what has to be settled first.
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -13,6 +13,7 @@
 
 from sailrun.bad_config import BadConfig
 from sailrun.lasting import entries
+from sailrun.members.messages import Record, State, eligible
 from sailrun.operator import read_operator, voters_follow
 from sailrun.owners.founding import founding_term
 from sailrun.owners.leases import Leases, best_placed
@@ -392,3 +393,13 @@
     path = tmp_path / "operator.toml"
     path.write_text(GOOD)
     assert [name for name, table in read_operator(path).tables() if table.enabled] == ["members", "owners"]
+
+
+def test_fleet_tasks_go_to_control_members_where_there_are_any() -> None:
+    records = [
+        Record(n, 1, 1, State.ALIVE, "", zone, "", role)
+        for n, zone, role in (("a", "z0", ""), ("b", "z0", "control"), ("c", "z1", ""), ("d", "z1", "node"))
+    ]
+    assert eligible(records) == ["b"]
+    assert eligible([r for r in records if r.zone == "z1"]) == ["c", "d"]
+    assert eligible([]) == []
