--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from sailrun.lab.scale.checks import KNOWN_S, most_late_ms
+from sailrun.lab.scale.checks import KNOWN_S, NAMED, most_late_ms
 from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import Step
 from sailrun.lab.scale.plan import ScalePlan, memory_mb
@@ -136,10 +136,14 @@
     async def _watch_until(self, due_s: float) -> None:
         while (left_s := due_s - time.monotonic()) > 0:
             if self._watch.actions:
-                self._watch.saw(time.monotonic(), len(await self._fleet.lacking()))
+                self._saw(await self._fleet.lacking())
                 left_s = due_s - time.monotonic()
             await anyio.sleep(max(0.0, min(LOOK_S, left_s)))
 
+    def _saw(self, lacking: list[str]) -> None:
+        self._watch.saw(time.monotonic(), len(lacking))
+        self._fleet.record("look", "", boot_us(), lacking=len(lacking), some=",".join(lacking[:NAMED]))
+
     async def _until_known(self) -> Known:
         began_s = time.monotonic()
         lacking: list[str] = []
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
+from sailrun.lab.scale.checks import NAMED
 from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import (
     Action,
@@ -49,7 +50,7 @@
 from sailrun.owners.traffic import Traffic
 
 SECOND = 1_000_000
-RECORDED = (*KEPT, "started", "died", "fault")
+RECORDED = (*KEPT, "started", "died", "fault", "look")
 Told = Callable[[float], None]
 
 
@@ -132,7 +133,7 @@
     # ------------------------------------------------------------------ faults
 
     def carry_out(self, action: Action) -> None:
-        self.told(type(action).__name__, facts=str(action)[:500])
+        self.row("fault", "", what=type(action).__name__, facts=str(action)[:500])
         match action:
             case KillHost(number):
                 self._each(self._names_of(number), self.kill)
@@ -276,7 +277,9 @@
         while (left_s := began_s + step.at_s - fleet.now_s) > 0:
             fleet.run_for(min(LOOK_S, left_s))
             if watch.actions:
-                watch.saw(fleet.now_s, len(fleet.lacking()))
+                lacking = fleet.lacking()
+                watch.saw(fleet.now_s, len(lacking))
+                fleet.row("look", "", lacking=len(lacking), some=",".join(lacking[:NAMED]))
         fleet.carry_out(step.action)
         watch.acted(fleet.now_s, step.action)
     known = fleet.until_known()
