--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,6 +20,7 @@
     late_check,
     longest_gap_s,
     owner_checks,
+    shards_check,
 )
 from sailrun.lab.scale.command import play_scale
 from sailrun.lab.scale.fault_watch import FaultWatch
@@ -43,6 +44,7 @@
     Place,
     ScalePlan,
     check_fit,
+    control_of,
     memory_mb,
     place_nodes,
     voters_of,
@@ -75,6 +77,22 @@
     assert sum(place.real for place in voters) == 1
 
 
+def test_with_shards_three_members_of_each_region_are_set_aside_and_vote_there() -> None:
+    plan = replace(SMALL, shards=6_000)
+    places = place_nodes(plan)
+    control = [place for place in places if place.role]
+    assert len(control) == 18 and not any(place.real for place in control)
+    for region in {place.region for place in places}:
+        voters = control_of(places, region)
+        assert len(voters) == 3 and len({p.zone for p in control if p.region == region}) == 3
+        told = node_terms(plan, places, next(p for p in places if p.region == region)).shards.region(region)
+        assert told is not None and (told.voters, told.shards) == (voters, 1_000)
+    assert set(voters_of(places)) <= {place.name for place in control}
+    assert not node_terms(SMALL, place_nodes(SMALL), place_nodes(SMALL)[0]).shards.enabled
+    with pytest.raises(DoesNotFit, match="fewer than 24"):
+        check_fit(replace(plan, hollow=23))
+
+
 def test_no_virtual_node_is_a_process() -> None:
     assert not any(place.real for place in place_nodes(replace(SMALL, driver="virtual")))
 
@@ -293,6 +311,12 @@
     assert not any(check.holds for check in owner_checks([], 0, SECOND))
 
 
+def test_shards_that_nobody_uses_or_two_do_are_found() -> None:
+    reports = [NodeReport("a", 1, Traffic(), 0.0, [], False, shards=n) for n in (4, 6)]
+    assert shards_check(reports, 10).holds
+    assert not shards_check(reports, 11).holds and not shards_check(reports, 9).holds
+
+
 def test_a_late_host_makes_the_figures_mean_nothing() -> None:
     on_time, late = [1.0] * 100, [1.0] * 97 + [LATE_MS + 50] * 3
     assert late_check({"host-0": on_time, "host-1": on_time}).holds
@@ -364,6 +388,13 @@
     assert {"started", "died", "hold", "fault"} <= kinds
 
 
+def test_all_shards_are_owned_again_after_a_zone_was_lost_in_virtual_time() -> None:
+    plan = ScalePlan(nodes=0, hollow=60, seconds=5.0, faults="zone", driver="virtual", shards=1_200)
+    summary, _ = play_scale(plan)
+    assert summary.holds, [check for check in summary.checks if not check.holds]
+    assert summary.figures["assigner.nodes"] == 6 and summary.figures["control.nodes"] == 18
+
+
 def test_the_same_seed_gives_the_same_traffic_in_virtual_time() -> None:
     plan = ScalePlan(nodes=0, hollow=30, zones=6, regions=3, seconds=5.0, driver="virtual")
     runs = [play_scale(plan)[0].figures for _ in range(2)]
