--- a/sailrun/shards/terms.py
+++ b/sailrun/shards/terms.py
@@ -40,7 +40,7 @@
     )
     lease_s: Annotated[
         float, Meta(ge=1.0, le=120.0, description="A node keeps its shards without word for so long.")
-    ] = 8.0
+    ] = 10.0
     gather_s: Annotated[
         float, Meta(ge=0.05, le=60.0, description="Nodes that arrive within this are added together.")
     ] = 1.0
