--- a/sailrun/control/desk.py
+++ b/sailrun/control/server.py
@@ -1,4 +1,4 @@
-"""Listens at the second address and answers one call a connection, also where nothing else gets a socket."""
+"""The control server: one call a connection at the second address, also where nothing else gets a socket."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     return {"id": id_, "state": made.state, "copies": made.copies, "of": made.of, "why": made.why}
 
 
-class Desk:
-    """The second address of one node."""
+class ControlServer:
+    """Answers the calls of operators to one node."""
 
     def __init__(
         self, node: Node, listener: socket.socket, fleet: Callable[[], FleetPart | None] = lambda: None
@@ -175,13 +175,16 @@
                 if not ms.isdigit():
                     return fail(f"'{ms[:40]}' is no number of milliseconds")
                 names = nodes.split(",")
-                why = await answer_to(partial(fleet.walk, name, names, int(ms) * 1000))
+                why = await answer_to(partial(fleet.begin_rolling_drain, name, names, int(ms) * 1000))
                 return fail(why) if why else OK
             case "walked", str(name):
                 shown = await answer_to(partial(fleet.show, f"walk {name}"))
                 return fail(f"no walk '{name[:80]}' was begun here") if shown is None else answer(shown)
             case (("mark" | "marked" | "look" | "state" | "ranges"), *_):
                 return await self._of_copies(fleet, words)
+            case "shards", *_:
+                shown = await answer_to(partial(fleet.show, " ".join(words)))
+                return fail("[shards] is off here") if shown is None else answer(shown)
         return answer(await answer_to(partial(fleet.show, words[0])))
 
     async def _marked(self, fleet: FleetPart, copies: CopiesPart, call: Call) -> bytes:
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -21,9 +21,9 @@
 from sailrun.lab.terms import SECOND, WorldTerms
 from sailrun.lab.world import GAP_US, RESTART_US, RosterBook, Slot, World
 from sailrun.node.core import Node
-from sailrun.node.parcel import Take
-from sailrun.node.passage import State
 from sailrun.node.session import FormSession, Placement, RosterNews
+from sailrun.node.session_transfer import SendTransfer
+from sailrun.node.succession_state import NodeState
 from sailrun.rebalance.balance import Elsewhere, Orders, Rebalancer
 from sailrun.rebalance.terms import RebalanceTerms
 from sailrun.succession.handover import TELL_US
@@ -101,7 +101,7 @@
     def fail(self) -> None:
         self._answer("failed", 0)
 
-    def part(self, take: Take) -> None:
+    def hand_over(self, send: SendTransfer) -> None:
         if self.server is not None:
             self.day.hand_over(self)
 
@@ -387,7 +387,7 @@
         self.rules.end(self.time.now_us)
         return self.checks()
 
-    def _start(self, slot: VirtualSlot, passed: State | None = None) -> None:
+    def _start(self, slot: VirtualSlot, passed: NodeState | None = None) -> None:
         if slot.index not in self._settings:
             self._settings[slot.index] = read_settings(self.terms.settings(slot.index))
         settings = self._settings[slot.index]
@@ -416,11 +416,12 @@
         node = Node(settings, seed, VirtualClock(self.time), known, log, passed)
         node.roster, node.neighbours = NodeRoster(self, slot), Datagrams(self, slot)
         if self._rebalance.enabled:
-            node.aside.rebalancer = watched = WatchedRebalancer(self._rebalance, settings, self.time.now_us)
+            watched = WatchedRebalancer(self._rebalance, settings, self.time.now_us)
+            node.rebalancing.rebalancer = watched
             watched.moved = slot.moved = {}
         self._run_node(slot, node, passed)
 
-    def _run_node(self, slot: VirtualSlot, node: Node, passed: State | None) -> None:
+    def _run_node(self, slot: VirtualSlot, node: Node, passed: NodeState | None) -> None:
         slot.node, slot.turn_us = node, None
         slot.admitted = slot.admitted or passed is None
         node.wake = lambda: self._arm(slot, self.time.now_us + self.terms.tick_us)
@@ -590,13 +591,13 @@
         self.note("replace", node=slot.index)
         old = slot.node
 
-        def passed(state: State) -> None:
+        def passed(state: NodeState) -> None:
             if slot.node is old:
                 self._succeed(slot, state)
 
         old.pass_on(passed)
 
-    def _succeed(self, slot: VirtualSlot, state: State) -> None:
+    def _succeed(self, slot: VirtualSlot, state: NodeState) -> None:
         old = slot.node
         assert old is not None
         before = VirtualSlot(slot.index, slot.zone)
@@ -609,7 +610,7 @@
         old.roster, old.neighbours = NodeRoster(self, before), Datagrams(self, before)
         old.wake = lambda: self._arm(before, self.time.now_us + self.terms.tick_us)
         self._start(slot, state)
-        old.succeeded(lambda parcel: None)  # sessions go by `hand_over`
+        old.succeeded(lambda transfer: None)  # sessions go by `hand_over`
         self._arm(before, self.time.now_us + self.terms.tick_us)
         self.time.after(self.luck.below(6 * SECOND), old.leave)
         self._tell_held(before)
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -20,16 +20,16 @@
 from sailrun import recollection
 from sailrun.decide import Balancer
 from sailrun.fleet.rounds import Holding, Outgoing, Rounds
-from sailrun.node.around import Neighbours, Prober, Roster
-from sailrun.node.aside import Aside
 from sailrun.node.clock import Clock, log
 from sailrun.node.counts import Counts, Figures
-from sailrun.node.hearsay import Believed, Hearsay
 from sailrun.node.leaving import Leaving, Reason
-from sailrun.node.parcel import Take
-from sailrun.node.passage import Held, State
+from sailrun.node.peer_beliefs import Beliefs, PeerBeliefs
+from sailrun.node.ports import Neighbours, Prober, Roster
+from sailrun.node.rebalancing import GuardedRebalancer
 from sailrun.node.reply import Reply
 from sailrun.node.session import FormServer, FormSession, Placement, RosterNews, server_number
+from sailrun.node.session_transfer import SendTransfer
+from sailrun.node.succession_state import HeldSessions, NodeState
 from sailrun.node.tier import Tier
 from sailrun.node.watch import ServerWatch
 
@@ -53,7 +53,7 @@
         clock: Clock,
         known: RosterNews,
         log: Callable[..., None] = log,
-        passed: State | None = None,
+        passed: NodeState | None = None,
     ) -> None:
         """`passed`: what a predecessor has told this process, which succeeds it."""
         self.clock = clock
@@ -63,14 +63,14 @@
         self.roster: Roster | None = None
         self.neighbours: Neighbours | None = None
         self.prober: Prober | None = None
-        self.aside = Aside(log)
+        self.rebalancing = GuardedRebalancer(log)
         self.counts = Counts(c.name for c in settings.classes)
         # Everybody is being sent away: to stop, for a drain, or to a successor.
         self.leaving = Leaving(max(c.deadline_us for c in settings.classes))
         self._out_by_hand: set[str] = set()  # form servers that staff took out, by name
         self._now = clock.now_us()
         self._module = Balancer(settings, seed, self._now)
-        self._hearsay = Hearsay(self._module, log)
+        self._peer_beliefs = PeerBeliefs(self._module, log)
         rounds = None
         if settings.peer_messages and settings.instances > 1:
             rounds = Rounds(settings.index, settings.instances, seed, self._now)
@@ -90,7 +90,7 @@
         self.told_from_ms = self._slow_us / 1000 if settings.tells_delay else 0.0
         self._known, self._passed = known, passed
         self._revision = known.revision
-        self._take: Take | None = None  # hands a standing session to the successor
+        self._send_transfer: SendTransfer | None = None  # hands a standing session to the successor
         # Told of what staff ask of this process, where another one is to hear of it.
         self.on_staff: Callable[[str, Any], None] = lambda kind, content: None
         self.stopped = False
@@ -217,36 +217,36 @@
 
     def lend(self, share: float, reply: Reply[bool]) -> None:
         """This node's part of the fleet's pace of moves, 0 to 1; answers whether it moves any households."""
-        self._post(lambda: reply(self.aside.lend(share)))
+        self._post(lambda: reply(self.rebalancing.lend(share)))
 
     # What nodes of a fleet tell each other.
 
-    def believed(self, reply: Reply[Believed]) -> None:
-        self._post(lambda: reply(self._hearsay.believed(self._now, self._form_servers)))
+    def beliefs(self, reply: Reply[Beliefs]) -> None:
+        self._post(lambda: reply(self._peer_beliefs.own(self._now, self._form_servers)))
 
-    def hear_say(self, out: dict[str, int], setup_us: int) -> None:
+    def hear_beliefs(self, out: dict[str, int], setup_us: int) -> None:
         """Form servers by name that others keep away from, with for how much longer (us)."""
-        self._post(self._hear_say, out, setup_us)
+        self._post(self._hear_beliefs, out, setup_us)
 
     # What passes between two processes that are one node.
 
-    def pass_on(self, reply: Reply[State]) -> None:
+    def pass_on(self, reply: Reply[NodeState]) -> None:
         self._post(lambda: reply(self._state()))
 
-    def holds(self, reply: Reply[Held]) -> None:
+    def holds(self, reply: Reply[HeldSessions]) -> None:
         self._post(lambda: reply(self._held()))
 
-    def succeeded(self, take: Take | None) -> None:
-        """A successor takes the households from now on, and standing sessions by `take`; None: it is gone,
+    def succeeded(self, send: SendTransfer | None) -> None:
+        """A successor takes the households from now on, and standing sessions by `send`; None: it is gone,
         and they are this process's again.
         """
-        self._post(self._succeeded, take)
+        self._post(self._succeeded, send)
 
     def adopted(self, session: FormSession, placement: Placement) -> None:
         """A session that stood with the predecessor stands here now."""
         self._post(self._adopted, session, placement)
 
-    def predecessor_holds(self, held: Held | None) -> None:
+    def predecessor_holds(self, held: HeldSessions | None) -> None:
         """None: it has ended."""
         self._post(self._predecessor_holds, held)
 
@@ -331,7 +331,7 @@
             case i.Refuse():
                 if (session := self._answerable(action.request)) is not None:
                     self._refuse(session, action.retry_after_us)
-                    self.aside(lambda rebalancer: rebalancer.refused(self._now))
+                    self.rebalancing(lambda rebalancer: rebalancer.refused(self._now))
             case i.Fail():
                 if (session := self._answerable(action.request)) is not None:
                     self._fail(session)
@@ -415,7 +415,7 @@
     def _asked(self, session: FormSession) -> None:
         self._sessions[session.id] = session
         if session.resumed_at is None:
-            self.aside(lambda rebalancer: rebalancer.arrived(self._now, session.returning))
+            self.rebalancing(lambda rebalancer: rebalancer.arrived(self._now, session.returning))
         if session.resumed_at is not None:
             named = self._form_servers.get(server_number(session.resumed_at))
             if named is not None and named.name == session.resumed_at:
@@ -450,10 +450,10 @@
             self._resume(session, number)
         else:
             self._feed(i.ConnectionOpened(session.id, placement.attempt, number, took_us))
-        self._part(session)
+        self._hand_over(session)
         resumed = session.resumed_at is not None
         returned, took = session.returning and not resumed, None if resumed else took_us
-        self.aside(lambda rebalancer: self._stands_for(rebalancer, session, number, returned, took))
+        self.rebalancing(lambda rebalancer: self._stands_for(rebalancer, session, number, returned, took))
 
     def _written(self) -> None:
         self.counts.backend_calls += 1
@@ -466,9 +466,9 @@
         if stood:
             self._watches[number].sessions.pop(session.id, None)
             session.stands = False
-            self.aside(lambda rebalancer: rebalancer.ended(self._now, session.id, outcome))
+            self.rebalancing(lambda rebalancer: rebalancer.ended(self._now, session.id, outcome))
         elif outcome is i.Outcome.REJECTED:
-            self.aside(lambda rebalancer: rebalancer.turned_away(self._now, number))
+            self.rebalancing(lambda rebalancer: rebalancer.turned_away(self._now, number))
         session.placement = None
         if outcome not in (i.Outcome.REJECTED, i.Outcome.CONNECT_FAILED, i.Outcome.NOT_SENT):
             session.may_have_run = True
@@ -497,7 +497,7 @@
             self._feed(
                 i.AttemptNotice(session.id, session.placement.attempt, number, i.NoticeKind.LOAD, load)
             )
-            self.aside(lambda rebalancer: rebalancer.loaded(session.id, load))
+            self.rebalancing(lambda rebalancer: rebalancer.loaded(session.id, load))
 
     def _told_delay(self, session: FormSession, value_ms: float) -> None:
         if session.placement is None or not session.stands:
@@ -526,7 +526,7 @@
             self._form_servers[form_server.number] = form_server
         entries = tuple(s.as_backend() for s in news.form_servers)
         takes = tuple(self._as_it_takes(s) for s in news.form_servers)
-        self.aside(lambda rebalancer: rebalancer.listed(self._now, news.kind, takes))
+        self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, news.kind, takes))
         self._feed(i.ListUpdate(news.kind, news.revision, entries))
 
     def _as_it_takes(self, form_server: FormServer) -> i.Backend:
@@ -536,7 +536,7 @@
 
     def _roster_failed(self, why: str) -> None:
         self._log("roster-failed", why=why)
-        self.aside(lambda rebalancer: rebalancer.roster_lost(self._now))
+        self.rebalancing(lambda rebalancer: rebalancer.roster_lost(self._now))
         self._feed(i.ListUpdate(i.ListKind.FAILED))
 
     @property
@@ -560,7 +560,7 @@
         if outgoing is not None:
             self._tier_says(outgoing)
             return
-        self.aside(lambda rebalancer: rebalancer.heard(self._now, neighbour, content))
+        self.rebalancing(lambda rebalancer: rebalancer.heard(self._now, neighbour, content))
         self._feed(i.PeerMessage(neighbour, content))
 
     # ------------------------------------------------------------------ by the clock
@@ -585,7 +585,7 @@
                 self._feed(i.AttemptNotice(told.id, attempt, number, i.NoticeKind.DELAY, value))
             if watch.at_rest():
                 del self._talking[number]
-        self.aside(self._rebalance)
+        self.rebalancing(self._rebalance)
         if self._now >= self._pulse_us:
             self._pulse_us = self._now + PULSE_US
             self._pulse()
@@ -597,8 +597,8 @@
 
     def _rebalance_with(self, rebalancer: Rebalancer | None) -> None:
         """A new one is told what stands. Whom an old one has moved it can't know: all may be among them."""
-        old, self.aside.rebalancer = self.aside.rebalancer, rebalancer
-        self.aside(lambda one: self._tell_what_stands(one, old))
+        old, self.rebalancing.rebalancer = self.rebalancing.rebalancer, rebalancer
+        self.rebalancing(lambda one: self._tell_what_stands(one, old))
 
     def _tell_what_stands(self, rebalancer: Rebalancer, old: Rebalancer | None) -> None:
         entries = tuple(map(self._as_it_takes, self._form_servers.values()))
@@ -682,12 +682,12 @@
             self.on_staff("hand", [name, out])
             if (known := self._form_servers.get(server_number(name))) is not None:
                 entries = (self._as_it_takes(known),)
-                self.aside(lambda rebalancer: rebalancer.listed(self._now, i.ListKind.DELTA, entries))
+                self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, i.ListKind.DELTA, entries))
         return True
 
-    def _hear_say(self, out: dict[str, int], setup_us: int) -> None:
+    def _hear_beliefs(self, out: dict[str, int], setup_us: int) -> None:
         sound = [n for n, watch in self._watches.items() if self._now - watch.heard_us < 10 * SECOND]
-        event = self._hearsay.told(
+        event = self._peer_beliefs.told(
             self._now, {server_number(n): left for n, left in out.items()}, sound, setup_us
         )
         if event is not None:
@@ -701,18 +701,18 @@
         elif self.leaving.withdraw(Reason.DRAIN):
             self._log("drain-over", sessions=len(self._standing()))
             if not self.leaving:
-                self.aside(lambda rebalancer: rebalancer.leave(False))
+                self.rebalancing(lambda rebalancer: rebalancer.leave(False))
         return True
 
-    def _state(self) -> State:
+    def _state(self) -> NodeState:
         listed = tuple(s for s in self._form_servers.values() if s.state is not i.BackendState.GONE)
         roster = RosterNews(i.ListKind.CACHED, self._revision, listed)
         draining = Reason.DRAIN in self.leaving
-        return State(roster, frozenset(self._out_by_hand), draining, recollection.learned(self._module))
+        return NodeState(roster, frozenset(self._out_by_hand), draining, recollection.learned(self._module))
 
-    def _held(self) -> Held:
+    def _held(self) -> HeldSessions:
         holding = Holding(*self._module.holding())
-        return Held(holding.loads, holding.connections, holding.told)
+        return HeldSessions(holding.loads, holding.connections, holding.told)
 
     def _adopted(self, session: FormSession, placement: Placement) -> None:
         number = placement.form_server.number
@@ -725,7 +725,7 @@
         if session.unanswered:
             self._talking[number] = watch
         self._resume(session, number)
-        self.aside(lambda rebalancer: self._stands_for(rebalancer, session, number, True, None))
+        self.rebalancing(lambda rebalancer: self._stands_for(rebalancer, session, number, True, None))
         known = self._form_servers.get(number)
         if known is None or self._as_it_takes(known).state is not i.BackendState.READY:
             self._move(session.id, i.Cause.DRAINS)
@@ -743,12 +743,12 @@
             )
         )
 
-    def _part(self, session: FormSession) -> None:
+    def _hand_over(self, session: FormSession) -> None:
         """Hands a standing session to the successor, if there is one. Whom a drain sends away, the node's or
         its form server's, is moved from here: its time is under way.
         """
         if (
-            self._take is None
+            self._send_transfer is None
             or session.moved_for
             or Reason.DRAIN in self.leaving
             or session.placement is None
@@ -756,18 +756,18 @@
             return
         known = self._form_servers.get(session.placement.form_server.number)
         if known is not None and self._as_it_takes(known).state is i.BackendState.READY:
-            session.household.part(self._take)
+            session.household.hand_over(self._send_transfer)
 
-    def _succeeded(self, take: Take | None) -> None:
-        self._take = take
-        if take is not None:
+    def _succeeded(self, send: SendTransfer | None) -> None:
+        self._send_transfer = send
+        if send is not None:
             self._leave(Reason.SUCCEEDED)
             for session in self._standing():
-                self._part(session)
+                self._hand_over(session)
         elif self.leaving.withdraw(Reason.SUCCEEDED):
             self._log("successor-lost", sessions=len(self._standing()))
 
-    def _predecessor_holds(self, held: Held | None) -> None:
+    def _predecessor_holds(self, held: HeldSessions | None) -> None:
         self._tier.predecessor = held
         self._feed(self._tier.others_hold(self._now))
 
@@ -780,7 +780,7 @@
 
     def _leave(self, reason: Reason) -> None:
         if self.leaving.begin(reason, self._now):
-            self.aside(lambda rebalancer: rebalancer.leave())
+            self.rebalancing(lambda rebalancer: rebalancer.leave())
             self._log("leaving", reason=reason.value, sessions=len(self._standing()))
 
     def _standing(self) -> list[FormSession]:
--- a/sailrun/owners/lasting.py
+++ b/sailrun/owners/lasting.py
@@ -1,6 +1,6 @@
-"""A member's memory beyond its process: what of it is written down, and what is taken up again at a start.
+"""A member's durable state: what of it is journalled, and what is taken up again at a start.
 
-Pure. The ledger knows what is on the disk; the standing, whether the folder is the newest there is.
+Pure. The write-ahead log knows what is on the disk; the standing, whether the folder is the newest there is.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from itertools import chain
 
 from sailrun.lasting import entries as e
-from sailrun.lasting.ledger import Ledger
+from sailrun.lasting.write_ahead_log import WriteAheadLog
 from sailrun.owners.voter import Slot, Voter
-from sailrun.replica.diary import Diary
+from sailrun.replica.journal import Journal
 from sailrun.replica.records import Key, Record
 from sailrun.replica.replica import Replica
 
@@ -23,7 +23,7 @@
     folder itself can tell, it holds all that was ever promised from it.
     """
 
-    ledger: Ledger
+    write_ahead_log: WriteAheadLog
     identity: str
     memory: e.Memory
     sound: bool
@@ -32,14 +32,14 @@
     new_identity: Callable[[], str]
 
 
-class Book(Diary):
-    """Where the parts of a member write to: nothing, until there is a ledger."""
+class MemberJournal(Journal):
+    """Records the changes of all parts of a member; nothing is recorded until there is a log."""
 
     def __init__(self) -> None:
-        self.ledger: Ledger | None = None
+        self.write_ahead_log: WriteAheadLog | None = None
 
     def _add(self, entry: e.Entry) -> int:
-        return self.ledger.add(entry) if self.ledger is not None else 0
+        return self.write_ahead_log.add(entry) if self.write_ahead_log is not None else 0
 
     def record(self, record: Record, mark: int) -> None:
         self._add(e.Held(record, mark))
@@ -68,11 +68,11 @@
     def begun(self, life: int, wall_s: float) -> int:
         return self._add(e.Begun(life, wall_s))
 
-    def walked(self, walk: str) -> int:
-        return self._add(e.Walked(walk))
+    def drained(self, name: str) -> int:
+        return self._add(e.Drained(name))
 
-    def planned(self, walk: str, for_us: int, names: list[str]) -> None:
-        self._add(e.Planned(walk, for_us, names))
+    def planned(self, name: str, for_us: int, nodes: list[str]) -> None:
+        self._add(e.DrainPlan(name, for_us, nodes))
 
 
 def slot_entry(task: str, slot: Slot) -> e.Slot:
@@ -96,6 +96,6 @@
 def replica_entries(replica: Replica) -> Iterable[e.Entry]:
     """As they are now; gone through later, and by another thread."""
     state = [e.Copy(replica.sync.epoch, replica.sync.whole)]
-    keeps = [e.Keeps(*replica.keeper.state())] if replica.keeper is not None else []
+    keeps = [e.Keeps(*replica.acceptor.state())] if replica.acceptor is not None else []
     held = replica.store.firm()
     return chain(state, keeps, (e.Held(record, mark) for record, mark in held))
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -153,9 +153,9 @@
             listener = self._handed(key, config.amqp.listen) or listen(config.amqp.listen, shared)
             return amqp_door(self.node, listener, terms, self._descriptors)
         if key == "control" and config.control is not None:
-            from sailrun.control.desk import Desk
+            from sailrun.control.server import ControlServer
 
-            return Desk(self.node, listen(config.control), lambda: self._fleet)
+            return ControlServer(self.node, listen(config.control), lambda: self._fleet)
         return None
 
     def _handed(self, key: str, address: Address) -> socket.socket | None:
@@ -321,6 +321,8 @@
         kept = msgspec.structs.replace(
             after.owners, lease_s=before.owners.lease_s, order_s=before.owners.order_s
         )
+        if after.shards != before.shards:
+            raise ValueError("shards: is taken over at the next start, on every node of the region")
         permits = msgspec.structs.replace(
             after.permits, lease_s=before.permits.lease_s, enabled=before.permits.enabled
         )
