--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -17,12 +17,19 @@
 from benchmarks.capacity.measure_leases import leases
 from benchmarks.capacity.measure_process import connections
 from benchmarks.capacity.measure_pure import PURE
+from benchmarks.capacity.measure_shards import placements, region
 from benchmarks.capacity.page import write_page
 from benchmarks.capacity.record import ROOT, Machine, Measurement, Record, read_record, write_record
 from benchmarks.capacity.rows import all_rows, ranked
 from benchmarks.capacity.working import short
 
-ALONE: dict[str, Callable[[], list[Measurement]]] = {**PURE, "leases": leases, "connections": connections}
+ALONE: dict[str, Callable[[], list[Measurement]]] = {
+    **PURE,
+    "leases": leases,
+    "connections": connections,
+    "placements": placements,
+    "region": region,
+}
 GROUPS = [*ALONE, *PLAYS]
 USAGE = f"usage: python -m benchmarks.capacity measure [GROUP ...] | page | rank\ngroups: {' '.join(GROUPS)}"
 
--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -34,12 +34,13 @@
 from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
 from sailrun.replica.messages import ReplicaBody
 from sailrun.replica.terms import ReplicaTerms
+from sailrun.shards.messages import ShardBody
 
 SECOND = 1_000_000
 HEADER = 28
 VOTERS = 7
 MOST_OUT = 1_000
-MEMBERS, LEASES, COPIES, OTHER = "members", "leases", "copies", "other"
+MEMBERS, LEASES, COPIES, SHARDS, OTHER = "members", "leases", "copies", "shards", "other"
 _ASKED_OF_OWNERS = (Question, Order, NotMine, Refusal)
 _OF_LEASES = (Ask, Grant, Deny, Release, Yield, Recall, Recalled)
 
@@ -59,13 +60,15 @@
 
 
 def group_of(body: Body) -> str:
-    """What a message is for: `members`, `leases`, `copies`, or the name of the task that is asked about."""
+    """What a message is for: `members`, `leases`, `copies`, `shards`, or the task that is asked about."""
     if isinstance(body, MemberBody):
         return MEMBERS
     if isinstance(body, _ASKED_OF_OWNERS):
         return body.task
     if isinstance(body, _OF_LEASES):
         return LEASES
+    if isinstance(body, ShardBody):
+        return SHARDS
     return COPIES if isinstance(body, ReplicaBody) else OTHER
 
 
--- a/benchmarks/capacity/failures.py
+++ b/benchmarks/capacity/failures.py
@@ -6,14 +6,16 @@
 from benchmarks.capacity.target import DESIGNED
 from benchmarks.capacity.working import Missing, fit_of, short
 
-LEASE_S = 2.0
-ONE_OWNER = "never two owners of a task at once; no acknowledged change is lost"
+ONE_OWNER = "never two owners of a task or a shard at once; no acknowledged change is lost"
 OWNERS = "docs/design/owners.md: 200 seeds of each kind of day at 5 nodes, virtual time"
+SHARDS = "rows of shards, one lease per node: 50 to 400 nodes of a region, virtual time"
 
 
-def _at_target(record: Record, name: str, kind: str = "line or constant") -> str:
+def _at_target(
+    record: Record, name: str, kind: str = "line or constant", nodes: float = DESIGNED.nodes
+) -> str:
     try:
-        return f"{short(fit_of(record, name, kind).at(DESIGNED.nodes))} s"
+        return f"{short(fit_of(record, name, kind).at(nodes))} s"
     except Missing:
         return "not measured"
 
@@ -22,37 +24,42 @@
     """Times at the target are by the fits of the measurements, which end at 400 to 800 nodes."""
     zone_goes, zone_returns = (_at_target(record, f"zone_{what}.seconds_99") for what in ("goes", "returns"))
     alike = _at_target(record, "cut.alike_seconds", "log")
+    of_node, of_quarter = (
+        _at_target(record, f"region.{what}_goes.seconds", nodes=DESIGNED.region_nodes)
+        for what in ("node", "zone")
+    )
     return [
         Failure(
             "a machine",
-            "its connections end and come over to others; its tasks have no owner for a lease",
-            "median 2.06 s, 99 in 100 2.20 s without an owner of a task (7 nodes, 200 seeds)",
+            "its connections end and come over to others; its shards and tasks have no owner for a lease",
+            f"shards {of_node} by fit; a task median 2.06 s, 99 in 100 2.20 s (7 nodes, 200 seeds)",
             ONE_OWNER,
-            f"run: {OWNERS}",
+            f"run: {SHARDS}; {OWNERS}",
             False,
         ),
         Failure(
             "a rack (20 nodes)",
-            "as a machine, 20 times; an office of marks or permits among them is taken over in a lease",
-            f"between a machine and a zone: {zone_goes} at most until 99 in 100 know",
+            "as a machine, 20 times, in one change of the region's table",
+            f"shards between {of_node} and {of_quarter}",
             ONE_OWNER,
             "reasoned, from the runs of a machine and of a zone",
             True,
         ),
         Failure(
             "a switch (a rack cut off, its processes live)",
-            "its nodes are taken for gone, serve on with the list and marks they had, and own nothing",
-            f"until it is back; then alike within {alike}",
+            "its sessions end and others take its shards; it serves on with the list and marks it had",
+            f"shards as for a rack; once it is back, copies are alike within {alike} by fit",
             f"{ONE_OWNER}; out stays out",
-            f"reasoned for a rack; cuts were run: {OWNERS}",
+            f"reasoned for a rack; cuts were run: {OWNERS}; docs/design/shards.md for their safety",
             True,
         ),
         Failure(
-            "a zone (a 23rd)",
+            "a zone (a 23rd of the fleet, a quarter of its region)",
             "its clients come over; its reader's task ends with it; voters that stood there are missed",
-            f"by fit {zone_goes} until 99 in 100 nodes know it gone, {zone_returns} back",
-            f"{ONE_OWNER}, while a majority of voters stands elsewhere",
-            "run: the rows of a zone, 50 to 400 nodes",
+            f"shards {of_quarter} by fit; members: {zone_goes} until 99 in 100 nodes know it gone, "
+            f"{zone_returns} until they know it back, by fit",
+            f"{ONE_OWNER}, while a majority of the voters stands elsewhere",
+            f"run: the rows of a zone, 50 to 400 nodes; {SHARDS}",
             False,
         ),
         Failure(
@@ -65,16 +72,24 @@
             False,
         ),
         Failure(
-            "a control machine (today: a voter)",
-            "nothing, while a majority of voters answers; the owner of a task there changes within a lease",
-            "2.2 s for 99 in 100",
+            "a control machine",
+            "a voter: nothing, while a majority of its region's answers; an assigner: the next one begins",
+            "a task 2.2 s for 99 in 100; an assigner 2.3 s in 95 of 100 cases, 6 s at most, within the lease",
             ONE_OWNER,
-            f"run: {OWNERS}",
+            f"run: {OWNERS}; docs/design/shards.md",
             False,
         ),
         Failure(
-            "a majority of the control machines (today: of the voters)",
-            "no owner, no new permit, no change of configuration; clients are served as ever",
+            "a majority of a region's control machines",
+            "its nodes stop using their shards as their leases end; clients are served as ever",
+            "until a majority is back, and one lease more; other regions see nothing",
+            ONE_OWNER,
+            "reasoned at this size; docs/design/shards.md, and days of shards at a few nodes",
+            True,
+        ),
+        Failure(
+            "a majority of the voters of fleet tasks",
+            "no owner of a task, no new permit, no change of configuration; clients and shards go on",
             "until a majority is back; with folders one lease more, without some 6 s",
             f"{ONE_OWNER}; with folders nothing is forgotten, without folders terms rest on chance",
             "run: docs/design/lasting.md, docs/fleet.md, 5 nodes; not at a large size",
--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -20,9 +20,9 @@
 from sailrun.fleet.digest import LONGEST, Digest, room, write
 from sailrun.fleet.rounds import NODE_US, ROUND_US
 from sailrun.owners.envelope import Envelope, pack, unpack
+from sailrun.owners.leases import best_placed
 from sailrun.owners.messages import Order, Question
-from sailrun.owners.pace import ASK_US, PaceOffice
-from sailrun.owners.tenure import placed_best
+from sailrun.owners.pace import ASK_US, PaceCoordinator
 from sailrun.replica.records import written
 from sailrun.replica.store import Store
 from sailrun.replica.terms import ReplicaTerms
@@ -71,13 +71,13 @@
     took: list[float] = []
     for n in range(TASKS):
         began_ns = time.thread_time_ns()
-        placed_best(f"{nodes}/{n}", names)
+        best_placed(f"{nodes}/{n}", names)
         took.append((time.thread_time_ns() - began_ns) / 1e3)
     return {"cpu_us": median(took)}
 
 
 def placement() -> list[Measurement]:
-    how = f"`placed_best` for one task among so many names, median of {TASKS} tasks"
+    how = f"`best_placed` for one task among so many names, median of {TASKS} tasks"
     return _sizes("placed", "nodes", (100, 200, 400, 800, 1_600), how, _placed)
 
 
@@ -85,7 +85,7 @@
 
 
 def _pace(nodes: int) -> dict[str, float]:
-    office, numbers = PaceOffice(1, 0), count(1)
+    office, numbers = PaceCoordinator(1, 0), count(1)
     now_us = 10 * SECOND
     for n in range(nodes):
         office.asked(now_us, f"node-{n:05}")
@@ -107,7 +107,7 @@
 
 
 def pace() -> list[Measurement]:
-    how = "`PaceOffice` while every node moves clients and asks every half second"
+    how = "`PaceCoordinator` while every node moves clients and asks every half second"
     return _sizes("pace_lent", "nodes that move clients", (50, 100, 200, 400, 800), how, _pace)
 
 
@@ -181,17 +181,17 @@
 def _moved(nodes: int) -> dict[str, float]:
     names = [f"node-{n:05}" for n in range(nodes)]
     tasks = [f"{nodes}-shard-{n:04}" for n in range(SHARDS)]
-    before = [placed_best(task, names)[0] for task in tasks]
+    before = [best_placed(task, names)[0] for task in tasks]
     figures = {}
     for what, lost in (("node", 1), ("zone", max(1, round(nodes / ZONES)))):
         left = names[lost:]
-        after = [placed_best(task, left)[0] for task in tasks]
+        after = [best_placed(task, left)[0] for task in tasks]
         figures[f"moved_by_{what}"] = sum(a != b for a, b in zip(before, after, strict=True)) / SHARDS
     return figures
 
 
 def moved() -> list[Measurement]:
-    how = f"`placed_best` for {SHARDS} shards before and after a node, and a 23rd of the nodes, are gone"
+    how = f"`best_placed` for {SHARDS} shards before and after a node, and a 23rd of the nodes, are gone"
     return _sizes("shards", "nodes", (50, 100, 200, 400), how, _moved)
 
 
--- a/benchmarks/capacity/measure_shards.py
+++ b/benchmarks/capacity/measure_shards.py
@@ -1,5 +1,5 @@
-"""Shards of one region by one lease per node: who is in, kept by the region's control machines, and a placement
-that every node works out by itself.
+"""Shards of one region by one lease per node: who is in, kept by the region's control machines, and a
+placement that every node works out by itself.
 """
 
 from __future__ import annotations
@@ -43,27 +43,31 @@
     return (time.thread_time_ns() - began_ns) / 1e9
 
 
+def _scored_s(shard: int, names: list[str]) -> float:
+    return _timed_s(lambda: best_placed(f"{len(names)}/{shard}", names))
+
+
 def _placed(nodes: int) -> dict[str, float]:
     """In one run: every shard scored as tasks are, and the table of numpy from nothing and for one change."""
     names = [session.name for session in _sessions(nodes)]
-    scored_s = median(
-        _timed_s(lambda shard=shard: best_placed(f"{nodes}/{shard}", names))  # type: ignore[misc]
-        for shard in range(SCORED)
-    )
+    scored_s = median(_scored_s(shard, names) for shard in range(SCORED))
     gc.collect()
     tracemalloc.start()
-    placement = Placement(REGION, REGION_SHARDS)
+    placement = Placement(f"kept-{nodes}", REGION_SHARDS)  # names not hashed before
     placement.begin(1, _sessions(nodes))
     kept, most = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    begin_s = _timed_s(lambda: placement.begin(1, _sessions(nodes)))
+    begin_s = _timed_s(lambda: Placement(f"timed-{nodes}", REGION_SHARDS).begin(1, _sessions(nodes)))
     left: list[float] = []
     joined: list[float] = []
     moved: list[int] = []
+
+    def timed(change: Change) -> float:
+        return _timed_s(lambda: moved.append(len(placement.apply(change))))
+
     for n in range(CHANGES):
-        gone, new = Change(2 * n + 2, [], [n + 1]), Change(2 * n + 3, [Session(f"new-{n}", nodes + n + 1, 1)], [])
-        left.append(_timed_s(lambda gone=gone: moved.append(len(placement.apply(gone)))))  # type: ignore[misc]
-        joined.append(_timed_s(lambda new=new: moved.append(len(placement.apply(new)))))  # type: ignore[misc]
+        left.append(timed(Change(2 * n + 2, [], [n + 1])))
+        joined.append(timed(Change(2 * n + 3, [Session(f"new-{n}", nodes + n + 1, 1)], [])))
     return {
         "scored_cpu_s": scored_s * REGION_SHARDS,
         "begin_cpu_s": begin_s,
@@ -182,12 +186,13 @@
         "assigner_bytes_s": counts[assigner].of(SHARDS).bytes / LOOK_S,
         "assigner_messages_s": counts[assigner].of(SHARDS).messages / LOOK_S,
         "assigner_cpu": counts[assigner].cpu_ns / 1e9 / LOOK_S,
-        "voter_bytes_s": median(
-            counts[name].of(SHARDS).bytes for name in fleet.voters if name != assigner
-        )
+        "voter_bytes_s": median(counts[name].of(SHARDS).bytes for name in fleet.voters if name != assigner)
         / LOOK_S,
     }
-    for what, lost in (("node", fleet.owners[-1:]), ("zone", fleet.owners[-max(1, nodes // ZONES_OF_REGION) :])):
+    for what, lost in (
+        ("node", fleet.owners[-1:]),
+        ("zone", fleet.owners[-max(1, nodes // ZONES_OF_REGION) :]),
+    ):
         for name in lost:
             fleet.kill(name)
         figures[f"{what}_goes.seconds"] = fleet.until_usable(MOST_S)
@@ -209,8 +214,13 @@
         Measurement(
             f"region.{what}",
             "nodes of a region",
-            "of a core" if "cpu" in what else "s" if "seconds" in what else
-            "bytes/s" if "bytes" in what else "messages/s",
+            "of a core"
+            if "cpu" in what
+            else "s"
+            if "seconds" in what
+            else "bytes/s"
+            if "bytes" in what
+            else "messages/s",
             [float(size) for size in FLEET_SIZES],
             [one[what] for one in found],
             how,
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -33,19 +33,28 @@
     return short(row.ratios[at]) if row.ratios else ""
 
 
+def _missed(row: Row) -> str:
+    return f"{row.fit.residual:.0%}" if row.fit else ""
+
+
+def _verdict(row: Row) -> str:
+    replaced = f"; **replaced by {row.replaced_by}**" if row.replaced_by else ""
+    return row.verdict + replaced
+
+
 def _limit(row: Row) -> str:
     return f"{short(row.limit)} ({row.limit_of})" if row.limit else "none stated"
 
 
 def ranking(record: Record) -> str:
     lines = [
-        [str(place), _ratio(row), row.role, row.cost, _figure(row), row.verdict]
+        [str(place), _ratio(row), row.role, row.cost, _figure(row), _missed(row), _verdict(row)]
         for place, row in enumerate(ranked(record.rows), 1)
     ]
-    without = [
-        ["", "", row.role, row.cost, _figure(row), row.verdict] for row in record.rows if not row.ratios
-    ]
-    return table(["", "cost / limit", "role", "cost", "at the target", "verdict"], lines + without)
+    unlimited = [row for row in record.rows if not row.ratios]
+    without = [["", "", row.role, row.cost, _figure(row), _missed(row), _verdict(row)] for row in unlimited]
+    heads = ["", "cost / limit", "role", "cost", "at the target", "fit misses by", "verdict"]
+    return table(heads, lines + without)
 
 
 def rows_of(record: Record, section: str) -> str:
@@ -54,12 +63,12 @@
             row.role,
             row.cost,
             row.slope or "not measured",
-            f"{row.fit.residual:.0%}" if row.fit else "",
+            _missed(row),
             row.arithmetic,
             _figure(row),
             _limit(row),
             _ratio(row),
-            row.verdict + (f" ({row.why})" if row.why else ""),
+            _verdict(row) + (f" ({row.why})" if row.why else ""),
             row.mechanism,
         ]
         for row in record.rows
@@ -74,10 +83,11 @@
 
 
 def scales(record: Record) -> str:
-    """What breaks first at each size: the worst rows there."""
+    """What breaks first at each size: the worst rows there, without those that were replaced."""
     lines = []
+    left = [row for row in record.rows if not row.replaced_by]
     for at, target in enumerate(TARGETS):
-        for place, row in enumerate(ranked(record.rows, at)[:SHOWN_AT_SCALE], 1):
+        for place, row in enumerate(ranked(left, at)[:SHOWN_AT_SCALE], 1):
             size = f"{target.name} ({target.nodes:,.0f} nodes)" if place == 1 else ""
             lines.append([size, str(place), _ratio(row, at), row.role, row.cost, _figure(row, at)])
     return table(["size", "", "cost / limit", "role", "cost", "figure"], lines)
--- a/benchmarks/capacity/record.py
+++ b/benchmarks/capacity/record.py
@@ -54,6 +54,7 @@
     verdict: str = NOT_MEASURED
     why: str = ""  # where it was not measured, or what else is to be known
     section: str = ""
+    replaced_by: str = ""  # what carries the same now; such a row breaks nothing any more
 
 
 class Failure(msgspec.Struct, frozen=True):
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -14,6 +14,7 @@
     rows_membership,
     rows_replica,
     rows_shards,
+    rows_shards_by_node,
     rows_tasks,
 )
 from benchmarks.capacity.record import Record, Row
@@ -23,7 +24,8 @@
     "Leases, votes and owners of fleet tasks": rows_tasks.rows,
     "Copies and changes of configuration": rows_replica.rows,
     "Sums of loads": rows_loads.rows,
-    "Shards": rows_shards.rows,
+    "Shards, as tasks are owned": rows_shards.rows,
+    "Shards, one lease per node": rows_shards_by_node.rows,
     "Connections": rows_connections.rows,
     "Deliveries": rows_delivery.rows,
     "Restarts and control machines": rows_control.rows,
--- a/benchmarks/capacity/rows_control.py
+++ b/benchmarks/capacity/rows_control.py
@@ -5,9 +5,6 @@
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.working import BYTES, Bound, not_measured, row
 
-VOTERS = 5
-ROLE = "control machines"
-
 
 def restarts(record: Record) -> Row:
     return row(
@@ -24,31 +21,17 @@
     )
 
 
-def machines(record: Record) -> list[Row]:
-    return [
-        row(
-            record,
-            "shard_leases.voter_cpu",
-            lambda fit, target: fit.slope * target.shards * VOTERS,
-            role=ROLE,
-            cost="cores for a lease for each shard, all voters together",
-            bound=Bound("cores", 47.0, "47 machines, one process of one core each (assumed)"),
-            mechanism="owners/voter.py: five voters share nothing: each is asked about every shard",
-            arithmetic="processor time of a lease at a voter * shards * 5 voters",
-            kind="line",
-            reckoned=True,
-            why="no more than 7 voters are allowed, so 47 machines would not help",
-        ),
-        not_measured(
-            ROLE,
-            "voters across 23 zones",
-            Bound("zones"),
-            "owners/quorum.py: 3, 5 or 7 voters, ordinary nodes of the fleet",
-            "there is no control machine in the program yet: 7 voters stand in 7 of 23 zones at most, and "
-            "two regions that lose each other leave the side with fewer voters without leases",
-        ),
-    ]
+def machines() -> Row:
+    return not_measured(
+        "control machines",
+        "47 machines in 6 regions and 23 zones: enough voters after any zone is lost",
+        Bound("machines", 47.0, "47 set aside"),
+        "shards/terms.py: 5 voters a region; owners/ownership.py: control work goes to members of that role",
+        "reasoned, not run: 6 regions * 5 voters are 30 of the 47; a region has 3 or 4 zones, so "
+        "with at most 2 voters of a region in a zone any zone may be lost; voters of fleet tasks (7 at most) "
+        "stand in 7 of 23 zones, and a region cut off has none of their majority",
+    )
 
 
 def rows(record: Record) -> list[Row]:
-    return [restarts(record), *machines(record)]
+    return [restarts(record), machines()]
--- a/benchmarks/capacity/rows_replica.py
+++ b/benchmarks/capacity/rows_replica.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
-from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, LINK, MEMORY, by_nodes, row
+from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, LINK, MEMORY, Resized, by_nodes, row
 from sailrun.replica.replica import WHERE_NODES, WHERE_US
 from sailrun.replica.terms import ReplicaTerms
 
@@ -11,6 +11,11 @@
 RECORDS = ReplicaTerms().records
 
 
+def asks_s(nodes: float) -> float:
+    """How many nodes a second ask the owner of marks whether they are behind."""
+    return nodes / max(1, nodes // WHERE_NODES)
+
+
 def behind(record: Record) -> Row:
     def seconds(nodes: float) -> float:
         return WHERE_US / 1e6 * max(1, nodes // WHERE_NODES)
@@ -57,23 +62,44 @@
 
 def cost(record: Record) -> list[Row]:
     about = (
-        ("mark_cost.bytes", "ordinary node", "bytes", BYTES),
-        ("mark_cost.cpu_s", "ordinary node", "processor time, without sockets", CORE),
-        ("mark_cost.owner_bytes", "owner of marks", "bytes", BYTES),
-        ("mark_cost.owner_cpu_s", "owner of marks", "processor time, without sockets", CORE),
+        ("mark_cost.bytes", "bytes", BYTES),
+        ("mark_cost.cpu_s", "processor time, without sockets", CORE),
     )
     return [
         row(
             record,
             name,
             lambda fit, target: fit.at(target.nodes) * target.changes_s,
-            role=role,
+            role="ordinary node",
             cost=f"the day's changes, on top of rest: {what}",
             bound=bound,
             mechanism=COPIES,
             arithmetic="cost of a change by its fit at the number of nodes * changes a day / 86,400 s",
         )
-        for name, role, what, bound in about
+        for name, what, bound in about
+    ]
+
+
+def owners_cost(record: Record) -> list[Row]:
+    about = (
+        ("mark_cost.owner_bytes", "bytes", BYTES),
+        ("mark_cost.owner_cpu_s", "processor time, without sockets", CORE),
+    )
+    return [
+        row(
+            record,
+            name,
+            lambda fit, target: fit.at(asks_s(target.nodes)) * target.changes_s,
+            role="owner of marks",
+            cost=f"the day's changes, on top of rest: {what}",
+            bound=bound,
+            mechanism=COPIES,
+            arithmetic="cost of a change by its fit at the questions a second * changes a day / 86,400 s",
+            kind="line",
+            by=Resized("questions a second", asks_s),
+            why="nodes that ask while a change spreads are told what differs: it goes with the questions",
+        )
+        for name, what, bound in about
     ]
 
 
@@ -120,4 +146,11 @@
 
 
 def rows(record: Record) -> list[Row]:
-    return [behind(record), *spread(record), *cost(record), burst_bytes(record), *memory(record)]
+    return [
+        behind(record),
+        *spread(record),
+        *cost(record),
+        *owners_cost(record),
+        burst_bytes(record),
+        *memory(record),
+    ]
--- a/benchmarks/capacity/rows_shards.py
+++ b/benchmarks/capacity/rows_shards.py
@@ -2,11 +2,14 @@
 
 from __future__ import annotations
 
+from msgspec import structs
+
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
 from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, LINK, WHOLE_CORE, Bound, row
 
-LEASES = "owners/tenure.py and voter.py: a lease for each shard, 8 renewals in 2 s, 5 voters"
+VOTERS = 5
+LEASES = "owners/leases.py and voter.py: a lease for each shard, 8 renewals in 2 s, 5 voters"
 SCORES = "owners/agent.py `Agent.tasks`: every task is scored against every node at each change of members"
 COUNTED = Bound("shards")
 
@@ -86,6 +89,24 @@
     ]
 
 
+def control(record: Record) -> list[Row]:
+    return [
+        row(
+            record,
+            "shard_leases.voter_cpu",
+            lambda fit, target: fit.slope * target.shards * VOTERS,
+            role="control machines",
+            cost="cores for a lease for each shard, all voters together",
+            bound=Bound("cores", 47.0, "47 machines, one process of one core each (assumed)"),
+            mechanism="owners/voter.py: five voters share nothing: each is asked about every shard",
+            arithmetic="processor time of a lease at a voter * shards * 5 voters",
+            kind="line",
+            reckoned=True,
+            why="no more than 7 voters are allowed, so 47 machines would not help",
+        )
+    ]
+
+
 def moves(record: Record) -> list[Row]:
     why = "no more than those of the nodes that go, by rendezvous; what a move costs is not known yet"
     return [
@@ -96,7 +117,7 @@
             role="the fleet",
             cost="shards that change owner on an ordinary day",
             bound=COUNTED,
-            mechanism="owners/tenure.py `placed_best`",
+            mechanism="owners/leases.py `best_placed`",
             arithmetic="shards / nodes * (33 + 520) * 2; the share moved by a node was measured as 1 / nodes",
             kind="line",
             reckoned=True,
@@ -109,7 +130,7 @@
             role="the fleet",
             cost="shards that change owner when a zone goes",
             bound=COUNTED,
-            mechanism="owners/tenure.py `placed_best`",
+            mechanism="owners/leases.py `best_placed`",
             arithmetic="shards / 23; the share moved was measured",
             kind="constant",
             reckoned=True,
@@ -119,4 +140,8 @@
 
 
 def rows(record: Record) -> list[Row]:
-    return holders(record) + voters(record) + scoring(record) + moves(record)
+    replaced = [
+        structs.replace(row, replaced_by="one lease per node")
+        for row in holders(record) + voters(record) + scoring(record) + control(record)
+    ]
+    return replaced + moves(record)
--- a/benchmarks/capacity/rows_shards_by_node.py
+++ b/benchmarks/capacity/rows_shards_by_node.py
@@ -2,11 +2,27 @@
 
 from __future__ import annotations
 
+from msgspec import structs
+
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import DAY_S, Target
-from benchmarks.capacity.working import AWARE, BYTES, CORE, IN_FORCE, LINK, MEMORY, WHOLE_CORE, Bound, fit_of, row
+from benchmarks.capacity.working import (
+    AWARE,
+    BYTES,
+    CORE,
+    IN_FORCE,
+    LINK,
+    MEMORY,
+    WHOLE_CORE,
+    Bound,
+    fit_of,
+    row,
+)
 
 SESSIONS = "shards/session.py and assigner.py: a heartbeat four times in 8 s to the region's assigner"
+# Shards that were placed in the measurement.
+REGION_SHARDS = 125_000
+OF_REGION = "fit at the nodes of a region (633) * its shards / 125,000"
 PLACES = "shards/placement.py: every node places its region's shards by itself, with numpy"
 
 
@@ -14,6 +30,11 @@
     return target.region_nodes
 
 
+def _shards(target: Target) -> float:
+    """How many times the shards that were placed a region has; placing and its memory go with them."""
+    return target.shards / target.regions / REGION_SHARDS
+
+
 def _changes_s(target: Target) -> float:
     """Changes of a region's members a second."""
     return target.member_changes_day / target.regions / DAY_S
@@ -68,31 +89,30 @@
 def placing(record: Record) -> list[Row]:
     def change_s(target: Target) -> float:
         """A node left or joined, in equal parts."""
-        nodes = _in_region(target)
-        return (
-            fit_of(record, "placement.left_cpu_s").at(nodes) + fit_of(record, "placement.joined_cpu_s").at(nodes)
-        ) / 2
-
+        left, joined = fit_of(record, "placement.left_cpu_s"), fit_of(record, "placement.joined_cpu_s")
+        return (left.at(_in_region(target)) + joined.at(_in_region(target))) / 2 * _shards(target)
+
+    before = row(
+        record,
+        "placement.scored_cpu_s",
+        lambda fit, target: fit.at(_in_region(target)) * _shards(target),
+        role="every node",
+        cost="before: a region's shards scored one by one after one change: seconds",
+        bound=IN_FORCE,
+        mechanism="owners/leases.py `best_placed`, as tasks are placed; same run as the next rows",
+        arithmetic=OF_REGION,
+    )
     return [
-        row(
-            record,
-            "placement.scored_cpu_s",
-            lambda fit, target: fit.at(_in_region(target)),
-            role="every node",
-            cost="before: a region's shards scored one by one after one change: seconds",
-            bound=IN_FORCE,
-            mechanism="owners/leases.py `best_placed`, as tasks are placed; same run as the next rows",
-            arithmetic="fit at the nodes of a region",
-        ),
+        structs.replace(before, replaced_by="one lease per node"),
         row(
             record,
             "placement.joined_cpu_s",
-            lambda fit, target: fit.at(_in_region(target)),
+            lambda fit, target: fit.at(_in_region(target)) * _shards(target),
             role="every node",
             cost="now: the same after a node joined: seconds",
             bound=IN_FORCE,
             mechanism=PLACES,
-            arithmetic="fit at the nodes of a region",
+            arithmetic=OF_REGION,
         ),
         row(
             record,
@@ -107,12 +127,12 @@
         row(
             record,
             "placement.begin_cpu_s",
-            lambda fit, target: fit.at(_in_region(target)),
+            lambda fit, target: fit.at(_in_region(target)) * _shards(target),
             role="every node",
             cost="now: a region's shards placed from nothing: seconds",
             bound=IN_FORCE,
             mechanism=PLACES,
-            arithmetic="fit at the nodes of a region",
+            arithmetic=OF_REGION,
         ),
     ]
 
@@ -122,12 +142,12 @@
         row(
             record,
             name,
-            lambda fit, target: fit.at(_in_region(target)),
+            lambda fit, target: fit.at(_in_region(target)) * _shards(target),
             role="every node",
             cost=cost,
             bound=MEMORY,
             mechanism=PLACES,
-            arithmetic="fit at the nodes of a region, 125,000 shards",
+            arithmetic=OF_REGION,
         )
         for name, cost in (
             ("placement.memory_mb", "a region's placement: memory kept"),
--- a/benchmarks/capacity/rows_tasks.py
+++ b/benchmarks/capacity/rows_tasks.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
+from benchmarks.capacity.rows_replica import asks_s
 from benchmarks.capacity.target import Target
 from benchmarks.capacity.working import BYTES, CORE, Resized, row
-from sailrun.replica.replica import WHERE_NODES
 
 # In the measured fleet: permits, pace, marks, and one data centre's reader. At the target a reader a zone.
 TASKS_MEASURED, TASKS_OF_FLEET = 4, 3
-VOTES = "owners/tenure.py and voter.py: a lease for each task, renewed 8 times in 2 s with every voter"
+VOTES = "owners/leases.py and voter.py: a lease for each task, renewed 8 times in 2 s with every voter"
 
 
 def votes(record: Record) -> list[Row]:
@@ -130,11 +130,6 @@
     ]
 
 
-def asks_s(nodes: float) -> float:
-    """How many nodes a second ask the owner of marks whether they are behind."""
-    return nodes / max(1, nodes // WHERE_NODES)
-
-
 def marks(record: Record) -> list[Row]:
     asking = "replica/replica.py: each node asks every second, past 200 nodes more seldom"
     about = (
--- a/benchmarks/capacity/working.py
+++ b/benchmarks/capacity/working.py
@@ -136,9 +136,9 @@
 def slope_in_words(fit: Fit, found: Measurement) -> str:
     if fit.kind == "constant":
         return f"{short(fit.intercept)} {found.unit}, flat"
-    per = {"log": "ln of ", "square": "square of "}.get(fit.kind, "")
+    shaped = {"log": f"ln({found.size})", "square": f"({found.size}) squared"}.get(fit.kind, found.size)
     start = f"{short(fit.intercept)} + " if fit.intercept else ""
-    return f"{start}{short(fit.slope)} {found.unit} for each {per}{found.size}"
+    return f"{start}{short(fit.slope)} {found.unit} * {shaped}"
 
 
 def not_measured(role: str, cost: str, bound: Bound, mechanism: str, why: str) -> Row:
