--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -17,6 +17,7 @@
 from benchmarks.capacity.measure_leases import leases
 from benchmarks.capacity.measure_process import connections
 from benchmarks.capacity.measure_pure import PURE
+from benchmarks.capacity.measure_scale import scale
 from benchmarks.capacity.measure_shards import placements, region
 from benchmarks.capacity.page import write_page
 from benchmarks.capacity.record import ROOT, Machine, Measurement, Record, read_record, write_record
@@ -29,6 +30,7 @@
     "connections": connections,
     "placements": placements,
     "region": region,
+    "scale": scale,
 }
 GROUPS = [*ALONE, *PLAYS]
 USAGE = f"usage: python -m benchmarks.capacity measure [GROUP ...] | page | rank\ngroups: {' '.join(GROUPS)}"
--- a/benchmarks/capacity/failures.py
+++ b/benchmarks/capacity/failures.py
@@ -20,6 +20,11 @@
         return "not measured"
 
 
+def _hour(record: Record) -> str:
+    found = record.measurement("hour.cut.alike_seconds")
+    return f"after an hour {short(found.values[0])} s at 50 nodes" if found else "an hour was not run"
+
+
 def failures(record: Record) -> list[Failure]:
     """Times at the target are by the fits of the measurements, which end at 400 to 800 nodes."""
     zone_goes, zone_returns = (_at_target(record, f"zone_{what}.seconds_99") for what in ("goes", "returns"))
@@ -66,7 +71,7 @@
             "two regions lose each other for an hour",
             "the side without a majority of voters has no owners: changes wait there, permits end, each node "
             "reads the roster itself",
-            f"the hour; then by fit {alike} until changes are everywhere (cuts of 60 s; an hour at 50 nodes)",
+            f"the hour; changes are everywhere {alike} after a cut of 60 s, by fit; {_hour(record)}",
             f"{ONE_OWNER}; what was said with `--wait none` on either side is kept, out stays out",
             "run: the rows of a cut, one region against all others; two that lose only each other: reasoned",
             False,
--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -4,15 +4,12 @@
 
 from __future__ import annotations
 
-import socket
 import time
 import tracemalloc
 from collections.abc import Callable
 from itertools import count
 from statistics import median
 
-import anyio
-
 from benchmarks.capacity.counting_fleet import HEADER
 from benchmarks.capacity.record import Measurement
 from benchmarks.knowledge import LOAD
@@ -33,7 +30,6 @@
 TASKS, ASKS = 20, 2_000
 SHARDS, ZONES = 1_000, 23
 LOAD_NODES = 50
-DATAGRAM = 120  # bytes, about what members say to each other
 
 
 def _sizes(
@@ -48,7 +44,6 @@
         "messages_s": "messages/s",
         "cpu": "of a core",
         "cpu_us": "us",
-        "cpu_s": "s",
     }
     return [
         Measurement(
@@ -195,31 +190,6 @@
     return _sizes("shards", "nodes", (50, 100, 200, 400), how, _moved)
 
 
-# ---------------------------------------------------------------------- datagrams
-
-
-async def _datagrams_s(count: int) -> float:
-    """Processor seconds of an event loop that sends itself so many datagrams, one after another."""
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
-        one.bind(("127.0.0.1", 0))
-        one.setblocking(False)
-        began_s = time.process_time()
-        for _ in range(count):
-            one.sendto(bytes(DATAGRAM), one.getsockname())
-            await anyio.wait_readable(one)
-            one.recvfrom(2 * DATAGRAM)
-        return time.process_time() - began_s
-
-
-def _datagrams(count: int) -> dict[str, float]:
-    return {"cpu_s": anyio.run(_datagrams_s, count)}
-
-
-def datagrams() -> list[Measurement]:
-    how = f"an event loop that sends itself datagrams of {DATAGRAM} bytes on loopback, and waits for each"
-    return _sizes("datagrams", "datagrams", (1_000, 2_000, 4_000, 8_000), how, _datagrams)
-
-
 PURE: dict[str, Callable[[], list[Measurement]]] = {
     "placement": placement,
     "pace": pace,
@@ -228,5 +198,4 @@
     "records": records,
     "lists": lists,
     "moved": moved,
-    "datagrams": datagrams,
 }
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -15,12 +15,14 @@
     rows_replica,
     rows_shards,
     rows_shards_by_node,
+    rows_sockets,
     rows_tasks,
 )
 from benchmarks.capacity.record import Record, Row
 
 SECTIONS: dict[str, Callable[[Record], list[Row]]] = {
     "Members": rows_membership.rows,
+    "At rest over sockets": rows_sockets.rows,
     "Leases, votes and owners of fleet tasks": rows_tasks.rows,
     "Copies and changes of configuration": rows_replica.rows,
     "Sums of loads": rows_loads.rows,
--- a/benchmarks/capacity/rows_loads.py
+++ b/benchmarks/capacity/rows_loads.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
-from benchmarks.capacity.working import BYTES, IN_FORCE, Bound, Resized, by_nodes, row
+from benchmarks.capacity.working import BYTES, IN_FORCE, Bound, by_nodes, row
 from sailrun.fleet.digest import LONGEST
 
 ROUNDS = "fleet/rounds.py: one node adds up each round, 2 s long and 10 ms a node past 200 nodes"
@@ -26,25 +26,26 @@
         ),
         row(
             record,
-            "rounds.seconds_99",
-            by_nodes,
+            "rounds.round_seconds",
+            lambda fit, target: max(fit.at(FULL_ROUNDS), fit.at(target.nodes)),
             role="every node",
-            cost="a change of loads: until 99 in 100 nodes know it",
+            cost="age of a sum when the next one comes",
             bound=STALE,
             mechanism=ROUNDS,
-            arithmetic="fit at the number of nodes, where rounds grow; nothing lost",
-            why="past some 1,900 nodes no sum fits its datagram, so the figure is never reached",
+            arithmetic="10 ms * nodes, 2 s at least, from the program's constants",
+            kind="through",
+            reckoned=True,
+            why="past some 1,900 nodes no sum fits its datagram, and there is no next one",
         ),
         row(
             record,
             "rounds.bytes_s",
-            lambda fit, target: fit.at(min(1.0, FULL_ROUNDS / target.nodes)),
+            by_nodes,
             role="ordinary node",
             cost="bytes of rounds while something goes on",
             bound=BYTES,
             mechanism=ROUNDS,
-            arithmetic="bytes of two datagrams of 2 s * 200 / nodes: rounds grow longer instead",
-            kind="through",
-            by=Resized("part of a round of 2 s", lambda nodes: FULL_ROUNDS / nodes),
+            arithmetic="mean of the sizes measured: it falls with the number of nodes",
+            kind="constant",
         ),
     ]
--- a/benchmarks/capacity/rows_membership.py
+++ b/benchmarks/capacity/rows_membership.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from benchmarks.capacity.fit import Fit
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
 from benchmarks.capacity.working import AWARE, BYTES, CORE, LINK, MEMORY, by_nodes, fit_of, row
@@ -34,26 +33,6 @@
     ]
 
 
-def with_sockets(record: Record) -> Row:
-    """The datagrams' own cost was measured by itself: half of them are sent, half received."""
-
-    def core(fit: Fit, target: Target) -> float:
-        messages_s = fit_of(record, "rest.messages_s").at(target.nodes)
-        return fit.at(target.nodes) + messages_s / 2 * fit_of(record, "datagrams.cpu_s", "line").slope
-
-    return row(
-        record,
-        "rest.cpu",
-        core,
-        role="ordinary node",
-        cost="processor time at rest, with sockets",
-        bound=CORE,
-        mechanism=ALL,
-        arithmetic="fit + messages a second / 2 * what it costs to send and to receive one on loopback",
-        reckoned=True,
-    )
-
-
 def at_begin(record: Record) -> list[Row]:
     def mean_bytes(target: Target) -> float:
         seconds = max(1.0, fit_of(record, "begin.seconds").at(target.nodes))
@@ -163,7 +142,6 @@
 def rows(record: Record) -> list[Row]:
     return [
         *at_rest(record),
-        with_sockets(record),
         *at_begin(record),
         *zone(record, "zone_goes", "a zone goes"),
         *zone(record, "zone_returns", "a zone returns"),
--- a/benchmarks/capacity/rows_replica.py
+++ b/benchmarks/capacity/rows_replica.py
@@ -2,34 +2,64 @@
 
 from __future__ import annotations
 
-from benchmarks.capacity.record import Record, Row
-from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, LINK, MEMORY, Resized, by_nodes, row
-from sailrun.replica.replica import WHERE_NODES, WHERE_US
+from msgspec import structs
+
+from benchmarks.capacity.record import Measurement, Record, Row
+from benchmarks.capacity.working import (
+    BYTES,
+    CORE,
+    IN_FORCE,
+    LINK,
+    MEMORY,
+    Missing,
+    Resized,
+    by_nodes,
+    not_measured,
+    row,
+    samples,
+)
+from sailrun.replica.replica import WHERE_NODES
 from sailrun.replica.terms import ReplicaTerms
 
 COPIES = "replica/: one owner writes, a majority of voters keeps, rumors and comparisons spread"
 RECORDS = ReplicaTerms().records
 
 
+def longer(nodes: float) -> float:
+    """How many times longer than a second a node waits before it asks whether it is behind."""
+    return max(1, nodes // WHERE_NODES)
+
+
 def asks_s(nodes: float) -> float:
     """How many nodes a second ask the owner of marks whether they are behind."""
-    return nodes / max(1, nodes // WHERE_NODES)
+    return nodes / longer(nodes)
 
 
-def behind(record: Record) -> Row:
-    def seconds(nodes: float) -> float:
-        return WHERE_US / 1e6 * max(1, nodes // WHERE_NODES)
+def asked_every(record: Record) -> Measurement:
+    """How often a node asks: two messages each time. Raises Missing."""
+    found = samples(record, "marks.messages_s")
+    pairs = zip(found.sizes, found.values, strict=True)
+    return structs.replace(found, values=[2 * size / value for size, value in pairs], unit="s")
 
+
+def behind(record: Record) -> Row:
+    role, cost = "every node", "until a node notices that its copy is behind the owner"
+    mechanism = "replica/replica.py: `WHERE_US` and `WHERE_NODES`"
+    try:
+        found = asked_every(record)
+    except Missing as missing:
+        return not_measured(role, cost, IN_FORCE, mechanism, f"measurement {missing} is not in the file")
     return row(
         record,
-        "marks.bytes_s",
-        lambda fit, target: seconds(target.nodes),
-        role="every node",
-        cost="until a node notices that its copy is behind the owner",
+        found,
+        lambda fit, target: fit.at(longer(target.nodes)),
+        role=role,
+        cost=cost,
         bound=IN_FORCE,
-        mechanism="replica/replica.py: `WHERE_US` and `WHERE_NODES`",
-        arithmetic="1 s * (nodes // 200), from the constants; samples are the owner's bytes/s meanwhile",
-        reckoned=True,
+        mechanism=mechanism,
+        arithmetic="time between two questions of a node by its fit at nodes // 200",
+        kind="through",
+        by=Resized("nodes // 200, 1 at least", longer),
         why="what nodes tell each other unasked is quicker most of the time: see the next rows",
     )
 
--- a/benchmarks/capacity/rows_shards.py
+++ b/benchmarks/capacity/rows_shards.py
@@ -6,7 +6,7 @@
 
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
-from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, LINK, WHOLE_CORE, Bound, row
+from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, LINK, WHOLE_CORE, Bound, Resized, row
 
 VOTERS = 5
 LEASES = "owners/leases.py and voter.py: a lease for each shard, 8 renewals in 2 s, 5 voters"
@@ -112,14 +112,15 @@
     return [
         row(
             record,
-            "shards.moved_by_node",
-            lambda fit, target: target.shards_node * target.member_changes_day,
+            "placement.moved",
+            lambda fit, target: fit.at(1 / target.nodes) * target.shards * target.member_changes_day,
             role="the fleet",
             cost="shards that change owner on an ordinary day",
             bound=COUNTED,
-            mechanism="owners/leases.py `best_placed`",
-            arithmetic="shards / nodes * (33 + 520) * 2; the share moved by a node was measured as 1 / nodes",
-            kind="line",
+            mechanism="shards/placement.py",
+            arithmetic="share moved by a node that goes or comes, by its fit * shards * (33 + 520) * 2",
+            kind="through",
+            by=Resized("1 / nodes of a region", lambda nodes: 1 / nodes),
             reckoned=True,
             why=why,
         ),
--- a/benchmarks/capacity/working.py
+++ b/benchmarks/capacity/working.py
@@ -13,6 +13,8 @@
 
 NO_LIMIT = "no limit stated"
 BEST = "line or constant"
+# A fit that misses a sample by more than this part of it says little of sizes beyond.
+POOR_FIT = 0.5
 At = Callable[[Fit, Target], float]
 
 
@@ -83,7 +85,7 @@
 
 def row(
     record: Record,
-    measurement: str,
+    measurement: str | Measurement,
     at: At,
     *,
     role: str,
@@ -100,7 +102,7 @@
     `reckoned`: the parts were measured, the whole was not run.
     """
     try:
-        found = samples(record, measurement)
+        found = samples(record, measurement) if isinstance(measurement, str) else measurement
         if by is not None:
             found = structs.replace(found, sizes=[by.of(size) for size in found.sizes], size=by.counted)
         fit = fit_samples(found, kind)
@@ -109,6 +111,8 @@
         return not_measured(role, cost, bound, mechanism, f"measurement {missing} is not in the file")
     ratios = [figure / bound.limit for figure in figures] if bound.limit else []
     said = verdict(ratios[1] if ratios else None)
+    if fit.residual > POOR_FIT:
+        said += f", by a fit that misses by {fit.residual:.0%}"
     return Row(
         role=role,
         cost=cost,
