--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity.measure_process import connections
 from benchmarks.capacity.measure_pure import PURE
 from benchmarks.capacity.measure_scale import scale
-from benchmarks.capacity.measure_shards import placements, region
+from benchmarks.capacity.measure_shards import placements, region, without_assigner
 from benchmarks.capacity.page import write_page
 from benchmarks.capacity.record import ROOT, Machine, Measurement, Record, read_record, write_record
 from benchmarks.capacity.rows import all_rows, ranked
@@ -30,6 +30,7 @@
     "connections": connections,
     "placements": placements,
     "region": region,
+    "assigner": without_assigner,
     "scale": scale,
 }
 GROUPS = [*ALONE, *PLAYS]
--- a/benchmarks/capacity/failures.py
+++ b/benchmarks/capacity/failures.py
@@ -81,7 +81,7 @@
             "a voter: nothing, while a majority of its region's answers; an assigner: the next one begins",
             "a task 2.2 s for 99 in 100; an assigner 2.3 s in 95 of 100 cases, 6 s at most, within the lease",
             ONE_OWNER,
-            f"run: {OWNERS}; docs/design/shards.md",
+            f"run: {OWNERS}; docs/design/shards.md; {SHARDS}, one seed a size: no shard went unused",
             False,
         ),
         Failure(
--- a/benchmarks/capacity/measure_shards.py
+++ b/benchmarks/capacity/measure_shards.py
@@ -159,6 +159,11 @@
 
 # Fewer shards in a fleet of many nodes in one process: each node keeps a placement of its own.
 FLEET_SHARDS = 12_500
+FLEET = (
+    f"one region in virtual time: {CONTROL_MACHINES} control machines, {VOTERS} of them voters, "
+    f"{FLEET_SHARDS:,} shards, lease {ShardsTerms().lease_s:g} s, all other tables on"
+)
+STEP_S = 0.25
 
 
 def _memory_mb() -> float:
@@ -204,12 +209,38 @@
     return figures
 
 
+def _without_assigner(nodes: int) -> dict[str, float]:
+    """The assigner dies: the largest part of the shards that nobody may use, and for how long any."""
+    fleet = RegionFleet(nodes, FLEET_SHARDS)
+    fleet.begin()
+    fleet.run_for(SETTLE_S)
+    if fleet.until_usable(MOST_S) == float("inf"):
+        raise RuntimeError(f"of {FLEET_SHARDS} shards {fleet.usable()} may be used")
+    fleet.kill(fleet.assigner())
+    unused: list[float] = []
+    for _ in range(int(LOOK_S / STEP_S)):
+        fleet.run_for(STEP_S)
+        unused.append(1 - fleet.usable() / FLEET_SHARDS)
+    return {"unused": max(unused), "unused_seconds": STEP_S * sum(share > 0 for share in unused)}
+
+
+def without_assigner() -> list[Measurement]:
+    found = [_without_assigner(size) for size in FLEET_SIZES]
+    return [
+        Measurement(
+            f"region.assigner_goes.{what}",
+            "nodes of a region",
+            "s" if "seconds" in what else "of the region's shards",
+            [float(size) for size in FLEET_SIZES],
+            [one[what] for one in found],
+            f"{FLEET}; looked at every {STEP_S} s for {LOOK_S:.0f} s",
+        )
+        for what in found[0]
+    ]
+
+
 def region() -> list[Measurement]:
     found = [_region(size) for size in FLEET_SIZES]
-    how = (
-        f"one region in virtual time: {CONTROL_MACHINES} control machines, {VOTERS} of them voters, "
-        f"{FLEET_SHARDS:,} shards, lease 10 s, all other tables on"
-    )
     return [
         Measurement(
             f"region.{what}",
@@ -223,7 +254,7 @@
             else "messages/s",
             [float(size) for size in FLEET_SIZES],
             [one[what] for one in found],
-            how,
+            FLEET,
         )
         for what in found[0]
     ]
--- a/benchmarks/capacity/rows_shards_by_node.py
+++ b/benchmarks/capacity/rows_shards_by_node.py
@@ -86,6 +86,21 @@
     ]
 
 
+def without_assigner(record: Record) -> Row:
+    return row(
+        record,
+        "region.assigner_goes.unused_seconds",
+        lambda fit, target: fit.at(_in_region(target)),
+        role="its shards",
+        cost="the assigner dies: how long any shard may be used by nobody",
+        bound=AWARE,
+        mechanism=SESSIONS,
+        arithmetic="mean of the sizes measured",
+        kind="constant",
+        why="one seed a size; docs/design/shards.md names the rare cases",
+    )
+
+
 def placing(record: Record) -> list[Row]:
     def change_s(target: Target) -> float:
         """A node left or joined, in equal parts."""
@@ -157,4 +172,5 @@
 
 
 def rows(record: Record) -> list[Row]:
-    return sessions(record) + taken_over(record) + placing(record) + memory(record)
+    over = [*taken_over(record), without_assigner(record)]
+    return [*sessions(record), *over, *placing(record), *memory(record)]
