--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -70,17 +70,20 @@
     """A day of faults among owners, where that is what was asked for."""
     from sailrun.lab.faults.nemesis import PLANS
     from sailrun.lab.faults.play import NODES, RULES, FaultDay
+    from sailrun.lab.faults.shard_plans import SHARD_PLANS
+    from sailrun.lab.faults.shard_world import FEWEST_NODES
 
-    if name not in PLANS:
+    if name not in PLANS and name not in SHARD_PLANS:
         return None
+    least, usual = (FEWEST_NODES, SHARD_PLANS[name].nodes) if name in SHARD_PLANS else (3, NODES)
     for rule in off or ():
         if rule not in RULES:
             raise _complain(f"--off: '{rule}' is none of {', '.join(RULES)}")
-    if nodes is not None and not 3 <= nodes <= 1_000:
-        raise _complain(f"--nodes: {nodes} is not from 3 to 1000")
+    if nodes is not None and not least <= nodes <= 1_000:
+        raise _complain(f"--nodes: {nodes} is not from {least} to 1000")
     if seconds is not None and not 20 <= seconds <= 3_600:
         raise _complain(f"--seconds: {seconds:g} is not from 20 to 3600")
-    return FaultDay(name, 1, nodes or NODES, seconds, frozenset(off or ()))
+    return FaultDay(name, 1, nodes or usual, seconds, frozenset(off or ()))
 
 
 def _check_driver(day: FaultDay, driver: str) -> None:
--- a/sailrun/lab/faults/days.py
+++ b/sailrun/lab/faults/days.py
@@ -12,14 +12,15 @@
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import FaultDay, Played, play_real, play_virtual
+from sailrun.lab.faults.shard_days import play_shards_real, play_shards_virtual
+from sailrun.lab.faults.shard_plans import SHARD_PLANS
 from sailrun.lab.records import Records, Table
 from sailrun.lab.run import Outcome, Summary, finite
 from sailrun.lab.sweep import Sweep
 
-DRIVERS: dict[str, Callable[[FaultDay, Callable[[float], None]], Played]] = {
-    "virtual": play_virtual,
-    "sockets": play_real,
-}
+Driver = Callable[[FaultDay, Callable[[float], None]], Played]
+DRIVERS: dict[str, Driver] = {"virtual": play_virtual, "sockets": play_real}
+SHARD_DRIVERS: dict[str, Driver] = {"virtual": play_shards_virtual, "sockets": play_shards_real}
 # Days on real processes side by side: each has up to fifteen of them.
 REAL_AT_ONCE = 4
 
@@ -47,7 +48,8 @@
     day: FaultDay, driver: str, told: Callable[[float], None] = lambda share: None
 ) -> tuple[Summary, History]:
     began_s = time.monotonic()
-    played = DRIVERS[driver](day, told)
+    drivers = SHARD_DRIVERS if day.plan in SHARD_PLANS else DRIVERS
+    played = drivers[driver](day, told)
     begin_us = min((row["at_us"] for row in played.rows), default=0)
     summary = Summary(
         day.plan,
@@ -98,3 +100,5 @@
 def about() -> Iterator[str]:
     for plan in PLANS.values():
         yield f"{plan.name:20} {plan.about} (5 nodes, {plan.seconds:g} s)"
+    for plan in SHARD_PLANS.values():
+        yield f"{plan.name:20} {plan.about} ({plan.nodes} nodes, {plan.seconds:g} s)"
--- a/sailrun/lab/faults/nemesis.py
+++ b/sailrun/lab/faults/nemesis.py
@@ -37,6 +37,7 @@
     def hold_back(self, name: str, for_us: int) -> None: ...
     def want(self, name: str, kind: str, subject: str, for_us: int) -> None: ...
     def walk(self, name: str, names: list[str], for_us: int) -> None: ...
+    def hand_over(self, name: str) -> None: ...
     def told(self, what: str, **facts: object) -> None: ...
     def mark(self, name: str, subject: str, on: bool) -> None: ...
     def mark_here(self, name: str, subject: str, on: bool) -> None: ...
@@ -62,6 +63,8 @@
     apart: bool = False  # staff say two things on two sides of a cut
     lasting: bool = False  # each node has a folder of its own
     older: bool = False  # folders of before are put back
+    calm_begin_s: float = CALM_BEGIN_S
+    calm_end_s: float = CALM_END_S
 
 
 class Nemesis:
@@ -70,7 +73,8 @@
     def __init__(self, fleet: Fleet, plan: Plan, seed: int, seconds: float, lease_s: float) -> None:
         self.fleet, self.luck = fleet, random.Random(f"{plan.name}/{seed}")
         self.seconds, self.lease_s = seconds, lease_s
-        self.last_s = max(CALM_BEGIN_S + 1.0, seconds - CALM_END_S)
+        self.first_s = plan.calm_begin_s
+        self.last_s = max(self.first_s + 1.0, seconds - plan.calm_end_s)
         plan.script(self)
 
     def at(self, when_s: float, what: Callable[[], None]) -> None:
@@ -78,7 +82,7 @@
 
     def every(self, least_s: float, most_s: float, what: Callable[[], None]) -> None:
         """Again and again, for as long as things may go wrong."""
-        when_s = CALM_BEGIN_S + self.luck.uniform(0, most_s - least_s)
+        when_s = self.first_s + self.luck.uniform(0, most_s - least_s)
         while when_s < self.last_s:
             self.at(when_s, what)
             when_s += self.luck.uniform(least_s, most_s)
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -36,6 +36,12 @@
     "sync",
     "generation",
     "folder",
+    "session",
+    "settle",
+    "rest",
+    "register",
+    "remember",
+    "token",
 )
 LEASE_S, ORDER_S, PERMIT_LEASE_S = 2.0, 1.0, 6.0
 DRAINS, OUT = 1, 2
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -334,6 +334,9 @@
         self.group.start_soon(self.call, name, f"set-down {server}")
         self.after(for_us, self._ask, name, f"set-up {server}")
 
+    def hand_over(self, name: str) -> None:
+        """A real process hands over as it leaves: a planned one is played in virtual time."""
+
     def walk(self, name: str, names: list[str], for_us: int) -> None:
         self.told("walk", node=name, names=",".join(names))
         line = f"fleet walk walk-{self._seed} {for_us // 1000} {','.join(names)}"
--- /dev/null
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -0,0 +1,83 @@
+"""The members of two regions in virtual time, whose owners of shards act for them again and again."""
+
+from __future__ import annotations
+
+from sailrun.lab.faults.shard_world import (
+    FLEET_VOTERS,
+    REGIONS,
+    ZONES_OF_A_REGION,
+    place_of,
+    shard_agent_terms,
+)
+from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
+from sailrun.members.messages import Record, State
+from sailrun.owners.agent import Out
+from sailrun.shards.exercise import ActExerciser
+from sailrun.shards.messages import ShardAct
+
+# Every node acts so often for so many of its shards.
+ACT_US, ACTS = 250_000, 4
+
+
+class ShardFleet(VirtualFleet):
+    # Longer than a shard's lease, now and then.
+    late_s = (4.0, 14.0)
+
+    def __init__(self, nodes: int, seed: int, off: frozenset[str] = frozenset()) -> None:
+        super().__init__(nodes, FLEET_VOTERS, ZONES_OF_A_REGION, shard_agent_terms, seed, off)
+        for node in self.nodes.values():
+            node.zone = place_of(node.index).zone
+        self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node, in which of its lives
+
+    def begin(self) -> None:
+        super().begin()
+        for n, name in enumerate(self.names):
+            self.time.after(ACT_US * n // len(self.names), self._act_for_shards, name)
+
+    def _record_of(self, node: VirtualNode, life: int) -> Record:
+        place = place_of(node.index)
+        return Record(node.name, life, 1, State.ALIVE, node.address, place.zone, place.region, place.role)
+
+    # ------------------------------------------------------------------ acts
+
+    def _act_for_shards(self, name: str) -> None:
+        self.time.after(ACT_US, self._act_for_shards, name)
+        node = self.nodes[name]
+        agent = node.agent
+        if agent is None or node.stopped:
+            return
+        now_us = self.clock_us(node)
+        self._send(node, agent.say(now_us, self._exerciser(node).turn(now_us)))
+
+    def _exerciser(self, node: VirtualNode) -> ActExerciser:
+        life, exerciser = self._exercisers.get(node.name, (0, None))
+        if exerciser is None or life != node.life:
+            agent = node.agent
+            assert agent is not None and agent.shards is not None
+            seed = self._luck.getrandbits(32)
+            exerciser = ActExerciser(agent.shards, agent.members, node.name, 0, ACTS, seed)
+            self._exercisers[node.name] = node.life, exerciser
+        return exerciser
+
+    def _is_act(self, out: Out) -> bool:
+        return isinstance(out.envelope.body, ShardAct)
+
+    def hand_over(self, name: str) -> None:
+        node = self.nodes[name]
+        if node.agent is None or node.agent.shards is None or node.stopped:
+            return
+        self.told("hand-over", node=name)
+        node.agent.shards.plan_to_leave(self.clock_us(node), True)
+        self._wake(node, 0)
+
+    # ------------------------------------------------------------------ what the nemesis asks
+
+    def owner(self, task: str) -> str | None:
+        for node in self.nodes.values():
+            part = node.agent.shards if node.agent is not None else None
+            if part is not None and part.task == task and part.is_assigner(self.clock_us(node)):
+                return node.name
+        return None
+
+    def tasks(self) -> list[str]:
+        return [f"shards/{region}" for region in REGIONS]
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -71,6 +71,9 @@
 class VirtualFleet:
     """The nemesis's `Fleet`, in virtual time."""
 
+    # How long a node stands that was stopped in the middle of sending.
+    late_s = (1.0, 6.0)
+
     def __init__(
         self,
         nodes: int,
@@ -152,7 +155,7 @@
         node.offset_us = luck.randrange(10**9)  # a monotonic clock begins anywhere
         joins = [n.address for n in self.nodes.values() if n.index < 3 and n is not node]
         terms = self._terms(node.index, self.voters, joins)
-        me = Record(name, luck.getrandbits(62), 1, State.ALIVE, node.address, node.zone)
+        me = self._record_of(node, luck.getrandbits(62))
 
         def record(kind: str, **facts: Any) -> None:
             if "until_us" in facts:
@@ -176,6 +179,10 @@
         self.row("started", name, life=me.life, clock_s=clock_s)
         self._wake(node, 0)
 
+    def _record_of(self, node: VirtualNode, life: int) -> Record:
+        """What a node says of itself as it starts."""
+        return Record(node.name, life, 1, State.ALIVE, node.address, node.zone)
+
     def _give_work(self, node: VirtualNode) -> None:
         agent = node.agent
         assert agent is not None
@@ -392,16 +399,20 @@
         self._to_disk(node)
         now_us = self.clock_us(node)
         outs = [out for out in outs if out.guard is None or agent.still(out.guard, now_us)]
-        if node.stop_in_send and any(out.guard for out in outs):
+        if node.stop_in_send and any(self._is_act(out) for out in outs):
             # It has looked at the clock, and is stopped before it sends.
             node.stop_in_send, node.stopped = False, True
             self.time.after(
-                int(self._luck.uniform(1.0, 6.0) * SECOND), self._send_late, node, node.stop, outs
+                int(self._luck.uniform(*self.late_s) * SECOND), self._send_late, node, node.stop, outs
             )
             return
         for out in outs:
             self._put(node, out)
 
+    def _is_act(self, out: Out) -> bool:
+        """Whether it was made under a lease that may end before it is sent."""
+        return out.guard is not None
+
     def _send_late(self, node: VirtualNode, stop: int, outs: list[Out]) -> None:
         if node.agent is None or node.stop != stop:
             return
@@ -560,6 +571,9 @@
         node.agent.holder.give_back(self.clock_us(node), kind, subject)
         self._send(node, node.agent._changes(self.clock_us(node)))
 
+    def hand_over(self, name: str) -> None:
+        """Only nodes that own shards hand anything over before they leave."""
+
     def walk(self, name: str, names: list[str], for_us: int) -> None:
         agent = self.nodes[name].agent
         if agent is not None:
--- a/sailrun/owners/agent.py
+++ b/sailrun/owners/agent.py
@@ -49,6 +49,7 @@
 from sailrun.replica.replica import MARKS, Replica
 from sailrun.replica.terms import ReplicaTerms
 from sailrun.shards.messages import Ballot, ShardBody
+from sailrun.shards.messages import Post as ShardPost
 from sailrun.shards.terms import ShardsTerms
 
 if TYPE_CHECKING:
@@ -623,6 +624,11 @@
 
     # ------------------------------------------------------------------ what goes out
 
+    def say(self, now_us: int, posts: list[ShardPost]) -> list[Out]:
+        """What the part of shards has to say outside of a turn, as acts on a shard's behalf."""
+        self._now_us = now_us
+        return self._posts(posts) if self.members.joined else []
+
     def _mail(self, letters: list[Letter]) -> list[Out]:
         return [Out(x.address, self._envelope(x.body, x.record)) for x in letters]
 
--- /dev/null
+++ b/sailrun/shards/exercise.py
@@ -0,0 +1,48 @@
+"""For the laboratory: a node acts for the shards it owns, again and again, so that the checks have occasions.
+
+Half of the acts for a shard go to one control member, which owns no shards: its fence sees the acts of every
+owner there is. The others go to the member that is placed best but for the owner itself.
+
+Pure.
+"""
+
+from __future__ import annotations
+
+import random
+
+from sailrun.members.messages import CONTROL
+from sailrun.owners.tenure import placed_best
+from sailrun.shards.messages import Post
+from sailrun.shards.part import MembersView, ShardsPart
+
+
+class ActExerciser:
+    def __init__(
+        self, part: ShardsPart, members: MembersView, name: str, every_us: int, at_a_time: int, seed: int
+    ) -> None:
+        """Acts for up to `at_a_time` of the shards of the member called `name`, every `every_us`."""
+        self._part, self._members, self._name = part, members, name
+        self._every_us, self._at_a_time = every_us, at_a_time
+        self._luck = random.Random(seed)
+        self._next_us = 0
+
+    def turn(self, now_us: int) -> list[Post]:
+        """The acts that are due, where this member may act."""
+        session = self._part.session
+        if session is None or now_us < self._next_us:
+            return []
+        self._next_us = now_us + self._every_us
+        usable = sorted(session.usable(now_us))
+        posts: list[Post] = []
+        for shard in self._luck.sample(usable, min(self._at_a_time, len(usable))):
+            posts += self._act(now_us, shard)
+        return posts
+
+    def _act(self, now_us: int, shard: int) -> list[Post]:
+        region = self._part.region.name
+        others = [r for r in self._members.living() if r.region == region and r.name != self._name]
+        control = [record for record in others if record.role == CONTROL]
+        if control and self._luck.random() < 0.5:
+            others = control
+        best = placed_best(f"{region}/act/{shard}", [record.name for record in others])
+        return self._part.act(now_us, shard, best[0]) if best else []
--- a/sailrun/shards/session.py
+++ b/sailrun/shards/session.py
@@ -48,6 +48,17 @@
     why: str = ""
 
 
+class SessionList:
+    """Sessions as text, `NAME:NUMBER,...` by number, or `-`; made only where it is written down."""
+
+    def __init__(self, sessions: list[Session]) -> None:
+        self._sessions = sessions
+
+    def __str__(self) -> str:
+        ordered = sorted(self._sessions, key=lambda session: session.number)
+        return ",".join(f"{session.name}:{session.number}" for session in ordered) or "-"
+
+
 class NodeSession:
     def __init__(
         self,
@@ -180,7 +191,7 @@
         assert self._placement is not None
         self._placement.apply(change)
         self._fetch = None
-        self._note("generation")
+        self._note_generation()
 
     def _page(self, told: Renewed) -> None:
         fetch = self._fetch
@@ -195,7 +206,17 @@
             self._placement = Placement(self._region.name, self._region.shards)
         self._placement.begin(fetch.generation, fetch.sessions)
         self._ready, self._fetch = True, None
+        self._note_generation()
+
+    def _note_generation(self) -> None:
         self._note("generation")
+        self._act(
+            "shards-generation",
+            region=self._region.name,
+            generation=self.generation,
+            session=self.session,
+            sessions=SessionList(self.sessions()),
+        )
 
     def refused(self, now_us: int, told: RenewRefused) -> None:
         """The assigner knows no such session: nothing is used under it any more."""
