--- a/sailrun/shards/assigner.py
+++ b/sailrun/shards/assigner.py
@@ -83,7 +83,7 @@
 
     def hear(self, now_us: int, sender: str, asked: Renew) -> Renewed | RenewRefused | None:
         """Answers a heartbeat; None where the table is not known yet."""
-        self.writer.heard_of(asked.applied)
+        self.writer.heard_of(max(asked.applied, asked.seen))
         if self._state is None:
             return None
         if not asked.session:
--- a/sailrun/shards/messages.py
+++ b/sailrun/shards/messages.py
@@ -65,6 +65,7 @@
     offset: int = 0
     leaving: bool = False  # a planned stop: asks for leave to hand over
     released: bool = False  # owns nothing any more under this session, and never will
+    seen: int = 0  # the highest generation the node ever went by: a table begun anew has to be above it
 
 
 class Renewed(msgspec.Struct, array_like=True, frozen=True, tag="shard-renewed"):
--- a/sailrun/shards/session.py
+++ b/sailrun/shards/session.py
@@ -79,6 +79,7 @@
         self._number = 0  # of heartbeats
         self._next_us = now_us
         self.leaving = False  # a planned stop: hands over once it may, and asks for no session
+        self._seen = 0  # the highest generation that this process ever went by, under any session
         self._clear()
 
     def _clear(self) -> None:
@@ -209,6 +210,7 @@
         self._note_generation()
 
     def _note_generation(self) -> None:
+        self._seen = max(self._seen, self.generation)
         self._note("generation")
         self._act(
             "shards-generation",
@@ -323,6 +325,7 @@
             len(fetch.sessions) if fetch is not None else 0,
             self.leaving,
             bool(self._released),
+            self._seen,
         )
 
     def _interval_us(self) -> int:
