--- a/sailrun/lab/faults/shard_history.py
+++ b/sailrun/lab/faults/shard_history.py
@@ -108,6 +108,8 @@
         using = self._using.get(node)
         if using is None or using.session != session or at_us > using.until_us:
             self._ends(node, at_us)
+            if until_us <= at_us:
+                return  # said after the lease had ended: nothing is used by it
             using = self._using[node] = _Using(session, until_us)
         shards = shards_of(row)
         for shard in [shard for shard in using.spans if shard not in shards]:
