--- a/sailrun/lab/faults/nemesis.py
+++ b/sailrun/lab/faults/nemesis.py
@@ -12,6 +12,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from sailrun.lab.faults.history import Row
+
 SECOND = 1_000_000
 # Nothing goes wrong before all have met, and nothing after this much is left of the day.
 CALM_BEGIN_S, CALM_END_S = 6.0, 14.0
@@ -22,6 +24,7 @@
 
     names: list[str]
     voters: list[str]
+    rows: list[Row]
 
     def after(self, wait_us: int, what: Callable[..., None], *facts: object) -> None: ...
     def owner(self, task: str) -> str | None: ...
--- a/sailrun/lab/faults/shard_history.py
+++ b/sailrun/lab/faults/shard_history.py
@@ -71,6 +71,12 @@
     return frozenset() if text == "-" else frozenset(map(int, text.split(",")))
 
 
+def shards_in_use(rows: list[Row]) -> int:
+    """How many shards the nodes use by what each said last; to be asked while nothing goes wrong yet."""
+    latest = {row["node"]: len(shards_of(row)) for row in rows if row["kind"] == "shards"}
+    return sum(latest.values())
+
+
 def shard_of(row: Row) -> ShardKey:
     """The shard that an act, or what became of one, is about: acts stay in their region."""
     return region_of(row["node"]), int(row["shard"])
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -38,6 +38,7 @@
     from sailrun.lasting.service import LastingPart
     from sailrun.node.core import Node
     from sailrun.operator import Operator
+    from sailrun.shards.exercise import ActExerciser
     from sailrun.shards.part import ShardsPart
 
 SECOND = 1_000_000
@@ -102,11 +103,20 @@
         if terms.pace:
             self.agent.answers[PACE] = self._lend
         self.copies = CopiesPart(node, self.agent.replica, self) if self.agent.replica is not None else None
+        self._exerciser = self._new_exerciser() if terms.owners.record else None
         self._lasting = lasting
         if lasting is not None:
             self.agent.backing.aside = lasting.aside
             lasting.on_done = lambda done: self.carrier.post(lambda now_us: self.agent.wrote(now_us, done))
 
+    def _new_exerciser(self) -> ActExerciser | None:
+        """For the laboratory's checks, which need acts on behalf of shards."""
+        if self.agent.shards is None:
+            return None
+        from sailrun.shards.exercise import ActExerciser
+
+        return ActExerciser(self.agent.shards, self.agent.members, self.agent.name, secrets.randbits(32))
+
     def roster(self, source: ServerRoster, revision: int) -> SharedRoster | None:
         """What the core has for a roster; None: the roster itself."""
         if not self.agent.terms.reader.enabled:
@@ -190,6 +200,8 @@
             outs += self._ask_pace(now_us)
         if self.copies is not None:
             self.copies.turn(now_us)
+        if self._exerciser is not None:
+            outs += self.agent.say(now_us, self._exerciser.turn(now_us))
         if self._lasting is not None:
             self._lasting.turn()
         return outs
--- a/sailrun/shards/exercise.py
+++ b/sailrun/shards/exercise.py
@@ -15,12 +15,22 @@
 from sailrun.shards.messages import Post
 from sailrun.shards.part import MembersView, ShardsPart
 
+SECOND = 1_000_000
+# So often it acts, for so many of its shards.
+EVERY_US, AT_A_TIME = SECOND, 4
+
 
 class ActExerciser:
     def __init__(
-        self, part: ShardsPart, members: MembersView, name: str, every_us: int, at_a_time: int, seed: int
+        self,
+        part: ShardsPart,
+        members: MembersView,
+        name: str,
+        seed: int,
+        every_us: int = EVERY_US,
+        at_a_time: int = AT_A_TIME,
     ) -> None:
-        """Acts for up to `at_a_time` of the shards of the member called `name`, every `every_us`."""
+        """Acts for the shards of the member called `name`."""
         self._part, self._members, self._name = part, members, name
         self._every_us, self._at_a_time = every_us, at_a_time
         self._luck = random.Random(seed)
