--- a/sailrun/lab/faults/shard_judge.py
+++ b/sailrun/lab/faults/shard_judge.py
@@ -115,7 +115,7 @@
         return check
 
     def owned_after_the_faults(self) -> Counted:
-        """Some time after the last fault every shard is used, without a gap until the end. Occasions: shards."""
+        """Some time after the last fault every shard is used, without a gap to the end. Occasions: shards."""
         check = Counted("owned-after-the-faults", occasions=0)
         from_us = self.last_fault_us() + int(self._expected.owned_within_s * SECOND)
         if from_us >= self._end_us:
