--- a/sailrun/shards/messages.py
+++ b/sailrun/shards/messages.py
@@ -5,42 +5,49 @@
 
 from __future__ import annotations
 
+from typing import Annotated
+
 import msgspec
+from msgspec import Meta
 
 from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
 
 # Sessions that one generation may add or remove, so that a change fits a datagram.
 MOST_CHANGED = 24
 
+# What is counted in 64 bits: a message with another number is none. Each generation has so many sessions.
+Number = Annotated[int, Meta(ge=0, le=2**63 - 1)]
+Generation = Annotated[int, Meta(ge=0, le=2**57)]
+
 
 class Session(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """A node's lease on whatever shards are placed on it. Numbers are given once, and grow."""
 
     name: str
-    number: int
+    number: Number
     nonce: int  # the node's own, so that it recognises the session it asked for
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """From generation `generation - 1` to this one. Who left had released, or its lease had ended."""
 
-    generation: int
+    generation: Generation
     joined: list[Session]
-    left: list[int]  # numbers of sessions
+    left: list[Number]  # numbers of sessions
 
 
 class Token(msgspec.Struct, array_like=True, frozen=True, order=True, gc=False):
     """Goes with every act for a shard; who receives it refuses what is below the highest seen."""
 
-    generation: int
-    session: int
+    generation: Generation
+    session: Number
 
 
 class TableState(msgspec.Struct, array_like=True, frozen=True):
     """A region's table as its voters keep it: everybody with a session, and the latest changes."""
 
     term: int  # of the assigner that wrote it
-    generation: int
+    generation: Generation
     sessions: list[Session]
     changes: list[Change]
 
@@ -57,28 +64,30 @@
 
     region: str
     digest: int
-    number: int
-    session: int
+    number: Number
+    session: Number
     nonce: int
-    applied: int
-    table: int = 0  # the generation of which a whole table is being fetched
-    offset: int = 0
+    applied: Generation
+    table: Generation = 0  # the generation of which a whole table is being fetched
+    offset: Number = 0
     leaving: bool = False  # a planned stop: asks for leave to hand over
     released: bool = False  # owns nothing any more under this session, and never will
-    seen: int = 0  # the highest generation the node ever went by: a table begun anew has to be above it
+    seen: Generation = (
+        0  # the highest generation the node ever went by: a table begun anew has to be above it
+    )
 
 
 class Renewed(msgspec.Struct, array_like=True, frozen=True, tag="shard-renewed"):
     """The assigner's answer. Facts only: each stays true however late it arrives."""
 
     region: str
-    number: int
-    session: int  # 0: none yet
-    generation: int  # the latest
-    settled: int  # every session in force goes by this generation or a later one
+    number: Number
+    session: Number  # 0: none yet
+    generation: Generation  # the latest
+    settled: Generation  # every session in force goes by this generation or a later one
     changes: list[Change]  # from `applied` on, as many as fit
-    table: int = 0  # sessions are of the whole table of this generation
-    offset: int = 0
+    table: Generation = 0  # sessions are of the whole table of this generation
+    offset: Number = 0
     more: bool = False
     sessions: list[Session] = []
     may_leave: bool = False
@@ -88,7 +97,7 @@
     """`why`: `over` (no such session), `settings` (another digest), `elsewhere` (`holder` is asked)."""
 
     region: str
-    number: int
+    number: Number
     why: str
     holder: str = ""
 
@@ -102,7 +111,7 @@
     region: str
     digest: int
     term: int
-    number: int
+    number: Number
 
 
 class TableRead(msgspec.Struct, array_like=True, frozen=True, tag="shard-kept"):
@@ -110,7 +119,7 @@
 
     region: str
     term: int
-    number: int
+    number: Number
     life: int
     remembers: bool
     state: TableState | None
@@ -121,7 +130,7 @@
 
     region: str
     digest: int
-    number: int
+    number: Number
     life: int
     state: TableState
 
@@ -129,7 +138,7 @@
 class TableWritten(msgspec.Struct, array_like=True, frozen=True, tag="shard-written"):
     region: str
     term: int
-    number: int
+    number: Number
     life: int
 
 
@@ -138,7 +147,7 @@
 
     region: str
     term: int
-    number: int
+    number: Number
     life: int
     promised: int
 
@@ -150,17 +159,17 @@
     """Work that a shard's owner asks of another member, with its fencing token."""
 
     region: str
-    shard: int
+    shard: Number
     token: Token
-    number: int
+    number: Number
 
 
 class ShardActRefused(msgspec.Struct, array_like=True, frozen=True, tag="shard-act-refused"):
     """A higher token was seen for that shard."""
 
     region: str
-    shard: int
-    number: int
+    shard: Number
+    number: Number
     highest: Token
 
 
--- a/sailrun/shards/part.py
+++ b/sailrun/shards/part.py
@@ -90,6 +90,7 @@
         self.fence = TokenFence(off=off)
         self.notes: list[Note] = []  # for the log; emptied by whoever drives this
         self.acts_taken = self.acts_refused = self.bad_settings = 0
+        self.unknown_shards = 0  # acts for a shard that the region does not have
         self._assigner_name = ""  # hearsay
         self._asked = draw(SEED_BITS)  # which voter is asked where the assigner is not known
         self._candidates: list[str] = []
@@ -242,6 +243,9 @@
         return [(to, ShardAct(self.region.name, shard, token, self._act_number))]
 
     def _acted(self, sender: str, act: ShardAct) -> list[Post]:
+        if act.shard >= self.region.shards:
+            self.unknown_shards += 1
+            return []
         token = act.token
         facts = {"shard": act.shard, "generation": token.generation, "session": token.session, "of": sender}
         if self.fence.takes(act.region, act.shard, token):
