--- a/sailrun/lab/faults/shard_strikes.py
+++ b/sailrun/lab/faults/shard_strikes.py
@@ -1,7 +1,7 @@
 """Faults that strike where shards are owned or decided on: whom, how, and for how long.
 
-As in `nemesis.py`, who that is is found when its time has come: a region's assigner, one of its voters, or a node
-that owns shards.
+As in `nemesis.py`, who that is shows when its time has come: the assigner of a region, one of its voters, or
+a node that owns shards.
 """
 
 from __future__ import annotations
