--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -131,6 +131,7 @@
         """Starts everything, has the nemesis loose, and ends everything."""
         with tempfile.TemporaryDirectory(prefix="sailrun-rig-") as folder:
             self._folder = Path(folder)
+            self._finished = anyio.Event()
             async with anyio.create_task_group() as group:
                 self.group = group
                 self.relays = Relays(group, self._seed)
@@ -145,7 +146,8 @@
                     if self._copies_s:
                         for name in self.names:
                             group.start_soon(self._look_at_copy, name)
-                    await anyio.sleep(seconds)
+                    with anyio.move_on_after(seconds):
+                        await self._finished.wait()
                 finally:
                     self._over, self.end_us = True, now_us()
                     with anyio.CancelScope(deadline=anyio.current_time() + ENDED_S, shield=True):
@@ -160,6 +162,10 @@
         while any(node.process is not None for node in self.nodes.values()):
             await anyio.sleep(0.02)
 
+    def finish(self, wait_us: int) -> None:
+        """The day ends so long from now, should it not be over before."""
+        self.after(wait_us, self._finished.set)
+
     def after(self, wait_us: int, what: Callable[..., None], *facts: object) -> None:
         self.group.start_soon(self._wait, wait_us / 1e6, what, facts)
 
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -135,6 +135,9 @@
     def told(self, what: str, **facts: object) -> None:
         self.row("fault", str(facts.get("node", "")), what=what, facts=str(facts))
 
+    def finish(self, wait_us: int) -> None:
+        """A day in virtual time costs little: it is played for as long as it was to be."""
+
     # ------------------------------------------------------------------ processes
 
     def clock_us(self, node: VirtualNode) -> int:
