--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -24,6 +24,7 @@
 from typing import Any
 
 import anyio
+import msgspec
 import tomli_w
 from anyio.abc import Process, SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
@@ -130,6 +131,7 @@
         """Starts everything, has the nemesis loose, and ends everything."""
         with tempfile.TemporaryDirectory(prefix="sailrun-rig-") as folder:
             self._folder = Path(folder)
+            self._finished = anyio.Event()
             async with anyio.create_task_group() as group:
                 self.group = group
                 self.relays = Relays(group, self._seed)
@@ -144,7 +146,8 @@
                     if self._copies_s:
                         for name in self.names:
                             group.start_soon(self._look_at_copy, name)
-                    await anyio.sleep(seconds)
+                    with anyio.move_on_after(seconds):
+                        await self._finished.wait()
                 finally:
                     self._over, self.end_us = True, now_us()
                     with anyio.CancelScope(deadline=anyio.current_time() + ENDED_S, shield=True):
@@ -159,6 +162,10 @@
         while any(node.process is not None for node in self.nodes.values()):
             await anyio.sleep(0.02)
 
+    def finish(self, wait_us: int) -> None:
+        """The day ends so long from now, should it not be over before."""
+        self.after(wait_us, self._finished.set)
+
     def after(self, wait_us: int, what: Callable[..., None], *facts: object) -> None:
         self.group.start_soon(self._wait, wait_us / 1e6, what, facts)
 
@@ -291,6 +298,7 @@
             "permits": _set(terms.permits),
             "reader": _set(terms.reader),
             "replica": _set(terms.replica),
+            "shards": _set(terms.shards),
         }
         if self._lasting is not None:
             tables["lasting"] = {**_set(self._lasting), "folder": str(self._kept(node.name))}
@@ -334,6 +342,9 @@
         self.group.start_soon(self.call, name, f"set-down {server}")
         self.after(for_us, self._ask, name, f"set-up {server}")
 
+    def hand_over(self, name: str) -> None:
+        """A real process hands over as it leaves: a planned one is played in virtual time."""
+
     def begin_rolling_drain(self, name: str, names: list[str], for_us: int) -> None:
         self.told("walk", node=name, names=",".join(names))
         line = f"fleet walk walk-{self._seed} {for_us // 1000} {','.join(names)}"
@@ -523,4 +534,5 @@
 
 def _set(table: Any) -> dict[str, Any]:
     """A table's keys as an operator's file has them."""
-    return {key: getattr(table, key) for key in table.__struct_fields__}
+    keys: dict[str, Any] = msgspec.to_builtins(table)
+    return keys
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -72,6 +72,8 @@
     """The nemesis's `Fleet`, in virtual time."""
 
     agent_class: type[Agent] = Agent
+    # How long a node stands that was stopped in the middle of sending.
+    late_s = (1.0, 6.0)
 
     def __init__(
         self,
@@ -134,6 +136,9 @@
     def told(self, what: str, **facts: object) -> None:
         self.row("fault", str(facts.get("node", "")), what=what, facts=str(facts))
 
+    def finish(self, wait_us: int) -> None:
+        """A day in virtual time costs little: it is played for as long as it was to be."""
+
     # ------------------------------------------------------------------ processes
 
     def clock_us(self, node: VirtualNode) -> int:
@@ -162,13 +167,14 @@
             facts.pop("made_us", None)  # the very moment
             self.row(kind, name, **facts)
 
-        wall_s = (self.time.now_us - BEGIN_US) / SECOND + 1.8e9 + clock_s
+        ahead_s = 1.8e9 + clock_s - BEGIN_US / SECOND
+        wall_s = self.time.now_us / SECOND + ahead_s
         node.agent = self.agent_class(
             me,
             terms,
             luck.getrandbits(32),
             self.clock_us(node),
-            lambda: founding_term(wall_s, luck.getrandbits(12)),
+            lambda: founding_term(self.time.now_us / SECOND + ahead_s, luck.getrandbits(12)),
             self._off,
             record,
         )
@@ -398,16 +404,20 @@
         self._to_disk(node)
         now_us = self.clock_us(node)
         outs = [out for out in outs if out.guard is None or agent.still(out.guard, now_us)]
-        if node.stop_in_send and any(out.guard for out in outs):
+        if node.stop_in_send and any(self._is_act(out) for out in outs):
             # It has looked at the clock, and is stopped before it sends.
             node.stop_in_send, node.stopped = False, True
             self.time.after(
-                int(self._luck.uniform(1.0, 6.0) * SECOND), self._send_late, node, node.stop, outs
+                int(self._luck.uniform(*self.late_s) * SECOND), self._send_late, node, node.stop, outs
             )
             return
         for out in outs:
             self._put(node, out)
 
+    def _is_act(self, out: Out) -> bool:
+        """Whether it was made under a lease that may end before it is sent."""
+        return out.guard is not None
+
     def _send_late(self, node: VirtualNode, stop: int, outs: list[Out]) -> None:
         if node.agent is None or node.stop != stop:
             return
@@ -566,6 +576,9 @@
         node.agent.holder.give_back(self.clock_us(node), kind, subject)
         self._send(node, node.agent._changes(self.clock_us(node)))
 
+    def hand_over(self, name: str) -> None:
+        """Only nodes that own shards hand anything over before they leave."""
+
     def begin_rolling_drain(self, name: str, names: list[str], for_us: int) -> None:
         agent = self.nodes[name].agent
         if agent is not None:
--- a/sailrun/owners/agent.py
+++ b/sailrun/owners/agent.py
@@ -53,6 +53,7 @@
 from sailrun.owners.voter import Voter
 from sailrun.replica.replica import MARKS, Replica
 from sailrun.shards.messages import Ballot, ShardBody
+from sailrun.shards.messages import Post as ShardPost
 
 if TYPE_CHECKING:
     from sailrun.shards.part import ShardsPart
@@ -387,6 +388,11 @@
 
     # ------------------------------------------------------------------ what goes out
 
+    def say(self, now_us: int, posts: list[ShardPost]) -> list[Out]:
+        """What the part of shards has to say outside of a turn, as acts on a shard's behalf."""
+        self._now_us = now_us
+        return self._posts(posts) if self.members.joined else []
+
     def _send(self, messages: list[Addressed]) -> list[Out]:
         return [out for one in messages for out in self._post(one.name, one.body, one.guard)]
 
--- a/sailrun/shards/session.py
+++ b/sailrun/shards/session.py
@@ -27,6 +27,8 @@
 # A change is acknowledged within this, at a moment of chance, so that not all nodes do at once.
 ACKNOWLEDGE_US = 150_000
 NONCE_BITS = 62
+# Shards that are written down one by one, for the laboratory's checks.
+MOST_LISTED = 1_000
 
 
 @dataclass(slots=True)
@@ -48,6 +50,29 @@
     why: str = ""
 
 
+class ShardList:
+    """Shards as text, `0,3,7` or `-`; made only where it is written down. Of many only how many there are."""
+
+    def __init__(self, shards: frozenset[int]) -> None:
+        self._shards = shards
+
+    def __str__(self) -> str:
+        if len(self._shards) > MOST_LISTED:
+            return f"{len(self._shards)}-shards"
+        return ",".join(map(str, sorted(self._shards))) or "-"
+
+
+class SessionList:
+    """Sessions as text, `NAME:NUMBER,...` by number, or `-`; made only where it is written down."""
+
+    def __init__(self, sessions: list[Session]) -> None:
+        self._sessions = sessions
+
+    def __str__(self) -> str:
+        ordered = sorted(self._sessions, key=lambda session: session.number)
+        return ",".join(f"{session.name}:{session.number}" for session in ordered) or "-"
+
+
 class NodeSession:
     def __init__(
         self,
@@ -68,6 +93,7 @@
         self._number = 0  # of heartbeats
         self._next_us = now_us
         self.leaving = False  # a planned stop: hands over once it may, and asks for no session
+        self._seen = 0  # the highest generation that this process ever went by, under any session
         self._clear()
 
     def _clear(self) -> None:
@@ -186,7 +212,7 @@
         assert self._placement is not None
         self._placement.apply(change)
         self._fetch = None
-        self._note("generation")
+        self._note_generation()
 
     def _page(self, told: Renewed) -> None:
         fetch = self._fetch
@@ -201,7 +227,18 @@
             self._placement = Placement(self._region.name, self._region.shards)
         self._placement.begin(fetch.generation, fetch.sessions)
         self._ready, self._fetch = True, None
+        self._note_generation()
+
+    def _note_generation(self) -> None:
+        self._seen = max(self._seen, self.generation)
         self._note("generation")
+        self._act(
+            "shards-generation",
+            region=self._region.name,
+            generation=self.generation,
+            session=self.session,
+            sessions=SessionList(self.sessions()),
+        )
 
     def refused(self, now_us: int, told: RenewRefused) -> None:
         """The assigner knows no such session: nothing is used under it any more."""
@@ -229,14 +266,13 @@
             self._usable = frozenset(placement.usable(self.session, settled).tolist())
         if self._usable != before:
             self._note("usable")
-        shards = ",".join(map(str, sorted(self._usable))) or "-"
         self._act(
             "shards",
             region=self._region.name,
             generation=placement.generation,
             session=self.session,
             until_us=self.until_us,
-            shards=shards,
+            shards=ShardList(self._usable),
         )
 
     def _note(self, what: str, why: str = "") -> None:
@@ -308,6 +344,7 @@
             len(fetch.sessions) if fetch is not None else 0,
             self.leaving,
             bool(self._released),
+            self._seen,
         )
 
     def _interval_us(self) -> int:
