--- a/sailrun/amqp/households.py
+++ b/sailrun/amqp/clients.py
@@ -1,4 +1,4 @@
-"""Households that speak AMQP 1.0, and the links to the form servers that hold their sessions."""
+"""Clients that speak AMQP 1.0, and the links to the form servers that hold their sessions."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 LAST_TRANSFERS_US = SECOND // 2
 # A form server's connection that was closed in good order is dropped if it does not answer by then.
 GOODBYE_US = SECOND
-# A household that has not opened its connection by then is ended.
+# A client that has not opened its connection by then is ended.
 OPEN_BY_US = 2 * SECOND
 LONGEST_WAIT_MS = 600_000
 _NO_TERMINUS = proton.Terminus.UNSPECIFIED
@@ -53,12 +53,12 @@
         self._turned_away = False
 
     def attach(self, asked: Any, time_left_ms: int) -> None:
-        """Asks for the session: the household's own attach, but for the time left."""
+        """Asks for the session: the client's own attach, but for the time left."""
         self.engine.amqp.open()
         session = self.engine.amqp.session()
         session.incoming_capacity = SESSION_BYTES
         session.open()
-        # The household's sender is this node's receiver, so towards the form server it sends.
+        # The client's sender is this node's receiver, so towards the form server it sends.
         self.link = (session.sender if asked.is_receiver else session.receiver)(asked.name)
         self.link.source.copy(asked.remote_source)
         self.link.target.copy(asked.remote_target)
@@ -127,10 +127,10 @@
             passage.settled(delivery)
 
 
-class HouseholdLink:
-    """A link of a household's connection: the core's `Household` for one form session."""
+class ClientLink:
+    """A link of a client's connection: the core's `SessionClient` for one form session."""
 
-    def __init__(self, front: HouseholdConnection, link: Any) -> None:
+    def __init__(self, front: ClientConnection, link: Any) -> None:
         self._front = front
         self._node = front.node
         self.link = link
@@ -162,7 +162,7 @@
             id=f"{self.link.name}.{self._began_us}.{id(self)}",
             request_class=str(cls),
             deadline_us=self._began_us + max(0, min(left, LONGEST_WAIT_MS)) * 1000,
-            household=self,
+            client=self,
             key=str(key),
             group=str(group) if group else None,
         )
@@ -195,7 +195,7 @@
     # ------------------------------------------------------------------ the life of the link
 
     async def _move(self) -> None:
-        """Lets the transfers under way finish, then sends the household away."""
+        """Lets the transfers under way finish, then sends the client away."""
         clock = self._node.clock
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + LAST_TRANSFERS_US)):
             while self._form_server is not None and not all(
@@ -240,7 +240,7 @@
         )
 
     def left(self, reason: str) -> None:
-        """The household detached, or its connection is gone."""
+        """The client detached, or its connection is gone."""
         if self._ended:
             return
         self._finish(reason)
@@ -333,7 +333,7 @@
                 server.engine.abandon()
 
     def _stand(self, server: FormServerLink) -> None:
-        """Answers the household's attach with the form server's, and joins the two links."""
+        """Answers the client's attach with the form server's, and joins the two links."""
         assert self._session is not None
         session = self._session
         self._form_server = server
@@ -365,7 +365,7 @@
         passage.transfer()
 
     def _end_with(self, outcome: Outcome) -> None:
-        """The form server ended the session: the household's link ends the same way."""
+        """The form server ended the session: the client's link ends the same way."""
         if outcome is Outcome.OK:
             self._detach("served")
         elif outcome is Outcome.CANCELLED:
@@ -374,8 +374,8 @@
             self._detach("form-server-broke", FAILED, "the form server has gone")
 
 
-class HouseholdConnection:
-    """One AMQP connection of a household or a broker, with any number of links."""
+class ClientConnection:
+    """One AMQP connection of a client or a broker, with any number of links."""
 
     group: TaskGroup
 
@@ -383,7 +383,7 @@
         self.node, self.terms, self._waiting = node, terms, waiting
         self.classes = {c.name for c in node.settings.classes}
         self.engine = Engine(connection, terms, self._handle, accepts=True)
-        self._links: dict[Any, HouseholdLink] = {}
+        self._links: dict[Any, ClientLink] = {}
         self._reason = "connection-lost"
         self._opened = anyio.Event()
 
@@ -430,8 +430,9 @@
             event.session.incoming_capacity = SESSION_BYTES
             event.session.open()
         elif kind == proton.Event.LINK_REMOTE_OPEN:
-            household = self._links[event.link.name, event.link.is_sender] = HouseholdLink(self, event.link)
-            household.ask()
+            client_link = ClientLink(self, event.link)
+            self._links[event.link.name, event.link.is_sender] = client_link
+            client_link.ask()
         elif kind in (proton.Event.LINK_REMOTE_CLOSE, proton.Event.LINK_REMOTE_DETACH):
             self._link_left(event.link)
         elif kind == proton.Event.SESSION_REMOTE_CLOSE:
@@ -449,7 +450,7 @@
         elif kind == proton.Event.DELIVERY and (sending := self._of(event.link)) is not None:
             sending.delivered(event.delivery)
 
-    def _of(self, link: Any) -> HouseholdLink | None:
+    def _of(self, link: Any) -> ClientLink | None:
         return self._links.get((link.name, link.is_sender))
 
     def _link_left(self, link: Any) -> None:
@@ -467,7 +468,7 @@
 def amqp_door(node: Node, listener: socket.socket, terms: AmqpTerms, descriptors: int) -> FrontDoor:
     waiting = WaitingRoom(descriptors)
 
-    def greet(sock: socket.socket) -> HouseholdConnection:
-        return HouseholdConnection(node, Connection(sock), terms, waiting)
+    def greet(sock: socket.socket) -> ClientConnection:
+        return ClientConnection(node, Connection(sock), terms, waiting)
 
     return FrontDoor(listener, "amqp", greet, waiting)
--- a/sailrun/config.py
+++ b/sailrun/config.py
@@ -65,7 +65,7 @@
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
     name: str
-    listen: Address | None  # where households that speak the platform's lines connect
+    listen: Address | None  # where clients that speak the platform's lines connect
     roster: RosterSource
     seed: int
     peer_listen: Address | None
@@ -73,7 +73,7 @@
     peers_all: Address | None
     known: RosterNews
     settings: Settings
-    groups: bool  # whether `g` of a first line names a household's group
+    groups: bool  # whether `g` of a first line names a client's group
     descriptors: int | None = None  # how many this process may hold, where the platform says so
     amqp: AmqpConfig | None = None  # off on the platform
     control: Address | None = None  # where staff call; None: nobody does
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -160,7 +160,7 @@
             case Verb.VARS:
                 return show(await answer_to(node.figures))
             case Verb.CHECK:
-                return OK if await answer_to(node.takes_households) else fail("takes no households")
+                return OK if await answer_to(node.takes_clients) else fail("takes no households")
             case Verb.SET_DOWN | Verb.SET_UP:
                 out = call.verb is Verb.SET_DOWN
                 known = await answer_to(partial(node.by_hand, call.form_server, out))
--- a/sailrun/decide.py
+++ b/sailrun/decide.py
@@ -250,7 +250,7 @@
             state = i.BackendState.DRAINING
         if server.state is i.BackendState.READY and state is not i.BackendState.READY:
             server.told_us = self._now
-            # Its households move before it leaves, spread over the grace: at once they would crowd the rest.
+            # Its clients move before it leaves, spread over the grace: at once they would crowd the rest.
             for name in server.open:
                 self._token += 1
                 self._moves[self._token] = name
--- a/sailrun/front.py
+++ b/sailrun/front.py
@@ -14,7 +14,7 @@
 from sailrun.connection import OutOfDescriptors, accept
 from sailrun.node.clock import log
 
-# Households that have asked hold two descriptors each, and two thirds of all; of the last third so many
+# Clients that have asked hold two descriptors each, and two thirds of all; of the last third so many
 # are left to the roster, the listeners, datagrams and probes.
 KEPT_BACK = 24
 FEWEST_WAITING, MOST_WAITING = 16, 192
@@ -29,7 +29,7 @@
     """The connections that have not asked for a form session yet, oldest first, and those that part.
 
     Only so many may wait. Whoever connects by the hundred and stays silent pushes out its like, not the
-    households, which ask as soon as they are connected, nor the form servers and the roster.
+    clients, which ask as soon as they are connected, nor the form servers and the roster.
     """
 
     def __init__(self, descriptors: int) -> None:
@@ -110,7 +110,7 @@
         self._group: TaskGroup | None = None
         self._admitted: list[Guest] = []  # before the door was open
         self._shut = anyio.Event()
-        self._resumed: anyio.Event | None = None  # set again once households are taken, if they are not now
+        self._resumed: anyio.Event | None = None  # set again once clients are taken, if they are not now
 
     def close(self) -> None:
         """Gives the listener up before it was ever run."""
--- a/sailrun/http_calls.py
+++ b/sailrun/http_calls.py
@@ -57,7 +57,7 @@
         return answer
 
     async def _connect(self) -> Connection:
-        """One descriptor is kept back for this: households may hold all others when a list is wanted."""
+        """One descriptor is kept back for this: clients may hold all others when a list is wanted."""
         if self._spare is None:
             with contextlib.suppress(OSError):
                 self._spare = os.dup(sys.stderr.fileno())
--- a/sailrun/lab/households.py
+++ b/sailrun/lab/clients.py
@@ -1,4 +1,4 @@
-"""Households as the public pages describe them: what they want, and when they come again."""
+"""Clients as the public pages describe them: what they want, and when they come again."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     number: int
     key: str
-    household: str
+    group: str
     terms: ClassTerms
     zone: str
     from_us: int
@@ -43,7 +43,7 @@
 
 
 class Population:
-    """Draws households and their clients."""
+    """Draws groups of clients: those of a group share a key and come together."""
 
     def __init__(self, terms: WorldTerms, seed: int) -> None:
         self._terms = terms
@@ -57,11 +57,11 @@
 
     @property
     def arrivals_per_s(self) -> float:
-        """New households a second that keep as many standing as stated."""
+        """New groups a second that keep as many standing as stated."""
         return self._terms.households / self._terms.life_s
 
-    def household(self, now_us: int, spread_us: int) -> list[Client]:
-        """A new household's clients, the further ones up to `spread_us` later."""
+    def new_group(self, now_us: int, spread_us: int) -> list[Client]:
+        """A new group's clients, the further ones up to `spread_us` later."""
         self._homes += 1
         name = f"{(self._homes * 0x9E3779B97F4A7C15) & (1 << 64) - 1:016x}"
         zone = self._terms.zones[self._who.below(len(self._terms.zones))]
@@ -71,7 +71,7 @@
             for n in range(members)
         ]
 
-    def _client(self, household: str, zone: str, from_us: int) -> Client:
+    def _client(self, group: str, zone: str, from_us: int) -> Client:
         self._count += 1
         terms = self._terms.classes[self._who.pick(self._shares)]
         usual = self._base * self._who.between(terms.load)
@@ -80,7 +80,7 @@
         return Client(
             number=self._count,
             key=f"{(self._count * 0xD1B54A32D192ED03) & (1 << 64) - 1:016x}",
-            household=household,
+            group=group,
             terms=terms,
             zone=zone,
             from_us=from_us,
--- a/sailrun/lab/figures.py
+++ b/sailrun/lab/figures.py
@@ -29,8 +29,8 @@
 
 def fewest_moves(loads: Sequence[Sequence[tuple[float, int]]]) -> int:
     """The fewest connections whose moves could make a fleet even: from each form server over the bound, the
-    households that relieve it of most for each connection. `loads`: for each server the households it holds,
-    as (load with the household's cost, connections).
+    groups that relieve it of most for each connection. `loads`: for each server the groups it holds,
+    as (load with the group's cost, connections).
     """
     total = sum(load for server in loads for load, _ in server)
     moves = 0
--- a/sailrun/lab/form_servers.py
+++ b/sailrun/lab/form_servers.py
@@ -27,7 +27,7 @@
     """One connection that it holds."""
 
     request: str
-    household: str
+    group: str
     load: float
     since_us: int
 
@@ -47,7 +47,7 @@
     phase: Phase = Phase.UP
     draining: bool = False
     held: dict[str, Held] = field(default_factory=dict)
-    households: dict[str, int] = field(default_factory=dict)
+    groups: dict[str, int] = field(default_factory=dict)
     load: float = 0.0
     backlog: float = 0.0  # work piled up, in us
     at_us: int = 0
@@ -129,8 +129,8 @@
     def hold(self, now_us: int, one: Held) -> None:
         self.advance(now_us)
         self.held[one.request] = one
-        count = self.households.get(one.household, 0)
-        self.households[one.household] = count + 1
+        count = self.groups.get(one.group, 0)
+        self.groups[one.group] = count + 1
         self.load += one.load + (0.0 if count else self.terms.household_cost * self.terms.unit)
 
     def release(self, now_us: int, request: str) -> Held | None:
@@ -138,11 +138,11 @@
         one = self.held.pop(request, None)
         if one is None:
             return None
-        count = self.households[one.household] - 1
+        count = self.groups[one.group] - 1
         if count:
-            self.households[one.household] = count
+            self.groups[one.group] = count
         else:
-            del self.households[one.household]
+            del self.groups[one.group]
         self.load -= one.load + (0.0 if count else self.terms.household_cost * self.terms.unit)
         if not self.held:
             self.load = 0.0  # free of rounding
@@ -168,7 +168,7 @@
         lost = list(self.held)
         self.phase = phase
         self.held.clear()
-        self.households.clear()
+        self.groups.clear()
         self.load = self.backlog = 0.0
         return lost
 
--- a/sailrun/lab/seeing.py
+++ b/sailrun/lab/seeing.py
@@ -106,7 +106,7 @@
         while self._moves and self._moves[0][0] <= now_us:
             session = heapq.heappop(self._moves)[2]
             if session.id in self._standing:
-                session.household.move()
+                session.client.move()
         if self._leaving_us and not self._standing and not self._open and now_us > self._leaving_us + SECOND:
             self.stopped = True
 
@@ -130,7 +130,7 @@
         open_to = {n: s for n, s in self._eyes.seen.items() if s.takes and n not in tried}
         if not open_to or session.attempts >= MOST_ATTEMPTS:
             del self._open[name]
-            session.household.refuse(SECOND // 2)
+            session.client.refuse(SECOND // 2)
             return
         room = {n: s.free for n, s in open_to.items() if s.free > 0} or dict.fromkeys(open_to, 1.0)
         at = self._chance.random() * sum(room.values())
@@ -149,7 +149,7 @@
             until_us = session.deadline_us
         session.placement = Placement(entry, session.attempts, until_us)
         session.attempts += 1
-        session.household.place(session.placement)
+        session.client.place(session.placement)
 
     def placed(self, session: FormSession, placement: Placement, took_us: int) -> None:
         self._open.pop(session.id, None)
@@ -165,7 +165,7 @@
                 self._try(session.id)
             else:
                 del self._open[session.id]
-                session.household.fail()
+                session.client.fail()
 
     def left(self, session: FormSession) -> None:
         self._open.pop(session.id, None)
--- a/sailrun/lab/sockets.py
+++ b/sailrun/lab/sockets.py
@@ -1,5 +1,5 @@
 """The world on sockets: real `sailrun` processes on loopback, with the world's form servers, roster, network
-between nodes, and households around them. The same scripts and rules as in virtual time; the clock is real.
+between nodes, and clients around them. The same scripts and rules as in virtual time; the clock is real.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 from sailrun.interface import BackendState
 from sailrun.lab.checks import Check
+from sailrun.lab.clients import Client
 from sailrun.lab.figures import quantile
 from sailrun.lab.form_servers import FormServerModel, Held, Phase
-from sailrun.lab.households import Client
 from sailrun.lab.terms import SECOND, WorldTerms
 from sailrun.lab.world import GAP_US, RESTART_US, RosterBook, Slot, World
 from sailrun.node.session import FormServer
@@ -192,7 +192,7 @@
         return self.checks()
 
     def checks(self) -> list[Check]:
-        """Sockets do not show why a household was moved: what is asked of moves for balance stays out."""
+        """Sockets do not show why a client was moved: what is asked of moves for balance stays out."""
         unseen = (self.rules.twice, self.rules.onto_cold)
         self._kept_up.value = round(quantile(self._lags_ms, 0.99), 1)
         return [*(check for check in super().checks() if check not in unseen), self._kept_up]
@@ -391,7 +391,7 @@
             await line.end(abruptly=True)
             return
         self._held_by[request] = (line, client)
-        server.hold(self.time.now_us, Held(request, client.household, client.load, self.time.now_us))
+        server.hold(self.time.now_us, Held(request, client.group, client.load, self.time.now_us))
         self.count(client, server, 1)
         await line.say(f"UP {server.name}.{request}")
         async with anyio.create_task_group() as group:
@@ -498,7 +498,7 @@
         self, line: Line, slot: SocketSlot, client: Client, request: str, at: FormServerModel | None
     ) -> None:
         wait_us = client.terms.deadline_us if at is None else 40 * SECOND
-        facts = [f"c={client.terms.name}", f"d={wait_us // 1000}", f"g={client.household}"]
+        facts = [f"c={client.terms.name}", f"d={wait_us // 1000}", f"g={client.group}"]
         facts += [f"at={at.name}"] if at is not None else []
         facts += ["r=1"] if client.failures else []
         facts += ["again=1"] if client.returning else []
--- a/sailrun/lab/terms.py
+++ b/sailrun/lab/terms.py
@@ -95,8 +95,8 @@
     def unit(self) -> float:
         """A mean connection's load, in us of work a second: what stands comes to the stated utilization."""
         fleet = self.form_servers * self.cores * sum(self.speed) / 2 * SECOND
-        households = self.household_cost * self.households / self.connections
-        return self.utilization * fleet / (self.connections * (1.0 + households))
+        groups = self.household_cost * self.households / self.connections
+        return self.utilization * fleet / (self.connections * (1.0 + groups))
 
     def settings(self, index: int) -> dict[str, Any]:
         """What a node is told, with the platform's names."""
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -14,8 +14,8 @@
 from sailrun.config import read_settings
 from sailrun.interface import ListKind, Outcome, Settings
 from sailrun.lab.checks import Check
+from sailrun.lab.clients import Client
 from sailrun.lab.form_servers import FormServerModel, Held, Phase
-from sailrun.lab.households import Client
 from sailrun.lab.scheduler import BEGIN_US, Scheduler, VirtualClock
 from sailrun.lab.seeing import Eyes, SeeingNode
 from sailrun.lab.terms import SECOND, WorldTerms
@@ -49,11 +49,11 @@
 
 
 class Visit:
-    """A client's connection to a node: the front, in place of sockets. It is the core's `Household`."""
+    """A client's connection to a node: the front, in place of sockets. It is the core's `SessionClient`."""
 
     def __init__(self, day: VirtualDay, slot: VirtualSlot, client: Client, session: FormSession) -> None:
         self.day, self.slot, self.client, self.session = day, slot, client, session
-        session.household = self
+        session.client = self
         self.asked_us = day.time.now_us
         self.placement: Placement | None = None
         self.server: FormServerModel | None = None  # that holds it
@@ -170,7 +170,7 @@
         now_us = day.time.now_us
         self.turn += 1
         self.server = server
-        server.hold(now_us, Held(request, client.household, client.load, now_us))
+        server.hold(now_us, Held(request, client.group, client.load, now_us))
         day.count(client, server, 1)
         self.slot.node.placed(self.session, self.placement, now_us - sent_us)
         if self.session.resumed_at is None:
@@ -472,9 +472,9 @@
             id=f"r{self._requests}",
             request_class=client.terms.name,
             deadline_us=deadline_us,
-            household=None,  # type: ignore[arg-type]  # the visit takes this place at once
+            client=None,  # type: ignore[arg-type]  # the visit takes this place at once
             key=client.key,
-            group=client.household,
+            group=client.group,
             repeat=client.failures > 0,
             returning=client.returning,
             resumed_at=resumed_at.name if resumed_at is not None else None,
--- a/sailrun/lab/world.py
+++ b/sailrun/lab/world.py
@@ -11,15 +11,15 @@
 from sailrun.interface import BackendState
 from sailrun.lab.chance import Stream
 from sailrun.lab.checks import Check, RuleBook
+from sailrun.lab.clients import Client, Population
 from sailrun.lab.figures import fewest_moves
 from sailrun.lab.form_servers import FormServerModel, Phase
-from sailrun.lab.households import Client, Population
 from sailrun.lab.records import Records
 from sailrun.lab.terms import SECOND, WorldTerms
 from sailrun.node.session import FormServer
 
 MASK = 0xFFFFFFFF
-# A household's further connections come within so long of its first.
+# A group's further connections come within so long of its first.
 MEMBERS_US = 5 * SECOND
 # A draining form server that still holds anybody sends them away after this, and ends.
 DRAINED_US = 8 * SECOND
@@ -188,8 +188,8 @@
         expected = self.terms.households * cost + self.terms.connections * self.terms.unit
         loads = dict.fromkeys(holders, 0.0)
         for _ in range(self.terms.households):
-            clients = self.people.household(self.time.now_us, 0)
-            key = key_hash(clients[0].household)
+            clients = self.people.new_group(self.time.now_us, 0)
+            key = key_hash(clients[0].group)
             scores = [(h * key) & MASK for h in hashes]
             server = holders[max(range(len(holders)), key=scores.__getitem__)]
             if loads[server] > 1.1 * expected * server.capacity / total:
@@ -205,7 +205,7 @@
         """Everything stands: now the day runs its course."""
         cost = self.terms.household_cost * self.terms.unit
         held = [
-            [(sum(one.load for one in members) + cost, len(members)) for members in _households(s).values()]
+            [(sum(one.load for one in members) + cost, len(members)) for members in _groups_at(s).values()]
             for s in self.servers.values()
         ]
         self.fewest = fewest_moves(held)
@@ -214,7 +214,7 @@
         self.time.after(0, self._arrive)
 
     def _arrive(self) -> None:
-        for client in self.people.household(self.time.now_us, MEMBERS_US):
+        for client in self.people.new_group(self.time.now_us, MEMBERS_US):
             self.time.at(client.from_us, self._first, client)
         mean_us = SECOND / (self.rush * self.people.arrivals_per_s)
         self.time.after(int(self.chance.exponential(mean_us)), self._arrive)
@@ -400,8 +400,8 @@
         self.time.after(SECOND, self._sample)
 
 
-def _households(server: FormServerModel) -> dict[str, list[Any]]:
+def _groups_at(server: FormServerModel) -> dict[str, list[Any]]:
     found: dict[str, list[Any]] = {}
     for one in server.held.values():
-        found.setdefault(one.household, []).append(one)
+        found.setdefault(one.group, []).append(one)
     return found
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -1,7 +1,7 @@
 """The one task that owns the decision module, the timers and the form sessions.
 
 Fronts, the roster and the neighbours call the methods under "what others tell"; each only puts a call
-into the queue. Orders go back through `Household` and `Roster`, none of which waits.
+into the queue. Orders go back through `SessionClient` and `Roster`, none of which waits.
 """
 
 from __future__ import annotations
@@ -103,7 +103,7 @@
             self.wake()
 
     def ask(self, session: FormSession) -> None:
-        """A household asks for a form session; one final answer is owed by its deadline."""
+        """A client asks for a form session; one final answer is owed by its deadline."""
         self._post(self._asked, session)
 
     def placed(self, session: FormSession, placement: Placement, took_us: int) -> None:
@@ -117,7 +117,7 @@
         self._post(self._attempt_over, session, placement, outcome)
 
     def left(self, session: FormSession) -> None:
-        """The household has gone before its session stood."""
+        """The client has gone before its session stood."""
         self._post(self._left, session)
 
     def told_load(self, session: FormSession, load: float) -> None:
@@ -139,7 +139,7 @@
         )
 
     def line_out(self, session: FormSession) -> None:
-        """A household's line went to its form server."""
+        """A client's line went to its form server."""
         session.unanswered.append(self.clock.now_us())
         if session.placement is not None:
             number = session.placement.form_server.number
@@ -153,7 +153,7 @@
                 watch.heard_us = self.clock.now_us()
 
     def answered(self, session: FormSession) -> None:
-        """The form server returned a household's line."""
+        """The form server returned a client's line."""
         if not session.unanswered or session.placement is None:
             return
         now_us = self.clock.now_us()
@@ -191,8 +191,8 @@
     def figures(self, reply: Reply[Figures]) -> None:
         self._post(lambda: reply(self._figures()))
 
-    def takes_households(self, reply: Reply[bool]) -> None:
-        """Whether this node takes households, and not only answers them."""
+    def takes_clients(self, reply: Reply[bool]) -> None:
+        """Whether this node takes clients, and not only answers them."""
         self._post(lambda: reply(not self.leaving and bool(self._form_servers)))
 
     def by_hand(self, name: str, out: bool, reply: Reply[bool]) -> None:
@@ -208,15 +208,15 @@
 
     @property
     def admits(self) -> bool:
-        """Whether whoever spreads the households over the nodes should count on this one."""
+        """Whether whoever spreads the clients over the nodes should count on this one."""
         return Reason.DRAIN not in self.leaving
 
     def drain(self, on: bool, reply: Reply[bool]) -> None:
-        """Sends all households away, and takes none until it is over."""
+        """Sends all clients away, and takes none until it is over."""
         self._post(lambda: reply(self._drain(on)))
 
     def lend(self, share: float, reply: Reply[bool]) -> None:
-        """This node's part of the fleet's pace of moves, 0 to 1; answers whether it moves any households."""
+        """This node's part of the fleet's pace of moves, 0 to 1; answers whether it moves any clients."""
         self._post(lambda: reply(self.rebalancing.lend(share)))
 
     # What nodes of a fleet tell each other.
@@ -237,7 +237,7 @@
         self._post(lambda: reply(self._held()))
 
     def succeeded(self, send: SendTransfer | None) -> None:
-        """A successor takes the households from now on, and standing sessions by `send`; None: it is gone,
+        """A successor takes the clients from now on, and standing sessions by `send`; None: it is gone,
         and they are this process's again.
         """
         self._post(self._succeeded, send)
@@ -310,7 +310,7 @@
         try:
             actions = self._module.handle(self._now, event)
         except Exception:
-            # A fault of the decisions must not take every other household down with the node.
+            # A fault of the decisions must not take every other client down with the node.
             self._log("fault", event=type(event).__name__, trace=traceback.format_exc())
             session = self._sessions.get(getattr(event, "request", ""))
             if session is not None and not session.stands:
@@ -339,7 +339,7 @@
                 self._move(action.request, action.cause)
             case i.CancelAttempt():
                 if (session := self._sessions.get(action.request)) is not None and not session.stands:
-                    session.household.withdraw(action.attempt)
+                    session.client.withdraw(action.attempt)
             case i.SetTimer():
                 heapq.heappush(self._timers, (self._now + action.delay_us, action.token))
             case i.Subscribe():
@@ -379,7 +379,7 @@
     ) -> None:
         session.placement = Placement(form_server, session.attempts, until_us, begin_by_us)
         session.attempts += 1
-        session.household.place(session.placement)
+        session.client.place(session.placement)
 
     def _move(self, name: str, cause: i.Cause) -> None:
         session = self._sessions.get(name)
@@ -389,7 +389,7 @@
     def _send_off(self, session: FormSession, cause: i.Cause) -> None:
         session.moved_for = cause
         self.counts.moves[cause] += 1
-        session.household.move()
+        session.client.move()
 
     def _answerable(self, name: str) -> FormSession | None:
         session = self._sessions.get(name)
@@ -404,11 +404,11 @@
 
     def _refuse(self, session: FormSession, retry_after_us: int) -> None:
         self.counts.classes[session.request_class].busy += 1
-        session.household.refuse(retry_after_us)
+        session.client.refuse(retry_after_us)
 
     def _fail(self, session: FormSession) -> None:
         self.counts.classes[session.request_class].failure += 1
-        session.household.fail()
+        session.client.fail()
 
     # ------------------------------------------------------------------ what has happened
 
@@ -620,8 +620,8 @@
         returned: bool,
         took_us: int | None,
     ) -> None:
-        household = session.group or session.key or session.id
-        rebalancer.stands(self._now, session.id, number, household, session.request_class, returned, took_us)
+        group = session.group or session.key or session.id
+        rebalancer.stands(self._now, session.id, number, group, session.request_class, returned, took_us)
         if session.load_hint:
             rebalancer.loaded(session.id, session.load_hint)
 
@@ -756,7 +756,7 @@
             return
         known = self._form_servers.get(session.placement.form_server.number)
         if known is not None and self._as_it_takes(known).state is i.BackendState.READY:
-            session.household.hand_over(self._send_transfer)
+            session.client.hand_over(self._send_transfer)
 
     def _succeeded(self, send: SendTransfer | None) -> None:
         self._send_transfer = send
@@ -787,7 +787,7 @@
         return [s for w in self._watches.values() for s in w.sessions.values() if s.moved_for is None]
 
     def _send_away(self) -> None:
-        """The moves are spread, so that the households do not all knock at the neighbours at once."""
+        """The moves are spread, so that the clients do not all knock at the neighbours at once."""
         standing = self._standing()
         for session in standing[: self.leaving.to_move(self._now, len(standing), SWEEP_US)]:
             self._send_off(session, i.Cause.LEAVING)
--- a/sailrun/node/leaving.py
+++ b/sailrun/node/leaving.py
@@ -1,4 +1,4 @@
-"""How households are sent away: for a planned restart, a drain, or a successor. Pure: time comes in.
+"""How clients are sent away: for a planned restart, a drain, or a successor. Pure: time comes in.
 
 Each reason has its plan, and several may hold at once: the hastiest counts, and the end of one leaves the
 others as they were.
--- a/sailrun/node/rebalancing.py
+++ b/sailrun/node/rebalancing.py
@@ -28,6 +28,6 @@
             self.rebalancer = None
 
     def lend(self, share: float) -> bool:
-        """This part of the fleet's pace is this node's, 0 to 1; returns whether it moves any households."""
+        """This part of the fleet's pace is this node's, 0 to 1; returns whether it moves any clients."""
         self(lambda rebalancer: rebalancer.lent(share))
         return self.rebalancer is not None and self.rebalancer.active
--- a/sailrun/node/session.py
+++ b/sailrun/node/session.py
@@ -66,8 +66,8 @@
     begin_by_us: float = math.inf  # its first byte leaves before this, or not at all
 
 
-class Household(Protocol):
-    """The core's hold on the household's connection, kept by the front it came through. No call waits."""
+class SessionClient(Protocol):
+    """The core's hold on the client's connection, kept by the front it came through. No call waits."""
 
     def place(self, placement: Placement) -> None: ...
     def withdraw(self, attempt: int) -> None: ...
@@ -81,12 +81,12 @@
 
 @dataclass(slots=True, eq=False)
 class FormSession:
-    """One household's connection, from its request to its end."""
+    """One client's connection, from its request to its end."""
 
     id: str
     request_class: str
     deadline_us: int
-    household: Household
+    client: SessionClient
     key: str | None = None
     group: str | None = None
     tenant: str | None = None
@@ -99,7 +99,7 @@
     attempts: int = 0
     may_have_run: bool = False
     stands: bool = False
-    over: bool = False  # the household has its final answer or has left
+    over: bool = False  # the client has its final answer or has left
     moved_for: Cause | None = None  # it is being moved
     unanswered: deque[int] = field(default_factory=deque)  # when each line without an answer was sent
 
--- a/sailrun/node/watch.py
+++ b/sailrun/node/watch.py
@@ -1,4 +1,4 @@
-"""Times the messages that pass between households and one form server, and notices its silence."""
+"""Times the messages that pass between clients and one form server, and notices its silence."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 # What was timed longer ago says nothing of now.
 SAMPLE_US = SECOND
 # A form server is silent if for so long nothing at all came back while a line waited for its answer;
-# with several households waiting, chance is ruled out sooner.
+# with several clients waiting, chance is ruled out sooner.
 SILENT_US, SILENT_MANY_US, MANY = 2_500_000, 1_500_000, 3
 # One connection that returns nothing while others at the same form server do. It has to be ended within 7 s
-# of its last line; a household's next line comes up to 2 s after that one, and finds out.
+# of its last line; a client's next line comes up to 2 s after that one, and finds out.
 DEAF_US = 7 * SECOND - 2 * SECOND - SECOND // 2
 # What a form server has said itself of its delay holds so much longer than what was timed here.
 TOLD_US = 1_500_000
@@ -67,7 +67,7 @@
         return delay_us / 1000
 
     def at_rest(self) -> bool:
-        """Whether there is nothing to look at until a household speaks again."""
+        """Whether there is nothing to look at until a client speaks again."""
         return not (self.slow or self._took or any(s.unanswered for s in self.sessions.values()))
 
     def silent(self, now_us: int) -> Iterable[FormSession]:
--- a/sailrun/owners/pace.py
+++ b/sailrun/owners/pace.py
@@ -1,4 +1,4 @@
-"""The fleet's pace of moving households for balance, shared out among the nodes by one owner.
+"""The fleet's pace of moving clients for balance, shared out among the nodes by one owner.
 
 Shares are lent for a short time and never add up to more than the whole. What was lent counts until it has
 ended, and a new owner lends nothing until all that the one before may have lent has ended.
@@ -13,7 +13,7 @@
 from sailrun.owners.terms import DRIFT
 
 SECOND = 1_000_000
-# A share lasts for so long from when it was asked for; it is asked for this often while households are moved.
+# A share lasts for so long from when it was asked for; it is asked for this often while clients are moved.
 LENT_US, ASK_US = 2 * SECOND, 500_000
 
 
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -1,6 +1,6 @@
 """What a running node has of the fleet: its agent, its carrier, and what owners let it do.
 
-Nothing here is on a household's path: the core is told what it may do, and goes on as it is where nobody
+Nothing here is on a client's path: the core is told what it may do, and goes on as it is where nobody
 tells it.
 """
 
--- a/sailrun/platform/__init__.py
+++ b/sailrun/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The thin front: the platform's text lines, for households, form servers and the other nodes."""
+"""The thin front: the platform's text lines, for clients, form servers and the other nodes."""
--- a/sailrun/platform/households.py
+++ b/sailrun/platform/clients.py
@@ -1,4 +1,4 @@
-"""A household's connection and, for each attempt, the one to its form server: lines passed both ways."""
+"""A client's connection and, for each attempt, the one to its form server: lines passed both ways."""
 
 from __future__ import annotations
 
@@ -26,50 +26,50 @@
 FIRST_LINE_US = 2 * SECOND
 # So often a connection may be checked with PING before it asks.
 MOST_CHECKS = 16
-# A household is moved between two lines; a form server that leaves a line half said for so long is cut.
+# A client is moved between two lines; a form server that leaves a line half said for so long is cut.
 HALF_LINE_US = SECOND // 2
 # What still comes from the other side after the last words is read and dropped for so long: a close over
 # unread bytes would reset the connection, and the last words with it.
 LAST_WORDS_US = SECOND // 4
-# So many of a household's lines are timed at once: one that sends thousands must not fill the memory.
+# So many of a client's lines are timed at once: one that sends thousands must not fill the memory.
 MOST_TIMED = 64
 _REASONS = {Outcome.OK: "served", Outcome.CANCELLED: "sent-away"}
 
 
-class Households:
+class ClientFront:
     """What the connections of this front share."""
 
     def __init__(self, node: Node, groups: bool, descriptors: int) -> None:
         self.node = node
-        self.groups = groups  # whether `g` names a group, not the household once more
+        self.groups = groups  # whether `g` names a group, not the client once more
         self.classes = frozenset(c.name for c in node.settings.classes)
         self.waiting = WaitingRoom(descriptors)
         # What form servers say in LOAD lines, by their names.
         self.least_ms = node.told_from_ms
-        self.figures: dict[str, Figures[HouseholdConnection]] = {}
+        self.figures: dict[str, Figures[ClientConnection]] = {}
         # The ids in use. A second connection with one of them would be a second copy of that request.
         self.ids: set[str] = set()
 
-    def adopt(self, content: Any, sockets: Sequence[socket.socket]) -> HouseholdConnection:
+    def adopt(self, content: Any, sockets: Sequence[socket.socket]) -> ClientConnection:
         """A session that a predecessor hands over; raises ValueError for what is none."""
-        return HouseholdConnection.adopted(self, content, sockets)
+        return ClientConnection.adopted(self, content, sockets)
 
     def door(self, listener: socket.socket) -> FrontDoor:
-        def greet(sock: socket.socket) -> HouseholdConnection:
-            return HouseholdConnection(self, Connection(sock))
+        def greet(sock: socket.socket) -> ClientConnection:
+            return ClientConnection(self, Connection(sock))
 
         return FrontDoor(listener, "household", greet, self.waiting)
 
 
-class HouseholdConnection:
-    """One household's connection. It is the core's `Household`: the orders only leave notes here."""
+class ClientConnection:
+    """One client's connection. It is the core's `SessionClient`: the orders only leave notes here."""
 
     _group: TaskGroup
 
-    def __init__(self, front: Households, connection: Connection) -> None:
+    def __init__(self, front: ClientFront, connection: Connection) -> None:
         self._front = front
         self._node = front.node
-        self._household = connection
+        self._client = connection
         self._opening: Opening | None = None
         self._id: str | None = None  # while it is in use here
         self._session: FormSession | None = None
@@ -86,7 +86,7 @@
         self._answered = self._spoke_too_soon = False
         self._reason = "unknown"
         self._broken = False
-        # Standing sessions only: what hands it to a successor; while it hears the household, and once it no
+        # Standing sessions only: what hands it to a successor; while it hears the client, and once it no
         # longer does.
         self._send_transfer: SendTransfer | None = None
         self._listening: anyio.CancelScope | None = None
@@ -94,12 +94,10 @@
         self._placement: Placement | None = None
 
     @classmethod
-    def adopted(
-        cls, front: Households, content: Any, sockets: Sequence[socket.socket]
-    ) -> HouseholdConnection:
+    def adopted(cls, front: ClientFront, content: Any, sockets: Sequence[socket.socket]) -> ClientConnection:
         """What `_transfer` wrote, in another process."""
         try:
-            household, server = sockets
+            client, server = sockets
             opening = parse_opening(content["line"].encode("latin-1"), front.classes)
             placement = Placement(
                 FormServer(str(content["server"]), ("", 0), BackendState.GONE), int(content["attempt"]), 0
@@ -112,9 +110,9 @@
             raise ValueError(f"no session: {error!r}") from None
         if opening.id in front.ids:
             raise ValueError("its id is in use")
-        self = cls(front, Connection(household))
+        self = cls(front, Connection(client))
         self._take_id(opening.id)
-        self._household.restore(held, shown=False)
+        self._client.restore(held, shown=False)
         self._form_server = Connection(server)
         self._form_server.restore(half_said, shown=True)
         self._opening, self._at, self._load, self._answered = opening, placement.form_server.name, load, True
@@ -133,10 +131,10 @@
             "attempt": self._placement.attempt,
             "unanswered": list(self._session.unanswered),
             "load": self._load,
-            "held": self._household.peek().decode("latin-1"),
+            "held": self._client.peek().decode("latin-1"),
             "half_said": server.peek().decode("latin-1"),
         }
-        return SessionTransfer(content, (self._household.sock, server.sock))
+        return SessionTransfer(content, (self._client.sock, server.sock))
 
     # ------------------------------------------------------------------ orders of the core
 
@@ -144,7 +142,7 @@
         try:
             self._orders.send_nowait(placement)
         except (anyio.ClosedResourceError, anyio.BrokenResourceError):
-            # The household left while its request lay in the core's queue: nothing was sent.
+            # The client left while its request lay in the core's queue: nothing was sent.
             assert self._session is not None
             self._node.attempt_over(self._session, placement, Outcome.NOT_SENT)
 
@@ -190,7 +188,7 @@
         try:
             if self._placement is not None or await self._opened(began_us + FIRST_LINE_US):
                 async with anyio.create_task_group() as self._group:
-                    self._group.start_soon(self._hear_household)
+                    self._group.start_soon(self._hear_client)
                     if self._placement is not None:
                         await self._go_on(self._placement)
                     else:
@@ -208,16 +206,16 @@
         finally:
             if self._session is not None:
                 self._forget()
-                if not self._answered and not self._household.ended:
+                if not self._answered and not self._client.ended:
                     # Its address is given up under it: it is owed an answer all the same.
                     with contextlib.suppress(OSError):
-                        self._household.sock.send(b"ERR\r\n")
-            self._household.close(abruptly=self._broken)
+                        self._client.sock.send(b"ERR\r\n")
+            self._client.close(abruptly=self._broken)
             if self._form_server is not None:
                 self._form_server.close(abruptly=self._broken)
             self._orders.close()
             self._inbox.close()
-            if self._reason != "ping":  # the front's own check of a node is no household
+            if self._reason != "ping":  # the front's own check of a node is no client
                 log(
                     "ended",
                     reason=self._reason,
@@ -250,11 +248,11 @@
         if opening.id in self._front.ids:
             await self._turn_away("id-in-use")
             return False
-        if self._household.held():
+        if self._client.held():
             await self._turn_away("spoke-too-soon")
             return False
         self._take_id(opening.id)
-        # Unique here even if a household repeats its id.
+        # Unique here even if a client repeats its id.
         self._session = self._form_session(opening, f"{opening.id}.{now_us}", now_us + opening.wait_ms * 1000)
         self._reason = "unknown"
         self._node.ask(self._session)
@@ -269,7 +267,7 @@
             id=id_,
             request_class=opening.request_class,
             deadline_us=deadline_us,
-            household=self,
+            client=self,
             key=opening.key,
             group=opening.group if self._front.groups else None,
             load_hint=opening.load_hint,
@@ -286,10 +284,10 @@
         try:
             with scope:
                 for _ in range(MOST_CHECKS):
-                    line = await self._household.line()
+                    line = await self._client.line()
                     if line is None or line.strip() != b"PING":
                         return line
-                    await self._household.write(b"PONG\r\n" if self._node.admits else b"NO\r\n")
+                    await self._client.write(b"PONG\r\n" if self._node.admits else b"NO\r\n")
                     self._reason = "ping"
                 await self._turn_away("too-many-checks")
             if scope.cancelled_caught:
@@ -317,7 +315,7 @@
                     if self._form_server is not None and not self._form_server.closed:
                         group.start_soon(self._see_out, self._form_server)
                     if not self._broken:
-                        await self._see_out(self._household, last_words)
+                        await self._see_out(self._client, last_words)
         finally:
             self._front.waiting.leave(scope)
 
@@ -327,19 +325,19 @@
             await other.finish_sending()
         other.close()
 
-    async def _hear_household(self) -> None:
-        """Passes on what the household sends, and notices that it leaves."""
+    async def _hear_client(self) -> None:
+        """Passes on what the client sends, and notices that it leaves."""
         assert self._session is not None
         try:
             while await self._listen():
                 if self._form_server is not None:
                     await self._pass_to_form_server()
                 elif not self._answered:
-                    # A household waits for its answer. Passing this on, or keeping it for a form server,
+                    # A client waits for its answer. Passing this on, or keeping it for a form server,
                     # would be a second command on one connection.
                     self._spoke_too_soon = True
                     break
-            if not self._household.ended and not self._spoke_too_soon:  # only told to stop listening
+            if not self._client.ended and not self._spoke_too_soon:  # only told to stop listening
                 self._deaf.set()
                 return
             reason = "household-left"
@@ -355,21 +353,21 @@
             self._attempt[1].cancel()
         if self._reading is not None:
             self._reading.cancel()
-        self._household.ended = True
+        self._client.ended = True
         self._orders.close()
 
     async def _listen(self) -> bool:
-        """Waits for the household to say more; False once it has ended, or the session is handed over."""
+        """Waits for the client to say more; False once it has ended, or the session is handed over."""
         more = False
         if self._send_transfer is None:
             with anyio.CancelScope() as self._listening:
-                more = await self._household.fill()
+                more = await self._client.fill()
             self._listening = None
         return more
 
     async def _pass_to_form_server(self) -> None:
         assert self._session is not None and self._form_server is not None
-        data = self._household.take()
+        data = self._client.take()
         for _ in range(min(data.count(b"\n"), MOST_TIMED - len(self._session.unanswered))):
             self._node.line_out(self._session)
         with contextlib.suppress(OSError):  # it broke: whoever reads from it says so
@@ -379,7 +377,7 @@
         async for order in self._inbox:
             if isinstance(order, bytes):
                 self._answered = True
-                await self._household.write(order)
+                await self._client.write(order)
                 return
             await self._try(order)
             if self._form_server is not None:
@@ -408,9 +406,7 @@
                 server, outcome = await self._set_up(placement, sent_us)
             finally:
                 self._attempt = None
-        if self._household.ended or (
-            scope.cancelled_caught and self._node.clock.now_us() < placement.until_us
-        ):
+        if self._client.ended or (scope.cancelled_caught and self._node.clock.now_us() < placement.until_us):
             outcome = Outcome.CANCELLED
             if server is not None:
                 server.close()
@@ -440,25 +436,25 @@
         try:
             outcome = await self._stand(server)
         except OSError:
-            # The household broke while a line was on its way to it. The core must hear of the end all
+            # The client broke while a line was on its way to it. The core must hear of the end all
             # the same, or it would count the session as standing for ever.
             self._reason, self._broken = "household-broke", True
             outcome = Outcome.CANCELLED
         if self._broken or server.ended or self._reason == "handed-over":
             server.close(abruptly=self._broken)
         else:
-            server.stop_sending()  # and is read to its end when the household has parted
+            server.stop_sending()  # and is read to its end when the client has parted
         return outcome
 
     async def _handed_over(self, server: Connection, send: SendTransfer) -> bool:
         """Whether the successor has the session now. Meanwhile nothing is read here; what was, is told."""
-        # A move, or the household's end, does not wait for a line that can't go out.
+        # A move, or the client's end, does not wait for a line that can't go out.
         with anyio.CancelScope() as self._reading:
             await self._deaf.wait()
         self._reading = None
-        if self._moving_since_us or self._household.ended or not self._deaf.is_set():
+        if self._moving_since_us or self._client.ended or not self._deaf.is_set():
             self._send_transfer = None
-            if self._deaf.is_set() and not self._household.ended:
+            if self._deaf.is_set() and not self._client.ended:
                 self._hear_again()
             return False
         transfer = self._transfer(server)
@@ -471,7 +467,7 @@
 
     def _hear_again(self) -> None:
         self._deaf = anyio.Event()
-        self._group.start_soon(self._hear_household)
+        self._group.start_soon(self._hear_client)
 
     async def _set_up(self, placement: Placement, sent_us: int) -> tuple[Connection | None, Outcome]:
         """Opens a connection to the form server and asks for the session. Every way out but a form server
@@ -486,7 +482,7 @@
                 server = await connect(placement.form_server.address)
             if server is None:
                 return None, Outcome.CONNECT_FAILED
-            if self._household.stirs():  # it has left, and nobody waits for the answer
+            if self._client.stirs():  # it has left, and nobody waits for the answer
                 return None, Outcome.CANCELLED
             if not self._node.may_begin(self._session, placement):
                 return None, Outcome.NOT_SENT
@@ -503,9 +499,9 @@
             if up or outcome is Outcome.OK:
                 self._answered = True
                 try:
-                    await self._household.write(line)
+                    await self._client.write(line)
                 except OSError:
-                    # The household broke, not the form server, which must not be blamed for it.
+                    # The client broke, not the form server, which must not be blamed for it.
                     self._reason, self._broken = "household-broke", True
                     return None, Outcome.CANCELLED
                 self._reason = "served"
@@ -528,19 +524,19 @@
     async def _stand(self, server: Connection) -> Outcome:
         """Passes on what the form server sends, line or not, at once; returns how the session ended."""
         assert self._session is not None
-        if self._household.held():
+        if self._client.held():
             await self._pass_to_form_server()
         ending = Outcome.RESET
         if server.held():
-            ending = await self._pass_to_household(server, ending)
+            ending = await self._pass_to_client(server, ending)
         while True:
             half_said_us = self._moving_since_us + HALF_LINE_US
             between = not server.held() or self._node.clock.now_us() >= half_said_us
             if self._moving_since_us and between:
                 self._reason = "moved"
-                await self._household.write(b"MOVE\r\n")
+                await self._client.write(b"MOVE\r\n")
                 return Outcome.CANCELLED
-            if self._household.ended:
+            if self._client.ended:
                 return Outcome.CANCELLED
             if (send := self._send_transfer) is not None and await self._handed_over(server, send):
                 self._reason = "handed-over"
@@ -562,15 +558,15 @@
             finally:
                 self._reading = None
             if alive:
-                ending = await self._pass_to_household(server, ending)
+                ending = await self._pass_to_client(server, ending)
             elif alive is not None:
                 self._reason = _REASONS.get(ending, "form-server-ended")
                 return ending
 
-    async def _pass_to_household(self, server: Connection, ending: Outcome) -> Outcome:
+    async def _pass_to_client(self, server: Connection, ending: Outcome) -> Outcome:
         """Passes on what has come in, then reads its lines; the start of one stays in the buffer."""
         assert self._session is not None
-        await self._household.write(server.fresh())
+        await self._client.write(server.fresh())
         self._node.heard(self._session)
         while (line := server.take_line()) is not None:
             ending = ENDINGS.get(word_of(line), Outcome.RESET)
--- a/sailrun/platform/figures.py
+++ b/sailrun/platform/figures.py
@@ -20,7 +20,7 @@
 SLACK_US = 30_000
 # No message takes so many milliseconds and is still told of; few loads, in us of work a second, are under it.
 LONGEST_MS = 5_000.0
-# A load under this is no household's: less than one message in ten minutes. Taken for a time at once.
+# A load under this is no client's: less than one message in ten minutes. Taken for a time at once.
 LEAST_LOAD = 100.0
 
 Whose = TypeVar("Whose")
--- a/sailrun/platform/lines.py
+++ b/sailrun/platform/lines.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """A household's first line."""
+    """A client's first line."""
 
     line: bytes
     id: str
@@ -60,7 +60,7 @@
     if facts["c"] not in classes:
         raise BadLine("a class that does not exist")
     wait = facts.get("d", "")
-    # A session from before the run waits for as long as its household likes; a new one is bound by reason.
+    # A session from before the run waits for as long as its client likes; a new one is bound by reason.
     if not wait.isdigit() or len(wait) > 12 or not (0 < int(wait) <= LONGEST_WAIT_MS or facts.get("at")):
         raise BadLine("no time to wait")
     hint = None
--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -2,7 +2,7 @@
 
 A node acts on its own share of the load: of what a form server holds too much, it sheds as much as it holds
 of it itself. So nodes that hear nothing of each other still do not overshoot together. Which place a
-household would get is asked of the decision module every time; here it is only decided whether to move it.
+group would get is asked of the decision module every time; here it is only decided whether to move it.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 LOOK_US = SECOND // 4
 # Sums are made anew this often; every second while most loads are not told yet.
 RECOUNT_US, YOUNG_US = 5 * SECOND, 15 * SECOND
-# A moved household is back, or will not come, after this; so long its place is spoken for.
+# A moved group is back, or will not come, after this; so long its place is spoken for.
 RETURN_US = 3 * SECOND
 # What a neighbour has begun to move is followed within this.
 FOLLOW_US = 3 * SECOND
-# So many households are asked for in a look, and one that has to stay is asked for again only after this.
+# So many groups are asked for in a look, and one that has to stay is asked for again only after this.
 QUESTIONS, ASK_AGAIN_US = 24, 4 * SECOND
 # Without a move for so long there is nothing to be done: what is over is too heavy, or has nowhere to go.
 GIVE_UP_US, PAUSE_US, LONGEST_PAUSE_US = 15 * SECOND, 10 * SECOND, 640 * SECOND
-# Of what chance would explain of the spread, so much is taken off while households are moved. All of it, as
+# Of what chance would explain of the spread, so much is taken off while groups are moved. All of it, as
 # before, is the best estimate of every single load, but leaves the busiest where it is: four nodes that hear
 # nothing came to 1.3 only.
 CHANCE = 0.2
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class _Reserved:
-    household: Key
+    group: Key
     server: int
     weight: float
     until_us: int
@@ -108,9 +108,9 @@
         )
         self._seen = View({}, {}, 1.0, {})  # at the last look
         self._reserved: list[_Reserved] = []
-        self._unsettled: dict[Key, int] = {}  # households with a connection on its way back, until when
-        self._asked: dict[Key, int] = {}  # households that had to stay, and when to ask again
-        self._named: dict[int, Key] = {}  # the households that stand here, by their hash
+        self._unsettled: dict[Key, int] = {}  # groups with a connection on its way back, until when
+        self._asked: dict[Key, int] = {}  # groups that had to stay, and when to ask again
+        self._named: dict[int, Key] = {}  # the groups that stand here, by their hash
         self._followed: dict[int, int] = {}  # those that neighbours have begun to move, until when
         self._moved_us: deque[int] = deque()
         self._returns_us: deque[int] = deque()
@@ -151,7 +151,7 @@
         self._trouble(now_us, "roster-lost")
 
     def arrived(self, now_us: int, returning: bool) -> None:
-        """A household asks for a session."""
+        """A client asks for a session."""
         if not returning:
             return
         self._returns_us.append(now_us)
@@ -166,7 +166,7 @@
         now_us: int,
         name: str,
         server: int,
-        household: Key,
+        group: Key,
         request_class: str,
         returned: bool,
         took_us: int | None,
@@ -174,12 +174,12 @@
         """A session stands; `returned`: back from a break or a move. `took_us` is None where it stood before
         this node started.
         """
-        self.ledger.stands(Standing(name, household, request_class, server, now_us, returned))
-        self._unsettled.pop(household, None)
+        self.ledger.stands(Standing(name, group, request_class, server, now_us, returned))
+        self._unsettled.pop(group, None)
         if self._teller is not None:
-            self._named[_hash(household)] = household
+            self._named[_hash(group)] = group
         for n, reserved in enumerate(self._reserved):
-            if reserved.household == household:
+            if reserved.group == group:
                 del self._reserved[n]
                 break
         if took_us is not None and took_us >= SLOW_SHARE * self._objectives.get(request_class, math.inf):
@@ -196,7 +196,7 @@
         """A session that stood has ended here. One that did not end well comes back."""
         one = self.ledger.ended(name)
         if one is not None and outcome is not Outcome.OK:
-            self._unsettled[one.household] = now_us + RETURN_US
+            self._unsettled[one.group] = now_us + RETURN_US
 
     def turned_away(self, now_us: int, server: int) -> None:
         """A form server refused a set-up."""
@@ -204,7 +204,7 @@
             self._trouble(now_us, "turned-away")
 
     def refused(self, now_us: int) -> None:
-        """A household was refused: there is no place for those who come by themselves."""
+        """A client was refused: there is no place for those who come by themselves."""
         self._trouble(now_us, "refusals")
 
     def heard(self, now_us: int, sender: int, content: bytes) -> None:
@@ -222,17 +222,17 @@
         if self._hearsay.heard(now_us, sender, telling):
             if telling.alert and self._teller is not None:
                 self._teller.heard_alert()
-            for household in telling.moved:
-                if household in self._named:
-                    self._followed[household] = now_us + FOLLOW_US
+            for group in telling.moved:
+                if group in self._named:
+                    self._followed[group] = now_us + FOLLOW_US
 
     def leave(self, on: bool = True) -> None:
-        """This node sends its households away by another rule from now on; or does no more."""
+        """This node sends its clients away by another rule from now on; or does no more."""
         self._leaving = on
 
     @property
     def active(self) -> bool:
-        """Whether households are being moved."""
+        """Whether groups are being moved."""
         return self._active
 
     def lent(self, share: float) -> None:
@@ -306,7 +306,7 @@
         return server in view.shares and view.loads[server] < self._terms.fill_to * view.shares[server]
 
     def _judge(self, now_us: int, view: View) -> bool:
-        """Whether households are being moved at present. Begins late and ends early: in between, a fleet that
+        """Whether groups are being moved at present. Begins late and ends early: in between, a fleet that
         is neither is left alone.
         """
         if not self._active:
@@ -350,7 +350,7 @@
         return view.loads[number] - max(self._terms.stop_at * view.shares[number], view.spared[number])
 
     def _choose(self, now_us: int, view: View, elsewhere: Elsewhere, orders: Orders, active: bool) -> None:
-        """Heaviest first, so that few are moved, and households that stand whole before scattered ones."""
+        """Heaviest first, so that few are moved, and groups that stand whole before scattered ones."""
         reserved: dict[int, float] = {}
         for one in self._reserved:
             reserved[one.server] = reserved.get(one.server, 0.0) + one.weight
@@ -371,45 +371,45 @@
                 continue
             # This node's part of what is too much there.
             excess = self._excess(view, number) * held.load / view.loads[number]
-            for household, members in self._candidates(now_us, number):
+            for group, members in self._candidates(now_us, number):
                 if allowed <= 0 or questions <= 0:
                     return
                 if excess <= 0:
                     break
                 weight = self.ledger.weight(members)
                 # One heavier than what is to go, or than this node's part of the room, goes by lot: so all
-                # nodes together move about as much as they should. The lot is the household's own, the same
+                # nodes together move about as much as they should. The lot is the group's own, the same
                 # at every node.
-                lot = weight * _hash(household) / 2**32
+                lot = weight * _hash(group) / 2**32
                 if lot > excess:
                     continue
                 questions -= 1
                 target = elsewhere(list(members))
                 free = room.get(target, 0.0) if target is not None else 0.0
                 if target is None or weight > free or lot > free * max(1.0 / self._nodes, view.known):
-                    self._asked[household] = now_us + ASK_AGAIN_US
+                    self._asked[group] = now_us + ASK_AGAIN_US
                     continue
-                self._move(now_us, household, members, target, weight, orders)
+                self._move(now_us, group, members, target, weight, orders)
                 room[target] -= weight
                 excess -= weight
                 allowed -= len(members)
 
     def _follow(self, now_us: int, room: dict[int, float], elsewhere: Elsewhere, orders: Orders) -> int:
-        """Moves what is left here of households that neighbours have begun to move; returns how many."""
+        """Moves what is left here of groups that neighbours have begun to move; returns how many."""
         moved = 0
         followed, self._followed = self._followed, {}
         for hashed in followed:
-            household = self._named.get(hashed)
-            if household is None:
+            group = self._named.get(hashed)
+            if group is None:
                 continue
-            for number in self.ledger.where(household):
+            for number in self.ledger.where(group):
                 if room.get(number, 0.0) > 0:
                     continue  # not where the neighbour has moved it from: this one takes others in
-                members = self.ledger.movable(number, household, now_us - self._rest_us)
+                members = self.ledger.movable(number, group, now_us - self._rest_us)
                 target = elsewhere(list(members)) if members else None
                 if target is not None and room.get(target, 0.0) > 0:
                     weight = self.ledger.weight(members)
-                    self._move(now_us, household, members, target, weight, orders)
+                    self._move(now_us, group, members, target, weight, orders)
                     room[target] -= weight
                     moved += len(members)
         return moved
@@ -417,23 +417,23 @@
     def _candidates(self, now_us: int, number: int) -> list[tuple[Key, dict[str, Standing]]]:
         ledger = self.ledger
         found = [
-            (household, members)
-            for household in ledger.held[number].households
-            if self._unsettled.get(household, 0) <= now_us
-            and self._asked.get(household, 0) <= now_us
-            and (members := ledger.movable(number, household, now_us - self._rest_us))
+            (group, members)
+            for group in ledger.held[number].groups
+            if self._unsettled.get(group, 0) <= now_us
+            and self._asked.get(group, 0) <= now_us
+            and (members := ledger.movable(number, group, now_us - self._rest_us))
         ]
 
         def order(item: tuple[Key, dict[str, Standing]]) -> tuple[bool, float, Key]:
-            household, members = item
-            return not ledger.whole(household), -ledger.weight(members) / len(members), household
+            group, members = item
+            return not ledger.whole(group), -ledger.weight(members) / len(members), group
 
         return sorted(found, key=order)
 
     def _move(
         self,
         now_us: int,
-        household: Key,
+        group: Key,
         members: dict[str, Standing],
         target: int,
         weight: float,
@@ -444,17 +444,17 @@
             orders.moves.append(one.id)
             self._moved_us.append(now_us)
         self._pace.spend(len(members))
-        self._reserved.append(_Reserved(household, target, weight, now_us + RETURN_US))
-        self._unsettled[household] = now_us + RETURN_US
+        self._reserved.append(_Reserved(group, target, weight, now_us + RETURN_US))
+        self._unsettled[group] = now_us + RETURN_US
         if self._teller is not None:
-            self._teller.moved(_hash(household))
+            self._teller.moved(_hash(group))
         self._moved += len(members)
         self._useful_us = now_us
 
 
-def _hash(household: Key) -> int:
+def _hash(group: Key) -> int:
     """The same 32 bits at every node."""
-    return mmh3.hash(household, signed=False)
+    return mmh3.hash(group, signed=False)
 
 
 def _shrunk(loads: dict[int, float], shares: dict[int, float], noise: float) -> dict[int, float]:
--- a/sailrun/rebalance/gossip.py
+++ b/sailrun/rebalance/gossip.py
@@ -1,7 +1,7 @@
 """What the nodes tell each other of the load they hold, in datagrams that may be late, lost or out of order.
 
-They also tell whose connections they have just moved, so that a household's other connections, which may
-have come through other nodes, follow: a form server is relieved of a household only once all have left.
+They also tell whose connections they have just moved, so that a group's other connections, which may
+have come through other nodes, follow: a form server is relieved of a group only once all have left.
 
 A datagram is whole in itself and can be taken twice. Its sender's incarnation (its start) and sequence number
 say which of two is newer; what is older is passed over. A fleet that does not fit one datagram is told of in
@@ -16,7 +16,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-# Version, flags, form servers in it, households in it, sequence number, incarnation (ms of Unix time), the
+# Version, flags, form servers in it, groups in it, sequence number, incarnation (ms of Unix time), the
 # sender's whole load.
 _HEAD = struct.Struct("<BBBBIQf")
 _ENTRY = struct.Struct("<If")
@@ -35,7 +35,7 @@
 DEAF = 4
 # Of the form servers in a datagram, so many are told of though others have changed more.
 AGAIN = 4
-# While households are moved, their names go out this often.
+# While groups are moved, their names go out this often.
 SOON_US = 500_000
 
 
@@ -52,12 +52,12 @@
     told: bool
     total: float
     loads: dict[int, float]
-    moved: tuple[int, ...] = ()  # hashes of the households moved lately
+    moved: tuple[int, ...] = ()  # hashes of the groups moved lately
     alert: bool = False
 
 
 def write(telling: Telling) -> bytes:
-    """At most 256 bytes. Raises ValueError for more form servers or households than that holds."""
+    """At most 256 bytes. Raises ValueError for more form servers or groups than that holds."""
     if len(telling.loads) > ENTRIES or len(telling.moved) > MOVED:
         raise ValueError(f"{len(telling.loads)} form servers, {len(telling.moved)} households")
     head = _HEAD.pack(
@@ -77,10 +77,10 @@
     """Raises BadDatagram for whatever another node of this version would not have written."""
     if len(content) < _HEAD.size or content[0] != VERSION:
         raise BadDatagram("another version")
-    _, flags, count, households, sequence, incarnation, total = _HEAD.unpack_from(content)
+    _, flags, count, groups, sequence, incarnation, total = _HEAD.unpack_from(content)
     ends = _HEAD.size + count * _ENTRY.size
-    if len(content) != ends + households * _MOVED.size:
-        raise BadDatagram(f"{len(content)} bytes for {count} form servers and {households} households")
+    if len(content) != ends + groups * _MOVED.size:
+        raise BadDatagram(f"{len(content)} bytes for {count} form servers and {groups} households")
     loads = dict(_ENTRY.iter_unpack(content[_HEAD.size : ends]))
     moved = tuple(one for (one,) in _MOVED.iter_unpack(content[ends:]))
     if not all(math.isfinite(load) and load >= 0 for load in (total, *loads.values())):
@@ -169,9 +169,9 @@
         self._moved: list[int] = []
         self._again = -1  # the form server last told of though it had not changed most
 
-    def moved(self, household: int) -> None:
-        """A household is being moved: neighbours are told soon."""
-        self._moved.append(household)
+    def moved(self, group: int) -> None:
+        """A group is being moved: neighbours are told soon."""
+        self._moved.append(group)
 
     def answered(self) -> None:
         """A neighbour was heard: datagrams get through."""
@@ -208,7 +208,7 @@
         self._sequence += 1
         self._told_us, self._owed = now_us, False
         self._unanswered += 1
-        households, self._moved = tuple(self._moved[:MOVED]), self._moved[MOVED:]
+        groups, self._moved = tuple(self._moved[:MOVED]), self._moved[MOVED:]
         return write(
-            Telling(self._incarnation, self._sequence, told, sum(loads.values()), told_of, households, alert)
+            Telling(self._incarnation, self._sequence, told, sum(loads.values()), told_of, groups, alert)
         )
--- a/sailrun/rebalance/ledger.py
+++ b/sailrun/rebalance/ledger.py
@@ -1,16 +1,16 @@
-"""What stands where through this node: loads, households, and who has rested long enough to be moved."""
+"""What stands where through this node: loads, groups, and who has rested long enough to be moved."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-# A household is known by its group; a connection without one is a household of its own.
+# Connections with one group key are one group; a connection without a group key is a group of its own.
 Key = str
 
 # A class's mean load rests on about so many of its latest notes.
 CLASS_NOTES = 200
-# A form server pays so many mean connection loads for each household that it holds any of (the account).
-HOUSEHOLD_COST = 1.5
+# A form server pays so many mean connection loads for each group that it holds any of (the account).
+GROUP_COST = 1.5
 
 
 @dataclass(slots=True)
@@ -18,7 +18,7 @@
     """One connection that stands. `load`, in us of work a second, is None until its form server tells it."""
 
     id: str
-    household: Key
+    group: Key
     request_class: str
     server: int
     since_us: int
@@ -32,7 +32,7 @@
     """What one form server holds through this node."""
 
     load: float = 0.0
-    households: dict[Key, dict[str, Standing]] = field(default_factory=dict)
+    groups: dict[Key, dict[str, Standing]] = field(default_factory=dict)
     count: int = 0
 
 
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.standing: dict[str, Standing] = {}
         self.held: dict[int, Held] = {}
-        self._spread: dict[Key, dict[int, int]] = {}  # a household's connections by form server
+        self._spread: dict[Key, dict[int, int]] = {}  # a group's connections by form server
         self._means: dict[str, tuple[float, int]] = {}
         self._mean, self._notes = 0.0, 0
         self._unevenness = 0.0
@@ -53,13 +53,13 @@
     def stands(self, one: Standing) -> None:
         self.standing[one.id] = one
         held = self.held.setdefault(one.server, Held())
-        members = held.households.setdefault(one.household, {})
+        members = held.groups.setdefault(one.group, {})
         if not members:
-            held.load += self.household_cost()
+            held.load += self.group_cost()
         members[one.id] = one
         held.load += self.load_of(one)
         held.count += 1
-        at = self._spread.setdefault(one.household, {})
+        at = self._spread.setdefault(one.group, {})
         at[one.server] = at.get(one.server, 0) + 1
 
     def ended(self, name: str) -> Standing | None:
@@ -67,21 +67,21 @@
         if one is None:
             return None
         held = self.held[one.server]
-        members = held.households[one.household]
+        members = held.groups[one.group]
         del members[name]
         held.load -= self.load_of(one)
         held.count -= 1
         if not members:
-            del held.households[one.household]
-            held.load -= self.household_cost()
+            del held.groups[one.group]
+            held.load -= self.group_cost()
         if not held.count:
             del self.held[one.server]  # free of rounding
-        at = self._spread[one.household]
+        at = self._spread[one.group]
         at[one.server] -= 1
         if not at[one.server]:
             del at[one.server]
             if not at:
-                del self._spread[one.household]
+                del self._spread[one.group]
         return one
 
     def loaded(self, name: str, load: float) -> None:
@@ -106,7 +106,7 @@
         """Adds up anew: class means have moved on since the untold loads were counted."""
         weights: list[float] = []
         for held in self.held.values():
-            at = [self.weight(members) for members in held.households.values()]
+            at = [self.weight(members) for members in held.groups.values()]
             held.load = sum(at)
             weights += at
         total = sum(weights)
@@ -125,29 +125,29 @@
         return self._mean if self._notes else 1.0
 
     def unevenness(self) -> float:
-        """The mean weight of households, by weight: the more, the more of a sample is chance."""
-        return self._unevenness or 2.0 * (self.unit() + self.household_cost())
+        """The mean weight of groups, by weight: the more, the more of a sample is chance."""
+        return self._unevenness or 2.0 * (self.unit() + self.group_cost())
 
-    def household_cost(self) -> float:
-        return HOUSEHOLD_COST * self.unit()
+    def group_cost(self) -> float:
+        return GROUP_COST * self.unit()
 
     def weight(self, members: dict[str, Standing]) -> float:
-        """What a form server is relieved of when it loses all these, the household's cost with them."""
-        return sum(map(self.load_of, members.values())) + self.household_cost()
+        """What a form server is relieved of when it loses all these, the group's cost with them."""
+        return sum(map(self.load_of, members.values())) + self.group_cost()
 
-    def whole(self, household: Key) -> bool:
+    def whole(self, group: Key) -> bool:
         """Whether all that stands of it here stands at one form server."""
-        return len(self._spread.get(household, ())) <= 1
+        return len(self._spread.get(group, ())) <= 1
 
-    def where(self, household: Key) -> list[int]:
+    def where(self, group: Key) -> list[int]:
         """The form servers that hold any of it."""
-        return list(self._spread.get(household, ()))
+        return list(self._spread.get(group, ()))
 
-    def movable(self, server: int, household: Key, settled_us: int) -> dict[str, Standing]:
+    def movable(self, server: int, group: Key, settled_us: int) -> dict[str, Standing]:
         """Its connections at a form server, if every one of them may be moved: none is leaving, and none of
         those that returned from a break or a move came after `settled_us`. Empty if not.
         """
-        members = self.held[server].households[household]
+        members = self.held[server].groups[group]
         for one in members.values():
             if one.leaving or (one.returned and one.since_us > settled_us):
                 return {}
--- a/sailrun/rebalance/pace.py
+++ b/sailrun/rebalance/pace.py
@@ -58,5 +58,5 @@
         return int(self._tokens)
 
     def spend(self, connections: int) -> None:
-        """Below 0 for a household larger than what was left: the next ones wait for longer."""
+        """Below 0 for a group larger than what was left: the next ones wait for longer."""
         self._tokens -= connections
--- a/sailrun/replica/service.py
+++ b/sailrun/replica/service.py
@@ -1,7 +1,7 @@
 """What a running node does with the fleet's common state: marks come into force at the core, staff's calls
 become marks, and what nodes believe of form servers passes between core and copies.
 
-Nothing here is on a household's path: a node whose copy is behind goes on by what it has, and says so.
+Nothing here is on a client's path: a node whose copy is behind goes on by what it has, and says so.
 """
 
 from __future__ import annotations
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -17,7 +17,7 @@
 from sailrun.front import FrontDoor, descriptors_allowed
 from sailrun.node.clock import Clock, log
 from sailrun.node.core import Node
-from sailrun.platform.households import LAST_WORDS_US, Households
+from sailrun.platform.clients import LAST_WORDS_US, ClientFront
 from sailrun.platform.neighbours import Datagrams, Probes
 from sailrun.roster import RosterClient
 
@@ -72,7 +72,7 @@
         self.node = Node(config.settings, config.seed, clock, known, passed=passed)
         self._revision = known.revision
         descriptors = descriptors_allowed(config.descriptors)
-        self._households = Households(self.node, config.groups, descriptors)
+        self._client_front = ClientFront(self.node, config.groups, descriptors)
         self._descriptors = descriptors
         self._writing = anyio.CancelScope()
         self._fleet = self._join_fleet(config, inherited is not None)
@@ -143,11 +143,11 @@
         shared = config.control is not None
         if key == "listen" and config.listen is not None:
             listener = self._handed(key, config.listen) or listen(config.listen, shared)
-            return self._households.door(listener)
+            return self._client_front.door(listener)
         if key == "amqp" and config.amqp is not None:
             # Loaded only where it is switched on: the platform's nodes carry neither engine nor codec.
+            from sailrun.amqp.clients import amqp_door
             from sailrun.amqp.engine import AmqpTerms
-            from sailrun.amqp.households import amqp_door
 
             terms = AmqpTerms(config.name, config.amqp.max_frame_size, config.amqp.idle_time_out_ms)
             listener = self._handed(key, config.amqp.listen) or listen(config.amqp.listen, shared)
@@ -177,7 +177,7 @@
         door = self._open_doors.get("listen")
         if not isinstance(door, FrontDoor):
             raise ValueError("households are not served here any more")
-        door.admit(self._households.adopt(content, sockets))
+        door.admit(self._client_front.adopt(content, sockets))
 
     def _pause(self, yes: bool) -> None:
         """Leaves newcomers and datagrams to the successor, which shares the sockets; or takes them again."""
@@ -257,7 +257,7 @@
 
     async def see_out(self) -> None:
         """Everybody who asked has been answered: whoever only rests here is told so, and read to the end."""
-        await self._households.waiting.empty(anyio.current_time() + LAST_WORDS_US / 1e6)
+        await self._client_front.waiting.empty(anyio.current_time() + LAST_WORDS_US / 1e6)
 
     def reload(self) -> None:
         """Takes over the file as it is now. One that is not usable changes nothing and is logged once."""
--- a/sailrun/sidecar.py
+++ b/sailrun/sidecar.py
@@ -88,8 +88,8 @@
     except tomllib.TOMLDecodeError as error:
         raise BadConfig(path, "", f"no TOML: {error}") from None
     top = _Table(path, "", document)
-    households, amqp, control = top.table("households"), top.table("amqp"), top.table("control")
-    if households is None and amqp is None:
+    clients, amqp, control = top.table("households"), top.table("amqp"), top.table("control")
+    if clients is None and amqp is None:
         raise BadConfig(path, "amqp", "is missing, and so is households: nothing would listen")
     fields = dict(flatten(top.need("settings")))
     for name in fields:
@@ -102,13 +102,13 @@
         raise BadConfig(path, "settings", str(error)) from None
     groups = fields.get("familyInfo.groups", "true") != "false"
     at = control.address("listen") if control is not None else None
-    for other in (households, amqp):
+    for other in (clients, amqp):
         if at is not None and other is not None and other.address("listen") == at:
             raise BadConfig(path, "control.listen", "is an address where clients connect")
     return NodeConfig(
         name=top.need("name"),
         control=at,
-        listen=households.address("listen") if households is not None else None,
+        listen=clients.address("listen") if clients is not None else None,
         roster=_roster(path, top),
         seed=secrets.randbits(63),
         peer_listen=None,
--- a/sailrun/start.py
+++ b/sailrun/start.py
@@ -27,7 +27,7 @@
 
 
 def start(config: Path | None, operator: Path | None, sidecar: Path | None = None) -> None:
-    """Serves households until told to stop; a file that is not usable ends it with one line."""
+    """Serves clients until told to stop; a file that is not usable ends it with one line."""
     from sailrun.serve import run
 
     def read() -> NodeConfig:
--- a/sailrun/succession/link.py
+++ b/sailrun/succession/link.py
@@ -22,7 +22,7 @@
 from sailrun.connection import Connection
 from sailrun.succession.state import LONGEST
 
-# A listener for households, one for AMQP, one for datagrams.
+# A listener for clients, one for AMQP, one for datagrams.
 MOST_SOCKETS = 8
 ROOM = socket.CMSG_SPACE(MOST_SOCKETS * array.array("i").itemsize)
 
--- a/sailrun/succession/rules.py
+++ b/sailrun/succession/rules.py
@@ -1,4 +1,4 @@
-"""Who of two processes takes households, as one of them sees it. Pure: events in, the new state out."""
+"""Who of two processes takes clients, as one of them sees it. Pure: events in, the new state out."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 class Role(Enum):
     ALONE = "alone"  # serves, and nobody has asked to succeed it
     HANDING = "handing"  # a successor was handed the listeners and has not said yes
-    SUCCEEDED = "succeeded"  # a successor takes the households
+    SUCCEEDED = "succeeded"  # a successor takes the clients
 
 
 class Succession:
@@ -27,14 +27,14 @@
         return True
 
     def took(self) -> bool:
-        """The successor takes households; whether this is news."""
+        """The successor takes clients; whether this is news."""
         if self.role is not Role.HANDING:
             return False
         self.role = Role.SUCCEEDED
         return True
 
     def lost(self, ending: bool) -> bool:
-        """The successor is gone; whether this process has to take households again. One that was asked to
+        """The successor is gone; whether this process has to take clients again. One that was asked to
         end does not: it would only be cut off with them.
         """
         was, self.role = self.role, Role.ALONE if not ending else self.role
--- a/sailrun/xds/mapping.py
+++ b/sailrun/xds/mapping.py
@@ -118,7 +118,7 @@
 
 
 def _with_draining(level: list[FormServer], levels: Iterable[list[FormServer]]) -> tuple[FormServer, ...]:
-    """A level, and what drains in the others: their households are still to be moved."""
+    """A level, and what drains in the others: their clients are still to be moved."""
     others = (s for other in levels if other is not level for s in other)
     return (*level, *(s for s in others if s.state is BackendState.DRAINING))
 
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -96,7 +96,7 @@
                 orders = self.it.look(self.now_us, lambda names: self.place or self.emptiest())
                 for name in orders.moves:
                     self.moved.append(name)
-                    household = self.it.ledger.standing[name].household
+                    household = self.it.ledger.standing[name].group
                     self.it.ended(self.now_us, name, Outcome.CANCELLED)
                     self.stand(f"{name}+", self.place or self.emptiest(), household, returned=True)
                 self.notes += orders.notes
@@ -335,7 +335,7 @@
     told = {n: held.load for n, held in ledger.held.items()}
     ledger.recount()
     for number, held in ledger.held.items():
-        assert held.count == sum(len(members) for members in held.households.values())
+        assert held.count == sum(len(members) for members in held.groups.values())
         if not ledger.told:
             assert abs(held.load - told[number]) < 1e-6 * max(1.0, held.load)
     assert sum(held.count for held in ledger.held.values()) == len(ledger.standing)
