--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -11,7 +11,7 @@
 from anyio.abc import TaskGroup
 
 from sailrun.amqp.engine import SESSION_BYTES, AmqpTerms, Engine
-from sailrun.amqp.passage import Passage
+from sailrun.amqp.transfer_relay import TransferRelay
 from sailrun.connection import Connection, OutOfDescriptors, connect
 from sailrun.front import FrontDoor, WaitingRoom
 from sailrun.interface import Outcome
@@ -49,7 +49,7 @@
         self.answered = anyio.Event()  # attached, refused or broken
         self.ended = anyio.Event()
         self.outcome = Outcome.RESET
-        self.passages: list[Passage] = []
+        self.relays: list[TransferRelay] = []
         self._turned_away = False
 
     def attach(self, asked: Any, time_left_ms: int) -> None:
@@ -91,7 +91,7 @@
         elif kind in (proton.Event.LINK_REMOTE_CLOSE, proton.Event.LINK_REMOTE_DETACH):
             condition = event.link.remote_condition
             name = str(condition.name) if condition is not None else ""
-            if name == REFUSED and not self.passages:
+            if name == REFUSED and not self.relays:
                 self._over(Outcome.REJECTED)
             elif name == MOVED:
                 self._over(Outcome.CANCELLED)
@@ -100,12 +100,12 @@
             else:
                 self._over(Outcome.OK)
         elif kind == proton.Event.CONNECTION_REMOTE_CLOSE:
-            self._over(Outcome.ERROR if not self.passages else Outcome.RESET)
+            self._over(Outcome.ERROR if not self.relays else Outcome.RESET)
         elif kind == proton.Event.LINK_FLOW:
-            for passage in self.passages:
-                passage.grant()
+            for relay in self.relays:
+                relay.grant()
         elif kind == proton.Event.DELIVERY:
-            _delivered(event.delivery, self.passages)
+            _delivered(event.delivery, self.relays)
 
     async def say_goodbye(self, clock_moment: Callable[[int], float]) -> None:
         """Detaches in good order; a form server that does not answer is dropped."""
@@ -117,14 +117,14 @@
         self.engine.abandon()
 
 
-def _delivered(delivery: proton.Delivery, passages: list[Passage]) -> None:
-    for passage in passages:
-        if delivery.link == passage.inbound:
+def _delivered(delivery: proton.Delivery, relays: list[TransferRelay]) -> None:
+    for relay in relays:
+        if delivery.link == relay.inbound:
             if delivery.updated and delivery.settled and not delivery.partial and not delivery.readable:
-                passage.forgotten(delivery)
-            passage.transfer()
-        elif delivery.link == passage.outbound and delivery.updated:
-            passage.settled(delivery)
+                relay.forgotten(delivery)
+            relay.transfer()
+        elif delivery.link == relay.outbound and delivery.updated:
+            relay.settled(delivery)
 
 
 class ClientLink:
@@ -199,7 +199,7 @@
         clock = self._node.clock
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + LAST_TRANSFERS_US)):
             while self._form_server is not None and not all(
-                p.between_transfers for p in self._form_server.passages
+                p.between_transfers for p in self._form_server.relays
             ):
                 self._quiet = anyio.Event()
                 await self._quiet.wait()
@@ -222,8 +222,8 @@
     def _finish(self, reason: str) -> None:
         self._ended = True
         if self._form_server is not None:
-            for passage in self._form_server.passages:
-                passage.finish()
+            for relay in self._form_server.relays:
+                relay.finish()
             self._form_server.ended.set()
         if self._scope is not None:
             self._scope.cancel()
@@ -254,12 +254,12 @@
         return bool(self.link.session == session)
 
     def flow(self) -> None:
-        for passage in self._form_server.passages if self._form_server is not None else []:
-            passage.grant()
+        for relay in self._form_server.relays if self._form_server is not None else []:
+            relay.grant()
 
     def delivered(self, delivery: proton.Delivery) -> None:
         if self._form_server is not None:
-            _delivered(delivery, self._form_server.passages)
+            _delivered(delivery, self._form_server.relays)
 
     async def _try(self, placement: Placement) -> None:
         """One attempt, and the session if it stands. Its connection is closed before the core hears of
@@ -356,13 +356,13 @@
             self._quiet.set()
 
         if self.link.is_receiver:
-            passage = Passage(self.link, server.link, near, far, passed, outcome)
+            relay = TransferRelay(self.link, server.link, near, far, passed, outcome)
         else:
-            passage = Passage(server.link, self.link, far, near, nothing, nothing)
-        server.passages.append(passage)
-        far.on_sent = passage.transfer
+            relay = TransferRelay(server.link, self.link, far, near, nothing, nothing)
+        server.relays.append(relay)
+        far.on_sent = relay.transfer
         near.changed()
-        passage.transfer()
+        relay.transfer()
 
     def _end_with(self, outcome: Outcome) -> None:
         """The form server ended the session: the client's link ends the same way."""
--- a/sailrun/amqp/passage.py
+++ b/sailrun/amqp/transfer_relay.py
@@ -12,7 +12,7 @@
 HELD_BYTES = 256 * 1024
 
 
-class Passage:
+class TransferRelay:
     """Passes transfers from `inbound` to `outbound` frame by frame.
 
     Credit is only what the far side granted, so nothing waits here that the far side has no room for.
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -606,7 +606,7 @@
         for number, watch in self._watches.items():
             for session in watch.sessions.values():
                 self._stands_for(rebalancer, session, number, True, None)
-                known = old.ledger.standing.get(session.id) if old is not None else None
+                known = old.connections.standing.get(session.id) if old is not None else None
                 if known is not None and known.load is not None:
                     rebalancer.loaded(session.id, known.load)
         if self.leaving:
--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -15,8 +15,8 @@
 import mmh3
 
 from sailrun.interface import Backend, BackendState, ListKind, Outcome, Settings
-from sailrun.rebalance.gossip import BadDatagram, Hearsay, Teller, read
-from sailrun.rebalance.ledger import Key, Ledger, Standing
+from sailrun.rebalance.connection_table import ConnectionTable, Key, Standing
+from sailrun.rebalance.gossip import BadDatagram, LoadReporter, NeighbourLoads, read
 from sailrun.rebalance.pace import Pace
 from sailrun.rebalance.terms import RebalanceTerms
 
@@ -95,10 +95,12 @@
         self._objectives = {c.name: c.objective_us for c in settings.classes}
         self._rest_us = int(terms.rest_s * SECOND)
         self._servers: dict[int, Backend] = {}
-        self.ledger = Ledger()
-        self._hearsay = Hearsay(int(terms.tell_s * SECOND), self._nodes)
+        self.connections = ConnectionTable()
+        self._neighbour_loads = NeighbourLoads(int(terms.tell_s * SECOND), self._nodes)
         talks = terms.neighbours and settings.peer_messages and self._nodes > 1
-        self._teller = Teller(now_us // 1000, int(terms.tell_s * SECOND), self._nodes) if talks else None
+        self._reporter = (
+            LoadReporter(now_us // 1000, int(terms.tell_s * SECOND), self._nodes) if talks else None
+        )
         self._pace = Pace(
             terms.first_per_s / self._nodes,
             terms.most_per_s / self._nodes,
@@ -157,7 +159,7 @@
         self._returns_us.append(now_us)
         _forget(self._returns_us, now_us - STORM_US)
         _forget(self._moved_us, now_us - STORM_US - RETURN_US)
-        usual = STORM_FEW + 2 * len(self._moved_us) + STORM_SHARE * len(self.ledger.standing)
+        usual = STORM_FEW + 2 * len(self._moved_us) + STORM_SHARE * len(self.connections.standing)
         if len(self._returns_us) > usual:
             self._trouble(now_us, "returns")
 
@@ -174,9 +176,9 @@
         """A session stands; `returned`: back from a break or a move. `took_us` is None where it stood before
         this node started.
         """
-        self.ledger.stands(Standing(name, group, request_class, server, now_us, returned))
+        self.connections.stands(Standing(name, group, request_class, server, now_us, returned))
         self._unsettled.pop(group, None)
-        if self._teller is not None:
+        if self._reporter is not None:
             self._named[_hash(group)] = group
         for n, reserved in enumerate(self._reserved):
             if reserved.group == group:
@@ -190,11 +192,11 @@
                 self._trouble(now_us, "slow-set-ups")
 
     def loaded(self, name: str, load: float) -> None:
-        self.ledger.loaded(name, load)
+        self.connections.loaded(name, load)
 
     def ended(self, now_us: int, name: str, outcome: Outcome) -> None:
         """A session that stood has ended here. One that did not end well comes back."""
-        one = self.ledger.ended(name)
+        one = self.connections.ended(name)
         if one is not None and outcome is not Outcome.OK:
             self._unsettled[one.group] = now_us + RETURN_US
 
@@ -210,19 +212,19 @@
     def heard(self, now_us: int, sender: int, content: bytes) -> None:
         """A neighbour's datagram. One that is none of ours is noted, and changes nothing."""
         try:
-            telling = read(content)
+            report = read(content)
         except BadDatagram as error:
             if sender not in self._unread:
                 self._unread.add(sender)
                 self._notes.append({"state": "datagram-rejected", "neighbour": sender, "why": str(error)})
             return
         self._unread.discard(sender)
-        if self._teller is not None:
-            self._teller.answered()
-        if self._hearsay.heard(now_us, sender, telling):
-            if telling.alert and self._teller is not None:
-                self._teller.heard_alert()
-            for group in telling.moved:
+        if self._reporter is not None:
+            self._reporter.answered()
+        if self._neighbour_loads.heard(now_us, sender, report):
+            if report.alert and self._reporter is not None:
+                self._reporter.heard_alert()
+            for group in report.moved:
                 if group in self._named:
                     self._followed[group] = now_us + FOLLOW_US
 
@@ -256,10 +258,10 @@
         if now_us >= self._recount_us:
             young = now_us - self._began_us < YOUNG_US
             self._recount_us = now_us + (SECOND if young else RECOUNT_US)
-            self.ledger.recount()
+            self.connections.recount()
             self._unsettled = {k: until for k, until in self._unsettled.items() if until > now_us}
             self._asked = {k: until for k, until in self._asked.items() if until > now_us}
-            self._named = {h: k for h, k in self._named.items() if self.ledger.where(k)}
+            self._named = {h: k for h, k in self._named.items() if self.connections.where(k)}
         self._reserved = [r for r in self._reserved if r.until_us > now_us]
         self._followed = {h: until for h, until in self._followed.items() if until > now_us}
         orders = Orders()
@@ -269,10 +271,10 @@
             self._trouble(now_us, "roster-lost")
         view = self._seen = self.view(now_us)
         active = self._judge(now_us, view)
-        if self._teller is not None:
-            own = {n: held.load for n, held in self.ledger.held.items()}
-            orders.tell = self._teller.due(
-                now_us, self.ledger.told, own, active or self._alarm_us is not None
+        if self._reporter is not None:
+            own = {n: held.load for n, held in self.connections.held.items()}
+            orders.tell = self._reporter.due(
+                now_us, self.connections.told, own, active or self._alarm_us is not None
             )
         if active or self._followed:
             self._choose(now_us, view, elsewhere, orders, active)
@@ -289,15 +291,15 @@
 
     def view(self, now_us: int) -> View:
         warm = self.warm(now_us)
-        own = {n: held.load for n, held in self.ledger.held.items() if n in warm}
-        heard, voices = self._hearsay.loads(now_us, self.ledger.told, warm)
+        own = {n: held.load for n, held in self.connections.held.items() if n in warm}
+        heard, voices = self._neighbour_loads.loads(now_us, self.connections.told, warm)
         known = min(1.0, (1.0 + voices) / self._nodes)
         loads = {n: (own.get(n, 0.0) + heard.get(n, 0.0)) / known for n in warm}
         capacity = sum(s.capacity for s in warm.values())
         total = sum(loads.values())
         shares = {n: total * s.capacity / capacity for n, s in warm.items()} if capacity > 0 else {}
-        core = SECOND * self._terms.cores * self._terms.spare_below if self.ledger.told else 0.0
-        noise = self.ledger.unevenness() * (1.0 - known) / known * (CHANCE if self._active else 1.0)
+        core = SECOND * self._terms.cores * self._terms.spare_below if self.connections.told else 0.0
+        noise = self.connections.unevenness() * (1.0 - known) / known * (CHANCE if self._active else 1.0)
         spared = {n: core * s.capacity for n, s in warm.items()}
         return View(_shrunk(loads, shares, noise), shares, known, spared)
 
@@ -323,7 +325,7 @@
                 self._alarm_us = None
                 return False
             self._alarm_us = self._alarm_us if self._alarm_us is not None else now_us
-            deaf = self._teller is not None and view.known < MOST_KNOWN
+            deaf = self._reporter is not None and view.known < MOST_KNOWN
             if not ready or (deaf and now_us - self._alarm_us < HEAR_US):
                 return False
             self._alarm_us = None
@@ -366,7 +368,7 @@
         questions = QUESTIONS if active else 0
         over = [n for n in view.shares if self._excess(view, n) > 0]
         for number in sorted(over, key=lambda n: (-self._excess(view, n), n)):
-            held = self.ledger.held.get(number)
+            held = self.connections.held.get(number)
             if held is None:
                 continue
             # This node's part of what is too much there.
@@ -376,7 +378,7 @@
                     return
                 if excess <= 0:
                     break
-                weight = self.ledger.weight(members)
+                weight = self.connections.weight(members)
                 # One heavier than what is to go, or than this node's part of the room, goes by lot: so all
                 # nodes together move about as much as they should. The lot is the group's own, the same
                 # at every node.
@@ -402,31 +404,31 @@
             group = self._named.get(hashed)
             if group is None:
                 continue
-            for number in self.ledger.where(group):
+            for number in self.connections.where(group):
                 if room.get(number, 0.0) > 0:
                     continue  # not where the neighbour has moved it from: this one takes others in
-                members = self.ledger.movable(number, group, now_us - self._rest_us)
+                members = self.connections.movable(number, group, now_us - self._rest_us)
                 target = elsewhere(list(members)) if members else None
                 if target is not None and room.get(target, 0.0) > 0:
-                    weight = self.ledger.weight(members)
+                    weight = self.connections.weight(members)
                     self._move(now_us, group, members, target, weight, orders)
                     room[target] -= weight
                     moved += len(members)
         return moved
 
     def _candidates(self, now_us: int, number: int) -> list[tuple[Key, dict[str, Standing]]]:
-        ledger = self.ledger
+        connections = self.connections
         found = [
             (group, members)
-            for group in ledger.held[number].groups
+            for group in connections.held[number].groups
             if self._unsettled.get(group, 0) <= now_us
             and self._asked.get(group, 0) <= now_us
-            and (members := ledger.movable(number, group, now_us - self._rest_us))
+            and (members := connections.movable(number, group, now_us - self._rest_us))
         ]
 
         def order(item: tuple[Key, dict[str, Standing]]) -> tuple[bool, float, Key]:
             group, members = item
-            return not ledger.whole(group), -ledger.weight(members) / len(members), group
+            return not connections.whole(group), -connections.weight(members) / len(members), group
 
         return sorted(found, key=order)
 
@@ -446,8 +448,8 @@
         self._pace.spend(len(members))
         self._reserved.append(_Reserved(group, target, weight, now_us + RETURN_US))
         self._unsettled[group] = now_us + RETURN_US
-        if self._teller is not None:
-            self._teller.moved(_hash(group))
+        if self._reporter is not None:
+            self._reporter.moved(_hash(group))
         self._moved += len(members)
         self._useful_us = now_us
 
--- a/sailrun/rebalance/ledger.py
+++ b/sailrun/rebalance/connection_table.py
@@ -1,4 +1,6 @@
-"""What stands where through this node: loads, groups, and who has rested long enough to be moved."""
+"""The connections that stand through this node: where, with what load, in which group, and who has rested
+long enough to be moved.
+"""
 
 from __future__ import annotations
 
@@ -36,8 +38,10 @@
     count: int = 0
 
 
-class Ledger:
-    """Loads by form server. One of unknown load counts its class's mean, or 1 before any is known."""
+class ConnectionTable:
+    """Connections and their loads by form server. One of unknown load counts its class's mean, or 1 before
+    any is known.
+    """
 
     def __init__(self) -> None:
         self.standing: dict[str, Standing] = {}
--- a/sailrun/rebalance/gossip.py
+++ b/sailrun/rebalance/gossip.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Telling:
+class LoadReport:
     """One datagram's content: some form servers' loads as one node holds them."""
 
     incarnation: int
@@ -56,24 +56,24 @@
     alert: bool = False
 
 
-def write(telling: Telling) -> bytes:
+def write(report: LoadReport) -> bytes:
     """At most 256 bytes. Raises ValueError for more form servers or groups than that holds."""
-    if len(telling.loads) > ENTRIES or len(telling.moved) > MOVED:
-        raise ValueError(f"{len(telling.loads)} form servers, {len(telling.moved)} households")
+    if len(report.loads) > ENTRIES or len(report.moved) > MOVED:
+        raise ValueError(f"{len(report.loads)} form servers, {len(report.moved)} households")
     head = _HEAD.pack(
         VERSION,
-        (TOLD if telling.told else 0) | (ALERT if telling.alert else 0),
-        len(telling.loads),
-        len(telling.moved),
-        telling.sequence,
-        telling.incarnation,
-        telling.total,
+        (TOLD if report.told else 0) | (ALERT if report.alert else 0),
+        len(report.loads),
+        len(report.moved),
+        report.sequence,
+        report.incarnation,
+        report.total,
     )
-    loads = b"".join(_ENTRY.pack(number, load) for number, load in telling.loads.items())
-    return head + loads + b"".join(map(_MOVED.pack, telling.moved))
+    loads = b"".join(_ENTRY.pack(number, load) for number, load in report.loads.items())
+    return head + loads + b"".join(map(_MOVED.pack, report.moved))
 
 
-def read(content: bytes) -> Telling:
+def read(content: bytes) -> LoadReport:
     """Raises BadDatagram for whatever another node of this version would not have written."""
     if len(content) < _HEAD.size or content[0] != VERSION:
         raise BadDatagram("another version")
@@ -85,7 +85,7 @@
     moved = tuple(one for (one,) in _MOVED.iter_unpack(content[ends:]))
     if not all(math.isfinite(load) and load >= 0 for load in (total, *loads.values())):
         raise BadDatagram("a load that is none")
-    return Telling(incarnation, sequence, bool(flags & TOLD), total, loads, moved, bool(flags & ALERT))
+    return LoadReport(incarnation, sequence, bool(flags & TOLD), total, loads, moved, bool(flags & ALERT))
 
 
 @dataclass(slots=True)
@@ -98,7 +98,7 @@
     loads: dict[int, float] = field(default_factory=dict)
 
 
-class Hearsay:
+class NeighbourLoads:
     """What the neighbours hold, as far as heard. Sums are kept, not made anew at every look."""
 
     def __init__(self, every_us: int, nodes: int) -> None:
@@ -106,23 +106,23 @@
         self._neighbours: dict[int, _Neighbour] = {}
         self._sums: dict[bool, dict[int, float]] = {False: {}, True: {}}  # by the unit that they count in
 
-    def heard(self, now_us: int, sender: int, telling: Telling) -> bool:
+    def heard(self, now_us: int, sender: int, report: LoadReport) -> bool:
         """Takes it over, unless something newer of this sender is known."""
         known = self._neighbours.setdefault(sender, _Neighbour())
-        if telling.incarnation < known.incarnation:
+        if report.incarnation < known.incarnation:
             return False
-        if telling.incarnation > known.incarnation or telling.told != known.told:
+        if report.incarnation > known.incarnation or report.told != known.told:
             # It has started anew, or counts otherwise: what it held before is void.
             self._forget(known)
-            known.incarnation, known.told = telling.incarnation, telling.told
-        if telling.sequence <= known.sequence:
+            known.incarnation, known.told = report.incarnation, report.told
+        if report.sequence <= known.sequence:
             return False
-        known.sequence, known.heard_us = telling.sequence, now_us
+        known.sequence, known.heard_us = report.sequence, now_us
         sums = self._sums[known.told]
-        for number, load in telling.loads.items():
+        for number, load in report.loads.items():
             sums[number] = sums.get(number, 0.0) + load - known.loads.get(number, 0.0)
             known.loads[number] = load
-        known.rest = max(0.0, telling.total - sum(known.loads.values()))
+        known.rest = max(0.0, report.total - sum(known.loads.values()))
         return True
 
     def loads(self, now_us: int, told: bool, servers: Mapping[int, object]) -> tuple[dict[int, float], int]:
@@ -152,7 +152,7 @@
     return int(every_us * max(1.0, nodes / FEW))
 
 
-class Teller:
+class LoadReporter:
     """When a node tells what. Of an even fleet nothing: datagrams cost, and nobody would do anything. Once a
     node sees from its own part that the fleet is not even, it tells, and all who hear of it tell too.
     """
@@ -210,5 +210,5 @@
         self._unanswered += 1
         groups, self._moved = tuple(self._moved[:MOVED]), self._moved[MOVED:]
         return write(
-            Telling(self._incarnation, self._sequence, told, sum(loads.values()), told_of, groups, alert)
+            LoadReport(self._incarnation, self._sequence, told, sum(loads.values()), told_of, groups, alert)
         )
--- a/sailrun/succession/handover.py
+++ b/sailrun/succession/handover.py
@@ -24,7 +24,7 @@
 from sailrun.succession.link import MOST_SOCKETS, Doorstep, Link, hand, is_ours, knock, receive
 from sailrun.succession.rules import Succession
 from sailrun.succession.state import (
-    BadPassage,
+    BadHandoverMessage,
     pack,
     read_held,
     read_state,
@@ -91,7 +91,7 @@
             _, content = unpack(line)
             named = [str(key) for key in content["sockets"]]
             state = read_state(content["state"])
-        except (BadPassage, KeyError, TypeError) as error:
+        except (BadHandoverMessage, KeyError, TypeError) as error:
             log("passage-dropped", why=str(error))
         if len(named) != len(sockets):
             named = [f"unknown {n}" for n in range(len(sockets))]
@@ -164,7 +164,7 @@
                 group.cancel_scope.cancel()
         except* (OSError, Overlong):
             pass  # it has ended
-        except* BadPassage as broken:
+        except* BadHandoverMessage as broken:
             log("passage-dropped", why=str(broken.exceptions[0]))
         finally:
             del self._talks[link]
@@ -224,7 +224,7 @@
             try:
                 line = await _line(link) if is_ours(sock) else None
                 asked = line is not None and unpack(line)[0] == "succeed"
-            except (OSError, Overlong, BadPassage) as error:
+            except (OSError, Overlong, BadHandoverMessage) as error:
                 log("passage-dropped", why=str(error))
         if not asked or not self._rules.asked():
             link.close()
--- a/sailrun/succession/state.py
+++ b/sailrun/succession/state.py
@@ -1,7 +1,7 @@
 """What passes from a predecessor to its successor, as checked lines of JSON. Pure.
 
 A line is the version, a checksum and a kind with its content. What is torn, of another version or out of
-form raises BadPassage, and nothing of it is used.
+form raises BadHandoverMessage, and nothing of it is used.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 LONGEST = 2 * 1024 * 1024
 
 
-class BadPassage(ValueError):
+class BadHandoverMessage(ValueError):
     """No usable line; says why."""
 
 
@@ -34,19 +34,19 @@
 
 def unpack(line: bytes) -> tuple[str, Any]:
     if not line.endswith(b"\n"):
-        raise BadPassage("torn")
+        raise BadHandoverMessage("torn")
     version, _, rest = line[:-1].partition(b" ")
     if version != b"%d" % VERSION:
-        raise BadPassage(f"of version {version[:20].decode('ascii', 'replace')}, not {VERSION}")
+        raise BadHandoverMessage(f"of version {version[:20].decode('ascii', 'replace')}, not {VERSION}")
     checksum, _, text = rest.partition(b" ")
     if checksum != b"%08x" % zlib.crc32(text):
-        raise BadPassage("its checksum is wrong")
+        raise BadHandoverMessage("its checksum is wrong")
     try:
         kind, content = json.loads(text)
     except (ValueError, TypeError, RecursionError):
-        raise BadPassage("no kind and content") from None
+        raise BadHandoverMessage("no kind and content") from None
     if not isinstance(kind, str):
-        raise BadPassage("its kind is no text")
+        raise BadHandoverMessage("its kind is no text")
     return kind, content
 
 
@@ -95,15 +95,15 @@
             str(k): (_finite(mean), int(notes)) for k, (mean, notes) in content["class_load"].items()
         }
     except BadServerList as error:
-        raise BadPassage(f"its roster: {error}") from None
+        raise BadHandoverMessage(f"its roster: {error}") from None
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise BadPassage(f"not in its form: {error!r}") from None
+        raise BadHandoverMessage(f"not in its form: {error!r}") from None
     if len(pace) != len(i.PACE):
-        raise BadPassage("its pace is of another form")
+        raise BadHandoverMessage("its pace is of another form")
     if not isinstance(by_hand, list) or not all(isinstance(name, str) for name in by_hand):
-        raise BadPassage("'out_by_hand' is no list of ids")
+        raise BadHandoverMessage("'out_by_hand' is no list of ids")
     if not isinstance(draining, bool):
-        raise BadPassage("'draining' is neither true nor false")
+        raise BadHandoverMessage("'draining' is neither true nor false")
     return NodeState(server_list, frozenset(by_hand), draining, i.Recalled(backends, pace, class_load))
 
 
@@ -144,4 +144,4 @@
         connections, descriptors = int(content["connections"]), int(content["descriptors"])
         return HeldSessions(loads, connections, content["told"] is True, descriptors)
     except (KeyError, TypeError, ValueError, OverflowError) as error:
-        raise BadPassage(f"not in its form: {error!r}") from None
+        raise BadHandoverMessage(f"not in its form: {error!r}") from None
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -11,18 +11,18 @@
 
 from sailrun.interface import Backend, BackendState, ListKind, Outcome, RequestClass, Settings
 from sailrun.rebalance.balance import Orders, Rebalancer
+from sailrun.rebalance.connection_table import ConnectionTable, Standing
 from sailrun.rebalance.gossip import (
     ENTRIES,
     LONGEST,
     MOVED,
     BadDatagram,
-    Hearsay,
-    Teller,
-    Telling,
+    LoadReport,
+    LoadReporter,
+    NeighbourLoads,
     read,
     write,
 )
-from sailrun.rebalance.ledger import Ledger, Standing
 from sailrun.rebalance.pace import Pace
 from sailrun.rebalance.terms import RebalanceTerms
 
@@ -65,7 +65,7 @@
         self.it.listed(self.now_us, ListKind.FULL, servers(self.count))
 
     def held(self) -> dict[int, int]:
-        held = self.it.ledger.held
+        held = self.it.connections.held
         return {n: held[n].count if n in held else 0 for n in range(1, self.count + 1)}
 
     def emptiest(self) -> int:
@@ -96,7 +96,7 @@
                 orders = self.it.look(self.now_us, lambda names: self.place or self.emptiest())
                 for name in orders.moves:
                     self.moved.append(name)
-                    household = self.it.ledger.standing[name].group
+                    household = self.it.connections.standing[name].group
                     self.it.ended(self.now_us, name, Outcome.CANCELLED)
                     self.stand(f"{name}+", self.place or self.emptiest(), household, returned=True)
                 self.notes += orders.notes
@@ -198,10 +198,10 @@
     bench.stand("mine", 1, "home")
     bench.look(3)
     assert not bench.moved
-    telling = Telling(
+    report = LoadReport(
         1, 1, False, 41.0, {1: 11.0, 2: 10.0, 3: 10.0, 4: 10.0}, (mmh3.hash("home", signed=False),)
     )
-    bench.it.heard(bench.now_us, 1, write(telling))
+    bench.it.heard(bench.now_us, 1, write(report))
     bench.look(3)
     assert bench.moved == ["mine"]
 
@@ -261,21 +261,21 @@
 
 
 def test_a_neighbours_word_counts_once_the_newest_and_not_for_ever() -> None:
-    hearsay = Hearsay(2 * SECOND, 2)
-    assert hearsay.heard(0, 1, Telling(5, 2, False, 9.0, {1: 4.0, 2: 5.0}))
-    assert not hearsay.heard(0, 1, Telling(5, 2, False, 9.0, {1: 4.0, 2: 5.0}))  # twice
-    assert not hearsay.heard(0, 1, Telling(5, 1, False, 9.0, {1: 1.0}))  # out of order
-    assert not hearsay.heard(0, 1, Telling(4, 9, False, 9.0, {1: 1.0}))  # from before its restart
-    assert hearsay.loads(1, False, {1: None, 2: None}) == ({1: 4.0, 2: 5.0}, 1)
-    assert hearsay.loads(1, True, {1: None, 2: None}) == ({1: 0.0, 2: 0.0}, 0)  # counts otherwise
-    assert hearsay.heard(2, 1, Telling(6, 1, False, 3.0, {2: 3.0}))  # it has started anew
-    assert hearsay.loads(3, False, {1: None, 2: None}) == ({1: 0.0, 2: 3.0}, 1)
-    assert hearsay.loads(60 * SECOND, False, {1: None, 2: None})[1] == 0
+    neighbour_loads = NeighbourLoads(2 * SECOND, 2)
+    assert neighbour_loads.heard(0, 1, LoadReport(5, 2, False, 9.0, {1: 4.0, 2: 5.0}))
+    assert not neighbour_loads.heard(0, 1, LoadReport(5, 2, False, 9.0, {1: 4.0, 2: 5.0}))  # twice
+    assert not neighbour_loads.heard(0, 1, LoadReport(5, 1, False, 9.0, {1: 1.0}))  # out of order
+    assert not neighbour_loads.heard(0, 1, LoadReport(4, 9, False, 9.0, {1: 1.0}))  # from before its restart
+    assert neighbour_loads.loads(1, False, {1: None, 2: None}) == ({1: 4.0, 2: 5.0}, 1)
+    assert neighbour_loads.loads(1, True, {1: None, 2: None}) == ({1: 0.0, 2: 0.0}, 0)  # counts otherwise
+    assert neighbour_loads.heard(2, 1, LoadReport(6, 1, False, 3.0, {2: 3.0}))  # it has started anew
+    assert neighbour_loads.loads(3, False, {1: None, 2: None}) == ({1: 0.0, 2: 3.0}, 1)
+    assert neighbour_loads.loads(60 * SECOND, False, {1: None, 2: None})[1] == 0
 
 
 loads = st.dictionaries(st.integers(0, 2**32 - 1), st.floats(0, 1e9, width=32), max_size=ENTRIES)
-tellings = st.builds(
-    Telling,
+reports = st.builds(
+    LoadReport,
     st.integers(0, 2**64 - 1),
     st.integers(0, 2**32 - 1),
     st.booleans(),
@@ -286,11 +286,11 @@
 )
 
 
-@given(tellings)
-def test_a_datagram_says_what_was_written_in_at_most_256_bytes(telling: Telling) -> None:
-    content = write(telling)
+@given(reports)
+def test_a_datagram_says_what_was_written_in_at_most_256_bytes(report: LoadReport) -> None:
+    content = write(report)
     assert len(content) <= LONGEST
-    assert read(content) == telling
+    assert read(content) == report
 
 
 @given(st.binary(max_size=300))
@@ -300,18 +300,23 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 100), st.floats(0.1, 10)), max_size=60), st.integers(0, 1000))
-def test_what_a_teller_tells_adds_up_for_whoever_hears_all(
+def test_what_a_reporter_tells_adds_up_for_whoever_hears_all(
     changes: list[tuple[int, float]], begin_us: int
 ) -> None:
-    teller, hearsay, held, now_us = Teller(1, SECOND, 4), Hearsay(SECOND, 4), dict[int, float](), begin_us
+    reporter, neighbour_loads, held, now_us = (
+        LoadReporter(1, SECOND, 4),
+        NeighbourLoads(SECOND, 4),
+        dict[int, float](),
+        begin_us,
+    )
     for number, load in [*changes, *([(0, 1.0)] * 12)]:
         held[number] = load
         now_us += 4 * SECOND
-        content = teller.due(now_us, True, held, alert=True)
+        content = reporter.due(now_us, True, held, alert=True)
         if content is not None:
-            hearsay.heard(now_us, 3, read(content))
-            teller.answered()
-    heard, voices = hearsay.loads(now_us, True, held)
+            neighbour_loads.heard(now_us, 3, read(content))
+            reporter.answered()
+    heard, voices = neighbour_loads.loads(now_us, True, held)
     assert voices == 1
     assert abs(sum(heard.values()) - sum(held.values())) <= 1e-3 * sum(held.values())
 
@@ -322,23 +327,23 @@
 
 
 @given(steps)
-def test_the_ledger_adds_up_whatever_comes_and_goes(events: list[tuple[int, int, float]]) -> None:
-    ledger = Ledger()
+def test_the_connection_table_adds_up_whatever_comes_and_goes(events: list[tuple[int, int, float]]) -> None:
+    connections = ConnectionTable()
     for n, (what, server, load) in enumerate(events):
-        names = list(ledger.standing)
+        names = list(connections.standing)
         if what <= 2 or not names:
-            ledger.stands(Standing(f"c{n}", f"h{n % 7}", "page-load", server, 0, False))
+            connections.stands(Standing(f"c{n}", f"h{n % 7}", "page-load", server, 0, False))
         elif what == 3:
-            ledger.loaded(names[n % len(names)], load)
+            connections.loaded(names[n % len(names)], load)
         else:
-            ledger.ended(names[n % len(names)])
-    told = {n: held.load for n, held in ledger.held.items()}
-    ledger.recount()
-    for number, held in ledger.held.items():
+            connections.ended(names[n % len(names)])
+    told = {n: held.load for n, held in connections.held.items()}
+    connections.recount()
+    for number, held in connections.held.items():
         assert held.count == sum(len(members) for members in held.groups.values())
-        if not ledger.told:
+        if not connections.told:
             assert abs(held.load - told[number]) < 1e-6 * max(1.0, held.load)
-    assert sum(held.count for held in ledger.held.values()) == len(ledger.standing)
+    assert sum(held.count for held in connections.held.values()) == len(connections.standing)
 
 
 @given(
@@ -384,7 +389,7 @@
         bench.it = Rebalancer(RebalanceTerms(enabled=True, cores=2.0), settings(), bench.now_us)
         bench.it.listed(bench.now_us, ListKind.FULL, servers(bench.count))
         bench.crowd(1, 40)
-        for name in list(bench.it.ledger.standing):
+        for name in list(bench.it.connections.standing):
             bench.it.loaded(name, load)  # 40 of these with their households: half, or three times, of 2 cores
         bench.look(20)
         assert bool(bench.moved) is moves
@@ -400,7 +405,7 @@
         orders = bench.look(0.25)
         told.append(sum(order.tell is not None for order in orders))
         if told[-1]:
-            other = Telling(1, sequence, False, 200.0, {1: 17.5, 2: 50.0, 3: 52.5, 4: 80.0})
+            other = LoadReport(1, sequence, False, 200.0, {1: 17.5, 2: 50.0, 3: 52.5, 4: 80.0})
             bench.it.heard(bench.now_us, 1, write(other))
     assert not bench.moved
     assert 0 < sum(told) < 60
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -23,7 +23,15 @@
 from sailrun.node.session import ServerListUpdate
 from sailrun.node.succession_state import HeldSessions, NodeState
 from sailrun.succession.rules import Role, Succession
-from sailrun.succession.state import BadPassage, pack, read_held, read_state, unpack, write_held, write_state
+from sailrun.succession.state import (
+    BadHandoverMessage,
+    pack,
+    read_held,
+    read_state,
+    unpack,
+    write_held,
+    write_state,
+)
 from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, free_port, node
 
 
@@ -227,10 +235,10 @@
 def test_a_state_torn_or_changed_at_any_byte_is_dropped() -> None:
     line = pack("state", write_state(STATE))
     for n in range(len(line)):
-        with pytest.raises(BadPassage):
+        with pytest.raises(BadHandoverMessage):
             unpack(line[:n])
         if line[n : n + 1] != b"#":
-            with pytest.raises(BadPassage):
+            with pytest.raises(BadHandoverMessage):
                 unpack(line[:n] + b"#" + line[n + 1 :])
 
 
@@ -241,7 +249,7 @@
     try:
         read_state({**content, key: other})
         taken = True
-    except BadPassage:
+    except BadHandoverMessage:
         taken = False
     # What is of the right form is another state, and no fault.
     assert taken is (
@@ -249,9 +257,9 @@
         or (key == "out_by_hand" and isinstance(other, list) and all(isinstance(o, str) for o in other))
         or (key == "draining" and isinstance(other, bool))
     )
-    with pytest.raises(BadPassage):
+    with pytest.raises(BadHandoverMessage):
         read_state({k: v for k, v in content.items() if k != key})
-    with pytest.raises(BadPassage):
+    with pytest.raises(BadHandoverMessage):
         read_state(other)
 
 
