--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -1,7 +1,7 @@
 """The one task that owns the decision module, the timers and the form sessions.
 
-Fronts, the roster and the neighbours call the methods under "what others tell"; each only puts a call
-into the queue. Orders go back through `Household` and `Roster`, none of which waits.
+Fronts, the registry and the neighbours call the methods under "what others tell"; each only puts a call
+into the queue. Orders go back through `SessionClient` and `ServiceDiscovery`, none of which waits.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from sailrun.node.counts import Counts, Figures
 from sailrun.node.leaving import Leaving, Reason
 from sailrun.node.peer_beliefs import Beliefs, PeerBeliefs
-from sailrun.node.ports import Neighbours, Prober, Roster
+from sailrun.node.ports import Neighbours, Prober, ServiceDiscovery
 from sailrun.node.rebalancing import GuardedRebalancer
 from sailrun.node.reply import Reply
-from sailrun.node.session import FormServer, FormSession, Placement, RosterNews, server_number
+from sailrun.node.session import FormServer, FormSession, Placement, ServerListUpdate, server_number
 from sailrun.node.session_transfer import SendTransfer
 from sailrun.node.succession_state import HeldSessions, NodeState
 from sailrun.node.tier import Tier
@@ -51,7 +51,7 @@
         settings: i.Settings,
         seed: int,
         clock: Clock,
-        known: RosterNews,
+        known: ServerListUpdate,
         log: Callable[..., None] = log,
         passed: NodeState | None = None,
     ) -> None:
@@ -60,7 +60,7 @@
         self.wake: Callable[[], None] = lambda: None  # the queue is no longer empty
         self._log = log
         self.settings = settings
-        self.roster: Roster | None = None
+        self.discovery: ServiceDiscovery | None = None
         self.neighbours: Neighbours | None = None
         self.prober: Prober | None = None
         self.rebalancing = GuardedRebalancer(log)
@@ -103,7 +103,7 @@
             self.wake()
 
     def ask(self, session: FormSession) -> None:
-        """A household asks for a form session; one final answer is owed by its deadline."""
+        """A client asks for a form session; one final answer is owed by its deadline."""
         self._post(self._asked, session)
 
     def placed(self, session: FormSession, placement: Placement, took_us: int) -> None:
@@ -117,7 +117,7 @@
         self._post(self._attempt_over, session, placement, outcome)
 
     def left(self, session: FormSession) -> None:
-        """The household has gone before its session stood."""
+        """The client has gone before its session stood."""
         self._post(self._left, session)
 
     def told_load(self, session: FormSession, load: float) -> None:
@@ -139,7 +139,7 @@
         )
 
     def line_out(self, session: FormSession) -> None:
-        """A household's line went to its form server."""
+        """A client's line went to its form server."""
         session.unanswered.append(self.clock.now_us())
         if session.placement is not None:
             number = session.placement.form_server.number
@@ -153,7 +153,7 @@
                 watch.heard_us = self.clock.now_us()
 
     def answered(self, session: FormSession) -> None:
-        """The form server returned a household's line."""
+        """The form server returned a client's line."""
         if not session.unanswered or session.placement is None:
             return
         now_us = self.clock.now_us()
@@ -166,11 +166,11 @@
         """The session's form server has said what a message takes there."""
         self._post(self._told_delay, session, value_ms)
 
-    def roster_told(self, news: RosterNews) -> None:
-        self._post(self._roster_told, news)
+    def server_list_updated(self, update: ServerListUpdate) -> None:
+        self._post(self._server_list_updated, update)
 
-    def roster_failed(self, why: str) -> None:
-        self._post(self._roster_failed, why)
+    def discovery_failed(self, why: str) -> None:
+        self._post(self._discovery_failed, why)
 
     def neighbour_said(self, neighbour: int, content: bytes) -> None:
         self._post(self._neighbour_said, neighbour, content)
@@ -191,8 +191,8 @@
     def figures(self, reply: Reply[Figures]) -> None:
         self._post(lambda: reply(self._figures()))
 
-    def takes_households(self, reply: Reply[bool]) -> None:
-        """Whether this node takes households, and not only answers them."""
+    def takes_clients(self, reply: Reply[bool]) -> None:
+        """Whether this node takes clients, and not only answers them."""
         self._post(lambda: reply(not self.leaving and bool(self._form_servers)))
 
     def by_hand(self, name: str, out: bool, reply: Reply[bool]) -> None:
@@ -208,15 +208,15 @@
 
     @property
     def admits(self) -> bool:
-        """Whether whoever spreads the households over the nodes should count on this one."""
+        """Whether whoever spreads the clients over the nodes should count on this one."""
         return Reason.DRAIN not in self.leaving
 
     def drain(self, on: bool, reply: Reply[bool]) -> None:
-        """Sends all households away, and takes none until it is over."""
+        """Sends all clients away, and takes none until it is over."""
         self._post(lambda: reply(self._drain(on)))
 
     def lend(self, share: float, reply: Reply[bool]) -> None:
-        """This node's part of the fleet's pace of moves, 0 to 1; answers whether it moves any households."""
+        """This node's part of the fleet's pace of moves, 0 to 1; answers whether it moves any clients."""
         self._post(lambda: reply(self.rebalancing.lend(share)))
 
     # What nodes of a fleet tell each other.
@@ -237,7 +237,7 @@
         self._post(lambda: reply(self._held()))
 
     def succeeded(self, send: SendTransfer | None) -> None:
-        """A successor takes the households from now on, and standing sessions by `send`; None: it is gone,
+        """A successor takes the clients from now on, and standing sessions by `send`; None: it is gone,
         and they are this process's again.
         """
         self._post(self._succeeded, send)
@@ -275,7 +275,7 @@
             self.turn(self.clock.now_us())
 
     def start(self) -> None:
-        self._roster_told(self._known)
+        self._server_list_updated(self._known)
         if self._passed is not None:
             for name in sorted(self._passed.out_by_hand):
                 self._hand(name, True)
@@ -310,7 +310,7 @@
         try:
             actions = self._module.handle(self._now, event)
         except Exception:
-            # A fault of the decisions must not take every other household down with the node.
+            # A fault of the decisions must not take every other client down with the node.
             self._log("fault", event=type(event).__name__, trace=traceback.format_exc())
             session = self._sessions.get(getattr(event, "request", ""))
             if session is not None and not session.stands:
@@ -339,15 +339,15 @@
                 self._move(action.request, action.cause)
             case i.CancelAttempt():
                 if (session := self._sessions.get(action.request)) is not None and not session.stands:
-                    session.household.withdraw(action.attempt)
+                    session.client.withdraw(action.attempt)
             case i.SetTimer():
                 heapq.heappush(self._timers, (self._now + action.delay_us, action.token))
             case i.Subscribe():
-                if self.roster is not None:
-                    self.roster.watch(action.active)
+                if self.discovery is not None:
+                    self.discovery.watch(action.active)
             case i.FetchList():
-                if self.roster is not None:
-                    self.roster.fetch()
+                if self.discovery is not None:
+                    self.discovery.fetch()
             case i.TellPeer():
                 if self.neighbours is not None:
                     self.neighbours.tell(action.peer, action.content)
@@ -379,7 +379,7 @@
     ) -> None:
         session.placement = Placement(form_server, session.attempts, until_us, begin_by_us)
         session.attempts += 1
-        session.household.place(session.placement)
+        session.client.place(session.placement)
 
     def _move(self, name: str, cause: i.Cause) -> None:
         session = self._sessions.get(name)
@@ -389,7 +389,7 @@
     def _send_off(self, session: FormSession, cause: i.Cause) -> None:
         session.moved_for = cause
         self.counts.moves[cause] += 1
-        session.household.move()
+        session.client.move()
 
     def _answerable(self, name: str) -> FormSession | None:
         session = self._sessions.get(name)
@@ -404,11 +404,11 @@
 
     def _refuse(self, session: FormSession, retry_after_us: int) -> None:
         self.counts.classes[session.request_class].busy += 1
-        session.household.refuse(retry_after_us)
+        session.client.refuse(retry_after_us)
 
     def _fail(self, session: FormSession) -> None:
         self.counts.classes[session.request_class].failure += 1
-        session.household.fail()
+        session.client.fail()
 
     # ------------------------------------------------------------------ what has happened
 
@@ -508,35 +508,35 @@
             self._log_slow(number, watch.slow, value_ms)
         self._feed(i.AttemptNotice(session.id, attempt, number, i.NoticeKind.DELAY, value_ms))
 
-    def _roster_told(self, news: RosterNews) -> None:
-        self._revision = news.revision
-        if news.kind is not i.ListKind.CACHED:
+    def _server_list_updated(self, update: ServerListUpdate) -> None:
+        self._revision = update.revision
+        if update.kind is not i.ListKind.CACHED:
             self._log(
                 "roster",
-                kind=news.kind.name.lower(),
-                revision=news.revision,
-                form_servers=len(news.form_servers),
+                kind=update.kind.name.lower(),
+                revision=update.revision,
+                form_servers=len(update.form_servers),
             )
-        if news.kind is not i.ListKind.DELTA:
-            named = {form_server.number for form_server in news.form_servers}
+        if update.kind is not i.ListKind.DELTA:
+            named = {form_server.number for form_server in update.form_servers}
             for number, known in self._form_servers.items():
                 if number not in named:
                     self._form_servers[number] = replace(known, state=i.BackendState.GONE)
-        for form_server in news.form_servers:
+        for form_server in update.form_servers:
             self._form_servers[form_server.number] = form_server
-        entries = tuple(s.as_backend() for s in news.form_servers)
-        takes = tuple(self._as_it_takes(s) for s in news.form_servers)
-        self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, news.kind, takes))
-        self._feed(i.ListUpdate(news.kind, news.revision, entries))
+        entries = tuple(s.as_backend() for s in update.form_servers)
+        takes = tuple(self._as_it_takes(s) for s in update.form_servers)
+        self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, update.kind, takes))
+        self._feed(i.ListUpdate(update.kind, update.revision, entries))
 
     def _as_it_takes(self, form_server: FormServer) -> i.Backend:
         """The entry for whoever only looks on: one that is out by hand takes no more than one that drains."""
         out = form_server.name in self._out_by_hand and form_server.state is i.BackendState.READY
         return replace(form_server, state=i.BackendState.DRAINING if out else form_server.state).as_backend()
 
-    def _roster_failed(self, why: str) -> None:
+    def _discovery_failed(self, why: str) -> None:
         self._log("roster-failed", why=why)
-        self.rebalancing(lambda rebalancer: rebalancer.roster_lost(self._now))
+        self.rebalancing(lambda rebalancer: rebalancer.discovery_lost(self._now))
         self._feed(i.ListUpdate(i.ListKind.FAILED))
 
     @property
@@ -606,7 +606,7 @@
         for number, watch in self._watches.items():
             for session in watch.sessions.values():
                 self._stands_for(rebalancer, session, number, True, None)
-                known = old.ledger.standing.get(session.id) if old is not None else None
+                known = old.connections.standing.get(session.id) if old is not None else None
                 if known is not None and known.load is not None:
                     rebalancer.loaded(session.id, known.load)
         if self.leaving:
@@ -620,8 +620,8 @@
         returned: bool,
         took_us: int | None,
     ) -> None:
-        household = session.group or session.key or session.id
-        rebalancer.stands(self._now, session.id, number, household, session.request_class, returned, took_us)
+        group = session.group or session.key or session.id
+        rebalancer.stands(self._now, session.id, number, group, session.request_class, returned, took_us)
         if session.load_hint:
             rebalancer.loaded(session.id, session.load_hint)
 
@@ -706,9 +706,11 @@
 
     def _state(self) -> NodeState:
         listed = tuple(s for s in self._form_servers.values() if s.state is not i.BackendState.GONE)
-        roster = RosterNews(i.ListKind.CACHED, self._revision, listed)
+        server_list = ServerListUpdate(i.ListKind.CACHED, self._revision, listed)
         draining = Reason.DRAIN in self.leaving
-        return NodeState(roster, frozenset(self._out_by_hand), draining, recollection.learned(self._module))
+        return NodeState(
+            server_list, frozenset(self._out_by_hand), draining, recollection.learned(self._module)
+        )
 
     def _held(self) -> HeldSessions:
         holding = Holding(*self._module.holding())
@@ -756,7 +758,7 @@
             return
         known = self._form_servers.get(session.placement.form_server.number)
         if known is not None and self._as_it_takes(known).state is i.BackendState.READY:
-            session.household.hand_over(self._send_transfer)
+            session.client.hand_over(self._send_transfer)
 
     def _succeeded(self, send: SendTransfer | None) -> None:
         self._send_transfer = send
@@ -787,7 +789,7 @@
         return [s for w in self._watches.values() for s in w.sessions.values() if s.moved_for is None]
 
     def _send_away(self) -> None:
-        """The moves are spread, so that the households do not all knock at the neighbours at once."""
+        """The moves are spread, so that the clients do not all knock at the neighbours at once."""
         standing = self._standing()
         for session in standing[: self.leaving.to_move(self._now, len(standing), SWEEP_US)]:
             self._send_off(session, i.Cause.LEAVING)
--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -2,7 +2,7 @@
 
 A node acts on its own share of the load: of what a form server holds too much, it sheds as much as it holds
 of it itself. So nodes that hear nothing of each other still do not overshoot together. Which place a
-household would get is asked of the decision module every time; here it is only decided whether to move it.
+group would get is asked of the decision module every time; here it is only decided whether to move it.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 import mmh3
 
 from sailrun.interface import Backend, BackendState, ListKind, Outcome, Settings
-from sailrun.rebalance.gossip import BadDatagram, Hearsay, Teller, read
-from sailrun.rebalance.ledger import Key, Ledger, Standing
+from sailrun.rebalance.connection_table import ConnectionTable, Key, Standing
+from sailrun.rebalance.gossip import BadDatagram, LoadReporter, NeighbourLoads, read
 from sailrun.rebalance.pace import Pace
 from sailrun.rebalance.terms import RebalanceTerms
 
@@ -24,15 +24,15 @@
 LOOK_US = SECOND // 4
 # Sums are made anew this often; every second while most loads are not told yet.
 RECOUNT_US, YOUNG_US = 5 * SECOND, 15 * SECOND
-# A moved household is back, or will not come, after this; so long its place is spoken for.
+# A moved group is back, or will not come, after this; so long its place is spoken for.
 RETURN_US = 3 * SECOND
 # What a neighbour has begun to move is followed within this.
 FOLLOW_US = 3 * SECOND
-# So many households are asked for in a look, and one that has to stay is asked for again only after this.
+# So many groups are asked for in a look, and one that has to stay is asked for again only after this.
 QUESTIONS, ASK_AGAIN_US = 24, 4 * SECOND
 # Without a move for so long there is nothing to be done: what is over is too heavy, or has nowhere to go.
 GIVE_UP_US, PAUSE_US, LONGEST_PAUSE_US = 15 * SECOND, 10 * SECOND, 640 * SECOND
-# Of what chance would explain of the spread, so much is taken off while households are moved. All of it, as
+# Of what chance would explain of the spread, so much is taken off while groups are moved. All of it, as
 # before, is the best estimate of every single load, but leaves the busiest where it is: four nodes that hear
 # nothing came to 1.3 only.
 CHANCE = 0.2
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class _Reserved:
-    household: Key
+    group: Key
     server: int
     weight: float
     until_us: int
@@ -95,10 +95,12 @@
         self._objectives = {c.name: c.objective_us for c in settings.classes}
         self._rest_us = int(terms.rest_s * SECOND)
         self._servers: dict[int, Backend] = {}
-        self.ledger = Ledger()
-        self._hearsay = Hearsay(int(terms.tell_s * SECOND), self._nodes)
+        self.connections = ConnectionTable()
+        self._neighbour_loads = NeighbourLoads(int(terms.tell_s * SECOND), self._nodes)
         talks = terms.neighbours and settings.peer_messages and self._nodes > 1
-        self._teller = Teller(now_us // 1000, int(terms.tell_s * SECOND), self._nodes) if talks else None
+        self._reporter = (
+            LoadReporter(now_us // 1000, int(terms.tell_s * SECOND), self._nodes) if talks else None
+        )
         self._pace = Pace(
             terms.first_per_s / self._nodes,
             terms.most_per_s / self._nodes,
@@ -108,9 +110,9 @@
         )
         self._seen = View({}, {}, 1.0, {})  # at the last look
         self._reserved: list[_Reserved] = []
-        self._unsettled: dict[Key, int] = {}  # households with a connection on its way back, until when
-        self._asked: dict[Key, int] = {}  # households that had to stay, and when to ask again
-        self._named: dict[int, Key] = {}  # the households that stand here, by their hash
+        self._unsettled: dict[Key, int] = {}  # groups with a connection on its way back, until when
+        self._asked: dict[Key, int] = {}  # groups that had to stay, and when to ask again
+        self._named: dict[int, Key] = {}  # the groups that stand here, by their hash
         self._followed: dict[int, int] = {}  # those that neighbours have begun to move, until when
         self._moved_us: deque[int] = deque()
         self._returns_us: deque[int] = deque()
@@ -124,15 +126,15 @@
         self._useful_us = now_us  # the last move, or the begin
         self._paused_until_us, self._pause_us = 0, PAUSE_US
         self._moved = 0
-        self._leaving = self._roster_lost = False
+        self._leaving = self._discovery_lost = False
         self._unread: set[int] = set()  # neighbours whose last datagram could not be read
         self._notes: list[dict[str, object]] = []
 
     # ------------------------------------------------------------------ what has happened
 
     def listed(self, now_us: int, kind: ListKind, entries: Iterable[Backend]) -> None:
-        """News of the roster."""
-        self._roster_lost = self._roster_lost and kind is ListKind.CACHED
+        """News of the registry."""
+        self._discovery_lost = self._discovery_lost and kind is ListKind.CACHED
         named = {entry.id: entry for entry in entries}
         for number, entry in named.items():
             old = self._servers.get(number)
@@ -145,19 +147,19 @@
             self._trouble(now_us, "gone")
         self._servers = named
 
-    def roster_lost(self, now_us: int) -> None:
+    def discovery_lost(self, now_us: int) -> None:
         """Until it tells something again nobody is moved: who drains or is gone is not known."""
-        self._roster_lost = True
+        self._discovery_lost = True
         self._trouble(now_us, "roster-lost")
 
     def arrived(self, now_us: int, returning: bool) -> None:
-        """A household asks for a session."""
+        """A client asks for a session."""
         if not returning:
             return
         self._returns_us.append(now_us)
         _forget(self._returns_us, now_us - STORM_US)
         _forget(self._moved_us, now_us - STORM_US - RETURN_US)
-        usual = STORM_FEW + 2 * len(self._moved_us) + STORM_SHARE * len(self.ledger.standing)
+        usual = STORM_FEW + 2 * len(self._moved_us) + STORM_SHARE * len(self.connections.standing)
         if len(self._returns_us) > usual:
             self._trouble(now_us, "returns")
 
@@ -166,7 +168,7 @@
         now_us: int,
         name: str,
         server: int,
-        household: Key,
+        group: Key,
         request_class: str,
         returned: bool,
         took_us: int | None,
@@ -174,12 +176,12 @@
         """A session stands; `returned`: back from a break or a move. `took_us` is None where it stood before
         this node started.
         """
-        self.ledger.stands(Standing(name, household, request_class, server, now_us, returned))
-        self._unsettled.pop(household, None)
-        if self._teller is not None:
-            self._named[_hash(household)] = household
+        self.connections.stands(Standing(name, group, request_class, server, now_us, returned))
+        self._unsettled.pop(group, None)
+        if self._reporter is not None:
+            self._named[_hash(group)] = group
         for n, reserved in enumerate(self._reserved):
-            if reserved.household == household:
+            if reserved.group == group:
                 del self._reserved[n]
                 break
         if took_us is not None and took_us >= SLOW_SHARE * self._objectives.get(request_class, math.inf):
@@ -190,13 +192,13 @@
                 self._trouble(now_us, "slow-set-ups")
 
     def loaded(self, name: str, load: float) -> None:
-        self.ledger.loaded(name, load)
+        self.connections.loaded(name, load)
 
     def ended(self, now_us: int, name: str, outcome: Outcome) -> None:
         """A session that stood has ended here. One that did not end well comes back."""
-        one = self.ledger.ended(name)
+        one = self.connections.ended(name)
         if one is not None and outcome is not Outcome.OK:
-            self._unsettled[one.household] = now_us + RETURN_US
+            self._unsettled[one.group] = now_us + RETURN_US
 
     def turned_away(self, now_us: int, server: int) -> None:
         """A form server refused a set-up."""
@@ -204,35 +206,35 @@
             self._trouble(now_us, "turned-away")
 
     def refused(self, now_us: int) -> None:
-        """A household was refused: there is no place for those who come by themselves."""
+        """A client was refused: there is no place for those who come by themselves."""
         self._trouble(now_us, "refusals")
 
     def heard(self, now_us: int, sender: int, content: bytes) -> None:
         """A neighbour's datagram. One that is none of ours is noted, and changes nothing."""
         try:
-            telling = read(content)
+            report = read(content)
         except BadDatagram as error:
             if sender not in self._unread:
                 self._unread.add(sender)
                 self._notes.append({"state": "datagram-rejected", "neighbour": sender, "why": str(error)})
             return
         self._unread.discard(sender)
-        if self._teller is not None:
-            self._teller.answered()
-        if self._hearsay.heard(now_us, sender, telling):
-            if telling.alert and self._teller is not None:
-                self._teller.heard_alert()
-            for household in telling.moved:
-                if household in self._named:
-                    self._followed[household] = now_us + FOLLOW_US
+        if self._reporter is not None:
+            self._reporter.answered()
+        if self._neighbour_loads.heard(now_us, sender, report):
+            if report.alert and self._reporter is not None:
+                self._reporter.heard_alert()
+            for group in report.moved:
+                if group in self._named:
+                    self._followed[group] = now_us + FOLLOW_US
 
     def leave(self, on: bool = True) -> None:
-        """This node sends its households away by another rule from now on; or does no more."""
+        """This node sends its clients away by another rule from now on; or does no more."""
         self._leaving = on
 
     @property
     def active(self) -> bool:
-        """Whether households are being moved."""
+        """Whether groups are being moved."""
         return self._active
 
     def lent(self, share: float) -> None:
@@ -256,23 +258,23 @@
         if now_us >= self._recount_us:
             young = now_us - self._began_us < YOUNG_US
             self._recount_us = now_us + (SECOND if young else RECOUNT_US)
-            self.ledger.recount()
+            self.connections.recount()
             self._unsettled = {k: until for k, until in self._unsettled.items() if until > now_us}
             self._asked = {k: until for k, until in self._asked.items() if until > now_us}
-            self._named = {h: k for h, k in self._named.items() if self.ledger.where(k)}
+            self._named = {h: k for h, k in self._named.items() if self.connections.where(k)}
         self._reserved = [r for r in self._reserved if r.until_us > now_us]
         self._followed = {h: until for h, until in self._followed.items() if until > now_us}
         orders = Orders()
         if self._leaving:
             return orders
-        if self._roster_lost:
+        if self._discovery_lost:
             self._trouble(now_us, "roster-lost")
         view = self._seen = self.view(now_us)
         active = self._judge(now_us, view)
-        if self._teller is not None:
-            own = {n: held.load for n, held in self.ledger.held.items()}
-            orders.tell = self._teller.due(
-                now_us, self.ledger.told, own, active or self._alarm_us is not None
+        if self._reporter is not None:
+            own = {n: held.load for n, held in self.connections.held.items()}
+            orders.tell = self._reporter.due(
+                now_us, self.connections.told, own, active or self._alarm_us is not None
             )
         if active or self._followed:
             self._choose(now_us, view, elsewhere, orders, active)
@@ -289,15 +291,15 @@
 
     def view(self, now_us: int) -> View:
         warm = self.warm(now_us)
-        own = {n: held.load for n, held in self.ledger.held.items() if n in warm}
-        heard, voices = self._hearsay.loads(now_us, self.ledger.told, warm)
+        own = {n: held.load for n, held in self.connections.held.items() if n in warm}
+        heard, voices = self._neighbour_loads.loads(now_us, self.connections.told, warm)
         known = min(1.0, (1.0 + voices) / self._nodes)
         loads = {n: (own.get(n, 0.0) + heard.get(n, 0.0)) / known for n in warm}
         capacity = sum(s.capacity for s in warm.values())
         total = sum(loads.values())
         shares = {n: total * s.capacity / capacity for n, s in warm.items()} if capacity > 0 else {}
-        core = SECOND * self._terms.cores * self._terms.spare_below if self.ledger.told else 0.0
-        noise = self.ledger.unevenness() * (1.0 - known) / known * (CHANCE if self._active else 1.0)
+        core = SECOND * self._terms.cores * self._terms.spare_below if self.connections.told else 0.0
+        noise = self.connections.unevenness() * (1.0 - known) / known * (CHANCE if self._active else 1.0)
         spared = {n: core * s.capacity for n, s in warm.items()}
         return View(_shrunk(loads, shares, noise), shares, known, spared)
 
@@ -306,7 +308,7 @@
         return server in view.shares and view.loads[server] < self._terms.fill_to * view.shares[server]
 
     def _judge(self, now_us: int, view: View) -> bool:
-        """Whether households are being moved at present. Begins late and ends early: in between, a fleet that
+        """Whether groups are being moved at present. Begins late and ends early: in between, a fleet that
         is neither is left alone.
         """
         if not self._active:
@@ -323,7 +325,7 @@
                 self._alarm_us = None
                 return False
             self._alarm_us = self._alarm_us if self._alarm_us is not None else now_us
-            deaf = self._teller is not None and view.known < MOST_KNOWN
+            deaf = self._reporter is not None and view.known < MOST_KNOWN
             if not ready or (deaf and now_us - self._alarm_us < HEAR_US):
                 return False
             self._alarm_us = None
@@ -350,7 +352,7 @@
         return view.loads[number] - max(self._terms.stop_at * view.shares[number], view.spared[number])
 
     def _choose(self, now_us: int, view: View, elsewhere: Elsewhere, orders: Orders, active: bool) -> None:
-        """Heaviest first, so that few are moved, and households that stand whole before scattered ones."""
+        """Heaviest first, so that few are moved, and groups that stand whole before scattered ones."""
         reserved: dict[int, float] = {}
         for one in self._reserved:
             reserved[one.server] = reserved.get(one.server, 0.0) + one.weight
@@ -366,74 +368,74 @@
         questions = QUESTIONS if active else 0
         over = [n for n in view.shares if self._excess(view, n) > 0]
         for number in sorted(over, key=lambda n: (-self._excess(view, n), n)):
-            held = self.ledger.held.get(number)
+            held = self.connections.held.get(number)
             if held is None:
                 continue
             # This node's part of what is too much there.
             excess = self._excess(view, number) * held.load / view.loads[number]
-            for household, members in self._candidates(now_us, number):
+            for group, members in self._candidates(now_us, number):
                 if allowed <= 0 or questions <= 0:
                     return
                 if excess <= 0:
                     break
-                weight = self.ledger.weight(members)
+                weight = self.connections.weight(members)
                 # One heavier than what is to go, or than this node's part of the room, goes by lot: so all
-                # nodes together move about as much as they should. The lot is the household's own, the same
+                # nodes together move about as much as they should. The lot is the group's own, the same
                 # at every node.
-                lot = weight * _hash(household) / 2**32
+                lot = weight * _hash(group) / 2**32
                 if lot > excess:
                     continue
                 questions -= 1
                 target = elsewhere(list(members))
                 free = room.get(target, 0.0) if target is not None else 0.0
                 if target is None or weight > free or lot > free * max(1.0 / self._nodes, view.known):
-                    self._asked[household] = now_us + ASK_AGAIN_US
+                    self._asked[group] = now_us + ASK_AGAIN_US
                     continue
-                self._move(now_us, household, members, target, weight, orders)
+                self._move(now_us, group, members, target, weight, orders)
                 room[target] -= weight
                 excess -= weight
                 allowed -= len(members)
 
     def _follow(self, now_us: int, room: dict[int, float], elsewhere: Elsewhere, orders: Orders) -> int:
-        """Moves what is left here of households that neighbours have begun to move; returns how many."""
+        """Moves what is left here of groups that neighbours have begun to move; returns how many."""
         moved = 0
         followed, self._followed = self._followed, {}
         for hashed in followed:
-            household = self._named.get(hashed)
-            if household is None:
+            group = self._named.get(hashed)
+            if group is None:
                 continue
-            for number in self.ledger.where(household):
+            for number in self.connections.where(group):
                 if room.get(number, 0.0) > 0:
                     continue  # not where the neighbour has moved it from: this one takes others in
-                members = self.ledger.movable(number, household, now_us - self._rest_us)
+                members = self.connections.movable(number, group, now_us - self._rest_us)
                 target = elsewhere(list(members)) if members else None
                 if target is not None and room.get(target, 0.0) > 0:
-                    weight = self.ledger.weight(members)
-                    self._move(now_us, household, members, target, weight, orders)
+                    weight = self.connections.weight(members)
+                    self._move(now_us, group, members, target, weight, orders)
                     room[target] -= weight
                     moved += len(members)
         return moved
 
     def _candidates(self, now_us: int, number: int) -> list[tuple[Key, dict[str, Standing]]]:
-        ledger = self.ledger
+        connections = self.connections
         found = [
-            (household, members)
-            for household in ledger.held[number].households
-            if self._unsettled.get(household, 0) <= now_us
-            and self._asked.get(household, 0) <= now_us
-            and (members := ledger.movable(number, household, now_us - self._rest_us))
+            (group, members)
+            for group in connections.held[number].groups
+            if self._unsettled.get(group, 0) <= now_us
+            and self._asked.get(group, 0) <= now_us
+            and (members := connections.movable(number, group, now_us - self._rest_us))
         ]
 
         def order(item: tuple[Key, dict[str, Standing]]) -> tuple[bool, float, Key]:
-            household, members = item
-            return not ledger.whole(household), -ledger.weight(members) / len(members), household
+            group, members = item
+            return not connections.whole(group), -connections.weight(members) / len(members), group
 
         return sorted(found, key=order)
 
     def _move(
         self,
         now_us: int,
-        household: Key,
+        group: Key,
         members: dict[str, Standing],
         target: int,
         weight: float,
@@ -444,17 +446,17 @@
             orders.moves.append(one.id)
             self._moved_us.append(now_us)
         self._pace.spend(len(members))
-        self._reserved.append(_Reserved(household, target, weight, now_us + RETURN_US))
-        self._unsettled[household] = now_us + RETURN_US
-        if self._teller is not None:
-            self._teller.moved(_hash(household))
+        self._reserved.append(_Reserved(group, target, weight, now_us + RETURN_US))
+        self._unsettled[group] = now_us + RETURN_US
+        if self._reporter is not None:
+            self._reporter.moved(_hash(group))
         self._moved += len(members)
         self._useful_us = now_us
 
 
-def _hash(household: Key) -> int:
+def _hash(group: Key) -> int:
     """The same 32 bits at every node."""
-    return mmh3.hash(household, signed=False)
+    return mmh3.hash(group, signed=False)
 
 
 def _shrunk(loads: dict[int, float], shares: dict[int, float], noise: float) -> dict[int, float]:
