--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -12,12 +12,9 @@
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.members.messages import Record, State
 from sailrun.owners.agent import Out
-from sailrun.shards.exercise import ActExerciser
+from sailrun.shards.exercise import EVERY_US, ActExerciser
 from sailrun.shards.messages import ShardAct
 
-# Every node acts so often for so many of its shards.
-ACT_US, ACTS = 250_000, 4
-
 
 class ShardFleet(VirtualFleet):
     # Longer than a shard's lease, now and then.
@@ -32,7 +29,7 @@
     def begin(self) -> None:
         super().begin()
         for n, name in enumerate(self.names):
-            self.time.after(ACT_US * n // len(self.names), self._act_for_shards, name)
+            self.time.after(EVERY_US * n // len(self.names), self._act_for_shards, name)
 
     def _record_of(self, node: VirtualNode, life: int) -> Record:
         place = place_of(node.index)
@@ -41,7 +38,7 @@
     # ------------------------------------------------------------------ acts
 
     def _act_for_shards(self, name: str) -> None:
-        self.time.after(ACT_US, self._act_for_shards, name)
+        self.time.after(EVERY_US, self._act_for_shards, name)
         node = self.nodes[name]
         agent = node.agent
         if agent is None or node.stopped:
@@ -55,7 +52,7 @@
             agent = node.agent
             assert agent is not None and agent.shards is not None
             seed = self._luck.getrandbits(32)
-            exerciser = ActExerciser(agent.shards, agent.members, node.name, seed, 0, ACTS)
+            exerciser = ActExerciser(agent.shards, agent.members, node.name, seed, 0)
             self._exercisers[node.name] = node.life, exerciser
         return exerciser
 
--- a/sailrun/lab/faults/shard_plans.py
+++ b/sailrun/lab/faults/shard_plans.py
@@ -4,16 +4,15 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 
 from sailrun.lab.faults.nemesis import Nemesis, Plan
-from sailrun.lab.faults.shard_history import shards_in_use
 from sailrun.lab.faults.shard_judge import Expected
 from sailrun.lab.faults.shard_strikes import ShardFaults
 from sailrun.lab.faults.shard_world import (
     NODES,
     REGIONS,
     SHARD_LEASE_S,
-    SHARDS_OF_A_REGION,
     control_of,
     index_of,
     place_of,
@@ -29,7 +28,7 @@
 OWNED_WITHIN_S, OWNED_AFTER_AMNESIA_S = 14.0, 20.0
 # On the short day no voter but the assigner is struck, and the last fault is a node that goes on.
 OWNED_SOON_S = 9.0
-LOOK_S, SHORT_STOP_S = 0.2, 1.2 * SHARD_LEASE_S
+SHORT_STOP_S = 1.2 * SHARD_LEASE_S
 SECOND = 1_000_000
 
 
@@ -64,6 +63,10 @@
     nemesis.at(nemesis.first_s + 4.0, shards.kill_assigner)
 
 
+def _stop_a_node(shards: ShardFaults, region: str) -> None:
+    shards.stop(shards.node(region), 2.0 * SHARD_LEASE_S, True)
+
+
 def _stopped(nemesis: Nemesis) -> None:
     shards = ShardFaults(nemesis)
     nemesis.weather(0.02, 1, 10)
@@ -72,7 +75,7 @@
         region = shards.region()
         nemesis.at(
             nemesis.first_s + at_s,
-            lambda region=region: shards.stop(shards.node(region), 2.0 * SHARD_LEASE_S, True),  # type: ignore[misc]
+            partial(_stop_a_node, shards, region),
         )
     nemesis.at(nemesis.first_s - 1.0, shards.stale_acts)
     nemesis.at(nemesis.first_s + 12.0, shards.kill_assigner)
@@ -101,8 +104,8 @@
 def _regions(nemesis: Nemesis) -> None:
     shards = ShardFaults(nemesis)
     nemesis.weather(0.01, 1, 20)
-    nemesis.every(5.0, 16.0, shards.cut_regions)
-    nemesis.at(nemesis.first_s + 2.0, shards.cut_regions)
+    nemesis.every(5.0, 16.0, shards.once_begun(shards.cut_regions))
+    shards.once_owned(nemesis.first_s + 2.0, shards.cut_regions)
 
 
 def _assigner(nemesis: Nemesis) -> None:
@@ -123,10 +126,11 @@
             nemesis.cut_for(shards.luck.uniform(1.0, 5.0), [name], others, shards.luck.random() < 0.5)
 
     nemesis.weather(0.01, 1, 10)
+    shards.once_owned(nemesis.first_s, lambda: None)
     for n, region in enumerate(REGIONS):
         at_s = nemesis.first_s + 1.0 + 3.0 * n
         while at_s < nemesis.last_s:
-            nemesis.at(at_s, lambda region=region: strike(region))  # type: ignore[misc]
+            nemesis.at(at_s, shards.once_begun(partial(strike, region)))
             at_s += shards.luck.uniform(12.0, 16.0)
 
 
@@ -162,7 +166,7 @@
 
     nemesis.at(nemesis.first_s - 1.0, shards.stale_acts)
     for n, name in enumerate(nemesis.fleet.names):
-        nemesis.at(nemesis.first_s + 4.0 + 4.0 * n, lambda name=name: restart(name))  # type: ignore[misc]
+        nemesis.at(nemesis.first_s + 4.0 + 4.0 * n, partial(restart, name))
     nemesis.at(nemesis.last_s, shards.lose_zone)
 
 
@@ -188,15 +192,12 @@
     nemesis.weather(0.0, 0, 2)
 
     def begin() -> None:
-        if shards_in_use(nemesis.fleet.rows) < len(REGIONS) * SHARDS_OF_A_REGION:
-            nemesis.later(LOOK_S, begin)
-            return
         shards.stop(names[0], SHORT_STOP_S)
         nemesis.fleet.finish(int((SHORT_STOP_S + OWNED_SOON_S + 2.0) * SECOND))
         nemesis.later(1.0, lambda: nemesis.cut_for(3.0, names[1:2], [shards.assigner(region)], False))
         nemesis.later(3.0, lambda: shards.kill(shards.assigner(region), 1.0))
 
-    nemesis.at(nemesis.first_s, begin)
+    shards.once_owned(nemesis.first_s, begin)
 
 
 def _plan(
--- a/sailrun/lab/faults/shard_strikes.py
+++ b/sailrun/lab/faults/shard_strikes.py
@@ -9,9 +9,19 @@
 from collections.abc import Callable
 
 from sailrun.lab.faults.nemesis import Nemesis
-from sailrun.lab.faults.shard_world import REGIONS, SHARD_LEASE_S, control_of, index_of, place_of, region_of
+from sailrun.lab.faults.shard_history import shards_in_use
+from sailrun.lab.faults.shard_world import (
+    REGIONS,
+    SHARD_LEASE_S,
+    SHARDS_OF_A_REGION,
+    control_of,
+    index_of,
+    place_of,
+    region_of,
+)
 
 SECOND = 1_000_000
+LOOK_S = 0.2
 # Held back for long enough that another owner has acted for the shard meanwhile.
 STALE_S = 18.0
 # What an owner sends is held back so often, for half a second each time.
@@ -23,6 +33,25 @@
 
     def __init__(self, nemesis: Nemesis) -> None:
         self.nemesis, self.fleet, self.luck = nemesis, nemesis.fleet, nemesis.luck
+        self._begun = False
+
+    # ------------------------------------------------------------------ when
+
+    def once_owned(self, when_s: float, then: Callable[[], None]) -> None:
+        """At that time of the day, or as soon after it as every shard is owned for the first time."""
+
+        def look() -> None:
+            self._begun = shards_in_use(self.fleet.rows) == len(REGIONS) * SHARDS_OF_A_REGION
+            if self._begun:
+                then()
+            else:
+                self.nemesis.later(LOOK_S, look)
+
+        self.nemesis.at(when_s, look)
+
+    def once_begun(self, strike: Callable[[], None]) -> Callable[[], None]:
+        """The strike, left out before what `once_owned` waits for."""
+        return lambda: strike() if self._begun else None
 
     # ------------------------------------------------------------------ whom it strikes
 
--- a/sailrun/shards/exercise.py
+++ b/sailrun/shards/exercise.py
@@ -17,7 +17,7 @@
 
 SECOND = 1_000_000
 # So often it acts, for so many of its shards.
-EVERY_US, AT_A_TIME = SECOND, 4
+EVERY_US, AT_A_TIME = SECOND // 4, 4
 
 
 class ActExerciser:
