--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -94,6 +94,8 @@
     stop: int = 0
     rate: float = 1.0  # of its clock
     owns: dict[str, int] = field(default_factory=dict)  # by task, until when, as it has said
+    leaving: bool = False  # its process ends in good order, which takes its time
+    again: bool = False  # and is to be started once it has ended
 
 
 class Rig:
@@ -186,7 +188,10 @@
         node = self.nodes[name]
         if node.process is None:
             node.lives += 1
+            node.leaving = node.again = False
             self.group.start_soon(self._run, node, clock_s)
+        elif node.leaving:
+            node.again = True
 
     async def _run(self, node: RealNode, clock_s: float) -> None:
         arguments = ["serve", "--config", str(self._config(node)), "--operator", str(self._operator(node))]
@@ -216,6 +221,8 @@
                 node.owns.clear()
                 # Only now has it ended for certain.
                 self.row("died", node.name, code=process.returncode)
+                if node.again and not self._over:
+                    self.start(node.name)
 
     def _heard(self, node: RealNode, line: str) -> None:
         _, _, rest = line.strip().partition(" ")
@@ -247,6 +254,7 @@
 
     def leave(self, name: str) -> None:
         self.told("leave", node=name)
+        self.nodes[name].leaving = True
         self._signal(name, signal.SIGTERM)
 
     def stop(self, name: str, in_send: bool = False) -> int:
--- a/sailrun/lab/faults/shard_plans.py
+++ b/sailrun/lab/faults/shard_plans.py
@@ -180,6 +180,7 @@
     nemesis.weather(0.02, 1, 20)
     nemesis.every(6.0, 10.0, storm)
     nemesis.every(4.0, 8.0, shards.one_of(shards.kill_one, shards.stop_one, shards.leave_one))
+    nemesis.at(nemesis.first_s - 1.5, shards.leave_one_node)
     nemesis.at(nemesis.first_s - 1.0, shards.stale_acts)
     nemesis.at(nemesis.first_s + 8.0, shards.kill_assigner)
 
