--- /dev/null
+++ b/benchmarks/capacity/rows_control.py
@@ -0,0 +1,37 @@
+"""Rows of restarts, and of the machines set aside for control."""
+
+from __future__ import annotations
+
+from benchmarks.capacity.record import Record, Row
+from benchmarks.capacity.working import BYTES, Bound, not_measured, row
+
+
+def restarts(record: Record) -> Row:
+    return row(
+        record,
+        "restart.extra_bytes_node",
+        lambda fit, target: (
+            max(0.0, fit.at(target.nodes)) * (target.restarts_day + target.failures_day) / 86_400
+        ),
+        role="every other node",
+        cost="restarts and failures of a day: bytes of members' news, on top of rest",
+        bound=BYTES,
+        mechanism="members/swim.py",
+        arithmetic="bytes that one restart costs each other node, by its fit * (520 + 33) / 86,400 s",
+    )
+
+
+def machines() -> Row:
+    return not_measured(
+        "control machines",
+        "47 machines in 6 regions and 23 zones: enough voters after any zone is lost",
+        Bound("machines", 47.0, "47 set aside"),
+        "shards/terms.py: 5 voters a region; owners/ownership.py: control work goes to members of that role",
+        "reasoned, not run: 6 regions * 5 voters are 30 of the 47; a region has 3 or 4 zones, so "
+        "with at most 2 voters of a region in a zone any zone may be lost; voters of fleet tasks (7 at most) "
+        "stand in 7 of 23 zones, and a region cut off has none of their majority",
+    )
+
+
+def rows(record: Record) -> list[Row]:
+    return [restarts(record), machines()]
