--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -24,6 +24,7 @@
 from typing import Any
 
 import anyio
+import msgspec
 import tomli_w
 from anyio.abc import Process, SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
@@ -93,6 +94,8 @@
     stop: int = 0
     rate: float = 1.0  # of its clock
     owns: dict[str, int] = field(default_factory=dict)  # by task, until when, as it has said
+    leaving: bool = False  # its process ends in good order, which takes its time
+    again: bool = False  # and is to be started once it has ended
 
 
 class Rig:
@@ -130,6 +133,7 @@
         """Starts everything, has the nemesis loose, and ends everything."""
         with tempfile.TemporaryDirectory(prefix="sailrun-rig-") as folder:
             self._folder = Path(folder)
+            self._finished = anyio.Event()
             async with anyio.create_task_group() as group:
                 self.group = group
                 self.relays = Relays(group, self._seed)
@@ -144,7 +148,8 @@
                     if self._copies_s:
                         for name in self.names:
                             group.start_soon(self._look_at_copy, name)
-                    await anyio.sleep(seconds)
+                    with anyio.move_on_after(seconds):
+                        await self._finished.wait()
                 finally:
                     self._over, self.end_us = True, now_us()
                     with anyio.CancelScope(deadline=anyio.current_time() + ENDED_S, shield=True):
@@ -159,6 +164,10 @@
         while any(node.process is not None for node in self.nodes.values()):
             await anyio.sleep(0.02)
 
+    def finish(self, wait_us: int) -> None:
+        """The day ends so long from now, should it not be over before."""
+        self.after(wait_us, self._finished.set)
+
     def after(self, wait_us: int, what: Callable[..., None], *facts: object) -> None:
         self.group.start_soon(self._wait, wait_us / 1e6, what, facts)
 
@@ -179,7 +188,10 @@
         node = self.nodes[name]
         if node.process is None:
             node.lives += 1
+            node.leaving = node.again = False
             self.group.start_soon(self._run, node, clock_s)
+        elif node.leaving:
+            node.again = True
 
     async def _run(self, node: RealNode, clock_s: float) -> None:
         arguments = ["serve", "--config", str(self._config(node)), "--operator", str(self._operator(node))]
@@ -209,6 +221,8 @@
                 node.owns.clear()
                 # Only now has it ended for certain.
                 self.row("died", node.name, code=process.returncode)
+                if node.again and not self._over:
+                    self.start(node.name)
 
     def _heard(self, node: RealNode, line: str) -> None:
         _, _, rest = line.strip().partition(" ")
@@ -240,6 +254,7 @@
 
     def leave(self, name: str) -> None:
         self.told("leave", node=name)
+        self.nodes[name].leaving = True
         self._signal(name, signal.SIGTERM)
 
     def stop(self, name: str, in_send: bool = False) -> int:
@@ -291,6 +306,7 @@
             "permits": _set(terms.permits),
             "reader": _set(terms.reader),
             "replica": _set(terms.replica),
+            "shards": _set(terms.shards),
         }
         if self._lasting is not None:
             tables["lasting"] = {**_set(self._lasting), "folder": str(self._kept(node.name))}
@@ -334,6 +350,9 @@
         self.group.start_soon(self.call, name, f"set-down {server}")
         self.after(for_us, self._ask, name, f"set-up {server}")
 
+    def hand_over(self, name: str) -> None:
+        """A real process hands over as it leaves: a planned one is played in virtual time."""
+
     def begin_rolling_drain(self, name: str, names: list[str], for_us: int) -> None:
         self.told("walk", node=name, names=",".join(names))
         line = f"fleet walk walk-{self._seed} {for_us // 1000} {','.join(names)}"
@@ -523,4 +542,5 @@
 
 def _set(table: Any) -> dict[str, Any]:
     """A table's keys as an operator's file has them."""
-    return {key: getattr(table, key) for key in table.__struct_fields__}
+    keys: dict[str, Any] = msgspec.to_builtins(table)
+    return keys
--- a/sailrun/lab/terms.py
+++ b/sailrun/lab/terms.py
@@ -70,7 +70,7 @@
     client_us: tuple[int, int] = (370, 1_100)
     datagram_us: tuple[int, int] = (1_400, 33_000)
     datagrams_lost: float = 0.02
-    # The roster.
+    # The service registry (the platform's roster).
     notice_us: tuple[int, int] = (1_700_000, 4_500_000)
     silent_notice_us: tuple[int, int] = (5_200_000, 12_000_000)
     call_us: tuple[int, int] = (28_000, 86_000)
@@ -95,8 +95,8 @@
     def unit(self) -> float:
         """A mean connection's load, in us of work a second: what stands comes to the stated utilization."""
         fleet = self.form_servers * self.cores * sum(self.speed) / 2 * SECOND
-        households = self.household_cost * self.households / self.connections
-        return self.utilization * fleet / (self.connections * (1.0 + households))
+        groups = self.household_cost * self.households / self.connections
+        return self.utilization * fleet / (self.connections * (1.0 + groups))
 
     def settings(self, index: int) -> dict[str, Any]:
         """What a node is told, with the platform's names."""
--- a/sailrun/lab/world.py
+++ b/sailrun/lab/world.py
@@ -1,4 +1,4 @@
-"""What both drivers share of a world: its form servers, its population, its roster's book and its records."""
+"""What both drivers share of a world: its form servers, its population, its registry and its records."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from sailrun.interface import BackendState
 from sailrun.lab.chance import Stream
 from sailrun.lab.checks import Check, RuleBook
+from sailrun.lab.clients import Client, Population
 from sailrun.lab.figures import fewest_moves
 from sailrun.lab.form_servers import FormServerModel, Phase
-from sailrun.lab.households import Client, Population
 from sailrun.lab.records import Records
 from sailrun.lab.terms import SECOND, WorldTerms
 from sailrun.node.session import FormServer
 
 MASK = 0xFFFFFFFF
-# A household's further connections come within so long of its first.
+# A group's further connections come within so long of its first.
 MEMBERS_US = 5 * SECOND
 # A draining form server that still holds anybody sends them away after this, and ends.
 DRAINED_US = 8 * SECOND
@@ -52,8 +52,8 @@
 S = TypeVar("S", bound=Slot)
 
 
-class RosterBook:
-    """What the roster knows: late, stale or out of reach. Handing it out is the driver's."""
+class RegistryModel:
+    """What the registry knows: late, stale or out of reach. Handing it out is the driver's."""
 
     def __init__(self, world: World[Any]) -> None:
         self._world = world
@@ -67,7 +67,7 @@
         self.given_up = 0  # those that waited too long
 
     def change(self, server: FormServerModel, state: BackendState, notice: tuple[int, int]) -> None:
-        """Something happened to a server, now; the roster will know of it later."""
+        """Something happened to a server, now; the registry will know of it later."""
         entry = self.entry(server, state)
         self._world.time.after(self.chance.whole(notice) + self.late_us, self._publish, entry)
 
@@ -111,7 +111,7 @@
     """A world at a seed. The driver has the time, the nodes and the clients' connections."""
 
     time: Time
-    roster: RosterBook
+    registry: RegistryModel
 
     def __init__(
         self,
@@ -158,7 +158,7 @@
     def build(self) -> None:
         for n in range(self.terms.form_servers):
             server = self._new_server(self.terms.zones[n % len(self.terms.zones)])
-            self.roster.entries[server.name] = self.roster.entry(server, BackendState.READY)
+            self.registry.entries[server.name] = self.registry.entry(server, BackendState.READY)
 
     def _new_server(self, zone: str) -> FormServerModel:
         draws, n = self._draws, len(self.servers)
@@ -188,8 +188,8 @@
         expected = self.terms.households * cost + self.terms.connections * self.terms.unit
         loads = dict.fromkeys(holders, 0.0)
         for _ in range(self.terms.households):
-            clients = self.people.household(self.time.now_us, 0)
-            key = key_hash(clients[0].household)
+            clients = self.people.new_group(self.time.now_us, 0)
+            key = key_hash(clients[0].group)
             scores = [(h * key) & MASK for h in hashes]
             server = holders[max(range(len(holders)), key=scores.__getitem__)]
             if loads[server] > 1.1 * expected * server.capacity / total:
@@ -205,7 +205,7 @@
         """Everything stands: now the day runs its course."""
         cost = self.terms.household_cost * self.terms.unit
         held = [
-            [(sum(one.load for one in members) + cost, len(members)) for members in _households(s).values()]
+            [(sum(one.load for one in members) + cost, len(members)) for members in _groups_at(s).values()]
             for s in self.servers.values()
         ]
         self.fewest = fewest_moves(held)
@@ -214,7 +214,7 @@
         self.time.after(0, self._arrive)
 
     def _arrive(self) -> None:
-        for client in self.people.household(self.time.now_us, MEMBERS_US):
+        for client in self.people.new_group(self.time.now_us, MEMBERS_US):
             self.time.at(client.from_us, self._first, client)
         mean_us = SECOND / (self.rush * self.people.arrivals_per_s)
         self.time.after(int(self.chance.exponential(mean_us)), self._arrive)
@@ -288,7 +288,7 @@
     def crash(self, server: FormServerModel, back_after_us: int) -> None:
         self.note("crash", server=server.name)
         self.lose(server, Phase.DOWN)
-        self.roster.change(server, BackendState.GONE, self.terms.notice_us)
+        self.registry.change(server, BackendState.GONE, self.terms.notice_us)
         self.time.after(back_after_us, self._return, server)
 
     def vanish(self, server: FormServerModel, back_after_us: int) -> None:
@@ -297,7 +297,7 @@
         server.advance(self.time.now_us)
         server.phase = Phase.SILENT
         self.fallen_silent(server)
-        self.roster.change(server, BackendState.GONE, self.terms.silent_notice_us)
+        self.registry.change(server, BackendState.GONE, self.terms.silent_notice_us)
         self.time.after(back_after_us, self._return, server)
 
     def _return(self, server: FormServerModel) -> None:
@@ -307,19 +307,19 @@
         server.start(self.time.now_us)
         self.warm_s = max(self.warm_s, int(self.second + server.cold_us / SECOND) + 1)
         self.note("start", server=server.name)
-        self.roster.change(server, BackendState.READY, self.terms.notice_us)
+        self.registry.change(server, BackendState.READY, self.terms.notice_us)
 
     def drain(self, server: FormServerModel, back_after_us: int) -> None:
         self.note("drain", server=server.name)
         server.draining = True
-        self.roster.change(server, BackendState.DRAINING, self.terms.notice_us)
+        self.registry.change(server, BackendState.DRAINING, self.terms.notice_us)
         self.time.after(DRAINED_US, self._drained, server, back_after_us)
 
     def _drained(self, server: FormServerModel, back_after_us: int | None) -> None:
         self.send_away(server)
         self.note("drained", server=server.name)
         server.stop(Phase.DOWN)
-        self.roster.change(server, BackendState.GONE, self.terms.notice_us)
+        self.registry.change(server, BackendState.GONE, self.terms.notice_us)
         if back_after_us is not None:
             self.time.after(back_after_us, self._return, server)
 
@@ -329,10 +329,10 @@
         other.start(self.time.now_us)
         self.warm_s = max(self.warm_s, int(self.second + other.cold_us / SECOND) + 1)
         self.note("start", server=other.name, text=f"in place of {server.name}")
-        self.roster.change(other, BackendState.READY, self.terms.notice_us)
+        self.registry.change(other, BackendState.READY, self.terms.notice_us)
         self.note("drain", server=server.name)
         server.draining = True
-        self.roster.change(server, BackendState.DRAINING, self.terms.notice_us)
+        self.registry.change(server, BackendState.DRAINING, self.terms.notice_us)
         self.time.after(DRAINED_US, self._drained, server, None)
 
     def look_after(self, server: FormServerModel) -> None:
@@ -342,7 +342,7 @@
             self.rules.fell(self.time.now_us, server.name)
             self.note("fallen", server=server.name)
             self.lose(server, Phase.FALLEN)
-            self.roster.change(server, BackendState.GONE, self.terms.notice_us)
+            self.registry.change(server, BackendState.GONE, self.terms.notice_us)
         elif server.phase is Phase.UP and (newest := server.shed()):
             self.shed(server, newest)
 
@@ -400,8 +400,8 @@
         self.time.after(SECOND, self._sample)
 
 
-def _households(server: FormServerModel) -> dict[str, list[Any]]:
+def _groups_at(server: FormServerModel) -> dict[str, list[Any]]:
     found: dict[str, list[Any]] = {}
     for one in server.held.values():
-        found.setdefault(one.household, []).append(one)
+        found.setdefault(one.group, []).append(one)
     return found
--- a/sailrun/owners/service.py
+++ b/sailrun/owners/service.py
@@ -1,6 +1,6 @@
 """What a running node has of the fleet: its agent, its carrier, and what owners let it do.
 
-Nothing here is on a household's path: the core is told what it may do, and goes on as it is where nobody
+Nothing here is on a client's path: the core is told what it may do, and goes on as it is where nobody
 tells it.
 """
 
@@ -16,7 +16,7 @@
 import anyio
 from anyio import to_thread
 
-from sailrun.config import NodeConfig, ServerRoster
+from sailrun.config import NodeConfig, RegistryService
 from sailrun.connection import split_address
 from sailrun.lasting.folder import Sound, new_identity
 from sailrun.members.messages import Record, State
@@ -31,13 +31,14 @@
 from sailrun.owners.leases import OwnershipChange
 from sailrun.owners.pace import PaceCoordinator, PaceShare
 from sailrun.owners.permits import DRAIN, OUT, Use
-from sailrun.owners.shared import SharedRoster
+from sailrun.owners.shared import SharedDiscovery
 from sailrun.replica.service import CopiesPart
 
 if TYPE_CHECKING:
     from sailrun.lasting.service import LastingPart
     from sailrun.node.core import Node
     from sailrun.operator import Operator
+    from sailrun.shards.exercise import ActExerciser
     from sailrun.shards.part import ShardsPart
 
 SECOND = 1_000_000
@@ -90,7 +91,7 @@
         self.agent.on_ownership_change = self._ownership_changed
         self.carrier = Carrier(self.agent, split_address(told.listen), patient)
         self.carrier.after = self._after
-        self._shared: SharedRoster | None = None
+        self._shared: SharedDiscovery | None = None
         self._by_hand: dict[str, bool] = {}  # form servers that a permit was asked for: whether it is in use
         self._waiting: dict[tuple[str, str], list[Callable[[str], None]]] = {}
         self._pace_coordinator: PaceCoordinator | None = None
@@ -102,16 +103,25 @@
         if terms.pace:
             self.agent.answers[PACE] = self._lend
         self.copies = CopiesPart(node, self.agent.replica, self) if self.agent.replica is not None else None
+        self._exerciser = self._new_exerciser() if terms.owners.record else None
         self._lasting = lasting
         if lasting is not None:
             self.agent.backing.aside = lasting.aside
             lasting.on_done = lambda done: self.carrier.post(lambda now_us: self.agent.wrote(now_us, done))
 
-    def roster(self, source: ServerRoster, revision: int) -> SharedRoster | None:
-        """What the core has for a roster; None: the roster itself."""
+    def _new_exerciser(self) -> ActExerciser | None:
+        """For the laboratory's checks, which need acts on behalf of shards."""
+        if self.agent.shards is None:
+            return None
+        from sailrun.shards.exercise import ActExerciser
+
+        return ActExerciser(self.agent.shards, self.agent.members, self.agent.name, secrets.randbits(32))
+
+    def discovery(self, source: RegistryService, revision: int) -> SharedDiscovery | None:
+        """What the core has for a registry; None: the registry itself."""
         if not self.agent.terms.reader.enabled:
             return None
-        self._shared = SharedRoster(self._node, source, revision, self.agent, self.carrier)
+        self._shared = SharedDiscovery(self._node, source, revision, self.agent, self.carrier)
         return self._shared
 
     def _take_up(self, lasting: LastingPart) -> None:
@@ -213,6 +223,8 @@
             outs += self._ask_pace(now_us)
         if self.copies is not None:
             self.copies.turn(now_us)
+        if self._exerciser is not None:
+            outs += self.agent.say(now_us, self._exerciser.turn(now_us))
         if self._lasting is not None:
             self._lasting.turn()
         return outs
--- a/sailrun/owners/terms.py
+++ b/sailrun/owners/terms.py
@@ -49,9 +49,10 @@
             description="A better placed member has been back for so long before it is given a task.",
         ),
     ] = 60.0
-    record: Annotated[bool, Meta(description="A log line for every act, for the laboratory's checks.")] = (
-        False
-    )
+    record: Annotated[
+        bool,
+        Meta(description="For the laboratory's checks: a log line for every act, and acts for owned shards."),
+    ] = False
 
     @property
     def stage(self) -> int:
