--- a/sailrun/lab/faults/shard_days.py
+++ b/sailrun/lab/faults/shard_days.py
@@ -6,10 +6,10 @@
 
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.nemesis import Nemesis
-from sailrun.lab.faults.play import LEASE_S, FaultDay, Played
+from sailrun.lab.faults.play import FaultDay, Played
 from sailrun.lab.faults.shard_judge import ShardJudge
 from sailrun.lab.faults.shard_plans import SHARD_PLANS, ShardPlan
-from sailrun.lab.faults.shard_world import FEWEST_NODES, FLEET_VOTERS, shard_agent_terms
+from sailrun.lab.faults.shard_world import FEWEST_NODES, FLEET_VOTERS, LEASE_S, shard_agent_terms
 
 
 def _check(day: FaultDay) -> None:
--- a/sailrun/lab/faults/shard_world.py
+++ b/sailrun/lab/faults/shard_world.py
@@ -4,7 +4,6 @@
 
 from dataclasses import dataclass
 
-from sailrun.lab.faults.play import LEASE_S, ORDER_S
 from sailrun.members.messages import CONTROL
 from sailrun.members.terms import MembersTerms
 from sailrun.owners.agent import AgentTerms
@@ -20,6 +19,8 @@
 FLEET_VOTERS = 5
 SHARDS_OF_A_REGION = 48
 SHARD_LEASE_S, GATHER_S = 6.0, 0.3
+# Of owners and assigners: as long as a node's lease on its shards allows (`shard_faults`).
+LEASE_S, ORDER_S = 1.4, 0.7
 NODES = 12
 # Two ordinary nodes for each region: else there is nobody to take a shard over.
 FEWEST_NODES = CONTROL_MEMBERS + 2 * len(REGIONS)
--- a/sailrun/shards/terms.py
+++ b/sailrun/shards/terms.py
@@ -10,11 +10,13 @@
 from msgspec import Meta, Struct
 
 from sailrun.owners.quorum import check_voters
-from sailrun.owners.terms import OwnersTerms
+from sailrun.owners.terms import DRIFT, OwnersTerms
 
 MOST_SHARDS = 1_000_000
 # Times a lease is asked for while it lasts.
 RENEWALS = 4
+# The part of a lease that is left, by a node's own clock, when its next heartbeat is due.
+LEFT = 1 - 2 * DRIFT - 1 / RENEWALS
 
 
 class RegionTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -85,6 +87,8 @@
     if names and members_region not in names:
         yield "members.region", f"'{members_region}' is none of {', '.join(names)}"
     change_s = 2 * (owners.lease_s + owners.order_s)
-    if shards.lease_s < change_s:
-        # Else every change of assigner would end the leases of all nodes.
-        yield "shards.lease_s", f"is {shards.lease_s:g}, under the {change_s:g} of a change of assigner"
+    least_s = change_s / LEFT
+    if shards.lease_s < least_s:
+        # Else a change of assigner would end leases of nodes whose heartbeat was just due.
+        of_what = f"{change_s:g} of a change of assigner, and a heartbeat"
+        yield "shards.lease_s", f"is {shards.lease_s:g}, under {least_s:.2f}: {of_what}"
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -510,7 +510,7 @@
         ('regions = [{ name = "w", shards = 4, voters = ["a", "b", "c"] }]', "region: 'e' is none of w"),
         (
             'lease_s = 5.0\nregions = [{ name = "e", shards = 4, voters = ["a", "b", "c"] }]',
-            "shards.lease_s: is 5, under the 6 of a change of assigner",
+            "shards.lease_s: is 5, under 8.22: 6 of a change of assigner, and a heartbeat",
         ),
         (
             'regions = [{ name = "e", shards = 4, voters = ["a", "b", "c"] },'
--- a/tests/test_shards_processes.py
+++ b/tests/test_shards_processes.py
@@ -50,7 +50,7 @@
                 "role": "control" if name in CONTROL else "",
                 "probe_s": 0.3,
             },
-            "owners": {"enabled": True, "voters": list(CONTROL), "lease_s": 0.6, "order_s": 0.2},
+            "owners": {"enabled": True, "voters": list(CONTROL), "lease_s": 0.5, "order_s": 0.2},
             "shards": {"enabled": True, "lease_s": 2.0, "gather_s": 0.1, "leaving": 1, "regions": [region]},
         }
 
