--- a/sailrun/owners/status.py
+++ b/sailrun/owners/status.py
@@ -75,4 +75,9 @@
 
 def shards(agent: Agent, now_us: int, node: str) -> dict[str, Any] | None:
     """This node's shards, or those placed on another one; None: `[shards]` is off."""
-    return agent.shards.show(now_us, node) if agent.shards is not None else None
+    if agent.shards is None:
+        return None
+    # Loaded only where it is switched on: it needs numpy.
+    from sailrun.shards.status import shards_status
+
+    return shards_status(agent.shards, now_us, node)
--- a/sailrun/shards/part.py
+++ b/sailrun/shards/part.py
@@ -32,6 +32,7 @@
     TableWritten,
     WriteTable,
 )
+from sailrun.shards.notes import Note, generation_note, session_note
 from sailrun.shards.register import TableAcceptor, TableWriter
 from sailrun.shards.session import NodeSession
 from sailrun.shards.terms import ShardsTerms, region_owners
@@ -40,7 +41,6 @@
 # Heartbeats without an answer before another member is asked who the assigner is.
 PATIENT_HEARTBEATS = 1
 SEED_BITS = 32
-Note = tuple[str, dict[str, object]]
 
 
 class MembersView(Protocol):
@@ -73,7 +73,7 @@
         if region is None:
             raise ValueError(f"no region '{me.region}'")
         self.region, self.terms, self._members = region, terms, members
-        self._name, self._life, self._off, self._act = me.name, me.life, off, record
+        self.name, self._life, self._off, self._act = me.name, me.life, off, record
         self._founding = founding
         self._digest = terms.digest(region.name)
         self.task = f"shards/{region.name}"
@@ -91,7 +91,7 @@
         self.notes: list[Note] = []  # for the log; emptied by whoever drives this
         self.acts_taken = self.acts_refused = self.bad_settings = 0
         self.unknown_shards = 0  # acts for a shard that the region does not have
-        self._assigner_name = ""  # hearsay
+        self.assigner_name = ""  # hearsay: who answered a heartbeat last
         self._asked = draw(SEED_BITS)  # which voter is asked where the assigner is not known
         self._candidates: list[str] = []
         self._candidates_of = -1
@@ -206,7 +206,7 @@
         if self.session is None:
             return
         if isinstance(body, Renewed):
-            self._assigner_name = sender
+            self.assigner_name = sender
             self.session.renewed(now_us, body)
         elif body.why == "elsewhere":
             self._sent_on(now_us, sender, body)
@@ -217,11 +217,11 @@
         """Whoever was asked is not the assigner: whom it names is asked next."""
         assert self.session is not None
         named = body.holder if body.holder != sender and self._members.lives(body.holder) else ""
-        if named and named != self._assigner_name:
-            self._assigner_name = named
+        if named and named != self.assigner_name:
+            self.assigner_name = named
             self.session.again(now_us)
-        elif self._assigner_name == sender:
-            self._assigner_name = ""
+        elif self.assigner_name == sender:
+            self.assigner_name = ""
 
     # ------------------------------------------------------------------ acts for a shard
 
@@ -288,9 +288,9 @@
 
     def _heartbeat(self, renew: Renew) -> list[Post]:
         assert self.session is not None
-        if self.session.unanswered > PATIENT_HEARTBEATS + 1 or not self._members.lives(self._assigner_name):
-            self._assigner_name = ""
-        to = self._assigner_name
+        if self.session.unanswered > PATIENT_HEARTBEATS + 1 or not self._members.lives(self.assigner_name):
+            self.assigner_name = ""
+        to = self.assigner_name
         if not to:
             self._asked += 1
             to = self.region.voters[self._asked % len(self.region.voters)]
@@ -336,7 +336,7 @@
         return Assigner(self.region.name, self.terms, writer, now_us, self._off)
 
     def _life_of(self, name: str) -> int | None:
-        if name == self._name:
+        if name == self.name:
             return self._life
         record = self._members.record(name)
         return record.life if record is not None and self._members.lives(name) else None
@@ -363,26 +363,11 @@
 
     def _notes_of(self, now_us: int) -> None:
         if self.assigner is not None:
-            for change in self._emptied(self.assigner.committed):
-                joined = ",".join(s.name for s in change.joined) or None
-                facts = {
-                    "region": self.region.name,
-                    "generation": change.generation,
-                    "nodes": len(self.assigner.sessions),
-                    "joined": joined,
-                    "left": len(change.left) or None,
-                }
-                self.notes.append(("shards-generation", facts))
+            changes = self._emptied(self.assigner.committed)
+            nodes = len(self.assigner.sessions)
+            self.notes += [generation_note(self.region.name, change, nodes) for change in changes]
         if self.session is not None:
-            while self.session.events:
-                event = self.session.events.popleft()
-                facts = {
-                    "what": event.what,
-                    "generation": event.generation,
-                    "shards": event.shards,
-                    "why": event.why or None,
-                }
-                self.notes.append(("shards", facts))
+            self.notes += [session_note(event) for event in self._emptied(self.session.events)]
         if self.voter is not None and self._in_touch is not self.leases.in_touch(now_us):
             self._in_touch = not self._in_touch
             what = "shards-in-touch" if self._in_touch else "shards-rest"
@@ -393,31 +378,3 @@
         items = queue[:]
         queue.clear()
         return items
-
-    def show(self, now_us: int, node: str = "") -> dict[str, Any]:
-        """For staff: this node's session and shards, or those placed on another node."""
-        session = self.session
-        shown: dict[str, Any] = {
-            "region": self.region.name,
-            "assigner": self._name if self.is_assigner(now_us) else self._assigner_name or None,
-            "is_assigner": self.is_assigner(now_us),
-            "shards": self.region.shards,
-        }
-        if self.assigner is not None and self.is_assigner(now_us):
-            shown["generation"] = self.assigner.generation
-            shown["settled"] = self.assigner.settled
-            shown["nodes"] = len(self.assigner.sessions)
-        if session is None:
-            return shown
-        shown |= {"generation": session.generation, "settled": session.settled}
-        shown["nodes"] = len(session.sessions())
-        if node and node != self._name:
-            shown["node"] = node
-            shown["placed"] = session.placed_of(node)
-            return shown
-        usable = session.usable(now_us)
-        shown["node"] = self._name
-        shown["usable"] = sorted(usable)
-        shown["moving"] = [shard for shard in session.placed() if shard not in usable]
-        shown["ends_in_s"] = round((session.until_us - now_us) / SECOND, 3) if session.session else None
-        return shown
--- a/sailrun/shards/session.py
+++ b/sailrun/shards/session.py
@@ -10,7 +10,6 @@
 from __future__ import annotations
 
 import random
-from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
@@ -89,7 +88,7 @@
         self._luck = random.Random(seed)
         self._lease_us = int(terms.lease_s * SECOND)
         self._placement: Placement | None = None
-        self.events: deque[SessionEvent] = deque(maxlen=1000)  # emptied by whoever drives this
+        self.events: list[SessionEvent] = []  # emptied by whoever drives this
         self._number = 0  # of heartbeats
         self._next_us = now_us
         self.leaving = False  # a planned stop: hands over once it may, and asks for no session
