--- a/sailrun/lab/scale/checks.py
+++ b/sailrun/lab/scale/checks.py
@@ -81,7 +81,9 @@
 
 
 def shards_check(reports: list[NodeReport], shards: int) -> Outcome:
-    """All shards are used at the end, and none is counted twice: as many as there are, over all nodes."""
+    """At the end as many shards are used as there are, over all nodes. That no two nodes use the same one is
+    what the days of shards judge: here only the number is known.
+    """
     used = sum(report.shards for report in reports)
     faults = [] if used == shards else [f"{used} shards are used, of {shards}"]
     return Outcome("shards-owned-at-the-end", abs(shards - used), 0, not faults, faults, shards)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -311,7 +311,7 @@
     assert not any(check.holds for check in owner_checks([], 0, SECOND))
 
 
-def test_shards_that_nobody_uses_or_two_do_are_found() -> None:
+def test_more_or_fewer_shards_in_use_than_there_are_are_found() -> None:
     reports = [NodeReport("a", 1, Traffic(), 0.0, [], False, shards=n) for n in (4, 6)]
     assert shards_check(reports, 10).holds
     assert not shards_check(reports, 11).holds and not shards_check(reports, 9).holds
