--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -14,11 +14,9 @@
 
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.members.messages import MemberBody
-from sailrun.members.terms import MembersTerms
-from sailrun.owners.agent import AgentTerms, Out
-from sailrun.owners.envelope import Body, Envelope, pack, unpack
-from sailrun.owners.messages import (
+from sailrun.leadership.agent import AgentSettings, Out
+from sailrun.leadership.envelope import Body, Envelope, pack, unpack
+from sailrun.leadership.messages import (
     Ask,
     Deny,
     Grant,
@@ -31,10 +29,12 @@
     Release,
     Yield,
 )
-from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
-from sailrun.replica.messages import ReplicaBody
-from sailrun.replica.terms import ReplicaTerms
-from sailrun.shards.messages import ShardBody
+from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
+from sailrun.membership.messages import MemberBody
+from sailrun.membership.settings import MembershipSettings
+from sailrun.replication.messages import ReplicaBody
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.sharding.messages import ShardBody
 
 SECOND = 1_000_000
 HEADER = 28
@@ -45,17 +45,17 @@
 _OF_LEASES = (Ask, Grant, Deny, Release, Yield, Recall, Recalled)
 
 
-def terms_of_all(index: int, voters: list[str], joins: list[str]) -> AgentTerms:
+def terms_of_all(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
     """Every table of the operator's file on, with the defaults of the program; as many form servers may be
     out as there can be, so that no mark waits for a permit.
     """
-    return AgentTerms(
-        MembersTerms(enabled=True, fleet="capacity", name=f"n{index}", join=tuple(joins)),
-        OwnersTerms(enabled=True, voters=tuple(voters)),
-        PermitsTerms(enabled=True, out=MOST_OUT),
-        ReaderTerms(enabled=True),
+    return AgentSettings(
+        MembershipSettings(enabled=True, fleet="capacity", name=f"n{index}", join=tuple(joins)),
+        LeadershipSettings(enabled=True, voters=tuple(voters)),
+        PermitSettings(enabled=True, out=MOST_OUT),
+        ListReaderSettings(enabled=True),
         pace=True,
-        replica=ReplicaTerms(enabled=True),
+        replica=ReplicationSettings(enabled=True),
     )
 
 
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -16,9 +16,9 @@
 
 from benchmarks.capacity.counting_fleet import LEASES, CountingFleet, NodeCounts
 from benchmarks.capacity.record import Measurement
-from sailrun.owners.permits import TASK as PERMITS
-from sailrun.replica.messages import Op
-from sailrun.replica.replica import MARKS, Answer, Replica
+from sailrun.leadership.permits import TASK as PERMITS
+from sailrun.replication.messages import Op
+from sailrun.replication.replica import MARKS, Answer, Replica
 
 Figures = dict[str, float]
 PROCESSES = 2
--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -14,15 +14,15 @@
 from benchmarks.capacity.record import Measurement
 from benchmarks.knowledge import LOAD
 from benchmarks.knowledge import measure as rounds_of
-from sailrun.fleet.digest import LONGEST, Digest, room, write
-from sailrun.fleet.rounds import NODE_US, ROUND_US
-from sailrun.owners.envelope import Envelope, pack, unpack
-from sailrun.owners.leases import best_placed
-from sailrun.owners.messages import Order, Question
-from sailrun.owners.pace import ASK_US, PaceCoordinator
-from sailrun.replica.records import written
-from sailrun.replica.store import Store
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.leadership.envelope import Envelope, pack, unpack
+from sailrun.leadership.leases import best_placed
+from sailrun.leadership.messages import Order, Question
+from sailrun.leadership.pace import ASK_US, PaceCoordinator
+from sailrun.load_gossip.digest import LONGEST, Digest, room, write
+from sailrun.load_gossip.rounds import NODE_US, ROUND_US
+from sailrun.replication.records import written
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.replication.store import Store
 from tests.stand_ins import roster_entry
 
 SECOND = 1_000_000
@@ -145,7 +145,7 @@
 
 def _records(records: int) -> dict[str, float]:
     tracemalloc.start()
-    store = Store(ReplicaTerms(enabled=True, records=1_000_000), b"fleet")
+    store = Store(ReplicationSettings(enabled=True, records=1_000_000), b"fleet")
     before = tracemalloc.get_traced_memory()[0]
     for n in range(records):
         store.put(0, written(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
--- a/benchmarks/capacity/measure_shards.py
+++ b/benchmarks/capacity/measure_shards.py
@@ -14,12 +14,12 @@
 from benchmarks.capacity.counting_fleet import SHARDS, CountingFleet, terms_of_all
 from benchmarks.capacity.record import Measurement
 from sailrun.lab.faults.virtual import VirtualNode
-from sailrun.members.messages import CONTROL, Record, State
-from sailrun.owners.agent import AgentTerms
-from sailrun.owners.leases import best_placed
-from sailrun.shards.messages import Change, Session
-from sailrun.shards.placement import Placement
-from sailrun.shards.terms import RegionTerms, ShardsTerms
+from sailrun.leadership.agent import AgentSettings
+from sailrun.leadership.leases import best_placed
+from sailrun.membership.messages import CONTROL, Record, State
+from sailrun.sharding.messages import Change, Session
+from sailrun.sharding.placement import Placement
+from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 REGION, VOTERS, CONTROL_MACHINES = "r1", 5, 8
 # At the target: 125,000 shards among some 640 nodes.
@@ -107,17 +107,17 @@
         self._shards = shards
         self._terms = self._terms_with_shards
 
-    def _terms_with_shards(self, index: int, voters: list[str], joins: list[str]) -> AgentTerms:
+    def _terms_with_shards(self, index: int, voters: list[str], joins: list[str]) -> AgentSettings:
         usual = terms_of_all(index, voters, joins)
-        region = RegionTerms(name=REGION, shards=self._shards, voters=tuple(voters))
-        return AgentTerms(
+        region = RegionSettings(name=REGION, shards=self._shards, voters=tuple(voters))
+        return AgentSettings(
             usual.members,
             usual.owners,
             usual.permits,
             usual.reader,
             usual.pace,
             usual.replica,
-            ShardsTerms(enabled=True, regions=(region,)),
+            ShardingSettings(enabled=True, regions=(region,)),
         )
 
     def _record_of(self, node: VirtualNode, life: int) -> Record:
@@ -161,7 +161,7 @@
 FLEET_SHARDS = 12_500
 FLEET = (
     f"one region in virtual time: {CONTROL_MACHINES} control machines, {VOTERS} of them voters, "
-    f"{FLEET_SHARDS:,} shards, lease {ShardsTerms().lease_s:g} s, all other tables on"
+    f"{FLEET_SHARDS:,} shards, lease {ShardingSettings().lease_s:g} s, all other tables on"
 )
 STEP_S = 0.25
 
--- a/benchmarks/capacity/rows_loads.py
+++ b/benchmarks/capacity/rows_loads.py
@@ -4,7 +4,7 @@
 
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.working import BYTES, IN_FORCE, Bound, by_nodes, row
-from sailrun.fleet.digest import LONGEST
+from sailrun.load_gossip.digest import LONGEST
 
 ROUNDS = "fleet/rounds.py: one node adds up each round, 2 s long and 10 ms a node past 200 nodes"
 # Up to so many nodes a round lasts 2 s.
--- a/benchmarks/capacity/rows_replica.py
+++ b/benchmarks/capacity/rows_replica.py
@@ -18,11 +18,11 @@
     row,
     samples,
 )
-from sailrun.replica.replica import WHERE_NODES
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.replication.replica import WHERE_NODES
+from sailrun.replication.settings import ReplicationSettings
 
 COPIES = "replica/: one owner writes, a majority of voters keeps, rumors and comparisons spread"
-RECORDS = ReplicaTerms().records
+RECORDS = ReplicationSettings().records
 
 
 def longer(nodes: float) -> float:
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -24,12 +24,12 @@
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.figures import quantile
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.replica.beliefs import Belief, heard
-from sailrun.replica.messages import Op
-from sailrun.replica.records import written
-from sailrun.replica.replica import BELIEF, Answer, Replica
-from sailrun.replica.store import Store
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.replication.beliefs import Belief, heard
+from sailrun.replication.messages import Op
+from sailrun.replication.records import written
+from sailrun.replication.replica import BELIEF, Answer, Replica
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.replication.store import Store
 
 SECOND = 1_000_000
 SETTLED_S = 8.0
@@ -156,7 +156,7 @@
 def _memory() -> float:
     """Bytes for each record of a mark's size."""
     tracemalloc.start()
-    store = Store(ReplicaTerms(enabled=True), b"fleet")
+    store = Store(ReplicationSettings(enabled=True), b"fleet")
     before = tracemalloc.get_traced_memory()[0]
     for n in range(5000):
         store.put(0, written(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
--- a/benchmarks/fuzz_folder.py
+++ b/benchmarks/fuzz_folder.py
@@ -16,8 +16,8 @@
 with atheris.instrument_imports():
     from sailrun.lab.faults.disk import SimFiles
     from sailrun.lab.faults.killing import last_of, write
-    from sailrun.lasting.folder import Sound, read_folder
-    from sailrun.lasting.frames import NewerSchema
+    from sailrun.storage.folder import Sound, read_folder
+    from sailrun.storage.frames import NewerSchema
 
 MOST = 60
 
--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -2,10 +2,11 @@
 
     python -m benchmarks.knowledge [NODES ...]
 
-The rounds of `sailrun/fleet/`, in virtual time, while something goes on: 90 form servers, five sessions a
-node. In the middle of a round two nodes in five place one more session at one form server. Printed, for each
-number of nodes and share of datagrams lost: seconds until half and until 99 in 100 of the nodes know its new
-load to 15%, datagrams and bytes that a node sends a second, and what the rounds keep in memory a node.
+The rounds of `sailrun/load_gossip/`, in virtual time, while something goes on: 90 form servers, five
+sessions a node. In the middle of a round two nodes in five place one more session at one form server.
+Printed, for each number of nodes and share of datagrams lost: seconds until half and until 99 in 100 of the
+nodes know its new load to 15%, datagrams and bytes that a node sends a second, and what the rounds keep in
+memory a node.
 """
 
 from __future__ import annotations
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -25,22 +25,22 @@
 import tomli_w
 
 from benchmarks.startup import a_config
-from sailrun import interface as i
-from sailrun import recollection
+from sailrun.decisions import snapshot as recollection
+from sailrun.decisions.events import StateSnapshot
 from sailrun.lab.faults.days import occasions, sweep_days
 from sailrun.lab.faults.killing import cut_at, kill_often
 from sailrun.lab.faults.play import FaultDay
 from sailrun.lab.faults.rig import free_address
 from sailrun.lab.figures import quantile
-from sailrun.lasting import beliefs
-from sailrun.lasting import entries as e
-from sailrun.lasting.files import OsFiles
-from sailrun.lasting.folder import Folder, Found, Sound, read_folder
-from sailrun.lasting.terms import LastingTerms
-from sailrun.lasting.write_ahead_log import WriteAheadLog
-from sailrun.lasting.writer import Writer
-from sailrun.replica.marks import Mark, pack
-from sailrun.replica.records import mark_of, written
+from sailrun.replication.marks import Mark, pack
+from sailrun.replication.records import mark_of, written
+from sailrun.storage import beliefs
+from sailrun.storage import entries as e
+from sailrun.storage.files import OsFiles
+from sailrun.storage.folder import Folder, Found, Sound, read_folder
+from sailrun.storage.settings import StorageSettings
+from sailrun.storage.write_ahead_log import WriteAheadLog
+from sailrun.storage.writer import Writer
 
 SECOND = 1_000_000
 KILLS, FOR_S = 3000, 5.0
@@ -56,7 +56,9 @@
 def _folder(path: Path, generation_mb: float = 64.0) -> tuple[WriteAheadLog, Writer]:
     files = OsFiles(path)
     files.make()
-    wal = WriteAheadLog(LastingTerms(folder=str(path), generation_mb=generation_mb), SECOND, 0, frozenset())
+    wal = WriteAheadLog(
+        StorageSettings(folder=str(path), generation_mb=generation_mb), SECOND, 0, frozenset()
+    )
     wal.renew(os.urandom(16))
     writer = Writer(Folder(files, Found(Sound.NEW)), "n1", "fleet")
     work = wal.turn(0)
@@ -189,7 +191,7 @@
     second.feed(full(*range(1, 21)))
     if kept:
         learned = beliefs.unpack(content, second.now, 120.0, {f"s-{n}": (n, 0) for n in range(1, 21)})
-        assert isinstance(learned, i.Recalled)
+        assert isinstance(learned, StateSnapshot)
         second.feed(learned)
     up = ten_seconds(second, bad)
     second.finish()
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -13,28 +13,37 @@
 import time
 
 from sailrun import Balancer
-from sailrun import interface as i
+from sailrun.decisions.actions import StartAttempt
+from sailrun.decisions.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    Backend,
+    BackendListUpdate,
+    BackendState,
+    ConnectionOpened,
+    ListKind,
+    RequestArrived,
+)
+from sailrun.decisions.settings import RequestClass, Settings
 
 SECOND = 1_000_000
 BATCHES, BATCH = 15, 200
 
 
 def measure(count: int) -> tuple[float, float, float]:
-    settings = i.Settings(
+    settings = Settings(
         zone="a",
-        classes=(i.RequestClass("page-load", 500_000, 2_000_000, message_objective_us=50_000.0),),
+        classes=(RequestClass("page-load", 500_000, 2_000_000, message_objective_us=50_000.0),),
         drain_grace_us=2 * SECOND,
-        cold_from=0.13,
-        cold_us=24 * SECOND,
-        fall_multiple=3.0,
-        fall_us=3 * SECOND,
+        initial_capacity_share=0.13,
+        slow_start_us=24 * SECOND,
+        overload_multiple=3.0,
+        overload_window_us=3 * SECOND,
         tick_us=5_000,
     )
     node = Balancer(settings, 1, 0)
-    entries = tuple(
-        i.Backend(n * 2_654_435_761 & 0xFFFFFFFF, i.BackendState.READY) for n in range(1, count + 1)
-    )
-    node.handle(0, i.ListUpdate(i.ListKind.FULL, 1, entries))
+    entries = tuple(Backend(n * 2_654_435_761 & 0xFFFFFFFF, BackendState.READY) for n in range(1, count + 1))
+    node.handle(0, BackendListUpdate(ListKind.FULL, 1, entries))
     now_us, asked = 0, 0
 
     def arrive() -> tuple[str, int]:
@@ -42,14 +51,14 @@
         now_us += 1_000
         asked += 1
         name = f"r{asked}"
-        (send,) = node.handle(now_us, i.RequestArrived(name, "page-load", 2_000_000, key=f"{asked:016x}"))
-        assert isinstance(send, i.Send)
+        (send,) = node.handle(now_us, RequestArrived(name, "page-load", 2_000_000, key=f"{asked:016x}"))
+        assert isinstance(send, StartAttempt)
         return name, send.backend
 
     standing = []
     for _ in range(5 * count):
         name, backend = arrive()
-        node.handle(now_us, i.ConnectionOpened(name, 0, backend, 10_000))
+        node.handle(now_us, ConnectionOpened(name, 0, backend, 10_000))
         standing.append((name, backend))
     arrivals, wholes, questions = [], [], []
     for _ in range(BATCHES):
@@ -57,9 +66,9 @@
         placed = [arrive() for _ in range(BATCH)]
         arrivals.append((time.perf_counter_ns() - began) / BATCH / 1000)
         for name, backend in placed:
-            node.handle(now_us, i.ConnectionOpened(name, 0, backend, 10_000))
+            node.handle(now_us, ConnectionOpened(name, 0, backend, 10_000))
         for name, backend in placed:
-            node.handle(now_us, i.AttemptEnded(name, 0, backend, i.Outcome.OK, True))
+            node.handle(now_us, AttemptEnded(name, 0, backend, AttemptOutcome.OK, True))
         wholes.append((time.perf_counter_ns() - began) / BATCH / 1000)
         began = time.perf_counter_ns()
         for name, _ in standing[:BATCH]:
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -17,7 +17,7 @@
 
 from sailrun.lab.faults.rig import free_address
 from sailrun.lab.figures import quantile
-from sailrun.lab.terms import WorldTerms
+from sailrun.lab.settings import WorldSettings
 
 LOOP = """
 import asyncio
@@ -56,7 +56,7 @@
         "seed": "1",
         "peers": [],
         "known": {"revision": 1, "complete": True, "members": []},
-        "settings": WorldTerms(nodes=1, form_servers=1).settings(0),
+        "settings": WorldSettings(nodes=1, form_servers=1).settings(0),
     }
 
 
--- a/sailrun/__init__.py
+++ b/sailrun/__init__.py
@@ -1,6 +1,6 @@
 """Decisions of a balancer for long-lived connections: rendezvous hashing with named exceptions."""
 
-from sailrun.decide import Balancer
+from sailrun.decisions.balancer import Balancer
 
 __version__ = "0.2.0"
 __all__ = ["Balancer"]
--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -10,11 +10,11 @@
 import proton
 from anyio.abc import TaskGroup
 
-from sailrun.amqp.engine import SESSION_BYTES, AmqpTerms, Engine
+from sailrun.amqp.engine import SESSION_BYTES, AmqpSettings, Engine
 from sailrun.amqp.transfer_relay import TransferRelay
 from sailrun.connection import Connection, OutOfDescriptors, connect
+from sailrun.decisions.events import AttemptOutcome
 from sailrun.front import FrontDoor, WaitingRoom
-from sailrun.interface import Outcome
 from sailrun.node.clock import log
 from sailrun.node.core import Node
 from sailrun.node.session import FormSession, Placement
@@ -42,13 +42,13 @@
 class FormServerLink:
     """One attempt's own connection and link to a form server."""
 
-    def __init__(self, clock_us: Callable[[], int], terms: AmqpTerms, connection: Connection) -> None:
+    def __init__(self, clock_us: Callable[[], int], terms: AmqpSettings, connection: Connection) -> None:
         self._clock_us = clock_us
         self.engine = Engine(connection, terms, self._handle, accepts=False)
         self.link: Any = None
         self.answered = anyio.Event()  # attached, refused or broken
         self.ended = anyio.Event()
-        self.outcome = Outcome.RESET
+        self.outcome = AttemptOutcome.RESET
         self.relays: list[TransferRelay] = []
         self._turned_away = False
 
@@ -72,9 +72,9 @@
         try:
             await self.engine.run()
         finally:
-            self._over(Outcome.RESET)
+            self._over(AttemptOutcome.RESET)
 
-    def _over(self, outcome: Outcome) -> None:
+    def _over(self, outcome: AttemptOutcome) -> None:
         if not self.ended.is_set():
             self.outcome = outcome
             self.ended.set()
@@ -92,15 +92,15 @@
             condition = event.link.remote_condition
             name = str(condition.name) if condition is not None else ""
             if name == REFUSED and not self.relays:
-                self._over(Outcome.REJECTED)
+                self._over(AttemptOutcome.REJECTED)
             elif name == MOVED:
-                self._over(Outcome.CANCELLED)
+                self._over(AttemptOutcome.CANCELLED)
             elif name or self._turned_away:
-                self._over(Outcome.ERROR)
+                self._over(AttemptOutcome.ERROR)
             else:
-                self._over(Outcome.OK)
+                self._over(AttemptOutcome.OK)
         elif kind == proton.Event.CONNECTION_REMOTE_CLOSE:
-            self._over(Outcome.ERROR if not self.relays else Outcome.RESET)
+            self._over(AttemptOutcome.ERROR if not self.relays else AttemptOutcome.RESET)
         elif kind == proton.Event.LINK_FLOW:
             for relay in self.relays:
                 relay.grant()
@@ -166,7 +166,7 @@
             key=str(key),
             group=str(group) if group else None,
         )
-        self._node.ask(self._session)
+        self._node.request_session(self._session)
 
     # ------------------------------------------------------------------ orders of the core
 
@@ -246,7 +246,7 @@
             return
         self._finish(reason)
         if self._session is not None:
-            self._node.left(self._session)
+            self._node.client_left(self._session)
 
     def stands(self) -> bool:
         return self._form_server is not None and not self._moving and not self._ended
@@ -267,19 +267,19 @@
         its end, so that no two are ever out; and the core hears of it whatever happens.
         """
         assert self._session is not None
-        outcome = Outcome.CANCELLED  # if this task is ended from here, no form server is to blame
+        outcome = AttemptOutcome.CANCELLED  # if this task is ended from here, no form server is to blame
         try:
             outcome = await self._attempt_session(placement)
         finally:
-            self._node.attempt_over(self._session, placement, outcome)
+            self._node.attempt_ended(self._session, placement, outcome)
 
-    async def _attempt_session(self, placement: Placement) -> Outcome:
+    async def _attempt_session(self, placement: Placement) -> AttemptOutcome:
         assert self._session is not None
         clock = self._node.clock
         self._at = placement.form_server.name
         sent_us = clock.now_us()
         server: FormServerLink | None = None
-        outcome = Outcome.TIMED_OUT
+        outcome = AttemptOutcome.TIMED_OUT
         with anyio.CancelScope(deadline=clock.moment(placement.until_us)) as scope:
             self._scope = scope
             try:
@@ -287,21 +287,23 @@
             finally:
                 self._scope = None
         if self._ended or (scope.cancelled_caught and clock.now_us() < placement.until_us):
-            outcome = Outcome.CANCELLED
+            outcome = AttemptOutcome.CANCELLED
             if server is not None:
                 server.engine.abandon()
                 server = None
         if server is not None:
             self._stand(server)
-            self._node.placed(self._session, placement, clock.now_us() - sent_us)
+            self._node.connection_opened(self._session, placement, clock.now_us() - sent_us)
             await server.ended.wait()
-            outcome = Outcome.CANCELLED if self._ended else server.outcome
+            outcome = AttemptOutcome.CANCELLED if self._ended else server.outcome
             self._end_with(outcome)
             self._form_server = None
             await server.say_goodbye(clock.moment)
         return outcome
 
-    async def _set_up(self, placement: Placement, sent_us: int) -> tuple[FormServerLink | None, Outcome]:
+    async def _set_up(
+        self, placement: Placement, sent_us: int
+    ) -> tuple[FormServerLink | None, AttemptOutcome]:
         assert self._session is not None
         clock = self._node.clock
         connect_by_us = min(placement.until_us, sent_us + self._node.settings.connect_timeout_us)
@@ -311,24 +313,24 @@
             with anyio.CancelScope(deadline=clock.moment(connect_by_us)):
                 connection = await connect(placement.form_server.address)
             if connection is None:
-                return None, Outcome.CONNECT_FAILED
+                return None, AttemptOutcome.CONNECT_FAILED
             if self._ended or not self._node.may_begin(self._session, placement):
                 connection.close()
-                return None, Outcome.CANCELLED if self._ended else Outcome.NOT_SENT
+                return None, AttemptOutcome.CANCELLED if self._ended else AttemptOutcome.NOT_SENT
             server = FormServerLink(clock.now_us, self._front.terms, connection)
             server.attach(self.link, max(1, (placement.until_us - clock.now_us()) // 1000))
             self._front.group.start_soon(server.run)
-            self._node.written()
+            self._node.request_written()
             await server.answered.wait()
             if server.ended.is_set():
                 return None, server.outcome
             kept, server = server, None
-            return kept, Outcome.OK
+            return kept, AttemptOutcome.OK
         except OutOfDescriptors:
             log("out-of-descriptors", doing="connect")
-            return None, Outcome.NOT_SENT
+            return None, AttemptOutcome.NOT_SENT
         except OSError:
-            return None, Outcome.CONNECT_FAILED
+            return None, AttemptOutcome.CONNECT_FAILED
         finally:
             if server is not None:
                 server.engine.abandon()
@@ -346,11 +348,11 @@
         near, far = self._front.engine, server.engine
 
         def passed() -> None:
-            self._node.line_out(session)
+            self._node.line_forwarded(session)
 
         def outcome() -> None:
-            self._node.heard(session)
-            self._node.answered(session)
+            self._node.bytes_received(session)
+            self._node.line_answered(session)
             self._quiet.set()
 
         def nothing() -> None:
@@ -365,11 +367,11 @@
         near.changed()
         relay.transfer()
 
-    def _end_with(self, outcome: Outcome) -> None:
+    def _end_with(self, outcome: AttemptOutcome) -> None:
         """The form server ended the session: the client's link ends the same way."""
-        if outcome is Outcome.OK:
+        if outcome is AttemptOutcome.OK:
             self._detach("served")
-        elif outcome is Outcome.CANCELLED:
+        elif outcome is AttemptOutcome.CANCELLED:
             self._detach("sent-away", MOVED, "moved: attach again")
         else:
             self._detach("form-server-broke", FAILED, "the form server has gone")
@@ -380,7 +382,7 @@
 
     group: TaskGroup
 
-    def __init__(self, node: Node, connection: Connection, terms: AmqpTerms, waiting: WaitingRoom) -> None:
+    def __init__(self, node: Node, connection: Connection, terms: AmqpSettings, waiting: WaitingRoom) -> None:
         self.node, self.terms, self._waiting = node, terms, waiting
         self.classes = {c.name for c in node.settings.classes}
         self.engine = Engine(connection, terms, self._handle, accepts=True)
@@ -466,7 +468,7 @@
         link.free()
 
 
-def amqp_door(node: Node, listener: socket.socket, terms: AmqpTerms, descriptors: int) -> FrontDoor:
+def amqp_door(node: Node, listener: socket.socket, terms: AmqpSettings, descriptors: int) -> FrontDoor:
     waiting = WaitingRoom(descriptors)
 
     def greet(sock: socket.socket) -> ClientConnection:
--- a/sailrun/amqp/engine.py
+++ b/sailrun/amqp/engine.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AmqpTerms:
+class AmqpSettings:
     """What this node states when a connection opens."""
 
     container: str = "sailrun"
@@ -36,7 +36,7 @@
     def __init__(
         self,
         connection: Connection,
-        terms: AmqpTerms,
+        terms: AmqpSettings,
         handler: Callable[[Any], None],
         accepts: bool,
     ) -> None:
--- a/sailrun/benchlink.py
+++ b/sailrun/benchlink.py
@@ -8,8 +8,8 @@
 from typing import BinaryIO, TextIO
 
 from sailrun import wire
-from sailrun.decide import Balancer
-from sailrun.interface import Backend
+from sailrun.decisions.balancer import Balancer
+from sailrun.decisions.events import Backend
 
 
 class Link:
--- a/sailrun/cli.py
+++ b/sailrun/cli.py
@@ -56,7 +56,7 @@
 
     try:
         if operator:
-            from sailrun.operator import read_operator
+            from sailrun.operator_settings import read_operator
 
             enabled = [name for name, terms in read_operator(path).tables() if terms.enabled]
             print(f"{path}: switches on {', '.join(enabled) or 'nothing'}")
@@ -72,7 +72,7 @@
     """Print the JSON schema of an operator's file."""
     import json
 
-    from sailrun.operator import schema
+    from sailrun.operator_settings import schema
 
     print(json.dumps(schema(), indent=2))
 
@@ -138,7 +138,7 @@
     if len(sys.argv) > 1:
         from sailrun.control.cli import app as fleet_app
         from sailrun.lab.cli import app as lab_app
-        from sailrun.lasting.cli import app as lasting_app
+        from sailrun.storage.cli import app as lasting_app
 
         app.add_typer(fleet_app, name="fleet")
         app.add_typer(lab_app, name="lab")
--- a/sailrun/config.py
+++ b/sailrun/config.py
@@ -12,13 +12,13 @@
 from sailrun import wire
 from sailrun.bad_config import BadConfig
 from sailrun.connection import split_address
+from sailrun.decisions.settings import Settings
+from sailrun.decisions.validation import check_settings
 from sailrun.discovery import BadServerList, read_server_list
-from sailrun.interface import Settings
 from sailrun.node.session import ServerListUpdate
-from sailrun.validate import check_settings
 
 if TYPE_CHECKING:
-    from sailrun.operator import Operator
+    from sailrun.operator_settings import Operator
 
 Address = tuple[str, int]
 
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -20,9 +20,9 @@
 from sailrun.node.reply import answer_to
 
 if TYPE_CHECKING:
-    from sailrun.owners.service import FleetPart
-    from sailrun.replica.replica import Answer
-    from sailrun.replica.service import CopiesPart
+    from sailrun.leadership.service import FleetPart
+    from sailrun.replication.replica import Answer
+    from sailrun.replication.service import CopiesPart
 
 SECOND = 1_000_000
 # The kinds of permits, as the fleet names them.
@@ -158,15 +158,15 @@
             return await self._permitted(fleet, call)
         match call.verb:
             case Verb.VARS:
-                return show(await answer_to(node.figures))
+                return show(await answer_to(node.read_metrics))
             case Verb.CHECK:
-                return OK if await answer_to(node.takes_clients) else fail("takes no households")
+                return OK if await answer_to(node.check_ready) else fail("takes no households")
             case Verb.SET_DOWN | Verb.SET_UP:
                 out = call.verb is Verb.SET_DOWN
-                known = await answer_to(partial(node.by_hand, call.form_server, out))
+                known = await answer_to(partial(node.set_operator_override, call.form_server, out))
                 return OK if known else fail(f"no form server '{call.form_server[:80]}'")
             case Verb.DRAIN_ON | Verb.DRAIN_OFF:
-                await answer_to(partial(node.drain, call.verb is Verb.DRAIN_ON))
+                await answer_to(partial(node.set_draining, call.verb is Verb.DRAIN_ON))
                 return OK
 
     async def _of_fleet(self, fleet: FleetPart, words: tuple[str, ...]) -> bytes:
@@ -234,7 +234,7 @@
             return "" if not on or fleet.agent.members.lives(subject) else f"no member '{subject[:80]}'"
         if kind != OUT:
             return f"'{kind[:40]}' is none of out and drain"
-        listed = await answer_to(partial(self._node.lists, subject))
+        listed = await answer_to(partial(self._node.has_form_server, subject))
         return "" if listed or not on else f"no form server '{subject[:80]}'"
 
     async def _mark(
@@ -257,9 +257,9 @@
         if call.verb in (Verb.SET_UP, Verb.DRAIN_OFF):
             fleet.give_back(kind, subject)
             if kind == DRAIN:
-                await answer_to(partial(self._node.drain, False))
+                await answer_to(partial(self._node.set_draining, False))
                 return OK
-            known = await answer_to(partial(self._node.by_hand, subject, False))
+            known = await answer_to(partial(self._node.set_operator_override, subject, False))
             return OK if known else fail(f"no form server '{subject[:80]}'")
         why: str | None = None
         clock = self._node.clock
--- a/sailrun/decide.py
+++ b/sailrun/decisions/balancer.py
@@ -1,4 +1,4 @@
-"""The decisions of a balancer for long-lived connections. Its interface: sailrun/interface.py.
+"""The decisions of a balancer for long-lived connections. Its interface: sailrun/decisions/events.py.
 
 Rank by score, take the first backend that admits. A score is the product of two 32-bit MurmurHash3
 values, one of the backend id and one of the key, cut to 32 bits; the higher score wins, ties go to
@@ -12,13 +12,46 @@
 from itertools import islice, takewhile
 from random import Random
 
-from sailrun import interface as i
-from sailrun import recollection
-from sailrun.rendezvous import MASK, Ranking, key_hash
-from sailrun.slow_start import SlowStart
-from sailrun.start_dates import StartDates
-from sailrun.tracked import LIMIT_US, NOTE_US, TrackedBackend, TrackedRequest
-from sailrun.validate import check_settings
+from sailrun.decisions import snapshot as recollection
+from sailrun.decisions.actions import (
+    Action,
+    DenialReason,
+    FailRequest,
+    LogMessage,
+    MoveConnection,
+    MoveReason,
+    RejectRequest,
+    SetTimer,
+    SlowStartChanged,
+    SlowStartReason,
+    StartAttempt,
+    Subscribe,
+)
+from sailrun.decisions.endpoints import LIMIT_US, NOTE_US, TrackedBackend, TrackedRequest
+from sailrun.decisions.events import (
+    AttemptEnded,
+    AttemptNotice,
+    AttemptOutcome,
+    Backend,
+    BackendListUpdate,
+    BackendState,
+    ClientLeft,
+    ConnectionOpened,
+    ConnectionResumed,
+    Event,
+    FleetLoad,
+    ListKind,
+    NoticeKind,
+    OperatorOverride,
+    RequestArrived,
+    StateSnapshot,
+    TimerFired,
+)
+from sailrun.decisions.placement import MASK, Ranking, key_hash
+from sailrun.decisions.settings import DedupScope, DiscoveryMode, Effect, Settings
+from sailrun.decisions.slow_start import SlowStart
+from sailrun.decisions.start_times import StartDates
+from sailrun.decisions.validation import check_settings
 
 SECOND = 1_000_000
 
@@ -52,16 +85,16 @@
 # many in a row, at a few backends only, are theirs; the first wait after one, doubled at each further one.
 SLOW, ERRORS, ERROR_WAIT_US = 0.25, 3, 200_000
 PATIENCE = 8.0  # an attempt is given up after the objective or so many times what set-ups take, if longer
-NEVER_RAN = (i.Outcome.REJECTED, i.Outcome.CONNECT_FAILED, i.Outcome.NOT_SENT)
+NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 class Balancer:
     """One relay's decisions. Pure: time comes with each event, chance from the seed."""
 
-    def __init__(self, settings: i.Settings, seed: int, now_us: int) -> None:
+    def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
         check_settings(settings)
         self._set, self._random, self._now = settings, Random(seed), now_us
-        self._slow_start, self._dates = SlowStart(settings, self._random), StartDates(settings.cold_us)
+        self._slow_start, self._dates = SlowStart(settings, self._random), StartDates(settings.slow_start_us)
         self._classes = {cls.name: cls for cls in settings.classes}
         aims = [cls.message_objective_us for cls in settings.classes if cls.message_objective_us > 0]
         self._aim_ms = min(aims) / 1_000 if aims else 0.0
@@ -89,15 +122,15 @@
         # Until when the sum is fresh; load placed since it; capacity of those that it may go to.
         self._fresh_until_us, self._since, self._open = now_us, 0.0, 0.0
         self._open_warm, self._listed_capacity = 0, 0.0
-        self._out: list[i.Action] = []
+        self._out: list[Action] = []
         self._handlers: dict[type, Callable[..., None]] = {
-            i.RequestArrived: self._arrived, i.ConnectionOpened: self._stands, i.AttemptEnded: self._ended,
-            i.AttemptNotice: self._notice, i.ListUpdate: self._listed, i.TimerFired: self._timer,
-            i.ClientLeft: self._left, i.ConnectionResumed: self._resumed, i.OthersHold: self._heard,
-            i.ByHand: self._by_hand, i.Recalled: self._recalled,
+            RequestArrived: self._arrived, ConnectionOpened: self._stands, AttemptEnded: self._ended,
+            AttemptNotice: self._notice, BackendListUpdate: self._listed, TimerFired: self._timer,
+            ClientLeft: self._left, ConnectionResumed: self._resumed, FleetLoad: self._heard,
+            OperatorOverride: self._by_hand, StateSnapshot: self._recalled,
         }  # fmt: skip
 
-    def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now_us: int, event: Event) -> list[Action]:
         """Takes one event; returns what to do, in order."""
         self._now, self._out = max(self._now, now_us), []
         if (handler := self._handlers.get(type(event))) is not None:
@@ -119,60 +152,60 @@
         for request in ones:
             self._weigh(request, holder, 1.0)
         ahead = takewhile(lambda s: s is not place, self._ranking.highest_first(newcomer.hash))
-        moves = place is not holder and all(s.cold_from_us < 0 for s in ahead)
-        return place.id if moves and place is not None and place.cold_from_us < 0 else None
+        moves = place is not holder and all(s.slow_start_began_us < 0 for s in ahead)
+        return place.id if moves and place is not None and place.slow_start_began_us < 0 else None
 
     def holding(self) -> tuple[dict[int, float], int, bool, frozenset[int], bool]:
         """What others are to know: loads, connections, whether loads were told, who is late, any alert."""
-        late = [s.id for s in self._ready if s.ejected_until > self._now or self._crowded(s, MOVE_AT)
+        late = [s.id for s in self._ready if s.ejected_until_us > self._now or self._crowded(s, MOVE_AT)
                 or self._now - s.resets_us < BURST_US]  # fmt: skip
         loads, alert = {s.id: s.load for s in self._ready}, bool(late) or self._now < self._alert_until_us
         return loads, self._count, bool(self._class_load), frozenset(late), alert
 
-    def _heard(self, event: i.OthersHold) -> None:
-        if event.told and not self._class_load and event.connections:
+    def _heard(self, event: FleetLoad) -> None:
+        if event.loads_reported and not self._class_load and event.connections:
             self._told_first(sum(event.loads.values()) / event.connections)
-        if event.connections and event.told is not bool(self._class_load):
+        if event.connections and event.loads_reported is not bool(self._class_load):
             return
         for server in self._servers.values():
             server.others = event.loads.get(server.id, 0.0)
-            server.warned_us = event.until_us if server.id in event.warned else 0
+            server.warned_us = event.fresh_until_us if server.id in event.overloaded else 0
         self._others, self._others_count = sum(event.loads.values()), event.connections
         self._relays = event.instances
-        if event.until_us != self._fresh_until_us:
-            self._fresh_until_us, self._since = event.until_us, 0.0
+        if event.fresh_until_us != self._fresh_until_us:
+            self._fresh_until_us, self._since = event.fresh_until_us, 0.0
 
     # ------------------------------------------------------------------ the backend list
 
-    def _listed(self, event: i.ListUpdate) -> None:
-        if event.kind is not i.ListKind.CACHED:
-            self._list_failures = self._list_failures + 1 if event.kind is i.ListKind.FAILED else 0
-        if event.kind in (i.ListKind.FAILED, i.ListKind.CACHED):
+    def _listed(self, event: BackendListUpdate) -> None:
+        if event.kind is not ListKind.CACHED:
+            self._list_failures = self._list_failures + 1 if event.kind is ListKind.FAILED else 0
+        if event.kind in (ListKind.FAILED, ListKind.CACHED):
             self._follow()
-        if event.kind is i.ListKind.FAILED:
+        if event.kind is ListKind.FAILED:
             return
         named = {entry.id for entry in event.backends}
-        if named and event.kind is not i.ListKind.CACHED:
-            self._alert_until_us = self._now + self._set.cold_us
+        if named and event.kind is not ListKind.CACHED:
+            self._alert_until_us = self._now + self._set.slow_start_us
         if not self._dates.running:
             self._dates.listed({s.id: max(0, s.started_us) for s in self._servers.values()}, event.backends)
         for entry in event.backends:
             self._entry(entry)
-        self._dates.running = self._dates.running or event.kind is not i.ListKind.CACHED
-        full = event.kind is not i.ListKind.DELTA
+        self._dates.running = self._dates.running or event.kind is not ListKind.CACHED
+        full = event.kind is not ListKind.DELTA
         for server in (s for s in self._servers.values() if full and s.id not in named):
-            self._state(server, i.BackendState.GONE)
+            self._state(server, BackendState.GONE)
         self._relist()
 
     def _relist(self) -> None:
         listed = sorted(self._servers.values(), key=lambda s: s.id)
-        self._ready = [s for s in listed if s.state is i.BackendState.READY]
+        self._ready = [s for s in listed if s.state is BackendState.READY]
         self._ranking = Ranking(self._ready)
         self._listed_capacity = sum(s.capacity for s in self._ready)
         self._recount()
         self._pump()
 
-    def _entry(self, entry: i.Backend) -> None:
+    def _entry(self, entry: Backend) -> None:
         server = self._servers.get(entry.id)
         if server is None:
             server = self._servers[entry.id] = TrackedBackend(entry)
@@ -184,13 +217,13 @@
             server.started_us, server.start_told_us = entry.started_us, self._now
             if entry.started_us > 0:
                 age_us = self._dates.age_us(entry.started_us, self._now)
-                self._chill(server, self._now - age_us, i.SlowStartCause.LISTED)
+                self._chill(server, self._now - age_us, SlowStartReason.LISTED)
         self._state(server, entry.state)
 
-    def _recalled(self, event: i.Recalled) -> None:
+    def _recalled(self, event: StateSnapshot) -> None:
         recollection.recall(self, event)
         for server in self._servers.values():
-            if server.cold_from_us >= 0:
+            if server.slow_start_began_us >= 0:
                 self._slow_start.backends[server.id] = server
         self._recount()
         self.forfeit_slow_start(self._now)
@@ -199,50 +232,52 @@
         """Two processes are this instance for a while: neither counts on what the other may have used."""
         self._slow_start.forfeit(now_us)
 
-    def _by_hand(self, event: i.ByHand) -> None:
+    def _by_hand(self, event: OperatorOverride) -> None:
         """Out by hand. Acts from staff's call until they call the backend back, which by then has restarted:
         until the list tells of the start, it counts as cold from the call."""
-        self._hand = self._hand | {event.backend} if event.out else self._hand - {event.backend}
+        self._hand = self._hand | {event.backend} if event.excluded else self._hand - {event.backend}
         if (server := self._servers.get(event.backend)) is not None:
-            if not event.out:
+            if not event.excluded:
                 self._slow_start.forget(server)
                 server.forget()
-                since_us = server.start_told_us if server.start_told_us > server.told_us else self._now
-                self._chill(server, since_us, i.SlowStartCause.BY_HAND)
+                since_us = (
+                    server.start_told_us if server.start_told_us > server.draining_notified_us else self._now
+                )
+                self._chill(server, since_us, SlowStartReason.OPERATOR)
             self._state(server, server.listed)
             self._relist()
 
     def avoided(self, now_us: int) -> list[int]:
         """The listed backends that nothing is sent to now: out by hand, or ejected."""
-        shut = (s for s in self._servers.values() if s.id in self._hand or s.ejected_until > now_us)
-        return [s.id for s in shut if s.listed is not i.BackendState.GONE]
+        shut = (s for s in self._servers.values() if s.id in self._hand or s.ejected_until_us > now_us)
+        return [s.id for s in shut if s.listed is not BackendState.GONE]
 
-    def _state(self, server: TrackedBackend, state: i.BackendState) -> None:
+    def _state(self, server: TrackedBackend, state: BackendState) -> None:
         server.listed = state
-        if state is i.BackendState.READY and server.id in self._hand:
-            state = i.BackendState.DRAINING
-        if server.state is i.BackendState.READY and state is not i.BackendState.READY:
-            server.told_us = self._now
+        if state is BackendState.READY and server.id in self._hand:
+            state = BackendState.DRAINING
+        if server.state is BackendState.READY and state is not BackendState.READY:
+            server.draining_notified_us = self._now
             # Its clients move before it leaves, spread over the grace: at once they would crowd the rest.
             for name in server.open:
                 self._token += 1
                 self._moves[self._token] = name
                 wait_us = MOVE_BY * self._set.drain_grace_us * self._random.random()
-                self._out.append(i.SetTimer(1 + int(wait_us), self._token))
+                self._out.append(SetTimer(1 + int(wait_us), self._token))
         server.state = state
 
     def _follow(self) -> None:
         """Ask mode: (re)subscribe at a random time within a window. Discovery takes calls in turn, also those
         that have been given up: more than it takes, and none is answered in time any more."""
-        if self._set.discovery is i.Discovery.ASK and not self._follow_set:
+        if self._set.discovery is DiscoveryMode.ASK and not self._follow_set:
             self._follow_set = True
-            longest = max(ASK_SHARE * self._set.must_ask_in_us, SECOND)
+            longest = max(ASK_SHARE * self._set.poll_interval_us, SECOND)
             window = min(longest, (ASK_US * self._set.instances) << min(self._list_failures, 10))
-            self._out.append(i.SetTimer(1 + int(self._random.random() * window), FOLLOW))
+            self._out.append(SetTimer(1 + int(self._random.random() * window), FOLLOW))
 
     # ------------------------------------------------------------------ arrivals
 
-    def _new(self, event: i.RequestArrived | i.ConnectionResumed, left_us: int) -> TrackedRequest:
+    def _new(self, event: RequestArrived | ConnectionResumed, left_us: int) -> TrackedRequest:
         cls = self._classes.get(event.request_class, self._set.classes[0])
         key = key_hash(event.group_key or event.key or event.request)
         request = self._requests[event.request] = TrackedRequest(event.request, cls, key, self._now + left_us)
@@ -250,19 +285,17 @@
         self._expect(request, event.load_hint)
         return request
 
-    def _arrived(self, event: i.RequestArrived) -> None:
+    def _arrived(self, event: RequestArrived) -> None:
         request = self._new(event, event.left_us)
         request.mid_flow = event.mid_flow and self._set.pass_through
         request.comes_again = event.returning or event.repeat
         self._place(request)
 
-    def _resumed(self, event: i.ConnectionResumed) -> None:
+    def _resumed(self, event: ConnectionResumed) -> None:
         request = self._new(event, 0)
         server = self._servers.get(event.backend)
         if server is None:  # not on any list yet: known by id alone, and not to be sent to
-            server = self._servers[event.backend] = TrackedBackend(
-                i.Backend(event.backend, i.BackendState.GONE)
-            )
+            server = self._servers[event.backend] = TrackedBackend(Backend(event.backend, BackendState.GONE))
         request.attempts, request.opened, request.at = 1, True, server
         self._weigh(request, server, 1.0)
         server.open[request.id] = request
@@ -274,7 +307,7 @@
         elif self._class_load:
             request.load = self._class_load.get(request.cls.name, (self._unit(), 0))[0]
 
-    def _left(self, event: i.ClientLeft) -> None:
+    def _left(self, event: ClientLeft) -> None:
         if (request := self._requests.get(event.request)) is not None:
             self._held.pop(request.id, None)
             if request.at is None:
@@ -287,16 +320,16 @@
     def _place(self, request: TrackedRequest) -> None:
         """Sends the request to the first backend that admits it, else holds or ends it."""
         if request.deadline_us - self._now <= self._set.tick_us:
-            self._finish(request, i.Withheld.OUT_OF_TIME)
+            self._finish(request, DenialReason.OUT_OF_TIME)
             return
         if request.attempts >= self._set.max_attempts or self._now >= self._begin_by_us(request):
-            self._finish(request, i.Withheld.OUT_OF_ATTEMPTS)
+            self._finish(request, DenialReason.OUT_OF_ATTEMPTS)
             return
         server = self._choose(request) if self._paced(request) else None
         if server is None:
             if self._opens_us(request) > self._last_look_us(request):
                 # Given up: answered at once, not when its time is nearly over.
-                self._finish(request, i.Withheld.NOWHERE)
+                self._finish(request, DenialReason.NO_BACKEND)
             elif request.id not in self._held:
                 self._held[request.id] = request
                 self._arm_pump()
@@ -315,13 +348,15 @@
         self._weigh(request, server, 1.0)
         request.tried += (server,)
         server.pending += 1
-        slow_start = self._slow_start.send(server, self._now) if server.cold_from_us >= 0 else None
+        slow_start = self._slow_start.send(server, self._now) if server.slow_start_began_us >= 0 else None
         until_us = request.deadline_us
         if request.attempts < self._set.max_attempts:
             # A silent backend must leave time for another attempt; patience grows with what set-ups take.
             patience_us = max(request.cls.objective_us, int(PATIENCE * self._setup_us))
             until_us = min(until_us, self._now + patience_us)
-        self._out.append(i.Send(request.id, server.id, until_us, self._begin_by_us(request), slow_start))
+        self._out.append(
+            StartAttempt(request.id, server.id, until_us, self._begin_by_us(request), slow_start)
+        )
 
     def _choose(self, request: TrackedRequest, sends: bool = True) -> TrackedBackend | None:
         """The best backend that admits the request. Unless it `sends`, no backend in slow start admits it."""
@@ -346,7 +381,7 @@
                 uncrowded = not self._crowded(server, 0.5) and self._bounded(server, request.load)
                 if uncrowded and self._admits_cold(server, request, sends):
                     return server
-                if server.cold_from_us < 0:
+                if server.slow_start_began_us < 0:
                     spare = spare or server
         # All over their bound: the best not crowded. None healthy in reach: the best ejected one, after all.
         return spare or (last if self._capacity <= 0 else None)
@@ -379,50 +414,56 @@
 
     def _gates_open_us(self, server: TrackedBackend, load: float) -> float:
         """When the gates that time alone opens would let a connection of this load through."""
-        opens: float = max(self._now, server.ejected_until)
+        opens: float = max(self._now, server.ejected_until_us)
         if self._crowded(server, 1.0):
             opens = max(opens, server.delay_us + NOTE_US)
         if not self._below_limit(server, load):
-            grown = (server.held() + load / 2) / server.limit - 1.0 if server.limit > 0 else math.inf
-            opens = max(opens, server.limit_us + SECOND * grown / LIMIT_GROWTH)
-        if server.cold_from_us >= 0:
+            grown = (
+                (server.held() + load / 2) / server.load_limit - 1.0 if server.load_limit > 0 else math.inf
+            )
+            opens = max(opens, server.load_limit_us + SECOND * grown / LIMIT_GROWTH)
+        if server.slow_start_began_us >= 0:
             fair, share = self._fair(server), self._bold() * self._share(server)
-            room = (server.held() / fair - share) / (1 - self._set.cold_from) if fair > 0 else math.inf
-            room_us = max(0.0, room) * self._set.cold_us if server.held() > 0 else 0.0
+            room = (
+                (server.held() / fair - share) / (1 - self._set.initial_capacity_share)
+                if fair > 0
+                else math.inf
+            )
+            room_us = max(0.0, room) * self._set.slow_start_us if server.held() > 0 else 0.0
             opens = max(opens, self._now + room_us, self._slow_start.opens_us(server, self._now))
-            opens = min(opens, max(self._now, server.cold_from_us + self._set.cold_us))
+            opens = min(opens, max(self._now, server.slow_start_began_us + self._set.slow_start_us))
         return opens
 
     def _holder(self, request: TrackedRequest) -> TrackedBackend | None:
         """Mid-flow: the top score over ready backends and those draining within the grace."""
         grace_us = self._set.drain_grace_us - self._set.tick_us
-        drains = (s for s in self._servers.values() if s.state is i.BackendState.DRAINING)
-        pool = [*self._ready, *(s for s in drains if self._now - s.told_us < grace_us)]
+        drains = (s for s in self._servers.values() if s.state is BackendState.DRAINING)
+        pool = [*self._ready, *(s for s in drains if self._now - s.draining_notified_us < grace_us)]
         return max(pool, key=lambda s: ((s.hash * request.hash) & MASK, -s.id), default=None)
 
     def _begin_by_us(self, request: TrackedRequest) -> float:
         """By when the effect class allows another attempt to begin."""
-        if request.ran_at is None or request.cls.effect is i.Effect.IDEMPOTENT:
+        if request.ran_at is None or request.cls.effect is Effect.IDEMPOTENT:
             return math.inf
         window_us = request.cls.dedup_window_us - self._set.tick_us
-        return request.ran_us + window_us if request.cls.effect is i.Effect.DEDUPLICATED else -math.inf
+        return request.ran_us + window_us if request.cls.effect is Effect.DEDUPLICATED else -math.inf
 
     def _may(self, request: TrackedRequest, server: TrackedBackend) -> bool:
         """Whether it allows this backend: no repeat outside the scope that drops repeats."""
         if server in request.tried:
             return False
         first = request.ran_at
-        if first is None or request.cls.effect is i.Effect.IDEMPOTENT:
+        if first is None or request.cls.effect is Effect.IDEMPOTENT:
             return True
-        inside = {i.DedupScope.ZONE: server.zone == first.zone, i.DedupScope.CELL: server.cell == first.cell}
+        inside = {DedupScope.ZONE: server.zone == first.zone, DedupScope.CELL: server.cell == first.cell}
         return inside.get(request.cls.dedup_scope, True)
 
     # ------------------------------------------------------------------ gates
 
     def _healthy(self, server: TrackedBackend) -> bool:
         """Outlier ejection. Acts after failed connects, repeated time-outs or a mass reset."""
-        on_trial = server.trial and server.pending > 0  # one attempt at a time
-        return server.ejected_until <= self._now and not on_trial
+        on_trial = server.half_open and server.pending > 0  # one attempt at a time
+        return server.ejected_until_us <= self._now and not on_trial
 
     def _crowded(self, server: TrackedBackend, share: float) -> bool:
         """Acts while messages there take over this share of the shortest objective."""
@@ -445,14 +486,14 @@
 
     def _below_limit(self, server: TrackedBackend, load: float) -> bool:
         """Acts after a backend was crowded, until its limit has grown past this relay's load there."""
-        grown = 1.0 + LIMIT_GROWTH * (self._now - server.limit_us) / SECOND
-        return server.held() + load / 2 <= max(server.limit * grown, self._fair(server) / 4)
+        grown = 1.0 + LIMIT_GROWTH * (self._now - server.load_limit_us) / SECOND
+        return server.held() + load / 2 <= max(server.load_limit * grown, self._fair(server) / 4)
 
     def _lower(self, server: TrackedBackend) -> None:
         """A crowded backend's limit: without it the same groups flood back once it is no longer crowded."""
-        if self._now - server.limit_us >= LIMIT_US:
-            server.limit = LIMIT_CUT * max(min(server.limit, server.held()), self._fair(server) / 2)
-            server.limit_us = self._now
+        if self._now - server.load_limit_us >= LIMIT_US:
+            server.load_limit = LIMIT_CUT * max(min(server.load_limit, server.held()), self._fair(server) / 2)
+            server.load_limit_us = self._now
 
     def _unit(self) -> float:
         """The mean load of the connections known of."""
@@ -478,13 +519,15 @@
         self._recount_us = self._now + PUMP_US  # those that warm up have more by then
         for server in self._slow_start.ended(self._now):
             self._slow_start.forget(server)
-            if server.listed is not i.BackendState.GONE:
-                self._out.append(i.SlowStartChanged(server.id, i.SlowStartCause.WARM))
-        works = (s for s in self._ready if s.ejected_until <= self._now or (s.errors and s.open))  # full ones
+            if server.listed is not BackendState.GONE:
+                self._out.append(SlowStartChanged(server.id, SlowStartReason.ENDED))
+        works = (
+            s for s in self._ready if s.ejected_until_us <= self._now or (s.consecutive_errors and s.open)
+        )  # full ones
         shares = {s: s.capacity * self._share(s) for s in works}
         self._capacity = sum(shares.values())
         self._open = sum(c for s, c in shares.items() if not self._crowded(s, 0.5) and self._bounded(s, 0.0))
-        self._divide_slow_start([s for s in shares if s.cold_from_us < 0])
+        self._divide_slow_start([s for s in shares if s.slow_start_began_us < 0])
 
     def _divide_slow_start(self, warm: list[TrackedBackend]) -> None:
         """This relay's part in each slow start, by the connections that fill a warm backend: those that all
@@ -538,7 +581,7 @@
     def _admits_cold(self, server: TrackedBackend, request: TrackedRequest, sends: bool) -> bool:
         """Slow start. Acts during the warm-up. The load there stays under the fair load times the share of
         its capacity that the backend is sure to have, and what is sent under what `SlowStart` allows."""
-        if server.cold_from_us < 0:
+        if server.slow_start_began_us < 0:
             return True
         if not sends or server.held() > self._bold() * self._share(server) * self._fair(server):
             return False
@@ -549,16 +592,16 @@
         """A cold one's share is the least it may have: many relays, of which each sends little, risk more."""
         return BOLD if self._relays >= MANY and self._now < self._fresh_until_us else 1.0
 
-    def _chill(self, server: TrackedBackend, since_us: int, cause: i.SlowStartCause) -> None:
-        sent = cause is i.SlowStartCause.LISTED and not self._dates.running
-        assumed = cause is i.SlowStartCause.ANSWERS_AGAIN and (server.assumed or server.cold_from_us < 0)
+    def _chill(self, server: TrackedBackend, since_us: int, cause: SlowStartReason) -> None:
+        sent = cause is SlowStartReason.LISTED and not self._dates.running
+        assumed = cause is SlowStartReason.RECOVERED and (server.assumed or server.slow_start_began_us < 0)
         if self._slow_start.begin(server, since_us, sent, assumed, self._now):
-            self._out.append(i.SlowStartChanged(server.id, cause, self._now - since_us))
+            self._out.append(SlowStartChanged(server.id, cause, self._now - since_us))
             self._recount_us = self._now  # its part is worked out before anything is sent there
 
     # ------------------------------------------------------------------ attempts
 
-    def _stands(self, event: i.ConnectionOpened) -> None:
+    def _stands(self, event: ConnectionOpened) -> None:
         request = self._requests.get(event.request)
         server = request.at if request else None
         if request is None or server is None or request.opened or event.backend != server.id:
@@ -591,7 +634,7 @@
         well = (s for s in self._ready if s is not server and self._healthy(s))
         return any(not self._crowded(s, 0.5) and self._bounded(s, 0.0) for s in well)
 
-    def _ended(self, event: i.AttemptEnded) -> None:
+    def _ended(self, event: AttemptEnded) -> None:
         request = self._requests.get(event.request)
         server = request.at if request else None
         if request is None or server is None or event.backend != server.id:
@@ -599,7 +642,7 @@
         stood = request.opened
         if stood:
             server.open.pop(request.id, None)
-            self._since -= request.load * (server.state is i.BackendState.READY)
+            self._since -= request.load * (server.state is BackendState.READY)
         else:
             server.pending -= 1
         self._weigh(request, server, -1.0)
@@ -609,60 +652,68 @@
             request.ran_at, request.ran_us = server, request.sent_us
         if event.over or request.deadline_us < 0:
             del self._requests[request.id]
-        elif stood or event.outcome is i.Outcome.CANCELLED:
-            self._finish(request, i.Withheld.GIVEN_UP)
+        elif stood or event.outcome is AttemptOutcome.CANCELLED:
+            self._finish(request, DenialReason.CANCELLED)
         elif self._now >= self._begin_by_us(request):
-            self._finish(request, i.Withheld.OUT_OF_ATTEMPTS)
+            self._finish(request, DenialReason.OUT_OF_ATTEMPTS)
         else:
-            failed = event.outcome in (i.Outcome.ERROR, i.Outcome.TIMED_OUT, i.Outcome.REJECTED)
-            if failed and not server.trial:  # what an ejected one answers says nothing of the others
+            failed = event.outcome in (
+                AttemptOutcome.ERROR,
+                AttemptOutcome.TIMED_OUT,
+                AttemptOutcome.REJECTED,
+            )
+            if failed and not server.half_open:  # what an ejected one answers says nothing of the others
                 self._succeeding *= 0.9
                 slow = self._setup_us > SLOW * request.cls.objective_us
                 if self._succeeding < (0.7 if slow else 0.3):
                     self._slow_down()
-            elsewhere = any(s.errors for s in self._ready if s is not server)
-            if event.outcome is i.Outcome.ERROR and not server.trial and elsewhere:  # a store that all share?
+            elsewhere = any(s.consecutive_errors for s in self._ready if s is not server)
+            if (
+                event.outcome is AttemptOutcome.ERROR and not server.half_open and elsewhere
+            ):  # a store that all share?
                 wait_us = ERROR_WAIT_US << min(request.attempts - 1, 3)
                 request.not_before_us = self._now + int(wait_us * (0.5 + self._random.random()))
             self._place(request)
 
-    def _finish(self, request: TrackedRequest, why: i.Withheld) -> None:
+    def _finish(self, request: TrackedRequest, why: DenialReason) -> None:
         """The one final answer: a refusal only where trying again is known to be harmless."""
         self._held.pop(request.id, None)
         del self._requests[request.id]
         longest_us = self._set.max_retry_after_us if self._set.retry_after else 0
         back_us = int(longest_us * (0.25 + 0.75 * self._random.random()))
         failed = request.ran_at is not None
-        self._out.append(i.Fail(request.id, why) if failed else i.Refuse(request.id, back_us, why))
+        self._out.append(FailRequest(request.id, why) if failed else RejectRequest(request.id, back_us, why))
 
     # ------------------------------------------------------------------ health
 
-    def _judge(self, server: TrackedBackend, outcome: i.Outcome, stood: bool) -> None:
-        if outcome is i.Outcome.OK:
+    def _judge(self, server: TrackedBackend, outcome: AttemptOutcome, stood: bool) -> None:
+        if outcome is AttemptOutcome.OK:
             self._recovered(server)
-        elif outcome is i.Outcome.CONNECT_FAILED:
+        elif outcome is AttemptOutcome.CONNECT_FAILED:
             if not server.open or self._now - server.missed_us < SECOND:
                 self._eject(server, "does not accept connections")
             server.missed_us = self._now  # once, beside connections that stand, is chance
-        elif outcome is i.Outcome.TIMED_OUT and not stood:
-            server.strikes += 1
+        elif outcome is AttemptOutcome.TIMED_OUT and not stood:
+            server.consecutive_timeouts += 1
             self._strain(server)
-            if (server.strikes >= 2 or server.trial) and self._succeeding > 0.5:
+            if (server.consecutive_timeouts >= 2 or server.half_open) and self._succeeding > 0.5:
                 self._eject(server, "does not answer")
-        elif outcome is i.Outcome.ERROR:
-            server.errors += 1
-            erring = sum(1 for s in self._ready if s.errors)
-            if server.errors >= ERRORS and 2 * erring <= len(self._ready):  # no fault of a store all share
+        elif outcome is AttemptOutcome.ERROR:
+            server.consecutive_errors += 1
+            erring = sum(1 for s in self._ready if s.consecutive_errors)
+            if server.consecutive_errors >= ERRORS and 2 * erring <= len(
+                self._ready
+            ):  # no fault of a store all share
                 self._eject(server, "answers with errors")
-        elif outcome is i.Outcome.REJECTED:
+        elif outcome is AttemptOutcome.REJECTED:
             self._strain(server)
-        elif outcome is i.Outcome.RESET:
+        elif outcome is AttemptOutcome.RESET:
             if self._now - server.resets_us > BURST_US:
                 server.resets = 0
             server.resets, server.resets_us = server.resets + 1, self._now
             if not server.open and server.resets >= 2:  # all at once: the process is gone, listed or not
                 self._eject(server, "broke all its connections")
-                server.limit, server.delay_ms = math.inf, 0.0  # and what crowded it with it
+                server.load_limit, server.delay_ms = math.inf, 0.0  # and what crowded it with it
             elif server.resets >= 2 or self._crowded(server, 0.0):  # one alone is no sign of a crowd
                 self._strain(server)
 
@@ -672,36 +723,36 @@
         self._lower(server)
 
     def _eject(self, server: TrackedBackend, why: str) -> None:
-        away = [s for s in self._ready if s.ejected_until > self._now]
+        away = [s for s in self._ready if s.ejected_until_us > self._now]
         if server in away or server not in self._ready or len(away) >= EJECT_SHARE * len(self._ready):
             return
         stay = min(EJECT_MAX_US, EJECT_US << min(server.ejections, 10))
-        server.ejected_until = self._now + int(stay * (0.75 + 0.5 * self._random.random()))
+        server.ejected_until_us = self._now + int(stay * (0.75 + 0.5 * self._random.random()))
         server.ejections += 1
         self._report(f"backend {server.id} ejected: it {why}")
-        server.trial = True
+        server.half_open = True
         self._recount()
 
     def _report(self, what: str) -> None:
         """One log line a second at most: a fault of many backends has one reason."""
         if self._now - self._logged_us >= SECOND:
-            self._out.append(i.Log(what))
+            self._out.append(LogMessage(what))
             self._logged_us = self._now
 
     def _recovered(self, server: TrackedBackend) -> None:
-        server.strikes = server.errors = 0
-        if server.trial:
+        server.consecutive_timeouts = server.consecutive_errors = 0
+        if server.half_open:
             self._report(f"backend {server.id} readmitted")
-            server.trial = False
-            server.ejections = server.ejected_until = 0
+            server.half_open = False
+            server.ejections = server.ejected_until_us = 0
             self._recount()
             if len(server.open) <= 1:  # it may have restarted before the list tells: treated as cold from now
-                self._chill(server, self._now, i.SlowStartCause.ANSWERS_AGAIN)
+                self._chill(server, self._now, SlowStartReason.RECOVERED)
 
-    def _notice(self, event: i.AttemptNotice) -> None:
+    def _notice(self, event: AttemptNotice) -> None:
         server = self._servers.get(event.backend)
         request = self._requests.get(event.request)
-        if event.kind is i.NoticeKind.LOAD:
+        if event.kind is NoticeKind.LOAD:
             if request is not None and request.at is server and event.value >= 0:
                 self._told(request, event.value)
         elif server is not None:
@@ -739,7 +790,7 @@
             return
         over = (1.0 - self._fair(server) / max(server.held(), 1e-9)) / (2 if self._relays > 1 else 1)
         excess = server.load * max(MOVE_SHARE, over if room else 0.0)
-        hashes = [s.hash for s in self._ready if s.ejected_until <= self._now]
+        hashes = [s.hash for s in self._ready if s.ejected_until_us <= self._now]
 
         def keeps(request: TrackedRequest) -> tuple[bool, float]:
             score = (server.hash * request.hash) & MASK
@@ -749,24 +800,24 @@
             if excess <= request.load * self._random.random():
                 break
             excess -= request.load
-            self._out.append(i.MoveConnection(request.id))
+            self._out.append(MoveConnection(request.id))
 
     # ------------------------------------------------------------------ timers
 
     def _arm_pump(self) -> None:
         if not self._pump_set:
             self._pump_set = True
-            self._out.append(i.SetTimer(PUMP_US, PUMP))
+            self._out.append(SetTimer(PUMP_US, PUMP))
 
-    def _timer(self, event: i.TimerFired) -> None:
+    def _timer(self, event: TimerFired) -> None:
         if (token := event.token) == PUMP and self._pump_set:
             self._pump_set = False
             self._pump()
         elif (leaving := self._requests.get(self._moves.pop(token, ""))) is not None and leaving.opened:
-            self._out.append(i.MoveConnection(leaving.id, i.Cause.DRAINS))
+            self._out.append(MoveConnection(leaving.id, MoveReason.DRAINING))
         elif token == FOLLOW and self._follow_set:
             self._follow_set = False
-            self._out.append(i.Subscribe())
+            self._out.append(Subscribe())
 
     def _pump(self) -> None:
         """Held requests: another look, and the refusal while it still counts. After some looks in vain the
@@ -775,9 +826,9 @@
         opens = min((self._gates_open_us(s, 0.0) for s in self._ready), default=math.inf)
         for request in list(self._held.values()):
             if self._now >= self._last_look_us(request):
-                self._finish(request, i.Withheld.OUT_OF_TIME)
+                self._finish(request, DenialReason.OUT_OF_TIME)
             elif opens > self._last_look_us(request):
-                self._finish(request, i.Withheld.NOWHERE)
+                self._finish(request, DenialReason.NO_BACKEND)
             elif misses < PUMP_MISSES and request.not_before_us <= self._now:
                 self._place(request)
                 if self._held.pop(request.id, None):
--- a/sailrun/tracked.py
+++ b/sailrun/decisions/endpoints.py
@@ -1,6 +1,6 @@
 """What the decisions keep of each backend and each request: hashes, counts and when things were last seen.
 
-Nothing here decides anything; `sailrun.decide` does.
+Nothing here decides anything; `sailrun/decisions/balancer.py` does.
 """
 
 from __future__ import annotations
@@ -8,8 +8,9 @@
 import math
 from collections import deque
 
-from sailrun import interface as i
-from sailrun.rendezvous import server_hash
+from sailrun.decisions.events import Backend, BackendState
+from sailrun.decisions.placement import server_hash
+from sailrun.decisions.settings import RequestClass
 
 # A delay note older than this says nothing any more.
 NOTE_US = 2_500_000
@@ -20,14 +21,17 @@
 class TrackedBackend:
     """What this instance knows of one backend."""
 
-    def __init__(self, entry: i.Backend) -> None:
+    def __init__(self, entry: Backend) -> None:
         self.id, self.hash = entry.id, server_hash(entry.id)
         self.zone, self.cell, self.capacity = entry.zone, entry.cell, entry.capacity
         self.open: dict[str, TrackedRequest] = {}  # connections that stand, in the order they came
         self.pending, self.load = 0, 0.0  # attempts out that do not stand yet; of these and what is open
-        self.told_us, self.started_us = 0, -1  # when this instance was told that it drains or is gone
+        self.draining_notified_us, self.started_us = (
+            0,
+            -1,
+        )  # when this instance was told that it drains or is gone
         self.start_told_us = 0  # when it was told of the present start
-        self.state = self.listed = i.BackendState.GONE  # as listed it may be ready, and out by hand
+        self.state = self.listed = BackendState.GONE  # as listed it may be ready, and out by hand
         self.sent_us: deque[int] = deque()  # this instance's latest sends to it in slow start
         self.forget()
 
@@ -37,15 +41,20 @@
 
     def forget(self) -> None:
         """A new process under this id: what was seen of the old one says nothing."""
-        self.ejected_until = self.ejections = self.strikes = self.errors = self.resets = 0
+        self.ejected_until_us = self.ejections = self.consecutive_timeouts = self.consecutive_errors = (
+            self.resets
+        ) = 0
         self.others, self.warned_us = 0.0, 0  # what other relays hold there; they find it late, until then
-        self.trial = False  # ejected before; not yet seen to work again
+        self.half_open = False  # ejected before; not yet seen to work again
         self.delay_ms = 0.0
         self.delay_us = self.resets_us = self.missed_us = -NOTE_US
         self.late_ms, self.late_us = 0.0, 0  # how much longer than usual set-ups take here
-        self.limit, self.limit_us = math.inf, -LIMIT_US  # on the load known of, learned from crowding
+        self.load_limit, self.load_limit_us = (
+            math.inf,
+            -LIMIT_US,
+        )  # on the load known of, learned from crowding
         # In slow start: its begin, -1: warm; what is left of this instance's part, 0 to 1, and since when.
-        self.cold_from_us, self.tokens, self.token_us = -1, 0.0, 0
+        self.slow_start_began_us, self.tokens, self.tokens_us = -1, 0.0, 0
         # This instance's part of one window; the most it sends in one; the chance of the latest request.
         self.part, self.most, self.chance = 0.0, 1, 0.0
         self.assumed = False  # nobody has said that it started; it was away and answers again
@@ -53,7 +62,7 @@
 
 
 class TrackedRequest:
-    def __init__(self, name: str, cls: i.RequestClass, hashed: int, deadline_us: int) -> None:
+    def __init__(self, name: str, cls: RequestClass, hashed: int, deadline_us: int) -> None:
         self.id, self.cls, self.hash, self.deadline_us = name, cls, hashed, deadline_us
         self.at: TrackedBackend | None = None  # where its attempt is out, or its connection stands
         self.tried: tuple[TrackedBackend, ...] = ()
--- a/sailrun/slow_start.py
+++ b/sailrun/decisions/slow_start.py
@@ -23,8 +23,9 @@
 import math
 from random import Random
 
-from sailrun import interface as i
-from sailrun.tracked import TrackedBackend
+from sailrun.decisions.actions import SlowStartAllowance
+from sailrun.decisions.endpoints import TrackedBackend
+from sailrun.decisions.settings import Settings
 
 # From so many calls on, less is allowed for chance.
 MANY_CALLS = 30
@@ -58,9 +59,9 @@
 class SlowStart:
     """One instance's part in the slow start of every backend. Times are on the instance's monotonic clock."""
 
-    def __init__(self, settings: i.Settings, random: Random) -> None:
+    def __init__(self, settings: Settings, random: Random) -> None:
         self._settings, self._random = settings, random
-        self._window_us = max(1, settings.fall_us)
+        self._window_us = max(1, settings.overload_window_us)
         self._instances = settings.instances
         self._expected = 1.0  # the chance that the last request placed would go to any one open backend
         self.backends: dict[int, TrackedBackend] = {}  # in slow start
@@ -70,9 +71,9 @@
         instance before this one may have sent the backend something. `assumed`: nobody has said that it
         started.
         """
-        if now_us - since_us >= self._settings.cold_us:
+        if now_us - since_us >= self._settings.slow_start_us:
             return False
-        server.cold_from_us, server.token_us = since_us, now_us
+        server.slow_start_began_us, server.tokens_us = since_us, now_us
         server.assumed = assumed
         server.tokens = 0.0 if self._sent(server, now_us) else LEFT_OVER * self._random.random()
         server.part, server.most, server.chance = 0.0, 1, 0.0
@@ -83,7 +84,7 @@
 
     def forget(self, server: TrackedBackend) -> None:
         """It is warm, or another process has taken its place."""
-        server.cold_from_us = -1
+        server.slow_start_began_us = -1
         self.backends.pop(server.id, None)
 
     def ended(self, now_us: int) -> list[TrackedBackend]:
@@ -92,18 +93,20 @@
 
     def share(self, server: TrackedBackend, now_us: int) -> float:
         """What a backend is sure to have of its capacity: less than 1 while it warms up."""
-        if server.cold_from_us < 0:
+        if server.slow_start_began_us < 0:
             return 1.0
-        age = (now_us - server.cold_from_us) / self._settings.cold_us
-        return min(1.0, self._settings.cold_from + (1 - self._settings.cold_from) * age)
+        age = (now_us - server.slow_start_began_us) / self._settings.slow_start_us
+        return min(
+            1.0, self._settings.initial_capacity_share + (1 - self._settings.initial_capacity_share) * age
+        )
 
     def divide(self, server: TrackedBackend, connections: float, heard: int, now_us: int) -> None:
         """Works out this instance's part anew. `connections`: those of all instances that fill it once it is
         warm; `heard`: the instances known to run, this one among them.
         """
         self._instances = max(self._settings.instances, heard)
-        capacity = connections * self._window_us / self._settings.cold_us
-        limit = bearable(self._settings.fall_multiple * self.share(server, now_us) * capacity)
+        capacity = connections * self._window_us / self._settings.slow_start_us
+        limit = bearable(self._settings.overload_multiple * self.share(server, now_us) * capacity)
         mean = safe_mean(limit)
         server.part = mean / self._instances
         # What is not known to have started most likely has not: to keep away from it as well costs more.
@@ -123,9 +126,9 @@
                 server.tokens -= self._expected * server.chance / server.part
 
     def _refill(self, server: TrackedBackend, now_us: int) -> None:
-        gained = FLOW * (now_us - server.token_us) / self._window_us
+        gained = FLOW * (now_us - server.tokens_us) / self._window_us
         server.tokens = min(LEFT_OVER, server.tokens + gained)
-        server.token_us = now_us
+        server.tokens_us = now_us
 
     def admits(self, server: TrackedBackend, weight: float, comes_again: bool, now_us: int) -> bool:
         """Whether the request that was looked at may go to this backend; asked once. `weight`: its work, as a
@@ -136,11 +139,11 @@
         weight = max(1.0, weight) * (TOGETHER if comes_again else 1.0)
         return server.counts or self._random.random() * weight < server.chance
 
-    def send(self, server: TrackedBackend, now_us: int) -> i.SlowStartUse:
+    def send(self, server: TrackedBackend, now_us: int) -> SlowStartAllowance:
         """A request goes there."""
         server.sent_us.append(now_us)
         part = server.most if server.counts else server.part
-        return i.SlowStartUse(self.share(server, now_us), self._sent(server, now_us), part)
+        return SlowStartAllowance(self.share(server, now_us), self._sent(server, now_us), part)
 
     def _sent(self, server: TrackedBackend, now_us: int) -> int:
         while server.sent_us and server.sent_us[0] <= now_us - self._window_us:
@@ -163,5 +166,5 @@
             self._forfeit(server, now_us)
 
     def _forfeit(self, server: TrackedBackend, now_us: int) -> None:
-        server.tokens, server.token_us, server.chance = 0.0, now_us, 0.0
+        server.tokens, server.tokens_us, server.chance = 0.0, now_us, 0.0
         server.sent_us.extend([now_us] * FORFEITED)
--- a/sailrun/start_dates.py
+++ b/sailrun/decisions/start_times.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable
 
-from sailrun import interface as i
+from sailrun.decisions.events import Backend
 
 # A start is news after about so long; what is stated to be older than this by then is a clock's fault.
 NEWS_US, OUTDATED_US = 2_000_000, 30_000_000
@@ -25,7 +25,7 @@
         self._newest_us = 0  # the newest start listed; 0: none, or most backends started with it
         self.running = False  # a list has come that was not the one known at the start of this instance
 
-    def listed(self, known: dict[int, int], entries: Iterable[i.Backend]) -> None:
+    def listed(self, known: dict[int, int], entries: Iterable[Backend]) -> None:
         """A list has come. `known`: the starts that were stated before, by backend."""
         starts = known | {entry.id: entry.started_us for entry in entries}
         newest_us = max(starts.values(), default=0)
--- a/sailrun/validate.py
+++ b/sailrun/decisions/validation.py
@@ -6,20 +6,31 @@
 from dataclasses import fields
 from enum import Enum
 
-from sailrun.interface import RequestClass, Settings, Tenant
+from sailrun.decisions.settings import RequestClass, Settings, Tenant
 
 _POSITIVE = {
     "objective_us",
     "deadline_us",
-    "cold_us",
-    "fall_multiple",
-    "fall_us",
+    "slow_start_us",
+    "overload_multiple",
+    "overload_window_us",
     "instances",
     "max_attempts",
     "connect_timeout_us",
     "tick_us",
 }
-_SHARES = {"share", "over_share_worth"}  # 0 to 1, ends included
+# Settings that a complaint calls by the name which operators know, without the units of their fields.
+SHOWN_NAMES = {
+    "initial_capacity_share": "cold_from",
+    "slow_start_us": "cold_us",
+    "overload_multiple": "fall_multiple",
+    "overload_window_us": "fall_us",
+    "over_quota_priority_weight": "over_share_worth",
+    "priority_weight": "worth",
+    "poll_interval_us": "must_ask_in_us",
+    "reports_delay": "tells_delay",
+}
+_SHARES = {"share", "over_quota_priority_weight"}  # 0 to 1, ends included
 
 
 def _fault(where: str, value: object, expected: str) -> ValueError:
@@ -35,7 +46,7 @@
             raise _fault(where, value, "a number above 0" if name in _POSITIVE else "0 or more")
         if name in _SHARES and value > 1:
             raise _fault(where, value, "a share from 0 to 1")
-        if name == "cold_from" and not 0 < value <= 1:
+        if name == "initial_capacity_share" and not 0 < value <= 1:
             raise _fault(where, value, "a share above 0, up to 1")
     elif declared in ("bool", "str"):
         if type(value).__name__ != declared:
@@ -48,7 +59,12 @@
 
 def _check_all(prefix: str, record: RequestClass | Tenant | Settings) -> None:
     for field in fields(record):
-        _check(prefix + field.name, field.name, str(field.type), getattr(record, field.name))
+        _check(
+            prefix + SHOWN_NAMES.get(field.name, field.name),
+            field.name,
+            str(field.type),
+            getattr(record, field.name),
+        )
 
 
 def check_settings(settings: Settings) -> None:
@@ -67,7 +83,7 @@
             raise _fault(name, names, "no name twice")
     if not settings.classes:
         raise _fault("classes", settings.classes, "at least one request class")
-    if settings.fall_multiple < 1:
-        raise _fault("fall_multiple", settings.fall_multiple, "1 or more")
+    if settings.overload_multiple < 1:
+        raise _fault("fall_multiple", settings.overload_multiple, "1 or more")
     if settings.index >= settings.instances:
         raise _fault("index", settings.index, f"less than instances ({settings.instances})")
--- a/sailrun/discovery.py
+++ b/sailrun/discovery.py
@@ -10,8 +10,9 @@
 import anyio
 
 from sailrun.connection import split_address
+from sailrun.decisions.events import BackendState, ListKind
+from sailrun.decisions.settings import DiscoveryMode
 from sailrun.http_calls import CallFailed, HttpCalls
-from sailrun.interface import BackendState, Discovery, ListKind
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer, ServerListUpdate
 
@@ -102,8 +103,8 @@
         self._random = Random(seed)
         settings = node.settings
         # Without a watch a node is held to its list for so long, where it has to ask.
-        self._wait_us = min(settings.must_ask_in_us or WAIT_US, WAIT_US)
-        self._shared = settings.discovery is Discovery.ASK
+        self._wait_us = min(settings.poll_interval_us or WAIT_US, WAIT_US)
+        self._shared = settings.discovery is DiscoveryMode.ASK
         self._apart_us = ASK_US * (settings.instances if self._shared else 1)
         self._failures = 0
         self._call_at_us = 0  # not before: calls are spread at the start and after failures
--- a/sailrun/succession/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -15,15 +15,9 @@
 from anyio.abc import TaskGroup
 
 from sailrun.connection import Overlong, show_address
-from sailrun.node.clock import log
-from sailrun.node.core import Node
-from sailrun.node.leaving import Reason
-from sailrun.node.reply import answer_to
-from sailrun.node.session_transfer import SessionTransfer
-from sailrun.node.succession_state import NodeState
-from sailrun.succession.link import MOST_SOCKETS, Doorstep, Link, hand, is_ours, knock, receive
-from sailrun.succession.rules import Succession
-from sailrun.succession.state import (
+from sailrun.hot_restart.link import MOST_SOCKETS, Doorstep, Link, hand, is_ours, knock, receive
+from sailrun.hot_restart.rules import Succession
+from sailrun.hot_restart.state import (
     BadHandoverMessage,
     pack,
     read_held,
@@ -32,6 +26,12 @@
     write_held,
     write_state,
 )
+from sailrun.node.clock import log
+from sailrun.node.core import Node
+from sailrun.node.leaving import Reason
+from sailrun.node.reply import answer_to
+from sailrun.node.session_transfer import SessionTransfer
+from sailrun.node.succession_state import NodeState
 
 SECOND = 1_000_000
 # A predecessor is busy serving: so long a successor waits for its answer, and asks again meanwhile where it
@@ -121,7 +121,7 @@
         self._rules = Succession()
         self._talks: dict[Link, _Talk] = {}
         self._theirs = 0  # descriptors that the predecessor has open, as far as told
-        node.on_staff = self._staff_said
+        node.on_operator_command = self._staff_said
 
     async def run(self) -> None:
         """Until cancelled. A successor is announced first, so that its predecessor takes no more."""
@@ -177,11 +177,11 @@
             if kind == "held":
                 held = read_held(content)
                 self._leave_descriptors(held.descriptors)
-                self._node.predecessor_holds(held)
+                self._node.update_predecessor_load(held)
             elif kind == "session":
                 self._receive(talk, content)
             else:
-                self._node.staff_said_elsewhere(kind, content)
+                self._node.mirror_operator_command(kind, content)
 
         try:
             await inherited.link.write(pack("took", None))
@@ -190,7 +190,7 @@
             inherited.link.close()  # it ended while this process started
         finally:
             self._leave_descriptors(0)
-            self._node.predecessor_holds(None)
+            self._node.update_predecessor_load(None)
         log("predecessor-ended")
 
     def _receive(self, talk: _Talk, content: Any) -> None:
@@ -230,7 +230,7 @@
             link.close()
             return
         try:
-            state = await answer_to(self._node.pass_on)
+            state = await answer_to(self._node.snapshot_state)
             sockets = dict(list(self._sockets().items())[:MOST_SOCKETS])
             content = {"sockets": list(sockets), "state": write_state(state)}
             await hand(link, pack("state", content), list(sockets.values()))
@@ -241,24 +241,24 @@
             link.close()
         finally:
             if self._rules.lost(Reason.RESTART in self._node.leaving):
-                self._node.succeeded(None)
+                self._node.set_successor(None)
                 self._pause(False)
 
     def _hear_successor(self, talk: _Talk, kind: str, content: Any, group: TaskGroup) -> None:
         if kind in ("adopted", "refused"):
             talk.settle(content, kind == "adopted")
         elif kind != "took":
-            self._node.staff_said_elsewhere(kind, content)
+            self._node.mirror_operator_command(kind, content)
         elif self._rules.took():
             self._pause(True)
-            self._node.succeeded(talk.send)
+            self._node.set_successor(talk.send)
             group.start_soon(self._tell, talk)
 
     async def _tell(self, talk: _Talk) -> None:
         clock = self._node.clock
         next_us = clock.now_us()
         while True:
-            held = await answer_to(self._node.holds)
+            held = await answer_to(self._node.report_held_load)
             descriptors = len(os.listdir("/proc/self/fd"))
             talk.say("held", write_held(replace(held, descriptors=descriptors)))
             next_us += TELL_US
--- a/sailrun/succession/link.py
+++ b/sailrun/hot_restart/link.py
@@ -20,7 +20,7 @@
 import mmh3
 
 from sailrun.connection import Connection
-from sailrun.succession.state import LONGEST
+from sailrun.hot_restart.state import LONGEST
 
 # A listener for clients, one for AMQP, one for datagrams.
 MOST_SOCKETS = 8
--- a/sailrun/succession/state.py
+++ b/sailrun/hot_restart/state.py
@@ -9,11 +9,17 @@
 import json
 import math
 import zlib
-from dataclasses import fields
+from dataclasses import astuple, fields
 from typing import Any
 
-from sailrun import interface as i
 from sailrun.connection import show_address
+from sailrun.decisions.events import (
+    BACKEND_SNAPSHOT_FIELDS,
+    SETUP_RATE_FIELDS,
+    BackendSnapshot,
+    SetupRateSnapshot,
+    StateSnapshot,
+)
 from sailrun.discovery import BadServerList, phase_of, read_server_list
 from sailrun.node.session import FormServer
 from sailrun.node.succession_state import HeldSessions, NodeState
@@ -51,7 +57,7 @@
 
 
 def write_state(state: NodeState) -> dict[str, Any]:
-    learned = state.learned or i.Recalled((), (), {})
+    learned = state.learned or StateSnapshot((), None, {})
     return {
         "roster": {
             "revision": state.server_list.revision,
@@ -60,8 +66,8 @@
         },
         "out_by_hand": sorted(state.out_by_hand),
         "draining": state.draining,
-        "learned": [[_number(getattr(one, n)) for n in i.LEARNED] for one in learned.backends],
-        "pace": list(learned.pace),
+        "learned": [[_number(getattr(one, n)) for n in BACKEND_SNAPSHOT_FIELDS] for one in learned.backends],
+        "pace": list(astuple(learned.setup_rate)) if learned.setup_rate is not None else [],
         "class_load": {name: list(told) for name, told in learned.class_load.items()},
     }
 
@@ -98,13 +104,18 @@
         raise BadHandoverMessage(f"its roster: {error}") from None
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise BadHandoverMessage(f"not in its form: {error!r}") from None
-    if len(pace) != len(i.PACE):
+    if len(pace) != len(SETUP_RATE_FIELDS):
         raise BadHandoverMessage("its pace is of another form")
     if not isinstance(by_hand, list) or not all(isinstance(name, str) for name in by_hand):
         raise BadHandoverMessage("'out_by_hand' is no list of ids")
     if not isinstance(draining, bool):
         raise BadHandoverMessage("'draining' is neither true nor false")
-    return NodeState(server_list, frozenset(by_hand), draining, i.Recalled(backends, pace, class_load))
+    return NodeState(
+        server_list,
+        frozenset(by_hand),
+        draining,
+        StateSnapshot(backends, SetupRateSnapshot(*pace), class_load),
+    )
 
 
 def _finite(value: Any) -> float:
@@ -113,10 +124,10 @@
     return value
 
 
-def _learned(values: Any) -> i.Learned:
-    kinds = [f.type for f in fields(i.Learned)]
+def _learned(values: Any) -> BackendSnapshot:
+    kinds = [f.type for f in fields(BackendSnapshot)]
     given: dict[str, Any] = {}
-    for name, kind, value in zip(i.LEARNED, kinds, values, strict=True):
+    for name, kind, value in zip(BACKEND_SNAPSHOT_FIELDS, kinds, values, strict=True):
         if kind == "bool":
             if not isinstance(value, bool):
                 raise ValueError(f"'{name}' is {value!r}")
@@ -125,7 +136,7 @@
             given[name] = math.inf if value is None else _finite(value)
             if kind == "int" and not isinstance(given[name], int):
                 raise ValueError(f"'{name}' is {value!r}")
-    return i.Learned(**given)
+    return BackendSnapshot(**given)
 
 
 def write_held(held: HeldSessions) -> dict[str, Any]:
--- a/sailrun/lab/checks.py
+++ b/sailrun/lab/checks.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from sailrun.lab.terms import SECOND
+from sailrun.lab.settings import SECOND
 
 # Every time limit is extended by this (the protocol's rules on sockets).
 SLACK_US = 50_000
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -243,7 +243,7 @@
     if path is None:
         return None
     from sailrun.bad_config import BadConfig
-    from sailrun.operator import read_operator
+    from sailrun.operator_settings import read_operator
 
     try:
         return read_operator(path).rebalance
--- a/sailrun/lab/clients.py
+++ b/sailrun/lab/clients.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from sailrun.lab.chance import Stream
-from sailrun.lab.terms import SECOND, ClassTerms, WorldTerms
+from sailrun.lab.settings import SECOND, RequestClassSettings, WorldSettings
 
 # A client that is turned away again and again waits longer, up to this.
 LONGEST_WAIT_US = 4 * SECOND
@@ -18,7 +18,7 @@
     number: int
     key: str
     group: str
-    terms: ClassTerms
+    terms: RequestClassSettings
     zone: str
     from_us: int
     until_us: int
@@ -45,7 +45,7 @@
 class Population:
     """Draws groups of clients: those of a group share a key and come together."""
 
-    def __init__(self, terms: WorldTerms, seed: int) -> None:
+    def __init__(self, terms: WorldSettings, seed: int) -> None:
         self._terms = terms
         self._who = Stream(seed, "who")
         self._loads = Stream(seed, "loads")
--- a/sailrun/lab/experiments.py
+++ b/sailrun/lab/experiments.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from sailrun.lab.form_servers import FormServerModel
-from sailrun.lab.terms import SECOND, WorldTerms
+from sailrun.lab.settings import SECOND, WorldSettings
 from sailrun.lab.world import World
 
 if TYPE_CHECKING:
@@ -210,9 +210,11 @@
     bounds: dict[str, float] = field(default_factory=dict)
     bounds_of: dict[str, dict[str, float]] = field(default_factory=dict)
 
-    def world(self, **changes: Any) -> WorldTerms:
+    def world(self, **changes: Any) -> WorldSettings:
         """Its terms; what was asked for comes before its own."""
-        return replace(WorldTerms(), **{**self.terms, **{k: v for k, v in changes.items() if v is not None}})
+        return replace(
+            WorldSettings(), **{**self.terms, **{k: v for k, v in changes.items() if v is not None}}
+        )
 
 
 _LARGE: dict[str, Any] = {"form_servers": 20, "nodes": 4, "households": 1_200, "seconds": 90.0}
--- a/sailrun/lab/faults/disk.py
+++ b/sailrun/lab/faults/disk.py
@@ -1,4 +1,4 @@
-"""A folder in memory that forgets as disks do, for `sailrun/lasting/files.py`.
+"""A folder in memory that forgets as disks do, for `sailrun/storage/files.py`.
 
 What was written is read back at once, as from the system's page cache. A power cut keeps what was synced; of
 the rest, each piece of a write may have come to the disk or not, whatever came after it, and each name that
--- a/sailrun/lab/faults/explore.py
+++ b/sailrun/lab/faults/explore.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sailrun.owners.leases import Leases
-from sailrun.owners.messages import Ask, Grant, Recall, Recalled, Release
-from sailrun.owners.quorum import Voters
-from sailrun.owners.terms import OwnersTerms
-from sailrun.owners.voter import Voter, abstain_us
+from sailrun.leadership.leases import Leases
+from sailrun.leadership.messages import Ask, Grant, Recall, Recalled, Release
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.settings import LeadershipSettings
+from sailrun.leadership.voter import Voter, abstain_us
 
 SECOND = 1_000_000
 TASK = "t"
@@ -105,7 +105,7 @@
 class Explorer:
     def __init__(self, bounds: Bounds, off: frozenset[str] = frozenset()) -> None:
         self._bounds, self._off = bounds, off
-        self._terms = OwnersTerms(enabled=True, voters=VOTERS, lease_s=LEASE_S)
+        self._terms = LeadershipSettings(enabled=True, voters=VOTERS, lease_s=LEASE_S)
         self._quorum = Voters(self._terms, off)
 
     def _voter(self, name: str, now_us: int) -> Voter:
--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -11,16 +11,16 @@
 import random
 from dataclasses import dataclass, field
 
-from sailrun.members.messages import Record as MemberRecord
-from sailrun.members.messages import State
-from sailrun.members.swim import Members
-from sailrun.members.terms import MembersTerms
-from sailrun.owners.quorum import Voters
-from sailrun.owners.terms import OwnersTerms
-from sailrun.replica.marks import unpack
-from sailrun.replica.messages import Op, Sum
-from sailrun.replica.replica import Replica
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.settings import LeadershipSettings
+from sailrun.membership.messages import Record as MemberRecord
+from sailrun.membership.messages import State
+from sailrun.membership.settings import MembershipSettings
+from sailrun.membership.swim import Members
+from sailrun.replication.marks import unpack
+from sailrun.replication.messages import Op, Sum
+from sailrun.replication.replica import Replica
+from sailrun.replication.settings import ReplicationSettings
 
 STEP_US = 120_000
 SUBJECT = "s-00000001"
@@ -75,17 +75,17 @@
     def _start(self, name: str) -> None:
         self.lives[name] += 1
         record = MemberRecord(name, self.lives[name], 1, State.ALIVE, name)
-        members = Members(record, MembersTerms(enabled=True, name=name), 1, self.now_us)
+        members = Members(record, MembershipSettings(enabled=True, name=name), 1, self.now_us)
         members.hear_news(
             self.now_us,
             [MemberRecord(n, life, 1, State.ALIVE, n) for n, life in self.lives.items() if n != name],
             name,
         )
-        owners = OwnersTerms(enabled=True, voters=tuple(self.voters))
+        owners = LeadershipSettings(enabled=True, voters=tuple(self.voters))
         node = self.nodes[name] = Replica(
             name,
             self.lives[name],
-            ReplicaTerms(enabled=True, sync_s=600.0, scrub_s=600.0),
+            ReplicationSettings(enabled=True, sync_s=600.0, scrub_s=600.0),
             "lab",
             members,
             lambda: Voters(owners, self.off),
--- a/sailrun/lab/faults/killing.py
+++ b/sailrun/lab/faults/killing.py
@@ -18,10 +18,10 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from sailrun.lasting import entries as e
-from sailrun.lasting.files import Files, OsFiles
-from sailrun.lasting.folder import Folder, Sound, new_identity, read_folder
-from sailrun.replica.records import written
+from sailrun.replication.records import written
+from sailrun.storage import entries as e
+from sailrun.storage.files import Files, OsFiles
+from sailrun.storage.folder import Folder, Sound, new_identity, read_folder
 
 if TYPE_CHECKING:
     from sailrun.lab.faults.disk import SimFiles
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -12,11 +12,11 @@
 from sailrun.lab.faults.history import Judge, Row
 from sailrun.lab.faults.nemesis import PLANS, Nemesis, Plan
 from sailrun.lab.figures import quantile
-from sailrun.lasting.terms import LastingTerms
-from sailrun.members.terms import MembersTerms
-from sailrun.owners.agent import AgentTerms
-from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.leadership.agent import AgentSettings
+from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
+from sailrun.membership.settings import MembershipSettings
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.storage.settings import StorageSettings
 
 SECOND = 1_000_000
 NODES, MOST_ZONES = 5, 3
@@ -47,7 +47,7 @@
 DRAINS, OUT = 1, 2
 KEEP_S, ABSENT_S = 3.0, 5.0
 # So small that a day has many generations.
-LASTING = LastingTerms(folder="folder", generation_mb=0.02, idle_sync_s=1.0)
+LASTING = StorageSettings(folder="folder", generation_mb=0.02, idle_sync_s=1.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,13 +74,15 @@
     return 3 if nodes < 7 else 5 if nodes < 50 else 7
 
 
-def agent_terms(index: int, voters: list[str], joins: list[str], plan: Plan) -> AgentTerms:
-    return AgentTerms(
-        MembersTerms(enabled=True, fleet="lab", name=f"n{index}", join=tuple(joins)),
-        OwnersTerms(enabled=True, voters=tuple(voters), lease_s=LEASE_S, order_s=ORDER_S, give_back_s=10.0),
-        PermitsTerms(enabled=plan.permits, drains=DRAINS, out=OUT, lease_s=PERMIT_LEASE_S),
-        ReaderTerms(enabled=not plan.copies),
-        replica=ReplicaTerms(
+def agent_terms(index: int, voters: list[str], joins: list[str], plan: Plan) -> AgentSettings:
+    return AgentSettings(
+        MembershipSettings(enabled=True, fleet="lab", name=f"n{index}", join=tuple(joins)),
+        LeadershipSettings(
+            enabled=True, voters=tuple(voters), lease_s=LEASE_S, order_s=ORDER_S, give_back_s=10.0
+        ),
+        PermitSettings(enabled=plan.permits, drains=DRAINS, out=OUT, lease_s=PERMIT_LEASE_S),
+        ListReaderSettings(enabled=not plan.copies),
+        replica=ReplicationSettings(
             enabled=plan.copies, sync_s=0.5, stale_s=5.0, keep_s=KEEP_S, absent_s=ABSENT_S, scrub_s=4.0
         ),
     )
--- a/sailrun/lab/faults/relays.py
+++ b/sailrun/lab/faults/relays.py
@@ -17,7 +17,7 @@
 import anyio
 from anyio.abc import SocketStream, TaskGroup
 
-from sailrun.owners.envelope import LONGEST_DATAGRAM, LONGEST_FRAME, BadMessage, unpack
+from sailrun.leadership.envelope import LONGEST_DATAGRAM, LONGEST_FRAME, BadMessage, unpack
 
 Address = tuple[str, int]
 HOST = "127.0.0.1"
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -33,11 +33,11 @@
 from sailrun.lab.faults.copies import shown
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.relays import HOST, Address, Relays
-from sailrun.lab.terms import WorldTerms
-from sailrun.lasting.files import OsFiles
-from sailrun.lasting.folder import read_folder
-from sailrun.lasting.terms import LastingTerms
-from sailrun.owners.agent import AgentTerms
+from sailrun.lab.settings import WorldSettings
+from sailrun.leadership.agent import AgentSettings
+from sailrun.storage.files import OsFiles
+from sailrun.storage.folder import read_folder
+from sailrun.storage.settings import StorageSettings
 
 MOST_NODES = 15
 FORM_SERVERS = 8
@@ -104,10 +104,10 @@
         nodes: int,
         voters: int,
         zones: int,
-        terms: Callable[[int, list[str], list[str]], AgentTerms],
+        terms: Callable[[int, list[str], list[str]], AgentSettings],
         seed: int,
         copies_s: float = 0.0,
-        lasting: LastingTerms | None = None,
+        lasting: StorageSettings | None = None,
     ) -> None:
         """Copies are looked at every `copies_s`, if they are. With `lasting`, each node has a folder."""
         self._lasting = lasting
@@ -281,7 +281,7 @@
     # ------------------------------------------------------------------ files
 
     def _config(self, node: RealNode) -> Path:
-        settings = WorldTerms(nodes=len(self.names), form_servers=FORM_SERVERS).settings(node.index)
+        settings = WorldSettings(nodes=len(self.names), form_servers=FORM_SERVERS).settings(node.index)
         settings["az"] = node.zone
         document = {
             "name": node.name,
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -10,10 +10,10 @@
     shard_agent_terms,
 )
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
-from sailrun.members.messages import Record, State
-from sailrun.owners.agent import Out
-from sailrun.shards.exercise import EVERY_US, ActExerciser
-from sailrun.shards.messages import ShardAct
+from sailrun.leadership.agent import Out
+from sailrun.membership.messages import Record, State
+from sailrun.sharding.exercise import EVERY_US, ActExerciser
+from sailrun.sharding.messages import ShardAct
 
 
 class ShardFleet(VirtualFleet):
--- a/sailrun/lab/faults/shard_judge.py
+++ b/sailrun/lab/faults/shard_judge.py
@@ -9,6 +9,7 @@
 from functools import lru_cache
 from itertools import pairwise
 
+from sailrun.decisions.placement import MASK, key_hash
 from sailrun.lab.checks import Check
 from sailrun.lab.faults.history import Counted, Judge, Row, fault
 from sailrun.lab.faults.shard_history import (
@@ -21,8 +22,7 @@
     token_of,
 )
 from sailrun.lab.faults.shard_world import REGIONS, SHARDS_OF_A_REGION
-from sailrun.rendezvous import MASK, key_hash
-from sailrun.shards.placement import node_hash, shard_key
+from sailrun.sharding.placement import node_hash, shard_key
 
 SECOND = 1_000_000
 
--- a/sailrun/lab/faults/shard_world.py
+++ b/sailrun/lab/faults/shard_world.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-from sailrun.members.messages import CONTROL
-from sailrun.members.terms import MembersTerms
-from sailrun.owners.agent import AgentTerms
-from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
-from sailrun.replica.terms import ReplicaTerms
-from sailrun.shards.terms import RegionTerms, ShardsTerms
+from sailrun.leadership.agent import AgentSettings
+from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
+from sailrun.membership.messages import CONTROL
+from sailrun.membership.settings import MembershipSettings
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 REGIONS = ("r0", "r1")
 ZONES_OF_A_REGION = 3
@@ -56,18 +56,19 @@
     return tuple(f"n{n}" for n in range(CONTROL_MEMBERS) if place_of(n).region == region)
 
 
-def shards_terms() -> ShardsTerms:
+def shards_terms() -> ShardingSettings:
     regions = tuple(
-        RegionTerms(name=region, shards=SHARDS_OF_A_REGION, voters=control_of(region)) for region in REGIONS
+        RegionSettings(name=region, shards=SHARDS_OF_A_REGION, voters=control_of(region))
+        for region in REGIONS
     )
-    return ShardsTerms(enabled=True, lease_s=SHARD_LEASE_S, gather_s=GATHER_S, regions=regions)
+    return ShardingSettings(enabled=True, lease_s=SHARD_LEASE_S, gather_s=GATHER_S, regions=regions)
 
 
-def shard_agent_terms(index: int, voters: list[str], joins: list[str]) -> AgentTerms:
+def shard_agent_terms(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
     """Of one member: nothing but shards is owned."""
     place = place_of(index)
-    return AgentTerms(
-        MembersTerms(
+    return AgentSettings(
+        MembershipSettings(
             enabled=True,
             fleet="lab",
             name=f"n{index}",
@@ -75,9 +76,11 @@
             region=place.region,
             role=place.role,
         ),
-        OwnersTerms(enabled=True, voters=tuple(voters), lease_s=LEASE_S, order_s=ORDER_S, give_back_s=10.0),
-        PermitsTerms(enabled=False),
-        ReaderTerms(enabled=False),
-        replica=ReplicaTerms(enabled=False),
+        LeadershipSettings(
+            enabled=True, voters=tuple(voters), lease_s=LEASE_S, order_s=ORDER_S, give_back_s=10.0
+        ),
+        PermitSettings(enabled=False),
+        ListReaderSettings(enabled=False),
+        replica=ReplicationSettings(enabled=False),
         shards=shards_terms(),
     )
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -15,21 +15,21 @@
 from sailrun.lab.faults.disk import SimFiles
 from sailrun.lab.faults.history import Row
 from sailrun.lab.scheduler import BEGIN_US, Scheduler
-from sailrun.lasting.folder import Sound, read_folder
-from sailrun.lasting.opening import open_folder
-from sailrun.lasting.terms import LastingTerms
-from sailrun.lasting.write_ahead_log import Done, Work, WriteAheadLog
-from sailrun.lasting.writer import Writer
-from sailrun.members.messages import Record, State
-from sailrun.owners.agent import READER, Agent, AgentTerms, Out
-from sailrun.owners.envelope import Envelope, pack
-from sailrun.owners.founding import founding_term
-from sailrun.owners.lasting import Lasting
-from sailrun.owners.permits import Use
-from sailrun.owners.reader import Reading
-from sailrun.replica.messages import Op
-from sailrun.replica.replica import MARKS, Replica
-from sailrun.replica.state import show_state
+from sailrun.leadership.agent import READER, Agent, AgentSettings, Out
+from sailrun.leadership.envelope import Envelope, pack
+from sailrun.leadership.founding import founding_term
+from sailrun.leadership.lasting import Lasting
+from sailrun.leadership.permits import Use
+from sailrun.leadership.reader import Reading
+from sailrun.membership.messages import Record, State
+from sailrun.replication.messages import Op
+from sailrun.replication.replica import MARKS, Replica
+from sailrun.replication.state import show_state
+from sailrun.storage.folder import Sound, read_folder
+from sailrun.storage.opening import open_folder
+from sailrun.storage.settings import StorageSettings
+from sailrun.storage.write_ahead_log import Done, Work, WriteAheadLog
+from sailrun.storage.writer import Writer
 
 SECOND = 1_000_000
 # What a node that is stopped finds in its sockets when it wakes; the rest was dropped.
@@ -80,11 +80,11 @@
         nodes: int,
         voters: int,
         zones: int,
-        terms: Callable[[int, list[str], list[str]], AgentTerms],
+        terms: Callable[[int, list[str], list[str]], AgentSettings],
         seed: int,
         off: frozenset[str] = frozenset(),
         copies_s: float = 0.0,
-        lasting: LastingTerms | None = None,
+        lasting: StorageSettings | None = None,
     ) -> None:
         """`terms` are made for a node's index, the voters' names and the addresses to join by. Copies are
         looked at every `copies_s`, if they are. With `lasting`, each node has a folder.
@@ -250,7 +250,7 @@
     # ------------------------------------------------------------------ folders
 
     def _open_folder(
-        self, node: VirtualNode, terms: LastingTerms, wall_s: float, luck: random.Random
+        self, node: VirtualNode, terms: StorageSettings, wall_s: float, luck: random.Random
     ) -> None:
         agent = node.agent
         assert agent is not None
--- a/sailrun/lab/form_servers.py
+++ b/sailrun/lab/form_servers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from sailrun.lab.terms import SECOND, WorldTerms
+from sailrun.lab.settings import SECOND, WorldSettings
 
 # What a message costs to answer: with the queue before it, this makes it late as a server nears its capacity.
 MESSAGE_WORK_US = 4_000.0
@@ -17,7 +17,7 @@
 
 class Phase(Enum):
     UP = "up"
-    SILENT = "silent"  # a machine that is cut off: no reset, no answer
+    UNRESPONSIVE = "silent"  # a machine that is cut off: no reset, no answer
     DOWN = "down"  # no process: resets and refusals
     FALLEN = "fallen"  # pushed over while cold; stays down
 
@@ -36,13 +36,13 @@
 class FormServerModel:
     """Work is counted in us of one core; loads and capacities in us of work a second."""
 
-    terms: WorldTerms
+    terms: WorldSettings
     number: int
     name: str
     zone: str
     capacity: float
-    cold_from: float
-    cold_us: int
+    initial_capacity_share: float
+    slow_start_us: int
     started_us: int = 0  # 0: long ago
     phase: Phase = Phase.UP
     draining: bool = False
@@ -59,14 +59,16 @@
     # ------------------------------------------------------------------ looks
 
     def cold(self, now_us: int) -> bool:
-        return self.started_us > 0 and now_us - self.started_us < self.cold_us
+        return self.started_us > 0 and now_us - self.started_us < self.slow_start_us
 
     def present(self, now_us: int) -> float:
         """Its capacity now: it rises evenly while it warms up."""
         if not self.cold(now_us):
             return self.capacity
-        age = (now_us - self.started_us) / self.cold_us
-        return self.capacity * (self.cold_from + (1.0 - self.cold_from) * max(0.0, age))
+        age = (now_us - self.started_us) / self.slow_start_us
+        return self.capacity * (
+            self.initial_capacity_share + (1.0 - self.initial_capacity_share) * max(0.0, age)
+        )
 
     def places(self) -> float:
         return self.terms.places * self.capacity / self.terms.unit
@@ -105,11 +107,11 @@
 
     def _press(self, now_us: int, work: float) -> None:
         """Work sent while cold: over the multiple of its present capacity for the stated time, it falls."""
-        window_us = self.terms.fall_us
+        window_us = self.terms.overload_window_us
         self._sent.append((now_us, work))
         while self._sent[0][0] <= now_us - window_us:
             self._sent.popleft()
-        allowed = self.terms.fall_multiple * self.present(now_us) * window_us / SECOND
+        allowed = self.terms.overload_multiple * self.present(now_us) * window_us / SECOND
         pressure = sum(w for _, w in self._sent) / allowed
         self.most_pressure = max(self.most_pressure, pressure)
         if pressure > 1.0 and self.phase is Phase.UP:
--- a/sailrun/lab/report.py
+++ b/sailrun/lab/report.py
@@ -19,7 +19,7 @@
 from sailrun.lab.figures import quantile
 from sailrun.lab.records import read_table
 from sailrun.lab.run import Summary, read_summary
-from sailrun.lab.terms import SECOND
+from sailrun.lab.settings import SECOND
 
 # Of a large fleet only so many lines are drawn, those that differ most; of the events so many are told.
 MOST_LINES, MOST_EVENTS = 60, 400
--- a/sailrun/lab/run.py
+++ b/sailrun/lab/run.py
@@ -12,14 +12,14 @@
 
 import msgspec
 
-from sailrun.interface import Cause
+from sailrun.decisions.actions import MoveReason
 from sailrun.lab.checks import Check
 from sailrun.lab.experiments import EXPERIMENTS, Experiment
 from sailrun.lab.figures import figures
 from sailrun.lab.records import Records
 from sailrun.lab.virtual import VirtualDay
 from sailrun.lab.world import World
-from sailrun.rebalance.terms import RebalanceTerms
+from sailrun.rebalance.settings import RebalanceSettings
 
 SUBSYSTEMS = ("rebalance", "fleet", "decisions")
 # Without the nodes' own decisions a policy stands in their place that sees the true state this much late.
@@ -40,7 +40,7 @@
     utilization: float | None = None
     datagrams_lost: float | None = None
     off: frozenset[str] = frozenset()
-    rebalance: RebalanceTerms | None = None  # the operator's own terms
+    rebalance: RebalanceSettings | None = None  # the operator's own terms
 
 
 class Outcome(msgspec.Struct):
@@ -150,14 +150,14 @@
     return _found(day), day.records, checks
 
 
-def _rebalance(request: Request) -> RebalanceTerms:
-    terms = request.rebalance or RebalanceTerms(enabled=True)
+def _rebalance(request: Request) -> RebalanceSettings:
+    terms = request.rebalance or RebalanceSettings(enabled=True)
     return msgspec.structs.replace(terms, enabled="rebalance" not in request.off)
 
 
 def _found(day: World[Any]) -> dict[str, float]:
     found = figures(day.records, day.moves, day.fewest, day.clients, day.warm_s, day.datagram_bytes)
-    for cause in Cause:
+    for cause in MoveReason:
         found[f"moves_{cause.value}"] = float(day.moved[cause.value])
     found["moved_again_within_10_s"] = float(day.moved_again)
     found["datagrams_a_request"] = round(day.datagrams / max(1.0, found["requests"]), 4)
--- a/sailrun/lab/scale/hollow_host.py
+++ b/sailrun/lab/scale/hollow_host.py
@@ -42,9 +42,9 @@
 )
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import place_nodes
-from sailrun.lab.scale.terms import node_terms
-from sailrun.members.messages import Record
-from sailrun.owners.clock import boot_us
+from sailrun.lab.scale.settings import node_terms
+from sailrun.leadership.clock import boot_us
+from sailrun.membership.messages import Record
 
 # The event loop is looked at so often for how late it is.
 LATE_STEP_S = 0.05
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -19,15 +19,15 @@
 from sailrun.lab.scale.metered_agent import MeteredAgent
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import Place
-from sailrun.lab.scale.terms import record_of
-from sailrun.members.messages import Record
-from sailrun.owners.agent import READER, AgentTerms, Out
-from sailrun.owners.carrier import Carrier
-from sailrun.owners.clock import boot_us
-from sailrun.owners.envelope import Envelope
-from sailrun.owners.founding import founding_term
-from sailrun.owners.reader import Reading
-from sailrun.owners.traffic import Traffic
+from sailrun.lab.scale.settings import record_of
+from sailrun.leadership.agent import READER, AgentSettings, Out
+from sailrun.leadership.carrier import Carrier
+from sailrun.leadership.clock import boot_us
+from sailrun.leadership.envelope import Envelope
+from sailrun.leadership.founding import founding_term
+from sailrun.leadership.reader import Reading
+from sailrun.leadership.traffic import Traffic
+from sailrun.membership.messages import Record
 
 SECOND = 1_000_000
 # The server roster changes so often in a scale run.
@@ -119,7 +119,7 @@
     def __init__(
         self,
         place: Place,
-        terms: AgentTerms,
+        terms: AgentSettings,
         seed: int,
         number: int,
         network: NetworkModel,
--- a/sailrun/lab/scale/host_messages.py
+++ b/sailrun/lab/scale/host_messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sailrun.lab.scale.plan import ScalePlan
-from sailrun.owners.traffic import Traffic
+from sailrun.leadership.traffic import Traffic
 
 # ------------------------------------------------------------------ commands
 
--- a/sailrun/lab/scale/metered_agent.py
+++ b/sailrun/lab/scale/metered_agent.py
@@ -5,8 +5,8 @@
 from time import thread_time
 from typing import Any
 
-from sailrun.owners.agent import Agent, Out
-from sailrun.owners.envelope import Envelope
+from sailrun.leadership.agent import Agent, Out
+from sailrun.leadership.envelope import Envelope
 
 
 class MeteredAgent(Agent):
--- a/sailrun/lab/scale/plan.py
+++ b/sailrun/lab/scale/plan.py
@@ -6,7 +6,7 @@
 import resource
 from dataclasses import dataclass
 
-from sailrun.members.messages import CONTROL
+from sailrun.membership.messages import CONTROL
 
 HOLLOW_HOST, REAL_PROCESS = "hollow", "real"
 DRIVERS = ("sockets", "virtual")
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -27,10 +27,10 @@
 from sailrun.lab.scale.hollow_node import names_crc, roster_revision
 from sailrun.lab.scale.host_messages import Look, NodeReport
 from sailrun.lab.scale.plan import Place, ScalePlan
-from sailrun.lab.terms import WorldTerms
-from sailrun.owners.agent import AgentTerms
-from sailrun.owners.clock import boot_us
-from sailrun.owners.traffic import Traffic
+from sailrun.lab.settings import WorldSettings
+from sailrun.leadership.agent import AgentSettings
+from sailrun.leadership.clock import boot_us
+from sailrun.leadership.traffic import Traffic
 
 BROKEN = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
 KEPT_ACTS = ("hold", "lost")
@@ -165,11 +165,11 @@
 
 
 def write_files(
-    folder: Path, process: RealProcess, plan: ScalePlan, terms: AgentTerms, roster: RigRoster
+    folder: Path, process: RealProcess, plan: ScalePlan, terms: AgentSettings, roster: RigRoster
 ) -> ProcessFiles:
     """The platform's file and the operator's file of one process."""
     place = process.place
-    settings = WorldTerms(nodes=plan.total, form_servers=FORM_SERVERS).settings(place.index)
+    settings = WorldSettings(nodes=plan.total, form_servers=FORM_SERVERS).settings(place.index)
     settings["az"] = place.zone
     config = {
         "name": place.name,
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -20,7 +20,7 @@
 from sailrun.lab.scale.roles import NodeUse
 from sailrun.lab.scale.socket_fleet import Sample, SocketFleet, loopback_block, uses_between
 from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
-from sailrun.owners.clock import boot_us
+from sailrun.leadership.clock import boot_us
 
 # Whether all know all is looked at so often, and no longer than this.
 LOOK_S, GIVEN_UP_S = 0.5, 2 * KNOWN_S
--- a/sailrun/lab/scale/roles.py
+++ b/sailrun/lab/scale/roles.py
@@ -8,7 +8,7 @@
 
 from sailrun.lab.figures import quantile
 from sailrun.lab.scale.host_messages import NodeReport
-from sailrun.owners.agent import READER
+from sailrun.leadership.agent import READER
 
 ORDINARY, VOTER, READER_ROLE, REAL = "ordinary", "voter", "reader", "real"
 CONTROL_ROLE, ASSIGNER = "control", "assigner"
--- a/sailrun/lab/scale/terms.py
+++ b/sailrun/lab/scale/settings.py
@@ -3,23 +3,23 @@
 from __future__ import annotations
 
 from sailrun.lab.scale.plan import Place, ScalePlan, control_of, region_name, voters_of
-from sailrun.members.messages import Record, State
-from sailrun.members.terms import MembersTerms
-from sailrun.owners.agent import AgentTerms
-from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
-from sailrun.replica.terms import ReplicaTerms
-from sailrun.shards.terms import RegionTerms, ShardsTerms
+from sailrun.leadership.agent import AgentSettings
+from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
+from sailrun.membership.messages import Record, State
+from sailrun.membership.settings import MembershipSettings
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 FLEET = "scale"
 # Nodes join by the first so many, which stand in as many regions.
 JOIN_BY = 3
 
 
-def node_terms(plan: ScalePlan, places: list[Place], place: Place) -> AgentTerms:
+def node_terms(plan: ScalePlan, places: list[Place], place: Place) -> AgentSettings:
     """The terms of one node. The owner of the rebalancer's pace is kept, although nobody asks it."""
     joins = tuple(p.address for p in places[:JOIN_BY] if p.name != place.name)
-    return AgentTerms(
-        MembersTerms(
+    return AgentSettings(
+        MembershipSettings(
             enabled=True,
             fleet=FLEET,
             name=place.name,
@@ -28,28 +28,28 @@
             region=place.region,
             role=place.role,
         ),
-        OwnersTerms(enabled=True, voters=voters_of(places)),
-        PermitsTerms(enabled=True),
-        ReaderTerms(enabled=True),
+        LeadershipSettings(enabled=True, voters=voters_of(places)),
+        PermitSettings(enabled=True),
+        ListReaderSettings(enabled=True),
         pace=True,
-        replica=ReplicaTerms(enabled=plan.replica),
+        replica=ReplicationSettings(enabled=plan.replica),
         shards=shards_terms(plan, places),
     )
 
 
-def shards_terms(plan: ScalePlan, places: list[Place]) -> ShardsTerms:
+def shards_terms(plan: ScalePlan, places: list[Place]) -> ShardingSettings:
     """Every region has the same number of shards, and its control members vote."""
     if not plan.shards:
-        return ShardsTerms()
+        return ShardingSettings()
     regions = tuple(
-        RegionTerms(
+        RegionSettings(
             name=region_name(number),
             shards=plan.shards_of_a_region,
             voters=control_of(places, region_name(number)),
         )
         for number in range(plan.regions)
     )
-    return ShardsTerms(enabled=True, regions=regions)
+    return ShardingSettings(enabled=True, regions=regions)
 
 
 def record_of(place: Place, life: int) -> Record:
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -52,9 +52,9 @@
 from sailrun.lab.scale.plan import PORT, ScalePlan, place_nodes
 from sailrun.lab.scale.real_process import RealProcess, SteadyRoster, write_files
 from sailrun.lab.scale.roles import NodeUse, use_between
-from sailrun.lab.scale.terms import node_terms
-from sailrun.owners.clock import boot_us
-from sailrun.owners.traffic import Traffic
+from sailrun.lab.scale.settings import node_terms
+from sailrun.leadership.clock import boot_us
+from sailrun.leadership.traffic import Traffic
 
 # Blocks of loopback addresses, by their second octet, that a run may take.
 BLOCKS = range(16, 240)
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -42,13 +42,13 @@
 from sailrun.lab.scale.real_run import GIVEN_UP_S, LOOK_S, SETTLE_S
 from sailrun.lab.scale.results import Known, Measured
 from sailrun.lab.scale.roles import NodeUse, use_between
+from sailrun.lab.scale.settings import node_terms, record_of
 from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
-from sailrun.lab.scale.terms import node_terms, record_of
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.members.messages import Record
-from sailrun.owners.agent import Out
-from sailrun.owners.envelope import LONGEST_DATAGRAM, Envelope, pack
-from sailrun.owners.traffic import Traffic
+from sailrun.leadership.agent import Out
+from sailrun.leadership.envelope import LONGEST_DATAGRAM, Envelope, pack
+from sailrun.leadership.traffic import Traffic
+from sailrun.membership.messages import Record
 
 SECOND = 1_000_000
 RECORDED = (*KEPT, "started", "died", "fault", "look")
--- a/sailrun/lab/seeing.py
+++ b/sailrun/lab/seeing.py
@@ -14,11 +14,12 @@
 from itertools import accumulate, count
 from typing import Any, Protocol
 
-from sailrun.interface import BackendState, Cause, Outcome
+from sailrun.decisions.actions import MoveReason
+from sailrun.decisions.events import AttemptOutcome, BackendState
 from sailrun.lab.chance import Stream
 from sailrun.lab.form_servers import FormServerModel, Phase
 from sailrun.lab.scheduler import Scheduler
-from sailrun.lab.terms import SECOND
+from sailrun.lab.settings import SECOND
 from sailrun.node.session import FormServer, FormSession, Placement
 
 # How often the world is looked at, and what is filled up to: over it a form server takes nobody new.
@@ -111,11 +112,11 @@
             self.stopped = True
 
     def _plan(self, session: FormSession, now_us: int) -> None:
-        session.moved_for = Cause.DRAINS
+        session.moved_for = MoveReason.DRAINING
         at_us = now_us + self._chance.below(LEAVE_US)
         heapq.heappush(self._moves, (at_us, next(self._order), session))
 
-    def ask(self, session: FormSession) -> None:
+    def request_session(self, session: FormSession) -> None:
         self._open[session.id] = (session, set())
         if session.resumed_at is not None:
             named = next((s for s in self._day.servers.values() if s.name == session.resumed_at), None)
@@ -151,14 +152,14 @@
         session.attempts += 1
         session.client.place(session.placement)
 
-    def placed(self, session: FormSession, placement: Placement, took_us: int) -> None:
+    def connection_opened(self, session: FormSession, placement: Placement, took_us: int) -> None:
         self._open.pop(session.id, None)
         session.stands = True
         self._standing[session.id] = session
         if self._leaving_us:
             self._plan(session, self._day.time.now_us)
 
-    def attempt_over(self, session: FormSession, placement: Placement, outcome: Outcome) -> None:
+    def attempt_ended(self, session: FormSession, placement: Placement, outcome: AttemptOutcome) -> None:
         session.placement = None
         if self._standing.pop(session.id, None) is None and session.id in self._open:
             if self._day.time.now_us < session.deadline_us - SECOND // 10:
@@ -167,26 +168,26 @@
                 del self._open[session.id]
                 session.client.fail()
 
-    def left(self, session: FormSession) -> None:
+    def client_left(self, session: FormSession) -> None:
         self._open.pop(session.id, None)
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         now_us = self._day.time.now_us
         self._leaving_us = now_us
         for session in self._standing.values():
             if session.moved_for is None:
                 self._plan(session, now_us + SECOND // 2)
 
-    def line_out(self, session: FormSession) -> None:
+    def line_forwarded(self, session: FormSession) -> None:
         """It sees a silent form server late, like everything else."""
 
-    def heard(self, session: FormSession) -> None:
+    def bytes_received(self, session: FormSession) -> None:
         pass
 
-    def answered(self, session: FormSession) -> None:
+    def line_answered(self, session: FormSession) -> None:
         pass
 
-    def told_load(self, session: FormSession, load: float) -> None:
+    def report_load(self, session: FormSession, load: float) -> None:
         pass
 
     def server_list_updated(self, news: Any) -> None:
@@ -195,5 +196,5 @@
     def discovery_failed(self, why: str) -> None:
         pass
 
-    def neighbour_said(self, neighbour: int, content: bytes) -> None:
+    def peer_message_received(self, neighbour: int, content: bytes) -> None:
         pass
--- a/sailrun/lab/terms.py
+++ b/sailrun/lab/settings.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClassTerms:
+class RequestClassSettings:
     """One class of connections. Times in us; load and life relative to the usual ones."""
 
     name: str
@@ -18,23 +18,23 @@
     objective_us: int  # wanted set-up time
     deadline_us: int  # given up after
     message_us: int  # a message wanted within
-    worth: float  # a second
+    priority_weight: float  # a second
     load: tuple[float, float]
     life: tuple[float, float]
     setup_us: float  # mean work to set one up
 
 
 CLASSES = (
-    ClassTerms("page-load", 0.42, 500_000, 2_000_000, 50_000, 1.0, (1, 1), (1, 1), 8_000),
-    ClassTerms("answer-save", 0.26, 500_000, 2_000_000, 250_000, 3.0, (4, 8), (0.3, 1), 10_000),
-    ClassTerms("field-check", 0.18, 300_000, 1_800_000, 100_000, 1.0, (2, 4), (1, 1), 10_000),
-    ClassTerms("progress-sync", 0.14, 800_000, 4_800_000, 100_000, 2.0, (4, 8), (1, 1), 11_000),
+    RequestClassSettings("page-load", 0.42, 500_000, 2_000_000, 50_000, 1.0, (1, 1), (1, 1), 8_000),
+    RequestClassSettings("answer-save", 0.26, 500_000, 2_000_000, 250_000, 3.0, (4, 8), (0.3, 1), 10_000),
+    RequestClassSettings("field-check", 0.18, 300_000, 1_800_000, 100_000, 1.0, (2, 4), (1, 1), 10_000),
+    RequestClassSettings("progress-sync", 0.14, 800_000, 4_800_000, 100_000, 2.0, (4, 8), (1, 1), 11_000),
 )
 ZONES = ("daejeon-1", "daejeon-2", "sejong-1", "gwangju-1")
 
 
 @dataclass(frozen=True)
-class WorldTerms:
+class WorldSettings:
     """One world. Durations in us unless a name says otherwise."""
 
     form_servers: int = 14
@@ -42,21 +42,21 @@
     households: int = 800  # standing at any time, each with one connection or a few
     seconds: float = 60.0
     utilization: float = 0.35  # of the warm fleet, by what stands
-    classes: tuple[ClassTerms, ...] = CLASSES
+    classes: tuple[RequestClassSettings, ...] = CLASSES
     zones: tuple[str, ...] = ZONES
     members: tuple[float, ...] = (0.55, 0.25, 0.12, 0.08)  # chances of 1, 2, ... connections a household
     life_s: float = 120.0
     # Form servers.
     cores: float = 2.0
     speed: tuple[float, float] = (0.85, 1.1)
-    cold_from: tuple[float, float] = (0.13, 0.36)
-    cold_us: tuple[int, int] = (12 * SECOND, 24 * SECOND)
+    initial_capacity_share: tuple[float, float] = (0.13, 0.36)
+    slow_start_us: tuple[int, int] = (12 * SECOND, 24 * SECOND)
     places: float = 2.8  # connections that one holds at most, over what fills it
     handshake_us: tuple[float, float] = (2_700, 6_000)
     household_cost: float = 1.5  # mean connection loads, once for each household held
     buffer_us: int = 1_500_000  # piled-up work beyond which the newest connections are dropped
-    fall_multiple: float = 3.0
-    fall_us: int = 3 * SECOND
+    overload_multiple: float = 3.0
+    overload_window_us: int = 3 * SECOND
     drain_grace_us: int = 2 * SECOND
     # Households.
     load_sigma: float = 0.6
@@ -112,7 +112,7 @@
                     "objectiveUs": c.objective_us,
                     "deadlineUs": c.deadline_us,
                     "effect": "idempotent",
-                    "gain": c.worth,
+                    "gain": c.priority_weight,
                 }
                 for c in self.classes
             ],
@@ -130,10 +130,10 @@
             },
             "obligations": {
                 "drainGraceUs": self.drain_grace_us,
-                "coldFrom": min(0.13, self.cold_from[0]),
+                "coldFrom": min(0.13, self.initial_capacity_share[0]),
                 "coldUs": 24 * SECOND,
-                "fallMultiple": self.fall_multiple,
-                "fallUs": self.fall_us,
+                "fallMultiple": self.overload_multiple,
+                "fallUs": self.overload_window_us,
                 "answerSlackUs": 20_000,
                 "mustAskInUs": 10 * SECOND,
             },
--- a/sailrun/lab/sockets.py
+++ b/sailrun/lab/sockets.py
@@ -25,15 +25,15 @@
 from anyio.abc import SocketAttribute, SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from sailrun.interface import BackendState
+from sailrun.decisions.events import BackendState
 from sailrun.lab.checks import Check
 from sailrun.lab.clients import Client
 from sailrun.lab.figures import quantile
 from sailrun.lab.form_servers import FormServerModel, Held, Phase
-from sailrun.lab.terms import SECOND, WorldTerms
+from sailrun.lab.settings import SECOND, WorldSettings
 from sailrun.lab.world import GAP_US, RESTART_US, RegistryModel, Slot, World
 from sailrun.node.session import FormServer
-from sailrun.rebalance.terms import RebalanceTerms
+from sailrun.rebalance.settings import RebalanceSettings
 
 # A client says something so often; so long a line may be.
 LINE_S, LONGEST_LINE = 2.0, 4096
@@ -151,9 +151,9 @@
 
     def __init__(
         self,
-        terms: WorldTerms,
+        terms: WorldSettings,
         seed: int,
-        rebalance: RebalanceTerms,
+        rebalance: RebalanceSettings,
         script: Callable[[World[Any]], None],
         holders: Callable[[Sequence[FormServerModel]], Sequence[FormServerModel]],
         told: Callable[[float], None],
@@ -424,7 +424,7 @@
 
     async def _hushed(self, server: FormServerModel) -> None:
         """A machine that is cut off says nothing."""
-        while server.phase is Phase.SILENT:
+        while server.phase is Phase.UNRESPONSIVE:
             await anyio.sleep(0.05)
 
     def _release(self, server: FormServerModel, request: str) -> Line:
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -12,21 +12,22 @@
 from typing import Any, cast
 
 from sailrun.config import read_settings
-from sailrun.interface import ListKind, Outcome, Settings
+from sailrun.decisions.events import AttemptOutcome, ListKind
+from sailrun.decisions.settings import Settings
+from sailrun.hot_restart.handover import TELL_US
 from sailrun.lab.checks import Check
 from sailrun.lab.clients import Client
 from sailrun.lab.form_servers import FormServerModel, Held, Phase
 from sailrun.lab.scheduler import BEGIN_US, Scheduler, VirtualClock
 from sailrun.lab.seeing import Eyes, SeeingNode
-from sailrun.lab.terms import SECOND, WorldTerms
+from sailrun.lab.settings import SECOND, WorldSettings
 from sailrun.lab.world import GAP_US, RESTART_US, RegistryModel, Slot, World
 from sailrun.node.core import Node
 from sailrun.node.session import FormSession, Placement, ServerListUpdate
 from sailrun.node.session_transfer import SendTransfer
 from sailrun.node.succession_state import NodeState
 from sailrun.rebalance.balance import Elsewhere, Orders, Rebalancer
-from sailrun.rebalance.terms import RebalanceTerms
-from sailrun.succession.handover import TELL_US
+from sailrun.rebalance.settings import RebalanceSettings
 
 ADMITTED_US = (300_000, 900_000)
 # A client's lines come every so often; at slow form servers the nodes' own are timed, one a second.
@@ -70,7 +71,7 @@
         number = placement.form_server.number
         server = day.servers.get(number)
         if self.over:
-            self._attempt_over(Outcome.NOT_SENT)
+            self._attempt_over(AttemptOutcome.NOT_SENT)
             return
         if self.session.resumed_at is not None:
             assert server is not None
@@ -80,20 +81,22 @@
         net_us = day.net_us(self.slot.zone, server.zone if server else "")
         connect_us = min(day.terms.connect_timeout_us, placement.until_us - now_us)
         if server is not None and not day.reaches(self.slot, server):
-            day.time.after(connect_us, self._failed, self.turn, Outcome.CONNECT_FAILED)
+            day.time.after(connect_us, self._failed, self.turn, AttemptOutcome.CONNECT_FAILED)
         elif server is None or server.phase in (Phase.DOWN, Phase.FALLEN):
-            day.time.after(min(2 * net_us, connect_us), self._failed, self.turn, Outcome.CONNECT_FAILED)
-        elif server.phase is Phase.SILENT:
-            day.time.after(connect_us, self._failed, self.turn, Outcome.CONNECT_FAILED)
+            day.time.after(
+                min(2 * net_us, connect_us), self._failed, self.turn, AttemptOutcome.CONNECT_FAILED
+            )
+        elif server.phase is Phase.UNRESPONSIVE:
+            day.time.after(connect_us, self._failed, self.turn, AttemptOutcome.CONNECT_FAILED)
         elif day.luck.random() < day.attempts_reset:
-            day.time.after(3 * net_us, self._failed, self.turn, Outcome.RESET)
+            day.time.after(3 * net_us, self._failed, self.turn, AttemptOutcome.RESET)
         else:
             day.time.after(3 * net_us, self._reach, self.turn, server, now_us, net_us)
-            day.time.at(placement.until_us, self._failed, self.turn, Outcome.TIMED_OUT)
+            day.time.at(placement.until_us, self._failed, self.turn, AttemptOutcome.TIMED_OUT)
 
     def withdraw(self, attempt: int) -> None:
         if self.placement is not None and self.placement.attempt == attempt and self.server is None:
-            self._attempt_over(Outcome.CANCELLED)
+            self._attempt_over(AttemptOutcome.CANCELLED)
 
     def refuse(self, retry_after_us: int) -> None:
         self._answer("refused", retry_after_us)
@@ -119,7 +122,7 @@
             day.rules.rebalanced(day.time.now_us, client.number, client.moved_us)
             client.moved_us = day.time.now_us
             day.moving[client.number] = day.time.now_us
-        self.end(Outcome.CANCELLED)
+        self.end(AttemptOutcome.CANCELLED)
         day.come_again(client, day.chance.whole(GAP_US))
 
     # ------------------------------------------------------------------ an attempt
@@ -130,17 +133,17 @@
         if turn != self.turn or not day.reaches(self.slot, server):
             return
         if server.phase is not Phase.UP:
-            self._failed(turn, Outcome.CONNECT_FAILED)
+            self._failed(turn, AttemptOutcome.CONNECT_FAILED)
             return
         if day.luck.random() < server.errs:
-            day.time.after(2 * net_us, self._failed, turn, Outcome.ERROR)
+            day.time.after(2 * net_us, self._failed, turn, AttemptOutcome.ERROR)
             return
         if day.luck.random() < day.answers_lost:
             return
         took_us = server.set_up_us(day.time.now_us, self.client.setup_us)
         day.look_after(server)
         if took_us is None:
-            day.time.after(net_us, self._failed, turn, Outcome.REJECTED)
+            day.time.after(net_us, self._failed, turn, AttemptOutcome.REJECTED)
         else:
             day.time.after(int(took_us) + net_us, self._up, turn, server, sent_us, server.started_us)
 
@@ -148,21 +151,21 @@
         if turn != self.turn or not self.day.reaches(self.slot, server):
             return
         if server.phase is not Phase.UP or server.started_us != started_us:
-            self._failed(turn, Outcome.RESET)
+            self._failed(turn, AttemptOutcome.RESET)
             return
         self.day.rules.attempt_ended(self.session.id)
         self._stand(server, sent_us)
 
-    def _failed(self, turn: int, outcome: Outcome) -> None:
+    def _failed(self, turn: int, outcome: AttemptOutcome) -> None:
         if turn == self.turn and self.server is None:
             self._attempt_over(outcome)
 
-    def _attempt_over(self, outcome: Outcome) -> None:
+    def _attempt_over(self, outcome: AttemptOutcome) -> None:
         placement, self.placement = self.placement, None
         self.turn += 1
         self.day.rules.attempt_ended(self.session.id)
         if placement is not None and self.slot.node is not None:
-            self.slot.node.attempt_over(self.session, placement, outcome)
+            self.slot.node.attempt_ended(self.session, placement, outcome)
 
     def _stand(self, server: FormServerModel, sent_us: int) -> None:
         assert self.placement is not None and self.slot.node is not None
@@ -172,7 +175,7 @@
         self.server = server
         server.hold(now_us, Held(request, client.group, client.load, now_us))
         day.count(client, server, 1)
-        self.slot.node.placed(self.session, self.placement, now_us - sent_us)
+        self.slot.node.connection_opened(self.session, self.placement, now_us - sent_us)
         if self.session.resumed_at is None:
             day.answered(self, "served")
             since_us = day.moving.pop(client.number, None)
@@ -181,29 +184,29 @@
         client.stands, client.failures = True, 0
         client.request = request
         if client.until_us <= now_us:
-            self.end(Outcome.OK)
+            self.end(AttemptOutcome.OK)
             return
-        self.slot.node.told_load(self.session, client.load)
+        self.slot.node.report_load(self.session, client.load)
         day.time.at(client.until_us, self._life_over, server)
         day.time.after(day.people.next_swing_us(), self._swing, server)
 
     def _life_over(self, server: FormServerModel) -> None:
         if self.server is server and server.phase is Phase.UP:
-            self.end(Outcome.OK)
+            self.end(AttemptOutcome.OK)
         elif self.server is server:
-            self.end(Outcome.CANCELLED)  # the client leaves; its form server says nothing any more
+            self.end(AttemptOutcome.CANCELLED)  # the client leaves; its form server says nothing any more
 
     def _swing(self, server: FormServerModel) -> None:
         if self.server is not server or server.phase is not Phase.UP or self.slot.node is None:
             return
         load = self.day.people.swing(self.client)
         server.reload(self.day.time.now_us, self.session.id, load)
-        self.slot.node.told_load(self.session, load)
+        self.slot.node.report_load(self.session, load)
         self.day.time.after(self.day.people.next_swing_us(), self._swing, server)
 
     # ------------------------------------------------------------------ its end
 
-    def end(self, outcome: Outcome) -> None:
+    def end(self, outcome: AttemptOutcome) -> None:
         """A standing session ends; its node hears how."""
         if self.server is None:
             return
@@ -217,18 +220,18 @@
         self.slot.visits.pop(self.session.id, None)
         if self.slot.node is not None and self.placement is not None:
             placement, self.placement = self.placement, None
-            self.slot.node.attempt_over(self.session, placement, outcome)
-            self.slot.node.left(self.session)
+            self.slot.node.attempt_ended(self.session, placement, outcome)
+            self.slot.node.client_left(self.session)
 
     def speak(self) -> None:
         """The client sends a line that nobody answers."""
         if self.server is None or self.slot.node is None or self.day.reaches(self.slot, self.server):
             return
-        self.slot.node.line_out(self.session)
+        self.slot.node.line_forwarded(self.session)
 
     def _answer(self, answer: str, retry_after_us: int) -> None:
         if self.placement is not None:
-            self._attempt_over(Outcome.CANCELLED)
+            self._attempt_over(AttemptOutcome.CANCELLED)
         self.over = True
         self.day.visits.pop(self.session.id, None)
         self.slot.visits.pop(self.session.id, None)
@@ -340,7 +343,7 @@
 
     def _arrive(self, slot: VirtualSlot, content: bytes) -> None:
         if slot.node is not None:
-            slot.node.neighbour_said(self._slot.index, content)
+            slot.node.peer_message_received(self._slot.index, content)
 
 
 class VirtualDay(World[VirtualSlot]):
@@ -350,9 +353,9 @@
 
     def __init__(
         self,
-        terms: WorldTerms,
+        terms: WorldSettings,
         seed: int,
-        rebalance: RebalanceTerms,
+        rebalance: RebalanceSettings,
         script: Callable[[World[Any]], None],
         holders: Callable[[Sequence[FormServerModel]], Sequence[FormServerModel]] = lambda servers: servers,
         told: Callable[[float], None] = lambda share: None,
@@ -485,7 +488,7 @@
         self.visits[session.id] = slot.visits[session.id] = visit
         if resumed_at is None:
             self.rules.asked(now_us, session.id, slot.index, deadline_us)
-        slot.node.ask(session)
+        slot.node.request_session(session)
 
     def come_again(self, client: Client, after_us: int, returning: bool = True) -> None:
         client.returning = returning
@@ -512,9 +515,9 @@
         for request in server.stop(phase):
             visit = self.visits.get(request)
             if visit is not None:
-                self._break(visit, Outcome.RESET)
+                self._break(visit, AttemptOutcome.RESET)
 
-    def _break(self, visit: Visit, outcome: Outcome) -> None:
+    def _break(self, visit: Visit, outcome: AttemptOutcome) -> None:
         client = visit.client
         visit.end(outcome)
         client.failures += 1
@@ -526,18 +529,18 @@
 
     def send_away(self, server: FormServerModel) -> None:
         for request in list(server.held):
-            self._break(self.visits[request], Outcome.CANCELLED)
+            self._break(self.visits[request], AttemptOutcome.CANCELLED)
 
     def shed(self, server: FormServerModel, requests: Sequence[str]) -> None:
         for request in requests:
-            self._break(self.visits[request], Outcome.RESET)
+            self._break(self.visits[request], AttemptOutcome.RESET)
 
     def drop(self, share: float, within_us: int) -> None:
         """A share of the clients drop and come again together."""
         self.note("drop", text=f"share={share}")
         for visit in list(self.visits.values()):
             if visit.server is not None and self.luck.random() < share:
-                visit.end(Outcome.CANCELLED)
+                visit.end(AttemptOutcome.CANCELLED)
                 self.come_again(visit.client, self.luck.below(within_us))
 
     def kill(self, slot: VirtualSlot) -> None:
@@ -551,7 +554,7 @@
         """A planned restart: newcomers for up to 0.4 s more."""
         self.note("terminate", node=slot.index)
         if slot.node is not None:
-            slot.node.leave()
+            slot.node.begin_shutdown()
             self.time.after(self.luck.whole((200_000, 400_000)), self._shut_out, slot, slot.node)
 
     def _shut_out(self, slot: VirtualSlot, node: Node) -> None:
@@ -563,14 +566,14 @@
         self.note("by-hand", server=server.name, text="out" if out else "back")
         for slot in self.slots:
             if slot.node is not None:
-                slot.node.by_hand(server.name, out, lambda known: None)
+                slot.node.set_operator_override(server.name, out, lambda known: None)
                 self.rules.told_by_hand(self.time.now_us, slot.index, server.name, out)
 
     def drain_node(self, slot: VirtualSlot, on: bool) -> None:
         """Staff drain a node: newcomers for 0.2 s more, nobody left after 4 s. Or call it back."""
         self.note("drain-node", node=slot.index, text="on" if on else "off")
         if slot.node is not None:
-            slot.node.drain(on, lambda done: None)
+            slot.node.set_draining(on, lambda done: None)
             later_us = 200_000 if on else 2 * SECOND
             self.time.after(later_us, self._heed_drain, slot)
             if on:
@@ -578,10 +581,10 @@
 
     def _heed_drain(self, slot: VirtualSlot) -> None:
         """The front asks whichever process answers by now."""
-        slot.admitted = slot.node is not None and slot.node.admits
+        slot.admitted = slot.node is not None and slot.node.is_accepting
 
     def _look_drained(self, slot: VirtualSlot) -> None:
-        if slot.node is not None and not slot.node.admits:
+        if slot.node is not None and not slot.node.is_accepting:
             for visit in slot.visits.values():
                 if visit.server is not None:
                     self.rules.cut_off(self.time.now_us, visit.session.id, visit.server.name)
@@ -597,7 +600,7 @@
             if slot.node is old:
                 self._succeed(slot, state)
 
-        old.pass_on(passed)
+        old.snapshot_state(passed)
 
     def _succeed(self, slot: VirtualSlot, state: NodeState) -> None:
         old = slot.node
@@ -612,9 +615,9 @@
         old.discovery, old.neighbours = NodeDiscovery(self, before), Datagrams(self, before)
         old.wake = lambda: self._arm(before, self.time.now_us + self.terms.tick_us)
         self._start(slot, state)
-        old.succeeded(lambda transfer: None)  # sessions go by `hand_over`
+        old.set_successor(lambda transfer: None)  # sessions go by `hand_over`
         self._arm(before, self.time.now_us + self.terms.tick_us)
-        self.time.after(self.luck.below(6 * SECOND), old.leave)
+        self.time.after(self.luck.below(6 * SECOND), old.begin_shutdown)
         self._tell_held(before)
 
     def hand_over(self, visit: Visit) -> None:
@@ -625,19 +628,19 @@
         visit.session = replace(session, placement=None, stands=False, unanswered=deque(session.unanswered))
         visit.slot = slot
         slot.visits[session.id] = before.visits.pop(session.id)
-        before.node.attempt_over(session, visit.placement, Outcome.CANCELLED)
-        slot.node.adopted(visit.session, visit.placement)
-        slot.node.told_load(visit.session, visit.client.load)
+        before.node.attempt_ended(session, visit.placement, AttemptOutcome.CANCELLED)
+        slot.node.adopt_session(visit.session, visit.placement)
+        slot.node.report_load(visit.session, visit.client.load)
 
     def _tell_held(self, before: VirtualSlot) -> None:
         old, slot = before.node, before.successor
         if slot is None or slot.node is None:
             return
         if old is None:
-            slot.node.predecessor_holds(None)
+            slot.node.update_predecessor_load(None)
             return
         new = slot.node
-        old.holds(new.predecessor_holds)
+        old.report_held_load(new.update_predecessor_load)
         self.time.after(TELL_US, self._tell_held, before)
 
     def _predecessor_gone(self, before: VirtualSlot) -> None:
@@ -659,7 +662,7 @@
                 self.rules.cut_off(self.time.now_us, visit.session.id, visit.server.name)
             visit.over = True
             if visit.server is not None:
-                visit.end(Outcome.CANCELLED)
+                visit.end(AttemptOutcome.CANCELLED)
             else:
                 visit.turn += 1  # whatever is still to come of its attempt finds nobody
                 self.visits.pop(visit.session.id, None)
@@ -683,15 +686,15 @@
             visit = self.visits[request]
             if visit.slot.index not in seen and visit.slot.node is not None:
                 seen[visit.slot.index] = None
-                visit.slot.node.line_out(visit.session)
+                visit.slot.node.line_forwarded(visit.session)
                 self.time.after(took_us, self._answer_line, visit, visit.slot.node)
                 if len(seen) == len(self.slots):
                     break
 
     def _answer_line(self, visit: Visit, node: Node) -> None:
         if visit.server is not None and visit.slot.node is node:
-            node.heard(visit.session)
-            node.answered(visit.session)
+            node.bytes_received(visit.session)
+            node.line_answered(visit.session)
 
     # ------------------------------------------------------------------ the network
 
@@ -699,7 +702,7 @@
         return (here in self.off_zones) is (there in self.off_zones)
 
     def reaches(self, slot: VirtualSlot, server: FormServerModel) -> bool:
-        return server.phase is not Phase.SILENT and self.together(slot.zone, server.zone)
+        return server.phase is not Phase.UNRESPONSIVE and self.together(slot.zone, server.zone)
 
     def cut(self, zones: frozenset[str], deaf: bool = False) -> None:
         """From now on nothing passes between these zones and the others, until another cut, or none."""
--- a/sailrun/lab/world.py
+++ b/sailrun/lab/world.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Generic, Protocol, TypeVar
 
-from sailrun.interface import BackendState
+from sailrun.decisions.events import BackendState
+from sailrun.decisions.placement import key_hash, server_hash
 from sailrun.lab.chance import Stream
 from sailrun.lab.checks import Check, RuleBook
 from sailrun.lab.clients import Client, Population
 from sailrun.lab.figures import fewest_moves
 from sailrun.lab.form_servers import FormServerModel, Phase
 from sailrun.lab.records import Records
-from sailrun.lab.terms import SECOND, WorldTerms
+from sailrun.lab.settings import SECOND, WorldSettings
 from sailrun.node.session import FormServer
-from sailrun.rendezvous import key_hash, server_hash
 
 MASK = 0xFFFFFFFF
 # A group's further connections come within so long of its first.
@@ -115,7 +115,7 @@
 
     def __init__(
         self,
-        terms: WorldTerms,
+        terms: WorldSettings,
         seed: int,
         begin_us: int,
         holders: Callable[[Sequence[FormServerModel]], Sequence[FormServerModel]],
@@ -171,8 +171,8 @@
             f"s-{number:08x}",
             zone,
             self.terms.cores * draws.between(self.terms.speed) * SECOND,
-            draws.between(self.terms.cold_from),
-            draws.whole(self.terms.cold_us),
+            draws.between(self.terms.initial_capacity_share),
+            draws.whole(self.terms.slow_start_us),
             at_us=self.time.now_us,
         )
         self.servers[number] = server
@@ -295,7 +295,7 @@
         """The machine is cut off: no reset, no answer, until it returns as a new process."""
         self.note("vanish", server=server.name)
         server.advance(self.time.now_us)
-        server.phase = Phase.SILENT
+        server.phase = Phase.UNRESPONSIVE
         self.fallen_silent(server)
         self.registry.change(server, BackendState.GONE, self.terms.silent_notice_us)
         self.time.after(back_after_us, self._return, server)
@@ -305,7 +305,7 @@
             return
         self.lose(server, Phase.DOWN)
         server.start(self.time.now_us)
-        self.warm_s = max(self.warm_s, int(self.second + server.cold_us / SECOND) + 1)
+        self.warm_s = max(self.warm_s, int(self.second + server.slow_start_us / SECOND) + 1)
         self.note("start", server=server.name)
         self.registry.change(server, BackendState.READY, self.terms.notice_us)
 
@@ -327,7 +327,7 @@
         """A release: another machine starts in its place, cold and under a new id, and it drains for good."""
         other = self._new_server(server.zone)
         other.start(self.time.now_us)
-        self.warm_s = max(self.warm_s, int(self.second + other.cold_us / SECOND) + 1)
+        self.warm_s = max(self.warm_s, int(self.second + other.slow_start_us / SECOND) + 1)
         self.note("start", server=other.name, text=f"in place of {server.name}")
         self.registry.change(other, BackendState.READY, self.terms.notice_us)
         self.note("drain", server=server.name)
@@ -365,7 +365,9 @@
             if server.phase is Phase.UP:
                 for n, cls in enumerate(terms.classes):
                     if held[n]:
-                        served += held[n] * cls.worth * server.answered_within(now_us, cls.message_us)
+                        served += (
+                            held[n] * cls.priority_weight * server.answered_within(now_us, cls.message_us)
+                        )
                 if server.message_us(now_us) >= SLOW_US:
                     self.slow(server)
                 if not server.cold(now_us) and not server.draining:
@@ -392,7 +394,7 @@
             busiest=max((load / capacity for load, capacity in ratios), default=0.0),
             wanting=sum(self._wanting),
             standing=sum(map(sum, self._held.values())),
-            asked=sum(n * c.worth for n, c in zip(self._wanting, terms.classes, strict=True)),
+            asked=sum(n * c.priority_weight for n, c in zip(self._wanting, terms.classes, strict=True)),
             served=served,
             moves=self.moves,
             datagrams=self.datagrams,
--- a/sailrun/owners/agent.py
+++ b/sailrun/leadership/agent.py
@@ -16,17 +16,13 @@
 
 import msgspec
 
-from sailrun.lasting.messages import Stand, Stood
-from sailrun.lasting.write_ahead_log import Done
-from sailrun.members.messages import MemberBody, Record, State
-from sailrun.members.swim import Members
-from sailrun.owners.agent_terms import AgentTerms
-from sailrun.owners.backing import Backing
-from sailrun.owners.change_log import ChangeLog, Note
-from sailrun.owners.envelope import Body, Envelope
-from sailrun.owners.lasting import Lasting
-from sailrun.owners.leases import Leases, OwnershipChange
-from sailrun.owners.messages import (
+from sailrun.leadership.agent_settings import AgentSettings
+from sailrun.leadership.backing import Backing
+from sailrun.leadership.change_log import ChangeLog, Note
+from sailrun.leadership.envelope import Body, Envelope
+from sailrun.leadership.lasting import Lasting
+from sailrun.leadership.leases import Leases, OwnershipChange
+from sailrun.leadership.messages import (
     Ask,
     Deny,
     DrainRequest,
@@ -41,24 +37,28 @@
     Release,
     Yield,
 )
-from sailrun.owners.outgoing import Guard, Out, Outgoing
-from sailrun.owners.ownership import PACE, READER, Ownership
-from sailrun.owners.permit_part import PermitPart
-from sailrun.owners.permits import TASK as PERMITS
-from sailrun.owners.permits import PermitCoordinator, PermitHolder, Use
-from sailrun.owners.questions import Addressed, Asker, OnAnswer, Questions
-from sailrun.owners.quorum import Voters
-from sailrun.owners.rolling_drain import RollingDrains
-from sailrun.owners.vote_part import VotePart
-from sailrun.owners.voter import Voter
-from sailrun.replica.replica import MARKS, Replica
-from sailrun.shards.messages import Ballot, ShardBody
-from sailrun.shards.messages import Post as ShardPost
+from sailrun.leadership.outgoing import Guard, Out, Outgoing
+from sailrun.leadership.ownership import PACE, READER, Ownership
+from sailrun.leadership.permit_part import PermitPart
+from sailrun.leadership.permits import TASK as PERMITS
+from sailrun.leadership.permits import PermitCoordinator, PermitHolder, Use
+from sailrun.leadership.questions import Addressed, Asker, OnAnswer, Questions
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.rolling_drain import RollingDrains
+from sailrun.leadership.vote_part import VotePart
+from sailrun.leadership.voter import Voter
+from sailrun.membership.messages import MemberBody, Record, State
+from sailrun.membership.swim import Members
+from sailrun.replication.replica import MARKS, Replica
+from sailrun.sharding.messages import Ballot, ShardBody
+from sailrun.sharding.messages import Post as ShardPost
+from sailrun.storage.messages import Stand, Stood
+from sailrun.storage.write_ahead_log import Done
 
 if TYPE_CHECKING:
-    from sailrun.shards.part import ShardsPart
+    from sailrun.sharding.part import ShardsPart
 
-__all__ = ["PACE", "READER", "Agent", "AgentTerms", "Out"]
+__all__ = ["PACE", "READER", "Agent", "AgentSettings", "Out"]
 
 # Messages for members by name.
 Posts = Iterable[tuple[str, Any]]
@@ -73,7 +73,7 @@
     def __init__(
         self,
         me: Record,
-        terms: AgentTerms,
+        terms: AgentSettings,
         seed: int,
         now_us: int,
         founding: Callable[[], int],
@@ -137,7 +137,7 @@
         self, me: Record, chance: random.Random, now_us: int, founding: Callable[[], int]
     ) -> ShardsPart:
         # Loaded only where it is switched on: it needs numpy.
-        from sailrun.shards.part import ShardsPart
+        from sailrun.sharding.part import ShardsPart
 
         terms, draw = self.terms, chance.getrandbits
         return ShardsPart(
@@ -346,7 +346,7 @@
         outs += self._outgoing.letters(self.members.leave(now_us))
         return outs + self._changes(now_us)
 
-    def use_terms(self, now_us: int, terms: AgentTerms) -> None:
+    def use_terms(self, now_us: int, terms: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
         if terms.owners != self.terms.owners:
             self.voters = Voters(terms.owners, self._off)
--- a/sailrun/owners/backing.py
+++ b/sailrun/leadership/backing.py
@@ -13,18 +13,18 @@
 
 import msgspec
 
-from sailrun.lasting import entries as e
-from sailrun.lasting.folder import uncollected
-from sailrun.lasting.messages import Stand, Stood
-from sailrun.lasting.standing import Own, Standing, Trust
-from sailrun.lasting.write_ahead_log import Done
-from sailrun.owners.lasting import Lasting, MemberJournal, known_slots, replica_entries, voter_entries
-from sailrun.owners.messages import Grant, Recalled
-from sailrun.owners.quorum import Voters
-from sailrun.owners.rolling_drain import RollingDrains
-from sailrun.owners.voter import Voter
-from sailrun.replica.messages import Kept, Promised, Recovering
-from sailrun.replica.replica import Replica
+from sailrun.leadership.lasting import Lasting, MemberJournal, known_slots, replica_entries, voter_entries
+from sailrun.leadership.messages import Grant, Recalled
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.rolling_drain import RollingDrains
+from sailrun.leadership.voter import Voter
+from sailrun.replication.messages import Kept, Promised, Recovering
+from sailrun.replication.replica import Replica
+from sailrun.storage import entries as e
+from sailrun.storage.folder import uncollected
+from sailrun.storage.messages import Stand, Stood
+from sailrun.storage.standing import Own, Standing, Trust
+from sailrun.storage.write_ahead_log import Done
 
 Post = tuple[str, msgspec.Struct]
 # What a voter answers and is held to after a restart: sent once what it rests on is on the disk.
--- a/sailrun/owners/carrier.py
+++ b/sailrun/leadership/carrier.py
@@ -27,11 +27,11 @@
     show_address,
     split_address,
 )
+from sailrun.leadership.agent import Agent, Out
+from sailrun.leadership.clock import boot_us
+from sailrun.leadership.envelope import LONGEST_DATAGRAM, LONGEST_FRAME, BadMessage, Envelope, pack, unpack
+from sailrun.leadership.traffic import Traffic
 from sailrun.node.clock import log
-from sailrun.owners.agent import Agent, Out
-from sailrun.owners.clock import boot_us
-from sailrun.owners.envelope import LONGEST_DATAGRAM, LONGEST_FRAME, BadMessage, Envelope, pack, unpack
-from sailrun.owners.traffic import Traffic
 
 SECOND = 1_000_000
 # Frames that wait for one link, and links that are open, each way.
--- a/sailrun/owners/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from sailrun.members.swim import Change
-from sailrun.owners.leases import Leases, OwnershipChange
-from sailrun.owners.permits import Use
-from sailrun.owners.tallies import Tallies
+from sailrun.leadership.leases import Leases, OwnershipChange
+from sailrun.leadership.permits import Use
+from sailrun.leadership.tallies import Tallies
+from sailrun.membership.swim import Change
 
 
 class Note(NamedTuple):
--- a/sailrun/owners/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from sailrun.lasting.messages import LastingBody
-from sailrun.members.messages import MemberBody, Record
-from sailrun.owners.messages import Claim, OwnerBody
-from sailrun.replica.messages import ReplicaBody
-from sailrun.shards.messages import ShardBody
+from sailrun.leadership.messages import Claim, OwnerBody
+from sailrun.membership.messages import MemberBody, Record
+from sailrun.replication.messages import ReplicaBody
+from sailrun.sharding.messages import ShardBody
+from sailrun.storage.messages import LastingBody
 
 LONGEST_DATAGRAM = 1200
 LONGEST_FRAME = 4 * 1024 * 1024
--- a/sailrun/owners/lasting.py
+++ b/sailrun/leadership/lasting.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from itertools import chain
 
-from sailrun.lasting import entries as e
-from sailrun.lasting.write_ahead_log import WriteAheadLog
-from sailrun.owners.voter import Slot, Voter
-from sailrun.replica.journal import Journal
-from sailrun.replica.records import Key, Record
-from sailrun.replica.replica import Replica
+from sailrun.leadership.voter import Slot, Voter
+from sailrun.replication.journal import Journal
+from sailrun.replication.records import Key, Record
+from sailrun.replication.replica import Replica
+from sailrun.storage import entries as e
+from sailrun.storage.write_ahead_log import WriteAheadLog
 
 
 @dataclass(slots=True)
--- a/sailrun/owners/leases.py
+++ b/sailrun/leadership/leases.py
@@ -16,10 +16,10 @@
 
 import mmh3
 
-from sailrun.owners.messages import Ask, Claim, Deny, Grant, Release, Yield
-from sailrun.owners.quorum import Voters
-from sailrun.owners.terms import DRIFT, OwnersTerms
-from sailrun.rendezvous import MASK, key_hash, server_hash
+from sailrun.decisions.placement import MASK, key_hash, server_hash
+from sailrun.leadership.messages import Ask, Claim, Deny, Grant, Release, Yield
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
 SECOND = 1_000_000
 # So many of the best placed members try for a task; each waits so much longer than the one before it.
@@ -86,7 +86,7 @@
         self,
         name: str,
         voters: Voters,
-        terms: OwnersTerms,
+        terms: LeadershipSettings,
         seed: int,
         now_us: int,
         off: frozenset[str] = frozenset(),
@@ -103,7 +103,7 @@
         self._began_us = now_us
         self.leaving = False
 
-    def use(self, voters: Voters, terms: OwnersTerms) -> None:
+    def use(self, voters: Voters, terms: LeadershipSettings) -> None:
         """From now on these voters count, also for what is held: a renewal of before is none any more."""
         self.voters, self._terms, self._lease_us = voters, terms, int(terms.lease_s * SECOND)
         for lease in self.by_task.values():
--- a/sailrun/owners/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sailrun.members.messages import Joined, MemberBody, Record, Refused
-from sailrun.members.swim import Letter, Members
-from sailrun.owners.envelope import MOST_CLAIMS, MOST_NEWS, Body, Envelope
-from sailrun.owners.leases import Leases
+from sailrun.leadership.envelope import MOST_CLAIMS, MOST_NEWS, Body, Envelope
+from sailrun.leadership.leases import Leases
+from sailrun.membership.messages import Joined, MemberBody, Record, Refused
+from sailrun.membership.swim import Letter, Members
 
 # A change of owner is gossiped so many times, on messages that go out anyway.
 CLAIM_TIMES = 30
--- a/sailrun/owners/ownership.py
+++ b/sailrun/leadership/ownership.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from sailrun.members.messages import eligible
-from sailrun.members.swim import Members
-from sailrun.owners.agent_terms import AgentTerms
-from sailrun.owners.leases import Leases, best_placed
-from sailrun.owners.outgoing import Guard
-from sailrun.owners.permits import TASK as PERMITS
-from sailrun.owners.tallies import Tallies
-from sailrun.owners.terms import DRIFT
-from sailrun.replica.replica import MARKS
+from sailrun.leadership.agent_settings import AgentSettings
+from sailrun.leadership.leases import Leases, best_placed
+from sailrun.leadership.outgoing import Guard
+from sailrun.leadership.permits import TASK as PERMITS
+from sailrun.leadership.settings import DRIFT
+from sailrun.leadership.tallies import Tallies
+from sailrun.membership.messages import eligible
+from sailrun.membership.swim import Members
+from sailrun.replication.replica import MARKS
 
 SECOND = 1_000_000
 READER = "roster/"  # and the data centre
@@ -21,7 +21,7 @@
     """Times are microseconds of the clock that leases are counted by."""
 
     def __init__(
-        self, members: Members, leases: Leases, zone: str, terms: AgentTerms, tallies: Tallies
+        self, members: Members, leases: Leases, zone: str, terms: AgentSettings, tallies: Tallies
     ) -> None:
         self._members, self._leases, self._zone = members, leases, zone
         self._terms, self._tallies = terms, tallies
@@ -29,7 +29,7 @@
         self._tasks: dict[str, list[str]] = {}
         self._tasks_version = -1  # the version of the members that they were made of
 
-    def use(self, terms: AgentTerms) -> None:
+    def use(self, terms: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
         self._terms = terms
         self._tasks_version = -1
--- a/sailrun/owners/pace.py
+++ b/sailrun/leadership/pace.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from sailrun.owners.terms import DRIFT
+from sailrun.leadership.settings import DRIFT
 
 SECOND = 1_000_000
 # A share lasts for so long from when it was asked for; it is asked for this often while clients are moved.
--- a/sailrun/owners/permit_part.py
+++ b/sailrun/leadership/permit_part.py
@@ -6,23 +6,23 @@
 
 import msgspec
 
-from sailrun.owners.change_log import ChangeLog
-from sailrun.owners.leases import OwnershipChange
-from sailrun.owners.messages import Say, Want
-from sailrun.owners.permits import PermitCoordinator, PermitHolder
-from sailrun.owners.questions import OnAnswer
-from sailrun.owners.terms import PermitsTerms
+from sailrun.leadership.change_log import ChangeLog
+from sailrun.leadership.leases import OwnershipChange
+from sailrun.leadership.messages import Say, Want
+from sailrun.leadership.permits import PermitCoordinator, PermitHolder
+from sailrun.leadership.questions import OnAnswer
+from sailrun.leadership.settings import PermitSettings
 
 
 class PermitPart:
     """`off` names safety rules that the laboratory switches off."""
 
-    def __init__(self, terms: PermitsTerms, change_log: ChangeLog, off: frozenset[str]) -> None:
+    def __init__(self, terms: PermitSettings, change_log: ChangeLog, off: frozenset[str]) -> None:
         self._terms, self._change_log, self._off = terms, change_log, off
         self.holder = PermitHolder(terms) if terms.enabled else None
         self.coordinator: PermitCoordinator | None = None
 
-    def use(self, terms: PermitsTerms) -> None:
+    def use(self, terms: PermitSettings) -> None:
         """Takes over an operator's file that was read again."""
         self._terms = terms
         if self.coordinator is not None:
--- a/sailrun/owners/permits.py
+++ b/sailrun/leadership/permits.py
@@ -12,8 +12,8 @@
 
 from dataclasses import dataclass, field
 
-from sailrun.owners.messages import Say, Want
-from sailrun.owners.terms import DRIFT, PermitsTerms
+from sailrun.leadership.messages import Say, Want
+from sailrun.leadership.settings import DRIFT, PermitSettings
 
 SECOND = 1_000_000
 TASK = "permits"
@@ -43,7 +43,7 @@
     """The owner's side: limits, grants and the queue. Made anew at each term; closed until `open_us`."""
 
     def __init__(
-        self, terms: PermitsTerms, term: int, now_us: int, off: frozenset[str] = frozenset()
+        self, terms: PermitSettings, term: int, now_us: int, off: frozenset[str] = frozenset()
     ) -> None:
         self._terms, self.term = terms, term
         self._lease_us = int(terms.lease_s * SECOND)
@@ -52,7 +52,7 @@
         self._queue: dict[tuple[Key, str], _Waiting] = {}  # by what, and who
         self._count = 0
 
-    def use(self, terms: PermitsTerms) -> None:
+    def use(self, terms: PermitSettings) -> None:
         """Other limits from now on; what is in use above them stays until it is given back."""
         self._terms = terms
 
@@ -185,7 +185,7 @@
 class PermitHolder:
     """The client's side: what this node wants and holds, and until when by its own clock."""
 
-    def __init__(self, terms: PermitsTerms) -> None:
+    def __init__(self, terms: PermitSettings) -> None:
         self._terms = terms
         self._lease_us = int(terms.lease_s * SECOND)
         self.wanted: dict[Key, Wanted] = {}
--- a/sailrun/owners/questions.py
+++ b/sailrun/leadership/questions.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sailrun.owners.change_log import ChangeLog
-from sailrun.owners.leases import CANDIDATES, Leases
-from sailrun.owners.messages import NotMine, Order, Question, Refusal
-from sailrun.owners.outgoing import Guard
-from sailrun.owners.ownership import Ownership
+from sailrun.leadership.change_log import ChangeLog
+from sailrun.leadership.leases import CANDIDATES, Leases
+from sailrun.leadership.messages import NotMine, Order, Question, Refusal
+from sailrun.leadership.outgoing import Guard
+from sailrun.leadership.ownership import Ownership
 
 SECOND = 1_000_000
 # So many questions wait for answers at a time; the oldest make room.
--- a/sailrun/owners/quorum.py
+++ b/sailrun/leadership/quorum.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection, Iterable
 
-from sailrun.owners.terms import OwnersTerms
+from sailrun.leadership.settings import LeadershipSettings
 
 
 class Voters:
@@ -12,7 +12,7 @@
     stages have a voter in common.
     """
 
-    def __init__(self, terms: OwnersTerms, off: frozenset[str] = frozenset()) -> None:
+    def __init__(self, terms: LeadershipSettings, off: frozenset[str] = frozenset()) -> None:
         self._sets = [terms.voters, *([terms.voters_before] if terms.voters_before else [])]
         self.stage = terms.stage
         self._off = off
--- a/sailrun/owners/reader.py
+++ b/sailrun/leadership/reader.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from sailrun.owners.terms import ReaderTerms
+from sailrun.leadership.settings import ListReaderSettings
 
 SECOND = 1_000_000
 
@@ -36,7 +36,7 @@
 class Reading:
     """One node's part: what it knows of the registry, and from whom."""
 
-    def __init__(self, source: str, terms: ReaderTerms, now_us: int) -> None:
+    def __init__(self, source: str, terms: ListReaderSettings, now_us: int) -> None:
         self.source, self._terms = source, terms
         self.revision = -1
         self.members: list[dict[str, Any]] = []
--- a/sailrun/owners/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from sailrun.owners.messages import DrainRequest, DrainStatus
-from sailrun.owners.permits import DRAIN, PermitHolder, Use
+from sailrun.leadership.messages import DrainRequest, DrainStatus
+from sailrun.leadership.permits import DRAIN, PermitHolder, Use
 
 SECOND = 1_000_000
 ASK_US = 300_000
--- a/sailrun/owners/service.py
+++ b/sailrun/leadership/service.py
@@ -18,28 +18,28 @@
 
 from sailrun.config import NodeConfig, RegistryService
 from sailrun.connection import split_address
-from sailrun.lasting.folder import Sound, new_identity
-from sailrun.members.messages import Record, State
+from sailrun.leadership import status
+from sailrun.leadership.agent import PACE, Agent, AgentSettings, Out
+from sailrun.leadership.carrier import Carrier
+from sailrun.leadership.clock import boot_us
+from sailrun.leadership.founding import founding_term
+from sailrun.leadership.lasting import Lasting
+from sailrun.leadership.leases import OwnershipChange
+from sailrun.leadership.pace import PaceCoordinator, PaceShare
+from sailrun.leadership.permits import DRAIN, OUT, Use
+from sailrun.leadership.shared import SharedDiscovery
+from sailrun.membership.messages import Record, State
 from sailrun.node.clock import log
 from sailrun.node.leaving import Reason
-from sailrun.owners import status
-from sailrun.owners.agent import PACE, Agent, AgentTerms, Out
-from sailrun.owners.carrier import Carrier
-from sailrun.owners.clock import boot_us
-from sailrun.owners.founding import founding_term
-from sailrun.owners.lasting import Lasting
-from sailrun.owners.leases import OwnershipChange
-from sailrun.owners.pace import PaceCoordinator, PaceShare
-from sailrun.owners.permits import DRAIN, OUT, Use
-from sailrun.owners.shared import SharedDiscovery
-from sailrun.replica.service import CopiesPart
+from sailrun.replication.service import CopiesPart
+from sailrun.storage.folder import Sound, new_identity
 
 if TYPE_CHECKING:
-    from sailrun.lasting.service import LastingPart
     from sailrun.node.core import Node
-    from sailrun.operator import Operator
-    from sailrun.shards.exercise import ActExerciser
-    from sailrun.shards.part import ShardsPart
+    from sailrun.operator_settings import Operator
+    from sailrun.sharding.exercise import ActExerciser
+    from sailrun.sharding.part import ShardsPart
+    from sailrun.storage.service import LastingPart
 
 SECOND = 1_000_000
 # While a node drains for a rolling drain, it is looked at this often whether it is empty.
@@ -48,10 +48,10 @@
 CLOCKS_US, CLOCKS_TRIES = 500, 10
 
 
-def agent_terms(operator: Operator) -> AgentTerms:
+def agent_terms(operator: Operator) -> AgentSettings:
     """The agent's part of an operator's file."""
     pace = operator.rebalance.enabled and operator.owners.enabled
-    return AgentTerms(
+    return AgentSettings(
         operator.members,
         operator.owners,
         operator.permits,
@@ -113,7 +113,7 @@
         """For the laboratory's checks, which need acts on behalf of shards."""
         if self.agent.shards is None:
             return None
-        from sailrun.shards.exercise import ActExerciser
+        from sailrun.sharding.exercise import ActExerciser
 
         return ActExerciser(self.agent.shards, self.agent.members, self.agent.name, secrets.randbits(32))
 
@@ -173,7 +173,7 @@
         self._alone()
         return self.agent.leave(now_us)
 
-    def use(self, terms: AgentTerms) -> None:
+    def use(self, terms: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
 
         def call(now_us: int) -> list[Out]:
@@ -213,10 +213,10 @@
             outs += self._shared.turn(now_us)
         if self.agent.rolling_drains.drain is not None:
             on, self.agent.rolling_drains.drain = self.agent.rolling_drains.drain, None
-            self._node.drain(on, lambda done: None)
+            self._node.set_draining(on, lambda done: None)
         if self.agent.rolling_drains.draining and now_us >= self._look_us:
             self._look_us = now_us + LOOK_US
-            self._node.figures(lambda figures: self._standing(figures.inflight))
+            self._node.read_metrics(lambda figures: self._standing(figures.inflight))
         if self.agent.shards is not None:
             self._follow_drain(now_us, self.agent.shards)
         if self.agent.terms.pace:
@@ -257,7 +257,7 @@
         if not self._pace.due(now_us):
             return []
         # Whether any is wanted is the core's to say; what it says counts from the next time on.
-        self._node.lend(share, self._moving)
+        self._node.set_move_rate_share(share, self._moving)
         if (share > 0) is not (self._share > 0) or self._share < 0:
             log("pace", share=round(share, 3))
         self._share = share
@@ -285,9 +285,9 @@
                 answer = "" if known or not use.yes else f"no form server '{use.subject[:80]}'"
                 self._answer(OUT, use.subject, answer if use.yes else use.why)
 
-            self._node.by_hand(use.subject, use.yes, done)
+            self._node.set_operator_override(use.subject, use.yes, done)
         if use.kind == DRAIN and self._drain_by_hand:
-            self._node.drain(
+            self._node.set_draining(
                 use.yes, lambda done: self._answer(DRAIN, use.subject, "" if use.yes else use.why)
             )
 
--- a/sailrun/owners/terms.py
+++ b/sailrun/leadership/settings.py
@@ -14,7 +14,7 @@
 DRIFT = 0.01
 
 
-class OwnersTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class LeadershipSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Who grants leases, and how long they last. The same on every node of a fleet."""
 
     enabled: Annotated[bool, Meta(description="Whether work on behalf of the fleet has owners.")] = False
@@ -60,7 +60,7 @@
         return 2 * self.revision - (1 if self.voters_before else 0)
 
 
-class PermitsTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class PermitSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """How much may be out of service at a time, over the whole fleet."""
 
     enabled: Annotated[
@@ -78,7 +78,7 @@
     ] = 30.0
 
 
-class ReaderTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class ListReaderSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """One node of each data centre reads the roster for the others there."""
 
     enabled: Annotated[bool, Meta(description="Whether the roster's list is passed on.")] = False
--- a/sailrun/owners/shared.py
+++ b/sailrun/leadership/shared.py
@@ -6,18 +6,18 @@
 
 from sailrun.config import RegistryService
 from sailrun.connection import show_address
+from sailrun.decisions.events import ListKind
 from sailrun.discovery import BadServerList, DiscoveryClient, phase_of, read_server_list
-from sailrun.interface import ListKind
+from sailrun.leadership.agent import READER, Agent, Out
+from sailrun.leadership.clock import boot_us
+from sailrun.leadership.reader import Reading
 from sailrun.node.clock import log
 from sailrun.node.session import FormServer, ServerListUpdate
-from sailrun.owners.agent import READER, Agent, Out
-from sailrun.owners.clock import boot_us
-from sailrun.owners.reader import Reading
-from sailrun.replica.lists import keep_list, kept_list
+from sailrun.replication.lists import keep_list, kept_list
 
 if TYPE_CHECKING:
+    from sailrun.leadership.carrier import Carrier
     from sailrun.node.core import Node
-    from sailrun.owners.carrier import Carrier
 
 SECOND = 1_000_000
 # The core hears that nothing has changed as often as it would of a watch.
--- a/sailrun/owners/status.py
+++ b/sailrun/leadership/status.py
@@ -7,8 +7,8 @@
 
 from typing import Any
 
-from sailrun.owners.agent import Agent
-from sailrun.owners.permits import TASK as PERMITS
+from sailrun.leadership.agent import Agent
+from sailrun.leadership.permits import TASK as PERMITS
 
 SECOND = 1_000_000
 Rows = list[dict[str, Any]]
@@ -78,6 +78,6 @@
     if agent.shards is None:
         return None
     # Loaded only where it is switched on: it needs numpy.
-    from sailrun.shards.status import shards_status
+    from sailrun.sharding.status import shards_status
 
     return shards_status(agent.shards, now_us, node)
--- a/sailrun/owners/vote_part.py
+++ b/sailrun/leadership/vote_part.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from sailrun.owners.backing import Backing
-from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release
-from sailrun.owners.quorum import Voters
-from sailrun.owners.terms import OwnersTerms
-from sailrun.owners.voter import Voter
+from sailrun.leadership.backing import Backing
+from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.settings import LeadershipSettings
+from sailrun.leadership.voter import Voter
 
 Post = tuple[str, Grant | Deny | Recalled]
 
@@ -22,7 +22,7 @@
         self,
         name: str,
         voters: Voters,
-        terms: OwnersTerms,
+        terms: LeadershipSettings,
         backing: Backing,
         founding: Callable[[], int],
         now_us: int,
@@ -37,7 +37,7 @@
         self._backing.back(voter)
         return voter
 
-    def use(self, now_us: int, voters: Voters, terms: OwnersTerms) -> None:
+    def use(self, now_us: int, voters: Voters, terms: LeadershipSettings) -> None:
         """From now on these are the voters; this node may have become one, or be none any more."""
         if self._name not in voters.all():
             self.voter = None
--- a/sailrun/owners/voter.py
+++ b/sailrun/leadership/voter.py
@@ -15,9 +15,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release
-from sailrun.owners.quorum import Voters
-from sailrun.owners.terms import DRIFT, OwnersTerms
+from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
 SECOND = 1_000_000
 RECALL_US = 250_000
@@ -25,7 +25,7 @@
 PATIENCE = 2.0
 
 
-def abstain_us(terms: OwnersTerms) -> int:
+def abstain_us(terms: LeadershipSettings) -> int:
     """How long a voter that has started grants nothing, by its own clock: a lease, in whatever clock it
     runs.
     """
@@ -52,7 +52,7 @@
         self,
         name: str,
         voters: Voters,
-        terms: OwnersTerms,
+        terms: LeadershipSettings,
         now_us: int,
         founding: Callable[[], int],
         off: frozenset[str] = frozenset(),
--- a/sailrun/fleet/known.py
+++ b/sailrun/load_gossip/known.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from sailrun.fleet.digest import Digest, alike, short
+from sailrun.load_gossip.digest import Digest, alike, short
 
 SECOND = 1_000_000
 # What a node counts that so many of the latest sums in a row did not speak for.
--- a/sailrun/fleet/rounds.py
+++ b/sailrun/load_gossip/rounds.py
@@ -15,8 +15,8 @@
 
 import mmh3
 
-from sailrun.fleet.digest import BadDatagram, Digest, merged, parts, read, room, short, write
-from sailrun.fleet.known import SECOND, Others, Tier
+from sailrun.load_gossip.digest import BadDatagram, Digest, merged, parts, read, room, short, write
+from sailrun.load_gossip.known import SECOND, Others, Tier
 
 # A round, as often as that where there is something to look at, else so many times more seldom. Beyond two
 # hundred nodes rounds are longer, so that the tier sends no more of them.
--- a/sailrun/members/terms.py
+++ b/sailrun/membership/settings.py
@@ -10,7 +10,7 @@
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
 
 
-class MembersTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class MembershipSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Where this node meets the others, and how soon one that is silent is taken for gone."""
 
     enabled: Annotated[bool, Meta(description="Whether this node joins a fleet.")] = False
--- a/sailrun/members/swim.py
+++ b/sailrun/membership/swim.py
@@ -20,7 +20,7 @@
 
 from msgspec.structs import replace
 
-from sailrun.members.messages import (
+from sailrun.membership.messages import (
     Ack,
     Join,
     Joined,
@@ -34,7 +34,7 @@
     Refused,
     State,
 )
-from sailrun.members.terms import MembersTerms
+from sailrun.membership.settings import MembershipSettings
 
 SECOND = 1_000_000
 MISSED_MOST = 8  # how slow a member may take itself to be: its times are stretched by 1 to 9
@@ -114,7 +114,7 @@
 class Members:
     """One member's view of its fleet."""
 
-    def __init__(self, me: Record, terms: MembersTerms, seed: int, now_us: int) -> None:
+    def __init__(self, me: Record, terms: MembershipSettings, seed: int, now_us: int) -> None:
         """`me`: incarnation 1, alive. With nobody to join by, this member is the first of its fleet."""
         self.me = me
         self.terms = terms
