--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -16,10 +16,48 @@
 
 import anyio
 
-from sailrun import interface as i
-from sailrun import recollection
-from sailrun.decide import Balancer
-from sailrun.fleet.rounds import Holding, Outgoing, Rounds
+from sailrun.decisions import snapshot as recollection
+from sailrun.decisions.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdle,
+    DenialReason,
+    FailRequest,
+    FetchList,
+    LogMessage,
+    MoveConnection,
+    MoveReason,
+    ProbeBackend,
+    RejectRequest,
+    SendToPeer,
+    SetTimer,
+    SlowStartAllowance,
+    SlowStartChanged,
+    StartAttempt,
+    Subscribe,
+)
+from sailrun.decisions.balancer import Balancer
+from sailrun.decisions.events import (
+    AttemptEnded,
+    AttemptNotice,
+    AttemptOutcome,
+    Backend,
+    BackendListUpdate,
+    BackendState,
+    ClientLeft,
+    ConnectionOpened,
+    ConnectionResumed,
+    Event,
+    ListKind,
+    NoticeKind,
+    OperatorOverride,
+    PeerMessage,
+    ProbeEnded,
+    RequestArrived,
+    TimerFired,
+)
+from sailrun.decisions.settings import Settings
+from sailrun.load_gossip.rounds import Holding, Outgoing, Rounds
 from sailrun.node.clock import Clock, log
 from sailrun.node.counts import Counts, Figures
 from sailrun.node.leaving import Leaving, Reason
@@ -48,7 +86,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         seed: int,
         clock: Clock,
         known: ServerListUpdate,
@@ -87,12 +125,12 @@
         aims = [c.message_objective_us for c in settings.classes if c.message_objective_us > 0]
         self._slow_us = min(aims) / 3 if aims else 0.0
         # From what on form servers say what a message takes, in ms; 0: they never do.
-        self.told_from_ms = self._slow_us / 1000 if settings.tells_delay else 0.0
+        self.reported_delay_threshold_ms = self._slow_us / 1000 if settings.reports_delay else 0.0
         self._known, self._passed = known, passed
         self._revision = known.revision
         self._send_transfer: SendTransfer | None = None  # hands a standing session to the successor
         # Told of what staff ask of this process, where another one is to hear of it.
-        self.on_staff: Callable[[str, Any], None] = lambda kind, content: None
+        self.on_operator_command: Callable[[str, Any], None] = lambda kind, content: None
         self.stopped = False
 
     # ------------------------------------------------------------------ what others tell
@@ -102,25 +140,25 @@
         if len(self._calls) == 1:
             self.wake()
 
-    def ask(self, session: FormSession) -> None:
+    def request_session(self, session: FormSession) -> None:
         """A client asks for a form session; one final answer is owed by its deadline."""
         self._post(self._asked, session)
 
-    def placed(self, session: FormSession, placement: Placement, took_us: int) -> None:
+    def connection_opened(self, session: FormSession, placement: Placement, took_us: int) -> None:
         self._post(self._placed, session, placement, took_us)
 
-    def written(self) -> None:
+    def request_written(self) -> None:
         """An attempt's request has gone out to its form server, to the last byte."""
         self._post(self._written)
 
-    def attempt_over(self, session: FormSession, placement: Placement, outcome: i.Outcome) -> None:
+    def attempt_ended(self, session: FormSession, placement: Placement, outcome: AttemptOutcome) -> None:
         self._post(self._attempt_over, session, placement, outcome)
 
-    def left(self, session: FormSession) -> None:
+    def client_left(self, session: FormSession) -> None:
         """The client has gone before its session stood."""
         self._post(self._left, session)
 
-    def told_load(self, session: FormSession, load: float) -> None:
+    def report_load(self, session: FormSession, load: float) -> None:
         self._post(self._told_load, session, load)
 
     def may_begin(self, session: FormSession, placement: Placement) -> bool:
@@ -135,24 +173,24 @@
         return (
             known is not None
             and known.address == placement.form_server.address
-            and self._as_it_takes(known).state is i.BackendState.READY
+            and self._as_it_takes(known).state is BackendState.READY
         )
 
-    def line_out(self, session: FormSession) -> None:
+    def line_forwarded(self, session: FormSession) -> None:
         """A client's line went to its form server."""
         session.unanswered.append(self.clock.now_us())
         if session.placement is not None:
             number = session.placement.form_server.number
             self._talking[number] = self._watches.setdefault(number, ServerWatch())
 
-    def heard(self, session: FormSession) -> None:
+    def bytes_received(self, session: FormSession) -> None:
         """Anything at all came from the session's form server."""
         if session.placement is not None:
             watch = self._watches.get(session.placement.form_server.number)
             if watch is not None:
                 watch.heard_us = self.clock.now_us()
 
-    def answered(self, session: FormSession) -> None:
+    def line_answered(self, session: FormSession) -> None:
         """The form server returned a client's line."""
         if not session.unanswered or session.placement is None:
             return
@@ -162,7 +200,7 @@
         if watch is not None:
             watch.answered(now_us, took_us)
 
-    def told_delay(self, session: FormSession, value_ms: float) -> None:
+    def report_delay(self, session: FormSession, value_ms: float) -> None:
         """The session's form server has said what a message takes there."""
         self._post(self._told_delay, session, value_ms)
 
@@ -172,89 +210,89 @@
     def discovery_failed(self, why: str) -> None:
         self._post(self._discovery_failed, why)
 
-    def neighbour_said(self, neighbour: int, content: bytes) -> None:
+    def peer_message_received(self, neighbour: int, content: bytes) -> None:
         self._post(self._neighbour_said, neighbour, content)
 
-    def probed(self, form_server: FormServer, outcome: i.Outcome, took_us: int) -> None:
-        self._post(lambda: self._feed(i.ProbeEnded(form_server.number, outcome, took_us)))
+    def probe_ended(self, form_server: FormServer, outcome: AttemptOutcome, took_us: int) -> None:
+        self._post(lambda: self._feed(ProbeEnded(form_server.number, outcome, took_us)))
 
-    def rebalance_with(self, rebalancer: Rebalancer | None) -> None:
+    def set_rebalancer(self, rebalancer: Rebalancer | None) -> None:
         """From now on; None: nobody is moved for balance any more."""
         self._post(self._rebalance_with, rebalancer)
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """A planned restart begins: keep answering, spread the moves, be gone before the kill."""
         self._post(self._leave, Reason.RESTART)
 
     # What staff ask, each answered by a call of `reply` in the core's next turn.
 
-    def figures(self, reply: Reply[Figures]) -> None:
+    def read_metrics(self, reply: Reply[Figures]) -> None:
         self._post(lambda: reply(self._figures()))
 
-    def takes_clients(self, reply: Reply[bool]) -> None:
+    def check_ready(self, reply: Reply[bool]) -> None:
         """Whether this node takes clients, and not only answers them."""
         self._post(lambda: reply(not self.leaving and bool(self._form_servers)))
 
-    def by_hand(self, name: str, out: bool, reply: Reply[bool]) -> None:
+    def set_operator_override(self, name: str, out: bool, reply: Reply[bool]) -> None:
         """Takes a form server out, or puts it back; False where none of that name is listed or out."""
         self._post(lambda: reply(self._by_hand(name, out)))
 
-    def out_by_hand(self, reply: Reply[frozenset[str]]) -> None:
+    def list_operator_overrides(self, reply: Reply[frozenset[str]]) -> None:
         self._post(lambda: reply(frozenset(self._out_by_hand)))
 
-    def lists(self, name: str, reply: Reply[bool]) -> None:
+    def has_form_server(self, name: str, reply: Reply[bool]) -> None:
         """Whether a form server of that name is listed here, or out by hand."""
         self._post(lambda: reply(self._lists(name)))
 
     @property
-    def admits(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether whoever spreads the clients over the nodes should count on this one."""
         return Reason.DRAIN not in self.leaving
 
-    def drain(self, on: bool, reply: Reply[bool]) -> None:
+    def set_draining(self, on: bool, reply: Reply[bool]) -> None:
         """Sends all clients away, and takes none until it is over."""
         self._post(lambda: reply(self._drain(on)))
 
-    def lend(self, share: float, reply: Reply[bool]) -> None:
+    def set_move_rate_share(self, share: float, reply: Reply[bool]) -> None:
         """This node's part of the fleet's pace of moves, 0 to 1; answers whether it moves any clients."""
         self._post(lambda: reply(self.rebalancing.lend(share)))
 
     # What nodes of a fleet tell each other.
 
-    def beliefs(self, reply: Reply[Beliefs]) -> None:
+    def report_outliers(self, reply: Reply[Beliefs]) -> None:
         self._post(lambda: reply(self._peer_beliefs.own(self._now, self._form_servers)))
 
-    def hear_beliefs(self, out: dict[str, int], setup_us: int) -> None:
+    def receive_peer_outliers(self, out: dict[str, int], setup_us: int) -> None:
         """Form servers by name that others keep away from, with for how much longer (us)."""
         self._post(self._hear_beliefs, out, setup_us)
 
     # What passes between two processes that are one node.
 
-    def pass_on(self, reply: Reply[NodeState]) -> None:
+    def snapshot_state(self, reply: Reply[NodeState]) -> None:
         self._post(lambda: reply(self._state()))
 
-    def holds(self, reply: Reply[HeldSessions]) -> None:
+    def report_held_load(self, reply: Reply[HeldSessions]) -> None:
         self._post(lambda: reply(self._held()))
 
-    def succeeded(self, send: SendTransfer | None) -> None:
+    def set_successor(self, send: SendTransfer | None) -> None:
         """A successor takes the clients from now on, and standing sessions by `send`; None: it is gone,
         and they are this process's again.
         """
         self._post(self._succeeded, send)
 
-    def adopted(self, session: FormSession, placement: Placement) -> None:
+    def adopt_session(self, session: FormSession, placement: Placement) -> None:
         """A session that stood with the predecessor stands here now."""
         self._post(self._adopted, session, placement)
 
-    def predecessor_holds(self, held: HeldSessions | None) -> None:
+    def update_predecessor_load(self, held: HeldSessions | None) -> None:
         """None: it has ended."""
         self._post(self._predecessor_holds, held)
 
-    def staff_said_elsewhere(self, kind: str, content: Any) -> None:
+    def mirror_operator_command(self, kind: str, content: Any) -> None:
         """What staff asked of the other process: `hand` with a name and whether it is out, or `drain`."""
         self._post(self._staff_said_elsewhere, kind, content)
 
-    def reloaded(self, taken: bool) -> None:
+    def configuration_reloaded(self, taken: bool) -> None:
         """A new configuration was taken over, or was not usable."""
         self._post(self._reloaded, taken)
 
@@ -297,7 +335,7 @@
         while self._calls:
             self._calls.popleft()()
         while self._timers and self._timers[0][0] <= self._now:
-            self._feed(i.TimerFired(heapq.heappop(self._timers)[1]))
+            self._feed(TimerFired(heapq.heappop(self._timers)[1]))
         tier_us = self._tier.due_us() if self._tells else None
         if tier_us is not None and self._now >= tier_us:
             self._tier_says(self._tier.turn(self._now, self._own_holding()))
@@ -305,7 +343,7 @@
             self._sweep_us = self._now + SWEEP_US
             self._sweep()
 
-    def _feed(self, event: i.Event) -> None:
+    def _feed(self, event: Event) -> None:
         """Hands the module one event and carries out what it decides."""
         try:
             actions = self._module.handle(self._now, event)
@@ -324,64 +362,64 @@
                 # Nor must a fault of one front in taking an order.
                 self._log("fault", action=type(action).__name__, trace=traceback.format_exc())
 
-    def _carry_out(self, action: i.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
-            case i.Send():
+            case StartAttempt():
                 self._send_to(action)
-            case i.Refuse():
+            case RejectRequest():
                 if (session := self._answerable(action.request)) is not None:
-                    session.withheld = action.why
+                    session.withheld = action.reason
                     self._refuse(session, action.retry_after_us)
                     self.rebalancing(lambda rebalancer: rebalancer.refused(self._now))
-            case i.Fail():
+            case FailRequest():
                 if (session := self._answerable(action.request)) is not None:
-                    session.withheld = action.why
+                    session.withheld = action.reason
                     self._fail(session)
-            case i.MoveConnection():
-                self._move(action.request, action.cause)
-            case i.CancelAttempt():
+            case MoveConnection():
+                self._move(action.request, action.reason)
+            case CancelAttempt():
                 if (session := self._sessions.get(action.request)) is not None and not session.stands:
                     session.client.withdraw(action.attempt)
-            case i.SetTimer():
+            case SetTimer():
                 heapq.heappush(self._timers, (self._now + action.delay_us, action.token))
-            case i.Subscribe():
+            case Subscribe():
                 if self.discovery is not None:
                     self.discovery.watch(action.active)
-            case i.FetchList():
+            case FetchList():
                 if self.discovery is not None:
                     self.discovery.fetch()
-            case i.TellPeer():
+            case SendToPeer():
                 if self.neighbours is not None:
                     self.neighbours.tell(action.peer, action.content)
-            case i.ProbeBackend():
+            case ProbeBackend():
                 form_server = self._form_servers.get(action.backend)
                 if self.prober is not None and form_server is not None:
                     self.prober.probe(form_server, self._now + self.settings.connect_timeout_us)
-            case i.CloseIdle():
+            case CloseIdle():
                 pass  # no connection here is ever idle: each belongs to one form session
-            case i.SlowStartChanged():
+            case SlowStartChanged():
                 name, age_ms = self._name(action.backend), action.age_us // 1000
-                self._log("slow-start", server=name, cause=action.cause.value, age_ms=age_ms)
-            case i.Log():
+                self._log("slow-start", server=name, cause=action.reason.value, age_ms=age_ms)
+            case LogMessage():
                 self._log("decision", text=action.text)
 
-    def _send_to(self, action: i.Send) -> None:
+    def _send_to(self, action: StartAttempt) -> None:
         session = self._sessions.get(action.request)
         form_server = self._form_servers.get(action.backend)
         if session is None or session.over:
             return
         if form_server is None:
-            gone = FormServer("unlisted", ("", 0), i.BackendState.GONE)
+            gone = FormServer("unlisted", ("", 0), BackendState.GONE)
             session.placement = Placement(gone, session.attempts, action.until_us)
             session.attempts += 1
-            self._post(self._attempt_over, session, session.placement, i.Outcome.NOT_SENT)
+            self._post(self._attempt_over, session, session.placement, AttemptOutcome.NOT_SENT)
             return
         if action.slow_start is not None:
             self._log_slow_start(session, form_server, action.slow_start)
         until_us = min(action.until_us or session.deadline_us, session.deadline_us)
         self._order(session, form_server, until_us, action.begin_by_us)
 
-    def _log_slow_start(self, session: FormSession, form_server: FormServer, use: i.SlowStartUse) -> None:
+    def _log_slow_start(self, session: FormSession, form_server: FormServer, use: SlowStartAllowance) -> None:
         """What all nodes send to a form server in slow start can be added up from these lines alone."""
         self._log(
             "slow-start-send",
@@ -399,12 +437,12 @@
         session.attempts += 1
         session.client.place(session.placement)
 
-    def _move(self, name: str, cause: i.Cause) -> None:
+    def _move(self, name: str, cause: MoveReason) -> None:
         session = self._sessions.get(name)
         if session is not None and session.stands and session.moved_for is None:
             self._send_off(session, cause)
 
-    def _send_off(self, session: FormSession, cause: i.Cause) -> None:
+    def _send_off(self, session: FormSession, cause: MoveReason) -> None:
         session.moved_for = cause
         self.counts.moves[cause] += 1
         session.client.move()
@@ -443,7 +481,7 @@
                 self._fail(session)
             return
         self._feed(
-            i.RequestArrived(
+            RequestArrived(
                 session.id,
                 session.request_class,
                 max(0, session.deadline_us - self._now),
@@ -467,7 +505,7 @@
         if session.resumed_at is not None:
             self._resume(session, number)
         else:
-            self._feed(i.ConnectionOpened(session.id, placement.attempt, number, took_us))
+            self._feed(ConnectionOpened(session.id, placement.attempt, number, took_us))
         self._hand_over(session)
         resumed = session.resumed_at is not None
         returned, took = session.returning and not resumed, None if resumed else took_us
@@ -476,7 +514,7 @@
     def _written(self) -> None:
         self.counts.backend_calls += 1
 
-    def _attempt_over(self, session: FormSession, placement: Placement, outcome: i.Outcome) -> None:
+    def _attempt_over(self, session: FormSession, placement: Placement, outcome: AttemptOutcome) -> None:
         if session.placement is not placement:
             return  # already taken for over, as where its form server fell silent
         number = placement.form_server.number
@@ -485,12 +523,12 @@
             self._watches[number].sessions.pop(session.id, None)
             session.stands = False
             self.rebalancing(lambda rebalancer: rebalancer.ended(self._now, session.id, outcome))
-        elif outcome is i.Outcome.REJECTED:
+        elif outcome is AttemptOutcome.REJECTED:
             self.rebalancing(lambda rebalancer: rebalancer.turned_away(self._now, number))
         session.placement = None
-        if outcome not in (i.Outcome.REJECTED, i.Outcome.CONNECT_FAILED, i.Outcome.NOT_SENT):
+        if outcome not in (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT):
             session.may_have_run = True
-        over = session.over or outcome is i.Outcome.OK
+        over = session.over or outcome is AttemptOutcome.OK
         if not over:
             self._log(
                 "attempt-failed",
@@ -499,7 +537,7 @@
                 attempt=placement.attempt,
                 outcome=outcome.value,
             )
-        if outcome is i.Outcome.OK and not session.over:  # served to its end in one answer
+        if outcome is AttemptOutcome.OK and not session.over:  # served to its end in one answer
             self.counts.classes[session.request_class].success += 1
         if over:
             self._end(session)
@@ -508,21 +546,19 @@
             self._fail(session)
             return
         if session.resumed_at is None or stood:
-            self._feed(i.AttemptEnded(session.id, placement.attempt, number, outcome, over))
+            self._feed(AttemptEnded(session.id, placement.attempt, number, outcome, over))
 
     def _left(self, session: FormSession) -> None:
         if session.over:
             return
         self._end(session)
         if session.resumed_at is None:
-            self._feed(i.ClientLeft(session.id))
+            self._feed(ClientLeft(session.id))
 
     def _told_load(self, session: FormSession, load: float) -> None:
         if session.placement is not None and session.stands:
             number = session.placement.form_server.number
-            self._feed(
-                i.AttemptNotice(session.id, session.placement.attempt, number, i.NoticeKind.LOAD, load)
-            )
+            self._feed(AttemptNotice(session.id, session.placement.attempt, number, NoticeKind.LOAD, load))
             self.rebalancing(lambda rebalancer: rebalancer.loaded(session.id, load))
 
     def _told_delay(self, session: FormSession, value_ms: float) -> None:
@@ -532,38 +568,38 @@
         watch = self._watches[number]
         if watch.told(self._now, value_ms * 1000 > self._slow_us):
             self._log_slow(number, watch.slow, value_ms)
-        self._feed(i.AttemptNotice(session.id, attempt, number, i.NoticeKind.DELAY, value_ms))
+        self._feed(AttemptNotice(session.id, attempt, number, NoticeKind.DELAY, value_ms))
 
     def _server_list_updated(self, update: ServerListUpdate) -> None:
         self._revision = update.revision
-        if update.kind is not i.ListKind.CACHED:
+        if update.kind is not ListKind.CACHED:
             self._log(
                 "roster",
                 kind=update.kind.name.lower(),
                 revision=update.revision,
                 form_servers=len(update.form_servers),
             )
-        if update.kind is not i.ListKind.DELTA:
+        if update.kind is not ListKind.DELTA:
             named = {form_server.number for form_server in update.form_servers}
             for number, known in self._form_servers.items():
                 if number not in named:
-                    self._form_servers[number] = replace(known, state=i.BackendState.GONE)
+                    self._form_servers[number] = replace(known, state=BackendState.GONE)
         for form_server in update.form_servers:
             self._form_servers[form_server.number] = form_server
         entries = tuple(s.as_backend() for s in update.form_servers)
         takes = tuple(self._as_it_takes(s) for s in update.form_servers)
         self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, update.kind, takes))
-        self._feed(i.ListUpdate(update.kind, update.revision, entries))
+        self._feed(BackendListUpdate(update.kind, update.revision, entries))
 
-    def _as_it_takes(self, form_server: FormServer) -> i.Backend:
+    def _as_it_takes(self, form_server: FormServer) -> Backend:
         """The entry for whoever only looks on: one that is out by hand takes no more than one that drains."""
-        out = form_server.name in self._out_by_hand and form_server.state is i.BackendState.READY
-        return replace(form_server, state=i.BackendState.DRAINING if out else form_server.state).as_backend()
+        out = form_server.name in self._out_by_hand and form_server.state is BackendState.READY
+        return replace(form_server, state=BackendState.DRAINING if out else form_server.state).as_backend()
 
     def _discovery_failed(self, why: str) -> None:
         self._log("roster-failed", why=why)
         self.rebalancing(lambda rebalancer: rebalancer.discovery_lost(self._now))
-        self._feed(i.ListUpdate(i.ListKind.FAILED))
+        self._feed(BackendListUpdate(ListKind.FAILED))
 
     @property
     def _tells(self) -> bool:
@@ -587,7 +623,7 @@
             self._tier_says(outgoing)
             return
         self.rebalancing(lambda rebalancer: rebalancer.heard(self._now, neighbour, content))
-        self._feed(i.PeerMessage(neighbour, content))
+        self._feed(PeerMessage(neighbour, content))
 
     # ------------------------------------------------------------------ by the clock
 
@@ -596,9 +632,9 @@
             silent = list(watch.silent(self._now))
             for session in silent:
                 # Told to the module here, all at one time: it then sees that they broke together.
-                self._send_off(session, i.Cause.SILENT)
+                self._send_off(session, MoveReason.UNRESPONSIVE)
                 if session.placement is not None:
-                    self._attempt_over(session, session.placement, i.Outcome.RESET)
+                    self._attempt_over(session, session.placement, AttemptOutcome.RESET)
             if silent:
                 self._log("silent", server=self._name(number), moved=len(silent))
             was_slow = watch.slow
@@ -608,7 +644,7 @@
             told = next((s for s in watch.sessions.values() if s.placement is not None), None)
             if value is not None and told is not None and told.placement is not None:
                 attempt = told.placement.attempt
-                self._feed(i.AttemptNotice(told.id, attempt, number, i.NoticeKind.DELAY, value))
+                self._feed(AttemptNotice(told.id, attempt, number, NoticeKind.DELAY, value))
             if watch.at_rest():
                 del self._talking[number]
         self.rebalancing(self._rebalance)
@@ -628,7 +664,7 @@
 
     def _tell_what_stands(self, rebalancer: Rebalancer, old: Rebalancer | None) -> None:
         entries = tuple(map(self._as_it_takes, self._form_servers.values()))
-        rebalancer.listed(self._now, i.ListKind.FULL, entries)
+        rebalancer.listed(self._now, ListKind.FULL, entries)
         for number, watch in self._watches.items():
             for session in watch.sessions.values():
                 self._stands_for(rebalancer, session, number, True, None)
@@ -658,7 +694,7 @@
         for note in orders.notes:
             self._log("rebalance", **note)
         for name in orders.moves:
-            self._move(name, i.Cause.BALANCE)
+            self._move(name, MoveReason.REBALANCING)
         if orders.tell is not None and self.neighbours is not None:
             self.neighbours.tell(None, orders.tell)
 
@@ -684,7 +720,7 @@
     # ------------------------------------------------------------------ staff's calls, and leaving
 
     def _figures(self) -> Figures:
-        listed = [n for n, s in self._form_servers.items() if s.state is not i.BackendState.GONE]
+        listed = [n for n, s in self._form_servers.items() if s.state is not BackendState.GONE]
         return self.counts.figures(len(self._sessions), len(listed), len(self._module.avoided(self._now)))
 
     def _reloaded(self, taken: bool) -> None:
@@ -704,11 +740,11 @@
         if out is not (name in self._out_by_hand):
             (self._out_by_hand.add if out else self._out_by_hand.discard)(name)
             self._log("by-hand", server=name, out=out)
-            self._feed(i.ByHand(server_number(name), out))
-            self.on_staff("hand", [name, out])
+            self._feed(OperatorOverride(server_number(name), out))
+            self.on_operator_command("hand", [name, out])
             if (known := self._form_servers.get(server_number(name))) is not None:
                 entries = (self._as_it_takes(known),)
-                self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, i.ListKind.DELTA, entries))
+                self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, ListKind.DELTA, entries))
         return True
 
     def _hear_beliefs(self, out: dict[str, int], setup_us: int) -> None:
@@ -721,7 +757,7 @@
 
     def _drain(self, on: bool) -> bool:
         if on is not (Reason.DRAIN in self.leaving):
-            self.on_staff("drain", on)
+            self.on_operator_command("drain", on)
         if on:
             self._leave(Reason.DRAIN)
         elif self.leaving.withdraw(Reason.DRAIN):
@@ -731,8 +767,8 @@
         return True
 
     def _state(self) -> NodeState:
-        listed = tuple(s for s in self._form_servers.values() if s.state is not i.BackendState.GONE)
-        server_list = ServerListUpdate(i.ListKind.CACHED, self._revision, listed)
+        listed = tuple(s for s in self._form_servers.values() if s.state is not BackendState.GONE)
+        server_list = ServerListUpdate(ListKind.CACHED, self._revision, listed)
         draining = Reason.DRAIN in self.leaving
         learned = recollection.learned(self._module)
         # From now on the successor may send there as well, and neither sees what the other does.
@@ -756,12 +792,12 @@
         self._resume(session, number)
         self.rebalancing(lambda rebalancer: self._stands_for(rebalancer, session, number, True, None))
         known = self._form_servers.get(number)
-        if known is None or self._as_it_takes(known).state is not i.BackendState.READY:
-            self._move(session.id, i.Cause.DRAINS)
+        if known is None or self._as_it_takes(known).state is not BackendState.READY:
+            self._move(session.id, MoveReason.DRAINING)
 
     def _resume(self, session: FormSession, number: int) -> None:
         self._feed(
-            i.ConnectionResumed(
+            ConnectionResumed(
                 session.id,
                 session.request_class,
                 number,
@@ -784,7 +820,7 @@
         ):
             return
         known = self._form_servers.get(session.placement.form_server.number)
-        if known is not None and self._as_it_takes(known).state is i.BackendState.READY:
+        if known is not None and self._as_it_takes(known).state is BackendState.READY:
             session.client.hand_over(self._send_transfer)
 
     def _succeeded(self, send: SendTransfer | None) -> None:
@@ -819,13 +855,13 @@
         """The moves are spread, so that the clients do not all knock at the neighbours at once."""
         standing = self._standing()
         for session in standing[: self.leaving.to_move(self._now, len(standing), SWEEP_US)]:
-            self._send_off(session, i.Cause.LEAVING)
+            self._send_off(session, MoveReason.SHUTDOWN)
         waiting = [s for s in self._sessions.values() if not s.over]
         if self.leaving.gives_up(self._now):
             for session in waiting:
                 self._end(session)
-                self._feed(i.ClientLeft(session.id))
-                session.withheld = i.Withheld.LEAVING
+                self._feed(ClientLeft(session.id))
+                session.withheld = DenialReason.SHUTDOWN
                 if session.may_have_run or session.placement is not None:
                     self._fail(session)
                 else:
--- a/sailrun/node/counts.py
+++ b/sailrun/node/counts.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from sailrun.interface import Cause
+from sailrun.decisions.actions import MoveReason
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
 class Counts:
     def __init__(self, classes: Iterable[str]) -> None:
         self.classes = {name: Counted() for name in classes}
-        self.moves = Counter[Cause]()  # clients sent to another node, by what for
+        self.moves = Counter[MoveReason]()  # clients sent to another node, by what for
         self.backend_calls = self.reconfig_ok = self.reconfig_failed = 0
 
     def figures(self, inflight: int, hosts_listed: int, hosts_down: int) -> Figures:
--- a/sailrun/node/peer_beliefs.py
+++ b/sailrun/node/peer_beliefs.py
@@ -1,6 +1,6 @@
 """What other nodes believe of form servers, brought to the decision module as what it could have learned
 itself: ejected for so long, and then on trial. It reads the module's own fields by the names that
-`sailrun/interface.py` lists, and decides nothing. Its line in the log is `hearsay`.
+`sailrun/decisions/events.py` lists, and decides nothing. Its line in the log is `hearsay`.
 """
 
 from __future__ import annotations
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, replace
 
-from sailrun import interface as i
-from sailrun import recollection
-from sailrun.decide import Balancer
+from sailrun.decisions import snapshot as recollection
+from sailrun.decisions.balancer import Balancer
+from sailrun.decisions.events import BackendSnapshot, StateSnapshot
 from sailrun.node.session import FormServer
 
 SECOND = 1_000_000
@@ -42,40 +42,43 @@
         """What this node found out itself; what it heard of peers is not passed on, or it would come back."""
         learned = recollection.learned(self._module)
         out = {
-            form_servers[one.id].name: one.ejected_until - now_us
+            form_servers[one.id].name: one.ejected_until_us - now_us
             for one in learned.backends
-            if one.ejected_until > now_us
+            if one.ejected_until_us > now_us
             and one.id in form_servers
-            and one.ejected_until > self._until_us.get(one.id, 0)
+            and one.ejected_until_us > self._until_us.get(one.id, 0)
         }
-        pace = dict(zip(i.PACE, learned.pace, strict=True))
-        return Beliefs(out, int(pace["setup_us"]) if pace["sends"] else 0)
+        rate = learned.setup_rate
+        return Beliefs(out, int(rate.mean_setup_us) if rate is not None and rate.recent_attempts else 0)
 
     def told(
         self, now_us: int, out: dict[int, int], sound: Collection[int], setup_us: int
-    ) -> i.Recalled | None:
+    ) -> StateSnapshot | None:
         """`out`: form servers by number, with how much longer enough others keep away from them. `sound`:
         those that this node has had answers of itself lately. None: nothing is new.
         """
         learned = recollection.learned(self._module)
         listed = len(learned.backends)
-        away = sum(1 for one in learned.backends if one.ejected_until > now_us)
-        changed: list[i.Learned] = []
+        away = sum(1 for one in learned.backends if one.ejected_until_us > now_us)
+        changed: list[BackendSnapshot] = []
         for one in learned.backends:
             left_us = min(out.get(one.id, 0), MOST_US)
             again = now_us < self._until_us.get(one.id, -TRIED_US) + TRIED_US
-            if left_us <= 0 or again or one.id in sound or one.ejected_until > now_us:
+            if left_us <= 0 or again or one.id in sound or one.ejected_until_us > now_us:
                 continue
             if (away + len(changed) + 1) > MOST_SHARE * listed:
                 break
             self._until_us[one.id] = until_us = now_us + left_us
-            changed.append(replace(one, ejected_until=until_us, ejections=max(1, one.ejections), trial=True))
-        pace = dict(zip(i.PACE, learned.pace, strict=True))
-        first = setup_us > 0 and not pace["sends"]  # nothing was set up here yet: others know what it takes
-        if first:
-            pace["setup_us"] = setup_us
+            changed.append(
+                replace(one, ejected_until_us=until_us, ejections=max(1, one.ejections), half_open=True)
+            )
+        rate = learned.setup_rate
+        # Nothing was set up here yet: others know what it takes.
+        first = setup_us > 0 and rate is not None and not rate.recent_attempts
+        if first and rate is not None:
+            rate = replace(rate, mean_setup_us=setup_us)
         if not changed and not first:
             return None
         for one in changed:
-            self._log("hearsay", server=one.id, out_s=round((one.ejected_until - now_us) / SECOND, 1))
-        return i.Recalled(tuple(changed), tuple(pace[name] for name in i.PACE), learned.class_load)
+            self._log("hearsay", server=one.id, out_s=round((one.ejected_until_us - now_us) / SECOND, 1))
+        return StateSnapshot(tuple(changed), rate, learned.class_load)
--- a/sailrun/node/session.py
+++ b/sailrun/node/session.py
@@ -10,7 +10,8 @@
 
 import mmh3
 
-from sailrun.interface import Backend, BackendState, Cause, ListKind, Withheld
+from sailrun.decisions.actions import DenialReason, MoveReason
+from sailrun.decisions.events import Backend, BackendState, ListKind
 
 if TYPE_CHECKING:
     from sailrun.node.session_transfer import SendTransfer
@@ -100,8 +101,8 @@
     may_have_run: bool = False
     stands: bool = False
     over: bool = False  # the client has its final answer or has left
-    moved_for: Cause | None = None  # it is being moved
-    withheld: Withheld | None = None  # why it was refused or failed
+    moved_for: MoveReason | None = None  # it is being moved
+    withheld: DenialReason | None = None  # why it was refused or failed
     unanswered: deque[int] = field(default_factory=deque)  # when each line without an answer was sent
 
     @property
--- a/sailrun/node/succession_state.py
+++ b/sailrun/node/succession_state.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from sailrun.interface import Recalled
+from sailrun.decisions.events import StateSnapshot
 from sailrun.node.session import ServerListUpdate
 
 
@@ -16,7 +16,7 @@
     server_list: ServerListUpdate
     out_by_hand: frozenset[str]
     draining: bool
-    learned: Recalled | None  # None: nothing is known
+    learned: StateSnapshot | None  # None: nothing is known
 
 
 @dataclass(frozen=True, slots=True)
--- a/sailrun/node/tier.py
+++ b/sailrun/node/tier.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from sailrun import interface as i
-from sailrun.fleet.digest import VERSION
-from sailrun.fleet.known import Others
-from sailrun.fleet.rounds import AGE_US, Holding, Outgoing, Rounds
+from sailrun.decisions.events import FleetLoad
+from sailrun.load_gossip.digest import VERSION
+from sailrun.load_gossip.known import Others
+from sailrun.load_gossip.rounds import AGE_US, Holding, Outgoing, Rounds
 from sailrun.node.succession_state import HeldSessions
 
 FLEET = bytes((VERSION,))
@@ -60,7 +60,7 @@
         loads = {number: load + before.loads.get(number, 0.0) for number, load in own.loads.items()}
         return replace(own, loads=loads, connections=own.connections + before.connections)
 
-    def others_hold(self, now_us: int) -> i.OthersHold:
+    def others_hold(self, now_us: int) -> FleetLoad:
         """What others hold: the other nodes, and the process before this one."""
         others, before = self._others, self.predecessor
         if others is None or now_us >= self._others_until_us:
@@ -70,7 +70,7 @@
             loads = {n: loads.get(n, 0.0) + before.loads.get(n, 0.0) for n in {*loads, *before.loads}}
             connections += before.connections
         told = others.told if others.connections or before is None else before.told
-        return i.OthersHold(loads, connections, told, others.nodes, others.warned, others.until_us)
+        return FleetLoad(loads, connections, told, others.nodes, others.warned, others.until_us)
 
     def pulse(self) -> str | None:
         """For the log: nodes that the last sum spoke for, and messages refused."""
--- a/sailrun/operator.py
+++ b/sailrun/operator_settings.py
@@ -10,37 +10,37 @@
 
 from sailrun.bad_config import BadConfig
 from sailrun.connection import split_address
-from sailrun.lasting.terms import LastingTerms
-from sailrun.members.terms import MembersTerms
-from sailrun.owners.quorum import check_voters
-from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
-from sailrun.rebalance.terms import RebalanceTerms
-from sailrun.replica.terms import ReplicaTerms
-from sailrun.shards.terms import ShardsTerms, shard_faults
+from sailrun.leadership.quorum import check_voters
+from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
+from sailrun.membership.settings import MembershipSettings
+from sailrun.rebalance.settings import RebalanceSettings
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.sharding.settings import ShardingSettings, shard_faults
+from sailrun.storage.settings import StorageSettings
 
 Table = (
-    RebalanceTerms
-    | MembersTerms
-    | OwnersTerms
-    | PermitsTerms
-    | ReaderTerms
-    | ReplicaTerms
-    | LastingTerms
-    | ShardsTerms
+    RebalanceSettings
+    | MembershipSettings
+    | LeadershipSettings
+    | PermitSettings
+    | ListReaderSettings
+    | ReplicationSettings
+    | StorageSettings
+    | ShardingSettings
 )
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """One table for each subsystem. What a table leaves out has its default."""
 
-    rebalance: RebalanceTerms = RebalanceTerms()
-    members: MembersTerms = MembersTerms()
-    owners: OwnersTerms = OwnersTerms()
-    permits: PermitsTerms = PermitsTerms()
-    reader: ReaderTerms = ReaderTerms()
-    replica: ReplicaTerms = ReplicaTerms()
-    lasting: LastingTerms = LastingTerms()
-    shards: ShardsTerms = ShardsTerms()
+    rebalance: RebalanceSettings = RebalanceSettings()
+    members: MembershipSettings = MembershipSettings()
+    owners: LeadershipSettings = LeadershipSettings()
+    permits: PermitSettings = PermitSettings()
+    reader: ListReaderSettings = ListReaderSettings()
+    replica: ReplicationSettings = ReplicationSettings()
+    lasting: StorageSettings = StorageSettings()
+    shards: ShardingSettings = ShardingSettings()
 
     def tables(self) -> Iterator[tuple[str, Table]]:
         """Every subsystem's name and terms."""
@@ -103,7 +103,7 @@
             )
 
 
-def _member_faults(members: MembersTerms) -> Iterator[tuple[str, str]]:
+def _member_faults(members: MembershipSettings) -> Iterator[tuple[str, str]]:
     for key in ("name", "listen"):
         if not getattr(members, key):
             yield f"members.{key}", "is missing"
@@ -118,7 +118,7 @@
             yield f"members.{key}", str(error)
 
 
-def _owner_faults(owners: OwnersTerms) -> Iterator[tuple[str, str]]:
+def _owner_faults(owners: LeadershipSettings) -> Iterator[tuple[str, str]]:
     for key, voters in (("voters", owners.voters), ("voters_before", owners.voters_before)):
         what = check_voters(voters) if voters or key == "voters" else None
         if what is not None:
@@ -134,7 +134,7 @@
         yield "owners.lease_s", f"is {owners.lease_s:g}, under twice order_s, which is {owners.order_s:g}"
 
 
-def voters_follow(before: OwnersTerms, after: OwnersTerms) -> str | None:
+def voters_follow(before: LeadershipSettings, after: LeadershipSettings) -> str | None:
     """What is wrong with a change of voters in a running node; None: nothing. A majority of the new voters
     and
     one of the old have a voter in common only by way of a stage in which both are asked.
--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -14,11 +14,12 @@
 
 import mmh3
 
-from sailrun.interface import Backend, BackendState, ListKind, Outcome, Settings
+from sailrun.decisions.events import AttemptOutcome, Backend, BackendState, ListKind
+from sailrun.decisions.settings import Settings
 from sailrun.rebalance.connection_table import ConnectionTable, Key, Standing
 from sailrun.rebalance.gossip import BadDatagram, LoadReporter, NeighbourLoads, read
 from sailrun.rebalance.pace import Pace
-from sailrun.rebalance.terms import RebalanceTerms
+from sailrun.rebalance.settings import RebalanceSettings
 
 SECOND = 1_000_000
 LOOK_US = SECOND // 4
@@ -88,10 +89,10 @@
 
 
 class Rebalancer:
-    def __init__(self, terms: RebalanceTerms, settings: Settings, now_us: int) -> None:
+    def __init__(self, terms: RebalanceSettings, settings: Settings, now_us: int) -> None:
         self._terms = terms
         self._nodes = settings.instances
-        self._cold_us = settings.cold_us
+        self._cold_us = settings.slow_start_us
         self._objectives = {c.name: c.objective_us for c in settings.classes}
         self._rest_us = int(terms.rest_s * SECOND)
         self._servers: dict[int, Backend] = {}
@@ -194,10 +195,10 @@
     def loaded(self, name: str, load: float) -> None:
         self.connections.loaded(name, load)
 
-    def ended(self, now_us: int, name: str, outcome: Outcome) -> None:
+    def ended(self, now_us: int, name: str, outcome: AttemptOutcome) -> None:
         """A session that stood has ended here. One that did not end well comes back."""
         one = self.connections.ended(name)
-        if one is not None and outcome is not Outcome.OK:
+        if one is not None and outcome is not AttemptOutcome.OK:
             self._unsettled[one.group] = now_us + RETURN_US
 
     def turned_away(self, now_us: int, server: int) -> None:
--- a/sailrun/rebalance/terms.py
+++ b/sailrun/rebalance/settings.py
@@ -11,7 +11,7 @@
 Rate = Annotated[float, Meta(gt=0.0, le=1000.0)]
 
 
-class RebalanceTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class RebalanceSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """How unequal load may be, and how fast it is evened out. Ratios are of a form server's load to its share
     of the warm fleet's load.
     """
--- a/sailrun/replica/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from sailrun.owners.quorum import Voters
-from sailrun.replica.journal import Journal
-from sailrun.replica.messages import (
+from sailrun.leadership.quorum import Voters
+from sailrun.replication.journal import Journal
+from sailrun.replication.messages import (
     Higher,
     Kept,
     Known,
@@ -31,9 +31,9 @@
     Recover,
     Recovering,
 )
-from sailrun.replica.records import covers
-from sailrun.replica.store import GROUP, Store
-from sailrun.replica.sync import Sync
+from sailrun.replication.records import covers
+from sailrun.replication.store import GROUP, Store
+from sailrun.replication.sync import Sync
 
 SECOND = 1_000_000
 ASK_US = 250_000
--- a/sailrun/replica/beliefs.py
+++ b/sailrun/replication/beliefs.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from sailrun.replica.records import Record
+from sailrun.replication.records import Record
 
 KILO = 1000
 # So many form servers at most are told of; of the usual set-up time, changes below this share are not.
--- a/sailrun/replica/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -15,15 +15,15 @@
 
 import msgspec
 
-from sailrun.members.messages import State
-from sailrun.members.swim import Members
-from sailrun.owners.quorum import Voters
-from sailrun.replica.acceptor import consistent
-from sailrun.replica.marks import KINDS, LONGEST_WHY, MOST_IDS, Mark, pack, standing, unpack
-from sailrun.replica.messages import Has, Have, Higher, Kept, Level, Op, Promise, Promised, Put, Said
-from sailrun.replica.records import STRONG, Key, Record, written
-from sailrun.replica.store import GROUP, RANGES
-from sailrun.replica.sync import FORGOTTEN, Forgetting, Items, Sync
+from sailrun.leadership.quorum import Voters
+from sailrun.membership.messages import State
+from sailrun.membership.swim import Members
+from sailrun.replication.acceptor import consistent
+from sailrun.replication.marks import KINDS, LONGEST_WHY, MOST_IDS, Mark, pack, standing, unpack
+from sailrun.replication.messages import Has, Have, Higher, Kept, Level, Op, Promise, Promised, Put, Said
+from sailrun.replication.records import STRONG, Key, Record, written
+from sailrun.replication.store import GROUP, RANGES
+from sailrun.replication.sync import FORGOTTEN, Forgetting, Items, Sync
 
 SECOND = 1_000_000
 Post = tuple[str, msgspec.Struct]
--- a/sailrun/replica/journal.py
+++ b/sailrun/replication/journal.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sailrun.replica.records import Key, Record
+from sailrun.replication.records import Key, Record
 
 
 class Journal:
--- a/sailrun/replica/lists.py
+++ b/sailrun/replication/lists.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from typing import Any
 
+from sailrun.decisions.events import ListKind
 from sailrun.discovery import BadServerList, read_server_list
-from sailrun.interface import ListKind
 from sailrun.node.session import ServerListUpdate
-from sailrun.replica.records import LONGEST_CONTENT
-from sailrun.replica.replica import LIST, Replica
+from sailrun.replication.records import LONGEST_CONTENT
+from sailrun.replication.replica import LIST, Replica
 
 
 def keep_list(
--- a/sailrun/replica/marks.py
+++ b/sailrun/replication/marks.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from sailrun.replica.records import Record, Version
-from sailrun.replica.store import Store
+from sailrun.replication.records import Record, Version
+from sailrun.replication.store import Store
 
 OUT, DRAIN = "out", "drain"
 # Kinds that a mark may be of: what they keep out of service is on the safe side wherever copies differ.
--- a/sailrun/replica/messages.py
+++ b/sailrun/replication/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sailrun.replica.records import Count, Key, Record
+from sailrun.replication.records import Count, Key, Record
 
 
 class Rumor(msgspec.Struct, array_like=True, frozen=True, tag="rumor"):
--- a/sailrun/replica/pulls.py
+++ b/sailrun/replication/pulls.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from sailrun.replica.messages import Busy, Given, Take
-from sailrun.replica.records import Key, size_of
-from sailrun.replica.store import Store, range_of
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.replication.messages import Busy, Given, Take
+from sailrun.replication.records import Key, size_of
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.replication.store import Store, range_of
 
 SECOND = 1_000_000
 # A piece that has not come by then is asked for again; a giver that missed this many is given up.
@@ -42,7 +42,7 @@
 class Taker:
     """The side that takes. `numbers` gives each question its own."""
 
-    terms: ReplicaTerms
+    terms: ReplicationSettings
     numbers: Callable[[], int]
     pulls: list[Pull] = field(default_factory=list)
     pieces: int = 0
@@ -116,7 +116,7 @@
 class Giver:
     """The side that gives."""
 
-    def __init__(self, terms: ReplicaTerms) -> None:
+    def __init__(self, terms: ReplicationSettings) -> None:
         self.terms = terms
         self._takers: dict[str, int] = {}  # by name, when it last asked
         self._given_until_us = 0  # what was given so far fills the rate up to this time
--- a/sailrun/replica/replica.py
+++ b/sailrun/replication/replica.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from sailrun.members.swim import Members
-from sailrun.owners.quorum import Voters
-from sailrun.replica.acceptor import Acceptor
-from sailrun.replica.coordinator import MarksCoordinator
-from sailrun.replica.journal import Journal
-from sailrun.replica.marks import KINDS, Mark, Standing, in_force, keeps_out, marks, pack, unpack
-from sailrun.replica.messages import (
+from sailrun.leadership.quorum import Voters
+from sailrun.membership.swim import Members
+from sailrun.replication.acceptor import Acceptor
+from sailrun.replication.coordinator import MarksCoordinator
+from sailrun.replication.journal import Journal
+from sailrun.replication.marks import KINDS, Mark, Standing, in_force, keeps_out, marks, pack, unpack
+from sailrun.replication.messages import (
     Fetch,
     Fetched,
     Has,
@@ -37,10 +37,10 @@
     Recovering,
     Said,
 )
-from sailrun.replica.records import Key, Record, written
-from sailrun.replica.store import GROUP, RANGES, Store
-from sailrun.replica.sync import Sync
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.replication.records import Key, Record, written
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.replication.store import GROUP, RANGES, Store
+from sailrun.replication.sync import Sync
 
 SECOND = 1_000_000
 MARKS = "marks"
@@ -94,7 +94,7 @@
         self,
         name: str,
         life: int,
-        terms: ReplicaTerms,
+        terms: ReplicationSettings,
         fleet: str,
         members: Members,
         voters: Callable[[], Voters],
--- a/sailrun/replica/service.py
+++ b/sailrun/replication/service.py
@@ -13,11 +13,11 @@
 
 from sailrun.node.clock import log
 from sailrun.node.peer_beliefs import Beliefs
-from sailrun.replica.beliefs import Voice, heard
-from sailrun.replica.marks import DRAIN, OUT
-from sailrun.replica.messages import Op
-from sailrun.replica.replica import BELIEF, MARKS, Answer, Replica
-from sailrun.replica.state import show_ranges, show_state
+from sailrun.replication.beliefs import Voice, heard
+from sailrun.replication.marks import DRAIN, OUT
+from sailrun.replication.messages import Op
+from sailrun.replication.replica import BELIEF, MARKS, Answer, Replica
+from sailrun.replication.state import show_ranges, show_state
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
@@ -88,10 +88,10 @@
         self._believe_us = now_us + BELIEVE_US
         if not self._settled and not self._replica.stale(now_us):
             self._settled = True
-            self._node.out_by_hand(lambda names: self._fleet.call_soon(self._settle(names)))
+            self._node.list_operator_overrides(lambda names: self._fleet.call_soon(self._settle(names)))
         for subject in sorted(self._unknown):
             self._out(subject, True)
-        self._node.beliefs(lambda beliefs: self._fleet.call_soon(self._said(beliefs)))
+        self._node.report_outliers(lambda beliefs: self._fleet.call_soon(self._said(beliefs)))
         self._hear_beliefs(now_us)
 
     def begins_with(self, drains: bool) -> None:
@@ -116,7 +116,7 @@
         def done(known: bool) -> None:
             (self._unknown.add if on and not known else self._unknown.discard)(subject)
 
-        self._node.by_hand(subject, on, done)
+        self._node.set_operator_override(subject, on, done)
 
     def _drain(self, on: bool) -> None:
         if on is self._drains:
@@ -124,11 +124,11 @@
         self._drains = on
         if not on:
             self._fleet.give_back(DRAIN, self._replica.name)
-            self._node.drain(False, lambda done: None)
+            self._node.set_draining(False, lambda done: None)
         elif self._fleet.permits:
             self._fleet.ask_permit(DRAIN, self._replica.name, lambda why: None)
         else:
-            self._node.drain(True, lambda done: None)
+            self._node.set_draining(True, lambda done: None)
 
     # ------------------------------------------------------------------ beliefs
 
@@ -146,7 +146,7 @@
         living = self._fleet.living()
         out, setup_us = heard(records, living, self._replica.name, self._replica.terms.voices)
         if out or setup_us:
-            self._node.hear_beliefs(out, setup_us)
+            self._node.receive_peer_outliers(out, setup_us)
 
     # ------------------------------------------------------------------ staff
 
--- a/sailrun/replica/terms.py
+++ b/sailrun/replication/settings.py
@@ -9,7 +9,7 @@
 Seconds = Annotated[float, Meta(gt=0.0, le=604_800.0)]
 
 
-class ReplicaTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class ReplicationSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """How copies are kept alike, and how much of everything there may be."""
 
     enabled: Annotated[bool, Meta(description="Whether this node keeps a copy of the fleet's state.")] = False
--- a/sailrun/replica/state.py
+++ b/sailrun/replication/state.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from sailrun.replica.marks import KINDS, Mark, Standing, standing
-from sailrun.replica.records import Record
-from sailrun.replica.replica import BELIEF, LIST, Replica
-from sailrun.replica.store import GROUP, RANGES
+from sailrun.replication.marks import KINDS, Mark, Standing, standing
+from sailrun.replication.records import Record
+from sailrun.replication.replica import BELIEF, LIST, Replica
+from sailrun.replication.store import GROUP, RANGES
 
 SECOND = 1_000_000
 
--- a/sailrun/replica/store.py
+++ b/sailrun/replication/store.py
@@ -13,8 +13,8 @@
 
 from sortedcontainers import SortedList
 
-from sailrun.replica.records import BadRecord, Key, Record, check, differ, mark_of, merge, size_of
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.replication.records import BadRecord, Key, Record, check, differ, mark_of, merge, size_of
+from sailrun.replication.settings import ReplicationSettings
 
 SECOND = 1_000_000
 # Firm records first, then soft ones: so many ranges of each, in groups.
@@ -49,7 +49,7 @@
 
 
 class Store:
-    def __init__(self, terms: ReplicaTerms, salt: bytes, off: frozenset[str] = frozenset()) -> None:
+    def __init__(self, terms: ReplicationSettings, salt: bytes, off: frozenset[str] = frozenset()) -> None:
         """`salt` is the fleet's own, so that copies of two fleets are never alike."""
         self.terms, self._salt, self._off = terms, salt, off
         self._entries: dict[Key, _Entry] = {}
--- a/sailrun/replica/sync.py
+++ b/sailrun/replication/sync.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from sailrun.members.messages import State
-from sailrun.members.swim import Members
-from sailrun.replica.journal import Journal
-from sailrun.replica.messages import (
+from sailrun.membership.messages import State
+from sailrun.membership.swim import Members
+from sailrun.replication.journal import Journal
+from sailrun.replication.messages import (
     Busy,
     Differs,
     Fetch,
@@ -28,10 +28,10 @@
     Sum,
     Take,
 )
-from sailrun.replica.pulls import Giver, Pull, Taker
-from sailrun.replica.records import STRONG, BadRecord, Count, Key, Record, covers, mark_of, size_of
-from sailrun.replica.store import ALL, GROUP, Store, Took
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.replication.pulls import Giver, Pull, Taker
+from sailrun.replication.records import STRONG, BadRecord, Count, Key, Record, covers, mark_of, size_of
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.replication.store import ALL, GROUP, Store, Took
 
 SECOND = 1_000_000
 Post = tuple[str, msgspec.Struct]
@@ -85,7 +85,7 @@
         self,
         name: str,
         store: Store,
-        terms: ReplicaTerms,
+        terms: ReplicationSettings,
         members: Members,
         voters: Callable[[], list[str]],
         majority: Callable[[set[str]], bool],
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -18,15 +18,15 @@
 from sailrun.front import FrontDoor, descriptors_allowed
 from sailrun.node.clock import Clock, log
 from sailrun.node.core import Node
-from sailrun.platform.clients import LAST_WORDS_US, ClientFront
-from sailrun.platform.neighbours import Datagrams, Probes
+from sailrun.text_protocol.clients import LAST_WORDS_US, ClientFront
+from sailrun.text_protocol.neighbours import Datagrams, Probes
 
 if TYPE_CHECKING:
-    from sailrun.lasting.service import LastingPart
-    from sailrun.owners.agent import AgentTerms
-    from sailrun.owners.service import FleetPart
-    from sailrun.owners.shared import SharedDiscovery
-    from sailrun.succession.handover import Inherited
+    from sailrun.hot_restart.handover import Inherited
+    from sailrun.leadership.agent import AgentSettings
+    from sailrun.leadership.service import FleetPart
+    from sailrun.leadership.shared import SharedDiscovery
+    from sailrun.storage.service import LastingPart
     from sailrun.xds.discovery import EnvoyDiscovery
 
 # What a new file changes in a running node; the rest waits for its next start, but for what every
@@ -98,8 +98,8 @@
         if config.operator is None or not config.operator.lasting.enabled:
             return None
         # Loaded only where it is switched on: the platform has no disk that lasts.
-        from sailrun.lasting.service import LastingPart
-        from sailrun.owners.clock import boot_us
+        from sailrun.leadership.clock import boot_us
+        from sailrun.storage.service import LastingPart
 
         members, slow_us = config.operator.members, int(config.operator.owners.lease_s * 500_000)
         name, fleet = members.name or config.name, members.fleet if members.enabled else ""
@@ -109,20 +109,20 @@
         if config.operator is None or not config.operator.members.enabled:
             return None
         # Loaded only where it is switched on: the platform's nodes have no path to each other but datagrams.
-        from sailrun.owners.service import FleetPart
+        from sailrun.leadership.service import FleetPart
 
         return FleetPart(self.node, config, patient, self._lasting)
 
     def _switch(self, config: NodeConfig) -> None:
         """Switches subsystems on or off, as the operator's file has them."""
         if config.operator is None or not config.operator.rebalance.enabled:
-            self.node.rebalance_with(None)
+            self.node.set_rebalancer(None)
             return
         # Loaded only where it is switched on.
         from sailrun.rebalance.balance import Rebalancer
 
         terms, now_us = config.operator.rebalance, self.node.clock.now_us()
-        self.node.rebalance_with(Rebalancer(terms, config.settings, now_us))
+        self.node.set_rebalancer(Rebalancer(terms, config.settings, now_us))
 
     def _doors(self, config: NodeConfig, keys: Iterable[str]) -> dict[str, Door]:
         """The doors that a configuration names under these keys, listening but not open yet: all or none."""
@@ -147,9 +147,9 @@
         if key == "amqp" and config.amqp is not None:
             # Loaded only where it is switched on: the platform's nodes carry neither engine nor codec.
             from sailrun.amqp.clients import amqp_door
-            from sailrun.amqp.engine import AmqpTerms
+            from sailrun.amqp.engine import AmqpSettings
 
-            terms = AmqpTerms(config.name, config.amqp.max_frame_size, config.amqp.idle_time_out_ms)
+            terms = AmqpSettings(config.name, config.amqp.max_frame_size, config.amqp.idle_time_out_ms)
             listener = self._handed(key, config.amqp.listen) or listen(config.amqp.listen, shared)
             return amqp_door(self.node, listener, terms, self._descriptors)
         if key == "control" and config.control is not None:
@@ -228,7 +228,7 @@
         else:
             self._write_alone()
         if self._config.control is not None:
-            from sailrun.succession.handover import Handover
+            from sailrun.hot_restart.handover import Handover
 
             handover = Handover(
                 self.node,
@@ -272,7 +272,7 @@
         except Exception as error:  # whatever is wrong with a file, the node goes on without it
             why = str(error) if isinstance(error, BadConfig | OSError | ValueError) else repr(error)
             log("reload-refused", why=why)
-            self.node.reloaded(False)
+            self.node.configuration_reloaded(False)
             return
         log(
             "reloaded",
@@ -280,7 +280,7 @@
             at_next_start=",".join(n for n in changed if n not in _TAKEN_OVER) or None,
         )
         self._config = config
-        self.node.reloaded(True)
+        self.node.configuration_reloaded(True)
 
     def _take_over(self, config: NodeConfig, changed: list[str]) -> None:
         fleet_terms = self._fleet_terms(config) if "operator" in changed else None
@@ -303,7 +303,7 @@
             self._discovery.watch(True)
             self.group.start_soon(self._run_discovery)
 
-    def _fleet_terms(self, config: NodeConfig) -> AgentTerms | None:
+    def _fleet_terms(self, config: NodeConfig) -> AgentSettings | None:
         """What a new operator's file changes of the fleet; where this node listens waits for its next
         start.
         """
@@ -312,8 +312,8 @@
             return None
         import msgspec
 
-        from sailrun.operator import voters_follow
-        from sailrun.owners.service import agent_terms
+        from sailrun.leadership.service import agent_terms
+        from sailrun.operator_settings import voters_follow
 
         if (why := voters_follow(before.owners, after.owners)) is not None:
             raise ValueError(why)
@@ -352,7 +352,7 @@
                 if number == signal.SIGHUP:
                     self.reload()
                 else:
-                    self.node.leave()
+                    self.node.begin_shutdown()
                     if self._fleet is not None:
                         self._fleet.leave()
 
@@ -362,7 +362,7 @@
     inherited = None
     if config.control is not None:
         # Loaded, and a predecessor asked for, only where staff run the node day by day.
-        from sailrun.succession.handover import inherit
+        from sailrun.hot_restart.handover import inherit
 
         inherited = inherit(_identity(config))
     service = Service(read, config, inherited)
--- a/sailrun/shards/assigner.py
+++ b/sailrun/sharding/assigner.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-from sailrun.shards.messages import (
+from sailrun.sharding.messages import (
     MOST_CHANGED,
     Change,
     Post,
@@ -21,8 +21,8 @@
     Session,
     TableState,
 )
-from sailrun.shards.register import TableWriter, next_state
-from sailrun.shards.terms import ShardsTerms
+from sailrun.sharding.register import TableWriter, next_state
+from sailrun.sharding.settings import ShardingSettings
 
 SECOND = 1_000_000
 # Sessions in one page of a whole table, so that the page fits a datagram.
@@ -54,7 +54,7 @@
     def __init__(
         self,
         region: str,
-        terms: ShardsTerms,
+        terms: ShardingSettings,
         writer: TableWriter,
         now_us: int,
         off: frozenset[str] = frozenset(),
--- a/sailrun/shards/exercise.py
+++ b/sailrun/sharding/exercise.py
@@ -10,10 +10,10 @@
 
 import random
 
-from sailrun.members.messages import CONTROL
-from sailrun.owners.leases import best_placed
-from sailrun.shards.messages import Post
-from sailrun.shards.part import MembersView, ShardsPart
+from sailrun.leadership.leases import best_placed
+from sailrun.membership.messages import CONTROL
+from sailrun.sharding.messages import Post
+from sailrun.sharding.part import MembersView, ShardsPart
 
 SECOND = 1_000_000
 # So often it acts, for so many of its shards.
--- a/sailrun/shards/fence.py
+++ b/sailrun/sharding/fence.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sailrun.shards.messages import Token
+from sailrun.sharding.messages import Token
 
 MOST_SHARDS_REMEMBERED = 1_000_000
 
--- a/sailrun/shards/messages.py
+++ b/sailrun/sharding/messages.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
+from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
 
 # Sessions that one generation may add or remove, so that a change fits a datagram.
 MOST_CHANGED = 24
--- a/sailrun/shards/notes.py
+++ b/sailrun/sharding/notes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from sailrun.shards.messages import Change
-from sailrun.shards.session import SessionEvent
+from sailrun.sharding.messages import Change
+from sailrun.sharding.session import SessionEvent
 
 Note = tuple[str, dict[str, object]]
 
--- a/sailrun/shards/part.py
+++ b/sailrun/sharding/part.py
@@ -9,15 +9,15 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from sailrun.members.messages import CONTROL, Record, eligible
-from sailrun.owners.leases import Leases, best_placed
-from sailrun.owners.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
-from sailrun.owners.quorum import Voters
-from sailrun.owners.terms import DRIFT, OwnersTerms
-from sailrun.owners.voter import Voter
-from sailrun.shards.assigner import Assigner
-from sailrun.shards.fence import TokenFence
-from sailrun.shards.messages import (
+from sailrun.leadership.leases import Leases, best_placed
+from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.settings import DRIFT, LeadershipSettings
+from sailrun.leadership.voter import Voter
+from sailrun.membership.messages import CONTROL, Record, eligible
+from sailrun.sharding.assigner import Assigner
+from sailrun.sharding.fence import TokenFence
+from sailrun.sharding.messages import (
     Ballot,
     Post,
     ReadTable,
@@ -32,10 +32,10 @@
     TableWritten,
     WriteTable,
 )
-from sailrun.shards.notes import Note, generation_note, session_note
-from sailrun.shards.register import TableAcceptor, TableWriter
-from sailrun.shards.session import NodeSession
-from sailrun.shards.terms import ShardsTerms, region_owners
+from sailrun.sharding.notes import Note, generation_note, session_note
+from sailrun.sharding.register import TableAcceptor, TableWriter
+from sailrun.sharding.session import NodeSession
+from sailrun.sharding.settings import ShardingSettings, region_owners
 
 SECOND = 1_000_000
 # Heartbeats without an answer before another member is asked who the assigner is.
@@ -57,8 +57,8 @@
     def __init__(
         self,
         me: Record,
-        terms: ShardsTerms,
-        owners: OwnersTerms,
+        terms: ShardingSettings,
+        owners: LeadershipSettings,
         members: MembersView,
         draw: Callable[[int], int],
         now_us: int,
--- a/sailrun/shards/placement.py
+++ b/sailrun/sharding/placement.py
@@ -13,8 +13,8 @@
 import numpy as np
 import numpy.typing as npt
 
-from sailrun.rendezvous import key_hash, server_hash
-from sailrun.shards.messages import Change, Session
+from sailrun.decisions.placement import key_hash, server_hash
+from sailrun.sharding.messages import Change, Session
 
 # Products are formed for so many at a time, to bound the memory of a placement from nothing.
 CELLS = 400_000
--- a/sailrun/shards/register.py
+++ b/sailrun/sharding/register.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from sailrun.owners.quorum import Voters
-from sailrun.shards.messages import (
+from sailrun.leadership.quorum import Voters
+from sailrun.sharding.messages import (
     Change,
     Post,
     ReadTable,
--- a/sailrun/shards/session.py
+++ b/sailrun/sharding/session.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from sailrun.owners.terms import DRIFT
-from sailrun.shards.messages import Change, Renew, Renewed, RenewRefused, Session, Token
-from sailrun.shards.placement import Placement
-from sailrun.shards.terms import RENEWALS, RegionTerms, ShardsTerms
+from sailrun.leadership.settings import DRIFT
+from sailrun.sharding.messages import Change, Renew, Renewed, RenewRefused, Session, Token
+from sailrun.sharding.placement import Placement
+from sailrun.sharding.settings import RENEWALS, RegionSettings, ShardingSettings
 
 SECOND = 1_000_000
 # Heartbeats whose answer is still waited for.
@@ -75,8 +75,8 @@
 class NodeSession:
     def __init__(
         self,
-        region: RegionTerms,
-        terms: ShardsTerms,
+        region: RegionSettings,
+        terms: ShardingSettings,
         seed: int,
         now_us: int,
         off: frozenset[str] = frozenset(),
--- a/sailrun/shards/terms.py
+++ b/sailrun/sharding/settings.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from sailrun.owners.quorum import check_voters
-from sailrun.owners.terms import DRIFT, OwnersTerms
+from sailrun.leadership.quorum import check_voters
+from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
 MOST_SHARDS = 1_000_000
 # Times a lease is asked for while it lasts.
@@ -19,7 +19,7 @@
 LEFT = 1 - 2 * DRIFT - 1 / RENEWALS
 
 
-class RegionTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class RegionSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """One region: the shards whose home it is, and the members that decide there."""
 
     name: Annotated[str, Meta(min_length=1, max_length=32, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
@@ -34,7 +34,7 @@
     ]
 
 
-class ShardsTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class ShardingSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Who owns shards, and for how long without word. The same on every node of a region."""
 
     enabled: Annotated[bool, Meta(description="Whether this node takes part in the ownership of shards.")] = (
@@ -50,9 +50,9 @@
         int,
         Meta(ge=1, le=1000, description="Nodes of a region that hand over for a planned stop at a time."),
     ] = 2
-    regions: Annotated[tuple[RegionTerms, ...], Meta(description="Every region, with its shards.")] = ()
+    regions: Annotated[tuple[RegionSettings, ...], Meta(description="Every region, with its shards.")] = ()
 
-    def region(self, name: str) -> RegionTerms | None:
+    def region(self, name: str) -> RegionSettings | None:
         """The region of that name."""
         return next((region for region in self.regions if region.name == name), None)
 
@@ -62,9 +62,9 @@
         return zlib.crc32(msgspec.msgpack.encode([self.lease_s, told]))
 
 
-def region_owners(region: RegionTerms, owners: OwnersTerms) -> OwnersTerms:
+def region_owners(region: RegionSettings, owners: LeadershipSettings) -> LeadershipSettings:
     """The terms of the lease on the region's assigner: the fleet's, with the region's own voters."""
-    return OwnersTerms(
+    return LeadershipSettings(
         enabled=True,
         voters=region.voters,
         lease_s=owners.lease_s,
@@ -73,7 +73,9 @@
     )
 
 
-def shard_faults(shards: ShardsTerms, members_region: str, owners: OwnersTerms) -> Iterator[tuple[str, str]]:
+def shard_faults(
+    shards: ShardingSettings, members_region: str, owners: LeadershipSettings
+) -> Iterator[tuple[str, str]]:
     """What is wrong with the table, given the node's own region: pairs of key and fault."""
     if not shards.regions:
         yield "shards.regions", "is missing: at least one region is needed"
--- a/sailrun/shards/status.py
+++ b/sailrun/sharding/status.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from sailrun.shards.part import ShardsPart
-from sailrun.shards.session import NodeSession
+from sailrun.sharding.part import ShardsPart
+from sailrun.sharding.session import NodeSession
 
 SECOND = 1_000_000
 
--- a/sailrun/sidecar.py
+++ b/sailrun/sidecar.py
@@ -20,9 +20,9 @@
     flatten,
 )
 from sailrun.connection import split_address
-from sailrun.interface import ListKind
+from sailrun.decisions.events import ListKind
+from sailrun.decisions.validation import check_settings
 from sailrun.node.session import ServerListUpdate
-from sailrun.validate import check_settings
 
 # The keys of the file, by table; each with the types that it takes. `settings` has the platform's names.
 KEYS: dict[str, dict[str, type]] = {
--- a/sailrun/start.py
+++ b/sailrun/start.py
@@ -34,7 +34,7 @@
         told = read_main()
         if operator is None:
             return told
-        from sailrun.operator import read_operator
+        from sailrun.operator_settings import read_operator
 
         return replace(told, operator=read_operator(operator))
 
--- a/sailrun/lasting/beliefs.py
+++ b/sailrun/storage/beliefs.py
@@ -9,11 +9,17 @@
 
 import math
 from collections.abc import Mapping
-from dataclasses import replace
+from dataclasses import astuple, replace
 
 import msgspec
 
-from sailrun import interface as i
+from sailrun.decisions.events import (
+    BACKEND_SNAPSHOT_FIELDS,
+    SETUP_RATE_FIELDS,
+    BackendSnapshot,
+    SetupRateSnapshot,
+    StateSnapshot,
+)
 
 SECOND = 1_000_000
 # Below this nothing is believed any more.
@@ -29,22 +35,30 @@
     class_load: dict[str, tuple[float, int]]
 
 
-def pack(now_us: int, learned: i.Recalled, names: Mapping[int, str]) -> bytes:
+def pack(now_us: int, learned: StateSnapshot, names: Mapping[int, str]) -> bytes:
     """`names` by number, of the form servers that are listed. Of those that nothing is wrong with, nothing is
     kept.
     """
     backends = {
-        names[one.id]: [getattr(one, n) for n in i.LEARNED]
+        names[one.id]: [getattr(one, n) for n in BACKEND_SNAPSHOT_FIELDS]
         for one in learned.backends
         if one.id in names and _worth(now_us, one)
     }
-    told = Told(now_us, backends, list(learned.pace), dict(learned.class_load))
+    told = Told(
+        now_us,
+        backends,
+        list(astuple(learned.setup_rate)) if learned.setup_rate is not None else [],
+        dict(learned.class_load),
+    )
     return msgspec.msgpack.encode(told)
 
 
-def _worth(now_us: int, one: i.Learned) -> bool:
+def _worth(now_us: int, one: BackendSnapshot) -> bool:
     return (
-        one.ejected_until > now_us or bool(one.ejections or one.strikes) or one.trial or one.limit < math.inf
+        one.ejected_until_us > now_us
+        or bool(one.ejections or one.consecutive_timeouts)
+        or one.half_open
+        or one.load_limit < math.inf
     )
 
 
@@ -58,14 +72,14 @@
 
 def unpack(
     content: bytes, now_us: int, half_life_s: float, numbers: Mapping[str, tuple[int, int]]
-) -> i.Recalled | None:
+) -> StateSnapshot | None:
     """What is still to be believed at `now_us`, of the form servers in `numbers`: by name, number and since
     when (us) it runs. None: nothing, or the content is none of this version's.
     """
     try:
         told = msgspec.msgpack.decode(content, type=Told)
         weight = weight_of((now_us - told.now_us) / SECOND, half_life_s)
-        if not weight or len(told.pace) != len(i.PACE) or not all(map(math.isfinite, told.pace)):
+        if not weight or len(told.pace) != len(SETUP_RATE_FIELDS) or not all(map(math.isfinite, told.pace)):
             return None
         backends = tuple(
             _aged(one, told.now_us, now_us, weight)
@@ -76,32 +90,35 @@
         )
     except (msgspec.MsgspecError, OverflowError):
         return None
-    pace = dict(zip(i.PACE, told.pace, strict=True))
-    pace["sends"] = math.floor(pace["sends"] * weight)
-    pace["succeeding"] = 1.0 - (1.0 - pace["succeeding"]) * weight
+    rate = SetupRateSnapshot(*told.pace)
+    rate = replace(
+        rate,
+        recent_attempts=math.floor(rate.recent_attempts * weight),
+        success_share=1.0 - (1.0 - rate.success_share) * weight,
+    )
     load = {name: (mean, math.floor(notes * weight)) for name, (mean, notes) in told.class_load.items()}
     load = {name: pair for name, pair in load.items() if pair[1] > 0 and math.isfinite(pair[0])}
-    return i.Recalled(backends, tuple(pace[name] for name in i.PACE), load)
+    return StateSnapshot(backends, rate, load)
 
 
-def _learned(values: list[float | int | bool]) -> i.Learned | None:
-    if len(values) != len(i.LEARNED):
+def _learned(values: list[float | int | bool]) -> BackendSnapshot | None:
+    if len(values) != len(BACKEND_SNAPSHOT_FIELDS):
         return None
     try:
-        return msgspec.convert(dict(zip(i.LEARNED, values, strict=True)), i.Learned)
+        return msgspec.convert(dict(zip(BACKEND_SNAPSHOT_FIELDS, values, strict=True)), BackendSnapshot)
     except msgspec.ValidationError:
         return None
 
 
-def _aged(one: i.Learned, told_us: int, now_us: int, weight: float) -> i.Learned:
-    left_us = int(max(0, one.ejected_until - told_us) * weight)
+def _aged(one: BackendSnapshot, told_us: int, now_us: int, weight: float) -> BackendSnapshot:
+    left_us = int(max(0, one.ejected_until_us - told_us) * weight)
     return replace(
         one,
-        ejected_until=min(one.ejected_until, now_us + left_us),
+        ejected_until_us=min(one.ejected_until_us, now_us + left_us),
         ejections=math.ceil(one.ejections * weight),
-        strikes=math.floor(one.strikes * weight),
-        errors=math.floor(one.errors * weight),
-        limit=one.limit / weight,
+        consecutive_timeouts=math.floor(one.consecutive_timeouts * weight),
+        consecutive_errors=math.floor(one.consecutive_errors * weight),
+        load_limit=one.load_limit / weight,
         delay_ms=one.delay_ms * weight,
     )
 
@@ -117,4 +134,6 @@
         return {}
     pairs = ((name, _learned(values)) for name, values in told.backends.items())
     aged = {name: _aged(one, told.now_us, now_us, weight) for name, one in pairs if one is not None}
-    return {name: one.ejected_until - now_us for name, one in aged.items() if one.ejected_until > now_us}
+    return {
+        name: one.ejected_until_us - now_us for name, one in aged.items() if one.ejected_until_us > now_us
+    }
--- a/sailrun/lasting/cli.py
+++ b/sailrun/storage/cli.py
@@ -12,7 +12,7 @@
 from sailrun.start import complain
 
 if TYPE_CHECKING:
-    from sailrun.lasting.folder import Found
+    from sailrun.storage.folder import Found
 
 app = typer.Typer(help="Look at the folder in which a node keeps what it has to know after a restart.")
 
@@ -24,9 +24,9 @@
 
 
 def _read(folder: Path) -> Found:
-    from sailrun.lasting.files import OsFiles
-    from sailrun.lasting.folder import read_folder
-    from sailrun.lasting.frames import NewerSchema
+    from sailrun.storage.files import OsFiles
+    from sailrun.storage.folder import read_folder
+    from sailrun.storage.frames import NewerSchema
 
     try:
         return read_folder(OsFiles(folder))
@@ -58,8 +58,8 @@
 
 def _believed(found: Found, half_life_s: float, now_s: float) -> dict[str, Any]:
     """What a node would go by if it started now."""
-    from sailrun.lasting.beliefs import out_for, weight_of
-    from sailrun.replica.marks import KINDS, standing
+    from sailrun.replication.marks import KINDS, standing
+    from sailrun.storage.beliefs import out_for, weight_of
 
     memory = found.memory
     marks = [standing(r) for r in memory.records.values() if r.kind in KINDS]
@@ -136,7 +136,7 @@
     """Everything that a folder comes to, one JSON object a line."""
     import msgspec
 
-    from sailrun.lasting.entries import Learned
+    from sailrun.storage.entries import Learned
 
     found = _read(folder)
     for entry in found.memory.entries():
@@ -154,7 +154,7 @@
     yes: Annotated[bool, typer.Option("--yes", help="Do it: nothing of it can be had again.")] = False,
 ) -> None:
     """Empty a folder whose node is not running. That node's vote is then learned from the other voters."""
-    from sailrun.lasting.files import OsFiles
+    from sailrun.storage.files import OsFiles
 
     files = OsFiles(folder)
     try:
--- a/sailrun/lasting/entries.py
+++ b/sailrun/storage/entries.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from sailrun.replica.records import Key, Record
+from sailrun.replication.records import Key, Record
 
 
 class Begun(msgspec.Struct, array_like=True, frozen=True, tag="begun"):
--- a/sailrun/lasting/folder.py
+++ b/sailrun/storage/folder.py
@@ -21,9 +21,10 @@
 from enum import Enum
 from itertools import chain, islice
 
-from sailrun.lasting import entries as e
-from sailrun.lasting.files import Files, Handle
-from sailrun.lasting.frames import (
+from sailrun.replication.records import size_of
+from sailrun.storage import entries as e
+from sailrun.storage.files import Files, Handle
+from sailrun.storage.frames import (
     HEAD_BYTES,
     SCHEMA,
     BadFile,
@@ -37,7 +38,6 @@
     pack_head,
     read_head,
 )
-from sailrun.replica.records import size_of
 
 IDENTITY, NEW = "identity", ".new"
 LONGEST_IDENTITY = 4096
--- a/sailrun/lasting/opening.py
+++ b/sailrun/storage/opening.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sailrun.lasting.files import Files
-from sailrun.lasting.folder import Folder, Found, Sound, read_folder
-from sailrun.lasting.terms import LastingTerms
-from sailrun.lasting.write_ahead_log import Done, WriteAheadLog
-from sailrun.lasting.writer import Writer
+from sailrun.storage.files import Files
+from sailrun.storage.folder import Folder, Found, Sound, read_folder
+from sailrun.storage.settings import StorageSettings
+from sailrun.storage.write_ahead_log import Done, WriteAheadLog
+from sailrun.storage.writer import Writer
 
 
 @dataclass(slots=True)
@@ -22,7 +22,7 @@
 
 def open_folder(
     files: Files,
-    terms: LastingTerms,
+    terms: StorageSettings,
     slow_us: int,
     node: str,
     fleet: str,
--- a/sailrun/lasting/service.py
+++ b/sailrun/storage/service.py
@@ -19,19 +19,19 @@
 from anyio.lowlevel import current_token
 
 from sailrun.bad_config import BadConfig
-from sailrun.lasting import beliefs
-from sailrun.lasting import entries as e
-from sailrun.lasting.files import OsFiles
-from sailrun.lasting.folder import Folder, Found, Sound, new_identity
-from sailrun.lasting.frames import NewerSchema
-from sailrun.lasting.opening import open_folder
-from sailrun.lasting.terms import LastingTerms
-from sailrun.lasting.write_ahead_log import Disk, Done, Work, WriteAheadLog
-from sailrun.lasting.writer import Writer
 from sailrun.node.clock import log
 from sailrun.node.session import ServerListUpdate
 from sailrun.node.succession_state import NodeState
-from sailrun.replica.marks import DRAIN, OUT, keeps_out
+from sailrun.replication.marks import DRAIN, OUT, keeps_out
+from sailrun.storage import beliefs
+from sailrun.storage import entries as e
+from sailrun.storage.files import OsFiles
+from sailrun.storage.folder import Folder, Found, Sound, new_identity
+from sailrun.storage.frames import NewerSchema
+from sailrun.storage.opening import open_folder
+from sailrun.storage.settings import StorageSettings
+from sailrun.storage.write_ahead_log import Disk, Done, Work, WriteAheadLog
+from sailrun.storage.writer import Writer
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        terms: LastingTerms,
+        terms: StorageSettings,
         name: str,
         fleet: str,
         slow_us: int,
@@ -190,9 +190,9 @@
                 now_us = self._clock_us()
                 if now_us >= self._learn_us:
                     self._learn_us = now_us + LEARN_US
-                    node.pass_on(self._learns)
+                    node.snapshot_state(self._learns)
                 if self._alone:
-                    node.out_by_hand(self._out_by_hand)
+                    node.list_operator_overrides(self._out_by_hand)
                 due_us = min(self.write_ahead_log.due_us(now_us) or self._learn_us, self._learn_us)
                 due_us = min(due_us, now_us + HAND_US) if self._alone else due_us
                 self._kicked = anyio.Event()
--- a/sailrun/lasting/terms.py
+++ b/sailrun/storage/settings.py
@@ -9,7 +9,7 @@
 MEGA = 1_000_000
 
 
-class LastingTerms(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class StorageSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Where a node keeps what it has to know after a restart. Off without a folder."""
 
     folder: Annotated[
--- a/sailrun/lasting/standing.py
+++ b/sailrun/storage/standing.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from sailrun.lasting.entries import Noted
-from sailrun.lasting.messages import Stand, Stood
+from sailrun.storage.entries import Noted
+from sailrun.storage.messages import Stand, Stood
 
 ASK_US, TELL_US = 250_000, 250_000
 # Once a majority has answered, the other voters that live are waited for so long: one of them may know more.
--- a/sailrun/lasting/write_ahead_log.py
+++ b/sailrun/storage/write_ahead_log.py
@@ -16,9 +16,9 @@
 from enum import Enum
 from typing import Any
 
-from sailrun.lasting.entries import Entry, Held
-from sailrun.lasting.terms import MEGA, LastingTerms
-from sailrun.replica.records import size_of
+from sailrun.replication.records import size_of
+from sailrun.storage.entries import Entry, Held
+from sailrun.storage.settings import MEGA, StorageSettings
 
 SECOND = 1_000_000
 # A disk that has failed is tried again after this.
@@ -61,7 +61,7 @@
     switches off.
     """
 
-    def __init__(self, terms: LastingTerms, slow_us: int, position: int, off: frozenset[str]) -> None:
+    def __init__(self, terms: StorageSettings, slow_us: int, position: int, off: frozenset[str]) -> None:
         self.terms, self._slow_us, self._off = terms, slow_us, off
         self.position = self.synced = position
         self.disk = Disk.ABLE
--- a/sailrun/lasting/writer.py
+++ b/sailrun/storage/writer.py
@@ -4,8 +4,8 @@
 
 import errno
 
-from sailrun.lasting.folder import Folder
-from sailrun.lasting.write_ahead_log import Done, Work
+from sailrun.storage.folder import Folder
+from sailrun.storage.write_ahead_log import Done, Work
 
 
 class Writer:
--- a/sailrun/platform/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -12,14 +12,14 @@
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
 from sailrun.connection import Connection, OutOfDescriptors, Overlong, connect
+from sailrun.decisions.events import AttemptOutcome, BackendState
 from sailrun.front import FrontDoor, WaitingRoom
-from sailrun.interface import BackendState, Outcome
 from sailrun.node.clock import log
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer, FormSession, Placement
 from sailrun.node.session_transfer import SendTransfer, SessionTransfer
-from sailrun.platform.figures import Figures, Load
-from sailrun.platform.lines import ANSWERS, ENDINGS, BadLine, Opening, load_told, parse_opening, word_of
+from sailrun.text_protocol.figures import Figures, Load
+from sailrun.text_protocol.lines import ANSWERS, ENDINGS, BadLine, Opening, load_told, parse_opening, word_of
 
 SECOND = 1_000_000
 # A connection that has not said what it wants by then is ended: silent ones must not eat the descriptors.
@@ -33,7 +33,7 @@
 LAST_WORDS_US = SECOND // 4
 # So many of a client's lines are timed at once: one that sends thousands must not fill the memory.
 MOST_TIMED = 64
-_REASONS = {Outcome.OK: "served", Outcome.CANCELLED: "sent-away"}
+_REASONS = {AttemptOutcome.OK: "served", AttemptOutcome.CANCELLED: "sent-away"}
 
 
 class ClientFront:
@@ -45,7 +45,7 @@
         self.classes = frozenset(c.name for c in node.settings.classes)
         self.waiting = WaitingRoom(descriptors)
         # What form servers say in LOAD lines, by their names.
-        self.least_ms = node.told_from_ms
+        self.least_ms = node.reported_delay_threshold_ms
         self.figures: dict[str, Figures[ClientConnection]] = {}
         # The ids in use. A second connection with one of them would be a second copy of that request.
         self.ids: set[str] = set()
@@ -144,7 +144,7 @@
         except (anyio.ClosedResourceError, anyio.BrokenResourceError):
             # The client left while its request lay in the core's queue: nothing was sent.
             assert self._session is not None
-            self._node.attempt_over(self._session, placement, Outcome.NOT_SENT)
+            self._node.attempt_ended(self._session, placement, AttemptOutcome.NOT_SENT)
 
     def withdraw(self, attempt: int) -> None:
         if self._attempt is not None and self._attempt[0] == attempt:
@@ -233,7 +233,7 @@
         if self._id is not None and self._session is not None:
             self._front.ids.discard(self._id)
             self._id = None
-            self._node.left(self._session)
+            self._node.client_left(self._session)
 
     async def _opened(self, deadline_us: int) -> bool:
         """Reads the first line and asks the core for a form session; False if there is none to ask for."""
@@ -256,7 +256,7 @@
         # Unique here even if a client repeats its id.
         self._session = self._form_session(opening, f"{opening.id}.{now_us}", now_us + opening.wait_ms * 1000)
         self._reason = "unknown"
-        self._node.ask(self._session)
+        self._node.request_session(self._session)
         return True
 
     def _take_id(self, id_: str) -> None:
@@ -288,7 +288,7 @@
                     line = await self._client.line()
                     if line is None or line.strip() != b"PING":
                         return line
-                    await self._client.write(b"PONG\r\n" if self._node.admits else b"NO\r\n")
+                    await self._client.write(b"PONG\r\n" if self._node.is_accepting else b"NO\r\n")
                     self._reason = "ping"
                 await self._turn_away("too-many-checks")
             if scope.cancelled_caught:
@@ -349,7 +349,7 @@
         self._deaf.set()
         if self._reason == "unknown" or self._form_server is not None or self._attempt is not None:
             self._reason = reason
-        self._node.left(self._session)
+        self._node.client_left(self._session)
         if self._attempt is not None:
             self._attempt[1].cancel()
         if self._reading is not None:
@@ -370,7 +370,7 @@
         assert self._session is not None and self._form_server is not None
         data = self._client.take()
         for _ in range(min(data.count(b"\n"), MOST_TIMED - len(self._session.unanswered))):
-            self._node.line_out(self._session)
+            self._node.line_forwarded(self._session)
         with contextlib.suppress(OSError):  # it broke: whoever reads from it says so
             await self._form_server.write(data)
 
@@ -389,17 +389,17 @@
         its end, so that no two are ever out; and the core hears of it whatever happens.
         """
         assert self._session is not None
-        outcome = Outcome.CANCELLED  # if this task is ended from here, no form server is to blame
+        outcome = AttemptOutcome.CANCELLED  # if this task is ended from here, no form server is to blame
         try:
             outcome = await self._attempt_session(placement)
         finally:
-            self._node.attempt_over(self._session, placement, outcome)
+            self._node.attempt_ended(self._session, placement, outcome)
 
-    async def _attempt_session(self, placement: Placement) -> Outcome:
+    async def _attempt_session(self, placement: Placement) -> AttemptOutcome:
         assert self._session is not None
         self._at = placement.form_server.name
         server: Connection | None = None
-        outcome = Outcome.TIMED_OUT
+        outcome = AttemptOutcome.TIMED_OUT
         sent_us = self._node.clock.now_us()
         with anyio.CancelScope(deadline=self._node.clock.moment(placement.until_us)) as scope:
             self._attempt = (placement.attempt, scope)
@@ -408,7 +408,7 @@
             finally:
                 self._attempt = None
         if self._client.ended or (scope.cancelled_caught and self._node.clock.now_us() < placement.until_us):
-            outcome = Outcome.CANCELLED
+            outcome = AttemptOutcome.CANCELLED
             if server is not None:
                 server.close()
                 server = None
@@ -416,31 +416,31 @@
             took_us = self._node.clock.now_us() - sent_us
             self._form_server, self._placement = server, placement
             self._reason = "unknown"
-            self._node.placed(self._session, placement, took_us)
+            self._node.connection_opened(self._session, placement, took_us)
             outcome = await self._stand_to_the_end(server)
         return outcome
 
     async def _go_on(self, placement: Placement) -> None:
         """A session that stood with the predecessor."""
         assert self._session is not None and self._form_server is not None
-        self._node.adopted(self._session, placement)
+        self._node.adopt_session(self._session, placement)
         log("adopted", id=self._opening.id if self._opening else None, server=self._at)
         if self._load is not None:
-            self._node.told_load(self._session, self._load)
-        outcome = Outcome.CANCELLED
+            self._node.report_load(self._session, self._load)
+        outcome = AttemptOutcome.CANCELLED
         try:
             outcome = await self._stand_to_the_end(self._form_server)
         finally:
-            self._node.attempt_over(self._session, placement, outcome)
+            self._node.attempt_ended(self._session, placement, outcome)
 
-    async def _stand_to_the_end(self, server: Connection) -> Outcome:
+    async def _stand_to_the_end(self, server: Connection) -> AttemptOutcome:
         try:
             outcome = await self._stand(server)
         except OSError:
             # The client broke while a line was on its way to it. The core must hear of the end all
             # the same, or it would count the session as standing for ever.
             self._reason, self._broken = "household-broke", True
-            outcome = Outcome.CANCELLED
+            outcome = AttemptOutcome.CANCELLED
         if self._broken or server.ended or self._reason == "handed-over":
             server.close(abruptly=self._broken)
         else:
@@ -470,7 +470,7 @@
         self._deaf = anyio.Event()
         self._group.start_soon(self._hear_client)
 
-    async def _set_up(self, placement: Placement, sent_us: int) -> tuple[Connection | None, Outcome]:
+    async def _set_up(self, placement: Placement, sent_us: int) -> tuple[Connection | None, AttemptOutcome]:
         """Opens a connection to the form server and asks for the session. Every way out but a form server
         that answers UP leaves the connection closed.
         """
@@ -482,52 +482,52 @@
             with anyio.CancelScope(deadline=self._node.clock.moment(connect_by_us)):
                 server = await connect(placement.form_server.address)
             if server is None:
-                return None, Outcome.CONNECT_FAILED
+                return None, AttemptOutcome.CONNECT_FAILED
             if self._client.stirs():  # it has left, and nobody waits for the answer
-                return None, Outcome.CANCELLED
+                return None, AttemptOutcome.CANCELLED
             if not self._node.may_begin(self._session, placement):
-                return None, Outcome.NOT_SENT
+                return None, AttemptOutcome.NOT_SENT
             wait_ms = max(1, (placement.until_us - self._node.clock.now_us()) // 1000)
             await server.write(self._opening.for_form_server(wait_ms))
             sent = True
-            self._node.written()
+            self._node.request_written()
             line = await server.line()
             if line is None:
                 server.close()
-                return None, Outcome.RESET
-            outcome = ANSWERS.get(word_of(line), Outcome.ERROR)
+                return None, AttemptOutcome.RESET
+            outcome = ANSWERS.get(word_of(line), AttemptOutcome.ERROR)
             up = word_of(line) == b"UP"
-            if up or outcome is Outcome.OK:
+            if up or outcome is AttemptOutcome.OK:
                 self._answered = True
                 try:
                     await self._client.write(line)
                 except OSError:
                     # The client broke, not the form server, which must not be blamed for it.
                     self._reason, self._broken = "household-broke", True
-                    return None, Outcome.CANCELLED
+                    return None, AttemptOutcome.CANCELLED
                 self._reason = "served"
             if up:
                 kept, server = server, None
-                return kept, Outcome.OK
+                return kept, AttemptOutcome.OK
             return None, outcome
         except OutOfDescriptors:
             log("out-of-descriptors", doing="connect")
             self._front.waiting.make_room()
-            return None, Outcome.NOT_SENT
+            return None, AttemptOutcome.NOT_SENT
         except Overlong:
-            return None, Outcome.ERROR
+            return None, AttemptOutcome.ERROR
         except OSError:
-            return None, Outcome.RESET if sent else Outcome.CONNECT_FAILED
+            return None, AttemptOutcome.RESET if sent else AttemptOutcome.CONNECT_FAILED
         finally:
             if server is not None:
                 server.close()
 
-    async def _stand(self, server: Connection) -> Outcome:
+    async def _stand(self, server: Connection) -> AttemptOutcome:
         """Passes on what the form server sends, line or not, at once; returns how the session ended."""
         assert self._session is not None
         if self._client.held():
             await self._pass_to_form_server()
-        ending = Outcome.RESET
+        ending = AttemptOutcome.RESET
         if server.held():
             ending = await self._pass_to_client(server, ending)
         while True:
@@ -536,12 +536,12 @@
             if self._moving_since_us and between:
                 self._reason = "moved"
                 await self._client.write(b"MOVE\r\n")
-                return Outcome.CANCELLED
+                return AttemptOutcome.CANCELLED
             if self._client.ended:
-                return Outcome.CANCELLED
+                return AttemptOutcome.CANCELLED
             if (send := self._send_transfer) is not None and await self._handed_over(server, send):
                 self._reason = "handed-over"
-                return Outcome.CANCELLED
+                return AttemptOutcome.CANCELLED
             scope = anyio.CancelScope()
             if self._moving_since_us:
                 scope.deadline = self._node.clock.moment(half_said_us)
@@ -555,7 +555,7 @@
                 return ending
             except Overlong:
                 self._reason, self._broken = "form-server-line-too-long", True
-                return Outcome.ERROR
+                return AttemptOutcome.ERROR
             finally:
                 self._reading = None
             if alive:
@@ -564,18 +564,18 @@
                 self._reason = _REASONS.get(ending, "form-server-ended")
                 return ending
 
-    async def _pass_to_client(self, server: Connection, ending: Outcome) -> Outcome:
+    async def _pass_to_client(self, server: Connection, ending: AttemptOutcome) -> AttemptOutcome:
         """Passes on what has come in, then reads its lines; the start of one stays in the buffer."""
         assert self._session is not None
         await self._client.write(server.fresh())
-        self._node.heard(self._session)
+        self._node.bytes_received(self._session)
         while (line := server.take_line()) is not None:
-            ending = ENDINGS.get(word_of(line), Outcome.RESET)
+            ending = ENDINGS.get(word_of(line), AttemptOutcome.RESET)
             load = load_told(line)
             if load is not None:
                 self._tell(load)
-            elif ending is Outcome.RESET:
-                self._node.answered(self._session)
+            elif ending is AttemptOutcome.RESET:
+                self._node.line_answered(self._session)
         return ending
 
     def _tell(self, value: float) -> None:
@@ -588,9 +588,9 @@
         told = figures.read(self._node.clock.now_us(), value, self)
         if isinstance(told, Load):
             self._load_before, self._load = self._load, value
-            self._node.told_load(self._session, value)
+            self._node.report_load(self._session, value)
             return
-        self._node.told_delay(self._session, told.value)
+        self._node.report_delay(self._session, told.value)
         if told.mistaken is not None:
             told.mistaken.restore_load()
 
@@ -598,4 +598,4 @@
         """The last figure was none of this connection's load: the one before it holds."""
         if self._session is not None and self._load_before is not None:
             self._load = self._load_before
-            self._node.told_load(self._session, self._load)
+            self._node.report_load(self._session, self._load)
--- a/sailrun/platform/lines.py
+++ b/sailrun/text_protocol/lines.py
@@ -7,7 +7,7 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-from sailrun.interface import Outcome
+from sailrun.decisions.events import AttemptOutcome
 
 _WORD = re.compile(r"[\x21-\x7e]{1,128}")
 _DEADLINE = re.compile(rb"(?<=[ ,])d=\d+")
@@ -90,9 +90,9 @@
 
 
 # What the line before the end of a form server's connection says of the end.
-ENDINGS = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}
+ENDINGS = {b"BYE": AttemptOutcome.OK, b"MOVE": AttemptOutcome.CANCELLED}
 # What a form server's first line says where it is not UP.
-ANSWERS = {**ENDINGS, b"BUSY": Outcome.REJECTED}
+ANSWERS = {**ENDINGS, b"BUSY": AttemptOutcome.REJECTED}
 
 
 def load_told(line: bytes) -> float | None:
--- a/sailrun/platform/neighbours.py
+++ b/sailrun/text_protocol/neighbours.py
@@ -8,7 +8,7 @@
 from anyio.abc import TaskGroup
 
 from sailrun.connection import connect, new_socket
-from sailrun.interface import Outcome
+from sailrun.decisions.events import AttemptOutcome
 from sailrun.node.clock import log
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer
@@ -81,7 +81,7 @@
             except OSError:
                 continue
             if sender in self._peers:
-                self._node.neighbour_said(self._peers.index(sender), content)
+                self._node.peer_message_received(self._peers.index(sender), content)
 
 
 class Probes:
@@ -95,16 +95,20 @@
 
     async def _probe(self, form_server: FormServer, until_us: int) -> None:
         began_us = self._node.clock.now_us()
-        outcome, connection = Outcome.TIMED_OUT, None
+        outcome, connection = AttemptOutcome.TIMED_OUT, None
         try:
             with anyio.CancelScope(deadline=self._node.clock.moment(until_us)):
                 connection = await connect(form_server.address)
                 await connection.write(b"PING\r\n")
                 line = await connection.line()
-                outcome = Outcome.OK if line is not None and line.strip() == b"PONG" else Outcome.ERROR
+                outcome = (
+                    AttemptOutcome.OK
+                    if line is not None and line.strip() == b"PONG"
+                    else AttemptOutcome.ERROR
+                )
         except (OSError, ValueError):
-            outcome = Outcome.RESET if connection is not None else Outcome.CONNECT_FAILED
+            outcome = AttemptOutcome.RESET if connection is not None else AttemptOutcome.CONNECT_FAILED
         finally:
             if connection is not None:
                 connection.close()
-        self._node.probed(form_server, outcome, self._node.clock.now_us() - began_us)
+        self._node.probe_ended(form_server, outcome, self._node.clock.now_us() - began_us)
--- a/sailrun/wire.py
+++ b/sailrun/wire.py
@@ -9,7 +9,41 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from sailrun import interface as i
+from sailrun.decisions.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdle,
+    FailRequest,
+    FetchList,
+    LogMessage,
+    MoveConnection,
+    ProbeBackend,
+    RejectRequest,
+    SendToPeer,
+    SetTimer,
+    SlowStartChanged,
+    StartAttempt,
+    Subscribe,
+)
+from sailrun.decisions.events import (
+    AttemptEnded,
+    AttemptNotice,
+    AttemptOutcome,
+    Backend,
+    BackendListUpdate,
+    BackendState,
+    ClientLeft,
+    ConnectionOpened,
+    ConnectionResumed,
+    Event,
+    ListKind,
+    NoticeKind,
+    PeerMessage,
+    ProbeEnded,
+    RequestArrived,
+    TimerFired,
+)
+from sailrun.decisions.settings import DedupScope, DiscoveryMode, Effect, RequestClass, Settings, Tenant
 
 Fields = dict[str, str]
 E = TypeVar("E")
@@ -23,14 +57,14 @@
 
 
 _OUTCOMES = {
-    "delivered": i.Outcome.OK,
-    "app_error": i.Outcome.ERROR,
-    "shed": i.Outcome.REJECTED,
-    "expired": i.Outcome.TIMED_OUT,
-    "dial_failed": i.Outcome.CONNECT_FAILED,
-    "dropped": i.Outcome.RESET,
-    "revoked": i.Outcome.CANCELLED,
-    "unused": i.Outcome.NOT_SENT,
+    "delivered": AttemptOutcome.OK,
+    "app_error": AttemptOutcome.ERROR,
+    "shed": AttemptOutcome.REJECTED,
+    "expired": AttemptOutcome.TIMED_OUT,
+    "dial_failed": AttemptOutcome.CONNECT_FAILED,
+    "dropped": AttemptOutcome.RESET,
+    "revoked": AttemptOutcome.CANCELLED,
+    "unused": AttemptOutcome.NOT_SENT,
 }
 _HINT, _REPEAT, _MID_FLOW, _RETURNING = 1, 2, 8, 16  # bits of a request's marks
 
@@ -97,7 +131,7 @@
 _FLAGS = {"true": True, "false": False, "1": True, "0": False}
 
 
-def settings(fields: Fields) -> i.Settings:
+def settings(fields: Fields) -> Settings:
     """The parameters of a `born` line as settings; unknown parameters are skipped."""
     m = "born"
     fields = {name: value for name, value in fields.items() if value != "null"}
@@ -111,20 +145,20 @@
     aims = _row(fields.get("familyInfo.messageAimUs", ""))
     quotas = _row(fields.get("familyInfo.tenantQuotaConnections", ""))
     classes = tuple(
-        i.RequestClass(
+        RequestClass(
             name=text(m, fields, f"{p}.name"),
             objective_us=integer(m, fields, f"{p}.objectiveUs"),
             deadline_us=integer(m, fields, f"{p}.deadlineUs"),
-            worth=number(m, fields, f"{p}.gain", 1.0),
-            effect=_choice(m, fields, f"{p}.effect", _values(i.Effect)),
-            dedup_scope=_choice(m, {"group": "all", **_tail(fields, p)}, "group", _values(i.DedupScope)),
+            priority_weight=number(m, fields, f"{p}.gain", 1.0),
+            effect=_choice(m, fields, f"{p}.effect", _values(Effect)),
+            dedup_scope=_choice(m, {"group": "all", **_tail(fields, p)}, "group", _values(DedupScope)),
             dedup_window_us=integer(m, fields, f"{p}.repeatWindowUs", 0),
             message_objective_us=number(m, {"aim": aims[n]}, "aim") if n < len(aims) else 0.0,
         )
         for n, p in enumerate(items("services"))
     )
     tenants = tuple(
-        i.Tenant(
+        Tenant(
             name=text(m, fields, f"{p}.name"),
             share=number(m, fields, f"{p}.share", 1.0),
             quota_per_s=number(m, fields, f"{p}.quotaPerS", 0.0),
@@ -132,21 +166,21 @@
         )
         for n, p in enumerate(items("orgs"))
     )
-    return i.Settings(
+    return Settings(
         zone=fields.get("az", ""),
         classes=classes,
         drain_grace_us=integer(m, fields, "obligations.drainGraceUs"),
-        cold_from=number(m, fields, "obligations.coldFrom"),
-        cold_us=integer(m, fields, "obligations.coldUs"),
-        fall_multiple=number(m, fields, "obligations.fallMultiple"),
-        fall_us=integer(m, fields, "obligations.fallUs"),
+        initial_capacity_share=number(m, fields, "obligations.coldFrom"),
+        slow_start_us=integer(m, fields, "obligations.coldUs"),
+        overload_multiple=number(m, fields, "obligations.fallMultiple"),
+        overload_window_us=integer(m, fields, "obligations.fallUs"),
         answer_slack_us=integer(m, fields, "obligations.answerSlackUs", 0),
         instances=integer(m, fields, "siblings", 1),
         index=integer(m, fields, "index", 0),
         tenants=tenants,
-        over_share_worth=number(m, fields, "overShareWorth", 1.0),
-        discovery=_choice(m, {"discovery": "push", **fields}, "discovery", _values(i.Discovery)),
-        must_ask_in_us=integer(m, fields, "obligations.mustAskInUs", 0),
+        over_quota_priority_weight=number(m, fields, "overShareWorth", 1.0),
+        discovery=_choice(m, {"discovery": "push", **fields}, "discovery", _values(DiscoveryMode)),
+        poll_interval_us=integer(m, fields, "obligations.mustAskInUs", 0),
         max_attempts=integer(m, fields, "limits.maxAttempts", 1),
         connect_timeout_us=integer(m, fields, "limits.connectTimeoutUs", 250_000),
         retry_after=flag("limits.retryAfter"),
@@ -157,7 +191,7 @@
         peer_messages=flag("limits.peerMessages"),
         pass_through=fields.get("familyInfo.mode") == "pass",
         park_us=integer(m, fields, "familyInfo.parkUs", 0),
-        tells_delay=flag("familyInfo.tellsDelay"),
+        reports_delay=flag("familyInfo.tellsDelay"),
         capacity_hints=fields.get("weightSource", "silent") != "silent",
         tick_us=integer(m, fields, "tickUs", 1_000),
     )
@@ -200,10 +234,10 @@
 # --------------------------------------------------------------------------- events
 
 
-def backend(f: Fields) -> i.Backend:
+def backend(f: Fields) -> Backend:
     """One entry of a list."""
-    states = {str(s.value): s for s in i.BackendState}
-    return i.Backend(
+    states = {str(s.value): s for s in BackendState}
+    return Backend(
         id=integer("m", f, "backend"),
         state=_choice("m", f, "lifecycle", states),
         zone=f.get("az", ""),
@@ -213,16 +247,16 @@
     )
 
 
-def list_update(f: Fields, lists: dict[int, tuple[i.Backend, ...]]) -> i.ListUpdate:
+def list_update(f: Fields, lists: dict[int, tuple[Backend, ...]]) -> BackendListUpdate:
     m = "discovery"
-    kind = _choice(m, f, "kind", {str(k.value): k for k in i.ListKind})
-    entries: tuple[i.Backend, ...] = ()
-    if kind is not i.ListKind.FAILED:
+    kind = _choice(m, f, "kind", {str(k.value): k for k in ListKind})
+    entries: tuple[Backend, ...] = ()
+    if kind is not ListKind.FAILED:
         number_of_list = integer(m, f, "setId")
         if number_of_list not in lists:
             raise WireError(m, "setId", f"the number of a list given before, not '{number_of_list}'")
         entries = lists[number_of_list]
-    return i.ListUpdate(kind, integer(m, f, "index", 0), entries)
+    return BackendListUpdate(kind, integer(m, f, "index", 0), entries)
 
 
 def _hint(m: str, f: Fields, marks: int) -> float | None:
@@ -234,10 +268,10 @@
     return None if name in (None, "", "0") else name
 
 
-def _request(f: Fields, _: tuple[str, ...]) -> i.Event:
+def _request(f: Fields, _: tuple[str, ...]) -> Event:
     m = "request"
     marks = integer(m, f, "marks", 0)
-    return i.RequestArrived(
+    return RequestArrived(
         request=text(m, f, "req"),
         request_class=text(m, f, "tierClass"),
         left_us=integer(m, f, "leftUs"),
@@ -251,9 +285,9 @@
     )
 
 
-def _resumed(f: Fields, _: tuple[str, ...]) -> i.Event:
+def _resumed(f: Fields, _: tuple[str, ...]) -> Event:
     m = "resumed"
-    return i.ConnectionResumed(
+    return ConnectionResumed(
         request=text(m, f, "req"),
         request_class=text(m, f, "tierClass"),
         backend=integer(m, f, "backend"),
@@ -272,9 +306,9 @@
     return tuple((n, number(m, {n: v}, n)) for n, v in zip(names, values, strict=False) if v)
 
 
-def _reply(f: Fields, names: tuple[str, ...]) -> i.Event:
+def _reply(f: Fields, names: tuple[str, ...]) -> Event:
     m = "reply"
-    return i.AttemptEnded(
+    return AttemptEnded(
         request=text(m, f, "req"),
         attempt=integer(m, f, "copy"),
         backend=integer(m, f, "backend"),
@@ -285,9 +319,9 @@
     )
 
 
-def _probe_result(f: Fields, names: tuple[str, ...]) -> i.Event:
+def _probe_result(f: Fields, names: tuple[str, ...]) -> Event:
     m = "probe_result"
-    return i.ProbeEnded(
+    return ProbeEnded(
         backend=integer(m, f, "backend"),
         outcome=_choice(m, f, "outcome", _OUTCOMES),
         latency_us=integer(m, f, "latencyUs", 0),
@@ -295,9 +329,9 @@
     )
 
 
-def _begun(f: Fields, _: tuple[str, ...]) -> i.Event:
+def _begun(f: Fields, _: tuple[str, ...]) -> Event:
     m = "begun"
-    return i.ConnectionOpened(
+    return ConnectionOpened(
         request=text(m, f, "req"),
         attempt=integer(m, f, "copy"),
         backend=integer(m, f, "backend"),
@@ -305,28 +339,28 @@
     )
 
 
-def _interim(f: Fields, _: tuple[str, ...]) -> i.Event:
+def _interim(f: Fields, _: tuple[str, ...]) -> Event:
     m = "interim"
-    return i.AttemptNotice(
+    return AttemptNotice(
         request=text(m, f, "req"),
         attempt=integer(m, f, "copy"),
         backend=integer(m, f, "backend"),
-        kind=_choice(m, f, "sort", {str(k.value): k for k in i.NoticeKind}),
+        kind=_choice(m, f, "sort", {str(k.value): k for k in NoticeKind}),
         value=number(m, f, "value"),
     )
 
 
-def _neighbour_says(f: Fields, _: tuple[str, ...]) -> i.Event:
+def _neighbour_says(f: Fields, _: tuple[str, ...]) -> Event:
     m = "neighbour_says"
     try:
         coded = text(m, f, "content")
         content = b"" if coded == "-" else base64.b64decode(coded, validate=True)
     except binascii.Error:
         raise WireError(m, "content", "base64 with padding, or '-'") from None
-    return i.PeerMessage(sender=integer(m, f, "originPeer"), content=content)
+    return PeerMessage(sender=integer(m, f, "originPeer"), content=content)
 
 
-EVENTS: dict[str, Callable[[Fields, tuple[str, ...]], i.Event]] = {
+EVENTS: dict[str, Callable[[Fields, tuple[str, ...]], Event]] = {
     "request": _request,
     "resumed": _resumed,
     "reply": _reply,
@@ -334,8 +368,8 @@
     "interim": _interim,
     "probe_result": _probe_result,
     "neighbour_says": _neighbour_says,
-    "dropped": lambda f, _: i.ClientLeft(text("dropped", f, "req")),
-    "alarm": lambda f, _: i.TimerFired(integer("alarm", f, "ref")),
+    "dropped": lambda f, _: ClientLeft(text("dropped", f, "req")),
+    "alarm": lambda f, _: TimerFired(integer("alarm", f, "ref")),
 }
 
 # --------------------------------------------------------------------------- actions
@@ -345,29 +379,31 @@
     return " ".join(value.split())
 
 
-def _tell(who: int, a: i.TellPeer) -> str:
+def _tell(who: int, a: SendToPeer) -> str:
     content = base64.b64encode(a.content).decode() or "-"
     return f"say\twho={who}\twhom={'*' if a.peer is None else a.peer}\tcontent={content}"
 
 
 _LINES: dict[type, Callable[[int, Any], str]] = {
-    i.Send: lambda w, a: f"deliver\twho={w}\treq={a.request}\tuntilUs={a.until_us}\tbackend={a.backend}",
-    i.Refuse: lambda w, a: f"overload_reply\twho={w}\treq={a.request}\tbackoffUs={a.retry_after_us}",
-    i.Fail: lambda w, a: f"respond_error\twho={w}\treq={a.request}",
-    i.CancelAttempt: lambda w, a: f"undo_send\twho={w}\treq={a.request}\tcopy={a.attempt}",
-    i.MoveConnection: lambda w, a: f"shift\twho={w}\treq={a.request}",
-    i.SetTimer: lambda w, a: f"notify_me\twho={w}\tspanUs={a.delay_us}\tref={a.token}",
-    i.Subscribe: lambda w, a: f"observe\twho={w}\tactive={int(a.active)}",
-    i.FetchList: lambda w, a: f"read_list\twho={w}",
-    i.ProbeBackend: lambda w, a: f"test\twho={w}\tbackend={a.backend}",
-    i.CloseIdle: lambda w, a: f"let_go\twho={w}\tbackend={a.backend}",
-    i.TellPeer: _tell,
-    i.SlowStartChanged: lambda w, a: f"remark\twho={w}\ttext=slow start of {a.backend}: {a.cause.value}",
-    i.Log: lambda w, a: f"remark\twho={w}\ttext={_one_line(a.text)}",
+    StartAttempt: lambda w, a: (
+        f"deliver\twho={w}\treq={a.request}\tuntilUs={a.until_us}\tbackend={a.backend}"
+    ),
+    RejectRequest: lambda w, a: f"overload_reply\twho={w}\treq={a.request}\tbackoffUs={a.retry_after_us}",
+    FailRequest: lambda w, a: f"respond_error\twho={w}\treq={a.request}",
+    CancelAttempt: lambda w, a: f"undo_send\twho={w}\treq={a.request}\tcopy={a.attempt}",
+    MoveConnection: lambda w, a: f"shift\twho={w}\treq={a.request}",
+    SetTimer: lambda w, a: f"notify_me\twho={w}\tspanUs={a.delay_us}\tref={a.token}",
+    Subscribe: lambda w, a: f"observe\twho={w}\tactive={int(a.active)}",
+    FetchList: lambda w, a: f"read_list\twho={w}",
+    ProbeBackend: lambda w, a: f"test\twho={w}\tbackend={a.backend}",
+    CloseIdle: lambda w, a: f"let_go\twho={w}\tbackend={a.backend}",
+    SendToPeer: _tell,
+    SlowStartChanged: lambda w, a: f"remark\twho={w}\ttext=slow start of {a.backend}: {a.reason.value}",
+    LogMessage: lambda w, a: f"remark\twho={w}\ttext={_one_line(a.text)}",
 }
 
 
-def action_line(who: int, action: i.Action) -> str:
+def action_line(who: int, action: Action) -> str:
     return _LINES[type(action)](who, action)
 
 
--- a/sailrun/xds/discovery.py
+++ b/sailrun/xds/discovery.py
@@ -9,8 +9,8 @@
 
 import anyio
 
+from sailrun.decisions.events import BackendState, ListKind
 from sailrun.http_calls import CallFailed, HttpCalls
-from sailrun.interface import BackendState, ListKind
 from sailrun.node.clock import log
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer, ServerListUpdate
--- a/sailrun/xds/mapping.py
+++ b/sailrun/xds/mapping.py
@@ -15,7 +15,7 @@
 from google.protobuf.message import DecodeError, Message
 
 from sailrun.connection import show_address, split_address
-from sailrun.interface import BackendState
+from sailrun.decisions.events import BackendState
 from sailrun.node.session import FormServer
 
 TYPE_PREFIX = "type.googleapis.com/"
--- a/tests/support.py
+++ b/tests/support.py
@@ -5,47 +5,68 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from sailrun import interface as i
-from sailrun.decide import Balancer
+from sailrun.decisions.actions import (
+    Action,
+    FailRequest,
+    MoveConnection,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+)
+from sailrun.decisions.balancer import Balancer
+from sailrun.decisions.events import (
+    AttemptEnded,
+    AttemptNotice,
+    AttemptOutcome,
+    Backend,
+    BackendListUpdate,
+    BackendState,
+    ClientLeft,
+    ConnectionOpened,
+    Event,
+    ListKind,
+    NoticeKind,
+    RequestArrived,
+    TimerFired,
+)
+from sailrun.decisions.settings import DedupScope, Effect, RequestClass, Settings
 
 SECOND = 1_000_000
 
 
-def settings(**changes: object) -> i.Settings:
+def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
         "zone": "a",
         "classes": (
-            i.RequestClass("stream", 300_000, 1_200_000, message_objective_us=50_000.0),
-            i.RequestClass(
-                "keyed", 300_000, 1_200_000, 1.0, i.Effect.DEDUPLICATED, i.DedupScope.ZONE, 700_000
-            ),
-            i.RequestClass("unsafe", 300_000, 1_200_000, 1.0, i.Effect.AT_MOST_ONCE),
+            RequestClass("stream", 300_000, 1_200_000, message_objective_us=50_000.0),
+            RequestClass("keyed", 300_000, 1_200_000, 1.0, Effect.DEDUPLICATED, DedupScope.ZONE, 700_000),
+            RequestClass("unsafe", 300_000, 1_200_000, 1.0, Effect.AT_MOST_ONCE),
         ),
         "drain_grace_us": 500_000,
-        "cold_from": 0.2,
-        "cold_us": 10 * SECOND,
-        "fall_multiple": 3.0,
-        "fall_us": SECOND,
+        "initial_capacity_share": 0.2,
+        "slow_start_us": 10 * SECOND,
+        "overload_multiple": 3.0,
+        "overload_window_us": SECOND,
         "answer_slack_us": 16_000,
         "max_attempts": 3,
         "max_retry_after_us": 600_000,
         "tick_us": 4_000,
     }
     values.update(changes)
-    return i.Settings(**values)  # type: ignore[arg-type]
+    return Settings(**values)  # type: ignore[arg-type]
 
 
-def backend(n: int, state: int = 1, started_us: int = 0, capacity: float = 1.0) -> i.Backend:
-    return i.Backend(n, i.BackendState(state), "ab"[n % 2], n // 3, capacity, started_us)
+def backend(n: int, state: int = 1, started_us: int = 0, capacity: float = 1.0) -> Backend:
+    return Backend(n, BackendState(state), "ab"[n % 2], n // 3, capacity, started_us)
 
 
-def full(*backends: i.Backend | int) -> i.ListUpdate:
+def full(*backends: Backend | int) -> BackendListUpdate:
     entries = tuple(backend(b) if isinstance(b, int) else b for b in backends)
-    return i.ListUpdate(i.ListKind.FULL, 1, entries)
+    return BackendListUpdate(ListKind.FULL, 1, entries)
 
 
-def delta(*backends: i.Backend) -> i.ListUpdate:
-    return i.ListUpdate(i.ListKind.DELTA, 2, backends)
+def delta(*backends: Backend) -> BackendListUpdate:
+    return BackendListUpdate(ListKind.DELTA, 2, backends)
 
 
 @dataclass
@@ -61,7 +82,7 @@
 class Promise:
     """What is owed for one request."""
 
-    cls: i.RequestClass
+    cls: RequestClass
     due_us: int
     sends: list[tuple[int, int]] = field(default_factory=list)  # (backend, when)
     maybe_ran: list[tuple[int, int]] = field(default_factory=list)
@@ -69,32 +90,32 @@
     mid_flow: bool = False
 
 
-NEVER_RAN = (i.Outcome.REJECTED, i.Outcome.CONNECT_FAILED, i.Outcome.NOT_SENT)
+NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 class Relay:
     """Feeds one instance, carries its actions out and asserts the rules that one relay can see."""
 
-    def __init__(self, configured: i.Settings | None = None, seed: int = 1) -> None:
+    def __init__(self, configured: Settings | None = None, seed: int = 1) -> None:
         self.settings = configured or settings()
         self.now = 1_000
         self.balancer = Balancer(self.settings, seed, self.now)
         self.promises: dict[str, Promise] = {}
         self.attempts: dict[str, Attempt] = {}  # out or standing, by request
         self.timers: list[tuple[int, int]] = []
-        self.told: dict[int, tuple[i.Backend, int]] = {}  # last state told, and since when
-        self.log: list[i.Action] = []
+        self.told: dict[int, tuple[Backend, int]] = {}  # last state told, and since when
+        self.log: list[Action] = []
         self._names = 0
 
     # -------------------------------------------------------------- events
 
-    def feed(self, event: i.Event) -> list[i.Action]:
-        if isinstance(event, i.ListUpdate) and event.kind is not i.ListKind.FAILED:
+    def feed(self, event: Event) -> list[Action]:
+        if isinstance(event, BackendListUpdate) and event.kind is not ListKind.FAILED:
             named = {b.id for b in event.backends}
-            if event.kind is not i.ListKind.DELTA:
+            if event.kind is not ListKind.DELTA:
                 for known, (old, _) in list(self.told.items()):
-                    if known not in named and old.state is not i.BackendState.GONE:
-                        self.told[known] = (i.Backend(known, i.BackendState.GONE), self.now)
+                    if known not in named and old.state is not BackendState.GONE:
+                        self.told[known] = (Backend(known, BackendState.GONE), self.now)
             for entry in event.backends:
                 before = self.told.get(entry.id)
                 kept = before is not None and before[0].state is entry.state
@@ -118,30 +139,30 @@
         name = f"r{self._names}"
         declared = next(c for c in self.settings.classes if c.name == cls)
         self.promises[name] = Promise(declared, self.now + left_us, mid_flow=mid_flow)
-        self.feed(i.RequestArrived(name, cls, left_us, key or name, group, None, hint, mid_flow=mid_flow))
+        self.feed(RequestArrived(name, cls, left_us, key or name, group, None, hint, mid_flow=mid_flow))
         return name
 
     def opened(self, name: str) -> None:
         attempt = self.attempts[name]
         attempt.stands = True
-        self.feed(i.ConnectionOpened(name, attempt.number, attempt.backend, 10_000))
+        self.feed(ConnectionOpened(name, attempt.number, attempt.backend, 10_000))
 
-    def end(self, name: str, outcome: i.Outcome, forced_over: bool = False) -> list[i.Action]:
+    def end(self, name: str, outcome: AttemptOutcome, forced_over: bool = False) -> list[Action]:
         attempt = self.attempts.pop(name)
         promise = self.promises[name]
         if outcome not in NEVER_RAN:
             promise.maybe_ran.append(promise.sends[attempt.number])
-        over = promise.over or attempt.stands or outcome is i.Outcome.OK or forced_over
+        over = promise.over or attempt.stands or outcome is AttemptOutcome.OK or forced_over
         promise.over = over
-        return self.feed(i.AttemptEnded(name, attempt.number, attempt.backend, outcome, over))
+        return self.feed(AttemptEnded(name, attempt.number, attempt.backend, outcome, over))
 
     def leave(self, name: str) -> None:
         self.promises[name].over = True
-        self.feed(i.ClientLeft(name))
+        self.feed(ClientLeft(name))
 
-    def notice(self, name: str, kind: i.NoticeKind, value: float) -> list[i.Action]:
+    def notice(self, name: str, kind: NoticeKind, value: float) -> list[Action]:
         attempt = self.attempts[name]
-        return self.feed(i.AttemptNotice(name, attempt.number, attempt.backend, kind, value))
+        return self.feed(AttemptNotice(name, attempt.number, attempt.backend, kind, value))
 
     def advance(self, us: int) -> None:
         """Lets time pass; timers fire and attempts are given up in their order."""
@@ -156,9 +177,9 @@
             self.now = max(self.now, when)
             if kind == 0:
                 self.timers.remove((when, token))
-                self.feed(i.TimerFired(token))
+                self.feed(TimerFired(token))
             else:
-                self.end(name, i.Outcome.TIMED_OUT)
+                self.end(name, AttemptOutcome.TIMED_OUT)
         self.now = end
         self.check_answers()
 
@@ -175,43 +196,43 @@
         self.advance(5 * SECOND)
         self.check_answers()
 
-    def _check(self, action: i.Action) -> None:
-        if isinstance(action, i.SetTimer):
+    def _check(self, action: Action) -> None:
+        if isinstance(action, SetTimer):
             assert 0 <= action.delay_us <= 71 * 60 * SECOND
             self.timers.append((self.now + max(1, action.delay_us), action.token))
-        elif isinstance(action, i.Send):
+        elif isinstance(action, StartAttempt):
             self._check_send(action)
-        elif isinstance(action, (i.Refuse, i.Fail)):
+        elif isinstance(action, (RejectRequest, FailRequest)):
             promise = self.promises[action.request]
             assert not promise.over, "a second final answer"
             assert self.now <= promise.due_us + self.settings.answer_slack_us, "answered late"
             assert action.request not in self.attempts, "answered with an attempt out"
-            if isinstance(action, i.Refuse):
-                scope_all = promise.cls.dedup_scope is i.DedupScope.ALL
-                keyed = promise.cls.effect is i.Effect.DEDUPLICATED and scope_all
-                harmless = promise.cls.effect is i.Effect.IDEMPOTENT or keyed
+            if isinstance(action, RejectRequest):
+                scope_all = promise.cls.dedup_scope is DedupScope.ALL
+                keyed = promise.cls.effect is Effect.DEDUPLICATED and scope_all
+                harmless = promise.cls.effect is Effect.IDEMPOTENT or keyed
                 assert harmless or not promise.maybe_ran, "refused though it may have run"
                 assert 0 <= action.retry_after_us <= self.settings.max_retry_after_us
             promise.over = True
-        elif isinstance(action, i.MoveConnection):
+        elif isinstance(action, MoveConnection):
             attempt = self.attempts[action.request]
             assert attempt.stands
 
-    def _check_send(self, send: i.Send) -> None:
+    def _check_send(self, send: StartAttempt) -> None:
         promise = self.promises[send.request]
         assert not promise.over, "sent after its end"
         assert send.request not in self.attempts, "two attempts out"
         assert len(promise.sends) < self.settings.max_attempts
         assert self.now < send.until_us <= promise.due_us
         entry, since = self.told[send.backend]
-        if entry.state is not i.BackendState.READY:
+        if entry.state is not BackendState.READY:
             grace = self.now - since <= self.settings.drain_grace_us
-            assert grace and entry.state is i.BackendState.DRAINING and promise.mid_flow, "drain not kept"
+            assert grace and entry.state is BackendState.DRAINING and promise.mid_flow, "drain not kept"
         if promise.maybe_ran:
-            assert promise.cls.effect is not i.Effect.AT_MOST_ONCE, "an effect twice"
-            if promise.cls.effect is i.Effect.DEDUPLICATED:
+            assert promise.cls.effect is not Effect.AT_MOST_ONCE, "an effect twice"
+            if promise.cls.effect is Effect.DEDUPLICATED:
                 first, when = promise.maybe_ran[0]
-                if promise.cls.dedup_scope is i.DedupScope.ZONE:
+                if promise.cls.dedup_scope is DedupScope.ZONE:
                     assert self.told[first][0].zone == entry.zone, "outside the deduplication scope"
                 assert self.now - when <= promise.cls.dedup_window_us, "after the deduplication window"
         self.attempts[send.request] = Attempt(send.request, len(promise.sends), send.backend, send.until_us)
@@ -222,7 +243,7 @@
     def sent_to(self, name: str) -> int:
         return self.promises[name].sends[-1][0]
 
-    def took(self, kind: type) -> list[i.Action]:
+    def took(self, kind: type) -> list[Action]:
         return [a for a in self.log if isinstance(a, kind)]
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.rows import SECTIONS, all_rows, ranked
 from benchmarks.capacity.target import DESIGNED, LIMITS, TARGETS, TENTH, THREE
 from benchmarks.capacity.working import BYTES, Bound, Resized, by_nodes, row, short, verdict
-from sailrun.fleet.digest import LONGEST
+from sailrun.load_gossip.digest import LONGEST
 
 
 def record_of(*measurements: Measurement) -> Record:
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from sailrun.config import read_settings
-from sailrun.interface import BackendState, ListKind, Outcome
+from sailrun.decisions.events import AttemptOutcome, BackendState, ListKind
 from sailrun.lab.scheduler import BEGIN_US, Scheduler, VirtualClock
 from sailrun.node.core import Node
 from sailrun.node.counts import Figures
@@ -41,12 +41,15 @@
 
 
 STEPS = st.lists(
-    st.tuples(st.sampled_from(["ask", "up", "left", "out", "back", *Outcome]), st.integers(0, 9)), max_size=60
+    st.tuples(st.sampled_from(["ask", "up", "left", "out", "back", *AttemptOutcome]), st.integers(0, 9)),
+    max_size=60,
 )
 
 
 @given(STEPS)
-def test_calls_ended_and_in_flight_add_up_to_those_taken(steps: list[tuple[str | Outcome, int]]) -> None:
+def test_calls_ended_and_in_flight_add_up_to_those_taken(
+    steps: list[tuple[str | AttemptOutcome, int]],
+) -> None:
     time = Scheduler()
     known = ServerListUpdate(ListKind.CACHED, 1, SERVERS)
     node = Node(read_settings(SETTINGS), 1, VirtualClock(time), known, lambda what, **facts: None)
@@ -56,30 +59,34 @@
     for count, (step, which) in enumerate(steps):
         if step == "ask":
             fronts.append(Front(f"r{count}"))
-            node.ask(fronts[-1].session)
+            node.request_session(fronts[-1].session)
         elif step in ("out", "back"):  # with none left to take it, whoever asks is refused
             for server in SERVERS:
-                node.by_hand(server.name, step == "out", lambda known: None)
+                node.set_operator_override(server.name, step == "out", lambda known: None)
         elif fronts:
             front = fronts[which % len(fronts)]
             placement, session = front.placement, front.session
             if step == "left" and not front.ended and not session.over:
                 left, front.ended = left + 1, True
-                node.left(session)
+                node.client_left(session)
                 if placement is not None:
-                    node.attempt_over(session, placement, Outcome.CANCELLED)
+                    node.attempt_ended(session, placement, AttemptOutcome.CANCELLED)
             elif step == "up" and placement is not None and not session.over:
                 front.answers.append("success")
-                node.placed(session, placement, 1000)
-            elif isinstance(step, Outcome) and placement is not None and (session.stands or not session.over):
+                node.connection_opened(session, placement, 1000)
+            elif (
+                isinstance(step, AttemptOutcome)
+                and placement is not None
+                and (session.stands or not session.over)
+            ):
                 front.placement = None
-                if step is Outcome.OK and not session.stands:
+                if step is AttemptOutcome.OK and not session.stands:
                     front.answers.append("success")
-                node.attempt_over(session, placement, step)
+                node.attempt_ended(session, placement, step)
         time.run(time.now_us + 10_000)
         node.turn(time.now_us)
     told: list[Figures] = []
-    node.figures(told.append)
+    node.read_metrics(told.append)
     node.turn(time.now_us)
     counted = told[0].classes["page-load"]
     answers = [answer for front in fronts for answer in front.answers]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,12 +18,12 @@
 import pytest
 
 from sailrun.connection import Connection
+from sailrun.decisions.actions import MoveReason
+from sailrun.decisions.placement import MASK, key_hash, server_hash
 from sailrun.http_calls import HttpCalls
-from sailrun.interface import Cause
 from sailrun.node.clock import Clock
 from sailrun.node.session import FormSession, server_number
 from sailrun.node.watch import ServerWatch
-from sailrun.rendezvous import MASK, key_hash, server_hash
 from tests.stand_ins import (
     PATIENCE_S,
     SETTINGS,
@@ -263,7 +263,7 @@
     watch.heard_us = 6_800_000  # by the sound one
     assert list(watch.silent(6_900_000)) == [deaf]
     assert list(watch.silent(3_000_000)) == []
-    deaf.moved_for = Cause.SILENT
+    deaf.moved_for = MoveReason.UNRESPONSIVE
     assert list(watch.silent(6_900_000)) == []
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -2,9 +2,21 @@
 
 from __future__ import annotations
 
-from sailrun import decide, tracked
-from sailrun import interface as i
-from sailrun.rendezvous import MASK, key_hash, server_hash
+from sailrun.decisions import balancer as decide
+from sailrun.decisions import endpoints as tracked
+from sailrun.decisions.actions import (
+    DenialReason,
+    FailRequest,
+    LogMessage,
+    MoveConnection,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from sailrun.decisions.events import AttemptOutcome, BackendListUpdate, ConnectionOpened, ListKind, NoticeKind
+from sailrun.decisions.placement import MASK, key_hash, server_hash
+from sailrun.decisions.settings import DedupScope, DiscoveryMode, Effect, RequestClass
 from tests.support import SECOND, Relay, backend, delta, full, settings
 
 FLEET = tuple(range(1, 21))
@@ -35,28 +47,28 @@
     relay.feed(full(1, 2, 3))
     name = relay.ask()
     for _ in range(2):
-        relay.end(name, i.Outcome.ERROR)
+        relay.end(name, AttemptOutcome.ERROR)
         relay.advance(700_000 if len(relay.promises[name].sends) == 2 else 350_000)
     sends = [b for b, _ in relay.promises[name].sends]
     assert len(sends) >= 2 and len(set(sends)) == len(sends)
     lone = Relay()
     lone.feed(full(1))
     name = lone.ask()
-    lone.end(name, i.Outcome.ERROR)
+    lone.end(name, AttemptOutcome.ERROR)
     lone.finish()
     assert len(lone.promises[name].sends) == 1
 
 
 def test_a_keyed_request_fails_once_its_repeats_are_no_longer_dropped() -> None:
-    keyed = i.RequestClass("keyed", 300_000, 1_200_000, 1.0, i.Effect.DEDUPLICATED, i.DedupScope.ALL, 100_000)
+    keyed = RequestClass("keyed", 300_000, 1_200_000, 1.0, Effect.DEDUPLICATED, DedupScope.ALL, 100_000)
     for waited, sends in ((50_000, 2), (150_000, 1)):
         relay = Relay(settings(classes=(keyed,)))
         relay.feed(full(1, 2, 3))
         name = relay.ask("keyed")
         relay.advance(waited)
-        relay.end(name, i.Outcome.RESET)
+        relay.end(name, AttemptOutcome.RESET)
         assert len(relay.promises[name].sends) == sends
-        assert (i.Fail(name, i.Withheld.OUT_OF_ATTEMPTS) in relay.log) == (sends == 1)
+        assert (FailRequest(name, DenialReason.OUT_OF_ATTEMPTS) in relay.log) == (sends == 1)
 
 
 def test_a_heavy_group_does_not_land_whole() -> None:
@@ -83,7 +95,7 @@
     for _ in range(2):  # one alone is chance
         assert relay.sent_to(name) == place
         relay.opened(name)
-        relay.end(name, i.Outcome.RESET)
+        relay.end(name, AttemptOutcome.RESET)
         name = relay.ask(key="hot")
     assert relay.sent_to(name) != place
 
@@ -92,7 +104,7 @@
     relay = relay_with(100)
     gone = busiest(relay)
     for name in [n for n, a in relay.attempts.items() if a.backend == gone]:
-        relay.end(name, i.Outcome.RESET)
+        relay.end(name, AttemptOutcome.RESET)
     again = [relay.ask(key=f"base{n}") for n in range(100)]
     assert gone not in {relay.sent_to(n) for n in again}
 
@@ -100,7 +112,7 @@
 def test_a_relay_cut_off_from_everything_still_tries() -> None:
     relay = Relay()
     relay.feed(full(1))
-    relay.end(relay.ask(key="a"), i.Outcome.CONNECT_FAILED)
+    relay.end(relay.ask(key="a"), AttemptOutcome.CONNECT_FAILED)
     name = relay.ask(key="b")
     assert relay.promises[name].sends, "the only backend is tried though it was just ejected"
 
@@ -109,7 +121,7 @@
     relay = relay_with(0)
     name = relay.ask(key="x")
     place = relay.sent_to(name)
-    relay.end(name, i.Outcome.CONNECT_FAILED)
+    relay.end(name, AttemptOutcome.CONNECT_FAILED)
     relay.advance(1_300_000)
     trial = [relay.ask(key="x") for _ in range(5)]
     assert [relay.sent_to(n) for n in trial].count(place) == 1
@@ -117,14 +129,14 @@
 
 def test_errors_of_a_shared_store_slow_set_ups_down_and_eject_nobody() -> None:
     relay = relay_with(100)
-    sends = len(relay.took(i.Send))
+    sends = len(relay.took(StartAttempt))
     for n in range(300):
         name = relay.ask(key=f"s{n}")
         if name in relay.attempts:
-            relay.end(name, i.Outcome.ERROR)
+            relay.end(name, AttemptOutcome.ERROR)
         relay.advance(5_000)
-    assert len(relay.took(i.Send)) - sends < 150  # one for each request and more without the pace
-    assert not any("ejected" in a.text for a in relay.took(i.Log) if isinstance(a, i.Log))
+    assert len(relay.took(StartAttempt)) - sends < 150  # one for each request and more without the pace
+    assert not any("ejected" in a.text for a in relay.took(LogMessage) if isinstance(a, LogMessage))
 
 
 def test_the_pace_recovers_with_time_without_any_success() -> None:
@@ -132,7 +144,7 @@
     for n in range(100):
         name = relay.ask(key=f"s{n}")
         if name in relay.attempts:
-            relay.end(name, i.Outcome.ERROR)
+            relay.end(name, AttemptOutcome.ERROR)
         relay.advance(5_000)
     relay.advance(15 * SECOND)
     names = [relay.ask(key=f"late{n}") for n in range(20)]
@@ -144,7 +156,7 @@
     for n in range(60):
         relay.ask(key=f"t{n}")
     relay.advance(4 * SECOND)
-    ejected = [a for a in relay.took(i.Log) if isinstance(a, i.Log) and "ejected" in a.text]
+    ejected = [a for a in relay.took(LogMessage) if isinstance(a, LogMessage) and "ejected" in a.text]
     assert len(ejected) < 5
 
 
@@ -152,10 +164,10 @@
     relay = relay_with(400)
     slow = busiest(relay)
     for n, name in enumerate(relay.attempts):
-        relay.notice(name, i.NoticeKind.LOAD, 1000.0 + 7 * n)
+        relay.notice(name, NoticeKind.LOAD, 1000.0 + 7 * n)
     names = [n for n, a in relay.attempts.items() if a.backend == slow]
-    relay.notice(names[0], i.NoticeKind.DELAY, 500.0)
-    moved = [a.request for a in relay.took(i.MoveConnection) if isinstance(a, i.MoveConnection)]
+    relay.notice(names[0], NoticeKind.DELAY, 500.0)
+    moved = [a.request for a in relay.took(MoveConnection) if isinstance(a, MoveConnection)]
     assert 1 <= len(moved) <= len(names) // 3
     assert moved == names[::-1][: len(moved)]
     assert all(relay.sent_to(relay.ask(key=f"n{n}")) != slow for n in range(100))
@@ -165,16 +177,16 @@
     relay = relay_with(400)
     slow = busiest(relay)
     name = next(n for n, a in relay.attempts.items() if a.backend == slow)
-    relay.notice(name, i.NoticeKind.DELAY, 40.0)
-    assert not relay.took(i.MoveConnection)
+    relay.notice(name, NoticeKind.DELAY, 40.0)
+    assert not relay.took(MoveConnection)
 
 
 def test_a_crowded_backend_is_not_flooded_once_it_is_no_longer_crowded() -> None:
     relay = relay_with(400)
     slow = busiest(relay)
     names = [n for n, a in relay.attempts.items() if a.backend == slow]
-    relay.notice(names[0], i.NoticeKind.DELAY, 40.0)
-    relay.notice(names[0], i.NoticeKind.DELAY, 5.0)
+    relay.notice(names[0], NoticeKind.DELAY, 40.0)
+    relay.notice(names[0], NoticeKind.DELAY, 5.0)
     landed = [relay.sent_to(relay.ask(key=f"n{n}")) for n in range(100)]
     assert landed.count(slow) == 0
 
@@ -183,7 +195,7 @@
     relay = relay_with(200)
     for n, (name, attempt) in enumerate(list(relay.attempts.items())):
         heavy = attempt.backend == FLEET[0]
-        relay.notice(name, i.NoticeKind.LOAD, 50_000.0 if heavy else 10_000.0 + n)
+        relay.notice(name, NoticeKind.LOAD, 50_000.0 if heavy else 10_000.0 + n)
     landed = [relay.sent_to(relay.ask(key=f"n{n}")) for n in range(200)]
     assert landed.count(FLEET[0]) == 0
 
@@ -194,8 +206,8 @@
     for n in range(50):
         relay.opened(relay.ask(key=f"k{n}", hint=0.1 * (n + 1) / 3))
     for name in list(relay.attempts):
-        relay.notice(name, i.NoticeKind.LOAD, 1e-7)
-        relay.end(name, i.Outcome.RESET)
+        relay.notice(name, NoticeKind.LOAD, 1e-7)
+        relay.end(name, AttemptOutcome.RESET)
     assert relay.sent_to(relay.ask(key="last"))
 
 
@@ -232,7 +244,7 @@
     relay = relay_with(400)
     gone = busiest(relay)
     for name in [n for n, a in relay.attempts.items() if a.backend == gone]:
-        relay.end(name, i.Outcome.RESET)
+        relay.end(name, AttemptOutcome.RESET)
     relay.advance(3 * SECOND)
     for n in range(400):
         relay.advance(2_000)
@@ -244,16 +256,16 @@
 
 
 def test_a_failed_subscription_is_asked_for_again_with_growing_jitter() -> None:
-    relay = Relay(settings(discovery=i.Discovery.ASK, must_ask_in_us=10 * SECOND))
-    relay.feed(i.ListUpdate(i.ListKind.CACHED, 1, (backend(1),)))
+    relay = Relay(settings(discovery=DiscoveryMode.ASK, poll_interval_us=10 * SECOND))
+    relay.feed(BackendListUpdate(ListKind.CACHED, 1, (backend(1),)))
     waits = []
     for _ in range(8):
-        waits += [a.delay_us for a in relay.took(i.SetTimer) if isinstance(a, i.SetTimer)]
+        waits += [a.delay_us for a in relay.took(SetTimer) if isinstance(a, SetTimer)]
         relay.log.clear()
         relay.advance(8 * SECOND)
-        assert len(relay.took(i.Subscribe)) == 1
+        assert len(relay.took(Subscribe)) == 1
         relay.log.clear()
-        relay.feed(i.ListUpdate(i.ListKind.FAILED))
+        relay.feed(BackendListUpdate(ListKind.FAILED))
     assert max(waits) <= 8 * SECOND and max(waits) > 10 * min(waits)
 
 
@@ -262,8 +274,8 @@
     for n in range(50):
         name = relay.ask(key=f"c{n}")
         if name in relay.attempts:
-            relay.end(name, i.Outcome.CONNECT_FAILED)
-    assert len(relay.took(i.Log)) == 1
+            relay.end(name, AttemptOutcome.CONNECT_FAILED)
+    assert len(relay.took(LogMessage)) == 1
 
 
 def test_a_full_fleet_does_not_flood_the_backend_that_recovers() -> None:
@@ -272,9 +284,9 @@
     for name, attempt in relay.attempts.items():
         first.setdefault(attempt.backend, name)
     for name in first.values():
-        relay.notice(name, i.NoticeKind.DELAY, 45.0)
+        relay.notice(name, NoticeKind.DELAY, 45.0)
     lucky = busiest(relay)
-    relay.notice(first[lucky], i.NoticeKind.DELAY, 5.0)
+    relay.notice(first[lucky], NoticeKind.DELAY, 5.0)
     names = [relay.ask(key=f"n{n}") for n in range(200)]
     assert sum(1 for n in names if n in relay.attempts and relay.sent_to(n) == lucky) == 0
 
@@ -284,7 +296,7 @@
     for name, attempt in relay.attempts.items():
         first.setdefault(attempt.backend, name)
     for name in first.values():
-        relay.notice(name, i.NoticeKind.DELAY, 60.0)
+        relay.notice(name, NoticeKind.DELAY, 60.0)
 
 
 def test_held_requests_of_a_full_fleet_cost_few_looks() -> None:
@@ -313,7 +325,7 @@
     relay = relay_with(400)
     crowded_everywhere(relay)
     hopeless = relay.ask(key="k", left_us=SECOND)  # the notes outlast it
-    assert [a.request for a in relay.took(i.Refuse)][-1:] == [hopeless]  # type: ignore[union-attr]
+    assert [a.request for a in relay.took(RejectRequest)][-1:] == [hopeless]  # type: ignore[union-attr]
     held = relay.ask(key="k", left_us=5 * SECOND)
     assert held not in relay.attempts and not relay.promises[held].over
     relay.advance(SECOND)
@@ -331,7 +343,7 @@
     for n in range(30):
         name = relay.ask(key=f"s{n}")
         if name in relay.attempts:
-            relay.end(name, i.Outcome.ERROR)
+            relay.end(name, AttemptOutcome.ERROR)
     relay.advance(4 * SECOND)
     assert relay.ask(key="late") in relay.attempts, "a pace of one send a second and more gives one in four"
 
@@ -361,11 +373,11 @@
     relay = relay_with(100)
     place = busiest(relay)
     here = [n for n, a in relay.attempts.items() if a.backend == place]
-    relay.end(here[0], i.Outcome.RESET)
+    relay.end(here[0], AttemptOutcome.RESET)
     key = next(f"k{n}" for n in range(10_000) if top(f"k{n}") == place)
     name = relay.ask(key=key)
     assert relay.sent_to(name) == place
-    relay.end(name, i.Outcome.CONNECT_FAILED)
+    relay.end(name, AttemptOutcome.CONNECT_FAILED)
     assert relay.sent_to(name) != place
     assert relay.sent_to(relay.ask(key=key)) == place
 
@@ -375,11 +387,11 @@
     relay = relay_with(100)
     place = busiest(relay)
     for name in [n for n, a in relay.attempts.items() if a.backend == place]:
-        relay.end(name, i.Outcome.RESET)
+        relay.end(name, AttemptOutcome.RESET)
         relay.advance(5_000)
     key = next(f"k{n}" for n in range(10_000) if top(f"k{n}") == place)
     assert relay.sent_to(relay.ask(key=key)) != place
-    assert any("broke all" in line.text for line in relay.took(i.Log) if isinstance(line, i.Log))
+    assert any("broke all" in line.text for line in relay.took(LogMessage) if isinstance(line, LogMessage))
 
 
 def test_set_ups_that_take_long_mark_a_crowd_and_relieve_it() -> None:
@@ -391,8 +403,8 @@
     assert relay.sent_to(name) == place
     attempt = relay.attempts[name]
     attempt.stands = True
-    actions = relay.feed(i.ConnectionOpened(name, attempt.number, place, 300_000))
-    moved = [a.request for a in actions if isinstance(a, i.MoveConnection)]
+    actions = relay.feed(ConnectionOpened(name, attempt.number, place, 300_000))
+    moved = [a.request for a in actions if isinstance(a, MoveConnection)]
     assert moved and all(relay.attempts[m].backend == place for m in moved)
     assert relay.sent_to(relay.ask(key=next(keys))) != place
 
@@ -404,7 +416,7 @@
     relay.advance(300_000)
     for n in range(8):
         name = relay.ask(key=f"e{n}")
-        relay.end(name, i.Outcome.ERROR)
+        relay.end(name, AttemptOutcome.ERROR)
         if name in relay.attempts:
             relay.opened(name)
     names = [relay.ask(key=f"n{n}") for n in range(50)]
@@ -420,7 +432,7 @@
     for _ in range(decide.ERRORS):
         name = relay.ask(key=next(keys))
         assert relay.sent_to(name) == place
-        relay.end(name, i.Outcome.ERROR)
+        relay.end(name, AttemptOutcome.ERROR)
     assert relay.sent_to(relay.ask(key=next(keys))) != place
 
 
@@ -433,9 +445,7 @@
     relay.feed(delta(backend(leaving, 2)))
     moved: list[str] = []
     while relay.now < began + relay.settings.drain_grace_us:
-        new = [
-            a.request for a in relay.took(i.MoveConnection)[len(moved) :] if isinstance(a, i.MoveConnection)
-        ]
+        new = [a.request for a in relay.took(MoveConnection)[len(moved) :] if isinstance(a, MoveConnection)]
         assert len(new) <= len(here) // 3
         moved += new
         relay.advance(50_000)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailrun.platform.figures import SECOND, SLACK_US, Delay, Figures, Load
+from sailrun.text_protocol.figures import SECOND, SLACK_US, Delay, Figures, Load
 
 LEAST_MS = 50 / 3
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,8 +10,20 @@
 
 import pytest
 
-from sailrun import interface as i
-from sailrun.decide import Balancer
+from sailrun.decisions.actions import SetTimer, StartAttempt, Subscribe
+from sailrun.decisions.balancer import Balancer
+from sailrun.decisions.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    BackendListUpdate,
+    ConnectionOpened,
+    Event,
+    FleetLoad,
+    ListKind,
+    RequestArrived,
+    TimerFired,
+)
+from sailrun.decisions.settings import DiscoveryMode
 from tests.support import SECOND, backend, settings
 
 # ---------------------------------------------------------------- the roster, asked by all
@@ -21,11 +33,11 @@
     """All nodes start within 0.3 s before a roster that takes calls in turn, also those it has given up after
     2 s. Returns when each node's watch stood, and the calls of each second.
     """
-    told = settings(discovery=i.Discovery.ASK, must_ask_in_us=10 * SECOND, instances=nodes)
+    told = settings(discovery=DiscoveryMode.ASK, poll_interval_us=10 * SECOND, instances=nodes)
     relays = [Balancer(told, seed * 1_000 + n, 0) for n in range(nodes)]
-    events: list[tuple[int, int, int, i.Event]] = []
+    events: list[tuple[int, int, int, Event]] = []
     order = count()
-    known = i.ListUpdate(i.ListKind.CACHED, 1, (backend(1),))
+    known = BackendListUpdate(ListKind.CACHED, 1, (backend(1),))
     for n in range(nodes):
         heapq.heappush(events, (n * 300_000 // nodes, next(order), n, known))
     stood: dict[int, int] = {}
@@ -36,13 +48,13 @@
         assert now < 120 * SECOND, f"{nodes - len(stood)} nodes are still without a watch"
         for action in relays[n].handle(now, event):
             match action:
-                case i.SetTimer(delay_us, token):
-                    heapq.heappush(events, (now + delay_us, next(order), n, i.TimerFired(token)))
-                case i.Subscribe():
+                case SetTimer(delay_us, token):
+                    heapq.heappush(events, (now + delay_us, next(order), n, TimerFired(token)))
+                case Subscribe():
                     calls[now // SECOND] += 1
                     free_us = max(free_us, now) + int(SECOND / per_s)
                     if free_us - now > 2 * SECOND:
-                        failed = i.ListUpdate(i.ListKind.FAILED)
+                        failed = BackendListUpdate(ListKind.FAILED)
                         heapq.heappush(events, (now + 2 * SECOND, next(order), n, failed))
                     else:
                         stood[n] = free_us
@@ -71,29 +83,31 @@
     at last. The nodes hear every two seconds what the others hold, as a sum.
     """
     random = Random(seed)
-    told = settings(instances=nodes, cold_us=24 * SECOND, cold_from=0.13, fall_us=3 * SECOND)
+    told = settings(
+        instances=nodes, slow_start_us=24 * SECOND, initial_capacity_share=0.13, overload_window_us=3 * SECOND
+    )
     relays = [Balancer(told, seed * 1_000 + n, 0) for n in range(nodes)]
     old = tuple(backend(s) for s in range(10))
     standing: list[tuple[int, str, int]] = []
     for relay in relays:
-        relay.handle(0, i.ListUpdate(i.ListKind.FULL, 1, old))
+        relay.handle(0, BackendListUpdate(ListKind.FULL, 1, old))
     names = count()
     sends: list[int] = []
 
     def come(now: int, n: int) -> None:
         name = f"r{next(names)}"
-        for action in relays[n].handle(now, i.RequestArrived(name, "stream", SECOND, name)):
-            if isinstance(action, i.Send):
+        for action in relays[n].handle(now, RequestArrived(name, "stream", SECOND, name)):
+            if isinstance(action, StartAttempt):
                 if action.backend == 10:
                     sends.append(now)
-                relays[n].handle(now, i.ConnectionOpened(name, 0, action.backend, 10_000))
+                relays[n].handle(now, ConnectionOpened(name, 0, action.backend, 10_000))
                 standing.append((n, name, action.backend))
 
     for _ in range(200):
         come(1, random.randrange(nodes))
     began = 10 * SECOND
     for relay in relays:
-        relay.handle(began, i.ListUpdate(i.ListKind.DELTA, 2, (backend(10, 1, began),)))
+        relay.handle(began, BackendListUpdate(ListKind.DELTA, 2, (backend(10, 1, began),)))
     for now in range(began, began + 24 * SECOND, 100_000):
         if now % (2 * SECOND) == 0:
             held = [relay.holding() for relay in relays]
@@ -102,9 +116,9 @@
                 loads = {s: sum(h[0][s] for h in rest) for s in range(11)}
                 others = sum(h[1] for h in rest)
                 until = now + 7 * SECOND
-                relay.handle(now, i.OthersHold(loads, others, False, nodes, frozenset(), until))
+                relay.handle(now, FleetLoad(loads, others, False, nodes, frozenset(), until))
         n, name, server = standing.pop(random.randrange(len(standing)))
-        relays[n].handle(now, i.AttemptEnded(name, 0, server, i.Outcome.OK, True))
+        relays[n].handle(now, AttemptEnded(name, 0, server, AttemptOutcome.OK, True))
         come(now, random.randrange(nodes))
     return [at - began for at in sends], sum(server == 10 for _, _, server in standing)
 
@@ -135,33 +149,33 @@
 
 def test_what_the_others_hold_bounds_a_form_server_that_looks_empty_from_here() -> None:
     relay = Balancer(settings(instances=40), 1, 0)
-    relay.handle(0, i.ListUpdate(i.ListKind.FULL, 1, tuple(backend(s) for s in range(4))))
+    relay.handle(0, BackendListUpdate(ListKind.FULL, 1, tuple(backend(s) for s in range(4))))
 
     def sent(at: int, name: str) -> int:
-        (action,) = relay.handle(at, i.RequestArrived(name, "stream", SECOND, "k"))
-        assert isinstance(action, i.Send)
-        relay.handle(at, i.ConnectionOpened(name, 0, action.backend, 10_000))
-        relay.handle(at, i.AttemptEnded(name, 0, action.backend, i.Outcome.OK, True))
+        (action,) = relay.handle(at, RequestArrived(name, "stream", SECOND, "k"))
+        assert isinstance(action, StartAttempt)
+        relay.handle(at, ConnectionOpened(name, 0, action.backend, 10_000))
+        relay.handle(at, AttemptEnded(name, 0, action.backend, AttemptOutcome.OK, True))
         return action.backend
 
     home = sent(1, "a")
     crowd = {s: 60.0 if s == home else 10.0 for s in range(4)}
-    relay.handle(2, i.OthersHold(crowd, 90, False, 40, frozenset(), SECOND))
+    relay.handle(2, FleetLoad(crowd, 90, False, 40, frozenset(), SECOND))
     assert sent(3, "b") != home
-    relay.handle(SECOND, i.OthersHold({}, 0, False, 1, frozenset(), SECOND))
+    relay.handle(SECOND, FleetLoad({}, 0, False, 1, frozenset(), SECOND))
     assert sent(SECOND + 1, "c") == home  # what was heard has aged to nothing
 
 
 def test_a_warning_makes_others_come_first_and_lists_nobody() -> None:
     relay = Balancer(settings(instances=40), 1, 0)
-    relay.handle(0, i.ListUpdate(i.ListKind.FULL, 1, (backend(1), backend(2))))
+    relay.handle(0, BackendListUpdate(ListKind.FULL, 1, (backend(1), backend(2))))
     for n in range(20):
         at = 10 + n
-        relay.handle(at, i.OthersHold({1: 20.0, 2: 20.0, 9: 5.0}, 45, False, 40, frozenset({1, 9}), SECOND))
-        (action,) = relay.handle(at, i.RequestArrived(f"r{n}", "stream", SECOND, f"k{n}"))
-        assert isinstance(action, i.Send) and action.backend == 2
-        relay.handle(at, i.ConnectionOpened(f"r{n}", 0, 2, 10_000))
-        relay.handle(at, i.AttemptEnded(f"r{n}", 0, 2, i.Outcome.OK, True))
-    relay.handle(50, i.ListUpdate(i.ListKind.FULL, 2, (backend(1),)))
-    (action,) = relay.handle(60, i.RequestArrived("last", "stream", SECOND, "k"))
-    assert isinstance(action, i.Send) and action.backend == 1  # the only one there is, warned of or not
+        relay.handle(at, FleetLoad({1: 20.0, 2: 20.0, 9: 5.0}, 45, False, 40, frozenset({1, 9}), SECOND))
+        (action,) = relay.handle(at, RequestArrived(f"r{n}", "stream", SECOND, f"k{n}"))
+        assert isinstance(action, StartAttempt) and action.backend == 2
+        relay.handle(at, ConnectionOpened(f"r{n}", 0, 2, 10_000))
+        relay.handle(at, AttemptEnded(f"r{n}", 0, 2, AttemptOutcome.OK, True))
+    relay.handle(50, BackendListUpdate(ListKind.FULL, 2, (backend(1),)))
+    (action,) = relay.handle(60, RequestArrived("last", "stream", SECOND, "k"))
+    assert isinstance(action, StartAttempt) and action.backend == 1  # the only one there is, warned of or not
--- a/tests/test_fleet_rounds.py
+++ b/tests/test_fleet_rounds.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailrun.fleet.digest import NAMES, BadDatagram, Digest, read, room, short, write
-from sailrun.fleet.known import SECOND, Others
-from sailrun.fleet.known import Tier as Known
-from sailrun.fleet.rounds import ASKS, NODE_US, ROUND_US, SELDOM, Holding, Rounds
+from sailrun.load_gossip.digest import NAMES, BadDatagram, Digest, read, room, short, write
+from sailrun.load_gossip.known import SECOND, Others
+from sailrun.load_gossip.known import Tier as Known
+from sailrun.load_gossip.rounds import ASKS, NODE_US, ROUND_US, SELDOM, Holding, Rounds
 
 START_US = 1_796_145_160 * SECOND
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -16,8 +16,8 @@
 import pytest
 
 from sailrun import discovery as discovery_module
+from sailrun.decisions.settings import DiscoveryMode
 from sailrun.discovery import APART_US, ASK_US, CALL_US, LATE_US, SOON_US, WAIT_US, DiscoveryClient
-from sailrun.interface import Discovery
 from sailrun.node.clock import Clock
 from tests.stand_ins import PATIENCE_S, SETTINGS, FormServer, Listener, Peer, node
 from tests.support import settings
@@ -195,7 +195,7 @@
 def test_no_spread_of_calls_takes_more_of_the_time_than_is_its_own(nodes: int) -> None:
     now = 1_000_000_000
     clock = SimpleNamespace(now_us=lambda: now)
-    core = SimpleNamespace(clock=clock, settings=settings(instances=nodes, must_ask_in_us=10_000_000))
+    core = SimpleNamespace(clock=clock, settings=settings(instances=nodes, poll_interval_us=10_000_000))
     latest = 0
     for seed in range(200):
         client = DiscoveryClient(core, ("127.0.0.1", 1), 41, seed)  # type: ignore[arg-type]
@@ -223,7 +223,7 @@
 def test_calls_to_an_agent_of_the_nodes_own_are_not_spread() -> None:
     # What an agent has counts as told at once: whatever failed there, the next call begins right away.
     clock = SimpleNamespace(now_us=lambda: 1_000_000_000)
-    pushed = settings(instances=200, discovery=Discovery.PUSH)
+    pushed = settings(instances=200, discovery=DiscoveryMode.PUSH)
     core = SimpleNamespace(clock=clock, settings=pushed, discovery_failed=lambda why: None)
     for seed in range(200):
         client = DiscoveryClient(core, ("127.0.0.1", 1), 41, seed)  # type: ignore[arg-type]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).parent.parent
 # Modules that once imported each other.
 PARTED = [
-    ("sailrun.owners.service", "sailrun.replica.service"),
+    ("sailrun.leadership.service", "sailrun.replication.service"),
     ("sailrun.lab.virtual", "sailrun.lab.seeing"),
 ]
 Graph = dict[str, set[str]]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,16 +9,16 @@
 
 import pytest
 
-from sailrun.interface import Backend, BackendState
+from sailrun.decisions.events import Backend, BackendState
 from sailrun.lab.checks import RuleBook
 from sailrun.lab.experiments import EXPERIMENTS
 from sailrun.lab.figures import even_after, fewest_moves
 from sailrun.lab.form_servers import FormServerModel, Held, Phase
 from sailrun.lab.run import Request, play
-from sailrun.lab.terms import SECOND, WorldTerms
+from sailrun.lab.settings import SECOND, WorldSettings
 from sailrun.lab.virtual import VirtualDay, Visit
 from sailrun.node.core import Node
-from sailrun.rebalance.terms import RebalanceTerms
+from sailrun.rebalance.settings import RebalanceSettings
 
 
 def lab(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -101,7 +101,7 @@
 
 
 def test_a_decision_that_forgets_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    from sailrun.decide import Balancer
+    from sailrun.decisions.balancer import Balancer
 
     entry = Balancer._entry
 
@@ -113,8 +113,8 @@
     def one_drains(day: VirtualDay) -> None:
         day.drain(next(iter(day.servers.values())), 20 * SECOND)
 
-    terms = WorldTerms(households=300, form_servers=4, seconds=12.0)
-    day = VirtualDay(terms, 3, RebalanceTerms(), one_drains)  # type: ignore[arg-type]
+    terms = WorldSettings(households=300, form_servers=4, seconds=12.0)
+    day = VirtualDay(terms, 3, RebalanceSettings(), one_drains)  # type: ignore[arg-type]
     held = {check.name: check.holds for check in day.run()}
     assert not held["drains-kept"]
 
@@ -140,7 +140,7 @@
 
 
 def model(started_us: int = 0) -> FormServerModel:
-    terms = WorldTerms(form_servers=2, households=20)
+    terms = WorldSettings(form_servers=2, households=20)
     return FormServerModel(terms, 1, "s-1", "a", 2e6, 0.13, 24 * SECOND, started_us=started_us)
 
 
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -14,7 +14,13 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from sailrun import interface as i
+from sailrun.decisions.events import (
+    BACKEND_SNAPSHOT_FIELDS,
+    SETUP_RATE_FIELDS,
+    BackendSnapshot,
+    SetupRateSnapshot,
+    StateSnapshot,
+)
 from sailrun.lab.faults import disk
 from sailrun.lab.faults.disk import SimFiles
 from sailrun.lab.faults.killing import cut_at, entry_of, everything, kill_often, last_of, write
@@ -22,25 +28,25 @@
 from sailrun.lab.faults.play import LASTING, FaultDay, agent_terms, play_virtual
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.lasting import beliefs
-from sailrun.lasting import entries as e
-from sailrun.lasting.files import OsFiles
-from sailrun.lasting.folder import Folder, Found, Sound, read_folder
-from sailrun.lasting.frames import FRAME_BYTES, HEAD_BYTES, NewerSchema
-from sailrun.lasting.messages import Stand
-from sailrun.lasting.standing import GRACE_US, Own, Standing, Trust
-from sailrun.lasting.terms import LastingTerms
-from sailrun.lasting.write_ahead_log import Disk, WriteAheadLog
-from sailrun.lasting.writer import Writer
-from sailrun.owners.agent import Out
-from sailrun.owners.messages import Ask, Grant
-from sailrun.owners.voter import Slot
-from sailrun.replica.messages import Op
-from sailrun.replica.records import written
-from sailrun.replica.replica import Answer, Replica
+from sailrun.leadership.agent import Out
+from sailrun.leadership.messages import Ask, Grant
+from sailrun.leadership.voter import Slot
+from sailrun.replication.messages import Op
+from sailrun.replication.records import written
+from sailrun.replication.replica import Answer, Replica
+from sailrun.storage import beliefs
+from sailrun.storage import entries as e
+from sailrun.storage.files import OsFiles
+from sailrun.storage.folder import Folder, Found, Sound, read_folder
+from sailrun.storage.frames import FRAME_BYTES, HEAD_BYTES, NewerSchema
+from sailrun.storage.messages import Stand
+from sailrun.storage.settings import StorageSettings
+from sailrun.storage.standing import GRACE_US, Own, Standing, Trust
+from sailrun.storage.write_ahead_log import Disk, WriteAheadLog
+from sailrun.storage.writer import Writer
 
 SECOND = 1_000_000
-TERMS = LastingTerms(folder="folder")
+TERMS = StorageSettings(folder="folder")
 
 
 def kept(most: int = 60, seed: int = 1) -> SimFiles:
@@ -260,7 +266,7 @@
 # ---------------------------------------------------------------------- the write-ahead log
 
 
-def a_log(terms: LastingTerms = TERMS) -> tuple[WriteAheadLog, Writer, SimFiles]:
+def a_log(terms: StorageSettings = TERMS) -> tuple[WriteAheadLog, Writer, SimFiles]:
     files = SimFiles()
     wal = WriteAheadLog(terms, SECOND, 0, frozenset())
     wal.renew(bytes(16))
@@ -324,7 +330,7 @@
 
 
 def test_more_than_the_queue_bears_is_written_as_a_whole() -> None:
-    wal, writer, files = a_log(LastingTerms(folder="f", queue_mb=0.1))
+    wal, writer, files = a_log(StorageSettings(folder="f", queue_mb=0.1))
     step(wal, writer, 0)
     wal.whole = lambda: list(everything(4000))
     for n in range(4000):
@@ -416,26 +422,33 @@
 # ---------------------------------------------------------------------- beliefs
 
 
-def learned(number: int, ejected_until: int) -> i.Learned:
-    values: dict[str, Any] = dict.fromkeys(i.LEARNED, 0) | {"id": number, "started_us": 5, "limit": 8.0}
-    return i.Learned(**{**values, "ejected_until": ejected_until, "ejections": 2, "trial": True})
+def learned(number: int, ejected_until_us: int) -> BackendSnapshot:
+    values: dict[str, Any] = dict.fromkeys(BACKEND_SNAPSHOT_FIELDS, 0) | {
+        "id": number,
+        "started_us": 5,
+        "load_limit": 8.0,
+    }
+    return BackendSnapshot(
+        **{**values, "ejected_until_us": ejected_until_us, "ejections": 2, "half_open": True}
+    )
 
 
 def test_what_was_learned_counts_less_the_older_it_is() -> None:
     now_us = 1_800_000_000 * SECOND
-    pace = tuple({"sends": 100.0, "succeeding": 0.5}.get(name, 1.0) for name in i.PACE)
-    told = i.Recalled((learned(1, now_us + 40 * SECOND), learned(2, 0)), pace, {"page-load": (3.0, 8)})
+    values = {"recent_attempts": 100.0, "success_share": 0.5}
+    rate = SetupRateSnapshot(*(values.get(name, 1.0) for name in SETUP_RATE_FIELDS))
+    told = StateSnapshot((learned(1, now_us + 40 * SECOND), learned(2, 0)), rate, {"page-load": (3.0, 8)})
     content = beliefs.pack(now_us, told, {1: "s-1", 2: "s-2"})
     numbers = {"s-1": (1, 5), "s-2": (2, 6)}  # the second is another process by now
     fresh = beliefs.unpack(content, now_us, 100.0, numbers)
     assert fresh is not None and [b.id for b in fresh.backends] == [1]
-    assert fresh.backends[0].ejected_until == now_us + 40 * SECOND
+    assert fresh.backends[0].ejected_until_us == now_us + 40 * SECOND
     later_us = now_us + 30 * SECOND
     later = beliefs.unpack(content, later_us, 30.0, numbers)
     assert later is not None
-    assert later.backends[0].ejected_until == now_us + 40 * SECOND  # never for longer than it was to be
-    assert later.backends[0].limit == 16.0
-    assert dict(zip(i.PACE, later.pace, strict=True))["sends"] == 50
+    assert later.backends[0].ejected_until_us == now_us + 40 * SECOND  # never for longer than it was to be
+    assert later.backends[0].load_limit == 16.0
+    assert later.setup_rate is not None and later.setup_rate.recent_attempts == 50
     assert later.class_load == {"page-load": (3.0, 4)}
     assert beliefs.unpack(content, now_us + 300 * SECOND, 30.0, numbers) is None
     # A clock that was set back by a year: how old that is, nobody knows.
--- a/tests/test_lasting_processes.py
+++ b/tests/test_lasting_processes.py
@@ -17,8 +17,8 @@
 import tomli_w
 
 from sailrun.lab.faults.play import FaultDay, Played, play_real
-from sailrun.lasting.files import OsFiles
-from sailrun.lasting.folder import Sound, read_folder
+from sailrun.storage.files import OsFiles
+from sailrun.storage.folder import Sound, read_folder
 from tests.stand_ins import PATIENCE_S, FormServer, Roster, free_port, node
 from tests.test_fleet_processes import Fleet, free, staff
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,18 +5,20 @@
 import mmh3
 import pytest
 
-from sailrun import decide, tracked
-from sailrun import interface as i
-from sailrun.decide import Balancer
-from sailrun.rendezvous import KEY_SEED, MASK, SERVER_SEED, key_hash, server_hash
+from sailrun.decisions import balancer as decide
+from sailrun.decisions import endpoints as tracked
+from sailrun.decisions.actions import StartAttempt
+from sailrun.decisions.balancer import Balancer
+from sailrun.decisions.events import RequestArrived
+from sailrun.decisions.placement import KEY_SEED, MASK, SERVER_SEED, key_hash, server_hash
 from tests.support import full, settings
 
 
 def landing(ids: tuple[int, ...], key: str, seed: int = 1, group: str | None = None) -> int:
     balancer = Balancer(settings(), seed, 0)
     balancer.handle(0, full(*ids))
-    (send,) = balancer.handle(1, i.RequestArrived("r", "stream", 1_200_000, key=key, group_key=group))
-    assert isinstance(send, i.Send)
+    (send,) = balancer.handle(1, RequestArrived("r", "stream", 1_200_000, key=key, group_key=group))
+    assert isinstance(send, StartAttempt)
     return send.backend
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -15,10 +15,10 @@
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import agent_terms
 from sailrun.lab.faults.virtual import VirtualFleet
-from sailrun.members.messages import Record, State
-from sailrun.members.swim import Members
-from sailrun.members.terms import MembersTerms
-from sailrun.owners.envelope import LONGEST_DATAGRAM, BadMessage, unpack
+from sailrun.leadership.envelope import LONGEST_DATAGRAM, BadMessage, unpack
+from sailrun.membership.messages import Record, State
+from sailrun.membership.settings import MembershipSettings
+from sailrun.membership.swim import Members
 
 SECOND = 1_000_000
 
@@ -102,7 +102,7 @@
     made = fleet(4)
     made.run(5.0)
     second = Record("n2", 77, 1, State.ALIVE, "10.0.0.99:1", "z0")
-    impostor = Members(second, MembersTerms(join=("10.0.0.0:1",)), 1, 0)
+    impostor = Members(second, MembershipSettings(join=("10.0.0.0:1",)), 1, 0)
     holder, asked = made.nodes["n2"].agent, made.nodes["n0"].agent
     assert holder is not None and asked is not None
     now_us = made.clock_us(made.nodes["n0"])
@@ -158,7 +158,7 @@
     luck.shuffle(shuffled)  # type: ignore[attr-defined]
     views = []
     for order in (records, shuffled, records + shuffled):
-        members = Members(Record("me", 9, 1, State.ALIVE, "10.0.0.1:1"), MembersTerms(), 1, 0)
+        members = Members(Record("me", 9, 1, State.ALIVE, "10.0.0.1:1"), MembershipSettings(), 1, 0)
         members.hear_news(0, first + order, "a")
         views.append([r for r, _ in members.known()])
     assert views[0] == views[1] == views[2]
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -26,7 +26,7 @@
 
 def test_the_decisions_name_their_interface_first() -> None:
     text = (ROOT / DECISIONS[0]).read_text()
-    assert "sailrun/interface.py" in (ast.get_docstring(ast.parse(text)) or "").splitlines()[0]
+    assert "sailrun/decisions/events.py" in (ast.get_docstring(ast.parse(text)) or "").splitlines()[0]
 
 
 @pytest.mark.parametrize("path", DECISIONS)
@@ -51,7 +51,12 @@
         "typing",
         "mmh3",
         "sailrun",
-        "sailrun.validate",
+        "sailrun.decisions",
+        "sailrun.decisions.actions",
+        "sailrun.decisions.events",
+        "sailrun.decisions.settings",
+        "sailrun.decisions.snapshot",
+        "sailrun.decisions.validation",
         *(path.removesuffix(".py").replace("/", ".") for path in DECISIONS),
     }
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from sailrun.operator import Operator, read_operator, schema
-from sailrun.rebalance.terms import RebalanceTerms
+from sailrun.operator_settings import Operator, read_operator, schema
+from sailrun.rebalance.settings import RebalanceSettings
 from tests.stand_ins import PATIENCE_S, Roster, RunningNode, sidecar
 from tests.test_both_fronts import FRONTS, FormServerOfBoth
 
@@ -104,5 +104,5 @@
     deploy = Path(__file__).parent.parent / "deploy"
     assert read_operator(deploy / "operator.toml") == Operator()
     shown = tomllib.loads((deploy / "operator.toml").read_text())
-    assert set(shown["rebalance"]) == set(RebalanceTerms.__struct_fields__)
+    assert set(shown["rebalance"]) == set(RebalanceSettings.__struct_fields__)
     assert json.loads((deploy / "operator.schema.json").read_text()) == schema()
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -12,12 +12,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from sailrun.bad_config import BadConfig
-from sailrun.lasting import entries
-from sailrun.members.messages import Record, State, eligible
-from sailrun.operator import read_operator, voters_follow
-from sailrun.owners.founding import founding_term
-from sailrun.owners.leases import Leases, best_placed
-from sailrun.owners.messages import (
+from sailrun.leadership.founding import founding_term
+from sailrun.leadership.leases import Leases, best_placed
+from sailrun.leadership.messages import (
     Ask,
     Deny,
     DrainRequest,
@@ -29,17 +26,20 @@
     Say,
     Want,
 )
-from sailrun.owners.pace import LENT_US, PaceCoordinator, PaceShare
-from sailrun.owners.permits import DRAIN, OUT, PermitCoordinator, PermitHolder
-from sailrun.owners.quorum import Voters
-from sailrun.owners.reader import Reading
-from sailrun.owners.rolling_drain import RollingDrains
-from sailrun.owners.terms import OwnersTerms, PermitsTerms, ReaderTerms
-from sailrun.owners.voter import Voter, abstain_us
+from sailrun.leadership.pace import LENT_US, PaceCoordinator, PaceShare
+from sailrun.leadership.permits import DRAIN, OUT, PermitCoordinator, PermitHolder
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.reader import Reading
+from sailrun.leadership.rolling_drain import RollingDrains
+from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
+from sailrun.leadership.voter import Voter, abstain_us
+from sailrun.membership.messages import Record, State, eligible
+from sailrun.operator_settings import read_operator, voters_follow
+from sailrun.storage import entries
 
 SECOND = 1_000_000
-TERMS = OwnersTerms(enabled=True, voters=("a", "b", "c"))
-PERMITS = PermitsTerms(enabled=True, drains=1, out=2, lease_s=4.0)
+TERMS = LeadershipSettings(enabled=True, voters=("a", "b", "c"))
+PERMITS = PermitSettings(enabled=True, drains=1, out=2, lease_s=4.0)
 
 
 def voter(now_us: int = 0, remembers: bool = True) -> Voter:
@@ -115,8 +115,8 @@
 
 def test_voters_are_exchanged_through_a_stage_in_which_both_are_asked() -> None:
     before = TERMS
-    both = OwnersTerms(enabled=True, voters=("a", "b", "d"), voters_before=("a", "b", "c"), revision=2)
-    after = OwnersTerms(enabled=True, voters=("a", "b", "d"), revision=2)
+    both = LeadershipSettings(enabled=True, voters=("a", "b", "d"), voters_before=("a", "b", "c"), revision=2)
+    after = LeadershipSettings(enabled=True, voters=("a", "b", "d"), revision=2)
     assert (before.stage, both.stage, after.stage) == (2, 3, 4)
     assert not Voters(both).majority({"b", "d"}) and Voters(both).majority({"a", "b"})
     assert Voters(both).majority({"a", "c", "d"})
@@ -124,7 +124,7 @@
         assert Voters(one).allows(other.stage) is allowed
         assert (voters_follow(one, other) is None) is allowed
     assert not Voters(both).allows(before.stage)
-    other = OwnersTerms(enabled=True, voters=("a", "b", "e"), revision=2)
+    other = LeadershipSettings(enabled=True, voters=("a", "b", "e"), revision=2)
     assert voters_follow(both, other) is not None
 
 
@@ -323,12 +323,12 @@
 
 
 def test_an_older_list_is_never_taken_and_silence_has_a_node_read_for_itself() -> None:
-    reader, node = (Reading("r:1", ReaderTerms(), 0) for _ in range(2))
+    reader, node = (Reading("r:1", ListReaderSettings(), 0) for _ in range(2))
     reader.read(7, [{"id": "s-1"}])
     assert node.told(0, reader.answer(["r:1", -1])) == [{"id": "s-1"}]
     assert node.told(0, reader.answer(["r:1", 7])) is None and node.revision == 7
     assert not node.reads(2_900_000) and node.reads(3_000_000)
-    stale = Reading("r:1", ReaderTerms(), 0)
+    stale = Reading("r:1", ListReaderSettings(), 0)
     stale.read(6, [])
     assert node.told(4_000_000, stale.answer(["r:1", 5])) is None and node.refused == 1
     assert node.reads(4_000_000)  # a reader that is behind counts as silent
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sailrun import interface as i
+from sailrun.decisions.events import AttemptOutcome, FleetLoad
 from tests.support import SECOND, Relay, backend, delta, full, settings
 
 WARM, COLD, STARTED = tuple(range(1, 9)), 99, 20 * SECOND
@@ -22,7 +22,7 @@
         others = {b: load - held.count(b) for b, load in loads.items()}
         until = relay.now + 16 * SECOND
         count = int(sum(others.values()))
-        relay.feed(i.OthersHold(others, count, False, len(tier), frozenset(), until))
+        relay.feed(FleetLoad(others, count, False, len(tier), frozenset(), until))
 
 
 @pytest.mark.parametrize("per_backend", [10, 20])
@@ -51,7 +51,7 @@
             entry = delta(backend(COLD, 1, starts.pop(0)))
             for relay in tier:
                 for name in [n for n, a in relay.attempts.items() if a.backend == COLD]:
-                    relay.end(name, i.Outcome.RESET)
+                    relay.end(name, AttemptOutcome.RESET)
                 relay.feed(entry)
         if not starts:
             starts = [10**15]
@@ -71,14 +71,18 @@
                 if place == COLD:
                     sent.append(relay.now)
                 else:
-                    relay.end(name, i.Outcome.OK)
+                    relay.end(name, AttemptOutcome.OK)
         if told and step % SUM_EVERY == SUM_EVERY - 1:
             tell_sums(tier)
-    cold = [at for at in sent if at < STARTED + first.cold_us]
+    cold = [at for at in sent if at < STARTED + first.slow_start_us]
     assert cold, "a cold form server is not starved"
     for at in cold:
         since = at - (STARTED + 3 * SECOND if at >= STARTED + 3 * SECOND else STARTED)
-        share = first.cold_from + (1 - first.cold_from) * since / first.cold_us
-        budget = first.fall_multiple * share * per_backend * first.fall_us / first.cold_us
-        window = sum(1 for s in cold if at - first.fall_us < s <= at)
+        share = (
+            first.initial_capacity_share + (1 - first.initial_capacity_share) * since / first.slow_start_us
+        )
+        budget = (
+            first.overload_multiple * share * per_backend * first.overload_window_us / first.slow_start_us
+        )
+        window = sum(1 for s in cold if at - first.overload_window_us < s <= at)
         assert window <= budget + 3 * math.sqrt(budget) + 3
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -9,7 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailrun.interface import Backend, BackendState, ListKind, Outcome, RequestClass, Settings
+from sailrun.decisions.events import AttemptOutcome, Backend, BackendState, ListKind
+from sailrun.decisions.settings import RequestClass, Settings
 from sailrun.rebalance.balance import Orders, Rebalancer
 from sailrun.rebalance.connection_table import ConnectionTable, Standing
 from sailrun.rebalance.gossip import (
@@ -24,7 +25,7 @@
     write,
 )
 from sailrun.rebalance.pace import Pace
-from sailrun.rebalance.terms import RebalanceTerms
+from sailrun.rebalance.settings import RebalanceSettings
 
 SECOND = 1_000_000
 START = 100 * SECOND
@@ -35,10 +36,10 @@
         zone="a",
         classes=(RequestClass("page-load", 500_000, 2_000_000),),
         drain_grace_us=2 * SECOND,
-        cold_from=0.13,
-        cold_us=24 * SECOND,
-        fall_multiple=3.0,
-        fall_us=3 * SECOND,
+        initial_capacity_share=0.13,
+        slow_start_us=24 * SECOND,
+        overload_multiple=3.0,
+        overload_window_us=3 * SECOND,
         instances=nodes,
         index=index,
         peer_messages=nodes > 1,
@@ -61,7 +62,7 @@
     notes: list[dict[str, object]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.it = Rebalancer(RebalanceTerms(enabled=True), settings(self.nodes), self.now_us)
+        self.it = Rebalancer(RebalanceSettings(enabled=True), settings(self.nodes), self.now_us)
         self.it.listed(self.now_us, ListKind.FULL, servers(self.count))
 
     def held(self) -> dict[int, int]:
@@ -97,7 +98,7 @@
                 for name in orders.moves:
                     self.moved.append(name)
                     household = self.it.connections.standing[name].group
-                    self.it.ended(self.now_us, name, Outcome.CANCELLED)
+                    self.it.ended(self.now_us, name, AttemptOutcome.CANCELLED)
                     self.stand(f"{name}+", self.place or self.emptiest(), household, returned=True)
                 self.notes += orders.notes
                 found.append(orders)
@@ -212,7 +213,7 @@
     bench.crowd(1, 40)
     bench.stand("a", 1, "home")
     bench.stand("b", 1, "home")
-    bench.it.ended(bench.now_us, "a", Outcome.RESET)
+    bench.it.ended(bench.now_us, "a", AttemptOutcome.RESET)
     bench.look(2.9)
     assert "b" not in bench.moved
 
@@ -386,7 +387,7 @@
 def test_cores_spare_a_form_server_that_is_used_little() -> None:
     for load, moves in ((10_000.0, False), (60_000.0, True)):
         bench = Bench()
-        bench.it = Rebalancer(RebalanceTerms(enabled=True, cores=2.0), settings(), bench.now_us)
+        bench.it = Rebalancer(RebalanceSettings(enabled=True, cores=2.0), settings(), bench.now_us)
         bench.it.listed(bench.now_us, ListKind.FULL, servers(bench.count))
         bench.crowd(1, 40)
         for name in list(bench.it.connections.standing):
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -11,30 +11,30 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sailrun.interface import ListKind
+from sailrun.decisions.events import ListKind
 from sailrun.lab.faults.explore_copies import explore_copies
 from sailrun.lab.faults.linear import Operation, first_fault, linearizable
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import FaultDay, agent_terms, play_virtual
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.members.messages import Record as MemberRecord
-from sailrun.members.messages import State
-from sailrun.members.swim import Members
-from sailrun.members.terms import MembersTerms
+from sailrun.leadership.envelope import BadMessage, Envelope, pack, unpack
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.settings import LeadershipSettings
+from sailrun.membership.messages import Record as MemberRecord
+from sailrun.membership.messages import State
+from sailrun.membership.settings import MembershipSettings
+from sailrun.membership.swim import Members
 from sailrun.node.peer_beliefs import PeerBeliefs
-from sailrun.owners.envelope import BadMessage, Envelope, pack, unpack
-from sailrun.owners.quorum import Voters
-from sailrun.owners.terms import OwnersTerms
-from sailrun.replica import messages
-from sailrun.replica.acceptor import consistent
-from sailrun.replica.beliefs import Belief, Voice, heard
-from sailrun.replica.lists import keep_list, kept_list
-from sailrun.replica.marks import Mark, standing
-from sailrun.replica.marks import pack as pack_mark
-from sailrun.replica.messages import Busy, Given, Op, Put, Take
-from sailrun.replica.pulls import Giver
-from sailrun.replica.records import (
+from sailrun.replication import messages
+from sailrun.replication.acceptor import consistent
+from sailrun.replication.beliefs import Belief, Voice, heard
+from sailrun.replication.lists import keep_list, kept_list
+from sailrun.replication.marks import Mark, standing
+from sailrun.replication.marks import pack as pack_mark
+from sailrun.replication.messages import Busy, Given, Op, Put, Take
+from sailrun.replication.pulls import Giver
+from sailrun.replication.records import (
     STRONG,
     BadRecord,
     Record,
@@ -43,10 +43,10 @@
     merge,
     written,
 )
-from sailrun.replica.replica import Answer, Replica
-from sailrun.replica.store import ALL, RANGES, Store, Took, range_of
-from sailrun.replica.sync import FORGOTTEN
-from sailrun.replica.terms import ReplicaTerms
+from sailrun.replication.replica import Answer, Replica
+from sailrun.replication.settings import ReplicationSettings
+from sailrun.replication.store import ALL, RANGES, Store, Took, range_of
+from sailrun.replication.sync import FORGOTTEN
 from tests.support import Relay, full, ten_seconds
 
 SECOND = 1_000_000
@@ -124,7 +124,7 @@
 
 
 def a_store(**terms: Any) -> Store:
-    return Store(ReplicaTerms(enabled=True, **terms), b"fleet")
+    return Store(ReplicationSettings(enabled=True, **terms), b"fleet")
 
 
 def test_a_full_copy_refuses_what_is_soft_and_still_takes_marks() -> None:
@@ -219,15 +219,15 @@
 
 def replica(name: str = "n1", **terms: Any) -> Replica:
     members = Members(
-        MemberRecord(name, 1, 1, State.ALIVE, name), MembersTerms(enabled=True, name=name), 1, 0
+        MemberRecord(name, 1, 1, State.ALIVE, name), MembershipSettings(enabled=True, name=name), 1, 0
     )
     others = [MemberRecord(f"n{n}", n, 1, State.ALIVE, f"n{n}") for n in range(1, 5) if f"n{n}" != name]
     members.hear_news(0, others, others[0].name)
-    owners = OwnersTerms(enabled=True, voters=("n1", "n2", "n3"))
+    owners = LeadershipSettings(enabled=True, voters=("n1", "n2", "n3"))
     made = Replica(
         name,
         1,
-        ReplicaTerms(enabled=True, **terms),
+        ReplicationSettings(enabled=True, **terms),
         "f",
         members,
         lambda: Voters(owners),
@@ -332,7 +332,7 @@
     store = a_store()
     for n in range(400):
         store.put(0, written(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x" * 200))
-    giver = Giver(ReplicaTerms(enabled=True, takers=3, give_kb_s=100.0, page_kb=16))
+    giver = Giver(ReplicationSettings(enabled=True, takers=3, give_kb_s=100.0, page_kb=16))
     ranges = list(range(RANGES))
     answers = [giver.asked(0, f"t{n}", Take(1, 0, ranges, None), store, True) for n in range(100)]
     assert sum(isinstance(a, Given) for a in answers) <= 3
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,8 +9,9 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from sailrun import interface as i
-from sailrun.rendezvous import MASK, key_hash, server_hash
+from sailrun.decisions.events import AttemptOutcome, BackendListUpdate, ListKind, NoticeKind
+from sailrun.decisions.placement import MASK, key_hash, server_hash
+from sailrun.decisions.settings import DiscoveryMode
 from tests.support import SECOND, Relay, backend, delta, full, settings
 
 STEP = st.one_of(
@@ -19,7 +20,7 @@
     st.tuples(st.just("left"), st.sampled_from([0, 1, 3_000, 40_000, 300_000]), st.integers(0, 9)),
     st.tuples(st.just("mid"), st.integers(0, 9), st.just(0)),
     st.tuples(st.just("open"), st.integers(0, 99), st.just(0)),
-    st.tuples(st.just("end"), st.integers(0, 99), st.sampled_from(list(i.Outcome))),
+    st.tuples(st.just("end"), st.integers(0, 99), st.sampled_from(list(AttemptOutcome))),
     st.tuples(st.just("leave"), st.integers(0, 99), st.just(0)),
     st.tuples(st.just("state"), st.integers(1, 6), st.integers(0, 2)),
     st.tuples(st.just("restart"), st.integers(1, 6), st.integers(0, 30)),
@@ -55,7 +56,7 @@
         assert isinstance(a, set)
         relay.feed(full(*sorted(a)))
     elif kind == "failed":
-        relay.feed(i.ListUpdate(i.ListKind.FAILED))
+        relay.feed(BackendListUpdate(ListKind.FAILED))
     elif kind == "wait":
         assert isinstance(a, int)
         relay.advance(a)
@@ -69,21 +70,21 @@
         if kind == "open":
             relay.opened(name)
         elif kind == "end":
-            assert isinstance(b, i.Outcome)
-            if b is not i.Outcome.OK or relay.attempts[name].stands:
+            assert isinstance(b, AttemptOutcome)
+            if b is not AttemptOutcome.OK or relay.attempts[name].stands:
                 relay.end(name, b)
         elif kind == "leave":
             relay.leave(name)
         else:
             assert isinstance(b, (int, float))
-            relay.notice(name, i.NoticeKind.DELAY if kind == "delay" else i.NoticeKind.LOAD, b)
+            relay.notice(name, NoticeKind.DELAY if kind == "delay" else NoticeKind.LOAD, b)
 
 
-@given(st.lists(STEP, max_size=60), st.sampled_from([i.Discovery.PUSH, i.Discovery.ASK]), st.booleans())
+@given(st.lists(STEP, max_size=60), st.sampled_from([DiscoveryMode.PUSH, DiscoveryMode.ASK]), st.booleans())
 @profile(derandomize=True, deadline=None, max_examples=300)
-def test_rules_hold_over_any_sequence(steps: list, discovery: i.Discovery, passing: bool) -> None:  # type: ignore[type-arg]
-    relay = Relay(settings(discovery=discovery, must_ask_in_us=10 * SECOND, pass_through=passing))
-    relay.feed(replace(full(1, 2, 3, 4, 5), kind=i.ListKind.CACHED))
+def test_rules_hold_over_any_sequence(steps: list, discovery: DiscoveryMode, passing: bool) -> None:  # type: ignore[type-arg]
+    relay = Relay(settings(discovery=discovery, poll_interval_us=10 * SECOND, pass_through=passing))
+    relay.feed(replace(full(1, 2, 3, 4, 5), kind=ListKind.CACHED))
     for step in steps:
         _play(relay, step)
         relay.check_answers()
@@ -137,14 +138,16 @@
                         sent.append(relay.now)
                     relay.opened(name)
                     if relay.sent_to(name) != cold:
-                        relay.end(name, i.Outcome.OK)
+                        relay.end(name, AttemptOutcome.OK)
     first = tier[0].settings
     assert sent, "a cold backend is not starved"
     for at in sent:
-        share = first.cold_from + (1 - first.cold_from) * min(1.0, (at - started) / first.cold_us)
-        window = sum(1 for s in sent if at - first.fall_us < s <= at)
+        share = first.initial_capacity_share + (1 - first.initial_capacity_share) * min(
+            1.0, (at - started) / first.slow_start_us
+        )
+        window = sum(1 for s in sent if at - first.overload_window_us < s <= at)
         slack = 3  # chance: relays do not know of each other
-        assert window <= first.fall_multiple * share * per_backend + slack
+        assert window <= first.overload_multiple * share * per_backend + slack
         standing = sum(1 for s in sent if s <= at)
         assert standing <= 2 * share * per_backend + slack
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -51,8 +51,8 @@
 )
 from sailrun.lab.scale.role_table import is_of_role, role_lines
 from sailrun.lab.scale.roles import MEASURES, NodeUse, role_figures, roles_of, use_between
-from sailrun.lab.scale.terms import node_terms
-from sailrun.owners.traffic import Traffic
+from sailrun.lab.scale.settings import node_terms
+from sailrun.leadership.traffic import Traffic
 
 SECOND = 1_000_000
 SMALL = ScalePlan(nodes=3, hollow=60, seconds=3.0)
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -8,12 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sailrun.owners.quorum import Voters
-from sailrun.owners.terms import OwnersTerms
-from sailrun.rendezvous import MASK, key_hash
-from sailrun.shards.assigner import Assigner
-from sailrun.shards.fence import TokenFence
-from sailrun.shards.messages import (
+from sailrun.decisions.placement import MASK, key_hash
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.settings import LeadershipSettings
+from sailrun.sharding.assigner import Assigner
+from sailrun.sharding.fence import TokenFence
+from sailrun.sharding.messages import (
     MOST_CHANGED,
     Change,
     ReadTable,
@@ -28,15 +28,15 @@
     Token,
     WriteTable,
 )
-from sailrun.shards.placement import Placement, node_hash, shard_key
-from sailrun.shards.register import TableAcceptor, TableWriter, next_state
-from sailrun.shards.session import NodeSession
-from sailrun.shards.terms import RegionTerms, ShardsTerms
+from sailrun.sharding.placement import Placement, node_hash, shard_key
+from sailrun.sharding.register import TableAcceptor, TableWriter, next_state
+from sailrun.sharding.session import NodeSession
+from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 SECOND = 1_000_000
 VOTERS = ("c1", "c2", "c3")
-REGION = RegionTerms(name="east", shards=60, voters=VOTERS)
-TERMS = ShardsTerms(enabled=True, lease_s=6.0, gather_s=0.1, leaving=1, regions=(REGION,))
+REGION = RegionSettings(name="east", shards=60, voters=VOTERS)
+TERMS = ShardingSettings(enabled=True, lease_s=6.0, gather_s=0.1, leaving=1, regions=(REGION,))
 LEASE_US = int(TERMS.lease_s * SECOND)
 
 
@@ -142,7 +142,7 @@
         return self.lives[name] if name in self.reached else None
 
     def writer(self, term: int, now_us: int) -> TableWriter:
-        voters = Voters(OwnersTerms(enabled=True, voters=VOTERS))
+        voters = Voters(LeadershipSettings(enabled=True, voters=VOTERS))
         return TableWriter("east", 0, term, voters, self.life_of, lambda: self.founded_with, LEASE_US, now_us)
 
     def carry(self, writer: TableWriter, now_us: int) -> None:
@@ -522,7 +522,7 @@
 )
 def test_each_fault_of_the_table_is_one_line_with_its_key(tmp_path, text: str, line: str) -> None:  # type: ignore[no-untyped-def]
     from sailrun.bad_config import BadConfig
-    from sailrun.operator import read_operator
+    from sailrun.operator_settings import read_operator
 
     path = tmp_path / "operator.toml"
     path.write_text(
@@ -539,8 +539,8 @@
     import sys
 
     check = (
-        "import sys, sailrun.operator, sailrun.owners.agent\n"
-        "assert not sailrun.operator.Operator().shards.enabled\n"
-        "assert 'numpy' not in sys.modules and 'sailrun.shards.part' not in sys.modules"
+        "import sys, sailrun.operator_settings, sailrun.leadership.agent\n"
+        "assert not sailrun.operator_settings.Operator().shards.enabled\n"
+        "assert 'numpy' not in sys.modules and 'sailrun.sharding.part' not in sys.modules"
     )
     subprocess.run([sys.executable, "-c", check], check=True, timeout=30)
--- a/tests/test_shards_days.py
+++ b/tests/test_shards_days.py
@@ -15,8 +15,8 @@
 from sailrun.lab.faults.shard_judge import Expected, ShardJudge, placed
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
 from sailrun.lab.faults.shard_world import NODES, SHARDS_OF_A_REGION, control_of, place_of
-from sailrun.shards.messages import Session
-from sailrun.shards.placement import Placement
+from sailrun.sharding.messages import Session
+from sailrun.sharding.placement import Placement
 
 SECOND = 1_000_000
 
