--- a/tests/test_shards_wire.py
+++ b/tests/test_shards_wire.py
@@ -14,10 +14,10 @@
 from sailrun.lab.faults.shard_fleet import ShardFleet
 from sailrun.lab.faults.shard_world import SHARDS_OF_A_REGION, shards_terms
 from sailrun.lab.faults.virtual import VirtualNode
-from sailrun.owners.agent import Agent, Out
-from sailrun.owners.envelope import BadMessage, Body, Envelope, pack, unpack
-from sailrun.owners.messages import Ask
-from sailrun.shards.messages import (
+from sailrun.leadership.agent import Agent, Out
+from sailrun.leadership.envelope import BadMessage, Body, Envelope, pack, unpack
+from sailrun.leadership.messages import Ask
+from sailrun.sharding.messages import (
     Ballot,
     Change,
     ReadTable,
@@ -35,7 +35,7 @@
     Token,
     WriteTable,
 )
-from sailrun.shards.part import ShardsPart
+from sailrun.sharding.part import ShardsPart
 
 REGION, NODE, OTHER = "r0", "n6", "n8"
 DIGEST = shards_terms().digest(REGION)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -8,9 +8,10 @@
 
 import pytest
 
-from sailrun import interface as i
-from sailrun import recollection
-from sailrun.slow_start import DEVIATIONS, bearable, safe_mean
+from sailrun.decisions import snapshot as recollection
+from sailrun.decisions.actions import StartAttempt
+from sailrun.decisions.events import AttemptOutcome, ListKind, OperatorOverride, RequestArrived
+from sailrun.decisions.slow_start import DEVIATIONS, bearable, safe_mean
 from tests.support import SECOND, Relay, backend, delta, full, settings
 from tests.test_ramp import tell_sums
 
@@ -38,7 +39,9 @@
 
 def most(relay: Relay, connections: float, share: float = 0.2) -> float:
     known = relay.settings
-    return bearable(known.fall_multiple * share * connections * known.fall_us / known.cold_us)
+    return bearable(
+        known.overload_multiple * share * connections * known.overload_window_us / known.slow_start_us
+    )
 
 
 def test_what_a_form_server_bears_follows_the_rule_on_both_sides_of_thirty() -> None:
@@ -96,7 +99,7 @@
     tell_sums(tier)
     lost = [s for s in stands if s[0].attempts[s[1]].backend in (1, 2)]
     for relay, name, _ in lost:
-        relay.end(name, i.Outcome.RESET)
+        relay.end(name, AttemptOutcome.RESET)
     sent = {COLD: 0, COLD + 1: 0}
     for step in range(10):
         for relay in tier:
@@ -105,10 +108,10 @@
             relay = chance.choice(tier)
             name = f"again{step}-{n}-{relay.now}"
             before = relay.balancer.handle(
-                relay.now, i.RequestArrived(name, "stream", SECOND, name, group, returning=True)
+                relay.now, RequestArrived(name, "stream", SECOND, name, group, returning=True)
             )
             for action in before:
-                if isinstance(action, i.Send) and action.backend in sent:
+                if isinstance(action, StartAttempt) and action.backend in sent:
                     sent[action.backend] += 1
     assert max(sent.values()) <= most(tier[0], 20, 0.2 + 0.8 * 3.5 / 10)
 
@@ -126,7 +129,7 @@
         total += sent_cold(relay, 20)
         anew = Relay(relay.settings, seed=900 + n)
         anew.now = relay.now
-        anew.feed(replace(full(*WARM, backend(COLD, 1, BEGIN + 300_000)), kind=i.ListKind.CACHED))
+        anew.feed(replace(full(*WARM, backend(COLD, 1, BEGIN + 300_000)), kind=ListKind.CACHED))
         total += sent_cold(anew, 20)
     assert total <= most(relay_among(), 20, 0.25)
 
@@ -139,13 +142,13 @@
         relay.opened(relay.ask(key=f"old{n}"))
     relay.now = BEGIN
     relay.feed(delta(backend(COLD, 1, BEGIN)))
-    relay.advance(relay.settings.fall_us)
+    relay.advance(relay.settings.overload_window_us)
     sent = 0
     for n in range(200):
         name = relay.ask(key=f"k{n}")
         if name in relay.attempts:
             sent += 1
-            relay.end(name, i.Outcome.CONNECT_FAILED)
+            relay.end(name, AttemptOutcome.CONNECT_FAILED)
     assert 1 <= sent <= most(relay, 40, 0.28)
 
 
@@ -154,10 +157,10 @@
     sent = 0
     for relay in tier:
         relay.feed(full(*WARM, COLD))
-        relay.feed(i.ByHand(COLD, True))
+        relay.feed(OperatorOverride(COLD, True))
         relay.advance(SECOND)
         relay.feed(delta(backend(COLD, 1, relay.now)))
-        relay.feed(i.ByHand(COLD, False))
+        relay.feed(OperatorOverride(COLD, False))
         sent += sent_cold(relay, 20)
     assert sent <= most(tier[0], 25)
 
@@ -172,7 +175,7 @@
     for name in list(relay.attempts):
         if not relay.attempts[name].stands:
             relay.opened(name)
-    relay.advance(relay.settings.cold_us + SECOND)
+    relay.advance(relay.settings.slow_start_us + SECOND)
     assert sent_cold(relay) > most(relay, 20, 0.2 + 0.8 * 2 / 10)
 
 
@@ -182,7 +185,7 @@
     relay = Relay(settings(), 1)
     relay.now = BEGIN + HOUR
     known = [backend(n, 1, BEGIN - HOUR) for n in WARM]
-    relay.feed(replace(full(*known, backend(COLD, 1, BEGIN + HOUR + off_us)), kind=i.ListKind.CACHED))
+    relay.feed(replace(full(*known, backend(COLD, 1, BEGIN + HOUR + off_us)), kind=ListKind.CACHED))
     assert sent_cold(relay, 100) <= most(relay, 20)
 
 
@@ -199,5 +202,5 @@
     assert sent_cold(relay) == sent_cold(successor) == 0
     for name in [n for n, a in relay.attempts.items() if not a.stands]:
         relay.opened(name)
-    relay.advance(relay.settings.fall_us + SECOND)
+    relay.advance(relay.settings.overload_window_us + SECOND)
     assert sent_cold(relay) > 0
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -18,12 +18,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailrun import interface as i
-from sailrun.node.session import FormServer as Entry
-from sailrun.node.session import ServerListUpdate
-from sailrun.node.succession_state import HeldSessions, NodeState
-from sailrun.succession.rules import Role, Succession
-from sailrun.succession.state import (
+from sailrun.decisions.events import (
+    SETUP_RATE_FIELDS,
+    BackendSnapshot,
+    BackendState,
+    ListKind,
+    SetupRateSnapshot,
+    StateSnapshot,
+)
+from sailrun.hot_restart.rules import Role, Succession
+from sailrun.hot_restart.state import (
     BadHandoverMessage,
     pack,
     read_held,
@@ -32,6 +36,9 @@
     write_held,
     write_state,
 )
+from sailrun.node.session import FormServer as Entry
+from sailrun.node.session import ServerListUpdate
+from sailrun.node.succession_state import HeldSessions, NodeState
 from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, free_port, node
 
 
@@ -215,13 +222,15 @@
 # ---------------------------------------------------------------------- what passes over
 
 SINCE = 1_700_000_000_000_000
-ENTRY = Entry("s-5be2a07c", ("127.0.0.1", 5000), i.BackendState.READY, "daejeon-1", 3, 1.5, SINCE)
-LEARNED = i.Learned(ENTRY.number, SINCE, 0, 5, 1, 0, 2, True, 3.5, 7, math.inf, 8, -1, 0.25, SINCE + 1)
+ENTRY = Entry("s-5be2a07c", ("127.0.0.1", 5000), BackendState.READY, "daejeon-1", 3, 1.5, SINCE)
+LEARNED = BackendSnapshot(ENTRY.number, SINCE, 0, 5, 1, 0, 2, True, 3.5, 7, math.inf, 8, -1, 0.25, SINCE + 1)
 STATE = NodeState(
-    ServerListUpdate(i.ListKind.CACHED, 41, (ENTRY,)),
+    ServerListUpdate(ListKind.CACHED, 41, (ENTRY,)),
     frozenset({"s-5be2a07c", "s-gone"}),
     True,
-    i.Recalled((LEARNED,), tuple(float(n) for n in range(len(i.PACE))), {"page-load": (812.5, 17)}),
+    StateSnapshot(
+        (LEARNED,), SetupRateSnapshot(*map(float, range(len(SETUP_RATE_FIELDS)))), {"page-load": (812.5, 17)}
+    ),
 )
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,8 +12,36 @@
 import pytest
 
 from sailrun import benchlink, wire
-from sailrun import interface as i
-from sailrun.decide import Balancer
+from sailrun.decisions.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdle,
+    FailRequest,
+    FetchList,
+    LogMessage,
+    MoveConnection,
+    ProbeBackend,
+    RejectRequest,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from sailrun.decisions.balancer import Balancer
+from sailrun.decisions.events import (
+    AttemptEnded,
+    AttemptNotice,
+    AttemptOutcome,
+    ClientLeft,
+    ConnectionOpened,
+    ConnectionResumed,
+    NoticeKind,
+    PeerMessage,
+    ProbeEnded,
+    RequestArrived,
+    TimerFired,
+)
+from sailrun.decisions.settings import DedupScope, Effect, RequestClass, Tenant
 
 ROOT = Path(__file__).parent.parent
 PARAMS = (
@@ -59,37 +87,42 @@
 
 def test_settings_from_the_first_message() -> None:
     made = wire.settings(wire.split_fields("born", PARAMS.split("\t")))
-    assert made.classes[0] == i.RequestClass("feed", 300_000, 1_200_000, 2.0, message_objective_us=50_000.0)
-    assert made.classes[1].dedup_scope is i.DedupScope.CELL
-    assert made.classes[1].effect is i.Effect.DEDUPLICATED
+    assert made.classes[0] == RequestClass("feed", 300_000, 1_200_000, 2.0, message_objective_us=50_000.0)
+    assert made.classes[1].dedup_scope is DedupScope.CELL
+    assert made.classes[1].effect is Effect.DEDUPLICATED
     assert made.classes[1].dedup_window_us == 5_000_000
-    assert made.tenants == (i.Tenant("t1", 0.5, 3.5, 7.0),)
-    assert (made.cold_from, made.fall_multiple, made.instances, made.index) == (0.13, 4.0, 2, 1)
+    assert made.tenants == (Tenant("t1", 0.5, 3.5, 7.0),)
+    assert (made.initial_capacity_share, made.overload_multiple, made.instances, made.index) == (
+        0.13,
+        4.0,
+        2,
+        1,
+    )
     assert made.probes and made.capacity_hints and not made.cancel
 
 
 EVENTS = {
     "request\treq=a\tleftUs=9\tresource=k\tworkHintUs=12000\tteamId=g\tbilling=t\tmarks=27\ttierClass=c": (
-        i.RequestArrived("a", "c", 9, "k", "g", "t", 12000.0, True, True, True)
+        RequestArrived("a", "c", 9, "k", "g", "t", 12000.0, True, True, True)
     ),
-    "request\treq=a\tleftUs=9\tworkHintUs=12000\tbilling=0\tmarks=0\ttierClass=c": i.RequestArrived(
+    "request\treq=a\tleftUs=9\tworkHintUs=12000\tbilling=0\tmarks=0\ttierClass=c": RequestArrived(
         "a", "c", 9
     ),
     "resumed\treq=a\tleftUs=9\tbackend=5\tteamId=g\tmarks=1\tworkHintUs=3\ttierClass=c": (
-        i.ConnectionResumed("a", "c", 5, None, "g", None, 3.0)
+        ConnectionResumed("a", "c", 5, None, "g", None, 3.0)
     ),
     "reply\treq=a\tlatencyUs=8\tcopy=1\toutcome=shed\tover=0\tbackend=5\thealthInfo=1,2.5": (
-        i.AttemptEnded("a", 1, 5, i.Outcome.REJECTED, False, 8, (("pending", 1.0), ("x0", 2.5)))
+        AttemptEnded("a", 1, 5, AttemptOutcome.REJECTED, False, 8, (("pending", 1.0), ("x0", 2.5)))
     ),
-    "begun\treq=a\tcopy=1\tbackend=5\tlatencyUs=8": i.ConnectionOpened("a", 1, 5, 8),
-    "interim\treq=a\tcopy=0\tbackend=5\tsort=2\tvalue=31.5": i.AttemptNotice(
-        "a", 0, 5, i.NoticeKind.DELAY, 31.5
+    "begun\treq=a\tcopy=1\tbackend=5\tlatencyUs=8": ConnectionOpened("a", 1, 5, 8),
+    "interim\treq=a\tcopy=0\tbackend=5\tsort=2\tvalue=31.5": AttemptNotice("a", 0, 5, NoticeKind.DELAY, 31.5),
+    "probe_result\tbackend=5\toutcome=dial_failed\tlatencyUs=8": ProbeEnded(
+        5, AttemptOutcome.CONNECT_FAILED, 8
     ),
-    "probe_result\tbackend=5\toutcome=dial_failed\tlatencyUs=8": i.ProbeEnded(5, i.Outcome.CONNECT_FAILED, 8),
-    "neighbour_says\toriginPeer=4\tcontent=aGkgNw==": i.PeerMessage(4, b"hi 7"),
-    "neighbour_says\toriginPeer=4\tcontent=-": i.PeerMessage(4, b""),
-    "dropped\treq=a": i.ClientLeft("a"),
-    "alarm\tref=77": i.TimerFired(77),
+    "neighbour_says\toriginPeer=4\tcontent=aGkgNw==": PeerMessage(4, b"hi 7"),
+    "neighbour_says\toriginPeer=4\tcontent=-": PeerMessage(4, b""),
+    "dropped\treq=a": ClientLeft("a"),
+    "alarm\tref=77": TimerFired(77),
 }
 
 
@@ -99,36 +132,36 @@
     assert wire.EVENTS[name](wire.split_fields(name, parts), ("pending", "x0")) == EVENTS[line]
 
 
-@pytest.mark.parametrize("outcome", list(i.Outcome))
-def test_every_outcome_has_a_word(outcome: i.Outcome) -> None:
+@pytest.mark.parametrize("outcome", list(AttemptOutcome))
+def test_every_outcome_has_a_word(outcome: AttemptOutcome) -> None:
     words = [w for w, o in wire._OUTCOMES.items() if o is outcome]
     assert len(words) == 1
 
 
 ACTIONS = {
-    i.Send("a", 5, 90): "deliver\twho=3\treq=a\tuntilUs=90\tbackend=5",
-    i.Refuse("a", 70): "overload_reply\twho=3\treq=a\tbackoffUs=70",
-    i.Fail("a"): "respond_error\twho=3\treq=a",
-    i.CancelAttempt("a", 1): "undo_send\twho=3\treq=a\tcopy=1",
-    i.MoveConnection("a"): "shift\twho=3\treq=a",
-    i.SetTimer(500, 77): "notify_me\twho=3\tspanUs=500\tref=77",
-    i.Subscribe(True): "observe\twho=3\tactive=1",
-    i.FetchList(): "read_list\twho=3",
-    i.ProbeBackend(5): "test\twho=3\tbackend=5",
-    i.CloseIdle(5): "let_go\twho=3\tbackend=5",
-    i.TellPeer(None, b"hi 7"): "say\twho=3\twhom=*\tcontent=aGkgNw==",
-    i.TellPeer(2, b""): "say\twho=3\twhom=2\tcontent=-",
-    i.Log("two\tservers\nknown"): "remark\twho=3\ttext=two servers known",
+    StartAttempt("a", 5, 90): "deliver\twho=3\treq=a\tuntilUs=90\tbackend=5",
+    RejectRequest("a", 70): "overload_reply\twho=3\treq=a\tbackoffUs=70",
+    FailRequest("a"): "respond_error\twho=3\treq=a",
+    CancelAttempt("a", 1): "undo_send\twho=3\treq=a\tcopy=1",
+    MoveConnection("a"): "shift\twho=3\treq=a",
+    SetTimer(500, 77): "notify_me\twho=3\tspanUs=500\tref=77",
+    Subscribe(True): "observe\twho=3\tactive=1",
+    FetchList(): "read_list\twho=3",
+    ProbeBackend(5): "test\twho=3\tbackend=5",
+    CloseIdle(5): "let_go\twho=3\tbackend=5",
+    SendToPeer(None, b"hi 7"): "say\twho=3\twhom=*\tcontent=aGkgNw==",
+    SendToPeer(2, b""): "say\twho=3\twhom=2\tcontent=-",
+    LogMessage("two\tservers\nknown"): "remark\twho=3\ttext=two servers known",
 }
 
 
 @pytest.mark.parametrize("action", ACTIONS)
-def test_actions(action: i.Action) -> None:
+def test_actions(action: Action) -> None:
     assert wire.action_line(3, action) == ACTIONS[action]
 
 
 def test_every_action_of_the_interface_has_a_line() -> None:
-    assert set(wire._LINES) == set(i.Action.__args__)
+    assert set(wire._LINES) == set(Action.__args__)
 
 
 def test_an_empty_batch_and_a_first_request() -> None:
@@ -189,7 +222,7 @@
 
 
 def test_an_exception_inside_the_module_is_reported_with_its_cause(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> list[i.Action]:
+    def broken(*_: object) -> list[Action]:
         raise KeyError("cause")
 
     monkeypatch.setattr(Balancer, "handle", broken)
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from sailrun.interface import BackendState
+from sailrun.decisions.events import BackendState
 from sailrun.xds.mapping import CLUSTER, ENDPOINTS, BadUpdate, form_servers, read_response
 from tests.stand_ins import PATIENCE_S, FormServer, Listener, Peer, RunningNode, sidecar
 
