--- a/benchmarks/recorder.py
+++ b/benchmarks/recorder.py
@@ -39,7 +39,7 @@
 FIXED_TIME_S = 2_000_000_000.0
 # module:attribute of what has to be found inside `sailrun`, oldest name first.
 PLACES: dict[str, tuple[str, ...]] = {
-    "decision module": ("sailrun.decide:Balancer", "sailrun.decisions:Balancer"),
+    "decision module": ("sailrun.decide:Balancer", "sailrun.decisions.balancer:Balancer"),
     "action lines": ("sailrun.wire:action_line", "sailrun.benchlink.wire:action_line"),
     "simulated files": ("sailrun.lab.faults.disk:SimFiles",),
     "share of messages encoded": ("sailrun.lab.faults.virtual:WEIGHED",),
--- a/sailrun/decisions/balancer.py
+++ b/sailrun/decisions/balancer.py
@@ -41,6 +41,7 @@
     Event,
     FleetLoad,
     ListKind,
+    LocalLoad,
     NoticeKind,
     OperatorOverride,
     RequestArrived,
@@ -137,7 +138,7 @@
             handler(event)
         return self._out
 
-    def elsewhere(self, now_us: int, names: Sequence[str]) -> int | None:
+    def choose_elsewhere(self, now_us: int, names: Sequence[str]) -> int | None:
         """Where these standing connections of one key and backend would go if they came now; None if nowhere
         else, or if a cold backend is ahead: it may have a slot by the time they come."""
         self._now = max(self._now, now_us)
@@ -155,12 +156,12 @@
         moves = place is not holder and all(s.slow_start_began_us < 0 for s in ahead)
         return place.id if moves and place is not None and place.slow_start_began_us < 0 else None
 
-    def holding(self) -> tuple[dict[int, float], int, bool, frozenset[int], bool]:
-        """What others are to know: loads, connections, whether loads were told, who is late, any alert."""
+    def local_load(self) -> LocalLoad:
+        """What the other instances are to know of this one."""
         late = [s.id for s in self._ready if s.ejected_until_us > self._now or self._crowded(s, MOVE_AT)
                 or self._now - s.resets_us < BURST_US]  # fmt: skip
         loads, alert = {s.id: s.load for s in self._ready}, bool(late) or self._now < self._alert_until_us
-        return loads, self._count, bool(self._class_load), frozenset(late), alert
+        return LocalLoad(loads, self._count, bool(self._class_load), frozenset(late), alert)
 
     def _heard(self, event: FleetLoad) -> None:
         if event.loads_reported and not self._class_load and event.connections:
@@ -226,9 +227,9 @@
             if server.slow_start_began_us >= 0:
                 self._slow_start.backends[server.id] = server
         self._recount()
-        self.forfeit_slow_start(self._now)
+        self.forfeit_slow_start_allowance(self._now)
 
-    def forfeit_slow_start(self, now_us: int) -> None:
+    def forfeit_slow_start_allowance(self, now_us: int) -> None:
         """Two processes are this instance for a while: neither counts on what the other may have used."""
         self._slow_start.forfeit(now_us)
 
@@ -247,7 +248,7 @@
             self._state(server, server.listed)
             self._relist()
 
-    def avoided(self, now_us: int) -> list[int]:
+    def avoided_backends(self, now_us: int) -> list[int]:
         """The listed backends that nothing is sent to now: out by hand, or ejected."""
         shut = (s for s in self._servers.values() if s.id in self._hand or s.ejected_until_us > now_us)
         return [s.id for s in shut if s.listed is not BackendState.GONE]
--- a/sailrun/decisions/events.py
+++ b/sailrun/decisions/events.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, fields
 from enum import Enum
 
@@ -156,6 +157,17 @@
     content: bytes
 
 
+@dataclass(frozen=True, slots=True)
+class LocalLoad:
+    """What this instance holds itself, for the other instances to know."""
+
+    loads: Mapping[int, float]  # by backend, of all that are ready; 0 where nothing is open
+    connections: int
+    loads_reported: bool  # loads are microseconds of work a second, not connections
+    overloaded: frozenset[int]  # backends that it finds slow or was cut off by
+    alert: bool  # something is going on: a slow start, a drain, an overload
+
+
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
     """What the other instances hold together at each backend, as gossip has it. Loads are in this instance's
--- a/sailrun/load_gossip/rounds.py
+++ b/sailrun/load_gossip/rounds.py
@@ -9,12 +9,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from random import Random
 
 import mmh3
 
+from sailrun.decisions.events import LocalLoad
 from sailrun.load_gossip.digest import BadDatagram, Digest, merged, parts, read, room, short, write
 from sailrun.load_gossip.known import SECOND, Others, Tier
 
@@ -35,17 +35,6 @@
 Outgoing = tuple[int | None, bytes]
 
 
-@dataclass(frozen=True, slots=True)
-class Holding:
-    """What this node holds itself."""
-
-    loads: Mapping[int, float]  # by the numbers of all form servers listed, 0 where nothing stands
-    connections: int
-    told: bool  # loads are us of work a second, not connections
-    warned: frozenset[int]  # numbers of form servers that it finds late or was cut off by
-    alert: bool  # something is going on: a warm-up, a drain, a warning
-
-
 class Rounds:
     """One node's part in the rounds of its tier."""
 
@@ -78,7 +67,7 @@
     def _asks(self) -> bool:
         return self._latest is None and self._asked < ASKS and self._nodes > 1
 
-    def turn(self, now_us: int, holding: Holding) -> tuple[list[Outgoing], Others | None]:
+    def turn(self, now_us: int, holding: LocalLoad) -> tuple[list[Outgoing], Others | None]:
         """What to send now, and what is known of the others where that has changed."""
         if holding.alert:
             self._alert_until_us = now_us + ALERT_US
@@ -87,7 +76,7 @@
         if self._asks and now_us >= self._ask_us:
             self._asked += 1
             self._ask_us = now_us + ASK_US
-            asks = Digest(now_us // self._round_us, {}, 0, holding.told, asks=True)
+            asks = Digest(now_us // self._round_us, {}, 0, holding.loads_reported, asks=True)
             other = (self._index + 1 + self._random.randrange(self._nodes - 1)) % self._nodes
             out.append((other, write(asks, self._nodes)))
         if self._sum_us and now_us >= self._sum_us:
@@ -105,7 +94,7 @@
             changed = changed or self._tier.round >= 0
         return out, self._others(now_us, holding) if changed else None
 
-    def _tell(self, now_us: int, holding: Holding, out: list[Outgoing]) -> None:
+    def _tell(self, now_us: int, holding: LocalLoad, out: list[Outgoing]) -> None:
         telling = self._digest(holding, now_us < self._alert_until_us)
         self._own = {n: d for n, d in self._own.items() if n > self._round - 3} | {self._round: telling}
         if self.collector(self._round) == self._index:
@@ -114,7 +103,7 @@
             out += [(self.collector(self._round), write(p, self._nodes)) for p in parts(telling, self._room)]
 
     def heard(
-        self, now_us: int, sender: int, content: bytes, holding: Holding
+        self, now_us: int, sender: int, content: bytes, holding: LocalLoad
     ) -> tuple[list[Outgoing], Others | None]:
         """What a datagram makes known, and the answer to it. One that is torn, old, or not its sender's to
         send is counted.
@@ -160,7 +149,7 @@
         self._latest = total
         return True
 
-    def _others(self, now_us: int, holding: Holding) -> Others:
+    def _others(self, now_us: int, holding: LocalLoad) -> Others:
         return self._tier.others(now_us, holding.loads)
 
     def _collect(self, number: int) -> None:
@@ -175,15 +164,15 @@
     def _within(self, span_us: int) -> int:
         return int(span_us * self._random.random())
 
-    def _digest(self, holding: Holding, alert: bool) -> Digest:
+    def _digest(self, holding: LocalLoad, alert: bool) -> Digest:
         loads = dict[int, float]()
         for number, load in holding.loads.items():
-            if load > 0 or number in holding.warned:
+            if load > 0 or number in holding.overloaded:
                 loads[short(number)] = loads.get(short(number), 0.0) + load
-        warned = frozenset(map(short, holding.warned)) & loads.keys()
-        return Digest(self._round, loads, holding.connections, holding.told, alert, warned)
+        warned = frozenset(map(short, holding.overloaded)) & loads.keys()
+        return Digest(self._round, loads, holding.connections, holding.loads_reported, alert, warned)
 
-    def _add_up(self, holding: Holding) -> Digest:
+    def _add_up(self, holding: LocalLoad) -> Digest:
         """What all who were heard hold. Where some count connections yet and some work, a connection is
         taken for a usual one of the others.
         """
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -49,6 +49,7 @@
     ConnectionResumed,
     Event,
     ListKind,
+    LocalLoad,
     NoticeKind,
     OperatorOverride,
     PeerMessage,
@@ -57,7 +58,7 @@
     TimerFired,
 )
 from sailrun.decisions.settings import Settings
-from sailrun.load_gossip.rounds import Holding, Outgoing, Rounds
+from sailrun.load_gossip.rounds import Outgoing, Rounds
 from sailrun.node.clock import Clock, log
 from sailrun.node.counts import Counts, Figures
 from sailrun.node.leaving import Leaving, Reason
@@ -606,8 +607,8 @@
         """Whether it is this process that speaks for the node: of two, the successor."""
         return Reason.SUCCEEDED not in self.leaving
 
-    def _own_holding(self) -> Holding:
-        return Holding(*self._module.holding())
+    def _own_holding(self) -> LocalLoad:
+        return self._module.local_load()
 
     def _tier_says(self, outgoing: list[Outgoing]) -> None:
         """Sends what the rounds have to send, and tells the module what is known of the others by now."""
@@ -690,7 +691,7 @@
     def _rebalance(self, rebalancer: Rebalancer) -> None:
         if not rebalancer.due(self._now):
             return
-        orders = rebalancer.look(self._now, lambda names: self._module.elsewhere(self._now, names))
+        orders = rebalancer.look(self._now, lambda names: self._module.choose_elsewhere(self._now, names))
         for note in orders.notes:
             self._log("rebalance", **note)
         for name in orders.moves:
@@ -721,7 +722,9 @@
 
     def _figures(self) -> Figures:
         listed = [n for n, s in self._form_servers.items() if s.state is not BackendState.GONE]
-        return self.counts.figures(len(self._sessions), len(listed), len(self._module.avoided(self._now)))
+        return self.counts.figures(
+            len(self._sessions), len(listed), len(self._module.avoided_backends(self._now))
+        )
 
     def _reloaded(self, taken: bool) -> None:
         if taken:
@@ -772,12 +775,12 @@
         draining = Reason.DRAIN in self.leaving
         learned = recollection.learned(self._module)
         # From now on the successor may send there as well, and neither sees what the other does.
-        self._module.forfeit_slow_start(self._now)
+        self._module.forfeit_slow_start_allowance(self._now)
         return NodeState(server_list, frozenset(self._out_by_hand), draining, learned)
 
     def _held(self) -> HeldSessions:
-        holding = Holding(*self._module.holding())
-        return HeldSessions(holding.loads, holding.connections, holding.told)
+        holding = self._module.local_load()
+        return HeldSessions(holding.loads, holding.connections, holding.loads_reported)
 
     def _adopted(self, session: FormSession, placement: Placement) -> None:
         number = placement.form_server.number
--- a/sailrun/node/tier.py
+++ b/sailrun/node/tier.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from sailrun.decisions.events import FleetLoad
+from sailrun.decisions.events import FleetLoad, LocalLoad
 from sailrun.load_gossip.digest import VERSION
 from sailrun.load_gossip.known import Others
-from sailrun.load_gossip.rounds import AGE_US, Holding, Outgoing, Rounds
+from sailrun.load_gossip.rounds import AGE_US, Outgoing, Rounds
 from sailrun.node.succession_state import HeldSessions
 
 FLEET = bytes((VERSION,))
@@ -31,13 +31,13 @@
     def due_us(self) -> int | None:
         return self._rounds.due_us() if self._rounds is not None else None
 
-    def turn(self, now_us: int, own: Holding) -> list[Outgoing]:
+    def turn(self, now_us: int, own: LocalLoad) -> list[Outgoing]:
         """What the rounds have to send, their time having come."""
         assert self._rounds is not None
         return self._said(now_us, self._rounds.turn(now_us, self.holding(own)))
 
     def heard(
-        self, now_us: int, neighbour: int, content: bytes, own: Callable[[], Holding]
+        self, now_us: int, neighbour: int, content: bytes, own: Callable[[], LocalLoad]
     ) -> list[Outgoing] | None:
         """What another node's word has this one send; None: it is not of the rounds."""
         if self._rounds is None or content[:1] != FLEET:
@@ -52,10 +52,10 @@
         self.news = others is not None
         return outgoing
 
-    def holding(self, own: Holding) -> Holding:
+    def holding(self, own: LocalLoad) -> LocalLoad:
         """What the node holds, a predecessor's part included."""
         before = self.predecessor
-        if before is None or before.told is not own.told:
+        if before is None or before.told is not own.loads_reported:
             return own
         loads = {number: load + before.loads.get(number, 0.0) for number, load in own.loads.items()}
         return replace(own, loads=loads, connections=own.connections + before.connections)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -110,11 +110,11 @@
         relay.handle(began, BackendListUpdate(ListKind.DELTA, 2, (backend(10, 1, began),)))
     for now in range(began, began + 24 * SECOND, 100_000):
         if now % (2 * SECOND) == 0:
-            held = [relay.holding() for relay in relays]
+            held = [relay.local_load() for relay in relays]
             for n, relay in enumerate(relays):
                 rest = [h for k, h in enumerate(held) if k != n]
-                loads = {s: sum(h[0][s] for h in rest) for s in range(11)}
-                others = sum(h[1] for h in rest)
+                loads = {s: sum(h.loads[s] for h in rest) for s in range(11)}
+                others = sum(h.connections for h in rest)
                 until = now + 7 * SECOND
                 relay.handle(now, FleetLoad(loads, others, False, nodes, frozenset(), until))
         n, name, server = standing.pop(random.randrange(len(standing)))
--- a/tests/test_fleet_rounds.py
+++ b/tests/test_fleet_rounds.py
@@ -10,23 +10,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from sailrun.decisions.events import LocalLoad
 from sailrun.load_gossip.digest import NAMES, BadDatagram, Digest, read, room, short, write
 from sailrun.load_gossip.known import SECOND, Others
 from sailrun.load_gossip.known import Tier as Known
-from sailrun.load_gossip.rounds import ASKS, NODE_US, ROUND_US, SELDOM, Holding, Rounds
+from sailrun.load_gossip.rounds import ASKS, NODE_US, ROUND_US, SELDOM, Rounds
 
 START_US = 1_796_145_160 * SECOND
 
 
-def holding(loads: dict[int, float], alert: bool = True, warned: frozenset[int] = frozenset()) -> Holding:
-    return Holding(loads, sum(load > 0 for load in loads.values()), True, warned, alert)
+def holding(loads: dict[int, float], alert: bool = True, warned: frozenset[int] = frozenset()) -> LocalLoad:
+    return LocalLoad(loads, sum(load > 0 for load in loads.values()), True, warned, alert)
 
 
 class Tier:
     """Nodes that exchange datagrams, some of which are lost."""
 
     def __init__(
-        self, holdings: list[Holding], seed: int, lost: float = 0.0, down: frozenset[int] = frozenset()
+        self, holdings: list[LocalLoad], seed: int, lost: float = 0.0, down: frozenset[int] = frozenset()
     ):
         self.holdings, self.random, self.lost, self.down = holdings, Random(seed), lost, down
         n = len(holdings)
@@ -73,7 +74,7 @@
             heapq.heappush(self.events, (late, next(self.order), to, sender, content))
 
 
-def spread(nodes: int, seed: int) -> list[Holding]:
+def spread(nodes: int, seed: int) -> list[LocalLoad]:
     random = Random(seed)
     return [
         holding({s: random.choice([0.0, 0.0, 5_000.0, 40_000.0]) for s in range(60)}) for _ in range(nodes)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -616,9 +616,9 @@
     event = peers.told(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND), {1}, 0)
     assert event is not None
     relay.feed(event)
-    away = relay.balancer.avoided(relay.now)
+    away = relay.balancer.avoided_backends(relay.now)
     assert len(away) == 3 and 1 not in away
     assert peers.own(relay.now, {}).out == {}
     assert peers.told(relay.now + 12 * SECOND, {away[0]: 60 * SECOND}, (), 0) is None  # tried first
     relay.advance(10 * SECOND)
-    assert relay.balancer.avoided(relay.now) == []
+    assert relay.balancer.avoided_backends(relay.now) == []
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -194,7 +194,7 @@
     relay.feed(delta(backend(COLD, 1, BEGIN)))
     relay.advance(SECOND)
     learned = recollection.learned(relay.balancer)
-    relay.balancer.forfeit_slow_start(relay.now)
+    relay.balancer.forfeit_slow_start_allowance(relay.now)
     successor = Relay(relay.settings, 2)
     successor.now = relay.now
     successor.feed(full(*WARM, backend(COLD, 1, BEGIN)))
