--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -16,7 +16,7 @@
 from dataclasses import replace
 from random import Random
 
-from tests.test_fleet_rounds import Tier, holding
+from tests.test_load_gossip import Tier, holding
 
 SECOND = 1_000_000
 FORM_SERVERS, SESSIONS, LOAD = 90, 5, 30_000.0
