--- a/benchmarks/capacity/measure_shards.py
+++ b/benchmarks/capacity/measure_shards.py
@@ -16,7 +16,7 @@
 from sailrun.lab.faults.virtual import VirtualNode
 from sailrun.leadership.agent import AgentSettings
 from sailrun.leadership.leases import best_placed
-from sailrun.membership.messages import CONTROL, Record, State
+from sailrun.membership.messages import CONTROL, MemberRecord, MemberState
 from sailrun.sharding.messages import Change, Session
 from sailrun.sharding.placement import Placement
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
@@ -120,9 +120,9 @@
             ShardingSettings(enabled=True, regions=(region,)),
         )
 
-    def _record_of(self, node: VirtualNode, life: int) -> Record:
+    def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         role = CONTROL if node.index < CONTROL_MACHINES else ""
-        return Record(node.name, life, 1, State.ALIVE, node.address, node.zone, REGION, role)
+        return MemberRecord(node.name, life, 1, MemberState.ALIVE, node.address, node.zone, REGION, role)
 
     @property
     def owners(self) -> list[str]:
--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -13,10 +13,9 @@
 
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
-from sailrun.membership.messages import Record as MemberRecord
-from sailrun.membership.messages import State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
-from sailrun.membership.swim import Members
+from sailrun.membership.swim import Membership
 from sailrun.replication.marks import unpack
 from sailrun.replication.messages import Op, Sum
 from sailrun.replication.replica import Replica
@@ -74,11 +73,11 @@
 
     def _start(self, name: str) -> None:
         self.lives[name] += 1
-        record = MemberRecord(name, self.lives[name], 1, State.ALIVE, name)
-        members = Members(record, MembershipSettings(enabled=True, name=name), 1, self.now_us)
+        record = MemberRecord(name, self.lives[name], 1, MemberState.ALIVE, name)
+        members = Membership(record, MembershipSettings(enabled=True, name=name), 1, self.now_us)
         members.hear_news(
             self.now_us,
-            [MemberRecord(n, life, 1, State.ALIVE, n) for n, life in self.lives.items() if n != name],
+            [MemberRecord(n, life, 1, MemberState.ALIVE, n) for n, life in self.lives.items() if n != name],
             name,
         )
         owners = LeadershipSettings(enabled=True, voters=tuple(self.voters))
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -11,7 +11,7 @@
 )
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.leadership.agent import Out
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.sharding.exercise import EVERY_US, ActExerciser
 from sailrun.sharding.messages import ShardAct
 
@@ -31,9 +31,11 @@
         for n, name in enumerate(self.names):
             self.time.after(EVERY_US * n // len(self.names), self._act_for_shards, name)
 
-    def _record_of(self, node: VirtualNode, life: int) -> Record:
+    def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         place = place_of(node.index)
-        return Record(node.name, life, 1, State.ALIVE, node.address, place.zone, place.region, place.role)
+        return MemberRecord(
+            node.name, life, 1, MemberState.ALIVE, node.address, place.zone, place.region, place.role
+        )
 
     # ------------------------------------------------------------------ acts
 
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -21,7 +21,7 @@
 from sailrun.leadership.lasting import Lasting
 from sailrun.leadership.permits import Use
 from sailrun.leadership.reader import Reading
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.replication.messages import Op
 from sailrun.replication.replica import MARKS, Replica
 from sailrun.replication.state import show_state
@@ -184,9 +184,9 @@
         self.row("started", name, life=me.life, clock_s=clock_s)
         self._wake(node, 0)
 
-    def _record_of(self, node: VirtualNode, life: int) -> Record:
+    def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         """What a node says of itself as it starts."""
-        return Record(node.name, life, 1, State.ALIVE, node.address, node.zone)
+        return MemberRecord(node.name, life, 1, MemberState.ALIVE, node.address, node.zone)
 
     def _give_work(self, node: VirtualNode) -> None:
         agent = node.agent
--- a/sailrun/lab/scale/hollow_host.py
+++ b/sailrun/lab/scale/hollow_host.py
@@ -44,7 +44,7 @@
 from sailrun.lab.scale.plan import place_nodes
 from sailrun.lab.scale.settings import node_terms
 from sailrun.leadership.clock import boot_us
-from sailrun.membership.messages import Record
+from sailrun.membership.messages import MemberRecord
 
 # The event loop is looked at so often for how late it is.
 LATE_STEP_S = 0.05
@@ -100,7 +100,7 @@
         seed = self._setup.plan.seed
         hollow = [place for place in self._places if not place.real] if known else []
         packed = msgspec.msgpack.encode([member_record(seed, place, 1) for place in hollow])
-        decoder = msgspec.msgpack.Decoder(list[Record])
+        decoder = msgspec.msgpack.Decoder(list[MemberRecord])
         for name, number in lives.items():
             node = self._new_node(name, number)
             if known:
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -27,7 +27,7 @@
 from sailrun.leadership.founding import founding_term
 from sailrun.leadership.reader import Reading
 from sailrun.leadership.traffic import Traffic
-from sailrun.membership.messages import Record
+from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
 # The server roster changes so often in a scale run.
@@ -41,7 +41,7 @@
     return random.Random(f"{seed}/{name}/{number}").getrandbits(62)
 
 
-def member_record(seed: int, place: Place, number: int) -> Record:
+def member_record(seed: int, place: Place, number: int) -> MemberRecord:
     return record_of(place, life_of(seed, place.name, number))
 
 
@@ -161,7 +161,7 @@
         await anyio.sleep(LEAVING_S)
         self.kill()
 
-    def know(self, records: list[Record]) -> None:
+    def know(self, records: list[MemberRecord]) -> None:
         """Begins with these members known, as if it had joined long ago and had told all news."""
         know_members(self.agent, boot_us(), records)
 
@@ -216,7 +216,7 @@
     return report
 
 
-def know_members(agent: MeteredAgent, now_us: int, records: list[Record]) -> None:
+def know_members(agent: MeteredAgent, now_us: int, records: list[MemberRecord]) -> None:
     """A faster start: the members are known, and the news of them has been told to all."""
     members = agent.members
     members.hear_news(now_us, records, agent.name)
--- a/sailrun/lab/scale/settings.py
+++ b/sailrun/lab/scale/settings.py
@@ -5,7 +5,7 @@
 from sailrun.lab.scale.plan import Place, ScalePlan, control_of, region_name, voters_of
 from sailrun.leadership.agent import AgentSettings
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
@@ -52,6 +52,8 @@
     return ShardingSettings(enabled=True, regions=regions)
 
 
-def record_of(place: Place, life: int) -> Record:
+def record_of(place: Place, life: int) -> MemberRecord:
     """What a node says of itself as it starts."""
-    return Record(place.name, life, 1, State.ALIVE, place.address, place.zone, place.region, place.role)
+    return MemberRecord(
+        place.name, life, 1, MemberState.ALIVE, place.address, place.zone, place.region, place.role
+    )
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -48,7 +48,7 @@
 from sailrun.leadership.agent import Out
 from sailrun.leadership.envelope import LONGEST_DATAGRAM, Envelope, pack
 from sailrun.leadership.traffic import Traffic
-from sailrun.membership.messages import Record
+from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
 RECORDED = (*KEPT, "started", "died", "fault", "look")
@@ -97,7 +97,7 @@
         assert isinstance(agent, MeteredAgent)
         return agent
 
-    def _record_of(self, node: VirtualNode, life: int) -> Record:
+    def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         return record_of(self.place_of[node.name], life)
 
     def start(self, name: str, clock_s: float = 0.0) -> None:
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -47,8 +47,8 @@
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.vote_part import VotePart
 from sailrun.leadership.voter import Voter
-from sailrun.membership.messages import MemberBody, Record, State
-from sailrun.membership.swim import Members
+from sailrun.membership.messages import MemberBody, MemberRecord, MemberState
+from sailrun.membership.swim import Membership
 from sailrun.replication.replica import MARKS, Replica
 from sailrun.sharding.messages import Ballot, ShardBody
 from sailrun.sharding.messages import Post as ShardPost
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        me: Record,
+        me: MemberRecord,
         terms: AgentSettings,
         seed: int,
         now_us: int,
@@ -89,7 +89,7 @@
         self.on_use: Callable[[Use], None] = lambda use: None
         chance = random.Random(seed)  # each part has its own number, always in this order
         self.voters = Voters(terms.owners, off)
-        self.members = Members(me, terms.members, chance.getrandbits(32), now_us)
+        self.members = Membership(me, terms.members, chance.getrandbits(32), now_us)
         self.leases = Leases(me.name, self.voters, terms.owners, chance.getrandbits(32), now_us, off)
         self._change_log = ChangeLog(record)
         self.tallies = self._change_log.tallies
@@ -134,7 +134,7 @@
         )
 
     def _new_shards(
-        self, me: Record, chance: random.Random, now_us: int, founding: Callable[[], int]
+        self, me: MemberRecord, chance: random.Random, now_us: int, founding: Callable[[], int]
     ) -> ShardsPart:
         # Loaded only where it is switched on: it needs numpy.
         from sailrun.sharding.part import ShardsPart
@@ -210,7 +210,7 @@
             self.members.heard_from(now_us, name, life, envelope.incarnation)
         outs: list[Out] = []
         if isinstance(body, MemberBody):
-            sender = Record(name, life, envelope.incarnation, State.ALIVE, address)
+            sender = MemberRecord(name, life, envelope.incarnation, MemberState.ALIVE, address)
             outs = self._outgoing.letters(self.members.hear(now_us, sender, body))
         elif not self.members.knows(name, life):
             return []
--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -8,7 +8,7 @@
 from sailrun.leadership.leases import Leases, OwnershipChange
 from sailrun.leadership.permits import Use
 from sailrun.leadership.tallies import Tallies
-from sailrun.membership.swim import Change
+from sailrun.membership.swim import MembershipChange
 
 
 class Note(NamedTuple):
@@ -36,7 +36,7 @@
         self.notes += [Note(*note) for note in notes]
         notes.clear()
 
-    def member(self, change: Change) -> None:
+    def member(self, change: MembershipChange) -> None:
         record = change.record
         self.add(
             "member",
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from sailrun.leadership.messages import Claim, OwnerBody
-from sailrun.membership.messages import MemberBody, Record
+from sailrun.membership.messages import MemberBody, MemberRecord
 from sailrun.replication.messages import ReplicaBody
 from sailrun.sharding.messages import ShardBody
 from sailrun.storage.messages import LastingBody
@@ -31,7 +31,7 @@
     life: int
     incarnation: int
     body: Body
-    news: list[Record] = []
+    news: list[MemberRecord] = []
     claims: list[Claim] = []
 
 
--- a/sailrun/leadership/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -7,8 +7,8 @@
 
 from sailrun.leadership.envelope import MOST_CLAIMS, MOST_NEWS, Body, Envelope
 from sailrun.leadership.leases import Leases
-from sailrun.membership.messages import Joined, MemberBody, Record, Refused
-from sailrun.membership.swim import Letter, Members
+from sailrun.membership.messages import JoinAccepted, MemberBody, MemberRecord, Rejected
+from sailrun.membership.swim import Membership, OutgoingMessage
 
 # A change of owner is gossiped so many times, on messages that go out anyway.
 CLAIM_TIMES = 30
@@ -31,10 +31,10 @@
 class Outgoing:
     """Puts messages into envelopes of this node. `fleet` gives the fleet's name."""
 
-    def __init__(self, fleet: Callable[[], str], members: Members, leases: Leases) -> None:
+    def __init__(self, fleet: Callable[[], str], members: Membership, leases: Leases) -> None:
         self._fleet, self._members, self._leases = fleet, members, leases
 
-    def letters(self, letters: list[Letter]) -> list[Out]:
+    def letters(self, letters: list[OutgoingMessage]) -> list[Out]:
         """The membership protocol's own messages, which go by address."""
         return [Out(letter.address, self._envelope(letter.body, letter.record)) for letter in letters]
 
@@ -45,13 +45,13 @@
             return []
         return [Out(record.address, self._envelope(body), name, guard)]
 
-    def _envelope(self, body: Body, first: Record | None = None) -> Envelope:
+    def _envelope(self, body: Body, first: MemberRecord | None = None) -> Envelope:
         me = self._members.me
         # Gossip rides on what members say anyway, and on nothing that must be small or soon.
-        light = isinstance(body, MemberBody) and not isinstance(body, Refused)
+        light = isinstance(body, MemberBody) and not isinstance(body, Rejected)
         news = self._members.news(MOST_NEWS, first) if light else []
         claims = self._leases.claims(MOST_CLAIMS, CLAIM_TIMES) if light else []
-        if isinstance(body, Joined):
+        if isinstance(body, JoinAccepted):
             # A newcomer may be a voter that has forgotten: it hears of every term there is.
             claims = self._leases.known(MOST_CLAIMS)
         return Envelope(self._fleet(), me.name, me.life, me.incarnation, body, news, claims)
--- a/sailrun/leadership/ownership.py
+++ b/sailrun/leadership/ownership.py
@@ -9,7 +9,7 @@
 from sailrun.leadership.settings import DRIFT
 from sailrun.leadership.tallies import Tallies
 from sailrun.membership.messages import eligible
-from sailrun.membership.swim import Members
+from sailrun.membership.swim import Membership
 from sailrun.replication.replica import MARKS
 
 SECOND = 1_000_000
@@ -21,7 +21,7 @@
     """Times are microseconds of the clock that leases are counted by."""
 
     def __init__(
-        self, members: Members, leases: Leases, zone: str, terms: AgentSettings, tallies: Tallies
+        self, members: Membership, leases: Leases, zone: str, terms: AgentSettings, tallies: Tallies
     ) -> None:
         self._members, self._leases, self._zone = members, leases, zone
         self._terms, self._tallies = terms, tallies
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -28,7 +28,7 @@
 from sailrun.leadership.pace import PaceCoordinator, PaceShare
 from sailrun.leadership.permits import DRAIN, OUT, Use
 from sailrun.leadership.shared import SharedDiscovery
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.node.clock import log
 from sailrun.node.leaving import Reason
 from sailrun.replication.service import CopiesPart
@@ -75,11 +75,11 @@
         terms = agent_terms(config.operator)
         told = terms.members
         self._node = node
-        me = Record(
+        me = MemberRecord(
             told.name,
             secrets.randbits(62),
             1,
-            State.ALIVE,
+            MemberState.ALIVE,
             told.advertise or told.listen,
             config.settings.zone,
             told.region,
--- a/sailrun/membership/messages.py
+++ b/sailrun/membership/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """In the order in which they overrule one another in one incarnation."""
 
     ALIVE = 0
@@ -20,7 +20,7 @@
 CONTROL = "control"
 
 
-class Record(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """One member as somebody knows it. A process is a `life`; its incarnation grows when it refutes, and a
     returning name begins above the one it had. `region` and `role` came later: an older version skips them.
     """
@@ -28,18 +28,18 @@
     name: str
     life: int
     incarnation: int
-    state: State
+    state: MemberState
     address: str
     zone: str = ""
     region: str = ""
     role: str = ""
 
-    def overrules(self, other: Record) -> bool:
+    def overrules(self, other: MemberRecord) -> bool:
         """Any two are in order, the same everywhere: copies converge whatever the order of arrival."""
         return (self.incarnation, self.state, self.life) > (other.incarnation, other.state, other.life)
 
 
-def eligible(records: list[Record]) -> list[str]:
+def eligible(records: list[MemberRecord]) -> list[str]:
     """The names of those set aside for work on behalf of the fleet; of all where there are none."""
     control = [record for record in records if record.role == CONTROL]
     return [record.name for record in control or records]
@@ -54,7 +54,7 @@
     digest: int  # of the sender's copy of the members
 
 
-class PingFor(msgspec.Struct, array_like=True, frozen=True, tag="ping-for"):
+class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag="ping-for"):
     """Probe the target for me. One who gets no answer in time says so, so that I know that I am heard."""
 
     number: int
@@ -66,31 +66,31 @@
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True, tag="join"):
-    record: Record
+    record: MemberRecord
 
 
-class Joined(msgspec.Struct, array_like=True, frozen=True, tag="joined"):
+class JoinAccepted(msgspec.Struct, array_like=True, frozen=True, tag="joined"):
     incarnation: int  # the newcomer's from now on
-    by: Record  # whom it may ask for the others
+    by: MemberRecord  # whom it may ask for the others
 
 
-class Refused(msgspec.Struct, array_like=True, frozen=True, tag="refused"):
+class Rejected(msgspec.Struct, array_like=True, frozen=True, tag="refused"):
     """`why`: `unknown` (join first), `name` (it is another's), `fleet`."""
 
     why: str
     by: str = ""
 
 
-class Pull(msgspec.Struct, array_like=True, frozen=True, tag="pull"):
+class PullRequest(msgspec.Struct, array_like=True, frozen=True, tag="pull"):
     """Tell me those that come after this name, of the ranges in which our copies differ."""
 
     after: str
     digests: list[int]  # the asker's, by range; empty: all ranges
 
 
-class Page(msgspec.Struct, array_like=True, frozen=True, tag="page"):
-    records: list[Record]
+class TablePage(msgspec.Struct, array_like=True, frozen=True, tag="page"):
+    records: list[MemberRecord]
     more: bool
 
 
-MemberBody = Ping | Ack | PingFor | Nack | Join | Joined | Refused | Pull | Page
+MemberBody = Ping | Ack | PingRequest | Nack | Join | JoinAccepted | Rejected | PullRequest | TablePage
--- a/sailrun/membership/swim.py
+++ b/sailrun/membership/swim.py
@@ -23,16 +23,16 @@
 from sailrun.membership.messages import (
     Ack,
     Join,
-    Joined,
+    JoinAccepted,
     MemberBody,
+    MemberRecord,
+    MemberState,
     Nack,
-    Page,
     Ping,
-    PingFor,
-    Pull,
-    Record,
-    Refused,
-    State,
+    PingRequest,
+    PullRequest,
+    Rejected,
+    TablePage,
 )
 from sailrun.membership.settings import MembershipSettings
 
@@ -55,15 +55,15 @@
 STEP_US = 250_000
 
 
-_LIVING = (State.ALIVE, State.SUSPECT)
+_LIVING = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
-def _place(record: Record) -> tuple[str, str, str]:
+def _place(record: MemberRecord) -> tuple[str, str, str]:
     """What decides which work a member may be given."""
     return record.zone, record.region, record.role
 
 
-def _mark(record: Record) -> int:
+def _mark(record: MemberRecord) -> int:
     return zlib.crc32(f"{record.name},{record.life},{record.incarnation},{int(record.state)}".encode())
 
 
@@ -72,26 +72,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Letter:
+class OutgoingMessage:
     """A body on its way to an address; `record` rides along first, so that the accused may refute."""
 
     address: str
     body: MemberBody
-    record: Record | None = None
+    record: MemberRecord | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MembershipChange:
     """What became of a member, for the log."""
 
     what: str  # joined, suspect, gone, left, back, refused, claimed
-    record: Record
+    record: MemberRecord
     why: str = ""
 
 
 @dataclass(slots=True)
 class _Known:
-    record: Record
+    record: MemberRecord
     since_us: int
     until_us: int = 0  # a suspect is gone at this time
     accused_us: int = 0
@@ -111,14 +111,14 @@
     helpers: int = 0
 
 
-class Members:
+class Membership:
     """One member's view of its fleet."""
 
-    def __init__(self, me: Record, terms: MembershipSettings, seed: int, now_us: int) -> None:
+    def __init__(self, me: MemberRecord, terms: MembershipSettings, seed: int, now_us: int) -> None:
         """`me`: incarnation 1, alive. With nobody to join by, this member is the first of its fleet."""
         self.me = me
         self.terms = terms
-        self.changes: list[Change] = []  # for whoever drives this; emptied by him
+        self.changes: list[MembershipChange] = []  # for whoever drives this; emptied by him
         self.stray = 0  # messages of senders that are no members
         self.refused_by = ""  # who has our name, if we were refused
         self._random = random.Random(seed)
@@ -150,15 +150,15 @@
 
     # ------------------------------------------------------------------ what is known
 
-    def record(self, name: str) -> Record | None:
+    def record(self, name: str) -> MemberRecord | None:
         known = self._known.get(name)
         return known.record if known is not None else None
 
-    def known(self) -> Iterator[tuple[Record, int]]:
+    def known(self) -> Iterator[tuple[MemberRecord, int]]:
         """Every record with the time since which it is so."""
         return ((k.record, k.since_us) for _, k in sorted(self._known.items()))
 
-    def living(self) -> list[Record]:
+    def living(self) -> list[MemberRecord]:
         """Who is not gone and has not left, this member among them, by name."""
         return [self._known[name].record for name in self._living]
 
@@ -180,7 +180,7 @@
         """1: this member keeps up; up to 9: its own times are stretched by so much."""
         return 1 + self._missed
 
-    def news(self, most: int, first: Record | None = None) -> list[Record]:
+    def news(self, most: int, first: MemberRecord | None = None) -> list[MemberRecord]:
         """What rides along with the next message: what was told least often, and the accused's record
         first.
         """
@@ -213,90 +213,97 @@
         known = self._known.get(name)
         if known is not None and known.record.life == life and incarnation > known.record.incarnation:
             r = known.record
-            self._learn(now_us, replace(r, incarnation=incarnation, state=State.ALIVE), name)
+            self._learn(now_us, replace(r, incarnation=incarnation, state=MemberState.ALIVE), name)
 
-    def hear_news(self, now_us: int, records: list[Record], teller: str) -> None:
+    def hear_news(self, now_us: int, records: list[MemberRecord], teller: str) -> None:
         for record in records:
             self._learn(now_us, record, teller)
 
-    def hear(self, now_us: int, sender: Record, body: MemberBody) -> list[Letter]:
+    def hear(self, now_us: int, sender: MemberRecord, body: MemberBody) -> list[OutgoingMessage]:
         """`sender`: its name, life and incarnation as the message states them, and where it came from."""
         match body:
             case Join(record):
                 return self._asked_to_join(now_us, record, sender.address)
-            case Joined(incarnation, by):
+            case JoinAccepted(incarnation, by):
                 self._learn(now_us, by, by.name)
                 self._admitted(now_us, incarnation)
                 return [self._pull(now_us, sender.address)]
-            case Refused("unknown"):
+            case Rejected("unknown"):
                 # New there, or forgotten: it says who it is.
-                return [Letter(sender.address, Join(self.me))] if self.joined and not self.leaving else []
-            case Refused(_, by):
+                return (
+                    [OutgoingMessage(sender.address, Join(self.me))]
+                    if self.joined and not self.leaving
+                    else []
+                )
+            case Rejected(_, by):
                 self._turned_away(now_us, by)
                 return []
         if not self.knows(sender.name, sender.life):
             # It may have been forgotten, or speak under a name that is another's.
-            return [Letter(sender.address, Refused("unknown"))] if isinstance(body, Ping) else []
+            return [OutgoingMessage(sender.address, Rejected("unknown"))] if isinstance(body, Ping) else []
         at = self._known[sender.name].record
         match body:
             case Ping(number):
-                told = at if at.state is not State.ALIVE else None
-                return [Letter(at.address, Ack(number, self.digest()), told)]
+                told = at if at.state is not MemberState.ALIVE else None
+                return [OutgoingMessage(at.address, Ack(number, self.digest()), told)]
             case Ack(number, digest):
                 return self._acked(now_us, sender.name, number, digest)
-            case PingFor(number, target):
+            case PingRequest(number, target):
                 known = self._known.get(target)
                 if known is None:
                     return []
                 self._number += 1
                 until_us = now_us + int(self._period_us() * 0.3)
                 self._for[self._number] = (sender.name, number, target, until_us)
-                return [Letter(known.record.address, Ping(self._number), self._accused(known))]
+                return [OutgoingMessage(known.record.address, Ping(self._number), self._accused(known))]
             case Nack(number):
                 if self._probe is not None and self._probe.number == number:
                     self._probe.nacks += 1
                 return []
-            case Pull(after, theirs):
+            case PullRequest(after, theirs):
                 pairs = zip(theirs, self._digests, strict=False)
                 same = {n for n, (one, other) in enumerate(pairs) if one == other}
                 names = [n for n in sorted(self._known) if n > after and _range(n) not in same]
                 page = [self._known[n].record for n in names[:PAGE]]
-                return [Letter(at.address, Page(page, len(names) > PAGE))]
-            case Page(records, more):
+                return [OutgoingMessage(at.address, TablePage(page, len(names) > PAGE))]
+            case TablePage(records, more):
                 self.hear_news(now_us, records, sender.name)
                 return [self._pull(now_us, at.address, records[-1].name)] if more and records else []
         return []
 
-    def _asked_to_join(self, now_us: int, record: Record, address: str) -> list[Letter]:
+    def _asked_to_join(self, now_us: int, record: MemberRecord, address: str) -> list[OutgoingMessage]:
         if record.name == self.me.name:
             if record.life != self.me.life:
                 self._claimed_twice(now_us, record)
-                return [Letter(address, Refused("name", self.me.address))]
+                return [OutgoingMessage(address, Rejected("name", self.me.address))]
             return []
         known = self._known.get(record.name)
         if known is None or known.record.life == record.life:
             incarnation = 1 if known is None else known.record.incarnation
-            if known is not None and known.record.state in (State.GONE, State.LEFT):
+            if known is not None and known.record.state in (MemberState.GONE, MemberState.LEFT):
                 incarnation += 1
-        elif known.record.state in (State.GONE, State.LEFT) or known.record.address == record.address:
+        elif (
+            known.record.state in (MemberState.GONE, MemberState.LEFT)
+            or known.record.address == record.address
+        ):
             # Its process is gone for certain where another one now holds the address.
             incarnation = known.record.incarnation + 1
         else:
             # Another life has the name and was not found gone. It is told, and asked whether it lives.
             known.named_twice_us = now_us
             return [
-                Letter(address, Refused("name", known.record.address)),
-                Letter(known.record.address, Join(record)),
+                OutgoingMessage(address, Rejected("name", known.record.address)),
+                OutgoingMessage(known.record.address, Join(record)),
             ]
-        newer = replace(record, incarnation=incarnation, state=State.ALIVE)
+        newer = replace(record, incarnation=incarnation, state=MemberState.ALIVE)
         self._learn(now_us, newer, record.name)
-        return [Letter(address, Joined(incarnation, self.me))]
+        return [OutgoingMessage(address, JoinAccepted(incarnation, self.me))]
 
-    def _claimed_twice(self, now_us: int, other: Record) -> None:
+    def _claimed_twice(self, now_us: int, other: MemberRecord) -> None:
         own = self._known[self.me.name]
         if now_us - own.named_twice_us > 10 * SECOND or own.named_twice_us < 0:
             own.named_twice_us = now_us
-            self.changes.append(Change("claimed", other, "name-claimed-twice"))
+            self.changes.append(MembershipChange("claimed", other, "name-claimed-twice"))
 
     def _admitted(self, now_us: int, incarnation: int) -> None:
         self.refused_by = ""
@@ -304,7 +311,7 @@
             self._be(now_us, incarnation)
         if not self.joined:
             self.joined = True
-            self.changes.append(Change("joined", self.me))
+            self.changes.append(MembershipChange("joined", self.me))
             self._tell(self.me.name)
 
     def _turned_away(self, now_us: int, by: str) -> None:
@@ -312,15 +319,15 @@
         if by == self.me.address:
             return
         if self.refused_by != by:
-            self.changes.append(Change("refused", self.me, f"name-claimed-twice by {by}"))
+            self.changes.append(MembershipChange("refused", self.me, f"name-claimed-twice by {by}"))
         self.refused_by = by
         self.joined, self._join_us = False, now_us + 5 * SECOND
 
-    def _be(self, now_us: int, incarnation: int, state: State = State.ALIVE) -> None:
+    def _be(self, now_us: int, incarnation: int, state: MemberState = MemberState.ALIVE) -> None:
         self.me = replace(self.me, incarnation=incarnation, state=state)
         self._set(now_us, self.me)
 
-    def _set(self, now_us: int, record: Record) -> _Known:
+    def _set(self, now_us: int, record: MemberRecord) -> _Known:
         known = self._known.get(record.name)
         before = known.record if known is not None else None
         if known is None or known.record.life != record.life:
@@ -332,12 +339,15 @@
         self._tell(record.name)
         return known
 
-    def _sort_in(self, name: str, before: Record | None, after: Record | None) -> None:
+    def _sort_in(self, name: str, before: MemberRecord | None, after: MemberRecord | None) -> None:
         """Keeps what is derived from the records: who lives, suspects, those ended, the digest."""
         for record in (before, after):
             self._digests[_range(name)] ^= _mark(record) if record is not None else 0
         state = after.state if after is not None else None
-        for names, states in ((self._suspects, (State.SUSPECT,)), (self._ended, (State.GONE, State.LEFT))):
+        for names, states in (
+            (self._suspects, (MemberState.SUSPECT,)),
+            (self._ended, (MemberState.GONE, MemberState.LEFT)),
+        ):
             (names.add if state in states else names.discard)(name)
         lived, lives = (r is not None and r.state in _LIVING for r in (before, after))
         if lives and not lived:
@@ -353,34 +363,41 @@
         self._news[name] = 0
         self._news.move_to_end(name, last=False)
 
-    def _learn(self, now_us: int, record: Record, teller: str) -> None:
+    def _learn(self, now_us: int, record: MemberRecord, teller: str) -> None:
         if record.name == self.me.name:
             self._learn_of_myself(now_us, record)
             return
         known = self._known.get(record.name)
         if known is not None and not record.overrules(known.record):
-            if record == known.record and record.state is State.SUSPECT:
+            if record == known.record and record.state is MemberState.SUSPECT:
                 self._shared(now_us, known, teller)
             return
         before = known.record if known is not None else None
-        if known is None and record.state in (State.GONE, State.LEFT):
+        if known is None and record.state in (MemberState.GONE, MemberState.LEFT):
             return  # nobody we knew; remembered by those who did
         now_known = self._set(now_us, record)
         match record.state:
-            case State.SUSPECT:
+            case MemberState.SUSPECT:
                 self._accuse(now_us, now_known, teller)
-            case State.ALIVE if before is None or before.life != record.life:
-                self.changes.append(Change("joined", record))
-            case State.ALIVE if before is not None and before.state in (State.GONE, State.LEFT):
-                self.changes.append(Change("back", record))
-            case State.GONE if before is not None:
-                self.changes.append(Change("gone", record, f"told by {teller}"))
-            case State.LEFT:
-                self.changes.append(Change("left", record))
-
-    def _learn_of_myself(self, now_us: int, record: Record) -> None:
+            case MemberState.ALIVE if before is None or before.life != record.life:
+                self.changes.append(MembershipChange("joined", record))
+            case MemberState.ALIVE if before is not None and before.state in (
+                MemberState.GONE,
+                MemberState.LEFT,
+            ):
+                self.changes.append(MembershipChange("back", record))
+            case MemberState.GONE if before is not None:
+                self.changes.append(MembershipChange("gone", record, f"told by {teller}"))
+            case MemberState.LEFT:
+                self.changes.append(MembershipChange("left", record))
+
+    def _learn_of_myself(self, now_us: int, record: MemberRecord) -> None:
         if record.life != self.me.life:
-            if record.incarnation >= self.me.incarnation and record.state is State.ALIVE and self.joined:
+            if (
+                record.incarnation >= self.me.incarnation
+                and record.state is MemberState.ALIVE
+                and self.joined
+            ):
                 # Somebody was given this name while we were taken for gone.
                 self._turned_away(now_us, record.address)
             elif record.incarnation >= self.me.incarnation:
@@ -400,7 +417,7 @@
     def _accuse(self, now_us: int, known: _Known, accuser: str) -> None:
         known.accused_us, known.accusers = now_us, {accuser}
         self._set_end(known)
-        self.changes.append(Change("suspect", known.record, f"told by {accuser}"))
+        self.changes.append(MembershipChange("suspect", known.record, f"told by {accuser}"))
 
     def _shared(self, now_us: int, known: _Known, accuser: str) -> None:
         if accuser not in known.accusers and len(known.accusers) <= SHARED:
@@ -416,8 +433,8 @@
         part = min(1.0, math.log(others + 1) / math.log(wanted + 1))
         known.until_us = known.accused_us + int(least * (ALONE - (ALONE - 1.0) * part)) * self.slowness
 
-    def _accused(self, known: _Known) -> Record | None:
-        return known.record if known.record.state is not State.ALIVE else None
+    def _accused(self, known: _Known) -> MemberRecord | None:
+        return known.record if known.record.state is not MemberState.ALIVE else None
 
     # ------------------------------------------------------------------ time
 
@@ -436,7 +453,7 @@
         parts = [*DIRECT[probe.done : probe.done + 1], *INDIRECT[probe.asked : probe.asked + 1], 1.0]
         return min(due_us, probe.began_us + math.ceil(min(parts) * probe.period_us))
 
-    def turn(self, now_us: int) -> list[Letter]:
+    def turn(self, now_us: int) -> list[OutgoingMessage]:
         late_us = now_us - self._expected_us
         if late_us > self._period_us() * AWAY:
             self._was_away(now_us, late_us)
@@ -444,16 +461,16 @@
         self._expected_us = max(now_us, self.due_us(now_us))
         return letters
 
-    def _turn(self, now_us: int) -> list[Letter]:
+    def _turn(self, now_us: int) -> list[OutgoingMessage]:
         if not self.joined and not self.leaving:
             return self._ask_to_join(now_us)
-        letters: list[Letter] = []
+        letters: list[OutgoingMessage] = []
         for number, (whose, his, _target, until_us) in list(self._for.items()):
             if now_us >= until_us:
                 del self._for[number]
                 asker = self.record(whose)
                 if asker is not None:
-                    letters.append(Letter(asker.address, Nack(his)))
+                    letters.append(OutgoingMessage(asker.address, Nack(his)))
         for known in [self._known[name] for name in sorted(self._suspects)]:
             if known.until_us and now_us >= known.until_us:
                 self._give_up(now_us, known)
@@ -478,35 +495,37 @@
         self._probe, self._next_us = None, now_us
         self._for.clear()
         for known in self._known.values():
-            if known.record.state is State.SUSPECT:
+            if known.record.state is MemberState.SUSPECT:
                 known.accused_us += gap
                 known.until_us += gap
 
-    def _ask_to_join(self, now_us: int) -> list[Letter]:
+    def _ask_to_join(self, now_us: int) -> list[OutgoingMessage]:
         if now_us < self._join_us:
             return []
         self._join_us = now_us + SECOND // 2
-        return [Letter(address, Join(self.me)) for address in self._seeds]
+        return [OutgoingMessage(address, Join(self.me)) for address in self._seeds]
 
     def _period_us(self) -> int:
         return int(self.terms.probe_s * SECOND) * self.slowness
 
-    def _go_on_probing(self, now_us: int) -> list[Letter]:
-        letters: list[Letter] = []
+    def _go_on_probing(self, now_us: int) -> list[OutgoingMessage]:
+        letters: list[OutgoingMessage] = []
         if self._probe is not None:
             probe, known = self._probe, self._known.get(self._probe.name)
-            if known is None or known.record.state in (State.GONE, State.LEFT):
+            if known is None or known.record.state in (MemberState.GONE, MemberState.LEFT):
                 self._probe = None
             else:
                 part = (now_us - probe.began_us) / probe.period_us
                 while probe.done < len(DIRECT) and part >= DIRECT[probe.done]:
                     probe.done += 1
-                    letters.append(Letter(known.record.address, Ping(probe.number), self._accused(known)))
+                    letters.append(
+                        OutgoingMessage(known.record.address, Ping(probe.number), self._accused(known))
+                    )
                 while probe.asked < len(INDIRECT) and part >= INDIRECT[probe.asked]:
                     probe.asked += 1
                     for helper in self._some(HELPERS, probe.name):
                         probe.helpers += 1
-                        letters.append(Letter(helper.address, PingFor(probe.number, probe.name)))
+                        letters.append(OutgoingMessage(helper.address, PingRequest(probe.number, probe.name)))
                 if part >= 1.0:
                     self._unanswered(now_us, probe, known)
         if self._probe is None and now_us >= self._next_us:
@@ -516,7 +535,9 @@
                 self._next_us = now_us + self._period_us()
                 self._probe = _Probe(name, self._number, now_us, self._period_us(), 1)
                 known = self._known[name]
-                letters.append(Letter(known.record.address, Ping(self._number), self._accused(known)))
+                letters.append(
+                    OutgoingMessage(known.record.address, Ping(self._number), self._accused(known))
+                )
         return letters
 
     def _next_name(self) -> str | None:
@@ -528,17 +549,17 @@
         self._random.shuffle(self._round)
         return self._round.pop() if self._round else None
 
-    def _some(self, count: int, *but: str) -> list[Record]:
+    def _some(self, count: int, *but: str) -> list[MemberRecord]:
         """Others that live, by chance; fewer where there are no more."""
         picked = self._random.sample(self._living, min(count + 1 + len(but), len(self._living)))
         names = [name for name in picked if name != self.me.name and name not in but]
         return [self._known[name].record for name in names[:count]]
 
-    def _acked(self, now_us: int, sender: str, number: int, digest: int) -> list[Letter]:
+    def _acked(self, now_us: int, sender: str, number: int, digest: int) -> list[OutgoingMessage]:
         if (asked := self._for.pop(number, None)) is not None and asked[2] == sender:
             asker = self.record(asked[0])
-            return [Letter(asker.address, Ack(asked[1], 0))] if asker is not None else []
-        letters: list[Letter] = []
+            return [OutgoingMessage(asker.address, Ack(asked[1], 0))] if asker is not None else []
+        letters: list[OutgoingMessage] = []
         if self._probe is not None and self._probe.number == number:
             if sender == self._probe.name and digest:
                 self._differ = self._differ + 1 if digest != self.digest() else 0
@@ -549,46 +570,48 @@
             self._missed = max(0, self._missed - 1)
         return letters
 
-    def _pull(self, now_us: int, address: str, after: str = "") -> Letter:
+    def _pull(self, now_us: int, address: str, after: str = "") -> OutgoingMessage:
         self._pulled_us, self._differ = now_us, 0
-        return Letter(address, Pull(after, list(self._digests)))
+        return OutgoingMessage(address, PullRequest(after, list(self._digests)))
 
     def _unanswered(self, now_us: int, probe: _Probe, known: _Known) -> None:
         self._probe = None
         # Helpers that answered nothing at all: it may be this member that is not heard.
         if probe.helpers and probe.nacks < probe.helpers:
             self._missed = min(MISSED_MOST, self._missed + 1)
-        if known.record.state is State.ALIVE:
+        if known.record.state is MemberState.ALIVE:
             r = known.record
-            self._accuse(now_us, self._set(now_us, replace(r, state=State.SUSPECT)), self.me.name)
-        elif known.record.state is State.SUSPECT:
+            self._accuse(now_us, self._set(now_us, replace(r, state=MemberState.SUSPECT)), self.me.name)
+        elif known.record.state is MemberState.SUSPECT:
             self._shared(now_us, known, self.me.name)
 
     def _give_up(self, now_us: int, known: _Known) -> None:
         r = known.record
-        self._set(now_us, replace(r, state=State.GONE))
-        self.changes.append(Change("gone", r, f"silent, {len(known.accusers)} said so"))
+        self._set(now_us, replace(r, state=MemberState.GONE))
+        self.changes.append(MembershipChange("gone", r, f"silent, {len(known.accusers)} said so"))
 
-    def _knock(self, now_us: int) -> list[Letter]:
+    def _knock(self, now_us: int) -> list[OutgoingMessage]:
         """Asks one of those taken for gone, and an address to join by: two sides of a cut find each other."""
         if now_us - self._knocked_us < 2 * SECOND:
             return []
         self._knocked_us = now_us
         letters = []
-        gone = [r for r in (self._known[n].record for n in sorted(self._ended)) if r.state is State.GONE]
+        gone = [
+            r for r in (self._known[n].record for n in sorted(self._ended)) if r.state is MemberState.GONE
+        ]
         if gone:
             one = self._random.choice(gone)
-            letters.append(Letter(one.address, Ping(0), one))
+            letters.append(OutgoingMessage(one.address, Ping(0), one))
         known = {k.record.address for k in self._known.values()}
         unknown = [a for a in self._seeds if a not in known]
         if unknown:
-            letters.append(Letter(self._random.choice(unknown), Join(self.me)))
+            letters.append(OutgoingMessage(self._random.choice(unknown), Join(self.me)))
         return letters
 
-    def leave(self, now_us: int) -> list[Letter]:
+    def leave(self, now_us: int) -> list[OutgoingMessage]:
         """In good order: some are told at once, who tell the others."""
         if self.leaving:
             return []
         self.leaving = True
-        self._be(now_us, self.me.incarnation, State.LEFT)
-        return [Letter(r.address, Ping(0), self.me) for r in self._some(8)]
+        self._be(now_us, self.me.incarnation, MemberState.LEFT)
+        return [OutgoingMessage(r.address, Ping(0), self.me) for r in self._some(8)]
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from sailrun.leadership.quorum import Voters
-from sailrun.membership.messages import State
-from sailrun.membership.swim import Members
+from sailrun.membership.messages import MemberState
+from sailrun.membership.swim import Membership
 from sailrun.replication.acceptor import consistent
 from sailrun.replication.marks import KINDS, LONGEST_WHY, MOST_IDS, Mark, pack, standing, unpack
 from sailrun.replication.messages import Has, Have, Higher, Kept, Level, Op, Promise, Promised, Put, Said
@@ -70,7 +70,7 @@
         term: int,
         me: str,
         voters: Callable[[], Voters],
-        members: Members,
+        members: Membership,
         sync: Sync,
         limit: Callable[[str], int | None],
         now_us: int,
@@ -369,8 +369,8 @@
         return [
             r.name
             for r, since_us in self._members.known()
-            if r.state in (State.ALIVE, State.SUSPECT)
-            or (r.state is State.GONE and now_us - since_us < absent_us)
+            if r.state in (MemberState.ALIVE, MemberState.SUSPECT)
+            or (r.state is MemberState.GONE and now_us - since_us < absent_us)
         ]
 
     def _end_forgetting(self, now_us: int) -> None:
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from sailrun.leadership.quorum import Voters
-from sailrun.membership.swim import Members
+from sailrun.membership.swim import Membership
 from sailrun.replication.acceptor import Acceptor
 from sailrun.replication.coordinator import MarksCoordinator
 from sailrun.replication.journal import Journal
@@ -96,7 +96,7 @@
         life: int,
         terms: ReplicationSettings,
         fleet: str,
-        members: Members,
+        members: Membership,
         voters: Callable[[], Voters],
         limit: Callable[[str], int | None],
         seed: int,
--- a/sailrun/replication/sync.py
+++ b/sailrun/replication/sync.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from sailrun.membership.messages import State
-from sailrun.membership.swim import Members
+from sailrun.membership.messages import MemberState
+from sailrun.membership.swim import Membership
 from sailrun.replication.journal import Journal
 from sailrun.replication.messages import (
     Busy,
@@ -86,7 +86,7 @@
         name: str,
         store: Store,
         terms: ReplicationSettings,
-        members: Members,
+        members: Membership,
         voters: Callable[[], list[str]],
         majority: Callable[[set[str]], bool],
         seed: int,
@@ -352,7 +352,7 @@
         voters = set(self._voters())
         if self._name not in voters or waited_us < FRESH_US:
             return
-        there = {r.name for r, _ in self._members.known() if r.state is not State.LEFT} & voters
+        there = {r.name for r, _ in self._members.known() if r.state is not MemberState.LEFT} & voters
         said = {n for n in there if now_us - self._answered.get(n, -ANSWERED_US) < ANSWERED_US}
         if there <= said | {self._name}:
             self._have_copied(now_us)
--- a/sailrun/sharding/part.py
+++ b/sailrun/sharding/part.py
@@ -14,7 +14,7 @@
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 from sailrun.leadership.voter import Voter
-from sailrun.membership.messages import CONTROL, Record, eligible
+from sailrun.membership.messages import CONTROL, MemberRecord, eligible
 from sailrun.sharding.assigner import Assigner
 from sailrun.sharding.fence import TokenFence
 from sailrun.sharding.messages import (
@@ -48,15 +48,15 @@
 
     version: int
 
-    def living(self) -> list[Record]: ...
-    def record(self, name: str) -> Record | None: ...
+    def living(self) -> list[MemberRecord]: ...
+    def record(self, name: str) -> MemberRecord | None: ...
     def lives(self, name: str) -> bool: ...
 
 
 class ShardsPart:
     def __init__(
         self,
-        me: Record,
+        me: MemberRecord,
         terms: ShardingSettings,
         owners: LeadershipSettings,
         members: MembersView,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,9 +16,9 @@
 from sailrun.lab.faults.play import agent_terms
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.leadership.envelope import LONGEST_DATAGRAM, BadMessage, unpack
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
-from sailrun.membership.swim import Members
+from sailrun.membership.swim import Membership
 
 SECOND = 1_000_000
 
@@ -31,7 +31,7 @@
     return made
 
 
-def members_of(made: VirtualFleet) -> Iterator[Members]:
+def members_of(made: VirtualFleet) -> Iterator[Membership]:
     return (n.agent.members for n in made.nodes.values() if n.agent is not None)
 
 
@@ -65,7 +65,7 @@
     made.leave("n4")
     made.run(7.0)
     left = {m.record("n4").state for m in members_of(made)}  # type: ignore[union-attr]
-    assert left == {State.LEFT}
+    assert left == {MemberState.LEFT}
 
 
 def test_a_paused_process_accuses_nobody_when_it_wakes() -> None:
@@ -101,8 +101,8 @@
 def test_a_name_is_not_given_to_a_second_process_while_the_first_lives_and_both_say_so() -> None:
     made = fleet(4)
     made.run(5.0)
-    second = Record("n2", 77, 1, State.ALIVE, "10.0.0.99:1", "z0")
-    impostor = Members(second, MembershipSettings(join=("10.0.0.0:1",)), 1, 0)
+    second = MemberRecord("n2", 77, 1, MemberState.ALIVE, "10.0.0.99:1", "z0")
+    impostor = Membership(second, MembershipSettings(join=("10.0.0.0:1",)), 1, 0)
     holder, asked = made.nodes["n2"].agent, made.nodes["n0"].agent
     assert holder is not None and asked is not None
     now_us = made.clock_us(made.nodes["n0"])
@@ -139,26 +139,28 @@
 
 
 RECORDS = st.builds(
-    Record,
+    MemberRecord,
     st.sampled_from(["a", "b"]),
     st.integers(1, 2),
     st.integers(1, 3),
-    st.sampled_from(list(State)),
+    st.sampled_from(list(MemberState)),
     st.just("10.0.0.9:1"),
 )
 
 
 @given(st.lists(RECORDS, max_size=8), st.randoms(use_true_random=False))
 def test_what_is_known_does_not_hang_on_the_order_it_was_heard_in(
-    records: list[Record], luck: object
+    records: list[MemberRecord], luck: object
 ) -> None:
     # What was never heard alive is not remembered as ended: so each is, first, in an older incarnation.
-    first = [Record(name, 1, 0, State.ALIVE, "10.0.0.9:1") for name in ("a", "b")]
+    first = [MemberRecord(name, 1, 0, MemberState.ALIVE, "10.0.0.9:1") for name in ("a", "b")]
     shuffled = records[:]
     luck.shuffle(shuffled)  # type: ignore[attr-defined]
     views = []
     for order in (records, shuffled, records + shuffled):
-        members = Members(Record("me", 9, 1, State.ALIVE, "10.0.0.1:1"), MembershipSettings(), 1, 0)
+        members = Membership(
+            MemberRecord("me", 9, 1, MemberState.ALIVE, "10.0.0.1:1"), MembershipSettings(), 1, 0
+        )
         members.hear_news(0, first + order, "a")
         views.append([r for r, _ in members.known()])
     assert views[0] == views[1] == views[2]
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -33,7 +33,7 @@
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
 from sailrun.leadership.voter import Voter, abstain_us
-from sailrun.membership.messages import Record, State, eligible
+from sailrun.membership.messages import MemberRecord, MemberState, eligible
 from sailrun.operator_settings import read_operator, voters_follow
 from sailrun.storage import entries
 
@@ -397,7 +397,7 @@
 
 def test_fleet_tasks_go_to_control_members_where_there_are_any() -> None:
     records = [
-        Record(n, 1, 1, State.ALIVE, "", zone, "", role)
+        MemberRecord(n, 1, 1, MemberState.ALIVE, "", zone, "", role)
         for n, zone, role in (("a", "z0", ""), ("b", "z0", "control"), ("c", "z1", ""), ("d", "z1", "node"))
     ]
     assert eligible(records) == ["b"]
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -21,10 +21,9 @@
 from sailrun.leadership.envelope import BadMessage, Envelope, pack, unpack
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
-from sailrun.membership.messages import Record as MemberRecord
-from sailrun.membership.messages import State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
-from sailrun.membership.swim import Members
+from sailrun.membership.swim import Membership
 from sailrun.node.peer_beliefs import PeerBeliefs
 from sailrun.replication import messages
 from sailrun.replication.acceptor import consistent
@@ -218,10 +217,10 @@
 
 
 def replica(name: str = "n1", **terms: Any) -> Replica:
-    members = Members(
-        MemberRecord(name, 1, 1, State.ALIVE, name), MembershipSettings(enabled=True, name=name), 1, 0
+    members = Membership(
+        MemberRecord(name, 1, 1, MemberState.ALIVE, name), MembershipSettings(enabled=True, name=name), 1, 0
     )
-    others = [MemberRecord(f"n{n}", n, 1, State.ALIVE, f"n{n}") for n in range(1, 5) if f"n{n}" != name]
+    others = [MemberRecord(f"n{n}", n, 1, MemberState.ALIVE, f"n{n}") for n in range(1, 5) if f"n{n}" != name]
     members.hear_news(0, others, others[0].name)
     owners = LeadershipSettings(enabled=True, voters=("n1", "n2", "n3"))
     made = Replica(
