--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -127,7 +127,8 @@
         """How many of the nodes that run know as many to live as there run, 0 to 1."""
         running = self.running()
         know = sum(
-            node.agent is not None and len(node.agent.members.names) == len(running) for node in running
+            node.agent is not None and len(node.agent.members.living_names) == len(running)
+            for node in running
         )
         return know / max(1, len(running))
 
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -82,7 +82,7 @@
     name = fleet.names[-1]
     fleet.kill(name)
     passed = settled
-    while any(n.agent is not None and n.agent.members.lives(name) for n in fleet.nodes.values()):
+    while any(n.agent is not None and n.agent.members.is_living(name) for n in fleet.nodes.values()):
         passed += 0.25
         fleet.run(passed)
         if passed > settled + 60:
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -231,7 +231,7 @@
         back.
         """
         if kind == DRAIN:
-            return "" if not on or fleet.agent.members.lives(subject) else f"no member '{subject[:80]}'"
+            return "" if not on or fleet.agent.members.is_living(subject) else f"no member '{subject[:80]}'"
         if kind != OUT:
             return f"'{kind[:40]}' is none of out and drain"
         listed = await answer_to(partial(self._node.has_form_server, subject))
--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -75,7 +75,7 @@
         self.lives[name] += 1
         record = MemberRecord(name, self.lives[name], 1, MemberState.ALIVE, name)
         members = Membership(record, MembershipSettings(enabled=True, name=name), 1, self.now_us)
-        members.hear_news(
+        members.merge_records(
             self.now_us,
             [MemberRecord(n, life, 1, MemberState.ALIVE, n) for n, life in self.lives.items() if n != name],
             name,
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -152,7 +152,7 @@
 def _agree(fleet: Any) -> bool:
     """Whether all that run know the same members at the end."""
     agents = [n.agent for n in fleet.nodes.values() if n.agent is not None]
-    return len({tuple((r.name, r.life) for r in a.members.living()) for a in agents}) == 1
+    return len({tuple((r.name, r.life) for r in a.members.living_records()) for a in agents}) == 1
 
 
 def judged(rows: list[Row], plan: Plan, begin_us: int, end_us: int, seconds: float, voters: int) -> Played:
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -376,7 +376,7 @@
         if reading.reads(now_us):
             reading.read(self.revision, [])
         has = reading.due(now_us)
-        if has is None or not agent.members.joined:
+        if has is None or not agent.members.has_joined:
             return []
 
         def done(now_us: int, sent_us: int, content: Any) -> None:
@@ -430,7 +430,7 @@
     def _look_at_copies(self) -> None:
         for node in self.nodes.values():
             replica = node.agent.replica if node.agent is not None and not node.stopped else None
-            if replica is not None and node.agent is not None and node.agent.members.joined:
+            if replica is not None and node.agent is not None and node.agent.members.has_joined:
                 state = show_state(replica, self.clock_us(node))
                 behind_s = state["behind"]["s"]
                 self.row(
@@ -547,7 +547,7 @@
 
     def tasks(self) -> list[str]:
         agents = [node.agent for node in self.nodes.values() if node.agent is not None]
-        return sorted({task for agent in agents if agent.members.joined for task in agent.tasks()})
+        return sorted({task for agent in agents if agent.members.has_joined for task in agent.tasks()})
 
     def want(self, name: str, kind: str, subject: str, for_us: int) -> None:
         agent = self.nodes[name].agent
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -174,7 +174,7 @@
         if reading.reads(now_us):
             reading.read(roster_revision(self._began_us, now_us), [])
         has = reading.due(now_us)
-        if has is None or not self.agent.members.joined:
+        if has is None or not self.agent.members.has_joined:
             return []
         return self.agent.ask(now_us, self._task, [has.source, has.revision], self._answered)
 
@@ -189,16 +189,16 @@
     def knows(self, asked: Look, seed: int) -> bool:
         """Whether it knows exactly the members that were asked for."""
         members = self.agent.members
-        if not members.joined or len(members.names) != asked.count:
+        if not members.has_joined or len(members.living_names) != asked.count:
             return False
-        if self._checked[0] != members.version:
-            self._checked = (members.version, names_crc(members.names))
+        if self._checked[0] != members.living_version:
+            self._checked = (members.living_version, names_crc(members.living_names))
         if self._checked[1] != asked.names_crc:
             return False
         return all(self._knows_life(seed, name, number) for name, number in asked.lives.items())
 
     def _knows_life(self, seed: int, name: str, number: int) -> bool:
-        record = self.agent.members.record(name)
+        record = self.agent.members.find_record(name)
         return record is not None and record.life == life_of(seed, name, number)
 
 
@@ -219,8 +219,8 @@
 def know_members(agent: MeteredAgent, now_us: int, records: list[MemberRecord]) -> None:
     """A faster start: the members are known, and the news of them has been told to all."""
     members = agent.members
-    members.hear_news(now_us, records, agent.name)
-    members.joined = True
+    members.merge_records(now_us, records, agent.name)
+    members.has_joined = True
     members._news.clear()
     members.changes.clear()
     agent.cpu_s = 0.0
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -84,7 +84,7 @@
             self.start(name)
         if self.plan.faults == "begin":
             return
-        records = [self.agent(name).members.me for name in self.names]
+        records = [self.agent(name).members.own_record for name in self.names]
         gc.disable()  # nothing of this is garbage
         for name in self.names:
             others = [record for record in records if record.name != name]
@@ -198,9 +198,9 @@
 
     def _knows(self, name: str, names: list[str], lives: dict[str, int]) -> bool:
         members = self.agent(name).members
-        if not members.joined or members.names != names:
+        if not members.has_joined or members.living_names != names:
             return False
-        known = {other: members.record(other) for other in lives}
+        known = {other: members.find_record(other) for other in lives}
         return all(record is not None and record.life == lives[other] for other, record in known.items())
 
     def until_known(self) -> Known:
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -95,7 +95,7 @@
         self.tallies = self._change_log.tallies
         self._ownership = Ownership(self.members, self.leases, me.zone, terms, self.tallies)
         self._outgoing = Outgoing(lambda: self.terms.members.fleet, self.members, self.leases)
-        self.backing = Backing(me.name, me.life, lambda: self.voters, self.members.lives, record, off)
+        self.backing = Backing(me.name, me.life, lambda: self.voters, self.members.is_living, record, off)
         self._vote = VotePart(me.name, self.voters, terms.owners, self.backing, founding, now_us, off)
         self._permits = PermitPart(terms.permits, self._change_log, off)
         self.rolling_drains = RollingDrains(me.name, self.holder)
@@ -207,15 +207,15 @@
             return []
         body, name, life = envelope.body, envelope.sender, envelope.life
         if name != self.name:
-            self.members.heard_from(now_us, name, life, envelope.incarnation)
+            self.members.observe_contact(now_us, name, life, envelope.incarnation)
         outs: list[Out] = []
         if isinstance(body, MemberBody):
             sender = MemberRecord(name, life, envelope.incarnation, MemberState.ALIVE, address)
-            outs = self._outgoing.letters(self.members.hear(now_us, sender, body))
-        elif not self.members.knows(name, life):
+            outs = self._outgoing.letters(self.members.receive(now_us, sender, body))
+        elif not self.members.accept_sender(name, life):
             return []
-        if self.members.is_current(name, life):
-            self.members.hear_news(now_us, envelope.news, name)
+        if self.members.is_current_process(name, life):
+            self.members.merge_records(now_us, envelope.news, name)
             for claim in envelope.claims:
                 self._heard_of(now_us, claim.task, claim.term, claim.holder)
             if not isinstance(body, MemberBody):
@@ -231,7 +231,7 @@
         match body:
             case Ask() | Release() | Recall() | Recalled():
                 # One that was refused its name is no voter.
-                if self.members.joined:
+                if self.members.has_joined:
                     return self._posts(self._vote.hear(now_us, sender, life, body))
             case Grant():
                 self.leases.granted(now_us, sender, body)
@@ -253,13 +253,13 @@
             case DrainStatus():
                 self.rolling_drains.told(now_us, sender, body)
             case _ if isinstance(body, ShardBody):
-                if self.shards is not None and self.members.joined:
+                if self.shards is not None and self.members.has_joined:
                     return self._posts(self.shards.hear(now_us, sender, life, body))
             case Stand() | Stood():
                 if sender in self.voters.all():
                     return self._backed(*self.backing.heard(now_us, sender, body))
             case _:
-                if self.replica is not None and self.members.joined:
+                if self.replica is not None and self.members.has_joined:
                     return self._posts(self.replica.hear(now_us, sender, body))
         return []
 
@@ -283,7 +283,7 @@
     def due_us(self, now_us: int) -> int:
         """When `turn` wants to be called next, should nothing come in."""
         due_us = self.members.due_us(now_us)
-        if not self.members.joined:
+        if not self.members.has_joined:
             return due_us
         due_us = min(due_us, self.leases.due_us(now_us, self.tasks()))
         if self.voter is not None:
@@ -299,18 +299,18 @@
 
     def turn(self, now_us: int) -> list[Out]:
         self._now_us = now_us
-        outs = self._outgoing.letters(self.members.turn(now_us))
-        if self.voter is not None and self.members.joined:
+        outs = self._outgoing.letters(self.members.tick(now_us))
+        if self.voter is not None and self.members.has_joined:
             outs += self._posts(self.voter.turn(now_us))
             outs += self._posts(self.backing.turn(now_us))
-        if self.members.joined and not self.members.leaving:
+        if self.members.has_joined and not self.members.is_leaving:
             outs += self._turn_leases(now_us)
         self._questions.forget_late(now_us)
         outs += self._turn_permits(now_us)
         outs += self._posts(self.rolling_drains.turn(now_us))
-        if self.replica is not None and self.members.joined and not self.members.leaving:
+        if self.replica is not None and self.members.has_joined and not self.members.is_leaving:
             outs += self._turn_replica(now_us, self.replica)
-        if self.shards is not None and self.members.joined and not self.members.leaving:
+        if self.shards is not None and self.members.has_joined and not self.members.is_leaving:
             outs += self._posts(self.shards.turn(now_us))
         return outs + self._changes(now_us)
 
@@ -391,7 +391,7 @@
     def say(self, now_us: int, posts: list[ShardPost]) -> list[Out]:
         """What the part of shards has to say outside of a turn, as acts on a shard's behalf."""
         self._now_us = now_us
-        return self._posts(posts) if self.members.joined else []
+        return self._posts(posts) if self.members.has_joined else []
 
     def _send(self, messages: list[Addressed]) -> list[Out]:
         return [out for one in messages for out in self._post(one.name, one.body, one.guard)]
--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -40,13 +40,13 @@
         record = change.record
         self.add(
             "member",
-            what=change.what,
+            what=change.kind,
             name=record.name,
             incarnation=record.incarnation,
             at=record.address,
-            why=change.why or None,
+            why=change.reason or None,
         )
-        self.act("member", what=change.what, name=record.name, life=record.life)
+        self.act("member", what=change.kind, name=record.name, life=record.life)
 
     def owner(self, change: OwnershipChange) -> None:
         if not change.mine:
--- a/sailrun/leadership/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -36,20 +36,20 @@
 
     def letters(self, letters: list[OutgoingMessage]) -> list[Out]:
         """The membership protocol's own messages, which go by address."""
-        return [Out(letter.address, self._envelope(letter.body, letter.record)) for letter in letters]
+        return [Out(letter.address, self._envelope(letter.body, letter.first_update)) for letter in letters]
 
     def message(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
         """To a member by name; empty where its address is not known."""
-        record = self._members.record(name)
+        record = self._members.find_record(name)
         if record is None:
             return []
         return [Out(record.address, self._envelope(body), name, guard)]
 
     def _envelope(self, body: Body, first: MemberRecord | None = None) -> Envelope:
-        me = self._members.me
+        me = self._members.own_record
         # Gossip rides on what members say anyway, and on nothing that must be small or soon.
         light = isinstance(body, MemberBody) and not isinstance(body, Rejected)
-        news = self._members.news(MOST_NEWS, first) if light else []
+        news = self._members.take_updates(MOST_NEWS, first) if light else []
         claims = self._leases.claims(MOST_CLAIMS, CLAIM_TIMES) if light else []
         if isinstance(body, JoinAccepted):
             # A newcomer may be a voter that has forgotten: it hears of every term there is.
--- a/sailrun/leadership/ownership.py
+++ b/sailrun/leadership/ownership.py
@@ -8,7 +8,7 @@
 from sailrun.leadership.permits import TASK as PERMITS
 from sailrun.leadership.settings import DRIFT
 from sailrun.leadership.tallies import Tallies
-from sailrun.membership.messages import eligible
+from sailrun.membership.messages import list_eligible_names
 from sailrun.membership.swim import Membership
 from sailrun.replication.replica import MARKS
 
@@ -36,14 +36,14 @@
 
     def tasks(self) -> dict[str, list[str]]:
         """The tasks this node may own, with the best placed of the living members that may as well."""
-        if self._members.version != self._tasks_version:
-            self._tasks_version = self._members.version
+        if self._members.living_version != self._tasks_version:
+            self._tasks_version = self._members.living_version
             self._tasks = self._candidates()
         return self._tasks
 
     def _candidates(self) -> dict[str, list[str]]:
-        living = self._members.living()
-        names = eligible(living)
+        living = self._members.living_records()
+        names = list_eligible_names(living)
         tasks = {}
         if self._terms.permits.enabled:
             tasks[PERMITS] = best_placed(PERMITS, names)
@@ -53,7 +53,7 @@
             tasks[MARKS] = best_placed(MARKS, names)
         if self._terms.reader.enabled:
             task = READER + self._zone
-            tasks[task] = best_placed(task, eligible([r for r in living if r.zone == self._zone]))
+            tasks[task] = best_placed(task, list_eligible_names([r for r in living if r.zone == self._zone]))
         return tasks
 
     def owns(self, task: str, now_us: int) -> int:
@@ -77,4 +77,4 @@
     def holder_of(self, task: str) -> str:
         """Hearsay: who owns the task; empty where none is known to live."""
         holder = self._leases.of(task).holder
-        return holder if holder and self._members.lives(holder) else ""
+        return holder if holder and self._members.is_living(holder) else ""
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -195,7 +195,7 @@
 
     def living(self) -> set[str]:
         """The names of the members that live, as far as is known."""
-        return set(self.agent.members.names)
+        return set(self.agent.members.living_names)
 
     def highest_term(self, task: str) -> int:
         """The highest term under which anybody is known to have owned the task."""
@@ -350,7 +350,7 @@
         """`reply` is called with "" once it is begun, or with why it is not."""
 
         def call(now_us: int) -> list[Out]:
-            unknown = [n for n in nodes if not self.agent.members.lives(n)]
+            unknown = [n for n in nodes if not self.agent.members.is_living(n)]
             if unknown:
                 reply(f"no member {', '.join(unknown[:5])}")
             elif self.agent.holder is None:
@@ -393,8 +393,8 @@
             "orders_late": tallies.orders_late,
             "bad_messages": tallies.bad_messages,
             "wrong_fleet": tallies.wrong_fleet,
-            "strangers": members.stray,
-            "slowness": members.slowness,
+            "strangers": members.unknown_sender_count,
+            "slowness": members.local_health_multiplier,
             "messages_in": self.carrier.traffic.messages_in,
             "messages_out": self.carrier.traffic.messages_out,
             "bytes_in": self.carrier.traffic.bytes_in,
--- a/sailrun/leadership/shared.py
+++ b/sailrun/leadership/shared.py
@@ -117,7 +117,7 @@
             if reads:
                 self._client.fetch()
         has = self._reading.due(now_us)
-        if has is None or not self._agent.members.joined:
+        if has is None or not self._agent.members.has_joined:
             return []
         return self._agent.ask(now_us, self._task, [has.source, has.revision], self._answered)
 
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -26,7 +26,7 @@
             "address": record.address,
             "zone": record.zone,
         }
-        for record, since_us in agent.members.known()
+        for record, since_us in agent.members.records_with_age()
     ]
 
 
--- a/sailrun/membership/messages.py
+++ b/sailrun/membership/messages.py
@@ -34,35 +34,35 @@
     region: str = ""
     role: str = ""
 
-    def overrules(self, other: MemberRecord) -> bool:
+    def supersedes(self, other: MemberRecord) -> bool:
         """Any two are in order, the same everywhere: copies converge whatever the order of arrival."""
         return (self.incarnation, self.state, self.life) > (other.incarnation, other.state, other.life)
 
 
-def eligible(records: list[MemberRecord]) -> list[str]:
+def list_eligible_names(records: list[MemberRecord]) -> list[str]:
     """The names of those set aside for work on behalf of the fleet; of all where there are none."""
     control = [record for record in records if record.role == CONTROL]
     return [record.name for record in control or records]
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping"):
-    number: int
+    sequence: int
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
-    number: int
-    digest: int  # of the sender's copy of the members
+    sequence: int
+    table_digest: int  # of the sender's copy of the members
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag="ping-for"):
     """Probe the target for me. One who gets no answer in time says so, so that I know that I am heard."""
 
-    number: int
+    sequence: int
     target: str
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag="nack"):
-    number: int
+    sequence: int
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True, tag="join"):
@@ -71,26 +71,26 @@
 
 class JoinAccepted(msgspec.Struct, array_like=True, frozen=True, tag="joined"):
     incarnation: int  # the newcomer's from now on
-    by: MemberRecord  # whom it may ask for the others
+    accepted_by: MemberRecord  # whom it may ask for the others
 
 
 class Rejected(msgspec.Struct, array_like=True, frozen=True, tag="refused"):
     """`why`: `unknown` (join first), `name` (it is another's), `fleet`."""
 
-    why: str
-    by: str = ""
+    reason: str
+    name_holder_address: str = ""
 
 
 class PullRequest(msgspec.Struct, array_like=True, frozen=True, tag="pull"):
     """Tell me those that come after this name, of the ranges in which our copies differ."""
 
-    after: str
-    digests: list[int]  # the asker's, by range; empty: all ranges
+    after_name: str
+    range_digests: list[int]  # the asker's, by range; empty: all ranges
 
 
 class TablePage(msgspec.Struct, array_like=True, frozen=True, tag="page"):
     records: list[MemberRecord]
-    more: bool
+    has_more: bool
 
 
 MemberBody = Ping | Ack | PingRequest | Nack | Join | JoinAccepted | Rejected | PullRequest | TablePage
--- a/sailrun/membership/swim.py
+++ b/sailrun/membership/swim.py
@@ -77,16 +77,16 @@
 
     address: str
     body: MemberBody
-    record: MemberRecord | None = None
+    first_update: MemberRecord | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
     """What became of a member, for the log."""
 
-    what: str  # joined, suspect, gone, left, back, refused, claimed
+    kind: str  # joined, suspect, gone, left, back, refused, claimed
     record: MemberRecord
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(slots=True)
@@ -116,15 +116,15 @@
 
     def __init__(self, me: MemberRecord, terms: MembershipSettings, seed: int, now_us: int) -> None:
         """`me`: incarnation 1, alive. With nobody to join by, this member is the first of its fleet."""
-        self.me = me
-        self.terms = terms
+        self.own_record = me
+        self.settings = terms
         self.changes: list[MembershipChange] = []  # for whoever drives this; emptied by him
-        self.stray = 0  # messages of senders that are no members
-        self.refused_by = ""  # who has our name, if we were refused
+        self.unknown_sender_count = 0  # messages of senders that are no members
+        self.name_holder_address = ""  # who has our name, if we were refused
         self._random = random.Random(seed)
         self._known: dict[str, _Known] = {me.name: _Known(me, now_us)}
         self._seeds = [a for a in terms.join if a != me.address]
-        self.joined = not self._seeds
+        self.has_joined = not self._seeds
         self._join_us = now_us
         self._news: OrderedDict[str, int] = OrderedDict()  # by name, how often told; what is new first
         self._round: list[str] = []
@@ -144,43 +144,43 @@
         self._digests = [0] * RANGES
         self._digests[_range(me.name)] = _mark(me)
         self._differ = 0  # answers in a row that told of another copy
-        self.leaving = False
+        self.is_leaving = False
         self._living: list[str] = [me.name]  # names, in their order
-        self.version = 0  # grows whenever who lives changes
+        self.living_version = 0  # grows whenever who lives changes
 
     # ------------------------------------------------------------------ what is known
 
-    def record(self, name: str) -> MemberRecord | None:
+    def find_record(self, name: str) -> MemberRecord | None:
         known = self._known.get(name)
         return known.record if known is not None else None
 
-    def known(self) -> Iterator[tuple[MemberRecord, int]]:
+    def records_with_age(self) -> Iterator[tuple[MemberRecord, int]]:
         """Every record with the time since which it is so."""
         return ((k.record, k.since_us) for _, k in sorted(self._known.items()))
 
-    def living(self) -> list[MemberRecord]:
+    def living_records(self) -> list[MemberRecord]:
         """Who is not gone and has not left, this member among them, by name."""
         return [self._known[name].record for name in self._living]
 
     @property
-    def names(self) -> list[str]:
+    def living_names(self) -> list[str]:
         """The names of the living, in their order; not to be changed."""
         return self._living
 
-    def lives(self, name: str) -> bool:
-        record = self.record(name)
+    def is_living(self, name: str) -> bool:
+        record = self.find_record(name)
         return record is not None and record.state in _LIVING
 
-    def digest(self) -> int:
+    def compute_digest(self) -> int:
         """Of this copy: equal where two members know the same."""
         return zlib.crc32(repr(self._digests).encode())
 
     @property
-    def slowness(self) -> int:
+    def local_health_multiplier(self) -> int:
         """1: this member keeps up; up to 9: its own times are stretched by so much."""
         return 1 + self._missed
 
-    def news(self, most: int, first: MemberRecord | None = None) -> list[MemberRecord]:
+    def take_updates(self, most: int, first: MemberRecord | None = None) -> list[MemberRecord]:
         """What rides along with the next message: what was told least often, and the accused's record
         first.
         """
@@ -196,30 +196,30 @@
 
     # ------------------------------------------------------------------ what comes in
 
-    def knows(self, name: str, life: int) -> bool:
+    def accept_sender(self, name: str, life: int) -> bool:
         """Whether a message of this sender's counts; one that does not is counted here."""
-        if self.is_current(name, life):
+        if self.is_current_process(name, life):
             return True
-        self.stray += 1
+        self.unknown_sender_count += 1
         return False
 
-    def is_current(self, name: str, life: int) -> bool:
+    def is_current_process(self, name: str, life: int) -> bool:
         """Whether the other member of that name is, as far as known here, this process."""
         known = self._known.get(name)
-        return known is not None and known.record.life == life and name != self.me.name
+        return known is not None and known.record.life == life and name != self.own_record.name
 
-    def heard_from(self, now_us: int, name: str, life: int, incarnation: int) -> None:
+    def observe_contact(self, now_us: int, name: str, life: int, incarnation: int) -> None:
         """A message of its own says better than any hearsay that a member lives in that incarnation."""
         known = self._known.get(name)
         if known is not None and known.record.life == life and incarnation > known.record.incarnation:
             r = known.record
             self._learn(now_us, replace(r, incarnation=incarnation, state=MemberState.ALIVE), name)
 
-    def hear_news(self, now_us: int, records: list[MemberRecord], teller: str) -> None:
+    def merge_records(self, now_us: int, records: list[MemberRecord], teller: str) -> None:
         for record in records:
             self._learn(now_us, record, teller)
 
-    def hear(self, now_us: int, sender: MemberRecord, body: MemberBody) -> list[OutgoingMessage]:
+    def receive(self, now_us: int, sender: MemberRecord, body: MemberBody) -> list[OutgoingMessage]:
         """`sender`: its name, life and incarnation as the message states them, and where it came from."""
         match body:
             case Join(record):
@@ -231,21 +231,21 @@
             case Rejected("unknown"):
                 # New there, or forgotten: it says who it is.
                 return (
-                    [OutgoingMessage(sender.address, Join(self.me))]
-                    if self.joined and not self.leaving
+                    [OutgoingMessage(sender.address, Join(self.own_record))]
+                    if self.has_joined and not self.is_leaving
                     else []
                 )
             case Rejected(_, by):
                 self._turned_away(now_us, by)
                 return []
-        if not self.knows(sender.name, sender.life):
+        if not self.accept_sender(sender.name, sender.life):
             # It may have been forgotten, or speak under a name that is another's.
             return [OutgoingMessage(sender.address, Rejected("unknown"))] if isinstance(body, Ping) else []
         at = self._known[sender.name].record
         match body:
             case Ping(number):
                 told = at if at.state is not MemberState.ALIVE else None
-                return [OutgoingMessage(at.address, Ack(number, self.digest()), told)]
+                return [OutgoingMessage(at.address, Ack(number, self.compute_digest()), told)]
             case Ack(number, digest):
                 return self._acked(now_us, sender.name, number, digest)
             case PingRequest(number, target):
@@ -267,15 +267,15 @@
                 page = [self._known[n].record for n in names[:PAGE]]
                 return [OutgoingMessage(at.address, TablePage(page, len(names) > PAGE))]
             case TablePage(records, more):
-                self.hear_news(now_us, records, sender.name)
+                self.merge_records(now_us, records, sender.name)
                 return [self._pull(now_us, at.address, records[-1].name)] if more and records else []
         return []
 
     def _asked_to_join(self, now_us: int, record: MemberRecord, address: str) -> list[OutgoingMessage]:
-        if record.name == self.me.name:
-            if record.life != self.me.life:
+        if record.name == self.own_record.name:
+            if record.life != self.own_record.life:
                 self._claimed_twice(now_us, record)
-                return [OutgoingMessage(address, Rejected("name", self.me.address))]
+                return [OutgoingMessage(address, Rejected("name", self.own_record.address))]
             return []
         known = self._known.get(record.name)
         if known is None or known.record.life == record.life:
@@ -297,35 +297,35 @@
             ]
         newer = replace(record, incarnation=incarnation, state=MemberState.ALIVE)
         self._learn(now_us, newer, record.name)
-        return [OutgoingMessage(address, JoinAccepted(incarnation, self.me))]
+        return [OutgoingMessage(address, JoinAccepted(incarnation, self.own_record))]
 
     def _claimed_twice(self, now_us: int, other: MemberRecord) -> None:
-        own = self._known[self.me.name]
+        own = self._known[self.own_record.name]
         if now_us - own.named_twice_us > 10 * SECOND or own.named_twice_us < 0:
             own.named_twice_us = now_us
             self.changes.append(MembershipChange("claimed", other, "name-claimed-twice"))
 
     def _admitted(self, now_us: int, incarnation: int) -> None:
-        self.refused_by = ""
-        if incarnation > self.me.incarnation:
+        self.name_holder_address = ""
+        if incarnation > self.own_record.incarnation:
             self._be(now_us, incarnation)
-        if not self.joined:
-            self.joined = True
-            self.changes.append(MembershipChange("joined", self.me))
-            self._tell(self.me.name)
+        if not self.has_joined:
+            self.has_joined = True
+            self.changes.append(MembershipChange("joined", self.own_record))
+            self._tell(self.own_record.name)
 
     def _turned_away(self, now_us: int, by: str) -> None:
         """The name is another's, at that address: this process is no member, and asks again now and then."""
-        if by == self.me.address:
+        if by == self.own_record.address:
             return
-        if self.refused_by != by:
-            self.changes.append(MembershipChange("refused", self.me, f"name-claimed-twice by {by}"))
-        self.refused_by = by
-        self.joined, self._join_us = False, now_us + 5 * SECOND
+        if self.name_holder_address != by:
+            self.changes.append(MembershipChange("refused", self.own_record, f"name-claimed-twice by {by}"))
+        self.name_holder_address = by
+        self.has_joined, self._join_us = False, now_us + 5 * SECOND
 
     def _be(self, now_us: int, incarnation: int, state: MemberState = MemberState.ALIVE) -> None:
-        self.me = replace(self.me, incarnation=incarnation, state=state)
-        self._set(now_us, self.me)
+        self.own_record = replace(self.own_record, incarnation=incarnation, state=state)
+        self._set(now_us, self.own_record)
 
     def _set(self, now_us: int, record: MemberRecord) -> _Known:
         known = self._known.get(record.name)
@@ -357,18 +357,18 @@
         if lives is not lived or (
             before is not None and after is not None and _place(before) != _place(after)
         ):
-            self.version += 1
+            self.living_version += 1
 
     def _tell(self, name: str) -> None:
         self._news[name] = 0
         self._news.move_to_end(name, last=False)
 
     def _learn(self, now_us: int, record: MemberRecord, teller: str) -> None:
-        if record.name == self.me.name:
+        if record.name == self.own_record.name:
             self._learn_of_myself(now_us, record)
             return
         known = self._known.get(record.name)
-        if known is not None and not record.overrules(known.record):
+        if known is not None and not record.supersedes(known.record):
             if record == known.record and record.state is MemberState.SUSPECT:
                 self._shared(now_us, known, teller)
             return
@@ -392,27 +392,27 @@
                 self.changes.append(MembershipChange("left", record))
 
     def _learn_of_myself(self, now_us: int, record: MemberRecord) -> None:
-        if record.life != self.me.life:
+        if record.life != self.own_record.life:
             if (
-                record.incarnation >= self.me.incarnation
+                record.incarnation >= self.own_record.incarnation
                 and record.state is MemberState.ALIVE
-                and self.joined
+                and self.has_joined
             ):
                 # Somebody was given this name while we were taken for gone.
                 self._turned_away(now_us, record.address)
-            elif record.incarnation >= self.me.incarnation:
+            elif record.incarnation >= self.own_record.incarnation:
                 self._be(now_us, record.incarnation + 1)
-        elif record.incarnation >= self.me.incarnation and record.state is not self.me.state:
-            if not self.leaving:
+        elif record.incarnation >= self.own_record.incarnation and record.state is not self.own_record.state:
+            if not self.is_leaving:
                 self._be(now_us, record.incarnation + 1)  # refuted
-        elif record.incarnation > self.me.incarnation:
+        elif record.incarnation > self.own_record.incarnation:
             self._be(now_us, record.incarnation)
 
     # ------------------------------------------------------------------ suspicion
 
     def _least_us(self) -> int:
         size = max(1.0, math.log10(max(1, len(self._living))))
-        return int(self.terms.suspect_s * SECOND * size)
+        return int(self.settings.suspect_s * SECOND * size)
 
     def _accuse(self, now_us: int, known: _Known, accuser: str) -> None:
         known.accused_us, known.accusers = now_us, {accuser}
@@ -431,7 +431,9 @@
         # Where the fleet has fewer who could confirm, fewer are waited for.
         wanted = max(1, min(SHARED, len(self._living) - 3))
         part = min(1.0, math.log(others + 1) / math.log(wanted + 1))
-        known.until_us = known.accused_us + int(least * (ALONE - (ALONE - 1.0) * part)) * self.slowness
+        known.until_us = (
+            known.accused_us + int(least * (ALONE - (ALONE - 1.0) * part)) * self.local_health_multiplier
+        )
 
     def _accused(self, known: _Known) -> MemberRecord | None:
         return known.record if known.record.state is not MemberState.ALIVE else None
@@ -441,7 +443,7 @@
     def due_us(self, now_us: int) -> int:
         """When `turn` wants to be called next."""
         due_us = now_us + STEP_US
-        if not self.joined:
+        if not self.has_joined:
             return min(due_us, self._join_us)
         for name in self._suspects:
             due_us = min(due_us, self._known[name].until_us)
@@ -453,7 +455,7 @@
         parts = [*DIRECT[probe.done : probe.done + 1], *INDIRECT[probe.asked : probe.asked + 1], 1.0]
         return min(due_us, probe.began_us + math.ceil(min(parts) * probe.period_us))
 
-    def turn(self, now_us: int) -> list[OutgoingMessage]:
+    def tick(self, now_us: int) -> list[OutgoingMessage]:
         late_us = now_us - self._expected_us
         if late_us > self._period_us() * AWAY:
             self._was_away(now_us, late_us)
@@ -462,13 +464,13 @@
         return letters
 
     def _turn(self, now_us: int) -> list[OutgoingMessage]:
-        if not self.joined and not self.leaving:
+        if not self.has_joined and not self.is_leaving:
             return self._ask_to_join(now_us)
         letters: list[OutgoingMessage] = []
         for number, (whose, his, _target, until_us) in list(self._for.items()):
             if now_us >= until_us:
                 del self._for[number]
-                asker = self.record(whose)
+                asker = self.find_record(whose)
                 if asker is not None:
                     letters.append(OutgoingMessage(asker.address, Nack(his)))
         for known in [self._known[name] for name in sorted(self._suspects)]:
@@ -478,14 +480,14 @@
             if self._forgotten(now_us, self._known[name]):
                 self._sort_in(name, self._known.pop(name).record, None)
                 self._news.pop(name, None)
-        if not self.leaving:
+        if not self.is_leaving:
             letters += self._go_on_probing(now_us)
             letters += self._knock(now_us)
         return letters
 
     def _forgotten(self, now_us: int, known: _Known) -> bool:
-        silent = now_us - known.since_us > self.terms.forget_s * SECOND
-        return silent and known.record.name != self.me.name
+        silent = now_us - known.since_us > self.settings.forget_s * SECOND
+        return silent and known.record.name != self.own_record.name
 
     def _was_away(self, now_us: int, gap: int) -> None:
         """Nothing was heard since nobody listened: no suspicion grows in that time, and no probe has
@@ -503,10 +505,10 @@
         if now_us < self._join_us:
             return []
         self._join_us = now_us + SECOND // 2
-        return [OutgoingMessage(address, Join(self.me)) for address in self._seeds]
+        return [OutgoingMessage(address, Join(self.own_record)) for address in self._seeds]
 
     def _period_us(self) -> int:
-        return int(self.terms.probe_s * SECOND) * self.slowness
+        return int(self.settings.probe_s * SECOND) * self.local_health_multiplier
 
     def _go_on_probing(self, now_us: int) -> list[OutgoingMessage]:
         letters: list[OutgoingMessage] = []
@@ -543,26 +545,26 @@
     def _next_name(self) -> str | None:
         while self._round:
             name = self._round.pop()
-            if name != self.me.name and self.lives(name):
+            if name != self.own_record.name and self.is_living(name):
                 return name
-        self._round = [name for name in self._living if name != self.me.name]
+        self._round = [name for name in self._living if name != self.own_record.name]
         self._random.shuffle(self._round)
         return self._round.pop() if self._round else None
 
     def _some(self, count: int, *but: str) -> list[MemberRecord]:
         """Others that live, by chance; fewer where there are no more."""
         picked = self._random.sample(self._living, min(count + 1 + len(but), len(self._living)))
-        names = [name for name in picked if name != self.me.name and name not in but]
+        names = [name for name in picked if name != self.own_record.name and name not in but]
         return [self._known[name].record for name in names[:count]]
 
     def _acked(self, now_us: int, sender: str, number: int, digest: int) -> list[OutgoingMessage]:
         if (asked := self._for.pop(number, None)) is not None and asked[2] == sender:
-            asker = self.record(asked[0])
+            asker = self.find_record(asked[0])
             return [OutgoingMessage(asker.address, Ack(asked[1], 0))] if asker is not None else []
         letters: list[OutgoingMessage] = []
         if self._probe is not None and self._probe.number == number:
             if sender == self._probe.name and digest:
-                self._differ = self._differ + 1 if digest != self.digest() else 0
+                self._differ = self._differ + 1 if digest != self.compute_digest() else 0
             if self._differ >= DIFFER and now_us - self._pulled_us > COMPARE_US:
                 # Others go on knowing something else: this one takes what differs.
                 letters.append(self._pull(now_us, self._known[sender].record.address))
@@ -581,9 +583,11 @@
             self._missed = min(MISSED_MOST, self._missed + 1)
         if known.record.state is MemberState.ALIVE:
             r = known.record
-            self._accuse(now_us, self._set(now_us, replace(r, state=MemberState.SUSPECT)), self.me.name)
+            self._accuse(
+                now_us, self._set(now_us, replace(r, state=MemberState.SUSPECT)), self.own_record.name
+            )
         elif known.record.state is MemberState.SUSPECT:
-            self._shared(now_us, known, self.me.name)
+            self._shared(now_us, known, self.own_record.name)
 
     def _give_up(self, now_us: int, known: _Known) -> None:
         r = known.record
@@ -605,13 +609,13 @@
         known = {k.record.address for k in self._known.values()}
         unknown = [a for a in self._seeds if a not in known]
         if unknown:
-            letters.append(OutgoingMessage(self._random.choice(unknown), Join(self.me)))
+            letters.append(OutgoingMessage(self._random.choice(unknown), Join(self.own_record)))
         return letters
 
     def leave(self, now_us: int) -> list[OutgoingMessage]:
         """In good order: some are told at once, who tell the others."""
-        if self.leaving:
+        if self.is_leaving:
             return []
-        self.leaving = True
-        self._be(now_us, self.me.incarnation, MemberState.LEFT)
-        return [OutgoingMessage(r.address, Ping(0), self.me) for r in self._some(8)]
+        self.is_leaving = True
+        self._be(now_us, self.own_record.incarnation, MemberState.LEFT)
+        return [OutgoingMessage(r.address, Ping(0), self.own_record) for r in self._some(8)]
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -233,7 +233,7 @@
         waits = op.on and not self._room(op.kind, key)
         made = self._write(now_us, op, key, waits, ids)
         if op.everybody:
-            made.round.others = {n for n in self._members.names if n != self._me}
+            made.round.others = {n for n in self._members.living_names if n != self._me}
         return self._stands(op)
 
     def _long_ago(self, now_us: int) -> bool:
@@ -280,7 +280,7 @@
         copies = len({*made.acks, *made.kept, self._me})
         of = len({*self._voters().all(), *made.others, self._me})
         state = ("waits" if write.waits else "done") if made.stands else "pending"
-        alive = {n for n in made.others if self._members.lives(n)}
+        alive = {n for n in made.others if self._members.is_living(n)}
         everybody = bool(made.others) and alive <= made.kept | made.acks.keys()
         return Said(op.id, state, self.term, copies, of, everybody)
 
@@ -368,7 +368,7 @@
         absent_us = int(self._sync.terms.absent_s * SECOND)
         return [
             r.name
-            for r, since_us in self._members.known()
+            for r, since_us in self._members.records_with_age()
             if r.state in (MemberState.ALIVE, MemberState.SUSPECT)
             or (r.state is MemberState.GONE and now_us - since_us < absent_us)
         ]
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -262,7 +262,7 @@
         self._act("weak", id=op.id, subject=f"{op.kind}/{op.subject}", on=op.on, saw=",".join(saw) or None)
         self.store.put(now_us, record)
         self.sync.changed(record)
-        return Answer(op.id, "done", 1, len(self._members.names))
+        return Answer(op.id, "done", 1, len(self._members.living_names))
 
     def look(
         self,
@@ -281,7 +281,7 @@
     def believe(self, now_us: int, content: bytes) -> None:
         """What this node believes of form servers, for the others."""
         self._beliefs += 1
-        count = (self._members.me.incarnation, self._beliefs)
+        count = (self._members.own_record.incarnation, self._beliefs)
         record = written(None, (BELIEF, self.name, ""), True, self.name, count, content)
         self.store.put(now_us, record)
         self.sync.changed(record)
@@ -329,7 +329,7 @@
             self.level_us, self.lacks = now_us, 0
         if now_us < self._where_us:
             return []
-        self._where_us = now_us + WHERE_US * max(1, len(self._members.names) // WHERE_NODES)
+        self._where_us = now_us + WHERE_US * max(1, len(self._members.living_names) // WHERE_NODES)
         if not self.sync.whole:
             self.lacks = self.sync.missing
             return []
--- a/sailrun/replication/sync.py
+++ b/sailrun/replication/sync.py
@@ -352,7 +352,9 @@
         voters = set(self._voters())
         if self._name not in voters or waited_us < FRESH_US:
             return
-        there = {r.name for r, _ in self._members.known() if r.state is not MemberState.LEFT} & voters
+        there = {
+            r.name for r, _ in self._members.records_with_age() if r.state is not MemberState.LEFT
+        } & voters
         said = {n for n in there if now_us - self._answered.get(n, -ANSWERED_US) < ANSWERED_US}
         if there <= said | {self._name}:
             self._have_copied(now_us)
@@ -361,7 +363,7 @@
         self._fresh(now_us)
         if self.whole:
             return []
-        others = [n for n in self._members.names if n != self._name]
+        others = [n for n in self._members.living_names if n != self._name]
         free = [n for n in others if self._away.get(n, 0) <= now_us and self.taker.from_giver(n) is None]
         asked = GIVERS - sum(1 for p in self.taker.pulls if not p.urgent)
         if asked <= 0 or not free:
@@ -499,7 +501,7 @@
                 posts += self._tell()
                 while self._next:
                     name = self._next.pop()
-                    if self._members.lives(name) and self.taker.from_giver(name) is None:
+                    if self._members.is_living(name) and self.taker.from_giver(name) is None:
                         posts += self.ask(name)
             posts += self._vote(now_us)
         if now_us >= self._sum_us:
@@ -522,7 +524,7 @@
         return posts
 
     def _some(self, count: int) -> list[str]:
-        names = self._members.names
+        names = self._members.living_names
         picked = self._luck.sample(names, min(count + 1, len(names)))
         return [n for n in picked if n != self._name][:count]
 
--- a/sailrun/sharding/exercise.py
+++ b/sailrun/sharding/exercise.py
@@ -13,7 +13,7 @@
 from sailrun.leadership.leases import best_placed
 from sailrun.membership.messages import CONTROL
 from sailrun.sharding.messages import Post
-from sailrun.sharding.part import MembersView, ShardsPart
+from sailrun.sharding.part import MembershipView, ShardsPart
 
 SECOND = 1_000_000
 # So often it acts, for so many of its shards.
@@ -24,7 +24,7 @@
     def __init__(
         self,
         part: ShardsPart,
-        members: MembersView,
+        members: MembershipView,
         name: str,
         seed: int,
         every_us: int = EVERY_US,
@@ -50,7 +50,7 @@
 
     def _act(self, now_us: int, shard: int) -> list[Post]:
         region = self._part.region.name
-        others = [r for r in self._members.living() if r.region == region and r.name != self._name]
+        others = [r for r in self._members.living_records() if r.region == region and r.name != self._name]
         control = [record for record in others if record.role == CONTROL]
         if control and self._luck.random() < 0.5:
             others = control
--- a/sailrun/sharding/part.py
+++ b/sailrun/sharding/part.py
@@ -14,7 +14,7 @@
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 from sailrun.leadership.voter import Voter
-from sailrun.membership.messages import CONTROL, MemberRecord, eligible
+from sailrun.membership.messages import CONTROL, MemberRecord, list_eligible_names
 from sailrun.sharding.assigner import Assigner
 from sailrun.sharding.fence import TokenFence
 from sailrun.sharding.messages import (
@@ -43,14 +43,14 @@
 SEED_BITS = 32
 
 
-class MembersView(Protocol):
+class MembershipView(Protocol):
     """What is asked of the membership."""
 
-    version: int
+    living_version: int
 
-    def living(self) -> list[MemberRecord]: ...
-    def record(self, name: str) -> MemberRecord | None: ...
-    def lives(self, name: str) -> bool: ...
+    def living_records(self) -> list[MemberRecord]: ...
+    def find_record(self, name: str) -> MemberRecord | None: ...
+    def is_living(self, name: str) -> bool: ...
 
 
 class ShardsPart:
@@ -59,7 +59,7 @@
         me: MemberRecord,
         terms: ShardingSettings,
         owners: LeadershipSettings,
-        members: MembersView,
+        members: MembershipView,
         draw: Callable[[int], int],
         now_us: int,
         founding: Callable[[], int],
@@ -103,10 +103,10 @@
 
     def candidates(self) -> dict[str, list[str]]:
         """By task, the best placed of the region's living control members; of all its members without any."""
-        if self._members.version != self._candidates_of:
-            self._candidates_of = self._members.version
-            living = [r for r in self._members.living() if r.region == self.region.name]
-            self._candidates = best_placed(self.task, eligible(living))
+        if self._members.living_version != self._candidates_of:
+            self._candidates_of = self._members.living_version
+            living = [r for r in self._members.living_records() if r.region == self.region.name]
+            self._candidates = best_placed(self.task, list_eligible_names(living))
         return {self.task: self._candidates}
 
     def is_assigner(self, now_us: int) -> bool:
@@ -216,7 +216,7 @@
     def _sent_on(self, now_us: int, sender: str, body: RenewRefused) -> None:
         """Whoever was asked is not the assigner: whom it names is asked next."""
         assert self.session is not None
-        named = body.holder if body.holder != sender and self._members.lives(body.holder) else ""
+        named = body.holder if body.holder != sender and self._members.is_living(body.holder) else ""
         if named and named != self.assigner_name:
             self.assigner_name = named
             self.session.again(now_us)
@@ -288,7 +288,9 @@
 
     def _heartbeat(self, renew: Renew) -> list[Post]:
         assert self.session is not None
-        if self.session.unanswered > PATIENT_HEARTBEATS + 1 or not self._members.lives(self.assigner_name):
+        if self.session.unanswered > PATIENT_HEARTBEATS + 1 or not self._members.is_living(
+            self.assigner_name
+        ):
             self.assigner_name = ""
         to = self.assigner_name
         if not to:
@@ -338,8 +340,8 @@
     def _life_of(self, name: str) -> int | None:
         if name == self.name:
             return self._life
-        record = self._members.record(name)
-        return record.life if record is not None and self._members.lives(name) else None
+        record = self._members.find_record(name)
+        return record.life if record is not None and self._members.is_living(name) else None
 
     def leave(self, now_us: int) -> list[Post]:
         """The process ends in good order: what is held goes to the next at once."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -36,7 +36,7 @@
 
 
 def views(made: VirtualFleet) -> set[tuple[str, ...]]:
-    return {tuple(r.name for r in members.living()) for members in members_of(made)}
+    return {tuple(r.name for r in members.living_records()) for members in members_of(made)}
 
 
 @pytest.mark.parametrize("nodes", [3, 12, 40])
@@ -44,7 +44,7 @@
     made = fleet(nodes)
     made.run(10.0)
     assert views(made) == {tuple(sorted(made.names))}
-    assert len({members.digest() for members in members_of(made)}) == 1
+    assert len({members.compute_digest() for members in members_of(made)}) == 1
 
 
 def test_one_that_was_killed_is_known_gone_everywhere_and_comes_back_above() -> None:
@@ -56,7 +56,7 @@
     made.start("n4")
     made.run(20.0)
     assert views(made) == {tuple(sorted(made.names))}
-    assert {m.record("n4").incarnation for m in members_of(made)} == {2}  # type: ignore[union-attr]
+    assert {m.find_record("n4").incarnation for m in members_of(made)} == {2}  # type: ignore[union-attr]
 
 
 def test_one_that_leaves_is_known_to_have_left_at_once() -> None:
@@ -64,7 +64,7 @@
     made.run(5.0)
     made.leave("n4")
     made.run(7.0)
-    left = {m.record("n4").state for m in members_of(made)}  # type: ignore[union-attr]
+    left = {m.find_record("n4").state for m in members_of(made)}  # type: ignore[union-attr]
     assert left == {MemberState.LEFT}
 
 
@@ -106,14 +106,14 @@
     holder, asked = made.nodes["n2"].agent, made.nodes["n0"].agent
     assert holder is not None and asked is not None
     now_us = made.clock_us(made.nodes["n0"])
-    (join,) = impostor.turn(now_us)
-    refused, passed_on = asked.members.hear(now_us, second, join.body)
-    impostor.hear(now_us, asked.members.me, refused.body)
-    assert [c.what for c in impostor.changes] == ["refused"] and not impostor.joined
-    holder.members.hear(now_us, asked.members.me, passed_on.body)
-    assert [c.what for c in holder.members.changes] == ["claimed"]
+    (join,) = impostor.tick(now_us)
+    refused, passed_on = asked.members.receive(now_us, second, join.body)
+    impostor.receive(now_us, asked.members.own_record, refused.body)
+    assert [c.kind for c in impostor.changes] == ["refused"] and not impostor.has_joined
+    holder.members.receive(now_us, asked.members.own_record, passed_on.body)
+    assert [c.kind for c in holder.members.changes] == ["claimed"]
     made.run(10.0)
-    assert all(m.record("n2").life != 77 for m in members_of(made))  # type: ignore[union-attr]
+    assert all(m.find_record("n2").life != 77 for m in members_of(made))  # type: ignore[union-attr]
 
 
 def test_messages_of_another_fleet_and_of_strangers_are_dropped_and_counted() -> None:
@@ -127,9 +127,9 @@
     foreign = msgspec.structs.replace(out.envelope, fleet="another")
     assert agent.hear(now_us, "10.0.0.1:1", foreign) == [] and agent.tallies.wrong_fleet == 1
     stranger = msgspec.structs.replace(out.envelope, sender="nobody", news=[])
-    before = agent.members.stray
+    before = agent.members.unknown_sender_count
     agent.hear(now_us, "10.0.0.77:1", stranger)
-    assert agent.members.stray == before + 1 and agent.members.record("nobody") is None
+    assert agent.members.unknown_sender_count == before + 1 and agent.members.find_record("nobody") is None
 
 
 @given(st.binary(max_size=LONGEST_DATAGRAM))
@@ -161,6 +161,6 @@
         members = Membership(
             MemberRecord("me", 9, 1, MemberState.ALIVE, "10.0.0.1:1"), MembershipSettings(), 1, 0
         )
-        members.hear_news(0, first + order, "a")
-        views.append([r for r, _ in members.known()])
+        members.merge_records(0, first + order, "a")
+        views.append([r for r, _ in members.records_with_age()])
     assert views[0] == views[1] == views[2]
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -33,7 +33,7 @@
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
 from sailrun.leadership.voter import Voter, abstain_us
-from sailrun.membership.messages import MemberRecord, MemberState, eligible
+from sailrun.membership.messages import MemberRecord, MemberState, list_eligible_names
 from sailrun.operator_settings import read_operator, voters_follow
 from sailrun.storage import entries
 
@@ -400,6 +400,6 @@
         MemberRecord(n, 1, 1, MemberState.ALIVE, "", zone, "", role)
         for n, zone, role in (("a", "z0", ""), ("b", "z0", "control"), ("c", "z1", ""), ("d", "z1", "node"))
     ]
-    assert eligible(records) == ["b"]
-    assert eligible([r for r in records if r.zone == "z1"]) == ["c", "d"]
-    assert eligible([]) == []
+    assert list_eligible_names(records) == ["b"]
+    assert list_eligible_names([r for r in records if r.zone == "z1"]) == ["c", "d"]
+    assert list_eligible_names([]) == []
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -221,7 +221,7 @@
         MemberRecord(name, 1, 1, MemberState.ALIVE, name), MembershipSettings(enabled=True, name=name), 1, 0
     )
     others = [MemberRecord(f"n{n}", n, 1, MemberState.ALIVE, f"n{n}") for n in range(1, 5) if f"n{n}" != name]
-    members.hear_news(0, others, others[0].name)
+    members.merge_records(0, others, others[0].name)
     owners = LeadershipSettings(enabled=True, voters=("n1", "n2", "n3"))
     made = Replica(
         name,
--- a/tests/test_sharding_wire.py
+++ b/tests/test_sharding_wire.py
@@ -97,7 +97,7 @@
 
     def envelope(self, sender: str, body: Any) -> Envelope:
         agent = self.agent(sender)
-        return Envelope("lab", sender, agent.life, agent.members.me.incarnation, body)
+        return Envelope("lab", sender, agent.life, agent.members.own_record.incarnation, body)
 
     def hear(self, name: str, sender: str, body: Body) -> list[Out]:
         """What a node answers to a message of another member."""
