--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -13,9 +13,9 @@
 
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
+from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
-from sailrun.membership.swim import Membership
 from sailrun.replication.marks import unpack
 from sailrun.replication.messages import Op, Sum
 from sailrun.replication.replica import Replica
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -218,9 +218,5 @@
 
 def know_members(agent: MeteredAgent, now_us: int, records: list[MemberRecord]) -> None:
     """A faster start: the members are known, and the news of them has been told to all."""
-    members = agent.members
-    members.merge_records(now_us, records, agent.name)
-    members.has_joined = True
-    members._news.clear()
-    members.changes.clear()
+    agent.members.preload(now_us, records)
     agent.cpu_s = 0.0
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -47,8 +47,8 @@
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.vote_part import VotePart
 from sailrun.leadership.voter import Voter
+from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberBody, MemberRecord, MemberState
-from sailrun.membership.swim import Membership
 from sailrun.replication.replica import MARKS, Replica
 from sailrun.sharding.messages import Ballot, ShardBody
 from sailrun.sharding.messages import Post as ShardPost
--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -8,7 +8,7 @@
 from sailrun.leadership.leases import Leases, OwnershipChange
 from sailrun.leadership.permits import Use
 from sailrun.leadership.tallies import Tallies
-from sailrun.membership.swim import MembershipChange
+from sailrun.membership.outputs import MembershipChange
 
 
 class Note(NamedTuple):
--- a/sailrun/leadership/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -7,8 +7,9 @@
 
 from sailrun.leadership.envelope import MOST_CLAIMS, MOST_NEWS, Body, Envelope
 from sailrun.leadership.leases import Leases
+from sailrun.membership.membership import Membership
 from sailrun.membership.messages import JoinAccepted, MemberBody, MemberRecord, Rejected
-from sailrun.membership.swim import Membership, OutgoingMessage
+from sailrun.membership.outputs import OutgoingMessage
 
 # A change of owner is gossiped so many times, on messages that go out anyway.
 CLAIM_TIMES = 30
--- a/sailrun/leadership/ownership.py
+++ b/sailrun/leadership/ownership.py
@@ -8,8 +8,8 @@
 from sailrun.leadership.permits import TASK as PERMITS
 from sailrun.leadership.settings import DRIFT
 from sailrun.leadership.tallies import Tallies
+from sailrun.membership.membership import Membership
 from sailrun.membership.messages import list_eligible_names
-from sailrun.membership.swim import Membership
 from sailrun.replication.replica import MARKS
 
 SECOND = 1_000_000
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -20,7 +20,7 @@
         {
             "name": record.name,
             "incarnation": record.incarnation,
-            "state": record.state.name.lower(),
+            "state": record.state.label,
             "since_s": _seconds(now_us - since_us),
             "voter": record.name in voters,
             "address": record.address,
--- a/sailrun/membership/__init__.py
+++ b/sailrun/membership/__init__.py
@@ -1,3 +1,4 @@
-"""Who is in the fleet: a membership protocol in the manner of SWIM with Lifeguard. Pure, but for
-`carrier.py`.
+"""The membership protocol: which members the fleet has and which of them live, by SWIM with Lifeguard.
+
+Pure: `leadership/carrier.py` sends and receives its messages.
 """
--- /dev/null
+++ b/sailrun/membership/lifeguard.py
@@ -0,0 +1,101 @@
+"""What Lifeguard adds to SWIM (Dadgar, Phillips, Currey 2018): local health, and suspicions that end sooner
+the more members confirm them.
+"""
+
+from __future__ import annotations
+
+import math
+
+from sailrun.membership.messages import MemberState
+from sailrun.membership.outputs import ChangeKind, MembershipChange
+from sailrun.membership.settings import MembershipSettings
+from sailrun.membership.table import MemberEntry, MembershipTable, Suspicion
+
+SECOND = 1_000_000
+# Times are stretched by 1 to 9: Lifeguard's multiplier has this limit.
+MAX_HEALTH_SCORE = 8
+# A suspicion that nobody confirms lasts so many times the least time.
+UNCONFIRMED_FACTOR = 6.0
+# Confirmations after which a suspicion lasts the least time only.
+CONFIRMATIONS_NEEDED = 3
+
+
+class LocalHealth:
+    """How well this process keeps up. One that finds itself slow probes slower and suspects later."""
+
+    def __init__(self) -> None:
+        self._score = 0
+
+    @property
+    def multiplier(self) -> int:
+        """1: this process keeps up; up to 9: its times are stretched by so much."""
+        return 1 + self._score
+
+    def degrade(self, steps: int) -> None:
+        """Counts signs that this process, not the one it probes, is slow."""
+        self._score = min(MAX_HEALTH_SCORE, self._score + steps)
+
+    def recover(self) -> None:
+        """Counts a probe that was answered."""
+        self._score = max(0, self._score - 1)
+
+
+class SuspicionTimers:
+    """Starts, confirms and ends suspicions."""
+
+    def __init__(
+        self,
+        table: MembershipTable,
+        settings: MembershipSettings,
+        health: LocalHealth,
+        changes: list[MembershipChange],
+    ) -> None:
+        self._table = table
+        self._settings = settings
+        self._health = health
+        self._changes = changes
+
+    def start(self, now_us: int, entry: MemberEntry, accuser: str) -> None:
+        """Begins a suspicion of a member whose record says `suspect`."""
+        entry.suspicion = Suspicion(now_us, {accuser})
+        self._set_end(entry.suspicion)
+        self._changes.append(MembershipChange(ChangeKind.SUSPECTED, entry.record, f"told by {accuser}"))
+
+    def confirm(self, entry: MemberEntry, accuser: str) -> None:
+        """Counts one more member that suspects the same, once; the suspicion may end sooner by it."""
+        suspicion = entry.suspicion
+        if suspicion is None or accuser in suspicion.accusers:
+            return
+        if len(suspicion.accusers) > CONFIRMATIONS_NEEDED:
+            return
+        suspicion.accusers.add(accuser)
+        self._set_end(suspicion)
+        self._table.updates.enqueue(entry.record.name)
+
+    def postpone(self, gap_us: int) -> None:
+        """Moves all suspicions by a time in which this process could not receive any refutation."""
+        for suspicion in self._table.suspicions():
+            suspicion.started_us += gap_us
+            suspicion.ends_us += gap_us
+
+    def declare_dead(self, now_us: int) -> None:
+        """Declares those members dead whose suspicion has ended."""
+        for entry in self._table.suspects():
+            suspicion = entry.suspicion
+            if suspicion is None or now_us < suspicion.ends_us:
+                continue
+            before = entry.record
+            self._table.store(now_us, before.with_state(MemberState.DEAD))
+            reason = f"silent, {len(suspicion.accusers)} said so"
+            self._changes.append(MembershipChange(ChangeKind.DEAD, before, reason))
+
+    def _set_end(self, suspicion: Suspicion) -> None:
+        living_count = len(self._table.living_names)
+        size_factor = max(1.0, math.log10(max(1, living_count)))
+        least_us = int(self._settings.suspect_s * SECOND * size_factor)
+        # A small fleet has fewer members that could confirm: fewer are needed.
+        needed = max(1, min(CONFIRMATIONS_NEEDED, living_count - 3))
+        confirmations = len(suspicion.accusers) - 1
+        confirmed_share = min(1.0, math.log(confirmations + 1) / math.log(needed + 1))
+        factor = UNCONFIRMED_FACTOR - (UNCONFIRMED_FACTOR - 1.0) * confirmed_share
+        suspicion.ends_us = suspicion.started_us + int(least_us * factor) * self._health.multiplier
--- a/sailrun/membership/messages.py
+++ b/sailrun/membership/messages.py
@@ -1,28 +1,48 @@
-"""What members say to each other about who is a member."""
+"""The messages and records of the membership protocol. On the wire they are MessagePack arrays: tags, the
+order of fields and their types are fixed, and a newer version may add fields at the end.
+"""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
 import msgspec
+from msgspec.structs import replace
 
 
 class MemberState(IntEnum):
-    """In the order in which they overrule one another in one incarnation."""
+    """A member's state; within one incarnation a greater value supersedes a smaller one."""
 
     ALIVE = 0
     SUSPECT = 1
-    GONE = 2
+    DEAD = 2
     LEFT = 3
 
+    @property
+    def is_living(self) -> bool:
+        """Whether a member in this state takes part: a suspect does until it is declared dead."""
+        return self in (MemberState.ALIVE, MemberState.SUSPECT)
 
-# The role of members set aside for work on behalf of the fleet.
+    @property
+    def has_ended(self) -> bool:
+        """Whether a member in this state takes no part any more."""
+        return not self.is_living
+
+    @property
+    def label(self) -> str:
+        """The name that commands print."""
+        return "gone" if self is MemberState.DEAD else self.name.lower()
+
+
+# The role of members that are reserved for work on behalf of the fleet.
 CONTROL = "control"
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One member as somebody knows it. A process is a `life`; its incarnation grows when it refutes, and a
-    returning name begins above the one it had. `region` and `role` came later: an older version skips them.
+    """One member as some member knows it.
+
+    `life` is a random number of the process. `incarnation` is SWIM's: a member increases its own to refute a
+    suspicion, and a returning name begins above the one it had. An older version ignores `region` and `role`.
     """
 
     name: str
@@ -35,60 +55,91 @@
     role: str = ""
 
     def supersedes(self, other: MemberRecord) -> bool:
-        """Any two are in order, the same everywhere: copies converge whatever the order of arrival."""
+        """Whether this record replaces the other one. The order is total and the same everywhere, so that
+        tables converge whatever the order of arrival.
+        """
         return (self.incarnation, self.state, self.life) > (other.incarnation, other.state, other.life)
 
+    def with_state(self, state: MemberState) -> MemberRecord:
+        """This record with another state."""
+        return replace(self, state=state)
+
 
 def list_eligible_names(records: list[MemberRecord]) -> list[str]:
-    """The names of those set aside for work on behalf of the fleet; of all where there are none."""
+    """The names of those members that may work on behalf of the fleet: the control members, or all members
+    where there are none.
+    """
     control = [record for record in records if record.role == CONTROL]
     return [record.name for record in control or records]
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping"):
+    """Asks for an `Ack` with the same sequence number; 0: the answer is not waited for."""
+
     sequence: int
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
+    """Answers a `Ping`; `table_digest` is of the sender's membership table, 0 in a relayed answer."""
+
     sequence: int
-    table_digest: int  # of the sender's copy of the members
+    table_digest: int
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag="ping-for"):
-    """Probe the target for me. One who gets no answer in time says so, so that I know that I am heard."""
+    """SWIM's ping-req: asks the receiver to ping the target and to relay its answer."""
 
     sequence: int
     target: str
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag="nack"):
+    """Lifeguard's answer to a `PingRequest` whose target did not answer in time: the path between the two
+    members works.
+    """
+
     sequence: int
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True, tag="join"):
+    """Asks to be accepted as a member. Sent to the holder of a name, it reports that another claims it."""
+
     record: MemberRecord
 
 
 class JoinAccepted(msgspec.Struct, array_like=True, frozen=True, tag="joined"):
-    incarnation: int  # the newcomer's from now on
-    accepted_by: MemberRecord  # whom it may ask for the others
+    """Answers a `Join`: the newcomer's incarnation, and the member that accepted it."""
+
+    incarnation: int
+    accepted_by: MemberRecord
 
 
 class Rejected(msgspec.Struct, array_like=True, frozen=True, tag="refused"):
-    """`why`: `unknown` (join first), `name` (it is another's), `fleet`."""
+    """The sender of a message is no member here. `reason` is one of REJECTED_UNKNOWN, REJECTED_NAME."""
 
     reason: str
     name_holder_address: str = ""
 
 
+# The receiver does not know the sender: it has to join first.
+REJECTED_UNKNOWN = "unknown"
+# The name belongs to another process, which has `name_holder_address`.
+REJECTED_NAME = "name"
+
+
 class PullRequest(msgspec.Struct, array_like=True, frozen=True, tag="pull"):
-    """Tell me those that come after this name, of the ranges in which our copies differ."""
+    """Anti-entropy: asks for the records after a name, of the ranges whose digests differ.
+
+    `range_digests` are the requester's, by range of names; empty: all ranges.
+    """
 
     after_name: str
-    range_digests: list[int]  # the asker's, by range; empty: all ranges
+    range_digests: list[int]
 
 
 class TablePage(msgspec.Struct, array_like=True, frozen=True, tag="page"):
+    """Answers a `PullRequest`: records in order of their names, and whether more follow."""
+
     records: list[MemberRecord]
     has_more: bool
 
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from sailrun.leadership.quorum import Voters
+from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberState
-from sailrun.membership.swim import Membership
 from sailrun.replication.acceptor import consistent
 from sailrun.replication.marks import KINDS, LONGEST_WHY, MOST_IDS, Mark, pack, standing, unpack
 from sailrun.replication.messages import Has, Have, Higher, Kept, Level, Op, Promise, Promised, Put, Said
@@ -370,7 +370,7 @@
             r.name
             for r, since_us in self._members.records_with_age()
             if r.state in (MemberState.ALIVE, MemberState.SUSPECT)
-            or (r.state is MemberState.GONE and now_us - since_us < absent_us)
+            or (r.state is MemberState.DEAD and now_us - since_us < absent_us)
         ]
 
     def _end_forgetting(self, now_us: int) -> None:
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from sailrun.leadership.quorum import Voters
-from sailrun.membership.swim import Membership
+from sailrun.membership.membership import Membership
 from sailrun.replication.acceptor import Acceptor
 from sailrun.replication.coordinator import MarksCoordinator
 from sailrun.replication.journal import Journal
--- a/sailrun/replication/sync.py
+++ b/sailrun/replication/sync.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
+from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberState
-from sailrun.membership.swim import Membership
 from sailrun.replication.journal import Journal
 from sailrun.replication.messages import (
     Busy,
--- a/sailrun/sharding/part.py
+++ b/sailrun/sharding/part.py
@@ -46,7 +46,8 @@
 class MembershipView(Protocol):
     """What is asked of the membership."""
 
-    living_version: int
+    @property
+    def living_version(self) -> int: ...
 
     def living_records(self) -> list[MemberRecord]: ...
     def find_record(self, name: str) -> MemberRecord | None: ...
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,9 +16,9 @@
 from sailrun.lab.faults.play import agent_terms
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.leadership.envelope import LONGEST_DATAGRAM, BadMessage, unpack
+from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
-from sailrun.membership.swim import Membership
 
 SECOND = 1_000_000
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -21,9 +21,9 @@
 from sailrun.leadership.envelope import BadMessage, Envelope, pack, unpack
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
+from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
-from sailrun.membership.swim import Membership
 from sailrun.node.peer_beliefs import PeerBeliefs
 from sailrun.replication import messages
 from sailrun.replication.acceptor import consistent
