--- a/sailrun/membership/settings.py
+++ b/sailrun/membership/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets of the members: the table `[members]` of the operator's file."""
+"""Settings of the membership protocol: the table `[members]` of the deploy file."""
 
 from __future__ import annotations
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -40,14 +40,14 @@
 
 
 @pytest.mark.parametrize("nodes", [3, 12, 40])
-def test_all_meet_by_one_address_and_know_the_same(nodes: int) -> None:
+def test_all_join_by_one_seed_address_and_have_equal_tables(nodes: int) -> None:
     made = fleet(nodes)
     made.run(10.0)
     assert views(made) == {tuple(sorted(made.names))}
     assert len({members.compute_digest() for members in members_of(made)}) == 1
 
 
-def test_one_that_was_killed_is_known_gone_everywhere_and_comes_back_above() -> None:
+def test_a_killed_member_is_dead_everywhere_and_returns_with_a_higher_incarnation() -> None:
     made = fleet(7)
     made.run(5.0)
     made.kill("n4")
@@ -59,7 +59,7 @@
     assert {m.find_record("n4").incarnation for m in members_of(made)} == {2}  # type: ignore[union-attr]
 
 
-def test_one_that_leaves_is_known_to_have_left_at_once() -> None:
+def test_a_member_that_leaves_has_left_everywhere_at_once() -> None:
     made = fleet(7)
     made.run(5.0)
     made.leave("n4")
@@ -98,7 +98,7 @@
     assert not [r for r in made.rows if r["kind"] == "member" and r["what"] == "gone"]
 
 
-def test_a_name_is_not_given_to_a_second_process_while_the_first_lives_and_both_say_so() -> None:
+def test_a_name_of_a_living_process_is_refused_to_a_second_one_and_both_log_it() -> None:
     made = fleet(4)
     made.run(5.0)
     second = MemberRecord("n2", 77, 1, MemberState.ALIVE, "10.0.0.99:1", "z0")
@@ -149,7 +149,7 @@
 
 
 @given(st.lists(RECORDS, max_size=8), st.randoms(use_true_random=False))
-def test_what_is_known_does_not_hang_on_the_order_it_was_heard_in(
+def test_merged_records_do_not_depend_on_the_order_of_arrival(
     records: list[MemberRecord], luck: object
 ) -> None:
     # What was never heard alive is not remembered as ended: so each is, first, in an older incarnation.
