--- a/benchmarks/fuzz_folder.py
+++ b/benchmarks/fuzz_folder.py
@@ -11,7 +11,7 @@
 import random
 import sys
 
-import atheris  # type: ignore[import-not-found]
+import atheris
 
 with atheris.instrument_imports():
     from sailrun.lab.faults.disk import SimFiles
@@ -38,9 +38,9 @@
         FILES._names[name].data = bytearray(content)
     for _ in range(told.ConsumeIntInRange(1, 3)):
         name = told.PickValueInList(list(KEPT))
-        content = FILES._names[name].data
-        at = told.ConsumeIntInRange(0, len(content))
-        content[at : at + told.ConsumeIntInRange(0, 40)] = told.ConsumeBytes(told.ConsumeIntInRange(0, 80))
+        file = FILES._names[name].data
+        at = told.ConsumeIntInRange(0, len(file))
+        file[at : at + told.ConsumeIntInRange(0, 40)] = told.ConsumeBytes(told.ConsumeIntInRange(0, 80))
     try:
         found = read_folder(FILES)
     except NewerSchema:
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -25,7 +25,6 @@
 import tomli_w
 
 from benchmarks.startup import a_config
-from sailrun.decisions import snapshot as recollection
 from sailrun.decisions.events import StateSnapshot
 from sailrun.lab.faults.days import occasions, sweep_days
 from sailrun.lab.faults.killing import cut_at, kill_often
@@ -185,7 +184,7 @@
     first.feed(full(*range(1, 21)))
     ten_seconds(first, bad)
     names = {n: f"s-{n}" for n in range(1, 21)}
-    content = beliefs.pack(first.now, recollection.learned(first.balancer), names)
+    content = beliefs.pack(first.now, first.balancer.snapshot(), names)
     second = Relay(seed=4)
     second.advance(first.now + int(away_s * SECOND) - second.now)
     second.feed(full(*range(1, 21)))
@@ -272,9 +271,8 @@
         for nodes, seeds in ((5, range(5000, 5200)), (17, range(5000, 5020))):
             day = FaultDay(plan, nodes=nodes)
             sweep = sweep_days(day, "virtual", list(seeds), None, lambda share: None)
-            broken = [
-                (s.seed, c.name, c.faults[:1]) for s in sweep.summaries for c in s.checks if c.value > c.limit
-            ]
+            checks = [(summary.seed, check) for summary in sweep.summaries for check in summary.checks]
+            broken = [(seed, check.name, check.faults[:1]) for seed, check in checks if not check.holds]
             yield f"days   {plan} at {nodes} nodes, {len(seeds)} seeds: {broken or 'nothing broken'}"
             yield from (f"days     {line}" for line in occasions(sweep))
 
--- /dev/null
+++ b/sailrun/decisions/migration.py
@@ -0,0 +1,119 @@
+"""Migration of connections off overloaded backends.
+
+Set-ups queue behind the same work as messages: by what one takes longer than usual, a message is late too.
+Connections are moved only where that helps: those that would be placed elsewhere by now come first.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+
+from sailrun.decisions.actions import MoveConnection
+from sailrun.decisions.bounded_load import BoundedLoad
+from sailrun.decisions.context import SECOND_US, DecisionContext
+from sailrun.decisions.endpoint_table import EndpointTable
+from sailrun.decisions.endpoints import DELAY_VALID_US, ClientRequest, Endpoint
+from sailrun.decisions.load_accounting import MIN_MEAN_LOAD, LoadAccounting
+from sailrun.decisions.outlier_detection import OutlierDetector
+from sailrun.decisions.overload import BUSY, OVERLOADED, OverloadDetector
+from sailrun.decisions.placement import MASK
+
+# What a set-up usually takes: the lower quarter of so many latest ones, once there are a few.
+SETUP_SAMPLES = 64
+MIN_SETUP_SAMPLES = 8
+# Without room elsewhere, a slow set-up makes a backend no worse than this share of the objective.
+MAX_SHARE_WITHOUT_ROOM = 0.9
+# The share of a backend's connections that each report moves at least.
+MOVED_SHARE = 0.2
+
+
+class OverloadMigration:
+    """Finds overloaded backends by their delays and moves connections off them."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        table: EndpointTable,
+        loads: LoadAccounting,
+        overload: OverloadDetector,
+        bound: BoundedLoad,
+        outliers: OutlierDetector,
+    ) -> None:
+        self._context = context
+        self._table = table
+        self._loads = loads
+        self._overload = overload
+        self._bound = bound
+        self._outliers = outliers
+        self._latest_setups_us: deque[int] = deque(maxlen=SETUP_SAMPLES)
+
+    def record_delay(self, endpoint: Endpoint, delay_ms: float) -> None:
+        """The backend's messages take so long now."""
+        self._overload.record_delay(endpoint, delay_ms)
+        if self._overload.is_overloaded(endpoint, BUSY):
+            self._overload.cut_limit(endpoint)
+        has_room = self._loads.instances > 1 and self._has_room_elsewhere(endpoint)
+        self._move_excess(endpoint, has_room=has_room)
+
+    def record_setup(self, endpoint: Endpoint, latency_us: int) -> None:
+        """A set-up there has taken so long."""
+        excess_ms = self._average_excess_ms(endpoint, latency_us)
+        now_us = self._context.now_us
+        state = endpoint.overload
+        has_few_samples = len(self._latest_setups_us) < MIN_SETUP_SAMPLES
+        if now_us - state.delay_us < SECOND_US or has_few_samples:
+            return
+        objective_ms = self._overload.objective_ms
+        if excess_ms <= objective_ms / 2:
+            return
+        has_room = self._has_room_elsewhere(endpoint)
+        bounded_ms = min(excess_ms, MAX_SHARE_WITHOUT_ROOM * objective_ms)
+        self._overload.record_delay(endpoint, excess_ms if has_room else bounded_ms)
+        # A limit for a passing burst, with no room elsewhere, would make everybody wait.
+        if has_room and self._overload.is_overloaded(endpoint, OVERLOADED):
+            self._overload.cut_limit(endpoint)
+            self._move_excess(endpoint, has_room=True)
+
+    def _average_excess_ms(self, endpoint: Endpoint, latency_us: int) -> float:
+        """By how much set-ups take longer there than usual."""
+        samples = self._latest_setups_us
+        samples.append(latency_us)
+        usual_us = sorted(samples)[len(samples) // 4]
+        excess_ms = max(0, latency_us - usual_us) / 1000
+        state = endpoint.overload
+        now_us = self._context.now_us
+        known_ms = state.setup_excess_ms if now_us - state.setup_excess_us < DELAY_VALID_US else 0.0
+        state.setup_excess_ms = (known_ms + excess_ms) / 2
+        state.setup_excess_us = now_us
+        return state.setup_excess_ms
+
+    def _has_room_elsewhere(self, endpoint: Endpoint) -> bool:
+        others = (e for e in self._table.ready if e is not endpoint and self._outliers.is_available(e))
+        return any(
+            not self._overload.is_overloaded(other, BUSY) and self._bound.is_within_bound(other, 0.0)
+            for other in others
+        )
+
+    def _move_excess(self, endpoint: Endpoint, *, has_room: bool) -> None:
+        """Moves connections off a backend whose messages miss the objective: every instance the same share of
+        its own, or what is over its fair load there if there is room elsewhere; first those that score higher
+        elsewhere by now, the heaviest of them first. In a full fleet they are rejected until there is room.
+        """
+        if not self._overload.is_overloaded(endpoint, OVERLOADED):
+            return
+        load = max(endpoint.known_load(), MIN_MEAN_LOAD)
+        instances = 2 if self._loads.instances > 1 else 1
+        over_share = (1.0 - self._loads.fair_load(endpoint) / load) / instances
+        excess = endpoint.own_load * max(MOVED_SHARE, over_share if has_room else 0.0)
+        hashes = [e.hash for e in self._table.ready if not self._outliers.is_ejected(e)]
+
+        def preference(request: ClientRequest) -> tuple[bool, float]:
+            own_score = (endpoint.hash * request.key_hash) & MASK
+            belongs_here = has_room and own_score >= max((h * request.key_hash) & MASK for h in hashes)
+            return belongs_here, -request.load
+
+        for request in sorted(endpoint.connections.values(), key=preference):
+            if excess <= request.load * self._context.random.random():
+                break
+            excess -= request.load
+            self._context.emit(MoveConnection(request.request_id))
--- a/sailrun/decisions/placement.py
+++ b/sailrun/decisions/placement.py
@@ -11,9 +11,11 @@
 
 import mmh3
 
-SERVER_SEED, KEY_SEED = 165233, 845219
+SERVER_SEED = 165233
+KEY_SEED = 845219
 MASK = 0xFFFFFFFF
-LANE = 8  # bytes of one product among many
+LANE_BYTES = 8  # of one product among many
+TOP_BYTE = 3  # of a product, in its lane
 
 
 def server_hash(backend_id: int) -> int:
@@ -26,11 +28,18 @@
     return mmh3.hash(key, KEY_SEED, signed=False)
 
 
+def score(backend_hash: int, hashed_key: int) -> int:
+    """The product by which backends are ranked for a key."""
+    return (backend_hash * hashed_key) & MASK
+
+
 class Hashed(Protocol):
     """A backend with its `server_hash`."""
 
     @property
-    def hash(self) -> int: ...
+    def hash(self) -> int:
+        """MurmurHash3 of its id."""
+        ...
 
 
 Server = TypeVar("Server", bound=Hashed)
@@ -43,16 +52,21 @@
         """`servers`: by id, the lowest first."""
         self._servers = servers
         # Their hashes, and MASK for each, in lanes of one whole number: one product gives all.
-        self._hashes = int.from_bytes(b"".join(s.hash.to_bytes(LANE, "little") for s in servers), "little")
-        self._masks = int.from_bytes(MASK.to_bytes(LANE, "little") * len(servers), "little")
+        hashes = b"".join(server.hash.to_bytes(LANE_BYTES, "little") for server in servers)
+        self._hashes = int.from_bytes(hashes, "little")
+        self._masks = int.from_bytes(MASK.to_bytes(LANE_BYTES, "little") * len(servers), "little")
 
     def highest_first(self, hashed_key: int) -> Iterator[Server]:
         """All, of equal products the lowest id first. Few are compared beyond their top byte."""
-        lanes = ((self._hashes * hashed_key) & self._masks).to_bytes(LANE * len(self._servers), "little")
-        tops = lanes[3::LANE]
+        products = (self._hashes * hashed_key) & self._masks
+        lanes = products.to_bytes(LANE_BYTES * len(self._servers), "little")
+        tops = lanes[TOP_BYTE::LANE_BYTES]
         for top in range(255, -1, -1) if len(tops) > 255 else sorted(set(tops), reverse=True):
-            n, found = tops.find(top), list[tuple[int, int]]()
-            while n >= 0:
-                found.append((-int.from_bytes(lanes[LANE * n : LANE * n + 4], "little"), n))
-                n = tops.find(top, n + 1)
-            yield from (self._servers[n] for _, n in sorted(found))
+            position = tops.find(top)
+            found: list[tuple[int, int]] = []
+            while position >= 0:
+                start = LANE_BYTES * position
+                product = int.from_bytes(lanes[start : start + TOP_BYTE + 1], "little")
+                found.append((-product, position))
+                position = tops.find(top, position + 1)
+            yield from (self._servers[position] for _, position in sorted(found))
--- a/sailrun/decisions/snapshot.py
+++ b/sailrun/decisions/snapshot.py
@@ -1,64 +1,50 @@
-"""What an instance of the decision module has learned, copied out for a successor and back in.
-
-It decides nothing, and reads the module's own fields by the names that sailrun/decisions/events.py lists.
-"""
+"""What an instance has learned, copied out for a successor and back in."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from dataclasses import astuple
-from typing import Any, Protocol
-
-from sailrun.decisions.events import (
-    BACKEND_SNAPSHOT_FIELDS,
-    BackendSnapshot,
-    SetupRateSnapshot,
-    StateSnapshot,
-)
-
-MODULE_FIELDS = (
-    "pace",
-    "pace_tokens",
-    "pace_free",
-    "pace_us",
-    "slowed_us",
-    "setup_us",
-    "succeeding",
-    "sends",
-    "sent_us",
-)
-
-
-class Learner(Protocol):
-    """As much of the module as this reads and sets, besides the fields that `interface.PACE` names."""
-
-    _class_load: Any
-
-    @property
-    def _servers(self) -> Mapping[int, Any]: ...
-
-    def _recount(self) -> None: ...
-
-
-def learned(module: Learner) -> StateSnapshot:
-    """What a successor is to know, less what stands here and how the list is."""
-    servers = module._servers.values()
-    backends = tuple(
-        BackendSnapshot(*(getattr(s, name) for name in BACKEND_SNAPSHOT_FIELDS)) for s in servers
+from sailrun.decisions.endpoints import Endpoint
+from sailrun.decisions.events import BackendSnapshot
+
+
+def snapshot_backend(endpoint: Endpoint) -> BackendSnapshot:
+    """What was observed of a backend, less its connections and what the list says."""
+    outlier = endpoint.outlier
+    overload = endpoint.overload
+    slow_start = endpoint.slow_start
+    return BackendSnapshot(
+        id=endpoint.id,
+        started_us=endpoint.started_us,
+        draining_notified_us=endpoint.draining_notified_us,
+        ejected_until_us=outlier.ejected_until_us,
+        ejections=outlier.ejections,
+        consecutive_timeouts=outlier.consecutive_timeouts,
+        consecutive_errors=outlier.consecutive_errors,
+        half_open=outlier.half_open,
+        delay_ms=overload.delay_ms,
+        delay_us=overload.delay_us,
+        load_limit=overload.load_limit,
+        load_limit_us=overload.load_limit_us,
+        slow_start_began_us=slow_start.began_us,
+        tokens=slow_start.tokens,
+        tokens_us=slow_start.tokens_us,
     )
-    pace = SetupRateSnapshot(*(getattr(module, f"_{name}") for name in MODULE_FIELDS))
-    return StateSnapshot(backends, pace, dict(module._class_load))
 
 
-def recall(module: Learner, event: StateSnapshot) -> None:
-    """Takes it over, of each backend that is still the same process."""
-    for one in event.backends:
-        server = module._servers.get(one.id)
-        if server is not None and server.started_us == one.started_us:
-            for name in BACKEND_SNAPSHOT_FIELDS:
-                setattr(server, name, getattr(one, name))
-    if event.setup_rate is not None:
-        for name, value in zip(MODULE_FIELDS, astuple(event.setup_rate), strict=True):
-            setattr(module, f"_{name}", value)
-    module._class_load = dict(event.class_load)
-    module._recount()
+def restore_backend(endpoint: Endpoint, snapshot: BackendSnapshot) -> None:
+    """Takes over what was observed, of a backend that is still the same process."""
+    outlier = endpoint.outlier
+    outlier.ejected_until_us = snapshot.ejected_until_us
+    outlier.ejections = snapshot.ejections
+    outlier.consecutive_timeouts = snapshot.consecutive_timeouts
+    outlier.consecutive_errors = snapshot.consecutive_errors
+    outlier.half_open = snapshot.half_open
+    overload = endpoint.overload
+    overload.delay_ms = snapshot.delay_ms
+    overload.delay_us = snapshot.delay_us
+    overload.load_limit = snapshot.load_limit
+    overload.load_limit_us = snapshot.load_limit_us
+    slow_start = endpoint.slow_start
+    slow_start.began_us = snapshot.slow_start_began_us
+    slow_start.tokens = snapshot.tokens
+    slow_start.tokens_us = snapshot.tokens_us
+    endpoint.draining_notified_us = snapshot.draining_notified_us
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -16,7 +16,6 @@
 
 import anyio
 
-from sailrun.decisions import snapshot as recollection
 from sailrun.decisions.actions import (
     Action,
     CancelAttempt,
@@ -773,7 +772,7 @@
         listed = tuple(s for s in self._form_servers.values() if s.state is not BackendState.GONE)
         server_list = ServerListUpdate(ListKind.CACHED, self._revision, listed)
         draining = Reason.DRAIN in self.leaving
-        learned = recollection.learned(self._module)
+        learned = self._module.snapshot()
         # From now on the successor may send there as well, and neither sees what the other does.
         self._module.forfeit_slow_start_allowance(self._now)
         return NodeState(server_list, frozenset(self._out_by_hand), draining, learned)
--- a/sailrun/node/peer_beliefs.py
+++ b/sailrun/node/peer_beliefs.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, replace
 
-from sailrun.decisions import snapshot as recollection
 from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import BackendSnapshot, StateSnapshot
 from sailrun.node.session import FormServer
@@ -40,7 +39,7 @@
 
     def own(self, now_us: int, form_servers: dict[int, FormServer]) -> Beliefs:
         """What this node found out itself; what it heard of peers is not passed on, or it would come back."""
-        learned = recollection.learned(self._module)
+        learned = self._module.snapshot()
         out = {
             form_servers[one.id].name: one.ejected_until_us - now_us
             for one in learned.backends
@@ -57,7 +56,7 @@
         """`out`: form servers by number, with how much longer enough others keep away from them. `sound`:
         those that this node has had answers of itself lately. None: nothing is new.
         """
-        learned = recollection.learned(self._module)
+        learned = self._module.snapshot()
         listed = len(learned.backends)
         away = sum(1 for one in learned.backends if one.ejected_until_us > now_us)
         changed: list[BackendSnapshot] = []
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from sailrun.decisions import balancer as decide
-from sailrun.decisions import endpoints as tracked
 from sailrun.decisions.actions import (
     DenialReason,
     FailRequest,
@@ -14,8 +12,11 @@
     StartAttempt,
     Subscribe,
 )
+from sailrun.decisions.endpoints import ClientRequest, Endpoint
 from sailrun.decisions.events import AttemptOutcome, BackendListUpdate, ConnectionOpened, ListKind, NoticeKind
+from sailrun.decisions.outlier_detection import MAX_CONSECUTIVE_ERRORS
 from sailrun.decisions.placement import MASK, key_hash, server_hash
+from sailrun.decisions.selection import MAX_CANDIDATES
 from sailrun.decisions.settings import DedupScope, DiscoveryMode, Effect, RequestClass
 from tests.support import SECOND, Relay, backend, delta, full, settings
 
@@ -216,14 +217,14 @@
     relay.feed(full(*range(1, 501)))
     looks = 0
 
-    def counted(server: tracked.TrackedBackend) -> bool:
+    def counted(endpoint: Endpoint) -> bool:
         nonlocal looks
         looks += 1
         return False
 
-    relay.balancer._healthy = counted  # type: ignore[method-assign]
+    relay.balancer._outliers.is_available = counted  # type: ignore[method-assign]
     relay.ask(key="x")
-    assert 1 < looks <= decide.DEPTH
+    assert 1 < looks <= MAX_CANDIDATES
 
 
 def test_a_grown_fleet_takes_traffic_while_it_warms() -> None:
@@ -308,7 +309,7 @@
     looks = 0
     place = relay.balancer._place
 
-    def counted(request: tracked.TrackedRequest) -> None:
+    def counted(request: ClientRequest) -> None:
         nonlocal looks
         looks += 1
         place(request)
@@ -429,7 +430,7 @@
     relay.advance(300_000)
     place = busiest(relay)
     keys = (f"k{n}" for n in range(100_000) if top(f"k{n}") == place)
-    for _ in range(decide.ERRORS):
+    for _ in range(MAX_CONSECUTIVE_ERRORS):
         name = relay.ask(key=next(keys))
         assert relay.sent_to(name) == place
         relay.end(name, AttemptOutcome.ERROR)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -101,14 +101,14 @@
 
 
 def test_a_decision_that_forgets_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    from sailrun.decisions.balancer import Balancer
+    from sailrun.decisions.backend_list import BackendList
 
-    entry = Balancer._entry
+    apply_entry = BackendList.apply_entry
 
-    def always_ready(self: Balancer, told: Backend) -> None:
-        entry(self, Backend(told.id, BackendState.READY, told.zone, 0, told.capacity, told.started_us))
+    def always_ready(self: BackendList, told: Backend) -> None:
+        apply_entry(self, Backend(told.id, BackendState.READY, told.zone, 0, told.capacity, told.started_us))
 
-    monkeypatch.setattr(Balancer, "_entry", always_ready)
+    monkeypatch.setattr(BackendList, "apply_entry", always_ready)
 
     def one_drains(day: VirtualDay) -> None:
         day.drain(next(iter(day.servers.values())), 20 * SECOND)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,8 +5,7 @@
 import mmh3
 import pytest
 
-from sailrun.decisions import balancer as decide
-from sailrun.decisions import endpoints as tracked
+from sailrun.decisions import balancer, endpoints
 from sailrun.decisions.actions import StartAttempt
 from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import RequestArrived
@@ -15,9 +14,9 @@
 
 
 def landing(ids: tuple[int, ...], key: str, seed: int = 1, group: str | None = None) -> int:
-    balancer = Balancer(settings(), seed, 0)
-    balancer.handle(0, full(*ids))
-    (send,) = balancer.handle(1, RequestArrived("r", "stream", 1_200_000, key=key, group_key=group))
+    instance = Balancer(settings(), seed, 0)
+    instance.handle(0, full(*ids))
+    (send,) = instance.handle(1, RequestArrived("r", "stream", 1_200_000, key=key, group_key=group))
     assert isinstance(send, StartAttempt)
     return send.backend
 
@@ -41,8 +40,8 @@
 
 
 def test_ties_go_to_the_lower_id(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tracked, "server_hash", lambda n: 7 if n in (12, 15) else 1)
-    monkeypatch.setattr(decide, "key_hash", lambda key: 3)
+    monkeypatch.setattr(endpoints, "server_hash", lambda n: 7 if n in (12, 15) else 1)
+    monkeypatch.setattr(balancer, "key_hash", lambda key: 3)
     assert landing((15, 11, 12, 14), "any") == 12
 
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -45,6 +45,8 @@
         "__future__",
         "collections",
         "collections.abc",
+        "dataclasses",
+        "enum",
         "itertools",
         "math",
         "random",
@@ -55,7 +57,6 @@
         "sailrun.decisions.actions",
         "sailrun.decisions.events",
         "sailrun.decisions.settings",
-        "sailrun.decisions.snapshot",
         "sailrun.decisions.validation",
         *(path.removesuffix(".py").replace("/", ".") for path in DECISIONS),
     }
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -8,10 +8,9 @@
 
 import pytest
 
-from sailrun.decisions import snapshot as recollection
 from sailrun.decisions.actions import StartAttempt
 from sailrun.decisions.events import AttemptOutcome, ListKind, OperatorOverride, RequestArrived
-from sailrun.decisions.slow_start import DEVIATIONS, bearable, safe_mean
+from sailrun.decisions.slow_start import SAFETY_DEVIATIONS, max_bearable_requests, safe_mean_requests
 from tests.support import SECOND, Relay, backend, delta, full, settings
 from tests.test_ramp import tell_sums
 
@@ -39,21 +38,21 @@
 
 def most(relay: Relay, connections: float, share: float = 0.2) -> float:
     known = relay.settings
-    return bearable(
+    return max_bearable_requests(
         known.overload_multiple * share * connections * known.overload_window_us / known.slow_start_us
     )
 
 
 def test_what_a_form_server_bears_follows_the_rule_on_both_sides_of_thirty() -> None:
-    assert bearable(0) == 3 and bearable(4) == 4 + 6 + 3
-    assert bearable(29.9) == pytest.approx(29.9 + 3 * math.sqrt(29.9) + 3)
-    assert bearable(36) == 36 + 12 + 2
+    assert max_bearable_requests(0) == 3 and max_bearable_requests(4) == 4 + 6 + 3
+    assert max_bearable_requests(29.9) == pytest.approx(29.9 + 3 * math.sqrt(29.9) + 3)
+    assert max_bearable_requests(36) == 36 + 12 + 2
 
 
 @pytest.mark.parametrize("limit", [5.0, 10.0, 50.0, 500.0])
 def test_the_mean_stays_so_many_deviations_below_what_is_borne(limit: float) -> None:
-    mean = safe_mean(limit)
-    assert DEVIATIONS >= 2 and mean + DEVIATIONS * math.sqrt(mean) == pytest.approx(limit)
+    mean = safe_mean_requests(limit)
+    assert SAFETY_DEVIATIONS >= 2 and mean + SAFETY_DEVIATIONS * math.sqrt(mean) == pytest.approx(limit)
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 3, 5, 8, 16, 32, 64])
@@ -193,7 +192,7 @@
     relay = relay_among(standing=160)
     relay.feed(delta(backend(COLD, 1, BEGIN)))
     relay.advance(SECOND)
-    learned = recollection.learned(relay.balancer)
+    learned = relay.balancer.snapshot()
     relay.balancer.forfeit_slow_start_allowance(relay.now)
     successor = Relay(relay.settings, 2)
     successor.now = relay.now
