--- a/benchmarks/same_behaviour.py
+++ b/benchmarks/same_behaviour.py
@@ -86,6 +86,8 @@
     Scenario(6, "ask", 40, is_pass_through=True),
     Scenario(7, "push", 1, is_pass_through=True),
     Scenario(8, "ask", 1, seconds=40.0),
+    Scenario(9, "push", 1, has_congested_store=True, seconds=30.0),
+    Scenario(10, "push", 40, has_congested_store=True, seconds=30.0),
 )
 DAYS = (
     *(Day(kind, seed, SMALL) for kind, seed in (("calm", 1), ("rebalance", 2), ("rebalance-outage", 3))),
