--- a/benchmarks/fuzz_folder.py
+++ b/benchmarks/fuzz_folder.py
@@ -16,8 +16,8 @@
 with atheris.instrument_imports():
     from sailrun.lab.faults.disk import SimFiles
     from sailrun.lab.faults.killing import last_of, write
-    from sailrun.storage.folder import Sound, read_folder
-    from sailrun.storage.frames import NewerSchema
+    from sailrun.storage.folder import FolderIntegrity, read_folder
+    from sailrun.storage.frames import NewerSchemaError
 
 MOST = 60
 
@@ -43,10 +43,10 @@
         content[at : at + told.ConsumeIntInRange(0, 40)] = told.ConsumeBytes(told.ConsumeIntInRange(0, 80))
     try:
         found = read_folder(FILES)
-    except NewerSchema:
+    except NewerSchemaError:
         return
-    if found.sound is Sound.SOUND and not 0 <= last_of(found.memory) <= MOST + 10:
-        raise AssertionError(f"believed what never was: {last_of(found.memory)}")
+    if found.integrity is FolderIntegrity.INTACT and not 0 <= last_of(found.state) <= MOST + 10:
+        raise AssertionError(f"believed what never was: {last_of(found.state)}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -34,13 +34,13 @@
 from sailrun.lab.figures import quantile
 from sailrun.replication.marks import Mark, pack
 from sailrun.replication.records import mark_of, written
-from sailrun.storage import beliefs
+from sailrun.storage import decision_snapshot
 from sailrun.storage import entries as e
 from sailrun.storage.files import OsFiles
-from sailrun.storage.folder import Folder, Found, Sound, read_folder
+from sailrun.storage.folder import FolderContents, FolderIntegrity, FolderWriter, read_folder
 from sailrun.storage.settings import StorageSettings
 from sailrun.storage.write_ahead_log import WriteAheadLog
-from sailrun.storage.writer import Writer
+from sailrun.storage.writer import BatchWriter
 
 SECOND = 1_000_000
 KILLS, FOR_S = 3000, 5.0
@@ -50,20 +50,20 @@
 def a_mark(number: int) -> e.Entry:
     mark = Mark(f"m{number:016x}", True, False, "staff", "a new disk, back tonight", 1.8e9, "n1", [])
     record = written(None, ("out", f"s-{number:08x}", ""), False, "", (1, number), pack(mark))
-    return e.Held(record, mark_of(record, b"census"))
+    return e.StoredRecord(record, mark_of(record, b"census"))
 
 
-def _folder(path: Path, generation_mb: float = 64.0) -> tuple[WriteAheadLog, Writer]:
+def _folder(path: Path, generation_mb: float = 64.0) -> tuple[WriteAheadLog, BatchWriter]:
     files = OsFiles(path)
     files.make()
     wal = WriteAheadLog(
         StorageSettings(folder=str(path), generation_mb=generation_mb), SECOND, 0, frozenset()
     )
-    wal.renew(os.urandom(16))
-    writer = Writer(Folder(files, Found(Sound.NEW)), "n1", "fleet")
+    wal.begin_new_folder(os.urandom(16))
+    writer = BatchWriter(FolderWriter(files, FolderContents(FolderIntegrity.EMPTY)), "n1", "fleet")
     work = wal.turn(0)
     assert work is not None
-    wal.done(0, writer.do(work))
+    wal.complete_batch(0, writer.write(work))
     return wal, writer
 
 
@@ -72,18 +72,18 @@
     wal, writer = _folder(path)
     number = done = 0
     waiting = list(range(writers))
-    syncs = writer.folder.syncs
+    syncs = writer.folder.sync_count
     began = time.monotonic()
     while time.monotonic() - began < FOR_S:
         for client in waiting:
             number += 1
-            wal.hold(0, wal.add(a_mark(number)), client, client)
+            wal.defer_reply(0, wal.append(a_mark(number)), client, client)
         work = wal.turn(0)
         assert work is not None
-        waiting = wal.done(0, writer.do(work))
+        waiting = wal.complete_batch(0, writer.write(work))
         done += len(waiting)
     took = time.monotonic() - began
-    return done / took, (writer.folder.syncs - syncs) / took
+    return done / took, (writer.folder.sync_count - syncs) / took
 
 
 def _each(path: Path) -> float:
@@ -93,7 +93,7 @@
     began = time.monotonic()
     while time.monotonic() - began < FOR_S:
         number += 1
-        writer.folder.write([a_mark(number)])
+        writer.folder.append([a_mark(number)])
         writer.folder.sync()
     return number / (time.monotonic() - began)
 
@@ -139,12 +139,12 @@
 def _filled(path: Path, records: int) -> None:
     files = OsFiles(path / "kept")
     files.make()
-    folder = Folder(files, Found(Sound.NEW))
-    folder.begin("n1", "census", os.urandom(16))
-    held = [e.Copy(0, True), *(a_mark(n) for n in range(records))]
-    folder.write(held)
-    folder.turn_over(iter(held))
-    while not folder.go_on_with_snapshot():
+    folder = FolderWriter(files, FolderContents(FolderIntegrity.EMPTY))
+    folder.create("n1", "census", os.urandom(16))
+    held = [e.ReplicaStatus(0, True), *(a_mark(n) for n in range(records))]
+    folder.append(held)
+    folder.begin_generation(iter(held))
+    while not folder.write_snapshot_chunk():
         pass
     folder.close()
     files.unlock()
@@ -154,24 +154,24 @@
     """A core's part, changes a second, bytes written in an hour, and bytes on the disk at the end."""
     wal, writer = _folder(path, 8.0)
     marks = [a_mark(n) for n in range(5000)]
-    wal.whole = lambda: marks
-    before, count = writer.folder.written, 0
+    wal.list_state_entries = lambda: marks
+    before, count = writer.folder.written_bytes, 0
     cpu, began = time.process_time(), time.monotonic()
     while (now := time.monotonic()) - began < for_s:
         due = int((now - began) * per_s)
         while count < due:
-            wal.add(marks[count % len(marks)])
+            wal.append(marks[count % len(marks)])
             count += 1
         work = wal.turn(int(now * SECOND))
         if work is not None:
-            wal.done(int(now * SECOND), writer.do(work))
-            while writer.idle():
+            wal.complete_batch(int(now * SECOND), writer.write(work))
+            while writer.continue_snapshot():
                 pass
         time.sleep(0.05)
     took = time.monotonic() - began
     share = (time.process_time() - cpu) / took
     on_disk = sum(f.stat().st_size for f in path.iterdir())
-    return share, count / took, (writer.folder.written - before) / took * 3600, on_disk
+    return share, count / took, (writer.folder.written_bytes - before) / took * 3600, on_disk
 
 
 def _attempts(kept: bool, away_s: float) -> tuple[int, int, int]:
@@ -185,12 +185,14 @@
     first.feed(full(*range(1, 21)))
     ten_seconds(first, bad)
     names = {n: f"s-{n}" for n in range(1, 21)}
-    content = beliefs.pack(first.now, recollection.learned(first.balancer), names)
+    content = decision_snapshot.encode_snapshot(first.now, recollection.learned(first.balancer), names)
     second = Relay(seed=4)
     second.advance(first.now + int(away_s * SECOND) - second.now)
     second.feed(full(*range(1, 21)))
     if kept:
-        learned = beliefs.unpack(content, second.now, 120.0, {f"s-{n}": (n, 0) for n in range(1, 21)})
+        learned = decision_snapshot.decode_snapshot(
+            content, second.now, 120.0, {f"s-{n}": (n, 0) for n in range(1, 21)}
+        )
         assert isinstance(learned, StateSnapshot)
         second.feed(learned)
     up = ten_seconds(second, bad)
@@ -245,7 +247,7 @@
         )
     began = time.process_time()
     found = read_folder(OsFiles(place / f"start-{RECORDS}" / "kept"))
-    yield f"start  {len(found.memory.records)} records read in {time.process_time() - began:.2f} s of a core"
+    yield f"start  {len(found.state.records)} records read in {time.process_time() - began:.2f} s of a core"
 
 
 def _of_cost(place: Path) -> Iterator[str]:
--- a/sailrun/lab/faults/killing.py
+++ b/sailrun/lab/faults/killing.py
@@ -20,8 +20,8 @@
 
 from sailrun.replication.records import written
 from sailrun.storage import entries as e
-from sailrun.storage.files import Files, OsFiles
-from sailrun.storage.folder import Folder, Sound, new_identity, read_folder
+from sailrun.storage.files import FolderFiles, OsFiles
+from sailrun.storage.folder import FolderIntegrity, FolderWriter, generate_identity, read_folder
 
 if TYPE_CHECKING:
     from sailrun.lab.faults.disk import SimFiles
@@ -35,16 +35,16 @@
 def entry_of(number: int) -> e.Entry:
     """The entry of that number: records and grants by turns, so that both have to be whole."""
     if number % 2:
-        return e.Slot("task", number, "n1", 1, number)
-    return e.Held(
+        return e.LeaseGrant("task", number, "n1", 1, number)
+    return e.StoredRecord(
         written(None, ("out", f"s-{number:08x}", ""), False, "x", (0, number), b"x" * (number % 50))
     )
 
 
-def last_of(memory: e.Memory) -> int:
+def last_of(memory: e.PersistedState) -> int:
     """Up to which entry a memory has them all; -1: it has some that it cannot have."""
     records = {int(key[1][2:], 16) for key in memory.records}
-    term = memory.slots["task"].term if "task" in memory.slots else 0
+    term = memory.grants["task"].term if "task" in memory.grants else 0
     last = max([term, *records])
     whole = records == set(range(2, last + 1, 2)) and term == last - (1 - last % 2) * (last > 0)
     return last if whole else -1
@@ -59,29 +59,29 @@
 
 
 def write(
-    files: Files, luck: random.Random, synced: Callable[[int], None], most: int, off: frozenset[str]
+    files: FolderFiles, luck: random.Random, synced: Callable[[int], None], most: int, off: frozenset[str]
 ) -> None:
     """Opens a folder and writes up to entry `most`; `synced` is told the last one on the disk."""
     found = read_folder(files)
-    if found.sound is Sound.DOUBTFUL:
-        raise ValueError(found.why)
-    folder = Folder(files, found, off)
-    if found.sound is Sound.NEW:
-        folder.begin("n1", "fleet", bytes.fromhex(new_identity()))
+    if found.integrity is FolderIntegrity.UNTRUSTED:
+        raise ValueError(found.reason)
+    folder = FolderWriter(files, found, off)
+    if found.integrity is FolderIntegrity.EMPTY:
+        folder.create("n1", "fleet", bytes.fromhex(generate_identity()))
     else:
-        folder.go_on()
-    number = last_of(found.memory)
+        folder.resume()
+    number = last_of(found.state)
     while number < most:
         many = [entry_of(number + 1 + n) for n in range(luck.randint(1, MOST_AT_ONCE))]
-        folder.write(many)
+        folder.append(many)
         if "sync" not in off:
             folder.sync()
         number += len(many)
         synced(number)
-        if folder.busy:
-            folder.go_on_with_snapshot()
+        if folder.is_writing_snapshot:
+            folder.write_snapshot_chunk()
         elif luck.random() < 1 / TURNS:
-            folder.turn_over(everything(number))
+            folder.begin_generation(everything(number))
 
 
 @dataclass(slots=True)
@@ -111,12 +111,12 @@
             process.kill()
             acked = int((first + process.stdout.read()).split("\n")[-2])
         found = read_folder(files)
-        last = last_of(found.memory)
-        if found.sound is not Sound.SOUND or last < acked:
+        last = last_of(found.state)
+        if found.integrity is not FolderIntegrity.INTACT or last < acked:
             raise ValueError(
-                f"kill {n}: {found.sound.value} {found.why}: {last} after {acked} were acknowledged"
+                f"kill {n}: {found.integrity.value} {found.reason}: {last} after {acked} were acknowledged"
             )
-        told = Killed(n + 1, acked, told.torn + (found.torn > 0), found.highest)
+        told = Killed(n + 1, acked, told.torn + (found.torn_bytes > 0), found.highest_generation)
     return told
 
 
@@ -137,9 +137,9 @@
         acked = _until(files, cut, luck, acked, off)
         files.power_cut(luck)
         found = read_folder(files)
-        last = last_of(found.memory)
-        if found.sound is Sound.DOUBTFUL or last < acked:
-            return f"step {step}, cut {cut}: {found.sound.value} {found.why}: {last} after {acked}"
+        last = last_of(found.state)
+        if found.integrity is FolderIntegrity.UNTRUSTED or last < acked:
+            return f"step {step}, cut {cut}: {found.integrity.value} {found.reason}: {last} after {acked}"
         acked = last
     return None
 
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -25,11 +25,11 @@
 from sailrun.replication.messages import Op
 from sailrun.replication.replica import MARKS, Replica
 from sailrun.replication.state import show_state
-from sailrun.storage.folder import Sound, read_folder
+from sailrun.storage.folder import FolderIntegrity, read_folder
 from sailrun.storage.opening import open_folder
 from sailrun.storage.settings import StorageSettings
-from sailrun.storage.write_ahead_log import Done, Work, WriteAheadLog
-from sailrun.storage.writer import Writer
+from sailrun.storage.write_ahead_log import WriteAheadLog, WriteBatch, WriteResult
+from sailrun.storage.writer import BatchWriter
 
 SECOND = 1_000_000
 # What a node that is stopped finds in its sockets when it wakes; the rest was dropped.
@@ -61,7 +61,7 @@
     waking: int = 0  # the number of its next turn; turns of an older one are void
     wakes_us: int = 0  # when that is, in shared time
     files: SimFiles = field(default_factory=SimFiles)
-    writer: Writer | None = None
+    writer: BatchWriter | None = None
     write_ahead_log: WriteAheadLog | None = None
     stalled_us: int = 0  # its disk does nothing until then
     # A folder of before, and whether it comes back with its inodes.
@@ -260,11 +260,18 @@
 
         slow_us, now_us = int(agent.terms.owners.lease_s * SECOND) // 2, self.clock_us(node)
         opened = open_folder(node.files, terms, slow_us, node.name, "lab", another, now_us, self._off)
-        node.write_ahead_log, node.writer, found = opened.write_ahead_log, opened.writer, opened.found
-        sound = found.sound is Sound.SOUND
-        self.row("folder", node.name, what="found", sound=found.sound.value, why=found.why, torn=found.torn)
+        node.write_ahead_log, node.writer, found = opened.write_ahead_log, opened.writer, opened.contents
+        sound = found.integrity is FolderIntegrity.INTACT
+        self.row(
+            "folder",
+            node.name,
+            what="found",
+            sound=found.integrity.value,
+            why=found.reason,
+            torn=found.torn_bytes,
+        )
         lasting = Lasting(
-            opened.write_ahead_log, opened.identity, found.memory, sound, found.position, wall_s, another
+            opened.write_ahead_log, opened.identity, found.state, sound, found.position, wall_s, another
         )
         agent.take_up(self.clock_us(node), lasting)
 
@@ -274,26 +281,26 @@
         if wal is None or node.stopped:
             return
         work = wal.turn(self.clock_us(node))
-        if wal.notes:
-            for what, facts in wal.notes:
+        if wal.log_events:
+            for what, facts in wal.log_events:
                 self.row("folder", node.name, what=what, facts=str(facts))
-            wal.notes.clear()
+            wal.log_events.clear()
         if work is not None:
             wait_us = max(int(self._luck.uniform(*SYNC_US)), node.stalled_us - self.time.now_us)
             self.time.after(wait_us // 2, self._written, node, node.writer, work, wait_us - wait_us // 2)
 
-    def _written(self, node: VirtualNode, writer: Writer | None, work: Work, told_us: int) -> None:
+    def _written(self, node: VirtualNode, writer: BatchWriter | None, work: WriteBatch, told_us: int) -> None:
         """The disk has done it, or the process that asked for it is gone; a moment later, if it is not
         stopped, the process knows.
         """
         if writer is None or node.writer is not writer:
             return
-        done = writer.do(work)
-        while writer.idle():
+        done = writer.write(work)
+        while writer.continue_snapshot():
             pass
         self.time.after(told_us, self._wrote, node, writer, done)
 
-    def _wrote(self, node: VirtualNode, writer: Writer, done: Done) -> None:
+    def _wrote(self, node: VirtualNode, writer: BatchWriter, done: WriteResult) -> None:
         if node.writer is not writer or node.agent is None:
             return
         if node.stopped:
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -52,8 +52,8 @@
 from sailrun.replication.replica import MARKS, Replica
 from sailrun.sharding.messages import Ballot, ShardBody
 from sailrun.sharding.messages import Post as ShardPost
-from sailrun.storage.messages import Stand, Stood
-from sailrun.storage.write_ahead_log import Done
+from sailrun.storage.messages import FreshnessQuery, FreshnessReply
+from sailrun.storage.write_ahead_log import WriteResult
 
 if TYPE_CHECKING:
     from sailrun.sharding.part import ShardsPart
@@ -170,7 +170,7 @@
         """Goes by a folder, as far as that can be: before the first turn."""
         self.backing.take_up(now_us, lasting)
 
-    def wrote(self, now_us: int, done: Done) -> list[Out]:
+    def wrote(self, now_us: int, done: WriteResult) -> list[Out]:
         """What became of the work of the disk; the answers that waited for it may go out."""
         self._now_us = now_us
         outs = self._backed(*self.backing.wrote(now_us, done))
@@ -255,7 +255,7 @@
             case _ if isinstance(body, ShardBody):
                 if self.shards is not None and self.members.joined:
                     return self._posts(self.shards.hear(now_us, sender, life, body))
-            case Stand() | Stood():
+            case FreshnessQuery() | FreshnessReply():
                 if sender in self.voters.all():
                     return self._backed(*self.backing.heard(now_us, sender, body))
             case _:
--- a/sailrun/leadership/backing.py
+++ b/sailrun/leadership/backing.py
@@ -21,14 +21,14 @@
 from sailrun.replication.messages import Kept, Promised, Recovering
 from sailrun.replication.replica import Replica
 from sailrun.storage import entries as e
-from sailrun.storage.folder import uncollected
-from sailrun.storage.messages import Stand, Stood
-from sailrun.storage.standing import Own, Standing, Trust
-from sailrun.storage.write_ahead_log import Done
+from sailrun.storage.folder import paused_garbage_collection
+from sailrun.storage.freshness import FolderFreshness, FreshnessState, OwnFolder
+from sailrun.storage.messages import FreshnessQuery, FreshnessReply
+from sailrun.storage.write_ahead_log import WriteResult
 
 Post = tuple[str, msgspec.Struct]
 # What a voter answers and is held to after a restart: sent once what it rests on is on the disk.
-PROMISES = (Grant, Promised, Kept, Recovering, Recalled, Stood)
+PROMISES = (Grant, Promised, Kept, Recovering, Recalled, FreshnessReply)
 # Of these, what a folder without them would be too old for: a majority is told how far it has come, before.
 TOLD = (Grant, Promised, Kept, Recovering)
 # Promises that wait for other voters to note them; the oldest make room.
@@ -52,7 +52,7 @@
         self.notes: list[tuple[str, dict[str, object]]] = []  # for the log; emptied by whoever drives this
         # What else is to be known after a restart; told by whoever drives this.
         self.aside: Callable[[], list[e.Entry]] = list
-        self.standing = Standing(
+        self.standing = FolderFreshness(
             name,
             lambda: voters().all(),
             lambda names: voters().majority(names),
@@ -67,7 +67,7 @@
         self._drains: RollingDrains | None = None
         self._untold: list[tuple[int, str, Any]] = []  # promises that wait for a majority to know of them
         self._begun_at = 0  # the entry that says in which life of the folder this process is
-        self._trusted = Trust.LEARNS
+        self._trusted = FreshnessState.REJOINING
 
     # ------------------------------------------------------------------ whom it is for
 
@@ -86,14 +86,14 @@
         voter.write_votes = self.journal.votes
         voter.on_founded = lambda: self._act("founded", what="terms")
         voter.on_remembered = lambda: self._act("remembered", what="terms")
-        voter.registered = lambda: self.standing.registered
-        voter.able = lambda: self._lasting is None or self._lasting.write_ahead_log.able
+        voter.registered = lambda: self.standing.is_established
+        voter.able = lambda: self._lasting is None or self._lasting.write_ahead_log.is_disk_available
         # What a folder has of another time as a voter may not be all: `take_up` comes after.
-        self.standing.trust = self._trusted = Trust.LEARNS
+        self.standing.state = self._trusted = FreshnessState.REJOINING
 
     def ready(self, position: int) -> bool:
         """Whether everything up to that entry is on the disk, if there is any."""
-        return self._lasting is None or self._lasting.write_ahead_log.ready(position)
+        return self._lasting is None or self._lasting.write_ahead_log.is_synced(position)
 
     # ------------------------------------------------------------------ beginning
 
@@ -103,53 +103,57 @@
         """
         self._lasting, memory, sound = lasting, lasting.memory, lasting.sound
         wal = self.journal.write_ahead_log = lasting.write_ahead_log
-        wal.whole = self.whole
-        wal.on_dropped = lambda answer: answer(False) if callable(answer) else None
-        own = Own(lasting.identity, self._run, memory.life + 1, lasting.loaded, wal.synced)
-        self.standing.take_up(own, sound, memory.notes)
-        self._trusted = self.standing.trust
-        self._begun_at = self.journal.begun(own.life, lasting.wall_s)
+        wal.list_state_entries = self.whole
+        wal.on_reply_dropped = lambda answer: answer(False) if callable(answer) else None
+        own = OwnFolder(
+            lasting.identity, self._run, memory.incarnation + 1, lasting.loaded, wal.synced_position
+        )
+        self.standing.start(own, sound, memory.peer_folders)
+        self._trusted = self.standing.state
+        self._begun_at = self.journal.begun(own.incarnation, lasting.wall_s)
         voter = self._voter()
         if voter is not None:
             voter.lasts = True
-        if voter is not None and sound and memory.votes:
-            voter.take_up(now_us, known_slots(memory), memory.floors)
+        if voter is not None and sound and memory.is_voter_complete:
+            voter.take_up(now_us, known_slots(memory), memory.term_floors)
         elif voter is not None:
             # As far as it goes: terms only rise by it, and the others are asked for the rest.
-            for task, term in memory.highest().items():
+            for task, term in memory.highest_terms().items():
                 voter.heard_of(task, term)
             self._act("folder", what="learning", of="terms")
         if sound and self._drains is not None:
-            plans = [(p.walk, p.for_us, p.names) for p in memory.plans.values()]
-            self._drains.take_up(now_us, memory.drained, plans)
+            plans = [(p.drain, p.for_us, p.nodes) for p in memory.drain_plans.values()]
+            self._drains.take_up(now_us, memory.completed_drains, plans)
         if sound and self._replica is not None:
             self._take_up_copy(now_us, self._replica, memory)
-        if self.standing.trust is Trust.TRUSTED:
+        if self.standing.state is FreshnessState.CONFIRMED:
             self._trust()
 
-    def _take_up_copy(self, now_us: int, replica: Replica, memory: e.Memory) -> None:
-        if memory.whole:
-            held = ((r, memory.marks[key]) for key, r in memory.records.items())
-            with uncollected():
+    def _take_up_copy(self, now_us: int, replica: Replica, memory: e.PersistedState) -> None:
+        if memory.is_replica_complete:
+            held = ((r, memory.record_digests[key]) for key, r in memory.records.items())
+            with paused_garbage_collection():
                 left = replica.take_up(now_us, held, memory.epoch)
             facts: dict[str, object] = {"records": len(replica.store), "epoch": memory.epoch}
             self.notes.append(("copy-found", {**facts, "left": left or None}))
-        keeps = memory.keeps
+        keeps = memory.acceptor
         if replica.acceptor is not None and keeps is not None:
-            replica.acceptor.take_up(keeps.life, keeps.promised, keeps.lives, keeps.remembers)
-            if not keeps.remembers:
+            replica.acceptor.take_up(
+                keeps.incarnation, keeps.promised_term, keeps.peer_incarnations, keeps.is_complete
+            )
+            if not keeps.is_complete:
                 self._act("folder", what="learning", of="marks")
 
     def whole(self) -> Iterable[e.Entry]:
         """All that is to be known after a restart, as it is now: to be gone through once, wherever."""
         own, voter, entries = self.standing.own, self._voter(), list[e.Entry]()
         if own is not None and self._lasting is not None:
-            entries.append(e.Begun(own.life, self._lasting.wall_s))
+            entries.append(e.ProcessStarted(own.incarnation, self._lasting.wall_s))
         if voter is not None:
             entries += voter_entries(voter)
-        entries += self.standing.notes.values()
+        entries += self.standing.peer_versions.values()
         if self._drains is not None:
-            entries += (e.Drained(name) for name in self._drains.done())
+            entries += (e.DrainCompleted(name) for name in self._drains.done())
             entries += (e.DrainPlan(*plan) for plan in self._drains.plans())
         copied = replica_entries(self._replica) if self._replica is not None else []
         return chain(entries, self.aside(), copied)
@@ -164,11 +168,11 @@
         position = wal.position
         if isinstance(body, Grant) and voter is not None:
             position = voter.position(body.task)  # a renewal rests on the grant alone
-        if wal.ready(position):
+        if wal.is_synced(position):
             return self._waits_for_notes(position, name, body)
-        if wal.able:
+        if wal.is_disk_available:
             key = (name, type(body), body.term if isinstance(body, Grant) else body.number)
-            wal.hold(now_us, position, key, (name, body))
+            wal.defer_reply(now_us, position, key, (name, body))
         return True
 
     def _waits_for_notes(self, position: int, name: str, body: Any) -> bool:
@@ -177,9 +181,11 @@
         """
         own = self.standing.own
         told = isinstance(body, TOLD) and self._voter() is not None and not self._off & {"generation", "sync"}
-        if not told or own is None or self._lasting is None or self.standing.known(position):
+        if not told or own is None or self._lasting is None or self.standing.is_position_noted(position):
             return False
-        own.synced = self._lasting.write_ahead_log.synced  # told to the others at the next turn
+        own.synced_position = (
+            self._lasting.write_ahead_log.synced_position
+        )  # told to the others at the next turn
         self._untold = [*self._untold[-MOST_UNTOLD:], (position, name, body)]
         return True
 
@@ -188,39 +194,39 @@
         is none, or it fails.
         """
         wal = self._lasting.write_ahead_log if self._lasting is not None else None
-        if wal is None or wal.ready(wal.position):
+        if wal is None or wal.is_synced(wal.position):
             call(True)
-        elif not wal.able:
+        elif not wal.is_disk_available:
             call(False)
         else:
-            wal.hold(now_us, wal.position, call, call)
+            wal.defer_reply(now_us, wal.position, call, call)
 
-    def wrote(self, now_us: int, done: Done) -> tuple[list[Post], list[Post]]:
+    def wrote(self, now_us: int, done: WriteResult) -> tuple[list[Post], list[Post]]:
         """What became of the work of the disk; returns answers that may go out, and other posts."""
         assert self._lasting is not None
         wal = self._lasting.write_ahead_log
         answers: list[Post] = []
-        for answer in wal.done(now_us, done):
+        for answer in wal.complete_batch(now_us, done):
             if callable(answer):
                 answer(True)
                 continue
             name, body = answer
             if isinstance(body, TOLD) and self._voter() is not None:
                 if "generation" not in self._off:
-                    self._untold = [*self._untold[-MOST_UNTOLD:], (wal.synced, name, body)]
+                    self._untold = [*self._untold[-MOST_UNTOLD:], (wal.synced_position, name, body)]
                     continue
-                self._act("promised", position=wal.synced)
+                self._act("promised", position=wal.synced_position)
             answers.append((name, body))
         posts: list[Post] = []
         if self._untold and self.standing.own is not None:
             # Something is promised: a majority is to know how far the folder has come.
-            self.standing.own.synced = wal.synced
-            posts += self.standing.tell(now_us)
+            self.standing.own.synced_position = wal.synced_position
+            posts += self.standing.report_position(now_us)
         return answers, posts
 
     def _told_enough(self) -> list[Post]:
         """What was promised, as far as a majority knows that the folder has it."""
-        known = {position for position, _, _ in self._untold if self.standing.known(position)}
+        known = {position for position, _, _ in self._untold if self.standing.is_position_noted(position)}
         if not known:
             return []
         self._act("promised", position=max(known))
@@ -230,18 +236,20 @@
 
     # ------------------------------------------------------------------ whether the folder is the newest
 
-    def heard(self, now_us: int, sender: str, body: Stand | Stood) -> tuple[list[Post], list[Post]]:
+    def heard(
+        self, now_us: int, sender: str, body: FreshnessQuery | FreshnessReply
+    ) -> tuple[list[Post], list[Post]]:
         """From another voter; returns answers that may go out, and other posts."""
-        if isinstance(body, Stand):
-            return [], [(sender, self.standing.hear(sender, body))]
-        life = self.standing.own.life if self.standing.own is not None else 0
-        self.standing.told(sender, body)
+        if isinstance(body, FreshnessQuery):
+            return [], [(sender, self.standing.on_query(sender, body))]
+        life = self.standing.own.incarnation if self.standing.own is not None else 0
+        self.standing.on_reply(sender, body)
         self._stood(now_us, life)
         return (self._told_enough() if self._untold else []), []
 
     def _may_ask(self) -> bool:
         """That this process has the folder is to be on the disk before anybody hears of it."""
-        return not self.standing.asking or self.ready(self._begun_at)
+        return not self.standing.is_querying or self.ready(self._begun_at)
 
     def due_us(self) -> int | None:
         """When `turn` wants to be called; None: not for itself."""
@@ -253,7 +261,7 @@
         own = self.standing.own
         if own is None or self._voter() is None or not self._may_ask():
             return []
-        life = own.life
+        life = own.incarnation
         posts = list[Post](self.standing.turn(now_us))
         self._stood(now_us, life)
         return posts
@@ -263,16 +271,16 @@
         standing, lasting = self.standing, self._lasting
         if lasting is None or standing.own is None:
             return
-        if standing.trust is not self._trusted:
-            self._trusted = standing.trust
-            if standing.trust is Trust.TRUSTED:
+        if standing.state is not self._trusted:
+            self._trusted = standing.state
+            if standing.state is FreshnessState.CONFIRMED:
                 self._trust()
-            elif standing.trust is Trust.OLD:
+            elif standing.state is FreshnessState.STALE:
                 self._forget(now_us, lasting)
-            elif standing.trust is Trust.LEARNED:
+            elif standing.state is FreshnessState.REJOINED:
                 self._act("folder", what="learned")
-        if standing.own.life != life:
-            self._begun_at = self.journal.begun(standing.own.life, lasting.wall_s)
+        if standing.own.incarnation != life:
+            self._begun_at = self.journal.begun(standing.own.incarnation, lasting.wall_s)
 
     def _trust(self) -> None:
         """Nobody knows of a newer folder: this voter has forgotten nothing of what that says it remembers."""
@@ -283,27 +291,27 @@
             acceptor.trust()
         self._act("folder", what="trusted")
         own = self.standing.own
-        self.notes.append(("lasting-trusted", {"life": own.life if own is not None else None}))
+        self.notes.append(("lasting-trusted", {"life": own.incarnation if own is not None else None}))
 
     def _forget(self, now_us: int, lasting: Lasting) -> None:
         """The folder is older than what the fleet knows: another is begun, and this voter learns from the
         others what it may have promised.
         """
         standing = self.standing
-        known = standing.newest
+        known = standing.newest_known
         lasting.identity = lasting.new_identity()
-        standing.begin_anew(lasting.identity)
-        self._trusted = standing.trust
+        standing.restart_with_new_folder(lasting.identity)
+        self._trusted = standing.state
         self._untold.clear()  # promised by what is not gone by any more
-        lasting.write_ahead_log.renew(bytes.fromhex(lasting.identity))
+        lasting.write_ahead_log.begin_new_folder(bytes.fromhex(lasting.identity))
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None:
             voter.forget(now_us)
         if acceptor is not None:
             acceptor.may_remember = False
             acceptor.restart(now_us)
-        facts: dict[str, object] = {"why": standing.why_old, "loaded": lasting.loaded}
+        facts: dict[str, object] = {"why": standing.stale_reason, "loaded": lasting.loaded}
         if known is not None:
-            facts |= {"known_life": known.life, "known_position": known.position}
-        self._act("folder", what="old", why=standing.why_old)
+            facts |= {"known_life": known.incarnation, "known_position": known.position}
+        self._act("folder", what="old", why=standing.stale_reason)
         self.notes.append(("lasting-old", facts))
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -13,14 +13,14 @@
 from sailrun.membership.messages import MemberBody, Record
 from sailrun.replication.messages import ReplicaBody
 from sailrun.sharding.messages import ShardBody
-from sailrun.storage.messages import LastingBody
+from sailrun.storage.messages import StorageMessage
 
 LONGEST_DATAGRAM = 1200
 LONGEST_FRAME = 4 * 1024 * 1024
 # What rides along, so that a datagram stays below its limit whatever the names are.
 MOST_NEWS, MOST_CLAIMS = 4, 3
 
-Body = MemberBody | OwnerBody | ReplicaBody | LastingBody | ShardBody
+Body = MemberBody | OwnerBody | ReplicaBody | StorageMessage | ShardBody
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
--- a/sailrun/leadership/lasting.py
+++ b/sailrun/leadership/lasting.py
@@ -25,7 +25,7 @@
 
     write_ahead_log: WriteAheadLog
     identity: str
-    memory: e.Memory
+    memory: e.PersistedState
     sound: bool
     loaded: int  # the position that was found
     wall_s: float
@@ -39,63 +39,63 @@
         self.write_ahead_log: WriteAheadLog | None = None
 
     def _add(self, entry: e.Entry) -> int:
-        return self.write_ahead_log.add(entry) if self.write_ahead_log is not None else 0
+        return self.write_ahead_log.append(entry) if self.write_ahead_log is not None else 0
 
     def record(self, record: Record, mark: int) -> None:
-        self._add(e.Held(record, mark))
+        self._add(e.StoredRecord(record, mark))
 
     def dropped(self, key: Key) -> None:
-        self._add(e.Dropped(key))
+        self._add(e.DeletedRecord(key))
 
     def copy(self, epoch: int, whole: bool, cleared: bool = False) -> None:
-        self._add(e.Copy(epoch, whole, cleared))
+        self._add(e.ReplicaStatus(epoch, whole, cleared))
 
     def keeps(self, life: int, promised: int, lives: dict[str, int], remembers: bool) -> None:
-        self._add(e.Keeps(life, promised, lives, remembers))
+        self._add(e.AcceptorState(life, promised, lives, remembers))
 
     def slot(self, task: str, slot: Slot) -> int:
         return self._add(slot_entry(task, slot))
 
     def floor(self, task: str, term: int) -> int:
-        return self._add(e.Floor(task, term))
+        return self._add(e.TermFloor(task, term))
 
     def votes(self, remembers: bool) -> int:
-        return self._add(e.Votes(remembers))
+        return self._add(e.VoterState(remembers))
 
-    def noted(self, noted: e.Noted) -> None:
+    def noted(self, noted: e.PeerFolderVersion) -> None:
         self._add(noted)
 
     def begun(self, life: int, wall_s: float) -> int:
-        return self._add(e.Begun(life, wall_s))
+        return self._add(e.ProcessStarted(life, wall_s))
 
     def drained(self, name: str) -> int:
-        return self._add(e.Drained(name))
+        return self._add(e.DrainCompleted(name))
 
     def planned(self, name: str, for_us: int, nodes: list[str]) -> None:
         self._add(e.DrainPlan(name, for_us, nodes))
 
 
-def slot_entry(task: str, slot: Slot) -> e.Slot:
-    return e.Slot(task, slot.term, slot.holder, slot.life, slot.highest, slot.released)
+def slot_entry(task: str, slot: Slot) -> e.LeaseGrant:
+    return e.LeaseGrant(task, slot.term, slot.holder, slot.life, slot.highest, slot.released)
 
 
-def known_slots(memory: e.Memory) -> dict[str, Slot]:
+def known_slots(memory: e.PersistedState) -> dict[str, Slot]:
     """A voter's grants, as its memory has them."""
     return {
-        task: Slot(s.term, s.holder, s.life, 0, s.released, max(s.highest, s.term))
-        for task, s in memory.slots.items()
+        task: Slot(s.term, s.holder, s.incarnation, 0, s.is_released, max(s.highest_term, s.term))
+        for task, s in memory.grants.items()
     }
 
 
 def voter_entries(voter: Voter) -> Iterator[e.Entry]:
-    yield e.Votes(voter.remembers or voter.may_remember)
+    yield e.VoterState(voter.remembers or voter.may_remember)
     yield from (slot_entry(task, slot) for task, slot in voter.slots().items())
-    yield from (e.Floor(task, term) for task, term in voter.floors().items())
+    yield from (e.TermFloor(task, term) for task, term in voter.floors().items())
 
 
 def replica_entries(replica: Replica) -> Iterable[e.Entry]:
     """As they are now; gone through later, and by another thread."""
-    state = [e.Copy(replica.sync.epoch, replica.sync.whole)]
-    keeps = [e.Keeps(*replica.acceptor.state())] if replica.acceptor is not None else []
+    state = [e.ReplicaStatus(replica.sync.epoch, replica.sync.whole)]
+    keeps = [e.AcceptorState(*replica.acceptor.state())] if replica.acceptor is not None else []
     held = replica.store.firm()
-    return chain(state, keeps, (e.Held(record, mark) for record, mark in held))
+    return chain(state, keeps, (e.StoredRecord(record, mark) for record, mark in held))
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -32,14 +32,14 @@
 from sailrun.node.clock import log
 from sailrun.node.leaving import Reason
 from sailrun.replication.service import CopiesPart
-from sailrun.storage.folder import Sound, new_identity
+from sailrun.storage.folder import FolderIntegrity, generate_identity
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
     from sailrun.operator_settings import Operator
     from sailrun.sharding.exercise import ActExerciser
     from sailrun.sharding.part import ShardsPart
-    from sailrun.storage.service import LastingPart
+    from sailrun.storage.service import StorageService
 
 SECOND = 1_000_000
 # While a node drains for a rolling drain, it is looked at this often whether it is empty.
@@ -66,7 +66,7 @@
     """One node's part in its fleet."""
 
     def __init__(
-        self, node: Node, config: NodeConfig, patient: bool, lasting: LastingPart | None = None
+        self, node: Node, config: NodeConfig, patient: bool, lasting: StorageService | None = None
     ) -> None:
         """Raises OSError for an address that is not to be had, unless a predecessor is about to give it
         up.
@@ -106,8 +106,8 @@
         self._exerciser = self._new_exerciser() if terms.owners.record else None
         self._lasting = lasting
         if lasting is not None:
-            self.agent.backing.aside = lasting.aside
-            lasting.on_done = lambda done: self.carrier.post(lambda now_us: self.agent.wrote(now_us, done))
+            self.agent.backing.aside = lasting.list_auxiliary_entries
+            lasting.on_result = lambda done: self.carrier.post(lambda now_us: self.agent.wrote(now_us, done))
 
     def _new_exerciser(self) -> ActExerciser | None:
         """For the laboratory's checks, which need acts on behalf of shards."""
@@ -124,29 +124,29 @@
         self._shared = SharedDiscovery(self._node, source, revision, self.agent, self.carrier)
         return self._shared
 
-    def _take_up(self, lasting: LastingPart) -> None:
-        found = lasting.found
+    def _take_up(self, lasting: StorageService) -> None:
+        found = lasting.contents
         self.agent.take_up(
             boot_us(),
             Lasting(
                 lasting.write_ahead_log,
                 lasting.identity,
-                found.memory,
-                found.sound is Sound.SOUND,
+                found.state,
+                found.integrity is FolderIntegrity.INTACT,
                 found.position,
                 time.time(),
-                new_identity,
+                generate_identity,
             ),
         )
-        found.memory.records, found.memory.marks = {}, {}  # the copy has them now
+        found.state.records, found.state.record_digests = {}, {}  # the copy has them now
         if self.copies is not None:
-            self.copies.begins_with(lasting.drains)
+            self.copies.begins_with(lasting.starts_draining)
 
     async def run(self) -> None:
         """Until cancelled, or given up. A fault in here leaves the node as it would be without a fleet."""
         try:
             async with anyio.create_task_group() as group:
-                if self._lasting is not None and await self._lasting.wait():
+                if self._lasting is not None and await self._lasting.acquire():
                     # Nothing else knows the agent yet, and a large copy takes its time.
                     await to_thread.run_sync(self._take_up, self._lasting)
                     group.start_soon(self._lasting.run, self._node)
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -26,7 +26,7 @@
     from sailrun.leadership.agent import AgentSettings
     from sailrun.leadership.service import FleetPart
     from sailrun.leadership.shared import SharedDiscovery
-    from sailrun.storage.service import LastingPart
+    from sailrun.storage.service import StorageService
     from sailrun.xds.discovery import EnvoyDiscovery
 
 # What a new file changes in a running node; the rest waits for its next start, but for what every
@@ -66,7 +66,7 @@
         clock = Clock()
         if passed is None and self._lasting is not None:
             drains = config.operator is not None and not config.operator.permits.enabled
-            passed = self._lasting.passed(config.known, clock.now_us(), drains)
+            passed = self._lasting.restore_state(config.known, clock.now_us(), drains)
         # A predecessor's list is newer than the platform's, and its watch can be gone on with.
         known = passed.server_list if passed is not None and passed.server_list.form_servers else config.known
         self.node = Node(config.settings, config.seed, clock, known, passed=passed)
@@ -94,16 +94,16 @@
             )
             self.node.neighbours = self._datagrams
 
-    def _open_lasting(self, config: NodeConfig, patient: bool) -> LastingPart | None:
+    def _open_lasting(self, config: NodeConfig, patient: bool) -> StorageService | None:
         if config.operator is None or not config.operator.lasting.enabled:
             return None
         # Loaded only where it is switched on: the platform has no disk that lasts.
         from sailrun.leadership.clock import boot_us
-        from sailrun.storage.service import LastingPart
+        from sailrun.storage.service import StorageService
 
         members, slow_us = config.operator.members, int(config.operator.owners.lease_s * 500_000)
         name, fleet = members.name or config.name, members.fleet if members.enabled else ""
-        return LastingPart(config.operator.lasting, name, fleet, slow_us, patient, boot_us)
+        return StorageService(config.operator.lasting, name, fleet, slow_us, patient, boot_us)
 
     def _join_fleet(self, config: NodeConfig, patient: bool) -> FleetPart | None:
         if config.operator is None or not config.operator.members.enabled:
@@ -245,7 +245,7 @@
         """A node without a fleet writes down what it has learned of form servers."""
         if self._lasting is not None:
             self._writing = anyio.CancelScope()
-            self.group.start_soon(self._lasting.run_alone, self.node, self._writing)
+            self.group.start_soon(self._lasting.run_without_fleet, self.node, self._writing)
 
     async def _run_discovery(self) -> None:
         discovery, scope = self._discovery, self._asking
--- a/sailrun/storage/cli.py
+++ b/sailrun/storage/cli.py
@@ -12,7 +12,7 @@
 from sailrun.start import complain
 
 if TYPE_CHECKING:
-    from sailrun.storage.folder import Found
+    from sailrun.storage.folder import FolderContents
 
 app = typer.Typer(help="Look at the folder in which a node keeps what it has to know after a restart.")
 
@@ -23,49 +23,53 @@
 ]
 
 
-def _read(folder: Path) -> Found:
+def _read(folder: Path) -> FolderContents:
     from sailrun.storage.files import OsFiles
     from sailrun.storage.folder import read_folder
-    from sailrun.storage.frames import NewerSchema
+    from sailrun.storage.frames import NewerSchemaError
 
     try:
         return read_folder(OsFiles(folder))
-    except NewerSchema as error:
+    except NewerSchemaError as error:
         complain(f"{folder}: {error}")
     except OSError as error:
         complain(f"{folder}: {error.strerror or error}")
 
 
-def _facts(found: Found) -> dict[str, Any]:
-    memory = found.memory
+def _facts(found: FolderContents) -> dict[str, Any]:
+    memory = found.state
     return {
-        "sound": found.sound.value,
-        "why": found.why,
+        "sound": found.integrity.value,
+        "why": found.reason,
         "node": found.node,
         "fleet": found.fleet,
         "identity": found.identity.hex(),
-        "life": memory.life,
-        "ended_in_good_order": memory.clean,
+        "life": memory.incarnation,
+        "ended_in_good_order": memory.was_clean_shutdown,
         "position": found.position,
-        "generation": found.generation,
-        "entries": found.entries,
-        "torn_bytes": found.torn,
+        "generation": found.journal_generation,
+        "entries": found.entry_count,
+        "torn_bytes": found.torn_bytes,
         "records": len(memory.records),
         "epoch": memory.epoch,
-        "whole_copy": memory.whole,
+        "whole_copy": memory.is_replica_complete,
     }
 
 
-def _believed(found: Found, half_life_s: float, now_s: float) -> dict[str, Any]:
+def _believed(found: FolderContents, half_life_s: float, now_s: float) -> dict[str, Any]:
     """What a node would go by if it started now."""
     from sailrun.replication.marks import KINDS, standing
-    from sailrun.storage.beliefs import out_for, weight_of
+    from sailrun.storage.decision_snapshot import remaining_ejections_us, remaining_weight
 
-    memory = found.memory
+    memory = found.state
     marks = [standing(r) for r in memory.records.values() if r.kind in KINDS]
-    age_s = now_s - memory.learned.wall_s if memory.learned is not None else 0.0
-    weight = weight_of(age_s, half_life_s) if memory.learned is not None else 0.0
-    out = out_for(memory.learned.content, int(now_s * 1e6), half_life_s) if memory.learned is not None else {}
+    age_s = now_s - memory.decision_snapshot.wall_s if memory.decision_snapshot is not None else 0.0
+    weight = remaining_weight(age_s, half_life_s) if memory.decision_snapshot is not None else 0.0
+    out = (
+        remaining_ejections_us(memory.decision_snapshot.content, int(now_s * 1e6), half_life_s)
+        if memory.decision_snapshot is not None
+        else {}
+    )
     return {
         "marks": [
             {
@@ -76,15 +80,17 @@
             }
             for s in sorted(marks, key=lambda s: (s.kind, s.subject))
         ],
-        "out_by_hand_here": sorted(memory.hand.out) if memory.hand is not None else [],
-        "terms": dict(sorted(memory.highest().items())),
-        "promised": memory.keeps.promised if memory.keeps is not None else 0,
-        "votes_remembered": found.sound.value == "sound" and memory.votes,
-        "learned_age_s": round(age_s, 1) if memory.learned is not None else None,
+        "out_by_hand_here": sorted(memory.operator_overrides.out_of_service)
+        if memory.operator_overrides is not None
+        else [],
+        "terms": dict(sorted(memory.highest_terms().items())),
+        "promised": memory.acceptor.promised_term if memory.acceptor is not None else 0,
+        "votes_remembered": found.integrity.value == "sound" and memory.is_voter_complete,
+        "learned_age_s": round(age_s, 1) if memory.decision_snapshot is not None else None,
         "learned_weight": round(weight, 3),
         "kept_away_from_s": {name: round(left / 1e6, 1) for name, left in sorted(out.items())},
-        "walks": list(memory.drained),
-        "walks_to_go_on_with": [p.walk for p in memory.plans.values()],
+        "walks": list(memory.completed_drains),
+        "walks_to_go_on_with": [p.drain for p in memory.drain_plans.values()],
     }
 
 
@@ -122,13 +128,14 @@
     found = _read(folder)
     if as_json:
         print(json.dumps(_facts(found), indent=1))
-    elif found.sound.value == "new":
+    elif found.integrity.value == "new":
         print(f"{folder}: nothing was kept there yet")
     else:
-        torn = f", {found.torn} bytes torn at the end" if found.torn else ""
-        why = f": {found.why}" if found.why else ""
-        print(f"{folder}: {found.sound.value}{why}; {found.entries} entries up to {found.position}{torn}")
-    raise typer.Exit(1 if found.sound.value == "doubtful" else 0)
+        torn = f", {found.torn_bytes} bytes torn at the end" if found.torn_bytes else ""
+        why = f": {found.reason}" if found.reason else ""
+        counted = f"{found.entry_count} entries up to {found.position}{torn}"
+        print(f"{folder}: {found.integrity.value}{why}; {counted}")
+    raise typer.Exit(1 if found.integrity.value == "doubtful" else 0)
 
 
 @app.command()
@@ -136,14 +143,14 @@
     """Everything that a folder comes to, one JSON object a line."""
     import msgspec
 
-    from sailrun.storage.entries import Learned
+    from sailrun.storage.entries import DecisionSnapshot
 
     found = _read(folder)
-    for entry in found.memory.entries():
+    for entry in found.state.iter_entries():
         told = msgspec.to_builtins(entry)
-        names = ("entry", *entry.__struct_fields__)
+        names = ("entry", *entry.__struct_encode_fields__)
         line = dict(zip(names, told, strict=True))
-        if isinstance(entry, Learned):
+        if isinstance(entry, DecisionSnapshot):
             line["content"] = msgspec.msgpack.decode(entry.content)
         print(json.dumps(line))
 
--- a/sailrun/storage/beliefs.py
+++ b/sailrun/storage/decision_snapshot.py
@@ -23,28 +23,28 @@
 
 SECOND = 1_000_000
 # Below this nothing is believed any more.
-LEAST = 1 / 16
+MIN_WEIGHT = 1 / 16
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True):
+class PackedSnapshot(msgspec.Struct, array_like=True, frozen=True):
     """`backends`: by name, in the order of `interface.LEARNED`; `now_us` is the clock of all its times."""
 
-    now_us: int
+    taken_us: int
     backends: dict[str, list[float | int | bool]]
-    pace: list[float]
+    setup_rate: list[float]
     class_load: dict[str, tuple[float, int]]
 
 
-def pack(now_us: int, learned: StateSnapshot, names: Mapping[int, str]) -> bytes:
+def encode_snapshot(now_us: int, learned: StateSnapshot, names: Mapping[int, str]) -> bytes:
     """`names` by number, of the form servers that are listed. Of those that nothing is wrong with, nothing is
     kept.
     """
     backends = {
         names[one.id]: [getattr(one, n) for n in BACKEND_SNAPSHOT_FIELDS]
         for one in learned.backends
-        if one.id in names and _worth(now_us, one)
+        if one.id in names and _is_worth_saving(now_us, one)
     }
-    told = Told(
+    told = PackedSnapshot(
         now_us,
         backends,
         list(astuple(learned.setup_rate)) if learned.setup_rate is not None else [],
@@ -53,7 +53,7 @@
     return msgspec.msgpack.encode(told)
 
 
-def _worth(now_us: int, one: BackendSnapshot) -> bool:
+def _is_worth_saving(now_us: int, one: BackendSnapshot) -> bool:
     return (
         one.ejected_until_us > now_us
         or bool(one.ejections or one.consecutive_timeouts)
@@ -62,35 +62,39 @@
     )
 
 
-def weight_of(age_s: float, half_life_s: float) -> float:
+def remaining_weight(age_s: float, half_life_s: float) -> float:
     """What is left of something learned that long ago, 0 to 1."""
     if age_s < 0:
         return 0.0
     left = math.exp2(-age_s / half_life_s)
-    return left if left >= LEAST else 0.0
+    return left if left >= MIN_WEIGHT else 0.0
 
 
-def unpack(
+def decode_snapshot(
     content: bytes, now_us: int, half_life_s: float, numbers: Mapping[str, tuple[int, int]]
 ) -> StateSnapshot | None:
     """What is still to be believed at `now_us`, of the form servers in `numbers`: by name, number and since
     when (us) it runs. None: nothing, or the content is none of this version's.
     """
     try:
-        told = msgspec.msgpack.decode(content, type=Told)
-        weight = weight_of((now_us - told.now_us) / SECOND, half_life_s)
-        if not weight or len(told.pace) != len(SETUP_RATE_FIELDS) or not all(map(math.isfinite, told.pace)):
+        told = msgspec.msgpack.decode(content, type=PackedSnapshot)
+        weight = remaining_weight((now_us - told.taken_us) / SECOND, half_life_s)
+        if (
+            not weight
+            or len(told.setup_rate) != len(SETUP_RATE_FIELDS)
+            or not all(map(math.isfinite, told.setup_rate))
+        ):
             return None
         backends = tuple(
-            _aged(one, told.now_us, now_us, weight)
+            _age_backend(one, told.taken_us, now_us, weight)
             for name, values in told.backends.items()
             if name in numbers
-            and (one := _learned(values)) is not None
+            and (one := _restore_backend(values)) is not None
             and (one.id, one.started_us) == numbers[name]
         )
     except (msgspec.MsgspecError, OverflowError):
         return None
-    rate = SetupRateSnapshot(*told.pace)
+    rate = SetupRateSnapshot(*told.setup_rate)
     rate = replace(
         rate,
         recent_attempts=math.floor(rate.recent_attempts * weight),
@@ -101,7 +105,7 @@
     return StateSnapshot(backends, rate, load)
 
 
-def _learned(values: list[float | int | bool]) -> BackendSnapshot | None:
+def _restore_backend(values: list[float | int | bool]) -> BackendSnapshot | None:
     if len(values) != len(BACKEND_SNAPSHOT_FIELDS):
         return None
     try:
@@ -110,7 +114,7 @@
         return None
 
 
-def _aged(one: BackendSnapshot, told_us: int, now_us: int, weight: float) -> BackendSnapshot:
+def _age_backend(one: BackendSnapshot, told_us: int, now_us: int, weight: float) -> BackendSnapshot:
     left_us = int(max(0, one.ejected_until_us - told_us) * weight)
     return replace(
         one,
@@ -123,17 +127,17 @@
     )
 
 
-def out_for(content: bytes, now_us: int, half_life_s: float) -> dict[str, int]:
+def remaining_ejections_us(content: bytes, now_us: int, half_life_s: float) -> dict[str, int]:
     """By name, for how much longer (us) a node that starts now keeps away from which form servers."""
     try:
-        told = msgspec.msgpack.decode(content, type=Told)
+        told = msgspec.msgpack.decode(content, type=PackedSnapshot)
     except msgspec.MsgspecError:
         return {}
-    weight = weight_of((now_us - told.now_us) / SECOND, half_life_s)
+    weight = remaining_weight((now_us - told.taken_us) / SECOND, half_life_s)
     if not weight:
         return {}
-    pairs = ((name, _learned(values)) for name, values in told.backends.items())
-    aged = {name: _aged(one, told.now_us, now_us, weight) for name, one in pairs if one is not None}
+    pairs = ((name, _restore_backend(values)) for name, values in told.backends.items())
+    aged = {name: _age_backend(one, told.taken_us, now_us, weight) for name, one in pairs if one is not None}
     return {
         name: one.ejected_until_us - now_us for name, one in aged.items() if one.ejected_until_us > now_us
     }
--- a/sailrun/storage/files.py
+++ b/sailrun/storage/files.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 
-class Handle(Protocol):
+class AppendHandle(Protocol):
     """A file that is written to, at its end."""
 
     def write(self, data: bytes) -> None: ...
@@ -19,14 +19,14 @@
     def close(self) -> None: ...
 
 
-class Files(Protocol):
+class FolderFiles(Protocol):
     """One folder. Names are of files right in it; each call raises OSError where it fails."""
 
     def names(self) -> list[str]: ...
     def size(self, name: str) -> int: ...
     def read(self, name: str, offset: int, most: int) -> bytes: ...
-    def create(self, name: str) -> Handle: ...
-    def append(self, name: str) -> Handle: ...
+    def create(self, name: str) -> AppendHandle: ...
+    def append(self, name: str) -> AppendHandle: ...
     def truncate(self, name: str, size: int) -> None: ...
     def rename(self, old: str, new: str) -> None: ...
     def remove(self, name: str) -> None: ...
@@ -81,10 +81,10 @@
         finally:
             os.close(fd)
 
-    def create(self, name: str) -> Handle:
+    def create(self, name: str) -> AppendHandle:
         return _OsHandle(os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600))
 
-    def append(self, name: str) -> Handle:
+    def append(self, name: str) -> AppendHandle:
         return _OsHandle(os.open(self.folder / name, os.O_WRONLY | os.O_APPEND))
 
     def truncate(self, name: str, size: int) -> None:
--- a/sailrun/storage/folder.py
+++ b/sailrun/storage/folder.py
@@ -23,92 +23,92 @@
 
 from sailrun.replication.records import size_of
 from sailrun.storage import entries as e
-from sailrun.storage.files import Files, Handle
+from sailrun.storage.files import AppendHandle, FolderFiles
 from sailrun.storage.frames import (
-    HEAD_BYTES,
+    HEADER_BYTES,
     SCHEMA,
-    BadFile,
-    Content,
+    CorruptFileError,
+    FileHeader,
+    FileKind,
     Frame,
-    Frames,
-    Head,
-    Kind,
-    NewerSchema,
-    pack_frame,
-    pack_head,
-    read_head,
+    FrameKind,
+    FrameReader,
+    NewerSchemaError,
+    encode_frame,
+    encode_header,
+    read_header,
 )
 
-IDENTITY, NEW = "identity", ".new"
-LONGEST_IDENTITY = 4096
+IDENTITY_FILE, TEMPORARY_SUFFIX = "identity", ".new"
+MAX_IDENTITY_BYTES = 4096
 # A folder of more bytes than this is not read.
-MOST_BYTES = 4 * 1024**3
+MAX_FOLDER_BYTES = 4 * 1024**3
 # Where a file is gone when it comes to be read, the folder is read anew so many times in all.
-READS = 5
+READ_ATTEMPTS = 5
 # Of a snapshot, so many entries of so many bytes are a frame; between two frames there is a look at what else
 # there is to write.
-AT_ONCE, SLICE = 500, 256 * 1024
+SNAPSHOT_FRAME_ENTRIES, SNAPSHOT_FRAME_BYTES = 500, 256 * 1024
 
 
-class Sound(Enum):
+class FolderIntegrity(Enum):
     """What a folder is worth."""
 
-    NEW = "new"  # there was nothing
-    SOUND = "sound"  # all that was ever said to be on the disk is there, as far as the folder can tell
-    DOUBTFUL = "doubtful"  # something is missing: what is there may be looked at, not gone by
+    EMPTY = "new"  # there was nothing
+    INTACT = "sound"  # all that was ever said to be on the disk is there, as far as the folder can tell
+    UNTRUSTED = "doubtful"  # something is missing: what is there may be looked at, not gone by
 
 
 @dataclass(slots=True)
-class Found:
+class FolderContents:
     """What was read."""
 
-    sound: Sound
-    why: str = ""
+    integrity: FolderIntegrity
+    reason: str = ""
     node: str = ""
     fleet: str = ""
     identity: bytes = b""
-    memory: e.Memory = field(default_factory=e.Memory)
+    state: e.PersistedState = field(default_factory=e.PersistedState)
     position: int = 0
-    generation: int = 0  # of the journal that is written to
-    highest: int = 0  # generation of any file
-    end: int = 0  # where that journal's last good frame ends
-    torn: int = 0  # bytes after it
-    goes_on: bool = False  # that journal is closed: the next entry is another's
-    entries: int = 0
+    journal_generation: int = 0  # of the journal that is written to
+    highest_generation: int = 0  # generation of any file
+    journal_end: int = 0  # where that journal's last good frame ends
+    torn_bytes: int = 0  # bytes after it
+    is_journal_closed: bool = False  # that journal is closed: the next entry is another's
+    entry_count: int = 0
 
 
-def new_identity() -> str:
+def generate_identity() -> str:
     """Of a folder that is begun: 32 hex digits that no other has."""
     return secrets.token_hex(16)
 
 
-def _numbered(names: list[str], word: str) -> list[int]:
+def _list_generations(names: list[str], word: str) -> list[int]:
     tails = [n.removeprefix(f"{word}.") for n in names if n.startswith(f"{word}.")]
     return sorted(int(t) for t in tails if t.isdigit() and len(t) < 19)
 
 
-def read_identity(files: Files) -> tuple[str, str, bytes, str]:
+def read_identity(files: FolderFiles) -> tuple[str, str, bytes, str]:
     """Node, fleet, identity, and what is wrong with it, if anything. Raises BadFile, or OSError."""
     try:
-        told = json.loads(files.read(IDENTITY, 0, LONGEST_IDENTITY))
+        told = json.loads(files.read(IDENTITY_FILE, 0, MAX_IDENTITY_BYTES))
         node, fleet, identity = str(told["node"]), str(told["fleet"]), bytes.fromhex(told["identity"])
         schema, inode = int(told["schema"]), int(told["inode"])
     except (ValueError, KeyError, TypeError, RecursionError):
-        raise BadFile(f"{IDENTITY}: not in its form") from None
+        raise CorruptFileError(f"{IDENTITY_FILE}: not in its form") from None
     if schema > SCHEMA:
-        raise NewerSchema(f"of schema {schema}; this version reads up to {SCHEMA}")
+        raise NewerSchemaError(f"of schema {schema}; this version reads up to {SCHEMA}")
     if len(identity) != 16:
-        raise BadFile(f"{IDENTITY}: not in its form")
+        raise CorruptFileError(f"{IDENTITY_FILE}: not in its form")
     return (
         node,
         fleet,
         identity,
-        "" if inode == files.inode(IDENTITY) else "copied or restored from elsewhere",
+        "" if inode == files.inode(IDENTITY_FILE) else "copied or restored from elsewhere",
     )
 
 
 @contextmanager
-def uncollected() -> Iterator[None]:
+def paused_garbage_collection() -> Iterator[None]:
     """While very many objects are made that all stay, looking through them for garbage again and again would
     take as long as making them.
     """
@@ -121,11 +121,11 @@
             gc.enable()
 
 
-def read_folder(files: Files) -> Found:
+def read_folder(files: FolderFiles) -> FolderContents:
     """Reads all that is there. Nothing is written. Raises NewerSchema, or OSError where it cannot be read;
     what is damaged raises nothing, and makes the folder doubtful. Another process may write to it meanwhile.
     """
-    for _ in range(READS - 1):
+    for _ in range(READ_ATTEMPTS - 1):
         try:
             return _read_once(files)
         except FileNotFoundError:
@@ -133,135 +133,147 @@
     return _read_once(files)
 
 
-def _read_once(files: Files) -> Found:
+def _read_once(files: FolderFiles) -> FolderContents:
     names = files.names()
-    journals, snapshots = _numbered(names, "journal"), _numbered(names, "snapshot")
+    journals, snapshots = _list_generations(names, "journal"), _list_generations(names, "snapshot")
     highest = max([0, *journals, *snapshots])
-    if IDENTITY not in names:
+    if IDENTITY_FILE not in names:
         if not journals and not snapshots:
-            return Found(Sound.NEW)
-        return Found(Sound.DOUBTFUL, f"{IDENTITY} is missing", highest=highest)
+            return FolderContents(FolderIntegrity.EMPTY)
+        return FolderContents(
+            FolderIntegrity.UNTRUSTED, f"{IDENTITY_FILE} is missing", highest_generation=highest
+        )
     try:
         node, fleet, identity, moved = read_identity(files)
-    except NewerSchema:
+    except NewerSchemaError:
         raise
-    except BadFile as error:
-        return Found(Sound.DOUBTFUL, str(error), highest=highest)
-    found = Found(Sound.SOUND, "", node, fleet, identity, highest=highest)
+    except CorruptFileError as error:
+        return FolderContents(FolderIntegrity.UNTRUSTED, str(error), highest_generation=highest)
+    found = FolderContents(FolderIntegrity.INTACT, "", node, fleet, identity, highest_generation=highest)
     try:
-        if sum(files.size(n) for n in names) > MOST_BYTES:
-            raise BadFile(f"over {MOST_BYTES} bytes")
-        with uncollected():
+        if sum(files.size(n) for n in names) > MAX_FOLDER_BYTES:
+            raise CorruptFileError(f"over {MAX_FOLDER_BYTES} bytes")
+        with paused_garbage_collection():
             _read_generations(files, found, journals, snapshots)
-    except NewerSchema:
+    except NewerSchemaError:
         raise
-    except BadFile as error:
-        found.sound, found.why = Sound.DOUBTFUL, str(error)
-    if moved and found.sound is Sound.SOUND:
-        found.sound, found.why = Sound.DOUBTFUL, moved
+    except CorruptFileError as error:
+        found.integrity, found.reason = FolderIntegrity.UNTRUSTED, str(error)
+    if moved and found.integrity is FolderIntegrity.INTACT:
+        found.integrity, found.reason = FolderIntegrity.UNTRUSTED, moved
     return found
 
 
-def _head(files: Files, name: str, found: Found, kinds: tuple[Kind, ...], generation: int) -> Head:
+def _read_file_header(
+    files: FolderFiles, name: str, found: FolderContents, kinds: tuple[FileKind, ...], generation: int
+) -> FileHeader:
     try:
-        head = read_head(lambda offset, most: files.read(name, offset, most))
-    except NewerSchema as error:
-        raise NewerSchema(f"{name}: {error}") from None
-    except BadFile as error:
-        raise BadFile(f"{name}: {error}") from None
+        head = read_header(lambda offset, most: files.read(name, offset, most))
+    except NewerSchemaError as error:
+        raise NewerSchemaError(f"{name}: {error}") from None
+    except CorruptFileError as error:
+        raise CorruptFileError(f"{name}: {error}") from None
     if head.identity != found.identity or head.generation != generation or head.kind not in kinds:
-        raise BadFile(f"{name}: of another folder or generation")
+        raise CorruptFileError(f"{name}: of another folder or generation")
     return head
 
 
-def _read_generations(files: Files, found: Found, journals: list[int], snapshots: list[int]) -> None:
+def _read_generations(
+    files: FolderFiles, found: FolderContents, journals: list[int], snapshots: list[int]
+) -> None:
     base = 0
     for generation in reversed(snapshots):
         # One that is damaged says nothing that the one before and its journals do not.
         told = _read_snapshot(files, found, generation)
         if told is not None:
-            base, (found.memory, found.position, found.entries) = generation, told
+            base, (found.state, found.position, found.entry_count) = generation, told
             break
     first = base or min(journals, default=0)
     chain = [n for n in journals if n >= first]
     if not chain:
         if base:
-            raise BadFile(f"journal.{base} is missing")
+            raise CorruptFileError(f"journal.{base} is missing")
         # The very first one was to be made when the process ended.
         return
     if (base and chain[0] != base) or chain != list(range(chain[0], chain[0] + len(chain))):
-        raise BadFile("a journal is missing")
+        raise CorruptFileError("a journal is missing")
     torn_before, goes_on = "", False
     for n, generation in enumerate(chain):
         name = f"journal.{generation}"
         try:
-            head = _head(files, name, found, (Kind.JOURNAL, Kind.ALONE), generation)
-        except NewerSchema:
+            head = _read_file_header(
+                files, name, found, (FileKind.JOURNAL, FileKind.STANDALONE_JOURNAL), generation
+            )
+        except NewerSchemaError:
             raise
-        except BadFile:
+        except CorruptFileError:
             # The last one, of which nothing but the head's place had come to the disk: it was never used. A
             # snapshot's own was synced before that.
-            used = generation in snapshots or files.size(name) > HEAD_BYTES
+            used = generation in snapshots or files.size(name) > HEADER_BYTES
             if n == len(chain) - 1 and not used:
                 break
             raise
-        if head.kind is Kind.ALONE and generation != base:
-            if generation in snapshots or files.size(name) > HEAD_BYTES:
-                raise BadFile(f"{name}: its snapshot is missing or damaged")
+        if head.kind is FileKind.STANDALONE_JOURNAL and generation != base:
+            if generation in snapshots or files.size(name) > HEADER_BYTES:
+                raise CorruptFileError(f"{name}: its snapshot is missing or damaged")
             continue  # begun anew, and given up before it was used
         if n and not goes_on:
-            raise BadFile(f"journal.{generation - 1}: {torn_before or 'does not say that it goes on'}")
+            raise CorruptFileError(
+                f"journal.{generation - 1}: {torn_before or 'does not say that it goes on'}"
+            )
         if not base and not n:
             found.position = head.position
         if head.position != found.position:
-            raise BadFile(f"{name}: begins at {head.position}, not at {found.position}")
+            raise CorruptFileError(f"{name}: begins at {head.position}, not at {found.position}")
         goes_on, torn_before = _read_journal(files, found, name, head)
-    found.goes_on = goes_on
+    found.is_journal_closed = goes_on
     if base == 0 and chain[0] != 1:
-        raise BadFile("the snapshot is missing or damaged")
+        raise CorruptFileError("the snapshot is missing or damaged")
 
 
-def _read_journal(files: Files, found: Found, name: str, head: Head) -> tuple[bool, str]:
+def _read_journal(files: FolderFiles, found: FolderContents, name: str, head: FileHeader) -> tuple[bool, str]:
     """Applies it; returns whether it says that another goes on, and what is wrong at its end."""
     goes_on = False
-    frames = Frames(lambda offset, most: files.read(name, offset, most), head)
+    frames = FrameReader(lambda offset, most: files.read(name, offset, most), head)
     for frame in frames:
-        if goes_on or frame.content is not Content.ENTRY or frame.position != found.position + 1:
-            if frame.content is Content.NEXT and not goes_on and frame.position == found.position:
+        if goes_on or frame.kind is not FrameKind.ENTRY or frame.position != found.position + 1:
+            if frame.kind is FrameKind.JOURNAL_CLOSED and not goes_on and frame.position == found.position:
                 goes_on = True
                 continue
-            raise BadFile(f"{name}: an entry out of its turn after {found.position}")
+            raise CorruptFileError(f"{name}: an entry out of its turn after {found.position}")
         try:
-            found.memory.apply(e.unpack(frame.data))
+            found.state.apply(e.decode_entry(frame.payload))
         except ValueError as error:
-            raise BadFile(f"{name}: {error}") from None
+            raise CorruptFileError(f"{name}: {error}") from None
         found.position = frame.position
-        found.entries += 1
-    if frames.firm_after > found.position:
-        raise BadFile(f"{name}: spoilt after {found.position}: what followed was on the disk")
-    found.generation, found.end = head.generation, frames.end
-    found.torn = files.size(name) - frames.end if frames.torn else 0
-    return goes_on, "spoilt at its end" if frames.torn else ""
+        found.entry_count += 1
+    if frames.synced_after_damage > found.position:
+        raise CorruptFileError(f"{name}: spoilt after {found.position}: what followed was on the disk")
+    found.journal_generation, found.journal_end = head.generation, frames.end_offset
+    found.torn_bytes = files.size(name) - frames.end_offset if frames.has_torn_tail else 0
+    return goes_on, "spoilt at its end" if frames.has_torn_tail else ""
 
 
-def _read_snapshot(files: Files, found: Found, generation: int) -> tuple[e.Memory, int, int] | None:
+def _read_snapshot(
+    files: FolderFiles, found: FolderContents, generation: int
+) -> tuple[e.PersistedState, int, int] | None:
     """None: it is not whole."""
     name = f"snapshot.{generation}"
-    memory, count = e.Memory(), 0
+    memory, count = e.PersistedState(), 0
     try:
-        head = _head(files, name, found, (Kind.SNAPSHOT,), generation)
-        for frame in Frames(lambda offset, most: files.read(name, offset, most), head):
-            if frame.content is Content.END:
+        head = _read_file_header(files, name, found, (FileKind.SNAPSHOT,), generation)
+        for frame in FrameReader(lambda offset, most: files.read(name, offset, most), head):
+            if frame.kind is FrameKind.SNAPSHOT_END:
                 return (memory, head.position, count) if frame.position == count else None
-            if frame.content is not Content.MANY:
+            if frame.kind is not FrameKind.SNAPSHOT_ENTRIES:
                 return None
-            many = e.unpack_many(frame.data)
+            many = e.decode_entries(frame.payload)
             count += len(many)
             if frame.position != count:
                 return None
             for entry in many:
                 memory.apply(entry)
-    except NewerSchema:
+    except NewerSchemaError:
         raise
     except ValueError:
         return None
@@ -269,207 +281,213 @@
 
 
 @dataclass(slots=True)
-class _Snapshot:
+class _PartialSnapshot:
     """One that is being written."""
 
     generation: int
-    handle: Handle
+    handle: AppendHandle
     entries: Iterator[e.Entry]
-    count: int = 0
+    entry_count: int = 0
 
 
-class Folder:
+class FolderWriter:
     """The writing side, over what was found. `off`: rules that the laboratory switches off."""
 
-    def __init__(self, files: Files, found: Found, off: frozenset[str] = frozenset()) -> None:
-        self._files, self._off = files, off
-        self.identity, self.position, self.firm = found.identity, found.position, found.position
-        self.generation, self._highest = found.generation, found.highest
-        self._journal: Handle | None = None
-        self._bytes = 0  # of the journal
-        self._snapshot: _Snapshot | None = None
-        self.written = 0  # bytes since the start
-        self.syncs = 0
-        self._old = found
+    def __init__(self, files: FolderFiles, found: FolderContents, off: frozenset[str] = frozenset()) -> None:
+        self._files, self._disabled_rules = files, off
+        self.identity, self.position, self.synced_position = found.identity, found.position, found.position
+        self.generation, self._highest_generation = found.journal_generation, found.highest_generation
+        self._journal: AppendHandle | None = None
+        self._journal_bytes = 0  # of the journal
+        self._snapshot: _PartialSnapshot | None = None
+        self.written_bytes = 0  # bytes since the start
+        self.sync_count = 0
+        self._contents = found
 
     # ------------------------------------------------------------------ beginning
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Takes up the journal that was found, less what was torn at its end. For a sound folder."""
-        found = self._old
-        if not found.generation:
-            self._begin_journal(1, Kind.JOURNAL)
+        found = self._contents
+        if not found.journal_generation:
+            self._begin_journal(1, FileKind.JOURNAL)
             return
-        if found.goes_on:
-            self._begin_journal(found.generation + 1, Kind.JOURNAL)
+        if found.is_journal_closed:
+            self._begin_journal(found.journal_generation + 1, FileKind.JOURNAL)
             return
-        name = f"journal.{found.generation}"
-        if found.torn:
-            self._files.truncate(name, found.end)
-        self._journal, self._bytes = self._files.append(name), found.end
-        for number in _numbered(self._files.names(), "journal"):
-            if number > found.generation:  # never used
+        name = f"journal.{found.journal_generation}"
+        if found.torn_bytes:
+            self._files.truncate(name, found.journal_end)
+        self._journal, self._journal_bytes = self._files.append(name), found.journal_end
+        for number in _list_generations(self._files.names(), "journal"):
+            if number > found.journal_generation:  # never used
                 self._files.remove(f"journal.{number}")
         # What was found may be in the system's memory alone, and is about to be taken for certain.
         self._sync()
 
-    def begin(self, node: str, fleet: str, identity: bytes, position: int = 0) -> None:
+    def create(self, node: str, fleet: str, identity: bytes, position: int = 0) -> None:
         """Begins a folder of this identity after that position. What was there is put aside, as `old-…`."""
-        self._own()
+        self._acquire_lock()
         names = self._files.names()
         for name in [n for n in names if n.startswith("old-")]:
             self._files.remove(name)
         for name in names:
-            if name == IDENTITY or name.startswith(("journal.", "snapshot.")):
+            if name == IDENTITY_FILE or name.startswith(("journal.", "snapshot.")):
                 self._files.rename(name, f"old-{name}")
         told = {"schema": SCHEMA, "node": node, "fleet": fleet, "identity": identity.hex()}
-        new = IDENTITY + NEW
+        new = IDENTITY_FILE + TEMPORARY_SUFFIX
         handle = self._files.create(new)
         # A file keeps its inode when it is renamed, and gets another where it is copied.
         handle.write(json.dumps({**told, "inode": self._files.inode(new)}).encode())
         handle.sync()
         handle.close()
-        self._files.rename(new, IDENTITY)
+        self._files.rename(new, IDENTITY_FILE)
         self._sync_folder()
-        self.identity, self.generation, self._highest = identity, 0, 0
-        self.position = self.firm = position
-        self._begin_journal(1, Kind.JOURNAL)
+        self.identity, self.generation, self._highest_generation = identity, 0, 0
+        self.position = self.synced_position = position
+        self._begin_journal(1, FileKind.JOURNAL)
 
-    def _begin_journal(self, generation: int, kind: Kind) -> None:
+    def _begin_journal(self, generation: int, kind: FileKind) -> None:
         if self._journal is not None:
             self._journal.close()
             self._journal = None
         handle = self._files.create(f"journal.{generation}")
         try:
-            head = pack_head(Head(kind, generation, self.identity, self.position))
+            head = encode_header(FileHeader(kind, generation, self.identity, self.position))
             handle.write(head)
             handle.sync()
             self._sync_folder()
         except BaseException:
             handle.close()
             raise
-        self._journal, self._bytes = handle, len(head)
-        self.generation = self._highest = generation
-        self.written += len(head)
+        self._journal, self._journal_bytes = handle, len(head)
+        self.generation = self._highest_generation = generation
+        self.written_bytes += len(head)
 
     # ------------------------------------------------------------------ writing
 
     @property
     def journal_bytes(self) -> int:
-        return self._bytes
+        return self._journal_bytes
 
-    def write(self, entries: list[e.Entry]) -> None:
+    def append(self, entries: list[e.Entry]) -> None:
         """Appends entries, to be synced later. An error leaves unknown what is there."""
         assert self._journal is not None
         parts = []
         for entry in entries:
             self.position += 1
-            frame = Frame(Content.ENTRY, self.position, self.firm, e.pack(entry))
-            parts.append(pack_frame(self.identity, self.generation, frame))
+            frame = Frame(FrameKind.ENTRY, self.position, self.synced_position, e.encode_entry(entry))
+            parts.append(encode_frame(self.identity, self.generation, frame))
         data = b"".join(parts)
         self._journal.write(data)
-        self._bytes += len(data)
-        self.written += len(data)
+        self._journal_bytes += len(data)
+        self.written_bytes += len(data)
 
     def sync(self) -> None:
         """All that was written is on the disk when this returns."""
         self._sync()
-        self.firm = self.position
+        self.synced_position = self.position
 
     def _sync(self) -> None:
         assert self._journal is not None
         self._journal.sync()
-        self.syncs += 1
+        self.sync_count += 1
 
     def _sync_folder(self) -> None:
-        if "folder" not in self._off:
+        if "folder" not in self._disabled_rules:
             self._files.sync_folder()
-            self.syncs += 1
+            self.sync_count += 1
 
     # ------------------------------------------------------------------ generations
 
     @property
-    def busy(self) -> bool:
+    def is_writing_snapshot(self) -> bool:
         """Whether a snapshot is being written."""
         return self._snapshot is not None
 
-    def turn_over(self, entries: Iterable[e.Entry]) -> None:
+    def begin_generation(self, entries: Iterable[e.Entry]) -> None:
         """From here on another journal; `entries` are all that holds now, and are written as its snapshot by
         `go_on_with_snapshot`.
         """
         assert self._journal is not None and self._snapshot is None
-        frame = Frame(Content.NEXT, self.position, self.firm, b"")
-        self._journal.write(pack_frame(self.identity, self.generation, frame))
+        frame = Frame(FrameKind.JOURNAL_CLOSED, self.position, self.synced_position, b"")
+        self._journal.write(encode_frame(self.identity, self.generation, frame))
         self.sync()
-        self._begin_journal(self._highest + 1, Kind.JOURNAL)
+        self._begin_journal(self._highest_generation + 1, FileKind.JOURNAL)
         self._begin_snapshot(entries)
 
     def _begin_snapshot(self, entries: Iterable[e.Entry]) -> None:
-        handle = self._files.create(f"snapshot.{self.generation}{NEW}")
-        data = pack_head(Head(Kind.SNAPSHOT, self.generation, self.identity, self.position))
+        handle = self._files.create(f"snapshot.{self.generation}{TEMPORARY_SUFFIX}")
+        data = encode_header(FileHeader(FileKind.SNAPSHOT, self.generation, self.identity, self.position))
         handle.write(data)
-        self.written += len(data)
-        self._snapshot = _Snapshot(self.generation, handle, iter(entries))
+        self.written_bytes += len(data)
+        self._snapshot = _PartialSnapshot(self.generation, handle, iter(entries))
 
-    def go_on_with_snapshot(self) -> bool:
+    def write_snapshot_chunk(self) -> bool:
         """Writes a part of it; whether it is done."""
         made = self._snapshot
         assert made is not None
-        many = list(islice(made.entries, AT_ONCE))
+        many = list(islice(made.entries, SNAPSHOT_FRAME_ENTRIES))
         size = 0
         for entry in many:
-            size += size_of(entry.record) if isinstance(entry, e.Held) else 0
-            if size > SLICE:  # long records go one by one
-                self._put(made, Content.MANY, many[:1])
+            size += size_of(entry.record) if isinstance(entry, e.StoredRecord) else 0
+            if size > SNAPSHOT_FRAME_BYTES:  # long records go one by one
+                self._write_snapshot_frame(made, FrameKind.SNAPSHOT_ENTRIES, many[:1])
                 made.entries = chain(many[1:], made.entries)
                 return False
         if many:
-            self._put(made, Content.MANY, many)
+            self._write_snapshot_frame(made, FrameKind.SNAPSHOT_ENTRIES, many)
             return False
-        self._put(made, Content.END, [])
-        self._end_snapshot(made)
+        self._write_snapshot_frame(made, FrameKind.SNAPSHOT_END, [])
+        self._finish_snapshot(made)
         return True
 
-    def _put(self, made: _Snapshot, content: Content, many: list[e.Entry]) -> None:
-        made.count += len(many)
-        frame = Frame(content, made.count, self.firm, e.pack_many(many) if many else b"")
-        data = pack_frame(self.identity, made.generation, frame)
+    def _write_snapshot_frame(self, made: _PartialSnapshot, content: FrameKind, many: list[e.Entry]) -> None:
+        made.entry_count += len(many)
+        frame = Frame(
+            content, made.entry_count, self.synced_position, e.encode_entries(many) if many else b""
+        )
+        data = encode_frame(self.identity, made.generation, frame)
         made.handle.write(data)
-        self.written += len(data)
+        self.written_bytes += len(data)
 
-    def _end_snapshot(self, made: _Snapshot) -> None:
+    def _finish_snapshot(self, made: _PartialSnapshot) -> None:
         made.handle.sync()
         made.handle.close()
-        self.syncs += 1
+        self.sync_count += 1
         name = f"snapshot.{made.generation}"
-        self._files.rename(name + NEW, name)
+        self._files.rename(name + TEMPORARY_SUFFIX, name)
         self._sync_folder()
         self._snapshot = None
         # This one and the one before stay.
         names = self._files.names()
-        before = max([n for n in _numbered(names, "snapshot") if n < made.generation], default=1)
+        before = max([n for n in _list_generations(names, "snapshot") if n < made.generation], default=1)
         for word in ("journal", "snapshot"):
-            for number in _numbered(names, word):
+            for number in _list_generations(names, word):
                 if number < before:
                     self._files.remove(f"{word}.{number}")
 
-    def stand_anew(self, entries: Iterable[e.Entry], position: int) -> None:
+    def write_standalone_generation(self, entries: Iterable[e.Entry], position: int) -> None:
         """After an error nothing that was not synced is known to be there: all that holds is written as a
         generation of its own, and read back before anybody goes by it.
         """
-        self._own()
+        self._acquire_lock()
         self.position = position
-        highest = max([self._highest, *_numbered(self._files.names(), "journal")])
-        self._begin_journal(highest + 1, Kind.ALONE)
+        highest = max([self._highest_generation, *_list_generations(self._files.names(), "journal")])
+        self._begin_journal(highest + 1, FileKind.STANDALONE_JOURNAL)
         self._begin_snapshot(entries)
-        while not self.go_on_with_snapshot():
+        while not self.write_snapshot_chunk():
             pass
         self.sync()
         back = read_folder(self._files)
-        if back.sound is not Sound.SOUND or back.position != position or back.generation != self.generation:
-            raise OSError(None, f"what was written is not what is read: {back.why or 'another state'}")
-
-    def _own(self) -> None:
+        if (
+            back.integrity is not FolderIntegrity.INTACT
+            or back.position != position
+            or back.journal_generation != self.generation
+        ):
+            raise OSError(None, f"what was written is not what is read: {back.reason or 'another state'}")
+
+    def _acquire_lock(self) -> None:
         """A folder that could not be had at the start may be another process's by now."""
         self.close()
         if not self._files.lock():
--- a/sailrun/storage/frames.py
+++ b/sailrun/storage/frames.py
@@ -35,43 +35,43 @@
 from hashlib import blake2b
 
 MAGIC, SCHEMA = b"sailrun\0", 1
-_HEAD = struct.Struct("<8sHHQ16sQ")
-_FRAME = struct.Struct("<IIQQQ")
-CHECK = 8
-HEAD_BYTES = _HEAD.size + CHECK
-FRAME_BYTES = _FRAME.size + CHECK
+_HEADER = struct.Struct("<8sHHQ16sQ")
+_FRAME_HEADER = struct.Struct("<IIQQQ")
+CHECKSUM_BYTES = 8
+HEADER_BYTES = _HEADER.size + CHECKSUM_BYTES
+FRAME_HEADER_BYTES = _FRAME_HEADER.size + CHECKSUM_BYTES
 # A longer frame is none: the largest record and what goes with it.
-LONGEST = 4 * 1024 * 1024
+MAX_PAYLOAD_BYTES = 4 * 1024 * 1024
 # Read at a time; after a bad frame, so much is looked through for good ones.
-CHUNK, LOOK = 1024 * 1024, 256 * 1024
+READ_CHUNK_BYTES, SCAN_BYTES = 1024 * 1024, 256 * 1024
 
-Read = Callable[[int, int], bytes]  # offset and most bytes; empty at the end
+ReadAt = Callable[[int, int], bytes]  # offset and most bytes; empty at the end
 
 
-class Kind(IntEnum):
+class FileKind(IntEnum):
     JOURNAL = 1
     SNAPSHOT = 2
-    ALONE = 3
+    STANDALONE_JOURNAL = 3
 
 
-class Content(IntEnum):
+class FrameKind(IntEnum):
     ENTRY = 0
-    NEXT = 1
-    END = 2
-    MANY = 3
+    JOURNAL_CLOSED = 1
+    SNAPSHOT_END = 2
+    SNAPSHOT_ENTRIES = 3
 
 
-class BadFile(ValueError):
+class CorruptFileError(ValueError):
     """No file of this folder; says why."""
 
 
-class NewerSchema(BadFile):
+class NewerSchemaError(CorruptFileError):
     """Written by a later version of the program."""
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
-    kind: Kind
+class FileHeader:
+    kind: FileKind
     generation: int
     identity: bytes
     position: int
@@ -79,99 +79,105 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    content: Content
+    kind: FrameKind
     position: int
-    firm: int
-    data: bytes
+    synced_position: int
+    payload: bytes
 
 
-def _check(data: bytes, key: bytes) -> bytes:
-    return blake2b(data, digest_size=CHECK, key=key).digest()
+def _checksum(data: bytes, key: bytes) -> bytes:
+    return blake2b(data, digest_size=CHECKSUM_BYTES, key=key).digest()
 
 
-def pack_head(head: Head) -> bytes:
-    data = _HEAD.pack(MAGIC, SCHEMA, head.kind, head.generation, head.identity, head.position)
-    return data + _check(data, head.identity)
+def encode_header(head: FileHeader) -> bytes:
+    data = _HEADER.pack(MAGIC, SCHEMA, head.kind, head.generation, head.identity, head.position)
+    return data + _checksum(data, head.identity)
 
 
-def read_head(read: Read) -> Head:
+def read_header(read: ReadAt) -> FileHeader:
     """Raises BadFile."""
-    data = read(0, HEAD_BYTES)
-    if len(data) < HEAD_BYTES:
-        raise BadFile("no whole head")
-    magic, schema, kind, generation, identity, position = _HEAD.unpack_from(data)
+    data = read(0, HEADER_BYTES)
+    if len(data) < HEADER_BYTES:
+        raise CorruptFileError("no whole head")
+    magic, schema, kind, generation, identity, position = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise BadFile("not a file of sailrun's")
-    if data[_HEAD.size :] != _check(data[: _HEAD.size], identity):
-        raise BadFile("a damaged head")
+        raise CorruptFileError("not a file of sailrun's")
+    if data[_HEADER.size :] != _checksum(data[: _HEADER.size], identity):
+        raise CorruptFileError("a damaged head")
     if schema > SCHEMA:
-        raise NewerSchema(f"of schema {schema}; this version reads up to {SCHEMA}")
+        raise NewerSchemaError(f"of schema {schema}; this version reads up to {SCHEMA}")
     try:
-        return Head(Kind(kind), generation, identity, position)
+        return FileHeader(FileKind(kind), generation, identity, position)
     except ValueError:
-        raise BadFile(f"of kind {kind}") from None
+        raise CorruptFileError(f"of kind {kind}") from None
 
 
-def pack_frame(identity: bytes, generation: int, frame: Frame) -> bytes:
-    head = _FRAME.pack(len(frame.data), frame.content, generation, frame.position, frame.firm)
-    return head + _check(head + frame.data, identity) + frame.data
+def encode_frame(identity: bytes, generation: int, frame: Frame) -> bytes:
+    head = _FRAME_HEADER.pack(
+        len(frame.payload), frame.kind, generation, frame.position, frame.synced_position
+    )
+    return head + _checksum(head + frame.payload, identity) + frame.payload
 
 
-def _frame_at(data: bytes | bytearray, at: int, head: Head) -> tuple[Frame, int] | int | None:
+def _decode_frame_at(data: bytes | bytearray, at: int, head: FileHeader) -> tuple[Frame, int] | int | None:
     """The frame there and where it ends; how many bytes it wants where it may go on; None: there is none."""
-    if len(data) - at < FRAME_BYTES:
-        return at + FRAME_BYTES
-    length, content, generation, position, firm = _FRAME.unpack_from(data, at)
-    if length > LONGEST or generation != head.generation or content not in Content._value2member_map_:
+    if len(data) - at < FRAME_HEADER_BYTES:
+        return at + FRAME_HEADER_BYTES
+    length, content, generation, position, firm = _FRAME_HEADER.unpack_from(data, at)
+    if (
+        length > MAX_PAYLOAD_BYTES
+        or generation != head.generation
+        or content not in FrameKind._value2member_map_
+    ):
         return None
-    end: int = at + FRAME_BYTES + length
+    end: int = at + FRAME_HEADER_BYTES + length
     if len(data) < end:
         return end
-    told = bytes(data[at : at + _FRAME.size]), bytes(data[at + FRAME_BYTES : end])
-    if data[at + _FRAME.size : at + FRAME_BYTES] != _check(told[0] + told[1], head.identity):
+    told = bytes(data[at : at + _FRAME_HEADER.size]), bytes(data[at + FRAME_HEADER_BYTES : end])
+    if data[at + _FRAME_HEADER.size : at + FRAME_HEADER_BYTES] != _checksum(told[0] + told[1], head.identity):
         return None
-    return Frame(Content(content), position, firm, told[1]), end
+    return Frame(FrameKind(content), position, firm, told[1]), end
 
 
 @dataclass(slots=True)
-class Frames:
+class FrameReader:
     """Goes through a file's frames up to the first that is none. Memory: a chunk and a frame."""
 
-    read: Read
-    head: Head
-    end: int = HEAD_BYTES  # where the last good frame ended
-    torn: bool = False  # something comes after it
-    firm_after: int = 0  # the highest `firm` of good frames after the first bad one
+    read_at: ReadAt
+    header: FileHeader
+    end_offset: int = HEADER_BYTES  # where the last good frame ended
+    has_torn_tail: bool = False  # something comes after it
+    synced_after_damage: int = 0  # the highest `firm` of good frames after the first bad one
 
     def __iter__(self) -> Iterator[Frame]:
         data, at = bytearray(), 0  # `data` is of the file from `end - at`
         while True:
-            found = _frame_at(data, at, self.head)
+            found = _decode_frame_at(data, at, self.header)
             if isinstance(found, tuple):
                 frame, end = found
-                self.end += end - at
+                self.end_offset += end - at
                 at = end
                 yield frame
                 continue
-            more = b"" if found is None else self.read(self.end - at + len(data), CHUNK)
+            more = b"" if found is None else self.read_at(self.end_offset - at + len(data), READ_CHUNK_BYTES)
             if not more:
                 break
             del data[:at]
             at = 0
             data += more
-        self.torn = len(data) > at
-        if self.torn:
-            self._look_after()
+        self.has_torn_tail = len(data) > at
+        if self.has_torn_tail:
+            self._scan_after_damage()
 
-    def _look_after(self) -> None:
+    def _scan_after_damage(self) -> None:
         """Frames after the first bad one are not believed; but one that knew the bad one to be on the disk
         says that it was spoilt there, and not torn while it was written.
         """
-        data = self.read(self.end + 1, LOOK)
+        data = self.read_at(self.end_offset + 1, SCAN_BYTES)
         at = 0
-        generation = self.head.generation.to_bytes(8, "little")
+        generation = self.header.generation.to_bytes(8, "little")
         while (at := data.find(generation, at)) >= 0:
-            found = _frame_at(data, at - 8, self.head) if at >= 8 else None
+            found = _decode_frame_at(data, at - 8, self.header) if at >= 8 else None
             if isinstance(found, tuple):
-                self.firm_after = max(self.firm_after, found[0].firm)
+                self.synced_after_damage = max(self.synced_after_damage, found[0].synced_position)
             at += 1
--- a/sailrun/storage/messages.py
+++ b/sailrun/storage/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Stand(msgspec.Struct, array_like=True, frozen=True, tag="stand"):
+class FreshnessQuery(msgspec.Struct, array_like=True, frozen=True, tag="stand"):
     """My folder is this one, in this life of its, and everything up to there is on the disk. `run` is this
     process's own number. `begins`: I have just started, and go by this folder unless you know better (1), or
     have none to go by and begin this one (2).
@@ -13,22 +13,22 @@
 
     number: int
     identity: str
-    life: int
+    incarnation: int
     position: int
-    run: int
-    begins: int = 0
+    process_number: int
+    startup: int = 0
 
 
-class Stood(msgspec.Struct, array_like=True, frozen=True, tag="stood"):
+class FreshnessReply(msgspec.Struct, array_like=True, frozen=True, tag="stood"):
     """The newest that I knew of your folder before you told; of a voter that has none, `identity` is
     empty.
     """
 
     number: int
     identity: str
-    life: int
+    incarnation: int
     position: int
-    run: int
+    process_number: int
 
 
-LastingBody = Stand | Stood
+StorageMessage = FreshnessQuery | FreshnessReply
--- a/sailrun/storage/opening.py
+++ b/sailrun/storage/opening.py
@@ -5,23 +5,23 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sailrun.storage.files import Files
-from sailrun.storage.folder import Folder, Found, Sound, read_folder
+from sailrun.storage.files import FolderFiles
+from sailrun.storage.folder import FolderContents, FolderIntegrity, FolderWriter, read_folder
 from sailrun.storage.settings import StorageSettings
-from sailrun.storage.write_ahead_log import Done, WriteAheadLog
-from sailrun.storage.writer import Writer
+from sailrun.storage.write_ahead_log import WriteAheadLog, WriteResult
+from sailrun.storage.writer import BatchWriter
 
 
 @dataclass(slots=True)
-class Opened:
-    found: Found
+class OpenedFolder:
+    contents: FolderContents
     write_ahead_log: WriteAheadLog
-    writer: Writer
+    writer: BatchWriter
     identity: str  # that of the folder from now on: another one, unless it is sound
 
 
 def open_folder(
-    files: Files,
+    files: FolderFiles,
     terms: StorageSettings,
     slow_us: int,
     node: str,
@@ -29,7 +29,7 @@
     new_identity: Callable[[], str],
     now_us: int,
     off: frozenset[str] = frozenset(),
-) -> Opened:
+) -> OpenedFolder:
     """Reads the folder and takes it over as far as it is sound and this node's; otherwise another is begun
     with the first work. A disk that fails costs the vote until it is well, and nothing else. Raises
     NewerSchema.
@@ -37,18 +37,18 @@
     try:
         found = read_folder(files)
     except OSError as error:
-        found = Found(Sound.DOUBTFUL, f"cannot be read: {error.strerror or error}")
-    if found.sound is Sound.SOUND and (found.node, found.fleet) != (node, fleet):
-        found = Found(Sound.DOUBTFUL, f"of node {found.node} of fleet {found.fleet}")
+        found = FolderContents(FolderIntegrity.UNTRUSTED, f"cannot be read: {error.strerror or error}")
+    if found.integrity is FolderIntegrity.INTACT and (found.node, found.fleet) != (node, fleet):
+        found = FolderContents(FolderIntegrity.UNTRUSTED, f"of node {found.node} of fleet {found.fleet}")
     wal = WriteAheadLog(terms, slow_us, found.position, off)
-    folder = Folder(files, found, off)
+    folder = FolderWriter(files, found, off)
     identity = found.identity.hex()
-    if found.sound is Sound.SOUND:
+    if found.integrity is FolderIntegrity.INTACT:
         try:
-            folder.go_on()
+            folder.resume()
         except OSError as error:
-            wal.done(now_us, Done(0, 0, error.strerror or str(error)))
+            wal.complete_batch(now_us, WriteResult(0, 0, error.strerror or str(error)))
     else:
         identity = new_identity()
-        wal.renew(bytes.fromhex(identity))
-    return Opened(found, wal, Writer(folder, node, fleet), identity)
+        wal.begin_new_folder(bytes.fromhex(identity))
+    return OpenedFolder(found, wal, BatchWriter(folder, node, fleet), identity)
--- a/sailrun/storage/settings.py
+++ b/sailrun/storage/settings.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-MEGA = 1_000_000
+MEGABYTE = 1_000_000
 
 
 class StorageSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
--- a/sailrun/storage/writer.py
+++ b/sailrun/storage/writer.py
@@ -4,60 +4,60 @@
 
 import errno
 
-from sailrun.storage.folder import Folder
-from sailrun.storage.write_ahead_log import Done, Work
+from sailrun.storage.folder import FolderWriter
+from sailrun.storage.write_ahead_log import WriteBatch, WriteResult
 
 
-class Writer:
+class BatchWriter:
     """Does one piece of work at a time. A running node has a thread for it, see `service.py`."""
 
-    def __init__(self, folder: Folder, node: str, fleet: str) -> None:
+    def __init__(self, folder: FolderWriter, node: str, fleet: str) -> None:
         self._folder, self._node, self._fleet = folder, node, fleet
-        self._failed = False
+        self._has_failed = False
 
     @property
-    def folder(self) -> Folder:
+    def folder(self) -> FolderWriter:
         return self._folder
 
-    def do(self, work: Work) -> Done:
+    def write(self, work: WriteBatch) -> WriteResult:
         """Everything up to the work's position is on the disk, or it has failed."""
         folder = self._folder
         try:
-            if work.identity:
-                folder.begin(self._node, self._fleet, work.identity, work.position)
-                folder.stand_anew(work.whole or (), work.position)
-            elif work.anew or self._failed:
-                if work.whole is None:
+            if work.new_identity:
+                folder.create(self._node, self._fleet, work.new_identity, work.position)
+                folder.write_standalone_generation(work.state_entries or (), work.position)
+            elif work.is_standalone or self._has_failed:
+                if work.state_entries is None:
                     raise OSError(errno.EIO, "waits to be written as a whole")
-                folder.stand_anew(work.whole, work.position)
+                folder.write_standalone_generation(work.state_entries, work.position)
             else:
-                folder.write(work.entries)
+                folder.append(work.entries)
                 folder.sync()
-                if work.whole is not None:
-                    self._finish()
-                    folder.turn_over(work.whole)
+                if work.state_entries is not None:
+                    self._finish_snapshot()
+                    folder.begin_generation(work.state_entries)
         except OSError as error:
-            self._failed = True
-            return Done(0, 0, error.strerror or str(error))
-        self._failed = False
-        return Done(work.position, folder.journal_bytes)
+            self._has_failed = True
+            return WriteResult(0, 0, error.strerror or str(error))
+        self._has_failed = False
+        return WriteResult(work.position, folder.journal_bytes)
 
-    def idle(self) -> bool:
+    def continue_snapshot(self) -> bool:
         """Goes on with a snapshot, if one is being written; whether there is more of it. A fault of the disk
         here shows at the next work.
         """
-        if not self._folder.busy:
+        if not self._folder.is_writing_snapshot:
             return False
         try:
-            return not self._folder.go_on_with_snapshot()
+            return not self._folder.write_snapshot_chunk()
         except OSError:
-            self._failed = True
+            self._has_failed = True
             self._folder.close()
             return False
 
-    def _finish(self) -> None:
-        while self._folder.busy:
-            self._folder.go_on_with_snapshot()
+    def _finish_snapshot(self) -> None:
+        while self._folder.is_writing_snapshot:
+            self._folder.write_snapshot_chunk()
 
     def close(self) -> None:
         self._folder.close()
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -313,7 +313,7 @@
     """Nodes of other versions, folders and scripts know them."""
     messages = (DrainRequest("w", 5), DrainStatus("w", "queued", "why"))
     assert list(map(msgspec.to_builtins, messages)) == [["walk", "w", 5], ["walking", "w", "queued", "why"]]
-    kept = (entries.Drained("w"), entries.DrainPlan("w", 5, ["a"]))
+    kept = (entries.DrainCompleted("w"), entries.DrainPlan("w", 5, ["a"]))
     assert list(map(msgspec.to_builtins, kept)) == [["walked", "w"], ["planned", "w", 5, ["a"]]]
     # What `sailrun lasting export` calls them.
     assert [entry.__struct_fields__ for entry in kept] == [("walk",), ("walk", "for_us", "names")]
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -34,16 +34,16 @@
 from sailrun.replication.messages import Op
 from sailrun.replication.records import written
 from sailrun.replication.replica import Answer, Replica
-from sailrun.storage import beliefs
+from sailrun.storage import decision_snapshot
 from sailrun.storage import entries as e
 from sailrun.storage.files import OsFiles
-from sailrun.storage.folder import Folder, Found, Sound, read_folder
-from sailrun.storage.frames import FRAME_BYTES, HEAD_BYTES, NewerSchema
-from sailrun.storage.messages import Stand
+from sailrun.storage.folder import FolderContents, FolderIntegrity, FolderWriter, read_folder
+from sailrun.storage.frames import FRAME_HEADER_BYTES, HEADER_BYTES, NewerSchemaError
+from sailrun.storage.freshness import REPLY_GRACE_US, FolderFreshness, FreshnessState, OwnFolder
+from sailrun.storage.messages import FreshnessQuery
 from sailrun.storage.settings import StorageSettings
-from sailrun.storage.standing import GRACE_US, Own, Standing, Trust
-from sailrun.storage.write_ahead_log import Disk, WriteAheadLog
-from sailrun.storage.writer import Writer
+from sailrun.storage.write_ahead_log import DiskState, WriteAheadLog
+from sailrun.storage.writer import BatchWriter
 
 SECOND = 1_000_000
 TERMS = StorageSettings(folder="folder")
@@ -107,12 +107,12 @@
     monkeypatch.setattr(disk, "PIECE", 32)
     files = kept(20)
     found = read_folder(files)
-    folder = Folder(files, found)
-    folder.go_on()
-    before = last_of(found.memory)
-    name = f"journal.{found.generation}"
+    folder = FolderWriter(files, found)
+    folder.resume()
+    before = last_of(found.state)
+    name = f"journal.{found.journal_generation}"
     firm = files.size(name)
-    folder.write([entry_of(before + 1 + n) for n in range(4)])
+    folder.append([entry_of(before + 1 + n) for n in range(4)])
     whole = files.read(name, 0, 1 << 20)
     pieces = range(firm // 32, (len(whole) + 31) // 32)
     assert 8 <= len(pieces) <= 14
@@ -125,22 +125,22 @@
                 data[begin:end] = bytes(end - begin)
         files._names[name].data = data
         again = read_folder(files)
-        assert again.sound is Sound.SOUND, again.why
-        seen.add(last_of(again.memory))
+        assert again.integrity is FolderIntegrity.INTACT, again.reason
+        seen.add(last_of(again.state))
     assert seen == set(range(before, before + 5))
 
 
 def test_a_journal_cut_at_every_byte_is_read_up_to_there() -> None:
     files = kept(40)
     found = read_folder(files)
-    name = f"journal.{found.generation}"
+    name = f"journal.{found.journal_generation}"
     whole = files.read(name, 0, 1 << 20)
-    last = last_of(found.memory)
-    for size in range(len(whole), HEAD_BYTES - 1, -1):
+    last = last_of(found.state)
+    for size in range(len(whole), HEADER_BYTES - 1, -1):
         files._names[name].data = bytearray(whole[:size])
         again = read_folder(files)
-        now = last_of(again.memory)
-        assert again.sound is Sound.SOUND and 0 <= now <= last
+        now = last_of(again.state)
+        assert again.integrity is FolderIntegrity.INTACT and 0 <= now <= last
         last = now
 
 
@@ -149,13 +149,13 @@
     makes the folder doubtful.
     """
     files = SimFiles()
-    folder = Folder(files, Found(Sound.NEW))
-    folder.begin("n1", "fleet", bytes(16))
+    folder = FolderWriter(files, FolderContents(FolderIntegrity.EMPTY))
+    folder.create("n1", "fleet", bytes(16))
     for number in range(1, 13):
-        folder.write([entry_of(number)])
+        folder.append([entry_of(number)])
         folder.sync()
     found = read_folder(files)
-    name = f"journal.{found.generation}"
+    name = f"journal.{found.journal_generation}"
     whole = files.read(name, 0, 1 << 20)
     doubtful = 0
     for at in range(len(whole)):
@@ -163,8 +163,8 @@
         data[at] ^= 1 << (at % 8)
         files._names[name].data = data
         again = read_folder(files)
-        assert 0 <= last_of(again.memory) <= last_of(found.memory)
-        doubtful += again.sound is Sound.DOUBTFUL
+        assert 0 <= last_of(again.state) <= last_of(found.state)
+        doubtful += again.integrity is FolderIntegrity.UNTRUSTED
     # All but those of the last one, after which nothing tells that it was on the disk.
     assert doubtful > len(whole) * 10 / 13
 
@@ -179,7 +179,7 @@
     files = SimFiles()
     for name, data in content.items():
         files.create(name).write(data)
-    assert read_folder(files).sound is (Sound.DOUBTFUL if content else Sound.NEW)
+    assert read_folder(files).integrity is (FolderIntegrity.UNTRUSTED if content else FolderIntegrity.EMPTY)
 
 
 @settings(max_examples=200, deadline=None, suppress_health_check=[HealthCheck.too_slow])
@@ -188,60 +188,62 @@
     data: st.DataObject,
 ) -> None:
     files = kept(30, seed=data.draw(st.integers(0, 5)))
-    last = last_of(read_folder(files).memory)
+    last = last_of(read_folder(files).state)
     name = data.draw(st.sampled_from(sorted(n for n in files.names() if n != "lock")))
     content = bytearray(files._names[name].data)
     at = data.draw(st.integers(0, len(content)))
     content[at : at + data.draw(st.integers(0, 60))] = data.draw(st.binary(max_size=60))
     files._names[name].data = content
     found = read_folder(files)
-    if found.sound is Sound.SOUND:
-        assert 0 <= last_of(found.memory) <= last
+    if found.integrity is FolderIntegrity.INTACT:
+        assert 0 <= last_of(found.state) <= last
 
 
 def test_a_journal_or_a_snapshot_alone() -> None:
     files = kept(400)
     found = read_folder(files)
-    assert found.generation > 2
-    for name in (f"journal.{found.generation}", f"journal.{found.generation - 1}"):
+    assert found.journal_generation > 2
+    for name in (f"journal.{found.journal_generation}", f"journal.{found.journal_generation - 1}"):
         without = files.copy()
         del without._names[name]
         without._names["identity"].number = files.inode("identity")
         gone = read_folder(without)
         # The last journal may be missing only where nothing says that it was begun.
-        assert gone.sound is Sound.DOUBTFUL or last_of(gone.memory) == last_of(found.memory)
+        assert gone.integrity is FolderIntegrity.UNTRUSTED or last_of(gone.state) == last_of(found.state)
     damaged = files.copy()
     damaged.roll_back(files)
     damaged._names["identity"].number = files.inode("identity")
     newest = max(int(n.partition(".")[2]) for n in files.names() if n.startswith("snapshot."))
     damaged._names[f"snapshot.{newest}"].data[80] ^= 1
     again = read_folder(damaged)
-    assert again.sound is Sound.SOUND and last_of(again.memory) == last_of(found.memory)
+    assert again.integrity is FolderIntegrity.INTACT and last_of(again.state) == last_of(found.state)
 
 
 def test_a_copied_folder_and_another_nodes_are_not_gone_by() -> None:
     files = kept()
-    assert read_folder(files).sound is Sound.SOUND
+    assert read_folder(files).integrity is FolderIntegrity.INTACT
     copied = read_folder(files.copy())
-    assert copied.sound is Sound.DOUBTFUL and "copied" in copied.why
+    assert copied.integrity is FolderIntegrity.UNTRUSTED and "copied" in copied.reason
     files.create("identity.new").write(b"{}")
-    assert read_folder(files).sound is Sound.SOUND
+    assert read_folder(files).integrity is FolderIntegrity.INTACT
 
 
 def test_a_newer_schema_is_refused_and_older_entries_have_their_defaults() -> None:
     files = kept()
-    name = f"journal.{read_folder(files).generation}"
+    name = f"journal.{read_folder(files).journal_generation}"
     head = files._names[name].data
     head[8:10] = (2).to_bytes(2, "little")
     from hashlib import blake2b
 
     head[44:52] = blake2b(bytes(head[:44]), digest_size=8, key=bytes(head[20:36])).digest()
-    with pytest.raises(NewerSchema, match="schema 2; this version reads up to 1"):
+    with pytest.raises(NewerSchemaError, match="schema 2; this version reads up to 1"):
         read_folder(files)
     import msgspec
 
-    noted = e.unpack(msgspec.msgpack.encode(["noted", "n1", "f", 1, 2]))  # as written before it had `run`
-    assert noted == e.Noted("n1", "f", 1, 2, 0)
+    noted = e.decode_entry(
+        msgspec.msgpack.encode(["noted", "n1", "f", 1, 2])
+    )  # as written before it had `run`
+    assert noted == e.PeerFolderVersion("n1", "f", 1, 2, 0)
 
 
 def test_killed_in_the_middle_of_writes(tmp_path: Path) -> None:
@@ -266,62 +268,62 @@
 # ---------------------------------------------------------------------- the write-ahead log
 
 
-def a_log(terms: StorageSettings = TERMS) -> tuple[WriteAheadLog, Writer, SimFiles]:
+def a_log(terms: StorageSettings = TERMS) -> tuple[WriteAheadLog, BatchWriter, SimFiles]:
     files = SimFiles()
     wal = WriteAheadLog(terms, SECOND, 0, frozenset())
-    wal.renew(bytes(16))
-    writer = Writer(Folder(files, Found(Sound.NEW)), "n1", "fleet")
+    wal.begin_new_folder(bytes(16))
+    writer = BatchWriter(FolderWriter(files, FolderContents(FolderIntegrity.EMPTY)), "n1", "fleet")
     return wal, writer, files
 
 
-def step(wal: WriteAheadLog, writer: Writer, now_us: int) -> list[Any]:
+def step(wal: WriteAheadLog, writer: BatchWriter, now_us: int) -> list[Any]:
     work = wal.turn(now_us)
-    return wal.done(now_us, writer.do(work)) if work is not None else []
+    return wal.complete_batch(now_us, writer.write(work)) if work is not None else []
 
 
 def test_answers_wait_for_the_disk_and_share_a_sync() -> None:
     wal, writer, files = a_log()
     step(wal, writer, 0)
     for n in range(10):
-        wal.hold(0, wal.add(entry_of(n + 1)), n, n)
-    syncs = writer.folder.syncs
+        wal.defer_reply(0, wal.append(entry_of(n + 1)), n, n)
+    syncs = writer.folder.sync_count
     work = wal.turn(0)
     assert work is not None and wal.turn(0) is None
-    wal.hold(0, wal.add(entry_of(11)), "late", "late")
-    assert wal.done(1000, writer.do(work)) == list(range(10))
-    assert writer.folder.syncs == syncs + 1
+    wal.defer_reply(0, wal.append(entry_of(11)), "late", "late")
+    assert wal.complete_batch(1000, writer.write(work)) == list(range(10))
+    assert writer.folder.sync_count == syncs + 1
     assert step(wal, writer, 2000) == ["late"]
-    assert last_of(read_folder(files).memory) == 11
+    assert last_of(read_folder(files).state) == 11
 
 
 def test_a_slow_disk_drops_answers_and_a_failing_one_begins_a_generation() -> None:
     wal, writer, files = a_log()
     step(wal, writer, 0)
-    wal.whole = lambda: list(everything(3))
-    wal.hold(0, wal.add(entry_of(1)), "a", "a")
+    wal.list_state_entries = lambda: list(everything(3))
+    wal.defer_reply(0, wal.append(entry_of(1)), "a", "a")
     work = wal.turn(0)
     assert work is not None
-    assert wal.turn(SECOND + 1) is None and not wal.able
-    assert wal.done(2 * SECOND, writer.do(work)) == []  # it was given up
-    assert wal.able and wal.dropped == 1
+    assert wal.turn(SECOND + 1) is None and not wal.is_disk_available
+    assert wal.complete_batch(2 * SECOND, writer.write(work)) == []  # it was given up
+    assert wal.is_disk_available and wal.dropped_replies == 1
 
     def full(what: str, name: str) -> None:
         if what == "sync":
             raise OSError(5, "Input/output error")
 
     files.fault = full
-    wal.hold(0, wal.add(entry_of(2)), "b", "b")
-    assert step(wal, writer, 3 * SECOND) == [] and not wal.able
-    position = wal.add(entry_of(3))
-    assert not wal.ready(position) and wal.turn(3 * SECOND + 1) is None  # not at once
+    wal.defer_reply(0, wal.append(entry_of(2)), "b", "b")
+    assert step(wal, writer, 3 * SECOND) == [] and not wal.is_disk_available
+    position = wal.append(entry_of(3))
+    assert not wal.is_synced(position) and wal.turn(3 * SECOND + 1) is None  # not at once
     step(wal, writer, 5 * SECOND)
-    assert wal.disk is Disk.FAILED
+    assert wal.disk_state is DiskState.FAILED
     files.fault = lambda what, name: None
     step(wal, writer, 7 * SECOND)
-    assert wal.able and wal.ready(position)
+    assert wal.is_disk_available and wal.is_synced(position)
     found = read_folder(files)
-    assert found.sound is Sound.SOUND and last_of(found.memory) == 3
-    assert [what for what, _ in wal.notes] == [
+    assert found.integrity is FolderIntegrity.INTACT and last_of(found.state) == 3
+    assert [what for what, _ in wal.log_events] == [
         "lasting-slow",
         "lasting-able",
         "lasting-failed",
@@ -332,91 +334,91 @@
 def test_more_than_the_queue_bears_is_written_as_a_whole() -> None:
     wal, writer, files = a_log(StorageSettings(folder="f", queue_mb=0.1))
     step(wal, writer, 0)
-    wal.whole = lambda: list(everything(4000))
+    wal.list_state_entries = lambda: list(everything(4000))
     for n in range(4000):
-        wal.add(entry_of(n + 1))
-    assert len(wal._entries) == 0
+        wal.append(entry_of(n + 1))
+    assert len(wal._pending) == 0
     step(wal, writer, SECOND)
-    assert last_of(read_folder(files).memory) == 4000
+    assert last_of(read_folder(files).state) == 4000
 
 
 # ---------------------------------------------------------------------- older folders
 
 
-def stand(name: str, notes: list[e.Noted] | None = None) -> Standing:
+def stand(name: str, notes: list[e.PeerFolderVersion] | None = None) -> FolderFreshness:
     def majority(names: set[str]) -> bool:
         return len(names & {"n1", "n2", "n3"}) >= 2
 
     noted = notes.append if notes is not None else (lambda note: None)
-    return Standing(name, lambda: ["n1", "n2", "n3"], majority, noted, 1000, lambda name: True)
+    return FolderFreshness(name, lambda: ["n1", "n2", "n3"], majority, noted, 1000, lambda name: True)
 
 
-def asks(voter: Standing, others: dict[str, Standing], now_us: int) -> None:
+def asks(voter: FolderFreshness, others: dict[str, FolderFreshness], now_us: int) -> None:
     for name, body in voter.turn(now_us):
-        if name in others and isinstance(body, Stand):
-            voter.told(name, others[name].hear("n1", body))
+        if name in others and isinstance(body, FreshnessQuery):
+            voter.on_reply(name, others[name].on_query("n1", body))
 
 
 def test_a_folder_is_gone_by_once_a_majority_knows_of_no_newer() -> None:
     others = {"n2": stand("n2"), "n3": stand("n3")}
     first = stand("n1")
-    first.take_up(Own("aa", 1, 1, 0, 0), False, {})
+    first.start(OwnFolder("aa", 1, 1, 0, 0), False, {})
     asks(first, others, 0)
     asks(first, others, SECOND)
-    assert first.trust is Trust.LEARNED
+    assert first.state is FreshnessState.REJOINED
     assert first.own is not None
-    first.own.synced = 50
+    first.own.synced_position = 50
     asks(first, others, 2 * SECOND)
-    assert first.known(50) and not first.known(51)
+    assert first.is_position_noted(50) and not first.is_position_noted(51)
 
     again = stand("n1")
-    again.take_up(Own("aa", 2, 2, 50, 50), True, {})
+    again.start(OwnFolder("aa", 2, 2, 50, 50), True, {})
     asks(again, {"n2": others["n2"]}, 3 * SECOND)
     again.turn(3 * SECOND + 1)
-    assert not again.registered  # n3 lives, and may know more
+    assert not again.is_established  # n3 lives, and may know more
     again.turn(4 * SECOND)
-    again.turn(5 * SECOND + GRACE_US)
-    assert again.trust is Trust.TRUSTED
+    again.turn(5 * SECOND + REPLY_GRACE_US)
+    assert again.state is FreshnessState.CONFIRMED
 
     older = stand("n1")
-    older.take_up(Own("aa", 3, 2, 20, 20), True, {})  # the same life once more, from a backup
+    older.start(OwnFolder("aa", 3, 2, 20, 20), True, {})  # the same life once more, from a backup
     asks(older, {"n3": others["n3"]}, 9 * SECOND)
-    assert older.trust is Trust.OLD and older.why_old == "a later position is known"
+    assert older.state is FreshnessState.STALE and older.stale_reason == "a later position is known"
 
 
 def test_asking_again_does_not_wipe_out_what_was_known() -> None:
     """The answer to the first question may be lost; the second is to be told the same."""
     other = stand("n2")
     new = stand("n1")
-    new.take_up(Own("aa", 1, 5, 0, 0), False, {})
+    new.start(OwnFolder("aa", 1, 5, 0, 0), False, {})
     for at_us in (0, SECOND):
         asks(new, {"n2": other}, at_us)
     assert new.own is not None
-    new.own.synced = 80
+    new.own.synced_position = 80
     asks(new, {"n2": other}, 2 * SECOND)
     older = stand("n1")
-    older.take_up(Own("aa", 2, 6, 40, 40), True, {})
+    older.start(OwnFolder("aa", 2, 6, 40, 40), True, {})
     for at_us in (0, SECOND):
         body = older.turn(at_us)[0][1]
-        assert isinstance(body, Stand)
-        answer = other.hear("n1", body)
+        assert isinstance(body, FreshnessQuery)
+        answer = other.on_query("n1", body)
         assert answer.position == 80
-    older.told("n2", answer)
-    assert older.trust is Trust.OLD
+    older.on_reply("n2", answer)
+    assert older.state is FreshnessState.STALE
 
 
 def test_a_voter_that_ran_without_a_folder_makes_its_old_one_older() -> None:
     other = stand("n2")
     first = stand("n1")
-    first.take_up(Own("aa", 1, 1, 0, 0), False, {})
+    first.start(OwnFolder("aa", 1, 1, 0, 0), False, {})
     for at_us in (0, SECOND):
         asks(first, {"n2": other}, at_us)
-    other.forgot("n1", 77)
-    other.forgot("n1", 77)
+    other.on_peer_without_folder("n1", 77)
+    other.on_peer_without_folder("n1", 77)
     again = stand("n1")
-    again.take_up(Own("aa", 3, 2, 10, 10), True, {})
+    again.start(OwnFolder("aa", 3, 2, 10, 10), True, {})
     asks(again, {"n2": other}, 2 * SECOND)
-    assert again.trust is Trust.OLD
+    assert again.state is FreshnessState.STALE
 
 
 # ---------------------------------------------------------------------- beliefs
@@ -438,23 +440,23 @@
     values = {"recent_attempts": 100.0, "success_share": 0.5}
     rate = SetupRateSnapshot(*(values.get(name, 1.0) for name in SETUP_RATE_FIELDS))
     told = StateSnapshot((learned(1, now_us + 40 * SECOND), learned(2, 0)), rate, {"page-load": (3.0, 8)})
-    content = beliefs.pack(now_us, told, {1: "s-1", 2: "s-2"})
+    content = decision_snapshot.encode_snapshot(now_us, told, {1: "s-1", 2: "s-2"})
     numbers = {"s-1": (1, 5), "s-2": (2, 6)}  # the second is another process by now
-    fresh = beliefs.unpack(content, now_us, 100.0, numbers)
+    fresh = decision_snapshot.decode_snapshot(content, now_us, 100.0, numbers)
     assert fresh is not None and [b.id for b in fresh.backends] == [1]
     assert fresh.backends[0].ejected_until_us == now_us + 40 * SECOND
     later_us = now_us + 30 * SECOND
-    later = beliefs.unpack(content, later_us, 30.0, numbers)
+    later = decision_snapshot.decode_snapshot(content, later_us, 30.0, numbers)
     assert later is not None
     assert later.backends[0].ejected_until_us == now_us + 40 * SECOND  # never for longer than it was to be
     assert later.backends[0].load_limit == 16.0
     assert later.setup_rate is not None and later.setup_rate.recent_attempts == 50
     assert later.class_load == {"page-load": (3.0, 4)}
-    assert beliefs.unpack(content, now_us + 300 * SECOND, 30.0, numbers) is None
+    assert decision_snapshot.decode_snapshot(content, now_us + 300 * SECOND, 30.0, numbers) is None
     # A clock that was set back by a year: how old that is, nobody knows.
-    assert beliefs.unpack(content, now_us - 31_536_000 * SECOND, 100.0, numbers) is None
-    assert beliefs.unpack(b"\x93\x01", now_us, 100.0, numbers) is None
-    assert beliefs.out_for(content, now_us + SECOND, 100.0)["s-1"] > 38 * SECOND
+    assert decision_snapshot.decode_snapshot(content, now_us - 31_536_000 * SECOND, 100.0, numbers) is None
+    assert decision_snapshot.decode_snapshot(b"\x93\x01", now_us, 100.0, numbers) is None
+    assert decision_snapshot.remaining_ejections_us(content, now_us + SECOND, 100.0)["s-1"] > 38 * SECOND
 
 
 # ---------------------------------------------------------------------- days, and the command
@@ -490,7 +492,7 @@
     assert {"slot", "held", "copy"} <= {line["entry"] for line in lines}
     journal = max(folder.glob("journal.*"))
     data = bytearray(journal.read_bytes())
-    data[HEAD_BYTES + FRAME_BYTES] ^= 1
+    data[HEADER_BYTES + FRAME_HEADER_BYTES] ^= 1
     journal.write_bytes(data)
     damaged = cli("check", str(folder))
     assert damaged.returncode == 1 and "doubtful" in damaged.stdout, damaged
@@ -503,15 +505,16 @@
 
 def test_a_hundred_thousand_records_are_read_whole() -> None:
     files = SimFiles()
-    folder = Folder(files, Found(Sound.NEW))
-    folder.begin("n1", "fleet", bytes(16))
+    folder = FolderWriter(files, FolderContents(FolderIntegrity.EMPTY))
+    folder.create("n1", "fleet", bytes(16))
     records: list[e.Entry] = [
-        e.Held(written(None, ("out", f"s-{n:08x}", ""), False, "", (1, n), b"x" * 60)) for n in range(100_000)
+        e.StoredRecord(written(None, ("out", f"s-{n:08x}", ""), False, "", (1, n), b"x" * 60))
+        for n in range(100_000)
     ]
-    folder.write(records)
+    folder.append(records)
     folder.sync()
     found = read_folder(files)
-    assert found.sound is Sound.SOUND and len(found.memory.records) == 100_000
+    assert found.integrity is FolderIntegrity.INTACT and len(found.state.records) == 100_000
 
 
 # ---------------------------------------------------------------------- fleets in virtual time
@@ -552,7 +555,7 @@
     assert [(a.state, a.copies, a.of) for a in answers] == [("done", 5, 5)]
     for name in fleet.names:
         found = read_folder(fleet.nodes[name].files)
-        assert ("out", "s-00000001", "") in found.memory.records
+        assert ("out", "s-00000001", "") in found.state.records
 
 
 def test_a_nodes_own_word_is_said_once_it_is_on_the_disk_and_says_where_it_is_not() -> None:
@@ -642,28 +645,28 @@
 def test_a_voter_told_later_that_its_folder_is_older_goes_by_it_no_more() -> None:
     others = {"n2": stand("n2"), "n3": stand("n3")}
     first = stand("n1")
-    first.take_up(Own("aa", 1, 7, 0, 0), False, {})
+    first.start(OwnFolder("aa", 1, 7, 0, 0), False, {})
     for at_us in (0, SECOND):
         asks(first, others, at_us)
-    others["n2"].notes.clear()  # n2 knows nothing, n3 is out of reach
+    others["n2"].peer_versions.clear()  # n2 knows nothing, n3 is out of reach
     older = stand("n1")
-    older.take_up(Own("aa", 2, 3, 20, 20), True, {})
+    older.start(OwnFolder("aa", 2, 3, 20, 20), True, {})
     asks(older, {"n2": others["n2"]}, 0)
     older.turn(0)
-    older.turn(GRACE_US + SECOND)
-    assert older.trust is Trust.TRUSTED and older.own is not None
-    older.own.synced = 25
+    older.turn(REPLY_GRACE_US + SECOND)
+    assert older.state is FreshnessState.CONFIRMED and older.own is not None
+    older.own.synced_position = 25
     asks(older, others, 9 * SECOND)
-    assert not older.registered and older.why_old == "a later life is known"
+    assert not older.is_established and older.stale_reason == "a later life is known"
 
 
 def test_a_generation_that_stands_alone_is_not_passed_over_where_its_snapshot_is_damaged() -> None:
     files = kept(30)
-    folder = Folder(files, read_folder(files))
-    folder.go_on()
-    last = last_of(read_folder(files).memory)
-    folder.stand_anew(everything(last), folder.position)
+    folder = FolderWriter(files, read_folder(files))
+    folder.resume()
+    last = last_of(read_folder(files).state)
+    folder.write_standalone_generation(everything(last), folder.position)
     found = read_folder(files)
-    assert found.sound is Sound.SOUND and last_of(found.memory) == last
-    files._names[f"snapshot.{found.generation}"].data[80] ^= 1
-    assert read_folder(files).sound is Sound.DOUBTFUL
+    assert found.integrity is FolderIntegrity.INTACT and last_of(found.state) == last
+    files._names[f"snapshot.{found.journal_generation}"].data[80] ^= 1
+    assert read_folder(files).integrity is FolderIntegrity.UNTRUSTED
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -18,7 +18,7 @@
 
 from sailrun.lab.faults.play import FaultDay, Played, play_real
 from sailrun.storage.files import OsFiles
-from sailrun.storage.folder import Sound, read_folder
+from sailrun.storage.folder import FolderIntegrity, read_folder
 from tests.stand_ins import PATIENCE_S, FormServer, Roster, free_port, node
 from tests.test_fleet_processes import Fleet, free, staff
 
@@ -75,7 +75,9 @@
     began = time.monotonic()
     assert process.wait(PATIENCE_S) == 0 and time.monotonic() - began < 5.0
     found = read_folder(OsFiles(fleet.folder_of("n3")))
-    assert found.sound is Sound.SOUND and found.memory.clean and found.torn == 0
+    assert (
+        found.integrity is FolderIntegrity.INTACT and found.state.was_clean_shutdown and found.torn_bytes == 0
+    )
     fleet.start("n3")
     fleet.nodes["n3"].logged("lasting", "clean=True")
     fleet.nodes["n3"].logged("lasting-trusted")
@@ -97,8 +99,8 @@
         running.logged("by-hand", f"server={name}")
 
         def written() -> bool:
-            hand = read_folder(OsFiles(tmp_path / "kept")).memory.hand
-            return hand is not None and hand.out == [name]
+            hand = read_folder(OsFiles(tmp_path / "kept")).state.operator_overrides
+            return hand is not None and hand.out_of_service == [name]
 
         until(written)
         running.process.send_signal(signal.SIGKILL)
