--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -21,7 +21,7 @@
 from sailrun.leadership.lasting import Lasting
 from sailrun.leadership.permits import Use
 from sailrun.leadership.reader import Reading
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.replication.messages import Op
 from sailrun.replication.replica import MARKS, Replica
 from sailrun.replication.state import show_state
@@ -184,9 +184,9 @@
         self.row("started", name, life=me.life, clock_s=clock_s)
         self._wake(node, 0)
 
-    def _record_of(self, node: VirtualNode, life: int) -> Record:
+    def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         """What a node says of itself as it starts."""
-        return Record(node.name, life, 1, State.ALIVE, node.address, node.zone)
+        return MemberRecord(node.name, life, 1, MemberState.ALIVE, node.address, node.zone)
 
     def _give_work(self, node: VirtualNode) -> None:
         agent = node.agent
@@ -383,7 +383,7 @@
         if reading.reads(now_us):
             reading.read(self.revision, [])
         has = reading.due(now_us)
-        if has is None or not agent.members.joined:
+        if has is None or not agent.members.has_joined:
             return []
 
         def done(now_us: int, sent_us: int, content: Any) -> None:
@@ -437,7 +437,7 @@
     def _look_at_copies(self) -> None:
         for node in self.nodes.values():
             replica = node.agent.replica if node.agent is not None and not node.stopped else None
-            if replica is not None and node.agent is not None and node.agent.members.joined:
+            if replica is not None and node.agent is not None and node.agent.members.has_joined:
                 state = show_state(replica, self.clock_us(node))
                 behind_s = state["behind"]["s"]
                 self.row(
@@ -554,7 +554,7 @@
 
     def tasks(self) -> list[str]:
         agents = [node.agent for node in self.nodes.values() if node.agent is not None]
-        return sorted({task for agent in agents if agent.members.joined for task in agent.tasks()})
+        return sorted({task for agent in agents if agent.members.has_joined for task in agent.tasks()})
 
     def want(self, name: str, kind: str, subject: str, for_us: int) -> None:
         agent = self.nodes[name].agent
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from sailrun.leadership.quorum import Voters
-from sailrun.membership.messages import State
-from sailrun.membership.swim import Members
+from sailrun.membership.messages import MemberState
+from sailrun.membership.swim import Membership
 from sailrun.replication.acceptor import consistent
 from sailrun.replication.marks import KINDS, LONGEST_WHY, MOST_IDS, Mark, pack, standing, unpack
 from sailrun.replication.messages import Has, Have, Higher, Kept, Level, Op, Promise, Promised, Put, Said
@@ -70,7 +70,7 @@
         term: int,
         me: str,
         voters: Callable[[], Voters],
-        members: Members,
+        members: Membership,
         sync: Sync,
         limit: Callable[[str], int | None],
         now_us: int,
@@ -233,7 +233,7 @@
         waits = op.on and not self._room(op.kind, key)
         made = self._write(now_us, op, key, waits, ids)
         if op.everybody:
-            made.round.others = {n for n in self._members.names if n != self._me}
+            made.round.others = {n for n in self._members.living_names if n != self._me}
         return self._stands(op)
 
     def _long_ago(self, now_us: int) -> bool:
@@ -280,7 +280,7 @@
         copies = len({*made.acks, *made.kept, self._me})
         of = len({*self._voters().all(), *made.others, self._me})
         state = ("waits" if write.waits else "done") if made.stands else "pending"
-        alive = {n for n in made.others if self._members.lives(n)}
+        alive = {n for n in made.others if self._members.is_living(n)}
         everybody = bool(made.others) and alive <= made.kept | made.acks.keys()
         return Said(op.id, state, self.term, copies, of, everybody)
 
@@ -368,9 +368,9 @@
         absent_us = int(self._sync.terms.absent_s * SECOND)
         return [
             r.name
-            for r, since_us in self._members.known()
-            if r.state in (State.ALIVE, State.SUSPECT)
-            or (r.state is State.GONE and now_us - since_us < absent_us)
+            for r, since_us in self._members.records_with_age()
+            if r.state in (MemberState.ALIVE, MemberState.SUSPECT)
+            or (r.state is MemberState.GONE and now_us - since_us < absent_us)
         ]
 
     def _end_forgetting(self, now_us: int) -> None:
