--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -170,14 +170,14 @@
 
     # ------------------------------------------------------------------ orders of the core
 
-    def place(self, placement: Placement) -> None:
+    def start_attempt(self, placement: Placement) -> None:
         self._front.group.start_soon(self._try, placement)
 
-    def withdraw(self, attempt: int) -> None:
+    def cancel_attempt(self, attempt: int) -> None:
         if self._scope is not None:
             self._scope.cancel()
 
-    def refuse(self, retry_after_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         info = {proton.symbol(RETRY_AFTER): -(-retry_after_us // 1000)}
         self._detach("refused", REFUSED, "no form server can take the session now", info)
 
@@ -189,7 +189,7 @@
             self._moving = True
             self._front.group.start_soon(self._move)
 
-    def hand_over(self, send: SendTransfer) -> None:
+    def transfer(self, send: SendTransfer) -> None:
         """Links can't: the engine's side of the connection is in this process. They are moved."""
 
     # ------------------------------------------------------------------ the life of the link
@@ -236,8 +236,8 @@
             server=self._at,
             attempts=self._session.attempts if self._session else None,
             ms=(self._node.clock.now_us() - self._began_us) // 1000,
-            moved_for=self._session.why_moved if self._session else None,
-            why=self._session.why_withheld if self._session else None,
+            moved_for=self._session.move_reason_text if self._session else None,
+            why=self._session.denial_reason_text if self._session else None,
         )
 
     def left(self, reason: str) -> None:
--- a/sailrun/control/calls.py
+++ b/sailrun/control/calls.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from sailrun.node.counts import Figures
+from sailrun.node.counters import MetricsSnapshot
 
 LONGEST_CALL = 4096
 PREFIX = "svc"
@@ -95,13 +95,13 @@
     return b"ok " + json.dumps(content).encode() + b"\r\n"
 
 
-def show(figures: Figures) -> bytes:
+def show(figures: MetricsSnapshot) -> bytes:
     """The answer to `vars`: one figure a line, counts and gauges as the StatsD line protocol marks them."""
     lines = ["ok", *_lines(figures), "eof"]
     return "".join(f"{line}\r\n" for line in lines).encode()
 
 
-def _lines(figures: Figures) -> Iterable[str]:
+def _lines(figures: MetricsSnapshot) -> Iterable[str]:
     for name, counted in figures.classes.items():
         yield f"{PREFIX}.calls.{name}.success:{counted.success}|c"
         yield f"{PREFIX}.calls.{name}.busy:{counted.busy}|c"
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -17,7 +17,7 @@
 from sailrun.connection import Connection, Overlong
 from sailrun.control.calls import LONGEST_CALL, OK, BadCall, Call, Verb, answer, fail, parse_call, show
 from sailrun.node.core import Node
-from sailrun.node.reply import answer_to
+from sailrun.node.queries import send_query
 
 if TYPE_CHECKING:
     from sailrun.leadership.service import FleetPart
@@ -158,15 +158,15 @@
             return await self._permitted(fleet, call)
         match call.verb:
             case Verb.VARS:
-                return show(await answer_to(node.read_metrics))
+                return show(await send_query(node.read_metrics))
             case Verb.CHECK:
-                return OK if await answer_to(node.check_ready) else fail("takes no households")
+                return OK if await send_query(node.check_ready) else fail("takes no households")
             case Verb.SET_DOWN | Verb.SET_UP:
                 out = call.verb is Verb.SET_DOWN
-                known = await answer_to(partial(node.set_operator_override, call.form_server, out))
+                known = await send_query(partial(node.set_operator_override, call.form_server, out))
                 return OK if known else fail(f"no form server '{call.form_server[:80]}'")
             case Verb.DRAIN_ON | Verb.DRAIN_OFF:
-                await answer_to(partial(node.set_draining, call.verb is Verb.DRAIN_ON))
+                await send_query(partial(node.set_draining, call.verb is Verb.DRAIN_ON))
                 return OK
 
     async def _of_fleet(self, fleet: FleetPart, words: tuple[str, ...]) -> bytes:
@@ -175,17 +175,17 @@
                 if not ms.isdigit():
                     return fail(f"'{ms[:40]}' is no number of milliseconds")
                 names = nodes.split(",")
-                why = await answer_to(partial(fleet.begin_rolling_drain, name, names, int(ms) * 1000))
+                why = await send_query(partial(fleet.begin_rolling_drain, name, names, int(ms) * 1000))
                 return fail(why) if why else OK
             case "walked", str(name):
-                shown = await answer_to(partial(fleet.show, f"walk {name}"))
+                shown = await send_query(partial(fleet.show, f"walk {name}"))
                 return fail(f"no walk '{name[:80]}' was begun here") if shown is None else answer(shown)
             case (("mark" | "marked" | "look" | "state" | "ranges"), *_):
                 return await self._of_copies(fleet, words)
             case "shards", *_:
-                shown = await answer_to(partial(fleet.show, " ".join(words)))
+                shown = await send_query(partial(fleet.show, " ".join(words)))
                 return fail("[shards] is off here") if shown is None else answer(shown)
-        return answer(await answer_to(partial(fleet.show, words[0])))
+        return answer(await send_query(partial(fleet.show, words[0])))
 
     async def _marked(self, fleet: FleetPart, copies: CopiesPart, call: Call) -> bytes:
         """What holds for the fleet wherever it is said."""
@@ -197,7 +197,7 @@
         made: Answer | None = None
         clock = self._node.clock
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
-            made = await answer_to(lambda reply: _put(copies, kind, subject, on, reply))
+            made = await send_query(lambda reply: _put(copies, kind, subject, on, reply))
         if made is None or made.state == "unknown":
             return fail("no majority has answered so far: it may come into force yet")
         if made.state == "waits":
@@ -222,9 +222,9 @@
                     return fail(f"no mark '{id_[:40]}' was made here")
                 return answer(_shown(id_, copies.answers[id_]))
             case "look", str(kind), str(subject):
-                words_ = await answer_to(partial(copies.look, kind, subject))
+                words_ = await send_query(partial(copies.look, kind, subject))
                 return fail("the owner of the marks was not heard") if words_ is None else answer(words_)
-        return answer(await answer_to(partial(fleet.show, " ".join(words))))
+        return answer(await send_query(partial(fleet.show, " ".join(words))))
 
     async def _no_subject(self, fleet: FleetPart, kind: str, subject: str, on: bool) -> str:
         """Why nothing of that name can be marked; empty: it can. What is marked already can always be taken
@@ -234,7 +234,7 @@
             return "" if not on or fleet.agent.members.lives(subject) else f"no member '{subject[:80]}'"
         if kind != OUT:
             return f"'{kind[:40]}' is none of out and drain"
-        listed = await answer_to(partial(self._node.has_form_server, subject))
+        listed = await send_query(partial(self._node.has_form_server, subject))
         return "" if listed or not on else f"no form server '{subject[:80]}'"
 
     async def _mark(
@@ -248,7 +248,7 @@
             ids.append(copies.mark(kind, subject, on, reply, wait, who, why))
 
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
-            made = await answer_to(ask)
+            made = await send_query(ask)
         return answer(_shown(ids[0], made))
 
     async def _permitted(self, fleet: FleetPart, call: Call) -> bytes:
@@ -257,14 +257,14 @@
         if call.verb in (Verb.SET_UP, Verb.DRAIN_OFF):
             fleet.give_back(kind, subject)
             if kind == DRAIN:
-                await answer_to(partial(self._node.set_draining, False))
+                await send_query(partial(self._node.set_draining, False))
                 return OK
-            known = await answer_to(partial(self._node.set_operator_override, subject, False))
+            known = await send_query(partial(self._node.set_operator_override, subject, False))
             return OK if known else fail(f"no form server '{subject[:80]}'")
         why: str | None = None
         clock = self._node.clock
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
-            why = await answer_to(partial(fleet.ask_permit, kind, subject))
+            why = await send_query(partial(fleet.ask_permit, kind, subject))
         if why is None:
             return fail(fleet.why_not(kind, subject))
         return fail(why) if why else OK
--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -28,10 +28,10 @@
 )
 from sailrun.node.clock import log
 from sailrun.node.core import Node
-from sailrun.node.leaving import Reason
-from sailrun.node.reply import answer_to
+from sailrun.node.queries import send_query
+from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session_transfer import SessionTransfer
-from sailrun.node.succession_state import NodeState
+from sailrun.node.shutdown import ShutdownReason
 
 SECOND = 1_000_000
 # A predecessor is busy serving: so long a successor waits for its answer, and asks again meanwhile where it
@@ -52,7 +52,7 @@
     """What a predecessor handed over."""
 
     link: Link
-    state: NodeState | None  # None: what came was not usable
+    state: NodeSnapshot | None  # None: what came was not usable
     sockets: dict[str, socket.socket] = field(default_factory=dict)
 
     def socket_for(self, key: str, address: tuple[str, int]) -> socket.socket | None:
@@ -230,7 +230,7 @@
             link.close()
             return
         try:
-            state = await answer_to(self._node.snapshot_state)
+            state = await send_query(self._node.snapshot_state)
             sockets = dict(list(self._sockets().items())[:MOST_SOCKETS])
             content = {"sockets": list(sockets), "state": write_state(state)}
             await hand(link, pack("state", content), list(sockets.values()))
@@ -240,7 +240,7 @@
             log("successor-unreached", error=str(error))
             link.close()
         finally:
-            if self._rules.lost(Reason.RESTART in self._node.leaving):
+            if self._rules.lost(ShutdownReason.RESTART in self._node.shutdown):
                 self._node.set_successor(None)
                 self._pause(False)
 
@@ -258,7 +258,7 @@
         clock = self._node.clock
         next_us = clock.now_us()
         while True:
-            held = await answer_to(self._node.report_held_load)
+            held = await send_query(self._node.report_held_load)
             descriptors = len(os.listdir("/proc/self/fd"))
             talk.say("held", write_held(replace(held, descriptors=descriptors)))
             next_us += TELL_US
--- a/sailrun/hot_restart/state.py
+++ b/sailrun/hot_restart/state.py
@@ -21,8 +21,8 @@
     StateSnapshot,
 )
 from sailrun.discovery import BadServerList, phase_of, read_server_list
+from sailrun.node.restart_state import NodeSnapshot, ProcessLoad
 from sailrun.node.session import FormServer
-from sailrun.node.succession_state import HeldSessions, NodeState
 
 VERSION = 1
 # Over this a line is no state of ours: 1,400 form servers take half of it.
@@ -56,16 +56,16 @@
     return kind, content
 
 
-def write_state(state: NodeState) -> dict[str, Any]:
-    learned = state.learned or StateSnapshot((), None, {})
+def write_state(state: NodeSnapshot) -> dict[str, Any]:
+    learned = state.decisions or StateSnapshot((), None, {})
     return {
         "roster": {
             "revision": state.server_list.revision,
             "complete": True,
             "members": [_entry(s) for s in state.server_list.form_servers],
         },
-        "out_by_hand": sorted(state.out_by_hand),
-        "draining": state.draining,
+        "out_by_hand": sorted(state.excluded),
+        "draining": state.is_draining,
         "learned": [[_number(getattr(one, n)) for n in BACKEND_SNAPSHOT_FIELDS] for one in learned.backends],
         "pace": list(astuple(learned.setup_rate)) if learned.setup_rate is not None else [],
         "class_load": {name: list(told) for name, told in learned.class_load.items()},
@@ -89,7 +89,7 @@
     return None if isinstance(value, float) and math.isinf(value) else value
 
 
-def read_state(content: Any) -> NodeState:
+def read_state(content: Any) -> NodeSnapshot:
     try:
         server_list = read_server_list(content["roster"], cached=True)
         by_hand, draining = content["out_by_hand"], content["draining"]
@@ -110,7 +110,7 @@
         raise BadHandoverMessage("'out_by_hand' is no list of ids")
     if not isinstance(draining, bool):
         raise BadHandoverMessage("'draining' is neither true nor false")
-    return NodeState(
+    return NodeSnapshot(
         server_list,
         frozenset(by_hand),
         draining,
@@ -139,20 +139,20 @@
     return BackendSnapshot(**given)
 
 
-def write_held(held: HeldSessions) -> dict[str, Any]:
+def write_held(held: ProcessLoad) -> dict[str, Any]:
     loads = [[number, load] for number, load in held.loads.items() if load > 0]
     return {
         "loads": loads,
         "connections": held.connections,
-        "told": held.told,
+        "told": held.loads_reported,
         "descriptors": held.descriptors,
     }
 
 
-def read_held(content: Any) -> HeldSessions:
+def read_held(content: Any) -> ProcessLoad:
     try:
         loads = {int(_finite(number)): _finite(load) for number, load in content["loads"]}
         connections, descriptors = int(content["connections"]), int(content["descriptors"])
-        return HeldSessions(loads, connections, content["told"] is True, descriptors)
+        return ProcessLoad(loads, connections, content["told"] is True, descriptors)
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         raise BadHandoverMessage(f"not in its form: {error!r}") from None
--- a/sailrun/lab/seeing.py
+++ b/sailrun/lab/seeing.py
@@ -102,7 +102,7 @@
         seen = self._eyes.seen
         for session in self._standing.values():
             number = session.placement.form_server.number if session.placement is not None else -1
-            if session.moved_for is None and number in seen and not seen[number].takes:
+            if session.move_reason is None and number in seen and not seen[number].takes:
                 self._plan(session, now_us)
         while self._moves and self._moves[0][0] <= now_us:
             session = heapq.heappop(self._moves)[2]
@@ -112,7 +112,7 @@
             self.stopped = True
 
     def _plan(self, session: FormSession, now_us: int) -> None:
-        session.moved_for = MoveReason.DRAINING
+        session.move_reason = MoveReason.DRAINING
         at_us = now_us + self._chance.below(LEAVE_US)
         heapq.heappush(self._moves, (at_us, next(self._order), session))
 
@@ -131,7 +131,7 @@
         open_to = {n: s for n, s in self._eyes.seen.items() if s.takes and n not in tried}
         if not open_to or session.attempts >= MOST_ATTEMPTS:
             del self._open[name]
-            session.client.refuse(SECOND // 2)
+            session.client.reject(SECOND // 2)
             return
         room = {n: s.free for n, s in open_to.items() if s.free > 0} or dict.fromkeys(open_to, 1.0)
         at = self._chance.random() * sum(room.values())
@@ -150,11 +150,11 @@
             until_us = session.deadline_us
         session.placement = Placement(entry, session.attempts, until_us)
         session.attempts += 1
-        session.client.place(session.placement)
+        session.client.start_attempt(session.placement)
 
     def connection_opened(self, session: FormSession, placement: Placement, took_us: int) -> None:
         self._open.pop(session.id, None)
-        session.stands = True
+        session.is_established = True
         self._standing[session.id] = session
         if self._leaving_us:
             self._plan(session, self._day.time.now_us)
@@ -175,7 +175,7 @@
         now_us = self._day.time.now_us
         self._leaving_us = now_us
         for session in self._standing.values():
-            if session.moved_for is None:
+            if session.move_reason is None:
                 self._plan(session, now_us + SECOND // 2)
 
     def line_forwarded(self, session: FormSession) -> None:
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -23,9 +23,9 @@
 from sailrun.lab.settings import SECOND, WorldSettings
 from sailrun.lab.world import GAP_US, RESTART_US, RegistryModel, Slot, World
 from sailrun.node.core import Node
+from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import FormSession, Placement, ServerListUpdate
 from sailrun.node.session_transfer import SendTransfer
-from sailrun.node.succession_state import NodeState
 from sailrun.rebalance.balance import Elsewhere, Orders, Rebalancer
 from sailrun.rebalance.settings import RebalanceSettings
 
@@ -63,7 +63,7 @@
 
     # ------------------------------------------------------------------ orders of the core
 
-    def place(self, placement: Placement) -> None:
+    def start_attempt(self, placement: Placement) -> None:
         day = self.day
         now_us = day.time.now_us
         self.turn += 1
@@ -94,19 +94,19 @@
             day.time.after(3 * net_us, self._reach, self.turn, server, now_us, net_us)
             day.time.at(placement.until_us, self._failed, self.turn, AttemptOutcome.TIMED_OUT)
 
-    def withdraw(self, attempt: int) -> None:
+    def cancel_attempt(self, attempt: int) -> None:
         if self.placement is not None and self.placement.attempt == attempt and self.server is None:
             self._attempt_over(AttemptOutcome.CANCELLED)
 
-    def refuse(self, retry_after_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         self._answer("refused", retry_after_us)
 
     def fail(self) -> None:
         self._answer("failed", 0)
 
-    def hand_over(self, send: SendTransfer) -> None:
+    def transfer(self, send: SendTransfer) -> None:
         if self.server is not None:
-            self.day.hand_over(self)
+            self.day.transfer(self)
 
     def move(self) -> None:
         if self.server is None:
@@ -114,7 +114,7 @@
         day, client = self.day, self.client
         at = self.server.name
         rebalanced = self.slot.moved.pop(self.session.id, None) is not None
-        cause = self.session.why_moved or ""
+        cause = self.session.move_reason_text or ""
         day.note("move", node=self.slot.index, server=at, text=cause)
         day.moves_off(client, cause)
         if rebalanced:
@@ -324,12 +324,12 @@
 
 
 class Datagrams:
-    """The core's `Neighbours`, for one slot: late, or never."""
+    """The core's `PeerTransport`, for one slot: late, or never."""
 
     def __init__(self, day: VirtualDay, slot: VirtualSlot) -> None:
         self._day, self._slot = day, slot
 
-    def tell(self, neighbour: int | None, content: bytes) -> None:
+    def send(self, neighbour: int | None, content: bytes) -> None:
         day = self._day
         for slot in day.slots:
             if slot is self._slot or (neighbour is not None and slot.index != neighbour):
@@ -390,7 +390,7 @@
         self.rules.end(self.time.now_us)
         return self.checks()
 
-    def _start(self, slot: VirtualSlot, passed: NodeState | None = None) -> None:
+    def _start(self, slot: VirtualSlot, passed: NodeSnapshot | None = None) -> None:
         if slot.index not in self._settings:
             self._settings[slot.index] = read_settings(self.terms.settings(slot.index))
         settings = self._settings[slot.index]
@@ -419,14 +419,14 @@
         if passed is not None:
             known = passed.server_list
         node = Node(settings, seed, VirtualClock(self.time), known, log, passed)
-        node.discovery, node.neighbours = NodeDiscovery(self, slot), Datagrams(self, slot)
+        node.discovery, node.peer_transport = NodeDiscovery(self, slot), Datagrams(self, slot)
         if self._rebalance.enabled:
             watched = WatchedRebalancer(self._rebalance, settings, self.time.now_us)
-            node.rebalancing.rebalancer = watched
+            node.rebalancer_port.rebalancer = watched
             watched.moved = slot.moved = {}
         self._run_node(slot, node, passed)
 
-    def _run_node(self, slot: VirtualSlot, node: Node, passed: NodeState | None) -> None:
+    def _run_node(self, slot: VirtualSlot, node: Node, passed: NodeSnapshot | None) -> None:
         slot.node, slot.turn_us = node, None
         slot.admitted = slot.admitted or passed is None
         node.wake = lambda: self._arm(slot, self.time.now_us + self.terms.tick_us)
@@ -480,8 +480,8 @@
             client=None,  # type: ignore[arg-type]  # the visit takes this place at once
             key=client.key,
             group=client.group,
-            repeat=client.failures > 0,
-            returning=client.returning,
+            is_retry=client.failures > 0,
+            is_returning=client.returning,
             resumed_at=resumed_at.name if resumed_at is not None else None,
         )
         visit = Visit(self, slot, client, session)
@@ -596,13 +596,13 @@
         self.note("replace", node=slot.index)
         old = slot.node
 
-        def passed(state: NodeState) -> None:
+        def passed(state: NodeSnapshot) -> None:
             if slot.node is old:
                 self._succeed(slot, state)
 
         old.snapshot_state(passed)
 
-    def _succeed(self, slot: VirtualSlot, state: NodeState) -> None:
+    def _succeed(self, slot: VirtualSlot, state: NodeSnapshot) -> None:
         old = slot.node
         assert old is not None
         before = VirtualSlot(slot.index, slot.zone)
@@ -612,20 +612,25 @@
         for visit in before.visits.values():
             visit.slot = before
         self.predecessors.append(before)
-        old.discovery, old.neighbours = NodeDiscovery(self, before), Datagrams(self, before)
+        old.discovery, old.peer_transport = NodeDiscovery(self, before), Datagrams(self, before)
         old.wake = lambda: self._arm(before, self.time.now_us + self.terms.tick_us)
         self._start(slot, state)
-        old.set_successor(lambda transfer: None)  # sessions go by `hand_over`
+        old.set_successor(lambda transfer: None)  # sessions go by `transfer`
         self._arm(before, self.time.now_us + self.terms.tick_us)
         self.time.after(self.luck.below(6 * SECOND), old.begin_shutdown)
         self._tell_held(before)
 
-    def hand_over(self, visit: Visit) -> None:
+    def transfer(self, visit: Visit) -> None:
         """A standing session goes to the successor as it is."""
         before, slot, session = visit.slot, visit.slot.successor, visit.session
         if slot is None or slot.node is None or before.node is None or visit.placement is None:
             return
-        visit.session = replace(session, placement=None, stands=False, unanswered=deque(session.unanswered))
+        visit.session = replace(
+            session,
+            placement=None,
+            is_established=False,
+            unanswered_since_us=deque(session.unanswered_since_us),
+        )
         visit.slot = slot
         slot.visits[session.id] = before.visits.pop(session.id)
         before.node.attempt_ended(session, visit.placement, AttemptOutcome.CANCELLED)
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -30,7 +30,7 @@
 from sailrun.leadership.shared import SharedDiscovery
 from sailrun.membership.messages import Record, State
 from sailrun.node.clock import log
-from sailrun.node.leaving import Reason
+from sailrun.node.shutdown import ShutdownReason
 from sailrun.replication.service import CopiesPart
 from sailrun.storage.folder import Sound, new_identity
 
@@ -231,7 +231,7 @@
 
     def _follow_drain(self, now_us: int, shards: ShardsPart) -> None:
         """A node that is drained hands its shards over too, in its turn, and has some again afterwards."""
-        drains = Reason.DRAIN in self._node.leaving
+        drains = ShutdownReason.DRAIN in self._node.shutdown
         if drains is not self._drains:
             self._drains = drains
             shards.plan_to_leave(now_us, drains)
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -60,17 +60,17 @@
 from sailrun.decisions.settings import Settings
 from sailrun.load_gossip.rounds import Outgoing, Rounds
 from sailrun.node.clock import Clock, log
-from sailrun.node.counts import Counts, Figures
-from sailrun.node.leaving import Leaving, Reason
-from sailrun.node.peer_beliefs import Beliefs, PeerBeliefs
-from sailrun.node.ports import Neighbours, Prober, ServiceDiscovery
-from sailrun.node.rebalancing import GuardedRebalancer
-from sailrun.node.reply import Reply
+from sailrun.node.counters import Counters, MetricsSnapshot
+from sailrun.node.failure_detector import ServerWatch
+from sailrun.node.fleet_load import FleetLoadExchange
+from sailrun.node.outlier_gossip import OutlierGossip, OutlierReport
+from sailrun.node.ports import HealthChecker, PeerTransport, ServiceDiscovery
+from sailrun.node.queries import Reply
+from sailrun.node.rebalancer_port import RebalancerPort
+from sailrun.node.restart_state import NodeSnapshot, ProcessLoad
 from sailrun.node.session import FormServer, FormSession, Placement, ServerListUpdate, server_number
 from sailrun.node.session_transfer import SendTransfer
-from sailrun.node.succession_state import HeldSessions, NodeState
-from sailrun.node.tier import Tier
-from sailrun.node.watch import ServerWatch
+from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
 
 if TYPE_CHECKING:
     from sailrun.rebalance.balance import Rebalancer
@@ -92,7 +92,7 @@
         clock: Clock,
         known: ServerListUpdate,
         log: Callable[..., None] = log,
-        passed: NodeState | None = None,
+        passed: NodeSnapshot | None = None,
     ) -> None:
         """`passed`: what a predecessor has told this process, which succeeds it."""
         self.clock = clock
@@ -100,21 +100,21 @@
         self._log = log
         self.settings = settings
         self.discovery: ServiceDiscovery | None = None
-        self.neighbours: Neighbours | None = None
-        self.prober: Prober | None = None
-        self.rebalancing = GuardedRebalancer(log)
-        self.counts = Counts(c.name for c in settings.classes)
+        self.peer_transport: PeerTransport | None = None
+        self.health_checker: HealthChecker | None = None
+        self.rebalancer_port = RebalancerPort(log)
+        self.counters = Counters(c.name for c in settings.classes)
         # Everybody is being sent away: to stop, for a drain, or to a successor.
-        self.leaving = Leaving(max(c.deadline_us for c in settings.classes))
+        self.shutdown = ShutdownPlans(max(c.deadline_us for c in settings.classes))
         self._out_by_hand: set[str] = set()  # form servers that staff took out, by name
         self._now = clock.now_us()
         self._module = Balancer(settings, seed, self._now)
-        self._peer_beliefs = PeerBeliefs(self._module, log)
+        self._peer_beliefs = OutlierGossip(self._module, log)
         rounds = None
         if settings.peer_messages and settings.instances > 1:
             rounds = Rounds(settings.index, settings.instances, seed, self._now)
         # What the tier holds together, where its nodes may talk.
-        self._tier = Tier(rounds, self._now)
+        self._tier = FleetLoadExchange(rounds, self._now)
         self._calls: deque[Callable[[], None]] = deque()
         self._sessions: dict[str, FormSession] = {}
         self._form_servers: dict[int, FormServer] = {}
@@ -179,7 +179,7 @@
 
     def line_forwarded(self, session: FormSession) -> None:
         """A client's line went to its form server."""
-        session.unanswered.append(self.clock.now_us())
+        session.unanswered_since_us.append(self.clock.now_us())
         if session.placement is not None:
             number = session.placement.form_server.number
             self._talking[number] = self._watches.setdefault(number, ServerWatch())
@@ -193,10 +193,10 @@
 
     def line_answered(self, session: FormSession) -> None:
         """The form server returned a client's line."""
-        if not session.unanswered or session.placement is None:
+        if not session.unanswered_since_us or session.placement is None:
             return
         now_us = self.clock.now_us()
-        took_us = now_us - session.unanswered.popleft()
+        took_us = now_us - session.unanswered_since_us.popleft()
         watch = self._watches.get(session.placement.form_server.number)
         if watch is not None:
             watch.answered(now_us, took_us)
@@ -223,16 +223,16 @@
 
     def begin_shutdown(self) -> None:
         """A planned restart begins: keep answering, spread the moves, be gone before the kill."""
-        self._post(self._leave, Reason.RESTART)
+        self._post(self._leave, ShutdownReason.RESTART)
 
     # What staff ask, each answered by a call of `reply` in the core's next turn.
 
-    def read_metrics(self, reply: Reply[Figures]) -> None:
+    def read_metrics(self, reply: Reply[MetricsSnapshot]) -> None:
         self._post(lambda: reply(self._figures()))
 
     def check_ready(self, reply: Reply[bool]) -> None:
         """Whether this node takes clients, and not only answers them."""
-        self._post(lambda: reply(not self.leaving and bool(self._form_servers)))
+        self._post(lambda: reply(not self.shutdown and bool(self._form_servers)))
 
     def set_operator_override(self, name: str, out: bool, reply: Reply[bool]) -> None:
         """Takes a form server out, or puts it back; False where none of that name is listed or out."""
@@ -248,7 +248,7 @@
     @property
     def is_accepting(self) -> bool:
         """Whether whoever spreads the clients over the nodes should count on this one."""
-        return Reason.DRAIN not in self.leaving
+        return ShutdownReason.DRAIN not in self.shutdown
 
     def set_draining(self, on: bool, reply: Reply[bool]) -> None:
         """Sends all clients away, and takes none until it is over."""
@@ -256,12 +256,12 @@
 
     def set_move_rate_share(self, share: float, reply: Reply[bool]) -> None:
         """This node's part of the fleet's pace of moves, 0 to 1; answers whether it moves any clients."""
-        self._post(lambda: reply(self.rebalancing.lend(share)))
+        self._post(lambda: reply(self.rebalancer_port.set_rate_share(share)))
 
     # What nodes of a fleet tell each other.
 
-    def report_outliers(self, reply: Reply[Beliefs]) -> None:
-        self._post(lambda: reply(self._peer_beliefs.own(self._now, self._form_servers)))
+    def report_outliers(self, reply: Reply[OutlierReport]) -> None:
+        self._post(lambda: reply(self._peer_beliefs.local_report(self._now, self._form_servers)))
 
     def receive_peer_outliers(self, out: dict[str, int], setup_us: int) -> None:
         """Form servers by name that others keep away from, with for how much longer (us)."""
@@ -269,10 +269,10 @@
 
     # What passes between two processes that are one node.
 
-    def snapshot_state(self, reply: Reply[NodeState]) -> None:
+    def snapshot_state(self, reply: Reply[NodeSnapshot]) -> None:
         self._post(lambda: reply(self._state()))
 
-    def report_held_load(self, reply: Reply[HeldSessions]) -> None:
+    def report_held_load(self, reply: Reply[ProcessLoad]) -> None:
         self._post(lambda: reply(self._held()))
 
     def set_successor(self, send: SendTransfer | None) -> None:
@@ -285,7 +285,7 @@
         """A session that stood with the predecessor stands here now."""
         self._post(self._adopted, session, placement)
 
-    def update_predecessor_load(self, held: HeldSessions | None) -> None:
+    def update_predecessor_load(self, held: ProcessLoad | None) -> None:
         """None: it has ended."""
         self._post(self._predecessor_holds, held)
 
@@ -316,11 +316,11 @@
     def start(self) -> None:
         self._server_list_updated(self._known)
         if self._passed is not None:
-            for name in sorted(self._passed.out_by_hand):
+            for name in sorted(self._passed.excluded):
                 self._hand(name, True)
-            if self._passed.learned is not None:
-                self._feed(self._passed.learned)
-            if self._passed.draining:
+            if self._passed.decisions is not None:
+                self._feed(self._passed.decisions)
+            if self._passed.is_draining:
                 self._drain(True)
 
     def due_us(self) -> int:
@@ -352,7 +352,7 @@
             # A fault of the decisions must not take every other client down with the node.
             self._log("fault", event=type(event).__name__, trace=traceback.format_exc())
             session = self._sessions.get(getattr(event, "request", ""))
-            if session is not None and not session.stands:
+            if session is not None and not session.is_established:
                 self._end(session)
                 self._fail(session)
             return
@@ -369,18 +369,18 @@
                 self._send_to(action)
             case RejectRequest():
                 if (session := self._answerable(action.request)) is not None:
-                    session.withheld = action.reason
+                    session.denial_reason = action.reason
                     self._refuse(session, action.retry_after_us)
-                    self.rebalancing(lambda rebalancer: rebalancer.refused(self._now))
+                    self.rebalancer_port(lambda rebalancer: rebalancer.refused(self._now))
             case FailRequest():
                 if (session := self._answerable(action.request)) is not None:
-                    session.withheld = action.reason
+                    session.denial_reason = action.reason
                     self._fail(session)
             case MoveConnection():
                 self._move(action.request, action.reason)
             case CancelAttempt():
-                if (session := self._sessions.get(action.request)) is not None and not session.stands:
-                    session.client.withdraw(action.attempt)
+                if (session := self._sessions.get(action.request)) is not None and not session.is_established:
+                    session.client.cancel_attempt(action.attempt)
             case SetTimer():
                 heapq.heappush(self._timers, (self._now + action.delay_us, action.token))
             case Subscribe():
@@ -390,12 +390,12 @@
                 if self.discovery is not None:
                     self.discovery.fetch()
             case SendToPeer():
-                if self.neighbours is not None:
-                    self.neighbours.tell(action.peer, action.content)
+                if self.peer_transport is not None:
+                    self.peer_transport.send(action.peer, action.content)
             case ProbeBackend():
                 form_server = self._form_servers.get(action.backend)
-                if self.prober is not None and form_server is not None:
-                    self.prober.probe(form_server, self._now + self.settings.connect_timeout_us)
+                if self.health_checker is not None and form_server is not None:
+                    self.health_checker.probe(form_server, self._now + self.settings.connect_timeout_us)
             case CloseIdle():
                 pass  # no connection here is ever idle: each belongs to one form session
             case SlowStartChanged():
@@ -407,7 +407,7 @@
     def _send_to(self, action: StartAttempt) -> None:
         session = self._sessions.get(action.request)
         form_server = self._form_servers.get(action.backend)
-        if session is None or session.over:
+        if session is None or session.is_answered:
             return
         if form_server is None:
             gone = FormServer("unlisted", ("", 0), BackendState.GONE)
@@ -436,35 +436,35 @@
     ) -> None:
         session.placement = Placement(form_server, session.attempts, until_us, begin_by_us)
         session.attempts += 1
-        session.client.place(session.placement)
+        session.client.start_attempt(session.placement)
 
     def _move(self, name: str, cause: MoveReason) -> None:
         session = self._sessions.get(name)
-        if session is not None and session.stands and session.moved_for is None:
+        if session is not None and session.is_established and session.move_reason is None:
             self._send_off(session, cause)
 
     def _send_off(self, session: FormSession, cause: MoveReason) -> None:
-        session.moved_for = cause
-        self.counts.moves[cause] += 1
+        session.move_reason = cause
+        self.counters.moves[cause] += 1
         session.client.move()
 
     def _answerable(self, name: str) -> FormSession | None:
         session = self._sessions.get(name)
-        if session is None or session.over:
+        if session is None or session.is_answered:
             return None
         self._end(session)
         return session
 
     def _end(self, session: FormSession) -> None:
-        session.over = True
+        session.is_answered = True
         self._sessions.pop(session.id, None)
 
     def _refuse(self, session: FormSession, retry_after_us: int) -> None:
-        self.counts.classes[session.request_class].busy += 1
-        session.client.refuse(retry_after_us)
+        self.counters.classes[session.request_class].busy += 1
+        session.client.reject(retry_after_us)
 
     def _fail(self, session: FormSession) -> None:
-        self.counts.classes[session.request_class].failure += 1
+        self.counters.classes[session.request_class].failure += 1
         session.client.fail()
 
     # ------------------------------------------------------------------ what has happened
@@ -472,7 +472,7 @@
     def _asked(self, session: FormSession) -> None:
         self._sessions[session.id] = session
         if session.resumed_at is None:
-            self.rebalancing(lambda rebalancer: rebalancer.arrived(self._now, session.returning))
+            self.rebalancer_port(lambda rebalancer: rebalancer.arrived(self._now, session.is_returning))
         if session.resumed_at is not None:
             named = self._form_servers.get(server_number(session.resumed_at))
             if named is not None and named.name == session.resumed_at:
@@ -490,18 +490,18 @@
                 session.group,
                 session.tenant,
                 session.load_hint,
-                session.repeat,
-                returning=session.returning,
+                session.is_retry,
+                returning=session.is_returning,
             )
         )
 
     def _placed(self, session: FormSession, placement: Placement, took_us: int) -> None:
         number = placement.form_server.number
-        session.stands = session.over = True
-        self.counts.classes[session.request_class].success += 1
+        session.is_established = session.is_answered = True
+        self.counters.classes[session.request_class].success += 1
         watch = self._watches.setdefault(number, ServerWatch())
         watch.sessions[session.id] = session
-        if session.unanswered:
+        if session.unanswered_since_us:
             self._talking[number] = watch
         if session.resumed_at is not None:
             self._resume(session, number)
@@ -509,27 +509,27 @@
             self._feed(ConnectionOpened(session.id, placement.attempt, number, took_us))
         self._hand_over(session)
         resumed = session.resumed_at is not None
-        returned, took = session.returning and not resumed, None if resumed else took_us
-        self.rebalancing(lambda rebalancer: self._stands_for(rebalancer, session, number, returned, took))
+        returned, took = session.is_returning and not resumed, None if resumed else took_us
+        self.rebalancer_port(lambda rebalancer: self._stands_for(rebalancer, session, number, returned, took))
 
     def _written(self) -> None:
-        self.counts.backend_calls += 1
+        self.counters.backend_calls += 1
 
     def _attempt_over(self, session: FormSession, placement: Placement, outcome: AttemptOutcome) -> None:
         if session.placement is not placement:
             return  # already taken for over, as where its form server fell silent
         number = placement.form_server.number
-        stood = session.stands
+        stood = session.is_established
         if stood:
             self._watches[number].sessions.pop(session.id, None)
-            session.stands = False
-            self.rebalancing(lambda rebalancer: rebalancer.ended(self._now, session.id, outcome))
+            session.is_established = False
+            self.rebalancer_port(lambda rebalancer: rebalancer.ended(self._now, session.id, outcome))
         elif outcome is AttemptOutcome.REJECTED:
-            self.rebalancing(lambda rebalancer: rebalancer.turned_away(self._now, number))
+            self.rebalancer_port(lambda rebalancer: rebalancer.turned_away(self._now, number))
         session.placement = None
         if outcome not in (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT):
             session.may_have_run = True
-        over = session.over or outcome is AttemptOutcome.OK
+        over = session.is_answered or outcome is AttemptOutcome.OK
         if not over:
             self._log(
                 "attempt-failed",
@@ -538,8 +538,8 @@
                 attempt=placement.attempt,
                 outcome=outcome.value,
             )
-        if outcome is AttemptOutcome.OK and not session.over:  # served to its end in one answer
-            self.counts.classes[session.request_class].success += 1
+        if outcome is AttemptOutcome.OK and not session.is_answered:  # served to its end in one answer
+            self.counters.classes[session.request_class].success += 1
         if over:
             self._end(session)
         elif session.resumed_at is not None:
@@ -550,20 +550,20 @@
             self._feed(AttemptEnded(session.id, placement.attempt, number, outcome, over))
 
     def _left(self, session: FormSession) -> None:
-        if session.over:
+        if session.is_answered:
             return
         self._end(session)
         if session.resumed_at is None:
             self._feed(ClientLeft(session.id))
 
     def _told_load(self, session: FormSession, load: float) -> None:
-        if session.placement is not None and session.stands:
+        if session.placement is not None and session.is_established:
             number = session.placement.form_server.number
             self._feed(AttemptNotice(session.id, session.placement.attempt, number, NoticeKind.LOAD, load))
-            self.rebalancing(lambda rebalancer: rebalancer.loaded(session.id, load))
+            self.rebalancer_port(lambda rebalancer: rebalancer.loaded(session.id, load))
 
     def _told_delay(self, session: FormSession, value_ms: float) -> None:
-        if session.placement is None or not session.stands:
+        if session.placement is None or not session.is_established:
             return
         number, attempt = session.placement.form_server.number, session.placement.attempt
         watch = self._watches[number]
@@ -589,7 +589,7 @@
             self._form_servers[form_server.number] = form_server
         entries = tuple(s.as_backend() for s in update.form_servers)
         takes = tuple(self._as_it_takes(s) for s in update.form_servers)
-        self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, update.kind, takes))
+        self.rebalancer_port(lambda rebalancer: rebalancer.listed(self._now, update.kind, takes))
         self._feed(BackendListUpdate(update.kind, update.revision, entries))
 
     def _as_it_takes(self, form_server: FormServer) -> Backend:
@@ -599,13 +599,13 @@
 
     def _discovery_failed(self, why: str) -> None:
         self._log("roster-failed", why=why)
-        self.rebalancing(lambda rebalancer: rebalancer.discovery_lost(self._now))
+        self.rebalancer_port(lambda rebalancer: rebalancer.discovery_lost(self._now))
         self._feed(BackendListUpdate(ListKind.FAILED))
 
     @property
     def _tells(self) -> bool:
         """Whether it is this process that speaks for the node: of two, the successor."""
-        return Reason.SUCCEEDED not in self.leaving
+        return ShutdownReason.SUCCEEDED not in self.shutdown
 
     def _own_holding(self) -> LocalLoad:
         return self._module.local_load()
@@ -613,8 +613,8 @@
     def _tier_says(self, outgoing: list[Outgoing]) -> None:
         """Sends what the rounds have to send, and tells the module what is known of the others by now."""
         for neighbour, content in outgoing:
-            if self.neighbours is not None:
-                self.neighbours.tell(neighbour, content)
+            if self.peer_transport is not None:
+                self.peer_transport.send(neighbour, content)
         if self._tier.news:
             self._feed(self._tier.others_hold(self._now))
 
@@ -623,7 +623,7 @@
         if outgoing is not None:
             self._tier_says(outgoing)
             return
-        self.rebalancing(lambda rebalancer: rebalancer.heard(self._now, neighbour, content))
+        self.rebalancer_port(lambda rebalancer: rebalancer.heard(self._now, neighbour, content))
         self._feed(PeerMessage(neighbour, content))
 
     # ------------------------------------------------------------------ by the clock
@@ -648,11 +648,11 @@
                 self._feed(AttemptNotice(told.id, attempt, number, NoticeKind.DELAY, value))
             if watch.at_rest():
                 del self._talking[number]
-        self.rebalancing(self._rebalance)
+        self.rebalancer_port(self._rebalance)
         if self._now >= self._pulse_us:
             self._pulse_us = self._now + PULSE_US
             self._pulse()
-        if self.leaving:
+        if self.shutdown:
             self._send_away()
 
     def _log_slow(self, number: int, slow: bool, value_ms: float) -> None:
@@ -660,8 +660,8 @@
 
     def _rebalance_with(self, rebalancer: Rebalancer | None) -> None:
         """A new one is told what stands. Whom an old one has moved it can't know: all may be among them."""
-        old, self.rebalancing.rebalancer = self.rebalancing.rebalancer, rebalancer
-        self.rebalancing(lambda one: self._tell_what_stands(one, old))
+        old, self.rebalancer_port.rebalancer = self.rebalancer_port.rebalancer, rebalancer
+        self.rebalancer_port(lambda one: self._tell_what_stands(one, old))
 
     def _tell_what_stands(self, rebalancer: Rebalancer, old: Rebalancer | None) -> None:
         entries = tuple(map(self._as_it_takes, self._form_servers.values()))
@@ -672,7 +672,7 @@
                 known = old.connections.standing.get(session.id) if old is not None else None
                 if known is not None and known.load is not None:
                     rebalancer.loaded(session.id, known.load)
-        if self.leaving:
+        if self.shutdown:
             rebalancer.leave()
 
     def _stands_for(
@@ -696,8 +696,8 @@
             self._log("rebalance", **note)
         for name in orders.moves:
             self._move(name, MoveReason.REBALANCING)
-        if orders.tell is not None and self.neighbours is not None:
-            self.neighbours.tell(None, orders.tell)
+        if orders.tell is not None and self.peer_transport is not None:
+            self.peer_transport.send(None, orders.tell)
 
     def _pulse(self) -> None:
         """What on-call staff look at first: how many sessions stand where, and what a message takes there."""
@@ -707,9 +707,9 @@
                 delay_us = watch.delay_us(self._now)
                 took = f"{delay_us / 1000:.1f}ms" if delay_us is not None else "-"
                 shown.append(f"{self._name(number)}:{len(watch.sessions)}/{took}")
-        waiting = sum(1 for s in self._sessions.values() if not s.over)
+        waiting = sum(1 for s in self._sessions.values() if not s.is_answered)
         fleet = self._tier.pulse()
-        moved = ",".join(f"{cause.value}:{count}" for cause, count in self.counts.moves.items())
+        moved = ",".join(f"{cause.value}:{count}" for cause, count in self.counters.moves.items())
         self._log(
             "pulse", waiting=waiting, standing=",".join(shown) or "none", moved=moved or None, fleet=fleet
         )
@@ -720,17 +720,17 @@
 
     # ------------------------------------------------------------------ staff's calls, and leaving
 
-    def _figures(self) -> Figures:
+    def _figures(self) -> MetricsSnapshot:
         listed = [n for n, s in self._form_servers.items() if s.state is not BackendState.GONE]
-        return self.counts.figures(
+        return self.counters.figures(
             len(self._sessions), len(listed), len(self._module.avoided_backends(self._now))
         )
 
     def _reloaded(self, taken: bool) -> None:
         if taken:
-            self.counts.reconfig_ok += 1
+            self.counters.reconfig_ok += 1
         else:
-            self.counts.reconfig_failed += 1
+            self.counters.reconfig_failed += 1
 
     def _by_hand(self, name: str, out: bool) -> bool:
         return self._lists(name) and self._hand(name, out)
@@ -747,53 +747,53 @@
             self.on_operator_command("hand", [name, out])
             if (known := self._form_servers.get(server_number(name))) is not None:
                 entries = (self._as_it_takes(known),)
-                self.rebalancing(lambda rebalancer: rebalancer.listed(self._now, ListKind.DELTA, entries))
+                self.rebalancer_port(lambda rebalancer: rebalancer.listed(self._now, ListKind.DELTA, entries))
         return True
 
     def _hear_beliefs(self, out: dict[str, int], setup_us: int) -> None:
         sound = [n for n, watch in self._watches.items() if self._now - watch.heard_us < 10 * SECOND]
-        event = self._peer_beliefs.told(
+        event = self._peer_beliefs.merge_reports(
             self._now, {server_number(n): left for n, left in out.items()}, sound, setup_us
         )
         if event is not None:
             self._feed(event)
 
     def _drain(self, on: bool) -> bool:
-        if on is not (Reason.DRAIN in self.leaving):
+        if on is not (ShutdownReason.DRAIN in self.shutdown):
             self.on_operator_command("drain", on)
         if on:
-            self._leave(Reason.DRAIN)
-        elif self.leaving.withdraw(Reason.DRAIN):
+            self._leave(ShutdownReason.DRAIN)
+        elif self.shutdown.cancel(ShutdownReason.DRAIN):
             self._log("drain-over", sessions=len(self._standing()))
-            if not self.leaving:
-                self.rebalancing(lambda rebalancer: rebalancer.leave(False))
+            if not self.shutdown:
+                self.rebalancer_port(lambda rebalancer: rebalancer.leave(False))
         return True
 
-    def _state(self) -> NodeState:
+    def _state(self) -> NodeSnapshot:
         listed = tuple(s for s in self._form_servers.values() if s.state is not BackendState.GONE)
         server_list = ServerListUpdate(ListKind.CACHED, self._revision, listed)
-        draining = Reason.DRAIN in self.leaving
+        draining = ShutdownReason.DRAIN in self.shutdown
         learned = recollection.learned(self._module)
         # From now on the successor may send there as well, and neither sees what the other does.
         self._module.forfeit_slow_start_allowance(self._now)
-        return NodeState(server_list, frozenset(self._out_by_hand), draining, learned)
+        return NodeSnapshot(server_list, frozenset(self._out_by_hand), draining, learned)
 
-    def _held(self) -> HeldSessions:
+    def _held(self) -> ProcessLoad:
         holding = self._module.local_load()
-        return HeldSessions(holding.loads, holding.connections, holding.loads_reported)
+        return ProcessLoad(holding.loads, holding.connections, holding.loads_reported)
 
     def _adopted(self, session: FormSession, placement: Placement) -> None:
         number = placement.form_server.number
         self._sessions[session.id] = session
         session.placement, session.attempts = placement, placement.attempt + 1
-        session.stands = session.over = session.may_have_run = True
+        session.is_established = session.is_answered = session.may_have_run = True
         watch = self._watches.setdefault(number, ServerWatch())
         watch.sessions[session.id] = session
         watch.heard_us = self._now
-        if session.unanswered:
+        if session.unanswered_since_us:
             self._talking[number] = watch
         self._resume(session, number)
-        self.rebalancing(lambda rebalancer: self._stands_for(rebalancer, session, number, True, None))
+        self.rebalancer_port(lambda rebalancer: self._stands_for(rebalancer, session, number, True, None))
         known = self._form_servers.get(number)
         if known is None or self._as_it_takes(known).state is not BackendState.READY:
             self._move(session.id, MoveReason.DRAINING)
@@ -817,25 +817,25 @@
         """
         if (
             self._send_transfer is None
-            or session.moved_for
-            or Reason.DRAIN in self.leaving
+            or session.move_reason
+            or ShutdownReason.DRAIN in self.shutdown
             or session.placement is None
         ):
             return
         known = self._form_servers.get(session.placement.form_server.number)
         if known is not None and self._as_it_takes(known).state is BackendState.READY:
-            session.client.hand_over(self._send_transfer)
+            session.client.transfer(self._send_transfer)
 
     def _succeeded(self, send: SendTransfer | None) -> None:
         self._send_transfer = send
         if send is not None:
-            self._leave(Reason.SUCCEEDED)
+            self._leave(ShutdownReason.SUCCEEDED)
             for session in self._standing():
                 self._hand_over(session)
-        elif self.leaving.withdraw(Reason.SUCCEEDED):
+        elif self.shutdown.cancel(ShutdownReason.SUCCEEDED):
             self._log("successor-lost", sessions=len(self._standing()))
 
-    def _predecessor_holds(self, held: HeldSessions | None) -> None:
+    def _predecessor_holds(self, held: ProcessLoad | None) -> None:
         self._tier.predecessor = held
         self._feed(self._tier.others_hold(self._now))
 
@@ -846,28 +846,28 @@
             case "drain", bool(on):
                 self._drain(on)
 
-    def _leave(self, reason: Reason) -> None:
-        if self.leaving.begin(reason, self._now):
-            self.rebalancing(lambda rebalancer: rebalancer.leave())
+    def _leave(self, reason: ShutdownReason) -> None:
+        if self.shutdown.begin(reason, self._now):
+            self.rebalancer_port(lambda rebalancer: rebalancer.leave())
             self._log("leaving", reason=reason.value, sessions=len(self._standing()))
 
     def _standing(self) -> list[FormSession]:
-        return [s for w in self._watches.values() for s in w.sessions.values() if s.moved_for is None]
+        return [s for w in self._watches.values() for s in w.sessions.values() if s.move_reason is None]
 
     def _send_away(self) -> None:
         """The moves are spread, so that the clients do not all knock at the neighbours at once."""
         standing = self._standing()
-        for session in standing[: self.leaving.to_move(self._now, len(standing), SWEEP_US)]:
+        for session in standing[: self.shutdown.count_moves(self._now, len(standing), SWEEP_US)]:
             self._send_off(session, MoveReason.SHUTDOWN)
-        waiting = [s for s in self._sessions.values() if not s.over]
-        if self.leaving.gives_up(self._now):
+        waiting = [s for s in self._sessions.values() if not s.is_answered]
+        if self.shutdown.must_answer_pending(self._now):
             for session in waiting:
                 self._end(session)
                 self._feed(ClientLeft(session.id))
-                session.withheld = DenialReason.SHUTDOWN
+                session.denial_reason = DenialReason.SHUTDOWN
                 if session.may_have_run or session.placement is not None:
                     self._fail(session)
                 else:
                     self._refuse(session, 0)
         held = sum(len(w.sessions) for w in self._watches.values())
-        self.stopped = self.leaving.over(self._now, held, len(waiting))
+        self.stopped = self.shutdown.may_exit(self._now, held, len(waiting))
--- a/sailrun/node/counts.py
+++ b/sailrun/node/counters.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Counted:
+class ClassCounters:
     """The final answers to one class's requests: connections brought up, refused, failed."""
 
     success: int = 0
@@ -19,10 +19,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class MetricsSnapshot:
     """The figures at one moment; counts are since this process started."""
 
-    classes: dict[str, Counted]
+    classes: dict[str, ClassCounters]
     backend_calls: int  # attempts written whole to form servers
     inflight: int  # connections taken and not yet ended
     hosts_listed: int
@@ -31,14 +31,14 @@
     reconfig_failed: int
 
 
-class Counts:
+class Counters:
     def __init__(self, classes: Iterable[str]) -> None:
-        self.classes = {name: Counted() for name in classes}
+        self.classes = {name: ClassCounters() for name in classes}
         self.moves = Counter[MoveReason]()  # clients sent to another node, by what for
         self.backend_calls = self.reconfig_ok = self.reconfig_failed = 0
 
-    def figures(self, inflight: int, hosts_listed: int, hosts_down: int) -> Figures:
-        return Figures(
+    def figures(self, inflight: int, hosts_listed: int, hosts_down: int) -> MetricsSnapshot:
+        return MetricsSnapshot(
             self.classes,
             self.backend_calls,
             inflight,
--- a/sailrun/node/watch.py
+++ b/sailrun/node/failure_detector.py
@@ -41,7 +41,7 @@
             self._took.popleft()
         timed = sorted(took for _, took in self._took)
         middle = timed[len(timed) // 2] if timed else 0
-        waiting = [now_us - s.unanswered[0] for s in self.sessions.values() if s.unanswered]
+        waiting = [now_us - s.unanswered_since_us[0] for s in self.sessions.values() if s.unanswered_since_us]
         timed = sorted([*timed, *(w for w in waiting if w > middle)])
         return timed[len(timed) // 2] if timed else None
 
@@ -68,14 +68,18 @@
 
     def at_rest(self) -> bool:
         """Whether there is nothing to look at until a client speaks again."""
-        return not (self.slow or self._took or any(s.unanswered for s in self.sessions.values()))
+        return not (self.slow or self._took or any(s.unanswered_since_us for s in self.sessions.values()))
 
     def silent(self, now_us: int) -> Iterable[FormSession]:
         """The form sessions here that hear nothing any more."""
-        oldest = {s: s.unanswered[0] for s in self.sessions.values() if s.unanswered and s.moved_for is None}
+        oldest = {
+            s: s.unanswered_since_us[0]
+            for s in self.sessions.values()
+            if s.unanswered_since_us and s.move_reason is None
+        }
         unheard = [sent for sent in oldest.values() if sent > self.heard_us]
         if unheard:
             waited = sorted((now_us - sent for sent in unheard), reverse=True)
             if waited[0] >= SILENT_US or (len(waited) >= MANY and waited[MANY - 1] >= SILENT_MANY_US):
-                return [s for s in self.sessions.values() if s.moved_for is None]
+                return [s for s in self.sessions.values() if s.move_reason is None]
         return [s for s, sent in oldest.items() if now_us - sent >= DEAF_US]
--- a/sailrun/node/tier.py
+++ b/sailrun/node/fleet_load.py
@@ -11,14 +11,14 @@
 from sailrun.load_gossip.digest import VERSION
 from sailrun.load_gossip.known import Others
 from sailrun.load_gossip.rounds import AGE_US, Outgoing, Rounds
-from sailrun.node.succession_state import HeldSessions
+from sailrun.node.restart_state import ProcessLoad
 
 FLEET = bytes((VERSION,))
 # What is known of the others is told anew as it ages; should that fail to come, it ends.
 OTHERS_US = 4 * AGE_US
 
 
-class Tier:
+class FleetLoadExchange:
     def __init__(self, rounds: Rounds | None, now_us: int) -> None:
         """`rounds`: None where the nodes may not talk."""
         self._rounds = rounds
@@ -26,7 +26,7 @@
         self._others: Others | None = None  # what the other nodes hold, for as long as that is known
         self._others_until_us = now_us
         self.news = False  # whether the last call brought a new sum
-        self.predecessor: HeldSessions | None = None  # what the process before this one still holds
+        self.predecessor: ProcessLoad | None = None  # what the process before this one still holds
 
     def due_us(self) -> int | None:
         return self._rounds.due_us() if self._rounds is not None else None
@@ -55,7 +55,7 @@
     def holding(self, own: LocalLoad) -> LocalLoad:
         """What the node holds, a predecessor's part included."""
         before = self.predecessor
-        if before is None or before.told is not own.loads_reported:
+        if before is None or before.loads_reported is not own.loads_reported:
             return own
         loads = {number: load + before.loads.get(number, 0.0) for number, load in own.loads.items()}
         return replace(own, loads=loads, connections=own.connections + before.connections)
@@ -64,12 +64,12 @@
         """What others hold: the other nodes, and the process before this one."""
         others, before = self._others, self.predecessor
         if others is None or now_us >= self._others_until_us:
-            others = Others({}, 0, before is not None and before.told, 1, frozenset())
+            others = Others({}, 0, before is not None and before.loads_reported, 1, frozenset())
         loads, connections = others.loads, others.connections
-        if before is not None and (before.told is others.told or not connections):
+        if before is not None and (before.loads_reported is others.told or not connections):
             loads = {n: loads.get(n, 0.0) + before.loads.get(n, 0.0) for n in {*loads, *before.loads}}
             connections += before.connections
-        told = others.told if others.connections or before is None else before.told
+        told = others.told if others.connections or before is None else before.loads_reported
         return FleetLoad(loads, connections, told, others.nodes, others.warned, others.until_us)
 
     def pulse(self) -> str | None:
--- a/sailrun/node/peer_beliefs.py
+++ b/sailrun/node/outlier_gossip.py
@@ -22,23 +22,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beliefs:
+class OutlierReport:
     """What a node believes itself: form servers that it keeps away from, with how much longer (us), and what
     a set-up usually takes (us); 0: it does not know.
     """
 
-    out: dict[str, int]
-    setup_us: int
+    ejected_for_us: dict[str, int]
+    mean_setup_us: int
 
 
-class PeerBeliefs:
+class OutlierGossip:
     """This node's part: what it tells of itself, and what it takes from others."""
 
     def __init__(self, module: Balancer, log: Callable[..., None]) -> None:
         self._module, self._log = module, log
         self._until_us: dict[int, int] = {}  # by form server, how long hearsay kept it away
 
-    def own(self, now_us: int, form_servers: dict[int, FormServer]) -> Beliefs:
+    def local_report(self, now_us: int, form_servers: dict[int, FormServer]) -> OutlierReport:
         """What this node found out itself; what it heard of peers is not passed on, or it would come back."""
         learned = recollection.learned(self._module)
         out = {
@@ -49,9 +49,9 @@
             and one.ejected_until_us > self._until_us.get(one.id, 0)
         }
         rate = learned.setup_rate
-        return Beliefs(out, int(rate.mean_setup_us) if rate is not None and rate.recent_attempts else 0)
+        return OutlierReport(out, int(rate.mean_setup_us) if rate is not None and rate.recent_attempts else 0)
 
-    def told(
+    def merge_reports(
         self, now_us: int, out: dict[int, int], sound: Collection[int], setup_us: int
     ) -> StateSnapshot | None:
         """`out`: form servers by number, with how much longer enough others keep away from them. `sound`:
--- a/sailrun/node/ports.py
+++ b/sailrun/node/ports.py
@@ -14,13 +14,13 @@
     def fetch(self) -> None: ...
 
 
-class Neighbours(Protocol):
+class PeerTransport(Protocol):
     """The other nodes of the tier."""
 
-    def tell(self, neighbour: int | None, content: bytes) -> None: ...
+    def send(self, neighbour: int | None, content: bytes) -> None: ...
 
 
-class Prober(Protocol):
+class HealthChecker(Protocol):
     """Whoever can ask a form server whether it runs."""
 
     def probe(self, form_server: FormServer, until_us: int) -> None: ...
--- a/sailrun/node/reply.py
+++ b/sailrun/node/queries.py
@@ -12,7 +12,7 @@
 Reply = Callable[[T], None]  # takes the answer
 
 
-async def answer_to(ask: Callable[[Reply[T]], None]) -> T:
+async def send_query(ask: Callable[[Reply[T]], None]) -> T:
     """What the core answers in its next turn; the caller's cancel scope carries the deadline."""
     answered, answers = anyio.Event(), list[T]()
 
--- a/sailrun/node/rebalancing.py
+++ b/sailrun/node/rebalancer_port.py
@@ -10,7 +10,7 @@
     from sailrun.rebalance.balance import Rebalancer
 
 
-class GuardedRebalancer:
+class RebalancerPort:
     """Calls the rebalancer, and drops it after a fault: it is an improvement, and must not end the node."""
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -27,7 +27,7 @@
             self._log("fault", where="rebalance", trace=traceback.format_exc())
             self.rebalancer = None
 
-    def lend(self, share: float) -> bool:
+    def set_rate_share(self, share: float) -> bool:
         """This part of the fleet's pace is this node's, 0 to 1; returns whether it moves any clients."""
         self(lambda rebalancer: rebalancer.lent(share))
         return self.rebalancer is not None and self.rebalancer.active
--- a/sailrun/node/succession_state.py
+++ b/sailrun/node/restart_state.py
@@ -10,20 +10,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeState:
+class NodeSnapshot:
     """Told once, when the successor starts. Times are Unix microseconds of the machine's one clock."""
 
     server_list: ServerListUpdate
-    out_by_hand: frozenset[str]
-    draining: bool
-    learned: StateSnapshot | None  # None: nothing is known
+    excluded: frozenset[str]
+    is_draining: bool
+    decisions: StateSnapshot | None  # None: nothing is known
 
 
 @dataclass(frozen=True, slots=True)
-class HeldSessions:
+class ProcessLoad:
     """Told again and again: what the predecessor still holds."""
 
     loads: Mapping[int, float]  # by the form servers' numbers
     connections: int
-    told: bool  # loads are us of work a second, not connections
+    loads_reported: bool  # loads are us of work a second, not connections
     descriptors: int = 0
--- a/sailrun/node/session.py
+++ b/sailrun/node/session.py
@@ -70,12 +70,12 @@
 class SessionClient(Protocol):
     """The core's hold on the client's connection, kept by the front it came through. No call waits."""
 
-    def place(self, placement: Placement) -> None: ...
-    def withdraw(self, attempt: int) -> None: ...
-    def refuse(self, retry_after_us: int) -> None: ...
+    def start_attempt(self, placement: Placement) -> None: ...
+    def cancel_attempt(self, attempt: int) -> None: ...
+    def reject(self, retry_after_us: int) -> None: ...
     def fail(self) -> None: ...
     def move(self) -> None: ...
-    def hand_over(self, send: SendTransfer) -> None:
+    def transfer(self, send: SendTransfer) -> None:
         """Hands the session over as it stands, once it is at rest; a front that can't leaves it alone."""
         ...
 
@@ -92,25 +92,27 @@
     group: str | None = None
     tenant: str | None = None
     load_hint: float | None = None
-    repeat: bool = False
-    returning: bool = False
+    is_retry: bool = False
+    is_returning: bool = False
     resumed_at: str | None = None  # it stood at this form server before the node started
     # What the core keeps of it.
     placement: Placement | None = None
     attempts: int = 0
     may_have_run: bool = False
-    stands: bool = False
-    over: bool = False  # the client has its final answer or has left
-    moved_for: MoveReason | None = None  # it is being moved
-    withheld: DenialReason | None = None  # why it was refused or failed
-    unanswered: deque[int] = field(default_factory=deque)  # when each line without an answer was sent
+    is_established: bool = False
+    is_answered: bool = False  # the client has its final answer or has left
+    move_reason: MoveReason | None = None  # it is being moved
+    denial_reason: DenialReason | None = None  # why it was refused or failed
+    unanswered_since_us: deque[int] = field(
+        default_factory=deque
+    )  # when each line without an answer was sent
 
     @property
-    def why_moved(self) -> str | None:
+    def move_reason_text(self) -> str | None:
         """For the log."""
-        return self.moved_for.value if self.moved_for is not None else None
+        return self.move_reason.value if self.move_reason is not None else None
 
     @property
-    def why_withheld(self) -> str | None:
+    def denial_reason_text(self) -> str | None:
         """For the log."""
-        return self.withheld.value if self.withheld is not None else None
+        return self.denial_reason.value if self.denial_reason is not None else None
--- a/sailrun/node/session_transfer.py
+++ b/sailrun/node/session_transfer.py
@@ -19,11 +19,11 @@
     content: dict[str, Any]
     sockets: tuple[socket.socket, ...]
     settled: anyio.Event = field(default_factory=anyio.Event)
-    gone: bool = False
+    is_accepted: bool = False
 
     def settle(self, gone: bool) -> None:
         if not self.settled.is_set():
-            self.gone = gone
+            self.is_accepted = gone
             self.settled.set()
 
 
--- a/sailrun/node/leaving.py
+++ b/sailrun/node/shutdown.py
@@ -24,7 +24,7 @@
 LAST_US = SECOND // 5
 
 
-class Reason(Enum):
+class ShutdownReason(Enum):
     RESTART = "restart"
     DRAIN = "drain"
     SUCCEEDED = "succeeded"
@@ -41,45 +41,45 @@
     stays: bool  # the process goes on afterwards
 
 
-def plan(reason: Reason, now_us: int, longest_us: int) -> Plan:
+def plan(reason: ShutdownReason, now_us: int, longest_us: int) -> Plan:
     """`longest_us`: the longest deadline of a class."""
     longest_us = min(LONGEST_US, longest_us)
-    if reason is Reason.SUCCEEDED:
+    if reason is ShutdownReason.SUCCEEDED:
         done_us = now_us + SUCCEEDED_US
         return Plan(now_us + HANDED_US, done_us, now_us + NEWCOMERS_US, done_us + longest_us, False)
     begin_us, done_us = now_us + int(MOVES_BEGIN * longest_us), now_us + int(MOVES_END * longest_us)
     # After a drain's time a straggler is answered at once: it stays for as long as the drain.
-    return Plan(begin_us, done_us, now_us + NEWCOMERS_US, now_us + longest_us, reason is Reason.DRAIN)
+    return Plan(begin_us, done_us, now_us + NEWCOMERS_US, now_us + longest_us, reason is ShutdownReason.DRAIN)
 
 
-class Leaving:
+class ShutdownPlans:
     """The plans in force."""
 
     def __init__(self, longest_us: int) -> None:
         self._longest_us = longest_us
-        self._plans: dict[Reason, Plan] = {}
+        self._plans: dict[ShutdownReason, Plan] = {}
 
     def __bool__(self) -> bool:
         return bool(self._plans)
 
-    def __contains__(self, reason: Reason) -> bool:
+    def __contains__(self, reason: ShutdownReason) -> bool:
         return reason in self._plans
 
-    def ends(self) -> bool:
+    def ends_process(self) -> bool:
         """Whether the process is to end."""
         return any(not p.stays for p in self._plans.values())
 
-    def begin(self, reason: Reason, now_us: int) -> bool:
+    def begin(self, reason: ShutdownReason, now_us: int) -> bool:
         """False if it has begun already: asked twice, it is no hastier."""
         if reason in self._plans:
             return False
         self._plans[reason] = plan(reason, now_us, self._longest_us)
         return True
 
-    def withdraw(self, reason: Reason) -> bool:
+    def cancel(self, reason: ShutdownReason) -> bool:
         return self._plans.pop(reason, None) is not None
 
-    def to_move(self, now_us: int, standing: int, step_us: int) -> int:
+    def count_moves(self, now_us: int, standing: int, step_us: int) -> int:
         """How many of those who stand are moved in this step, looking again every `step_us`."""
         most = 0
         for p in self._plans.values():
@@ -88,11 +88,11 @@
                 most = max(most, math.ceil(standing / steps))
         return most
 
-    def gives_up(self, now_us: int) -> bool:
+    def must_answer_pending(self, now_us: int) -> bool:
         """Whether those who still wait are given their answer now."""
         return any(now_us >= p.give_up_us for p in self._plans.values())
 
-    def over(self, now_us: int, standing: int, waiting: int) -> bool:
+    def may_exit(self, now_us: int, standing: int, waiting: int) -> bool:
         """Whether the process may end."""
         for p in self._plans.values():
             empty = now_us >= p.newcomers_us and not standing and not waiting
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from sailrun.node.clock import log
-from sailrun.node.peer_beliefs import Beliefs
+from sailrun.node.outlier_gossip import OutlierReport
 from sailrun.replication.beliefs import Voice, heard
 from sailrun.replication.marks import DRAIN, OUT
 from sailrun.replication.messages import Op
@@ -132,9 +132,9 @@
 
     # ------------------------------------------------------------------ beliefs
 
-    def _said(self, beliefs: Beliefs) -> Callable[[int], None]:
+    def _said(self, beliefs: OutlierReport) -> Callable[[int], None]:
         def call(now_us: int) -> None:
-            word = self._voice.word(now_us, beliefs.out, beliefs.setup_us)
+            word = self._voice.word(now_us, beliefs.ejected_for_us, beliefs.mean_setup_us)
             if word is not None and self._replica.sync.whole:
                 self._replica.believe(now_us, word)
 
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -92,7 +92,7 @@
                 config.control is not None,
                 self._handed("peer", config.peer_listen),
             )
-            self.node.neighbours = self._datagrams
+            self.node.peer_transport = self._datagrams
 
     def _open_lasting(self, config: NodeConfig, patient: bool) -> LastingPart | None:
         if config.operator is None or not config.operator.lasting.enabled:
@@ -220,7 +220,7 @@
         for door in self._open_doors.values():
             group.start_soon(door.run)
         if self._config.settings.probes:
-            self.node.prober = Probes(self.node, group)
+            self.node.health_checker = Probes(self.node, group)
         if self._datagrams is not None:
             group.start_soon(self._datagrams.run)
         if self._fleet is not None:
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -20,8 +20,8 @@
 
 from sailrun.bad_config import BadConfig
 from sailrun.node.clock import log
+from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import ServerListUpdate
-from sailrun.node.succession_state import NodeState
 from sailrun.replication.marks import DRAIN, OUT, keeps_out
 from sailrun.storage import beliefs
 from sailrun.storage import entries as e
@@ -77,7 +77,7 @@
         self._kicked = anyio.Event()
         self._learn_us = 0
         self._learned: e.Learned | None = None
-        self._learns: Callable[[NodeState], None] = lambda state: None
+        self._learns: Callable[[NodeSnapshot], None] = lambda state: None
         self.drains = False  # the node began with a drain that a mark had said
         self._alone = False
         self._hand: e.Hand | None = None
@@ -142,7 +142,7 @@
                 await anyio.sleep_until(anyio.current_time() + TRY_S)
         return True
 
-    def passed(self, known: ServerListUpdate, now_us: int, drains: bool) -> NodeState:
+    def passed(self, known: ServerListUpdate, now_us: int, drains: bool) -> NodeSnapshot:
         """What a node begins with, as if a predecessor had told it: what was out by hand is out before
         anybody is placed, and what was learned of the form servers in `known`, aged by its clock. `drains`:
         whether it drains where a mark said so.
@@ -158,7 +158,7 @@
             learned = beliefs.unpack(memory.learned.content, now_us, self.terms.half_life_s, listed)
         self.drains = drains and drain is not None and keeps_out(drain)
         by_hand = frozenset(memory.hand.out) if memory.hand is not None else frozenset()
-        return NodeState(known, out | by_hand, self.drains, learned)
+        return NodeSnapshot(known, out | by_hand, self.drains, learned)
 
     def alone(self) -> None:
         """There is no fleet to write anything: what was learned of form servers is all."""
@@ -278,11 +278,11 @@
 
     # ------------------------------------------------------------------ what was learned of form servers
 
-    def _learn(self, state: NodeState, now_us: int) -> None:
-        if state.learned is None or not self.open:
+    def _learn(self, state: NodeSnapshot, now_us: int) -> None:
+        if state.decisions is None or not self.open:
             return
         names = {s.number: s.name for s in state.server_list.form_servers}
-        content = beliefs.pack(now_us, state.learned, names)
+        content = beliefs.pack(now_us, state.decisions, names)
         self._learned = e.Learned(now_us / SECOND, content)
         self.write_ahead_log.add(self._learned)
         self.turn()
--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -119,7 +119,7 @@
         self._placement = placement
         self._session = self._form_session(opening, id_, 0)
         self._session.resumed_at = None
-        self._session.unanswered.extend(unanswered)
+        self._session.unanswered_since_us.extend(unanswered)
         return self
 
     def _transfer(self, server: Connection) -> SessionTransfer:
@@ -129,7 +129,7 @@
             "id": self._session.id,
             "server": self._placement.form_server.name,
             "attempt": self._placement.attempt,
-            "unanswered": list(self._session.unanswered),
+            "unanswered": list(self._session.unanswered_since_us),
             "load": self._load,
             "held": self._client.peek().decode("latin-1"),
             "half_said": server.peek().decode("latin-1"),
@@ -138,7 +138,7 @@
 
     # ------------------------------------------------------------------ orders of the core
 
-    def place(self, placement: Placement) -> None:
+    def start_attempt(self, placement: Placement) -> None:
         try:
             self._orders.send_nowait(placement)
         except (anyio.ClosedResourceError, anyio.BrokenResourceError):
@@ -146,11 +146,11 @@
             assert self._session is not None
             self._node.attempt_ended(self._session, placement, AttemptOutcome.NOT_SENT)
 
-    def withdraw(self, attempt: int) -> None:
+    def cancel_attempt(self, attempt: int) -> None:
         if self._attempt is not None and self._attempt[0] == attempt:
             self._attempt[1].cancel()
 
-    def refuse(self, retry_after_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         self._answer(
             "refused", b"BUSY %d\r\n" % -(-retry_after_us // 1000) if retry_after_us else b"BUSY\r\n"
         )
@@ -171,7 +171,7 @@
             if self._reading is not None:
                 self._reading.cancel()
 
-    def hand_over(self, send: SendTransfer) -> None:
+    def transfer(self, send: SendTransfer) -> None:
         if self._form_server is not None and not self._moving_since_us:
             self._send_transfer = send
             for scope in (self._listening, self._reading):
@@ -224,8 +224,8 @@
                     server=self._at,
                     attempts=self._session.attempts if self._session else None,
                     ms=(self._node.clock.now_us() - began_us) // 1000,
-                    moved_for=self._session.why_moved if self._session else None,
-                    why=self._session.why_withheld if self._session else None,
+                    moved_for=self._session.move_reason_text if self._session else None,
+                    why=self._session.denial_reason_text if self._session else None,
                 )
 
     def _forget(self) -> None:
@@ -272,8 +272,8 @@
             key=opening.key,
             group=opening.group if self._front.groups else None,
             load_hint=opening.load_hint,
-            repeat=opening.repeat,
-            returning=opening.returning,
+            is_retry=opening.repeat,
+            is_returning=opening.returning,
             resumed_at=opening.resumed_at,
         )
 
@@ -369,7 +369,7 @@
     async def _pass_to_form_server(self) -> None:
         assert self._session is not None and self._form_server is not None
         data = self._client.take()
-        for _ in range(min(data.count(b"\n"), MOST_TIMED - len(self._session.unanswered))):
+        for _ in range(min(data.count(b"\n"), MOST_TIMED - len(self._session.unanswered_since_us))):
             self._node.line_forwarded(self._session)
         with contextlib.suppress(OSError):  # it broke: whoever reads from it says so
             await self._form_server.write(data)
@@ -462,9 +462,9 @@
         send(transfer)
         await transfer.settled.wait()
         self._send_transfer = None
-        if not transfer.gone:
+        if not transfer.is_accepted:
             self._hear_again()
-        return transfer.gone
+        return transfer.is_accepted
 
     def _hear_again(self) -> None:
         self._deaf = anyio.Event()
--- a/sailrun/text_protocol/neighbours.py
+++ b/sailrun/text_protocol/neighbours.py
@@ -19,7 +19,7 @@
 
 
 class Datagrams:
-    """The core's `Neighbours`."""
+    """The core's `PeerTransport`."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
     def resume(self) -> None:
         self._reads.set()
 
-    def tell(self, neighbour: int | None, content: bytes) -> None:
+    def send(self, neighbour: int | None, content: bytes) -> None:
         if len(content) > LONGEST_DATAGRAM:
             log("neighbour-message-too-long", bytes=len(content))
             return
@@ -85,7 +85,7 @@
 
 
 class Probes:
-    """The core's `Prober`: asks a form server PING on a connection of its own."""
+    """The core's `HealthChecker`: asks a form server PING on a connection of its own."""
 
     def __init__(self, node: Node, group: TaskGroup) -> None:
         self._node, self._group = node, group
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from sailrun.control.calls import BadCall, parse_call
-from sailrun.node.leaving import Leaving, Reason
+from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
 from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, connect, free_port, node
 
 SECOND = 1_000_000
@@ -220,32 +220,34 @@
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from(Reason), st.booleans(), st.integers(0, 900_000), st.integers(0, 40)),
+        st.tuples(
+            st.sampled_from(ShutdownReason), st.booleans(), st.integers(0, 900_000), st.integers(0, 40)
+        ),
         max_size=30,
     )
 )
 def test_whatever_overlaps_all_are_moved_in_time_and_none_after_the_end(
-    steps: list[tuple[Reason, bool, int, int]],
+    steps: list[tuple[ShutdownReason, bool, int, int]],
 ) -> None:
-    leaving, now_us, standing = Leaving(2 * SECOND), 1, 0
-    begun: dict[Reason, int] = {}
+    leaving, now_us, standing = ShutdownPlans(2 * SECOND), 1, 0
+    begun: dict[ShutdownReason, int] = {}
     for reason, on, later_us, come in steps:
         now_us, standing = now_us + later_us, standing + come
         if on:
             assert leaving.begin(reason, now_us) is (reason not in begun)
             begun.setdefault(reason, now_us)
         else:
-            assert leaving.withdraw(reason) is (reason in begun)
+            assert leaving.cancel(reason) is (reason in begun)
             begun.pop(reason, None)
         assert bool(leaving) is bool(begun)
-        moved = leaving.to_move(now_us, standing, 100_000)
+        moved = leaving.count_moves(now_us, standing, 100_000)
         assert 0 <= moved <= standing and (begun or not moved)
         standing -= moved
-        assert not leaving.over(now_us, 0, 0) or any(r is not Reason.DRAIN for r in begun)
+        assert not leaving.may_exit(now_us, 0, 0) or any(r is not ShutdownReason.DRAIN for r in begun)
     # From now on nobody comes: within the longest plan all are out, in steps of a tenth of a second.
     for _ in range(60):
         now_us += 100_000
-        standing -= leaving.to_move(now_us, standing, 100_000)
+        standing -= leaving.count_moves(now_us, standing, 100_000)
     assert not begun or standing == 0
-    ends = any(r is not Reason.DRAIN for r in begun)
-    assert leaving.over(now_us, standing, 0) is ends
+    ends = any(r is not ShutdownReason.DRAIN for r in begun)
+    assert leaving.may_exit(now_us, standing, 0) is ends
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -9,7 +9,7 @@
 from sailrun.decisions.events import AttemptOutcome, BackendState, ListKind
 from sailrun.lab.scheduler import BEGIN_US, Scheduler, VirtualClock
 from sailrun.node.core import Node
-from sailrun.node.counts import Figures
+from sailrun.node.counters import MetricsSnapshot
 from sailrun.node.session import FormServer, FormSession, Placement, ServerListUpdate
 from sailrun.node.session_transfer import SendTransfer
 from tests.stand_ins import SETTINGS
@@ -26,14 +26,14 @@
         self.answers: list[str] = []
         self.ended = False
 
-    def place(self, placement: Placement) -> None:
+    def start_attempt(self, placement: Placement) -> None:
         self.placement = placement
 
-    def withdraw(self, attempt: int) -> None: ...
+    def cancel_attempt(self, attempt: int) -> None: ...
     def move(self) -> None: ...
-    def hand_over(self, send: SendTransfer) -> None: ...
+    def transfer(self, send: SendTransfer) -> None: ...
 
-    def refuse(self, retry_after_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         self.answers.append("busy")
 
     def fail(self) -> None:
@@ -66,26 +66,26 @@
         elif fronts:
             front = fronts[which % len(fronts)]
             placement, session = front.placement, front.session
-            if step == "left" and not front.ended and not session.over:
+            if step == "left" and not front.ended and not session.is_answered:
                 left, front.ended = left + 1, True
                 node.client_left(session)
                 if placement is not None:
                     node.attempt_ended(session, placement, AttemptOutcome.CANCELLED)
-            elif step == "up" and placement is not None and not session.over:
+            elif step == "up" and placement is not None and not session.is_answered:
                 front.answers.append("success")
                 node.connection_opened(session, placement, 1000)
             elif (
                 isinstance(step, AttemptOutcome)
                 and placement is not None
-                and (session.stands or not session.over)
+                and (session.is_established or not session.is_answered)
             ):
                 front.placement = None
-                if step is AttemptOutcome.OK and not session.stands:
+                if step is AttemptOutcome.OK and not session.is_established:
                     front.answers.append("success")
                 node.attempt_ended(session, placement, step)
         time.run(time.now_us + 10_000)
         node.turn(time.now_us)
-    told: list[Figures] = []
+    told: list[MetricsSnapshot] = []
     node.read_metrics(told.append)
     node.turn(time.now_us)
     counted = told[0].classes["page-load"]
@@ -94,6 +94,6 @@
     for name in ("success", "busy", "failure"):
         assert getattr(counted, name) == answers.count(name)
     waiting = sum(not front.answers and not front.ended for front in fronts)
-    standing = sum(front.session.stands for front in fronts)
+    standing = sum(front.session.is_established for front in fronts)
     assert told[0].inflight == waiting + standing
     assert len(answers) + left + waiting == len(fronts)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,8 +22,8 @@
 from sailrun.decisions.placement import MASK, key_hash, server_hash
 from sailrun.http_calls import HttpCalls
 from sailrun.node.clock import Clock
+from sailrun.node.failure_detector import ServerWatch
 from sailrun.node.session import FormSession, server_number
-from sailrun.node.watch import ServerWatch
 from tests.stand_ins import (
     PATIENCE_S,
     SETTINGS,
@@ -259,11 +259,11 @@
     watch = ServerWatch()
     deaf, sound = (FormSession(n, "page-load", 0, None) for n in ("deaf", "sound"))  # type: ignore[arg-type]
     watch.sessions = {"deaf": deaf, "sound": sound}
-    deaf.unanswered.append(2_000_000)
+    deaf.unanswered_since_us.append(2_000_000)
     watch.heard_us = 6_800_000  # by the sound one
     assert list(watch.silent(6_900_000)) == [deaf]
     assert list(watch.silent(3_000_000)) == []
-    deaf.moved_for = MoveReason.UNRESPONSIVE
+    deaf.move_reason = MoveReason.UNRESPONSIVE
     assert list(watch.silent(6_900_000)) == []
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -87,14 +87,14 @@
 
 
 def test_a_front_that_sends_twice_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    place = Visit.place
+    start_attempt = Visit.start_attempt
 
     def twice(self: Visit, placement: object) -> None:
-        place(self, placement)  # type: ignore[arg-type]
+        start_attempt(self, placement)  # type: ignore[arg-type]
         if self.session.resumed_at is None:
-            place(self, placement)  # type: ignore[arg-type]
+            start_attempt(self, placement)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Visit, "place", twice)
+    monkeypatch.setattr(Visit, "start_attempt", twice)
     summary, _ = play(Request("calm", seconds=8.0, households=60))
     held = {check.name: check.holds for check in summary.checks}
     assert not held["one-attempt-outstanding"]
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -25,7 +25,7 @@
 from sailrun.membership.messages import State
 from sailrun.membership.settings import MembershipSettings
 from sailrun.membership.swim import Members
-from sailrun.node.peer_beliefs import PeerBeliefs
+from sailrun.node.outlier_gossip import OutlierGossip
 from sailrun.replication import messages
 from sailrun.replication.acceptor import consistent
 from sailrun.replication.beliefs import Belief, Voice, heard
@@ -588,11 +588,11 @@
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 21)))
     bad = 7
-    peers = PeerBeliefs(relay.balancer, lambda *a, **k: None)
+    peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
 
     def hear_beliefs(n: int) -> None:
         if hearsay_again_us is not None and n % 5 == 0:
-            event = peers.told(relay.now, {bad: 30 * SECOND - n * 200_000}, (), 10_000)
+            event = peers.merge_reports(relay.now, {bad: 30 * SECOND - n * 200_000}, (), 10_000)
             if event is not None:
                 relay.feed(event)
 
@@ -612,13 +612,13 @@
 def test_hearsay_never_keeps_away_from_much_nor_for_long_nor_from_who_answered_here() -> None:
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 10)))
-    peers = PeerBeliefs(relay.balancer, lambda *a, **k: None)
-    event = peers.told(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND), {1}, 0)
+    peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
+    event = peers.merge_reports(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND), {1}, 0)
     assert event is not None
     relay.feed(event)
     away = relay.balancer.avoided_backends(relay.now)
     assert len(away) == 3 and 1 not in away
-    assert peers.own(relay.now, {}).out == {}
-    assert peers.told(relay.now + 12 * SECOND, {away[0]: 60 * SECOND}, (), 0) is None  # tried first
+    assert peers.local_report(relay.now, {}).ejected_for_us == {}
+    assert peers.merge_reports(relay.now + 12 * SECOND, {away[0]: 60 * SECOND}, (), 0) is None  # tried first
     relay.advance(10 * SECOND)
     assert relay.balancer.avoided_backends(relay.now) == []
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -36,9 +36,9 @@
     write_held,
     write_state,
 )
+from sailrun.node.restart_state import NodeSnapshot, ProcessLoad
 from sailrun.node.session import FormServer as Entry
 from sailrun.node.session import ServerListUpdate
-from sailrun.node.succession_state import HeldSessions, NodeState
 from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, free_port, node
 
 
@@ -224,7 +224,7 @@
 SINCE = 1_700_000_000_000_000
 ENTRY = Entry("s-5be2a07c", ("127.0.0.1", 5000), BackendState.READY, "daejeon-1", 3, 1.5, SINCE)
 LEARNED = BackendSnapshot(ENTRY.number, SINCE, 0, 5, 1, 0, 2, True, 3.5, 7, math.inf, 8, -1, 0.25, SINCE + 1)
-STATE = NodeState(
+STATE = NodeSnapshot(
     ServerListUpdate(ListKind.CACHED, 41, (ENTRY,)),
     frozenset({"s-5be2a07c", "s-gone"}),
     True,
@@ -237,7 +237,7 @@
 def test_a_state_comes_over_whole() -> None:
     kind, content = unpack(pack("state", write_state(STATE)))
     assert kind == "state" and read_state(content) == STATE
-    held = HeldSessions({ENTRY.number: 812.5}, 3, True, 40)
+    held = ProcessLoad({ENTRY.number: 812.5}, 3, True, 40)
     assert read_held(unpack(pack("held", write_held(held)))[1]) == held
 
 
