--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -20,8 +20,8 @@
 
 from sailrun.bad_config import BadConfig
 from sailrun.node.clock import log
+from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import ServerListUpdate
-from sailrun.node.succession_state import NodeState
 from sailrun.replication.marks import DRAIN, OUT, keeps_out
 from sailrun.storage import decision_snapshot
 from sailrun.storage import entries as e
@@ -77,7 +77,7 @@
         self._wakeup = anyio.Event()
         self._next_snapshot_us = 0
         self._snapshot: e.DecisionSnapshot | None = None
-        self._on_state: Callable[[NodeState], None] = lambda state: None
+        self._on_state: Callable[[NodeSnapshot], None] = lambda state: None
         self.starts_draining = False  # the node began with a drain that a mark had said
         self._is_without_fleet = False
         self._overrides: e.OperatorOverrides | None = None
@@ -142,7 +142,7 @@
                 await anyio.sleep_until(anyio.current_time() + TRY_S)
         return True
 
-    def restore_state(self, known: ServerListUpdate, now_us: int, drains: bool) -> NodeState:
+    def restore_state(self, known: ServerListUpdate, now_us: int, drains: bool) -> NodeSnapshot:
         """What a node begins with, as if a predecessor had told it: what was out by hand is out before
         anybody is placed, and what was learned of the form servers in `known`, aged by its clock. `drains`:
         whether it drains where a mark said so.
@@ -164,7 +164,7 @@
             if memory.operator_overrides is not None
             else frozenset()
         )
-        return NodeState(known, out | by_hand, self.starts_draining, learned)
+        return NodeSnapshot(known, out | by_hand, self.starts_draining, learned)
 
     def start_without_fleet(self) -> None:
         """There is no fleet to write anything: what was learned of form servers is all."""
@@ -290,11 +290,11 @@
 
     # ------------------------------------------------------------------ what was learned of form servers
 
-    def _save_snapshot(self, state: NodeState, now_us: int) -> None:
-        if state.learned is None or not self.is_open:
+    def _save_snapshot(self, state: NodeSnapshot, now_us: int) -> None:
+        if state.decisions is None or not self.is_open:
             return
         names = {s.number: s.name for s in state.server_list.form_servers}
-        content = decision_snapshot.encode_snapshot(now_us, state.learned, names)
+        content = decision_snapshot.encode_snapshot(now_us, state.decisions, names)
         self._snapshot = e.DecisionSnapshot(now_us / SECOND, content)
         self.write_ahead_log.append(self._snapshot)
         self.turn()
