--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -18,8 +18,8 @@
 from sailrun.leadership.leases import best_placed
 from sailrun.leadership.messages import Order, Question
 from sailrun.leadership.pace import ASK_US, PaceCoordinator
-from sailrun.load_gossip.digest import LONGEST, Digest, room, write
-from sailrun.load_gossip.rounds import NODE_US, ROUND_US
+from sailrun.load_gossip.aggregation_rounds import MIN_ROUND_US, ROUND_US_PER_NODE
+from sailrun.load_gossip.datagram import MAX_DATAGRAM_BYTES, LoadDatagram, datagram_capacity, encode_datagram
 from sailrun.replication.records import written
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.store import Store
@@ -27,7 +27,7 @@
 
 SECOND = 1_000_000
 # What is scored for so many tasks; how often a share of the pace is asked for.
-TASKS, ASKS = 20, 2_000
+TASKS, MAX_REQUESTS = 20, 2_000
 SHARDS, ZONES = 1_000, 23
 LOAD_NODES = 50
 
@@ -85,13 +85,13 @@
     for n in range(nodes):
         office.asked(now_us, f"node-{n:05}")
     began_ns = time.thread_time_ns()
-    for n in range(ASKS):
+    for n in range(MAX_REQUESTS):
         now_us += ASK_US // nodes
         question = unpack(pack(_envelope(Question("pace", 1, next(numbers))))).body
         assert isinstance(question, Question)
         lent = office.asked(now_us, f"node-{n % nodes:05}")
         answer = pack(_envelope(Order("pace", 1, question.number, lent)))
-    took_us = (time.thread_time_ns() - began_ns) / 1e3 / ASKS
+    took_us = (time.thread_time_ns() - began_ns) / 1e3 / MAX_REQUESTS
     length = len(pack(_envelope(Question("pace", 1, 1)))) + len(answer) + 2 * HEADER
     asks_s = nodes * SECOND / ASK_US
     return {"cpu_us": took_us, "bytes_s": asks_s * length, "messages_s": 2 * asks_s}
@@ -116,7 +116,7 @@
         "seconds_99": most_s,
         "messages_s": 2 * sent_s,
         "bytes_s": 2 * (bytes_s + HEADER * sent_s),
-        "round_seconds": max(ROUND_US, NODE_US * nodes) / SECOND,
+        "round_seconds": max(MIN_ROUND_US, ROUND_US_PER_NODE * nodes) / SECOND,
     }
 
 
@@ -128,15 +128,16 @@
 def sum_bytes(nodes: int, servers: int = 1) -> int:
     """The length of a sum that heard all nodes and names so many form servers; `LONGEST` is allowed."""
     loads = {n * 600: 1.0 for n in range(servers)}
-    return len(write(Digest(1, loads, 1, False, voices=frozenset(range(nodes))), nodes))
+    return len(encode_datagram(LoadDatagram(1, loads, 1, False, contributors=frozenset(range(nodes))), nodes))
 
 
 def _sums(nodes: int) -> dict[str, float]:
-    return {"places": float(room(nodes)), "bytes": float(sum_bytes(nodes))}
+    return {"places": float(datagram_capacity(nodes)), "bytes": float(sum_bytes(nodes))}
 
 
 def sums() -> list[Measurement]:
-    how = f"`digest.room`, and `digest.write` with one form server; longest allowed: {LONGEST} bytes"
+    functions = "`datagram_capacity`, and `encode_datagram` with one form server"
+    how = f"{functions}; longest allowed: {MAX_DATAGRAM_BYTES} bytes"
     return _sizes("sum", "nodes", (200, 400, 1_000, 1_600, 3_800), how, _sums)
 
 
--- a/benchmarks/capacity/rows_loads.py
+++ b/benchmarks/capacity/rows_loads.py
@@ -4,7 +4,7 @@
 
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.working import BYTES, IN_FORCE, Bound, by_nodes, row
-from sailrun.load_gossip.digest import LONGEST
+from sailrun.load_gossip.datagram import MAX_DATAGRAM_BYTES
 
 ROUNDS = "fleet/rounds.py: one node adds up each round, 2 s long and 10 ms a node past 200 nodes"
 # Up to so many nodes a round lasts 2 s.
@@ -20,7 +20,9 @@
             by_nodes,
             role="collector of a round",
             cost="length of a sum that names one form server",
-            bound=Bound("bytes", float(LONGEST), f"{LONGEST} bytes, the longest that is read"),
+            bound=Bound(
+                "bytes", float(MAX_DATAGRAM_BYTES), f"{MAX_DATAGRAM_BYTES} bytes, the longest that is read"
+            ),
             mechanism="fleet/digest.py: a bit for each node that was heard, then form servers",
             arithmetic="fit at the number of nodes; a sum longer than that is refused by who hears it",
         ),
--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -16,7 +16,7 @@
 from dataclasses import replace
 from random import Random
 
-from tests.test_load_gossip import Tier, holding
+from tests.test_load_gossip import SimulatedFleet, local_load
 
 SECOND = 1_000_000
 FORM_SERVERS, SESSIONS, LOAD = 90, 5, 30_000.0
@@ -36,31 +36,31 @@
     for own in loads:
         for _ in range(SESSIONS):
             own[random.randrange(FORM_SERVERS)] += load
-    tier = Tier([holding(own) for own in loads], seed, lost)
-    tier.play(SETTLED_US)
+    fleet = SimulatedFleet([local_load(own) for own in loads], seed, lost)
+    fleet.play(SETTLED_US)
     kept = tracemalloc.get_traced_memory()[0] / nodes / 1024
     tracemalloc.stop()
-    sent, bytes_ = tier.sent, tier.bytes
+    sent, bytes_ = fleet.sent, fleet.bytes
     changed_us = SETTLED_US + random.randrange(2 * SECOND)
-    tier.play(changed_us)
+    fleet.play(changed_us)
     for k in random.sample(range(nodes), max(1, 2 * nodes // 5)):
         own = {**loads[k], SUBJECT: loads[k][SUBJECT] + load}
-        loads[k], tier.holdings[k] = own, replace(tier.holdings[k], loads=own)
+        loads[k], fleet.local_loads[k] = own, replace(fleet.local_loads[k], loads=own)
     whole = sum(own[SUBJECT] for own in loads)
     half = most = float("inf")
     now_us = changed_us
     while most == float("inf") and now_us < changed_us + MOST_US:
         now_us += LOOK_US
-        tier.play(now_us)
+        fleet.play(now_us)
         knows = 0
-        for k, others in tier.known.items():
+        for k, others in fleet.estimates.items():
             rest = whole - loads[k][SUBJECT]
             knows += abs(others.loads.get(SUBJECT, 0.0) - rest) <= 0.15 * rest
         took_s = (now_us - changed_us) / SECOND
         half = min(half, took_s if knows >= nodes / 2 else half)
         most = took_s if knows >= 0.99 * nodes else most
     seconds = (now_us - SETTLED_US) / SECOND
-    return half, most, (tier.sent - sent) / nodes / seconds, (tier.bytes - bytes_) / nodes / seconds, kept
+    return half, most, (fleet.sent - sent) / nodes / seconds, (fleet.bytes - bytes_) / nodes / seconds, kept
 
 
 def main() -> None:
--- a/sailrun/load_gossip/known.py
+++ b/sailrun/load_gossip/load_estimate.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from sailrun.load_gossip.digest import Digest, alike, short
+from sailrun.load_gossip.datagram import LoadDatagram, ambiguous_names, short_name
 
 SECOND = 1_000_000
 # What a node counts that so many of the latest sums in a row did not speak for.
@@ -29,10 +29,10 @@
 
     loads: dict[int, float]  # by the numbers of the form servers listed
     connections: int
-    told: bool  # loads are us of work a second, not connections
-    nodes: int  # nodes that the last sum spoke for, this one among them
-    warned: frozenset[int]
-    until_us: int = 0  # from then on it may be a good deal different
+    loads_reported: bool  # loads are us of work a second, not connections
+    instances: int  # nodes that the last sum spoke for, this one among them
+    overloaded: frozenset[int]
+    fresh_until_us: int = 0  # from then on it may be a good deal different
 
 
 @dataclass(slots=True)
@@ -42,28 +42,28 @@
 
 
 @dataclass(slots=True)
-class Tier:
+class LoadEstimate:
     """What is known of the tier, kept up by one sum after another."""
 
     index: int
     round_us: int
-    round: int = -1  # of the latest sum
-    told: bool = False
+    summary_round: int = -1  # of the latest sum
+    loads_reported: bool = False
     connections: float = 0.0
-    warned: frozenset[int] = frozenset()
-    nodes: int = 1
+    overloaded: frozenset[int] = frozenset()
+    instances: int = 1
     _whole: bool = False  # the latest sum named all that hold anything
     _loads: dict[int, _Load] = field(default_factory=dict)  # by short name
     _missed: dict[int, int] = field(default_factory=dict)  # sums in a row, by node that counts
 
-    def hear(self, total: Digest, own: Digest | None) -> bool:
+    def merge_summary(self, total: LoadDatagram, own: LoadDatagram | None) -> bool:
         """Takes in a sum; `own` is what this node told for it, None if it does not speak for this node. False
         for one that is not newer than the latest: what is known never goes back in time.
         """
-        voices = total.voices or frozenset()
-        if total.round <= self.round or not voices:
+        voices = total.contributors or frozenset()
+        if total.round_number <= self.summary_round or not voices:
             return False
-        if total.told is not self.told:
+        if total.loads_reported is not self.loads_reported:
             self._loads.clear()  # another unit: what was known is no use
             self._missed.clear()
             self.connections = 0.0
@@ -77,34 +77,39 @@
         heard = voices - {self.index}
         self._missed |= dict.fromkeys(heard, 0)
         scale = 1.0
-        if own is not None and own.told != total.told:
+        if own is not None and own.loads_reported != total.loads_reported:
             scale = sum(total.loads.values()) / max(1, total.connections)
-        for name in {*total.loads, *(self._loads if total.whole else ())}:
+        for name in {*total.loads, *(self._loads if total.is_complete else ())}:
             told = own.loads.get(name, 0.0) * scale if own is not None else 0.0
             said = max(0.0, total.loads.get(name, 0.0) - told)
             known = self._loads.get(name)
             missing = part * known.load if known is not None else 0.0
-            self._loads[name] = _Load(said + missing, total.round)
+            self._loads[name] = _Load(said + missing, total.round_number)
         self.connections = (
             total.connections - (own.connections if own is not None else 0) + part * self.connections
         )
-        self._whole = total.whole
-        self.round, self.told, self.warned, self.nodes = total.round, total.told, total.warned, len(heard) + 1
-        self._loads = {n: k for n, k in self._loads.items() if total.round - k.round < STALE}
+        self._whole = total.is_complete
+        self.summary_round, self.loads_reported, self.overloaded, self.instances = (
+            total.round_number,
+            total.loads_reported,
+            total.overloaded,
+            len(heard) + 1,
+        )
+        self._loads = {n: k for n, k in self._loads.items() if total.round_number - k.round < STALE}
         return True
 
     def _weight(self) -> float:
         """Of how many nodes the load is counted."""
         return sum(MISSED[m] for m in self._missed.values())
 
-    def others(self, now_us: int, listed: Iterable[int]) -> Others:
+    def estimate_fleet_load(self, now_us: int, listed: Iterable[int]) -> Others:
         """What is known by now of these form servers."""
         numbers = list(listed)
-        doubtful = alike(numbers)
-        share = self._share(now_us, self.round)
+        doubtful = ambiguous_names(numbers)
+        share = self._share(now_us, self.summary_round)
         loads, unknown = dict[int, float](), list[int]()
         for number in numbers:
-            name = short(number)
+            name = short_name(number)
             known = self._loads.get(name)
             if name in doubtful or (known is None and not self._whole):
                 unknown.append(number)
@@ -113,13 +118,15 @@
         # One that is not known is taken for a usual one, never for an empty one.
         usual = sum(loads.values()) / len(loads) if loads else 0.0
         loads |= dict.fromkeys(unknown, usual)
-        warns = self.warned if now_us < (self.round + WARNS) * self.round_us else frozenset[int]()
-        warned = frozenset(n for n in numbers if short(n) in warns)
+        warns = self.overloaded if now_us < (self.summary_round + WARNS) * self.round_us else frozenset[int]()
+        warned = frozenset(n for n in numbers if short_name(n) in warns)
         connections = max(0, round(self.connections * share))
-        until_us = int((self.round + FRESH) * self.round_us)
-        return Others(loads, connections, self.told, self.nodes if share else 1, warned, until_us)
+        until_us = int((self.summary_round + FRESH) * self.round_us)
+        return Others(
+            loads, connections, self.loads_reported, self.instances if share else 1, warned, until_us
+        )
 
-    def longest_ago(self, loads: Mapping[int, float], first: frozenset[int]) -> list[int]:
+    def order_by_last_named(self, loads: Mapping[int, float], first: frozenset[int]) -> list[int]:
         """These names, with `first` first, then those that no sum has named for longest."""
         never = _Load(0.0, -1)
         return sorted(loads, key=lambda n: (n not in first, self._loads.get(n, never).round, -loads[n], n))
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -57,7 +57,7 @@
     TimerFired,
 )
 from sailrun.decisions.settings import Settings
-from sailrun.load_gossip.rounds import Outgoing, Rounds
+from sailrun.load_gossip.aggregation_rounds import AggregationRounds, OutgoingDatagram
 from sailrun.node.clock import Clock, log
 from sailrun.node.counters import Counters, MetricsSnapshot
 from sailrun.node.failure_detector import ServerWatch
@@ -111,7 +111,7 @@
         self._peer_beliefs = OutlierGossip(self._module, log)
         rounds = None
         if settings.peer_messages and settings.instances > 1:
-            rounds = Rounds(settings.index, settings.instances, seed, self._now)
+            rounds = AggregationRounds(settings.index, settings.instances, seed, self._now)
         # What the tier holds together, where its nodes may talk.
         self._tier = FleetLoadExchange(rounds, self._now)
         self._calls: deque[Callable[[], None]] = deque()
@@ -609,7 +609,7 @@
     def _own_holding(self) -> LocalLoad:
         return self._module.local_load()
 
-    def _tier_says(self, outgoing: list[Outgoing]) -> None:
+    def _tier_says(self, outgoing: list[OutgoingDatagram]) -> None:
         """Sends what the rounds have to send, and tells the module what is known of the others by now."""
         for neighbour, content in outgoing:
             if self.peer_transport is not None:
--- a/sailrun/node/fleet_load.py
+++ b/sailrun/node/fleet_load.py
@@ -8,18 +8,18 @@
 from dataclasses import replace
 
 from sailrun.decisions.events import FleetLoad, LocalLoad
-from sailrun.load_gossip.digest import VERSION
-from sailrun.load_gossip.known import Others
-from sailrun.load_gossip.rounds import AGE_US, Outgoing, Rounds
+from sailrun.load_gossip.aggregation_rounds import RESTATE_INTERVAL_US, AggregationRounds, OutgoingDatagram
+from sailrun.load_gossip.datagram import FORMAT_VERSION
+from sailrun.load_gossip.load_estimate import Others
 from sailrun.node.restart_state import ProcessLoad
 
-FLEET = bytes((VERSION,))
+FLEET = bytes((FORMAT_VERSION,))
 # What is known of the others is told anew as it ages; should that fail to come, it ends.
-OTHERS_US = 4 * AGE_US
+OTHERS_US = 4 * RESTATE_INTERVAL_US
 
 
 class FleetLoadExchange:
-    def __init__(self, rounds: Rounds | None, now_us: int) -> None:
+    def __init__(self, rounds: AggregationRounds | None, now_us: int) -> None:
         """`rounds`: None where the nodes may not talk."""
         self._rounds = rounds
         self._heard_of = 0  # nodes that the last sum spoke for
@@ -31,23 +31,25 @@
     def due_us(self) -> int | None:
         return self._rounds.due_us() if self._rounds is not None else None
 
-    def turn(self, now_us: int, own: LocalLoad) -> list[Outgoing]:
+    def turn(self, now_us: int, own: LocalLoad) -> list[OutgoingDatagram]:
         """What the rounds have to send, their time having come."""
         assert self._rounds is not None
-        return self._said(now_us, self._rounds.turn(now_us, self.holding(own)))
+        return self._said(now_us, self._rounds.tick(now_us, self.holding(own)))
 
     def heard(
         self, now_us: int, neighbour: int, content: bytes, own: Callable[[], LocalLoad]
-    ) -> list[Outgoing] | None:
+    ) -> list[OutgoingDatagram] | None:
         """What another node's word has this one send; None: it is not of the rounds."""
         if self._rounds is None or content[:1] != FLEET:
             return None
-        return self._said(now_us, self._rounds.heard(now_us, neighbour, content, self.holding(own())))
+        return self._said(now_us, self._rounds.receive(now_us, neighbour, content, self.holding(own())))
 
-    def _said(self, now_us: int, said: tuple[list[Outgoing], Others | None]) -> list[Outgoing]:
+    def _said(
+        self, now_us: int, said: tuple[list[OutgoingDatagram], Others | None]
+    ) -> list[OutgoingDatagram]:
         outgoing, others = said
         if others is not None:
-            self._heard_of = others.nodes
+            self._heard_of = others.instances
             self._others, self._others_until_us = others, now_us + OTHERS_US
         self.news = others is not None
         return outgoing
@@ -66,12 +68,12 @@
         if others is None or now_us >= self._others_until_us:
             others = Others({}, 0, before is not None and before.loads_reported, 1, frozenset())
         loads, connections = others.loads, others.connections
-        if before is not None and (before.loads_reported is others.told or not connections):
+        if before is not None and (before.loads_reported is others.loads_reported or not connections):
             loads = {n: loads.get(n, 0.0) + before.loads.get(n, 0.0) for n in {*loads, *before.loads}}
             connections += before.connections
-        told = others.told if others.connections or before is None else before.loads_reported
-        return FleetLoad(loads, connections, told, others.nodes, others.warned, others.until_us)
+        told = others.loads_reported if others.connections or before is None else before.loads_reported
+        return FleetLoad(loads, connections, told, others.instances, others.overloaded, others.fresh_until_us)
 
     def pulse(self) -> str | None:
         """For the log: nodes that the last sum spoke for, and messages refused."""
-        return f"{self._heard_of}/{self._rounds.refused}" if self._rounds is not None else None
+        return f"{self._heard_of}/{self._rounds.rejected_count}" if self._rounds is not None else None
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.rows import SECTIONS, all_rows, ranked
 from benchmarks.capacity.target import DESIGNED, LIMITS, TARGETS, TENTH, THREE
 from benchmarks.capacity.working import BYTES, Bound, Resized, by_nodes, row, short, verdict
-from sailrun.load_gossip.digest import LONGEST
+from sailrun.load_gossip.datagram import MAX_DATAGRAM_BYTES
 
 
 def record_of(*measurements: Measurement) -> Record:
@@ -178,4 +178,4 @@
 
 
 def test_a_sum_of_the_target_fleet_is_longer_than_a_datagram_may_be() -> None:
-    assert sum_bytes(200) <= LONGEST < sum_bytes(3_800)
+    assert sum_bytes(200) <= MAX_DATAGRAM_BYTES < sum_bytes(3_800)
