--- a/sailrun/load_gossip/__init__.py
+++ b/sailrun/load_gossip/__init__.py
@@ -1,1 +1,1 @@
-"""What the nodes of a tier hold together: told in rounds, summed by one of them, heard by all."""
+"""Gossip of load: in rounds, each node reports its load, one node adds up, and all receive the sum."""
--- a/sailrun/load_gossip/datagram.py
+++ b/sailrun/load_gossip/datagram.py
@@ -1,9 +1,9 @@
-"""The datagrams of a round: what one node holds, and what all who were heard hold together.
+"""The datagrams of a round: a node's report of its load, the collector's summary, a newcomer's request.
 
-A form server is named by two bytes of its number's hash, its load by seven bits of a logarithm. The names are
-sorted and only the gaps between them are written, in a Rice code: ninety form servers of two hundred nodes
-go into one datagram, where names in full had room for fifty-five. An eighth bit warns: its teller sees
-messages late there, or was cut off.
+A backend (form server) is named by two bytes of its number's hash, its load by seven bits of a logarithm. The
+names are sorted and the gaps between them written in a Rice code: ninety backends and two hundred nodes fit
+into one datagram. An eighth bit says that the backend is overloaded: the sender sees late messages there, or
+lost connections.
 """
 
 from __future__ import annotations
@@ -13,192 +13,228 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
+from enum import IntFlag
 
 import mmh3
 
+from sailrun.load_gossip.rice_code import BitReader, BitWriter, TornBits, choose_parameter, max_bits
+
 FORMAT_VERSION = 0xF2
 MAX_DATAGRAM_BYTES = 256
-# Version, kind and flags, form servers named, connections held, round.
-_HEAD = struct.Struct("<BBBHI")
-TELLING, SUM, ASK = 0, 1, 8  # kinds; whoever asks has heard no sum yet
-TOLD, ALERT = 2, 4  # flags: loads are us of work a second, not connections; there is something to look at
-WHOLE, RELAYED = 16, 32  # flags of a sum: all that hold anything are named; passed on to a node that asked
-NAME_BITS, LOAD_BITS = 16, 7
-NAMES, STEPS = 1 << NAME_BITS, (1 << LOAD_BITS) - 1
-# One step of the logarithm: a load is known to 5%.
+# Version, kind and flags, number of backends, connections, round.
+_HEADER = struct.Struct("<BBBHI")
+MAX_BACKENDS = 0xFF
+MAX_CONNECTIONS = 0xFFFF
+ROUND_MASK = 0xFFFFFFFF
+
+NAME_BITS = 16
+LOAD_BITS = 7
+ENTRY_BITS = LOAD_BITS + 1  # the load, and whether the backend is overloaded
+NAMES = 1 << NAME_BITS
+MAX_LOAD_STEP = (1 << LOAD_BITS) - 1
+# One step of the logarithm: a load is encoded to within 5%.
 LOAD_STEP_RATIO = 1.09
-# A load of so much, in connections or in us of work a second, is the first step.
+# The load that is the first step, by whether loads are reported in us of work a second or as connections.
 FIRST_LOAD_STEP = {False: 0.25, True: 50.0}
 
 
 class InvalidDatagram(ValueError):
-    """No datagram of this kind; says why."""
+    """The bytes are no datagram of this format; the message says why."""
+
+
+class _Flag(IntFlag):
+    SUMMARY = 1  # else a report
+    LOADS_REPORTED = 2
+    ALERT = 4
+    REQUEST = 8
+    COMPLETE = 16
+    RELAYED = 32
 
 
 @dataclass(frozen=True, slots=True)
 class LoadDatagram:
-    """Loads by form server, of one node or of all that were heard."""
+    """A report of one node, or, with `contributors`, a summary of the nodes whose reports arrived."""
 
     round_number: int
-    loads: Mapping[int, float]  # by `short` of the form server's number
+    loads: Mapping[int, float]  # by `short_name` of the backend's number
     connections: int
-    loads_reported: bool  # the unit of the loads
+    loads_reported: bool  # loads are us of work a second, not connections
     has_alert: bool = False
     overloaded: frozenset[int] = frozenset()
-    contributors: frozenset[int] | None = None  # of a sum: the nodes that it speaks for
-    is_complete: bool = True  # a form server that is not named holds nothing; else it is not known
-    is_relayed: bool = False
-    is_request: bool = False
+    contributors: frozenset[int] | None = None  # indexes of nodes; None: no summary
+    is_complete: bool = True  # a backend that is not named has no load; else its load is unknown
+    is_relayed: bool = False  # passed on to a node that requested it
+    is_request: bool = False  # of a node that has received no summary yet
+
+    def _flags(self) -> _Flag:
+        states = {
+            _Flag.SUMMARY: self.contributors is not None,
+            _Flag.LOADS_REPORTED: self.loads_reported,
+            _Flag.ALERT: self.has_alert,
+            _Flag.REQUEST: self.is_request,
+            _Flag.COMPLETE: self.is_complete,
+            _Flag.RELAYED: self.is_relayed,
+        }
+        flags = _Flag(0)
+        for flag, is_set in states.items():
+            flags |= flag if is_set else _Flag(0)
+        return flags
+
+    def encode_header(self, backend_count: int) -> bytes:
+        """The fixed part of the datagram."""
+        connections = min(self.connections, MAX_CONNECTIONS)
+        round_number = self.round_number & ROUND_MASK
+        return _HEADER.pack(FORMAT_VERSION, self._flags(), backend_count, connections, round_number)
 
 
 def short_name(number: int) -> int:
-    """Two bytes for a form server. Two that are alike in one list are known to `alike`."""
+    """Two bytes that name a backend. `ambiguous_names` finds those of more than one backend."""
     return mmh3.hash(number.to_bytes(8, "little"), signed=False) >> (32 - NAME_BITS)
 
 
 def ambiguous_names(numbers: Iterable[int]) -> frozenset[int]:
-    """Names that more than one of these form servers has: what is said of them is said of no one."""
-    counted = Counter(map(short_name, numbers))
-    return frozenset(name for name, count in counted.items() if count > 1)
+    """Short names that more than one of these backends has: a load under such a name is of no use."""
+    counts = Counter(map(short_name, numbers))
+    return frozenset(name for name, count in counts.items() if count > 1)
 
 
 def datagram_capacity(nodes: int) -> int:
-    """How many form servers a datagram has room for whatever they are called, in a tier of so many nodes."""
-    bits = 8 * (MAX_DATAGRAM_BYTES - _HEAD.size - (nodes + 7) // 8)
+    """How many backends fit into any summary, whatever their names, in a fleet of so many nodes."""
+    free_bits = 8 * (MAX_DATAGRAM_BYTES - _HEADER.size - _contributor_bytes(nodes))
     count = 1
-    while count < 0xFF and _most_bits(count + 1) <= bits:
+    while count < MAX_BACKENDS and max_bits(count + 1, NAMES, ENTRY_BITS) <= free_bits:
         count += 1
     return count
 
 
-def encode_datagram(digest: LoadDatagram, nodes: int) -> bytes:
-    """At most 256 bytes; raises ValueError for more form servers than that holds."""
-    names = sorted({*digest.loads, *digest.overloaded})
+# ---------------------------------------------------------------------- encoding
+
+
+def encode_datagram(datagram: LoadDatagram, nodes: int) -> bytes:
+    """At most MAX_DATAGRAM_BYTES; raises ValueError for more backends than `datagram_capacity`."""
+    names = sorted({*datagram.loads, *datagram.overloaded})
     if len(names) > datagram_capacity(nodes):
         raise ValueError(f"{len(names)} form servers")
-    kind = TELLING if digest.contributors is None else SUM
-    for flag, is_so in (
-        (TOLD, digest.loads_reported),
-        (ALERT, digest.has_alert),
-        (WHOLE, digest.is_complete),
-        (RELAYED, digest.is_relayed),
-        (ASK, digest.is_request),
-    ):
-        kind |= flag if is_so else 0
-    head = _HEAD.pack(
-        FORMAT_VERSION, kind, len(names), min(digest.connections, 0xFFFF), digest.round_number & 0xFFFFFFFF
-    )
-    parameter, bits, length, before = _rice(len(names)), 0, 0, -1
+    parameter = choose_parameter(len(names), NAMES)
+    writer = BitWriter()
+    previous = -1
     for name in names:
-        gap, before = name - before - 1, name
-        step = _step(digest.loads.get(name, 0.0), digest.loads_reported) << 1 | (name in digest.overloaded)
-        quotient = gap >> parameter
-        # So many ones as the quotient says, a zero, the remainder, then load and warning.
-        entry = (((1 << quotient) - 1) << 1) << parameter | gap & ((1 << parameter) - 1)
-        width = quotient + 1 + parameter + LOAD_BITS + 1
-        bits = bits << width | entry << (LOAD_BITS + 1) | step
-        length += width
-    spare = -length % 8
-    entries = (bits << spare).to_bytes((length + spare) // 8, "big")
-    return head + (b"" if digest.contributors is None else _bits(digest.contributors, nodes)) + entries
-
-
-def decode_datagram(content: bytes, nodes: int) -> LoadDatagram:
-    """Raises BadDatagram for whatever a node of a tier of so many would not have written."""
-    if not _HEAD.size <= len(content) <= MAX_DATAGRAM_BYTES or content[0] != FORMAT_VERSION:
-        raise InvalidDatagram("another version, or no datagram of this kind")
-    _, kind, count, connections, number = _HEAD.unpack_from(content)
-    if kind & ~(SUM | TOLD | ALERT | WHOLE | RELAYED | ASK) or (kind & ASK and (count or kind & SUM)):
-        raise InvalidDatagram(f"kind {kind}")
-    at, voices = _HEAD.size, None
-    if kind & SUM:
-        at += (nodes + 7) // 8
-        bits = int.from_bytes(content[_HEAD.size : at], "little")
-        if len(content) < at or bits >> nodes:
-            raise InvalidDatagram("a node that there is not")
-        voices = frozenset(n for n in range(nodes) if bits >> n & 1)
-    told = bool(kind & TOLD)
-    loads, warned = dict[int, float](), set[int]()
-    left = _Bits(content[at:])
-    parameter, name = _rice(count), -1
-    for _ in range(count):
-        quotient = left.ones()
-        name += 1 + (quotient << parameter | left.take(parameter))
-        if name >= NAMES:
-            raise InvalidDatagram("a name that there is not")
-        step = left.take(LOAD_BITS + 1)
-        loads[name] = _load(step >> 1, told)
-        if step & 1:
-            warned.add(name)
-    if not left.spent():
-        raise InvalidDatagram(f"{len(content)} bytes for {count} form servers")
-    alert, whole, relayed, asks = (bool(kind & flag) for flag in (ALERT, WHOLE, RELAYED, ASK))
-    return LoadDatagram(
-        number, loads, connections, told, alert, frozenset(warned), voices, whole, relayed, asks
-    )
-
-
-def split_report(telling: LoadDatagram, most: int) -> list[LoadDatagram]:
-    """What one node holds, in as many datagrams as it takes."""
-    names = sorted(telling.loads)
-    if len(names) <= most:
-        return [telling]
-    pieces = (frozenset(names[n : n + most]) for n in range(0, len(names), most))
-    return [
-        replace(telling, loads={n: telling.loads[n] for n in sorted(p)}, overloaded=telling.overloaded & p)
-        for p in pieces
-    ]
+        writer.append_rice(name - previous - 1, parameter)
+        step = _load_to_step(datagram.loads.get(name, 0.0), datagram.loads_reported)
+        writer.append(step << 1 | (name in datagram.overloaded), ENTRY_BITS)
+        previous = name
+    contributors = b""
+    if datagram.contributors is not None:
+        bits = sum(1 << index for index in datagram.contributors)
+        contributors = bits.to_bytes(_contributor_bytes(nodes), "little")
+    return datagram.encode_header(len(names)) + contributors + writer.to_bytes()
 
 
-def merge_parts(one: LoadDatagram | None, other: LoadDatagram) -> LoadDatagram:
-    """Two parts of what one node holds; the same part twice is that part."""
-    if one is None:
-        return other
-    return replace(one, loads={**one.loads, **other.loads}, overloaded=one.overloaded | other.overloaded)
+def _contributor_bytes(nodes: int) -> int:
+    return (nodes + 7) // 8
 
 
-class _Bits:
-    """Bits read one after another; asked for more than there are, it raises BadDatagram."""
+def _load_to_step(load: float, loads_reported: bool) -> int:
+    first = FIRST_LOAD_STEP[loads_reported]
+    if load < first / 2:
+        return 0
+    return max(1, min(MAX_LOAD_STEP, 1 + round(math.log(load / first, LOAD_STEP_RATIO))))
 
-    def __init__(self, content: bytes) -> None:
-        self._bits, self._left = int.from_bytes(content, "big"), 8 * len(content)
 
-    def take(self, count: int) -> int:
-        self._left -= count
-        if self._left < 0:
-            raise InvalidDatagram("torn")
-        return self._bits >> self._left & ((1 << count) - 1)
+def _step_to_load(step: int, loads_reported: bool) -> float:
+    return FIRST_LOAD_STEP[loads_reported] * LOAD_STEP_RATIO ** (step - 1) if step else 0.0
 
-    def ones(self) -> int:
-        count = 0
-        while self.take(1):
-            count += 1
-        return count
 
-    def spent(self) -> bool:
-        """Whether nothing is left but what fills the last byte."""
-        return self._left < 8 and not self._bits & ((1 << self._left) - 1)
+# ---------------------------------------------------------------------- decoding
 
 
-def _rice(count: int) -> int:
-    """The parameter of the code: about the logarithm of the mean gap between so many names."""
-    return (NAMES // count).bit_length() - 1 if count else 0
+def decode_datagram(content: bytes, nodes: int) -> LoadDatagram:
+    """Raises InvalidDatagram for whatever a node of a fleet of so many would not have sent."""
+    if not _HEADER.size <= len(content) <= MAX_DATAGRAM_BYTES or content[0] != FORMAT_VERSION:
+        raise InvalidDatagram("another version, or no datagram of this kind")
+    _, kind, count, connections, round_number = _HEADER.unpack_from(content)
+    flags = _decode_flags(kind, count)
+    entries_at, contributors = _HEADER.size, None
+    if _Flag.SUMMARY in flags:
+        entries_at += _contributor_bytes(nodes)
+        contributors = _decode_contributors(content, entries_at, nodes)
+    loads_reported = _Flag.LOADS_REPORTED in flags
+    loads, overloaded = _decode_entries(content, entries_at, count, loads_reported)
+    return LoadDatagram(
+        round_number,
+        loads,
+        connections,
+        loads_reported,
+        has_alert=_Flag.ALERT in flags,
+        overloaded=overloaded,
+        contributors=contributors,
+        is_complete=_Flag.COMPLETE in flags,
+        is_relayed=_Flag.RELAYED in flags,
+        is_request=_Flag.REQUEST in flags,
+    )
 
 
-def _most_bits(count: int) -> int:
-    parameter = _rice(count)
-    return count * (1 + parameter + LOAD_BITS + 1) + (NAMES >> parameter)
+def _decode_flags(kind: int, backend_count: int) -> _Flag:
+    """A request names no backends and is no summary."""
+    has_unknown_bits = bool(kind & ~sum(_Flag))
+    is_bad_request = bool(kind & _Flag.REQUEST) and (backend_count > 0 or bool(kind & _Flag.SUMMARY))
+    if has_unknown_bits or is_bad_request:
+        raise InvalidDatagram(f"kind {kind}")
+    return _Flag(kind)
+
+
+def _decode_contributors(content: bytes, end: int, nodes: int) -> frozenset[int]:
+    bits = int.from_bytes(content[_HEADER.size : end], "little")
+    if len(content) < end or bits >> nodes:
+        raise InvalidDatagram("a node that there is not")
+    return frozenset(index for index in range(nodes) if bits >> index & 1)
+
+
+def _decode_entries(
+    content: bytes, start: int, count: int, loads_reported: bool
+) -> tuple[dict[int, float], frozenset[int]]:
+    """Loads by short name, and the names of the overloaded backends."""
+    loads: dict[int, float] = {}
+    overloaded: set[int] = set()
+    reader = BitReader(content[start:])
+    parameter, name = choose_parameter(count, NAMES), -1
+    try:
+        for _ in range(count):
+            name += 1 + reader.read_rice(parameter)
+            if name >= NAMES:
+                raise InvalidDatagram("a name that there is not")
+            entry = reader.read(ENTRY_BITS)
+            loads[name] = _step_to_load(entry >> 1, loads_reported)
+            if entry & 1:
+                overloaded.add(name)
+    except TornBits as error:
+        raise InvalidDatagram(str(error)) from error
+    if not reader.is_at_end():
+        raise InvalidDatagram(f"{len(content)} bytes for {count} form servers")
+    return loads, frozenset(overloaded)
 
 
-def _step(load: float, told: bool) -> int:
-    if load < FIRST_LOAD_STEP[told] / 2:
-        return 0
-    return max(1, min(STEPS, 1 + round(math.log(load / FIRST_LOAD_STEP[told], LOAD_STEP_RATIO))))
+# ---------------------------------------------------------------------- reports in parts
 
 
-def _load(step: int, told: bool) -> float:
-    return FIRST_LOAD_STEP[told] * LOAD_STEP_RATIO ** (step - 1) if step else 0.0
+def split_report(report: LoadDatagram, capacity: int) -> list[LoadDatagram]:
+    """One node's report, in as many datagrams as it takes."""
+    names = sorted(report.loads)
+    if len(names) <= capacity:
+        return [report]
+    parts = (frozenset(names[start : start + capacity]) for start in range(0, len(names), capacity))
+    return [
+        replace(
+            report,
+            loads={name: report.loads[name] for name in sorted(part)},
+            overloaded=report.overloaded & part,
+        )
+        for part in parts
+    ]
 
 
-def _bits(voices: Iterable[int], nodes: int) -> bytes:
-    return sum(1 << n for n in voices).to_bytes((nodes + 7) // 8, "little")
+def merge_parts(one: LoadDatagram | None, other: LoadDatagram) -> LoadDatagram:
+    """Two parts of one node's report; the same part twice counts once."""
+    if one is None:
+        return other
+    return replace(one, loads={**one.loads, **other.loads}, overloaded=one.overloaded | other.overloaded)
--- a/sailrun/load_gossip/load_estimate.py
+++ b/sailrun/load_gossip/load_estimate.py
@@ -1,137 +1,155 @@
-"""What a node knows of what the whole tier holds, from sums that name a part of it, late or lost. Pure.
+"""An estimate of the load of all other nodes, from summaries that may be incomplete, late or lost. Pure.
 
-A sum speaks for the nodes that its collector heard. Who is missing from one sum has most likely lost a
-datagram and still holds what it held; who is missing from the next ones as well is gone. So what a missing
-node holds is taken to be what a node held on average before, less with each sum that it is missing from: a
-cut of a few seconds, or a third of the datagrams lost, makes no hole, and what was killed is forgotten
-within three sums.
+A summary covers the nodes whose reports reached its collector. A node that is missing from one summary has
+most likely lost a datagram and still has its load; one that is missing from the next ones as well is gone. So
+a missing node counts with an average part of the previous estimate, less with each summary that lacks it: a
+partition of a few seconds, or a third of the datagrams lost, leaves no gap, and the load of a killed node is
+forgotten within three summaries.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
+from sailrun.decisions.events import FleetLoad
 from sailrun.load_gossip.datagram import LoadDatagram, ambiguous_names, short_name
 
 SECOND = 1_000_000
-# What a node counts that so many of the latest sums in a row did not speak for.
-MISSED = (1.0, 1.0, 0.5)
-# What was said counts in full for so many rounds, and from there on less, evenly, to nothing at so many.
-FRESH, STALE = 2.0, 8.0
-# A warning holds until the next sum but one.
-WARNS = 3
+# The weight of a node by how many summaries in a row have lacked it.
+MISSED_WEIGHTS = (1.0, 1.0, 0.5)
+# A summary counts in full for so many rounds, and from there on less, evenly, to nothing at so many.
+FRESH_ROUNDS, STALE_ROUNDS = 2.0, 8.0
+# Backends are reported as overloaded for so many rounds after the summary that said so.
+OVERLOAD_VALID_ROUNDS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Others:
-    """What the other nodes hold together."""
+class _BackendLoad:
+    load: float  # of all nodes, less what this node reported itself
+    round_number: int  # of the summary that named the backend
 
-    loads: dict[int, float]  # by the numbers of the form servers listed
-    connections: int
-    loads_reported: bool  # loads are us of work a second, not connections
-    instances: int  # nodes that the last sum spoke for, this one among them
-    overloaded: frozenset[int]
-    fresh_until_us: int = 0  # from then on it may be a good deal different
 
+_NEVER_NAMED = _BackendLoad(0.0, -1)
 
-@dataclass(slots=True)
-class _Load:
-    load: float  # of the whole tier, less what this node told for it
-    round: int  # of the sum that said so
 
-
-@dataclass(slots=True)
 class LoadEstimate:
-    """What is known of the tier, kept up by one sum after another."""
-
-    index: int
-    round_us: int
-    summary_round: int = -1  # of the latest sum
-    loads_reported: bool = False
-    connections: float = 0.0
-    overloaded: frozenset[int] = frozenset()
-    instances: int = 1
-    _whole: bool = False  # the latest sum named all that hold anything
-    _loads: dict[int, _Load] = field(default_factory=dict)  # by short name
-    _missed: dict[int, int] = field(default_factory=dict)  # sums in a row, by node that counts
-
-    def merge_summary(self, total: LoadDatagram, own: LoadDatagram | None) -> bool:
-        """Takes in a sum; `own` is what this node told for it, None if it does not speak for this node. False
-        for one that is not newer than the latest: what is known never goes back in time.
+    """What is known of the other nodes' load, updated by one summary after another. `index`: this node's."""
+
+    def __init__(self, index: int, round_us: int) -> None:
+        self.summary_round = -1  # of the latest summary; -1: none yet
+        self._index = index
+        self._round_us = round_us
+        self._loads_reported = False
+        self._connections = 0.0
+        self._overloaded: frozenset[int] = frozenset()
+        self._instances = 1
+        self._is_complete = False  # the latest summary named all backends with any load
+        self._loads: dict[int, _BackendLoad] = {}  # by short name
+        self._missed: dict[int, int] = {}  # summaries in a row that lacked it, by node that counts
+
+    # ------------------------------------------------------------------ summaries
+
+    def merge_summary(self, summary: LoadDatagram, own: LoadDatagram | None) -> bool:
+        """Takes in a summary; `own` is this node's report in it, None if it has none. False for one that
+        is not newer than the latest: the estimate never goes back in time.
         """
-        voices = total.contributors or frozenset()
-        if total.round_number <= self.summary_round or not voices:
+        contributors = summary.contributors or frozenset()
+        if summary.round_number <= self.summary_round or not contributors:
             return False
-        if total.loads_reported is not self.loads_reported:
-            self._loads.clear()  # another unit: what was known is no use
+        if summary.loads_reported is not self._loads_reported:
+            # The unit of loads has changed: the previous ones are of no use.
+            self._loads.clear()
             self._missed.clear()
-            self.connections = 0.0
-        before = self._weight()
-        self._missed = {n: m + 1 for n, m in self._missed.items() if n not in voices}
-        self._missed = {n: m for n, m in self._missed.items() if m < len(MISSED)}
-        self._missed.pop(self.index, None)  # what this node holds itself is never among the others
-        absent = self._weight()
-        # What the missing hold, as a part of what all held before.
-        part = min(1.0, absent / before) if before > 0 else 0.0
-        heard = voices - {self.index}
-        self._missed |= dict.fromkeys(heard, 0)
-        scale = 1.0
-        if own is not None and own.loads_reported != total.loads_reported:
-            scale = sum(total.loads.values()) / max(1, total.connections)
-        for name in {*total.loads, *(self._loads if total.is_complete else ())}:
-            told = own.loads.get(name, 0.0) * scale if own is not None else 0.0
-            said = max(0.0, total.loads.get(name, 0.0) - told)
-            known = self._loads.get(name)
-            missing = part * known.load if known is not None else 0.0
-            self._loads[name] = _Load(said + missing, total.round_number)
-        self.connections = (
-            total.connections - (own.connections if own is not None else 0) + part * self.connections
-        )
-        self._whole = total.is_complete
-        self.summary_round, self.loads_reported, self.overloaded, self.instances = (
-            total.round_number,
-            total.loads_reported,
-            total.overloaded,
-            len(heard) + 1,
-        )
-        self._loads = {n: k for n, k in self._loads.items() if total.round_number - k.round < STALE}
+            self._connections = 0.0
+        others = contributors - {self._index}
+        missing_share = self._update_missed(others)
+        self._merge_loads(summary, own, missing_share)
+        own_connections = own.connections if own is not None else 0
+        self._connections = summary.connections - own_connections + missing_share * self._connections
+        self._is_complete = summary.is_complete
+        self.summary_round = summary.round_number
+        self._loads_reported = summary.loads_reported
+        self._overloaded = summary.overloaded
+        self._instances = len(others) + 1
+        self._forget_stale_loads()
         return True
 
-    def _weight(self) -> float:
+    def _update_missed(self, others: frozenset[int]) -> float:
+        """Counts who is missing; returns their part of the previous estimate."""
+        weight_before = self._total_weight()
+        missed = {index: count + 1 for index, count in self._missed.items() if index not in others}
+        self._missed = {index: count for index, count in missed.items() if count < len(MISSED_WEIGHTS)}
+        missing_weight = self._total_weight()
+        self._missed |= dict.fromkeys(others, 0)
+        return min(1.0, missing_weight / weight_before) if weight_before > 0 else 0.0
+
+    def _total_weight(self) -> float:
         """Of how many nodes the load is counted."""
-        return sum(MISSED[m] for m in self._missed.values())
-
-    def estimate_fleet_load(self, now_us: int, listed: Iterable[int]) -> Others:
-        """What is known by now of these form servers."""
-        numbers = list(listed)
-        doubtful = ambiguous_names(numbers)
-        share = self._share(now_us, self.summary_round)
-        loads, unknown = dict[int, float](), list[int]()
+        return sum(MISSED_WEIGHTS[count] for count in self._missed.values())
+
+    def _merge_loads(self, summary: LoadDatagram, own: LoadDatagram | None, missing_share: float) -> None:
+        own_scale = 1.0
+        if own is not None and own.loads_reported != summary.loads_reported:
+            own_scale = sum(summary.loads.values()) / max(1, summary.connections)
+        for name in {*summary.loads, *(self._loads if summary.is_complete else ())}:
+            own_load = own.loads.get(name, 0.0) * own_scale if own is not None else 0.0
+            others_load = max(0.0, summary.loads.get(name, 0.0) - own_load)
+            previous = self._loads.get(name)
+            missing_load = missing_share * previous.load if previous is not None else 0.0
+            self._loads[name] = _BackendLoad(others_load + missing_load, summary.round_number)
+
+    def _forget_stale_loads(self) -> None:
+        self._loads = {
+            name: known
+            for name, known in self._loads.items()
+            if self.summary_round - known.round_number < STALE_ROUNDS
+        }
+
+    # ------------------------------------------------------------------ queries
+
+    def estimate_fleet_load(self, now_us: int, backends: Iterable[int]) -> FleetLoad:
+        """The load of the other nodes at each of these backends, given by their numbers."""
+        numbers = list(backends)
+        loads = self._estimate_loads(now_us, numbers)
+        share = self._freshness(now_us, self.summary_round)
+        overload_ends_us = (self.summary_round + OVERLOAD_VALID_ROUNDS) * self._round_us
+        overloaded_names = self._overloaded if now_us < overload_ends_us else frozenset[int]()
+        return FleetLoad(
+            loads,
+            max(0, round(self._connections * share)),
+            self._loads_reported,
+            self._instances if share else 1,
+            frozenset(number for number in numbers if short_name(number) in overloaded_names),
+            int((self.summary_round + FRESH_ROUNDS) * self._round_us),
+        )
+
+    def _estimate_loads(self, now_us: int, numbers: list[int]) -> dict[int, float]:
+        """A backend whose load is unknown counts as an average one, never as an empty one."""
+        ambiguous = ambiguous_names(numbers)
+        loads: dict[int, float] = {}
+        unknown: list[int] = []
         for number in numbers:
             name = short_name(number)
             known = self._loads.get(name)
-            if name in doubtful or (known is None and not self._whole):
+            if name in ambiguous or (known is None and not self._is_complete):
                 unknown.append(number)
+            elif known is None:
+                loads[number] = 0.0
             else:
-                loads[number] = known.load * self._share(now_us, known.round) if known is not None else 0.0
-        # One that is not known is taken for a usual one, never for an empty one.
-        usual = sum(loads.values()) / len(loads) if loads else 0.0
-        loads |= dict.fromkeys(unknown, usual)
-        warns = self.overloaded if now_us < (self.summary_round + WARNS) * self.round_us else frozenset[int]()
-        warned = frozenset(n for n in numbers if short_name(n) in warns)
-        connections = max(0, round(self.connections * share))
-        until_us = int((self.summary_round + FRESH) * self.round_us)
-        return Others(
-            loads, connections, self.loads_reported, self.instances if share else 1, warned, until_us
-        )
+                loads[number] = known.load * self._freshness(now_us, known.round_number)
+        average = sum(loads.values()) / len(loads) if loads else 0.0
+        return loads | dict.fromkeys(unknown, average)
 
     def order_by_last_named(self, loads: Mapping[int, float], first: frozenset[int]) -> list[int]:
-        """These names, with `first` first, then those that no sum has named for longest."""
-        never = _Load(0.0, -1)
-        return sorted(loads, key=lambda n: (n not in first, self._loads.get(n, never).round, -loads[n], n))
-
-    def _share(self, now_us: int, number: int) -> float:
-        """How much of what was said in this round counts by now: no cliff at its end."""
-        age = now_us / self.round_us - number
-        return max(0.0, min(1.0, (STALE - age) / (STALE - FRESH)))
+        """These short names: those in `first`, then those that no summary has named for longest."""
+
+        def order(name: int) -> tuple[bool, int, float, int]:
+            return name not in first, self._loads.get(name, _NEVER_NAMED).round_number, -loads[name], name
+
+        return sorted(loads, key=order)
+
+    def _freshness(self, now_us: int, round_number: int) -> float:
+        """How much of what a round's summary said still counts, from 1 to 0."""
+        age_rounds = now_us / self._round_us - round_number
+        return max(0.0, min(1.0, (STALE_ROUNDS - age_rounds) / (STALE_ROUNDS - FRESH_ROUNDS)))
--- a/sailrun/node/fleet_load.py
+++ b/sailrun/node/fleet_load.py
@@ -10,7 +10,6 @@
 from sailrun.decisions.events import FleetLoad, LocalLoad
 from sailrun.load_gossip.aggregation_rounds import RESTATE_INTERVAL_US, AggregationRounds, OutgoingDatagram
 from sailrun.load_gossip.datagram import FORMAT_VERSION
-from sailrun.load_gossip.load_estimate import Others
 from sailrun.node.restart_state import ProcessLoad
 
 FLEET = bytes((FORMAT_VERSION,))
@@ -23,7 +22,7 @@
         """`rounds`: None where the nodes may not talk."""
         self._rounds = rounds
         self._heard_of = 0  # nodes that the last sum spoke for
-        self._others: Others | None = None  # what the other nodes hold, for as long as that is known
+        self._others: FleetLoad | None = None  # what the other nodes hold, for as long as that is known
         self._others_until_us = now_us
         self.news = False  # whether the last call brought a new sum
         self.predecessor: ProcessLoad | None = None  # what the process before this one still holds
@@ -45,7 +44,7 @@
         return self._said(now_us, self._rounds.receive(now_us, neighbour, content, self.holding(own())))
 
     def _said(
-        self, now_us: int, said: tuple[list[OutgoingDatagram], Others | None]
+        self, now_us: int, said: tuple[list[OutgoingDatagram], FleetLoad | None]
     ) -> list[OutgoingDatagram]:
         outgoing, others = said
         if others is not None:
@@ -66,7 +65,7 @@
         """What others hold: the other nodes, and the process before this one."""
         others, before = self._others, self.predecessor
         if others is None or now_us >= self._others_until_us:
-            others = Others({}, 0, before is not None and before.loads_reported, 1, frozenset())
+            others = FleetLoad({}, 0, before is not None and before.loads_reported, 1, frozenset(), 0)
         loads, connections = others.loads, others.connections
         if before is not None and (before.loads_reported is others.loads_reported or not connections):
             loads = {n: loads.get(n, 0.0) + before.loads.get(n, 0.0) for n in {*loads, *before.loads}}
--- a/tests/test_load_gossip.py
+++ b/tests/test_load_gossip.py
@@ -10,13 +10,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailrun.decisions.events import LocalLoad
+from sailrun.decisions.events import FleetLoad, LocalLoad
 from sailrun.load_gossip.aggregation_rounds import (
     MAX_REQUESTS,
     MIN_ROUND_US,
     QUIET_ROUND_INTERVAL,
     ROUND_US_PER_NODE,
     AggregationRounds,
+    OutgoingDatagram,
 )
 from sailrun.load_gossip.datagram import (
     NAMES,
@@ -27,7 +28,7 @@
     encode_datagram,
     short_name,
 )
-from sailrun.load_gossip.load_estimate import SECOND, LoadEstimate, Others
+from sailrun.load_gossip.load_estimate import SECOND, LoadEstimate
 
 START_US = 1_796_145_160 * SECOND
 
@@ -47,7 +48,7 @@
         self.local_loads, self.random, self.lost, self.down = local_loads, Random(seed), lost, down
         n = len(local_loads)
         self.nodes = [AggregationRounds(k, n, seed * 1_000 + k, START_US) for k in range(n)]
-        self.estimates: dict[int, Others] = {}
+        self.estimates: dict[int, FleetLoad] = {}
         self.sent = self.bytes = 0
         self.order, self.events = count(), list[tuple[int, int, int, int, bytes]]()
         self.alive = [k for k in range(n) if k not in down]
@@ -62,7 +63,7 @@
             if not content:
                 self.armed.pop(k, None)
             node, own = self.nodes[k], self.local_loads[k]
-            out, others = list[tuple[int | None, bytes]](), None
+            out, others = list[OutgoingDatagram](), None
             if content:
                 out, others = node.receive(now, sender, content, own)
             elif now >= node.due_us():
