--- a/tests/test_load_gossip.py
+++ b/tests/test_load_gossip.py
@@ -1,4 +1,4 @@
-"""Rounds in which the nodes of a tier tell one another what they hold, in virtual time."""
+"""Rounds in which the nodes of a fleet report and sum their load, in virtual time."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
             self._arm(k, self.nodes[k].due_us())
 
     def play(self, until_us: int) -> None:
-        """Goes on until so long after the start."""
+        """Advances the clock until so long after the start."""
         while self.events[0][0] < START_US + until_us:
             now, _, k, sender, content = heapq.heappop(self.events)
             if not content:
@@ -77,7 +77,7 @@
                 self.estimates[k] = others
 
     def _arm(self, k: int, when_us: int) -> None:
-        """Its next turn, once: what it heard may have brought it forward."""
+        """Schedules its next tick, once: what it received may have brought it forward."""
         if not START_US <= self.armed.get(k, 0) <= when_us:
             self.armed[k] = when_us
             heapq.heappush(self.events, (when_us, next(self.order), k, -1, b""))
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("nodes", [4, 40, 100])
 @pytest.mark.parametrize("seed", range(3))
-def test_after_a_round_everybody_knows_what_all_hold_at_two_datagrams_a_node(nodes: int, seed: int) -> None:
+def test_after_a_round_every_node_has_the_load_of_all_at_two_datagrams_a_node(nodes: int, seed: int) -> None:
     fleet = SimulatedFleet(spread(nodes, seed), seed)
     fleet.play(3 * max(MIN_ROUND_US, ROUND_US_PER_NODE * nodes) + SECOND)
     for k, others in fleet.estimates.items():
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_with_most_nodes_down_and_datagrams_lost_the_rest_still_hear(seed: int) -> None:
+def test_with_most_nodes_down_and_datagrams_lost_the_rest_still_receive_summaries(seed: int) -> None:
     down = frozenset(Random(seed).sample(range(40), 28))
     fleet = SimulatedFleet(spread(40, seed), seed, lost=0.1, down=down)
     fleet.play(40 * SECOND)
@@ -122,7 +122,7 @@
     assert all(2 <= others.instances <= 12 for others in fleet.estimates.values())
 
 
-def test_where_there_is_nothing_to_look_at_rounds_are_rare_and_an_alert_spreads() -> None:
+def test_without_an_alert_rounds_are_rare_and_an_alert_spreads() -> None:
     quiet = [local_load({1: 5_000.0}, alert=False) for _ in range(8)]
     fleet = SimulatedFleet(quiet, 1)
     fleet.play(16 * SECOND)
@@ -141,7 +141,7 @@
     assert many.sent <= few.sent + 400 * MAX_REQUESTS
 
 
-def test_a_warning_needs_more_than_one_voice() -> None:
+def test_an_overload_needs_more_than_one_report() -> None:
     for voices, warned in ((1, frozenset[int]()), (3, frozenset({7}))):
         late = frozenset({7})
         local_loads = [local_load({7: 5_000.0}, True, late if k < voices else frozenset()) for k in range(8)]
@@ -150,7 +150,7 @@
         assert all(others.overloaded == warned for others in fleet.estimates.values())
 
 
-def test_what_is_torn_old_or_not_the_senders_to_send_is_counted_and_believed_by_nobody() -> None:
+def test_torn_old_and_unauthorized_datagrams_are_rejected_and_counted() -> None:
     node, own = AggregationRounds(0, 4, 1, START_US), local_load({1: 5_000.0})
     number = START_US // MIN_ROUND_US
     collector = node.collector_of(number)
@@ -175,7 +175,7 @@
     st.booleans(),
     st.sets(st.integers(0, 39)),
 )
-def test_a_datagram_holds_what_was_written_to_a_twentieth(
+def test_a_datagram_decodes_to_what_was_encoded_within_a_twentieth(
     loads: dict[int, float], connections: int, told: bool, voices: set[int]
 ) -> None:
     content = encode_datagram(
@@ -195,7 +195,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_break_the_reader(content: bytes) -> None:
+def test_no_bytes_break_the_decoder(content: bytes) -> None:
     for whole in (content, b"\xf2" + content):
         try:
             digest = decode_datagram(whole, 40)
@@ -204,10 +204,12 @@
         assert len(digest.loads) <= datagram_capacity(1) and digest.contributors != frozenset({40})
 
 
-# ---------------------------------------------------------------- what is known of the tier
+# ---------------------------------------------------------------- the estimate
 
 
-def a_sum(number: int, loads: dict[int, float], voices: range | set[int], whole: bool = True) -> LoadDatagram:
+def summary(
+    number: int, loads: dict[int, float], voices: range | set[int], whole: bool = True
+) -> LoadDatagram:
     named = {short_name(s): load for s, load in loads.items()}
     return LoadDatagram(
         number, named, 10 * len(voices), True, contributors=frozenset(voices), is_complete=whole
@@ -219,30 +221,30 @@
     return number * MIN_ROUND_US + 400_000
 
 
-def test_a_form_server_that_no_sum_has_named_is_taken_for_a_usual_one_and_never_for_an_empty_one() -> None:
+def test_a_backend_that_no_summary_has_named_counts_as_an_average_one_never_as_an_empty_one() -> None:
     known = LoadEstimate(0, MIN_ROUND_US)
-    assert known.merge_summary(a_sum(5, {1: 40_000.0, 2: 60_000.0}, range(1, 9), whole=False), None)
+    assert known.merge_summary(summary(5, {1: 40_000.0, 2: 60_000.0}, range(1, 9), whole=False), None)
     loads = known.estimate_fleet_load(at(5), [1, 2, 3]).loads
     assert loads[3] == pytest.approx(50_000.0)
-    assert known.merge_summary(a_sum(6, {1: 40_000.0, 2: 60_000.0}, range(1, 9)), None)
+    assert known.merge_summary(summary(6, {1: 40_000.0, 2: 60_000.0}, range(1, 9)), None)
     assert (
         known.estimate_fleet_load(at(6), [1, 2, 3]).loads[3] == 0.0
     )  # all that hold anything are named here
 
 
-def test_two_form_servers_of_one_short_name_are_both_unknown() -> None:
+def test_two_backends_of_one_short_name_are_both_unknown() -> None:
     first = next(n for n in range(1, 100_000) if short_name(n) == short_name(0))
     known = LoadEstimate(0, MIN_ROUND_US)
-    known.merge_summary(a_sum(5, {0: 90_000.0, 2: 10_000.0, 3: 30_000.0}, range(1, 9)), None)
+    known.merge_summary(summary(5, {0: 90_000.0, 2: 10_000.0, 3: 30_000.0}, range(1, 9)), None)
     loads = known.estimate_fleet_load(at(5), [0, first, 2, 3]).loads
     assert loads[0] == loads[first] == pytest.approx(20_000.0)
 
 
-def test_a_cut_makes_no_hole_and_the_halves_merge_without_a_jump() -> None:
+def test_a_partition_leaves_no_gap_and_the_halves_merge_without_a_jump() -> None:
     """Eight nodes with 10,000 each; half of them are not heard for three rounds, and come back."""
     known, seen = LoadEstimate(0, MIN_ROUND_US), list[float]()
     for number, voices in enumerate([range(1, 9)] * 3 + [range(1, 5)] * 3 + [range(1, 9)] * 2, 5):
-        assert known.merge_summary(a_sum(number, {1: 10_000.0 * len(voices)}, voices), None)
+        assert known.merge_summary(summary(number, {1: 10_000.0 * len(voices)}, voices), None)
         seen.append(known.estimate_fleet_load(at(number), [1]).loads[1])
     assert seen[:4] == [pytest.approx(80_000.0)] * 4  # missing once: lost, not gone
     assert all(40_000.0 <= load <= 80_000.0 for load in seen)
@@ -251,7 +253,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_with_three_in_ten_datagrams_lost_the_loads_are_still_known(seed: int) -> None:
+def test_with_three_in_ten_datagrams_lost_the_loads_are_still_estimated(seed: int) -> None:
     fleet = SimulatedFleet([local_load(dict.fromkeys(range(8), 20_000.0)) for _ in range(40)], seed, lost=0.3)
     fleet.play(40 * SECOND)
     assert len(fleet.estimates) == 40
@@ -260,7 +262,7 @@
     assert 0.85 <= known[20] <= 1.1  # a sum alone has seven tenths of it
 
 
-def test_a_newcomer_asks_and_knows_within_half_a_second_what_the_others_hold() -> None:
+def test_a_newcomer_requests_and_has_the_load_of_the_others_within_half_a_second() -> None:
     fleet = SimulatedFleet(spread(40, 3), 3)
     fleet.play(3 * MIN_ROUND_US)
     begin = START_US + 3 * MIN_ROUND_US + 600_000  # its next round is 1.4 s away
@@ -276,9 +278,9 @@
     assert others is not None and others.instances == 40 and sum(others.loads.values()) > 0
 
 
-def test_what_is_known_counts_less_with_age_and_ends_without_a_cliff() -> None:
+def test_an_estimate_loses_weight_with_age_and_ends_without_a_cliff() -> None:
     known = LoadEstimate(0, MIN_ROUND_US)
-    known.merge_summary(a_sum(5, {1: 40_000.0}, range(1, 9)), None)
+    known.merge_summary(summary(5, {1: 40_000.0}, range(1, 9)), None)
     loads = [known.estimate_fleet_load(at(5) + n * MIN_ROUND_US // 4, [1]).loads[1] for n in range(40)]
     assert loads[0] == pytest.approx(40_000.0) and loads[-1] == 0.0
     assert all(0 <= before - after <= 4_000.0 for before, after in pairwise(loads))
@@ -291,14 +293,14 @@
     """Each of seven nodes holds 10,000 all the time: never is more known, whatever of it is heard."""
     known, latest = LoadEstimate(0, MIN_ROUND_US), -1
     for number, voices in heard:
-        total = a_sum(number, {1: 10_000.0 * len(voices)}, voices)
+        total = summary(number, {1: 10_000.0 * len(voices)}, voices)
         assert known.merge_summary(total, None) is (number > latest and bool(voices))
         latest = known.summary_round
         assert not known.merge_summary(total, None)  # doubled
         assert known.estimate_fleet_load(at(number), [1]).loads[1] <= 70_000.0 * 1.0001
 
 
-def test_form_servers_that_no_one_datagram_can_name_are_told_in_parts_and_named_in_turn() -> None:
+def test_backends_that_no_one_datagram_can_name_are_reported_in_parts_and_named_in_turn() -> None:
     """Each of four nodes holds 250 form servers: three datagrams a telling, three sums for all."""
     fleet = SimulatedFleet([local_load({s: 10_000.0 * (1 + s % 5) for s in range(250)}) for _ in range(4)], 1)
     fleet.play(8 * MIN_ROUND_US)
