--- a/sailrun/decisions/balancer.py
+++ b/sailrun/decisions/balancer.py
@@ -144,7 +144,8 @@
         if not requests or (holder := requests[0].endpoint) is None:
             return None
         first = requests[0]
-        newcomer = ClientRequest("", first.request_class, first.key_hash, 0, client_hash=first.client_hash)
+        newcomer = ClientRequest("", first.request_class, first.key_hash, 0)
+        newcomer.client_hash = first.client_hash
         newcomer.load = sum(request.load for request in requests)
         for request in requests:
             self._loads.remove(request, holder)
--- a/sailrun/decisions/endpoints.py
+++ b/sailrun/decisions/endpoints.py
@@ -7,7 +7,6 @@
 
 import math
 from collections import deque
-from dataclasses import dataclass, field
 
 from sailrun.decisions.events import Backend, BackendState
 from sailrun.decisions.placement import server_hash
@@ -21,54 +20,85 @@
 NOT_STARTING = -1  # `SlowStartState.began_us` of a backend that has all of its capacity
 
 
-@dataclass(slots=True, eq=False)
 class OutlierState:
     """What was observed of a backend's failures; written by `outlier_detection`."""
 
-    ejected_until_us: int = 0
-    ejections: int = 0  # in a row
-    consecutive_timeouts: int = 0
-    consecutive_errors: int = 0
-    half_open: bool = False  # ejected before, and not yet seen to work again
-    recent_resets: int = 0  # that belong together
-    last_reset_us: int = -DELAY_VALID_US
-    last_connect_failure_us: int = -DELAY_VALID_US
+    __slots__ = (
+        "consecutive_errors",
+        "consecutive_timeouts",
+        "ejected_until_us",
+        "ejections",
+        "half_open",
+        "last_connect_failure_us",
+        "last_reset_us",
+        "recent_resets",
+    )
+
+    def __init__(self) -> None:
+        self.ejected_until_us = 0
+        self.ejections = 0  # in a row
+        self.consecutive_timeouts = 0
+        self.consecutive_errors = 0
+        self.half_open = False  # ejected before, and not yet seen to work again
+        self.recent_resets = 0  # that belong together
+        self.last_reset_us = -DELAY_VALID_US
+        self.last_connect_failure_us = -DELAY_VALID_US
 
 
-@dataclass(slots=True, eq=False)
 class OverloadState:
     """How long messages and set-ups take at a backend, and the limit learned from it; written by `overload`
     and `migration`.
     """
 
-    delay_ms: float = 0.0  # what a message takes
-    delay_us: int = -DELAY_VALID_US  # when that was reported
-    reported_by_peers_until_us: int = 0  # other instances find it slow, until then
-    setup_excess_ms: float = 0.0  # by how much set-ups take longer here than usual
-    setup_excess_us: int = 0  # when that was observed
-    load_limit: float = math.inf
-    load_limit_us: int = -LIMIT_CUT_INTERVAL_US  # when it was cut
+    __slots__ = (
+        "delay_ms",
+        "delay_us",
+        "load_limit",
+        "load_limit_us",
+        "reported_by_peers_until_us",
+        "setup_excess_ms",
+        "setup_excess_us",
+    )
+
+    def __init__(self) -> None:
+        self.delay_ms = 0.0  # what a message takes
+        self.delay_us = -DELAY_VALID_US  # when that was reported
+        self.reported_by_peers_until_us = 0  # other instances find it slow, until then
+        self.setup_excess_ms = 0.0  # by how much set-ups take longer here than usual
+        self.setup_excess_us = 0  # when that was observed
+        self.load_limit = math.inf
+        self.load_limit_us = -LIMIT_CUT_INTERVAL_US  # when it was cut
 
 
-@dataclass(slots=True, eq=False)
 class SlowStartState:
     """This instance's part in a backend's slow start; written by `slow_start`."""
 
-    began_us: int = NOT_STARTING
-    tokens: float = 0.0  # what is left of this instance's part of one window, 0 to 1
-    tokens_us: int = 0  # when that was so
-    part: float = 0.0  # this instance's part of one window, in requests
-    max_sends: int = 1  # that this instance starts there in one window
-    admission_probability: float = 0.0  # of the latest request
-    is_assumed: bool = False  # nobody stated a start: it was ejected and answers again
-    is_counted: bool = False  # the part is a request or more, so that counting sends bounds the sum
-    sends_us: deque[int] = field(default_factory=deque)  # the latest attempts of this instance there
+    __slots__ = (
+        "admission_probability",
+        "began_us",
+        "is_assumed",
+        "is_counted",
+        "max_sends",
+        "part",
+        "sends_us",
+        "tokens",
+        "tokens_us",
+    )
+
+    def __init__(self) -> None:
+        self.sends_us: deque[int] = deque()  # the latest attempts of this instance there
+        self.reset()
 
     def reset(self) -> None:
         """Forgets all but the attempts made."""
-        self.began_us, self.tokens, self.tokens_us = NOT_STARTING, 0.0, 0
-        self.part, self.max_sends, self.admission_probability = 0.0, 1, 0.0
-        self.is_assumed = self.is_counted = False
+        self.began_us = NOT_STARTING
+        self.tokens = 0.0  # what is left of this instance's part of one window, 0 to 1
+        self.tokens_us = 0  # when that was so
+        self.part = 0.0  # this instance's part of one window, in requests
+        self.max_sends = 1  # that this instance starts there in one window
+        self.admission_probability = 0.0  # of the latest request
+        self.is_assumed = False  # nobody stated a start: it was ejected and answers again
+        self.is_counted = False  # the part is a request or more, so that counting sends bounds the sum
 
 
 class Endpoint:
@@ -127,23 +157,42 @@
         return self.slow_start.began_us >= 0
 
 
-@dataclass(slots=True, eq=False)
 class ClientRequest:
     """A request from its arrival to the end of its connection."""
 
-    request_id: str
-    request_class: RequestClass
-    key_hash: int  # of the key that decides: the group's, or the client's own
-    deadline_us: int  # negative: it is over, and the end of its attempt is still to come
-    client_hash: int = 0  # of the client's own key where a group's key decides; 0: none
-    load: float = 1.0
-    endpoint: Endpoint | None = None  # where its attempt is under way, or its connection is established
-    is_established: bool = False
-    is_mid_flow: bool = False
-    is_returning: bool = False  # after a break, a migration or a rejection, as many do at one time
-    attempts: int = 0
-    attempted_us: int = 0  # when the latest attempt began
-    tried: tuple[Endpoint, ...] = ()
-    first_ran_at: Endpoint | None = None  # of the first attempt that may have run
-    first_ran_us: int = 0
-    retry_not_before_us: int = 0
+    __slots__ = (
+        "attempted_us",
+        "attempts",
+        "client_hash",
+        "deadline_us",
+        "endpoint",
+        "first_ran_at",
+        "first_ran_us",
+        "is_established",
+        "is_mid_flow",
+        "is_returning",
+        "key_hash",
+        "load",
+        "request_class",
+        "request_id",
+        "retry_not_before_us",
+        "tried",
+    )
+
+    def __init__(self, request_id: str, request_class: RequestClass, key_hash: int, deadline_us: int) -> None:
+        self.request_id = request_id
+        self.request_class = request_class
+        self.key_hash = key_hash  # of the key that decides: the group's, or the client's own
+        self.deadline_us = deadline_us  # negative: it is over, and the end of its attempt is still to come
+        self.client_hash = 0  # of the client's own key where a group's key decides; 0: none
+        self.load = 1.0
+        self.endpoint: Endpoint | None = None  # of its attempt under way, or its established connection
+        self.is_established = False
+        self.is_mid_flow = False
+        self.is_returning = False  # after a break, a migration or a rejection, as many do at one time
+        self.attempts = 0
+        self.attempted_us = 0  # when the latest attempt began
+        self.tried: tuple[Endpoint, ...] = ()
+        self.first_ran_at: Endpoint | None = None  # of the first attempt that may have run
+        self.first_ran_us = 0
+        self.retry_not_before_us = 0
