--- a/benchmarks/fuzz_folder.py
+++ b/benchmarks/fuzz_folder.py
@@ -16,8 +16,8 @@
 with atheris.instrument_imports():
     from sailrun.lab.faults.disk import SimFiles
     from sailrun.lab.faults.killing import last_of, write
-    from sailrun.storage.folder import FolderIntegrity, read_folder
-    from sailrun.storage.frames import NewerSchemaError
+    from sailrun.storage.errors import NewerSchemaError
+    from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 
 MOST = 60
 
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -37,7 +37,8 @@
 from sailrun.storage import decision_snapshot
 from sailrun.storage import entries as e
 from sailrun.storage.files import OsFiles
-from sailrun.storage.folder import FolderContents, FolderIntegrity, FolderWriter, read_folder
+from sailrun.storage.folder_reader import FolderContents, FolderIntegrity, read_folder
+from sailrun.storage.folder_writer import FolderWriter
 from sailrun.storage.settings import StorageSettings
 from sailrun.storage.write_ahead_log import WriteAheadLog
 from sailrun.storage.writer import BatchWriter
--- a/sailrun/lab/faults/killing.py
+++ b/sailrun/lab/faults/killing.py
@@ -21,7 +21,10 @@
 from sailrun.replication.records import written
 from sailrun.storage import entries as e
 from sailrun.storage.files import FolderFiles, OsFiles
-from sailrun.storage.folder import FolderIntegrity, FolderWriter, generate_identity, read_folder
+from sailrun.storage.folder_identity import generate_identity
+from sailrun.storage.folder_reader import FolderIntegrity, read_folder
+from sailrun.storage.folder_writer import FolderWriter
+from sailrun.storage.persisted_state import PersistedState
 
 if TYPE_CHECKING:
     from sailrun.lab.faults.disk import SimFiles
@@ -41,7 +44,7 @@
     )
 
 
-def last_of(memory: e.PersistedState) -> int:
+def last_of(memory: PersistedState) -> int:
     """Up to which entry a memory has them all; -1: it has some that it cannot have."""
     records = {int(key[1][2:], 16) for key in memory.records}
     term = memory.grants["task"].term if "task" in memory.grants else 0
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -36,7 +36,7 @@
 from sailrun.lab.settings import WorldSettings
 from sailrun.leadership.agent import AgentSettings
 from sailrun.storage.files import OsFiles
-from sailrun.storage.folder import read_folder
+from sailrun.storage.folder_reader import read_folder
 from sailrun.storage.settings import StorageSettings
 
 MOST_NODES = 15
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -25,7 +25,7 @@
 from sailrun.replication.messages import Op
 from sailrun.replication.replica import MARKS, Replica
 from sailrun.replication.state import show_state
-from sailrun.storage.folder import FolderIntegrity, read_folder
+from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 from sailrun.storage.opening import open_folder
 from sailrun.storage.settings import StorageSettings
 from sailrun.storage.write_ahead_log import WriteAheadLog, WriteBatch, WriteResult
--- a/sailrun/leadership/backing.py
+++ b/sailrun/leadership/backing.py
@@ -21,9 +21,10 @@
 from sailrun.replication.messages import Kept, Promised, Recovering
 from sailrun.replication.replica import Replica
 from sailrun.storage import entries as e
-from sailrun.storage.folder import paused_garbage_collection
+from sailrun.storage.folder_reader import paused_garbage_collection
 from sailrun.storage.freshness import FolderFreshness, FreshnessState, OwnFolder
 from sailrun.storage.messages import FreshnessQuery, FreshnessReply
+from sailrun.storage.persisted_state import PersistedState
 from sailrun.storage.write_ahead_log import WriteResult
 
 Post = tuple[str, msgspec.Struct]
@@ -129,7 +130,7 @@
         if self.standing.state is FreshnessState.CONFIRMED:
             self._trust()
 
-    def _take_up_copy(self, now_us: int, replica: Replica, memory: e.PersistedState) -> None:
+    def _take_up_copy(self, now_us: int, replica: Replica, memory: PersistedState) -> None:
         if memory.is_replica_complete:
             held = ((r, memory.record_digests[key]) for key, r in memory.records.items())
             with paused_garbage_collection():
--- a/sailrun/leadership/lasting.py
+++ b/sailrun/leadership/lasting.py
@@ -14,6 +14,7 @@
 from sailrun.replication.records import Key, Record
 from sailrun.replication.replica import Replica
 from sailrun.storage import entries as e
+from sailrun.storage.persisted_state import PersistedState
 from sailrun.storage.write_ahead_log import WriteAheadLog
 
 
@@ -25,7 +26,7 @@
 
     write_ahead_log: WriteAheadLog
     identity: str
-    memory: e.PersistedState
+    memory: PersistedState
     sound: bool
     loaded: int  # the position that was found
     wall_s: float
@@ -79,7 +80,7 @@
     return e.LeaseGrant(task, slot.term, slot.holder, slot.life, slot.highest, slot.released)
 
 
-def known_slots(memory: e.PersistedState) -> dict[str, Slot]:
+def known_slots(memory: PersistedState) -> dict[str, Slot]:
     """A voter's grants, as its memory has them."""
     return {
         task: Slot(s.term, s.holder, s.incarnation, 0, s.is_released, max(s.highest_term, s.term))
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -32,7 +32,8 @@
 from sailrun.node.clock import log
 from sailrun.node.leaving import Reason
 from sailrun.replication.service import CopiesPart
-from sailrun.storage.folder import FolderIntegrity, generate_identity
+from sailrun.storage.folder_identity import generate_identity
+from sailrun.storage.folder_reader import FolderIntegrity
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
--- a/sailrun/storage/cli.py
+++ b/sailrun/storage/cli.py
@@ -12,7 +12,7 @@
 from sailrun.start import complain
 
 if TYPE_CHECKING:
-    from sailrun.storage.folder import FolderContents
+    from sailrun.storage.folder_reader import FolderContents
 
 app = typer.Typer(help="Look at the folder in which a node keeps what it has to know after a restart.")
 
@@ -24,9 +24,9 @@
 
 
 def _read(folder: Path) -> FolderContents:
+    from sailrun.storage.errors import NewerSchemaError
     from sailrun.storage.files import OsFiles
-    from sailrun.storage.folder import read_folder
-    from sailrun.storage.frames import NewerSchemaError
+    from sailrun.storage.folder_reader import read_folder
 
     try:
         return read_folder(OsFiles(folder))
--- a/sailrun/storage/entries.py
+++ b/sailrun/storage/entries.py
@@ -1,37 +1,38 @@
-"""What is written down, entry by entry, and what all entries together come to. Pure.
+"""The entries of the write-ahead log, and their bytes. Pure.
 
-An entry states how something is from then on, never what is to be added: whoever applies one twice, or a
-later one of the same thing alone, comes to the same. Fields are read by place; a newer version of the program
-may add some at the end, with a default, and an older file is read with those defaults. Another kind of entry,
-or another meaning, is another schema (`frames.SCHEMA`).
+An entry states how something is from then on, never a difference: applying one twice, or only the later of
+two about the same thing, has the same result. On the disk an entry is a MessagePack array that begins with
+its tag. Fields are read by position; a newer version of the program may add some at the end, with a default,
+and an older file is read with those defaults. Another kind of entry, or another meaning, is another schema
+(`frames.SCHEMA`).
+
+The names given by `tag=` and `name=` are those on the disk and in what `sailrun lasting export` prints.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from dataclasses import dataclass, field
-
 import msgspec
 
 from sailrun.replication.records import Key, Record
+from sailrun.storage.errors import InvalidEntryError
 
 
 class ProcessStarted(msgspec.Struct, array_like=True, frozen=True, tag="begun"):
-    """A process has taken the folder over. `life` counts them."""
+    """A process has taken the folder over; `incarnation` counts them. `wall_s` is for people to read."""
 
     incarnation: int = msgspec.field(name="life")
-    wall_s: float  # for staff to read
+    wall_s: float
 
 
 class CleanShutdown(msgspec.Struct, array_like=True, frozen=True, tag="ended"):
-    """It has ended in good order, and nothing of it was left to write."""
+    """The process has ended in good order, with nothing left to write."""
 
     wall_s: float
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="slot"):
-    """A voter's grant of a task: to whom, under which term, and the highest it ever granted. Renewals change
-    nothing of this.
+    """A voter's grant of a task's lease: to which member in which of its incarnations, under which term, and
+    the highest term it ever granted for the task. Renewals change nothing of this.
     """
 
     task: str
@@ -43,22 +44,24 @@
 
 
 class TermFloor(msgspec.Struct, array_like=True, frozen=True, tag="floor"):
-    """A term that is known of a task; of no task: below which none is granted for any."""
+    """A term that is known of a task; with an empty task, the term below which none is granted for any."""
 
     task: str
     term: int
 
 
 class VoterState(msgspec.Struct, array_like=True, frozen=True, tag="votes"):
-    """Whether the voter here knows of all that it may ever have granted. One that is learning it from the
-    others does not, however sound its folder.
+    """Whether the voter knows of every lease that it may ever have granted. One that is still recovering
+    them from the other voters does not, however intact its folder is.
     """
 
     is_complete: bool = msgspec.field(name="remembers")
 
 
 class AcceptorState(msgspec.Struct, array_like=True, frozen=True, tag="keeps"):
-    """What a voter has promised of marks, in which of its lives, and the lives of others that it knows."""
+    """What a voter has promised as an acceptor of operator marks, in which of its incarnations, the
+    incarnations of others that it knows, and whether it knows all its promises.
+    """
 
     incarnation: int = msgspec.field(name="life")
     promised_term: int = msgspec.field(name="promised")
@@ -67,9 +70,8 @@
 
 
 class StoredRecord(msgspec.Struct, array_like=True, frozen=True, tag="held"):
-    """A record of the fleet's state, as this copy has it. `mark` is the hash that was taken when it came to
-    be so there (0: none is known): a copy whose bytes were spoilt in memory is found out after a restart as
-    well.
+    """A record of the replicated state. `digest` is the hash that was taken when the record was received
+    (0: unknown), so that bytes spoilt in memory are noticed after a restart as well.
     """
 
     record: Record
@@ -77,13 +79,15 @@
 
 
 class DeletedRecord(msgspec.Struct, array_like=True, frozen=True, tag="dropped"):
-    """A record that the fleet has forgotten."""
+    """A record that is no longer part of the replicated state."""
 
     key: Key
 
 
 class ReplicaStatus(msgspec.Struct, array_like=True, frozen=True, tag="copy"):
-    """The copy as a whole: its epoch, and whether it is one. `cleared`: all records were thrown away."""
+    """The replica as a whole: its epoch, and whether it has every record. `was_cleared`: all records were
+    removed.
+    """
 
     epoch: int
     is_complete: bool = msgspec.field(name="whole")
@@ -91,8 +95,8 @@
 
 
 class PeerFolderVersion(msgspec.Struct, array_like=True, frozen=True, tag="noted"):
-    """The newest that another voter has told of its folder. Of a voter without one, `identity` is empty.
-    `run` tells two processes apart that both took this life.
+    """The newest version of another voter's folder that it has reported; `identity` is empty for a voter
+    without a folder. `process_number` distinguishes two processes that both took this incarnation.
     """
 
     voter: str
@@ -103,26 +107,30 @@
 
 
 class DecisionSnapshot(msgspec.Struct, array_like=True, frozen=True, tag="learned"):
-    """What this node's decision module had learned of form servers, packed by `decision_snapshot.py`."""
+    """What this node's decisions had learned of form servers, encoded by `decision_snapshot.py`."""
 
     wall_s: float
     content: bytes
 
 
 class OperatorOverrides(msgspec.Struct, array_like=True, frozen=True, tag="hand"):
-    """Form servers that staff have taken out at this node alone: there is no fleet that would keep it."""
+    """Form servers that operators have taken out of service at this node, of a node without a fleet: there
+    is no replicated state that would have it.
+    """
 
     out_of_service: list[str] = msgspec.field(name="out")
 
 
 class DrainCompleted(msgspec.Struct, array_like=True, frozen=True, tag="walked"):
-    """The rolling drain `walk` (so called on the disk and by `export`) has drained this node: not again."""
+    """The rolling drain of that name has drained this node, and is not to drain it again."""
 
     drain: str = msgspec.field(name="walk")
 
 
 class DrainPlan(msgspec.Struct, array_like=True, frozen=True, tag="planned"):
-    """A rolling drain that was begun here, to be gone on with; over once there are no names."""
+    """A rolling drain that was begun at this node and is to be continued after a restart: the nodes that are
+    left, each drained for `for_us` microseconds. It is over once there are none.
+    """
 
     drain: str = msgspec.field(name="walk")
     for_us: int
@@ -145,130 +153,32 @@
     | DrainCompleted
     | DrainPlan
 )
-# Rolling drains that are remembered; the oldest make room.
-MAX_DRAINS = 256
-
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
 _list_decoder: msgspec.msgpack.Decoder[list[Entry]] = msgspec.msgpack.Decoder(list[Entry])
 
 
 def encode_entry(entry: Entry) -> bytes:
+    """The bytes of one entry."""
     return _encoder.encode(entry)
 
 
 def encode_entries(entries: list[Entry]) -> bytes:
+    """The bytes of several entries, as one array."""
     return _encoder.encode(entries)
 
 
 def decode_entries(data: bytes) -> list[Entry]:
-    """Raises ValueError for what are no entries of this schema."""
+    """Raises InvalidEntryError."""
     try:
         return _list_decoder.decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ValueError(f"no entries: {error}") from None
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise InvalidEntryError(f"no entries: {error}") from None
 
 
 def decode_entry(data: bytes) -> Entry:
-    """Raises ValueError for what is no entry of this schema."""
+    """Raises InvalidEntryError."""
     try:
         return _decoder.decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ValueError(f"no entry: {error}") from None
-
-
-@dataclass(slots=True)
-class PersistedState:
-    """What all entries so far come to."""
-
-    incarnation: int = 0  # how many processes have had the folder
-    was_clean_shutdown: bool = False  # the last one ended in good order
-    started_wall_s: float = 0.0  # by its wall clock
-    grants: dict[str, LeaseGrant] = field(default_factory=dict)
-    term_floors: dict[str, int] = field(default_factory=dict)
-    is_voter_complete: bool = False
-    acceptor: AcceptorState | None = None
-    records: dict[Key, Record] = field(default_factory=dict)
-    record_digests: dict[Key, int] = field(default_factory=dict)  # by record, its hash where that is known
-    epoch: int = 0
-    is_replica_complete: bool = False
-    peer_folders: dict[str, PeerFolderVersion] = field(default_factory=dict)
-    decision_snapshot: DecisionSnapshot | None = None
-    operator_overrides: OperatorOverrides | None = None
-    completed_drains: dict[str, None] = field(default_factory=dict)
-    drain_plans: dict[str, DrainPlan] = field(default_factory=dict)
-
-    def apply(self, entry: Entry) -> None:
-        if isinstance(entry, StoredRecord):  # most are
-            key = entry.record.key
-            self.records[key], self.record_digests[key] = entry.record, entry.digest
-            return
-        match entry:
-            case ProcessStarted(life, wall_s):
-                self.incarnation, self.was_clean_shutdown, self.started_wall_s = life, False, wall_s
-            case CleanShutdown():
-                self.was_clean_shutdown = True
-            case LeaseGrant(task):
-                self.grants[task] = entry
-            case TermFloor(task, term):
-                self.term_floors[task] = max(term, self.term_floors.get(task, 0))
-            case VoterState(remembers):
-                self.is_voter_complete = remembers
-            case AcceptorState():
-                self.acceptor = entry
-            case DeletedRecord(key):
-                self.records.pop(key, None)
-                self.record_digests.pop(key, None)
-            case ReplicaStatus(epoch, whole, cleared):
-                self.epoch, self.is_replica_complete = epoch, whole
-                if cleared:
-                    self.records.clear()
-                    self.record_digests.clear()
-            case PeerFolderVersion(voter):
-                self.peer_folders[voter] = entry
-            case DecisionSnapshot():
-                self.decision_snapshot = entry
-            case OperatorOverrides():
-                self.operator_overrides = entry
-            case DrainCompleted(walk):
-                self.completed_drains[walk] = None
-                while len(self.completed_drains) > MAX_DRAINS:
-                    del self.completed_drains[next(iter(self.completed_drains))]
-            case DrainPlan(walk, _, names):
-                self.drain_plans.pop(walk, None)
-                if names:
-                    self.drain_plans[walk] = entry
-                while len(self.drain_plans) > MAX_DRAINS:
-                    del self.drain_plans[next(iter(self.drain_plans))]
-
-    def iter_entries(self) -> Iterator[Entry]:
-        """What makes another memory the same as this."""
-        if self.incarnation:
-            yield ProcessStarted(self.incarnation, self.started_wall_s)
-        if self.was_clean_shutdown:
-            yield CleanShutdown(self.started_wall_s)
-        yield from self.grants.values()
-        yield from (TermFloor(task, term) for task, term in self.term_floors.items())
-        yield VoterState(self.is_voter_complete)
-        if self.acceptor is not None:
-            yield self.acceptor
-        yield from (
-            StoredRecord(record, self.record_digests.get(key, 0)) for key, record in self.records.items()
-        )
-        yield ReplicaStatus(self.epoch, self.is_replica_complete)
-        yield from self.peer_folders.values()
-        if self.decision_snapshot is not None:
-            yield self.decision_snapshot
-        if self.operator_overrides is not None:
-            yield self.operator_overrides
-        yield from (DrainCompleted(walk) for walk in self.completed_drains)
-        yield from self.drain_plans.values()
-
-    def highest_terms(self) -> dict[str, int]:
-        """By task, the highest term that was granted or heard of; of no task: below which none may be
-        given.
-        """
-        terms = dict(self.term_floors)
-        for task, slot in self.grants.items():
-            terms[task] = max(slot.highest_term, slot.term, terms.get(task, 0))
-        return terms
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise InvalidEntryError(f"no entry: {error}") from None
--- a/sailrun/storage/frames.py
+++ b/sailrun/storage/frames.py
@@ -1,29 +1,30 @@
 """The bytes of a folder's files. Pure.
 
-A file is a head and frames; numbers are little-endian. The head, 52 bytes:
+A file is a header and frames; numbers are little-endian. The header, 52 bytes:
 
     0   8  magic, "sailrun" and a zero byte
     8   2  schema
-    10  2  kind: 1 a journal that goes on from the one before, 2 a snapshot, 3 a journal that stands on its
-           own snapshot alone
+    10  2  kind: 1 a journal that continues the one before, 2 a snapshot, 3 a journal that needs its own
+           snapshot alone
     12  8  generation
     20  16 identity of the folder
     36  8  position: the last one before this journal, or that of the snapshot's state
     44  8  checksum of the 44 bytes before
 
-A frame, 40 bytes and its content:
+A frame, 40 bytes and its payload:
 
-    0   4  length of the content
-    4   4  of the content: 0 an entry, 1 "the next generation goes on", 2 the end of a snapshot, 3 entries of
-           a snapshot, as an array
+    0   4  length of the payload
+    4   4  kind: 0 an entry, 1 "the next generation follows", 2 the end of a snapshot, 3 entries of a
+           snapshot, as an array
     8   8  generation
     16  8  position; in a snapshot, how many entries there were up to the frame's end
-    24  8  firm: up to which position everything was known to be on the disk when this was written
-    32  8  checksum of the 32 bytes before and the content
-    40  -  content
+    24  8  synced position: up to which everything was known to be on the disk when this was written
+    32  8  checksum of the 32 bytes before and the payload
+    40  -  payload
 
-Checksums are BLAKE2b of 64 bits with the folder's identity as key: a frame of another folder is none here.
-The generation is in each, so that what an older file left in the same blocks is none either.
+Checksums are BLAKE2b of 64 bits with the folder's identity as key, so that a frame of another folder is not
+accepted here. The generation is in each frame, so that what an older file left in the same blocks is not
+accepted either.
 """
 
 from __future__ import annotations
@@ -34,43 +35,51 @@
 from enum import IntEnum
 from hashlib import blake2b
 
+from sailrun.storage.errors import CorruptFileError, NewerSchemaError
+
 MAGIC, SCHEMA = b"sailrun\0", 1
 _HEADER = struct.Struct("<8sHHQ16sQ")
 _FRAME_HEADER = struct.Struct("<IIQQQ")
 CHECKSUM_BYTES = 8
 HEADER_BYTES = _HEADER.size + CHECKSUM_BYTES
 FRAME_HEADER_BYTES = _FRAME_HEADER.size + CHECKSUM_BYTES
-# A longer frame is none: the largest record and what goes with it.
+# The largest record and what goes with it: a frame that claims a longer payload is damaged.
 MAX_PAYLOAD_BYTES = 4 * 1024 * 1024
-# Read at a time; after a bad frame, so much is looked through for good ones.
-READ_CHUNK_BYTES, SCAN_BYTES = 1024 * 1024, 256 * 1024
+# How much is read at a time.
+READ_CHUNK_BYTES = 1024 * 1024
+# How far a file is scanned for good frames after a damaged one.
+SCAN_BYTES = 256 * 1024
 
-ReadAt = Callable[[int, int], bytes]  # offset and most bytes; empty at the end
+# Reads from a file: offset and the most bytes wanted; empty at the end of the file.
+ReadAt = Callable[[int, int], bytes]
 
 
 class FileKind(IntEnum):
+    """The kind in a file's header. A standalone journal was begun after a failure of the disk: it does not
+    continue the journal before it, and is of no use without its own snapshot.
+    """
+
     JOURNAL = 1
     SNAPSHOT = 2
     STANDALONE_JOURNAL = 3
 
 
 class FrameKind(IntEnum):
-    ENTRY = 0
-    JOURNAL_CLOSED = 1
+    """The kind of a frame's payload."""
+
+    ENTRY = 0  # in a journal: one entry
+    JOURNAL_CLOSED = 1  # at a journal's end: the next generation follows
     SNAPSHOT_END = 2
     SNAPSHOT_ENTRIES = 3
 
 
-class CorruptFileError(ValueError):
-    """No file of this folder; says why."""
-
-
-class NewerSchemaError(CorruptFileError):
-    """Written by a later version of the program."""
+_FRAME_KINDS = frozenset(FrameKind)
 
 
 @dataclass(frozen=True, slots=True)
 class FileHeader:
+    """The header of a file. `position`: the last entry before a journal, or that of a snapshot's state."""
+
     kind: FileKind
     generation: int
     identity: bytes
@@ -79,24 +88,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
+    """A frame. `position`: that of its entry; in a snapshot, the count of entries up to the frame's end.
+    `synced_position`: the last entry known to be on the disk when the frame was written.
+    """
+
     kind: FrameKind
     position: int
     synced_position: int
     payload: bytes
 
 
+@dataclass(slots=True)
+class _Located:
+    """A frame in a buffer and the offset at which it ends; without a frame, the buffer has to reach that
+    offset before anything can be said.
+    """
+
+    frame: Frame | None
+    end: int
+
+
 def _checksum(data: bytes, key: bytes) -> bytes:
     return blake2b(data, digest_size=CHECKSUM_BYTES, key=key).digest()
 
 
-def encode_header(head: FileHeader) -> bytes:
-    data = _HEADER.pack(MAGIC, SCHEMA, head.kind, head.generation, head.identity, head.position)
-    return data + _checksum(data, head.identity)
+def encode_header(header: FileHeader) -> bytes:
+    """The header's bytes, HEADER_BYTES of them."""
+    data = _HEADER.pack(MAGIC, SCHEMA, header.kind, header.generation, header.identity, header.position)
+    return data + _checksum(data, header.identity)
 
 
-def read_header(read: ReadAt) -> FileHeader:
-    """Raises BadFile."""
-    data = read(0, HEADER_BYTES)
+def read_header(read_at: ReadAt) -> FileHeader:
+    """Raises CorruptFileError or NewerSchemaError."""
+    data = read_at(0, HEADER_BYTES)
     if len(data) < HEADER_BYTES:
         raise CorruptFileError("no whole head")
     magic, schema, kind, generation, identity, position = _HEADER.unpack_from(data)
@@ -105,7 +129,7 @@
     if data[_HEADER.size :] != _checksum(data[: _HEADER.size], identity):
         raise CorruptFileError("a damaged head")
     if schema > SCHEMA:
-        raise NewerSchemaError(f"of schema {schema}; this version reads up to {SCHEMA}")
+        raise NewerSchemaError(schema, SCHEMA)
     try:
         return FileHeader(FileKind(kind), generation, identity, position)
     except ValueError:
@@ -113,71 +137,75 @@
 
 
 def encode_frame(identity: bytes, generation: int, frame: Frame) -> bytes:
-    head = _FRAME_HEADER.pack(
+    """The bytes of a frame in a file of that folder and generation."""
+    header = _FRAME_HEADER.pack(
         len(frame.payload), frame.kind, generation, frame.position, frame.synced_position
     )
-    return head + _checksum(head + frame.payload, identity) + frame.payload
-
-
-def _decode_frame_at(data: bytes | bytearray, at: int, head: FileHeader) -> tuple[Frame, int] | int | None:
-    """The frame there and where it ends; how many bytes it wants where it may go on; None: there is none."""
-    if len(data) - at < FRAME_HEADER_BYTES:
-        return at + FRAME_HEADER_BYTES
-    length, content, generation, position, firm = _FRAME_HEADER.unpack_from(data, at)
-    if (
-        length > MAX_PAYLOAD_BYTES
-        or generation != head.generation
-        or content not in FrameKind._value2member_map_
-    ):
+    return header + _checksum(header + frame.payload, identity) + frame.payload
+
+
+def _decode_frame_at(data: bytes | bytearray, offset: int, file: FileHeader) -> _Located | None:
+    """The frame at that offset of the buffer; None: there is none, however much more is read."""
+    payload_at = offset + FRAME_HEADER_BYTES
+    if len(data) < payload_at:
+        return _Located(None, payload_at)
+    length, kind, generation, position, synced_position = _FRAME_HEADER.unpack_from(data, offset)
+    if length > MAX_PAYLOAD_BYTES or generation != file.generation or kind not in _FRAME_KINDS:
         return None
-    end: int = at + FRAME_HEADER_BYTES + length
+    end = payload_at + length
     if len(data) < end:
-        return end
-    told = bytes(data[at : at + _FRAME_HEADER.size]), bytes(data[at + FRAME_HEADER_BYTES : end])
-    if data[at + _FRAME_HEADER.size : at + FRAME_HEADER_BYTES] != _checksum(told[0] + told[1], head.identity):
+        return _Located(None, end)
+    checksum_at = offset + _FRAME_HEADER.size
+    header, payload = bytes(data[offset:checksum_at]), bytes(data[payload_at:end])
+    if data[checksum_at:payload_at] != _checksum(header + payload, file.identity):
         return None
-    return Frame(FrameKind(content), position, firm, told[1]), end
+    return _Located(Frame(FrameKind(kind), position, synced_position, payload), end)
 
 
 @dataclass(slots=True)
 class FrameReader:
-    """Goes through a file's frames up to the first that is none. Memory: a chunk and a frame."""
+    """Iterates over a file's frames up to the first that is damaged; the other fields are right once it has
+    ended. Uses the memory of one chunk and one frame.
+    """
 
     read_at: ReadAt
     header: FileHeader
     end_offset: int = HEADER_BYTES  # where the last good frame ended
-    has_torn_tail: bool = False  # something comes after it
-    synced_after_damage: int = 0  # the highest `firm` of good frames after the first bad one
+    has_torn_tail: bool = False  # there are bytes after it
+    synced_after_damage: int = 0  # the highest `synced_position` of good frames after the first damaged one
 
     def __iter__(self) -> Iterator[Frame]:
-        data, at = bytearray(), 0  # `data` is of the file from `end - at`
+        """Yields the frames in the file's order."""
+        data, offset = bytearray(), 0  # `data` begins at `end_offset - offset` of the file
         while True:
-            found = _decode_frame_at(data, at, self.header)
-            if isinstance(found, tuple):
-                frame, end = found
-                self.end_offset += end - at
-                at = end
-                yield frame
+            located = _decode_frame_at(data, offset, self.header)
+            if located is not None and located.frame is not None:
+                self.end_offset += located.end - offset
+                offset = located.end
+                yield located.frame
                 continue
-            more = b"" if found is None else self.read_at(self.end_offset - at + len(data), READ_CHUNK_BYTES)
+            if located is None:
+                break
+            more = self.read_at(self.end_offset - offset + len(data), READ_CHUNK_BYTES)
             if not more:
                 break
-            del data[:at]
-            at = 0
+            del data[:offset]
+            offset = 0
             data += more
-        self.has_torn_tail = len(data) > at
+        self.has_torn_tail = len(data) > offset
         if self.has_torn_tail:
             self._scan_after_damage()
 
     def _scan_after_damage(self) -> None:
-        """Frames after the first bad one are not believed; but one that knew the bad one to be on the disk
-        says that it was spoilt there, and not torn while it was written.
+        """Frames after the first damaged one are not used; but one that was written when the damaged one was
+        known to be synced shows that it was spoilt on the disk, and not torn while it was written.
         """
         data = self.read_at(self.end_offset + 1, SCAN_BYTES)
-        at = 0
         generation = self.header.generation.to_bytes(8, "little")
+        at = 0
         while (at := data.find(generation, at)) >= 0:
-            found = _decode_frame_at(data, at - 8, self.header) if at >= 8 else None
-            if isinstance(found, tuple):
-                self.synced_after_damage = max(self.synced_after_damage, found[0].synced_position)
+            # The generation is 8 bytes into a frame.
+            located = _decode_frame_at(data, at - 8, self.header) if at >= 8 else None
+            if located is not None and located.frame is not None:
+                self.synced_after_damage = max(self.synced_after_damage, located.frame.synced_position)
             at += 1
--- a/sailrun/storage/opening.py
+++ b/sailrun/storage/opening.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 
 from sailrun.storage.files import FolderFiles
-from sailrun.storage.folder import FolderContents, FolderIntegrity, FolderWriter, read_folder
+from sailrun.storage.folder_reader import FolderContents, FolderIntegrity, read_folder
+from sailrun.storage.folder_writer import FolderWriter
 from sailrun.storage.settings import StorageSettings
 from sailrun.storage.write_ahead_log import WriteAheadLog, WriteResult
 from sailrun.storage.writer import BatchWriter
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -25,9 +25,11 @@
 from sailrun.replication.marks import DRAIN, OUT, keeps_out
 from sailrun.storage import decision_snapshot
 from sailrun.storage import entries as e
+from sailrun.storage.errors import NewerSchemaError
 from sailrun.storage.files import OsFiles
-from sailrun.storage.folder import FolderContents, FolderIntegrity, FolderWriter, generate_identity
-from sailrun.storage.frames import NewerSchemaError
+from sailrun.storage.folder_identity import generate_identity
+from sailrun.storage.folder_reader import FolderContents, FolderIntegrity
+from sailrun.storage.folder_writer import FolderWriter
 from sailrun.storage.opening import open_folder
 from sailrun.storage.settings import StorageSettings
 from sailrun.storage.write_ahead_log import DiskState, WriteAheadLog, WriteBatch, WriteResult
--- a/sailrun/storage/writer.py
+++ b/sailrun/storage/writer.py
@@ -4,7 +4,7 @@
 
 import errno
 
-from sailrun.storage.folder import FolderWriter
+from sailrun.storage.folder_writer import FolderWriter
 from sailrun.storage.write_ahead_log import WriteBatch, WriteResult
 
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -36,9 +36,11 @@
 from sailrun.replication.replica import Answer, Replica
 from sailrun.storage import decision_snapshot
 from sailrun.storage import entries as e
+from sailrun.storage.errors import NewerSchemaError
 from sailrun.storage.files import OsFiles
-from sailrun.storage.folder import FolderContents, FolderIntegrity, FolderWriter, read_folder
-from sailrun.storage.frames import FRAME_HEADER_BYTES, HEADER_BYTES, NewerSchemaError
+from sailrun.storage.folder_reader import FolderContents, FolderIntegrity, read_folder
+from sailrun.storage.folder_writer import FolderWriter
+from sailrun.storage.frames import FRAME_HEADER_BYTES, HEADER_BYTES
 from sailrun.storage.freshness import REPLY_GRACE_US, FolderFreshness, FreshnessState, OwnFolder
 from sailrun.storage.messages import FreshnessQuery
 from sailrun.storage.settings import StorageSettings
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -18,7 +18,7 @@
 
 from sailrun.lab.faults.play import FaultDay, Played, play_real
 from sailrun.storage.files import OsFiles
-from sailrun.storage.folder import FolderIntegrity, read_folder
+from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 from tests.stand_ins import PATIENCE_S, FormServer, Roster, free_port, node
 from tests.test_fleet_processes import Fleet, free, staff
 
