--- a/benchmarks/capacity/measure_shards.py
+++ b/benchmarks/capacity/measure_shards.py
@@ -17,7 +17,7 @@
 from sailrun.leadership.agent import AgentSettings
 from sailrun.leadership.leases import best_placed
 from sailrun.membership.messages import CONTROL, MemberRecord, MemberState
-from sailrun.sharding.messages import Change, Session
+from sailrun.sharding.messages import GenerationChange, Session
 from sailrun.sharding.placement import Placement
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
@@ -54,20 +54,20 @@
     gc.collect()
     tracemalloc.start()
     placement = Placement(f"kept-{nodes}", REGION_SHARDS)  # names not hashed before
-    placement.begin(1, _sessions(nodes))
+    placement.place_all(1, _sessions(nodes))
     kept, most = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    begin_s = _timed_s(lambda: Placement(f"timed-{nodes}", REGION_SHARDS).begin(1, _sessions(nodes)))
+    begin_s = _timed_s(lambda: Placement(f"timed-{nodes}", REGION_SHARDS).place_all(1, _sessions(nodes)))
     left: list[float] = []
     joined: list[float] = []
     moved: list[int] = []
 
-    def timed(change: Change) -> float:
-        return _timed_s(lambda: moved.append(len(placement.apply(change))))
+    def timed(change: GenerationChange) -> float:
+        return _timed_s(lambda: moved.append(len(placement.apply_change(change))))
 
     for n in range(CHANGES):
-        left.append(timed(Change(2 * n + 2, [], [n + 1])))
-        joined.append(timed(Change(2 * n + 3, [Session(f"new-{n}", nodes + n + 1, 1)], [])))
+        left.append(timed(GenerationChange(2 * n + 2, [], [n + 1])))
+        joined.append(timed(GenerationChange(2 * n + 3, [Session(f"new-{n}", nodes + n + 1, 1)], [])))
     return {
         "scored_cpu_s": scored_s * REGION_SHARDS,
         "begin_cpu_s": begin_s,
@@ -136,7 +136,7 @@
             node = self.nodes[name]
             part = node.agent.shards if node.agent is not None else None
             if part is not None and part.session is not None:
-                count += len(part.session.usable(self.clock_us(node)))
+                count += len(part.session.usable_shards(self.clock_us(node)))
         return count
 
     def until_usable(self, most_s: float, step_s: float = 0.25) -> float:
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -12,7 +12,7 @@
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.leadership.agent import Out
 from sailrun.membership.messages import MemberRecord, MemberState
-from sailrun.sharding.exercise import EVERY_US, ActExerciser
+from sailrun.sharding.act_exerciser import EVERY_US, ActExerciser
 from sailrun.sharding.messages import ShardAct
 
 
@@ -46,7 +46,7 @@
         if agent is None or node.stopped:
             return
         now_us = self.clock_us(node)
-        self._send(node, agent.say(now_us, self._exerciser(node).turn(now_us)))
+        self._send(node, agent.say(now_us, self._exerciser(node).tick(now_us)))
 
     def _exerciser(self, node: VirtualNode) -> ActExerciser:
         life, exerciser = self._exercisers.get(node.name, (0, None))
@@ -66,7 +66,7 @@
         if node.agent is None or node.agent.shards is None or node.stopped:
             return
         self.told("hand-over", node=name)
-        node.agent.shards.plan_to_leave(self.clock_us(node), True)
+        node.agent.shards.set_leaving(self.clock_us(node), True)
         self._wake(node, 0)
 
     # ------------------------------------------------------------------ what the nemesis asks
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -212,7 +212,7 @@
     if part.is_assigner(now_us):
         tasks.append(part.task)
     report.control = part.session is None
-    report.shards = len(part.session.usable(now_us)) if part.session is not None else 0
+    report.shards = len(part.session.usable_shards(now_us)) if part.session is not None else 0
     return report
 
 
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -50,13 +50,13 @@
 from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberBody, MemberRecord, MemberState
 from sailrun.replication.replica import MARKS, Replica
-from sailrun.sharding.messages import Ballot, ShardBody
-from sailrun.sharding.messages import Post as ShardPost
+from sailrun.sharding.messages import ElectionMessage, ShardBody
+from sailrun.sharding.messages import PeerMessage as ShardPost
 from sailrun.storage.messages import FreshnessQuery, FreshnessReply
 from sailrun.storage.write_ahead_log import WriteResult
 
 if TYPE_CHECKING:
-    from sailrun.sharding.part import ShardsPart
+    from sailrun.sharding.agent import ShardingAgent
 
 __all__ = ["PACE", "READER", "Agent", "AgentSettings", "Out"]
 
@@ -135,12 +135,12 @@
 
     def _new_shards(
         self, me: MemberRecord, chance: random.Random, now_us: int, founding: Callable[[], int]
-    ) -> ShardsPart:
+    ) -> ShardingAgent:
         # Loaded only where it is switched on: it needs numpy.
-        from sailrun.sharding.part import ShardsPart
+        from sailrun.sharding.agent import ShardingAgent
 
         terms, draw = self.terms, chance.getrandbits
-        return ShardsPart(
+        return ShardingAgent(
             me, terms.shards, terms.owners, self.members, draw, now_us, founding, self._off, self._act
         )
 
@@ -254,7 +254,7 @@
                 self.rolling_drains.told(now_us, sender, body)
             case _ if isinstance(body, ShardBody):
                 if self.shards is not None and self.members.has_joined:
-                    return self._posts(self.shards.hear(now_us, sender, life, body))
+                    return self._posts(self.shards.receive(now_us, sender, life, body))
             case FreshnessQuery() | FreshnessReply():
                 if sender in self.voters.all():
                     return self._backed(*self.backing.heard(now_us, sender, body))
@@ -311,7 +311,7 @@
         if self.replica is not None and self.members.has_joined and not self.members.is_leaving:
             outs += self._turn_replica(now_us, self.replica)
         if self.shards is not None and self.members.has_joined and not self.members.is_leaving:
-            outs += self._posts(self.shards.turn(now_us))
+            outs += self._posts(self.shards.tick(now_us))
         return outs + self._changes(now_us)
 
     def _turn_leases(self, now_us: int) -> list[Out]:
@@ -407,7 +407,9 @@
         """A lease that this node's own vote has denied is not asked for any more."""
         if isinstance(body, Ask):
             return self.leases.wants(body)
-        return not isinstance(body, Ballot) or self.shards is None or self.shards.wants(body)
+        return (
+            not isinstance(body, ElectionMessage) or self.shards is None or self.shards.is_still_wanted(body)
+        )
 
     def _post(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
         """To a member by name; a promise is held until the disk has what it rests on."""
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -38,8 +38,8 @@
 if TYPE_CHECKING:
     from sailrun.node.core import Node
     from sailrun.operator_settings import Operator
-    from sailrun.sharding.exercise import ActExerciser
-    from sailrun.sharding.part import ShardsPart
+    from sailrun.sharding.act_exerciser import ActExerciser
+    from sailrun.sharding.agent import ShardingAgent
     from sailrun.storage.service import StorageService
 
 SECOND = 1_000_000
@@ -114,7 +114,7 @@
         """For the laboratory's checks, which need acts on behalf of shards."""
         if self.agent.shards is None:
             return None
-        from sailrun.sharding.exercise import ActExerciser
+        from sailrun.sharding.act_exerciser import ActExerciser
 
         return ActExerciser(self.agent.shards, self.agent.members, self.agent.name, secrets.randbits(32))
 
@@ -225,17 +225,17 @@
         if self.copies is not None:
             self.copies.turn(now_us)
         if self._exerciser is not None:
-            outs += self.agent.say(now_us, self._exerciser.turn(now_us))
+            outs += self.agent.say(now_us, self._exerciser.tick(now_us))
         if self._lasting is not None:
             self._lasting.turn()
         return outs
 
-    def _follow_drain(self, now_us: int, shards: ShardsPart) -> None:
+    def _follow_drain(self, now_us: int, shards: ShardingAgent) -> None:
         """A node that is drained hands its shards over too, in its turn, and has some again afterwards."""
         drains = ShutdownReason.DRAIN in self._node.shutdown
         if drains is not self._drains:
             self._drains = drains
-            shards.plan_to_leave(now_us, drains)
+            shards.set_leaving(now_us, drains)
 
     def _standing(self, sessions: int) -> None:
         def call(now_us: int) -> list[Out]:
--- a/sailrun/sharding/exercise.py
+++ b/sailrun/sharding/act_exerciser.py
@@ -12,8 +12,8 @@
 
 from sailrun.leadership.leases import best_placed
 from sailrun.membership.messages import CONTROL
-from sailrun.sharding.messages import Post
-from sailrun.sharding.part import MembershipView, ShardsPart
+from sailrun.sharding.agent import MembershipView, ShardingAgent
+from sailrun.sharding.messages import PeerMessage
 
 SECOND = 1_000_000
 # So often it acts, for so many of its shards.
@@ -23,7 +23,7 @@
 class ActExerciser:
     def __init__(
         self,
-        part: ShardsPart,
+        part: ShardingAgent,
         members: MembershipView,
         name: str,
         seed: int,
@@ -36,23 +36,23 @@
         self._luck = random.Random(seed)
         self._next_us = 0
 
-    def turn(self, now_us: int) -> list[Post]:
+    def tick(self, now_us: int) -> list[PeerMessage]:
         """The acts that are due, where this member may act."""
         session = self._part.session
         if session is None or now_us < self._next_us:
             return []
         self._next_us = now_us + self._every_us
-        usable = sorted(session.usable(now_us))
-        posts: list[Post] = []
+        usable = sorted(session.usable_shards(now_us))
+        posts: list[PeerMessage] = []
         for shard in self._luck.sample(usable, min(self._at_a_time, len(usable))):
             posts += self._act(now_us, shard)
         return posts
 
-    def _act(self, now_us: int, shard: int) -> list[Post]:
+    def _act(self, now_us: int, shard: int) -> list[PeerMessage]:
         region = self._part.region.name
         others = [r for r in self._members.living_records() if r.region == region and r.name != self._name]
         control = [record for record in others if record.role == CONTROL]
         if control and self._luck.random() < 0.5:
             others = control
         best = best_placed(f"{region}/act/{shard}", [record.name for record in others])
-        return self._part.act(now_us, shard, best[0]) if best else []
+        return self._part.send_act(now_us, shard, best[0]) if best else []
--- a/sailrun/sharding/part.py
+++ b/sailrun/sharding/agent.py
@@ -16,26 +16,26 @@
 from sailrun.leadership.voter import Voter
 from sailrun.membership.messages import CONTROL, MemberRecord, list_eligible_names
 from sailrun.sharding.assigner import Assigner
-from sailrun.sharding.fence import TokenFence
+from sailrun.sharding.log_events import Note, generation_note, session_note
 from sailrun.sharding.messages import (
-    Ballot,
-    Post,
+    ElectionMessage,
+    PeerMessage,
     ReadTable,
-    Renew,
-    Renewed,
-    RenewRefused,
+    RenewalRejected,
+    RenewSession,
+    SessionRenewed,
     ShardAct,
-    ShardActRefused,
+    ShardActRejected,
     ShardBody,
     TableRead,
-    TableRefused,
+    TableRejected,
     TableWritten,
     WriteTable,
 )
-from sailrun.sharding.notes import Note, generation_note, session_note
-from sailrun.sharding.register import TableAcceptor, TableWriter
 from sailrun.sharding.session import NodeSession
 from sailrun.sharding.settings import ShardingSettings, region_owners
+from sailrun.sharding.table_replication import TableAcceptor, TableWriter
+from sailrun.sharding.token_fence import TokenFence
 
 SECOND = 1_000_000
 # Heartbeats without an answer before another member is asked who the assigner is.
@@ -54,11 +54,11 @@
     def is_living(self, name: str) -> bool: ...
 
 
-class ShardsPart:
+class ShardingAgent:
     def __init__(
         self,
         me: MemberRecord,
-        terms: ShardingSettings,
+        settings: ShardingSettings,
         owners: LeadershipSettings,
         members: MembershipView,
         draw: Callable[[int], int],
@@ -70,13 +70,13 @@
         """`draw` gives that many random bits; `founding` a number above all that were ever given, as far as
         chance and a clock can. Raises ValueError where the table names no such region.
         """
-        region = terms.region(me.region)
+        region = settings.region(me.region)
         if region is None:
             raise ValueError(f"no region '{me.region}'")
-        self.region, self.terms, self._members = region, terms, members
+        self.region, self.settings, self._members = region, settings, members
         self.name, self._life, self._off, self._act = me.name, me.life, off, record
         self._founding = founding
-        self._digest = terms.digest(region.name)
+        self._digest = settings.digest(region.name)
         self.task = f"shards/{region.name}"
         self._owners = region_owners(region, owners)
         self.voters = Voters(self._owners, off)
@@ -87,11 +87,11 @@
         self.assigner: Assigner | None = None
         self.session: NodeSession | None = None
         if me.role != CONTROL:
-            self.session = NodeSession(region, terms, draw(SEED_BITS), now_us, off, record)
+            self.session = NodeSession(region, settings, draw(SEED_BITS), now_us, off, record)
         self.fence = TokenFence(off=off)
         self.notes: list[Note] = []  # for the log; emptied by whoever drives this
-        self.acts_taken = self.acts_refused = self.bad_settings = 0
-        self.unknown_shards = 0  # acts for a shard that the region does not have
+        self.accepted_act_count = self.rejected_act_count = self.settings_mismatch_count = 0
+        self.unknown_shard_count = 0  # acts for a shard that the region does not have
         self.assigner_name = ""  # hearsay: who answered a heartbeat last
         self._asked = draw(SEED_BITS)  # which voter is asked where the assigner is not known
         self._candidates: list[str] = []
@@ -114,13 +114,13 @@
         """Whether this member may act as its region's assigner now."""
         return bool(self.leases.holds(self.task, now_us))
 
-    def wants(self, ballot: Ballot) -> bool:
+    def is_still_wanted(self, ballot: ElectionMessage) -> bool:
         """Whether what is asked of a voter is still asked: this member's own vote may have been denied."""
         return not isinstance(ballot.body, Ask) or self.leases.wants(ballot.body)
 
     # ------------------------------------------------------------------ what comes in
 
-    def hear(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[Post]:
+    def receive(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[PeerMessage]:
         if body.region != self.region.name:
             return []
         digest = getattr(body, "digest", self._digest)
@@ -129,37 +129,37 @@
         posts = self._heard(now_us, sender, life, body)
         return posts + self._follow(now_us)
 
-    def _strange(self, sender: str, body: ShardBody) -> list[Post]:
+    def _strange(self, sender: str, body: ShardBody) -> list[PeerMessage]:
         """From a member with other settings: it is told, and nothing else is done."""
-        self.bad_settings += 1
-        if self.bad_settings == 1:
+        self.settings_mismatch_count += 1
+        if self.settings_mismatch_count == 1:
             self.notes.append(("shards-settings-differ", {"name": sender}))
-        if isinstance(body, Renew):
-            return [(sender, RenewRefused(self.region.name, body.number, "settings"))]
+        if isinstance(body, RenewSession):
+            return [(sender, RenewalRejected(self.region.name, body.sequence, "settings"))]
         return []
 
-    def _heard(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[Post]:
+    def _heard(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[PeerMessage]:
         match body:
-            case Ballot():
+            case ElectionMessage():
                 return self._voted(now_us, sender, life, body)
-            case Renew():
+            case RenewSession():
                 return self._renew(now_us, sender, body)
-            case Renewed() | RenewRefused():
+            case SessionRenewed() | RenewalRejected():
                 self._told(now_us, sender, body)
             case ReadTable():
-                return [(sender, self.acceptor.read(body))] if self.acceptor is not None else []
+                return [(sender, self.acceptor.promise(body))] if self.acceptor is not None else []
             case WriteTable():
-                return [(sender, self.acceptor.write(body))] if self.acceptor is not None else []
-            case TableRead() | TableWritten() | TableRefused():
+                return [(sender, self.acceptor.accept(body))] if self.acceptor is not None else []
+            case TableRead() | TableWritten() | TableRejected():
                 if self.assigner is not None and self.is_assigner(now_us):
-                    self.assigner.writer.hear(now_us, sender, body)
+                    self.assigner.writer.receive(now_us, sender, body)
             case ShardAct():
                 return self._acted(sender, body)
-            case ShardActRefused():
-                self.acts_refused += 1
+            case ShardActRejected():
+                self.rejected_act_count += 1
         return []
 
-    def _voted(self, now_us: int, sender: str, life: int, ballot: Ballot) -> list[Post]:
+    def _voted(self, now_us: int, sender: str, life: int, ballot: ElectionMessage) -> list[PeerMessage]:
         match ballot.body:
             case Grant():
                 self.leases.granted(now_us, sender, ballot.body)
@@ -188,11 +188,11 @@
                 self.voter.told(now_us, sender, body)
         return []
 
-    def _renew(self, now_us: int, sender: str, asked: Renew) -> list[Post]:
+    def _renew(self, now_us: int, sender: str, asked: RenewSession) -> list[PeerMessage]:
         if self.assigner is not None and self.is_assigner(now_us):
-            answer = self.assigner.hear(now_us, sender, asked)
+            answer = self.assigner.answer_heartbeat(now_us, sender, asked)
             return [(sender, answer)] if answer is not None else []
-        refusal = RenewRefused(self.region.name, asked.number, "elsewhere", self._holder(now_us))
+        refusal = RenewalRejected(self.region.name, asked.sequence, "elsewhere", self._holder(now_us))
         return [(sender, refusal)]
 
     def _holder(self, now_us: int) -> str:
@@ -203,32 +203,36 @@
                 return held[0]
         return self.leases.of(self.task).holder
 
-    def _told(self, now_us: int, sender: str, body: Renewed | RenewRefused) -> None:
+    def _told(self, now_us: int, sender: str, body: SessionRenewed | RenewalRejected) -> None:
         if self.session is None:
             return
-        if isinstance(body, Renewed):
+        if isinstance(body, SessionRenewed):
             self.assigner_name = sender
-            self.session.renewed(now_us, body)
-        elif body.why == "elsewhere":
+            self.session.on_renewed(now_us, body)
+        elif body.reason == "elsewhere":
             self._sent_on(now_us, sender, body)
         else:
-            self.session.refused(now_us, body)
+            self.session.on_rejected(now_us, body)
 
-    def _sent_on(self, now_us: int, sender: str, body: RenewRefused) -> None:
+    def _sent_on(self, now_us: int, sender: str, body: RenewalRejected) -> None:
         """Whoever was asked is not the assigner: whom it names is asked next."""
         assert self.session is not None
-        named = body.holder if body.holder != sender and self._members.is_living(body.holder) else ""
+        named = (
+            body.assigner_name
+            if body.assigner_name != sender and self._members.is_living(body.assigner_name)
+            else ""
+        )
         if named and named != self.assigner_name:
             self.assigner_name = named
-            self.session.again(now_us)
+            self.session.retry_now(now_us)
         elif self.assigner_name == sender:
             self.assigner_name = ""
 
     # ------------------------------------------------------------------ acts for a shard
 
-    def act(self, now_us: int, shard: int, to: str) -> list[Post]:
+    def send_act(self, now_us: int, shard: int, to: str) -> list[PeerMessage]:
         """Asks another member for work on a shard's behalf, with the token; nothing where it may not."""
-        token = self.session.token(shard, now_us) if self.session is not None else None
+        token = self.session.issue_token(shard, now_us) if self.session is not None else None
         if token is None:
             return []
         self._act_number += 1
@@ -236,25 +240,30 @@
             "shard-act",
             shard=shard,
             generation=token.generation,
-            session=token.session,
+            session=token.session_number,
             to=to,
             made_us=now_us,
         )
         return [(to, ShardAct(self.region.name, shard, token, self._act_number))]
 
-    def _acted(self, sender: str, act: ShardAct) -> list[Post]:
+    def _acted(self, sender: str, act: ShardAct) -> list[PeerMessage]:
         if act.shard >= self.region.shards:
-            self.unknown_shards += 1
+            self.unknown_shard_count += 1
             return []
         token = act.token
-        facts = {"shard": act.shard, "generation": token.generation, "session": token.session, "of": sender}
-        if self.fence.takes(act.region, act.shard, token):
-            self.acts_taken += 1
+        facts = {
+            "shard": act.shard,
+            "generation": token.generation,
+            "session": token.session_number,
+            "of": sender,
+        }
+        if self.fence.accept(act.region, act.shard, token):
+            self.accepted_act_count += 1
             self._act("shard-take", **facts)
             return []
         self._act("shard-refuse", **facts)
-        highest = self.fence.highest(act.region, act.shard) or token
-        return [(sender, ShardActRefused(act.region, act.shard, act.number, highest))]
+        highest = self.fence.highest_token(act.region, act.shard) or token
+        return [(sender, ShardActRejected(act.region, act.shard, act.sequence, highest))]
 
     # ------------------------------------------------------------------ time
 
@@ -269,27 +278,27 @@
             due.append(self.session.due_us(now_us))
         return min(due)
 
-    def turn(self, now_us: int) -> list[Post]:
+    def tick(self, now_us: int) -> list[PeerMessage]:
         posts = self._turn_leases(now_us)
         if self.voter is not None:
             posts += self._ballots(self.voter.turn(now_us))
         posts += self._follow(now_us)
         if self.session is not None:
-            renew = self.session.turn(now_us)
+            renew = self.session.tick(now_us)
             if renew is not None:
                 posts += self._heartbeat(renew)
         self._notes_of(now_us)
         return posts
 
-    def _turn_leases(self, now_us: int) -> list[Post]:
+    def _turn_leases(self, now_us: int) -> list[PeerMessage]:
         return self._ballots(self.leases.turn(now_us, self.candidates()))
 
-    def _ballots(self, posts: Iterable[tuple[str, Any]]) -> list[Post]:
-        return [(name, Ballot(self.region.name, self._digest, body)) for name, body in posts]
+    def _ballots(self, posts: Iterable[tuple[str, Any]]) -> list[PeerMessage]:
+        return [(name, ElectionMessage(self.region.name, self._digest, body)) for name, body in posts]
 
-    def _heartbeat(self, renew: Renew) -> list[Post]:
+    def _heartbeat(self, renew: RenewSession) -> list[PeerMessage]:
         assert self.session is not None
-        if self.session.unanswered > PATIENT_HEARTBEATS + 1 or not self._members.is_living(
+        if self.session.unanswered_heartbeats > PATIENT_HEARTBEATS + 1 or not self._members.is_living(
             self.assigner_name
         ):
             self.assigner_name = ""
@@ -299,7 +308,7 @@
             to = self.region.voters[self._asked % len(self.region.voters)]
         return [(to, renew)]
 
-    def _follow(self, now_us: int) -> list[Post]:
+    def _follow(self, now_us: int) -> list[PeerMessage]:
         """Becomes the assigner, or ceases to be, as the lease says; and does an assigner's work."""
         for change in self._emptied(self.leases.changes):
             self.assigner = self._new_assigner(change.term, now_us) if change.mine else None
@@ -315,16 +324,16 @@
             return []
         return self._work(now_us, self.assigner)
 
-    def _work(self, now_us: int, assigner: Assigner) -> list[Post]:
+    def _work(self, now_us: int, assigner: Assigner) -> list[PeerMessage]:
         higher = assigner.writer.higher_term
         if higher > assigner.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
             self.leases.heard_of(self.task, higher, "", now_us)
             return []
-        return assigner.turn(now_us)
+        return assigner.tick(now_us)
 
     def _new_assigner(self, term: int, now_us: int) -> Assigner:
-        patience_us = int(self.terms.lease_s * SECOND * (1 + DRIFT))
+        patience_us = int(self.settings.lease_s * SECOND * (1 + DRIFT))
         writer = TableWriter(
             self.region.name,
             self._digest,
@@ -336,7 +345,7 @@
             now_us,
             self._off,
         )
-        return Assigner(self.region.name, self.terms, writer, now_us, self._off)
+        return Assigner(self.region.name, self.settings, writer, now_us, self._off)
 
     def _life_of(self, name: str) -> int | None:
         if name == self.name:
@@ -344,29 +353,29 @@
         record = self._members.find_record(name)
         return record.life if record is not None and self._members.is_living(name) else None
 
-    def leave(self, now_us: int) -> list[Post]:
+    def leave(self, now_us: int) -> list[PeerMessage]:
         """The process ends in good order: what is held goes to the next at once."""
-        posts: list[Post] = []
+        posts: list[PeerMessage] = []
         if self.session is not None:
-            self.session.leaving = True
+            self.session.is_leaving = True
             self.session.release(now_us)
-            renew = self.session.turn(now_us)
+            renew = self.session.tick(now_us)
             posts += self._heartbeat(renew) if renew is not None else []
         posts += self._ballots(self.leases.leave(now_us, self.candidates()))
         self._follow(now_us)
         self._notes_of(now_us)
         return posts
 
-    def plan_to_leave(self, now_us: int, on: bool) -> None:
+    def set_leaving(self, now_us: int, on: bool) -> None:
         """A planned stop: the node's shards move once the assigner lets them."""
         if self.session is not None:
-            self.session.plan_to_leave(now_us, on)
+            self.session.set_leaving(now_us, on)
 
     # ------------------------------------------------------------------ what is told
 
     def _notes_of(self, now_us: int) -> None:
         if self.assigner is not None:
-            changes = self._emptied(self.assigner.committed)
+            changes = self._emptied(self.assigner.committed_changes)
             nodes = len(self.assigner.sessions)
             self.notes += [generation_note(self.region.name, change, nodes) for change in changes]
         if self.session is not None:
--- a/sailrun/sharding/assigner.py
+++ b/sailrun/sharding/assigner.py
@@ -12,17 +12,17 @@
 from dataclasses import dataclass
 
 from sailrun.sharding.messages import (
-    MOST_CHANGED,
-    Change,
-    Post,
-    Renew,
-    Renewed,
-    RenewRefused,
+    MAX_CHANGED_SESSIONS,
+    GenerationChange,
+    PeerMessage,
+    RenewalRejected,
+    RenewSession,
     Session,
+    SessionRenewed,
     TableState,
 )
-from sailrun.sharding.register import TableWriter, next_state
 from sailrun.sharding.settings import ShardingSettings
+from sailrun.sharding.table_replication import TableWriter, next_state
 
 SECOND = 1_000_000
 # Sessions in one page of a whole table, so that the page fits a datagram.
@@ -54,20 +54,22 @@
     def __init__(
         self,
         region: str,
-        terms: ShardingSettings,
+        settings: ShardingSettings,
         writer: TableWriter,
         now_us: int,
         off: frozenset[str] = frozenset(),
     ) -> None:
-        self._region, self._terms, self.writer, self._off = region, terms, writer, off
+        self._region, self._settings, self.writer, self._off = region, settings, writer, off
         self.term = writer.term
-        self._lease_us = int(terms.lease_s * SECOND)
+        self._lease_us = int(settings.lease_s * SECOND)
         self._began_us = self._look_us = now_us
         self._state: TableState | None = None  # what nodes are told of
         self._live: dict[int, _Live] = {}
         self._newcomers: dict[str, _Newcomer] = {}
-        self.settled = 0
-        self.committed: list[Change] = []  # told to the log and emptied by whoever drives this
+        self.settled_generation = 0
+        self.committed_changes: list[
+            GenerationChange
+        ] = []  # told to the log and emptied by whoever drives this
 
     @property
     def generation(self) -> int:
@@ -81,31 +83,33 @@
 
     # ------------------------------------------------------------------ what nodes say
 
-    def hear(self, now_us: int, sender: str, asked: Renew) -> Renewed | RenewRefused | None:
+    def answer_heartbeat(
+        self, now_us: int, sender: str, asked: RenewSession
+    ) -> SessionRenewed | RenewalRejected | None:
         """Answers a heartbeat; None where the table is not known yet."""
-        self.writer.heard_of(max(asked.applied, asked.seen))
+        self.writer.observe_generation(max(asked.applied_generation, asked.highest_generation))
         if self._state is None:
             return None
-        if not asked.session:
+        if not asked.session_number:
             return self._asked_to_join(now_us, sender, asked)
-        live = self._live.get(asked.session)
+        live = self._live.get(asked.session_number)
         if live is None or (live.session.name, live.session.nonce) != (sender, asked.nonce) or live.over:
-            return RenewRefused(self._region, asked.number, "over")
-        if asked.released:
+            return RenewalRejected(self._region, asked.sequence, "over")
+        if asked.is_released:
             live.over = True
             self._look_us = now_us
-            return RenewRefused(self._region, asked.number, "over")
+            return RenewalRejected(self._region, asked.sequence, "over")
         live.heard_us = now_us
-        live.wants_leave = asked.leaving
-        live.may_leave = live.may_leave and asked.leaving
-        if asked.applied > live.applied:
-            live.applied = asked.applied
+        live.wants_leave = asked.is_leaving
+        live.may_leave = live.may_leave and asked.is_leaving
+        if asked.applied_generation > live.applied:
+            live.applied = asked.applied_generation
             self._settle()
         self._let_leave()
         return self._answer(asked, live.session.number, live.may_leave)
 
-    def _asked_to_join(self, now_us: int, sender: str, asked: Renew) -> Renewed | None:
-        if asked.leaving or asked.released:
+    def _asked_to_join(self, now_us: int, sender: str, asked: RenewSession) -> SessionRenewed | None:
+        if asked.is_leaving or asked.is_released:
             return None
         for live in self._live.values():
             if (live.session.name, live.session.nonce) == (sender, asked.nonce) and not live.over:
@@ -116,24 +120,26 @@
         self._newcomers[sender] = _Newcomer(asked.nonce, since_us, now_us)
         return self._answer(asked, 0, False)
 
-    def _answer(self, asked: Renew, session: int, may_leave: bool) -> Renewed:
+    def _answer(self, asked: RenewSession, session: int, may_leave: bool) -> SessionRenewed:
         state = self._state
         assert state is not None
-        changes = self._changes_after(asked.applied) if session and asked.applied else None
-        answer = Renewed(
+        changes = (
+            self._changes_after(asked.applied_generation) if session and asked.applied_generation else None
+        )
+        answer = SessionRenewed(
             self._region,
-            asked.number,
+            asked.sequence,
             session,
             state.generation,
-            self.settled,
+            self.settled_generation,
             changes or [],
-            may_leave=may_leave,
+            may_hand_over=may_leave,
         )
         if not session or changes is not None:
             return answer
         return self._with_page(answer, asked, state)
 
-    def _changes_after(self, applied: int) -> list[Change] | None:
+    def _changes_after(self, applied: int) -> list[GenerationChange] | None:
         """What follows on that generation, as much as fits; None: it is not known any more."""
         state = self._state
         assert state is not None
@@ -145,16 +151,16 @@
         return _fitting(following)
 
     @staticmethod
-    def _with_page(answer: Renewed, asked: Renew, state: TableState) -> Renewed:
+    def _with_page(answer: SessionRenewed, asked: RenewSession, state: TableState) -> SessionRenewed:
         """One page of the whole table; from the first on where it has changed meanwhile."""
-        offset = asked.offset if asked.table == state.generation else 0
+        offset = asked.fetched_count if asked.fetched_generation == state.generation else 0
         page = state.sessions[offset : offset + PAGE]
-        return Renewed(
+        return SessionRenewed(
             answer.region,
-            answer.number,
-            answer.session,
+            answer.sequence,
+            answer.session_number,
             answer.generation,
-            answer.settled,
+            answer.settled_generation,
             [],
             state.generation,
             offset,
@@ -168,15 +174,15 @@
         """Every session in force goes by this generation or a later one."""
         applied = [live.applied for live in self._live.values() if not live.over]
         if applied:
-            self.settled = max(self.settled, min(applied))
+            self.settled_generation = max(self.settled_generation, min(applied))
 
     def _let_leave(self) -> None:
         """A planned stop: so many at a time, and only while nothing else is moving."""
-        if self.settled < self.generation:
+        if self.settled_generation < self.generation:
             return
         leaving = sum(live.may_leave for live in self._live.values())
         for live in self._live.values():
-            if leaving >= self._terms.leaving:
+            if leaving >= self._settings.leaving:
                 return
             if live.wants_leave and not live.may_leave:
                 live.may_leave = True
@@ -201,7 +207,7 @@
                 del self._newcomers[name]
         names = {live.session.name for live in self._live.values()}
         free = [name for name in self._newcomers if name not in names]
-        gather_us = int(self._terms.gather_s * SECOND)
+        gather_us = int(self._settings.gather_s * SECOND)
         if not any(now_us - self._newcomers[name].since_us >= gather_us for name in free):
             return []
         return sorted(free, key=lambda name: self._newcomers[name].since_us)
@@ -211,30 +217,30 @@
     def due_us(self, now_us: int) -> int:
         """When `turn` wants to be called next."""
         due_us = self.writer.due_us(now_us)
-        return min(due_us, self._look_us) if self.writer.idle else due_us
+        return min(due_us, self._look_us) if self.writer.is_idle else due_us
 
-    def turn(self, now_us: int) -> list[Post]:
+    def tick(self, now_us: int) -> list[PeerMessage]:
         """Writes the next generation where one is due, and tells nodes of one that a majority keeps."""
-        posts: list[Post] = []
+        posts: list[PeerMessage] = []
         state = self.writer.state
         if state is not None and state is not self._state:
             posts += self._committed(now_us, state)
-        if self.writer.idle and state is not None and now_us >= self._look_us:
+        if self.writer.is_idle and state is not None and now_us >= self._look_us:
             self._look_us = now_us + self._lease_us // LOOKS
             self._propose(now_us, state)
-        return posts + self.writer.turn(now_us)
+        return posts + self.writer.tick(now_us)
 
     def _propose(self, now_us: int, state: TableState) -> None:
-        left = self._ended(now_us)[:MOST_CHANGED]
-        room = MOST_CHANGED - len(left)
+        left = self._ended(now_us)[:MAX_CHANGED_SESSIONS]
+        room = MAX_CHANGED_SESSIONS - len(left)
         names = self._ready(now_us)[:room] if room else []
         if not left and not names:
             return
-        first = (state.generation + 1) * MOST_CHANGED
+        first = (state.generation + 1) * MAX_CHANGED_SESSIONS
         joined = [Session(name, first + n, self._newcomers.pop(name).nonce) for n, name in enumerate(names)]
         self.writer.write(next_state(state, self.term, joined, left))
 
-    def _committed(self, now_us: int, state: TableState) -> list[Post]:
+    def _committed(self, now_us: int, state: TableState) -> list[PeerMessage]:
         """A majority keeps the next table: from now on it is told."""
         before, self._state = self._state, state
         if before is None:
@@ -246,17 +252,17 @@
             self._live.pop(number, None)
         for session in change.joined:
             self._live[session.number] = _Live(session, now_us)
-        self.committed.append(change)
+        self.committed_changes.append(change)
         self._look_us = now_us  # for what did not fit
         self._settle()
-        told = Renewed(self._region, 0, 0, state.generation, self.settled, [change])
+        told = SessionRenewed(self._region, 0, 0, state.generation, self.settled_generation, [change])
         return [(live.session.name, told) for live in self._live.values()]
 
 
-def _fitting(changes: list[Change]) -> list[Change]:
+def _fitting(changes: list[GenerationChange]) -> list[GenerationChange]:
     """The first ones, as many as fit a datagram; at least one."""
-    room = MOST_CHANGED
-    fitting: list[Change] = []
+    room = MAX_CHANGED_SESSIONS
+    fitting: list[GenerationChange] = []
     for change in changes:
         room -= len(change.joined) + len(change.left)
         if fitting and room < 0:
--- a/sailrun/sharding/notes.py
+++ b/sailrun/sharding/log_events.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from sailrun.sharding.messages import Change
+from sailrun.sharding.messages import GenerationChange
 from sailrun.sharding.session import SessionEvent
 
 Note = tuple[str, dict[str, object]]
 
 
-def generation_note(region: str, change: Change, nodes: int) -> Note:
+def generation_note(region: str, change: GenerationChange, nodes: int) -> Note:
     """A change of generation, at the assigner; `nodes` have a session now."""
     facts: dict[str, object] = {
         "region": region,
@@ -23,9 +23,9 @@
 def session_note(event: SessionEvent) -> Note:
     """What became of a node's own session."""
     facts: dict[str, object] = {
-        "what": event.what,
+        "what": event.kind,
         "generation": event.generation,
         "shards": event.shards,
-        "why": event.why or None,
+        "why": event.reason or None,
     }
     return "shards", facts
--- a/sailrun/sharding/messages.py
+++ b/sailrun/sharding/messages.py
@@ -13,7 +13,7 @@
 from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
 
 # Sessions that one generation may add or remove, so that a change fits a datagram.
-MOST_CHANGED = 24
+MAX_CHANGED_SESSIONS = 24
 
 # What is counted in 64 bits: a message with another number is none. Each generation has so many sessions.
 Number = Annotated[int, Meta(ge=0, le=2**63 - 1)]
@@ -28,7 +28,7 @@
     nonce: int  # the node's own, so that it recognises the session it asked for
 
 
-class Change(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class GenerationChange(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """From generation `generation - 1` to this one. Who left had released, or its lease had ended."""
 
     generation: Generation
@@ -36,11 +36,11 @@
     left: list[Number]  # numbers of sessions
 
 
-class Token(msgspec.Struct, array_like=True, frozen=True, order=True, gc=False):
+class FencingToken(msgspec.Struct, array_like=True, frozen=True, order=True, gc=False):
     """Goes with every act for a shard; who receives it refuses what is below the highest seen."""
 
     generation: Generation
-    session: Number
+    session_number: Number
 
 
 class TableState(msgspec.Struct, array_like=True, frozen=True):
@@ -49,13 +49,13 @@
     term: int  # of the assigner that wrote it
     generation: Generation
     sessions: list[Session]
-    changes: list[Change]
+    changes: list[GenerationChange]
 
 
 # ---------------------------------------------------------------------- nodes and the assigner
 
 
-class Renew(msgspec.Struct, array_like=True, frozen=True, tag="shard-renew"):
+class RenewSession(msgspec.Struct, array_like=True, frozen=True, tag="shard-renew"):
     """A node's heartbeat to its region's assigner: renew my session, and tell me what has changed.
 
     `session` 0 asks for one. `applied` is the generation the node goes by: it has stopped whatever is not its
@@ -64,42 +64,42 @@
 
     region: str
     digest: int
-    number: Number
-    session: Number
+    sequence: Number
+    session_number: Number
     nonce: int
-    applied: Generation
-    table: Generation = 0  # the generation of which a whole table is being fetched
-    offset: Number = 0
-    leaving: bool = False  # a planned stop: asks for leave to hand over
-    released: bool = False  # owns nothing any more under this session, and never will
-    seen: Generation = (
+    applied_generation: Generation
+    fetched_generation: Generation = 0  # the generation of which a whole table is being fetched
+    fetched_count: Number = 0
+    is_leaving: bool = False  # a planned stop: asks for leave to hand over
+    is_released: bool = False  # owns nothing any more under this session, and never will
+    highest_generation: Generation = (
         0  # the highest generation the node ever went by: a table begun anew has to be above it
     )
 
 
-class Renewed(msgspec.Struct, array_like=True, frozen=True, tag="shard-renewed"):
+class SessionRenewed(msgspec.Struct, array_like=True, frozen=True, tag="shard-renewed"):
     """The assigner's answer. Facts only: each stays true however late it arrives."""
 
     region: str
-    number: Number
-    session: Number  # 0: none yet
+    sequence: Number
+    session_number: Number  # 0: none yet
     generation: Generation  # the latest
-    settled: Generation  # every session in force goes by this generation or a later one
-    changes: list[Change]  # from `applied` on, as many as fit
-    table: Generation = 0  # sessions are of the whole table of this generation
-    offset: Number = 0
-    more: bool = False
+    settled_generation: Generation  # every session in force goes by this generation or a later one
+    changes: list[GenerationChange]  # from `applied` on, as many as fit
+    page_generation: Generation = 0  # sessions are of the whole table of this generation
+    page_offset: Number = 0
+    has_more: bool = False
     sessions: list[Session] = []
-    may_leave: bool = False
+    may_hand_over: bool = False
 
 
-class RenewRefused(msgspec.Struct, array_like=True, frozen=True, tag="shard-refused"):
+class RenewalRejected(msgspec.Struct, array_like=True, frozen=True, tag="shard-refused"):
     """`why`: `over` (no such session), `settings` (another digest), `elsewhere` (`holder` is asked)."""
 
     region: str
-    number: Number
-    why: str
-    holder: str = ""
+    sequence: Number
+    reason: str
+    assigner_name: str = ""
 
 
 # ---------------------------------------------------------------------- the assigner and the voters
@@ -111,7 +111,7 @@
     region: str
     digest: int
     term: int
-    number: Number
+    sequence: Number
 
 
 class TableRead(msgspec.Struct, array_like=True, frozen=True, tag="shard-kept"):
@@ -119,9 +119,9 @@
 
     region: str
     term: int
-    number: Number
+    sequence: Number
     life: int
-    remembers: bool
+    has_memory: bool
     state: TableState | None
 
 
@@ -130,7 +130,7 @@
 
     region: str
     digest: int
-    number: Number
+    sequence: Number
     life: int
     state: TableState
 
@@ -138,18 +138,18 @@
 class TableWritten(msgspec.Struct, array_like=True, frozen=True, tag="shard-written"):
     region: str
     term: int
-    number: Number
+    sequence: Number
     life: int
 
 
-class TableRefused(msgspec.Struct, array_like=True, frozen=True, tag="shard-no"):
+class TableRejected(msgspec.Struct, array_like=True, frozen=True, tag="shard-no"):
     """`promised`: a higher term the voter has promised; 0: the write was for a life other than `life`."""
 
     region: str
     term: int
-    number: Number
+    sequence: Number
     life: int
-    promised: int
+    promised_term: int
 
 
 # ---------------------------------------------------------------------- acts for a shard
@@ -160,23 +160,23 @@
 
     region: str
     shard: Number
-    token: Token
-    number: Number
+    token: FencingToken
+    sequence: Number
 
 
-class ShardActRefused(msgspec.Struct, array_like=True, frozen=True, tag="shard-act-refused"):
+class ShardActRejected(msgspec.Struct, array_like=True, frozen=True, tag="shard-act-refused"):
     """A higher token was seen for that shard."""
 
     region: str
     shard: Number
-    number: Number
-    highest: Token
+    sequence: Number
+    highest_token: FencingToken
 
 
 # ---------------------------------------------------------------------- the lease on being the assigner
 
 
-class Ballot(msgspec.Struct, array_like=True, frozen=True, tag="shard-ballot"):
+class ElectionMessage(msgspec.Struct, array_like=True, frozen=True, tag="shard-ballot"):
     """What candidates and voters of a region say about who its assigner is."""
 
     region: str
@@ -185,16 +185,16 @@
 
 
 ShardBody = (
-    Renew
-    | Renewed
-    | RenewRefused
+    RenewSession
+    | SessionRenewed
+    | RenewalRejected
     | ReadTable
     | TableRead
     | WriteTable
     | TableWritten
-    | TableRefused
+    | TableRejected
     | ShardAct
-    | ShardActRefused
-    | Ballot
+    | ShardActRejected
+    | ElectionMessage
 )
-Post = tuple[str, ShardBody]
+PeerMessage = tuple[str, ShardBody]
--- a/sailrun/sharding/placement.py
+++ b/sailrun/sharding/placement.py
@@ -14,7 +14,7 @@
 import numpy.typing as npt
 
 from sailrun.decisions.placement import key_hash, server_hash
-from sailrun.sharding.messages import Change, Session
+from sailrun.sharding.messages import GenerationChange, Session
 
 # Products are formed for so many at a time, to bound the memory of a placement from nothing.
 CELLS = 400_000
@@ -50,14 +50,14 @@
         """Of the arrays."""
         return self._keys.nbytes + self.owner.nbytes + self.wait.nbytes
 
-    def begin(self, generation: int, sessions: list[Session]) -> None:
+    def place_all(self, generation: int, sessions: list[Session]) -> None:
         """Goes by a whole table: whatever was owned under an earlier one has to be settled first."""
         self.generation = generation
         self.sessions = {session.number: session for session in sessions}
         self.owner = self._best(np.arange(len(self._keys)))
         self.wait = np.full(len(self._keys), generation, np.int64)
 
-    def apply(self, change: Change) -> npt.NDArray[np.int64]:
+    def apply_change(self, change: GenerationChange) -> npt.NDArray[np.int64]:
         """Goes on to the next generation; returns the shards that were placed elsewhere.
 
         A shard of a session that left may be taken up at once: nobody uses that session any more. One that
@@ -130,11 +130,11 @@
             best[begin : begin + step] = numbers[scores.argmax(axis=1)]
         return best
 
-    def placed_on(self, session: int) -> npt.NDArray[np.int64]:
+    def shards_placed_on(self, session: int) -> npt.NDArray[np.int64]:
         """The shards placed on a session, whether it may use them yet or not."""
         return np.flatnonzero(self.owner == session)
 
-    def usable(self, session: int, settled: int) -> npt.NDArray[np.int64]:
+    def usable_shards(self, session: int, settled: int) -> npt.NDArray[np.int64]:
         """The shards that a session may use, all sessions in force going by `settled` or later."""
         return np.flatnonzero((self.owner == session) & (self.wait <= settled))
 
--- a/sailrun/sharding/register.py
+++ b/sailrun/sharding/table_replication.py
@@ -17,12 +17,12 @@
 
 from sailrun.leadership.quorum import Voters
 from sailrun.sharding.messages import (
-    Change,
-    Post,
+    GenerationChange,
+    PeerMessage,
     ReadTable,
     Session,
     TableRead,
-    TableRefused,
+    TableRejected,
     TableState,
     TableWritten,
     WriteTable,
@@ -38,7 +38,7 @@
 def next_state(state: TableState, term: int, joined: list[Session], left: list[int]) -> TableState:
     """The table after one more change."""
     generation = state.generation + 1
-    change = Change(generation, joined, left)
+    change = GenerationChange(generation, joined, left)
     gone = set(left)
     sessions = [session for session in state.sessions if session.number not in gone] + joined
     return TableState(term, generation, sessions, [*state.changes, change][-MOST_CHANGES:])
@@ -49,32 +49,32 @@
 
     def __init__(self, region: str, life: int, off: frozenset[str] = frozenset()) -> None:
         self._region, self._life = region, life
-        self.promised = 0
+        self.promised_term = 0
         self.state: TableState | None = None
-        self.remembers = "remember" in off
+        self.has_memory = "remember" in off
 
-    def read(self, asked: ReadTable) -> TableRead | TableRefused:
+    def promise(self, asked: ReadTable) -> TableRead | TableRejected:
         """Promises to take nothing of a lower term."""
-        if asked.term < self.promised:
-            return self._refused(asked.term, asked.number)
-        self.promised = asked.term
-        return TableRead(self._region, asked.term, asked.number, self._life, self.remembers, self.state)
+        if asked.term < self.promised_term:
+            return self._refused(asked.term, asked.sequence)
+        self.promised_term = asked.term
+        return TableRead(self._region, asked.term, asked.sequence, self._life, self.has_memory, self.state)
 
-    def write(self, told: WriteTable) -> TableWritten | TableRefused:
+    def accept(self, told: WriteTable) -> TableWritten | TableRejected:
         """Keeps the table, unless a higher term was promised or another life is meant."""
         term = told.state.term
         if told.life != self._life:
-            return TableRefused(self._region, term, told.number, self._life, 0)
-        if term < self.promised:
-            return self._refused(term, told.number)
-        self.promised = term
-        self.remembers = True
+            return TableRejected(self._region, term, told.sequence, self._life, 0)
+        if term < self.promised_term:
+            return self._refused(term, told.sequence)
+        self.promised_term = term
+        self.has_memory = True
         if self.state is None or _order(told.state) > _order(self.state):
             self.state = told.state
-        return TableWritten(self._region, term, told.number, self._life)
+        return TableWritten(self._region, term, told.sequence, self._life)
 
-    def _refused(self, term: int, number: int) -> TableRefused:
-        return TableRefused(self._region, term, number, self._life, self.promised)
+    def _refused(self, term: int, number: int) -> TableRejected:
+        return TableRejected(self._region, term, number, self._life, self.promised_term)
 
 
 def _order(state: TableState) -> tuple[int, int]:
@@ -129,7 +129,7 @@
         self._writing: _Writing | None = None
         self._least_generation = 0
         self.state: TableState | None = None  # the latest that a majority keeps
-        self.founded = False
+        self.is_new_table = False
         self.higher_term = 0  # one that a voter has promised above this one
 
     def _next_number(self) -> int:
@@ -138,7 +138,7 @@
         return self._numbers
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether a next table may be written."""
         return self._reading is None and self.state is not None and self._pending is None
 
@@ -147,7 +147,7 @@
         writing = self._writing
         return writing if writing is not None and writing.state is not self.state else None
 
-    def heard_of(self, generation: int) -> None:
+    def observe_generation(self, generation: int) -> None:
         """A node goes by that generation: a table begun anew has to be above it."""
         self._least_generation = max(self._least_generation, generation)
 
@@ -157,7 +157,7 @@
 
     # ------------------------------------------------------------------ what voters say
 
-    def hear(self, now_us: int, sender: str, body: TableRead | TableWritten | TableRefused) -> None:
+    def receive(self, now_us: int, sender: str, body: TableRead | TableWritten | TableRejected) -> None:
         """Takes a voter's answer. To be called only while the lease is held: later it counts no more."""
         if body.term != self.term or sender not in self._voters.all():
             return
@@ -166,20 +166,20 @@
                 self._read(now_us, sender, body)
             case TableWritten():
                 self._written(sender, body)
-            case TableRefused():
-                self.higher_term = max(self.higher_term, body.promised)
+            case TableRejected():
+                self.higher_term = max(self.higher_term, body.promised_term)
 
     def _read(self, now_us: int, sender: str, answer: TableRead) -> None:
         reading = self._reading
-        if reading is None or answer.number != reading.number:
+        if reading is None or answer.sequence != reading.number:
             return
         reading.answers[sender] = answer
         if answer.state is not None:
-            self.heard_of(answer.state.generation)
+            self.observe_generation(answer.state.generation)
         self._end_reading(now_us, reading)
 
     def _end_reading(self, now_us: int, reading: _Reading) -> None:
-        remembering = {name for name, answer in reading.answers.items() if answer.remembers}
+        remembering = {name for name, answer in reading.answers.items() if answer.has_memory}
         if self._voters.majority(remembering) or (remembering and "register" in self._off):
             states = [reading.answers[name].state for name in remembering]
             found = max((s for s in states if s is not None), key=_order, default=None)
@@ -188,7 +188,7 @@
         else:
             return
         if found is None:
-            self.founded = True
+            self.is_new_table = True
             generation = max(self._founding(), self._least_generation) + 1
             found = TableState(self.term, generation, [], [])
         self._reading = None
@@ -197,7 +197,7 @@
 
     def _written(self, sender: str, told: TableWritten) -> None:
         writing = self._writing
-        if writing is None or told.number != writing.number:
+        if writing is None or told.sequence != writing.number:
             return
         writing.acknowledged[sender] = told.life
         if self._voters.majority(writing.acknowledged.keys()):
@@ -220,11 +220,11 @@
         lives = {name: self._life_of(name) for name in self._voters.all()}
         return [name for name, life in lives.items() if life is not None and acknowledged.get(name) != life]
 
-    def turn(self, now_us: int) -> list[Post]:
+    def tick(self, now_us: int) -> list[PeerMessage]:
         """What is to be said to voters now."""
         if self._reading is not None and now_us >= self._anew_us:
             self._end_reading(now_us, self._reading)
-        posts: list[Post] = []
+        posts: list[PeerMessage] = []
         for name in self._left():
             told = self._told.setdefault(name, _Told())
             if now_us < told.next_us:
--- a/sailrun/sharding/fence.py
+++ b/sailrun/sharding/token_fence.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sailrun.sharding.messages import Token
+from sailrun.sharding.messages import FencingToken
 
 MOST_SHARDS_REMEMBERED = 1_000_000
 
@@ -12,13 +12,13 @@
 
     def __init__(self, most: int = MOST_SHARDS_REMEMBERED, off: frozenset[str] = frozenset()) -> None:
         self._most, self._off = most, off
-        self._highest: dict[tuple[str, int], Token] = {}
+        self._highest: dict[tuple[str, int], FencingToken] = {}
 
-    def highest(self, region: str, shard: int) -> Token | None:
+    def highest_token(self, region: str, shard: int) -> FencingToken | None:
         """The highest token seen for a shard."""
         return self._highest.get((region, shard))
 
-    def takes(self, region: str, shard: int, token: Token) -> bool:
+    def accept(self, region: str, shard: int, token: FencingToken) -> bool:
         """Whether an act with this token may be carried out; from then on lower ones may not."""
         key = (region, shard)
         seen = self._highest.pop(key, token)
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -12,26 +12,26 @@
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
 from sailrun.sharding.assigner import Assigner
-from sailrun.sharding.fence import TokenFence
 from sailrun.sharding.messages import (
-    MOST_CHANGED,
-    Change,
+    MAX_CHANGED_SESSIONS,
+    FencingToken,
+    GenerationChange,
     ReadTable,
-    Renew,
-    Renewed,
-    RenewRefused,
+    RenewalRejected,
+    RenewSession,
     Session,
+    SessionRenewed,
     TableRead,
-    TableRefused,
+    TableRejected,
     TableState,
     TableWritten,
-    Token,
     WriteTable,
 )
 from sailrun.sharding.placement import Placement, node_hash, shard_key
-from sailrun.sharding.register import TableAcceptor, TableWriter, next_state
 from sailrun.sharding.session import NodeSession
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
+from sailrun.sharding.table_replication import TableAcceptor, TableWriter, next_state
+from sailrun.sharding.token_fence import TokenFence
 
 SECOND = 1_000_000
 VOTERS = ("c1", "c2", "c3")
@@ -57,7 +57,7 @@
 def test_every_shard_is_placed_by_the_highest_product_with_ties_to_the_lower_name() -> None:
     sessions = [session(f"n{n}", n) for n in range(1, 12)]
     placement = Placement("east", 300)
-    placement.begin(5, sessions)
+    placement.place_all(5, sessions)
     assert placement.owner.tolist() == [best_of(shard, sessions) for shard in range(300)]
     assert set(placement.wait.tolist()) == {5}
 
@@ -71,7 +71,7 @@
     steps: list[tuple[list[int], list[int]]], shards: int
 ) -> None:
     placement = Placement("east", shards)
-    placement.begin(1, [])
+    placement.place_all(1, [])
     there: dict[str, Session] = {}
     numbers = itertools.count(100)
     for generation, (joins, leaves) in enumerate(steps, start=2):
@@ -79,7 +79,7 @@
         joined = [Session(f"n{n}", next(numbers), 1) for n in joins if f"n{n}" not in there]
         there |= {s.name: s for s in joined}
         before, waited = placement.owner.tolist(), placement.wait.tolist()
-        moved = set(placement.apply(Change(generation, joined, left)).tolist())
+        moved = set(placement.apply_change(GenerationChange(generation, joined, left)).tolist())
         for shard in range(shards):
             now = int(placement.owner[shard])
             assert now == best_of(shard, list(there.values()))
@@ -95,10 +95,10 @@
 
 def test_a_whole_region_is_placed_again_after_everybody_left() -> None:
     placement = Placement("east", 20)
-    placement.begin(1, [session("a", 1)])
-    placement.apply(Change(2, [], [1]))
+    placement.place_all(1, [session("a", 1)])
+    placement.apply_change(GenerationChange(2, [], [1]))
     assert set(placement.owner.tolist()) == {-1}
-    placement.apply(Change(3, [session("b", 2)], []))
+    placement.apply_change(GenerationChange(3, [session("b", 2)], []))
     assert set(placement.owner.tolist()) == {2}
     assert set(placement.wait.tolist()) == {1}  # `a` had ended: nothing more to wait for
 
@@ -112,17 +112,17 @@
 
 def test_a_voter_takes_nothing_below_its_promise_and_nothing_for_another_life() -> None:
     acceptor = TableAcceptor("east", 7)
-    assert acceptor.read(ReadTable("east", 0, 3, 1)) == TableRead("east", 3, 1, 7, False, None)
-    lower = acceptor.write(WriteTable("east", 0, 1, 7, written(2, 9)))
-    assert lower == TableRefused("east", 2, 1, 7, 3)
-    other = acceptor.write(WriteTable("east", 0, 1, 6, written(3, 9)))
-    assert other == TableRefused("east", 3, 1, 7, 0)
-    assert acceptor.state is None and not acceptor.remembers
-    assert isinstance(acceptor.write(WriteTable("east", 0, 1, 7, written(3, 9))), TableWritten)
-    assert acceptor.remembers
-    acceptor.write(WriteTable("east", 0, 1, 7, written(3, 8)))  # late
+    assert acceptor.promise(ReadTable("east", 0, 3, 1)) == TableRead("east", 3, 1, 7, False, None)
+    lower = acceptor.accept(WriteTable("east", 0, 1, 7, written(2, 9)))
+    assert lower == TableRejected("east", 2, 1, 7, 3)
+    other = acceptor.accept(WriteTable("east", 0, 1, 6, written(3, 9)))
+    assert other == TableRejected("east", 3, 1, 7, 0)
+    assert acceptor.state is None and not acceptor.has_memory
+    assert isinstance(acceptor.accept(WriteTable("east", 0, 1, 7, written(3, 9))), TableWritten)
+    assert acceptor.has_memory
+    acceptor.accept(WriteTable("east", 0, 1, 7, written(3, 8)))  # late
     assert acceptor.state is not None and acceptor.state.generation == 9
-    assert isinstance(acceptor.read(ReadTable("east", 0, 2, 1)), TableRefused)
+    assert isinstance(acceptor.promise(ReadTable("east", 0, 2, 1)), TableRejected)
 
 
 class Region:
@@ -146,13 +146,13 @@
         return TableWriter("east", 0, term, voters, self.life_of, lambda: self.founded_with, LEASE_US, now_us)
 
     def carry(self, writer: TableWriter, now_us: int) -> None:
-        for name, body in writer.turn(now_us):
+        for name, body in writer.tick(now_us):
             if name in self.reached:
                 acceptor = self.acceptors[name]
                 if isinstance(body, ReadTable):
-                    writer.hear(now_us, name, acceptor.read(body))
+                    writer.receive(now_us, name, acceptor.promise(body))
                 elif isinstance(body, WriteTable):
-                    writer.hear(now_us, name, acceptor.write(body))
+                    writer.receive(now_us, name, acceptor.accept(body))
 
     def ready(self, term: int, now_us: int) -> TableWriter:
         writer = self.writer(term, now_us)
@@ -165,7 +165,7 @@
         assert writer.state is None  # nobody remembers: the leases of nodes have to end first
         for step in range(4):
             self.carry(writer, LEASE_US + step * SECOND)
-        assert writer.state is not None and writer.founded
+        assert writer.state is not None and writer.is_new_table
         return writer
 
 
@@ -197,7 +197,7 @@
     region.reached = {"c1"}
     first.write(next_state(first.state, 1, [session("a", 1)], []))
     region.carry(first, 20 * SECOND)
-    assert first.state.generation == 1001 and not first.idle
+    assert first.state.generation == 1001 and not first.is_idle
 
 
 def test_a_voter_that_was_restarted_counts_only_once_this_life_was_written_to() -> None:
@@ -206,12 +206,12 @@
     assert first.state is not None
     region.reached = {"c1", "c2"}
     first.write(next_state(first.state, 1, [session("a", 1)], []))
-    late = next(body for name, body in first.turn(20 * SECOND) if name == "c1")
+    late = next(body for name, body in first.tick(20 * SECOND) if name == "c1")
     region.carry(first, 21 * SECOND)
     assert first.state.generation == 1002
     region.restart("c1")  # it held the change, as c2 does; c3 never heard of it
     assert isinstance(late, WriteTable)
-    assert isinstance(region.acceptors["c1"].write(late), TableRefused)  # for its former life
+    assert isinstance(region.acceptors["c1"].accept(late), TableRejected)  # for its former life
     region.reached = {"c1", "c3"}
     second = region.ready(2, 30 * SECOND)
     assert second.state is None  # c1 does not remember, and c3 alone is no majority
@@ -234,7 +234,7 @@
         region.restart(name)
     region.founded_with = 5  # the wall clock was set back
     second = region.writer(2, 30 * SECOND)
-    second.heard_of(4321)
+    second.observe_generation(4321)
     for step in range(4):
         region.carry(second, 30 * SECOND + LEASE_US + step * SECOND)
     assert second.state is not None and second.state.generation == 4322
@@ -254,27 +254,27 @@
         self.assigner = Assigner("east", TERMS, self.writer, self.now_us)
         self.work()
 
-    def work(self) -> list[tuple[str, Renewed]]:
-        told: list[tuple[str, Renewed]] = []
+    def work(self) -> list[tuple[str, SessionRenewed]]:
+        told: list[tuple[str, SessionRenewed]] = []
         for _ in range(4):
-            for name, body in self.assigner.turn(self.now_us):
+            for name, body in self.assigner.tick(self.now_us):
                 if isinstance(body, WriteTable):
-                    self.writer.hear(self.now_us, name, self.region.acceptors[name].write(body))
-                elif isinstance(body, Renewed):
+                    self.writer.receive(self.now_us, name, self.region.acceptors[name].accept(body))
+                elif isinstance(body, SessionRenewed):
                     told.append((name, body))
         return told
 
     def renew(self, name: str, number: int, applied: int = 0, nonce: int = 1, **told: bool) -> object:
-        asked = Renew("east", 0, 1, number, nonce, applied, **told)
-        return self.assigner.hear(self.now_us, name, asked)
+        asked = RenewSession("east", 0, 1, number, nonce, applied, **told)
+        return self.assigner.answer_heartbeat(self.now_us, name, asked)
 
-    def pass_s(self, seconds: float) -> list[tuple[str, Renewed]]:
+    def pass_s(self, seconds: float) -> list[tuple[str, SessionRenewed]]:
         self.now_us += int(seconds * SECOND)
         return self.work()
 
     def join(self, *names: str) -> list[int]:
         for name in names:
-            assert isinstance(self.renew(name, 0), Renewed)
+            assert isinstance(self.renew(name, 0), SessionRenewed)
         self.pass_s(TERMS.gather_s)
         self.pass_s(0.5)
         numbers = {s.name: s.number for s in self.assigner.sessions}
@@ -283,15 +283,15 @@
 
 def test_newcomers_are_added_together_and_get_the_whole_table_in_pages() -> None:
     assigned = Assigned()
-    names = [f"n{n:03}" for n in range(MOST_CHANGED + 3)]
+    names = [f"n{n:03}" for n in range(MAX_CHANGED_SESSIONS + 3)]
     numbers = assigned.join(*names)
     assert len(set(numbers)) == len(names)
     assert assigned.assigner.generation == 1001 + 2  # more than fit one generation
     first = assigned.renew(names[0], 0)
-    assert isinstance(first, Renewed) and first.session == numbers[0] and first.more
-    asked = Renew("east", 0, 2, numbers[0], 1, 0, first.table, len(first.sessions))
-    second = assigned.assigner.hear(assigned.now_us, names[0], asked)
-    assert isinstance(second, Renewed) and not second.more
+    assert isinstance(first, SessionRenewed) and first.session_number == numbers[0] and first.has_more
+    asked = RenewSession("east", 0, 2, numbers[0], 1, 0, first.page_generation, len(first.sessions))
+    second = assigned.assigner.answer_heartbeat(assigned.now_us, names[0], asked)
+    assert isinstance(second, SessionRenewed) and not second.has_more
     assert [s.name for s in (*first.sessions, *second.sessions)] == names
 
 
@@ -300,10 +300,10 @@
     one, other = assigned.join("a", "b")
     generation = assigned.assigner.generation
     assigned.pass_s(TERMS.lease_s - 0.1)
-    assert isinstance(assigned.renew("a", one, generation), Renewed)
+    assert isinstance(assigned.renew("a", one, generation), SessionRenewed)
     told = assigned.pass_s(0.3)
     assert [(name, body.changes[0].left) for name, body in told] == [("a", [other])]
-    assert assigned.renew("b", other) == RenewRefused("east", 1, "over")
+    assert assigned.renew("b", other) == RenewalRejected("east", 1, "over")
 
 
 def test_a_new_assigner_counts_every_session_from_its_own_beginning() -> None:
@@ -324,7 +324,7 @@
     assigned = Assigned()
     (old,) = assigned.join("a")
     waits = assigned.renew("a", 0, nonce=2)  # the process was restarted
-    assert isinstance(waits, Renewed) and not waits.session
+    assert isinstance(waits, SessionRenewed) and not waits.session_number
     assigned.pass_s(1.0)
     assert [s.number for s in assigned.assigner.sessions] == [old]
     for _ in range(6):
@@ -339,9 +339,9 @@
     one, other = assigned.join("a", "b")
     generation = assigned.assigner.generation
     answer = assigned.renew("a", one, generation)
-    assert isinstance(answer, Renewed) and answer.settled < generation
+    assert isinstance(answer, SessionRenewed) and answer.settled_generation < generation
     answer = assigned.renew("b", other, generation)
-    assert isinstance(answer, Renewed) and answer.settled == generation
+    assert isinstance(answer, SessionRenewed) and answer.settled_generation == generation
 
 
 def test_planned_stops_are_let_through_one_after_another() -> None:
@@ -350,15 +350,15 @@
     generation = assigned.assigner.generation
     for name, number in (("a", one), ("b", other)):
         assigned.renew(name, number, generation)
-    first = assigned.renew("a", one, generation, leaving=True)
-    second = assigned.renew("b", other, generation, leaving=True)
-    assert isinstance(first, Renewed) and first.may_leave
-    assert isinstance(second, Renewed) and not second.may_leave
-    assert isinstance(assigned.renew("a", one, generation, released=True), RenewRefused)
+    first = assigned.renew("a", one, generation, is_leaving=True)
+    second = assigned.renew("b", other, generation, is_leaving=True)
+    assert isinstance(first, SessionRenewed) and first.may_hand_over
+    assert isinstance(second, SessionRenewed) and not second.may_hand_over
+    assert isinstance(assigned.renew("a", one, generation, is_released=True), RenewalRejected)
     told = assigned.pass_s(0.01)
     assert [body.changes[0].left for _, body in told] == [[one]]
-    second = assigned.renew("b", other, generation + 1, leaving=True)
-    assert isinstance(second, Renewed) and second.may_leave
+    second = assigned.renew("b", other, generation + 1, is_leaving=True)
+    assert isinstance(second, SessionRenewed) and second.may_hand_over
 
 
 # ---------------------------------------------------------------------- a node's session
@@ -368,112 +368,114 @@
     return NodeSession(REGION, TERMS, 1, 0)
 
 
-def whole(number: int, own: Session, others: list[Session], settled: int) -> Renewed:
+def whole(number: int, own: Session, others: list[Session], settled: int) -> SessionRenewed:
     sessions = [own, *others]
-    return Renewed("east", number, own.number, 50, settled, [], 50, 0, False, sessions)
+    return SessionRenewed("east", number, own.number, 50, settled, [], 50, 0, False, sessions)
 
 
 def begun(settled: int = 50) -> tuple[NodeSession, Session]:
     """A node with a session since 1 s, in a generation with one other."""
     made = node()
-    asked = made.turn(SECOND)
-    assert asked is not None and not asked.session
+    asked = made.tick(SECOND)
+    assert asked is not None and not asked.session_number
     own = Session("a", 12, asked.nonce)
-    made.renewed(SECOND + 1000, whole(asked.number, own, [session("b", 13)], settled))
+    made.on_renewed(SECOND + 1000, whole(asked.sequence, own, [session("b", 13)], settled))
     return made, own
 
 
 def test_a_node_uses_its_shards_from_when_it_asked_for_less_than_a_lease() -> None:
     made, own = begun()
     mine = [s for s in range(60) if best_of(s, [own, session("b", 13)]) == 12]
-    assert made.usable(2 * SECOND) == set(mine) and made.token(mine[0], 2 * SECOND) == Token(50, 12)
-    assert made.usable(SECOND + int(0.979 * LEASE_US)) == set(mine)
-    assert not made.usable(SECOND + int(0.981 * LEASE_US))
-    assert made.token(mine[0], SECOND + int(0.981 * LEASE_US)) is None
+    assert made.usable_shards(2 * SECOND) == set(mine) and made.issue_token(
+        mine[0], 2 * SECOND
+    ) == FencingToken(50, 12)
+    assert made.usable_shards(SECOND + int(0.979 * LEASE_US)) == set(mine)
+    assert not made.usable_shards(SECOND + int(0.981 * LEASE_US))
+    assert made.issue_token(mine[0], SECOND + int(0.981 * LEASE_US)) is None
 
 
 def test_a_node_that_lapsed_asks_for_another_session_and_takes_no_late_answer() -> None:
     made, own = begun()
-    late = made.turn(3 * SECOND)
-    assert late is not None and late.session == 12
-    again = made.turn(SECOND + LEASE_US)
-    assert again is not None and not again.session and again.nonce != own.nonce
-    answer = Renewed("east", late.number, 12, 50, 50, [])
-    made.renewed(SECOND + LEASE_US + 1, answer)
-    assert not made.session and not made.usable(SECOND + LEASE_US + 1)
+    late = made.tick(3 * SECOND)
+    assert late is not None and late.session_number == 12
+    again = made.tick(SECOND + LEASE_US)
+    assert again is not None and not again.session_number and again.nonce != own.nonce
+    answer = SessionRenewed("east", late.sequence, 12, 50, 50, [])
+    made.on_renewed(SECOND + LEASE_US + 1, answer)
+    assert not made.session_number and not made.usable_shards(SECOND + LEASE_US + 1)
 
 
 def test_nothing_is_used_before_it_is_settled() -> None:
     made, _ = begun(settled=49)
-    assert made.placed() and not made.usable(2 * SECOND)
-    made.renewed(2 * SECOND, Renewed("east", 0, 0, 50, 50, []))
-    assert made.usable(2 * SECOND) == set(made.placed())
+    assert made.placed_shards() and not made.usable_shards(2 * SECOND)
+    made.on_renewed(2 * SECOND, SessionRenewed("east", 0, 0, 50, 50, []))
+    assert made.usable_shards(2 * SECOND) == set(made.placed_shards())
 
 
 def test_a_joiner_takes_over_only_once_all_go_by_its_generation_and_the_dead_are_inherited_at_once() -> None:
     made, own = begun()
-    before = made.usable(2 * SECOND)
+    before = made.usable_shards(2 * SECOND)
     third = session("c", 14)
-    made.renewed(2 * SECOND, Renewed("east", 0, 0, 51, 50, [Change(51, [third], [])]))
+    made.on_renewed(2 * SECOND, SessionRenewed("east", 0, 0, 51, 50, [GenerationChange(51, [third], [])]))
     kept = {s for s in range(60) if best_of(s, [own, session("b", 13), third]) == 12}
-    assert made.usable(2 * SECOND) == kept < before
-    made.renewed(2 * SECOND, Renewed("east", 0, 0, 52, 50, [Change(52, [], [13])]))
+    assert made.usable_shards(2 * SECOND) == kept < before
+    made.on_renewed(2 * SECOND, SessionRenewed("east", 0, 0, 52, 50, [GenerationChange(52, [], [13])]))
     heir = {s for s in range(60) if best_of(s, [own, third]) == 12}
-    assert made.usable(2 * SECOND) == heir > kept
-    made.renewed(2 * SECOND, Renewed("east", 0, 0, 53, 50, [Change(53, [], [14])]))
+    assert made.usable_shards(2 * SECOND) == heir > kept
+    made.on_renewed(2 * SECOND, SessionRenewed("east", 0, 0, 53, 50, [GenerationChange(53, [], [14])]))
     # What the joiner had for a moment was `a`'s own, or `b`'s: it waits until `a` is known to go by 51.
-    assert made.usable(2 * SECOND) < set(range(60))
-    made.renewed(2 * SECOND, Renewed("east", 0, 0, 53, 51, []))
-    assert made.usable(2 * SECOND) == set(range(60))
+    assert made.usable_shards(2 * SECOND) < set(range(60))
+    made.on_renewed(2 * SECOND, SessionRenewed("east", 0, 0, 53, 51, []))
+    assert made.usable_shards(2 * SECOND) == set(range(60))
 
 
 def test_a_change_that_was_missed_is_asked_for() -> None:
     made, _ = begun()
-    made.renewed(2 * SECOND, Renewed("east", 0, 0, 52, 50, [Change(52, [], [13])]))
+    made.on_renewed(2 * SECOND, SessionRenewed("east", 0, 0, 52, 50, [GenerationChange(52, [], [13])]))
     assert made.generation == 50
-    asked = made.turn(4 * SECOND)
-    assert asked is not None and asked.applied == 50
-    changes = [Change(51, [session("c", 14)], []), Change(52, [], [13])]
-    made.renewed(4 * SECOND, Renewed("east", asked.number, 12, 52, 50, changes))
+    asked = made.tick(4 * SECOND)
+    assert asked is not None and asked.applied_generation == 50
+    changes = [GenerationChange(51, [session("c", 14)], []), GenerationChange(52, [], [13])]
+    made.on_renewed(4 * SECOND, SessionRenewed("east", asked.sequence, 12, 52, 50, changes))
     assert made.generation == 52
 
 
 def test_a_newcomer_asks_at_once_when_it_hears_that_it_was_added() -> None:
     made = node()
-    asked = made.turn(SECOND)
+    asked = made.tick(SECOND)
     assert asked is not None
-    made.renewed(SECOND + 1, Renewed("east", asked.number, 0, 50, 50, []))
+    made.on_renewed(SECOND + 1, SessionRenewed("east", asked.sequence, 0, 50, 50, []))
     due_us = made.due_us(SECOND + 1)
-    other = Change(51, [Session("b", 13, asked.nonce + 1)], [])
-    made.renewed(SECOND + 2, Renewed("east", 0, 0, 51, 50, [other]))
+    other = GenerationChange(51, [Session("b", 13, asked.nonce + 1)], [])
+    made.on_renewed(SECOND + 2, SessionRenewed("east", 0, 0, 51, 50, [other]))
     assert made.due_us(SECOND + 2) == due_us
-    own = Change(52, [Session("a", 14, asked.nonce)], [])
-    made.renewed(SECOND + 3, Renewed("east", 0, 0, 52, 50, [own]))
-    assert made.due_us(SECOND + 3) < 2 * SECOND < due_us and not made.session
+    own = GenerationChange(52, [Session("a", 14, asked.nonce)], [])
+    made.on_renewed(SECOND + 3, SessionRenewed("east", 0, 0, 52, 50, [own]))
+    assert made.due_us(SECOND + 3) < 2 * SECOND < due_us and not made.session_number
 
 
 def test_a_refused_session_is_given_up_at_once() -> None:
     made, _ = begun()
-    asked = made.turn(4 * SECOND)
+    asked = made.tick(4 * SECOND)
     assert asked is not None
-    made.refused(4 * SECOND, RenewRefused("east", asked.number, "over"))
-    assert not made.usable(4 * SECOND) and not made.session
+    made.on_rejected(4 * SECOND, RenewalRejected("east", asked.sequence, "over"))
+    assert not made.usable_shards(4 * SECOND) and not made.session_number
 
 
 def test_a_planned_stop_hands_over_when_it_may_and_comes_back_when_taken_back() -> None:
     made, own = begun()
-    made.plan_to_leave(2 * SECOND, True)
-    asked = made.turn(2 * SECOND)
-    assert asked is not None and asked.leaving and made.usable(2 * SECOND)
-    made.renewed(2 * SECOND, Renewed("east", asked.number, 12, 50, 50, [], may_leave=True))
-    assert not made.usable(2 * SECOND)
-    told = made.turn(2 * SECOND)
-    assert told is not None and told.released and (told.session, told.nonce) == (12, own.nonce)
-    made.refused(2 * SECOND, RenewRefused("east", told.number, "over"))
-    assert made.turn(5 * SECOND) is None  # asks for nothing while it is stopped
-    made.plan_to_leave(6 * SECOND, False)
-    asked = made.turn(6 * SECOND)
-    assert asked is not None and not asked.session and not asked.leaving
+    made.set_leaving(2 * SECOND, True)
+    asked = made.tick(2 * SECOND)
+    assert asked is not None and asked.is_leaving and made.usable_shards(2 * SECOND)
+    made.on_renewed(2 * SECOND, SessionRenewed("east", asked.sequence, 12, 50, 50, [], may_hand_over=True))
+    assert not made.usable_shards(2 * SECOND)
+    told = made.tick(2 * SECOND)
+    assert told is not None and told.is_released and (told.session_number, told.nonce) == (12, own.nonce)
+    made.on_rejected(2 * SECOND, RenewalRejected("east", told.sequence, "over"))
+    assert made.tick(5 * SECOND) is None  # asks for nothing while it is stopped
+    made.set_leaving(6 * SECOND, False)
+    asked = made.tick(6 * SECOND)
+    assert asked is not None and not asked.session_number and not asked.is_leaving
 
 
 # ---------------------------------------------------------------------- receivers
@@ -483,19 +485,19 @@
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 5), st.integers(0, 3)), max_size=40))
 def test_no_token_is_taken_below_one_that_was(acts: list[tuple[int, int, int]]) -> None:
     fence = TokenFence()
-    highest: dict[int, Token] = {}
+    highest: dict[int, FencingToken] = {}
     for shard, generation, number in acts:
-        token = Token(generation, number)
-        assert fence.takes("east", shard, token) is (token >= highest.get(shard, token))
+        token = FencingToken(generation, number)
+        assert fence.accept("east", shard, token) is (token >= highest.get(shard, token))
         highest[shard] = max(highest.get(shard, token), token)
-        assert fence.highest("east", shard) == highest[shard]
+        assert fence.highest_token("east", shard) == highest[shard]
 
 
 def test_a_fence_forgets_those_heard_of_longest_ago() -> None:
     fence = TokenFence(most=2)
     for shard in (1, 2, 1, 3):
-        assert fence.takes("east", shard, Token(9, 1))
-    assert fence.highest("east", 2) is None and fence.highest("east", 1) == Token(9, 1)
+        assert fence.accept("east", shard, FencingToken(9, 1))
+    assert fence.highest_token("east", 2) is None and fence.highest_token("east", 1) == FencingToken(9, 1)
 
 
 # ---------------------------------------------------------------------- settings
--- a/tests/test_sharding_days.py
+++ b/tests/test_sharding_days.py
@@ -145,7 +145,7 @@
 def test_shards_are_placed_score_by_score_as_the_nodes_place_them() -> None:
     sessions = [Session(name, number, 0) for number, name in enumerate(("n6", "n8", "n10", "n12"), 1)]
     placement = Placement("r0", SHARDS_OF_A_REGION)
-    placement.begin(1, sessions)
+    placement.place_all(1, sessions)
     text = ",".join(f"{s.name}:{s.number}" for s in sessions)
     assert [placed("r0", n, text) for n in range(SHARDS_OF_A_REGION)] == placement.owner.tolist()
     assert placed("r0", 0, "-") == 0
--- a/tests/test_sharding_wire.py
+++ b/tests/test_sharding_wire.py
@@ -17,42 +17,42 @@
 from sailrun.leadership.agent import Agent, Out
 from sailrun.leadership.envelope import BadMessage, Body, Envelope, pack, unpack
 from sailrun.leadership.messages import Ask
+from sailrun.sharding.agent import ShardingAgent
 from sailrun.sharding.messages import (
-    Ballot,
-    Change,
+    ElectionMessage,
+    FencingToken,
+    GenerationChange,
     ReadTable,
-    Renew,
-    Renewed,
-    RenewRefused,
+    RenewalRejected,
+    RenewSession,
     Session,
+    SessionRenewed,
     ShardAct,
-    ShardActRefused,
+    ShardActRejected,
     ShardBody,
     TableRead,
-    TableRefused,
+    TableRejected,
     TableState,
     TableWritten,
-    Token,
     WriteTable,
 )
-from sailrun.sharding.part import ShardsPart
 
 REGION, NODE, OTHER = "r0", "n6", "n8"
 DIGEST = shards_terms().digest(REGION)
 SESSION = Session("n8", 48, 5)
-STATE = TableState(3, 2, [SESSION], [Change(2, [SESSION], [24])])
+STATE = TableState(3, 2, [SESSION], [GenerationChange(2, [SESSION], [24])])
 BODIES: list[ShardBody] = [
-    Renew(REGION, DIGEST, 1, 48, 5, 2),
-    Renewed(REGION, 1, 48, 2, 2, [Change(2, [SESSION], [24])], 2, 0, False, [SESSION]),
-    RenewRefused(REGION, 1, "over"),
+    RenewSession(REGION, DIGEST, 1, 48, 5, 2),
+    SessionRenewed(REGION, 1, 48, 2, 2, [GenerationChange(2, [SESSION], [24])], 2, 0, False, [SESSION]),
+    RenewalRejected(REGION, 1, "over"),
     ReadTable(REGION, DIGEST, 3, 1),
     TableRead(REGION, 3, 1, 7, True, STATE),
     WriteTable(REGION, DIGEST, 1, 7, STATE),
     TableWritten(REGION, 3, 1, 7),
-    TableRefused(REGION, 3, 1, 7, 4),
-    ShardAct(REGION, 5, Token(2, 48), 1),
-    ShardActRefused(REGION, 5, 1, Token(2, 48)),
-    Ballot(REGION, DIGEST, Ask("shards/r0", 3, 1, 1, False)),
+    TableRejected(REGION, 3, 1, 7, 4),
+    ShardAct(REGION, 5, FencingToken(2, 48), 1),
+    ShardActRejected(REGION, 5, 1, FencingToken(2, 48)),
+    ElectionMessage(REGION, DIGEST, Ask("shards/r0", 3, 1, 1, False)),
 ]
 
 
@@ -75,7 +75,7 @@
         assert agent is not None
         return agent
 
-    def part(self, name: str) -> ShardsPart:
+    def part(self, name: str) -> ShardingAgent:
         part = self.agent(name).shards
         assert part is not None
         return part
@@ -90,7 +90,7 @@
         nodes = [node for node in self.fleet.nodes.values() if node.agent is not None]
         sessions = {node.name: self.part(node.name).session for node in nodes}
         return {
-            name: session.usable(self.fleet.clock_us(self.node(name)))
+            name: session.usable_shards(self.fleet.clock_us(self.node(name)))
             for name, session in sessions.items()
             if session is not None
         }
@@ -136,7 +136,7 @@
 
 
 def test_a_heartbeat_of_an_older_version_is_read_without_what_came_later() -> None:
-    body = Renew(REGION, DIGEST, 1, 48, 5, 2)
+    body = RenewSession(REGION, DIGEST, 1, 48, 5, 2)
     fields = msgspec.to_builtins(_envelope(body))
     fields[4] = fields[4][:7]
     assert unpack(msgspec.msgpack.encode(fields)).body == body
@@ -162,16 +162,16 @@
 @pytest.mark.parametrize(
     "body",
     [
-        Renewed(REGION, 1, 48, 2, 2, [Change(2, [Session("n8", 991, 5)], [])]),
-        Renewed(REGION, 1, 48, 2, 2, [Change(991, [SESSION], [])]),
-        Renewed(REGION, 1, 48, 2, 2, [Change(2, [], [991])]),
-        Renewed(REGION, 1, 48, 991, 2, []),
-        Renewed(REGION, 1, 48, 2, 991, []),
-        Renewed(REGION, 1, 48, 2, 2, [], 991),
+        SessionRenewed(REGION, 1, 48, 2, 2, [GenerationChange(2, [Session("n8", 991, 5)], [])]),
+        SessionRenewed(REGION, 1, 48, 2, 2, [GenerationChange(991, [SESSION], [])]),
+        SessionRenewed(REGION, 1, 48, 2, 2, [GenerationChange(2, [], [991])]),
+        SessionRenewed(REGION, 1, 48, 991, 2, []),
+        SessionRenewed(REGION, 1, 48, 2, 991, []),
+        SessionRenewed(REGION, 1, 48, 2, 2, [], 991),
         WriteTable(REGION, DIGEST, 1, 7, TableState(3, 991, [SESSION], [])),
-        ShardAct(REGION, 991, Token(2, 48), 1),
-        ShardAct(REGION, 5, Token(991, 48), 1),
-        Renew(REGION, DIGEST, 1, 48, 5, 991),
+        ShardAct(REGION, 991, FencingToken(2, 48), 1),
+        ShardAct(REGION, 5, FencingToken(991, 48), 1),
+        RenewSession(REGION, DIGEST, 1, 48, 5, 991),
     ],
     ids=lambda value: str(value) if isinstance(value, int) else type(value).__name__,
 )
@@ -248,14 +248,18 @@
     """The same with numbers that the receiver takes for an answer, or for its own."""
     part = running.part(to)
     session = part.session
-    if isinstance(body, Renewed) and session is not None:
-        change = Change(session.generation + 1, [SESSION], [])
-        return msgspec.structs.replace(body, number=0, session=session.session, changes=[change])
-    if isinstance(body, (Renew,)) and part.assigner is not None:
+    if isinstance(body, SessionRenewed) and session is not None:
+        change = GenerationChange(session.generation + 1, [SESSION], [])
+        return msgspec.structs.replace(
+            body, sequence=0, session_number=session.session_number, changes=[change]
+        )
+    if isinstance(body, (RenewSession,)) and part.assigner is not None:
         known = part.assigner.sessions
         number = known[0].number if known else 0
-        return msgspec.structs.replace(body, session=number, applied=part.assigner.generation)
-    if isinstance(body, (TableRead, TableWritten, TableRefused)) and part.assigner is not None:
+        return msgspec.structs.replace(
+            body, session_number=number, applied_generation=part.assigner.generation
+        )
+    if isinstance(body, (TableRead, TableWritten, TableRejected)) and part.assigner is not None:
         return msgspec.structs.replace(body, term=part.assigner.term)
     return body
 
@@ -283,25 +287,27 @@
     generation = part.assigner.generation if part.assigner is not None else 0
     running.agent(assigner).notes.clear()
     promised = [running.part(name).acceptor for name in ("n0", "n2", "n4")]
-    terms = [acceptor.promised for acceptor in promised if acceptor is not None]
+    terms = [acceptor.promised_term for acceptor in promised if acceptor is not None]
     told: list[Body] = []
     for _ in range(3):
-        told += running.answers(assigner, OTHER, Renew(REGION, DIGEST ^ 1, 9, 0, 5, 0))
+        told += running.answers(assigner, OTHER, RenewSession(REGION, DIGEST ^ 1, 9, 0, 5, 0))
         assert running.answers("n0", "n2", ReadTable(REGION, DIGEST ^ 1, 2**40, 9)) == []
         assert (
             running.answers("n0", "n2", WriteTable(REGION, DIGEST ^ 1, 9, running.agent("n0").life, STATE))
             == []
         )
         assert (
-            running.answers("n0", "n2", Ballot(REGION, DIGEST ^ 1, Ask("shards/r0", 2**60, 1, 1, False)))
+            running.answers(
+                "n0", "n2", ElectionMessage(REGION, DIGEST ^ 1, Ask("shards/r0", 2**60, 1, 1, False))
+            )
             == []
         )
-    assert told == [RenewRefused(REGION, 9, "settings")] * 3
+    assert told == [RenewalRejected(REGION, 9, "settings")] * 3
     notes = [facts for what, facts in running.agent(assigner).notes if what == "shards-settings-differ"]
     assert notes == [{"name": OTHER}]  # one line, however many there are
-    assert part.bad_settings >= 3
+    assert part.settings_mismatch_count >= 3
     assert part.assigner is not None and part.assigner.generation == generation
-    assert terms == [acceptor.promised for acceptor in promised if acceptor is not None]
+    assert terms == [acceptor.promised_term for acceptor in promised if acceptor is not None]
     running.fleet.run(26.0)
     assert running.owned() == before
 
@@ -311,19 +317,19 @@
     session = running.part(NODE).session
     assert session is not None and before[NODE]
     for number in range(1, 100):
-        running.hear(NODE, running.assigner(), RenewRefused(REGION, number, "settings"))
-        running.hear(NODE, running.assigner(), RenewRefused(REGION, number, "a reason of later"))
+        running.hear(NODE, running.assigner(), RenewalRejected(REGION, number, "settings"))
+        running.hear(NODE, running.assigner(), RenewalRejected(REGION, number, "a reason of later"))
     assert running.owned() == before
 
 
 def test_another_region_s_messages_change_nothing(running: Running) -> None:
     before, fence = running.owned(), running.part(NODE).fence
-    act = ShardAct("r1", 5, Token(2**50, 48), 1)
+    act = ShardAct("r1", 5, FencingToken(2**50, 48), 1)
     for body in (*BODIES, act):
         foreign = msgspec.structs.replace(body, region="r1")
         assert running.answers(NODE, OTHER, foreign) == []
         assert running.answers("n0", "n2", foreign) == []
-    assert fence.highest("r1", 5) is None
+    assert fence.highest_token("r1", 5) is None
     assert running.owned() == before
 
 
@@ -331,9 +337,9 @@
     session = running.part(NODE).session
     assert session is not None
     generation, before = session.generation, running.owned()
-    gone = [s.number for s in session.sessions() if s.name != NODE]
+    gone = [s.number for s in session.known_sessions() if s.name != NODE]
     for wrong in (0, generation - 1, generation, generation + 2, generation + 1_000):
-        told = Renewed(REGION, 0, 0, wrong, 0, [Change(wrong, [], gone)])
+        told = SessionRenewed(REGION, 0, 0, wrong, 0, [GenerationChange(wrong, [], gone)])
         running.hear(NODE, running.assigner(), told)
         assert session.generation == generation
     assert running.owned() == before
@@ -343,13 +349,13 @@
     session = running.part(NODE).session
     assert session is not None
     generation, before = session.generation, running.owned()
-    alone = [Session(NODE, session.session, 1)]
+    alone = [Session(NODE, session.session_number, 1)]
     for table, offset, more in (
         (generation - 1, 0, False),
         (generation, 0, False),
         (generation + 5, 24, False),
     ):
-        told = Renewed(REGION, 0, 0, generation, 0, [], table, offset, more, alone)
+        told = SessionRenewed(REGION, 0, 0, generation, 0, [], table, offset, more, alone)
         running.hear(NODE, running.assigner(), told)
         assert session.generation == generation
     assert running.owned() == before
@@ -358,11 +364,13 @@
 def test_an_answer_to_no_heartbeat_extends_nothing(running: Running) -> None:
     session = running.part(NODE).session
     assert session is not None
-    until_us = session.until_us
+    until_us = session.expires_us
     for number in (10_000, 2**62):
-        running.hear(NODE, OTHER, Renewed(REGION, number, session.session, session.generation, 0, []))
-    running.hear(NODE, OTHER, Renewed(REGION, 0, session.session, session.generation, 0, []))
-    assert session.until_us == until_us
+        running.hear(
+            NODE, OTHER, SessionRenewed(REGION, number, session.session_number, session.generation, 0, [])
+        )
+    running.hear(NODE, OTHER, SessionRenewed(REGION, 0, session.session_number, session.generation, 0, []))
+    assert session.expires_us == until_us
 
 
 def test_voters_answers_of_no_voter_or_of_another_term_count_nothing(running: Running) -> None:
@@ -374,7 +382,7 @@
     for sender, term in ((OTHER, assigner.term), ("n2" if name != "n2" else "n4", assigner.term + 1)):
         running.hear(name, sender, TableRead(REGION, term, 1, 7, True, empty))
         running.hear(name, sender, TableWritten(REGION, term, 2, 7))
-        running.hear(name, sender, TableRefused(REGION, term, 2, 7, 2**40))
+        running.hear(name, sender, TableRejected(REGION, term, 2, 7, 2**40))
     assert assigner.writer.state is state and assigner.writer.higher_term == 0
     running.fleet.run(26.0)
     assert running.owned() == before
@@ -382,8 +390,8 @@
 
 def test_an_act_for_a_shard_that_is_none_is_counted_and_not_remembered(running: Running) -> None:
     part = running.part("n0")
-    taken = part.acts_taken
+    taken = part.accepted_act_count
     for shard in (SHARDS_OF_A_REGION, 2**40):
-        assert running.answers("n0", NODE, ShardAct(REGION, shard, Token(5, 5), 1)) == []
-        assert part.fence.highest(REGION, shard) is None
-    assert part.acts_taken == taken and part.unknown_shards == 2
+        assert running.answers("n0", NODE, ShardAct(REGION, shard, FencingToken(5, 5), 1)) == []
+        assert part.fence.highest_token(REGION, shard) is None
+    assert part.accepted_act_count == taken and part.unknown_shard_count == 2
