--- a/sailrun/sharding/log_events.py
+++ b/sailrun/sharding/log_events.py
@@ -1,15 +1,37 @@
-"""Log lines of the ownership of shards: a line's name, and its facts in order."""
+"""Log events of the ownership of shards: the name of each and its fields, in order."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+from enum import StrEnum
+
 from sailrun.sharding.messages import GenerationChange
-from sailrun.sharding.session import SessionEvent
 
 Note = tuple[str, dict[str, object]]
 
 
+class SessionEventKind(StrEnum):
+    """What happened to a node's session; the values are what the log shows."""
+
+    BEGAN = "began"
+    LOST = "lost"
+    GENERATION = "generation"
+    USABLE = "usable"
+
+
+@dataclass(frozen=True, slots=True)
+class SessionEvent:
+    """A change of a node's own session; `shards`: how many it may use."""
+
+    kind: SessionEventKind
+    generation: int
+    session_number: int
+    shards: int
+    reason: str = ""
+
+
 def generation_note(region: str, change: GenerationChange, nodes: int) -> Note:
-    """A change of generation, at the assigner; `nodes` have a session now."""
+    """A new generation, at the assigner; `nodes`: how many have a session now."""
     facts: dict[str, object] = {
         "region": region,
         "generation": change.generation,
@@ -21,9 +43,9 @@
 
 
 def session_note(event: SessionEvent) -> Note:
-    """What became of a node's own session."""
+    """A change of a node's own session."""
     facts: dict[str, object] = {
-        "what": event.kind,
+        "what": event.kind.value,
         "generation": event.generation,
         "shards": event.shards,
         "why": event.reason or None,
--- a/sailrun/sharding/session.py
+++ b/sailrun/sharding/session.py
@@ -1,85 +1,41 @@
-"""One node's session: its heartbeats to the region's assigner, and the shards it may use by them.
+"""One node's session: its heartbeats to the region's assigner, and the shards it may use by them. Pure.
 
 The node counts its lease on its own clock from when it sent the heartbeat that was answered, and uses nothing
-past its end. A shard is used only while it is placed on this session in every generation between the one that
-is settled and the latest this node knows, sessions that have ended aside.
-
-Pure: the time and messages come in, messages go out.
+after its end. A shard is used only while it is placed on this session in every generation between the settled
+one and the latest that this node knows, sessions that have ended aside.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
 
 from sailrun.leadership.settings import DRIFT
+from sailrun.sharding.log_events import SessionEvent, SessionEventKind
 from sailrun.sharding.messages import (
     FencingToken,
-    GenerationChange,
     RenewalRejected,
     RenewSession,
     Session,
     SessionRenewed,
 )
-from sailrun.sharding.placement import Placement
+from sailrun.sharding.placement_replica import PlacementReplica
+from sailrun.sharding.record_formats import SessionList, ShardList
 from sailrun.sharding.settings import RENEWALS, RegionSettings, ShardingSettings
 
 SECOND = 1_000_000
-# Heartbeats whose answer is still waited for.
-MOST_SENT = 16
-# While it waits for something that others have to apply first, a node asks this often.
-EAGER_US = 250_000
-# A change is acknowledged within this, at a moment of chance, so that not all nodes do at once.
-ACKNOWLEDGE_US = 150_000
+# Heartbeats whose answer is accepted yet.
+MAX_PENDING_HEARTBEATS = 16
+# The interval of heartbeats while the node waits for something that others have to apply first.
+WAITING_INTERVAL_US = 250_000
+# A new generation is acknowledged within this time, at a random moment, so that not all nodes do so at once.
+ACKNOWLEDGE_SPREAD_US = 150_000
 NONCE_BITS = 62
-# Shards that are written down one by one, for the laboratory's checks.
-MOST_LISTED = 1_000
-
-
-@dataclass(slots=True)
-class _Fetch:
-    """A whole table that comes in pages."""
-
-    generation: int
-    sessions: list[Session] = field(default_factory=list)
-
-
-@dataclass(frozen=True, slots=True)
-class SessionEvent:
-    """For the log. `what`: `began`, `lost` (with `why`), `generation`, `usable`."""
-
-    kind: str
-    generation: int
-    session_number: int
-    shards: int
-    reason: str = ""
-
-
-class ShardList:
-    """Shards as text, `0,3,7` or `-`; made only where it is written down. Of many only how many there are."""
-
-    def __init__(self, shards: frozenset[int]) -> None:
-        self._shards = shards
-
-    def __str__(self) -> str:
-        if len(self._shards) > MOST_LISTED:
-            return f"{len(self._shards)}-shards"
-        return ",".join(map(str, sorted(self._shards))) or "-"
-
-
-class SessionList:
-    """Sessions as text, `NAME:NUMBER,...` by number, or `-`; made only where it is written down."""
-
-    def __init__(self, sessions: list[Session]) -> None:
-        self._sessions = sessions
-
-    def __str__(self) -> str:
-        ordered = sorted(self._sessions, key=lambda session: session.number)
-        return ",".join(f"{session.name}:{session.number}" for session in ordered) or "-"
 
 
 class NodeSession:
+    """The session of this process, from one to the next. `events`: for the log; the driver empties them."""
+
     def __init__(
         self,
         region: RegionSettings,
@@ -89,33 +45,34 @@
         off: frozenset[str] = frozenset(),
         record: Callable[..., None] = lambda kind, **facts: None,
     ) -> None:
-        """`record` is told what is used until when, for the laboratory's checks."""
-        self._region, self._settings, self._off, self._act = region, settings, off, record
-        self._digest = settings.digest(region.name)
-        self._luck = random.Random(seed)
+        """`record` receives what is used until when, for the laboratory's checks; `off` names safety rules
+        that the laboratory switches off.
+        """
+        self.events: list[SessionEvent] = []
+        self.is_leaving = False  # a planned stop: requests a handover, and no new session
+        self._region = region
+        self._off = off
+        self._record = record
+        self._settings_digest = settings.digest(region.name)
+        self._random = random.Random(seed)
         self._lease_us = int(settings.lease_s * SECOND)
-        self._placement: Placement | None = None
-        self.events: list[SessionEvent] = []  # emptied by whoever drives this
-        self._number = 0  # of heartbeats
-        self._next_us = now_us
-        self.is_leaving = False  # a planned stop: hands over once it may, and asks for no session
-        self._seen = 0  # the highest generation that this process ever went by, under any session
-        self._clear()
-
-    def _clear(self) -> None:
-        self.session_number = 0
-        self._nonce = self._luck.getrandbits(NONCE_BITS)
+        self._replica = PlacementReplica(region, self._on_generation)
+        self._sequence = 0
+        self._next_heartbeat_us = now_us
+        self._highest_generation = 0  # that this process ever applied, under any session
+        self._reset()
+
+    def _reset(self) -> None:
+        self.session_number = 0  # 0: none
         self.expires_us = 0
         self.settled_generation = 0
-        self._ready = False  # a whole table was read
-        self._fetch: _Fetch | None = None
-        self._sent: dict[int, int] = {}
-        self._usable: frozenset[int] = frozenset()
-        self._usable_at = (0, 0)  # the generation, and what was settled, that it was worked out for
-        self._released = 0  # a session that was given up and has to be taken out of the table
-        self.unanswered_heartbeats = 0  # heartbeats since the last answer
+        self.unanswered_heartbeats = 0  # since the last answer
+        self._nonce = self._random.getrandbits(NONCE_BITS)
+        self._sent_us: dict[int, int] = {}  # by sequence number of the heartbeat
+        self._released_session = 0  # one that was released and has to be removed from the table
+        self._replica.reset()
 
-    # ------------------------------------------------------------------ what may be used
+    # ------------------------------------------------------------------ queries
 
     def is_valid(self, now_us: int) -> bool:
         """Whether the session is in force by this node's own clock."""
@@ -123,122 +80,101 @@
 
     @property
     def generation(self) -> int:
-        """The one this node goes by; 0: none."""
-        return self._placement.generation if self._placement is not None and self._ready else 0
+        """The generation that this node applies; 0: none."""
+        return self._replica.generation
 
     def issue_token(self, shard: int, now_us: int) -> FencingToken | None:
-        """With which this node may act for the shard now; None: it may not."""
-        if not self.is_valid(now_us) or shard not in self._usable:
+        """The token for acts of this node on the shard's behalf now; None: it may not act."""
+        if not self.is_valid(now_us) or shard not in self._replica.usable:
             return None
         return FencingToken(self.generation, self.session_number)
 
     def usable_shards(self, now_us: int) -> frozenset[int]:
-        """The shards it may act for now."""
-        return self._usable if self.is_valid(now_us) else frozenset()
+        """The shards that this node may act for now."""
+        return self._replica.usable if self.is_valid(now_us) else frozenset()
 
     def placed_shards(self) -> list[int]:
-        """The shards placed on it, also those that it has to wait for."""
-        if self._placement is None or not self._ready:
-            return []
-        return [int(shard) for shard in self._placement.shards_placed_on(self.session_number)]
+        """The shards placed on this node, those included that it may not use yet."""
+        return self._replica.shards_of_session(self.session_number)
 
     def known_sessions(self) -> list[Session]:
-        """Everybody in the generation this node goes by."""
-        return list(self._placement.sessions.values()) if self._placement is not None and self._ready else []
+        """All sessions of the generation that this node applies."""
+        return self._replica.sessions()
 
     def shards_placed_on(self, node: str) -> list[int]:
         """The shards placed on another node, as far as this one knows."""
-        number = next((s.number for s in self.known_sessions() if s.name == node), None)
-        if self._placement is None or number is None:
-            return []
-        return [int(shard) for shard in self._placement.shards_placed_on(number)]
+        return self._replica.shards_of_node(node)
 
     def find_owner(self, shard: int) -> str:
-        """Hearsay: the node a shard is placed on; empty where none is known."""
-        if self._placement is None or not self._ready or not 0 <= shard < self._region.shards:
-            return ""
-        session = self._placement.sessions.get(int(self._placement.owner[shard]))
-        return session.name if session is not None else ""
-
-    # ------------------------------------------------------------------ what comes in
-
-    def on_renewed(self, now_us: int, told: SessionRenewed) -> None:
-        """An answer to a heartbeat, or word of a new generation (number 0)."""
-        sent_us = self._sent.pop(told.sequence, None)
-        if told.sequence and sent_us is None:
+        """The node that a shard is placed on, as far as known; empty where none is."""
+        return self._replica.find_owner(shard)
+
+    # ------------------------------------------------------------------ answers
+
+    def on_renewed(self, now_us: int, answer: SessionRenewed) -> None:
+        """An answer to a heartbeat, or notice of a new generation (sequence number 0)."""
+        sent_us = self._sent_us.pop(answer.sequence, None)
+        if answer.sequence and sent_us is None:
             return
-        if sent_us is not None and not self._extended(now_us, sent_us, told):
+        if sent_us is not None and not self._extend(now_us, sent_us, answer):
             return
         if not self.session_number:
-            if self._added_by(told):
-                self._soon(now_us, self._luck.randrange(ACKNOWLEDGE_US))
+            if self._is_added_by(answer):
+                self._schedule_acknowledgement(now_us)
             return
-        behind = self.generation
-        self._take_in(now_us, told)
-        self.settled_generation = max(self.settled_generation, told.settled_generation)
-        self._use(now_us)
-        if self.generation != behind:
-            self._soon(now_us, self._luck.randrange(ACKNOWLEDGE_US))
-        if sent_us is not None and (self._fetch is not None or self.generation < told.generation):
-            self._soon(now_us, 0)
-        if told.may_hand_over and self.is_leaving:
+        generation_before = self.generation
+        self._replica.update(answer)
+        self.settled_generation = max(self.settled_generation, answer.settled_generation)
+        self._update_usable()
+        if self.generation != generation_before:
+            self._schedule_acknowledgement(now_us)
+        is_behind = self._replica.fetch is not None or self.generation < answer.generation
+        if sent_us is not None and is_behind:
+            self._schedule(now_us, 0)
+        if answer.may_hand_over and self.is_leaving:
             self.release(now_us)
 
-    def _added_by(self, told: SessionRenewed) -> bool:
-        """Whether a change adds the session that this node has asked for."""
-        return any(session.nonce == self._nonce for change in told.changes for session in change.joined)
+    def _is_added_by(self, answer: SessionRenewed) -> bool:
+        """Whether a change adds the session that this node has requested."""
+        return any(session.nonce == self._nonce for change in answer.changes for session in change.joined)
 
-    def _extended(self, now_us: int, sent_us: int, told: SessionRenewed) -> bool:
-        """Whether the answer is one for this session, which lasts from when it was asked for."""
+    def _extend(self, now_us: int, sent_us: int, answer: SessionRenewed) -> bool:
+        """Extends the session, counted from when the heartbeat was sent. False: the answer is of no use."""
         self.unanswered_heartbeats = 0
-        if not told.session_number:
-            return True  # heard of, and waits to be added
-        until_us = sent_us + int(self._lease_us * (1 - 2 * DRIFT))
+        if not answer.session_number:
+            return True  # the request has arrived, and the session is still to be added
+        expires_us = sent_us + int(self._lease_us * (1 - 2 * DRIFT))
         if not self.session_number:
-            if now_us >= until_us:
+            if now_us >= expires_us:
                 return False
-            self.session_number = told.session_number
-            self._note("began")
-        if told.session_number != self.session_number:
+            self.session_number = answer.session_number
+            self._add_event(SessionEventKind.BEGAN)
+        if answer.session_number != self.session_number:
             return False
         if not self.is_valid(now_us) and self.expires_us:
             self.end_session(now_us, "lapsed")
             return False
-        self.expires_us = max(self.expires_us, until_us)
+        self.expires_us = max(self.expires_us, expires_us)
         return True
 
-    def _take_in(self, now_us: int, told: SessionRenewed) -> None:
-        for change in told.changes:
-            if self.generation and change.generation == self.generation + 1:
-                self._apply(change)
-        if told.page_generation > self.generation:
-            self._page(told)
-
-    def _apply(self, change: GenerationChange) -> None:
-        assert self._placement is not None
-        self._placement.apply_change(change)
-        self._fetch = None
-        self._note_generation()
-
-    def _page(self, told: SessionRenewed) -> None:
-        fetch = self._fetch
-        if fetch is None or fetch.generation != told.page_generation:
-            fetch = self._fetch = _Fetch(told.page_generation)
-        if told.page_offset != len(fetch.sessions):
-            return
-        fetch.sessions += told.sessions
-        if told.has_more:
+    def on_rejected(self, now_us: int, answer: RenewalRejected) -> None:
+        """The assigner knows no such session: nothing is used under it any more."""
+        if self._sent_us.pop(answer.sequence, None) is None or answer.reason != "over":
             return
-        if self._placement is None:
-            self._placement = Placement(self._region.name, self._region.shards)
-        self._placement.place_all(fetch.generation, fetch.sessions)
-        self._ready, self._fetch = True, None
-        self._note_generation()
-
-    def _note_generation(self) -> None:
-        self._seen = max(self._seen, self.generation)
-        self._note("generation")
-        self._act(
+        self.unanswered_heartbeats = 0
+        if self._released_session:
+            self._released_session = 0
+            self._nonce = self._random.getrandbits(NONCE_BITS)
+            self._schedule(now_us, 0)
+        elif self.session_number:
+            self.end_session(now_us, "over")
+
+    # ------------------------------------------------------------------ effects
+
+    def _on_generation(self) -> None:
+        self._highest_generation = max(self._highest_generation, self.generation)
+        self._add_event(SessionEventKind.GENERATION)
+        self._record(
             "shards-generation",
             region=self._region.name,
             generation=self.generation,
@@ -246,117 +182,113 @@
             sessions=SessionList(self.known_sessions()),
         )
 
-    def on_rejected(self, now_us: int, told: RenewalRejected) -> None:
-        """The assigner knows no such session: nothing is used under it any more."""
-        if self._sent.pop(told.sequence, None) is None or told.reason != "over":
+    def _update_usable(self) -> None:
+        """Computes what may be used, and records it."""
+        if not self._replica.is_complete:
             return
-        self.unanswered_heartbeats = 0
-        if self._released:
-            self._released = 0
-            self._nonce = self._luck.getrandbits(NONCE_BITS)
-            self._soon(now_us, 0)
-        elif self.session_number:
-            self.end_session(now_us, "over")
-
-    # ------------------------------------------------------------------ what follows from it
-
-    def _use(self, now_us: int) -> None:
-        """Works out what may be used, and says so."""
-        placement = self._placement
-        before = self._usable
-        if placement is None or not self._ready:
-            return
-        settled = placement.generation if "settle" in self._off else self.settled_generation
-        if self._usable_at != (placement.generation, settled):
-            self._usable_at = placement.generation, settled
-            self._usable = frozenset(placement.usable_shards(self.session_number, settled).tolist())
-        if self._usable != before:
-            self._note("usable")
-        self._act(
+        usable_before = self._replica.usable
+        settled = self.generation if "settle" in self._off else self.settled_generation
+        usable = self._replica.compute_usable(self.session_number, settled)
+        if usable != usable_before:
+            self._add_event(SessionEventKind.USABLE)
+        self._record(
             "shards",
             region=self._region.name,
-            generation=placement.generation,
+            generation=self.generation,
             session=self.session_number,
             until_us=self.expires_us,
-            shards=ShardList(self._usable),
+            shards=ShardList(usable),
         )
 
-    def _note(self, what: str, why: str = "") -> None:
-        self.events.append(SessionEvent(what, self.generation, self.session_number, len(self._usable), why))
+    def _add_event(self, kind: SessionEventKind, reason: str = "") -> None:
+        shard_count = len(self._replica.usable)
+        self.events.append(SessionEvent(kind, self.generation, self.session_number, shard_count, reason))
 
-    def end_session(self, now_us: int, why: str) -> None:
-        """Nothing is used any more; a new session is asked for."""
-        self._act("shards-lost", region=self._region.name, session=self.session_number, why=why)
-        self._note("lost", why)
-        self._clear()
-        self._soon(now_us, 0)
+    def end_session(self, now_us: int, reason: str) -> None:
+        """Uses nothing any more, and requests a new session."""
+        self._record("shards-lost", region=self._region.name, session=self.session_number, why=reason)
+        self._add_event(SessionEventKind.LOST, reason)
+        self._reset()
+        self._schedule(now_us, 0)
 
     def release(self, now_us: int) -> None:
-        """Gives the session up in good order: the assigner may hand its shards on at once."""
-        session, nonce = self.session_number, self._nonce
-        if not session:
+        """Releases the session: the assigner may place its shards on others at once."""
+        session_number, nonce = self.session_number, self._nonce
+        if not session_number:
             return
         self.end_session(now_us, "released")
-        self._released, self._nonce = session, nonce
+        self._released_session = session_number
+        self._nonce = nonce
 
-    def set_leaving(self, now_us: int, on: bool) -> None:
-        """A planned stop: hands over when the assigner lets it, and stays without shards until taken back."""
-        self.is_leaving = on
-        self._soon(now_us, 0)
+    def set_leaving(self, now_us: int, is_leaving: bool) -> None:
+        """A planned stop: hands over when the assigner permits, and stays without shards until unset."""
+        self.is_leaving = is_leaving
+        self._schedule(now_us, 0)
 
     def retry_now(self, now_us: int) -> None:
-        """The heartbeat went to one that is not the assigner: it is sent again at once."""
-        self._soon(now_us, 0)
+        """The heartbeat went to a member that is not the assigner: the next one is due at once."""
+        self._schedule(now_us, 0)
 
     # ------------------------------------------------------------------ time
 
-    def _soon(self, now_us: int, wait_us: int) -> None:
-        self._next_us = min(self._next_us, now_us + wait_us)
+    def _schedule(self, now_us: int, wait_us: int) -> None:
+        self._next_heartbeat_us = min(self._next_heartbeat_us, now_us + wait_us)
+
+    def _schedule_acknowledgement(self, now_us: int) -> None:
+        self._schedule(now_us, self._random.randrange(ACKNOWLEDGE_SPREAD_US))
 
     @property
-    def _waits(self) -> bool:
-        """Whether something is placed on it that it may not use yet."""
-        if not self.session_number or self._placement is None or not self._ready:
+    def _is_waiting(self) -> bool:
+        """Whether a shard is placed on this node that it may not use yet."""
+        if not self.session_number or not self._replica.is_complete:
             return bool(self.session_number)
-        return len(self._usable) < len(self._placement.shards_placed_on(self.session_number))
+        return len(self._replica.usable) < len(self.placed_shards())
+
+    @property
+    def _has_stopped(self) -> bool:
+        """Whether a planned stop is complete: no heartbeat is needed."""
+        return self.is_leaving and not self.session_number and not self._released_session
 
     def due_us(self, now_us: int) -> int:
-        """When `turn` wants to be called next."""
-        if self.is_leaving and not self.session_number and not self._released:
+        """When `tick` has to be called next."""
+        if self._has_stopped:
             return now_us + self._lease_us
-        return (
-            min(self._next_us, self.expires_us) if self.session_number and self.expires_us else self._next_us
-        )
+        if self.session_number and self.expires_us:
+            return min(self._next_heartbeat_us, self.expires_us)
+        return self._next_heartbeat_us
 
     def tick(self, now_us: int) -> RenewSession | None:
-        """The next heartbeat, where one is due."""
+        """Ends a session that has expired; returns the next heartbeat, where one is due."""
         if self.session_number and self.expires_us and not self.is_valid(now_us):
             self.end_session(now_us, "lapsed")
-        if now_us < self._next_us or (self.is_leaving and not self.session_number and not self._released):
+        if now_us < self._next_heartbeat_us or self._has_stopped:
             return None
-        self._number += 1
-        self._sent[self._number] = now_us
-        while len(self._sent) > MOST_SENT:
-            del self._sent[next(iter(self._sent))]
-        self._next_us = now_us + self._interval_us()
+        self._sequence += 1
+        self._sent_us[self._sequence] = now_us
+        while len(self._sent_us) > MAX_PENDING_HEARTBEATS:
+            del self._sent_us[next(iter(self._sent_us))]
+        self._next_heartbeat_us = now_us + self._interval_us()
         self.unanswered_heartbeats += 1
-        fetch = self._fetch
+        return self._build_heartbeat()
+
+    def _build_heartbeat(self) -> RenewSession:
+        fetch = self._replica.fetch
         return RenewSession(
             self._region.name,
-            self._digest,
-            self._number,
-            self._released or self.session_number,
+            self._settings_digest,
+            self._sequence,
+            self._released_session or self.session_number,
             self._nonce,
             self.generation,
-            fetch.generation if fetch is not None else 0,
-            len(fetch.sessions) if fetch is not None else 0,
-            self.is_leaving,
-            bool(self._released),
-            self._seen,
+            fetched_generation=fetch.generation if fetch is not None else 0,
+            fetched_count=len(fetch.sessions) if fetch is not None else 0,
+            is_leaving=self.is_leaving,
+            is_released=bool(self._released_session),
+            highest_generation=self._highest_generation,
         )
 
     def _interval_us(self) -> int:
         interval_us = self._lease_us // RENEWALS
-        if self._released or self._waits or self.unanswered_heartbeats > 1:
-            return min(interval_us, EAGER_US)
-        return int(interval_us * self._luck.uniform(0.9, 1.0))
+        if self._released_session or self._is_waiting or self.unanswered_heartbeats > 1:
+            return min(interval_us, WAITING_INTERVAL_US)
+        return int(interval_us * self._random.uniform(0.9, 1.0))
