--- a/sailrun/sharding/act_exerciser.py
+++ b/sailrun/sharding/act_exerciser.py
@@ -12,7 +12,8 @@
 
 from sailrun.leadership.leases import best_placed
 from sailrun.membership.messages import CONTROL
-from sailrun.sharding.agent import MembershipView, ShardingAgent
+from sailrun.sharding.agent import ShardingAgent
+from sailrun.sharding.assigner_election import MembershipView
 from sailrun.sharding.messages import PeerMessage
 
 SECOND = 1_000_000
--- a/sailrun/sharding/assigner.py
+++ b/sailrun/sharding/assigner.py
@@ -256,7 +256,7 @@
         self._look_us = now_us  # for what did not fit
         self._settle()
         told = SessionRenewed(self._region, 0, 0, state.generation, self.settled_generation, [change])
-        return [(live.session.name, told) for live in self._live.values()]
+        return [PeerMessage(live.session.name, told) for live in self._live.values()]
 
 
 def _fitting(changes: list[GenerationChange]) -> list[GenerationChange]:
--- /dev/null
+++ b/sailrun/sharding/assigner_election.py
@@ -0,0 +1,182 @@
+"""The lease on being a region's assigner: candidates, votes and the outcome, by the region's own voters."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import Any, Protocol
+
+from sailrun.leadership.leases import Leases, OwnershipChange, best_placed
+from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
+from sailrun.leadership.quorum import Voters
+from sailrun.leadership.settings import LeadershipSettings
+from sailrun.leadership.voter import Voter
+from sailrun.membership.messages import MemberRecord, list_eligible_names
+from sailrun.sharding.messages import ElectionMessage, PeerMessage
+from sailrun.sharding.settings import RegionSettings, region_owners
+
+SEED_BITS = 32
+
+
+class MembershipView(Protocol):
+    """What sharding uses of the membership."""
+
+    @property
+    def living_version(self) -> int:
+        """Grows whenever the set of living members changes."""
+        ...
+
+    def living_records(self) -> list[MemberRecord]:
+        """The records of the living members."""
+        ...
+
+    def find_record(self, name: str) -> MemberRecord | None:
+        """The record of a member; None where the name is not known."""
+        ...
+
+    def is_living(self, name: str) -> bool:
+        """Whether the member is known and lives."""
+        ...
+
+
+class AssignerElection:
+    """One member's part: it votes if it is one of the region's voters, and stands if it is eligible."""
+
+    def __init__(
+        self,
+        name: str,
+        region: RegionSettings,
+        settings_digest: int,
+        owners: LeadershipSettings,
+        members: MembershipView,
+        draw: Callable[[int], int],
+        now_us: int,
+        founding: Callable[[], int],
+        off: frozenset[str],
+        record: Callable[..., None],
+    ) -> None:
+        """The parameters are those of `ShardingAgent`."""
+        self.task = f"shards/{region.name}"
+        self._region = region
+        self._settings_digest = settings_digest
+        self._members = members
+        self._record = record
+        leadership = region_owners(region, owners)
+        self.voters = Voters(leadership, off)
+        self._leases = Leases(name, self.voters, leadership, draw(SEED_BITS), now_us, off)
+        self._voter: Voter | None = None
+        if name in region.voters:
+            self._voter = Voter(name, self.voters, leadership, now_us, founding, off)
+        self._candidates: list[str] = []
+        self._candidates_version = -1  # of the membership, that the candidates were computed for
+        self._recorded_until_us = 0
+        self._reaches_majority = True  # as last reported
+
+    # ------------------------------------------------------------------ queries
+
+    def candidates(self) -> dict[str, list[str]]:
+        """By task, the best placed of the region's living control members; of all its members without any."""
+        if self._members.living_version != self._candidates_version:
+            self._candidates_version = self._members.living_version
+            living = [r for r in self._members.living_records() if r.region == self._region.name]
+            self._candidates = best_placed(self.task, list_eligible_names(living))
+        return {self.task: self._candidates}
+
+    def is_assigner(self, now_us: int) -> bool:
+        """Whether this member may act as its region's assigner now."""
+        return bool(self._leases.holds(self.task, now_us))
+
+    def known_assigner(self, now_us: int) -> str:
+        """The assigner, as far as this member knows; empty: none is known."""
+        if self._voter is not None:
+            held = self._voter.holders(now_us).get(self.task)
+            if held is not None:
+                return held[0]
+        return self._leases.of(self.task).holder
+
+    def is_still_wanted(self, message: ElectionMessage) -> bool:
+        """False for a request to a voter that this member's own vote has denied meanwhile."""
+        return not isinstance(message.body, Ask) or self._leases.wants(message.body)
+
+    # ------------------------------------------------------------------ messages
+
+    def receive(self, now_us: int, sender: str, life: int, message: ElectionMessage) -> list[PeerMessage]:
+        """Takes in a vote or a request for one."""
+        match message.body:
+            case Grant() as grant:
+                self._leases.granted(now_us, sender, grant)
+            case Deny() as denial:
+                return self._wrap(self._leases.denied(now_us, sender, denial))
+            case Yield() as handover:
+                self._leases.yielded(now_us, handover)
+                return self.tick_leases(now_us)
+            case body:
+                return self._wrap(self._vote(now_us, sender, life, body))
+        return []
+
+    def _vote(
+        self, now_us: int, sender: str, life: int, body: Ask | Release | Recall | Recalled
+    ) -> list[tuple[str, Any]]:
+        if self._voter is None:
+            return []
+        match body:
+            case Ask():
+                return [(sender, self._voter.asked(now_us, sender, life, body))]
+            case Release():
+                self._voter.released(sender, life, body)
+            case Recall():
+                return [(sender, self._voter.recall(body))]
+            case Recalled():
+                self._voter.told(now_us, sender, body)
+        return []
+
+    def observe_term(self, now_us: int, term: int) -> None:
+        """A voter has promised that term: a lease under a lower one is over, the next one is above it."""
+        self._leases.heard_of(self.task, term, "", now_us)
+
+    def _wrap(self, messages: Iterable[tuple[str, Any]]) -> list[PeerMessage]:
+        region = self._region.name
+        return [
+            PeerMessage(name, ElectionMessage(region, self._settings_digest, body)) for name, body in messages
+        ]
+
+    # ------------------------------------------------------------------ time
+
+    def due_us(self, now_us: int) -> int:
+        """When `tick_leases` and `tick_voter` have to be called next."""
+        due_us = self._leases.due_us(now_us, self.candidates())
+        voter_due_us = self._voter.due_us() if self._voter is not None else None
+        return min(due_us, voter_due_us or due_us)
+
+    def tick_leases(self, now_us: int) -> list[PeerMessage]:
+        """Requests or renews the lease, where that is due."""
+        return self._wrap(self._leases.turn(now_us, self.candidates()))
+
+    def tick_voter(self, now_us: int) -> list[PeerMessage]:
+        """Does what is due of the voter."""
+        return self._wrap(self._voter.turn(now_us)) if self._voter is not None else []
+
+    def leave(self, now_us: int) -> list[PeerMessage]:
+        """Releases the lease, for the next candidate."""
+        return self._wrap(self._leases.leave(now_us, self.candidates()))
+
+    # ------------------------------------------------------------------ outcome
+
+    def take_changes(self) -> list[OwnershipChange]:
+        """The changes of the lease since the last call."""
+        changes = self._leases.changes[:]
+        self._leases.changes.clear()
+        return changes
+
+    def record_lease(self) -> None:
+        """Records until when the lease is held, where that has changed."""
+        lease = self._leases.of(self.task)
+        if lease.until_us and lease.until_us != self._recorded_until_us:
+            self._recorded_until_us = lease.until_us
+            self._record("hold", task=self.task, term=lease.term, until_us=lease.until_us)
+
+    def take_majority_change(self, now_us: int) -> bool | None:
+        """Whether a voter reaches a majority of the voters, where that has changed since the last call."""
+        if self._voter is None or self._reaches_majority is self._leases.in_touch(now_us):
+            return None
+        self._reaches_majority = not self._reaches_majority
+        return self._reaches_majority
--- a/sailrun/sharding/messages.py
+++ b/sailrun/sharding/messages.py
@@ -1,11 +1,12 @@
-"""What nodes, the assigner and the voters of a region say to each other; `owners/envelope.py` carries it.
+"""The messages between nodes, assigner and voters of a region; `leadership/envelope.py` carries them.
 
-Every message names its region and the digest of the settings that have to be the same there.
+Every message names its region; some have the digest of the settings that must be the same there. On the
+wire they are MessagePack arrays: tags, the order of fields and their types are fixed.
 """
 
 from __future__ import annotations
 
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
@@ -37,14 +38,14 @@
 
 
 class FencingToken(msgspec.Struct, array_like=True, frozen=True, order=True, gc=False):
-    """Goes with every act for a shard; who receives it refuses what is below the highest seen."""
+    """Accompanies every act on a shard's behalf; the receiver rejects one below the highest it has seen."""
 
     generation: Generation
     session_number: Number
 
 
 class TableState(msgspec.Struct, array_like=True, frozen=True):
-    """A region's table as its voters keep it: everybody with a session, and the latest changes."""
+    """A region's table as its voters store it: all sessions, and the latest changes."""
 
     term: int  # of the assigner that wrote it
     generation: Generation
@@ -56,10 +57,10 @@
 
 
 class RenewSession(msgspec.Struct, array_like=True, frozen=True, tag="shard-renew"):
-    """A node's heartbeat to its region's assigner: renew my session, and tell me what has changed.
+    """A node's heartbeat to its region's assigner: renews its session, and polls for changes.
 
-    `session` 0 asks for one. `applied` is the generation the node goes by: it has stopped whatever is not its
-    own under it. `offset`: how many sessions of the whole table of generation `table` it has already.
+    `session_number` 0 requests one. `applied_generation`: the node has stopped whatever is not its own under
+    it. `fetched_count`: how many sessions of the table of `fetched_generation` it has already.
     """
 
     region: str
@@ -94,7 +95,9 @@
 
 
 class RenewalRejected(msgspec.Struct, array_like=True, frozen=True, tag="shard-refused"):
-    """`why`: `over` (no such session), `settings` (another digest), `elsewhere` (`holder` is asked)."""
+    """`reason`: `over` (no such session), `settings` (another digest), `elsewhere` (`assigner_name` is to be
+    asked).
+    """
 
     region: str
     sequence: Number
@@ -106,7 +109,7 @@
 
 
 class ReadTable(msgspec.Struct, array_like=True, frozen=True, tag="shard-read"):
-    """To a voter: take nothing of a lower term from now on, and tell what you keep."""
+    """To a voter: promise to accept nothing of a lower term, and return the table that you have."""
 
     region: str
     digest: int
@@ -115,7 +118,7 @@
 
 
 class TableRead(msgspec.Struct, array_like=True, frozen=True, tag="shard-kept"):
-    """`remembers`: what the voter keeps is all it ever accepted; else its memory began anew."""
+    """`has_memory`: the voter has all that it ever accepted; False: it was restarted since."""
 
     region: str
     term: int
@@ -126,7 +129,7 @@
 
 
 class WriteTable(msgspec.Struct, array_like=True, frozen=True, tag="shard-write"):
-    """To a voter in one of its lives: keep this, unless you promised a higher term."""
+    """To one process of a voter: accept this table, unless you promised a higher term."""
 
     region: str
     digest: int
@@ -136,6 +139,8 @@
 
 
 class TableWritten(msgspec.Struct, array_like=True, frozen=True, tag="shard-written"):
+    """Answers a `WriteTable`: the voter retains that table."""
+
     region: str
     term: int
     sequence: Number
@@ -143,7 +148,9 @@
 
 
 class TableRejected(msgspec.Struct, array_like=True, frozen=True, tag="shard-no"):
-    """`promised`: a higher term the voter has promised; 0: the write was for a life other than `life`."""
+    """`promised_term`: a higher term that the voter has promised; 0: the write was for another process than
+    `life`.
+    """
 
     region: str
     term: int
@@ -156,7 +163,7 @@
 
 
 class ShardAct(msgspec.Struct, array_like=True, frozen=True, tag="shard-act"):
-    """Work that a shard's owner asks of another member, with its fencing token."""
+    """Work that a shard's owner requests of another member, with its fencing token."""
 
     region: str
     shard: Number
@@ -177,7 +184,7 @@
 
 
 class ElectionMessage(msgspec.Struct, array_like=True, frozen=True, tag="shard-ballot"):
-    """What candidates and voters of a region say about who its assigner is."""
+    """A message about the lease on being the assigner, between candidates and voters of the region."""
 
     region: str
     digest: int
@@ -197,4 +204,10 @@
     | ShardActRejected
     | ElectionMessage
 )
-PeerMessage = tuple[str, ShardBody]
+
+
+class PeerMessage(NamedTuple):
+    """A message for a member by name."""
+
+    recipient: str
+    body: ShardBody
--- a/sailrun/sharding/table_replication.py
+++ b/sailrun/sharding/table_replication.py
@@ -233,7 +233,7 @@
             told.wait_us = min(SLOWEST_US, 2 * told.wait_us)
             body = self._ask(name)
             if body is not None:
-                posts.append((name, body))
+                posts.append(PeerMessage(name, body))
         return posts
 
     def _ask(self, name: str) -> ReadTable | WriteTable | None:
--- a/tests/test_sharding_wire.py
+++ b/tests/test_sharding_wire.py
@@ -323,7 +323,7 @@
 
 
 def test_another_region_s_messages_change_nothing(running: Running) -> None:
-    before, fence = running.owned(), running.part(NODE).fence
+    before, fence = running.owned(), running.part(NODE).acts.fence
     act = ShardAct("r1", 5, FencingToken(2**50, 48), 1)
     for body in (*BODIES, act):
         foreign = msgspec.structs.replace(body, region="r1")
@@ -390,8 +390,8 @@
 
 def test_an_act_for_a_shard_that_is_none_is_counted_and_not_remembered(running: Running) -> None:
     part = running.part("n0")
-    taken = part.accepted_act_count
+    taken = part.acts.accepted_count
     for shard in (SHARDS_OF_A_REGION, 2**40):
         assert running.answers("n0", NODE, ShardAct(REGION, shard, FencingToken(5, 5), 1)) == []
-        assert part.fence.highest_token(REGION, shard) is None
-    assert part.accepted_act_count == taken and part.unknown_shard_count == 2
+        assert part.acts.fence.highest_token(REGION, shard) is None
+    assert part.acts.accepted_count == taken and part.acts.unknown_shard_count == 2
