--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -316,7 +316,7 @@
     kept = (entries.DrainCompleted("w"), entries.DrainPlan("w", 5, ["a"]))
     assert list(map(msgspec.to_builtins, kept)) == [["walked", "w"], ["planned", "w", 5, ["a"]]]
     # What `sailrun lasting export` calls them.
-    assert [entry.__struct_fields__ for entry in kept] == [("walk",), ("walk", "for_us", "names")]
+    assert [entry.__struct_encode_fields__ for entry in kept] == [("walk",), ("walk", "for_us", "names")]
 
 
 # ---------------------------------------------------------------------- the reader, the pace, the file
