--- a/sailrun/decisions/balancer.py
+++ b/sailrun/decisions/balancer.py
@@ -9,19 +9,14 @@
 
 from __future__ import annotations
 
-import math
 from collections.abc import Callable, Sequence
 from typing import Any
 
 from sailrun.decisions.actions import (
     Action,
     DenialReason,
-    FailRequest,
     MoveConnection,
     MoveReason,
-    RejectRequest,
-    SetTimer,
-    StartAttempt,
 )
 from sailrun.decisions.backend_list import BackendList
 from sailrun.decisions.bounded_load import BoundedLoad
@@ -55,10 +50,11 @@
 from sailrun.decisions.outlier_detection import OutlierDetector
 from sailrun.decisions.overload import OVERLOADED, OverloadDetector
 from sailrun.decisions.placement import key_hash
-from sailrun.decisions.retry import NEVER_RAN, backoff_us, begin_by_us
+from sailrun.decisions.request_lifecycle import RequestLifecycle
+from sailrun.decisions.retry import NEVER_RAN, begin_by_us
 from sailrun.decisions.selection import EndpointSelector
 from sailrun.decisions.settings import Settings
-from sailrun.decisions.setup_rate import FAILURES, SetupRateLimiter
+from sailrun.decisions.setup_rate import SetupRateLimiter
 from sailrun.decisions.slow_start import SlowStart
 from sailrun.decisions.slow_start_admission import SlowStartAdmission
 from sailrun.decisions.snapshot import restore_backend, snapshot_backend
@@ -66,13 +62,6 @@
 from sailrun.decisions.subscription import ListSubscription
 from sailrun.decisions.validation import check_settings
 
-# Waiting requests are looked at again this often: well under any latency objective, well over a tick.
-RETRY_INTERVAL_US = 50_000
-# After so many looks in vain the rest wait for the next round: in a full fleet looks cost and find nothing.
-MAX_VAIN_LOOKS = 4
-# The share of the longest Retry-After that a rejected client is told at least; the rest is chance.
-MIN_RETRY_AFTER_SHARE = 0.25
-
 OVER_US = -1  # the deadline of a request that is over
 
 
@@ -85,8 +74,6 @@
         context = self._context = DecisionContext(settings, seed, now_us)
         self._classes = {request_class.name: request_class for request_class in settings.classes}
         self._requests: dict[str, ClientRequest] = {}
-        self._waiting: dict[str, ClientRequest] = {}  # for a backend that admits them
-        self._is_retry_scheduled = False
         table = self._table = EndpointTable()
         loads = self._loads = LoadAccounting(context, table.endpoints, self._requests)
         slow_start_state = self._slow_start_state = SlowStart(settings, context.random)
@@ -110,7 +97,20 @@
         self._selector = EndpointSelector(
             context, table, loads, capacity, overload, bound, slow_start, outliers, setup_rate
         )
-        self._handlers: dict[type, Callable[[Any], None]] = {
+        self._lifecycle = RequestLifecycle(
+            context, self._requests, table, loads, slow_start, setup_rate, self._selector
+        )
+        self._handlers = self._event_handlers()
+
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        """Takes one event; returns what to do, in order."""
+        self._context.begin_event(now_us)
+        if (handler := self._handlers.get(type(event))) is not None:
+            handler(event)
+        return self._context.actions
+
+    def _event_handlers(self) -> dict[type, Callable[[Any], None]]:
+        return {
             RequestArrived: self._on_request_arrived,
             ConnectionOpened: self._on_connection_opened,
             AttemptEnded: self._on_attempt_ended,
@@ -119,18 +119,11 @@
             TimerFired: self._on_timer,
             ClientLeft: self._on_client_left,
             ConnectionResumed: self._on_connection_resumed,
-            FleetLoad: loads.update_fleet_load,
+            FleetLoad: self._loads.update_fleet_load,
             OperatorOverride: self._on_operator_override,
             StateSnapshot: self._on_snapshot,
         }
 
-    def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Takes one event; returns what to do, in order."""
-        self._context.begin_event(now_us)
-        if (handler := self._handlers.get(type(event))) is not None:
-            handler(event)
-        return self._context.actions
-
     # ------------------------------------------------------------------ questions
 
     def choose_elsewhere(self, now_us: int, names: Sequence[str]) -> int | None:
@@ -204,7 +197,7 @@
 
     def _on_table_changed(self) -> None:
         self._capacity.recount()
-        self._retry_waiting()
+        self._lifecycle.retry_waiting()
 
     def _on_snapshot(self, snapshot: StateSnapshot) -> None:
         for backend in snapshot.backends:
@@ -238,7 +231,7 @@
         request = self._track(event, event.left_us)
         request.is_mid_flow = event.mid_flow and self._context.settings.pass_through
         request.is_returning = event.returning or event.repeat
-        self._place(request)
+        self._lifecycle.place(request)
 
     def _on_connection_resumed(self, event: ConnectionResumed) -> None:
         request = self._track(event, 0)
@@ -256,7 +249,7 @@
         request = self._requests.get(event.request)
         if request is None:
             return
-        self._waiting.pop(request.request_id, None)
+        self._lifecycle.withdraw(request)
         if request.endpoint is None:
             del self._requests[request.request_id]
         else:
@@ -264,46 +257,6 @@
 
     # ------------------------------------------------------------------ attempts
 
-    def _place(self, request: ClientRequest) -> None:
-        """Sends the request to the first backend that admits it, else has it wait or ends it."""
-        settings = self._context.settings
-        now_us = self._context.now_us
-        if request.deadline_us - now_us <= settings.tick_us:
-            self._finish(request, DenialReason.OUT_OF_TIME)
-            return
-        if request.attempts >= settings.max_attempts or now_us >= begin_by_us(request, settings):
-            self._finish(request, DenialReason.OUT_OF_ATTEMPTS)
-            return
-        may_begin = request.retry_not_before_us <= now_us and self._setup_rate.admits()
-        endpoint = self._selector.choose(request) if may_begin else None
-        if endpoint is not None:
-            self._waiting.pop(request.request_id, None)
-            self._start_attempt(request, endpoint)
-        elif self._selector.opens_us(request) > self._last_look_us(request):
-            # Answered at once, not when its time is nearly over.
-            self._finish(request, DenialReason.NO_BACKEND)
-        elif request.request_id not in self._waiting:
-            self._waiting[request.request_id] = request
-            self._schedule_retry()
-
-    def _start_attempt(self, request: ClientRequest, endpoint: Endpoint) -> None:
-        settings = self._context.settings
-        now_us = self._context.now_us
-        request.attempts += 1
-        request.endpoint = endpoint
-        request.attempted_us = now_us
-        request.tried += (endpoint,)
-        self._setup_rate.record_attempt()
-        self._loads.note_placed(request)
-        self._loads.add(request, endpoint)
-        endpoint.pending_attempts += 1
-        slow_start = self._slow_start.record_attempt(endpoint)
-        until_us = request.deadline_us
-        if request.attempts < settings.max_attempts:  # a silent backend must leave time for another attempt
-            until_us = min(until_us, now_us + self._setup_rate.attempt_timeout_us(request))
-        begin_us = begin_by_us(request, settings)
-        self._context.emit(StartAttempt(request.request_id, endpoint.id, until_us, begin_us, slow_start))
-
     def _on_connection_opened(self, event: ConnectionOpened) -> None:
         request = self._requests.get(event.request)
         endpoint = request.endpoint if request is not None else None
@@ -330,11 +283,11 @@
         if event.over or request.deadline_us < 0:
             del self._requests[request.request_id]
         elif was_established or event.outcome is AttemptOutcome.CANCELLED:
-            self._finish(request, DenialReason.CANCELLED)
+            self._lifecycle.finish(request, DenialReason.CANCELLED)
         elif self._context.now_us >= begin_by_us(request, self._context.settings):
-            self._finish(request, DenialReason.OUT_OF_ATTEMPTS)
+            self._lifecycle.finish(request, DenialReason.OUT_OF_ATTEMPTS)
         else:
-            self._retry(request, endpoint, event.outcome)
+            self._lifecycle.retry(request, endpoint, event.outcome)
 
     def _detach(self, request: ClientRequest, endpoint: Endpoint) -> None:
         if request.is_established:
@@ -346,30 +299,6 @@
         request.endpoint = None
         request.is_established = False
 
-    def _retry(self, request: ClientRequest, endpoint: Endpoint, outcome: AttemptOutcome) -> None:
-        """Another attempt follows. What a half-open backend answers says nothing of the others."""
-        is_half_open = endpoint.outlier.half_open
-        if outcome in FAILURES and not is_half_open:
-            self._setup_rate.record_failure(request)
-        others_fail = any(e.outlier.consecutive_errors for e in self._table.ready if e is not endpoint)
-        if outcome is AttemptOutcome.ERROR and not is_half_open and others_fail:  # of a store that all share?
-            jitter = 0.5 + self._context.random.random()
-            wait_us = int(backoff_us(request.attempts) * jitter)
-            request.retry_not_before_us = self._context.now_us + wait_us
-        self._place(request)
-
-    def _finish(self, request: ClientRequest, reason: DenialReason) -> None:
-        """The one final answer: a rejection only where a retry is known to be harmless."""
-        self._waiting.pop(request.request_id, None)
-        del self._requests[request.request_id]
-        settings = self._context.settings
-        longest_us = settings.max_retry_after_us if settings.retry_after else 0
-        share = MIN_RETRY_AFTER_SHARE + (1 - MIN_RETRY_AFTER_SHARE) * self._context.random.random()
-        if request.first_ran_at is not None:
-            self._context.emit(FailRequest(request.request_id, reason))
-        else:
-            self._context.emit(RejectRequest(request.request_id, int(longest_us * share), reason))
-
     def _on_notice(self, notice: AttemptNotice) -> None:
         endpoint = self._table.endpoints.get(notice.backend)
         if notice.kind is NoticeKind.LOAD:
@@ -382,9 +311,8 @@
     # ------------------------------------------------------------------ timers
 
     def _on_timer(self, event: TimerFired) -> None:
-        if event.token == RETRY_TIMER and self._is_retry_scheduled:
-            self._is_retry_scheduled = False
-            self._retry_waiting()
+        if event.token == RETRY_TIMER:
+            self._lifecycle.on_retry_timer()
             return
         draining = self._requests.get(self._draining.take_due(event.token) or "")
         if draining is not None and draining.is_established:
@@ -392,36 +320,6 @@
         elif event.token == SUBSCRIBE_TIMER:
             self._subscription.on_timer()
 
-    def _schedule_retry(self) -> None:
-        if not self._is_retry_scheduled:
-            self._is_retry_scheduled = True
-            self._context.emit(SetTimer(RETRY_INTERVAL_US, RETRY_TIMER))
-
-    def _last_look_us(self, request: ClientRequest) -> int:
-        """When a waiting request is looked at for the last time: later, an answer would come too late."""
-        return request.deadline_us - RETRY_INTERVAL_US - 2 * self._context.settings.tick_us
-
-    def _retry_waiting(self) -> None:
-        """Looks at the waiting requests again, and answers those that wait in vain while that still counts.
-        Those for which there was no look are the first in the next round.
-        """
-        vain_looks = 0
-        ready = self._table.ready
-        opens_us = min((self._selector.endpoint_opens_us(e, 0.0) for e in ready), default=math.inf)
-        for request in list(self._waiting.values()):
-            last_look_us = self._last_look_us(request)
-            if self._context.now_us >= last_look_us:
-                self._finish(request, DenialReason.OUT_OF_TIME)
-            elif opens_us > last_look_us:
-                self._finish(request, DenialReason.NO_BACKEND)
-            elif vain_looks < MAX_VAIN_LOOKS and request.retry_not_before_us <= self._context.now_us:
-                self._place(request)
-                if self._waiting.pop(request.request_id, None) is not None:
-                    self._waiting[request.request_id] = request
-                    vain_looks += 1
-        if self._waiting:
-            self._schedule_retry()
-
 
 def _shortest_objective_ms(settings: Settings) -> float:
     """The shortest latency objective of messages; 0 if none is stated."""
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -307,14 +307,14 @@
     for n in range(300):
         relay.ask(key=f"k{n}", left_us=5 * SECOND)
     looks = 0
-    place = relay.balancer._place
+    place = relay.balancer._lifecycle.place
 
     def counted(request: ClientRequest) -> None:
         nonlocal looks
         looks += 1
         place(request)
 
-    relay.balancer._place = counted  # type: ignore[method-assign]
+    relay.balancer._lifecycle.place = counted  # type: ignore[method-assign]
     relay.advance(SECOND)
     assert 0 < looks <= 4 * 21
     relay.advance(3_900_000)
