--- a/sailrun/benchlink.py
+++ b/sailrun/benchlink.py
@@ -1,4 +1,4 @@
-"""Runs many instances of the decision module on the bench's wire: standard input to standard output."""
+"""Runs many instances of the decision module on the simulator's wire: standard input to standard output."""
 
 from __future__ import annotations
 
@@ -10,6 +10,8 @@
 from sailrun import wire
 from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import Backend
+from sailrun.settings_codec import read_settings_fields
+from sailrun.wire_fields import Fields, WireError, integer, split_fields
 
 
 class Link:
@@ -25,15 +27,15 @@
         """Reads one batch, whose clock line is `first`, and returns the lines of its reply."""
         name, *parts = first.split("\t")
         if name != "clock":
-            raise wire.WireError(name, "clock", "a 'clock' line at the start of a batch")
-        now_us = wire.integer("clock", wire.split_fields("clock", parts), "simTimeUs")
+            raise WireError(name, "clock", "a 'clock' line at the start of a batch")
+        now_us = integer("clock", split_fields("clock", parts), "simTimeUs")
         reply: list[tuple[int, str]] = []
         for line in lines:
             if line == "end":
                 return [text for _, text in reply]
             name, *parts = line.split("\t")
             if name == "list":
-                self._read_list(wire.split_fields(name, parts), lines)
+                self._read_list(split_fields(name, parts), lines)
                 continue
             event_known = name in wire.EVENTS or name in ("born", "discovery", "crash_now")
             if not event_known:
@@ -41,8 +43,8 @@
                     self._reported.add(name)
                     print(f"unknown event '{name}' skipped", file=self._errors, flush=True)
                 continue
-            fields = wire.split_fields(name, parts)
-            who = wire.integer(name, fields, "who")
+            fields = split_fields(name, parts)
+            who = integer(name, fields, "who")
             if name == "crash_now" or name == "born":
                 # what a killed instance still wanted to do must not reach its successor's world
                 reply = [entry for entry in reply if entry[0] != who]
@@ -50,29 +52,29 @@
             if name == "crash_now":
                 continue
             reply.extend((who, text) for text in self._act(now_us, name, who, fields))
-        raise wire.WireError("clock", "end", "an 'end' line at the end of a batch")
+        raise WireError("clock", "end", "an 'end' line at the end of a batch")
 
-    def _read_list(self, fields: wire.Fields, lines: Iterator[str]) -> None:
+    def _read_list(self, fields: Fields, lines: Iterator[str]) -> None:
         entries = []
-        for _ in range(wire.integer("list", fields, "lines")):
+        for _ in range(integer("list", fields, "lines")):
             name, *parts = next(lines, "").split("\t")
             if name != "m":
-                raise wire.WireError("list", "lines", f"as many 'm' lines as stated, not '{name}'")
-            entries.append(wire.backend(wire.split_fields(name, parts)))
-        self._lists[wire.integer("list", fields, "setId")] = tuple(entries)
+                raise WireError("list", "lines", f"as many 'm' lines as stated, not '{name}'")
+            entries.append(wire.backend(split_fields(name, parts)))
+        self._lists[integer("list", fields, "setId")] = tuple(entries)
 
-    def _act(self, now_us: int, name: str, who: int, fields: wire.Fields) -> list[str]:
+    def _act(self, now_us: int, name: str, who: int, fields: Fields) -> list[str]:
         if name == "born":
-            settings = wire.settings(fields)
-            seed = wire.integer(name, fields, "initSeed")
+            settings = read_settings_fields(fields)
+            seed = integer(name, fields, "initSeed")
             try:
                 instance = Balancer(settings, seed, now_us)
             except ValueError as error:
-                raise wire.WireError(name, "params", f"usable settings: {error}") from error
+                raise WireError(name, "params", f"usable settings: {error}") from error
             self._instances[who] = (instance, wire.report_names(fields))
             return []
         if who not in self._instances:
-            raise wire.WireError(name, "who", f"an instance that has started, not '{who}'")
+            raise WireError(name, "who", f"an instance that has started, not '{who}'")
         balancer, report = self._instances[who]
         if name == "discovery":
             event = wire.list_update(fields, self._lists)
@@ -95,7 +97,7 @@
             reply.append("end\n")
             sink.write("\n".join(reply).encode())
             sink.flush()
-    except (wire.WireError, UnicodeDecodeError) as error:
+    except (WireError, UnicodeDecodeError) as error:
         print(error, file=errors, flush=True)
         return 1
     return 0
--- a/sailrun/config.py
+++ b/sailrun/config.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from sailrun import wire
 from sailrun.bad_config import BadConfig
 from sailrun.connection import split_address
 from sailrun.decisions.settings import Settings
 from sailrun.decisions.validation import check_settings
 from sailrun.discovery import BadServerList, read_server_list
 from sailrun.node.session import ServerListUpdate
+from sailrun.settings_codec import read_settings_fields
 
 if TYPE_CHECKING:
     from sailrun.operator_settings import Operator
@@ -104,7 +104,7 @@
 def read_settings(nested: Any) -> Settings:
     if not isinstance(nested, dict):
         raise ValueError("is no object")
-    settings = wire.settings(dict(flatten(nested)))
+    settings = read_settings_fields(dict(flatten(nested)))
     check_settings(settings)
     return settings
 
--- a/sailrun/sidecar.py
+++ b/sailrun/sidecar.py
@@ -7,7 +7,6 @@
 from pathlib import Path
 from typing import Any
 
-from sailrun import wire
 from sailrun.bad_config import BadConfig
 from sailrun.config import (
     Address,
@@ -23,6 +22,7 @@
 from sailrun.decisions.events import ListKind
 from sailrun.decisions.validation import check_settings
 from sailrun.node.session import ServerListUpdate
+from sailrun.settings_codec import is_setting, read_settings_fields
 
 # The keys of the file, by table; each with the types that it takes. `settings` has the platform's names.
 KEYS: dict[str, dict[str, type]] = {
@@ -93,10 +93,10 @@
         raise BadConfig(path, "amqp", "is missing, and so is households: nothing would listen")
     fields = dict(flatten(top.need("settings")))
     for name in fields:
-        if not wire.is_setting(name):
+        if not is_setting(name):
             raise BadConfig(path, f"settings.{name}", "is not known")
     try:
-        settings = wire.settings(fields)
+        settings = read_settings_fields(fields)
         check_settings(settings)
     except ValueError as error:
         raise BadConfig(path, "settings", str(error)) from None
--- /dev/null
+++ b/sailrun/wire_fields.py
@@ -0,0 +1,75 @@
+"""The fields of a line on the simulator's wire: name=value parts, and what their values may be."""
+
+from __future__ import annotations
+
+import math
+from typing import TypeVar
+
+Fields = dict[str, str]
+E = TypeVar("E")
+
+
+class WireError(ValueError):
+    """A malformed line: names the message, the field and what was expected."""
+
+    def __init__(self, message: str, field: str, expected: str) -> None:
+        super().__init__(f"malformed '{message}': field '{field}': expected {expected}")
+
+
+FLAGS = {"true": True, "false": False, "1": True, "0": False}
+
+
+def split_fields(message: str, parts: list[str]) -> Fields:
+    """name=value parts as a dict. Raises WireError."""
+    fields: Fields = {}
+    for part in parts:
+        name, sep, value = part.partition("=")
+        if not sep:
+            raise WireError(message, part, "name=value")
+        fields[name] = value
+    return fields
+
+
+def text(message: str, fields: Fields, name: str) -> str:
+    """A field that must have a value. Raises WireError."""
+    value = fields.get(name)
+    if not value:
+        raise WireError(message, name, "a value")
+    return value
+
+
+def integer(message: str, fields: Fields, name: str, default: int | None = None) -> int:
+    """A whole number; `default` where the field is missing. Raises WireError."""
+    value = fields.get(name)
+    if value is None:
+        if default is not None:
+            return default
+        raise WireError(message, name, "a whole number, not nothing")
+    try:
+        return int(value)
+    except ValueError:
+        raise WireError(message, name, f"a whole number, not '{value}'") from None
+
+
+def number(message: str, fields: Fields, name: str, default: float | None = None) -> float:
+    """A finite number; `default` where the field is missing. Raises WireError."""
+    value = fields.get(name)
+    if value is None:
+        if default is not None:
+            return default
+        raise WireError(message, name, "a number, not nothing")
+    try:
+        result = float(value)
+    except ValueError:
+        result = math.nan
+    if not math.isfinite(result):
+        raise WireError(message, name, f"a finite number, not '{value}'")
+    return result
+
+
+def choice(message: str, fields: Fields, name: str, table: dict[str, E]) -> E:
+    """What a field's value stands for in the table. Raises WireError."""
+    value = fields.get(name, "")
+    if value not in table:
+        raise WireError(message, name, f"one of {', '.join(table)}, not '{value}'")
+    return table[value]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -42,6 +42,8 @@
     TimerFired,
 )
 from sailrun.decisions.settings import DedupScope, Effect, RequestClass, Tenant
+from sailrun.settings_codec import read_settings_fields
+from sailrun.wire_fields import split_fields
 
 ROOT = Path(__file__).parent.parent
 PARAMS = (
@@ -86,7 +88,7 @@
 
 
 def test_settings_from_the_first_message() -> None:
-    made = wire.settings(wire.split_fields("born", PARAMS.split("\t")))
+    made = read_settings_fields(split_fields("born", PARAMS.split("\t")))
     assert made.classes[0] == RequestClass("feed", 300_000, 1_200_000, 2.0, message_objective_us=50_000.0)
     assert made.classes[1].dedup_scope is DedupScope.CELL
     assert made.classes[1].effect is Effect.DEDUPLICATED
@@ -129,7 +131,7 @@
 @pytest.mark.parametrize("line", EVENTS)
 def test_events(line: str) -> None:
     name, *parts = line.split("\t")
-    assert wire.EVENTS[name](wire.split_fields(name, parts), ("pending", "x0")) == EVENTS[line]
+    assert wire.EVENTS[name](split_fields(name, parts), ("pending", "x0")) == EVENTS[line]
 
 
 @pytest.mark.parametrize("outcome", list(AttemptOutcome))
