--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -402,7 +402,7 @@
             self.rules.node_starts(slot.index)
             self.registry.told(slot.index, known.form_servers)
 
-        def log(what: str, **facts: object) -> None:
+        def log(what: str, /, **facts: object) -> None:
             if what in KEPT_LOGS:
                 text = " ".join(f"{name}={value}" for name, value in facts.items() if value is not None)
                 self.note(what, node=slot.index, text=text)
--- a/sailrun/node/counters.py
+++ b/sailrun/node/counters.py
@@ -1,4 +1,4 @@
-"""What became of the requests: counted by the core, in one place for all fronts."""
+"""Counters of answers, attempts and moves: counted by the node, in one place for all fronts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class ClassCounters:
-    """The final answers to one class's requests: connections brought up, refused, failed."""
+    """The final answers to one class's requests: connections established, requests rejected and failed."""
 
     success: int = 0
     busy: int = 0
@@ -20,24 +20,41 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsSnapshot:
-    """The figures at one moment; counts are since this process started."""
+    """The counters and gauges at one moment; counters are since this process started."""
 
-    classes: dict[str, ClassCounters]
-    backend_calls: int  # attempts written whole to form servers
-    inflight: int  # connections taken and not yet ended
+    classes: dict[str, ClassCounters]  # by the name of the request class
+    backend_calls: int  # attempts whose request was written whole to a form server
+    inflight: int  # connections accepted and not yet ended
     hosts_listed: int
-    hosts_down: int  # listed, and avoided: by hand, or as the decisions have it
-    reconfig_ok: int  # files taken over, and files not usable, at SIGHUP
+    hosts_down: int  # listed, and avoided: by an operator's or the decisions' exclusion
+    reconfig_ok: int  # configurations taken over at SIGHUP, and those not usable
     reconfig_failed: int
 
 
 class Counters:
+    """The node's counters, each incremented where its event happens."""
+
     def __init__(self, classes: Iterable[str]) -> None:
+        """`classes`: the names of all request classes."""
         self.classes = {name: ClassCounters() for name in classes}
-        self.moves = Counter[MoveReason]()  # clients sent to another node, by what for
-        self.backend_calls = self.reconfig_ok = self.reconfig_failed = 0
+        self.moves = Counter[MoveReason]()  # clients sent to another node, by reason
+        self.backend_calls = 0
+        self.reconfig_ok = 0
+        self.reconfig_failed = 0
+
+    def on_request_written(self) -> None:
+        """An attempt's request has gone out whole."""
+        self.backend_calls += 1
+
+    def on_configuration_reloaded(self, is_usable: bool) -> None:
+        """A new configuration was taken over, or was not usable."""
+        if is_usable:
+            self.reconfig_ok += 1
+        else:
+            self.reconfig_failed += 1
 
-    def figures(self, inflight: int, hosts_listed: int, hosts_down: int) -> MetricsSnapshot:
+    def snapshot(self, inflight: int, hosts_listed: int, hosts_down: int) -> MetricsSnapshot:
+        """The counters now, with the gauges that others measure."""
         return MetricsSnapshot(
             self.classes,
             self.backend_calls,
--- a/sailrun/node/fleet_load.py
+++ b/sailrun/node/fleet_load.py
@@ -1,77 +1,113 @@
-"""What the nodes of the tier hold together, as this one knows it: the rounds, their latest sum, and the part
-of a predecessor on this machine, which is this node's own.
+"""The exchange of load between the nodes of a fleet, and between two processes that are one node.
+
+It drives the rounds of the load gossip, and notifies the decisions of the load that others hold: the other
+nodes, and a predecessor on this machine, whose sessions count as this node's towards the others.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import replace
 
+from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import FleetLoad, LocalLoad
 from sailrun.load_gossip.digest import VERSION
 from sailrun.load_gossip.known import Others
 from sailrun.load_gossip.rounds import AGE_US, Outgoing, Rounds
+from sailrun.node.clock import TurnTime
+from sailrun.node.decision_port import DecisionPort
+from sailrun.node.ports import OutgoingPorts
 from sailrun.node.restart_state import ProcessLoad
+from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
 
-FLEET = bytes((VERSION,))
-# What is known of the others is told anew as it ages; should that fail to come, it ends.
-OTHERS_US = 4 * AGE_US
+GOSSIP_PREFIX = bytes((VERSION,))
+# The load of the others is restated as it ages; should that fail to come, it is unknown after so long.
+OTHERS_VALID_US = 4 * AGE_US
 
 
 class FleetLoadExchange:
-    def __init__(self, rounds: Rounds | None, now_us: int) -> None:
-        """`rounds`: None where the nodes may not talk."""
-        self._rounds = rounds
-        self._heard_of = 0  # nodes that the last sum spoke for
-        self._others: Others | None = None  # what the other nodes hold, for as long as that is known
-        self._others_until_us = now_us
-        self.news = False  # whether the last call brought a new sum
-        self.predecessor: ProcessLoad | None = None  # what the process before this one still holds
+    """The rounds, the load of the other nodes as they last had it, and that of a predecessor."""
+
+    def __init__(
+        self,
+        rounds: Rounds | None,
+        turn: TurnTime,
+        balancer: Balancer,
+        decisions: DecisionPort,
+        plans: ShutdownPlans,
+        ports: OutgoingPorts,
+    ) -> None:
+        """`rounds`: None where the nodes may not exchange messages."""
+        self._rounds, self._turn, self._balancer, self._decisions = rounds, turn, balancer, decisions
+        self._plans, self._ports = plans, ports
+        self._nodes_heard_from = 0  # that the last sum spoke for
+        self._others: Others | None = None  # of the other nodes, for as long as it is known
+        self._others_until_us = turn.now_us
+        self._predecessor: ProcessLoad | None = None
 
     def due_us(self) -> int | None:
-        return self._rounds.due_us() if self._rounds is not None else None
-
-    def turn(self, now_us: int, own: LocalLoad) -> list[Outgoing]:
-        """What the rounds have to send, their time having come."""
-        assert self._rounds is not None
-        return self._said(now_us, self._rounds.turn(now_us, self.holding(own)))
-
-    def heard(
-        self, now_us: int, neighbour: int, content: bytes, own: Callable[[], LocalLoad]
-    ) -> list[Outgoing] | None:
-        """What another node's word has this one send; None: it is not of the rounds."""
-        if self._rounds is None or content[:1] != FLEET:
+        """When `run_round` is due next; None: never. Of a node's two processes the successor gossips."""
+        if self._rounds is None or ShutdownReason.SUCCEEDED in self._plans:
             return None
-        return self._said(now_us, self._rounds.heard(now_us, neighbour, content, self.holding(own())))
+        return self._rounds.due_us()
+
+    def run_round_if_due(self) -> None:
+        """Sends what the rounds have to send, if their time has come."""
+        due_us = self.due_us()
+        if self._rounds is not None and due_us is not None and self._turn.now_us >= due_us:
+            self._carry_out(*self._rounds.turn(self._turn.now_us, self._node_load()))
+
+    def receive(self, peer: int, content: bytes) -> bool:
+        """Takes a datagram of another node, and answers it; False if it is not of the load gossip."""
+        if self._rounds is None or content[:1] != GOSSIP_PREFIX:
+            return False
+        self._carry_out(*self._rounds.heard(self._turn.now_us, peer, content, self._node_load()))
+        return True
+
+    def set_predecessor_load(self, load: ProcessLoad | None) -> None:
+        """The load of the sessions that the predecessor still serves; None: it has ended."""
+        self._predecessor = load
+        self._decisions.feed(self._others_load())
 
-    def _said(self, now_us: int, said: tuple[list[Outgoing], Others | None]) -> list[Outgoing]:
-        outgoing, others = said
+    def local_load(self) -> ProcessLoad:
+        """The load of the sessions established in this process, for the other of the node's two."""
+        own = self._balancer.local_load()
+        return ProcessLoad(own.loads, own.connections, own.loads_reported)
+
+    def describe(self) -> str | None:
+        """For the status line: nodes that the last sum spoke for, and messages refused."""
+        return f"{self._nodes_heard_from}/{self._rounds.refused}" if self._rounds is not None else None
+
+    def _carry_out(self, outgoing: list[Outgoing], others: Others | None) -> None:
+        """Sends messages, and notifies the decisions if the load of the others was restated."""
+        if others is not None:
+            self._nodes_heard_from = others.nodes
+            self._others, self._others_until_us = others, self._turn.now_us + OTHERS_VALID_US
+        for peer, content in outgoing:
+            if self._ports.peer_transport is not None:
+                self._ports.peer_transport.send(peer, content)
         if others is not None:
-            self._heard_of = others.nodes
-            self._others, self._others_until_us = others, now_us + OTHERS_US
-        self.news = others is not None
-        return outgoing
-
-    def holding(self, own: LocalLoad) -> LocalLoad:
-        """What the node holds, a predecessor's part included."""
-        before = self.predecessor
-        if before is None or before.loads_reported is not own.loads_reported:
+            self._decisions.feed(self._others_load())
+
+    def _node_load(self) -> LocalLoad:
+        """The load of this node, a predecessor's part included."""
+        own, predecessor = self._balancer.local_load(), self._predecessor
+        if predecessor is None or predecessor.loads_reported is not own.loads_reported:
             return own
-        loads = {number: load + before.loads.get(number, 0.0) for number, load in own.loads.items()}
-        return replace(own, loads=loads, connections=own.connections + before.connections)
-
-    def others_hold(self, now_us: int) -> FleetLoad:
-        """What others hold: the other nodes, and the process before this one."""
-        others, before = self._others, self.predecessor
-        if others is None or now_us >= self._others_until_us:
-            others = Others({}, 0, before is not None and before.loads_reported, 1, frozenset())
-        loads, connections = others.loads, others.connections
-        if before is not None and (before.loads_reported is others.told or not connections):
-            loads = {n: loads.get(n, 0.0) + before.loads.get(n, 0.0) for n in {*loads, *before.loads}}
-            connections += before.connections
-        told = others.told if others.connections or before is None else before.loads_reported
-        return FleetLoad(loads, connections, told, others.nodes, others.warned, others.until_us)
-
-    def pulse(self) -> str | None:
-        """For the log: nodes that the last sum spoke for, and messages refused."""
-        return f"{self._heard_of}/{self._rounds.refused}" if self._rounds is not None else None
+        loads = {number: load + predecessor.loads.get(number, 0.0) for number, load in own.loads.items()}
+        return replace(own, loads=loads, connections=own.connections + predecessor.connections)
+
+    def _others_load(self) -> FleetLoad:
+        """The load of the other nodes, and of the process before this one."""
+        others, predecessor = self._others, self._predecessor
+        if others is None or self._turn.now_us >= self._others_until_us:
+            reported = predecessor is not None and predecessor.loads_reported
+            others = Others({}, 0, reported, 1, frozenset())
+        loads, connections, reported = others.loads, others.connections, others.told
+        if predecessor is not None:
+            if predecessor.loads_reported is others.told or not connections:
+                numbers = {*loads, *predecessor.loads}
+                loads = {n: loads.get(n, 0.0) + predecessor.loads.get(n, 0.0) for n in numbers}
+                connections += predecessor.connections
+            if not others.connections:
+                reported = predecessor.loads_reported
+        return FleetLoad(loads, connections, reported, others.nodes, others.warned, others.until_us)
--- /dev/null
+++ b/sailrun/node/form_server_monitor.py
@@ -0,0 +1,134 @@
+"""The established sessions of each form server, with what passes through them."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from sailrun.node.clock import Clock
+from sailrun.node.failure_detector import FailureDetector
+from sailrun.node.message_latency import MessageLatency
+from sailrun.node.session import FormSession
+
+
+class FormServerMonitor:
+    """One form server: its established sessions by id, the latency of messages, and its failure detector."""
+
+    __slots__ = ("failure_detector", "latency", "sessions")
+
+    def __init__(self) -> None:
+        self.sessions: dict[str, FormSession] = {}
+        self.latency = MessageLatency()
+        self.failure_detector = FailureDetector()
+
+    def pending_since_us(self) -> list[int]:
+        """Of each session that awaits an answer, when its oldest unanswered line was sent."""
+        return [s.unanswered_since_us[0] for s in self.sessions.values() if s.unanswered_since_us]
+
+    def latency_us(self, now_us: int) -> int | None:
+        """The median latency of messages now, in microseconds; None if nothing is known."""
+        return self.latency.median_us(now_us, self.pending_since_us())
+
+    def poll_latency_report(self, now_us: int, threshold_us: float) -> float | None:
+        """Milliseconds to report, if that is due and there is anything to report."""
+        if not self.latency.is_report_due(now_us, threshold_us):
+            return None
+        return self.latency.poll_report(now_us, threshold_us, self.pending_since_us())
+
+    def find_unresponsive_sessions(self, now_us: int) -> list[FormSession]:
+        """The sessions that the form server no longer responds to."""
+        return self.failure_detector.find_unresponsive(now_us, self.sessions.values())
+
+    def is_idle(self) -> bool:
+        """Whether there is nothing to observe until a client sends another line."""
+        return self.latency.is_idle and not any(s.unanswered_since_us for s in self.sessions.values())
+
+
+class FormServerMonitors:
+    """The monitors of all form servers that had a session here, by number."""
+
+    def __init__(self, clock: Clock) -> None:
+        self._clock = clock
+        self._monitors: dict[int, FormServerMonitor] = {}
+        self._active: dict[int, FormServerMonitor] = {}  # those with anything to observe in a sweep
+
+    # ------------------------------------------------------------------ what passes, called by the fronts
+
+    def on_line_forwarded(self, session: FormSession) -> None:
+        """A client's line went to its form server."""
+        session.unanswered_since_us.append(self._clock.now_us())
+        if session.placement is not None:
+            number = session.placement.form_server.number
+            self._active[number] = self._get_or_create(number)
+
+    def on_bytes_received(self, session: FormSession) -> None:
+        """Anything at all came from the session's form server."""
+        if session.placement is not None:
+            monitor = self._monitors.get(session.placement.form_server.number)
+            if monitor is not None:
+                monitor.failure_detector.last_received_us = self._clock.now_us()
+
+    def on_line_answered(self, session: FormSession) -> None:
+        """The form server answered the oldest of a client's unanswered lines."""
+        if not session.unanswered_since_us or session.placement is None:
+            return
+        now_us = self._clock.now_us()
+        latency_us = now_us - session.unanswered_since_us.popleft()
+        monitor = self._monitors.get(session.placement.form_server.number)
+        if monitor is not None:
+            monitor.latency.record(now_us, latency_us)
+
+    # ------------------------------------------------------------------ sessions
+
+    def add_session(self, session: FormSession, number: int) -> FormServerMonitor:
+        """A session is established at a form server; returns that form server's monitor."""
+        monitor = self._get_or_create(number)
+        monitor.sessions[session.id] = session
+        if session.unanswered_since_us:
+            self._active[number] = monitor
+        return monitor
+
+    def _get_or_create(self, number: int) -> FormServerMonitor:
+        monitor = self._monitors.get(number)
+        if monitor is None:
+            monitor = self._monitors[number] = FormServerMonitor()
+        return monitor
+
+    def remove_session(self, session: FormSession, number: int) -> None:
+        """An established session has ended."""
+        self._monitors[number].sessions.pop(session.id, None)
+
+    def count_sessions(self) -> int:
+        """How many sessions are established, those included that are being moved."""
+        return sum(len(monitor.sessions) for monitor in self._monitors.values())
+
+    def iterate_sessions(self) -> Iterator[tuple[int, FormSession]]:
+        """All established sessions, each with its form server's number."""
+        for number, monitor in self._monitors.items():
+            for session in monitor.sessions.values():
+                yield number, session
+
+    def list_unmoved_sessions(self) -> list[FormSession]:
+        """The established sessions that are not being moved."""
+        return [session for _, session in self.iterate_sessions() if session.move_reason is None]
+
+    # ------------------------------------------------------------------ monitors
+
+    def monitor_of(self, number: int) -> FormServerMonitor:
+        """The monitor of a form server that had a session here; KeyError for any other."""
+        return self._monitors[number]
+
+    def list_monitors(self) -> list[tuple[int, FormServerMonitor]]:
+        """All monitors with their form servers' numbers, in the order of the first session."""
+        return list(self._monitors.items())
+
+    def list_active(self) -> list[tuple[int, FormServerMonitor]]:
+        """The monitors with anything to observe, with their form servers' numbers."""
+        return list(self._active.items())
+
+    def deactivate(self, number: int) -> None:
+        """There is nothing to observe until a client sends another line."""
+        del self._active[number]
+
+    def list_heard_from(self, since_us: int) -> list[int]:
+        """Numbers of the form servers that anything was received from after `since_us`."""
+        return [n for n, m in self._monitors.items() if m.failure_detector.last_received_us > since_us]
--- /dev/null
+++ b/sailrun/node/form_server_supervisor.py
@@ -0,0 +1,78 @@
+"""What follows from observing form servers: sessions of unresponsive ones are moved, latencies reported."""
+
+from __future__ import annotations
+
+from sailrun.decisions.actions import MoveReason
+from sailrun.decisions.events import AttemptNotice, AttemptOutcome, NoticeKind
+from sailrun.node.backend_list import BackendList
+from sailrun.node.clock import TurnTime
+from sailrun.node.decision_port import DecisionPort
+from sailrun.node.form_server_monitor import FormServerMonitor, FormServerMonitors
+from sailrun.node.ports import EventLog
+from sailrun.node.session import FormSession
+from sailrun.node.sessions import SessionManager
+
+
+class FormServerSupervisor:
+    """Looks through the monitors in each sweep, and takes the latencies that form servers report."""
+
+    def __init__(
+        self,
+        turn: TurnTime,
+        monitors: FormServerMonitors,
+        sessions: SessionManager,
+        backends: BackendList,
+        decisions: DecisionPort,
+        latency_threshold_us: float,
+        log: EventLog,
+    ) -> None:
+        """`latency_threshold_us`: a latency over this is reported to the decisions; 0: none is."""
+        self._turn, self._monitors, self._sessions = turn, monitors, sessions
+        self._backends, self._decisions, self._log = backends, decisions, log
+        self._latency_threshold_us = latency_threshold_us
+
+    def sweep(self) -> None:
+        """Looks through the monitors that have anything to observe."""
+        for number, monitor in self._monitors.list_active():
+            self._end_unresponsive_sessions(number, monitor)
+            self._report_latency(number, monitor)
+            if monitor.is_idle():
+                self._monitors.deactivate(number)
+
+    def _end_unresponsive_sessions(self, number: int, monitor: FormServerMonitor) -> None:
+        unresponsive = monitor.find_unresponsive_sessions(self._turn.now_us)
+        for session in unresponsive:
+            # The decisions are notified here, of all at one time: they then see that they broke together.
+            self._sessions.move_session(session, MoveReason.UNRESPONSIVE)
+            if session.placement is not None:
+                self._sessions.on_attempt_ended(session, session.placement, AttemptOutcome.RESET)
+        if unresponsive:
+            self._log("silent", server=self._backends.name_of(number), moved=len(unresponsive))
+
+    def _report_latency(self, number: int, monitor: FormServerMonitor) -> None:
+        was_slow = monitor.latency.is_slow
+        value_ms = monitor.poll_latency_report(self._turn.now_us, self._latency_threshold_us)
+        if value_ms is None:
+            return
+        is_slow = monitor.latency.is_slow
+        if is_slow is not was_slow:
+            self._log_latency(number, is_slow, value_ms)
+        # A notice names a session: any that has a placement stands for the form server.
+        session = next((s for s in monitor.sessions.values() if s.placement is not None), None)
+        if session is not None and session.placement is not None:
+            attempt = session.placement.attempt
+            self._decisions.feed(AttemptNotice(session.id, attempt, number, NoticeKind.DELAY, value_ms))
+
+    def on_latency_reported(self, session: FormSession, value_ms: float) -> None:
+        """The session's form server has reported the latency of messages there."""
+        if session.placement is None or not session.is_established:
+            return
+        number, attempt = session.placement.form_server.number, session.placement.attempt
+        is_slow = value_ms * 1000 > self._latency_threshold_us
+        if self._monitors.monitor_of(number).latency.on_reported(self._turn.now_us, is_slow):
+            self._log_latency(number, is_slow, value_ms)
+        self._decisions.feed(AttemptNotice(session.id, attempt, number, NoticeKind.DELAY, value_ms))
+
+    def _log_latency(self, number: int, is_slow: bool, value_ms: float) -> None:
+        event = "slow" if is_slow else "quick-again"
+        self._log(event, server=self._backends.name_of(number), ms=round(value_ms, 1))
--- /dev/null
+++ b/sailrun/node/operator_commands.py
@@ -0,0 +1,82 @@
+"""What operators command: to exclude a form server or put it back, and to drain this node."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from enum import Enum
+
+from sailrun.decisions.events import ListKind, OperatorOverride
+from sailrun.node.backend_list import BackendList
+from sailrun.node.decision_port import DecisionPort
+from sailrun.node.draining import ShutdownController
+from sailrun.node.ports import EventLog
+from sailrun.node.rebalancer_port import RebalancerPort
+from sailrun.node.session import server_number
+from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
+
+
+class OperatorCommand(Enum):
+    """The commands; the values are those of the messages between two processes that are one node."""
+
+    OVERRIDE = "hand"  # content: [name of the form server, whether it is excluded]
+    DRAIN = "drain"  # content: whether the node drains
+
+
+class OperatorCommands:
+    """Carries out commands; each is mirrored to the other process where this node runs as two."""
+
+    def __init__(
+        self,
+        backends: BackendList,
+        plans: ShutdownPlans,
+        shutdown: ShutdownController,
+        decisions: DecisionPort,
+        rebalancer: RebalancerPort,
+        log: EventLog,
+    ) -> None:
+        self._backends, self._plans, self._shutdown = backends, plans, shutdown
+        self._decisions, self._rebalancer, self._log = decisions, rebalancer, log
+        # Called with the value of each command that changes something, and its content.
+        self.mirror: Callable[[str, object], None] = lambda command, content: None
+
+    def is_known(self, name: str) -> bool:
+        """Whether a form server of this name was listed here, or is excluded."""
+        return self._backends.is_excluded(name) or self._backends.find(name) is not None
+
+    def set_override(self, name: str, is_excluded: bool) -> bool:
+        """Excludes a form server, or puts it back; False where none of that name is known."""
+        if not self.is_known(name):
+            return False
+        self.apply_override(name, is_excluded)
+        return True
+
+    def apply_override(self, name: str, is_excluded: bool) -> None:
+        """Excludes a form server, known or not, or puts it back; nothing happens where it is so already."""
+        if is_excluded is self._backends.is_excluded(name):
+            return
+        self._backends.set_excluded(name, is_excluded)
+        self._log("by-hand", server=name, out=is_excluded)
+        self._decisions.feed(OperatorOverride(server_number(name), is_excluded))
+        self.mirror(OperatorCommand.OVERRIDE.value, [name, is_excluded])
+        form_server = self._backends.get(server_number(name))
+        if form_server is not None:
+            effective = self._backends.effective_backend(form_server)
+            self._rebalancer.on_list_update(ListKind.DELTA, (effective,))
+
+    def set_draining(self, is_draining: bool) -> bool:
+        """Begins or ends a drain of this node; returns True: that never fails."""
+        if is_draining is not (ShutdownReason.DRAIN in self._plans):
+            self.mirror(OperatorCommand.DRAIN.value, is_draining)
+        if is_draining:
+            self._shutdown.begin(ShutdownReason.DRAIN)
+        else:
+            self._shutdown.end_drain()
+        return True
+
+    def apply_mirrored(self, command: str, content: object) -> None:
+        """Carries out what the other process was commanded; what is not of a known form is ignored."""
+        match command, content:
+            case OperatorCommand.OVERRIDE.value, [str(name), bool(is_excluded)]:
+                self.apply_override(name, is_excluded)
+            case OperatorCommand.DRAIN.value, bool(is_draining):
+                self.set_draining(is_draining)
--- a/sailrun/node/queries.py
+++ b/sailrun/node/queries.py
@@ -1,4 +1,4 @@
-"""Questions to the core's one task, and their answers."""
+"""Queries to the event loop, which it answers in its next turn."""
 
 from __future__ import annotations
 
@@ -12,14 +12,18 @@
 Reply = Callable[[T], None]  # takes the answer
 
 
-async def send_query(ask: Callable[[Reply[T]], None]) -> T:
-    """What the core answers in its next turn; the caller's cancel scope carries the deadline."""
-    answered, answers = anyio.Event(), list[T]()
+async def send_query(query: Callable[[Reply[T]], None]) -> T:
+    """Calls `query` with where its answer goes, and returns that answer.
+
+    The caller's cancel scope carries the deadline.
+    """
+    answered = anyio.Event()
+    answers = list[T]()
 
     def reply(value: T) -> None:
         answers.append(value)
         answered.set()
 
-    ask(reply)
+    query(reply)
     await answered.wait()
     return answers[0]
--- a/sailrun/node/rebalancer_port.py
+++ b/sailrun/node/rebalancer_port.py
@@ -1,33 +1,172 @@
-"""The rebalancer beside the core: told what happens, asked now and then, and off after a fault of its own."""
+"""The way to the rebalancer beside the node: what it is notified of, and what it orders.
+
+It is optional, and dropped after a fault of its own: it is an improvement, and must not end the node.
+"""
 
 from __future__ import annotations
 
 import traceback
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
+from sailrun.decisions.actions import MoveReason
+from sailrun.decisions.balancer import Balancer
+from sailrun.decisions.events import AttemptOutcome, Backend, ListKind
+from sailrun.node.clock import TurnTime
+from sailrun.node.ports import EventLog, OutgoingPorts
+from sailrun.node.session import FormSession
+
 if TYPE_CHECKING:
     from sailrun.rebalance.balance import Rebalancer
 
 
 class RebalancerPort:
-    """Calls the rebalancer, and drops it after a fault: it is an improvement, and must not end the node."""
+    """Calls the rebalancer, if there is one, at the turn's time."""
 
-    def __init__(self, log: Callable[..., None]) -> None:
-        self._log = log
-        self.rebalancer: Rebalancer | None = None  # off on the platform
+    def __init__(self, turn: TurnTime, log: EventLog) -> None:
+        self._turn, self._log = turn, log
+        self.rebalancer: Rebalancer | None = None  # None: switched off, or dropped after a fault
 
-    def __call__(self, call: Callable[[Rebalancer], None]) -> None:
-        """Has the rebalancer told, or asked, if there is one."""
+    def _call(self, call: Callable[[Rebalancer], None]) -> None:
         if self.rebalancer is None:
             return
         try:
             call(self.rebalancer)
         except Exception:
+            # Whatever went wrong with it, the node goes on without it.
             self._log("fault", where="rebalance", trace=traceback.format_exc())
             self.rebalancer = None
 
+    # ------------------------------------------------------------------ what it is notified of
+
+    def on_request(self, is_returning: bool) -> None:
+        """A client has requested a session."""
+        if self.rebalancer is not None:
+            self._call(lambda rebalancer: rebalancer.arrived(self._turn.now_us, is_returning))
+
+    def on_rejected(self) -> None:
+        """This node has rejected a request."""
+        if self.rebalancer is not None:
+            self._call(lambda rebalancer: rebalancer.refused(self._turn.now_us))
+
+    def on_attempt_rejected(self, number: int) -> None:
+        """A form server has rejected an attempt."""
+        if self.rebalancer is not None:
+            self._call(lambda rebalancer: rebalancer.turned_away(self._turn.now_us, number))
+
+    def on_established(
+        self, session: FormSession, number: int, has_returned: bool, latency_us: int | None
+    ) -> None:
+        """A session is established. `latency_us`: what that took; None: it was resumed or adopted."""
+        if self.rebalancer is not None:
+            self._call(
+                lambda rebalancer: self._add_session(rebalancer, session, number, has_returned, latency_us)
+            )
+
+    def _add_session(
+        self,
+        rebalancer: Rebalancer,
+        session: FormSession,
+        number: int,
+        has_returned: bool,
+        latency_us: int | None,
+    ) -> None:
+        group = session.group or session.key or session.id
+        rebalancer.stands(
+            self._turn.now_us, session.id, number, group, session.request_class, has_returned, latency_us
+        )
+        if session.load_hint:
+            rebalancer.loaded(session.id, session.load_hint)
+
+    def on_load_reported(self, session: FormSession, load: float) -> None:
+        """An established session's load, in microseconds of work a second."""
+        if self.rebalancer is not None:
+            self._call(lambda rebalancer: rebalancer.loaded(session.id, load))
+
+    def on_ended(self, session: FormSession, outcome: AttemptOutcome) -> None:
+        """An established session has ended."""
+        if self.rebalancer is not None:
+            self._call(lambda rebalancer: rebalancer.ended(self._turn.now_us, session.id, outcome))
+
+    def on_list_update(self, kind: ListKind, backends: Iterable[Backend]) -> None:
+        """The list of form servers, or changes of it, excluded ones shown as draining."""
+        if self.rebalancer is not None:
+            self._call(lambda rebalancer: rebalancer.listed(self._turn.now_us, kind, backends))
+
+    def on_discovery_failed(self) -> None:
+        """The list of form servers could not be had."""
+        if self.rebalancer is not None:
+            self._call(lambda rebalancer: rebalancer.discovery_lost(self._turn.now_us))
+
+    def on_peer_message(self, peer: int, content: bytes) -> None:
+        """A datagram of another node that is not of the load gossip."""
+        if self.rebalancer is not None:
+            self._call(lambda rebalancer: rebalancer.heard(self._turn.now_us, peer, content))
+
+    def set_draining(self, is_draining: bool) -> None:
+        """Whether this node sends its clients away for a reason of its own."""
+        if self.rebalancer is not None:
+            self._call(lambda rebalancer: rebalancer.leave(is_draining))
+
     def set_rate_share(self, share: float) -> bool:
-        """This part of the fleet's pace is this node's, 0 to 1; returns whether it moves any clients."""
-        self(lambda rebalancer: rebalancer.lent(share))
+        """This node's share of the fleet's rate of moves, 0 to 1; returns whether it moves any clients."""
+        self._call(lambda rebalancer: rebalancer.lent(share))
         return self.rebalancer is not None and self.rebalancer.active
+
+    # ------------------------------------------------------------------ what it orders
+
+    def run(self, balancer: Balancer, move: Callable[[str, MoveReason], None], ports: OutgoingPorts) -> None:
+        """Has it look for imbalance, if that is due, and carries out what it orders."""
+        self._call(lambda rebalancer: self._carry_out_orders(rebalancer, balancer, move, ports))
+
+    def _carry_out_orders(
+        self,
+        rebalancer: Rebalancer,
+        balancer: Balancer,
+        move: Callable[[str, MoveReason], None],
+        ports: OutgoingPorts,
+    ) -> None:
+        now_us = self._turn.now_us
+        if not rebalancer.due(now_us):
+            return
+        orders = rebalancer.look(now_us, lambda names: balancer.choose_elsewhere(now_us, names))
+        for note in orders.notes:
+            self._log("rebalance", **note)
+        for request in orders.moves:
+            move(request, MoveReason.REBALANCING)
+        if orders.tell is not None and ports.peer_transport is not None:
+            ports.peer_transport.send(None, orders.tell)
+
+    # ------------------------------------------------------------------ switching it on and off
+
+    def replace(
+        self,
+        rebalancer: Rebalancer | None,
+        backends: tuple[Backend, ...],
+        sessions: Iterable[tuple[int, FormSession]],
+        is_draining: bool,
+    ) -> None:
+        """Switches to another rebalancer, or off, and notifies a new one of the present state.
+
+        `sessions`: those established, each with its form server's number. The new one can't know which of
+        them the old one has moved: any may be among them, so all count as returned.
+        """
+        old, self.rebalancer = self.rebalancer, rebalancer
+        self._call(lambda new: self._transfer_state(new, old, backends, sessions, is_draining))
+
+    def _transfer_state(
+        self,
+        new: Rebalancer,
+        old: Rebalancer | None,
+        backends: tuple[Backend, ...],
+        sessions: Iterable[tuple[int, FormSession]],
+        is_draining: bool,
+    ) -> None:
+        new.listed(self._turn.now_us, ListKind.FULL, backends)
+        for number, session in sessions:
+            self._add_session(new, session, number, True, None)
+            known = old.connections.standing.get(session.id) if old is not None else None
+            if known is not None and known.load is not None:
+                new.loaded(session.id, known.load)
+        if is_draining:
+            new.leave()
--- a/sailrun/node/restart_state.py
+++ b/sailrun/node/restart_state.py
@@ -1,4 +1,4 @@
-"""The state that a process hands to the one that succeeds it, so that the two are one node."""
+"""The state that a process sends to the one that succeeds it, so that the two are one node."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSnapshot:
-    """Told once, when the successor starts. Times are Unix microseconds of the machine's one clock."""
+    """Sent once, when the successor starts. Times are Unix microseconds of the machine's one clock."""
 
     server_list: ServerListUpdate
-    excluded: frozenset[str]
+    excluded: frozenset[str]  # names of the form servers that an operator has excluded
     is_draining: bool
-    decisions: StateSnapshot | None  # None: nothing is known
+    decisions: StateSnapshot | None  # what the decisions have observed; None: nothing is known
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessLoad:
-    """Told again and again: what the predecessor still holds."""
+    """Sent again and again: the load of the sessions that one of the node's two processes still serves."""
 
     loads: Mapping[int, float]  # by the form servers' numbers
     connections: int
-    loads_reported: bool  # loads are us of work a second, not connections
-    descriptors: int = 0
+    loads_reported: bool  # loads are microseconds of work a second, not connections
+    descriptors: int = 0  # open file descriptors
--- a/sailrun/node/session.py
+++ b/sailrun/node/session.py
@@ -1,4 +1,4 @@
-"""Form sessions, the form servers that hold them, and what a front has to offer the core."""
+"""Form sessions, the form servers that hold them, and what a front has to offer the node."""
 
 from __future__ import annotations
 
@@ -30,27 +30,29 @@
 
 @dataclass(frozen=True, slots=True)
 class FormServer:
-    """One entry of the registry."""
+    """One entry of the list of form servers."""
 
     name: str
     address: tuple[str, int]
     state: BackendState
     zone: str = ""
     cell: int = 0
-    size: float = 1.0
-    started_us: int = 0  # 0: long ago
+    size: float = 1.0  # its capacity, relative to the others'
+    started_us: int = 0  # Unix microseconds; 0: long ago
 
     @property
     def number(self) -> int:
+        """The number by which the decisions know it."""
         return server_number(self.name)
 
     def as_backend(self) -> Backend:
+        """The entry in the form that the decisions take."""
         return Backend(self.number, self.state, self.zone, self.cell, self.size, self.started_us)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerListUpdate:
-    """What a registry told at one time."""
+    """What discovery reported at one time: the whole list or changes of it, by `kind`."""
 
     kind: ListKind
     revision: int
@@ -59,60 +61,80 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """One attempt to have a form server take a form session, given up at an absolute time."""
+    """One attempt to establish a form session at a form server. Times are Unix microseconds."""
 
     form_server: FormServer
-    attempt: int
-    until_us: int
+    attempt: int  # counted from 0 within the session
+    until_us: int  # given up then
     begin_by_us: float = math.inf  # its first byte leaves before this, or not at all
 
 
 class SessionClient(Protocol):
-    """The core's hold on the client's connection, kept by the front it came through. No call waits."""
+    """The client's connection as the node sees it, implemented by the front it came through.
+
+    No call waits. What becomes of an attempt is reported to the node by `connection_opened` and
+    `attempt_ended`.
+    """
+
+    def start_attempt(self, placement: Placement) -> None:
+        """Begins an attempt at the placement's form server."""
+        ...
+
+    def cancel_attempt(self, attempt: int) -> None:
+        """Cancels the attempt of this number, if it is still under way."""
+        ...
+
+    def reject(self, retry_after_us: int) -> None:
+        """Answers that nothing ran and the client may retry; 0: it is not stated after what time."""
+        ...
+
+    def fail(self) -> None:
+        """Answers that the request failed and may have run."""
+        ...
+
+    def move(self) -> None:
+        """Has the client reconnect elsewhere, and ends its session."""
+        ...
 
-    def start_attempt(self, placement: Placement) -> None: ...
-    def cancel_attempt(self, attempt: int) -> None: ...
-    def reject(self, retry_after_us: int) -> None: ...
-    def fail(self) -> None: ...
-    def move(self) -> None: ...
     def transfer(self, send: SendTransfer) -> None:
-        """Hands the session over as it stands, once it is at rest; a front that can't leaves it alone."""
+        """Transfers the session as it is, once it is idle; a front that can't leaves it alone."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class FormSession:
-    """One client's connection, from its request to its end."""
+    """One client's connection, from its request to its end.
+
+    The front fills in the first fields; those from `placement` on are the node's, and only read elsewhere,
+    except that a front passes `unanswered_since_us` on with a session that it transfers.
+    """
 
     id: str
     request_class: str
-    deadline_us: int
+    deadline_us: int  # of the final answer, in Unix microseconds
     client: SessionClient
     key: str | None = None
     group: str | None = None
     tenant: str | None = None
-    load_hint: float | None = None
+    load_hint: float | None = None  # microseconds of work a second
     is_retry: bool = False
-    is_returning: bool = False
-    resumed_at: str | None = None  # it stood at this form server before the node started
-    # What the core keeps of it.
-    placement: Placement | None = None
+    is_returning: bool = False  # back after a break or a move
+    resumed_at: str | None = None  # name of the form server where it was established before this node started
+    placement: Placement | None = None  # the attempt under way, or the one that established it
     attempts: int = 0
-    may_have_run: bool = False
+    may_have_run: bool = False  # an attempt may have had an effect
     is_established: bool = False
     is_answered: bool = False  # the client has its final answer or has left
-    move_reason: MoveReason | None = None  # it is being moved
-    denial_reason: DenialReason | None = None  # why it was refused or failed
-    unanswered_since_us: deque[int] = field(
-        default_factory=deque
-    )  # when each line without an answer was sent
+    move_reason: MoveReason | None = None  # None: it is not being moved
+    denial_reason: DenialReason | None = None  # why it was rejected or failed
+    unanswered_since_us: deque[int] = field(default_factory=deque)  # when each unanswered line was sent
 
     @property
     def move_reason_text(self) -> str | None:
-        """For the log."""
+        """The reason of its move as the log states it."""
         return self.move_reason.value if self.move_reason is not None else None
 
     @property
     def denial_reason_text(self) -> str | None:
-        """For the log."""
+        """The reason of its rejection or failure as the log states it."""
         return self.denial_reason.value if self.denial_reason is not None else None
--- /dev/null
+++ b/sailrun/node/sessions.py
@@ -0,0 +1,312 @@
+"""The form sessions of this node: their requests, attempts, answers, moves and ends."""
+
+from __future__ import annotations
+
+import math
+
+from sailrun.decisions.actions import DenialReason, MoveReason, SlowStartAllowance, StartAttempt
+from sailrun.decisions.events import (
+    AttemptEnded,
+    AttemptNotice,
+    AttemptOutcome,
+    BackendState,
+    ClientLeft,
+    ConnectionOpened,
+    ConnectionResumed,
+    NoticeKind,
+    RequestArrived,
+)
+from sailrun.node.backend_list import BackendList
+from sailrun.node.clock import TurnTime
+from sailrun.node.command_queue import CommandQueue
+from sailrun.node.counters import Counters
+from sailrun.node.decision_port import DecisionPort
+from sailrun.node.form_server_monitor import FormServerMonitors
+from sailrun.node.ports import EventLog
+from sailrun.node.rebalancer_port import RebalancerPort
+from sailrun.node.session import FormServer, FormSession, Placement
+from sailrun.node.successor_transfer import SuccessorTransfer
+
+# Outcomes of an attempt that has had no effect at its form server.
+NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
+
+
+class SessionManager:
+    """All sessions from their request to their end, by id.
+
+    Sessions that are to be resumed at the form server where they were established before this node started
+    go there past the decisions, which hear of them only once they are established again.
+    """
+
+    def __init__(
+        self,
+        turn: TurnTime,
+        queue: CommandQueue,
+        decisions: DecisionPort,
+        backends: BackendList,
+        monitors: FormServerMonitors,
+        successor: SuccessorTransfer,
+        rebalancer: RebalancerPort,
+        counters: Counters,
+        log: EventLog,
+    ) -> None:
+        self._turn, self._queue, self._decisions, self._backends = turn, queue, decisions, backends
+        self._monitors, self._successor, self._rebalancer = monitors, successor, rebalancer
+        self._counters, self._log = counters, log
+        self._sessions: dict[str, FormSession] = {}
+
+    def __len__(self) -> int:
+        return len(self._sessions)
+
+    def list_pending(self) -> list[FormSession]:
+        """The sessions whose request has no final answer yet."""
+        return [session for session in self._sessions.values() if not session.is_answered]
+
+    # ------------------------------------------------------------------ requests
+
+    def on_request(self, session: FormSession) -> None:
+        """A client requests a form session."""
+        self._sessions[session.id] = session
+        if session.resumed_at is not None:
+            self._resume_at(session, session.resumed_at)
+            return
+        self._rebalancer.on_request(session.is_returning)
+        self._decisions.feed(
+            RequestArrived(
+                session.id,
+                session.request_class,
+                max(0, session.deadline_us - self._turn.now_us),
+                session.key,
+                session.group,
+                session.tenant,
+                session.load_hint,
+                session.is_retry,
+                returning=session.is_returning,
+            )
+        )
+
+    def _resume_at(self, session: FormSession, name: str) -> None:
+        form_server = self._backends.find(name)
+        if form_server is None:
+            self._end(session)
+            self._fail(session)
+        else:
+            self._place(session, form_server, session.deadline_us)
+
+    def on_client_left(self, session: FormSession) -> None:
+        """The client has gone before its session was established."""
+        if session.is_answered:
+            return
+        self._end(session)
+        if session.resumed_at is None:
+            self._decisions.feed(ClientLeft(session.id))
+
+    # ------------------------------------------------------------------ attempts
+
+    def start_attempt(self, action: StartAttempt) -> None:
+        """Has the session's front begin an attempt, unless the request was answered meanwhile."""
+        session = self._sessions.get(action.request)
+        if session is None or session.is_answered:
+            return
+        form_server = self._backends.get(action.backend)
+        if form_server is None:
+            self._end_unlisted_attempt(session, action.until_us)
+            return
+        if action.slow_start is not None:
+            self._log_slow_start(session, form_server, action.slow_start)
+        until_us = min(action.until_us or session.deadline_us, session.deadline_us)
+        self._place(session, form_server, until_us, action.begin_by_us)
+
+    def _end_unlisted_attempt(self, session: FormSession, until_us: int) -> None:
+        unlisted = FormServer("unlisted", ("", 0), BackendState.GONE)
+        session.placement = Placement(unlisted, session.attempts, until_us)
+        session.attempts += 1
+        self._queue.post(self.on_attempt_ended, session, session.placement, AttemptOutcome.NOT_SENT)
+
+    def _place(
+        self, session: FormSession, form_server: FormServer, until_us: int, begin_by_us: float = math.inf
+    ) -> None:
+        session.placement = Placement(form_server, session.attempts, until_us, begin_by_us)
+        session.attempts += 1
+        session.client.start_attempt(session.placement)
+
+    def _log_slow_start(
+        self, session: FormSession, form_server: FormServer, allowance: SlowStartAllowance
+    ) -> None:
+        """What all nodes send to a form server in slow start can be added up from these lines alone."""
+        self._log(
+            "slow-start-send",
+            id=session.id,
+            server=form_server.name,
+            share=round(allowance.share, 3),
+            sent=allowance.sent,
+            part=round(allowance.part, 3),
+        )
+
+    def cancel_attempt(self, request: str, attempt: int) -> None:
+        """Has the session's front cancel an attempt, unless the session is established."""
+        session = self._sessions.get(request)
+        if session is not None and not session.is_established:
+            session.client.cancel_attempt(attempt)
+
+    def on_established(self, session: FormSession, placement: Placement, latency_us: int) -> None:
+        """An attempt has succeeded, `latency_us` after it began."""
+        number = placement.form_server.number
+        session.is_established = session.is_answered = True
+        self._counters.classes[session.request_class].success += 1
+        self._monitors.add_session(session, number)
+        is_resumed = session.resumed_at is not None
+        if is_resumed:
+            self._feed_resumed(session, number)
+        else:
+            self._decisions.feed(ConnectionOpened(session.id, placement.attempt, number, latency_us))
+        self._successor.offer(session)
+        has_returned = session.is_returning and not is_resumed
+        self._rebalancer.on_established(session, number, has_returned, None if is_resumed else latency_us)
+
+    def on_attempt_ended(self, session: FormSession, placement: Placement, outcome: AttemptOutcome) -> None:
+        """An attempt has ended, or the connection that it established."""
+        if session.placement is not placement:
+            return  # already taken for ended, as where its form server became unresponsive
+        number = placement.form_server.number
+        was_established = session.is_established
+        if was_established:
+            self._monitors.remove_session(session, number)
+            session.is_established = False
+            self._rebalancer.on_ended(session, outcome)
+        elif outcome is AttemptOutcome.REJECTED:
+            self._rebalancer.on_attempt_rejected(number)
+        session.placement = None
+        if outcome not in NEVER_RAN:
+            session.may_have_run = True
+        is_over = session.is_answered or outcome is AttemptOutcome.OK
+        if is_over:
+            self._finish(session)
+        else:
+            self._log_failed_attempt(session, placement, outcome)
+            if session.resumed_at is not None:
+                self._end(session)
+                self._fail(session)
+                return
+        if session.resumed_at is None or was_established:
+            self._decisions.feed(AttemptEnded(session.id, placement.attempt, number, outcome, is_over))
+
+    def _finish(self, session: FormSession) -> None:
+        """The request is over; one without an answer so far was served to its end in one answer."""
+        if not session.is_answered:
+            self._counters.classes[session.request_class].success += 1
+        self._end(session)
+
+    def _log_failed_attempt(
+        self, session: FormSession, placement: Placement, outcome: AttemptOutcome
+    ) -> None:
+        self._log(
+            "attempt-failed",
+            id=session.id,
+            server=placement.form_server.name,
+            attempt=placement.attempt,
+            outcome=outcome.value,
+        )
+
+    # ------------------------------------------------------------------ established sessions
+
+    def on_load_reported(self, session: FormSession, load: float) -> None:
+        """The form server has reported the session's load, in microseconds of work a second."""
+        if session.placement is not None and session.is_established:
+            number = session.placement.form_server.number
+            self._decisions.feed(
+                AttemptNotice(session.id, session.placement.attempt, number, NoticeKind.LOAD, load)
+            )
+            self._rebalancer.on_load_reported(session, load)
+
+    def adopt(self, session: FormSession, placement: Placement) -> None:
+        """Takes over a session that was established by the predecessor."""
+        number = placement.form_server.number
+        self._sessions[session.id] = session
+        session.placement, session.attempts = placement, placement.attempt + 1
+        session.is_established = session.is_answered = session.may_have_run = True
+        monitor = self._monitors.add_session(session, number)
+        monitor.failure_detector.last_received_us = self._turn.now_us
+        self._feed_resumed(session, number)
+        self._rebalancer.on_established(session, number, True, None)
+        form_server = self._backends.get(number)
+        if form_server is None or not self._backends.accepts_sessions(form_server):
+            self.move(session.id, MoveReason.DRAINING)
+
+    def _feed_resumed(self, session: FormSession, number: int) -> None:
+        self._decisions.feed(
+            ConnectionResumed(
+                session.id,
+                session.request_class,
+                number,
+                session.key,
+                session.group,
+                session.tenant,
+                session.load_hint,
+            )
+        )
+
+    def move(self, request: str, reason: MoveReason) -> None:
+        """Sends the client of an established session to another node, unless that is under way."""
+        session = self._sessions.get(request)
+        if session is not None and session.is_established and session.move_reason is None:
+            self.move_session(session, reason)
+
+    def move_session(self, session: FormSession, reason: MoveReason) -> None:
+        """Sends the client of an established session to another node."""
+        session.move_reason = reason
+        self._counters.moves[reason] += 1
+        session.client.move()
+
+    # ------------------------------------------------------------------ final answers
+
+    def reject_request(self, request: str, reason: DenialReason | None, retry_after_us: int) -> None:
+        """Answers that nothing ran, unless the request has its answer."""
+        session = self._end_unanswered(request)
+        if session is not None:
+            session.denial_reason = reason
+            self._reject(session, retry_after_us)
+            self._rebalancer.on_rejected()
+
+    def fail_request(self, request: str, reason: DenialReason | None) -> None:
+        """Answers that the request failed, unless it has its answer."""
+        session = self._end_unanswered(request)
+        if session is not None:
+            session.denial_reason = reason
+            self._fail(session)
+
+    def abandon_request(self, request: str) -> None:
+        """Fails a request after a fault of the decisions, unless its session is established."""
+        session = self._sessions.get(request)
+        if session is not None and not session.is_established:
+            self._end(session)
+            self._fail(session)
+
+    def deny_for_shutdown(self, session: FormSession) -> None:
+        """Gives a pending request its answer because the node shuts down."""
+        self._end(session)
+        self._decisions.feed(ClientLeft(session.id))
+        session.denial_reason = DenialReason.SHUTDOWN
+        if session.may_have_run or session.placement is not None:
+            self._fail(session)
+        else:
+            self._reject(session, 0)
+
+    def _end_unanswered(self, request: str) -> FormSession | None:
+        session = self._sessions.get(request)
+        if session is None or session.is_answered:
+            return None
+        self._end(session)
+        return session
+
+    def _end(self, session: FormSession) -> None:
+        session.is_answered = True
+        self._sessions.pop(session.id, None)
+
+    def _reject(self, session: FormSession, retry_after_us: int) -> None:
+        self._counters.classes[session.request_class].busy += 1
+        session.client.reject(retry_after_us)
+
+    def _fail(self, session: FormSession) -> None:
+        self._counters.classes[session.request_class].failure += 1
+        session.client.fail()
--- /dev/null
+++ b/sailrun/node/successor_transfer.py
@@ -0,0 +1,53 @@
+"""Transfers established sessions to the process that succeeds this one."""
+
+from __future__ import annotations
+
+from sailrun.node.backend_list import BackendList
+from sailrun.node.draining import ShutdownController
+from sailrun.node.form_server_monitor import FormServerMonitors
+from sailrun.node.session import FormSession
+from sailrun.node.session_transfer import SendTransfer
+from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
+
+
+class SuccessorTransfer:
+    """Offers sessions to the successor, while there is one."""
+
+    def __init__(
+        self,
+        backends: BackendList,
+        monitors: FormServerMonitors,
+        plans: ShutdownPlans,
+        shutdown: ShutdownController,
+    ) -> None:
+        self._backends, self._monitors = backends, monitors
+        self._plans, self._shutdown = plans, shutdown
+        self._send: SendTransfer | None = None
+
+    def set_successor(self, send: SendTransfer | None) -> None:
+        """A successor serves the clients from now on, and sessions are sent to it by `send`; None: it is
+        gone, and they are this process's again.
+        """
+        self._send = send
+        if send is None:
+            self._shutdown.on_successor_lost()
+            return
+        self._shutdown.begin(ShutdownReason.SUCCEEDED)
+        for session in self._monitors.list_unmoved_sessions():
+            self.offer(session)
+
+    def offer(self, session: FormSession) -> None:
+        """Transfers an established session, if there is a successor and the session is to stay.
+
+        Whom a drain sends away, this node's or its form server's, is moved from here: its time has begun.
+        """
+        if (
+            self._send is None
+            or session.move_reason is not None
+            or ShutdownReason.DRAIN in self._plans
+            or session.placement is None
+        ):
+            return
+        form_server = self._backends.get(session.placement.form_server.number)
+        if form_server is not None and self._backends.accepts_sessions(form_server):
+            session.client.transfer(self._send)
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -52,7 +52,7 @@
 ) -> None:
     time = Scheduler()
     known = ServerListUpdate(ListKind.CACHED, 1, SERVERS)
-    node = Node(read_settings(SETTINGS), 1, VirtualClock(time), known, lambda what, **facts: None)
+    node = Node(read_settings(SETTINGS), 1, VirtualClock(time), known, lambda what, /, **facts: None)
     node.start()
     fronts: list[Front] = []
     left = 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from sailrun.decisions.placement import MASK, key_hash, server_hash
 from sailrun.http_calls import HttpCalls
 from sailrun.node.clock import Clock
-from sailrun.node.failure_detector import ServerWatch
+from sailrun.node.form_server_monitor import FormServerMonitor
 from sailrun.node.session import FormSession, server_number
 from tests.stand_ins import (
     PATIENCE_S,
@@ -256,15 +256,15 @@
 
 def test_a_deaf_connection_is_ended_in_time_whenever_it_went_deaf() -> None:
     # It returned its last line at 0; the next comes up to 2 s later, and 7 s are allowed from 0.
-    watch = ServerWatch()
+    monitor = FormServerMonitor()
     deaf, sound = (FormSession(n, "page-load", 0, None) for n in ("deaf", "sound"))  # type: ignore[arg-type]
-    watch.sessions = {"deaf": deaf, "sound": sound}
+    monitor.sessions = {"deaf": deaf, "sound": sound}
     deaf.unanswered_since_us.append(2_000_000)
-    watch.heard_us = 6_800_000  # by the sound one
-    assert list(watch.silent(6_900_000)) == [deaf]
-    assert list(watch.silent(3_000_000)) == []
+    monitor.failure_detector.last_received_us = 6_800_000  # by the sound one
+    assert list(monitor.find_unresponsive_sessions(6_900_000)) == [deaf]
+    assert list(monitor.find_unresponsive_sessions(3_000_000)) == []
     deaf.move_reason = MoveReason.UNRESPONSIVE
-    assert list(watch.silent(6_900_000)) == []
+    assert list(monitor.find_unresponsive_sessions(6_900_000)) == []
 
 
 def test_what_nobody_has_read_yet_is_seen_and_left() -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,7 +17,7 @@
 from sailrun.lab.run import Request, play
 from sailrun.lab.settings import SECOND, WorldSettings
 from sailrun.lab.virtual import VirtualDay, Visit
-from sailrun.node.core import Node
+from sailrun.node.sessions import SessionManager
 from sailrun.rebalance.settings import RebalanceSettings
 
 
@@ -80,7 +80,7 @@
 
 def test_a_node_that_breaks_rules_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """The world watches: a core that answers nobody, or sends to what drains, does not pass."""
-    monkeypatch.setattr(Node, "_asked", lambda self, session: None)
+    monkeypatch.setattr(SessionManager, "on_request", lambda self, session: None)
     summary, _ = play(Request("calm", seconds=8.0, households=60))
     held = {check.name: check.holds for check in summary.checks}
     assert not held["one-final-answer"]
