--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -62,17 +62,17 @@
         clock: Clock,
         known: ServerListUpdate,
         log: EventLog = log,
-        passed: NodeSnapshot | None = None,
+        predecessor: NodeSnapshot | None = None,
     ) -> None:
-        """`known`: the list of form servers to begin with. `passed`: the state of a predecessor, which this
-        process succeeds.
+        """`known`: the list of form servers to begin with. `predecessor`: the state of the process
+        that this one succeeds.
         """
         self.settings, self.clock = settings, clock
         self.discovery: ServiceDiscovery | None = None
         self.peer_transport: PeerTransport | None = None
         self.health_checker: HealthChecker | None = None
         self.stopped = False
-        self._known, self._passed = known, passed
+        self._known, self._predecessor = known, predecessor
         self._turn = TurnTime(clock.now_us())
         self._sweep_us = self._turn.now_us + SWEEP_INTERVAL_US
         objectives = [c.message_objective_us for c in settings.classes if c.message_objective_us > 0]
@@ -150,12 +150,12 @@
     def start(self) -> None:
         """Takes over the list of form servers and a predecessor's state; called once, before any turn."""
         self._backends.update(self._known)
-        if self._passed is not None:
-            for name in sorted(self._passed.excluded):
+        if self._predecessor is not None:
+            for name in sorted(self._predecessor.excluded):
                 self._operator.apply_override(name, True)
-            if self._passed.decisions is not None:
-                self._decisions.feed(self._passed.decisions)
-            if self._passed.is_draining:
+            if self._predecessor.decisions is not None:
+                self._decisions.feed(self._predecessor.decisions)
+            if self._predecessor.is_draining:
                 self._operator.set_draining(True)
 
     def due_us(self) -> int:
@@ -191,9 +191,9 @@
         """A client requests a form session; one final answer is owed by its deadline."""
         self._queue.post(self._sessions.on_request, session)
 
-    def connection_opened(self, session: FormSession, placement: Placement, took_us: int) -> None:
-        """An attempt has succeeded: its session is established, `took_us` microseconds after it began."""
-        self._queue.post(self._sessions.on_established, session, placement, took_us)
+    def connection_opened(self, session: FormSession, placement: Placement, latency_us: int) -> None:
+        """An attempt has succeeded: its session is established, `latency_us` after it began."""
+        self._queue.post(self._sessions.on_established, session, placement, latency_us)
 
     def request_written(self) -> None:
         """An attempt's request has gone out to its form server, to the last byte."""
@@ -211,9 +211,9 @@
         """The form server has reported the session's load, in microseconds of work a second."""
         self._queue.post(self._sessions.on_load_reported, session, load)
 
-    def report_delay(self, session: FormSession, value_ms: float) -> None:
+    def report_delay(self, session: FormSession, latency_ms: float) -> None:
         """The session's form server has reported the latency of messages there."""
-        self._queue.post(self._supervisor.on_latency_reported, session, value_ms)
+        self._queue.post(self._supervisor.on_latency_reported, session, latency_ms)
 
     def may_begin(self, session: FormSession, placement: Placement) -> bool:
         """Whether an attempt may still begin, checked right before its first byte leaves.
@@ -249,13 +249,13 @@
         """The list of form servers could not be had."""
         self._queue.post(self._backends.on_discovery_failed, why)
 
-    def peer_message_received(self, neighbour: int, content: bytes) -> None:
+    def peer_message_received(self, peer: int, content: bytes) -> None:
         """A datagram has come from the node of this index."""
-        self._queue.post(self._receive_peer_message, neighbour, content)
+        self._queue.post(self._receive_peer_message, peer, content)
 
-    def probe_ended(self, form_server: FormServer, outcome: AttemptOutcome, took_us: int) -> None:
-        """A health check has ended, `took_us` microseconds after it began."""
-        self._queue.post(self._decisions.feed, ProbeEnded(form_server.number, outcome, took_us))
+    def probe_ended(self, form_server: FormServer, outcome: AttemptOutcome, latency_us: int) -> None:
+        """A health check has ended, `latency_us` after it began."""
+        self._queue.post(self._decisions.feed, ProbeEnded(form_server.number, outcome, latency_us))
 
     # ------------------------------------------------------------------ calls of operators and the service
 
@@ -267,9 +267,9 @@
         """A planned restart begins: answers go on, the moves are spread, and the process ends in time."""
         self._queue.post(self._shutdown_controller.begin, ShutdownReason.RESTART)
 
-    def configuration_reloaded(self, taken: bool) -> None:
+    def configuration_reloaded(self, is_usable: bool) -> None:
         """A new configuration was taken over, or was not usable."""
-        self._queue.post(self.counters.on_configuration_reloaded, taken)
+        self._queue.post(self.counters.on_configuration_reloaded, is_usable)
 
     def read_metrics(self, reply: Reply[MetricsSnapshot]) -> None:
         """Replies with the counters and gauges."""
@@ -279,9 +279,9 @@
         """Replies whether this node accepts clients, and not only answers them."""
         self._queue.post(lambda: reply(not self.shutdown and len(self._backends) > 0))
 
-    def set_operator_override(self, name: str, out: bool, reply: Reply[bool]) -> None:
+    def set_operator_override(self, name: str, is_excluded: bool, reply: Reply[bool]) -> None:
         """Excludes a form server, or puts it back; replies False where none of that name is known."""
-        self._queue.post(lambda: reply(self._operator.set_override(name, out)))
+        self._queue.post(lambda: reply(self._operator.set_override(name, is_excluded)))
 
     def list_operator_overrides(self, reply: Reply[frozenset[str]]) -> None:
         """Replies with the names of the form servers that operators have excluded."""
@@ -296,9 +296,9 @@
         """Whether whoever spreads the clients over the nodes should count on this one."""
         return ShutdownReason.DRAIN not in self.shutdown
 
-    def set_draining(self, on: bool, reply: Reply[bool]) -> None:
+    def set_draining(self, is_draining: bool, reply: Reply[bool]) -> None:
         """Sends all clients away, and accepts none until that is ended; replies True."""
-        self._queue.post(lambda: reply(self._operator.set_draining(on)))
+        self._queue.post(lambda: reply(self._operator.set_draining(is_draining)))
 
     # ------------------------------------------------------------------ calls for the nodes of a fleet
 
@@ -310,11 +310,11 @@
         """Replies with the form servers that this node has ejected itself."""
         self._queue.post(lambda: reply(self._report_outliers()))
 
-    def receive_peer_outliers(self, out: dict[str, int], setup_us: int) -> None:
+    def receive_peer_outliers(self, ejected_for_us: dict[str, int], mean_setup_us: int) -> None:
         """Takes the form servers by name that enough others have ejected, with for how much longer in
         microseconds, and what a set-up usually takes them.
         """
-        self._queue.post(self._receive_peer_outliers, out, setup_us)
+        self._queue.post(self._receive_peer_outliers, ejected_for_us, mean_setup_us)
 
     # ------------------------------------------------------------------ calls between two processes
 
@@ -327,9 +327,9 @@
     def on_operator_command(self, mirror: Callable[[str, object], None]) -> None:
         self._operator.mirror = mirror
 
-    def mirror_operator_command(self, kind: str, content: object) -> None:
+    def mirror_operator_command(self, command: str, content: object) -> None:
         """Carries out what the other process was commanded, as it stated it to `on_operator_command`."""
-        self._queue.post(self._operator.apply_mirrored, kind, content)
+        self._queue.post(self._operator.apply_mirrored, command, content)
 
     def snapshot_state(self, reply: Reply[NodeSnapshot]) -> None:
         """Replies with the state for a successor, to which the slow-start allowance then belongs."""
@@ -349,9 +349,9 @@
         """Takes over a session that was established by the predecessor."""
         self._queue.post(self._sessions.adopt, session, placement)
 
-    def update_predecessor_load(self, held: ProcessLoad | None) -> None:
+    def update_predecessor_load(self, load: ProcessLoad | None) -> None:
         """The load of the sessions that the predecessor still serves; None: it has ended."""
-        self._queue.post(self._fleet_load.set_predecessor_load, held)
+        self._queue.post(self._fleet_load.set_predecessor_load, load)
 
     # ------------------------------------------------------------------ what the calls do in the event loop
 
--- a/sailrun/node/form_server_supervisor.py
+++ b/sailrun/node/form_server_supervisor.py
@@ -51,28 +51,28 @@
 
     def _report_latency(self, number: int, monitor: FormServerMonitor) -> None:
         was_slow = monitor.latency.is_slow
-        value_ms = monitor.poll_latency_report(self._turn.now_us, self._latency_threshold_us)
-        if value_ms is None:
+        latency_ms = monitor.poll_latency_report(self._turn.now_us, self._latency_threshold_us)
+        if latency_ms is None:
             return
         is_slow = monitor.latency.is_slow
         if is_slow is not was_slow:
-            self._log_latency(number, is_slow, value_ms)
+            self._log_latency(number, is_slow, latency_ms)
         # A notice names a session: any that has a placement stands for the form server.
         session = next((s for s in monitor.sessions.values() if s.placement is not None), None)
         if session is not None and session.placement is not None:
             attempt = session.placement.attempt
-            self._decisions.feed(AttemptNotice(session.id, attempt, number, NoticeKind.DELAY, value_ms))
+            self._decisions.feed(AttemptNotice(session.id, attempt, number, NoticeKind.DELAY, latency_ms))
 
-    def on_latency_reported(self, session: FormSession, value_ms: float) -> None:
+    def on_latency_reported(self, session: FormSession, latency_ms: float) -> None:
         """The session's form server has reported the latency of messages there."""
         if session.placement is None or not session.is_established:
             return
         number, attempt = session.placement.form_server.number, session.placement.attempt
-        is_slow = value_ms * 1000 > self._latency_threshold_us
+        is_slow = latency_ms * 1000 > self._latency_threshold_us
         if self._monitors.monitor_of(number).latency.on_reported(self._turn.now_us, is_slow):
-            self._log_latency(number, is_slow, value_ms)
-        self._decisions.feed(AttemptNotice(session.id, attempt, number, NoticeKind.DELAY, value_ms))
+            self._log_latency(number, is_slow, latency_ms)
+        self._decisions.feed(AttemptNotice(session.id, attempt, number, NoticeKind.DELAY, latency_ms))
 
-    def _log_latency(self, number: int, is_slow: bool, value_ms: float) -> None:
+    def _log_latency(self, number: int, is_slow: bool, latency_ms: float) -> None:
         event = "slow" if is_slow else "quick-again"
-        self._log(event, server=self._backends.name_of(number), ms=round(value_ms, 1))
+        self._log(event, server=self._backends.name_of(number), ms=round(latency_ms, 1))
--- a/sailrun/node/ports.py
+++ b/sailrun/node/ports.py
@@ -28,7 +28,7 @@
 class PeerTransport(Protocol):
     """Datagrams to the other nodes of the fleet, which may be lost."""
 
-    def send(self, neighbour: int | None, content: bytes) -> None:
+    def send(self, peer: int | None, content: bytes) -> None:
         """Sends to the node of this index, or to all others where it is None."""
         ...
 
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -69,7 +69,7 @@
             passed = self._lasting.passed(config.known, clock.now_us(), drains)
         # A predecessor's list is newer than the platform's, and its watch can be gone on with.
         known = passed.server_list if passed is not None and passed.server_list.form_servers else config.known
-        self.node = Node(config.settings, config.seed, clock, known, passed=passed)
+        self.node = Node(config.settings, config.seed, clock, known, predecessor=passed)
         self._revision = known.revision
         descriptors = descriptors_allowed(config.descriptors)
         self._client_front = ClientFront(self.node, config.groups, descriptors)
