--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", "DELETED"])
-def test_a_form_server_that_leaves_while_it_is_dialled_gets_no_request(
+def test_a_form_server_that_drains_or_goes_while_connecting_receives_no_request(
     tmp_path: Path, far: Unreached, near: FormServer, phase: str
 ) -> None:
     roster = Roster([far.entry(), near.entry()])
@@ -139,7 +139,7 @@
     roster.stop()
 
 
-def test_a_repeat_that_is_dialled_for_longer_than_repeats_are_dropped_is_not_sent(
+def test_a_retry_that_connects_for_longer_than_the_idempotency_window_is_not_sent(
     tmp_path: Path, far: Unreached, near: FormServer
 ) -> None:
     near.answer = "ERR"  # it may have run there
@@ -156,7 +156,7 @@
     roster.stop()
 
 
-def test_a_household_that_leaves_as_the_dial_succeeds_is_not_sent_on(
+def test_a_request_whose_household_leaves_as_the_connection_opens_is_not_forwarded(
     tmp_path: Path, far: Unreached, near: FormServer
 ) -> None:
     roster = Roster([far.entry(), near.entry()])
@@ -206,9 +206,7 @@
     roster.stop()
 
 
-def test_whoever_rests_when_the_node_ends_is_told_that_nothing_came_of_it(
-    tmp_path: Path, near: FormServer
-) -> None:
+def test_idle_connections_are_answered_busy_when_the_node_ends(tmp_path: Path, near: FormServer) -> None:
     roster = Roster([near.entry()])
     services = [{**service, "deadlineUs": 1_200_000} for service in SETTINGS["services"]]
     with node(tmp_path, roster, settings={**SETTINGS, "services": services}) as running:
@@ -249,12 +247,12 @@
     anyio.run(connect_twice)
 
 
-def test_a_descriptor_is_kept_back_for_the_list() -> None:
+def test_a_descriptor_is_reserved_for_discovery() -> None:
     run = "from tests.test_crossings import connect_with_no_descriptor_left as run; run()"
     subprocess.run([sys.executable, "-c", run], cwd=Path(__file__).parent.parent, check=True)
 
 
-def test_a_deaf_connection_is_ended_in_time_whenever_it_went_deaf() -> None:
+def test_an_unresponsive_connection_is_ended_in_time_whenever_it_stopped_responding() -> None:
     # It returned its last line at 0; the next comes up to 2 s later, and 7 s are allowed from 0.
     monitor = FormServerMonitor()
     deaf, sound = (FormSession(n, "page-load", 0, None) for n in ("deaf", "sound"))  # type: ignore[arg-type]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -55,7 +55,7 @@
         running.logged("ended", "reason=household-left", "server=s-5be2a07c")
 
 
-def test_what_a_message_takes_is_told_in_the_same_line_as_a_load(
+def test_message_latency_is_reported_in_the_same_line_as_a_load(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     told = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], "tellsDelay": True}}
@@ -109,7 +109,7 @@
         assert household.hear() == "UP r1"
 
 
-def test_households_are_moved_before_the_node_leaves(
+def test_households_are_moved_before_the_node_shuts_down(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
@@ -156,7 +156,7 @@
         assert running.ask("late").hear() == "UP r1"
 
 
-def test_a_full_form_server_never_ran_it_and_the_next_one_is_asked(tmp_path: Path) -> None:
+def test_a_rejection_by_a_full_form_server_is_retried_at_the_next_one(tmp_path: Path) -> None:
     busy, other = FormServer("s-00000001", "BUSY"), FormServer("s-00000002", "BUSY")
     roster = Roster([busy.entry(), other.entry()])
     with node(tmp_path, roster) as running:
@@ -170,14 +170,16 @@
 
 
 @pytest.mark.parametrize(("answer", "said"), [("ERR", "ERR"), (None, "ERR")], ids=["error", "silence"])
-def test_what_may_have_run_is_failed_and_never_refused(tmp_path: Path, answer: str | None, said: str) -> None:
+def test_a_request_that_may_have_run_is_failed_and_never_rejected(
+    tmp_path: Path, answer: str | None, said: str
+) -> None:
     server = FormServer("s-00000001", answer)
     with node(tmp_path, Roster([server.entry()])) as running:
         assert running.ask(wait_ms=700).hear() == said
         assert server.openings.qsize() == 1
 
 
-def test_a_session_from_before_the_run_goes_back_to_its_form_server(tmp_path: Path) -> None:
+def test_a_session_from_before_the_start_is_resumed_at_its_form_server(tmp_path: Path) -> None:
     servers = [FormServer(f"s-0000000{n}", f"UP r{n}") for n in range(1, 4)]
     with node(tmp_path, Roster([s.entry() for s in servers])) as running:
         for n in range(1, 4):
@@ -185,7 +187,7 @@
         assert running.ask("4", 40_000, ",at=s-00000009").hear() == "ERR"
 
 
-def test_a_form_server_that_falls_silent_has_its_households_moved(
+def test_households_of_an_unresponsive_form_server_are_moved(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
@@ -215,7 +217,7 @@
         assert [household.hear(), household.hear(), household.hear()] == ["7", "MOVE", ""]
 
 
-def test_households_are_moved_off_a_form_server_that_drains(
+def test_households_are_moved_off_a_draining_form_server(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
