--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -12,7 +12,6 @@
 
 import anyio
 
-from sailrun.decisions import snapshot as recollection
 from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import AttemptOutcome, PeerMessage, ProbeEnded, TimerFired
 from sailrun.decisions.settings import Settings
@@ -380,7 +379,7 @@
             self._decisions.feed(event)
 
     def _snapshot_state(self) -> NodeSnapshot:
-        observed = recollection.learned(self._balancer)
+        observed = self._balancer.snapshot()
         # From now on the successor may send there as well, and neither sees what the other does.
         self._balancer.forfeit_slow_start_allowance(self._turn.now_us)
         is_draining = ShutdownReason.DRAIN in self.shutdown
--- a/sailrun/node/outlier_gossip.py
+++ b/sailrun/node/outlier_gossip.py
@@ -9,7 +9,6 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, replace
 
-from sailrun.decisions import snapshot as recollection
 from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import BackendSnapshot, StateSnapshot
 from sailrun.node.ports import EventLog
@@ -42,7 +41,7 @@
 
     def local_report(self, now_us: int, form_servers: Mapping[int, FormServer]) -> OutlierReport:
         """What this node found out itself; reports of others are not passed on, or they would come back."""
-        observed = recollection.learned(self._balancer)
+        observed = self._balancer.snapshot()
         ejected = {
             form_servers[one.id].name: one.ejected_until_us - now_us
             for one in observed.backends
@@ -63,7 +62,7 @@
         that this node has received anything from lately. `mean_setup_us`: what a set-up takes others; 0: they
         do not know.
         """
-        observed = recollection.learned(self._balancer)
+        observed = self._balancer.snapshot()
         changed = self._apply_ejections(now_us, observed.backends, ejected_for_us, responsive)
         rate = observed.setup_rate
         is_first = mean_setup_us > 0 and rate is not None and not rate.recent_attempts
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -33,7 +33,7 @@
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
 from sailrun.leadership.voter import Voter, abstain_us
-from sailrun.membership.messages import Record, State, eligible
+from sailrun.membership.messages import MemberRecord, MemberState, list_eligible_names
 from sailrun.operator_settings import read_operator, voters_follow
 from sailrun.storage import entries
 
@@ -313,7 +313,7 @@
     """Nodes of other versions, folders and scripts know them."""
     messages = (DrainRequest("w", 5), DrainStatus("w", "queued", "why"))
     assert list(map(msgspec.to_builtins, messages)) == [["walk", "w", 5], ["walking", "w", "queued", "why"]]
-    kept = (entries.Drained("w"), entries.DrainPlan("w", 5, ["a"]))
+    kept = (entries.DrainCompleted("w"), entries.DrainPlan("w", 5, ["a"]))
     assert list(map(msgspec.to_builtins, kept)) == [["walked", "w"], ["planned", "w", 5, ["a"]]]
     # What `sailrun lasting export` calls them.
     assert [entry.__struct_fields__ for entry in kept] == [("walk",), ("walk", "for_us", "names")]
@@ -397,9 +397,9 @@
 
 def test_fleet_tasks_go_to_control_members_where_there_are_any() -> None:
     records = [
-        Record(n, 1, 1, State.ALIVE, "", zone, "", role)
+        MemberRecord(n, 1, 1, MemberState.ALIVE, "", zone, "", role)
         for n, zone, role in (("a", "z0", ""), ("b", "z0", "control"), ("c", "z1", ""), ("d", "z1", "node"))
     ]
-    assert eligible(records) == ["b"]
-    assert eligible([r for r in records if r.zone == "z1"]) == ["c", "d"]
-    assert eligible([]) == []
+    assert list_eligible_names(records) == ["b"]
+    assert list_eligible_names([r for r in records if r.zone == "z1"]) == ["c", "d"]
+    assert list_eligible_names([]) == []
