--- a/sailrun/node/counters.py
+++ b/sailrun/node/counters.py
@@ -9,13 +9,15 @@
 from sailrun.decisions.actions import MoveReason
 
 
-@dataclass(slots=True)
 class ClassCounters:
     """The final answers to one class's requests: connections established, requests rejected and failed."""
 
-    success: int = 0
-    busy: int = 0
-    failure: int = 0
+    __slots__ = ("busy", "failure", "success")
+
+    def __init__(self) -> None:
+        self.success = 0
+        self.busy = 0
+        self.failure = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/sailrun/node/operator_commands.py
+++ b/sailrun/node/operator_commands.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from enum import Enum
 
 from sailrun.decisions.events import ListKind, OperatorOverride
 from sailrun.node.backend_list import BackendList
@@ -15,8 +14,8 @@
 from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
 
 
-class OperatorCommand(Enum):
-    """The commands; the values are those of the messages between two processes that are one node."""
+class OperatorCommand:
+    """The names of the commands, which are those of the messages between two processes that are one node."""
 
     OVERRIDE = "hand"  # content: [name of the form server, whether it is excluded]
     DRAIN = "drain"  # content: whether the node drains
@@ -36,7 +35,7 @@
     ) -> None:
         self._backends, self._plans, self._shutdown = backends, plans, shutdown
         self._decisions, self._rebalancer, self._log = decisions, rebalancer, log
-        # Called with the value of each command that changes something, and its content.
+        # Called with the name of each command that changes something, and its content.
         self.mirror: Callable[[str, object], None] = lambda command, content: None
 
     def is_known(self, name: str) -> bool:
@@ -57,7 +56,7 @@
         self._backends.set_excluded(name, is_excluded)
         self._log("by-hand", server=name, out=is_excluded)
         self._decisions.feed(OperatorOverride(server_number(name), is_excluded))
-        self.mirror(OperatorCommand.OVERRIDE.value, [name, is_excluded])
+        self.mirror(OperatorCommand.OVERRIDE, [name, is_excluded])
         form_server = self._backends.get(server_number(name))
         if form_server is not None:
             effective = self._backends.effective_backend(form_server)
@@ -66,7 +65,7 @@
     def set_draining(self, is_draining: bool) -> bool:
         """Begins or ends a drain of this node; returns True: that never fails."""
         if is_draining is not (ShutdownReason.DRAIN in self._plans):
-            self.mirror(OperatorCommand.DRAIN.value, is_draining)
+            self.mirror(OperatorCommand.DRAIN, is_draining)
         if is_draining:
             self._shutdown.begin(ShutdownReason.DRAIN)
         else:
@@ -76,7 +75,7 @@
     def apply_mirrored(self, command: str, content: object) -> None:
         """Carries out what the other process was commanded; what is not of a known form is ignored."""
         match command, content:
-            case OperatorCommand.OVERRIDE.value, [str(name), bool(is_excluded)]:
+            case OperatorCommand.OVERRIDE, [str(name), bool(is_excluded)]:
                 self.apply_override(name, is_excluded)
-            case OperatorCommand.DRAIN.value, bool(is_draining):
+            case OperatorCommand.DRAIN, bool(is_draining):
                 self.set_draining(is_draining)
--- a/sailrun/node/session_transfer.py
+++ b/sailrun/node/session_transfer.py
@@ -4,13 +4,11 @@
 
 import socket
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from typing import Any
 
 import anyio
 
 
-@dataclass(slots=True, eq=False)
 class SessionTransfer:
     """An established session on its way to the successor: its front's state of it, and its two sockets.
 
@@ -18,10 +16,13 @@
     the successor's alone.
     """
 
-    content: dict[str, Any]  # JSON, written and read by the front alone
-    sockets: tuple[socket.socket, ...]  # the client's, and the form server's
-    settled: anyio.Event = field(default_factory=anyio.Event)
-    is_accepted: bool = False
+    __slots__ = ("content", "is_accepted", "settled", "sockets")
+
+    def __init__(self, content: dict[str, Any], sockets: tuple[socket.socket, ...]) -> None:
+        """`content`: JSON, of the front alone. `sockets`: the client's and the form server's."""
+        self.content, self.sockets = content, sockets
+        self.settled = anyio.Event()
+        self.is_accepted = False
 
     def settle(self, is_accepted: bool) -> None:
         """Sets the outcome; a second call changes nothing."""
--- a/sailrun/node/shutdown.py
+++ b/sailrun/node/shutdown.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 # The process is killed no earlier than the longest deadline, taken as 3 s at most, plus 0.7 s after the
 # signal; a drain is checked after 4 s. New clients come for up to 0.4 s more.
@@ -34,8 +34,7 @@
     SUCCEEDED = "succeeded"
 
 
-@dataclass(frozen=True, slots=True)
-class ShutdownPlan:
+class ShutdownPlan(NamedTuple):
     """The times of one reason, in Unix microseconds."""
 
     moves_begin_us: int
