--- a/tests/test_counts.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""The core's counts, over any order of what fronts may tell it."""
+"""The node's counters, over any order of the calls that fronts may make."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Front:
-    """One household, which counts the answers that it is given."""
+    """One household, which records the answers that it receives."""
 
     def __init__(self, name: str) -> None:
         self.session = FormSession(name, "page-load", BEGIN_US + 60_000_000, self, key=name)
@@ -47,7 +47,7 @@
 
 
 @given(STEPS)
-def test_calls_ended_and_in_flight_add_up_to_those_taken(
+def test_requests_answered_and_in_flight_add_up_to_those_accepted(
     steps: list[tuple[str | AttemptOutcome, int]],
 ) -> None:
     time = Scheduler()
@@ -85,15 +85,15 @@
                 node.attempt_ended(session, placement, step)
         time.run(time.now_us + 10_000)
         node.turn(time.now_us)
-    told: list[MetricsSnapshot] = []
-    node.read_metrics(told.append)
+    snapshots: list[MetricsSnapshot] = []
+    node.read_metrics(snapshots.append)
     node.turn(time.now_us)
-    counted = told[0].classes["page-load"]
+    counted = snapshots[0].classes["page-load"]
     answers = [answer for front in fronts for answer in front.answers]
     assert all(len(front.answers) <= 1 for front in fronts)
     for name in ("success", "busy", "failure"):
         assert getattr(counted, name) == answers.count(name)
     waiting = sum(not front.answers and not front.ended for front in fronts)
     standing = sum(front.session.is_established for front in fronts)
-    assert told[0].inflight == waiting + standing
+    assert snapshots[0].inflight == waiting + standing
     assert len(answers) + left + waiting == len(fronts)
