--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -15,7 +15,7 @@
 from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import AttemptOutcome, PeerMessage, ProbeEnded, TimerFired
 from sailrun.decisions.settings import Settings
-from sailrun.load_gossip.rounds import Rounds
+from sailrun.load_gossip.aggregation_rounds import AggregationRounds
 from sailrun.node.action_dispatcher import ActionDispatcher
 from sailrun.node.backend_list import BackendList
 from sailrun.node.clock import Clock, TurnTime, log
@@ -115,10 +115,10 @@
             turn, sessions, monitors, backends, self._fleet_load, self.counters, log
         )
 
-    def _make_rounds(self, seed: int) -> Rounds | None:
+    def _make_rounds(self, seed: int) -> AggregationRounds | None:
         settings = self.settings
         if settings.peer_messages and settings.instances > 1:
-            return Rounds(settings.index, settings.instances, seed, self._turn.now_us)
+            return AggregationRounds(settings.index, settings.instances, seed, self._turn.now_us)
         return None
 
     # ------------------------------------------------------------------ the event loop
--- a/sailrun/node/fleet_load.py
+++ b/sailrun/node/fleet_load.py
@@ -10,18 +10,17 @@
 
 from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import FleetLoad, LocalLoad
-from sailrun.load_gossip.digest import VERSION
-from sailrun.load_gossip.known import Others
-from sailrun.load_gossip.rounds import AGE_US, Outgoing, Rounds
+from sailrun.load_gossip.aggregation_rounds import RESTATE_INTERVAL_US, AggregationRounds, RoundOutput
+from sailrun.load_gossip.datagram import FORMAT_VERSION
 from sailrun.node.clock import TurnTime
 from sailrun.node.decision_port import DecisionPort
 from sailrun.node.ports import OutgoingPorts
 from sailrun.node.restart_state import ProcessLoad
 from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
 
-GOSSIP_PREFIX = bytes((VERSION,))
+GOSSIP_PREFIX = bytes((FORMAT_VERSION,))
 # The load of the others is restated as it ages; should that fail to come, it is unknown after so long.
-OTHERS_VALID_US = 4 * AGE_US
+OTHERS_VALID_US = 4 * RESTATE_INTERVAL_US
 
 
 class FleetLoadExchange:
@@ -29,7 +28,7 @@
 
     def __init__(
         self,
-        rounds: Rounds | None,
+        rounds: AggregationRounds | None,
         turn: TurnTime,
         balancer: Balancer,
         decisions: DecisionPort,
@@ -40,7 +39,7 @@
         self._rounds, self._turn, self._balancer, self._decisions = rounds, turn, balancer, decisions
         self._plans, self._ports = plans, ports
         self._nodes_heard_from = 0  # that the last sum spoke for
-        self._others: Others | None = None  # of the other nodes, for as long as it is known
+        self._others: FleetLoad | None = None  # of the other nodes, for as long as it is known
         self._others_until_us = turn.now_us
         self._predecessor: ProcessLoad | None = None
 
@@ -54,13 +53,13 @@
         """Sends what the rounds have to send, if their time has come."""
         due_us = self.due_us()
         if self._rounds is not None and due_us is not None and self._turn.now_us >= due_us:
-            self._carry_out(*self._rounds.turn(self._turn.now_us, self._node_load()))
+            self._carry_out(self._rounds.tick(self._turn.now_us, self._node_load()))
 
     def receive(self, peer: int, content: bytes) -> bool:
         """Takes a datagram of another node, and answers it; False if it is not of the load gossip."""
         if self._rounds is None or content[:1] != GOSSIP_PREFIX:
             return False
-        self._carry_out(*self._rounds.heard(self._turn.now_us, peer, content, self._node_load()))
+        self._carry_out(self._rounds.receive(self._turn.now_us, peer, content, self._node_load()))
         return True
 
     def set_predecessor_load(self, load: ProcessLoad | None) -> None:
@@ -75,14 +74,15 @@
 
     def describe(self) -> str | None:
         """For the status line: nodes that the last sum spoke for, and messages refused."""
-        return f"{self._nodes_heard_from}/{self._rounds.refused}" if self._rounds is not None else None
+        return f"{self._nodes_heard_from}/{self._rounds.rejected_count}" if self._rounds is not None else None
 
-    def _carry_out(self, outgoing: list[Outgoing], others: Others | None) -> None:
-        """Sends messages, and notifies the decisions if the load of the others was restated."""
+    def _carry_out(self, output: RoundOutput) -> None:
+        """Sends datagrams, and notifies the decisions if the load of the others was restated."""
+        others = output.fleet_load
         if others is not None:
-            self._nodes_heard_from = others.nodes
+            self._nodes_heard_from = others.instances
             self._others, self._others_until_us = others, self._turn.now_us + OTHERS_VALID_US
-        for peer, content in outgoing:
+        for peer, content in output.datagrams:
             if self._ports.peer_transport is not None:
                 self._ports.peer_transport.send(peer, content)
         if others is not None:
@@ -101,13 +101,15 @@
         others, predecessor = self._others, self._predecessor
         if others is None or self._turn.now_us >= self._others_until_us:
             reported = predecessor is not None and predecessor.loads_reported
-            others = Others({}, 0, reported, 1, frozenset())
-        loads, connections, reported = others.loads, others.connections, others.told
+            others = FleetLoad({}, 0, reported, 1, frozenset(), 0)
+        loads, connections, reported = others.loads, others.connections, others.loads_reported
         if predecessor is not None:
-            if predecessor.loads_reported is others.told or not connections:
+            if predecessor.loads_reported is others.loads_reported or not connections:
                 numbers = {*loads, *predecessor.loads}
                 loads = {n: loads.get(n, 0.0) + predecessor.loads.get(n, 0.0) for n in numbers}
                 connections += predecessor.connections
             if not others.connections:
                 reported = predecessor.loads_reported
-        return FleetLoad(loads, connections, reported, others.nodes, others.warned, others.until_us)
+        return FleetLoad(
+            loads, connections, reported, others.instances, others.overloaded, others.fresh_until_us
+        )
