--- a/sailrun/node/fleet_load.py
+++ b/sailrun/node/fleet_load.py
@@ -110,6 +110,4 @@
                 connections += predecessor.connections
             if not others.connections:
                 reported = predecessor.loads_reported
-        return FleetLoad(
-            loads, connections, reported, others.instances, others.overloaded, others.fresh_until_us
-        )
+        return replace(others, loads=loads, connections=connections, loads_reported=reported)
