--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -32,7 +32,7 @@
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
 from sailrun.membership.messages import MemberBody
 from sailrun.membership.settings import MembershipSettings
-from sailrun.replication.messages import ReplicaBody
+from sailrun.replication.messages import ReplicationBody
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.sharding.messages import ShardBody
 
@@ -69,7 +69,7 @@
         return LEASES
     if isinstance(body, ShardBody):
         return SHARDS
-    return COPIES if isinstance(body, ReplicaBody) else OTHER
+    return COPIES if isinstance(body, ReplicationBody) else OTHER
 
 
 @dataclass(slots=True)
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -17,8 +17,8 @@
 from benchmarks.capacity.counting_fleet import LEASES, CountingFleet, NodeCounts
 from benchmarks.capacity.record import Measurement
 from sailrun.leadership.permits import TASK as PERMITS
-from sailrun.replication.messages import Op
-from sailrun.replication.replica import MARKS, Answer, Replica
+from sailrun.replication.messages import MarkRequest
+from sailrun.replication.replica import MARKS_TASK, MarkOutcome, Replica
 
 Figures = dict[str, float]
 PROCESSES = 2
@@ -162,14 +162,14 @@
     return agent.replica
 
 
-def _write(fleet: CountingFleet, name: str, subject: str, answers: list[Answer]) -> None:
-    op = Op("mark", _replica(fleet, name).new_id(), 0, "out", subject, True)
+def _write(fleet: CountingFleet, name: str, subject: str, answers: list[MarkOutcome]) -> None:
+    op = MarkRequest("mark", _replica(fleet, name).new_id(), 0, "out", subject, True)
     node = fleet.nodes[name]
     _replica(fleet, name).mark(fleet.clock_us(node), op, answers.append, 60_000_000)
     fleet._soon(node)
 
 
-def _all_done(fleet: CountingFleet, answers: list[Answer], count: int) -> None:
+def _all_done(fleet: CountingFleet, answers: list[MarkOutcome], count: int) -> None:
     """Waits for the answers. Raises RuntimeError unless all came and every mark is in force."""
     until_s = fleet.now_s() + ANSWERED_S
     while len(answers) < count and fleet.now_s() < until_s:
@@ -199,7 +199,7 @@
     """Marks one after another, and at several rates."""
     fleet = _settled(nodes)
     took: list[float] = []
-    answers: list[Answer] = []
+    answers: list[MarkOutcome] = []
     for n in range(SINGLE):
         _write(fleet, fleet.names[n * 7 % nodes], f"one-{n}", answers)
         took.append(_until_everywhere(fleet, [f"one-{n}"], 60.0, 0.02))
@@ -211,9 +211,9 @@
 def mark_rates(nodes: int, rates: Sequence[int] = (0, *RATES)) -> Figures:
     """Bytes for each mark, at an ordinary node and at the owner of marks, at several marks a second."""
     fleet = _settled(nodes)
-    owner = fleet.owner(MARKS) or fleet.names[0]
+    owner = fleet.owner(MARKS_TASK) or fleet.names[0]
     figures: Figures = {}
-    answers: list[Answer] = []
+    answers: list[MarkOutcome] = []
     for rate in rates:
         fleet.run_for(10.0)
         fleet.forget_counts()
@@ -246,7 +246,7 @@
     """A thousand marks at once, at one node."""
     fleet = _settled(nodes)
     fleet.forget_counts()
-    answers: list[Answer] = []
+    answers: list[MarkOutcome] = []
     began_s = fleet.now_s()
     for n in range(BURST):
         _write(fleet, fleet.names[-1], f"burst-{n:04}", answers)
@@ -265,7 +265,7 @@
     apart = fleet.names[-max(1, nodes // REGIONS) :]
     rest_names = [name for name in fleet.names if name not in apart]
     number = fleet.cut(apart, rest_names)
-    answers: list[Answer] = []
+    answers: list[MarkOutcome] = []
     for n in range(CHANGES_HOUR):
         _write(fleet, rest_names[n * 7 % len(rest_names)], f"cut-{n:04}", answers)
         fleet.run_for(cut_s / CHANGES_HOUR)
--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -20,9 +20,9 @@
 from sailrun.leadership.pace import ASK_US, PaceCoordinator
 from sailrun.load_gossip.digest import LONGEST, Digest, room, write
 from sailrun.load_gossip.rounds import NODE_US, ROUND_US
-from sailrun.replication.records import written
+from sailrun.replication.records import apply_write
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import Store
+from sailrun.replication.store import RecordStore
 from tests.stand_ins import roster_entry
 
 SECOND = 1_000_000
@@ -145,10 +145,10 @@
 
 def _records(records: int) -> dict[str, float]:
     tracemalloc.start()
-    store = Store(ReplicationSettings(enabled=True, records=1_000_000), b"fleet")
+    store = RecordStore(ReplicationSettings(enabled=True, records=1_000_000), b"fleet")
     before = tracemalloc.get_traced_memory()[0]
     for n in range(records):
-        store.put(0, written(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
+        store.put(0, apply_write(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {"memory_mb": (after - before) / 1e6}
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -24,12 +24,12 @@
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.figures import quantile
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.replication.beliefs import Belief, heard
-from sailrun.replication.messages import Op
-from sailrun.replication.records import written
-from sailrun.replication.replica import BELIEF, Answer, Replica
+from sailrun.replication.messages import MarkRequest
+from sailrun.replication.outlier_reports import OutlierReport, combine_outlier_reports
+from sailrun.replication.records import apply_write
+from sailrun.replication.replica import OUTLIER_REPORT, MarkOutcome, Replica
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import Store
+from sailrun.replication.store import RecordStore
 
 SECOND = 1_000_000
 SETTLED_S = 8.0
@@ -67,8 +67,8 @@
     everywhere: list[float] = []
     for n in range(20):
         name, began_s = fleet.names[n], _now_s(fleet)
-        answers: list[Answer] = []
-        op = Op("mark", _part(fleet, name).new_id(), 0, "out", f"s-{n:08x}", True)
+        answers: list[MarkOutcome] = []
+        op = MarkRequest("mark", _part(fleet, name).new_id(), 0, "out", f"s-{n:08x}", True)
         _part(fleet, name).mark(fleet.clock_us(fleet.nodes[name]), op, answers.append)
         fleet._soon(fleet.nodes[name])
         told = False
@@ -88,7 +88,7 @@
         if name not in but:
             store, now_us = _part(fleet, name).store, fleet.clock_us(fleet.nodes[name])
             for n in range(count):
-                store.put(now_us, written(None, ("tides", f"s-{n}", ""), False, "x", (0, n), b"x" * 100))
+                store.put(now_us, apply_write(None, ("tides", f"s-{n}", ""), False, "x", (0, n), b"x" * 100))
 
 
 def _return(nodes: int, back: int, count: int) -> tuple[float, float, int]:
@@ -136,7 +136,7 @@
 def _known(nodes: int) -> tuple[int, float, float]:
     """A form server that two nodes found bad: until half of the others and all of them go by it."""
     fleet = _fleet(nodes, 1)
-    content = msgspec.msgpack.encode(Belief({"s-00000001": 10_000}))
+    content = msgspec.msgpack.encode(OutlierReport({"s-00000001": 10_000}))
     for name in fleet.names[:2]:
         _part(fleet, name).believe(fleet.clock_us(fleet.nodes[name]), content)
     began_s = _now_s(fleet)
@@ -146,8 +146,8 @@
         fleet.run(_now_s(fleet) + 0.05)
         for name in sorted(left):
             part, now_us = _part(fleet, name), fleet.clock_us(fleet.nodes[name])
-            told = ((r, part.store.age_us(now_us, r.key)) for r in part.store.records(BELIEF))
-            if heard(told, set(fleet.names), name, 2)[0]:
+            told = ((r, part.store.age_us(now_us, r.key)) for r in part.store.records(OUTLIER_REPORT))
+            if combine_outlier_reports(told, set(fleet.names), name, 2)[0]:
                 left.discard(name)
                 knows.append(_now_s(fleet) - began_s)
     return nodes, quantile(knows, 0.5), max(knows)
@@ -156,10 +156,10 @@
 def _memory() -> float:
     """Bytes for each record of a mark's size."""
     tracemalloc.start()
-    store = Store(ReplicationSettings(enabled=True), b"fleet")
+    store = RecordStore(ReplicationSettings(enabled=True), b"fleet")
     before = tracemalloc.get_traced_memory()[0]
     for n in range(5000):
-        store.put(0, written(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
+        store.put(0, apply_write(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return (after - before) / 5000
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -32,8 +32,8 @@
 from sailrun.lab.faults.play import FaultDay
 from sailrun.lab.faults.rig import free_address
 from sailrun.lab.figures import quantile
-from sailrun.replication.marks import Mark, pack
-from sailrun.replication.records import mark_of, written
+from sailrun.replication.operator_marks import OperatorMark, encode_mark
+from sailrun.replication.records import apply_write, hash_record
 from sailrun.storage import beliefs
 from sailrun.storage import entries as e
 from sailrun.storage.files import OsFiles
@@ -48,9 +48,9 @@
 
 
 def a_mark(number: int) -> e.Entry:
-    mark = Mark(f"m{number:016x}", True, False, "staff", "a new disk, back tonight", 1.8e9, "n1", [])
-    record = written(None, ("out", f"s-{number:08x}", ""), False, "", (1, number), pack(mark))
-    return e.Held(record, mark_of(record, b"census"))
+    mark = OperatorMark(f"m{number:016x}", True, False, "staff", "a new disk, back tonight", 1.8e9, "n1", [])
+    record = apply_write(None, ("out", f"s-{number:08x}", ""), False, "", (1, number), encode_mark(mark))
+    return e.Held(record, hash_record(record, b"census"))
 
 
 def _folder(path: Path, generation_mb: float = 64.0) -> tuple[WriteAheadLog, Writer]:
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -21,8 +21,8 @@
 
 if TYPE_CHECKING:
     from sailrun.leadership.service import FleetPart
-    from sailrun.replication.replica import Answer
-    from sailrun.replication.service import CopiesPart
+    from sailrun.replication.replica import MarkOutcome
+    from sailrun.replication.service import ReplicationService
 
 SECOND = 1_000_000
 # The kinds of permits, as the fleet names them.
@@ -40,11 +40,13 @@
 PLACE_US = 2_000
 
 
-def _put(copies: CopiesPart, kind: str, subject: str, on: bool, reply: Callable[[Answer], None]) -> None:
+def _put(
+    copies: ReplicationService, kind: str, subject: str, on: bool, reply: Callable[[MarkOutcome], None]
+) -> None:
     copies.mark(kind, subject, on, reply, who="control")
 
 
-def _shown(id_: str, made: Answer | None) -> dict[str, object]:
+def _shown(id_: str, made: MarkOutcome | None) -> dict[str, object]:
     """What became of a mark, for whoever asks; None: nothing yet."""
     if made is None:
         return {"id": id_, "state": "pending", "copies": 0, "of": 0, "why": ""}
@@ -187,14 +189,14 @@
                 return fail("[shards] is off here") if shown is None else answer(shown)
         return answer(await answer_to(partial(fleet.show, words[0])))
 
-    async def _marked(self, fleet: FleetPart, copies: CopiesPart, call: Call) -> bytes:
+    async def _marked(self, fleet: FleetPart, copies: ReplicationService, call: Call) -> bytes:
         """What holds for the fleet wherever it is said."""
         kind, subject = (OUT, call.form_server) if call.form_server else (DRAIN, fleet.agent.name)
         on = call.verb in (Verb.SET_DOWN, Verb.DRAIN_ON)
         why_not = await self._no_subject(fleet, kind, subject, on)
         if why_not:
             return fail(why_not)
-        made: Answer | None = None
+        made: MarkOutcome | None = None
         clock = self._node.clock
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
             made = await answer_to(lambda reply: _put(copies, kind, subject, on, reply))
@@ -238,13 +240,13 @@
         return "" if listed or not on else f"no form server '{subject[:80]}'"
 
     async def _mark(
-        self, copies: CopiesPart, kind: str, subject: str, on: bool, wait: str, who: str, why: str
+        self, copies: ReplicationService, kind: str, subject: str, on: bool, wait: str, who: str, why: str
     ) -> bytes:
-        made: Answer | None = None
+        made: MarkOutcome | None = None
         ids: list[str] = []
         clock = self._node.clock
 
-        def ask(reply: Callable[[Answer], None]) -> None:
+        def ask(reply: Callable[[MarkOutcome], None]) -> None:
             ids.append(copies.mark(kind, subject, on, reply, wait, who, why))
 
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -17,8 +17,8 @@
 from sailrun.membership.messages import State
 from sailrun.membership.settings import MembershipSettings
 from sailrun.membership.swim import Members
-from sailrun.replication.marks import unpack
-from sailrun.replication.messages import Op, Sum
+from sailrun.replication.messages import DigestRequest, MarkRequest
+from sailrun.replication.operator_marks import decode_mark
 from sailrun.replication.replica import Replica
 from sailrun.replication.settings import ReplicationSettings
 
@@ -154,7 +154,7 @@
         coordinator = node.coordinator
         if coordinator is not None:
             for id_ in list(self.made):
-                said = coordinator.asked(self.now_us, name, Op("poll", id_))
+                said = coordinator.asked(self.now_us, name, MarkRequest("poll", id_))
                 if said is not None and said.state == "done" and id_ not in self._told:
                     self._told.add(id_)
                     self.acked.append(id_)
@@ -167,7 +167,9 @@
 
     def _held(self, node: Replica) -> list[str]:
         record = node.store.get(("out", SUBJECT, ""))
-        return [m.id for v in record.versions if (m := unpack(v)) is not None] if record is not None else []
+        return (
+            [m.id for v in record.versions if (m := decode_mark(v)) is not None] if record is not None else []
+        )
 
     def _fenced(self, term: int, id_: str) -> None:
         """Nothing is acknowledged under a term that an open owner of a higher one does not know."""
@@ -200,7 +202,9 @@
             return
         if self.luck.random() < 0.4:
             newest = coordinator.term == self.term  # the lease sees to it that no older one answers
-            said = coordinator.asked(self.now_us, name, Op("look", "", coordinator.term, "out", SUBJECT))
+            said = coordinator.asked(
+                self.now_us, name, MarkRequest("look", "", coordinator.term, "out", SUBJECT)
+            )
             if newest and said is not None and said.state == "done":
                 shown = [i for i in self._held(node) if i in self.made and i not in self._told]
                 self._told.update(shown)
@@ -209,14 +213,14 @@
                     self._note(f"{shown[0]} is shown by {name} under {coordinator.term}")
             return
         id_ = f"w{len(self.made)}"
-        op = Op("mark", id_, coordinator.term, "out", SUBJECT, True)
+        op = MarkRequest("mark", id_, coordinator.term, "out", SUBJECT, True)
         said = coordinator.asked(self.now_us, name, op)
         if said is not None and said.state == "pending":
             self.made[id_] = len(self.made)
             self._note(f"{id_} is made by {name} under {coordinator.term}")
 
     def _send(self, sender: str, to: str, body: object) -> None:
-        if isinstance(body, Sum) or to not in self.nodes:
+        if isinstance(body, DigestRequest) or to not in self.nodes:
             return
         self.mail.append((sender, to, body, self.lives[sender]))
 
--- a/sailrun/lab/faults/killing.py
+++ b/sailrun/lab/faults/killing.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from sailrun.replication.records import written
+from sailrun.replication.records import apply_write
 from sailrun.storage import entries as e
 from sailrun.storage.files import Files, OsFiles
 from sailrun.storage.folder import Folder, Sound, new_identity, read_folder
@@ -37,7 +37,7 @@
     if number % 2:
         return e.Slot("task", number, "n1", 1, number)
     return e.Held(
-        written(None, ("out", f"s-{number:08x}", ""), False, "x", (0, number), b"x" * (number % 50))
+        apply_write(None, ("out", f"s-{number:08x}", ""), False, "x", (0, number), b"x" * (number % 50))
     )
 
 
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -22,9 +22,9 @@
 from sailrun.leadership.permits import Use
 from sailrun.leadership.reader import Reading
 from sailrun.membership.messages import Record, State
-from sailrun.replication.messages import Op
-from sailrun.replication.replica import MARKS, Replica
-from sailrun.replication.state import show_state
+from sailrun.replication.inspection import describe_state
+from sailrun.replication.messages import MarkRequest
+from sailrun.replication.replica import MARKS_TASK, Replica
 from sailrun.storage.folder import Sound, read_folder
 from sailrun.storage.opening import open_folder
 from sailrun.storage.settings import StorageSettings
@@ -431,7 +431,7 @@
         for node in self.nodes.values():
             replica = node.agent.replica if node.agent is not None and not node.stopped else None
             if replica is not None and node.agent is not None and node.agent.members.joined:
-                state = show_state(replica, self.clock_us(node))
+                state = describe_state(replica, self.clock_us(node))
                 behind_s = state["behind"]["s"]
                 self.row(
                     "copy",
@@ -449,11 +449,11 @@
         node = self.nodes[name]
         return node.agent.replica if node.agent is not None and not node.stopped else None
 
-    def _op(self, name: str, what: str, subject: str, on: bool) -> Op:
+    def _op(self, name: str, what: str, subject: str, on: bool) -> MarkRequest:
         agent = self.nodes[name].agent
         assert agent is not None and agent.replica is not None
-        under = agent.leases.of(MARKS).owned
-        return Op(what, agent.replica.new_id(), under, "out", subject, on, "staff", "a test")
+        under = agent.leases.of(MARKS_TASK).owned
+        return MarkRequest(what, agent.replica.new_id(), under, "out", subject, on, "staff", "a test")
 
     def mark(self, name: str, subject: str, on: bool) -> None:
         replica, node = self._replica(name), self.nodes[name]
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -49,7 +49,7 @@
 from sailrun.leadership.voter import Voter
 from sailrun.membership.messages import MemberBody, Record, State
 from sailrun.membership.swim import Members
-from sailrun.replication.replica import MARKS, Replica
+from sailrun.replication.replica import MARKS_TASK, Replica
 from sailrun.sharding.messages import Ballot, ShardBody
 from sailrun.sharding.messages import Post as ShardPost
 from sailrun.storage.messages import Stand, Stood
@@ -273,7 +273,7 @@
         """As the owner of the task, under its term; None: there is no answer."""
         if task == PERMITS:
             return self._permits.answer(now_us, term, asker.name, asker.life, content)
-        if task == MARKS:
+        if task == MARKS_TASK:
             return self.replica.answer(now_us, asker.name, content) if self.replica is not None else None
         answer = self.answers.get(task)
         return answer(now_us, asker.name, content) if answer is not None else None
@@ -325,11 +325,11 @@
         coordinator = replica.coordinator
         if coordinator is not None and coordinator.higher > coordinator.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
-            self.leases.heard_of(MARKS, coordinator.higher, "", now_us)
+            self.leases.heard_of(MARKS_TASK, coordinator.higher, "", now_us)
             self._changes(now_us)
-        outs = self._posts(replica.turn(now_us, self.holder_of(MARKS)))
+        outs = self._posts(replica.turn(now_us, self.holder_of(MARKS_TASK)))
         for op, done in _emptied(replica.questions):
-            outs += self.ask(now_us, MARKS, msgspec.to_builtins(op), done)
+            outs += self.ask(now_us, MARKS_TASK, msgspec.to_builtins(op), done)
         self._change_log.move_from(replica.sync.notes)
         return outs
 
@@ -381,7 +381,7 @@
         self._change_log.owner(change)
         if change.task == PERMITS:
             self._permits.ownership_changed(now_us, change)
-        if change.task == MARKS and self.replica is not None:
+        if change.task == MARKS_TASK and self.replica is not None:
             self.replica.turned(now_us, change.term if change.mine else 0)
             self._change_log.record_hold_anew(change.task)
         self.on_ownership_change(now_us, change)
--- a/sailrun/leadership/backing.py
+++ b/sailrun/leadership/backing.py
@@ -18,7 +18,7 @@
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.voter import Voter
-from sailrun.replication.messages import Kept, Promised, Recovering
+from sailrun.replication.messages import Accepted, Promise, RecoveryReply
 from sailrun.replication.replica import Replica
 from sailrun.storage import entries as e
 from sailrun.storage.folder import uncollected
@@ -28,9 +28,9 @@
 
 Post = tuple[str, msgspec.Struct]
 # What a voter answers and is held to after a restart: sent once what it rests on is on the disk.
-PROMISES = (Grant, Promised, Kept, Recovering, Recalled, Stood)
+PROMISES = (Grant, Promise, Accepted, RecoveryReply, Recalled, Stood)
 # Of these, what a folder without them would be too old for: a majority is told how far it has come, before.
-TOLD = (Grant, Promised, Kept, Recovering)
+TOLD = (Grant, Promise, Accepted, RecoveryReply)
 # Promises that wait for other voters to note them; the oldest make room.
 MOST_UNTOLD = 1000
 
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -11,7 +11,7 @@
 
 from sailrun.leadership.messages import Claim, OwnerBody
 from sailrun.membership.messages import MemberBody, Record
-from sailrun.replication.messages import ReplicaBody
+from sailrun.replication.messages import ReplicationBody
 from sailrun.sharding.messages import ShardBody
 from sailrun.storage.messages import LastingBody
 
@@ -20,7 +20,7 @@
 # What rides along, so that a datagram stays below its limit whatever the names are.
 MOST_NEWS, MOST_CLAIMS = 4, 3
 
-Body = MemberBody | OwnerBody | ReplicaBody | LastingBody | ShardBody
+Body = MemberBody | OwnerBody | ReplicationBody | LastingBody | ShardBody
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
--- a/sailrun/leadership/lasting.py
+++ b/sailrun/leadership/lasting.py
@@ -10,7 +10,7 @@
 from itertools import chain
 
 from sailrun.leadership.voter import Slot, Voter
-from sailrun.replication.journal import Journal
+from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.records import Key, Record
 from sailrun.replication.replica import Replica
 from sailrun.storage import entries as e
@@ -32,7 +32,7 @@
     new_identity: Callable[[], str]
 
 
-class MemberJournal(Journal):
+class MemberJournal(ReplicaJournal):
     """Records the changes of all parts of a member; nothing is recorded until there is a log."""
 
     def __init__(self) -> None:
--- a/sailrun/leadership/ownership.py
+++ b/sailrun/leadership/ownership.py
@@ -10,7 +10,7 @@
 from sailrun.leadership.tallies import Tallies
 from sailrun.membership.messages import eligible
 from sailrun.membership.swim import Members
-from sailrun.replication.replica import MARKS
+from sailrun.replication.replica import MARKS_TASK
 
 SECOND = 1_000_000
 READER = "roster/"  # and the data centre
@@ -50,7 +50,7 @@
         if self._terms.pace:
             tasks[PACE] = best_placed(PACE, names)
         if self._terms.replica.enabled:
-            tasks[MARKS] = best_placed(MARKS, names)
+            tasks[MARKS_TASK] = best_placed(MARKS_TASK, names)
         if self._terms.reader.enabled:
             task = READER + self._zone
             tasks[task] = best_placed(task, eligible([r for r in living if r.zone == self._zone]))
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -31,7 +31,7 @@
 from sailrun.membership.messages import Record, State
 from sailrun.node.clock import log
 from sailrun.node.leaving import Reason
-from sailrun.replication.service import CopiesPart
+from sailrun.replication.service import ReplicationService
 from sailrun.storage.folder import Sound, new_identity
 
 if TYPE_CHECKING:
@@ -102,7 +102,9 @@
         self._drains = False
         if terms.pace:
             self.agent.answers[PACE] = self._lend
-        self.copies = CopiesPart(node, self.agent.replica, self) if self.agent.replica is not None else None
+        self.copies = (
+            ReplicationService(node, self.agent.replica, self) if self.agent.replica is not None else None
+        )
         self._exerciser = self._new_exerciser() if terms.owners.record else None
         self._lasting = lasting
         if lasting is not None:
--- a/sailrun/leadership/shared.py
+++ b/sailrun/leadership/shared.py
@@ -13,7 +13,7 @@
 from sailrun.leadership.reader import Reading
 from sailrun.node.clock import log
 from sailrun.node.session import FormServer, ServerListUpdate
-from sailrun.replication.lists import keep_list, kept_list
+from sailrun.replication.server_lists import read_stored_server_list, store_server_list
 
 if TYPE_CHECKING:
     from sailrun.leadership.carrier import Carrier
@@ -93,7 +93,7 @@
         if self._listed or replica is None:
             return
         # Nobody tells this node a list: the last that the fleet had is better than none.
-        kept = kept_list(replica, self._subject)
+        kept = read_stored_server_list(replica, self._subject)
         if kept is not None:
             update, age_us = kept
             log("list-from-copies", revision=update.revision, age_s=round(age_us(boot_us()) / SECOND, 1))
@@ -108,7 +108,7 @@
         replica, revision = self._agent.replica, self._reading.revision
         if replica is not None and self._reading.owner and revision != self._kept and replica.sync.whole:
             self._kept = revision
-            keep_list(replica, now_us, self._subject, revision, self._reading.members)
+            store_server_list(replica, now_us, self._subject, revision, self._reading.members)
         reads = self._reading.reads(now_us) or self._reading.revision < 0
         if reads is not self._reads:
             self._reads = reads
--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -18,22 +18,22 @@
 import msgspec
 
 from sailrun.leadership.quorum import Voters
-from sailrun.replication.journal import Journal
+from sailrun.replication.anti_entropy import AntiEntropy
+from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.messages import (
-    Higher,
-    Kept,
-    Known,
-    Knows,
-    Level,
+    Accept,
+    Accepted,
+    CatchUp,
+    IncarnationReply,
+    IncarnationRequest,
+    Prepare,
     Promise,
-    Promised,
-    Put,
-    Recover,
-    Recovering,
+    RecoveryReply,
+    RecoveryRequest,
+    TermSuperseded,
 )
 from sailrun.replication.records import covers
-from sailrun.replication.store import GROUP, Store
-from sailrun.replication.sync import Sync
+from sailrun.replication.store import RANGES_PER_GROUP, RecordStore
 
 SECOND = 1_000_000
 ASK_US = 250_000
@@ -48,14 +48,14 @@
 
     number: int
     began_us: int
-    known: dict[str, Known] = field(default_factory=dict)
+    known: dict[str, IncarnationReply] = field(default_factory=dict)
     life: int = 0  # the one it has asked to be written down
-    told: dict[str, Recovering] = field(default_factory=dict)
+    told: dict[str, RecoveryReply] = field(default_factory=dict)
     pulling: set[str] = field(default_factory=set)
     taken: set[str] = field(default_factory=set)  # voters whose copy was taken over whole
 
 
-def consistent(answers: dict[str, tuple[int, dict[str, int]]]) -> set[str]:
+def find_consistent_voters(answers: dict[str, tuple[int, dict[str, int]]]) -> set[str]:
     """Of voters' answers, with the life each was given in and the lives it knew of: those that stand. An
     answer from a life that another of these voters knows to have ended says nothing any more.
     """
@@ -73,14 +73,14 @@
         self,
         name: str,
         voters: Callable[[], Voters],
-        store: Store,
-        sync: Sync,
+        store: RecordStore,
+        sync: AntiEntropy,
         now_us: int,
         off: frozenset[str] = frozenset(),
-        journal: Journal | None = None,
+        journal: ReplicaJournal | None = None,
     ) -> None:
         self._name, self._voters, self._store, self._sync, self._off = name, voters, store, sync, off
-        self._journal = journal or Journal()
+        self._journal = journal or ReplicaJournal()
         self.may_remember = False  # a folder is being compared with what the others know of it
         self.life = 0
         self.lives: dict[str, int] = {}
@@ -128,47 +128,49 @@
 
     def hear(self, now_us: int, sender: str, body: object) -> list[Post]:
         match body:
-            case Promise(term, number, epoch, groups):
+            case Prepare(term, number, epoch, groups):
                 if not self._speaks(epoch):
                     return []
                 if term < self.promised and "fence" not in self._off:
-                    return [(sender, Higher(term, number, self.promised))]
+                    return [(sender, TermSuperseded(term, number, self.promised))]
                 self._promise(term)
                 leaves = self._store.unlike(groups)
-                return [(sender, Promised(term, number, epoch, self.life, dict(self.lives), leaves))]
-            case Put(term, number, epoch, records):
+                return [(sender, Promise(term, number, epoch, self.life, dict(self.lives), leaves))]
+            case Accept(term, number, epoch, records):
                 if not self._speaks(epoch):
                     return self._sync.ask(sender) if epoch > self._sync.epoch else []
                 if term < self.promised and "fence" not in self._off:
-                    return [(sender, Higher(term, number, self.promised))]
+                    return [(sender, TermSuperseded(term, number, self.promised))]
                 self._promise(term)
                 self._sync.take_in(now_us, records, 0)
                 if not all(covers(self._store.get(r.key), [v.dot for v in r.versions]) for r in records):
                     return []  # full, or none of this program's
-                return [(sender, Kept(term, number, self.life, dict(self.lives)))]
-            case Level(term, number, epoch, groups):
+                return [(sender, Accepted(term, number, self.life, dict(self.lives)))]
+            case CatchUp(term, number, epoch, groups):
                 if not self._speaks(epoch):
                     return []
                 if term < self.promised and "fence" not in self._off:
-                    return [(sender, Higher(term, number, self.promised))]
+                    return [(sender, TermSuperseded(term, number, self.promised))]
                 self._promise(term)
                 return self._level(now_us, sender, body, groups)
-            case Knows(number):
-                known = Known(number, self.remembers, self._all_lives(), self.promised, self.may_remember)
+            case IncarnationRequest(number):
+                known = IncarnationReply(
+                    number, self.remembers, self._all_lives(), self.promised, self.may_remember
+                )
                 return [(sender, known)]
-            case Known():
+            case IncarnationReply():
                 return self._is_known(now_us, sender, body)
-            case Recover(number, life, epoch, groups):
+            case RecoveryRequest(number, life, epoch, groups):
                 if not self.remembers or not self._sync.whole:
                     return []
                 if life > self.lives.get(sender, 0):
                     self.lives[sender] = life
                     self._write()
-                told = Recovering(
+                told = RecoveryReply(
                     number, self._sync.epoch, self._all_lives(), self.promised, self._store.unlike(groups)
                 )
                 return [(sender, told)]
-            case Recovering():
+            case RecoveryReply():
                 return self._recovering(now_us, sender, body)
         return []
 
@@ -179,18 +181,20 @@
     def _all_lives(self) -> dict[str, int]:
         return {**self.lives, self._name: max(self.life, self.lives.get(self._name, 0))}
 
-    def _level(self, now_us: int, sender: str, level: Level, groups: list[int]) -> list[Post]:
+    def _level(self, now_us: int, sender: str, level: CatchUp, groups: list[int]) -> list[Post]:
         """Takes over what the owner holds and this voter does not, and says so then."""
         key = (sender, level.number)
         if self._store.groups()[: len(groups)] == groups:
             self._levels[key] = True
         if self._levels.get(key):
-            return [(sender, Kept(level.term, level.number, self.life, dict(self.lives)))]
+            return [(sender, Accepted(level.term, level.number, self.life, dict(self.lives)))]
         if key not in self._levels:
             while len(self._levels) >= 16:
                 del self._levels[next(iter(self._levels))]
             self._levels[key] = False
-            ranges = [n * GROUP + k for n in self._store.unlike(groups) for k in range(GROUP)]
+            ranges = [
+                n * RANGES_PER_GROUP + k for n in self._store.unlike(groups) for k in range(RANGES_PER_GROUP)
+            ]
 
             def done(now_us: int, whole: bool) -> None:
                 if key in self._levels:
@@ -217,12 +221,12 @@
         back, voters = self._recovery, [n for n in self._voters().all() if n != self._name]
         if not back.life:
             self._found(now_us)
-            return [] if self.remembers else [(n, Knows(back.number)) for n in voters]
+            return [] if self.remembers else [(n, IncarnationRequest(back.number)) for n in voters]
         groups = self._store.groups()[: len(self._store.groups()) // 2]
         asked = [n for n in voters if n not in back.taken and n not in back.pulling]
-        return [(n, Recover(back.number, back.life, self._sync.epoch, groups)) for n in asked]
+        return [(n, RecoveryRequest(back.number, back.life, self._sync.epoch, groups)) for n in asked]
 
-    def _is_known(self, now_us: int, sender: str, told: Known) -> list[Post]:
+    def _is_known(self, now_us: int, sender: str, told: IncarnationReply) -> list[Post]:
         back = self._recovery
         if (
             self.remembers
@@ -264,7 +268,7 @@
         self._sync.on_founded()
         self._sync.note("marks-founded", life=self.life, records=len(self._store))
 
-    def _recovering(self, now_us: int, sender: str, told: Recovering) -> list[Post]:
+    def _recovering(self, now_us: int, sender: str, told: RecoveryReply) -> list[Post]:
         back = self._recovery
         known = sender in self._voters().all() and told.number == back.number
         if self.remembers or not back.life or not known or sender in back.taken | back.pulling:
--- a/sailrun/replication/sync.py
+++ b/sailrun/replication/anti_entropy.py
@@ -17,21 +17,30 @@
 
 from sailrun.membership.messages import State
 from sailrun.membership.swim import Members
-from sailrun.replication.journal import Journal
+from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.messages import (
-    Busy,
-    Differs,
-    Fetch,
-    Fetched,
-    Given,
+    DigestReply,
+    DigestRequest,
+    PageRequest,
+    RecordPage,
+    RecordReply,
+    RecordRequest,
     Rumor,
-    Sum,
-    Take,
+    SenderBusy,
+)
+from sailrun.replication.records import (
+    STRONG,
+    Count,
+    InvalidRecordError,
+    Key,
+    Record,
+    covers,
+    estimate_size_bytes,
+    hash_record,
 )
-from sailrun.replication.pulls import Giver, Pull, Taker
-from sailrun.replication.records import STRONG, BadRecord, Count, Key, Record, covers, mark_of, size_of
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import ALL, GROUP, Store, Took
+from sailrun.replication.state_transfer import Transfer, TransferReceiver, TransferSender
+from sailrun.replication.store import RANGE_COUNT, RANGES_PER_GROUP, PutResult, RecordStore
 
 SECOND = 1_000_000
 Post = tuple[str, msgspec.Struct]
@@ -52,21 +61,21 @@
 # A record that was spoilt here, and that nobody has told again within this, was nowhere else.
 LOST_US = 10 * SECOND
 SCRUB_US = SECOND
-FORGOTTEN: Key = ("fleet", "forgotten", "")
-Items = list[tuple[Key, str, Count]]
+EPOCH_RECORD_KEY: Key = ("fleet", "forgotten", "")
+DeletedVersions = list[tuple[Key, str, Count]]
 # So much of what was forgotten is remembered of words that nodes said on their own.
 MOST_WEAK = 5000
 
 
-class Forgetting(msgspec.Struct, array_like=True, frozen=True):
+class EpochRecord(msgspec.Struct, array_like=True, frozen=True):
     """The content of the record of the latest epoch: what was forgotten with it. `weak`: with this epoch and
     those before, up to which count of a node's own words of a record went with it, so that who returns with
     other words of its own can tell them from these.
     """
 
     epoch: int
-    items: Items
-    weak: Items = []
+    items: DeletedVersions
+    weak: DeletedVersions = []
 
 
 @dataclass(slots=True)
@@ -80,11 +89,11 @@
     tries: int = 1
 
 
-class Sync:
+class AntiEntropy:
     def __init__(
         self,
         name: str,
-        store: Store,
+        store: RecordStore,
         terms: ReplicationSettings,
         members: Members,
         voters: Callable[[], list[str]],
@@ -92,9 +101,9 @@
         seed: int,
         now_us: int,
         off: frozenset[str] = frozenset(),
-        journal: Journal | None = None,
+        journal: ReplicaJournal | None = None,
     ) -> None:
-        self._journal = journal or Journal()
+        self._journal = journal or ReplicaJournal()
         self._name, self.store, self.terms, self._members = name, store, terms, members
         self._voters, self._majority, self._off = voters, majority, off
         self._luck = random.Random(seed)
@@ -102,8 +111,8 @@
         self.epoch = 0
         self.whole = False
         self.notes: list[tuple[str, dict[str, object]]] = []  # for the log; emptied by whoever drives this
-        self.taker = Taker(terms, self.next_number)
-        self.giver = Giver(terms)
+        self.taker = TransferReceiver(terms, self.next_number)
+        self.giver = TransferSender(terms)
         # The copy was thrown away; told whether others counted on what it held.
         self.on_thrown: Callable[[int, bool], None] = lambda now_us, counted: None
         self.on_lost: Callable[[Key], None] = lambda key: None  # nobody had the record
@@ -114,7 +123,7 @@
         self.lost: dict[Key, int] = {}  # records whose bytes were spoilt, to be had again by a time
         self._sums: dict[int, str] = {}  # sums that were sent, and to whom
         self._answered: dict[str, int] = {}  # who has no whole copy either, as it said at that time
-        self._left = set(range(ALL))  # ranges that are still to be copied
+        self._left = set(range(RANGE_COUNT))  # ranges that are still to be copied
         self._assigned: dict[int, str] = {}  # of them, which are being taken from whom
         self._places: dict[int, Key] = {}  # of them, how far one has come
         self._away: dict[str, int] = {}  # givers not to be asked before
@@ -142,7 +151,7 @@
 
     def changed(self, record: Record, told: int = 0) -> None:
         """A record became known here: it is told on."""
-        if size_of(record) <= RUMOR_BYTES:
+        if estimate_size_bytes(record) <= RUMOR_BYTES:
             self._hot[record.key] = told
             self._hot.move_to_end(record.key, last=False)
 
@@ -153,10 +162,10 @@
         for record in records:
             try:
                 took = self.store.put(now_us, record)
-            except BadRecord as error:
+            except InvalidRecordError as error:
                 self.note("bad-record", why=str(error))
                 return False
-            if took is Took.NEW:
+            if took is PutResult.NEW:
                 if record.key in self.lost:
                     del self.lost[record.key]
                     self.mended += 1
@@ -165,9 +174,9 @@
                     known = self.store.get(record.key)
                     if known is not None:
                         self.changed(known, tell)
-            elif took is Took.DIFFERS:
+            elif took is PutResult.DIFFERS:
                 self.dispute(now_us, record.key)
-            elif took is Took.FULL and not self._told_full:
+            elif took is PutResult.FULL and not self._told_full:
                 self._told_full = True
                 self.note("replica-full", records=len(self.store), bytes=self.store.bytes)
         return True
@@ -181,22 +190,22 @@
                     self.take_in(now_us, records, 0)
                 elif epoch > self.epoch:
                     return self.ask(sender)
-            case Sum():
+            case DigestRequest():
                 return self._summed(now_us, sender, body)
-            case Differs():
+            case DigestReply():
                 return self._compared(now_us, sender, body)
-            case Take():
+            case PageRequest():
                 if not self._same_epoch(body.epoch):
                     return self.ask(sender)
                 return [(sender, self.giver.asked(now_us, sender, body, self.store, self.whole))]
-            case Given(number):
+            case RecordPage(number):
                 pull = self.taker.of(sender, number)
                 if pull is not None and self._same_epoch(body.epoch):
                     # What was taken in to catch up others have; what differed may be new to some.
                     tell = TELLS if not self.whole else TELLS - 1
                     if self.take_in(now_us, body.records, tell):
                         self.taker.came(now_us, pull, body)
-            case Busy(number, wait_us):
+            case SenderBusy(number, wait_us):
                 pull = self.taker.of(sender, number)
                 if pull is not None:
                     self._away[sender] = now_us + wait_us
@@ -204,9 +213,9 @@
                         pull.next_us, pull.tries = now_us + wait_us, 0
                     else:
                         self.taker.end(now_us, pull, False)
-            case Fetch(number, key):
-                return [(sender, Fetched(number, key, self.store.get(key)))]
-            case Fetched(number, key, record):
+            case RecordRequest(number, key):
+                return [(sender, RecordReply(number, key, self.store.get(key)))]
+            case RecordReply(number, key, record):
                 vote = self._votes.get(key)
                 if vote is not None and vote.number == number and sender in self._voters():
                     vote.copies[sender] = record
@@ -222,14 +231,16 @@
         self._sums[number] = name
         while len(self._sums) > 64:
             del self._sums[next(iter(self._sums))]
-        return [(name, Sum(number, self.epoch, self.store.groups(), self.whole))]
+        return [(name, DigestRequest(number, self.epoch, self.store.groups(), self.whole))]
 
-    def _summed(self, now_us: int, sender: str, told: Sum) -> list[Post]:
+    def _summed(self, now_us: int, sender: str, told: DigestRequest) -> list[Post]:
         leaves = self.store.unlike(told.groups)
-        records = self.store.counts(r for n in leaves for r in range(n * GROUP, (n + 1) * GROUP))
-        forgotten = self.store.get(FORGOTTEN) if told.epoch < self.epoch else None
+        records = self.store.counts(
+            r for n in leaves for r in range(n * RANGES_PER_GROUP, (n + 1) * RANGES_PER_GROUP)
+        )
+        forgotten = self.store.get(EPOCH_RECORD_KEY) if told.epoch < self.epoch else None
         posts: list[Post] = [
-            (sender, Differs(told.number, self.epoch, leaves, records, self.whole, forgotten))
+            (sender, DigestReply(told.number, self.epoch, leaves, records, self.whole, forgotten))
         ]
         if told.epoch > self.epoch:
             posts += self.ask(sender)
@@ -237,7 +248,7 @@
             self._next.append(sender)
         return posts
 
-    def _compared(self, now_us: int, sender: str, told: Differs) -> list[Post]:
+    def _compared(self, now_us: int, sender: str, told: DigestReply) -> list[Post]:
         if self._sums.pop(told.number, None) != sender:
             return []
         if "forget" in self._off:
@@ -279,12 +290,12 @@
         self._hot.clear()
         self._votes.clear()
         self._sums.clear()  # answers under way are about the copy that is no more
-        self._left, self._assigned, self._places = set(range(ALL)), {}, {}
+        self._left, self._assigned, self._places = set(range(RANGE_COUNT)), {}, {}
         self._answered.clear()
         self._journal.copy(epoch, False, cleared=True)
         self.on_thrown(now_us, spoilt)
 
-    def _copy_from(self, now_us: int, giver: str, told: Differs, ranges: list[int]) -> None:
+    def _copy_from(self, now_us: int, giver: str, told: DigestReply, ranges: list[int]) -> None:
         if not told.whole:
             self._answered[giver] = now_us
             if ranges and not self.taker.from_giver(giver):
@@ -293,7 +304,7 @@
             return
         self._answered.pop(giver, None)
         self.missing = told.records
-        self._left -= set(range(ALL)) - set(ranges) - self._assigned.keys()
+        self._left -= set(range(RANGE_COUNT)) - set(ranges) - self._assigned.keys()
         if not self._left:
             self._have_copied(now_us)
             return
@@ -326,7 +337,7 @@
                 self._have_copied(now_us)
 
         self.taker.begin(now_us, giver, ranges, done, after=after)
-        pull: Pull = self.taker.pulls[-1]
+        pull: Transfer = self.taker.pulls[-1]
 
     def _have_copied(self, now_us: int) -> None:
         self.whole = True
@@ -334,7 +345,7 @@
         self.note("copy-whole", records=len(self.store), epoch=self.epoch, pieces=self.taker.pieces)
         self.missing = 0
         attic, self._attic = self._attic, []
-        known = self.store.get(FORGOTTEN)
+        known = self.store.get(EPOCH_RECORD_KEY)
         gone = {(key, actor): count for key, actor, count in _forgetting(known).weak}
         for record in attic:
             words = [v for v in record.versions if v.count > gone.get((record.key, v.actor), (-1, -1))]
@@ -398,14 +409,14 @@
                 self._hot.pop(key, None)
         self.epoch = told.epoch
         self._journal.copy(self.epoch, True)
-        if self.store.get(FORGOTTEN) != record:
+        if self.store.get(EPOCH_RECORD_KEY) != record:
             self.store.put(now_us, record)
         self.note("forgotten", epoch=self.epoch, records=len(told.items))
         return True
 
-    def weak_of(self, items: Items) -> Items:
+    def weak_of(self, items: DeletedVersions) -> DeletedVersions:
         """What the next epoch has to remember of nodes' own words that went with these."""
-        found = {(k, a): c for k, a, c in _forgetting(self.store.get(FORGOTTEN)).weak}
+        found = {(k, a): c for k, a, c in _forgetting(self.store.get(EPOCH_RECORD_KEY)).weak}
         for key, _, _ in items:
             record = self.store.get(key)
             for actor, count in record.seen.items() if record is not None else ():
@@ -414,7 +425,7 @@
                     found[key, actor] = count
         return [(k, a, c) for (k, a), c in found.items()][-MOST_WEAK:]
 
-    def knows_all(self, items: Items) -> bool:
+    def knows_all(self, items: DeletedVersions) -> bool:
         return self.whole and all(covers(self.store.get(key), [(a, c)]) for key, a, c in items)
 
     # ------------------------------------------------------------------ copies that differ without a reason
@@ -459,20 +470,20 @@
             vote.copies.clear()
             if self._name in self._voters():
                 vote.copies[self._name] = self.store.get(vote.key)
-            posts += [(name, Fetch(vote.number, vote.key)) for name in voters]
+            posts += [(name, RecordRequest(vote.number, vote.key)) for name in voters]
         return posts
 
     def _count(self, now_us: int, vote: _Vote) -> None:
         by_mark: dict[int, list[str]] = {}
         for name, record in vote.copies.items():
             if record is not None:
-                by_mark.setdefault(mark_of(record, b""), []).append(name)
+                by_mark.setdefault(hash_record(record, b""), []).append(name)
         for names in by_mark.values():
             if self._majority(set(names)):
                 right = vote.copies[names[0]]
                 assert right is not None
                 mine = self.store.get(vote.key)
-                if mine is None or mark_of(mine, b"") != mark_of(right, b""):
+                if mine is None or hash_record(mine, b"") != hash_record(right, b""):
                     self.store.replace(now_us, right)
                     self.mended += 1
                     self.note("copy-mended", kind=vote.key[0], subject=vote.key[1], voters=",".join(names))
@@ -538,7 +549,7 @@
             if record is None:
                 del self._hot[key]
                 continue
-            size += size_of(record)
+            size += estimate_size_bytes(record)
             if size > RUMOR_BYTES and records:
                 break
             records.append(self.store.told(self._rumor_us, record))
@@ -551,11 +562,11 @@
         return [(name, rumor) for name in names]
 
 
-def _forgetting(record: Record | None) -> Forgetting:
+def _forgetting(record: Record | None) -> EpochRecord:
     try:
-        return msgspec.msgpack.decode(record.versions[-1].content if record else b"", type=Forgetting)
+        return msgspec.msgpack.decode(record.versions[-1].content if record else b"", type=EpochRecord)
     except msgspec.MsgspecError:
-        return Forgetting(0, [])
+        return EpochRecord(0, [])
 
 
 def _own_words(record: Record) -> Record | None:
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -18,12 +18,31 @@
 from sailrun.leadership.quorum import Voters
 from sailrun.membership.messages import State
 from sailrun.membership.swim import Members
-from sailrun.replication.acceptor import consistent
-from sailrun.replication.marks import KINDS, LONGEST_WHY, MOST_IDS, Mark, pack, standing, unpack
-from sailrun.replication.messages import Has, Have, Higher, Kept, Level, Op, Promise, Promised, Put, Said
-from sailrun.replication.records import STRONG, Key, Record, written
-from sailrun.replication.store import GROUP, RANGES
-from sailrun.replication.sync import FORGOTTEN, Forgetting, Items, Sync
+from sailrun.replication.acceptor import find_consistent_voters
+from sailrun.replication.anti_entropy import EPOCH_RECORD_KEY, AntiEntropy, DeletedVersions, EpochRecord
+from sailrun.replication.messages import (
+    Accept,
+    Accepted,
+    CatchUp,
+    DeletionQuery,
+    DeletionReply,
+    MarkReply,
+    MarkRequest,
+    Prepare,
+    Promise,
+    TermSuperseded,
+)
+from sailrun.replication.operator_marks import (
+    MARK_KINDS,
+    MAX_REASON_CHARACTERS,
+    MAX_REQUEST_IDS,
+    OperatorMark,
+    decode_mark,
+    encode_mark,
+    resolve_mark,
+)
+from sailrun.replication.records import STRONG, Key, Record, apply_write
+from sailrun.replication.store import FIRM_RANGE_COUNT, RANGES_PER_GROUP
 
 SECOND = 1_000_000
 Post = tuple[str, msgspec.Struct]
@@ -62,7 +81,7 @@
     waits: bool
 
 
-class MarksCoordinator:
+class MarkCoordinator:
     """Writes, promotes and forgets marks for as long as this node owns them. Made anew at each term."""
 
     def __init__(
@@ -71,7 +90,7 @@
         me: str,
         voters: Callable[[], Voters],
         members: Members,
-        sync: Sync,
+        sync: AntiEntropy,
         limit: Callable[[str], int | None],
         now_us: int,
         off: frozenset[str] = frozenset(),
@@ -93,7 +112,7 @@
         self._forgetting = False  # nothing is written while an epoch ends
         self._asked: dict[str, bool] | None = None  # members that were asked what they know: whether they do
         self._asked_round = 0
-        self._items: Items = []
+        self._items: DeletedVersions = []
 
     @property
     def open(self) -> bool:
@@ -112,12 +131,12 @@
         self._round(
             now_us,
             number,
-            lambda: Promise(self.term, number, self._epoch, self._firm()),
+            lambda: Prepare(self.term, number, self._epoch, self._firm()),
             self._level,
         )
 
     def _firm(self) -> list[int]:
-        return self._store.groups()[: RANGES // GROUP]
+        return self._store.groups()[: FIRM_RANGE_COUNT // RANGES_PER_GROUP]
 
     def _round(
         self, now_us: int, number: int, body: Callable[[], msgspec.Struct], done: Callable[[int], None]
@@ -131,11 +150,13 @@
             return
         self.state = "level"
         number = self._sync.next_number()
-        self._round(now_us, number, lambda: Level(self.term, number, self._epoch, self._firm()), self._opened)
+        self._round(
+            now_us, number, lambda: CatchUp(self.term, number, self._epoch, self._firm()), self._opened
+        )
 
     def _advance(self, now_us: int) -> None:
         self._forgetting = False
-        record = self._store.get(FORGOTTEN)
+        record = self._store.get(EPOCH_RECORD_KEY)
         if record is not None:
             self._sync.advance(now_us, record)
             self._epoch = self._sync.epoch
@@ -149,22 +170,22 @@
 
     def hear(self, now_us: int, sender: str, body: object) -> None:
         match body:
-            case Promised() if body.term == self.term:
+            case Promise() if body.term == self.term:
                 self._promised(now_us, sender, body)
-            case Kept(term, number, life, lives) if term == self.term:
+            case Accepted(term, number, life, lives) if term == self.term:
                 made = self._rounds.get(number)
                 if made is not None:
                     if sender in self._voters().all():
                         self._ack(now_us, made, sender, life, lives)
                     if sender in made.others:
                         made.kept.add(sender)
-            case Higher(term, _, promised) if term == self.term:
+            case TermSuperseded(term, _, promised) if term == self.term:
                 self.higher = max(self.higher, promised)
-            case Has(term, number, yes) if term == self.term:
+            case DeletionReply(term, number, yes) if term == self.term:
                 if self._asked is not None and number == self._asked_round and sender in self._asked:
                     self._asked[sender] = self._asked[sender] or yes
 
-    def _promised(self, now_us: int, sender: str, told: Promised) -> None:
+    def _promised(self, now_us: int, sender: str, told: Promise) -> None:
         made = self._rounds.get(told.number)
         if made is None or sender not in self._voters().all() or sender in made.pulling | made.acks.keys():
             return
@@ -183,53 +204,55 @@
 
     def _ack(self, now_us: int, made: _Round, voter: str, life: int, lives: dict[str, int]) -> None:
         made.acks[voter] = (life, lives)
-        standing = consistent(made.acks) if "lives" not in self._off else set(made.acks)
-        for name in made.acks.keys() - standing:
+        resolve_mark = find_consistent_voters(made.acks) if "lives" not in self._off else set(made.acks)
+        for name in made.acks.keys() - resolve_mark:
             del made.acks[name]  # of a former life: asked again
-        if not made.stands and self._voters().majority(standing):
+        if not made.stands and self._voters().majority(resolve_mark):
             made.stands = True
             made.done(now_us)
 
     # ------------------------------------------------------------------ what is asked of the owner
 
-    def asked(self, now_us: int, sender: str, op: Op) -> Said | None:
+    def asked(self, now_us: int, sender: str, op: MarkRequest) -> MarkReply | None:
         if op.what == "where":
             if not self.open or self._epoch != self._sync.epoch:
                 return None
-            groups = list(self._store.unlike(op.groups[: RANGES // GROUP]))
-            records = self._store.counts(r for n in groups for r in range(n * GROUP, (n + 1) * GROUP))
-            return Said(op.id, "done" if not groups else "behind", self.term, records=records)
+            groups = list(self._store.unlike(op.groups[: FIRM_RANGE_COUNT // RANGES_PER_GROUP]))
+            records = self._store.counts(
+                r for n in groups for r in range(n * RANGES_PER_GROUP, (n + 1) * RANGES_PER_GROUP)
+            )
+            return MarkReply(op.id, "done" if not groups else "behind", self.term, records=records)
         if op.what == "poll" or (op.what == "mark" and op.id in self._writes):
             return self._stands(op)
         if op.under != self.term:
-            return Said(op.id, "other", self.term)
+            return MarkReply(op.id, "other", self.term)
         if not self.open or self._forgetting or self._sync.epoch != self._epoch:
-            return Said(op.id, "opening", self.term)
+            return MarkReply(op.id, "opening", self.term)
         if any(kind == op.kind for kind, _, _ in self._sync.lost):
-            return Said(op.id, "opening", self.term)  # a mark was spoilt here, and is had again
+            return MarkReply(op.id, "opening", self.term)  # a mark was spoilt here, and is had again
         key = (op.kind, op.subject, "")
         if op.what == "look":
             if any(w.key == key and not w.round.stands for w in self._writes.values()):
-                return Said(op.id, "pending", self.term)
+                return MarkReply(op.id, "pending", self.term)
             record = self._store.get(key)
             versions = [(v.content, v.gone) for v in record.versions] if record is not None else []
-            return Said(op.id, "done", self.term, versions=versions)
-        if op.what != "mark" or op.kind not in KINDS:
-            return Said(op.id, "refused", self.term, why=f"no kind {op.kind[:40]}")
+            return MarkReply(op.id, "done", self.term, versions=versions)
+        if op.what != "mark" or op.kind not in MARK_KINDS:
+            return MarkReply(op.id, "refused", self.term, why=f"no kind {op.kind[:40]}")
         return self._mark(now_us, op, key)
 
-    def _mark(self, now_us: int, op: Op, key: Key) -> Said:
+    def _mark(self, now_us: int, op: MarkRequest, key: Key) -> MarkReply:
         record = self._store.get(key)
         ids = self._ids(record)
         if op.id in ids:
             # Done under a former term; a majority held it before this one opened.
-            return Said(
+            return MarkReply(
                 op.id, "done", self.term, len(self._voters().all()) // 2 + 1, len(self._voters().all())
             )
-        if len(ids) >= MOST_IDS and not self._long_ago(now_us):
-            return Said(op.id, "unknown", self.term, why="too much was written there meanwhile")
+        if len(ids) >= MAX_REQUEST_IDS and not self._long_ago(now_us):
+            return MarkReply(op.id, "unknown", self.term, why="too much was written there meanwhile")
         if sum(not w.round.stands for w in self._writes.values()) >= MOST_OPEN:
-            return Said(op.id, "refused", self.term, why=f"{MOST_OPEN} marks are under way")
+            return MarkReply(op.id, "refused", self.term, why=f"{MOST_OPEN} marks are under way")
         waits = op.on and not self._room(op.kind, key)
         made = self._write(now_us, op, key, waits, ids)
         if op.everybody:
@@ -244,7 +267,7 @@
     def _ids(record: Record | None) -> list[str]:
         ids: list[str] = []
         for version in record.versions if record is not None else ():
-            mark = unpack(version)
+            mark = decode_mark(version)
             ids += [i for i in (mark.ids if mark is not None else ()) if i not in ids]
         return ids
 
@@ -252,15 +275,19 @@
         limit = self._limit(kind)
         if limit is None:
             return True
-        now_out = {r.key for r in self._store.records(kind) if standing(r).on}
+        now_out = {r.key for r in self._store.records(kind) if resolve_mark(r).on}
         return key in now_out or len(now_out) < limit
 
-    def _write(self, now_us: int, op: Op, key: Key, waits: bool, ids: list[str]) -> _Write:
+    def _write(self, now_us: int, op: MarkRequest, key: Key, waits: bool, ids: list[str]) -> _Write:
         self._count += 1
-        ids = [*ids, op.id][-MOST_IDS:]
-        mark = Mark(op.id, op.on, waits, op.who[:80], op.why[:LONGEST_WHY], op.at_s, self._me, ids)
+        ids = [*ids, op.id][-MAX_REQUEST_IDS:]
+        mark = OperatorMark(
+            op.id, op.on, waits, op.who[:80], op.why[:MAX_REASON_CHARACTERS], op.at_s, self._me, ids
+        )
         count = (self.term, self._count)
-        record = written(self._store.get(key), key, False, STRONG, count, pack(mark), gone=not op.on)
+        record = apply_write(
+            self._store.get(key), key, False, STRONG, count, encode_mark(mark), gone=not op.on
+        )
         made = self._put(now_us, record, lambda now_us: None)
         while len(self._writes) >= MOST_DONE:
             del self._writes[next(iter(self._writes))]
@@ -270,19 +297,19 @@
     def _put(self, now_us: int, record: Record, done: Callable[[int], None]) -> _Round:
         number, epoch = self._sync.next_number(), self._epoch
         self._sync.take_in(now_us, [record], 0)
-        return self._round(now_us, number, lambda: Put(self.term, number, epoch, [record]), done)
+        return self._round(now_us, number, lambda: Accept(self.term, number, epoch, [record]), done)
 
-    def _stands(self, op: Op) -> Said:
+    def _stands(self, op: MarkRequest) -> MarkReply:
         write = self._writes.get(op.id)
         if write is None:
-            return Said(op.id, "unknown", self.term)
+            return MarkReply(op.id, "unknown", self.term)
         made = write.round
         copies = len({*made.acks, *made.kept, self._me})
         of = len({*self._voters().all(), *made.others, self._me})
         state = ("waits" if write.waits else "done") if made.stands else "pending"
         alive = {n for n in made.others if self._members.lives(n)}
         everybody = bool(made.others) and alive <= made.kept | made.acks.keys()
-        return Said(op.id, state, self.term, copies, of, everybody)
+        return MarkReply(op.id, state, self.term, copies, of, everybody)
 
     # ------------------------------------------------------------------ time
 
@@ -317,17 +344,19 @@
 
     def _promote(self, now_us: int) -> None:
         """Marks that wait come into force in their order, as far as there is room."""
-        for kind in KINDS:
+        for kind in MARK_KINDS:
             waiting = [
                 (version.count, record.key, mark)
                 for record in self._store.records(kind)
                 for version in record.versions
-                if (mark := unpack(version)) is not None and mark.waits and not version.gone
+                if (mark := decode_mark(version)) is not None and mark.waits and not version.gone
             ]
             for _, key, mark in sorted(waiting, key=lambda w: w[0]):
                 if not self._room(kind, key):
                     break
-                op = Op("mark", f"{mark.id}+", self.term, kind, key[1], True, mark.who, mark.why, mark.at_s)
+                op = MarkRequest(
+                    "mark", f"{mark.id}+", self.term, kind, key[1], True, mark.who, mark.why, mark.at_s
+                )
                 if op.id not in self._writes:
                     self._write(now_us, op, key, False, self._ids(self._store.get(key)))
 
@@ -351,13 +380,13 @@
         if all(self._asked.get(name) for name in waited):
             self._end_forgetting(now_us)
             return []
-        have = Have(self.term, self._asked_round, self._epoch, self._items)
+        have = DeletionQuery(self.term, self._asked_round, self._epoch, self._items)
         return [(name, have) for name, yes in self._asked.items() if not yes and name != self._me]
 
-    def _old(self, now_us: int) -> Items:
+    def _old(self, now_us: int) -> DeletedVersions:
         keep_us = int(self._sync.terms.keep_s * SECOND)
-        items: Items = []
-        for kind in KINDS:
+        items: DeletedVersions = []
+        for kind in MARK_KINDS:
             for record in self._store.records(kind):
                 old = self._store.age_us(now_us, record.key) > keep_us
                 if record.gone and old and len(record.versions) == 1 and len(items) < MOST_FORGOTTEN:
@@ -383,14 +412,21 @@
             if self._sync.epoch != self._epoch or not self._sync.knows_all(items):
                 self._forgetting = False
                 return
-            content = msgspec.msgpack.encode(Forgetting(epoch, items, self._sync.weak_of(items)))
+            content = msgspec.msgpack.encode(EpochRecord(epoch, items, self._sync.weak_of(items)))
             self._count += 1
-            record = written(
-                self._store.get(FORGOTTEN), FORGOTTEN, False, STRONG, (self.term, self._count), content
+            record = apply_write(
+                self._store.get(EPOCH_RECORD_KEY),
+                EPOCH_RECORD_KEY,
+                False,
+                STRONG,
+                (self.term, self._count),
+                content,
             )
             # Decided once a majority holds it: whoever owns the marks next finds it there.
             self._put(now_us, record, self._advance)
 
         if not any(not r.stands for r in self._rounds.values()):
             self._forgetting = True
-            self._round(now_us, number, lambda: Level(self.term, number, self._epoch, self._firm()), levelled)
+            self._round(
+                now_us, number, lambda: CatchUp(self.term, number, self._epoch, self._firm()), levelled
+            )
--- a/sailrun/replication/state.py
+++ b/sailrun/replication/inspection.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from sailrun.replication.marks import KINDS, Mark, Standing, standing
+from sailrun.replication.operator_marks import MARK_KINDS, MarkStatus, OperatorMark, resolve_mark
 from sailrun.replication.records import Record
-from sailrun.replication.replica import BELIEF, LIST, Replica
-from sailrun.replication.store import GROUP, RANGES
+from sailrun.replication.replica import OUTLIER_REPORT, SERVER_LIST, Replica
+from sailrun.replication.store import FIRM_RANGE_COUNT, RANGES_PER_GROUP
 
 SECOND = 1_000_000
 
 
-def show_state(replica: Replica, now_us: int, kind: str = "") -> dict[str, Any]:
+def describe_state(replica: Replica, now_us: int, kind: str = "") -> dict[str, Any]:
     """A copy, as `sailrun fleet state --json` has it."""
     records = [_shown(replica, now_us, record) for record in replica.store.records(kind)]
     behind_s = replica.behind_s(now_us)
@@ -39,17 +39,17 @@
 
 
 def _shown(replica: Replica, now_us: int, record: Record) -> dict[str, Any]:
-    if record.kind in KINDS:
-        return _mark(standing(record))
+    if record.kind in MARK_KINDS:
+        return _mark(resolve_mark(record))
     row: dict[str, Any] = {
         "kind": record.kind,
         "subject": record.subject,
         "observer": record.observer or None,
         "age_s": round(replica.store.age_us(now_us, record.key) / SECOND, 3),
     }
-    if record.kind == BELIEF:
+    if record.kind == OUTLIER_REPORT:
         row["content"] = _content(record)
-    elif record.kind == LIST:
+    elif record.kind == SERVER_LIST:
         row["revision"] = record.versions[-1].count[1]
         row["bytes"] = len(record.versions[-1].content)
     return row
@@ -62,7 +62,7 @@
         return None
 
 
-def _mark(mark: Standing) -> dict[str, Any]:
+def _mark(mark: MarkStatus) -> dict[str, Any]:
     return {
         "kind": mark.kind,
         "subject": mark.subject,
@@ -72,7 +72,7 @@
     }
 
 
-def _word(mark: Mark, gone: bool) -> dict[str, Any]:
+def _word(mark: OperatorMark, gone: bool) -> dict[str, Any]:
     return {
         "id": mark.id,
         "on": mark.on and not gone,
@@ -84,7 +84,7 @@
     }
 
 
-def show_ranges(replica: Replica) -> dict[str, Any]:
+def describe_ranges(replica: Replica) -> dict[str, Any]:
     """What tells two copies apart, for `sailrun fleet diff`."""
-    leaves = [d for n in range(RANGES // GROUP) for d in replica.store.leaves(n)]
+    leaves = [d for n in range(FIRM_RANGE_COUNT // RANGES_PER_GROUP) for d in replica.store.leaves(n)]
     return {"epoch": replica.sync.epoch, "ranges": [f"{d:016x}" for d in leaves]}
--- a/sailrun/replication/journal.py
+++ b/sailrun/replication/journal.py
@@ -5,7 +5,7 @@
 from sailrun.replication.records import Key, Record
 
 
-class Journal:
+class ReplicaJournal:
     """Stores nothing; `owners/lasting.py` has a durable one. Each call states how something is from now."""
 
     def record(self, record: Record, mark: int) -> None:
--- a/sailrun/replication/messages.py
+++ b/sailrun/replication/messages.py
@@ -18,7 +18,7 @@
     records: list[Record]
 
 
-class Sum(msgspec.Struct, array_like=True, frozen=True, tag="sum"):
+class DigestRequest(msgspec.Struct, array_like=True, frozen=True, tag="sum"):
     """How is your copy? Mine has these digests, by group."""
 
     number: int
@@ -27,7 +27,7 @@
     whole: bool  # the sender has a whole copy
 
 
-class Differs(msgspec.Struct, array_like=True, frozen=True, tag="differs"):
+class DigestReply(msgspec.Struct, array_like=True, frozen=True, tag="differs"):
     """Mine has other digests in these groups: those of their ranges. `forgotten` is the record of the latest
     epoch, where the asker's is older.
     """
@@ -40,7 +40,7 @@
     forgotten: Record | None = None
 
 
-class Take(msgspec.Struct, array_like=True, frozen=True, tag="take"):
+class PageRequest(msgspec.Struct, array_like=True, frozen=True, tag="take"):
     """Give me the records of these ranges, from after that key of the first one on."""
 
     number: int
@@ -50,32 +50,32 @@
     urgent: bool = False  # a voter's memory or an owner's beginning: not held to the givers' rate
 
 
-class Given(msgspec.Struct, array_like=True, frozen=True, tag="given"):
+class RecordPage(msgspec.Struct, array_like=True, frozen=True, tag="given"):
     number: int
     epoch: int
     records: list[Record]
     after: Key | None  # where the piece ends; None: that was all
 
 
-class Busy(msgspec.Struct, array_like=True, frozen=True, tag="busy"):
+class SenderBusy(msgspec.Struct, array_like=True, frozen=True, tag="busy"):
     number: int
     wait_us: int
 
 
-class Fetch(msgspec.Struct, array_like=True, frozen=True, tag="fetch"):
+class RecordRequest(msgspec.Struct, array_like=True, frozen=True, tag="fetch"):
     """What do you have of this record? Asked of all voters where two copies differ without a reason."""
 
     number: int
     key: Key
 
 
-class Fetched(msgspec.Struct, array_like=True, frozen=True, tag="fetched"):
+class RecordReply(msgspec.Struct, array_like=True, frozen=True, tag="fetched"):
     number: int
     key: Key
     record: Record | None
 
 
-class Promise(msgspec.Struct, array_like=True, frozen=True, tag="promise"):
+class Prepare(msgspec.Struct, array_like=True, frozen=True, tag="promise"):
     """To a voter, by a new owner: take nothing of a lower term any more, and say how your copy is."""
 
     term: int
@@ -84,7 +84,7 @@
     groups: list[int]
 
 
-class Promised(msgspec.Struct, array_like=True, frozen=True, tag="promised"):
+class Promise(msgspec.Struct, array_like=True, frozen=True, tag="promised"):
     """`life` is which of its lives the voter is in, `lives` the latest of each voter that it knows of."""
 
     term: int
@@ -95,7 +95,7 @@
     leaves: dict[int, list[int]]  # of the groups that differ
 
 
-class Put(msgspec.Struct, array_like=True, frozen=True, tag="put"):
+class Accept(msgspec.Struct, array_like=True, frozen=True, tag="put"):
     """Keep these for me."""
 
     term: int
@@ -104,7 +104,7 @@
     records: list[Record]
 
 
-class Level(msgspec.Struct, array_like=True, frozen=True, tag="level"):
+class CatchUp(msgspec.Struct, array_like=True, frozen=True, tag="level"):
     """Say so once you hold everything that I hold."""
 
     term: int
@@ -113,7 +113,7 @@
     groups: list[int]
 
 
-class Kept(msgspec.Struct, array_like=True, frozen=True, tag="kept"):
+class Accepted(msgspec.Struct, array_like=True, frozen=True, tag="kept"):
     """The answer to `Put` and `Level`. Of a member that does not vote, `life` is 0."""
 
     term: int
@@ -122,7 +122,7 @@
     lives: dict[str, int]
 
 
-class Higher(msgspec.Struct, array_like=True, frozen=True, tag="higher"):
+class TermSuperseded(msgspec.Struct, array_like=True, frozen=True, tag="higher"):
     """Your term is over: a higher one was promised."""
 
     term: int
@@ -130,7 +130,7 @@
     promised: int
 
 
-class Have(msgspec.Struct, array_like=True, frozen=True, tag="have"):
+class DeletionQuery(msgspec.Struct, array_like=True, frozen=True, tag="have"):
     """Do you know that all these were taken back?"""
 
     term: int
@@ -139,19 +139,19 @@
     items: list[tuple[Key, str, Count]]
 
 
-class Has(msgspec.Struct, array_like=True, frozen=True, tag="has"):
+class DeletionReply(msgspec.Struct, array_like=True, frozen=True, tag="has"):
     term: int
     number: int
     yes: bool
 
 
-class Knows(msgspec.Struct, array_like=True, frozen=True, tag="knows"):
+class IncarnationRequest(msgspec.Struct, array_like=True, frozen=True, tag="knows"):
     """A voter that has started: which life am I in?"""
 
     number: int
 
 
-class Known(msgspec.Struct, array_like=True, frozen=True, tag="known"):
+class IncarnationReply(msgspec.Struct, array_like=True, frozen=True, tag="known"):
     number: int
     remembers: bool
     lives: dict[str, int]
@@ -159,7 +159,7 @@
     may_remember: bool = False  # its folder is being compared: it will know in a moment
 
 
-class Recover(msgspec.Struct, array_like=True, frozen=True, tag="recover"):
+class RecoveryRequest(msgspec.Struct, array_like=True, frozen=True, tag="recover"):
     """A voter that has started, in this life of its: from now on nothing it said in former ones counts. Say
     what you have promised, and how your copy is.
     """
@@ -170,7 +170,7 @@
     groups: list[int]
 
 
-class Recovering(msgspec.Struct, array_like=True, frozen=True, tag="recovering"):
+class RecoveryReply(msgspec.Struct, array_like=True, frozen=True, tag="recovering"):
     number: int
     epoch: int
     lives: dict[str, int]
@@ -178,31 +178,31 @@
     leaves: dict[int, list[int]]
 
 
-ReplicaBody = (
+ReplicationBody = (
     Rumor
-    | Sum
-    | Differs
-    | Take
-    | Given
-    | Busy
-    | Fetch
-    | Fetched
+    | DigestRequest
+    | DigestReply
+    | PageRequest
+    | RecordPage
+    | SenderBusy
+    | RecordRequest
+    | RecordReply
+    | Prepare
     | Promise
-    | Promised
-    | Put
-    | Level
-    | Kept
-    | Higher
-    | Have
-    | Has
-    | Knows
-    | Known
-    | Recover
-    | Recovering
+    | Accept
+    | CatchUp
+    | Accepted
+    | TermSuperseded
+    | DeletionQuery
+    | DeletionReply
+    | IncarnationRequest
+    | IncarnationReply
+    | RecoveryRequest
+    | RecoveryReply
 )
 
 
-class Op(msgspec.Struct, array_like=True, frozen=True):
+class MarkRequest(msgspec.Struct, array_like=True, frozen=True):
     """A question to the owner of the marks. `what`: `mark`, `look`, `poll`, `where`."""
 
     what: str
@@ -218,7 +218,7 @@
     groups: list[int] = []  # `where`: the asker's digests
 
 
-class Said(msgspec.Struct, array_like=True, frozen=True):
+class MarkReply(msgspec.Struct, array_like=True, frozen=True):
     """The owner's answer. `state`: `done` and `pending` (with how many copies), `waits` (done, and in force
     once there is room), `refused`, `opening` (nothing was done yet), `other` (nothing was done: `under` is
     the term now), `unknown` (it may have been done under a former term).
--- a/sailrun/replication/marks.py
+++ b/sailrun/replication/operator_marks.py
@@ -8,17 +8,17 @@
 import msgspec
 
 from sailrun.replication.records import Record, Version
-from sailrun.replication.store import Store
+from sailrun.replication.store import RecordStore
 
 OUT, DRAIN = "out", "drain"
 # Kinds that a mark may be of: what they keep out of service is on the safe side wherever copies differ.
-KINDS = (OUT, DRAIN)
+MARK_KINDS = (OUT, DRAIN)
 # Ids of the latest writes of a record, so that none is done twice.
-MOST_IDS = 16
-LONGEST_WHY = 200
+MAX_REQUEST_IDS = 16
+MAX_REASON_CHARACTERS = 200
 
 
-class Mark(msgspec.Struct, array_like=True, frozen=True):
+class OperatorMark(msgspec.Struct, array_like=True, frozen=True):
     """`on`: the subject is out. `waits`: it will be once there is room. `at_s` is the writer's wall clock,
     for staff to read; it decides nothing.
     """
@@ -42,15 +42,15 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Mark)
+_decoder = msgspec.msgpack.Decoder(OperatorMark)
 _begins = msgspec.msgpack.Decoder(_Begins)
 
 
-def pack(mark: Mark) -> bytes:
+def encode_mark(mark: OperatorMark) -> bytes:
     return _encoder.encode(mark)
 
 
-def unpack(version: Version) -> Mark | None:
+def decode_mark(version: Version) -> OperatorMark | None:
     """None: written by a version of the program whose marks this one cannot read."""
     try:
         return _decoder.decode(version.content)
@@ -59,20 +59,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class MarkStatus:
     """What a mark's record comes to."""
 
     kind: str
     subject: str
     on: bool
-    words: tuple[tuple[Mark, bool], ...]  # each with whether it takes the mark back
+    words: tuple[tuple[OperatorMark, bool], ...]  # each with whether it takes the mark back
 
     @property
     def conflict(self) -> bool:
         return len({mark.on and not gone for mark, gone in self.words}) > 1
 
 
-def keeps_out(record: Record) -> bool:
+def is_mark_active(record: Record) -> bool:
     """Whether its subject is out: out on one side and in on the other stays out."""
     for version in record.versions:
         if not version.gone:
@@ -85,17 +85,17 @@
     return False
 
 
-def standing(record: Record) -> Standing:
-    words = tuple((m, v.gone) for v in record.versions if (m := unpack(v)) is not None)
-    return Standing(record.kind, record.subject, keeps_out(record), words)
+def resolve_mark(record: Record) -> MarkStatus:
+    words = tuple((m, v.gone) for v in record.versions if (m := decode_mark(v)) is not None)
+    return MarkStatus(record.kind, record.subject, is_mark_active(record), words)
 
 
-def marks(store: Store) -> Iterator[Standing]:
-    for kind in KINDS:
+def iterate_marks(store: RecordStore) -> Iterator[MarkStatus]:
+    for kind in MARK_KINDS:
         for record in store.records(kind):
-            yield standing(record)
+            yield resolve_mark(record)
 
 
-def in_force(store: Store) -> Iterable[tuple[str, str]]:
+def list_active_marks(store: RecordStore) -> Iterable[tuple[str, str]]:
     """Kind and subject of all that is out of service by a mark."""
-    return (r.key[:2] for kind in KINDS for r in store.records(kind) if keeps_out(r))
+    return (r.key[:2] for kind in MARK_KINDS for r in store.records(kind) if is_mark_active(r))
--- a/sailrun/replication/beliefs.py
+++ b/sailrun/replication/outlier_reports.py
@@ -18,25 +18,25 @@
 SAYS = 3
 
 
-class Belief(msgspec.Struct, array_like=True, frozen=True):
+class OutlierReport(msgspec.Struct, array_like=True, frozen=True):
     """`out`: form servers kept away from, with for how many more ms. `setup_ms`: a set-up's usual time."""
 
     out: dict[str, int]
     setup_ms: int = 0
 
 
-class Voice:
+class OutlierReporter:
     """This node's own belief: when it is worth saying."""
 
     def __init__(self, belief_s: float) -> None:
         self._again_us = int(belief_s * 1_000_000 / SAYS)
-        self._said = Belief({})
+        self._said = OutlierReport({})
         self._said_us = 0
 
     def word(self, now_us: int, out_us: dict[str, int], setup_us: int) -> bytes | None:
         """What to tell now; None: nothing has changed, or nothing is to be told."""
         worst = sorted(out_us.items(), key=lambda pair: -pair[1])[:MOST_TOLD]
-        belief = Belief({name: left // KILO for name, left in worst}, setup_us // KILO)
+        belief = OutlierReport({name: left // KILO for name, left in worst}, setup_us // KILO)
         old = self._said
         same = belief.out.keys() == old.out.keys()
         same = same and abs(belief.setup_ms - old.setup_ms) <= CHANGED * max(1, old.setup_ms)
@@ -47,7 +47,7 @@
         return msgspec.msgpack.encode(belief)
 
 
-def heard(
+def combine_outlier_reports(
     records: Iterable[tuple[Record, int]], living: set[str], me: str, voices: int
 ) -> tuple[dict[str, int], int]:
     """What this node may go by: form servers with for how much longer (us) at least `voices` living others
@@ -60,7 +60,7 @@
         if record.subject == me or record.subject not in living or not record.versions:
             continue
         try:
-            belief = msgspec.msgpack.decode(record.versions[-1].content, type=Belief)
+            belief = msgspec.msgpack.decode(record.versions[-1].content, type=OutlierReport)
         except msgspec.MsgspecError:
             continue  # of another version of the program
         for name, ms in belief.out.items():
--- a/sailrun/replication/records.py
+++ b/sailrun/replication/records.py
@@ -29,7 +29,7 @@
 STRONG = ""
 # Bounds on what is taken from a peer.
 # Each node of a fleet may have said its own word of a record.
-LONGEST_WORD, MOST_VERSIONS, MOST_ACTORS, LONGEST_CONTENT = 200, 1024, 4096, 2 * 1024 * 1024
+MAX_KEY_CHARACTERS, MAX_VERSIONS, MAX_ACTORS, MAX_CONTENT_BYTES = 200, 1024, 4096, 2 * 1024 * 1024
 
 
 class Version(msgspec.Struct, array_like=True, frozen=True):
@@ -65,24 +65,24 @@
         return all(v.gone for v in self.versions)
 
 
-class BadRecord(ValueError):
+class InvalidRecordError(ValueError):
     """No record of this program; says why."""
 
 
-def check(record: Record) -> None:
+def validate_record(record: Record) -> None:
     """Raises BadRecord for one that is out of bounds or contradicts itself."""
-    if any(len(word) > LONGEST_WORD for word in record.key):
-        raise BadRecord("a key that is too long")
-    if not 1 <= len(record.versions) <= MOST_VERSIONS or len(record.seen) > MOST_ACTORS:
-        raise BadRecord(f"{len(record.versions)} versions of {len(record.seen)} actors")
-    if sum(len(v.content) for v in record.versions) > LONGEST_CONTENT:
-        raise BadRecord("too long")
+    if any(len(word) > MAX_KEY_CHARACTERS for word in record.key):
+        raise InvalidRecordError("a key that is too long")
+    if not 1 <= len(record.versions) <= MAX_VERSIONS or len(record.seen) > MAX_ACTORS:
+        raise InvalidRecordError(f"{len(record.versions)} versions of {len(record.seen)} actors")
+    if sum(len(v.content) for v in record.versions) > MAX_CONTENT_BYTES:
+        raise InvalidRecordError("too long")
     dots = {v.dot for v in record.versions}
     if len(dots) != len(record.versions) or any(record.seen.get(a, (-1, -1)) < c for a, c in dots):
-        raise BadRecord("versions that its own context does not know")
+        raise InvalidRecordError("versions that its own context does not know")
 
 
-def merge(one: Record, other: Record) -> Record:
+def merge_records(one: Record, other: Record) -> Record:
     """What both copies of a record know together."""
     theirs = {v.dot: v for v in other.versions}
     mine = {v.dot: v for v in one.versions}
@@ -106,13 +106,13 @@
     return record is not None and not any(_beyond(dot, record.seen) for dot in dots)
 
 
-def differ(one: Record, other: Record) -> bool:
+def contradicts(one: Record, other: Record) -> bool:
     """Whether the same version has another content: one of the two copies was spoilt."""
     mine = {v.dot: v for v in one.versions}
     return any(v.dot in mine and mine[v.dot] != v for v in other.versions)
 
 
-def written(
+def apply_write(
     before: Record | None,
     key: Key,
     soft: bool,
@@ -130,13 +130,13 @@
 _encoder = msgspec.msgpack.Encoder(order="deterministic")
 
 
-def mark_of(record: Record, salt: bytes) -> int:
+def hash_record(record: Record, salt: bytes) -> int:
     """64 bits that two copies of a record share if and, but for chance, only if they are the same."""
     told = (record.key, record.soft, record.versions, record.seen)
     return int.from_bytes(blake2b(_encoder.encode(told), digest_size=8, key=salt).digest(), "big")
 
 
-def size_of(record: Record) -> int:
+def estimate_size_bytes(record: Record) -> int:
     """What a record takes on the wire, about; in memory, some three times as much."""
     size = 40 + len(record.kind) + len(record.subject) + len(record.observer)
     for version in record.versions:
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -16,34 +16,43 @@
 from sailrun.leadership.quorum import Voters
 from sailrun.membership.swim import Members
 from sailrun.replication.acceptor import Acceptor
-from sailrun.replication.coordinator import MarksCoordinator
-from sailrun.replication.journal import Journal
-from sailrun.replication.marks import KINDS, Mark, Standing, in_force, keeps_out, marks, pack, unpack
+from sailrun.replication.anti_entropy import AntiEntropy
+from sailrun.replication.coordinator import MarkCoordinator
+from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.messages import (
-    Fetch,
-    Fetched,
-    Has,
-    Have,
-    Higher,
-    Kept,
-    Known,
-    Knows,
-    Level,
-    Op,
+    Accept,
+    Accepted,
+    CatchUp,
+    DeletionQuery,
+    DeletionReply,
+    IncarnationReply,
+    IncarnationRequest,
+    MarkReply,
+    MarkRequest,
+    Prepare,
     Promise,
-    Promised,
-    Put,
-    Recover,
-    Recovering,
-    Said,
+    RecordReply,
+    RecordRequest,
+    RecoveryReply,
+    RecoveryRequest,
+    TermSuperseded,
 )
-from sailrun.replication.records import Key, Record, written
+from sailrun.replication.operator_marks import (
+    MARK_KINDS,
+    MarkStatus,
+    OperatorMark,
+    decode_mark,
+    encode_mark,
+    is_mark_active,
+    iterate_marks,
+    list_active_marks,
+)
+from sailrun.replication.records import Key, Record, apply_write
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import GROUP, RANGES, Store
-from sailrun.replication.sync import Sync
+from sailrun.replication.store import FIRM_RANGE_COUNT, RANGES_PER_GROUP, RecordStore
 
 SECOND = 1_000_000
-MARKS = "marks"
+MARKS_TASK = "marks"
 Post = tuple[str, msgspec.Struct]
 # A question about a mark is said again so soon; whether this copy is behind is asked so often, and less often
 # in a fleet of more than so many.
@@ -53,13 +62,21 @@
 MOST_WRITES = 1000
 # The latest list is written down so often, where anything is.
 LISTS_US = 10 * SECOND
-BELIEF, LIST = "belief", "list"
-_FOR_ACCEPTOR = (Promise, Put, Level, Knows, Known, Recover, Recovering)
-_FOR_COORDINATOR = (Promised, Kept, Higher, Has)
+OUTLIER_REPORT, SERVER_LIST = "belief", "list"
+_FOR_ACCEPTOR = (
+    Prepare,
+    Accept,
+    CatchUp,
+    IncarnationRequest,
+    IncarnationReply,
+    RecoveryRequest,
+    RecoveryReply,
+)
+_FOR_COORDINATOR = (Promise, Accepted, TermSuperseded, DeletionReply)
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class MarkOutcome:
     """What became of a mark. `state`: `done`, `waits`, `refused`, or `unknown`: it may come into force
     yet.
     """
@@ -74,17 +91,17 @@
 
 @dataclass(slots=True)
 class _Writing:
-    op: Op
-    reply: Callable[[Answer], None]
+    op: MarkRequest
+    reply: Callable[[MarkOutcome], None]
     until_us: int
     next_us: int
-    heard: Said | None = None
+    heard: MarkReply | None = None
 
 
 @dataclass(slots=True)
 class _Looking:
-    op: Op
-    reply: Callable[[list[tuple[Mark, bool]] | None], None]
+    op: MarkRequest
+    reply: Callable[[list[tuple[OperatorMark, bool]] | None], None]
     until_us: int
     next_us: int
 
@@ -103,17 +120,17 @@
         now_us: int,
         off: frozenset[str] = frozenset(),
         record: Callable[..., None] = lambda kind, **facts: None,
-        journal: Journal | None = None,
+        journal: ReplicaJournal | None = None,
     ) -> None:
-        self._journal = journal or Journal()
+        self._journal = journal or ReplicaJournal()
         self._lists: set[Key] = set()  # changed lists, which nobody counts on and which change often
         self._lists_us = now_us
         self.terms, self.name, self._members, self._voters, self._off = terms, name, members, voters, off
         self._limit, self._act = limit, record
         self._luck = random.Random(seed)
-        self.store = Store(terms, fleet.encode(), off)
+        self.store = RecordStore(terms, fleet.encode(), off)
         self.store.on_change = self._on_change
-        self.sync = Sync(
+        self.sync = AntiEntropy(
             name,
             self.store,
             terms,
@@ -126,17 +143,17 @@
             self._journal,
         )
         self.acceptor: Acceptor | None = None
-        self.coordinator: MarksCoordinator | None = None
+        self.coordinator: MarkCoordinator | None = None
         self.use_voters(now_us)
         self.sync.on_thrown = self._thrown
         self.sync.on_founded = lambda: self._act("founded", what="marks")
         self.sync.on_remembered = lambda: self._act("remembered", what="marks")
-        self.sync.on_lost = lambda key: self._touched.add(key) if key[0] in KINDS else None
+        self.sync.on_lost = lambda key: self._touched.add(key) if key[0] in MARK_KINDS else None
         self._actor = f"{name}/{life:x}"
         self._count = 0
         self._beliefs = 0
         # Questions to the owner of the marks, each with who is told the answer; emptied by who drives this.
-        self.questions: list[tuple[Op, Callable[[int, int, Any], None]]] = []
+        self.questions: list[tuple[MarkRequest, Callable[[int, int, Any], None]]] = []
         # What came into force or is so no longer: kind, subject, whether; emptied by who drives this.
         self.uses: list[tuple[str, str, bool]] = []
         self._used: set[tuple[str, str]] = set()
@@ -179,7 +196,7 @@
         """This node owns the marks under that term from now on; 0: it does not any more."""
         self.coordinator = None
         if term:
-            self.coordinator = MarksCoordinator(
+            self.coordinator = MarkCoordinator(
                 term,
                 self.name,
                 self._voters,
@@ -196,31 +213,31 @@
         if isinstance(body, _FOR_ACCEPTOR):
             if self.acceptor is not None:
                 return self.acceptor.hear(now_us, sender, body)
-            if isinstance(body, Put):
+            if isinstance(body, Accept):
                 return self._keep_for(now_us, sender, body)
             return []
         if isinstance(body, _FOR_COORDINATOR):
             if self.coordinator is not None:
                 self.coordinator.hear(now_us, sender, body)
             return []
-        if isinstance(body, Have):
+        if isinstance(body, DeletionQuery):
             same = body.epoch == self.sync.epoch
-            return [(sender, Has(body.term, body.number, same and self.sync.knows_all(body.items)))]
-        if isinstance(body, Fetch | Fetched) and not self.sync.whole:
+            return [(sender, DeletionReply(body.term, body.number, same and self.sync.knows_all(body.items)))]
+        if isinstance(body, RecordRequest | RecordReply) and not self.sync.whole:
             return []
         return self.sync.hear(now_us, sender, body)
 
-    def _keep_for(self, now_us: int, sender: str, put: Put) -> list[Post]:
+    def _keep_for(self, now_us: int, sender: str, put: Accept) -> list[Post]:
         """As a member that does not vote: a copy more."""
         if not self.sync.whole or put.epoch != self.sync.epoch:
             return []
         self.sync.take_in(now_us, put.records, 0)
-        return [(sender, Kept(put.term, put.number, 0, {}))]
+        return [(sender, Accepted(put.term, put.number, 0, {}))]
 
     def answer(self, now_us: int, sender: str, content: Any) -> Any:
         """As the owner of the marks."""
         try:
-            op = msgspec.convert(content, Op)
+            op = msgspec.convert(content, MarkRequest)
         except msgspec.ValidationError:
             return None
         if self.coordinator is None:
@@ -236,44 +253,48 @@
     def mark(
         self,
         now_us: int,
-        op: Op,
-        reply: Callable[[Answer], None],
+        op: MarkRequest,
+        reply: Callable[[MarkOutcome], None],
         for_us: int = MARK_US,
     ) -> None:
         """A mark that a majority is to hold: `reply` is called once, with what became of it."""
         if len(self._writing) >= MOST_WRITES:
-            reply(Answer(op.id, "refused", 0, 0, f"{MOST_WRITES} marks are under way here"))
+            reply(MarkOutcome(op.id, "refused", 0, 0, f"{MOST_WRITES} marks are under way here"))
             return
         self._act("call", id=op.id, what="mark", subject=f"{op.kind}/{op.subject}", on=op.on)
         self._writing[op.id] = _Writing(op, reply, now_us + for_us, now_us)
 
-    def mark_here(self, now_us: int, op: Op) -> Answer:
+    def mark_here(self, now_us: int, op: MarkRequest) -> MarkOutcome:
         """A mark on this node's own word: it spreads, and stays beside others that it had not seen."""
-        if op.kind not in KINDS:
-            return Answer(op.id, "refused", 0, 0, f"no kind {op.kind[:40]}")
+        if op.kind not in MARK_KINDS:
+            return MarkOutcome(op.id, "refused", 0, 0, f"no kind {op.kind[:40]}")
         if self._limit(op.kind) is not None and op.on:
-            return Answer(op.id, "refused", 0, 0, "with permits, a majority has to know of it")
+            return MarkOutcome(op.id, "refused", 0, 0, "with permits, a majority has to know of it")
         key = (op.kind, op.subject, "")
         self._count += 1
-        mark = Mark(op.id, op.on, False, op.who, op.why, op.at_s, self.name, [op.id])
+        mark = OperatorMark(op.id, op.on, False, op.who, op.why, op.at_s, self.name, [op.id])
         before = self.store.get(key)
-        record = written(before, key, False, self._actor, (0, self._count), pack(mark), gone=not op.on)
-        saw = [m.id for v in before.versions if (m := unpack(v)) is not None] if before is not None else []
+        record = apply_write(
+            before, key, False, self._actor, (0, self._count), encode_mark(mark), gone=not op.on
+        )
+        saw = (
+            [m.id for v in before.versions if (m := decode_mark(v)) is not None] if before is not None else []
+        )
         self._act("weak", id=op.id, subject=f"{op.kind}/{op.subject}", on=op.on, saw=",".join(saw) or None)
         self.store.put(now_us, record)
         self.sync.changed(record)
-        return Answer(op.id, "done", 1, len(self._members.names))
+        return MarkOutcome(op.id, "done", 1, len(self._members.names))
 
     def look(
         self,
         now_us: int,
         kind: str,
         subject: str,
-        reply: Callable[[list[tuple[Mark, bool]] | None], None],
+        reply: Callable[[list[tuple[OperatorMark, bool]] | None], None],
         for_us: int = MARK_US,
     ) -> str:
         """What the owner knows of a mark: no older than the question. None: it was not heard in time."""
-        op = Op("look", self.new_id(), 0, kind, subject)
+        op = MarkRequest("look", self.new_id(), 0, kind, subject)
         self._act("call", id=op.id, what="look", subject=f"{kind}/{subject}")
         self._looking[op.id] = _Looking(op, reply, now_us + for_us, now_us)
         return op.id
@@ -282,17 +303,17 @@
         """What this node believes of form servers, for the others."""
         self._beliefs += 1
         count = (self._members.me.incarnation, self._beliefs)
-        record = written(None, (BELIEF, self.name, ""), True, self.name, count, content)
+        record = apply_write(None, (OUTLIER_REPORT, self.name, ""), True, self.name, count, content)
         self.store.put(now_us, record)
         self.sync.changed(record)
 
     def keep_list(self, now_us: int, source: str, revision: int, content: bytes) -> None:
         """The list that the source told under this revision; one that is not newer changes nothing."""
-        key = (LIST, source, "")
+        key = (SERVER_LIST, source, "")
         before = self.store.get(key)
         if before is not None and before.seen.get(source, (0, -1)) >= (0, revision):
             return
-        record = written(before, key, False, source, (0, revision), content)
+        record = apply_write(before, key, False, source, (0, revision), content)
         self.store.put(now_us, record)
         self.sync.changed(record)
 
@@ -333,7 +354,7 @@
         if not self.sync.whole:
             self.lacks = self.sync.missing
             return []
-        firm = self.store.groups()[: RANGES // GROUP]
+        firm = self.store.groups()[: FIRM_RANGE_COUNT // RANGES_PER_GROUP]
 
         def told(now_us: int, sent_us: int, content: Any) -> None:
             said = _said(content)
@@ -343,7 +364,7 @@
                 self.lacks = said.records
                 self._behind_owner = True
 
-        self.questions.append((Op("where", groups=firm), told))
+        self.questions.append((MarkRequest("where", groups=firm), told))
         posts: list[Post] = []
         if self._behind_owner and owner and owner != self.name:
             self._behind_owner = False
@@ -377,14 +398,14 @@
                 self.questions.append((looking.op, self._seen_by(looking)))
 
     @staticmethod
-    def _late(writing: _Writing) -> Answer:
+    def _late(writing: _Writing) -> MarkOutcome:
         said = writing.heard
         if said is not None and said.state in ("done", "waits"):  # all were waited for, and some are missing
             why = f"{said.copies} of {said.of} hold it"
-            return Answer(writing.op.id, said.state, said.copies, said.of, why, said.under)
+            return MarkOutcome(writing.op.id, said.state, said.copies, said.of, why, said.under)
         copies = said.copies if said is not None else 0
         why = "no majority has answered: it may come into force yet"
-        return Answer(writing.op.id, "unknown", copies, said.of if said is not None else 0, why)
+        return MarkOutcome(writing.op.id, "unknown", copies, said.of if said is not None else 0, why)
 
     def _said_of(self, writing: _Writing) -> Callable[[int, int, Any], None]:
         def told(now_us: int, sent_us: int, content: Any) -> None:
@@ -400,18 +421,18 @@
                     if writing.op.everybody and not said.everybody:
                         return
                     self._end_write(
-                        writing, Answer(said.id, said.state, said.copies, said.of, said.why, said.under)
+                        writing, MarkOutcome(said.id, said.state, said.copies, said.of, said.why, said.under)
                     )
                 case "pending":
                     writing.heard = said
                 case "refused" | "unknown":
                     self._end_write(
-                        writing, Answer(said.id, said.state, said.copies, said.of, said.why, said.under)
+                        writing, MarkOutcome(said.id, said.state, said.copies, said.of, said.why, said.under)
                     )
 
         return told
 
-    def _end_write(self, writing: _Writing, answer: Answer) -> None:
+    def _end_write(self, writing: _Writing, answer: MarkOutcome) -> None:
         if self._writing.pop(writing.op.id, None) is not None:
             self._act("answer", id=answer.id, state=answer.state, copies=answer.copies)
             writing.reply(answer)
@@ -434,7 +455,7 @@
 
         return told
 
-    def _end_look(self, looking: _Looking, words: list[tuple[Mark, bool]] | None) -> None:
+    def _end_look(self, looking: _Looking, words: list[tuple[OperatorMark, bool]] | None) -> None:
         if self._looking.pop(looking.op.id, None) is not None:
             ids = ",".join(sorted(m.id for m, gone in words if not gone)) if words is not None else None
             state = "done" if words is not None else "unknown"
@@ -444,9 +465,9 @@
     # ------------------------------------------------------------------ what is in force here
 
     def _on_change(self, record: Record) -> None:
-        if record.kind in KINDS:
+        if record.kind in MARK_KINDS:
             self._touched.add(record.key)
-        if record.kind == LIST:
+        if record.kind == SERVER_LIST:
             self._lists.add(record.key)
         elif not record.soft:
             self._journal.record(record, self.store.mark(record.key))
@@ -469,7 +490,7 @@
         if self._look_over:
             self._look_over = False
             self._touched.clear()
-            now_on = set(in_force(self.store))
+            now_on = set(list_active_marks(self.store))
             now_on |= {k[:2] for k in self.sync.lost if k[:2] in self._used}
             if self.sync.copies and self.level_us < 0:
                 # A copy just taken may be of a giver that is behind: what was out stays out until the owner
@@ -482,7 +503,7 @@
                 if key in self.sync.lost:
                     continue  # its bytes were spoilt: it stays as it is until it is had again
                 record = self.store.get(key)
-                on = record is not None and keeps_out(record)
+                on = record is not None and is_mark_active(record)
                 (now_on.add if on else now_on.discard)(key[:2])
             self._touched.clear()
         else:
@@ -495,19 +516,19 @@
 
     # ------------------------------------------------------------------ what staff see
 
-    def standings(self) -> list[Standing]:
-        return list(marks(self.store))
+    def standings(self) -> list[MarkStatus]:
+        return list(iterate_marks(self.store))
 
 
-def _said(content: Any) -> Said | None:
+def _said(content: Any) -> MarkReply | None:
     try:
-        return msgspec.convert(content, Said)
+        return msgspec.convert(content, MarkReply)
     except msgspec.ValidationError:
         return None
 
 
-def _mark(content: bytes) -> Mark | None:
+def _mark(content: bytes) -> OperatorMark | None:
     try:
-        return msgspec.msgpack.decode(content, type=Mark)
+        return msgspec.msgpack.decode(content, type=OperatorMark)
     except msgspec.MsgspecError:
         return None
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -13,11 +13,11 @@
 
 from sailrun.node.clock import log
 from sailrun.node.peer_beliefs import Beliefs
-from sailrun.replication.beliefs import Voice, heard
-from sailrun.replication.marks import DRAIN, OUT
-from sailrun.replication.messages import Op
-from sailrun.replication.replica import BELIEF, MARKS, Answer, Replica
-from sailrun.replication.state import show_ranges, show_state
+from sailrun.replication.inspection import describe_ranges, describe_state
+from sailrun.replication.messages import MarkRequest
+from sailrun.replication.operator_marks import DRAIN, OUT
+from sailrun.replication.outlier_reports import OutlierReporter, combine_outlier_reports
+from sailrun.replication.replica import MARKS_TASK, OUTLIER_REPORT, MarkOutcome, Replica
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
@@ -30,7 +30,7 @@
 MOST_ANSWERS = 1000
 
 
-class Fleet(Protocol):
+class FleetServices(Protocol):
     """What this part needs of the node's part in its fleet, `owners/service.py`, which makes it."""
 
     @property
@@ -55,21 +55,21 @@
         """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
 
 
-def _unkept(answer: Answer) -> Answer:
+def _unkept(answer: MarkOutcome) -> MarkOutcome:
     return replace(answer, why="not on the disk: it is gone with this process unless it has spread")
 
 
-class CopiesPart:
+class ReplicationService:
     """Joins the core, the replica and the fleet's other services of one running node."""
 
-    def __init__(self, node: Node, replica: Replica, fleet: Fleet) -> None:
+    def __init__(self, node: Node, replica: Replica, fleet: FleetServices) -> None:
         self._node, self._replica, self._fleet = node, replica, fleet
-        self._voice = Voice(replica.terms.belief_s)
+        self._voice = OutlierReporter(replica.terms.belief_s)
         self._believe_us = 0
         self._unknown: set[str] = (
             set()
         )  # form servers that are out by a mark, and that the core does not list
-        self.answers: dict[str, Answer | None] = {}  # by id of the mark; None: under way
+        self.answers: dict[str, MarkOutcome | None] = {}  # by id of the mark; None: under way
         self._drains = False
         self._settled = False  # what this process was handed is as the fleet has it
 
@@ -142,9 +142,11 @@
 
     def _hear_beliefs(self, now_us: int) -> None:
         store = self._replica.store
-        records = ((r, store.age_us(now_us, r.key)) for r in store.records(BELIEF))
+        records = ((r, store.age_us(now_us, r.key)) for r in store.records(OUTLIER_REPORT))
         living = self._fleet.living()
-        out, setup_us = heard(records, living, self._replica.name, self._replica.terms.voices)
+        out, setup_us = combine_outlier_reports(
+            records, living, self._replica.name, self._replica.terms.voices
+        )
         if out or setup_us:
             self._node.receive_peer_outliers(out, setup_us)
 
@@ -155,7 +157,7 @@
         kind: str,
         subject: str,
         on: bool,
-        reply: Callable[[Answer], None],
+        reply: Callable[[MarkOutcome], None],
         wait: str = "majority",
         who: str = "",
         why: str = "",
@@ -163,10 +165,10 @@
         """Puts a mark, or takes one back; returns its id. `wait`: `majority`, `all`, or `none`: on this
         node's word alone. `reply` may be called at any time later.
         """
-        op = Op(
+        op = MarkRequest(
             "mark",
             self._replica.new_id(),
-            self._fleet.highest_term(MARKS),
+            self._fleet.highest_term(MARKS_TASK),
             kind,
             subject,
             on,
@@ -179,7 +181,7 @@
             del self.answers[next(iter(self.answers))]
         self.answers[op.id] = None
 
-        def answered(answer: Answer) -> None:
+        def answered(answer: MarkOutcome) -> None:
             self.answers[op.id] = answer
             log(
                 "mark-answered",
@@ -223,5 +225,5 @@
         """`state`, `state KIND` or `ranges`, as JSON would have it."""
         words = what.split()
         if words[0] == "ranges":
-            return show_ranges(self._replica)
-        return show_state(self._replica, now_us, words[1] if len(words) > 1 else "")
+            return describe_ranges(self._replica)
+        return describe_state(self._replica, now_us, words[1] if len(words) > 1 else "")
--- a/sailrun/replication/pulls.py
+++ b/sailrun/replication/state_transfer.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from sailrun.replication.messages import Busy, Given, Take
-from sailrun.replication.records import Key, size_of
+from sailrun.replication.messages import PageRequest, RecordPage, SenderBusy
+from sailrun.replication.records import Key, estimate_size_bytes
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import Store, range_of
+from sailrun.replication.store import RecordStore, find_range
 
 SECOND = 1_000_000
 # A piece that has not come by then is asked for again; a giver that missed this many is given up.
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Pull:
+class Transfer:
     """Ranges that are being taken from one giver."""
 
     giver: str
@@ -39,12 +39,12 @@
 
 
 @dataclass(slots=True)
-class Taker:
+class TransferReceiver:
     """The side that takes. `numbers` gives each question its own."""
 
     terms: ReplicationSettings
     numbers: Callable[[], int]
-    pulls: list[Pull] = field(default_factory=list)
+    pulls: list[Transfer] = field(default_factory=list)
     pieces: int = 0
     resumed: int = 0  # pulls that went on where another giver's had ended
     _free_us: int = 0  # from then on the rate allows another piece
@@ -59,16 +59,16 @@
         after: Key | None = None,
     ) -> None:
         self.resumed += after is not None
-        self.pulls.append(Pull(giver, list(ranges), done, urgent, after, next_us=now_us))
+        self.pulls.append(Transfer(giver, list(ranges), done, urgent, after, next_us=now_us))
 
-    def from_giver(self, giver: str) -> Pull | None:
+    def from_giver(self, giver: str) -> Transfer | None:
         return next((p for p in self.pulls if p.giver == giver and not p.urgent), None)
 
     def due_us(self) -> int | None:
         return min((p.next_us for p in self.pulls), default=None)
 
-    def turn(self, now_us: int, epoch: int) -> list[tuple[str, Take]]:
-        posts: list[tuple[str, Take]] = []
+    def turn(self, now_us: int, epoch: int) -> list[tuple[str, PageRequest]]:
+        posts: list[tuple[str, PageRequest]] = []
         for pull in list(self.pulls):
             if now_us < pull.next_us or pull.over:
                 continue
@@ -80,28 +80,28 @@
                 continue
             pull.tries += 1
             pull.number, pull.next_us = self.numbers(), now_us + PIECE_US
-            posts.append((pull.giver, Take(pull.number, epoch, pull.ranges, pull.after, pull.urgent)))
+            posts.append((pull.giver, PageRequest(pull.number, epoch, pull.ranges, pull.after, pull.urgent)))
         return posts
 
-    def of(self, giver: str, number: int) -> Pull | None:
+    def of(self, giver: str, number: int) -> Transfer | None:
         return next((p for p in self.pulls if p.giver == giver and p.number == number), None)
 
-    def came(self, now_us: int, pull: Pull, given: Given) -> None:
+    def came(self, now_us: int, pull: Transfer, given: RecordPage) -> None:
         """A piece has come, and was taken in."""
         self.pieces += 1
         pull.pieces += 1
         pull.tries, pull.next_us = 0, now_us
-        size = sum(size_of(record) for record in given.records)
+        size = sum(estimate_size_bytes(record) for record in given.records)
         self._free_us = max(now_us, self._free_us) + int(size / (self.terms.take_kb_s * KILO) * SECOND)
         if given.after is None or not given.records:
             self.end(now_us, pull, True)
             return
         pull.after = given.after
-        at = range_of(given.after, given.records[-1].soft)
+        at = find_range(given.after, given.records[-1].soft)
         if at in pull.ranges:
             pull.ranges = pull.ranges[pull.ranges.index(at) :]
 
-    def end(self, now_us: int, pull: Pull, whole: bool) -> None:
+    def end(self, now_us: int, pull: Transfer, whole: bool) -> None:
         pull.over = True
         if pull in self.pulls:
             self.pulls.remove(pull)
@@ -113,7 +113,7 @@
             self.end(now_us, pull, False)
 
 
-class Giver:
+class TransferSender:
     """The side that gives."""
 
     def __init__(self, terms: ReplicationSettings) -> None:
@@ -122,7 +122,9 @@
         self._given_until_us = 0  # what was given so far fills the rate up to this time
         self.refused = self.given = 0  # questions for a piece
 
-    def asked(self, now_us: int, taker: str, take: Take, store: Store, whole: bool) -> Given | Busy:
+    def asked(
+        self, now_us: int, taker: str, take: PageRequest, store: RecordStore, whole: bool
+    ) -> RecordPage | SenderBusy:
         """`whole`: this node's own copy is; from another one only what is urgent is taken."""
         for name, at_us in list(self._takers.items()):
             if now_us - at_us > TAKING_US:
@@ -132,13 +134,13 @@
             ahead_us = self._given_until_us - now_us
             if crowded or not whole or ahead_us > BURST_S * SECOND:
                 self.refused += 1
-                return Busy(take.number, max(SECOND // 4, ahead_us) + (SECOND // 2 if crowded else 0))
+                return SenderBusy(take.number, max(SECOND // 4, ahead_us) + (SECOND // 2 if crowded else 0))
             self._takers[taker] = now_us
         self.given += 1
         ranges = sorted(set(take.ranges))
         records, after = store.page(now_us, ranges, take.after, self.terms.page_kb * KILO)
-        size = sum(size_of(record) for record in records)
+        size = sum(estimate_size_bytes(record) for record in records)
         self._given_until_us = max(now_us, self._given_until_us) + int(
             size / (self.terms.give_kb_s * KILO) * SECOND
         )
-        return Given(take.number, take.epoch, records, after)
+        return RecordPage(take.number, take.epoch, records, after)
--- a/sailrun/replication/store.py
+++ b/sailrun/replication/store.py
@@ -13,18 +13,27 @@
 
 from sortedcontainers import SortedList
 
-from sailrun.replication.records import BadRecord, Key, Record, check, differ, mark_of, merge, size_of
+from sailrun.replication.records import (
+    InvalidRecordError,
+    Key,
+    Record,
+    contradicts,
+    estimate_size_bytes,
+    hash_record,
+    merge_records,
+    validate_record,
+)
 from sailrun.replication.settings import ReplicationSettings
 
 SECOND = 1_000_000
 # Firm records first, then soft ones: so many ranges of each, in groups.
-RANGES, GROUP = 256, 16
-ALL = 2 * RANGES
-FIRM = range(RANGES)
+FIRM_RANGE_COUNT, RANGES_PER_GROUP = 256, 16
+RANGE_COUNT = 2 * FIRM_RANGE_COUNT
+
 _64 = (1 << 64) - 1
 
 
-class Took(Enum):
+class PutResult(Enum):
     """What became of a record that came in."""
 
     NEW = "new"  # this copy knows more than before
@@ -42,13 +51,13 @@
     made_us: int  # when it was written, by this node's clock; of a firm one, when it came to be so here
 
 
-def range_of(key: Key, soft: bool) -> int:
+def find_range(key: Key, soft: bool) -> int:
     """Which range a key falls into, the same on every node."""
     number = blake2b("\0".join(key).encode(), digest_size=1).digest()[0]
-    return number + (RANGES if soft else 0)
+    return number + (FIRM_RANGE_COUNT if soft else 0)
 
 
-class Store:
+class RecordStore:
     def __init__(self, terms: ReplicationSettings, salt: bytes, off: frozenset[str] = frozenset()) -> None:
         """`salt` is the fleet's own, so that copies of two fleets are never alike."""
         self.terms, self._salt, self._off = terms, salt, off
@@ -56,8 +65,8 @@
         self._order: SortedList[tuple[int, Key]] = SortedList()
         self._keys: SortedList[Key] = SortedList()
         self._soft: set[Key] = set()
-        self._digests = [0] * ALL
-        self._counts = [0] * ALL
+        self._digests = [0] * RANGE_COUNT
+        self._counts = [0] * RANGE_COUNT
         self.bytes = 0
         self.spoilt: list[Key] = []  # found by `scrub`, for whoever drives this; emptied by him
         self.refused_full = 0
@@ -78,7 +87,7 @@
         entry = self._entries.get(key)
         if entry is None:
             return None
-        if "mend" not in self._off and mark_of(entry.record, self._salt) != entry.mark:
+        if "mend" not in self._off and hash_record(entry.record, self._salt) != entry.mark:
             if key not in self.spoilt:
                 self.spoilt.append(key)
             return None
@@ -106,10 +115,13 @@
 
     def groups(self) -> list[int]:
         """One digest for each group of ranges."""
-        return [sum(self._digests[n : n + GROUP]) & _64 for n in range(0, ALL, GROUP)]
+        return [
+            sum(self._digests[n : n + RANGES_PER_GROUP]) & _64
+            for n in range(0, RANGE_COUNT, RANGES_PER_GROUP)
+        ]
 
     def leaves(self, group: int) -> list[int]:
-        return self._digests[group * GROUP : (group + 1) * GROUP]
+        return self._digests[group * RANGES_PER_GROUP : (group + 1) * RANGES_PER_GROUP]
 
     def unlike(self, groups: list[int]) -> dict[int, list[int]]:
         """The digests of ranges in those of the first groups that are not as told."""
@@ -119,9 +131,9 @@
     def differing(self, leaves: dict[int, list[int]]) -> list[int]:
         """Ranges in which this copy is another than the one whose digests were told, by group."""
         return [
-            n * GROUP + k
+            n * RANGES_PER_GROUP + k
             for n, told in leaves.items()
-            if 0 <= n < ALL // GROUP
+            if 0 <= n < RANGE_COUNT // RANGES_PER_GROUP
             for k, (mine, other) in enumerate(zip(self.leaves(n), told, strict=False))
             if mine != other
         ]
@@ -131,7 +143,7 @@
 
     def digest(self) -> int:
         """Of all firm records: equal where two copies hold the same."""
-        return sum((n + 1) * d for n, d in enumerate(self._digests[:RANGES])) & _64
+        return sum((n + 1) * d for n, d in enumerate(self._digests[:FIRM_RANGE_COUNT])) & _64
 
     def page(
         self, now_us: int, ranges: list[int], after: Key | None, most_bytes: int
@@ -151,34 +163,34 @@
                 record = self.checked(key)
                 if record is not None:
                     page.append(self.told(now_us, record))
-                    size += size_of(record)
+                    size += estimate_size_bytes(record)
         return page, None
 
     # ------------------------------------------------------------------ writing
 
-    def put(self, now_us: int, record: Record) -> Took:
+    def put(self, now_us: int, record: Record) -> PutResult:
         """Merges a record in. Raises BadRecord for one that is none."""
-        check(record)
+        validate_record(record)
         old = self._entries.get(record.key)
         if old is None:
             if record.soft and record.age_ms * 1000 > self.terms.belief_s * SECOND:
-                return Took.OLD
+                return PutResult.OLD
             if self._full(record):
                 self.refused_full += 1
-                return Took.FULL
+                return PutResult.FULL
             self._set(now_us, record)
-            return Took.NEW
+            return PutResult.NEW
         if old.record.soft is not record.soft:
-            raise BadRecord(f"{record.kind}: soft at one node, firm at another")
-        if differ(old.record, record):
-            return Took.DIFFERS
-        merged = merge(old.record, record)
+            raise InvalidRecordError(f"{record.kind}: soft at one node, firm at another")
+        if contradicts(old.record, record):
+            return PutResult.DIFFERS
+        merged = merge_records(old.record, record)
         if "causality" in self._off and len(merged.versions) > 1:
             merged = Record(*merged.key, merged.soft, merged.versions[-1:], merged.seen, merged.age_ms)
         if merged.versions == old.record.versions and merged.seen == old.record.seen:
-            return Took.KNOWN
+            return PutResult.KNOWN
         self._set(now_us, merged)
-        return Took.NEW
+        return PutResult.NEW
 
     def mark(self, key: Key) -> int:
         """The hash that was taken of a record when it came; 0: there is none."""
@@ -197,12 +209,12 @@
         places: list[tuple[int, Key]] = []
         room = 2 * self.terms.records, 2 * self.terms.megabytes * 1e6
         for record, known in records:
-            size = size_of(record)
+            size = estimate_size_bytes(record)
             if len(self._entries) >= room[0] or self.bytes + size > room[1]:
                 left += 1
                 continue
-            mark = known or mark_of(record, self._salt)
-            number = range_of(record.key, False)
+            mark = known or hash_record(record, self._salt)
+            number = find_range(record.key, False)
             self._entries[record.key] = _Entry(record, mark, size, now_us)
             self._digests[number] = (self._digests[number] + mark) & _64
             self._counts[number] += 1
@@ -214,19 +226,19 @@
 
     def replace(self, now_us: int, record: Record) -> None:
         """Takes this instead of what is held: a spoilt copy is mended."""
-        check(record)
+        validate_record(record)
         self._set(now_us, record)
 
     def _full(self, record: Record) -> bool:
         room = 1 if record.soft else 2  # firm records may take as much again
         more = len(self._entries) >= room * self.terms.records
-        return more or self.bytes + size_of(record) > room * self.terms.megabytes * 1e6
+        return more or self.bytes + estimate_size_bytes(record) > room * self.terms.megabytes * 1e6
 
     def _set(self, now_us: int, record: Record) -> None:
         self.remove(record.key)
-        mark, size = mark_of(record, self._salt), size_of(record)
+        mark, size = hash_record(record, self._salt), estimate_size_bytes(record)
         made_us = now_us - record.age_ms * 1000
-        number = range_of(record.key, record.soft)
+        number = find_range(record.key, record.soft)
         self._entries[record.key] = _Entry(record, mark, size, made_us)
         self._order.add((number, record.key))
         self._keys.add(record.key)
@@ -242,7 +254,7 @@
         entry = self._entries.pop(key, None)
         if entry is None:
             return
-        number = range_of(key, entry.record.soft)
+        number = find_range(key, entry.record.soft)
         self._order.remove((number, key))
         self._keys.remove(key)
         self._soft.discard(key)
--- a/sailrun/storage/cli.py
+++ b/sailrun/storage/cli.py
@@ -58,11 +58,11 @@
 
 def _believed(found: Found, half_life_s: float, now_s: float) -> dict[str, Any]:
     """What a node would go by if it started now."""
-    from sailrun.replication.marks import KINDS, standing
+    from sailrun.replication.operator_marks import MARK_KINDS, resolve_mark
     from sailrun.storage.beliefs import out_for, weight_of
 
     memory = found.memory
-    marks = [standing(r) for r in memory.records.values() if r.kind in KINDS]
+    marks = [resolve_mark(r) for r in memory.records.values() if r.kind in MARK_KINDS]
     age_s = now_s - memory.learned.wall_s if memory.learned is not None else 0.0
     weight = weight_of(age_s, half_life_s) if memory.learned is not None else 0.0
     out = out_for(memory.learned.content, int(now_s * 1e6), half_life_s) if memory.learned is not None else {}
--- a/sailrun/storage/folder.py
+++ b/sailrun/storage/folder.py
@@ -21,7 +21,7 @@
 from enum import Enum
 from itertools import chain, islice
 
-from sailrun.replication.records import size_of
+from sailrun.replication.records import estimate_size_bytes
 from sailrun.storage import entries as e
 from sailrun.storage.files import Files, Handle
 from sailrun.storage.frames import (
@@ -418,7 +418,7 @@
         many = list(islice(made.entries, AT_ONCE))
         size = 0
         for entry in many:
-            size += size_of(entry.record) if isinstance(entry, e.Held) else 0
+            size += estimate_size_bytes(entry.record) if isinstance(entry, e.Held) else 0
             if size > SLICE:  # long records go one by one
                 self._put(made, Content.MANY, many[:1])
                 made.entries = chain(many[1:], made.entries)
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -22,7 +22,7 @@
 from sailrun.node.clock import log
 from sailrun.node.session import ServerListUpdate
 from sailrun.node.succession_state import NodeState
-from sailrun.replication.marks import DRAIN, OUT, keeps_out
+from sailrun.replication.operator_marks import DRAIN, OUT, is_mark_active
 from sailrun.storage import beliefs
 from sailrun.storage import entries as e
 from sailrun.storage.files import OsFiles
@@ -149,14 +149,14 @@
         """
         memory = self.found.memory
         out = frozenset(
-            r.subject for r in memory.records.values() if r.kind == OUT and not r.soft and keeps_out(r)
+            r.subject for r in memory.records.values() if r.kind == OUT and not r.soft and is_mark_active(r)
         )
         drain = memory.records.get((DRAIN, self._name, ""))
         learned = None
         if memory.learned is not None:
             listed = {s.name: (s.number, s.started_us) for s in known.form_servers}
             learned = beliefs.unpack(memory.learned.content, now_us, self.terms.half_life_s, listed)
-        self.drains = drains and drain is not None and keeps_out(drain)
+        self.drains = drains and drain is not None and is_mark_active(drain)
         by_hand = frozenset(memory.hand.out) if memory.hand is not None else frozenset()
         return NodeState(known, out | by_hand, self.drains, learned)
 
--- a/sailrun/storage/write_ahead_log.py
+++ b/sailrun/storage/write_ahead_log.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from typing import Any
 
-from sailrun.replication.records import size_of
+from sailrun.replication.records import estimate_size_bytes
 from sailrun.storage.entries import Entry, Held
 from sailrun.storage.settings import MEGA, StorageSettings
 
@@ -91,7 +91,7 @@
         if self._since_us < 0:
             self._since_us = self._now_us
         self._entries.append(entry)
-        self._bytes += size_of(entry.record) if isinstance(entry, Held) else ENTRY_BYTES
+        self._bytes += estimate_size_bytes(entry.record) if isinstance(entry, Held) else ENTRY_BYTES
         if self._bytes > self.terms.queue_mb * MEGA:
             self._drop_entries()
             self.notes.append(("lasting-behind", {"megabytes": self.terms.queue_mb}))
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -31,9 +31,9 @@
 from sailrun.leadership.agent import Out
 from sailrun.leadership.messages import Ask, Grant
 from sailrun.leadership.voter import Slot
-from sailrun.replication.messages import Op
-from sailrun.replication.records import written
-from sailrun.replication.replica import Answer, Replica
+from sailrun.replication.messages import MarkRequest
+from sailrun.replication.records import apply_write
+from sailrun.replication.replica import MarkOutcome, Replica
 from sailrun.storage import beliefs
 from sailrun.storage import entries as e
 from sailrun.storage.files import OsFiles
@@ -506,7 +506,8 @@
     folder = Folder(files, Found(Sound.NEW))
     folder.begin("n1", "fleet", bytes(16))
     records: list[e.Entry] = [
-        e.Held(written(None, ("out", f"s-{n:08x}", ""), False, "", (1, n), b"x" * 60)) for n in range(100_000)
+        e.Held(apply_write(None, ("out", f"s-{n:08x}", ""), False, "", (1, n), b"x" * 60))
+        for n in range(100_000)
     ]
     folder.write(records)
     folder.sync()
@@ -544,8 +545,8 @@
 
 def test_copies_of_members_that_do_not_vote_are_counted_once_they_are_on_the_disk() -> None:
     fleet = a_fleet()
-    answers: list[Answer] = []
-    op = Op("mark", part_of(fleet, "n4").new_id(), 0, "out", "s-00000001", True, everybody=True)
+    answers: list[MarkOutcome] = []
+    op = MarkRequest("mark", part_of(fleet, "n4").new_id(), 0, "out", "s-00000001", True, everybody=True)
     part_of(fleet, "n4").mark(fleet.clock_us(fleet.nodes["n4"]), op, answers.append)
     fleet._soon(fleet.nodes["n4"])
     fleet.run(now_s(fleet) + 3.0)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -27,26 +27,26 @@
 from sailrun.membership.swim import Members
 from sailrun.node.peer_beliefs import PeerBeliefs
 from sailrun.replication import messages
-from sailrun.replication.acceptor import consistent
-from sailrun.replication.beliefs import Belief, Voice, heard
-from sailrun.replication.lists import keep_list, kept_list
-from sailrun.replication.marks import Mark, standing
-from sailrun.replication.marks import pack as pack_mark
-from sailrun.replication.messages import Busy, Given, Op, Put, Take
-from sailrun.replication.pulls import Giver
+from sailrun.replication.acceptor import find_consistent_voters
+from sailrun.replication.anti_entropy import EPOCH_RECORD_KEY
+from sailrun.replication.messages import Accept, MarkRequest, PageRequest, RecordPage, SenderBusy
+from sailrun.replication.operator_marks import OperatorMark, resolve_mark
+from sailrun.replication.operator_marks import encode_mark as pack_mark
+from sailrun.replication.outlier_reports import OutlierReport, OutlierReporter, combine_outlier_reports
 from sailrun.replication.records import (
     STRONG,
-    BadRecord,
+    InvalidRecordError,
     Record,
     Version,
+    apply_write,
     covers,
-    merge,
-    written,
+    merge_records,
 )
-from sailrun.replication.replica import Answer, Replica
+from sailrun.replication.replica import MarkOutcome, Replica
+from sailrun.replication.server_lists import read_stored_server_list, store_server_list
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import ALL, RANGES, Store, Took, range_of
-from sailrun.replication.sync import FORGOTTEN
+from sailrun.replication.state_transfer import TransferSender
+from sailrun.replication.store import FIRM_RANGE_COUNT, RANGE_COUNT, PutResult, RecordStore, find_range
 from tests.support import Relay, full, ten_seconds
 
 SECOND = 1_000_000
@@ -69,10 +69,10 @@
 
 @given(records(), records(), records())
 def test_merging_is_commutative_associative_and_idempotent(a: Record, b: Record, c: Record) -> None:
-    assert merge(a, b) == merge(b, a)
-    assert merge(merge(a, b), c) == merge(a, merge(b, c))
-    assert merge(a, a) == a
-    assert merge(merge(a, b), b) == merge(a, b)
+    assert merge_records(a, b) == merge_records(b, a)
+    assert merge_records(merge_records(a, b), c) == merge_records(a, merge_records(b, c))
+    assert merge_records(a, a) == a
+    assert merge_records(merge_records(a, b), b) == merge_records(a, b)
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 2), st.booleans()), max_size=25))
@@ -84,62 +84,70 @@
     for at, other, writes in steps:
         if writes:
             counts[at] += 1
-            copies[at] = written(copies[at], KEY, False, f"n{at}", (0, counts[at]), b"x", other == 0)
+            copies[at] = apply_write(copies[at], KEY, False, f"n{at}", (0, counts[at]), b"x", other == 0)
         elif (a := copies[at]) is not None and (b := copies[other]) is not None:
-            copies[at] = merge(a, b)
+            copies[at] = merge_records(a, b)
         elif copies[at] is None:
             copies[at] = copies[other]
     known = [c for c in copies if c is not None]
     for one in known:
         whole = one
         for another in known:
-            whole = merge(whole, another)
+            whole = merge_records(whole, another)
         assert whole.versions  # a word stands until another one has seen it
         assert all(covers(whole, [v.dot for v in c.versions]) for c in known)
 
 
 def mark(id_: str, on: bool) -> bytes:
-    return pack_mark(Mark(id_, on, False, "a", "b", 0.0, "n", [id_]))
+    return pack_mark(OperatorMark(id_, on, False, "a", "b", 0.0, "n", [id_]))
 
 
 def test_out_on_one_side_and_back_on_the_other_stays_out_until_a_word_that_saw_both() -> None:
-    both = written(None, KEY, False, "n1", (0, 1), mark("first", True))
-    out = written(both, KEY, False, "n1", (0, 2), mark("out", True))
-    back = written(both, KEY, False, "n2", (0, 1), mark("back", False), gone=True)
-    met = merge(out, back)
-    assert (standing(met).on, standing(met).conflict) == (True, True)
-    settled = merge(met, written(met, KEY, False, STRONG, (7, 1), mark("settled", False), gone=True))
-    assert (standing(settled).on, standing(settled).conflict, len(settled.versions)) == (False, False, 1)
-    assert merge(settled, out) == settled  # nothing brings it back
+    both = apply_write(None, KEY, False, "n1", (0, 1), mark("first", True))
+    out = apply_write(both, KEY, False, "n1", (0, 2), mark("out", True))
+    back = apply_write(both, KEY, False, "n2", (0, 1), mark("back", False), gone=True)
+    met = merge_records(out, back)
+    assert (resolve_mark(met).on, resolve_mark(met).conflict) == (True, True)
+    settled = merge_records(
+        met, apply_write(met, KEY, False, STRONG, (7, 1), mark("settled", False), gone=True)
+    )
+    assert (resolve_mark(settled).on, resolve_mark(settled).conflict, len(settled.versions)) == (
+        False,
+        False,
+        1,
+    )
+    assert merge_records(settled, out) == settled  # nothing brings it back
 
 
 def test_words_of_owners_are_in_the_order_of_their_terms_whoever_comes_last() -> None:
-    old = written(None, KEY, False, STRONG, (3, 9), b"old")
-    new = written(None, KEY, False, STRONG, (4, 1), b"new")
-    for met in (merge(old, new), merge(new, old)):
+    old = apply_write(None, KEY, False, STRONG, (3, 9), b"old")
+    new = apply_write(None, KEY, False, STRONG, (4, 1), b"new")
+    for met in (merge_records(old, new), merge_records(new, old)):
         assert [v.content for v in met.versions] == [b"new"]
 
 
 # -------------------------------------------------------------------- a copy's bounds and checks
 
 
-def a_store(**terms: Any) -> Store:
-    return Store(ReplicationSettings(enabled=True, **terms), b"fleet")
+def a_store(**terms: Any) -> RecordStore:
+    return RecordStore(ReplicationSettings(enabled=True, **terms), b"fleet")
 
 
 def test_a_full_copy_refuses_what_is_soft_and_still_takes_marks() -> None:
     store = a_store(records=100)
     for n in range(120):
-        took = store.put(0, written(None, ("belief", f"n{n}", ""), True, f"n{n}", (1, 1), b"x"))
-    assert took is Took.FULL and len(store) == 100 and store.refused_full == 20
+        took = store.put(0, apply_write(None, ("belief", f"n{n}", ""), True, f"n{n}", (1, 1), b"x"))
+    assert took is PutResult.FULL and len(store) == 100 and store.refused_full == 20
     for n in range(50):
-        assert store.put(0, written(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x")) is Took.NEW
+        assert (
+            store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x")) is PutResult.NEW
+        )
 
 
 def test_a_list_of_an_older_revision_never_replaces_a_newer() -> None:
     store = a_store()
     for revision in (5, 9, 7):
-        store.put(0, written(None, ("list", "r", ""), False, "r", (0, revision), b"%d" % revision))
+        store.put(0, apply_write(None, ("list", "r", ""), False, "r", (0, revision), b"%d" % revision))
     held = store.get(("list", "r", ""))
     assert held is not None and [v.content for v in held.versions] == [b"9"]
 
@@ -147,10 +155,10 @@
 def test_the_last_good_list_is_had_from_the_copies_as_one_perhaps_old() -> None:
     node = replica()
     entry = {"id": "s-00000001", "host_port": "127.0.0.1:9", "phase": "SERVING", "locality": "z0"}
-    keep_list(node, 0, "127.0.0.1:1 z0", 7, [entry])
-    keep_list(node, 0, "127.0.0.1:1 z0", 6, [])
-    found = kept_list(node, "127.0.0.1:1 z0")
-    assert found is not None and kept_list(node, "127.0.0.1:2 z0") is None
+    store_server_list(node, 0, "127.0.0.1:1 z0", 7, [entry])
+    store_server_list(node, 0, "127.0.0.1:1 z0", 6, [])
+    found = read_stored_server_list(node, "127.0.0.1:1 z0")
+    assert found is not None and read_stored_server_list(node, "127.0.0.1:2 z0") is None
     news, age_us = found
     assert (news.kind, news.revision, [s.name for s in news.form_servers]) == (
         ListKind.CACHED,
@@ -163,12 +171,12 @@
 def test_what_somebody_said_ages_on_its_way_and_ends() -> None:
     one, other, third = (a_store(belief_s=10.0) for _ in range(3))
     key = ("belief", "n1", "")
-    one.put(0, written(None, key, True, "n1", (1, 1), b"x"))
+    one.put(0, apply_write(None, key, True, "n1", (1, 1), b"x"))
     held = one.get(key)
     assert held is not None
     other.put(100 * SECOND, one.told(6 * SECOND, held))  # another clock, 6 s old
     assert other.age_us(100 * SECOND, key) == 6 * SECOND
-    assert third.put(0, one.told(11 * SECOND, held)) is Took.OLD
+    assert third.put(0, one.told(11 * SECOND, held)) is PutResult.OLD
     other.age_out(105 * SECOND)
     assert len(other) == 0
 
@@ -176,9 +184,9 @@
 def test_a_byte_that_was_flipped_is_found_and_never_passed_on() -> None:
     store = a_store()
     for n in range(40):
-        store.put(0, written(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"content"))
+        store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"content"))
     store.spoil(("out", "s-7", ""))
-    page, _ = store.page(0, list(range(ALL)), None, 1_000_000)
+    page, _ = store.page(0, list(range(RANGE_COUNT)), None, 1_000_000)
     assert ("out", "s-7", "") not in {r.key for r in page} and len(page) == 39
     store.spoilt.clear()
     for _ in range(4):
@@ -192,11 +200,11 @@
     for count, (n, put) in enumerate(steps):
         key = ("out", f"s-{n}", "")
         if put:
-            store.put(0, written(store.get(key), key, False, "n", (0, count), b"x"))
+            store.put(0, apply_write(store.get(key), key, False, "n", (0, count), b"x"))
         else:
             store.remove(key)
     other = a_store()
-    pages, after, ranges = 0, None, list(range(ALL))
+    pages, after, ranges = 0, None, list(range(RANGE_COUNT))
     while True:
         page, after = store.page(0, ranges, after, 100)
         pages += 1
@@ -204,14 +212,14 @@
             other.put(0, held)
         if after is None:
             break
-        ranges = ranges[ranges.index(range_of(after, False)) :]
+        ranges = ranges[ranges.index(find_range(after, False)) :]
     assert (other.digest(), other.groups(), len(other)) == (store.digest(), store.groups(), len(store))
     assert pages >= len(store) // 3
 
 
 def test_answers_of_a_former_life_do_not_count() -> None:
-    assert consistent({"a": (1, {}), "b": (2, {"a": 1})}) == {"a", "b"}
-    assert consistent({"a": (1, {}), "b": (2, {"a": 2})}) == {"b"}
+    assert find_consistent_voters({"a": (1, {}), "b": (2, {"a": 1})}) == {"a", "b"}
+    assert find_consistent_voters({"a": (1, {}), "b": (2, {"a": 2})}) == {"b"}
 
 
 # -------------------------------------------------------------------- messages of whatever kind
@@ -268,7 +276,7 @@
     return st.from_type(hint)
 
 
-KINDS = typing.get_args(messages.ReplicaBody)
+KINDS = typing.get_args(messages.ReplicationBody)
 
 
 @settings(max_examples=300, deadline=None)
@@ -290,7 +298,7 @@
 
 @given(st.binary(max_size=400), st.integers(0, 10**6), st.integers(0, 255))
 def test_bytes_that_are_no_message_are_refused_as_such(junk: bytes, at: int, byte: int) -> None:
-    sound = pack(Envelope("f", "n2", 1, 1, Put(1, 1, 0, [record({("a", 1): False}, {"a": 1})])))
+    sound = pack(Envelope("f", "n2", 1, 1, Accept(1, 1, 0, [record({("a", 1): False}, {"a": 1})])))
     at %= len(sound)
     for told in (junk, sound[:at], sound[:at] + bytes([byte]) + sound[at + 1 :]):
         try:
@@ -307,13 +315,13 @@
         Record("k" * 300, "", "", False, [Version("a", (0, 1), b"")], {"a": (0, 1)}),
         Record(*KEY, False, [Version("a", (0, 1), b"x" * 3_000_000)], {"a": (0, 1)}),
     ):
-        with pytest.raises(BadRecord):
+        with pytest.raises(InvalidRecordError):
             store.put(0, bad)
     assert len(store) == 0
 
 
 def test_a_kind_that_this_version_does_not_know_is_carried_unchanged() -> None:
-    newer = written(None, ("tides", "s-1", "x"), False, "n9", (0, 1), b"\x93\x01\x02\x03")
+    newer = apply_write(None, ("tides", "s-1", "x"), False, "n9", (0, 1), b"\x93\x01\x02\x03")
     one, other = replica("n1"), replica("n2")
     one.hear(0, "n2", messages.Rumor(0, [newer]))
     asked = other.sync.ask("n1")[0][1]
@@ -331,14 +339,16 @@
 def test_a_giver_refuses_those_beyond_what_it_may_give_but_not_a_voter_that_returns() -> None:
     store = a_store()
     for n in range(400):
-        store.put(0, written(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x" * 200))
-    giver = Giver(ReplicationSettings(enabled=True, takers=3, give_kb_s=100.0, page_kb=16))
-    ranges = list(range(RANGES))
-    answers = [giver.asked(0, f"t{n}", Take(1, 0, ranges, None), store, True) for n in range(100)]
-    assert sum(isinstance(a, Given) for a in answers) <= 3
-    assert all(a.wait_us >= SECOND // 4 for a in answers if isinstance(a, Busy))
-    assert isinstance(giver.asked(0, "voter", Take(1, 0, ranges, None, True), store, True), Given)
-    assert isinstance(giver.asked(3 * SECOND, "late", Take(1, 0, ranges, None), store, True), Given)
+        store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x" * 200))
+    giver = TransferSender(ReplicationSettings(enabled=True, takers=3, give_kb_s=100.0, page_kb=16))
+    ranges = list(range(FIRM_RANGE_COUNT))
+    answers = [giver.asked(0, f"t{n}", PageRequest(1, 0, ranges, None), store, True) for n in range(100)]
+    assert sum(isinstance(a, RecordPage) for a in answers) <= 3
+    assert all(a.wait_us >= SECOND // 4 for a in answers if isinstance(a, SenderBusy))
+    assert isinstance(giver.asked(0, "voter", PageRequest(1, 0, ranges, None, True), store, True), RecordPage)
+    assert isinstance(
+        giver.asked(3 * SECOND, "late", PageRequest(1, 0, ranges, None), store, True), RecordPage
+    )
 
 
 def a_fleet(nodes: int, seed: int, kind: str = "copies") -> VirtualFleet:
@@ -368,10 +378,10 @@
     return agent.replica
 
 
-def put_mark(fleet: VirtualFleet, name: str, subject: str, on: bool, everybody: bool = False) -> Answer:
-    answers: list[Answer] = []
+def put_mark(fleet: VirtualFleet, name: str, subject: str, on: bool, everybody: bool = False) -> MarkOutcome:
+    answers: list[MarkOutcome] = []
     node = fleet.nodes[name]
-    op = Op("mark", part(fleet, name).new_id(), 0, "out", subject, on, everybody=everybody)
+    op = MarkRequest("mark", part(fleet, name).new_id(), 0, "out", subject, on, everybody=everybody)
     part(fleet, name).mark(fleet.clock_us(node), op, answers.append)
     until(fleet, lambda: answers)
     return answers[0]
@@ -434,7 +444,9 @@
         store = part(fleet, name).store
         for n in range(4000):
             key = ("tides", f"s-{n}", "")
-            store.put(fleet.clock_us(fleet.nodes[name]), written(None, key, False, "x", (0, n), b"x" * 100))
+            store.put(
+                fleet.clock_us(fleet.nodes[name]), apply_write(None, key, False, "x", (0, n), b"x" * 100)
+            )
     fleet.start("n4")
     until(fleet, lambda: len({p.giver for p in part(fleet, "n4").sync.taker.pulls if not p.urgent}) >= 2, 3.0)
     fleet.run(now_s(fleet) + 0.1)
@@ -492,28 +504,28 @@
     fleet.heal(cut)
     until(fleet, lambda: alike(fleet, fleet.names))
     assert all(part(fleet, n).store.get(KEY) is None for n in fleet.names)
-    assert part(fleet, "n0").store.get(FORGOTTEN) is not None
+    assert part(fleet, "n0").store.get(EPOCH_RECORD_KEY) is not None
 
 
 # -------------------------------------------------------------------- beliefs
 
 
 def told(name: str, out: dict[str, int], setup_ms: int = 0) -> Record:
-    content = msgspec.msgpack.encode(Belief(out, setup_ms))
-    return written(None, ("belief", name, ""), True, name, (1, 1), content)
+    content = msgspec.msgpack.encode(OutlierReport(out, setup_ms))
+    return apply_write(None, ("belief", name, ""), True, name, (1, 1), content)
 
 
 def test_one_voice_ejects_nobody_and_two_do_for_as_long_as_both_say() -> None:
     said = [(told("n2", {"s-1": 9000, "s-2": 9000}, 40), SECOND), (told("n3", {"s-1": 5000}, 60), SECOND)]
     living = {"n1", "n2", "n3"}
-    assert heard(said, living, "n1", 2) == ({"s-1": 4 * SECOND}, 50_000)
-    assert heard(said, {"n1", "n2"}, "n1", 2)[0] == {}
-    assert heard(said, living, "n3", 2)[0] == {}
-    assert heard([(r, 6 * SECOND) for r, _ in said], living, "n1", 2)[0] == {}
+    assert combine_outlier_reports(said, living, "n1", 2) == ({"s-1": 4 * SECOND}, 50_000)
+    assert combine_outlier_reports(said, {"n1", "n2"}, "n1", 2)[0] == {}
+    assert combine_outlier_reports(said, living, "n3", 2)[0] == {}
+    assert combine_outlier_reports([(r, 6 * SECOND) for r, _ in said], living, "n1", 2)[0] == {}
 
 
 def test_a_belief_is_said_when_it_changes_and_again_before_it_ends() -> None:
-    voice = Voice(belief_s=30.0)
+    voice = OutlierReporter(belief_s=30.0)
     assert voice.word(0, {}, 0) is None
     assert voice.word(SECOND, {"s-1": SECOND}, 0) is not None
     assert voice.word(2 * SECOND, {"s-1": SECOND // 2}, 0) is None
