--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -163,9 +163,9 @@
 
 
 def _write(fleet: CountingFleet, name: str, subject: str, answers: list[MarkOutcome]) -> None:
-    op = MarkRequest("mark", _replica(fleet, name).new_id(), 0, "out", subject, True)
+    op = MarkRequest("mark", _replica(fleet, name).make_request_id(), 0, "out", subject, True)
     node = fleet.nodes[name]
-    _replica(fleet, name).mark(fleet.clock_us(node), op, answers.append, 60_000_000)
+    _replica(fleet, name).write_mark(fleet.clock_us(node), op, answers.append, 60_000_000)
     fleet._soon(node)
 
 
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -68,8 +68,8 @@
     for n in range(20):
         name, began_s = fleet.names[n], _now_s(fleet)
         answers: list[MarkOutcome] = []
-        op = MarkRequest("mark", _part(fleet, name).new_id(), 0, "out", f"s-{n:08x}", True)
-        _part(fleet, name).mark(fleet.clock_us(fleet.nodes[name]), op, answers.append)
+        op = MarkRequest("mark", _part(fleet, name).make_request_id(), 0, "out", f"s-{n:08x}", True)
+        _part(fleet, name).write_mark(fleet.clock_us(fleet.nodes[name]), op, answers.append)
         fleet._soon(fleet.nodes[name])
         told = False
         while _now_s(fleet) - began_s < 20.0:
@@ -105,9 +105,9 @@
     while len(whole) < back and _now_s(fleet) - began_s < 300:
         fleet.run(_now_s(fleet) + 0.1)
         for name in names:
-            if fleet.nodes[name].agent is not None and _part(fleet, name).sync.whole:
+            if fleet.nodes[name].agent is not None and _part(fleet, name).anti_entropy.complete:
                 whole.setdefault(name, _now_s(fleet) - began_s)
-    refused = sum(_part(fleet, n).sync.giver.refused for n in fleet.names)
+    refused = sum(_part(fleet, n).anti_entropy.sender.rejected_requests for n in fleet.names)
     return min(whole.values(), default=float("inf")), max(whole.values(), default=float("inf")), refused
 
 
@@ -138,7 +138,7 @@
     fleet = _fleet(nodes, 1)
     content = msgspec.msgpack.encode(OutlierReport({"s-00000001": 10_000}))
     for name in fleet.names[:2]:
-        _part(fleet, name).believe(fleet.clock_us(fleet.nodes[name]), content)
+        _part(fleet, name).publish_outlier_report(fleet.clock_us(fleet.nodes[name]), content)
     began_s = _now_s(fleet)
     knows: list[float] = []
     left = set(fleet.names[2:])
@@ -146,7 +146,7 @@
         fleet.run(_now_s(fleet) + 0.05)
         for name in sorted(left):
             part, now_us = _part(fleet, name), fleet.clock_us(fleet.nodes[name])
-            told = ((r, part.store.age_us(now_us, r.key)) for r in part.store.records(OUTLIER_REPORT))
+            told = ((r, part.store.age_us(now_us, r.key)) for r in part.store.iterate_records(OUTLIER_REPORT))
             if combine_outlier_reports(told, set(fleet.names), name, 2)[0]:
                 left.discard(name)
                 knows.append(_now_s(fleet) - began_s)
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -43,14 +43,14 @@
 def _put(
     copies: ReplicationService, kind: str, subject: str, on: bool, reply: Callable[[MarkOutcome], None]
 ) -> None:
-    copies.mark(kind, subject, on, reply, who="control")
+    copies.set_mark(kind, subject, on, reply, who="control")
 
 
 def _shown(id_: str, made: MarkOutcome | None) -> dict[str, object]:
     """What became of a mark, for whoever asks; None: nothing yet."""
     if made is None:
         return {"id": id_, "state": "pending", "copies": 0, "of": 0, "why": ""}
-    return {"id": id_, "state": made.state, "copies": made.copies, "of": made.of, "why": made.why}
+    return {"id": id_, "state": made.state, "copies": made.copies, "of": made.replicas, "why": made.reason}
 
 
 class ControlServer:
@@ -204,7 +204,7 @@
             return fail("no majority has answered so far: it may come into force yet")
         if made.state == "waits":
             return fail("queued: as many are out as permits allow, and carried out in its turn")
-        return OK if made.state == "done" else fail(made.why or made.state)
+        return OK if made.state == "done" else fail(made.reason or made.state)
 
     async def _of_copies(self, fleet: FleetPart, words: tuple[str, ...]) -> bytes:
         """The state that all nodes of the fleet keep copies of."""
@@ -220,11 +220,11 @@
                     return fail(why_not)
                 return await self._mark(copies, kind, subject, on == "on", wait, unquote(who), unquote(why))
             case "marked", str(id_):
-                if id_ not in copies.answers:
+                if id_ not in copies.outcomes:
                     return fail(f"no mark '{id_[:40]}' was made here")
-                return answer(_shown(id_, copies.answers[id_]))
+                return answer(_shown(id_, copies.outcomes[id_]))
             case "look", str(kind), str(subject):
-                words_ = await answer_to(partial(copies.look, kind, subject))
+                words_ = await answer_to(partial(copies.read_mark, kind, subject))
                 return fail("the owner of the marks was not heard") if words_ is None else answer(words_)
         return answer(await answer_to(partial(fleet.show, " ".join(words))))
 
@@ -247,7 +247,7 @@
         clock = self._node.clock
 
         def ask(reply: Callable[[MarkOutcome], None]) -> None:
-            ids.append(copies.mark(kind, subject, on, reply, wait, who, why))
+            ids.append(copies.set_mark(kind, subject, on, reply, wait, who, why))
 
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
             made = await answer_to(ask)
--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -70,7 +70,7 @@
             self._start(name)
             acceptor = self.nodes[name].acceptor
             if acceptor is not None:  # all have been there for long
-                acceptor.life, acceptor.remembers = 1, True
+                acceptor.incarnation, acceptor.is_recovered = 1, True
 
     def _start(self, name: str) -> None:
         self.lives[name] += 1
@@ -95,7 +95,7 @@
             self.off,
         )
         # The worst that a whole copy can be: it was taken from somebody who knew nothing.
-        node.sync.whole = True
+        node.anti_entropy.complete = True
 
     # ------------------------------------------------------------------ steps
 
@@ -131,7 +131,7 @@
     def _restart(self, name: str) -> None:
         """Only one voter at a time has forgotten: a majority of them remembers throughout."""
         if "lives" not in self.off and any(
-            (k := self.nodes[v].acceptor) is not None and not k.remembers for v in self.voters if v != name
+            (k := self.nodes[v].acceptor) is not None and not k.is_recovered for v in self.voters if v != name
         ):
             return
         self.found.restarts += 1
@@ -144,23 +144,23 @@
         self.owner = self.luck.choice(self.owners)
         self.found.changes += 1
         self._note(f"{self.owner} owns under {self.term}")
-        self.nodes[self.owner].turned(self.now_us, self.term)
+        self.nodes[self.owner].set_leadership(self.now_us, self.term)
 
     def _turn(self, name: str) -> None:
         node = self.nodes[name]
         for to, body in node.turn(self.now_us, ""):
             self._send(name, to, body)
-        node.questions.clear()
+        node.leader_requests.clear()
         coordinator = node.coordinator
         if coordinator is not None:
             for id_ in list(self.made):
-                said = coordinator.asked(self.now_us, name, MarkRequest("poll", id_))
+                said = coordinator.answer_request(self.now_us, name, MarkRequest("poll", id_))
                 if said is not None and said.state == "done" and id_ not in self._told:
                     self._told.add(id_)
                     self.acked.append(id_)
                     self._note(f"{id_} is acknowledged by {name} under {coordinator.term}")
                     self._fenced(coordinator.term, id_)
-            if coordinator.open and coordinator.term not in self._opened:
+            if coordinator.is_open and coordinator.term not in self._opened:
                 self._opened.add(coordinator.term)
                 self.found.opened += 1
                 self._look(name, node)
@@ -175,7 +175,7 @@
         """Nothing is acknowledged under a term that an open owner of a higher one does not know."""
         for name, node in self.nodes.items():
             coordinator = node.coordinator
-            if coordinator is None or not coordinator.open or coordinator.term <= term:
+            if coordinator is None or not coordinator.is_open or coordinator.term <= term:
                 continue
             if max((self.made.get(i, -1) for i in self._held(node)), default=-1) < self.made[id_]:
                 self.found.fault = (
@@ -198,11 +198,11 @@
         name = self.luck.choice(self.owners)  # also one that does not know of the next
         node = self.nodes[name]
         coordinator = node.coordinator
-        if coordinator is None or not coordinator.open:
+        if coordinator is None or not coordinator.is_open:
             return
         if self.luck.random() < 0.4:
             newest = coordinator.term == self.term  # the lease sees to it that no older one answers
-            said = coordinator.asked(
+            said = coordinator.answer_request(
                 self.now_us, name, MarkRequest("look", "", coordinator.term, "out", SUBJECT)
             )
             if newest and said is not None and said.state == "done":
@@ -214,7 +214,7 @@
             return
         id_ = f"w{len(self.made)}"
         op = MarkRequest("mark", id_, coordinator.term, "out", SUBJECT, True)
-        said = coordinator.asked(self.now_us, name, op)
+        said = coordinator.answer_request(self.now_us, name, op)
         if said is not None and said.state == "pending":
             self.made[id_] = len(self.made)
             self._note(f"{id_} is made by {name} under {coordinator.term}")
@@ -237,7 +237,7 @@
             return
         if life != self.lives[sender] and self.luck.random() < 0.5:
             return
-        for answer_to, answer in self.nodes[to].hear(self.now_us, sender, body):
+        for answer_to, answer in self.nodes[to].receive(self.now_us, sender, body):
             self._send(to, answer_to, answer)
         while len(self.mail) > 150:
             del self.mail[self.luck.randrange(len(self.mail))]
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -453,24 +453,26 @@
         agent = self.nodes[name].agent
         assert agent is not None and agent.replica is not None
         under = agent.leases.of(MARKS_TASK).owned
-        return MarkRequest(what, agent.replica.new_id(), under, "out", subject, on, "staff", "a test")
+        return MarkRequest(
+            what, agent.replica.make_request_id(), under, "out", subject, on, "staff", "a test"
+        )
 
     def mark(self, name: str, subject: str, on: bool) -> None:
         replica, node = self._replica(name), self.nodes[name]
         if replica is not None:
             op = self._op(name, "mark", subject, on)
-            replica.mark(self.clock_us(node), op, lambda answer: None, STAFF_US)
+            replica.write_mark(self.clock_us(node), op, lambda answer: None, STAFF_US)
             self._soon(node)
 
     def mark_here(self, name: str, subject: str, on: bool) -> None:
         replica, node = self._replica(name), self.nodes[name]
         if replica is not None:
-            replica.mark_here(self.clock_us(node), self._op(name, "mark", subject, on))
+            replica.write_mark_locally(self.clock_us(node), self._op(name, "mark", subject, on))
 
     def look(self, name: str, subject: str) -> None:
         replica, node = self._replica(name), self.nodes[name]
         if replica is not None:
-            replica.look(self.clock_us(node), "out", subject, lambda words: None, STAFF_US)
+            replica.read_mark(self.clock_us(node), "out", subject, lambda words: None, STAFF_US)
             self._soon(node)
 
     def _soon(self, node: VirtualNode) -> None:
@@ -479,11 +481,11 @@
 
     def spoil(self, name: str) -> None:
         replica = self._replica(name)
-        keys = [r.key for r in replica.store.records("out")] if replica is not None else []
+        keys = [r.key for r in replica.store.iterate_records("out")] if replica is not None else []
         if replica is not None and keys:
             key = self._luck.choice(keys)
             self.row("fault", name, what="spoil", subject="/".join(key[:2]))
-            replica.store.spoil(key)
+            replica.store.corrupt(key)
 
     # ------------------------------------------------------------------ the network
 
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -260,7 +260,7 @@
                     return self._backed(*self.backing.heard(now_us, sender, body))
             case _:
                 if self.replica is not None and self.members.joined:
-                    return self._posts(self.replica.hear(now_us, sender, body))
+                    return self._posts(self.replica.receive(now_us, sender, body))
         return []
 
     # ------------------------------------------------------------------ questions and orders
@@ -274,7 +274,9 @@
         if task == PERMITS:
             return self._permits.answer(now_us, term, asker.name, asker.life, content)
         if task == MARKS_TASK:
-            return self.replica.answer(now_us, asker.name, content) if self.replica is not None else None
+            return (
+                self.replica.answer_request(now_us, asker.name, content) if self.replica is not None else None
+            )
         answer = self.answers.get(task)
         return answer(now_us, asker.name, content) if answer is not None else None
 
@@ -323,14 +325,14 @@
 
     def _turn_replica(self, now_us: int, replica: Replica) -> list[Out]:
         coordinator = replica.coordinator
-        if coordinator is not None and coordinator.higher > coordinator.term:
+        if coordinator is not None and coordinator.superseding_term > coordinator.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
-            self.leases.heard_of(MARKS_TASK, coordinator.higher, "", now_us)
+            self.leases.heard_of(MARKS_TASK, coordinator.superseding_term, "", now_us)
             self._changes(now_us)
         outs = self._posts(replica.turn(now_us, self.holder_of(MARKS_TASK)))
-        for op, done in _emptied(replica.questions):
+        for op, done in _emptied(replica.leader_requests):
             outs += self.ask(now_us, MARKS_TASK, msgspec.to_builtins(op), done)
-        self._change_log.move_from(replica.sync.notes)
+        self._change_log.move_from(replica.anti_entropy.log_events)
         return outs
 
     def leave(self, now_us: int) -> list[Out]:
@@ -353,7 +355,7 @@
             self.leases.use(self.voters, terms.owners)
             self._vote.use(now_us, self.voters, terms.owners)
             if self.replica is not None:
-                self.replica.use_voters(now_us)
+                self.replica.apply_voters(now_us)
         self._permits.use(terms.permits)
         self._ownership.use(terms)
         self.terms = terms
@@ -382,7 +384,7 @@
         if change.task == PERMITS:
             self._permits.ownership_changed(now_us, change)
         if change.task == MARKS_TASK and self.replica is not None:
-            self.replica.turned(now_us, change.term if change.mine else 0)
+            self.replica.set_leadership(now_us, change.term if change.mine else 0)
             self._change_log.record_hold_anew(change.task)
         self.on_ownership_change(now_us, change)
 
--- a/sailrun/leadership/backing.py
+++ b/sailrun/leadership/backing.py
@@ -35,6 +35,16 @@
 MOST_UNTOLD = 1000
 
 
+def _reply_key(body: Any) -> int:
+    """What tells a reply from others of its type to the same member."""
+    if isinstance(body, Grant):
+        return body.term
+    if isinstance(body, Promise | Accepted | RecoveryReply):
+        return body.request_id
+    number: int = body.number
+    return number
+
+
 class Backing:
     """`run` is this process's own number. `record` is told every act, for the laboratory's checks."""
 
@@ -131,12 +141,12 @@
         if memory.whole:
             held = ((r, memory.marks[key]) for key, r in memory.records.items())
             with uncollected():
-                left = replica.take_up(now_us, held, memory.epoch)
+                left = replica.restore(now_us, held, memory.epoch)
             facts: dict[str, object] = {"records": len(replica.store), "epoch": memory.epoch}
             self.notes.append(("copy-found", {**facts, "left": left or None}))
         keeps = memory.keeps
         if replica.acceptor is not None and keeps is not None:
-            replica.acceptor.take_up(keeps.life, keeps.promised, keeps.lives, keeps.remembers)
+            replica.acceptor.restore(keeps.life, keeps.promised, keeps.lives, keeps.remembers)
             if not keeps.remembers:
                 self._act("folder", what="learning", of="marks")
 
@@ -167,7 +177,7 @@
         if wal.ready(position):
             return self._waits_for_notes(position, name, body)
         if wal.able:
-            key = (name, type(body), body.term if isinstance(body, Grant) else body.number)
+            key = (name, type(body), _reply_key(body))
             wal.hold(now_us, position, key, (name, body))
         return True
 
@@ -279,8 +289,8 @@
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None and voter.may_remember:
             voter.trust()
-        if acceptor is not None and acceptor.may_remember:
-            acceptor.trust()
+        if acceptor is not None and acceptor.is_verifying_folder:
+            acceptor.trust_folder()
         self._act("folder", what="trusted")
         own = self.standing.own
         self.notes.append(("lasting-trusted", {"life": own.life if own is not None else None}))
@@ -300,7 +310,7 @@
         if voter is not None:
             voter.forget(now_us)
         if acceptor is not None:
-            acceptor.may_remember = False
+            acceptor.is_verifying_folder = False
             acceptor.restart(now_us)
         facts: dict[str, object] = {"why": standing.why_old, "loaded": lasting.loaded}
         if known is not None:
--- a/sailrun/leadership/lasting.py
+++ b/sailrun/leadership/lasting.py
@@ -41,16 +41,16 @@
     def _add(self, entry: e.Entry) -> int:
         return self.write_ahead_log.add(entry) if self.write_ahead_log is not None else 0
 
-    def record(self, record: Record, mark: int) -> None:
+    def write_record(self, record: Record, mark: int) -> None:
         self._add(e.Held(record, mark))
 
-    def dropped(self, key: Key) -> None:
+    def write_forgotten(self, key: Key) -> None:
         self._add(e.Dropped(key))
 
-    def copy(self, epoch: int, whole: bool, cleared: bool = False) -> None:
+    def write_copy_state(self, epoch: int, whole: bool, cleared: bool = False) -> None:
         self._add(e.Copy(epoch, whole, cleared))
 
-    def keeps(self, life: int, promised: int, lives: dict[str, int], remembers: bool) -> None:
+    def write_acceptor_state(self, life: int, promised: int, lives: dict[str, int], remembers: bool) -> None:
         self._add(e.Keeps(life, promised, lives, remembers))
 
     def slot(self, task: str, slot: Slot) -> int:
@@ -95,7 +95,7 @@
 
 def replica_entries(replica: Replica) -> Iterable[e.Entry]:
     """As they are now; gone through later, and by another thread."""
-    state = [e.Copy(replica.sync.epoch, replica.sync.whole)]
-    keeps = [e.Keeps(*replica.acceptor.state())] if replica.acceptor is not None else []
-    held = replica.store.firm()
+    state = [e.Copy(replica.anti_entropy.epoch, replica.anti_entropy.complete)]
+    keeps = [e.Keeps(*replica.acceptor.get_durable_state())] if replica.acceptor is not None else []
+    held = replica.store.list_firm_records()
     return chain(state, keeps, (e.Held(record, mark) for record, mark in held))
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -142,7 +142,7 @@
         )
         found.memory.records, found.memory.marks = {}, {}  # the copy has them now
         if self.copies is not None:
-            self.copies.begins_with(lasting.drains)
+            self.copies.restore_draining(lasting.drains)
 
     async def run(self) -> None:
         """Until cancelled, or given up. A fault in here leaves the node as it would be without a fleet."""
@@ -374,7 +374,7 @@
             if what in shown:
                 reply(shown[what](self.agent, now_us))
             elif what.startswith(("state", "ranges")):
-                reply(self.copies.show(now_us, what) if self.copies is not None else None)
+                reply(self.copies.describe(now_us, what) if self.copies is not None else None)
             elif what == "counts":
                 reply(self._counts())
             elif what.startswith("shards"):
--- a/sailrun/leadership/shared.py
+++ b/sailrun/leadership/shared.py
@@ -106,7 +106,12 @@
         """Called by the agent's task."""
         self._reading.owner = bool(self._agent.leases.holds(self._task, now_us))
         replica, revision = self._agent.replica, self._reading.revision
-        if replica is not None and self._reading.owner and revision != self._kept and replica.sync.whole:
+        if (
+            replica is not None
+            and self._reading.owner
+            and revision != self._kept
+            and replica.anti_entropy.complete
+        ):
             self._kept = revision
             store_server_list(replica, now_us, self._subject, revision, self._reading.members)
         reads = self._reading.reads(now_us) or self._reading.revision < 0
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -74,8 +74,8 @@
     """
 
     epoch: int
-    items: DeletedVersions
-    weak: DeletedVersions = []
+    deleted_versions: DeletedVersions
+    local_writes: DeletedVersions = []
 
 
 @dataclass(slots=True)
@@ -104,20 +104,22 @@
         journal: ReplicaJournal | None = None,
     ) -> None:
         self._journal = journal or ReplicaJournal()
-        self._name, self.store, self.terms, self._members = name, store, terms, members
+        self._name, self.store, self.settings, self._members = name, store, terms, members
         self._voters, self._majority, self._off = voters, majority, off
         self._luck = random.Random(seed)
         self._number = self._luck.getrandbits(30) << 20
         self.epoch = 0
-        self.whole = False
-        self.notes: list[tuple[str, dict[str, object]]] = []  # for the log; emptied by whoever drives this
-        self.taker = TransferReceiver(terms, self.next_number)
-        self.giver = TransferSender(terms)
+        self.complete = False
+        self.log_events: list[
+            tuple[str, dict[str, object]]
+        ] = []  # for the log; emptied by whoever drives this
+        self.receiver = TransferReceiver(terms, self.make_request_id)
+        self.sender = TransferSender(terms)
         # The copy was thrown away; told whether others counted on what it held.
-        self.on_thrown: Callable[[int, bool], None] = lambda now_us, counted: None
+        self.on_discarded: Callable[[int, bool], None] = lambda now_us, counted: None
         self.on_lost: Callable[[Key], None] = lambda key: None  # nobody had the record
-        self.on_founded: Callable[[], None] = lambda: None  # too few voters remembered
-        self.on_remembered: Callable[[], None] = lambda: None  # this voter knows again what it had promised
+        self.on_bootstrapped: Callable[[], None] = lambda: None  # too few voters remembered
+        self.on_recovered: Callable[[], None] = lambda: None  # this voter knows again what it had promised
         self._hot: OrderedDict[Key, int] = OrderedDict()  # by key, how often told
         self._attic: list[Record] = []  # of a copy thrown away: what nodes said on their own word
         self.lost: dict[Key, int] = {}  # records whose bytes were spoilt, to be had again by a time
@@ -131,31 +133,31 @@
         self._next: list[str] = []  # whose copy is known to differ
         self._rumor_us = self._sum_us = self._scrub_us = now_us
         self._begun_us = -1  # when this copy was begun
-        self.copies = 0  # whole copies begun
-        self.mended = 0
-        self.missing = 0  # records said to be in ranges that are to be copied
+        self.copies_begun = 0  # whole copies begun
+        self.repaired = 0
+        self.missing_records = 0  # records said to be in ranges that are to be copied
         self._told_full = False
 
-    def take_up(self, epoch: int) -> None:
+    def restore(self, epoch: int) -> None:
         """A whole copy of this epoch was found at the start; how far it is behind, others will tell."""
-        self.epoch, self.whole, self._left = epoch, True, set()
+        self.epoch, self.complete, self._left = epoch, True, set()
 
-    def next_number(self) -> int:
+    def make_request_id(self) -> int:
         self._number += 1
         return self._number
 
-    def note(self, what: str, **facts: object) -> None:
-        self.notes.append((what, facts))
+    def log_event(self, what: str, **facts: object) -> None:
+        self.log_events.append((what, facts))
 
     # ------------------------------------------------------------------ records that come in
 
-    def changed(self, record: Record, told: int = 0) -> None:
+    def queue_gossip(self, record: Record, told: int = 0) -> None:
         """A record became known here: it is told on."""
         if estimate_size_bytes(record) <= RUMOR_BYTES:
             self._hot[record.key] = told
             self._hot.move_to_end(record.key, last=False)
 
-    def take_in(self, now_us: int, records: list[Record], tell: int) -> bool:
+    def merge_received(self, now_us: int, records: list[Record], tell: int) -> bool:
         """Merges what was told; False where there was something bad among it. `tell`: as if told on so
         often.
         """
@@ -163,56 +165,56 @@
             try:
                 took = self.store.put(now_us, record)
             except InvalidRecordError as error:
-                self.note("bad-record", why=str(error))
+                self.log_event("bad-record", why=str(error))
                 return False
             if took is PutResult.NEW:
                 if record.key in self.lost:
                     del self.lost[record.key]
-                    self.mended += 1
-                    self.note("copy-mended", kind=record.kind, subject=record.subject)
+                    self.repaired += 1
+                    self.log_event("copy-mended", kind=record.kind, subject=record.subject)
                 if tell < TELLS:
                     known = self.store.get(record.key)
                     if known is not None:
-                        self.changed(known, tell)
-            elif took is PutResult.DIFFERS:
-                self.dispute(now_us, record.key)
+                        self.queue_gossip(known, tell)
+            elif took is PutResult.CONTRADICTS:
+                self.dispute_record(now_us, record.key)
             elif took is PutResult.FULL and not self._told_full:
                 self._told_full = True
-                self.note("replica-full", records=len(self.store), bytes=self.store.bytes)
+                self.log_event("replica-full", records=len(self.store), bytes=self.store.size_bytes)
         return True
 
     # ------------------------------------------------------------------ messages
 
-    def hear(self, now_us: int, sender: str, body: object) -> list[Post]:
+    def receive(self, now_us: int, sender: str, body: object) -> list[Post]:
         match body:
             case Rumor(epoch, records):
-                if self._same_epoch(epoch) and self.whole:
-                    self.take_in(now_us, records, 0)
+                if self._same_epoch(epoch) and self.complete:
+                    self.merge_received(now_us, records, 0)
                 elif epoch > self.epoch:
-                    return self.ask(sender)
+                    return self.request_digests(sender)
             case DigestRequest():
                 return self._summed(now_us, sender, body)
             case DigestReply():
                 return self._compared(now_us, sender, body)
             case PageRequest():
                 if not self._same_epoch(body.epoch):
-                    return self.ask(sender)
-                return [(sender, self.giver.asked(now_us, sender, body, self.store, self.whole))]
+                    return self.request_digests(sender)
+                return [(sender, self.sender.answer_request(now_us, sender, body, self.store, self.complete))]
             case RecordPage(number):
-                pull = self.taker.of(sender, number)
+                pull = self.receiver.find_transfer(sender, number)
                 if pull is not None and self._same_epoch(body.epoch):
                     # What was taken in to catch up others have; what differed may be new to some.
-                    tell = TELLS if not self.whole else TELLS - 1
-                    if self.take_in(now_us, body.records, tell):
-                        self.taker.came(now_us, pull, body)
+                    tell = TELLS if not self.complete else TELLS - 1
+                    if self.merge_received(now_us, body.records, tell):
+                        self.receiver.on_page(now_us, pull, body)
             case SenderBusy(number, wait_us):
-                pull = self.taker.of(sender, number)
+                pull = self.receiver.find_transfer(sender, number)
                 if pull is not None:
                     self._away[sender] = now_us + wait_us
-                    if pull.urgent or self.whole:
-                        pull.next_us, pull.tries = now_us + wait_us, 0
+                    if pull.urgent or self.complete:
+                        pull.request_at_us, pull.attempts = now_us + wait_us, 0
                     else:
-                        self.taker.end(now_us, pull, False)
+                        self.receiver.end_transfer(now_us, pull, False)
             case RecordRequest(number, key):
                 return [(sender, RecordReply(number, key, self.store.get(key)))]
             case RecordReply(number, key, record):
@@ -225,51 +227,55 @@
     def _same_epoch(self, epoch: int) -> bool:
         return epoch == self.epoch or "forget" in self._off
 
-    def ask(self, name: str) -> list[Post]:
+    def request_digests(self, name: str) -> list[Post]:
         """How does that copy compare with mine?"""
-        number = self.next_number()
+        number = self.make_request_id()
         self._sums[number] = name
         while len(self._sums) > 64:
             del self._sums[next(iter(self._sums))]
-        return [(name, DigestRequest(number, self.epoch, self.store.groups(), self.whole))]
+        return [(name, DigestRequest(number, self.epoch, self.store.group_digests(), self.complete))]
 
     def _summed(self, now_us: int, sender: str, told: DigestRequest) -> list[Post]:
-        leaves = self.store.unlike(told.groups)
-        records = self.store.counts(
+        leaves = self.store.find_differing_groups(told.group_digests)
+        records = self.store.count_records(
             r for n in leaves for r in range(n * RANGES_PER_GROUP, (n + 1) * RANGES_PER_GROUP)
         )
         forgotten = self.store.get(EPOCH_RECORD_KEY) if told.epoch < self.epoch else None
         posts: list[Post] = [
-            (sender, DigestReply(told.number, self.epoch, leaves, records, self.whole, forgotten))
+            (sender, DigestReply(told.request_id, self.epoch, leaves, records, self.complete, forgotten))
         ]
         if told.epoch > self.epoch:
-            posts += self.ask(sender)
-        elif leaves and told.whole and self.whole and sender not in self._next:
+            posts += self.request_digests(sender)
+        elif leaves and told.complete and self.complete and sender not in self._next:
             self._next.append(sender)
         return posts
 
     def _compared(self, now_us: int, sender: str, told: DigestReply) -> list[Post]:
-        if self._sums.pop(told.number, None) != sender:
+        if self._sums.pop(told.request_id, None) != sender:
             return []
         if "forget" in self._off:
             pass
         elif told.epoch > self.epoch:
-            known = told.forgotten
-            if known is None and self.whole and not told.whole:
+            known = told.epoch_record
+            if known is None and self.complete and not told.complete:
                 return []  # it has begun a copy of that epoch, and knows no more of it: others will tell
-            if not self.whole or known is None or not self.advance(now_us, known):
+            if not self.complete or known is None or not self.advance_epoch(now_us, known):
                 # What was told is how that copy differs from the one that is thrown away: it is asked anew.
                 self.begin_copy(now_us, told.epoch, "too far behind")
-                return self.ask(sender)
+                return self.request_digests(sender)
             if self.epoch != told.epoch:
                 return []
         elif told.epoch < self.epoch:
             return []
-        ranges = self.store.differing(told.leaves)
-        if not self.whole:
+        ranges = self.store.find_differing_ranges(told.range_digests)
+        if not self.complete:
             self._copy_from(now_us, sender, told, ranges)
-        elif ranges and self.taker.from_giver(sender) is None and len(self.taker.pulls) < 2 * GIVERS:
-            self.taker.begin(now_us, sender, ranges, lambda now_us, whole: None)
+        elif (
+            ranges
+            and self.receiver.find_background_transfer(sender) is None
+            and len(self.receiver.transfers) < 2 * GIVERS
+        ):
+            self.receiver.begin(now_us, sender, ranges, lambda now_us, whole: None)
         return []
 
     # ------------------------------------------------------------------ whole copies
@@ -278,12 +284,12 @@
         """Throws this copy away and takes another. What nodes said on their own word is kept aside: the fleet
         may never have heard it.
         """
-        self.note("copy-begins", why=why, epoch=epoch, records=len(self.store))
-        spoilt = self.whole and epoch == self.epoch
-        self.copies += 1
-        self.whole, self.epoch, self._begun_us = False, epoch, now_us
-        self.taker.drop(now_us)
-        aside = {r.key: r for r in self._attic} | {r.key: r for r in self.store.sound()}
+        self.log_event("copy-begins", why=why, epoch=epoch, records=len(self.store))
+        spoilt = self.complete and epoch == self.epoch
+        self.copies_begun += 1
+        self.complete, self.epoch, self._begun_us = False, epoch, now_us
+        self.receiver.end_all(now_us)
+        aside = {r.key: r for r in self._attic} | {r.key: r for r in self.store.intact_records()}
         self._attic = [r for r in map(_own_words, aside.values()) if r is not None]
         self.lost.clear()
         self.store.clear()
@@ -292,25 +298,25 @@
         self._sums.clear()  # answers under way are about the copy that is no more
         self._left, self._assigned, self._places = set(range(RANGE_COUNT)), {}, {}
         self._answered.clear()
-        self._journal.copy(epoch, False, cleared=True)
-        self.on_thrown(now_us, spoilt)
+        self._journal.write_copy_state(epoch, False, cleared=True)
+        self.on_discarded(now_us, spoilt)
 
     def _copy_from(self, now_us: int, giver: str, told: DigestReply, ranges: list[int]) -> None:
-        if not told.whole:
+        if not told.complete:
             self._answered[giver] = now_us
-            if ranges and not self.taker.from_giver(giver):
+            if ranges and not self.receiver.find_background_transfer(giver):
                 # Nobody may have a whole copy: then all that any has makes one.
-                self.taker.begin(now_us, giver, ranges, lambda now_us, whole: None, urgent=True)
+                self.receiver.begin(now_us, giver, ranges, lambda now_us, whole: None, urgent=True)
             return
         self._answered.pop(giver, None)
-        self.missing = told.records
+        self.missing_records = told.record_count
         self._left -= set(range(RANGE_COUNT)) - set(ranges) - self._assigned.keys()
         if not self._left:
             self._have_copied(now_us)
             return
         free = [n for n in ranges if n in self._left and n not in self._assigned]
         share = free[: max(1, len(self._left) // GIVERS)]
-        if not share or self.taker.from_giver(giver) is not None:
+        if not share or self.receiver.find_background_transfer(giver) is not None:
             return
         share.sort(key=lambda n: n not in self._places)  # what was broken off first
         for number in share:
@@ -325,7 +331,7 @@
 
     def _take(self, now_us: int, giver: str, ranges: list[int], after: Key | None) -> None:
         def done(now_us: int, whole: bool) -> None:
-            if self.whole:
+            if self.complete:
                 return
             came = set(ranges) if whole else set(ranges) - set(pull.ranges)
             for number in ranges:
@@ -336,21 +342,21 @@
             if not self._left:
                 self._have_copied(now_us)
 
-        self.taker.begin(now_us, giver, ranges, done, after=after)
-        pull: Transfer = self.taker.pulls[-1]
+        self.receiver.begin(now_us, giver, ranges, done, after=after)
+        pull: Transfer = self.receiver.transfers[-1]
 
     def _have_copied(self, now_us: int) -> None:
-        self.whole = True
-        self._journal.copy(self.epoch, True)
-        self.note("copy-whole", records=len(self.store), epoch=self.epoch, pieces=self.taker.pieces)
-        self.missing = 0
+        self.complete = True
+        self._journal.write_copy_state(self.epoch, True)
+        self.log_event("copy-whole", records=len(self.store), epoch=self.epoch, pieces=self.receiver.pages)
+        self.missing_records = 0
         attic, self._attic = self._attic, []
         known = self.store.get(EPOCH_RECORD_KEY)
-        gone = {(key, actor): count for key, actor, count in _forgetting(known).weak}
+        gone = {(key, actor): count for key, actor, count in _forgetting(known).local_writes}
         for record in attic:
             words = [v for v in record.versions if v.count > gone.get((record.key, v.actor), (-1, -1))]
             if words:
-                self.take_in(now_us, [Record(*record.key, False, words, record.seen)], 0)
+                self.merge_received(now_us, [Record(*record.key, False, words, record.context)], 0)
 
     def _fresh(self, now_us: int) -> None:
         """Nobody has a whole copy to give. Voters tell each other so, as few as they are; the rest wait for
@@ -370,11 +376,15 @@
 
     def _go_on_copying(self, now_us: int) -> list[Post]:
         self._fresh(now_us)
-        if self.whole:
+        if self.complete:
             return []
         others = [n for n in self._members.names if n != self._name]
-        free = [n for n in others if self._away.get(n, 0) <= now_us and self.taker.from_giver(n) is None]
-        asked = GIVERS - sum(1 for p in self.taker.pulls if not p.urgent)
+        free = [
+            n
+            for n in others
+            if self._away.get(n, 0) <= now_us and self.receiver.find_background_transfer(n) is None
+        ]
+        asked = GIVERS - sum(1 for p in self.receiver.transfers if not p.urgent)
         if asked <= 0 or not free:
             return []
         # A voter among them: those are the first to have one.
@@ -386,12 +396,12 @@
         posts: list[Post] = []
         for name in picked:
             self._away[name] = now_us + AGAIN_US
-            posts += self.ask(name)
+            posts += self.request_digests(name)
         return posts
 
     # ------------------------------------------------------------------ what is forgotten
 
-    def advance(self, now_us: int, record: Record) -> bool:
+    def advance_epoch(self, now_us: int, record: Record) -> bool:
         """Goes on to the next epoch, if this copy knows of all that is forgotten with it that it was taken
         back; who does not cannot tell what else it has missed. To hold the record is no reason to: it has
         to be decided, as an owner knows from a majority, and others from whoever has gone on.
@@ -399,62 +409,66 @@
         told = _forgetting(record)
         if told.epoch <= self.epoch:
             return told.epoch == self.epoch
-        if told.epoch != self.epoch + 1 or not self.whole or not self.knows_all(told.items):
+        if (
+            told.epoch != self.epoch + 1
+            or not self.complete
+            or not self.knows_deletions(told.deleted_versions)
+        ):
             return False
-        for key, actor, count in told.items:
+        for key, actor, count in told.deleted_versions:
             known = self.store.get(key)
-            if known is not None and [v.dot for v in known.versions] == [(actor, count)] and known.gone:
+            if known is not None and [v.dot for v in known.versions] == [(actor, count)] and known.is_deleted:
                 self.store.remove(key)
-                self._journal.dropped(key)
+                self._journal.write_forgotten(key)
                 self._hot.pop(key, None)
         self.epoch = told.epoch
-        self._journal.copy(self.epoch, True)
+        self._journal.write_copy_state(self.epoch, True)
         if self.store.get(EPOCH_RECORD_KEY) != record:
             self.store.put(now_us, record)
-        self.note("forgotten", epoch=self.epoch, records=len(told.items))
+        self.log_event("forgotten", epoch=self.epoch, records=len(told.deleted_versions))
         return True
 
-    def weak_of(self, items: DeletedVersions) -> DeletedVersions:
+    def collect_local_writes(self, items: DeletedVersions) -> DeletedVersions:
         """What the next epoch has to remember of nodes' own words that went with these."""
-        found = {(k, a): c for k, a, c in _forgetting(self.store.get(EPOCH_RECORD_KEY)).weak}
+        found = {(k, a): c for k, a, c in _forgetting(self.store.get(EPOCH_RECORD_KEY)).local_writes}
         for key, _, _ in items:
             record = self.store.get(key)
-            for actor, count in record.seen.items() if record is not None else ():
+            for actor, count in record.context.items() if record is not None else ():
                 if actor != STRONG:
                     found.pop((key, actor), None)
                     found[key, actor] = count
         return [(k, a, c) for (k, a), c in found.items()][-MOST_WEAK:]
 
-    def knows_all(self, items: DeletedVersions) -> bool:
-        return self.whole and all(covers(self.store.get(key), [(a, c)]) for key, a, c in items)
+    def knows_deletions(self, items: DeletedVersions) -> bool:
+        return self.complete and all(covers(self.store.get(key), [(a, c)]) for key, a, c in items)
 
     # ------------------------------------------------------------------ copies that differ without a reason
 
-    def dispute(self, now_us: int, key: Key) -> None:
+    def dispute_record(self, now_us: int, key: Key) -> None:
         """The same version with two contents, each sound by its own hash: the voters are asked."""
         record = self.store.get(key)
         if "mend" in self._off or key in self._votes or record is None:
             return
-        self.note("copy-differs", kind=key[0], subject=key[1], observer=key[2] or None)
+        self.log_event("copy-differs", kind=key[0], subject=key[1], observer=key[2] or None)
         if record.soft:
             self.store.remove(key)  # its observer says it again
             return
-        self._votes[key] = _Vote(key, self.next_number(), 0)
+        self._votes[key] = _Vote(key, self.make_request_id(), 0)
 
     def _drop_spoilt(self, now_us: int) -> None:
         """Bytes that do not fit their hash any more are nobody's word: the record is had again from others,
         and a voter has forgotten what it held.
         """
-        spoilt, self.store.spoilt = self.store.spoilt, []
+        spoilt, self.store.corrupted = self.store.corrupted, []
         if len(spoilt) > MOST_SPOILT:
             self.begin_copy(now_us, self.epoch, f"{len(spoilt)} records are spoilt")
             return
         for key in spoilt:
-            self.note("copy-spoilt", kind=key[0], subject=key[1], observer=key[2] or None)
+            self.log_event("copy-spoilt", kind=key[0], subject=key[1], observer=key[2] or None)
             self.lost[key] = now_us + LOST_US
             self.store.remove(key)
-            if self.whole:
-                self.on_thrown(now_us, True)
+            if self.complete:
+                self.on_discarded(now_us, True)
 
     def _vote(self, now_us: int) -> list[Post]:
         posts: list[Post] = []
@@ -485,16 +499,18 @@
                 mine = self.store.get(vote.key)
                 if mine is None or hash_record(mine, b"") != hash_record(right, b""):
                     self.store.replace(now_us, right)
-                    self.mended += 1
-                    self.note("copy-mended", kind=vote.key[0], subject=vote.key[1], voters=",".join(names))
+                    self.repaired += 1
+                    self.log_event(
+                        "copy-mended", kind=vote.key[0], subject=vote.key[1], voters=",".join(names)
+                    )
                 del self._votes[vote.key]
                 return
 
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        due_us = min(self._sum_us, self._scrub_us, self.taker.due_us() or self._sum_us)
-        if self._hot or self._next or self._votes or not self.whole:
+        due_us = min(self._sum_us, self._scrub_us, self.receiver.due_us() or self._sum_us)
+        if self._hot or self._next or self._votes or not self.complete:
             due_us = min(due_us, self._rumor_us)
         return due_us
 
@@ -504,32 +520,32 @@
         posts: list[Post] = []
         if now_us >= self._rumor_us:
             self._rumor_us = now_us + RUMOR_US
-            if not self.whole:
+            if not self.complete:
                 posts += self._go_on_copying(now_us)
             else:
                 posts += self._tell()
                 while self._next:
                     name = self._next.pop()
-                    if self._members.lives(name) and self.taker.from_giver(name) is None:
-                        posts += self.ask(name)
+                    if self._members.lives(name) and self.receiver.find_background_transfer(name) is None:
+                        posts += self.request_digests(name)
             posts += self._vote(now_us)
         if now_us >= self._sum_us:
-            self._sum_us = now_us + int(self.terms.sync_s * SECOND * (0.8 + 0.4 * self._luck.random()))
-            if self.whole:
+            self._sum_us = now_us + int(self.settings.sync_s * SECOND * (0.8 + 0.4 * self._luck.random()))
+            if self.complete:
                 for name in self._some(1):
-                    posts += self.ask(name)
+                    posts += self.request_digests(name)
         if now_us >= self._scrub_us:
             self._scrub_us = now_us + SCRUB_US
-            self.store.age_out(now_us)
+            self.store.expire_records(now_us)
             if "mend" not in self._off:
-                self.store.scrub(min(1.0, SCRUB_US / SECOND / self.terms.scrub_s))
+                self.store.scrub(min(1.0, SCRUB_US / SECOND / self.settings.scrub_s))
             for key in [k for k, until_us in self.lost.items() if now_us >= until_us]:
                 del self.lost[key]
-                self.note("copy-lost", kind=key[0], subject=key[1], observer=key[2] or None)
+                self.log_event("copy-lost", kind=key[0], subject=key[1], observer=key[2] or None)
                 self.on_lost(key)
-        if self.store.spoilt:
+        if self.store.corrupted:
             self._drop_spoilt(now_us)
-        posts += self.taker.turn(now_us, self.epoch)
+        posts += self.receiver.turn(now_us, self.epoch)
         return posts
 
     def _some(self, count: int) -> list[str]:
@@ -545,14 +561,14 @@
         size = 0
         names = self._some(FANOUT)
         for key in list(self._hot):
-            record = self.store.checked(key)
+            record = self.store.get_intact(key)
             if record is None:
                 del self._hot[key]
                 continue
             size += estimate_size_bytes(record)
             if size > RUMOR_BYTES and records:
                 break
-            records.append(self.store.told(self._rumor_us, record))
+            records.append(self.store.with_age(self._rumor_us, record))
             told = self._hot.pop(key) + len(names)
             if told < TELLS:
                 self._hot[key] = told
@@ -573,10 +589,10 @@
     """Of a record, what no owner wrote and nobody took back, with what its writers had seen; None: nothing.
     What is left out is left out of what was seen as well: else it would count as superseded.
     """
-    words = [v for v in record.versions if v.actor != STRONG and not v.gone]
+    words = [v for v in record.versions if v.actor != STRONG and not v.deleted]
     if record.soft or not words:
         return None
-    seen = dict(record.seen)
+    seen = dict(record.context)
     for version in record.versions:
         if version not in words:
             seen[version.actor] = (version.count[0], version.count[1] - 1)
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -60,17 +60,17 @@
 class _Round:
     """Something that voters are asked, again and again, until enough of them have answered."""
 
-    number: int
-    body: Callable[[], msgspec.Struct]
-    done: Callable[[int], None]  # once a majority stands
-    begun_us: int
-    acks: dict[str, tuple[int, dict[str, int]]] = field(default_factory=dict)
-    pulling: set[str] = field(default_factory=set)
-    others: set[str] = field(default_factory=set)  # members that do not vote, which are told as well
-    kept: set[str] = field(default_factory=set)  # of them, those that hold it
-    next_us: int = 0
-    wait_us: int = AGAIN_US
-    stands: bool = False
+    request_id: int
+    make_message: Callable[[], msgspec.Struct]
+    on_majority: Callable[[int], None]  # once a majority stands
+    began_us: int
+    votes: dict[str, tuple[int, dict[str, int]]] = field(default_factory=dict)
+    transferring: set[str] = field(default_factory=set)
+    observers: set[str] = field(default_factory=set)  # members that do not vote, which are told as well
+    observer_acks: set[str] = field(default_factory=set)  # of them, those that hold it
+    send_at_us: int = 0
+    retry_interval_us: int = AGAIN_US
+    has_majority: bool = False
 
 
 @dataclass(slots=True)
@@ -78,7 +78,7 @@
     id: str
     key: Key
     round: _Round
-    waits: bool
+    waiting: bool
 
 
 class MarkCoordinator:
@@ -101,7 +101,7 @@
         self.term, self._me, self._voters, self._members = term, me, voters, members
         self._sync, self._store, self._limit, self._off = sync, sync.store, limit, off
         self.state = "promise"
-        self.higher = 0  # a term that a voter has promised above this one
+        self.superseding_term = 0  # a term that a voter has promised above this one
         self._count = 0
         self._epoch = sync.epoch
         self._began_us = now_us
@@ -115,19 +115,19 @@
         self._items: DeletedVersions = []
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self.state == "open" and self._same_copy
 
     @property
     def _same_copy(self) -> bool:
-        return self._sync.whole and self._copies == self._sync.copies
+        return self._sync.complete and self._copies == self._sync.copies_begun
 
     def _begin(self, now_us: int) -> None:
         """From the start: promises, what the voters hold, and a majority that holds all of it."""
-        self.state, self._epoch, self._copies = "promise", self._sync.epoch, self._sync.copies
+        self.state, self._epoch, self._copies = "promise", self._sync.epoch, self._sync.copies_begun
         self._forgetting, self._asked = False, None
         self._rounds.clear()
-        number = self._sync.next_number()
+        number = self._sync.make_request_id()
         self._round(
             now_us,
             number,
@@ -136,12 +136,12 @@
         )
 
     def _firm(self) -> list[int]:
-        return self._store.groups()[: FIRM_RANGE_COUNT // RANGES_PER_GROUP]
+        return self._store.group_digests()[: FIRM_RANGE_COUNT // RANGES_PER_GROUP]
 
     def _round(
         self, now_us: int, number: int, body: Callable[[], msgspec.Struct], done: Callable[[int], None]
     ) -> _Round:
-        made = self._rounds[number] = _Round(number, body, done, now_us, next_us=now_us)
+        made = self._rounds[number] = _Round(number, body, done, now_us, send_at_us=now_us)
         return made
 
     def _level(self, now_us: int) -> None:
@@ -149,7 +149,7 @@
             self._opened(now_us)
             return
         self.state = "level"
-        number = self._sync.next_number()
+        number = self._sync.make_request_id()
         self._round(
             now_us, number, lambda: CatchUp(self.term, number, self._epoch, self._firm()), self._opened
         )
@@ -158,17 +158,17 @@
         self._forgetting = False
         record = self._store.get(EPOCH_RECORD_KEY)
         if record is not None:
-            self._sync.advance(now_us, record)
+            self._sync.advance_epoch(now_us, record)
             self._epoch = self._sync.epoch
 
     def _opened(self, now_us: int) -> None:
         self.state = "open"
         self._advance(now_us)  # what the owner before may have decided
-        self._sync.note("marks-open", term=self.term, after_ms=(now_us - self._began_us) // 1000)
+        self._sync.log_event("marks-open", term=self.term, after_ms=(now_us - self._began_us) // 1000)
 
     # ------------------------------------------------------------------ what voters and members answer
 
-    def hear(self, now_us: int, sender: str, body: object) -> None:
+    def receive(self, now_us: int, sender: str, body: object) -> None:
         match body:
             case Promise() if body.term == self.term:
                 self._promised(now_us, sender, body)
@@ -177,68 +177,74 @@
                 if made is not None:
                     if sender in self._voters().all():
                         self._ack(now_us, made, sender, life, lives)
-                    if sender in made.others:
-                        made.kept.add(sender)
+                    if sender in made.observers:
+                        made.observer_acks.add(sender)
             case TermSuperseded(term, _, promised) if term == self.term:
-                self.higher = max(self.higher, promised)
+                self.superseding_term = max(self.superseding_term, promised)
             case DeletionReply(term, number, yes) if term == self.term:
                 if self._asked is not None and number == self._asked_round and sender in self._asked:
                     self._asked[sender] = self._asked[sender] or yes
 
     def _promised(self, now_us: int, sender: str, told: Promise) -> None:
-        made = self._rounds.get(told.number)
-        if made is None or sender not in self._voters().all() or sender in made.pulling | made.acks.keys():
+        made = self._rounds.get(told.request_id)
+        if (
+            made is None
+            or sender not in self._voters().all()
+            or sender in made.transferring | made.votes.keys()
+        ):
             return
-        ranges = self._store.differing(told.leaves)
+        ranges = self._store.find_differing_ranges(told.range_digests)
 
         def done(now_us: int, whole: bool) -> None:
-            made.pulling.discard(sender)
+            made.transferring.discard(sender)
             if whole and self._epoch == self._sync.epoch:
-                self._ack(now_us, made, sender, told.life, told.lives)
+                self._ack(now_us, made, sender, told.incarnation, told.crash_vector)
 
         if not ranges or sender == self._me:
             done(now_us, True)
             return
-        made.pulling.add(sender)
-        self._sync.taker.begin(now_us, sender, ranges, done, urgent=True)
+        made.transferring.add(sender)
+        self._sync.receiver.begin(now_us, sender, ranges, done, urgent=True)
 
     def _ack(self, now_us: int, made: _Round, voter: str, life: int, lives: dict[str, int]) -> None:
-        made.acks[voter] = (life, lives)
-        resolve_mark = find_consistent_voters(made.acks) if "lives" not in self._off else set(made.acks)
-        for name in made.acks.keys() - resolve_mark:
-            del made.acks[name]  # of a former life: asked again
-        if not made.stands and self._voters().majority(resolve_mark):
-            made.stands = True
-            made.done(now_us)
+        made.votes[voter] = (life, lives)
+        resolve_mark = find_consistent_voters(made.votes) if "lives" not in self._off else set(made.votes)
+        for name in made.votes.keys() - resolve_mark:
+            del made.votes[name]  # of a former life: asked again
+        if not made.has_majority and self._voters().majority(resolve_mark):
+            made.has_majority = True
+            made.on_majority(now_us)
 
     # ------------------------------------------------------------------ what is asked of the owner
 
-    def asked(self, now_us: int, sender: str, op: MarkRequest) -> MarkReply | None:
-        if op.what == "where":
-            if not self.open or self._epoch != self._sync.epoch:
+    def answer_request(self, now_us: int, sender: str, op: MarkRequest) -> MarkReply | None:
+        if op.operation == "where":
+            if not self.is_open or self._epoch != self._sync.epoch:
                 return None
-            groups = list(self._store.unlike(op.groups[: FIRM_RANGE_COUNT // RANGES_PER_GROUP]))
-            records = self._store.counts(
+            groups = list(
+                self._store.find_differing_groups(op.group_digests[: FIRM_RANGE_COUNT // RANGES_PER_GROUP])
+            )
+            records = self._store.count_records(
                 r for n in groups for r in range(n * RANGES_PER_GROUP, (n + 1) * RANGES_PER_GROUP)
             )
-            return MarkReply(op.id, "done" if not groups else "behind", self.term, records=records)
-        if op.what == "poll" or (op.what == "mark" and op.id in self._writes):
+            return MarkReply(op.id, "done" if not groups else "behind", self.term, missing_records=records)
+        if op.operation == "poll" or (op.operation == "mark" and op.id in self._writes):
             return self._stands(op)
-        if op.under != self.term:
+        if op.term != self.term:
             return MarkReply(op.id, "other", self.term)
-        if not self.open or self._forgetting or self._sync.epoch != self._epoch:
+        if not self.is_open or self._forgetting or self._sync.epoch != self._epoch:
             return MarkReply(op.id, "opening", self.term)
         if any(kind == op.kind for kind, _, _ in self._sync.lost):
             return MarkReply(op.id, "opening", self.term)  # a mark was spoilt here, and is had again
         key = (op.kind, op.subject, "")
-        if op.what == "look":
-            if any(w.key == key and not w.round.stands for w in self._writes.values()):
+        if op.operation == "look":
+            if any(w.key == key and not w.round.has_majority for w in self._writes.values()):
                 return MarkReply(op.id, "pending", self.term)
             record = self._store.get(key)
-            versions = [(v.content, v.gone) for v in record.versions] if record is not None else []
+            versions = [(v.content, v.deleted) for v in record.versions] if record is not None else []
             return MarkReply(op.id, "done", self.term, versions=versions)
-        if op.what != "mark" or op.kind not in MARK_KINDS:
-            return MarkReply(op.id, "refused", self.term, why=f"no kind {op.kind[:40]}")
+        if op.operation != "mark" or op.kind not in MARK_KINDS:
+            return MarkReply(op.id, "refused", self.term, reason=f"no kind {op.kind[:40]}")
         return self._mark(now_us, op, key)
 
     def _mark(self, now_us: int, op: MarkRequest, key: Key) -> MarkReply:
@@ -250,13 +256,13 @@
                 op.id, "done", self.term, len(self._voters().all()) // 2 + 1, len(self._voters().all())
             )
         if len(ids) >= MAX_REQUEST_IDS and not self._long_ago(now_us):
-            return MarkReply(op.id, "unknown", self.term, why="too much was written there meanwhile")
-        if sum(not w.round.stands for w in self._writes.values()) >= MOST_OPEN:
-            return MarkReply(op.id, "refused", self.term, why=f"{MOST_OPEN} marks are under way")
-        waits = op.on and not self._room(op.kind, key)
+            return MarkReply(op.id, "unknown", self.term, reason="too much was written there meanwhile")
+        if sum(not w.round.has_majority for w in self._writes.values()) >= MOST_OPEN:
+            return MarkReply(op.id, "refused", self.term, reason=f"{MOST_OPEN} marks are under way")
+        waits = op.active and not self._room(op.kind, key)
         made = self._write(now_us, op, key, waits, ids)
-        if op.everybody:
-            made.round.others = {n for n in self._members.names if n != self._me}
+        if op.all_members:
+            made.round.observers = {n for n in self._members.names if n != self._me}
         return self._stands(op)
 
     def _long_ago(self, now_us: int) -> bool:
@@ -268,25 +274,32 @@
         ids: list[str] = []
         for version in record.versions if record is not None else ():
             mark = decode_mark(version)
-            ids += [i for i in (mark.ids if mark is not None else ()) if i not in ids]
+            ids += [i for i in (mark.request_ids if mark is not None else ()) if i not in ids]
         return ids
 
     def _room(self, kind: str, key: Key) -> bool:
         limit = self._limit(kind)
         if limit is None:
             return True
-        now_out = {r.key for r in self._store.records(kind) if resolve_mark(r).on}
+        now_out = {r.key for r in self._store.iterate_records(kind) if resolve_mark(r).active}
         return key in now_out or len(now_out) < limit
 
     def _write(self, now_us: int, op: MarkRequest, key: Key, waits: bool, ids: list[str]) -> _Write:
         self._count += 1
         ids = [*ids, op.id][-MAX_REQUEST_IDS:]
         mark = OperatorMark(
-            op.id, op.on, waits, op.who[:80], op.why[:MAX_REASON_CHARACTERS], op.at_s, self._me, ids
+            op.id,
+            op.active,
+            waits,
+            op.author[:80],
+            op.reason[:MAX_REASON_CHARACTERS],
+            op.written_at_s,
+            self._me,
+            ids,
         )
         count = (self.term, self._count)
         record = apply_write(
-            self._store.get(key), key, False, STRONG, count, encode_mark(mark), gone=not op.on
+            self._store.get(key), key, False, STRONG, count, encode_mark(mark), gone=not op.active
         )
         made = self._put(now_us, record, lambda now_us: None)
         while len(self._writes) >= MOST_DONE:
@@ -295,8 +308,8 @@
         return write
 
     def _put(self, now_us: int, record: Record, done: Callable[[int], None]) -> _Round:
-        number, epoch = self._sync.next_number(), self._epoch
-        self._sync.take_in(now_us, [record], 0)
+        number, epoch = self._sync.make_request_id(), self._epoch
+        self._sync.merge_received(now_us, [record], 0)
         return self._round(now_us, number, lambda: Accept(self.term, number, epoch, [record]), done)
 
     def _stands(self, op: MarkRequest) -> MarkReply:
@@ -304,40 +317,40 @@
         if write is None:
             return MarkReply(op.id, "unknown", self.term)
         made = write.round
-        copies = len({*made.acks, *made.kept, self._me})
-        of = len({*self._voters().all(), *made.others, self._me})
-        state = ("waits" if write.waits else "done") if made.stands else "pending"
-        alive = {n for n in made.others if self._members.lives(n)}
-        everybody = bool(made.others) and alive <= made.kept | made.acks.keys()
+        copies = len({*made.votes, *made.observer_acks, self._me})
+        of = len({*self._voters().all(), *made.observers, self._me})
+        state = ("waits" if write.waiting else "done") if made.has_majority else "pending"
+        alive = {n for n in made.observers if self._members.lives(n)}
+        everybody = bool(made.observers) and alive <= made.observer_acks | made.votes.keys()
         return MarkReply(op.id, state, self.term, copies, of, everybody)
 
     # ------------------------------------------------------------------ time
 
     def due_us(self) -> int:
-        return min([self._look_us, *(r.next_us for r in self._rounds.values())])
+        return min([self._look_us, *(r.send_at_us for r in self._rounds.values())])
 
     def turn(self, now_us: int) -> list[Post]:
-        if not self._sync.whole:
+        if not self._sync.complete:
             return []
         if not self._same_copy or (self._sync.epoch != self._epoch and not self._forgetting):
             self._begin(now_us)  # with another copy, or in an epoch that another owner began
         posts: list[Post] = []
         voters = self._voters().all()
         for made in list(self._rounds.values()):
-            if now_us < made.next_us:
+            if now_us < made.send_at_us:
                 continue
-            made.next_us = now_us + made.wait_us
-            made.wait_us = min(SLOWEST_US, int(made.wait_us * 1.5))
-            left = [n for n in voters if n not in made.acks and n not in made.pulling]
-            left += [n for n in made.others if n not in made.kept and n not in voters]
-            if made.stands and (not left or now_us - made.begun_us > AFTER_US):
-                del self._rounds[made.number]
+            made.send_at_us = now_us + made.retry_interval_us
+            made.retry_interval_us = min(SLOWEST_US, int(made.retry_interval_us * 1.5))
+            left = [n for n in voters if n not in made.votes and n not in made.transferring]
+            left += [n for n in made.observers if n not in made.observer_acks and n not in voters]
+            if made.has_majority and (not left or now_us - made.began_us > AFTER_US):
+                del self._rounds[made.request_id]
                 continue
-            body = made.body()
+            body = made.make_message()
             posts += [(name, body) for name in left]
         if now_us >= self._look_us:
             self._look_us = now_us + LOOK_US
-            if self.open and not self._forgetting:
+            if self.is_open and not self._forgetting:
                 self._promote(now_us)
                 posts += self._forget(now_us)
         return posts
@@ -347,15 +360,23 @@
         for kind in MARK_KINDS:
             waiting = [
                 (version.count, record.key, mark)
-                for record in self._store.records(kind)
+                for record in self._store.iterate_records(kind)
                 for version in record.versions
-                if (mark := decode_mark(version)) is not None and mark.waits and not version.gone
+                if (mark := decode_mark(version)) is not None and mark.waiting and not version.deleted
             ]
             for _, key, mark in sorted(waiting, key=lambda w: w[0]):
                 if not self._room(kind, key):
                     break
                 op = MarkRequest(
-                    "mark", f"{mark.id}+", self.term, kind, key[1], True, mark.who, mark.why, mark.at_s
+                    "mark",
+                    f"{mark.id}+",
+                    self.term,
+                    kind,
+                    key[1],
+                    True,
+                    mark.author,
+                    mark.reason,
+                    mark.written_at_s,
                 )
                 if op.id not in self._writes:
                     self._write(now_us, op, key, False, self._ids(self._store.get(key)))
@@ -366,14 +387,14 @@
         """Marks taken back are forgotten once all members know that they were, but for those long gone."""
         if self._asked is None:
             self._items = self._old(now_us)
-            if not self._items or any(not w.round.stands for w in self._writes.values()):
+            if not self._items or any(not w.round.has_majority for w in self._writes.values()):
                 return []
             if "forget" in self._off:
                 return []  # each forgets for itself
-            self._asked, self._asked_round = {}, self._sync.next_number()
+            self._asked, self._asked_round = {}, self._sync.make_request_id()
         for name in self._waited_for(now_us):
             self._asked.setdefault(name, name == self._me)
-        if not self._sync.knows_all(self._items):
+        if not self._sync.knows_deletions(self._items):
             self._asked = None
             return []
         waited = self._waited_for(now_us)
@@ -384,17 +405,17 @@
         return [(name, have) for name, yes in self._asked.items() if not yes and name != self._me]
 
     def _old(self, now_us: int) -> DeletedVersions:
-        keep_us = int(self._sync.terms.keep_s * SECOND)
+        keep_us = int(self._sync.settings.keep_s * SECOND)
         items: DeletedVersions = []
         for kind in MARK_KINDS:
-            for record in self._store.records(kind):
+            for record in self._store.iterate_records(kind):
                 old = self._store.age_us(now_us, record.key) > keep_us
-                if record.gone and old and len(record.versions) == 1 and len(items) < MOST_FORGOTTEN:
+                if record.is_deleted and old and len(record.versions) == 1 and len(items) < MOST_FORGOTTEN:
                     items.append((record.key, *record.versions[0].dot))
         return items
 
     def _waited_for(self, now_us: int) -> list[str]:
-        absent_us = int(self._sync.terms.absent_s * SECOND)
+        absent_us = int(self._sync.settings.absent_s * SECOND)
         return [
             r.name
             for r, since_us in self._members.known()
@@ -405,14 +426,16 @@
     def _end_forgetting(self, now_us: int) -> None:
         """First a majority holds all that this owner holds, then the next epoch begins with it."""
         items, epoch = self._items, self._epoch + 1
-        number = self._sync.next_number()
+        number = self._sync.make_request_id()
 
         def levelled(now_us: int) -> None:
             self._asked = None
-            if self._sync.epoch != self._epoch or not self._sync.knows_all(items):
+            if self._sync.epoch != self._epoch or not self._sync.knows_deletions(items):
                 self._forgetting = False
                 return
-            content = msgspec.msgpack.encode(EpochRecord(epoch, items, self._sync.weak_of(items)))
+            content = msgspec.msgpack.encode(
+                EpochRecord(epoch, items, self._sync.collect_local_writes(items))
+            )
             self._count += 1
             record = apply_write(
                 self._store.get(EPOCH_RECORD_KEY),
@@ -425,7 +448,7 @@
             # Decided once a majority holds it: whoever owns the marks next finds it there.
             self._put(now_us, record, self._advance)
 
-        if not any(not r.stands for r in self._rounds.values()):
+        if not any(not r.has_majority for r in self._rounds.values()):
             self._forgetting = True
             self._round(
                 now_us, number, lambda: CatchUp(self.term, number, self._epoch, self._firm()), levelled
--- a/sailrun/replication/inspection.py
+++ b/sailrun/replication/inspection.py
@@ -16,25 +16,31 @@
 
 def describe_state(replica: Replica, now_us: int, kind: str = "") -> dict[str, Any]:
     """A copy, as `sailrun fleet state --json` has it."""
-    records = [_shown(replica, now_us, record) for record in replica.store.records(kind)]
-    behind_s = replica.behind_s(now_us)
+    records = [_shown(replica, now_us, record) for record in replica.store.iterate_records(kind)]
+    behind_s = replica.lag_s(now_us)
     return {
         "node": replica.name,
-        "whole": replica.sync.whole,
-        "epoch": replica.sync.epoch,
-        "copies": replica.sync.copies,  # thrown away since the start
+        "whole": replica.anti_entropy.complete,
+        "epoch": replica.anti_entropy.epoch,
+        "copies": replica.anti_entropy.copies_begun,  # thrown away since the start
         # Of a voter: whether it remembers, or waits for those who do.
-        "voter": None if replica.acceptor is None else "remembers" if replica.acceptor.remembers else "waits",
+        "voter": None
+        if replica.acceptor is None
+        else "remembers"
+        if replica.acceptor.is_recovered
+        else "waits",
         "behind": {
-            "records": replica.lacks if replica.sync.whole else max(replica.lacks, replica.sync.missing),
+            "records": replica.missing_records
+            if replica.anti_entropy.complete
+            else max(replica.missing_records, replica.anti_entropy.missing_records),
             "s": None if behind_s is None else round(behind_s, 3),
-            "stale": replica.stale(now_us),
+            "stale": replica.is_stale(now_us),
         },
-        "digest": f"{replica.store.digest():016x}",
+        "digest": f"{replica.store.digest_firm_records():016x}",
         "records": records,
-        "conflicts": [_mark(s) for s in replica.standings() if s.conflict],
-        "bytes": replica.store.bytes,
-        "refused_full": replica.store.refused_full,
+        "conflicts": [_mark(s) for s in replica.list_marks() if s.has_conflict],
+        "bytes": replica.store.size_bytes,
+        "refused_full": replica.store.rejected_full,
     }
 
 
@@ -66,25 +72,25 @@
     return {
         "kind": mark.kind,
         "subject": mark.subject,
-        "on": mark.on,
-        "conflict": mark.conflict,
-        "words": [_word(m, gone) for m, gone in mark.words],
+        "on": mark.active,
+        "conflict": mark.has_conflict,
+        "words": [_word(m, gone) for m, gone in mark.versions],
     }
 
 
 def _word(mark: OperatorMark, gone: bool) -> dict[str, Any]:
     return {
         "id": mark.id,
-        "on": mark.on and not gone,
-        "waits": mark.waits,
-        "who": mark.who,
-        "why": mark.why,
+        "on": mark.active and not gone,
+        "waits": mark.waiting,
+        "who": mark.author,
+        "why": mark.reason,
         "node": mark.node,
-        "at_s": mark.at_s,
+        "at_s": mark.written_at_s,
     }
 
 
 def describe_ranges(replica: Replica) -> dict[str, Any]:
     """What tells two copies apart, for `sailrun fleet diff`."""
-    leaves = [d for n in range(FIRM_RANGE_COUNT // RANGES_PER_GROUP) for d in replica.store.leaves(n)]
-    return {"epoch": replica.sync.epoch, "ranges": [f"{d:016x}" for d in leaves]}
+    leaves = [d for n in range(FIRM_RANGE_COUNT // RANGES_PER_GROUP) for d in replica.store.range_digests(n)]
+    return {"epoch": replica.anti_entropy.epoch, "ranges": [f"{d:016x}" for d in leaves]}
--- a/sailrun/replication/messages.py
+++ b/sailrun/replication/messages.py
@@ -21,10 +21,10 @@
 class DigestRequest(msgspec.Struct, array_like=True, frozen=True, tag="sum"):
     """How is your copy? Mine has these digests, by group."""
 
-    number: int
+    request_id: int
     epoch: int
-    groups: list[int]
-    whole: bool  # the sender has a whole copy
+    group_digests: list[int]
+    complete: bool  # the sender has a whole copy
 
 
 class DigestReply(msgspec.Struct, array_like=True, frozen=True, tag="differs"):
@@ -32,18 +32,18 @@
     epoch, where the asker's is older.
     """
 
-    number: int
+    request_id: int
     epoch: int
-    leaves: dict[int, list[int]]
-    records: int  # in the ranges of those groups
-    whole: bool
-    forgotten: Record | None = None
+    range_digests: dict[int, list[int]]
+    record_count: int  # in the ranges of those groups
+    complete: bool
+    epoch_record: Record | None = None
 
 
 class PageRequest(msgspec.Struct, array_like=True, frozen=True, tag="take"):
     """Give me the records of these ranges, from after that key of the first one on."""
 
-    number: int
+    request_id: int
     epoch: int
     ranges: list[int]
     after: Key | None
@@ -51,26 +51,26 @@
 
 
 class RecordPage(msgspec.Struct, array_like=True, frozen=True, tag="given"):
-    number: int
+    request_id: int
     epoch: int
     records: list[Record]
     after: Key | None  # where the piece ends; None: that was all
 
 
 class SenderBusy(msgspec.Struct, array_like=True, frozen=True, tag="busy"):
-    number: int
-    wait_us: int
+    request_id: int
+    retry_after_us: int
 
 
 class RecordRequest(msgspec.Struct, array_like=True, frozen=True, tag="fetch"):
     """What do you have of this record? Asked of all voters where two copies differ without a reason."""
 
-    number: int
+    request_id: int
     key: Key
 
 
 class RecordReply(msgspec.Struct, array_like=True, frozen=True, tag="fetched"):
-    number: int
+    request_id: int
     key: Key
     record: Record | None
 
@@ -79,27 +79,27 @@
     """To a voter, by a new owner: take nothing of a lower term any more, and say how your copy is."""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
-    groups: list[int]
+    group_digests: list[int]
 
 
 class Promise(msgspec.Struct, array_like=True, frozen=True, tag="promised"):
     """`life` is which of its lives the voter is in, `lives` the latest of each voter that it knows of."""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
-    life: int
-    lives: dict[str, int]
-    leaves: dict[int, list[int]]  # of the groups that differ
+    incarnation: int
+    crash_vector: dict[str, int]
+    range_digests: dict[int, list[int]]  # of the groups that differ
 
 
 class Accept(msgspec.Struct, array_like=True, frozen=True, tag="put"):
     """Keep these for me."""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
     records: list[Record]
 
@@ -108,55 +108,55 @@
     """Say so once you hold everything that I hold."""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
-    groups: list[int]
+    group_digests: list[int]
 
 
 class Accepted(msgspec.Struct, array_like=True, frozen=True, tag="kept"):
     """The answer to `Put` and `Level`. Of a member that does not vote, `life` is 0."""
 
     term: int
-    number: int
-    life: int
-    lives: dict[str, int]
+    request_id: int
+    incarnation: int
+    crash_vector: dict[str, int]
 
 
 class TermSuperseded(msgspec.Struct, array_like=True, frozen=True, tag="higher"):
     """Your term is over: a higher one was promised."""
 
     term: int
-    number: int
-    promised: int
+    request_id: int
+    promised_term: int
 
 
 class DeletionQuery(msgspec.Struct, array_like=True, frozen=True, tag="have"):
     """Do you know that all these were taken back?"""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
-    items: list[tuple[Key, str, Count]]
+    deleted_versions: list[tuple[Key, str, Count]]
 
 
 class DeletionReply(msgspec.Struct, array_like=True, frozen=True, tag="has"):
     term: int
-    number: int
-    yes: bool
+    request_id: int
+    knows_all: bool
 
 
 class IncarnationRequest(msgspec.Struct, array_like=True, frozen=True, tag="knows"):
     """A voter that has started: which life am I in?"""
 
-    number: int
+    request_id: int
 
 
 class IncarnationReply(msgspec.Struct, array_like=True, frozen=True, tag="known"):
-    number: int
-    remembers: bool
-    lives: dict[str, int]
-    promised: int
-    may_remember: bool = False  # its folder is being compared: it will know in a moment
+    request_id: int
+    recovered: bool
+    crash_vector: dict[str, int]
+    promised_term: int
+    verifying_folder: bool = False  # its folder is being compared: it will know in a moment
 
 
 class RecoveryRequest(msgspec.Struct, array_like=True, frozen=True, tag="recover"):
@@ -164,18 +164,18 @@
     what you have promised, and how your copy is.
     """
 
-    number: int
-    life: int
+    request_id: int
+    incarnation: int
     epoch: int
-    groups: list[int]
+    group_digests: list[int]
 
 
 class RecoveryReply(msgspec.Struct, array_like=True, frozen=True, tag="recovering"):
-    number: int
+    request_id: int
     epoch: int
-    lives: dict[str, int]
-    promised: int
-    leaves: dict[int, list[int]]
+    crash_vector: dict[str, int]
+    promised_term: int
+    range_digests: dict[int, list[int]]
 
 
 ReplicationBody = (
@@ -205,17 +205,17 @@
 class MarkRequest(msgspec.Struct, array_like=True, frozen=True):
     """A question to the owner of the marks. `what`: `mark`, `look`, `poll`, `where`."""
 
-    what: str
+    operation: str
     id: str = ""
-    under: int = 0  # the term it is meant for: an owner of another one does nothing
+    term: int = 0  # the term it is meant for: an owner of another one does nothing
     kind: str = ""
     subject: str = ""
-    on: bool = False
-    who: str = ""
-    why: str = ""
-    at_s: float = 0.0  # what the writer's wall clock showed; it decides nothing
-    everybody: bool = False  # also count the copies of members that do not vote
-    groups: list[int] = []  # `where`: the asker's digests
+    active: bool = False
+    author: str = ""
+    reason: str = ""
+    written_at_s: float = 0.0  # what the writer's wall clock showed; it decides nothing
+    all_members: bool = False  # also count the copies of members that do not vote
+    group_digests: list[int] = []  # `where`: the asker's digests
 
 
 class MarkReply(msgspec.Struct, array_like=True, frozen=True):
@@ -226,10 +226,10 @@
 
     id: str
     state: str
-    under: int = 0
+    term: int = 0
     copies: int = 0
-    of: int = 0
-    everybody: bool = False  # every living member holds it
-    why: str = ""
+    replicas: int = 0
+    all_members: bool = False  # every living member holds it
+    reason: str = ""
     versions: list[tuple[bytes, bool]] = []  # `look`: contents, and whether each takes the mark back
-    records: int = 0  # `where`: how many records the asker may lack
+    missing_records: int = 0  # `where`: how many records the asker may lack
--- a/sailrun/replication/operator_marks.py
+++ b/sailrun/replication/operator_marks.py
@@ -24,21 +24,21 @@
     """
 
     id: str
-    on: bool
-    waits: bool
-    who: str
-    why: str
-    at_s: float
+    active: bool
+    waiting: bool
+    author: str
+    reason: str
+    written_at_s: float
     node: str
-    ids: list[str] = []
+    request_ids: list[str] = []
 
 
 class _Begins(msgspec.Struct, array_like=True, frozen=True):
     """As much of a mark as says whether it keeps anything out."""
 
     id: str
-    on: bool
-    waits: bool
+    active: bool
+    waiting: bool
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -64,38 +64,38 @@
 
     kind: str
     subject: str
-    on: bool
-    words: tuple[tuple[OperatorMark, bool], ...]  # each with whether it takes the mark back
+    active: bool
+    versions: tuple[tuple[OperatorMark, bool], ...]  # each with whether it takes the mark back
 
     @property
-    def conflict(self) -> bool:
-        return len({mark.on and not gone for mark, gone in self.words}) > 1
+    def has_conflict(self) -> bool:
+        return len({mark.active and not gone for mark, gone in self.versions}) > 1
 
 
 def is_mark_active(record: Record) -> bool:
     """Whether its subject is out: out on one side and in on the other stays out."""
     for version in record.versions:
-        if not version.gone:
+        if not version.deleted:
             try:
                 mark = _begins.decode(version.content)
             except msgspec.MsgspecError:
                 continue  # of a version of the program whose marks this one cannot read
-            if mark.on and not mark.waits:
+            if mark.active and not mark.waiting:
                 return True
     return False
 
 
 def resolve_mark(record: Record) -> MarkStatus:
-    words = tuple((m, v.gone) for v in record.versions if (m := decode_mark(v)) is not None)
+    words = tuple((m, v.deleted) for v in record.versions if (m := decode_mark(v)) is not None)
     return MarkStatus(record.kind, record.subject, is_mark_active(record), words)
 
 
 def iterate_marks(store: RecordStore) -> Iterator[MarkStatus]:
     for kind in MARK_KINDS:
-        for record in store.records(kind):
+        for record in store.iterate_records(kind):
             yield resolve_mark(record)
 
 
 def list_active_marks(store: RecordStore) -> Iterable[tuple[str, str]]:
     """Kind and subject of all that is out of service by a mark."""
-    return (r.key[:2] for kind in MARK_KINDS for r in store.records(kind) if is_mark_active(r))
+    return (r.key[:2] for kind in MARK_KINDS for r in store.iterate_records(kind) if is_mark_active(r))
--- a/sailrun/replication/outlier_reports.py
+++ b/sailrun/replication/outlier_reports.py
@@ -21,7 +21,7 @@
 class OutlierReport(msgspec.Struct, array_like=True, frozen=True):
     """`out`: form servers kept away from, with for how many more ms. `setup_ms`: a set-up's usual time."""
 
-    out: dict[str, int]
+    ejected_ms: dict[str, int]
     setup_ms: int = 0
 
 
@@ -33,14 +33,14 @@
         self._said = OutlierReport({})
         self._said_us = 0
 
-    def word(self, now_us: int, out_us: dict[str, int], setup_us: int) -> bytes | None:
+    def make_report(self, now_us: int, out_us: dict[str, int], setup_us: int) -> bytes | None:
         """What to tell now; None: nothing has changed, or nothing is to be told."""
         worst = sorted(out_us.items(), key=lambda pair: -pair[1])[:MOST_TOLD]
         belief = OutlierReport({name: left // KILO for name, left in worst}, setup_us // KILO)
         old = self._said
-        same = belief.out.keys() == old.out.keys()
+        same = belief.ejected_ms.keys() == old.ejected_ms.keys()
         same = same and abs(belief.setup_ms - old.setup_ms) <= CHANGED * max(1, old.setup_ms)
-        due = bool(belief.out or belief.setup_ms) and now_us - self._said_us >= self._again_us
+        due = bool(belief.ejected_ms or belief.setup_ms) and now_us - self._said_us >= self._again_us
         if same and not due:
             return None
         self._said, self._said_us = belief, now_us
@@ -63,7 +63,7 @@
             belief = msgspec.msgpack.decode(record.versions[-1].content, type=OutlierReport)
         except msgspec.MsgspecError:
             continue  # of another version of the program
-        for name, ms in belief.out.items():
+        for name, ms in belief.ejected_ms.items():
             if ms * KILO > age_us:
                 left_us.setdefault(name, []).append(ms * KILO - age_us)
         if belief.setup_ms > 0:
--- a/sailrun/replication/records.py
+++ b/sailrun/replication/records.py
@@ -38,7 +38,7 @@
     actor: str
     count: Count
     content: bytes
-    gone: bool = False  # the record is taken back by this version
+    deleted: bool = False  # the record is taken back by this version
 
     @property
     def dot(self) -> Dot:
@@ -53,7 +53,7 @@
     observer: str
     soft: bool
     versions: list[Version]
-    seen: dict[str, Count]
+    context: dict[str, Count]
     age_ms: int = 0  # of a soft record, since its writer wrote it
 
     @property
@@ -61,8 +61,8 @@
         return self.kind, self.subject, self.observer
 
     @property
-    def gone(self) -> bool:
-        return all(v.gone for v in self.versions)
+    def is_deleted(self) -> bool:
+        return all(v.deleted for v in self.versions)
 
 
 class InvalidRecordError(ValueError):
@@ -73,12 +73,12 @@
     """Raises BadRecord for one that is out of bounds or contradicts itself."""
     if any(len(word) > MAX_KEY_CHARACTERS for word in record.key):
         raise InvalidRecordError("a key that is too long")
-    if not 1 <= len(record.versions) <= MAX_VERSIONS or len(record.seen) > MAX_ACTORS:
-        raise InvalidRecordError(f"{len(record.versions)} versions of {len(record.seen)} actors")
+    if not 1 <= len(record.versions) <= MAX_VERSIONS or len(record.context) > MAX_ACTORS:
+        raise InvalidRecordError(f"{len(record.versions)} versions of {len(record.context)} actors")
     if sum(len(v.content) for v in record.versions) > MAX_CONTENT_BYTES:
         raise InvalidRecordError("too long")
     dots = {v.dot for v in record.versions}
-    if len(dots) != len(record.versions) or any(record.seen.get(a, (-1, -1)) < c for a, c in dots):
+    if len(dots) != len(record.versions) or any(record.context.get(a, (-1, -1)) < c for a, c in dots):
         raise InvalidRecordError("versions that its own context does not know")
 
 
@@ -86,10 +86,10 @@
     """What both copies of a record know together."""
     theirs = {v.dot: v for v in other.versions}
     mine = {v.dot: v for v in one.versions}
-    kept = [v for d, v in mine.items() if d in theirs or _beyond(d, other.seen)]
-    kept += [v for d, v in theirs.items() if d not in mine and _beyond(d, one.seen)]
-    seen = dict(one.seen)
-    for actor, count in other.seen.items():
+    kept = [v for d, v in mine.items() if d in theirs or _beyond(d, other.context)]
+    kept += [v for d, v in theirs.items() if d not in mine and _beyond(d, one.context)]
+    seen = dict(one.context)
+    for actor, count in other.context.items():
         seen[actor] = max(count, seen.get(actor, count))
     kept.sort(key=lambda v: v.dot)
     # As old as its latest version was where that is held.
@@ -103,7 +103,7 @@
 
 def covers(record: Record | None, dots: Iterable[Dot]) -> bool:
     """Whether the copy knows these versions: it holds them, or what superseded them."""
-    return record is not None and not any(_beyond(dot, record.seen) for dot in dots)
+    return record is not None and not any(_beyond(dot, record.context) for dot in dots)
 
 
 def contradicts(one: Record, other: Record) -> bool:
@@ -122,7 +122,7 @@
     gone: bool = False,
 ) -> Record:
     """The record after a write by who has seen all of what there was."""
-    seen = dict(before.seen) if before is not None else {}
+    seen = dict(before.context) if before is not None else {}
     seen[actor] = max(count, seen.get(actor, count))
     return Record(*key, soft, [Version(actor, count, content, gone)], seen)
 
@@ -132,7 +132,7 @@
 
 def hash_record(record: Record, salt: bytes) -> int:
     """64 bits that two copies of a record share if and, but for chance, only if they are the same."""
-    told = (record.key, record.soft, record.versions, record.seen)
+    told = (record.key, record.soft, record.versions, record.context)
     return int.from_bytes(blake2b(_encoder.encode(told), digest_size=8, key=salt).digest(), "big")
 
 
@@ -141,6 +141,6 @@
     size = 40 + len(record.kind) + len(record.subject) + len(record.observer)
     for version in record.versions:
         size += 30 + len(version.actor) + len(version.content)
-    for actor in record.seen:
+    for actor in record.context:
         size += 20 + len(actor)
     return size
--- a/sailrun/replication/server_lists.py
+++ b/sailrun/replication/server_lists.py
@@ -21,7 +21,7 @@
         return
     content = json.dumps(sorted(members, key=lambda m: str(m["id"])), sort_keys=True).encode()
     if len(content) <= MAX_CONTENT_BYTES:
-        replica.keep_list(now_us, subject, revision, content)
+        replica.store_server_list(now_us, subject, revision, content)
 
 
 def read_stored_server_list(
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -56,7 +56,7 @@
 
 
 def _unkept(answer: MarkOutcome) -> MarkOutcome:
-    return replace(answer, why="not on the disk: it is gone with this process unless it has spread")
+    return replace(answer, reason="not on the disk: it is gone with this process unless it has spread")
 
 
 class ReplicationService:
@@ -64,19 +64,19 @@
 
     def __init__(self, node: Node, replica: Replica, fleet: FleetServices) -> None:
         self._node, self._replica, self._fleet = node, replica, fleet
-        self._voice = OutlierReporter(replica.terms.belief_s)
+        self._voice = OutlierReporter(replica.settings.belief_s)
         self._believe_us = 0
         self._unknown: set[str] = (
             set()
         )  # form servers that are out by a mark, and that the core does not list
-        self.answers: dict[str, MarkOutcome | None] = {}  # by id of the mark; None: under way
+        self.outcomes: dict[str, MarkOutcome | None] = {}  # by id of the mark; None: under way
         self._drains = False
         self._settled = False  # what this process was handed is as the fleet has it
 
     # ------------------------------------------------------------------ after each turn of the agent
 
     def turn(self, now_us: int) -> None:
-        uses, self._replica.uses = self._replica.uses, []
+        uses, self._replica.mark_changes = self._replica.mark_changes, []
         for kind, subject, on in uses:
             log("mark", kind=kind, subject=subject, on=on)
             if kind == OUT:
@@ -86,7 +86,7 @@
         if now_us < self._believe_us:
             return
         self._believe_us = now_us + BELIEVE_US
-        if not self._settled and not self._replica.stale(now_us):
+        if not self._settled and not self._replica.is_stale(now_us):
             self._settled = True
             self._node.list_operator_overrides(lambda names: self._fleet.call_soon(self._settle(names)))
         for subject in sorted(self._unknown):
@@ -94,7 +94,7 @@
         self._node.report_outliers(lambda beliefs: self._fleet.call_soon(self._said(beliefs)))
         self._hear_beliefs(now_us)
 
-    def begins_with(self, drains: bool) -> None:
+    def restore_draining(self, drains: bool) -> None:
         """What the node began with, by its folder: it drains already."""
         self._drains = drains
 
@@ -102,12 +102,14 @@
         """What a predecessor on this machine had out, and the fleet has put back since, goes back."""
 
         def call(now_us: int) -> None:
-            marked = {s.subject for s in self._replica.standings() if s.kind == OUT and s.on}
+            marked = {s.subject for s in self._replica.list_marks() if s.kind == OUT and s.active}
             for name in sorted(names - marked):
                 log("mark", kind=OUT, subject=name, on=False)
                 self._out(name, False)
             own = (DRAIN, self._replica.name)
-            if self._drains and own not in {(s.kind, s.subject) for s in self._replica.standings() if s.on}:
+            if self._drains and own not in {
+                (s.kind, s.subject) for s in self._replica.list_marks() if s.active
+            }:
                 self._drain(False)
 
         return call
@@ -134,25 +136,25 @@
 
     def _said(self, beliefs: Beliefs) -> Callable[[int], None]:
         def call(now_us: int) -> None:
-            word = self._voice.word(now_us, beliefs.out, beliefs.setup_us)
-            if word is not None and self._replica.sync.whole:
-                self._replica.believe(now_us, word)
+            word = self._voice.make_report(now_us, beliefs.out, beliefs.setup_us)
+            if word is not None and self._replica.anti_entropy.complete:
+                self._replica.publish_outlier_report(now_us, word)
 
         return call
 
     def _hear_beliefs(self, now_us: int) -> None:
         store = self._replica.store
-        records = ((r, store.age_us(now_us, r.key)) for r in store.records(OUTLIER_REPORT))
+        records = ((r, store.age_us(now_us, r.key)) for r in store.iterate_records(OUTLIER_REPORT))
         living = self._fleet.living()
         out, setup_us = combine_outlier_reports(
-            records, living, self._replica.name, self._replica.terms.voices
+            records, living, self._replica.name, self._replica.settings.voices
         )
         if out or setup_us:
             self._node.receive_peer_outliers(out, setup_us)
 
     # ------------------------------------------------------------------ staff
 
-    def mark(
+    def set_mark(
         self,
         kind: str,
         subject: str,
@@ -167,7 +169,7 @@
         """
         op = MarkRequest(
             "mark",
-            self._replica.new_id(),
+            self._replica.make_request_id(),
             self._fleet.highest_term(MARKS_TASK),
             kind,
             subject,
@@ -177,12 +179,12 @@
             time.time(),
             wait == "all",
         )
-        while len(self.answers) >= MOST_ANSWERS:
-            del self.answers[next(iter(self.answers))]
-        self.answers[op.id] = None
+        while len(self.outcomes) >= MOST_ANSWERS:
+            del self.outcomes[next(iter(self.outcomes))]
+        self.outcomes[op.id] = None
 
         def answered(answer: MarkOutcome) -> None:
-            self.answers[op.id] = answer
+            self.outcomes[op.id] = answer
             log(
                 "mark-answered",
                 id=op.id,
@@ -190,23 +192,23 @@
                 subject=subject,
                 on=on,
                 state=answer.state,
-                copies=f"{answer.copies}/{answer.of}",
-                why=answer.why or None,
+                copies=f"{answer.copies}/{answer.replicas}",
+                why=answer.reason or None,
             )
             reply(answer)
 
         def call(now_us: int) -> None:
             if wait == "none":
-                made = self._replica.mark_here(now_us, op)
+                made = self._replica.write_mark_locally(now_us, op)
                 # Of a node that has a folder, it is there when that is said.
                 self._fleet.when_kept(now_us, lambda kept: answered(made if kept else _unkept(made)))
             else:
-                self._replica.mark(now_us, op, answered)
+                self._replica.write_mark(now_us, op, answered)
 
         self._fleet.call_soon(call)
         return op.id
 
-    def look(self, kind: str, subject: str, reply: Callable[[Any], None]) -> None:
+    def read_mark(self, kind: str, subject: str, reply: Callable[[Any], None]) -> None:
         """What the owner of the marks knows of one, as JSON would have it; None: it was not heard."""
 
         def seen(words: Any) -> None:
@@ -217,11 +219,11 @@
             )
 
         def call(now_us: int) -> None:
-            self._replica.look(now_us, kind, subject, seen)
+            self._replica.read_mark(now_us, kind, subject, seen)
 
         self._fleet.call_soon(call)
 
-    def show(self, now_us: int, what: str) -> Any:
+    def describe(self, now_us: int, what: str) -> Any:
         """`state`, `state KIND` or `ranges`, as JSON would have it."""
         words = what.split()
         if words[0] == "ranges":
--- a/sailrun/replication/store.py
+++ b/sailrun/replication/store.py
@@ -38,17 +38,17 @@
 
     NEW = "new"  # this copy knows more than before
     KNOWN = "known"
-    DIFFERS = "differs"  # the same version with another content: nothing was taken
-    OLD = "old"  # a soft record that has ended
+    CONTRADICTS = "differs"  # the same version with another content: nothing was taken
+    EXPIRED = "old"  # a soft record that has ended
     FULL = "full"
 
 
 @dataclass(slots=True)
 class _Entry:
     record: Record
-    mark: int
-    size: int
-    made_us: int  # when it was written, by this node's clock; of a firm one, when it came to be so here
+    hash: int
+    size_bytes: int
+    written_us: int  # when it was written, by this node's clock; of a firm one, when it came to be so here
 
 
 def find_range(key: Key, soft: bool) -> int:
@@ -60,16 +60,16 @@
 class RecordStore:
     def __init__(self, terms: ReplicationSettings, salt: bytes, off: frozenset[str] = frozenset()) -> None:
         """`salt` is the fleet's own, so that copies of two fleets are never alike."""
-        self.terms, self._salt, self._off = terms, salt, off
+        self.settings, self._salt, self._off = terms, salt, off
         self._entries: dict[Key, _Entry] = {}
         self._order: SortedList[tuple[int, Key]] = SortedList()
         self._keys: SortedList[Key] = SortedList()
         self._soft: set[Key] = set()
         self._digests = [0] * RANGE_COUNT
         self._counts = [0] * RANGE_COUNT
-        self.bytes = 0
-        self.spoilt: list[Key] = []  # found by `scrub`, for whoever drives this; emptied by him
-        self.refused_full = 0
+        self.size_bytes = 0
+        self.corrupted: list[Key] = []  # found by `scrub`, for whoever drives this; emptied by him
+        self.rejected_full = 0
         self._scrubbed = 0
         self.on_change: Callable[[Record], None] = lambda record: None
 
@@ -82,70 +82,70 @@
         entry = self._entries.get(key)
         return entry.record if entry is not None else None
 
-    def checked(self, key: Key) -> Record | None:
+    def get_intact(self, key: Key) -> Record | None:
         """The record as it goes out: not where its bytes do not fit their hash any more."""
         entry = self._entries.get(key)
         if entry is None:
             return None
-        if "mend" not in self._off and hash_record(entry.record, self._salt) != entry.mark:
-            if key not in self.spoilt:
-                self.spoilt.append(key)
+        if "mend" not in self._off and hash_record(entry.record, self._salt) != entry.hash:
+            if key not in self.corrupted:
+                self.corrupted.append(key)
             return None
         return entry.record
 
-    def sound(self) -> Iterator[Record]:
+    def intact_records(self) -> Iterator[Record]:
         """All records whose bytes are as they came in."""
-        return (r for key in list(self._entries) if (r := self.checked(key)) is not None)
+        return (r for key in list(self._entries) if (r := self.get_intact(key)) is not None)
 
-    def records(self, kind: str = "") -> Iterator[Record]:
+    def iterate_records(self, kind: str = "") -> Iterator[Record]:
         """By key; of one kind, or all."""
         least, most = ((kind, "", ""), (f"{kind}\0", "", "")) if kind else (None, None)
         for key in list(self._keys.irange(least, most)):
             yield self._entries[key].record
 
     def age_us(self, now_us: int, key: Key) -> int:
-        return now_us - self._entries[key].made_us
+        return now_us - self._entries[key].written_us
 
-    def told(self, now_us: int, record: Record) -> Record:
+    def with_age(self, now_us: int, record: Record) -> Record:
         """As it goes out: a soft one with its age."""
         if not record.soft:
             return record
         age_ms = max(0, self.age_us(now_us, record.key)) // 1000
-        return Record(*record.key, True, record.versions, record.seen, age_ms)
+        return Record(*record.key, True, record.versions, record.context, age_ms)
 
-    def groups(self) -> list[int]:
+    def group_digests(self) -> list[int]:
         """One digest for each group of ranges."""
         return [
             sum(self._digests[n : n + RANGES_PER_GROUP]) & _64
             for n in range(0, RANGE_COUNT, RANGES_PER_GROUP)
         ]
 
-    def leaves(self, group: int) -> list[int]:
+    def range_digests(self, group: int) -> list[int]:
         return self._digests[group * RANGES_PER_GROUP : (group + 1) * RANGES_PER_GROUP]
 
-    def unlike(self, groups: list[int]) -> dict[int, list[int]]:
+    def find_differing_groups(self, groups: list[int]) -> dict[int, list[int]]:
         """The digests of ranges in those of the first groups that are not as told."""
-        pairs = enumerate(zip(self.groups(), groups, strict=False))
-        return {n: self.leaves(n) for n, (mine, told) in pairs if mine != told}
+        pairs = enumerate(zip(self.group_digests(), groups, strict=False))
+        return {n: self.range_digests(n) for n, (mine, told) in pairs if mine != told}
 
-    def differing(self, leaves: dict[int, list[int]]) -> list[int]:
+    def find_differing_ranges(self, leaves: dict[int, list[int]]) -> list[int]:
         """Ranges in which this copy is another than the one whose digests were told, by group."""
         return [
             n * RANGES_PER_GROUP + k
             for n, told in leaves.items()
             if 0 <= n < RANGE_COUNT // RANGES_PER_GROUP
-            for k, (mine, other) in enumerate(zip(self.leaves(n), told, strict=False))
+            for k, (mine, other) in enumerate(zip(self.range_digests(n), told, strict=False))
             if mine != other
         ]
 
-    def counts(self, ranges: Iterable[int]) -> int:
+    def count_records(self, ranges: Iterable[int]) -> int:
         return sum(self._counts[n] for n in ranges)
 
-    def digest(self) -> int:
+    def digest_firm_records(self) -> int:
         """Of all firm records: equal where two copies hold the same."""
         return sum((n + 1) * d for n, d in enumerate(self._digests[:FIRM_RANGE_COUNT])) & _64
 
-    def page(
+    def read_page(
         self, now_us: int, ranges: list[int], after: Key | None, most_bytes: int
     ) -> tuple[list[Record], Key | None]:
         """Records of these ranges in their order, from after that key on, and where the page ends; None: no
@@ -160,9 +160,9 @@
             ):
                 if size >= most_bytes:
                     return page, page[-1].key
-                record = self.checked(key)
+                record = self.get_intact(key)
                 if record is not None:
-                    page.append(self.told(now_us, record))
+                    page.append(self.with_age(now_us, record))
                     size += estimate_size_bytes(record)
         return page, None
 
@@ -173,33 +173,33 @@
         validate_record(record)
         old = self._entries.get(record.key)
         if old is None:
-            if record.soft and record.age_ms * 1000 > self.terms.belief_s * SECOND:
-                return PutResult.OLD
+            if record.soft and record.age_ms * 1000 > self.settings.belief_s * SECOND:
+                return PutResult.EXPIRED
             if self._full(record):
-                self.refused_full += 1
+                self.rejected_full += 1
                 return PutResult.FULL
             self._set(now_us, record)
             return PutResult.NEW
         if old.record.soft is not record.soft:
             raise InvalidRecordError(f"{record.kind}: soft at one node, firm at another")
         if contradicts(old.record, record):
-            return PutResult.DIFFERS
+            return PutResult.CONTRADICTS
         merged = merge_records(old.record, record)
         if "causality" in self._off and len(merged.versions) > 1:
-            merged = Record(*merged.key, merged.soft, merged.versions[-1:], merged.seen, merged.age_ms)
-        if merged.versions == old.record.versions and merged.seen == old.record.seen:
+            merged = Record(*merged.key, merged.soft, merged.versions[-1:], merged.context, merged.age_ms)
+        if merged.versions == old.record.versions and merged.context == old.record.context:
             return PutResult.KNOWN
         self._set(now_us, merged)
         return PutResult.NEW
 
-    def mark(self, key: Key) -> int:
+    def get_hash(self, key: Key) -> int:
         """The hash that was taken of a record when it came; 0: there is none."""
         entry = self._entries.get(key)
-        return entry.mark if entry is not None else 0
+        return entry.hash if entry is not None else 0
 
-    def firm(self) -> list[tuple[Record, int]]:
+    def list_firm_records(self) -> list[tuple[Record, int]]:
         """All firm records with their hashes, sound or not."""
-        return [(entry.record, entry.mark) for entry in self._entries.values() if not entry.record.soft]
+        return [(entry.record, entry.hash) for entry in self._entries.values() if not entry.record.soft]
 
     def load(self, now_us: int, records: Iterable[tuple[Record, int]]) -> int:
         """Takes over many firm records at once that a copy held before, into an empty one, with the hashes
@@ -207,10 +207,10 @@
         """
         left = 0
         places: list[tuple[int, Key]] = []
-        room = 2 * self.terms.records, 2 * self.terms.megabytes * 1e6
+        room = 2 * self.settings.records, 2 * self.settings.megabytes * 1e6
         for record, known in records:
             size = estimate_size_bytes(record)
-            if len(self._entries) >= room[0] or self.bytes + size > room[1]:
+            if len(self._entries) >= room[0] or self.size_bytes + size > room[1]:
                 left += 1
                 continue
             mark = known or hash_record(record, self._salt)
@@ -218,7 +218,7 @@
             self._entries[record.key] = _Entry(record, mark, size, now_us)
             self._digests[number] = (self._digests[number] + mark) & _64
             self._counts[number] += 1
-            self.bytes += size
+            self.size_bytes += size
             places.append((number, record.key))
         self._order = SortedList(places)
         self._keys = SortedList(self._entries)
@@ -231,8 +231,8 @@
 
     def _full(self, record: Record) -> bool:
         room = 1 if record.soft else 2  # firm records may take as much again
-        more = len(self._entries) >= room * self.terms.records
-        return more or self.bytes + estimate_size_bytes(record) > room * self.terms.megabytes * 1e6
+        more = len(self._entries) >= room * self.settings.records
+        return more or self.size_bytes + estimate_size_bytes(record) > room * self.settings.megabytes * 1e6
 
     def _set(self, now_us: int, record: Record) -> None:
         self.remove(record.key)
@@ -246,7 +246,7 @@
             self._soft.add(record.key)
         self._digests[number] = (self._digests[number] + mark) & _64
         self._counts[number] += 1
-        self.bytes += size
+        self.size_bytes += size
         self.on_change(record)
 
     def remove(self, key: Key) -> None:
@@ -258,9 +258,9 @@
         self._order.remove((number, key))
         self._keys.remove(key)
         self._soft.discard(key)
-        self._digests[number] = (self._digests[number] - entry.mark) & _64
+        self._digests[number] = (self._digests[number] - entry.hash) & _64
         self._counts[number] -= 1
-        self.bytes -= entry.size
+        self.size_bytes -= entry.size_bytes
 
     def clear(self) -> None:
         for key in list(self._entries):
@@ -268,16 +268,16 @@
 
     # ------------------------------------------------------------------ time
 
-    def age_out(self, now_us: int) -> None:
+    def expire_records(self, now_us: int) -> None:
         """Drops soft records that nobody has said again."""
         if "forget" in self._off:
-            keep_us = self.terms.keep_s * SECOND
+            keep_us = self.settings.keep_s * SECOND
             for key in [
-                k for k, e in self._entries.items() if e.record.gone and now_us - e.made_us > keep_us
+                k for k, e in self._entries.items() if e.record.is_deleted and now_us - e.written_us > keep_us
             ]:
                 self.remove(key)
-        limit_us = self.terms.belief_s * SECOND
-        ended = [k for k in self._soft if now_us - self._entries[k].made_us > limit_us]
+        limit_us = self.settings.belief_s * SECOND
+        ended = [k for k in self._soft if now_us - self._entries[k].written_us > limit_us]
         for key in ended:
             self.remove(key)
 
@@ -286,13 +286,13 @@
         keys = self._order
         for _ in range(min(len(keys), 1 + int(len(keys) * share))):
             self._scrubbed = (self._scrubbed + 1) % len(keys)
-            self.checked(keys[self._scrubbed][1])
+            self.get_intact(keys[self._scrubbed][1])
 
-    def spoil(self, key: Key) -> None:
+    def corrupt(self, key: Key) -> None:
         """For the laboratory: flips one bit of a record's content, as bad memory would."""
         entry = self._entries[key]
         first, *others = entry.record.versions
         half = len(first.content) // 2
         content = first.content[:half] + bytes([first.content[half] ^ 1]) + first.content[half + 1 :]
-        versions = [type(first)(first.actor, first.count, content, first.gone), *others]
-        entry.record = Record(*key, entry.record.soft, versions, entry.record.seen)
+        versions = [type(first)(first.actor, first.count, content, first.deleted), *others]
+        entry.record = Record(*key, entry.record.soft, versions, entry.record.context)
--- a/sailrun/storage/cli.py
+++ b/sailrun/storage/cli.py
@@ -71,8 +71,10 @@
             {
                 "kind": s.kind,
                 "subject": s.subject,
-                "on": s.on,
-                "words": [{"id": m.id, "who": m.who, "why": m.why, "gone": gone} for m, gone in s.words],
+                "on": s.active,
+                "words": [
+                    {"id": m.id, "who": m.author, "why": m.reason, "gone": gone} for m, gone in s.versions
+                ],
             }
             for s in sorted(marks, key=lambda s: (s.kind, s.subject))
         ],
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -546,11 +546,13 @@
 def test_copies_of_members_that_do_not_vote_are_counted_once_they_are_on_the_disk() -> None:
     fleet = a_fleet()
     answers: list[MarkOutcome] = []
-    op = MarkRequest("mark", part_of(fleet, "n4").new_id(), 0, "out", "s-00000001", True, everybody=True)
-    part_of(fleet, "n4").mark(fleet.clock_us(fleet.nodes["n4"]), op, answers.append)
+    op = MarkRequest(
+        "mark", part_of(fleet, "n4").make_request_id(), 0, "out", "s-00000001", True, all_members=True
+    )
+    part_of(fleet, "n4").write_mark(fleet.clock_us(fleet.nodes["n4"]), op, answers.append)
     fleet._soon(fleet.nodes["n4"])
     fleet.run(now_s(fleet) + 3.0)
-    assert [(a.state, a.copies, a.of) for a in answers] == [("done", 5, 5)]
+    assert [(a.state, a.copies, a.replicas) for a in answers] == [("done", 5, 5)]
     for name in fleet.names:
         found = read_folder(fleet.nodes[name].files)
         assert ("out", "s-00000001", "") in found.memory.records
@@ -587,7 +589,7 @@
     agent = fleet.nodes[voter].agent
     assert agent is not None and agent.voter is not None and agent.voter.remembers
     assert agent.replica is not None and agent.replica.acceptor is not None
-    assert agent.replica.acceptor.remembers
+    assert agent.replica.acceptor.is_recovered
     assert fleet.owner("marks") == owner
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -107,11 +107,11 @@
     out = apply_write(both, KEY, False, "n1", (0, 2), mark("out", True))
     back = apply_write(both, KEY, False, "n2", (0, 1), mark("back", False), gone=True)
     met = merge_records(out, back)
-    assert (resolve_mark(met).on, resolve_mark(met).conflict) == (True, True)
+    assert (resolve_mark(met).active, resolve_mark(met).has_conflict) == (True, True)
     settled = merge_records(
         met, apply_write(met, KEY, False, STRONG, (7, 1), mark("settled", False), gone=True)
     )
-    assert (resolve_mark(settled).on, resolve_mark(settled).conflict, len(settled.versions)) == (
+    assert (resolve_mark(settled).active, resolve_mark(settled).has_conflict, len(settled.versions)) == (
         False,
         False,
         1,
@@ -137,7 +137,7 @@
     store = a_store(records=100)
     for n in range(120):
         took = store.put(0, apply_write(None, ("belief", f"n{n}", ""), True, f"n{n}", (1, 1), b"x"))
-    assert took is PutResult.FULL and len(store) == 100 and store.refused_full == 20
+    assert took is PutResult.FULL and len(store) == 100 and store.rejected_full == 20
     for n in range(50):
         assert (
             store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x")) is PutResult.NEW
@@ -174,10 +174,10 @@
     one.put(0, apply_write(None, key, True, "n1", (1, 1), b"x"))
     held = one.get(key)
     assert held is not None
-    other.put(100 * SECOND, one.told(6 * SECOND, held))  # another clock, 6 s old
+    other.put(100 * SECOND, one.with_age(6 * SECOND, held))  # another clock, 6 s old
     assert other.age_us(100 * SECOND, key) == 6 * SECOND
-    assert third.put(0, one.told(11 * SECOND, held)) is PutResult.OLD
-    other.age_out(105 * SECOND)
+    assert third.put(0, one.with_age(11 * SECOND, held)) is PutResult.EXPIRED
+    other.expire_records(105 * SECOND)
     assert len(other) == 0
 
 
@@ -185,13 +185,13 @@
     store = a_store()
     for n in range(40):
         store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"content"))
-    store.spoil(("out", "s-7", ""))
-    page, _ = store.page(0, list(range(RANGE_COUNT)), None, 1_000_000)
+    store.corrupt(("out", "s-7", ""))
+    page, _ = store.read_page(0, list(range(RANGE_COUNT)), None, 1_000_000)
     assert ("out", "s-7", "") not in {r.key for r in page} and len(page) == 39
-    store.spoilt.clear()
+    store.corrupted.clear()
     for _ in range(4):
         store.scrub(0.3)
-    assert store.spoilt == [("out", "s-7", "")]
+    assert store.corrupted == [("out", "s-7", "")]
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.booleans()), max_size=60))
@@ -206,14 +206,18 @@
     other = a_store()
     pages, after, ranges = 0, None, list(range(RANGE_COUNT))
     while True:
-        page, after = store.page(0, ranges, after, 100)
+        page, after = store.read_page(0, ranges, after, 100)
         pages += 1
         for held in page:
             other.put(0, held)
         if after is None:
             break
         ranges = ranges[ranges.index(find_range(after, False)) :]
-    assert (other.digest(), other.groups(), len(other)) == (store.digest(), store.groups(), len(store))
+    assert (other.digest_firm_records(), other.group_digests(), len(other)) == (
+        store.digest_firm_records(),
+        store.group_digests(),
+        len(store),
+    )
     assert pages >= len(store) // 3
 
 
@@ -243,7 +247,7 @@
         1,
         0,
     )
-    made.sync.whole = True
+    made.anti_entropy.complete = True
     return made
 
 
@@ -283,16 +287,16 @@
 @given(st.data())
 def test_no_message_of_a_member_ends_a_node_whatever_is_in_it(data: st.DataObject) -> None:
     node = replica()
-    node.turned(0, 5)
+    node.set_leadership(0, 5)
     assert node.acceptor is not None
-    node.acceptor.remembers = data.draw(st.booleans())
+    node.acceptor.is_recovered = data.draw(st.booleans())
     for n in range(data.draw(st.integers(1, 4))):
         kind = data.draw(st.sampled_from(KINDS))
         hints = typing.get_type_hints(kind)
         body = kind(**{f: data.draw(any_of(hints[f]), label=f) for f in kind.__struct_fields__})
         sent = unpack(pack(Envelope("f", "n2", 1, 1, body))).body
         assert sent == body
-        node.hear(n * SECOND, data.draw(st.sampled_from(["n2", "n4", "nobody"])), body)
+        node.receive(n * SECOND, data.draw(st.sampled_from(["n2", "n4", "nobody"])), body)
         node.turn(n * SECOND + 1, "n2")
 
 
@@ -323,13 +327,13 @@
 def test_a_kind_that_this_version_does_not_know_is_carried_unchanged() -> None:
     newer = apply_write(None, ("tides", "s-1", "x"), False, "n9", (0, 1), b"\x93\x01\x02\x03")
     one, other = replica("n1"), replica("n2")
-    one.hear(0, "n2", messages.Rumor(0, [newer]))
-    asked = other.sync.ask("n1")[0][1]
-    differs = one.hear(0, "n2", asked)[0][1]
-    other.hear(0, "n1", differs)
-    take = next(b for _, b in other.sync.taker.turn(0, 0))
-    given_ = one.hear(0, "n2", take)[0][1]
-    other.hear(0, "n1", given_)
+    one.receive(0, "n2", messages.Rumor(0, [newer]))
+    asked = other.anti_entropy.request_digests("n1")[0][1]
+    differs = one.receive(0, "n2", asked)[0][1]
+    other.receive(0, "n1", differs)
+    take = next(b for _, b in other.anti_entropy.receiver.turn(0, 0))
+    given_ = one.receive(0, "n2", take)[0][1]
+    other.receive(0, "n1", given_)
     assert other.store.get(newer.key) == newer
 
 
@@ -342,12 +346,16 @@
         store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x" * 200))
     giver = TransferSender(ReplicationSettings(enabled=True, takers=3, give_kb_s=100.0, page_kb=16))
     ranges = list(range(FIRM_RANGE_COUNT))
-    answers = [giver.asked(0, f"t{n}", PageRequest(1, 0, ranges, None), store, True) for n in range(100)]
+    answers = [
+        giver.answer_request(0, f"t{n}", PageRequest(1, 0, ranges, None), store, True) for n in range(100)
+    ]
     assert sum(isinstance(a, RecordPage) for a in answers) <= 3
-    assert all(a.wait_us >= SECOND // 4 for a in answers if isinstance(a, SenderBusy))
-    assert isinstance(giver.asked(0, "voter", PageRequest(1, 0, ranges, None, True), store, True), RecordPage)
+    assert all(a.retry_after_us >= SECOND // 4 for a in answers if isinstance(a, SenderBusy))
+    assert isinstance(
+        giver.answer_request(0, "voter", PageRequest(1, 0, ranges, None, True), store, True), RecordPage
+    )
     assert isinstance(
-        giver.asked(3 * SECOND, "late", PageRequest(1, 0, ranges, None), store, True), RecordPage
+        giver.answer_request(3 * SECOND, "late", PageRequest(1, 0, ranges, None), store, True), RecordPage
     )
 
 
@@ -381,26 +389,34 @@
 def put_mark(fleet: VirtualFleet, name: str, subject: str, on: bool, everybody: bool = False) -> MarkOutcome:
     answers: list[MarkOutcome] = []
     node = fleet.nodes[name]
-    op = MarkRequest("mark", part(fleet, name).new_id(), 0, "out", subject, on, everybody=everybody)
-    part(fleet, name).mark(fleet.clock_us(node), op, answers.append)
+    op = MarkRequest(
+        "mark", part(fleet, name).make_request_id(), 0, "out", subject, on, all_members=everybody
+    )
+    part(fleet, name).write_mark(fleet.clock_us(node), op, answers.append)
     until(fleet, lambda: answers)
     return answers[0]
 
 
 def alike(fleet: VirtualFleet, names: list[str]) -> bool:
     parts = [part(fleet, n) for n in names]
-    return len({p.store.digest() for p in parts}) == 1 and all(p.sync.whole for p in parts)
+    return len({p.store.digest_firm_records() for p in parts}) == 1 and all(
+        p.anti_entropy.complete for p in parts
+    )
 
 
 def test_a_mark_made_anywhere_is_in_force_everywhere_and_a_restart_learns_it() -> None:
     fleet = a_fleet(5, 3)
     fleet.run(5.0)
     answer = put_mark(fleet, "n4", "s-00000001", True, everybody=True)
-    assert (answer.state, answer.copies, answer.of) == ("done", 5, 5)
-    until(fleet, lambda: all(("out", "s-00000001", True) in part(fleet, n).uses for n in fleet.names), 1.0)
+    assert (answer.state, answer.copies, answer.replicas) == ("done", 5, 5)
+    until(
+        fleet,
+        lambda: all(("out", "s-00000001", True) in part(fleet, n).mark_changes for n in fleet.names),
+        1.0,
+    )
     fleet.kill("n4")
     fleet.start("n4")
-    until(fleet, lambda: ("out", "s-00000001", True) in part(fleet, "n4").uses, 5.0)
+    until(fleet, lambda: ("out", "s-00000001", True) in part(fleet, "n4").mark_changes, 5.0)
 
 
 def test_a_minority_is_told_that_nothing_is_known_and_its_own_word_meets_the_others() -> None:
@@ -410,12 +426,12 @@
     fleet.run(9.0)
     assert put_mark(fleet, "n4", "s-00000001", True).state == "unknown"
     fleet.mark_here("n4", "s-00000002", True)
-    behind_s = part(fleet, "n4").behind_s(fleet.clock_us(fleet.nodes["n4"]))
+    behind_s = part(fleet, "n4").lag_s(fleet.clock_us(fleet.nodes["n4"]))
     assert behind_s is not None and behind_s > 3.0
     assert put_mark(fleet, "n2", "s-00000003", True).state == "done"
     fleet.heal(cut)
     until(fleet, lambda: alike(fleet, fleet.names))
-    assert {s.subject for s in part(fleet, "n1").standings() if s.on} >= {"s-00000002", "s-00000003"}
+    assert {s.subject for s in part(fleet, "n1").list_marks() if s.active} >= {"s-00000002", "s-00000003"}
 
 
 def test_who_was_away_while_a_mark_was_forgotten_brings_it_not_back_and_loses_none_of_its_own() -> None:
@@ -426,12 +442,12 @@
     fleet.run(now_s(fleet) + 6.0)
     fleet.mark_here("n4", "s-00000002", True)
     put_mark(fleet, "n1", "s-00000001", False)
-    until(fleet, lambda: part(fleet, "n1").sync.epoch > 0, 60.0)
+    until(fleet, lambda: part(fleet, "n1").anti_entropy.epoch > 0, 60.0)
     key = ("out", "s-00000001", "")
     assert part(fleet, "n1").store.get(key) is None and part(fleet, "n4").store.get(key) is not None
     fleet.heal(cut)
     until(fleet, lambda: alike(fleet, fleet.names))
-    assert part(fleet, "n4").sync.copies == 1  # it began with a whole copy
+    assert part(fleet, "n4").anti_entropy.copies_begun == 1  # it began with a whole copy
     assert all(part(fleet, n).store.get(key) is None for n in fleet.names)
     assert all(part(fleet, n).store.get(("out", "s-00000002", "")) for n in fleet.names)
 
@@ -448,24 +464,30 @@
                 fleet.clock_us(fleet.nodes[name]), apply_write(None, key, False, "x", (0, n), b"x" * 100)
             )
     fleet.start("n4")
-    until(fleet, lambda: len({p.giver for p in part(fleet, "n4").sync.taker.pulls if not p.urgent}) >= 2, 3.0)
+    until(
+        fleet,
+        lambda: (
+            len({p.sender for p in part(fleet, "n4").anti_entropy.receiver.transfers if not p.urgent}) >= 2
+        ),
+        3.0,
+    )
     fleet.run(now_s(fleet) + 0.1)
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 4.0)
     had = len(part(fleet, "n4").store)
     assert 0 < had < 4000
     fleet.heal(cut)
-    until(fleet, lambda: part(fleet, "n4").sync.whole, 30.0)
+    until(fleet, lambda: part(fleet, "n4").anti_entropy.complete, 30.0)
     until(fleet, lambda: alike(fleet, fleet.names))
-    taker = part(fleet, "n4").sync.taker
+    taker = part(fleet, "n4").anti_entropy.receiver
     # Ranges are not taken twice: what was there before the cut is not in the pieces after it.
-    assert taker.resumed >= 1 and taker.pieces < 40
+    assert taker.resumed >= 1 and taker.pages < 40
 
 
 def test_sixty_nodes_begin_together_and_fifty_seven_return_at_once() -> None:
     fleet = a_fleet(60, 9)
     fleet.run(1.0)
-    until(fleet, lambda: all(part(fleet, n).sync.whole for n in fleet.names), 8.0)
+    until(fleet, lambda: all(part(fleet, n).anti_entropy.complete for n in fleet.names), 8.0)
     put_mark(fleet, "n1", "s-00000001", True)
     back = fleet.names[3:]
     for name in back:
@@ -473,9 +495,9 @@
     for name in back:
         fleet.start(name)
     fleet.run(now_s(fleet) + 1.0)
-    until(fleet, lambda: all(part(fleet, n).sync.whole for n in back), 12.0)
+    until(fleet, lambda: all(part(fleet, n).anti_entropy.complete for n in back), 12.0)
     assert all(part(fleet, n).store.get(KEY) for n in fleet.names)
-    most = max(part(fleet, n).sync.giver.given for n in fleet.names[:3])
+    most = max(part(fleet, n).anti_entropy.sender.pages_sent for n in fleet.names[:3])
     assert most < 57 * 3  # those that had caught up gave as well
 
 
@@ -487,9 +509,9 @@
     held = store.get(KEY)
     assert held is not None
     (version,) = held.versions
-    store.replace(0, Record(*KEY, False, [Version(version.actor, version.count, b"other")], held.seen))
+    store.replace(0, Record(*KEY, False, [Version(version.actor, version.count, b"other")], held.context))
     until(fleet, lambda: alike(fleet, fleet.names))
-    assert part(fleet, "n4").sync.mended == 1 and part(fleet, "n0").sync.mended == 0
+    assert part(fleet, "n4").anti_entropy.repaired == 1 and part(fleet, "n0").anti_entropy.repaired == 0
 
 
 def test_forgotten_words_of_nodes_are_told_from_new_ones() -> None:
@@ -500,7 +522,7 @@
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 6.0)
     put_mark(fleet, "n1", "s-00000001", False)
-    until(fleet, lambda: part(fleet, "n1").sync.epoch > 0, 60.0)
+    until(fleet, lambda: part(fleet, "n1").anti_entropy.epoch > 0, 60.0)
     fleet.heal(cut)
     until(fleet, lambda: alike(fleet, fleet.names))
     assert all(part(fleet, n).store.get(KEY) is None for n in fleet.names)
@@ -526,11 +548,11 @@
 
 def test_a_belief_is_said_when_it_changes_and_again_before_it_ends() -> None:
     voice = OutlierReporter(belief_s=30.0)
-    assert voice.word(0, {}, 0) is None
-    assert voice.word(SECOND, {"s-1": SECOND}, 0) is not None
-    assert voice.word(2 * SECOND, {"s-1": SECOND // 2}, 0) is None
-    assert voice.word(12 * SECOND, {"s-1": SECOND // 2}, 0) is not None
-    assert voice.word(13 * SECOND, {}, 0) is not None  # nobody any more
+    assert voice.make_report(0, {}, 0) is None
+    assert voice.make_report(SECOND, {"s-1": SECOND}, 0) is not None
+    assert voice.make_report(2 * SECOND, {"s-1": SECOND // 2}, 0) is None
+    assert voice.make_report(12 * SECOND, {"s-1": SECOND // 2}, 0) is not None
+    assert voice.make_report(13 * SECOND, {}, 0) is not None  # nobody any more
 
 
 # -------------------------------------------------------------------- the checker, and days that are judged
