--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -17,8 +17,9 @@
 from benchmarks.capacity.counting_fleet import LEASES, CountingFleet, NodeCounts
 from benchmarks.capacity.record import Measurement
 from sailrun.leadership.permits import TASK as PERMITS
+from sailrun.replication.mark_client import MarkOutcome
 from sailrun.replication.messages import MarkRequest
-from sailrun.replication.replica import MARKS_TASK, MarkOutcome, Replica
+from sailrun.replication.replica import MARKS_TASK, Replica
 
 Figures = dict[str, float]
 PROCESSES = 2
--- a/benchmarks/capacity/rows_replica.py
+++ b/benchmarks/capacity/rows_replica.py
@@ -18,7 +18,7 @@
     row,
     samples,
 )
-from sailrun.replication.replica import WHERE_NODES
+from sailrun.replication.copy_lag import COMPARE_NODES
 from sailrun.replication.settings import ReplicationSettings
 
 COPIES = "replica/: one owner writes, a majority of voters keeps, rumors and comparisons spread"
@@ -27,7 +27,7 @@
 
 def longer(nodes: float) -> float:
     """How many times longer than a second a node waits before it asks whether it is behind."""
-    return max(1, nodes // WHERE_NODES)
+    return max(1, nodes // COMPARE_NODES)
 
 
 def asks_s(nodes: float) -> float:
@@ -44,7 +44,7 @@
 
 def behind(record: Record) -> Row:
     role, cost = "every node", "until a node notices that its copy is behind the owner"
-    mechanism = "replica/replica.py: `WHERE_US` and `WHERE_NODES`"
+    mechanism = "replica/replica.py: `WHERE_US` and `COMPARE_NODES`"
     try:
         found = asked_every(record)
     except Missing as missing:
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -24,10 +24,11 @@
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.figures import quantile
 from sailrun.lab.scheduler import BEGIN_US
+from sailrun.replication.mark_client import MarkOutcome
 from sailrun.replication.messages import MarkRequest
 from sailrun.replication.outlier_reports import OutlierReport, combine_outlier_reports
 from sailrun.replication.records import apply_write
-from sailrun.replication.replica import OUTLIER_REPORT, MarkOutcome, Replica
+from sailrun.replication.replica import OUTLIER_REPORT, Replica
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.store import RecordStore
 
@@ -105,7 +106,7 @@
     while len(whole) < back and _now_s(fleet) - began_s < 300:
         fleet.run(_now_s(fleet) + 0.1)
         for name in names:
-            if fleet.nodes[name].agent is not None and _part(fleet, name).anti_entropy.complete:
+            if fleet.nodes[name].agent is not None and _part(fleet, name).anti_entropy.copy.is_complete:
                 whole.setdefault(name, _now_s(fleet) - began_s)
     refused = sum(_part(fleet, n).anti_entropy.sender.rejected_requests for n in fleet.names)
     return min(whole.values(), default=float("inf")), max(whole.values(), default=float("inf")), refused
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from sailrun.leadership.service import FleetPart
-    from sailrun.replication.replica import MarkOutcome
+    from sailrun.replication.mark_client import MarkOutcome
     from sailrun.replication.service import ReplicationService
 
 SECOND = 1_000_000
--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -70,7 +70,7 @@
             self._start(name)
             acceptor = self.nodes[name].acceptor
             if acceptor is not None:  # all have been there for long
-                acceptor.incarnation, acceptor.is_recovered = 1, True
+                acceptor.state.incarnation, acceptor.state.is_recovered = 1, True
 
     def _start(self, name: str) -> None:
         self.lives[name] += 1
@@ -95,7 +95,7 @@
             self.off,
         )
         # The worst that a whole copy can be: it was taken from somebody who knew nothing.
-        node.anti_entropy.complete = True
+        node.anti_entropy.copy.is_complete = True
 
     # ------------------------------------------------------------------ steps
 
@@ -131,7 +131,9 @@
     def _restart(self, name: str) -> None:
         """Only one voter at a time has forgotten: a majority of them remembers throughout."""
         if "lives" not in self.off and any(
-            (k := self.nodes[v].acceptor) is not None and not k.is_recovered for v in self.voters if v != name
+            (k := self.nodes[v].acceptor) is not None and not k.state.is_recovered
+            for v in self.voters
+            if v != name
         ):
             return
         self.found.restarts += 1
@@ -154,7 +156,7 @@
         coordinator = node.coordinator
         if coordinator is not None:
             for id_ in list(self.made):
-                said = coordinator.answer_request(self.now_us, name, MarkRequest("poll", id_))
+                said = coordinator.answer_request(self.now_us, MarkRequest("poll", id_))
                 if said is not None and said.state == "done" and id_ not in self._told:
                     self._told.add(id_)
                     self.acked.append(id_)
@@ -203,7 +205,7 @@
         if self.luck.random() < 0.4:
             newest = coordinator.term == self.term  # the lease sees to it that no older one answers
             said = coordinator.answer_request(
-                self.now_us, name, MarkRequest("look", "", coordinator.term, "out", SUBJECT)
+                self.now_us, MarkRequest("look", "", coordinator.term, "out", SUBJECT)
             )
             if newest and said is not None and said.state == "done":
                 shown = [i for i in self._held(node) if i in self.made and i not in self._told]
@@ -214,7 +216,7 @@
             return
         id_ = f"w{len(self.made)}"
         op = MarkRequest("mark", id_, coordinator.term, "out", SUBJECT, True)
-        said = coordinator.answer_request(self.now_us, name, op)
+        said = coordinator.answer_request(self.now_us, op)
         if said is not None and said.state == "pending":
             self.made[id_] = len(self.made)
             self._note(f"{id_} is made by {name} under {coordinator.term}")
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -274,9 +274,7 @@
         if task == PERMITS:
             return self._permits.answer(now_us, term, asker.name, asker.life, content)
         if task == MARKS_TASK:
-            return (
-                self.replica.answer_request(now_us, asker.name, content) if self.replica is not None else None
-            )
+            return self.replica.answer_request(now_us, content) if self.replica is not None else None
         answer = self.answers.get(task)
         return answer(now_us, asker.name, content) if answer is not None else None
 
--- a/sailrun/leadership/backing.py
+++ b/sailrun/leadership/backing.py
@@ -310,8 +310,7 @@
         if voter is not None:
             voter.forget(now_us)
         if acceptor is not None:
-            acceptor.is_verifying_folder = False
-            acceptor.restart(now_us)
+            acceptor.distrust_folder(now_us)
         facts: dict[str, object] = {"why": standing.why_old, "loaded": lasting.loaded}
         if known is not None:
             facts |= {"known_life": known.life, "known_position": known.position}
--- a/sailrun/leadership/lasting.py
+++ b/sailrun/leadership/lasting.py
@@ -95,7 +95,7 @@
 
 def replica_entries(replica: Replica) -> Iterable[e.Entry]:
     """As they are now; gone through later, and by another thread."""
-    state = [e.Copy(replica.anti_entropy.epoch, replica.anti_entropy.complete)]
+    state = [e.Copy(replica.anti_entropy.copy.epoch, replica.anti_entropy.copy.is_complete)]
     keeps = [e.Keeps(*replica.acceptor.get_durable_state())] if replica.acceptor is not None else []
     held = replica.store.list_firm_records()
     return chain(state, keeps, (e.Held(record, mark) for record, mark in held))
--- a/sailrun/leadership/shared.py
+++ b/sailrun/leadership/shared.py
@@ -110,7 +110,7 @@
             replica is not None
             and self._reading.owner
             and revision != self._kept
-            and replica.anti_entropy.complete
+            and replica.anti_entropy.copy.is_complete
         ):
             self._kept = revision
             store_server_list(replica, now_us, self._subject, revision, self._reading.members)
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -1,26 +1,26 @@
-"""Copies that become alike: what changes is told on, what differs is found by digests and taken over, and who
-has nothing, or something too old, begins with a whole copy.
+"""Anti-entropy: copies become alike. Changes are gossiped, differences are found by digests and transferred,
+and a node that has no copy, or one that is too old, takes a complete one.
 
-Pure. Safety of what a majority keeps is not here (see `acceptor.py` and `coordinator.py`): here nothing is
-lost because copies only ever learn, and nothing that was taken back returns because copies of different
-epochs are never merged.
+Pure: messages and the time (microseconds) come in, messages go out. Safety of what a majority holds is not
+here (see `acceptor.py` and `coordinator.py`): here nothing is lost because copies only ever merge, and
+nothing that was deleted returns because copies of different epochs are never merged.
 """
 
 from __future__ import annotations
 
 import random
-from collections import OrderedDict
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Collection
 
-import msgspec
-
-from sailrun.membership.messages import State
 from sailrun.membership.swim import Members
+from sailrun.replication.copy_state import CopyState
+from sailrun.replication.copy_transfer import MAX_SENDERS, CopyTransfer
+from sailrun.replication.epochs import EpochTracker
+from sailrun.replication.gossip import FANOUT, MAX_SENDS, GossipQueue
 from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.messages import (
     DigestReply,
     DigestRequest,
+    OutgoingMessage,
     PageRequest,
     RecordPage,
     RecordReply,
@@ -28,572 +28,351 @@
     Rumor,
     SenderBusy,
 )
-from sailrun.replication.records import (
-    STRONG,
-    Count,
-    InvalidRecordError,
-    Key,
-    Record,
-    covers,
-    estimate_size_bytes,
-    hash_record,
-)
+from sailrun.replication.records import InvalidRecordError, Key, Record
+from sailrun.replication.repair import RecordRepair
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.state_transfer import Transfer, TransferReceiver, TransferSender
-from sailrun.replication.store import RANGE_COUNT, RANGES_PER_GROUP, PutResult, RecordStore
-
-SECOND = 1_000_000
-Post = tuple[str, msgspec.Struct]
-# A change is told so many times by each who learns of it, to so many at a time, this often.
-TELLS, FANOUT, RUMOR_US = 4, 2, 200_000
-# What goes into one rumor; a record that is longer is left to the comparison of copies.
-RUMOR_BYTES = 900
-# Those that take a whole copy ask so many givers at once.
-GIVERS = 3
-# Nobody has a whole copy, as voters tell each other after so long, or none has come after so long: what there
-# is, is the whole. Whom one was asked of is not asked again at once.
-FRESH_US, PATIENT_US, ANSWERED_US = SECOND, 10 * SECOND, 3 * SECOND
-AGAIN_US = SECOND // 2
-# A copy that differs without a reason is asked of the voters so often, for so long each time.
-VOTES, VOTE_US = 3, SECOND
-# More spoilt records than this at a time: the copy is thrown away.
-MOST_SPOILT = 16
-# A record that was spoilt here, and that nobody has told again within this, was nowhere else.
-LOST_US = 10 * SECOND
-SCRUB_US = SECOND
-EPOCH_RECORD_KEY: Key = ("fleet", "forgotten", "")
-DeletedVersions = list[tuple[Key, str, Count]]
-# So much of what was forgotten is remembered of words that nodes said on their own.
-MOST_WEAK = 5000
-
-
-class EpochRecord(msgspec.Struct, array_like=True, frozen=True):
-    """The content of the record of the latest epoch: what was forgotten with it. `weak`: with this epoch and
-    those before, up to which count of a node's own words of a record went with it, so that who returns with
-    other words of its own can tell them from these.
-    """
-
-    epoch: int
-    deleted_versions: DeletedVersions
-    local_writes: DeletedVersions = []
-
-
-@dataclass(slots=True)
-class _Vote:
-    """Which content of a record is right."""
-
-    key: Key
-    number: int
-    until_us: int
-    copies: dict[str, Record | None] = field(default_factory=dict)
-    tries: int = 1
+from sailrun.replication.state_transfer import TransferReceiver, TransferSender, ignore_end
+from sailrun.replication.store import RANGES_PER_GROUP, PutResult, RecordStore
+
+SECOND_US = 1_000_000
+# A rumor is sent this often; this often some records are checked against their hashes, and expired ones go.
+GOSSIP_INTERVAL_US, SCRUB_INTERVAL_US = 200_000, SECOND_US
+# The comparison of copies is spread over its interval by this share to both sides.
+COMPARE_JITTER = 0.2
+# Digest requests whose replies are still taken.
+MAX_OPEN_REQUESTS = 64
 
 
 class AntiEntropy:
+    """One node's part in keeping copies alike; owns the state of the copy as a whole."""
+
     def __init__(
         self,
         name: str,
         store: RecordStore,
-        terms: ReplicationSettings,
+        settings: ReplicationSettings,
         members: Members,
         voters: Callable[[], list[str]],
-        majority: Callable[[set[str]], bool],
+        is_majority: Callable[[set[str]], bool],
         seed: int,
         now_us: int,
-        off: frozenset[str] = frozenset(),
+        disabled_rules: frozenset[str] = frozenset(),
         journal: ReplicaJournal | None = None,
     ) -> None:
+        """`is_majority` says it of a set of voters. `disabled_rules` are safety rules that the laboratory
+        switches off.
+        """
+        self._name, self.store, self.settings, self._members = name, store, settings, members
         self._journal = journal or ReplicaJournal()
-        self._name, self.store, self.settings, self._members = name, store, terms, members
-        self._voters, self._majority, self._off = voters, majority, off
-        self._luck = random.Random(seed)
-        self._number = self._luck.getrandbits(30) << 20
-        self.epoch = 0
-        self.complete = False
-        self.log_events: list[
-            tuple[str, dict[str, object]]
-        ] = []  # for the log; emptied by whoever drives this
-        self.receiver = TransferReceiver(terms, self.make_request_id)
-        self.sender = TransferSender(terms)
-        # The copy was thrown away; told whether others counted on what it held.
-        self.on_discarded: Callable[[int, bool], None] = lambda now_us, counted: None
+        self._rng = random.Random(seed)
+        self._last_request_id = self._rng.getrandbits(30) << 20
+        self._checks_epochs = "forget" not in disabled_rules
+        self._checks_hashes = "mend" not in disabled_rules
+        self.copy = CopyState()
+        # Lines for the operator's log, each with its fields; emptied by whoever drives this.
+        self.log_events: list[tuple[str, dict[str, object]]] = []
+        # The copy was discarded, in whole or in part; told whether others counted on what it held.
+        self.on_discarded: Callable[[int, bool], None] = lambda now_us, was_counted: None
         self.on_lost: Callable[[Key], None] = lambda key: None  # nobody had the record
-        self.on_bootstrapped: Callable[[], None] = lambda: None  # too few voters remembered
-        self.on_recovered: Callable[[], None] = lambda: None  # this voter knows again what it had promised
-        self._hot: OrderedDict[Key, int] = OrderedDict()  # by key, how often told
-        self._attic: list[Record] = []  # of a copy thrown away: what nodes said on their own word
-        self.lost: dict[Key, int] = {}  # records whose bytes were spoilt, to be had again by a time
-        self._sums: dict[int, str] = {}  # sums that were sent, and to whom
-        self._answered: dict[str, int] = {}  # who has no whole copy either, as it said at that time
-        self._left = set(range(RANGE_COUNT))  # ranges that are still to be copied
-        self._assigned: dict[int, str] = {}  # of them, which are being taken from whom
-        self._places: dict[int, Key] = {}  # of them, how far one has come
-        self._away: dict[str, int] = {}  # givers not to be asked before
-        self._votes: dict[Key, _Vote] = {}
-        self._next: list[str] = []  # whose copy is known to differ
-        self._rumor_us = self._sum_us = self._scrub_us = now_us
-        self._begun_us = -1  # when this copy was begun
-        self.copies_begun = 0  # whole copies begun
-        self.repaired = 0
-        self.missing_records = 0  # records said to be in ranges that are to be copied
-        self._told_full = False
+        self.receiver = TransferReceiver(settings, self.make_request_id)
+        self.sender = TransferSender(settings)
+        self._gossip = GossipQueue(store)
+        self.epochs = EpochTracker(store, self.copy, self._journal, self._gossip.discard, self.log_event)
+        self._repair = RecordRepair(
+            name,
+            store,
+            voters,
+            is_majority,
+            self.make_request_id,
+            lambda now_us, reason: self._discard_copy(now_us, self.copy.epoch, reason),
+            self.log_event,
+            self._checks_hashes,
+        )
+        self._copy_transfer = CopyTransfer(
+            name, store, self.copy, members, voters, self.receiver, self._rng, self._complete_copy
+        )
+        self._digest_requests: dict[int, str] = {}  # by id, whom it was sent to
+        self._compare_next: list[str] = []  # whose copy is known to differ
+        self._gossip_at_us = self._compare_at_us = self._scrub_at_us = now_us
+        self._is_full_logged = False
+
+    @property
+    def awaiting_repair(self) -> Collection[Key]:
+        """Records whose bytes were corrupted here and that were not received again yet."""
+        return self._repair.awaited
+
+    @property
+    def repaired(self) -> int:
+        """How many records were repaired since the start."""
+        return self._repair.repaired
 
     def restore(self, epoch: int) -> None:
-        """A whole copy of this epoch was found at the start; how far it is behind, others will tell."""
-        self.epoch, self.complete, self._left = epoch, True, set()
+        """A complete copy of this epoch was found at the start; how far it is behind, others will tell."""
+        self.copy.epoch, self.copy.is_complete = epoch, True
+        self._copy_transfer.set_complete()
 
     def make_request_id(self) -> int:
-        self._number += 1
-        return self._number
+        """An id that no other request of this process has."""
+        self._last_request_id += 1
+        return self._last_request_id
 
     def log_event(self, what: str, **facts: object) -> None:
+        """Adds a line for the operator's log."""
         self.log_events.append((what, facts))
 
     # ------------------------------------------------------------------ records that come in
 
-    def queue_gossip(self, record: Record, told: int = 0) -> None:
-        """A record became known here: it is told on."""
-        if estimate_size_bytes(record) <= RUMOR_BYTES:
-            self._hot[record.key] = told
-            self._hot.move_to_end(record.key, last=False)
+    def queue_gossip(self, record: Record) -> None:
+        """A record became known here: it is sent on."""
+        self._gossip.add(record)
 
-    def merge_received(self, now_us: int, records: list[Record], tell: int) -> bool:
-        """Merges what was told; False where there was something bad among it. `tell`: as if told on so
-        often.
+    def merge_received(self, now_us: int, records: list[Record], sends: int = 0) -> bool:
+        """Merges records, and sends on what is new as if it had been sent so often. False: one of them is
+        invalid, and it and those after it were not merged.
         """
         for record in records:
             try:
-                took = self.store.put(now_us, record)
+                result = self.store.put(now_us, record)
             except InvalidRecordError as error:
                 self.log_event("bad-record", why=str(error))
                 return False
-            if took is PutResult.NEW:
-                if record.key in self.lost:
-                    del self.lost[record.key]
-                    self.repaired += 1
-                    self.log_event("copy-mended", kind=record.kind, subject=record.subject)
-                if tell < TELLS:
-                    known = self.store.get(record.key)
-                    if known is not None:
-                        self.queue_gossip(known, tell)
-            elif took is PutResult.CONTRADICTS:
-                self.dispute_record(now_us, record.key)
-            elif took is PutResult.FULL and not self._told_full:
-                self._told_full = True
+            if result is PutResult.NEW:
+                self._repair.on_received(record)
+                known = self.store.get(record.key)
+                if sends < MAX_SENDS and known is not None:
+                    self._gossip.add(known, sends)
+            elif result is PutResult.CONTRADICTS:
+                self._repair.dispute(record.key)
+            elif result is PutResult.FULL and not self._is_full_logged:
+                self._is_full_logged = True
                 self.log_event("replica-full", records=len(self.store), bytes=self.store.size_bytes)
         return True
 
     # ------------------------------------------------------------------ messages
 
-    def receive(self, now_us: int, sender: str, body: object) -> list[Post]:
+    def receive(self, now_us: int, sender: str, body: object) -> list[OutgoingMessage]:
+        """Handles a message of another member; returns the replies. Messages of other parts are ignored."""
         match body:
-            case Rumor(epoch, records):
-                if self._same_epoch(epoch) and self.complete:
-                    self.merge_received(now_us, records, 0)
-                elif epoch > self.epoch:
-                    return self.request_digests(sender)
+            case Rumor():
+                return self._on_rumor(now_us, sender, body)
             case DigestRequest():
-                return self._summed(now_us, sender, body)
+                return self._on_digest_request(sender, body)
             case DigestReply():
-                return self._compared(now_us, sender, body)
+                return self._on_digest_reply(now_us, sender, body)
             case PageRequest():
-                if not self._same_epoch(body.epoch):
-                    return self.request_digests(sender)
-                return [(sender, self.sender.answer_request(now_us, sender, body, self.store, self.complete))]
-            case RecordPage(number):
-                pull = self.receiver.find_transfer(sender, number)
-                if pull is not None and self._same_epoch(body.epoch):
-                    # What was taken in to catch up others have; what differed may be new to some.
-                    tell = TELLS if not self.complete else TELLS - 1
-                    if self.merge_received(now_us, body.records, tell):
-                        self.receiver.on_page(now_us, pull, body)
-            case SenderBusy(number, wait_us):
-                pull = self.receiver.find_transfer(sender, number)
-                if pull is not None:
-                    self._away[sender] = now_us + wait_us
-                    if pull.urgent or self.complete:
-                        pull.request_at_us, pull.attempts = now_us + wait_us, 0
-                    else:
-                        self.receiver.end_transfer(now_us, pull, False)
-            case RecordRequest(number, key):
-                return [(sender, RecordReply(number, key, self.store.get(key)))]
-            case RecordReply(number, key, record):
-                vote = self._votes.get(key)
-                if vote is not None and vote.number == number and sender in self._voters():
-                    vote.copies[sender] = record
-                    self._count(now_us, vote)
+                return self._on_page_request(now_us, sender, body)
+            case RecordPage():
+                self._on_page(now_us, sender, body)
+            case SenderBusy():
+                self._on_sender_busy(now_us, sender, body)
+            case RecordRequest(request_id, key):
+                return [OutgoingMessage(sender, RecordReply(request_id, key, self.store.get(key)))]
+            case RecordReply():
+                self._repair.on_reply(now_us, sender, body)
         return []
 
-    def _same_epoch(self, epoch: int) -> bool:
-        return epoch == self.epoch or "forget" in self._off
-
-    def request_digests(self, name: str) -> list[Post]:
-        """How does that copy compare with mine?"""
-        number = self.make_request_id()
-        self._sums[number] = name
-        while len(self._sums) > 64:
-            del self._sums[next(iter(self._sums))]
-        return [(name, DigestRequest(number, self.epoch, self.store.group_digests(), self.complete))]
-
-    def _summed(self, now_us: int, sender: str, told: DigestRequest) -> list[Post]:
-        leaves = self.store.find_differing_groups(told.group_digests)
-        records = self.store.count_records(
-            r for n in leaves for r in range(n * RANGES_PER_GROUP, (n + 1) * RANGES_PER_GROUP)
+    def _is_same_epoch(self, epoch: int) -> bool:
+        return epoch == self.copy.epoch or not self._checks_epochs
+
+    def request_digests(self, name: str) -> list[OutgoingMessage]:
+        """Asks a member how its copy compares with this one."""
+        request_id = self.make_request_id()
+        self._digest_requests[request_id] = name
+        while len(self._digest_requests) > MAX_OPEN_REQUESTS:
+            del self._digest_requests[next(iter(self._digest_requests))]
+        digests = self.store.group_digests()
+        request = DigestRequest(request_id, self.copy.epoch, digests, self.copy.is_complete)
+        return [OutgoingMessage(name, request)]
+
+    def _on_rumor(self, now_us: int, sender: str, rumor: Rumor) -> list[OutgoingMessage]:
+        if self._is_same_epoch(rumor.epoch) and self.copy.is_complete:
+            self.merge_received(now_us, rumor.records)
+        elif rumor.epoch > self.copy.epoch:
+            return self.request_digests(sender)
+        return []
+
+    def _on_digest_request(self, sender: str, request: DigestRequest) -> list[OutgoingMessage]:
+        range_digests = self.store.find_differing_groups(request.group_digests)
+        ranges = (
+            number
+            for group in range_digests
+            for number in range(group * RANGES_PER_GROUP, (group + 1) * RANGES_PER_GROUP)
         )
-        forgotten = self.store.get(EPOCH_RECORD_KEY) if told.epoch < self.epoch else None
-        posts: list[Post] = [
-            (sender, DigestReply(told.request_id, self.epoch, leaves, records, self.complete, forgotten))
-        ]
-        if told.epoch > self.epoch:
-            posts += self.request_digests(sender)
-        elif leaves and told.complete and self.complete and sender not in self._next:
-            self._next.append(sender)
-        return posts
-
-    def _compared(self, now_us: int, sender: str, told: DigestReply) -> list[Post]:
-        if self._sums.pop(told.request_id, None) != sender:
-            return []
-        if "forget" in self._off:
-            pass
-        elif told.epoch > self.epoch:
-            known = told.epoch_record
-            if known is None and self.complete and not told.complete:
-                return []  # it has begun a copy of that epoch, and knows no more of it: others will tell
-            if not self.complete or known is None or not self.advance_epoch(now_us, known):
-                # What was told is how that copy differs from the one that is thrown away: it is asked anew.
-                self.begin_copy(now_us, told.epoch, "too far behind")
-                return self.request_digests(sender)
-            if self.epoch != told.epoch:
-                return []
-        elif told.epoch < self.epoch:
+        reply = DigestReply(
+            request.request_id,
+            self.copy.epoch,
+            range_digests,
+            self.store.count_records(ranges),
+            self.copy.is_complete,
+            self.epochs.get_record() if request.epoch < self.copy.epoch else None,
+        )
+        messages = [OutgoingMessage(sender, reply)]
+        if request.epoch > self.copy.epoch:
+            messages += self.request_digests(sender)
+        elif (
+            range_digests and request.complete and self.copy.is_complete and sender not in self._compare_next
+        ):
+            self._compare_next.append(sender)
+        return messages
+
+    def _on_digest_reply(self, now_us: int, sender: str, reply: DigestReply) -> list[OutgoingMessage]:
+        if self._digest_requests.pop(reply.request_id, None) != sender:
             return []
-        ranges = self.store.find_differing_ranges(told.range_digests)
-        if not self.complete:
-            self._copy_from(now_us, sender, told, ranges)
+        if self._checks_epochs and reply.epoch != self.copy.epoch:
+            messages = self._on_other_epoch(now_us, sender, reply)
+            if reply.epoch != self.copy.epoch or messages:
+                return messages
+        differing = self.store.find_differing_ranges(reply.range_digests)
+        if not self.copy.is_complete:
+            self._copy_transfer.on_digest_reply(now_us, sender, reply, differing)
         elif (
-            ranges
+            differing
             and self.receiver.find_background_transfer(sender) is None
-            and len(self.receiver.transfers) < 2 * GIVERS
+            and len(self.receiver.transfers) < 2 * MAX_SENDERS
         ):
-            self.receiver.begin(now_us, sender, ranges, lambda now_us, whole: None)
+            self.receiver.begin(now_us, sender, differing, ignore_end)
         return []
 
-    # ------------------------------------------------------------------ whole copies
-
-    def begin_copy(self, now_us: int, epoch: int, why: str) -> None:
-        """Throws this copy away and takes another. What nodes said on their own word is kept aside: the fleet
-        may never have heard it.
-        """
-        self.log_event("copy-begins", why=why, epoch=epoch, records=len(self.store))
-        spoilt = self.complete and epoch == self.epoch
-        self.copies_begun += 1
-        self.complete, self.epoch, self._begun_us = False, epoch, now_us
-        self.receiver.end_all(now_us)
-        aside = {r.key: r for r in self._attic} | {r.key: r for r in self.store.intact_records()}
-        self._attic = [r for r in map(_own_words, aside.values()) if r is not None]
-        self.lost.clear()
-        self.store.clear()
-        self._hot.clear()
-        self._votes.clear()
-        self._sums.clear()  # answers under way are about the copy that is no more
-        self._left, self._assigned, self._places = set(range(RANGE_COUNT)), {}, {}
-        self._answered.clear()
-        self._journal.write_copy_state(epoch, False, cleared=True)
-        self.on_discarded(now_us, spoilt)
-
-    def _copy_from(self, now_us: int, giver: str, told: DigestReply, ranges: list[int]) -> None:
-        if not told.complete:
-            self._answered[giver] = now_us
-            if ranges and not self.receiver.find_background_transfer(giver):
-                # Nobody may have a whole copy: then all that any has makes one.
-                self.receiver.begin(now_us, giver, ranges, lambda now_us, whole: None, urgent=True)
-            return
-        self._answered.pop(giver, None)
-        self.missing_records = told.record_count
-        self._left -= set(range(RANGE_COUNT)) - set(ranges) - self._assigned.keys()
-        if not self._left:
-            self._have_copied(now_us)
-            return
-        free = [n for n in ranges if n in self._left and n not in self._assigned]
-        share = free[: max(1, len(self._left) // GIVERS)]
-        if not share or self.receiver.find_background_transfer(giver) is not None:
-            return
-        share.sort(key=lambda n: n not in self._places)  # what was broken off first
-        for number in share:
-            self._assigned[number] = giver
-        after = self._places.pop(share[0], None)
-        # A piece goes on from a place within one range; the others follow.
-        first, rest = share[:1], sorted(share[1:])
-        self._take(now_us, giver, first if after is not None else sorted(share), after)
-        if after is not None:
-            for number in rest:
-                self._assigned.pop(number, None)
-
-    def _take(self, now_us: int, giver: str, ranges: list[int], after: Key | None) -> None:
-        def done(now_us: int, whole: bool) -> None:
-            if self.complete:
-                return
-            came = set(ranges) if whole else set(ranges) - set(pull.ranges)
-            for number in ranges:
-                self._assigned.pop(number, None)
-            self._left -= came
-            if not whole and pull.after is not None:
-                self._places[pull.ranges[0]] = pull.after
-            if not self._left:
-                self._have_copied(now_us)
-
-        self.receiver.begin(now_us, giver, ranges, done, after=after)
-        pull: Transfer = self.receiver.transfers[-1]
-
-    def _have_copied(self, now_us: int) -> None:
-        self.complete = True
-        self._journal.write_copy_state(self.epoch, True)
-        self.log_event("copy-whole", records=len(self.store), epoch=self.epoch, pieces=self.receiver.pages)
-        self.missing_records = 0
-        attic, self._attic = self._attic, []
-        known = self.store.get(EPOCH_RECORD_KEY)
-        gone = {(key, actor): count for key, actor, count in _forgetting(known).local_writes}
-        for record in attic:
-            words = [v for v in record.versions if v.count > gone.get((record.key, v.actor), (-1, -1))]
-            if words:
-                self.merge_received(now_us, [Record(*record.key, False, words, record.context)], 0)
-
-    def _fresh(self, now_us: int) -> None:
-        """Nobody has a whole copy to give. Voters tell each other so, as few as they are; the rest wait for
-        one of them, and where none comes go on with what there is.
+    def _on_other_epoch(self, now_us: int, sender: str, reply: DigestReply) -> list[OutgoingMessage]:
+        """Goes on to a later epoch, or discards this copy if it cannot; then the sender is asked anew, since
+        its reply is about the copy that is no more.
         """
-        waited_us = now_us - self._begun_us
-        if waited_us >= PATIENT_US:
-            self._have_copied(now_us)
-            return
-        voters = set(self._voters())
-        if self._name not in voters or waited_us < FRESH_US:
-            return
-        there = {r.name for r, _ in self._members.known() if r.state is not State.LEFT} & voters
-        said = {n for n in there if now_us - self._answered.get(n, -ANSWERED_US) < ANSWERED_US}
-        if there <= said | {self._name}:
-            self._have_copied(now_us)
-
-    def _go_on_copying(self, now_us: int) -> list[Post]:
-        self._fresh(now_us)
-        if self.complete:
-            return []
-        others = [n for n in self._members.names if n != self._name]
-        free = [
-            n
-            for n in others
-            if self._away.get(n, 0) <= now_us and self.receiver.find_background_transfer(n) is None
-        ]
-        asked = GIVERS - sum(1 for p in self.receiver.transfers if not p.urgent)
-        if asked <= 0 or not free:
+        if reply.epoch < self.copy.epoch:
             return []
-        # A voter among them: those are the first to have one.
-        voters = set(self._voters())
-        picked = self._luck.sample(free, min(asked, len(free)))
-        first = [n for n in free if n in voters]
-        if first and not voters & set(picked):
-            picked[0] = self._luck.choice(first)
-        posts: list[Post] = []
-        for name in picked:
-            self._away[name] = now_us + AGAIN_US
-            posts += self.request_digests(name)
-        return posts
-
-    # ------------------------------------------------------------------ what is forgotten
-
-    def advance_epoch(self, now_us: int, record: Record) -> bool:
-        """Goes on to the next epoch, if this copy knows of all that is forgotten with it that it was taken
-        back; who does not cannot tell what else it has missed. To hold the record is no reason to: it has
-        to be decided, as an owner knows from a majority, and others from whoever has gone on.
-        """
-        told = _forgetting(record)
-        if told.epoch <= self.epoch:
-            return told.epoch == self.epoch
-        if (
-            told.epoch != self.epoch + 1
-            or not self.complete
-            or not self.knows_deletions(told.deleted_versions)
-        ):
-            return False
-        for key, actor, count in told.deleted_versions:
-            known = self.store.get(key)
-            if known is not None and [v.dot for v in known.versions] == [(actor, count)] and known.is_deleted:
-                self.store.remove(key)
-                self._journal.write_forgotten(key)
-                self._hot.pop(key, None)
-        self.epoch = told.epoch
-        self._journal.write_copy_state(self.epoch, True)
-        if self.store.get(EPOCH_RECORD_KEY) != record:
-            self.store.put(now_us, record)
-        self.log_event("forgotten", epoch=self.epoch, records=len(told.deleted_versions))
-        return True
+        record = reply.epoch_record
+        if record is None and self.copy.is_complete and not reply.complete:
+            return []  # it has begun a copy of that epoch, and knows no more of it: others will tell
+        if not self.copy.is_complete or record is None or not self.epochs.advance(now_us, record):
+            self._discard_copy(now_us, reply.epoch, "too far behind")
+            return self.request_digests(sender)
+        return []
 
-    def collect_local_writes(self, items: DeletedVersions) -> DeletedVersions:
-        """What the next epoch has to remember of nodes' own words that went with these."""
-        found = {(k, a): c for k, a, c in _forgetting(self.store.get(EPOCH_RECORD_KEY)).local_writes}
-        for key, _, _ in items:
-            record = self.store.get(key)
-            for actor, count in record.context.items() if record is not None else ():
-                if actor != STRONG:
-                    found.pop((key, actor), None)
-                    found[key, actor] = count
-        return [(k, a, c) for (k, a), c in found.items()][-MOST_WEAK:]
-
-    def knows_deletions(self, items: DeletedVersions) -> bool:
-        return self.complete and all(covers(self.store.get(key), [(a, c)]) for key, a, c in items)
-
-    # ------------------------------------------------------------------ copies that differ without a reason
-
-    def dispute_record(self, now_us: int, key: Key) -> None:
-        """The same version with two contents, each sound by its own hash: the voters are asked."""
-        record = self.store.get(key)
-        if "mend" in self._off or key in self._votes or record is None:
-            return
-        self.log_event("copy-differs", kind=key[0], subject=key[1], observer=key[2] or None)
-        if record.soft:
-            self.store.remove(key)  # its observer says it again
-            return
-        self._votes[key] = _Vote(key, self.make_request_id(), 0)
+    # ------------------------------------------------------------------ transfers
 
-    def _drop_spoilt(self, now_us: int) -> None:
-        """Bytes that do not fit their hash any more are nobody's word: the record is had again from others,
-        and a voter has forgotten what it held.
-        """
-        spoilt, self.store.corrupted = self.store.corrupted, []
-        if len(spoilt) > MOST_SPOILT:
-            self.begin_copy(now_us, self.epoch, f"{len(spoilt)} records are spoilt")
+    def _on_page_request(self, now_us: int, sender: str, request: PageRequest) -> list[OutgoingMessage]:
+        if not self._is_same_epoch(request.epoch):
+            return self.request_digests(sender)
+        page = self.sender.answer_request(now_us, sender, request, self.store, self.copy.is_complete)
+        return [OutgoingMessage(sender, page)]
+
+    def _on_page(self, now_us: int, sender: str, page: RecordPage) -> None:
+        transfer = self.receiver.find_transfer(sender, page.request_id)
+        if transfer is None or not self._is_same_epoch(page.epoch):
             return
-        for key in spoilt:
-            self.log_event("copy-spoilt", kind=key[0], subject=key[1], observer=key[2] or None)
-            self.lost[key] = now_us + LOST_US
-            self.store.remove(key)
-            if self.complete:
-                self.on_discarded(now_us, True)
+        # What completes this copy others have; what differed between complete copies may be new to some.
+        sends = MAX_SENDS - 1 if self.copy.is_complete else MAX_SENDS
+        if self.merge_received(now_us, page.records, sends):
+            self.receiver.on_page(now_us, transfer, page)
+
+    def _on_sender_busy(self, now_us: int, sender: str, busy: SenderBusy) -> None:
+        transfer = self.receiver.find_transfer(sender, busy.request_id)
+        if transfer is None:
+            return
+        retry_at_us = now_us + busy.retry_after_us
+        self._copy_transfer.back_off(sender, retry_at_us)
+        if transfer.urgent or self.copy.is_complete:
+            transfer.request_at_us, transfer.attempts = retry_at_us, 0
+        else:
+            self.receiver.end_transfer(now_us, transfer, False)
+
+    # ------------------------------------------------------------------ the copy as a whole
+
+    def _discard_copy(self, now_us: int, epoch: int, reason: str) -> None:
+        """Discards this copy, and begins to take a complete one of that epoch."""
+        self.log_event("copy-begins", why=reason, epoch=epoch, records=len(self.store))
+        was_counted = self.copy.is_complete and epoch == self.copy.epoch
+        self.copy.copies_begun += 1
+        self.copy.is_complete, self.copy.epoch, self.copy.begun_us = False, epoch, now_us
+        self.receiver.end_all(now_us)
+        self._copy_transfer.restart()
+        self._repair.clear()
+        self.store.clear()
+        self._gossip.clear()
+        self._digest_requests.clear()  # replies under way are about the copy that is no more
+        self._journal.write_copy_state(epoch, False, cleared=True)
+        self.on_discarded(now_us, was_counted)
 
-    def _vote(self, now_us: int) -> list[Post]:
-        posts: list[Post] = []
-        voters = [name for name in self._voters() if name != self._name]
-        for vote in list(self._votes.values()):
-            if now_us < vote.until_us:
-                continue
-            if vote.until_us and vote.tries >= VOTES:
-                self.begin_copy(now_us, self.epoch, f"{'/'.join(vote.key)} cannot be mended")
-                return []
-            vote.tries += vote.until_us > 0
-            vote.until_us = now_us + VOTE_US
-            vote.copies.clear()
-            if self._name in self._voters():
-                vote.copies[self._name] = self.store.get(vote.key)
-            posts += [(name, RecordRequest(vote.number, vote.key)) for name in voters]
-        return posts
-
-    def _count(self, now_us: int, vote: _Vote) -> None:
-        by_mark: dict[int, list[str]] = {}
-        for name, record in vote.copies.items():
-            if record is not None:
-                by_mark.setdefault(hash_record(record, b""), []).append(name)
-        for names in by_mark.values():
-            if self._majority(set(names)):
-                right = vote.copies[names[0]]
-                assert right is not None
-                mine = self.store.get(vote.key)
-                if mine is None or hash_record(mine, b"") != hash_record(right, b""):
-                    self.store.replace(now_us, right)
-                    self.repaired += 1
-                    self.log_event(
-                        "copy-mended", kind=vote.key[0], subject=vote.key[1], voters=",".join(names)
-                    )
-                del self._votes[vote.key]
-                return
+    def _complete_copy(self, now_us: int) -> None:
+        self.copy.is_complete = True
+        self._journal.write_copy_state(self.copy.epoch, True)
+        self.log_event(
+            "copy-whole", records=len(self.store), epoch=self.copy.epoch, pieces=self.receiver.pages
+        )
+        self.copy.missing_records = 0
+        local_writes = self._copy_transfer.take_local_writes()
+        for record in self.epochs.drop_forgotten_versions(local_writes):
+            self.merge_received(now_us, [record])
 
     # ------------------------------------------------------------------ time
 
-    def due_us(self, now_us: int) -> int:
-        due_us = min(self._sum_us, self._scrub_us, self.receiver.due_us() or self._sum_us)
-        if self._hot or self._next or self._votes or not self.complete:
-            due_us = min(due_us, self._rumor_us)
+    def due_us(self) -> int:
+        """When `turn` has something to do."""
+        due_us = min(self._compare_at_us, self._scrub_at_us, self.receiver.due_us() or self._compare_at_us)
+        is_gossiping = self._gossip or self._compare_next or self._repair.is_polling
+        if is_gossiping or not self.copy.is_complete:
+            due_us = min(due_us, self._gossip_at_us)
         return due_us
 
-    def turn(self, now_us: int) -> list[Post]:
-        if self._begun_us < 0:
-            self._begun_us = now_us
-        posts: list[Post] = []
-        if now_us >= self._rumor_us:
-            self._rumor_us = now_us + RUMOR_US
-            if not self.complete:
-                posts += self._go_on_copying(now_us)
-            else:
-                posts += self._tell()
-                while self._next:
-                    name = self._next.pop()
-                    if self._members.lives(name) and self.receiver.find_background_transfer(name) is None:
-                        posts += self.request_digests(name)
-            posts += self._vote(now_us)
-        if now_us >= self._sum_us:
-            self._sum_us = now_us + int(self.settings.sync_s * SECOND * (0.8 + 0.4 * self._luck.random()))
-            if self.complete:
-                for name in self._some(1):
-                    posts += self.request_digests(name)
-        if now_us >= self._scrub_us:
-            self._scrub_us = now_us + SCRUB_US
-            self.store.expire_records(now_us)
-            if "mend" not in self._off:
-                self.store.scrub(min(1.0, SCRUB_US / SECOND / self.settings.scrub_s))
-            for key in [k for k, until_us in self.lost.items() if now_us >= until_us]:
-                del self.lost[key]
-                self.log_event("copy-lost", kind=key[0], subject=key[1], observer=key[2] or None)
-                self.on_lost(key)
+    def turn(self, now_us: int) -> list[OutgoingMessage]:
+        """Does what is due; returns the messages to send."""
+        if self.copy.begun_us < 0:
+            self.copy.begun_us = now_us
+        messages: list[OutgoingMessage] = []
+        if now_us >= self._gossip_at_us:
+            self._gossip_at_us = now_us + GOSSIP_INTERVAL_US
+            messages += self._gossip_or_copy(now_us)
+            messages += self._repair.poll_voters(now_us)
+        if now_us >= self._compare_at_us:
+            jitter = 1 - COMPARE_JITTER + 2 * COMPARE_JITTER * self._rng.random()
+            self._compare_at_us = now_us + int(self.settings.sync_s * SECOND_US * jitter)
+            if self.copy.is_complete:
+                for name in self._sample_members(1):
+                    messages += self.request_digests(name)
+        if now_us >= self._scrub_at_us:
+            self._scrub_at_us = now_us + SCRUB_INTERVAL_US
+            self._scrub(now_us)
         if self.store.corrupted:
-            self._drop_spoilt(now_us)
-        posts += self.receiver.turn(now_us, self.epoch)
-        return posts
-
-    def _some(self, count: int) -> list[str]:
-        names = self._members.names
-        picked = self._luck.sample(names, min(count + 1, len(names)))
-        return [n for n in picked if n != self._name][:count]
-
-    def _tell(self) -> list[Post]:
-        """The next rumor, to a few."""
-        if not self._hot:
+            self._drop_corrupted(now_us)
+        messages += self.receiver.turn(now_us, self.copy.epoch)
+        return messages
+
+    def _gossip_or_copy(self, now_us: int) -> list[OutgoingMessage]:
+        messages: list[OutgoingMessage] = []
+        if not self.copy.is_complete:
+            for name in self._copy_transfer.choose_senders(now_us):
+                messages += self.request_digests(name)
+            return messages
+        messages += self._send_rumor()
+        while self._compare_next:
+            name = self._compare_next.pop()
+            if self._members.lives(name) and self.receiver.find_background_transfer(name) is None:
+                messages += self.request_digests(name)
+        return messages
+
+    def _send_rumor(self) -> list[OutgoingMessage]:
+        if not self._gossip:
             return []
-        records: list[Record] = []
-        size = 0
-        names = self._some(FANOUT)
-        for key in list(self._hot):
-            record = self.store.get_intact(key)
-            if record is None:
-                del self._hot[key]
-                continue
-            size += estimate_size_bytes(record)
-            if size > RUMOR_BYTES and records:
-                break
-            records.append(self.store.with_age(self._rumor_us, record))
-            told = self._hot.pop(key) + len(names)
-            if told < TELLS:
-                self._hot[key] = told
+        names = self._sample_members(FANOUT)
+        # Ages are those at the next round: on its way a record may seem older than it is, never younger.
+        records = self._gossip.take_batch(self._gossip_at_us, len(names))
         if not records or not names:
             return []
-        rumor = Rumor(self.epoch, records)
-        return [(name, rumor) for name in names]
-
-
-def _forgetting(record: Record | None) -> EpochRecord:
-    try:
-        return msgspec.msgpack.decode(record.versions[-1].content if record else b"", type=EpochRecord)
-    except msgspec.MsgspecError:
-        return EpochRecord(0, [])
-
-
-def _own_words(record: Record) -> Record | None:
-    """Of a record, what no owner wrote and nobody took back, with what its writers had seen; None: nothing.
-    What is left out is left out of what was seen as well: else it would count as superseded.
-    """
-    words = [v for v in record.versions if v.actor != STRONG and not v.deleted]
-    if record.soft or not words:
-        return None
-    seen = dict(record.context)
-    for version in record.versions:
-        if version not in words:
-            seen[version.actor] = (version.count[0], version.count[1] - 1)
-    return Record(*record.key, False, words, seen)
+        rumor = Rumor(self.copy.epoch, records)
+        return [OutgoingMessage(name, rumor) for name in names]
+
+    def _sample_members(self, count: int) -> list[str]:
+        names = self._members.names
+        chosen = self._rng.sample(names, min(count + 1, len(names)))
+        return [name for name in chosen if name != self._name][:count]
+
+    def _scrub(self, now_us: int) -> None:
+        self.store.expire_records(now_us)
+        if self._checks_hashes:
+            self.store.scrub(min(1.0, SCRUB_INTERVAL_US / SECOND_US / self.settings.scrub_s))
+        for key in self._repair.give_up_lost(now_us):
+            self.on_lost(key)
+
+    def _drop_corrupted(self, now_us: int) -> None:
+        for _ in self._repair.drop_corrupted(now_us):
+            if self.copy.is_complete:
+                self.on_discarded(now_us, True)
--- /dev/null
+++ b/sailrun/replication/copy_lag.py
@@ -0,0 +1,98 @@
+"""How far this copy is behind that of the leader of the marks."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from sailrun.membership.swim import Members
+from sailrun.replication.anti_entropy import AntiEntropy
+from sailrun.replication.mark_client import LeaderRequest, decode_reply
+from sailrun.replication.messages import MarkOperation, MarkRequest, MarkState, OutgoingMessage
+from sailrun.replication.store import FIRM_GROUP_COUNT
+
+SECOND_US = 1_000_000
+# The leader is asked this often, and less often in a fleet of more than so many nodes, so that its load stays
+# the same.
+COMPARE_INTERVAL_US, COMPARE_NODES = SECOND_US, 200
+
+
+class CopyLag:
+    """Asks the leader whether this copy is behind, and closes the gap."""
+
+    def __init__(
+        self,
+        name: str,
+        anti_entropy: AntiEntropy,
+        members: Members,
+        send: Callable[[LeaderRequest], None],
+        now_us: int,
+    ) -> None:
+        self._name, self._anti_entropy, self._members, self._send = name, anti_entropy, members, send
+        self._level_us = -1  # when this copy was last known to hold what the leader held; -1: never
+        self.missing_records = 0  # how many records this copy may lack, as the leader said
+        self._is_transfer_due = False  # the leader said that this copy is behind
+        self._compare_at_us = now_us
+        self._was_stale = False
+
+    @property
+    def is_level_unknown(self) -> bool:
+        """Whether the copy was never found level since it was begun."""
+        return self._level_us < 0
+
+    def reset(self) -> None:
+        """The copy was discarded."""
+        self._level_us = -1
+
+    def set_level(self, now_us: int) -> None:
+        """This copy is the leader's own."""
+        self._level_us, self.missing_records = now_us, 0
+
+    def get_lag_s(self, now_us: int) -> float | None:
+        """How old the newest thing may be that this copy does not hold; None: not known."""
+        return (now_us - self._level_us) / SECOND_US if self._level_us >= 0 else None
+
+    def is_stale(self, now_us: int) -> bool:
+        """Whether the lag is not known, or more than the settings allow."""
+        lag_s = self.get_lag_s(now_us)
+        return lag_s is None or lag_s > self._anti_entropy.settings.stale_s
+
+    def due_us(self) -> int:
+        """When `turn` has something to do."""
+        return self._compare_at_us
+
+    def turn(self, now_us: int, leader: str, active_marks: int) -> list[OutgoingMessage]:
+        """Compares this copy with the leader's; `leader` is empty where nobody is known to lead."""
+        if now_us < self._compare_at_us:
+            return []
+        nodes = len(self._members.names)
+        self._compare_at_us = now_us + COMPARE_INTERVAL_US * max(1, nodes // COMPARE_NODES)
+        copy = self._anti_entropy.copy
+        if not copy.is_complete:
+            self.missing_records = copy.missing_records
+            return []
+        digests = self._anti_entropy.store.group_digests()[:FIRM_GROUP_COUNT]
+        request = MarkRequest(MarkOperation.COMPARE, group_digests=digests)
+        self._send(LeaderRequest(request, self._on_reply))
+        messages: list[OutgoingMessage] = []
+        if self._is_transfer_due and leader and leader != self._name:
+            self._is_transfer_due = False
+            messages = self._anti_entropy.request_digests(leader)
+        self._log_staleness(now_us, active_marks)
+        return messages
+
+    def _on_reply(self, now_us: int, sent_us: int, content: Any) -> None:
+        reply = decode_reply(content)
+        if reply is None:
+            return
+        if reply.state == MarkState.DONE and self._anti_entropy.copy.is_complete:
+            self._level_us, self.missing_records = max(self._level_us, sent_us), 0
+        else:
+            self.missing_records = reply.missing_records
+            self._is_transfer_due = True
+
+    def _log_staleness(self, now_us: int, active_marks: int) -> None:
+        is_stale = self.is_stale(now_us)
+        if is_stale is not self._was_stale:
+            self._was_stale = is_stale
+            self._anti_entropy.log_event("marks-stale" if is_stale else "marks-fresh", marks=active_marks)
--- a/sailrun/replication/inspection.py
+++ b/sailrun/replication/inspection.py
@@ -17,22 +17,20 @@
 def describe_state(replica: Replica, now_us: int, kind: str = "") -> dict[str, Any]:
     """A copy, as `sailrun fleet state --json` has it."""
     records = [_shown(replica, now_us, record) for record in replica.store.iterate_records(kind)]
-    behind_s = replica.lag_s(now_us)
+    behind_s = replica.get_lag_s(now_us)
     return {
         "node": replica.name,
-        "whole": replica.anti_entropy.complete,
-        "epoch": replica.anti_entropy.epoch,
-        "copies": replica.anti_entropy.copies_begun,  # thrown away since the start
+        "whole": replica.anti_entropy.copy.is_complete,
+        "epoch": replica.anti_entropy.copy.epoch,
+        "copies": replica.anti_entropy.copy.copies_begun,  # thrown away since the start
         # Of a voter: whether it remembers, or waits for those who do.
         "voter": None
         if replica.acceptor is None
         else "remembers"
-        if replica.acceptor.is_recovered
+        if replica.acceptor.state.is_recovered
         else "waits",
         "behind": {
-            "records": replica.missing_records
-            if replica.anti_entropy.complete
-            else max(replica.missing_records, replica.anti_entropy.missing_records),
+            "records": replica.missing_records,
             "s": None if behind_s is None else round(behind_s, 3),
             "stale": replica.is_stale(now_us),
         },
@@ -93,4 +91,4 @@
 def describe_ranges(replica: Replica) -> dict[str, Any]:
     """What tells two copies apart, for `sailrun fleet diff`."""
     leaves = [d for n in range(FIRM_RANGE_COUNT // RANGES_PER_GROUP) for d in replica.store.range_digests(n)]
-    return {"epoch": replica.anti_entropy.epoch, "ranges": [f"{d:016x}" for d in leaves]}
+    return {"epoch": replica.anti_entropy.copy.epoch, "ranges": [f"{d:016x}" for d in leaves]}
--- /dev/null
+++ b/sailrun/replication/mark_writes.py
@@ -0,0 +1,64 @@
+"""The writes of marks under one leader's term, and how far each has come."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from sailrun.leadership.quorum import Voters
+from sailrun.membership.swim import Members
+from sailrun.replication.messages import MarkReply, MarkRequest, MarkState
+from sailrun.replication.records import Key
+from sailrun.replication.rounds import Round
+
+# Writes without a majority at a time, and writes whose outcome is remembered.
+MAX_OPEN_WRITES, MAX_WRITES = 1000, 10_000
+
+
+@dataclass(frozen=True, slots=True)
+class Write:
+    """A mark that was written; `is_waiting`: it comes into force once there is capacity."""
+
+    key: Key
+    round: Round
+    is_waiting: bool
+
+
+class MarkWrites:
+    """The latest writes by the id of their request."""
+
+    def __init__(self, term: int, name: str, voters: Callable[[], Voters], members: Members) -> None:
+        self._term, self._name, self._voters, self._members = term, name, voters, members
+        self._writes: dict[str, Write] = {}  # the oldest first
+
+    def __contains__(self, request_id: str) -> bool:
+        return request_id in self._writes
+
+    def add(self, request_id: str, write: Write) -> None:
+        """Remembers a write, and no more of the oldest."""
+        while len(self._writes) >= MAX_WRITES:
+            del self._writes[next(iter(self._writes))]
+        self._writes[request_id] = write
+
+    def count_open(self) -> int:
+        """How many writes have no majority yet."""
+        return sum(not write.round.has_majority for write in self._writes.values())
+
+    def is_open(self, key: Key) -> bool:
+        """Whether a write of this mark has no majority yet."""
+        return any(write.key == key and not write.round.has_majority for write in self._writes.values())
+
+    def describe(self, request: MarkRequest) -> MarkReply:
+        """How far the write of a request has come: on how many replicas it is, of how many."""
+        write = self._writes.get(request.id)
+        if write is None:
+            return MarkReply(request.id, MarkState.UNKNOWN, self._term)
+        made = write.round
+        copies = len({*made.votes, *made.observer_acks, self._name})
+        replicas = len({*self._voters().all(), *made.observers, self._name})
+        state = MarkState.PENDING
+        if made.has_majority:
+            state = MarkState.WAITING if write.is_waiting else MarkState.DONE
+        living = {name for name in made.observers if self._members.lives(name)}
+        all_members = bool(made.observers) and living <= made.observer_acks | made.votes.keys()
+        return MarkReply(request.id, state, self._term, copies, replicas, all_members)
--- a/sailrun/replication/messages.py
+++ b/sailrun/replication/messages.py
@@ -6,6 +6,9 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+from typing import NamedTuple
+
 import msgspec
 
 from sailrun.replication.records import Count, Key, Record
@@ -202,12 +205,44 @@
 )
 
 
+class OutgoingMessage(NamedTuple):
+    """A message, and the name of the member it is for."""
+
+    receiver: str
+    body: ReplicationBody
+
+
+class MarkOperation(StrEnum):
+    """What is asked of the leader of the marks. A leader rejects an operation that it does not know."""
+
+    WRITE = "mark"
+    READ = "look"
+    POLL = "poll"  # what became of a write
+    COMPARE = "where"  # whether the asker's copy is level with the leader's
+
+
+class MarkState(StrEnum):
+    """What became of a request."""
+
+    DONE = "done"
+    PENDING = "pending"  # written, and without a majority yet
+    WAITING = "waits"  # done, and in force once there is capacity
+    REJECTED = "refused"
+    OPENING = "opening"  # nothing was done: the leader's term has just begun
+    OTHER_TERM = "other"  # nothing was done: the request is meant for another term
+    UNKNOWN = "unknown"  # it may have been done under a former term
+    BEHIND = "behind"  # the asker's copy lacks something
+
+
 class MarkRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A question to the owner of the marks. `what`: `mark`, `look`, `poll`, `where`."""
+    """A request to the leader of the marks; a leader of another term than `term` does not write.
+
+    `operation` is a `MarkOperation`, or one of a later version of the program.
+    """
 
     operation: str
     id: str = ""
-    term: int = 0  # the term it is meant for: an owner of another one does nothing
+    term: int = 0
     kind: str = ""
     subject: str = ""
     active: bool = False
@@ -215,13 +250,14 @@
     reason: str = ""
     written_at_s: float = 0.0  # what the writer's wall clock showed; it decides nothing
     all_members: bool = False  # also count the copies of members that do not vote
-    group_digests: list[int] = []  # `where`: the asker's digests
+    group_digests: list[int] = []  # of a comparison: the asker's
 
 
 class MarkReply(msgspec.Struct, array_like=True, frozen=True):
-    """The owner's answer. `state`: `done` and `pending` (with how many copies), `waits` (done, and in force
-    once there is room), `refused`, `opening` (nothing was done yet), `other` (nothing was done: `under` is
-    the term now), `unknown` (it may have been done under a former term).
+    """The leader's reply, with the leader's term.
+
+    `state` is a `MarkState`, or one of a later version of the program. Of a write, `copies` of `replicas`
+    members have it, and `all_members` says whether every living member does.
     """
 
     id: str
@@ -229,7 +265,7 @@
     term: int = 0
     copies: int = 0
     replicas: int = 0
-    all_members: bool = False  # every living member holds it
+    all_members: bool = False
     reason: str = ""
-    versions: list[tuple[bytes, bool]] = []  # `look`: contents, and whether each takes the mark back
-    missing_records: int = 0  # `where`: how many records the asker may lack
+    versions: list[tuple[bytes, bool]] = []  # of a read: contents, and whether each deletes the mark
+    missing_records: int = 0  # of a comparison: how many records the asker may lack
--- a/sailrun/replication/operator_marks.py
+++ b/sailrun/replication/operator_marks.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 
@@ -15,6 +16,7 @@
 MARK_KINDS = (OUT, DRAIN)
 # Ids of the latest writes of a record, so that none is done twice.
 MAX_REQUEST_IDS = 16
+MAX_KIND_CHARACTERS = 40  # of a kind that is not known, in a reply
 MAX_REASON_CHARACTERS = 200
 
 
@@ -50,14 +52,26 @@
     return _encoder.encode(mark)
 
 
-def decode_mark(version: Version) -> OperatorMark | None:
+def decode_mark_content(content: bytes) -> OperatorMark | None:
     """None: written by a version of the program whose marks this one cannot read."""
     try:
-        return _decoder.decode(version.content)
+        return _decoder.decode(content)
     except msgspec.MsgspecError:
         return None
 
 
+def decode_mark(version: Version) -> OperatorMark | None:
+    """The mark in a version; None: this version of the program cannot read it."""
+    return decode_mark_content(version.content)
+
+
+class MarkVersion(NamedTuple):
+    """One version of a mark; `deleted`: it takes the mark back."""
+
+    mark: OperatorMark
+    deleted: bool
+
+
 @dataclass(frozen=True, slots=True)
 class MarkStatus:
     """What a mark's record comes to."""
@@ -65,11 +79,11 @@
     kind: str
     subject: str
     active: bool
-    versions: tuple[tuple[OperatorMark, bool], ...]  # each with whether it takes the mark back
+    versions: tuple[MarkVersion, ...]
 
     @property
     def has_conflict(self) -> bool:
-        return len({mark.active and not gone for mark, gone in self.versions}) > 1
+        return len({mark.active and not deleted for mark, deleted in self.versions}) > 1
 
 
 def is_mark_active(record: Record) -> bool:
@@ -86,8 +100,22 @@
 
 
 def resolve_mark(record: Record) -> MarkStatus:
-    words = tuple((m, v.deleted) for v in record.versions if (m := decode_mark(v)) is not None)
-    return MarkStatus(record.kind, record.subject, is_mark_active(record), words)
+    """What the record of a mark comes to; versions that cannot be read here are left out."""
+    versions = tuple(
+        MarkVersion(mark, version.deleted)
+        for version in record.versions
+        if (mark := decode_mark(version)) is not None
+    )
+    return MarkStatus(record.kind, record.subject, is_mark_active(record), versions)
+
+
+def list_request_ids(record: Record | None) -> list[str]:
+    """The requests that the record's versions came of, each once."""
+    ids: list[str] = []
+    for version in record.versions if record is not None else ():
+        mark = decode_mark(version)
+        ids += [id_ for id_ in (mark.request_ids if mark is not None else ()) if id_ not in ids]
+    return ids
 
 
 def iterate_marks(store: RecordStore) -> Iterator[MarkStatus]:
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -1,14 +1,13 @@
-"""One node's part in the state that the fleet keeps copies of: its copy, its vote, the owner's work if it is
-the owner, and what staff and the core do with it here.
+"""One node's replica of the fleet's state: its copy, its vote, the leader's work if it leads, and what the
+operators and the core do with it here.
 
-Pure: messages and the time go in, posts and questions come out.
+Pure: messages and the time (microseconds) come in, messages and requests to the leader go out.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
 from typing import Any
 
 import msgspec
@@ -18,7 +17,17 @@
 from sailrun.replication.acceptor import Acceptor
 from sailrun.replication.anti_entropy import AntiEntropy
 from sailrun.replication.coordinator import MarkCoordinator
+from sailrun.replication.copy_lag import CopyLag
 from sailrun.replication.journal import ReplicaJournal
+from sailrun.replication.mark_client import (
+    DEFAULT_TIMEOUT_US,
+    LeaderRequest,
+    MarkClient,
+    MarkOutcome,
+    OnOutcome,
+    OnVersions,
+)
+from sailrun.replication.mark_effects import MarkChange, MarkEffects
 from sailrun.replication.messages import (
     Accept,
     Accepted,
@@ -27,8 +36,10 @@
     DeletionReply,
     IncarnationReply,
     IncarnationRequest,
-    MarkReply,
+    MarkOperation,
     MarkRequest,
+    MarkState,
+    OutgoingMessage,
     Prepare,
     Promise,
     RecordReply,
@@ -39,30 +50,24 @@
 )
 from sailrun.replication.operator_marks import (
     MARK_KINDS,
+    MAX_KIND_CHARACTERS,
     MarkStatus,
     OperatorMark,
     decode_mark,
     encode_mark,
-    is_mark_active,
     iterate_marks,
-    list_active_marks,
 )
 from sailrun.replication.records import Key, Record, apply_write
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import FIRM_RANGE_COUNT, RANGES_PER_GROUP, RecordStore
+from sailrun.replication.store import RecordStore
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
+# The task whose leader writes the marks.
 MARKS_TASK = "marks"
-Post = tuple[str, msgspec.Struct]
-# A question about a mark is said again so soon; whether this copy is behind is asked so often, and less often
-# in a fleet of more than so many.
-ASK_US, WHERE_US, WHERE_NODES = 100_000, SECOND, 200
-# How long a mark is tried for where its writer says nothing else.
-MARK_US = 6 * SECOND
-MOST_WRITES = 1000
-# The latest list is written down so often, where anything is.
-LISTS_US = 10 * SECOND
+# Kinds of records that are no marks.
 OUTLIER_REPORT, SERVER_LIST = "belief", "list"
+# Server lists that changed are journalled this often.
+JOURNAL_LISTS_INTERVAL_US = 10 * SECOND_US
 _FOR_ACCEPTOR = (
     Prepare,
     Accept,
@@ -75,125 +80,87 @@
 _FOR_COORDINATOR = (Promise, Accepted, TermSuperseded, DeletionReply)
 
 
-@dataclass(frozen=True, slots=True)
-class MarkOutcome:
-    """What became of a mark. `state`: `done`, `waits`, `refused`, or `unknown`: it may come into force
-    yet.
-    """
-
-    id: str
-    state: str
-    copies: int
-    replicas: int
-    reason: str = ""
-    term: int = 0
-
-
-@dataclass(slots=True)
-class _Writing:
-    request: MarkRequest
-    on_outcome: Callable[[MarkOutcome], None]
-    deadline_us: int
-    retry_at_us: int
-    last_reply: MarkReply | None = None
-
-
-@dataclass(slots=True)
-class _Looking:
-    request: MarkRequest
-    on_versions: Callable[[list[tuple[OperatorMark, bool]] | None], None]
-    deadline_us: int
-    retry_at_us: int
+def _ignore_event(kind: str, **facts: object) -> None:
+    """For replicas whose events nobody records."""
 
 
 class Replica:
+    """Ties the parts of a node's replica together."""
+
     def __init__(
         self,
         name: str,
-        life: int,
-        terms: ReplicationSettings,
+        incarnation: int,
+        settings: ReplicationSettings,
         fleet: str,
         members: Members,
         voters: Callable[[], Voters],
-        limit: Callable[[str], int | None],
+        get_mark_limit: Callable[[str], int | None],
         seed: int,
         now_us: int,
-        off: frozenset[str] = frozenset(),
-        record: Callable[..., None] = lambda kind, **facts: None,
+        disabled_rules: frozenset[str] = frozenset(),
+        record_event: Callable[..., None] = _ignore_event,
         journal: ReplicaJournal | None = None,
     ) -> None:
-        self._journal = journal or ReplicaJournal()
-        self._lists: set[Key] = set()  # changed lists, which nobody counts on and which change often
-        self._lists_us = now_us
-        self.settings, self.name, self._members, self._voters, self._off = terms, name, members, voters, off
-        self._limit, self._act = limit, record
-        self._luck = random.Random(seed)
-        self.store = RecordStore(terms, fleet.encode(), off)
+        """`incarnation` is this process's own number. `get_mark_limit` gives how many marks of a kind may be
+        in force at a time; None: any number. `record_event` is told every step that the laboratory checks.
+        """
+        self.settings, self.name, self._members, self._voters = settings, name, members, voters
+        self._get_mark_limit, self._disabled_rules = get_mark_limit, disabled_rules
+        self._record_event, self._journal = record_event, journal or ReplicaJournal()
+        self._rng = random.Random(seed)
+        self.store = RecordStore(settings, fleet.encode(), disabled_rules)
         self.store.on_change = self._on_change
         self.anti_entropy = AntiEntropy(
             name,
             self.store,
-            terms,
+            settings,
             members,
             lambda: voters().all(),
             lambda names: voters().majority(names),
-            self._luck.getrandbits(32),
+            self._rng.getrandbits(32),
             now_us,
-            off,
+            disabled_rules,
             self._journal,
         )
+        # Requests to the leader of the marks; emptied by whoever drives this.
+        self.leader_requests: list[LeaderRequest] = []
+        self._client = MarkClient(self.leader_requests.append, record_event)
+        self._effects = MarkEffects(self.anti_entropy)
+        self._lag = CopyLag(name, self.anti_entropy, members, self.leader_requests.append, now_us)
+        self.anti_entropy.on_discarded = self._on_discarded
+        self.anti_entropy.on_lost = self._effects.touch
         self.acceptor: Acceptor | None = None
         self.coordinator: MarkCoordinator | None = None
         self.apply_voters(now_us)
-        self.anti_entropy.on_discarded = self._thrown
-        self.anti_entropy.on_bootstrapped = lambda: self._act("founded", what="marks")
-        self.anti_entropy.on_recovered = lambda: self._act("remembered", what="marks")
-        self.anti_entropy.on_lost = lambda key: self._touched.add(key) if key[0] in MARK_KINDS else None
-        self._actor = f"{name}/{life:x}"
-        self._count = 0
-        self._beliefs = 0
-        # Questions to the owner of the marks, each with who is told the answer; emptied by who drives this.
-        self.leader_requests: list[tuple[MarkRequest, Callable[[int, int, Any], None]]] = []
-        # What came into force or is so no longer: kind, subject, whether; emptied by who drives this.
-        self.mark_changes: list[tuple[str, str, bool]] = []
-        self._used: set[tuple[str, str]] = set()
-        self._touched: set[Key] = set()
-        self._look_over = True  # all marks are to be looked at, not only those that changed
-        self._writing: dict[str, _Writing] = {}
-        self._looking: dict[str, _Looking] = {}
-        self.in_sync_us = -1  # when this copy was last known to hold what the owner held; -1: never
-        self.missing_records = 0
-        self._behind_owner = False  # as it last said: its copy is asked for what differs
-        self._where_us = now_us
-        self._stale = False
-
-    # ------------------------------------------------------------------ who votes, who owns
+        self._actor = f"{name}/{incarnation:x}"  # of this process's local writes
+        self._local_writes = 0
+        self._outlier_reports = 0
+        self._changed_lists: set[Key] = set()  # not journalled yet
+        self._journal_lists_at_us = now_us
+
+    # ------------------------------------------------------------------ who votes, who leads
 
     def apply_voters(self, now_us: int) -> None:
+        """The fleet's voters may have changed: this node may be one, or be one no longer."""
         if self.name not in self._voters().all():
             self.acceptor = None
         elif self.acceptor is None:
             self.acceptor = Acceptor(
-                self.name, self._voters, self.store, self.anti_entropy, now_us, self._off, self._journal
+                self.name,
+                self._voters,
+                self.store,
+                self.anti_entropy,
+                now_us,
+                self._disabled_rules,
+                self._journal,
             )
-
-    def restore(self, now_us: int, records: Iterable[tuple[Record, int]], epoch: int) -> int:
-        """A whole copy that outlasted the process, with the records' hashes (0: not known). Its marks are in
-        force until others tell more; returns how many records there was no room for.
-        """
-        left = self.store.load(now_us, records)
-        self.anti_entropy.restore(epoch)
-        self._look_over = True
-        return left
-
-    def _thrown(self, now_us: int, counted: bool) -> None:
-        self.in_sync_us = -1
-        self._look_over = True
-        if counted and self.acceptor is not None:
-            self.acceptor.restart(now_us)
+            recovery = self.acceptor.recovery
+            recovery.on_bootstrapped = lambda: self._record_event("founded", what=MARKS_TASK)
+            recovery.on_recovered = lambda: self._record_event("remembered", what=MARKS_TASK)
 
     def set_leadership(self, now_us: int, term: int) -> None:
-        """This node owns the marks under that term from now on; 0: it does not any more."""
+        """This node leads the marks under that term from now on; 0: it does not any more."""
         self.coordinator = None
         if term:
             self.coordinator = MarkCoordinator(
@@ -202,350 +169,225 @@
                 self._voters,
                 self._members,
                 self.anti_entropy,
-                self._limit,
+                self._get_mark_limit,
                 now_us,
-                self._off,
+                self._disabled_rules,
             )
 
+    def restore(self, now_us: int, records: Iterable[tuple[Record, int]], epoch: int) -> int:
+        """Takes over a complete copy that outlasted the process, with the records' hashes (0: not known). Its
+        marks are in force until others send more; returns how many records there was no room for.
+        """
+        left_out = self.store.load(now_us, records)
+        self.anti_entropy.restore(epoch)
+        self._effects.require_full_check()
+        return left_out
+
+    def _on_discarded(self, now_us: int, was_counted: bool) -> None:
+        self._lag.reset()
+        self._effects.require_full_check()
+        if was_counted and self.acceptor is not None:
+            self.acceptor.restart(now_us)
+
     # ------------------------------------------------------------------ messages
 
-    def receive(self, now_us: int, sender: str, body: object) -> list[Post]:
+    def receive(self, now_us: int, sender: str, body: object) -> list[OutgoingMessage]:
+        """Handles a message of another member; returns the replies."""
         if isinstance(body, _FOR_ACCEPTOR):
             if self.acceptor is not None:
                 return self.acceptor.receive(now_us, sender, body)
-            if isinstance(body, Accept):
-                return self._keep_for(now_us, sender, body)
-            return []
+            return self._accept_as_observer(now_us, sender, body) if isinstance(body, Accept) else []
         if isinstance(body, _FOR_COORDINATOR):
             if self.coordinator is not None:
                 self.coordinator.receive(now_us, sender, body)
             return []
         if isinstance(body, DeletionQuery):
-            same = body.epoch == self.anti_entropy.epoch
-            return [
-                (
-                    sender,
-                    DeletionReply(
-                        body.term,
-                        body.request_id,
-                        same and self.anti_entropy.knows_deletions(body.deleted_versions),
-                    ),
-                )
-            ]
-        if isinstance(body, RecordRequest | RecordReply) and not self.anti_entropy.complete:
+            is_same_epoch = body.epoch == self.anti_entropy.copy.epoch
+            knows_all = is_same_epoch and self.anti_entropy.epochs.knows_deletions(body.deleted_versions)
+            return [OutgoingMessage(sender, DeletionReply(body.term, body.request_id, knows_all))]
+        if isinstance(body, RecordRequest | RecordReply) and not self.anti_entropy.copy.is_complete:
             return []
         return self.anti_entropy.receive(now_us, sender, body)
 
-    def _keep_for(self, now_us: int, sender: str, put: Accept) -> list[Post]:
-        """As a member that does not vote: a copy more."""
-        if not self.anti_entropy.complete or put.epoch != self.anti_entropy.epoch:
+    def _accept_as_observer(self, now_us: int, sender: str, request: Accept) -> list[OutgoingMessage]:
+        """As a member that does not vote: one more copy."""
+        copy = self.anti_entropy.copy
+        if not copy.is_complete or request.epoch != copy.epoch:
             return []
-        self.anti_entropy.merge_received(now_us, put.records, 0)
-        return [(sender, Accepted(put.term, put.request_id, 0, {}))]
+        self.anti_entropy.merge_received(now_us, request.records)
+        return [OutgoingMessage(sender, Accepted(request.term, request.request_id, 0, {}))]
 
-    def answer_request(self, now_us: int, sender: str, content: Any) -> Any:
-        """As the owner of the marks."""
+    def answer_request(self, now_us: int, content: Any) -> Any:
+        """Answers a `MarkRequest` of plain objects as the leader, with a reply of plain objects. None: this
+        node does not lead, the content is no request, or the asker is to ask again.
+        """
         try:
-            op = msgspec.convert(content, MarkRequest)
+            request = msgspec.convert(content, MarkRequest)
         except msgspec.ValidationError:
             return None
         if self.coordinator is None:
             return None
-        said = self.coordinator.answer_request(now_us, sender, op)
-        return msgspec.to_builtins(said, builtin_types=(bytes,)) if said is not None else None
+        reply = self.coordinator.answer_request(now_us, request)
+        return msgspec.to_builtins(reply, builtin_types=(bytes,)) if reply is not None else None
 
-    # ------------------------------------------------------------------ what staff want
+    # ------------------------------------------------------------------ marks
 
     def make_request_id(self) -> str:
-        return f"m{self._luck.getrandbits(64):016x}"
+        """An id for a request about a mark, unlike any other of the fleet."""
+        return f"m{self._rng.getrandbits(64):016x}"
 
     def write_mark(
-        self,
-        now_us: int,
-        op: MarkRequest,
-        reply: Callable[[MarkOutcome], None],
-        for_us: int = MARK_US,
+        self, now_us: int, request: MarkRequest, on_outcome: OnOutcome, timeout_us: int = DEFAULT_TIMEOUT_US
     ) -> None:
-        """A mark that a majority is to hold: `reply` is called once, with what became of it."""
-        if len(self._writing) >= MOST_WRITES:
-            reply(MarkOutcome(op.id, "refused", 0, 0, f"{MOST_WRITES} marks are under way here"))
-            return
-        self._act("call", id=op.id, what="mark", subject=f"{op.kind}/{op.subject}", on=op.active)
-        self._writing[op.id] = _Writing(op, reply, now_us + for_us, now_us)
-
-    def write_mark_locally(self, now_us: int, op: MarkRequest) -> MarkOutcome:
-        """A mark on this node's own word: it spreads, and stays beside others that it had not seen."""
-        if op.kind not in MARK_KINDS:
-            return MarkOutcome(op.id, "refused", 0, 0, f"no kind {op.kind[:40]}")
-        if self._limit(op.kind) is not None and op.active:
-            return MarkOutcome(op.id, "refused", 0, 0, "with permits, a majority has to know of it")
-        key = (op.kind, op.subject, "")
-        self._count += 1
-        mark = OperatorMark(
-            op.id, op.active, False, op.author, op.reason, op.written_at_s, self.name, [op.id]
-        )
+        """Writes a mark that a majority is to hold; `on_outcome` is called once."""
+        self._client.write(now_us, request, on_outcome, timeout_us)
+
+    def write_mark_locally(self, now_us: int, request: MarkRequest) -> MarkOutcome:
+        """Writes a mark here alone: it spreads, and stays beside others that it had not seen."""
+        if request.kind not in MARK_KINDS:
+            reason = f"no kind {request.kind[:MAX_KIND_CHARACTERS]}"
+            return MarkOutcome(request.id, MarkState.REJECTED, 0, 0, reason)
+        if self._get_mark_limit(request.kind) is not None and request.active:
+            reason = "with permits, a majority has to know of it"
+            return MarkOutcome(request.id, MarkState.REJECTED, 0, 0, reason)
+        key = (request.kind, request.subject, "")
         before = self.store.get(key)
-        record = apply_write(
-            before, key, False, self._actor, (0, self._count), encode_mark(mark), gone=not op.active
+        seen = [m.id for v in before.versions if (m := decode_mark(v)) is not None] if before else []
+        subject = f"{request.kind}/{request.subject}"
+        self._record_event(
+            "weak", id=request.id, subject=subject, on=request.active, saw=",".join(seen) or None
         )
-        saw = (
-            [m.id for v in before.versions if (m := decode_mark(v)) is not None] if before is not None else []
+        self._local_writes += 1
+        count, content = (0, self._local_writes), encode_mark(self._make_local_mark(request))
+        record = apply_write(before, key, False, self._actor, count, content, not request.active)
+        self._put_own(now_us, record)
+        return MarkOutcome(request.id, MarkState.DONE, 1, len(self._members.names))
+
+    def _make_local_mark(self, request: MarkRequest) -> OperatorMark:
+        return OperatorMark(
+            request.id,
+            request.active,
+            False,
+            request.author,
+            request.reason,
+            request.written_at_s,
+            self.name,
+            [request.id],
         )
-        self._act(
-            "weak", id=op.id, subject=f"{op.kind}/{op.subject}", on=op.active, saw=",".join(saw) or None
-        )
-        self.store.put(now_us, record)
-        self.anti_entropy.queue_gossip(record)
-        return MarkOutcome(op.id, "done", 1, len(self._members.names))
 
     def read_mark(
         self,
         now_us: int,
         kind: str,
         subject: str,
-        reply: Callable[[list[tuple[OperatorMark, bool]] | None], None],
-        for_us: int = MARK_US,
+        on_versions: OnVersions,
+        timeout_us: int = DEFAULT_TIMEOUT_US,
     ) -> str:
-        """What the owner knows of a mark: no older than the question. None: it was not heard in time."""
-        op = MarkRequest("look", self.make_request_id(), 0, kind, subject)
-        self._act("call", id=op.id, what="look", subject=f"{kind}/{subject}")
-        self._looking[op.id] = _Looking(op, reply, now_us + for_us, now_us)
-        return op.id
+        """Reads a mark from the leader, no older than the call; returns the request's id."""
+        request = MarkRequest(MarkOperation.READ, self.make_request_id(), 0, kind, subject)
+        self._client.read(now_us, request, on_versions, timeout_us)
+        return request.id
+
+    def list_marks(self) -> list[MarkStatus]:
+        """All marks of this copy."""
+        return list(iterate_marks(self.store))
+
+    @property
+    def active_marks(self) -> set[tuple[str, str]]:
+        """Kind and subject of all marks in force here."""
+        return self._effects.active
+
+    @property
+    def mark_changes(self) -> list[MarkChange]:
+        """What came into force here, or is in force no longer, and was not taken yet."""
+        return self._effects.changes
+
+    def take_mark_changes(self) -> list[MarkChange]:
+        """The changes since the last call."""
+        changes, self._effects.changes = self._effects.changes, []
+        return changes
+
+    # ------------------------------------------------------------------ outlier reports and server lists
 
     def publish_outlier_report(self, now_us: int, content: bytes) -> None:
-        """What this node believes of form servers, for the others."""
-        self._beliefs += 1
-        count = (self._members.me.incarnation, self._beliefs)
-        record = apply_write(None, (OUTLIER_REPORT, self.name, ""), True, self.name, count, content)
-        self.store.put(now_us, record)
-        self.anti_entropy.queue_gossip(record)
+        """Replaces this node's report of outliers."""
+        self._outlier_reports += 1
+        count = (self._members.me.incarnation, self._outlier_reports)
+        key = (OUTLIER_REPORT, self.name, "")
+        self._put_own(now_us, apply_write(None, key, True, self.name, count, content))
 
     def store_server_list(self, now_us: int, source: str, revision: int, content: bytes) -> None:
-        """The list that the source told under this revision; one that is not newer changes nothing."""
+        """Stores the list that a source sent under this revision; one that is not newer changes nothing."""
         key = (SERVER_LIST, source, "")
         before = self.store.get(key)
         if before is not None and before.context.get(source, (0, -1)) >= (0, revision):
             return
-        record = apply_write(before, key, False, source, (0, revision), content)
+        self._put_own(now_us, apply_write(before, key, False, source, (0, revision), content))
+
+    def _put_own(self, now_us: int, record: Record) -> None:
         self.store.put(now_us, record)
         self.anti_entropy.queue_gossip(record)
 
+    # ------------------------------------------------------------------ how far behind
+
+    @property
+    def missing_records(self) -> int:
+        """How many records this copy may lack, by the leader's last reply or while it is being taken."""
+        copy = self.anti_entropy.copy
+        missing = self._lag.missing_records
+        return missing if copy.is_complete else max(missing, copy.missing_records)
+
+    def get_lag_s(self, now_us: int) -> float | None:
+        """How old the newest thing may be that this copy does not hold; None: not known."""
+        return self._lag.get_lag_s(now_us)
+
+    def is_stale(self, now_us: int) -> bool:
+        """Whether the lag is not known, or more than the settings allow."""
+        return self._lag.is_stale(now_us)
+
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        due_us = min(self.anti_entropy.due_us(now_us), self._where_us)
+        """When `turn` has something to do."""
+        due_us = min([self.anti_entropy.due_us(), self._lag.due_us()])
         if self.acceptor is not None:
             due_us = min(due_us, self.acceptor.due_us() or due_us)
         if self.coordinator is not None:
             due_us = min(due_us, self.coordinator.due_us())
-        for writing in self._writing.values():
-            due_us = min(due_us, writing.retry_at_us)
-        for looking in self._looking.values():
-            due_us = min(due_us, looking.retry_at_us)
-        return due_us
-
-    def turn(self, now_us: int, owner: str) -> list[Post]:
-        """`owner`: who owns the marks, by hearsay; empty: nobody is known to."""
-        posts = self.anti_entropy.turn(now_us)
+        return min([due_us, *self._client.list_due_us()])
+
+    def turn(self, now_us: int, leader: str) -> list[OutgoingMessage]:
+        """Does what is due; returns the messages to send. `leader`: who leads the marks, as far as is known;
+        empty: nobody.
+        """
+        messages = self.anti_entropy.turn(now_us)
         if self.acceptor is not None:
-            posts += self.acceptor.turn(now_us)
+            messages += self.acceptor.turn(now_us)
         if self.coordinator is not None:
-            posts += self.coordinator.turn(now_us)
-        posts += self._compare(now_us, owner)
-        self._ask(now_us)
-        self._apply(now_us)
-        self._write_lists(now_us)
-        return posts
-
-    def _compare(self, now_us: int, owner: str) -> list[Post]:
-        """Asks the owner whether this copy is behind."""
-        if self.coordinator is not None and self.coordinator.is_open:
-            self.in_sync_us, self.missing_records = now_us, 0
-        if now_us < self._where_us:
-            return []
-        self._where_us = now_us + WHERE_US * max(1, len(self._members.names) // WHERE_NODES)
-        if not self.anti_entropy.complete:
-            self.missing_records = self.anti_entropy.missing_records
-            return []
-        firm = self.store.group_digests()[: FIRM_RANGE_COUNT // RANGES_PER_GROUP]
-
-        def told(now_us: int, sent_us: int, content: Any) -> None:
-            said = _said(content)
-            if said is not None and said.state == "done" and self.anti_entropy.complete:
-                self.in_sync_us, self.missing_records = max(self.in_sync_us, sent_us), 0
-            elif said is not None:
-                self.missing_records = said.missing_records
-                self._behind_owner = True
-
-        self.leader_requests.append((MarkRequest("where", group_digests=firm), told))
-        posts: list[Post] = []
-        if self._behind_owner and owner and owner != self.name:
-            self._behind_owner = False
-            posts = self.anti_entropy.request_digests(owner)
-        stale = self.is_stale(now_us)
-        if stale is not self._stale:
-            self._stale = stale
-            self.anti_entropy.log_event("marks-stale" if stale else "marks-fresh", marks=len(self._used))
-        return posts
-
-    def lag_s(self, now_us: int) -> float | None:
-        """How old the newest thing may be that this copy does not hold; None: not known."""
-        return (now_us - self.in_sync_us) / SECOND if self.in_sync_us >= 0 else None
+            messages += self.coordinator.turn(now_us)
+            if self.coordinator.is_open:
+                self._lag.set_level(now_us)
+        messages += self._lag.turn(now_us, leader, len(self._effects.active))
+        self._client.turn(now_us)
+        self._effects.update(self._lag.is_level_unknown)
+        self._journal_lists(now_us)
+        return messages
 
-    def is_stale(self, now_us: int) -> bool:
-        behind_s = self.lag_s(now_us)
-        return behind_s is None or behind_s > self.settings.stale_s
-
-    def _ask(self, now_us: int) -> None:
-        for writing in list(self._writing.values()):
-            if now_us >= writing.deadline_us:
-                self._end_write(writing, self._late(writing))
-            elif now_us >= writing.retry_at_us:
-                writing.retry_at_us = now_us + ASK_US
-                self.leader_requests.append((writing.request, self._said_of(writing)))
-        for looking in list(self._looking.values()):
-            if now_us >= looking.deadline_us:
-                self._end_look(looking, None)
-            elif now_us >= looking.retry_at_us:
-                looking.retry_at_us = now_us + ASK_US
-                self.leader_requests.append((looking.request, self._seen_by(looking)))
-
-    @staticmethod
-    def _late(writing: _Writing) -> MarkOutcome:
-        said = writing.last_reply
-        if said is not None and said.state in ("done", "waits"):  # all were waited for, and some are missing
-            why = f"{said.copies} of {said.replicas} hold it"
-            return MarkOutcome(writing.request.id, said.state, said.copies, said.replicas, why, said.term)
-        copies = said.copies if said is not None else 0
-        why = "no majority has answered: it may come into force yet"
-        return MarkOutcome(
-            writing.request.id, "unknown", copies, said.replicas if said is not None else 0, why
-        )
-
-    def _said_of(self, writing: _Writing) -> Callable[[int, int, Any], None]:
-        def told(now_us: int, sent_us: int, content: Any) -> None:
-            said = _said(content)
-            if said is None or said.id != writing.request.id or writing.request.id not in self._writing:
-                return
-            match said.state:
-                case "other":
-                    writing.request = msgspec.structs.replace(writing.request, term=said.term)
-                    writing.retry_at_us = now_us
-                case "done" | "waits":
-                    writing.last_reply = said
-                    if writing.request.all_members and not said.all_members:
-                        return
-                    self._end_write(
-                        writing,
-                        MarkOutcome(said.id, said.state, said.copies, said.replicas, said.reason, said.term),
-                    )
-                case "pending":
-                    writing.last_reply = said
-                case "refused" | "unknown":
-                    self._end_write(
-                        writing,
-                        MarkOutcome(said.id, said.state, said.copies, said.replicas, said.reason, said.term),
-                    )
-
-        return told
-
-    def _end_write(self, writing: _Writing, answer: MarkOutcome) -> None:
-        if self._writing.pop(writing.request.id, None) is not None:
-            self._act("answer", id=answer.id, state=answer.state, copies=answer.copies)
-            writing.on_outcome(answer)
-
-    def _seen_by(self, looking: _Looking) -> Callable[[int, int, Any], None]:
-        def told(now_us: int, sent_us: int, content: Any) -> None:
-            said = _said(content)
-            if said is None or looking.request.id not in self._looking:
-                return
-            if said.state == "other":
-                looking.request = msgspec.structs.replace(looking.request, term=said.term)
-                looking.retry_at_us = now_us
-            elif said.state == "done":
-                words = []
-                for content_, gone in said.versions:
-                    mark = _mark(content_)
-                    if mark is not None:
-                        words.append((mark, gone))
-                self._end_look(looking, words)
-
-        return told
-
-    def _end_look(self, looking: _Looking, words: list[tuple[OperatorMark, bool]] | None) -> None:
-        if self._looking.pop(looking.request.id, None) is not None:
-            ids = ",".join(sorted(m.id for m, gone in words if not gone)) if words is not None else None
-            state = "done" if words is not None else "unknown"
-            self._act("answer", id=looking.request.id, state=state, value=ids or "none")
-            looking.on_versions(words)
-
-    # ------------------------------------------------------------------ what is in force here
+    # ------------------------------------------------------------------ the journal
 
     def _on_change(self, record: Record) -> None:
-        if record.kind in MARK_KINDS:
-            self._touched.add(record.key)
+        self._effects.touch(record.key)
         if record.kind == SERVER_LIST:
-            self._lists.add(record.key)
+            self._changed_lists.add(record.key)
         elif not record.soft:
             self._journal.write_record(record, self.store.get_hash(record.key))
 
-    def _write_lists(self, now_us: int) -> None:
-        """Lists are long, change often, and are told again by the registry: the latest now and then."""
-        if now_us < self._lists_us:
+    def _journal_lists(self, now_us: int) -> None:
+        """Lists are long, change often, and are sent again by their source: the latest now and then."""
+        if now_us < self._journal_lists_at_us:
             return
-        self._lists_us = now_us + LISTS_US
-        while self._lists:
-            record = self.store.get(self._lists.pop())
+        self._journal_lists_at_us = now_us + JOURNAL_LISTS_INTERVAL_US
+        while self._changed_lists:
+            record = self.store.get(self._changed_lists.pop())
             if record is not None:
                 self._journal.write_record(record, self.store.get_hash(record.key))
-
-    def _apply(self, now_us: int) -> None:
-        """Notes what came into force. What a copy held that is taken anew stays so until it is whole."""
-        if not self.anti_entropy.complete:
-            self._look_over = True
-            return
-        if self._look_over:
-            self._look_over = False
-            self._touched.clear()
-            now_on = set(list_active_marks(self.store))
-            now_on |= {k[:2] for k in self.anti_entropy.lost if k[:2] in self._used}
-            if self.anti_entropy.copies_begun and self.in_sync_us < 0:
-                # A copy just taken may be of a giver that is behind: what was out stays out until the owner
-                # was heard.
-                now_on |= self._used
-                self._look_over = True
-        elif self._touched:
-            now_on = set(self._used)
-            for key in self._touched:
-                if key in self.anti_entropy.lost:
-                    continue  # its bytes were spoilt: it stays as it is until it is had again
-                record = self.store.get(key)
-                on = record is not None and is_mark_active(record)
-                (now_on.add if on else now_on.discard)(key[:2])
-            self._touched.clear()
-        else:
-            return
-        for kind, subject in sorted(now_on - self._used):
-            self.mark_changes.append((kind, subject, True))
-        for kind, subject in sorted(self._used - now_on):
-            self.mark_changes.append((kind, subject, False))
-        self._used = now_on
-
-    # ------------------------------------------------------------------ what staff see
-
-    def list_marks(self) -> list[MarkStatus]:
-        return list(iterate_marks(self.store))
-
-
-def _said(content: Any) -> MarkReply | None:
-    try:
-        return msgspec.convert(content, MarkReply)
-    except msgspec.ValidationError:
-        return None
-
-
-def _mark(content: bytes) -> OperatorMark | None:
-    try:
-        return msgspec.msgpack.decode(content, type=OperatorMark)
-    except msgspec.MsgspecError:
-        return None
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -14,10 +14,11 @@
 from sailrun.node.clock import log
 from sailrun.node.peer_beliefs import Beliefs
 from sailrun.replication.inspection import describe_ranges, describe_state
+from sailrun.replication.mark_client import MarkOutcome
 from sailrun.replication.messages import MarkRequest
 from sailrun.replication.operator_marks import DRAIN, OUT
 from sailrun.replication.outlier_reports import OutlierReporter, combine_outlier_reports
-from sailrun.replication.replica import MARKS_TASK, OUTLIER_REPORT, MarkOutcome, Replica
+from sailrun.replication.replica import MARKS_TASK, OUTLIER_REPORT, Replica
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
@@ -76,8 +77,7 @@
     # ------------------------------------------------------------------ after each turn of the agent
 
     def turn(self, now_us: int) -> None:
-        uses, self._replica.mark_changes = self._replica.mark_changes, []
-        for kind, subject, on in uses:
+        for kind, subject, on in self._replica.take_mark_changes():
             log("mark", kind=kind, subject=subject, on=on)
             if kind == OUT:
                 self._out(subject, on)
@@ -137,7 +137,7 @@
     def _said(self, beliefs: Beliefs) -> Callable[[int], None]:
         def call(now_us: int) -> None:
             word = self._voice.make_report(now_us, beliefs.out, beliefs.setup_us)
-            if word is not None and self._replica.anti_entropy.complete:
+            if word is not None and self._replica.anti_entropy.copy.is_complete:
                 self._replica.publish_outlier_report(now_us, word)
 
         return call
--- a/sailrun/replication/store.py
+++ b/sailrun/replication/store.py
@@ -29,6 +29,7 @@
 # Firm records first, then soft ones: so many ranges of each, in groups.
 FIRM_RANGE_COUNT, RANGES_PER_GROUP = 256, 16
 RANGE_COUNT = 2 * FIRM_RANGE_COUNT
+FIRM_GROUP_COUNT = FIRM_RANGE_COUNT // RANGES_PER_GROUP
 
 _64 = (1 << 64) - 1
 
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -31,9 +31,10 @@
 from sailrun.leadership.agent import Out
 from sailrun.leadership.messages import Ask, Grant
 from sailrun.leadership.voter import Slot
+from sailrun.replication.mark_client import MarkOutcome
 from sailrun.replication.messages import MarkRequest
 from sailrun.replication.records import apply_write
-from sailrun.replication.replica import MarkOutcome, Replica
+from sailrun.replication.replica import Replica
 from sailrun.storage import beliefs
 from sailrun.storage import entries as e
 from sailrun.storage.files import OsFiles
@@ -589,7 +590,7 @@
     agent = fleet.nodes[voter].agent
     assert agent is not None and agent.voter is not None and agent.voter.remembers
     assert agent.replica is not None and agent.replica.acceptor is not None
-    assert agent.replica.acceptor.is_recovered
+    assert agent.replica.acceptor.state.is_recovered
     assert fleet.owner("marks") == owner
 
 
@@ -606,7 +607,7 @@
     assert fleet.owner("marks") is not None
     after = max(s.term for s in _slots(fleet, "marks"))
     assert before["marks"] < after < before["marks"] + 10  # the next ones, not others by the clock
-    assert all(("out", "s-00000001") in part_of(fleet, name)._used for name in fleet.names)
+    assert all(("out", "s-00000001") in part_of(fleet, name).active_marks for name in fleet.names)
 
 
 def _slots(fleet: VirtualFleet, task: str) -> list[Slot]:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -28,7 +28,8 @@
 from sailrun.node.peer_beliefs import PeerBeliefs
 from sailrun.replication import messages
 from sailrun.replication.acceptor import find_consistent_voters
-from sailrun.replication.anti_entropy import EPOCH_RECORD_KEY
+from sailrun.replication.epochs import EPOCH_RECORD_KEY
+from sailrun.replication.mark_client import MarkOutcome
 from sailrun.replication.messages import Accept, MarkRequest, PageRequest, RecordPage, SenderBusy
 from sailrun.replication.operator_marks import OperatorMark, resolve_mark
 from sailrun.replication.operator_marks import encode_mark as pack_mark
@@ -42,7 +43,7 @@
     covers,
     merge_records,
 )
-from sailrun.replication.replica import MarkOutcome, Replica
+from sailrun.replication.replica import Replica
 from sailrun.replication.server_lists import read_stored_server_list, store_server_list
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.state_transfer import TransferSender
@@ -247,7 +248,7 @@
         1,
         0,
     )
-    made.anti_entropy.complete = True
+    made.anti_entropy.copy.is_complete = True
     return made
 
 
@@ -289,7 +290,7 @@
     node = replica()
     node.set_leadership(0, 5)
     assert node.acceptor is not None
-    node.acceptor.is_recovered = data.draw(st.booleans())
+    node.acceptor.state.is_recovered = data.draw(st.booleans())
     for n in range(data.draw(st.integers(1, 4))):
         kind = data.draw(st.sampled_from(KINDS))
         hints = typing.get_type_hints(kind)
@@ -400,7 +401,7 @@
 def alike(fleet: VirtualFleet, names: list[str]) -> bool:
     parts = [part(fleet, n) for n in names]
     return len({p.store.digest_firm_records() for p in parts}) == 1 and all(
-        p.anti_entropy.complete for p in parts
+        p.anti_entropy.copy.is_complete for p in parts
     )
 
 
@@ -426,7 +427,7 @@
     fleet.run(9.0)
     assert put_mark(fleet, "n4", "s-00000001", True).state == "unknown"
     fleet.mark_here("n4", "s-00000002", True)
-    behind_s = part(fleet, "n4").lag_s(fleet.clock_us(fleet.nodes["n4"]))
+    behind_s = part(fleet, "n4").get_lag_s(fleet.clock_us(fleet.nodes["n4"]))
     assert behind_s is not None and behind_s > 3.0
     assert put_mark(fleet, "n2", "s-00000003", True).state == "done"
     fleet.heal(cut)
@@ -442,12 +443,12 @@
     fleet.run(now_s(fleet) + 6.0)
     fleet.mark_here("n4", "s-00000002", True)
     put_mark(fleet, "n1", "s-00000001", False)
-    until(fleet, lambda: part(fleet, "n1").anti_entropy.epoch > 0, 60.0)
+    until(fleet, lambda: part(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
     key = ("out", "s-00000001", "")
     assert part(fleet, "n1").store.get(key) is None and part(fleet, "n4").store.get(key) is not None
     fleet.heal(cut)
     until(fleet, lambda: alike(fleet, fleet.names))
-    assert part(fleet, "n4").anti_entropy.copies_begun == 1  # it began with a whole copy
+    assert part(fleet, "n4").anti_entropy.copy.copies_begun == 1  # it began with a whole copy
     assert all(part(fleet, n).store.get(key) is None for n in fleet.names)
     assert all(part(fleet, n).store.get(("out", "s-00000002", "")) for n in fleet.names)
 
@@ -477,7 +478,7 @@
     had = len(part(fleet, "n4").store)
     assert 0 < had < 4000
     fleet.heal(cut)
-    until(fleet, lambda: part(fleet, "n4").anti_entropy.complete, 30.0)
+    until(fleet, lambda: part(fleet, "n4").anti_entropy.copy.is_complete, 30.0)
     until(fleet, lambda: alike(fleet, fleet.names))
     taker = part(fleet, "n4").anti_entropy.receiver
     # Ranges are not taken twice: what was there before the cut is not in the pieces after it.
@@ -487,7 +488,7 @@
 def test_sixty_nodes_begin_together_and_fifty_seven_return_at_once() -> None:
     fleet = a_fleet(60, 9)
     fleet.run(1.0)
-    until(fleet, lambda: all(part(fleet, n).anti_entropy.complete for n in fleet.names), 8.0)
+    until(fleet, lambda: all(part(fleet, n).anti_entropy.copy.is_complete for n in fleet.names), 8.0)
     put_mark(fleet, "n1", "s-00000001", True)
     back = fleet.names[3:]
     for name in back:
@@ -495,7 +496,7 @@
     for name in back:
         fleet.start(name)
     fleet.run(now_s(fleet) + 1.0)
-    until(fleet, lambda: all(part(fleet, n).anti_entropy.complete for n in back), 12.0)
+    until(fleet, lambda: all(part(fleet, n).anti_entropy.copy.is_complete for n in back), 12.0)
     assert all(part(fleet, n).store.get(KEY) for n in fleet.names)
     most = max(part(fleet, n).anti_entropy.sender.pages_sent for n in fleet.names[:3])
     assert most < 57 * 3  # those that had caught up gave as well
@@ -522,7 +523,7 @@
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 6.0)
     put_mark(fleet, "n1", "s-00000001", False)
-    until(fleet, lambda: part(fleet, "n1").anti_entropy.epoch > 0, 60.0)
+    until(fleet, lambda: part(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
     fleet.heal(cut)
     until(fleet, lambda: alike(fleet, fleet.names))
     assert all(part(fleet, n).store.get(KEY) is None for n in fleet.names)
