--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -43,7 +43,7 @@
 def _put(
     copies: ReplicationService, kind: str, subject: str, on: bool, reply: Callable[[MarkOutcome], None]
 ) -> None:
-    copies.set_mark(kind, subject, on, reply, who="control")
+    copies.set_mark(kind, subject, on, reply, author="control")
 
 
 def _shown(id_: str, made: MarkOutcome | None) -> dict[str, object]:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -29,9 +29,10 @@
 from sailrun.replication import messages
 from sailrun.replication.acceptor import find_consistent_voters
 from sailrun.replication.epochs import EPOCH_RECORD_KEY
+from sailrun.replication.inspection import describe_versions
 from sailrun.replication.mark_client import MarkOutcome
 from sailrun.replication.messages import Accept, MarkRequest, PageRequest, RecordPage, SenderBusy
-from sailrun.replication.operator_marks import OperatorMark, resolve_mark
+from sailrun.replication.operator_marks import MarkVersion, OperatorMark, resolve_mark
 from sailrun.replication.operator_marks import encode_mark as pack_mark
 from sailrun.replication.outlier_reports import OutlierReport, OutlierReporter, combine_outlier_reports
 from sailrun.replication.records import (
@@ -127,6 +128,17 @@
         assert [v.content for v in met.versions] == [b"new"]
 
 
+def test_a_mark_read_from_its_leader_is_described_by_the_keys_that_scripts_read() -> None:
+    versions = [
+        MarkVersion(OperatorMark("m1", True, False, "staff", "slow", 5.0, "n1", ["m1"]), False),
+        MarkVersion(OperatorMark("m2", True, False, "control", "", 6.0, "n2", ["m2"]), True),
+    ]
+    assert describe_versions(versions) == [
+        {"id": "m1", "on": True, "who": "staff", "why": "slow"},
+        {"id": "m2", "on": False, "who": "control", "why": ""},
+    ]
+
+
 # -------------------------------------------------------------------- a copy's bounds and checks
 
 
@@ -548,7 +560,7 @@
 
 
 def test_a_belief_is_said_when_it_changes_and_again_before_it_ends() -> None:
-    voice = OutlierReporter(belief_s=30.0)
+    voice = OutlierReporter(report_ttl_s=30.0)
     assert voice.make_report(0, {}, 0) is None
     assert voice.make_report(SECOND, {"s-1": SECOND}, 0) is not None
     assert voice.make_report(2 * SECOND, {"s-1": SECOND // 2}, 0) is None
