--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -25,8 +25,9 @@
     RecoveryRequest,
     TermSuperseded,
 )
+from sailrun.replication.range_digests import list_ranges
 from sailrun.replication.records import covers
-from sailrun.replication.store import RANGES_PER_GROUP, RecordStore
+from sailrun.replication.store import RecordStore
 
 # How many leaders' requests to catch up are remembered; there is one leader at a time, or a few that do not
 # know of each other.
@@ -162,7 +163,7 @@
             request.epoch,
             self.state.incarnation,
             dict(self.state.crash_vector),
-            self._store.find_differing_groups(request.group_digests),
+            self._store.digests.find_differing_groups(request.group_digests),
         )
         return [OutgoingMessage(sender, promise)]
 
@@ -185,7 +186,7 @@
             return rejection
         key = (sender, request.request_id)
         digests = request.group_digests
-        if self._store.group_digests()[: len(digests)] == digests:
+        if self._store.digests.list_groups()[: len(digests)] == digests:
             self._caught_up[key] = True
         if self._caught_up.get(key):
             return [OutgoingMessage(sender, self._make_accepted(request))]
@@ -197,11 +198,7 @@
         while len(self._caught_up) >= MAX_CATCH_UPS:
             del self._caught_up[next(iter(self._caught_up))]
         self._caught_up[key] = False
-        ranges = [
-            group * RANGES_PER_GROUP + place
-            for group in self._store.find_differing_groups(digests)
-            for place in range(RANGES_PER_GROUP)
-        ]
+        ranges = list_ranges(self._store.digests.find_differing_groups(digests))
 
         def on_end(now_us: int, complete: bool) -> None:
             if key in self._caught_up and complete:
@@ -240,6 +237,6 @@
             self._anti_entropy.copy.epoch,
             self._get_crash_vector(),
             state.promised_term,
-            self._store.find_differing_groups(request.group_digests),
+            self._store.digests.find_differing_groups(request.group_digests),
         )
         return [OutgoingMessage(sender, reply)]
--- a/sailrun/replication/acceptor_recovery.py
+++ b/sailrun/replication/acceptor_recovery.py
@@ -23,7 +23,8 @@
     RecoveryReply,
     RecoveryRequest,
 )
-from sailrun.replication.store import FIRM_GROUP_COUNT, RecordStore
+from sailrun.replication.range_digests import FIRM_GROUP_COUNT
+from sailrun.replication.store import RecordStore
 
 SECOND_US = 1_000_000
 # The other voters are asked this often.
@@ -92,7 +93,7 @@
                 return []
             ask = IncarnationRequest(attempt.request_id)
             return [OutgoingMessage(name, ask) for name in others]
-        digests = self._store.group_digests()[:FIRM_GROUP_COUNT]
+        digests = self._store.digests.list_groups()[:FIRM_GROUP_COUNT]
         epoch = self._anti_entropy.copy.epoch
         request = RecoveryRequest(attempt.request_id, attempt.incarnation, epoch, digests)
         left = [n for n in others if n not in attempt.recovered_from and n not in attempt.transferring]
@@ -161,7 +162,7 @@
                 attempt.recovered_from.add(sender)
                 self._finish(attempt)
 
-        ranges = self._store.find_differing_ranges(reply.range_digests)
+        ranges = self._store.digests.find_differing_ranges(reply.range_digests)
         if ranges:
             self._anti_entropy.receiver.begin(now_us, sender, ranges, on_end, urgent=True)
         else:
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -28,11 +28,12 @@
     Rumor,
     SenderBusy,
 )
+from sailrun.replication.range_digests import list_ranges
 from sailrun.replication.records import InvalidRecordError, Key, Record
 from sailrun.replication.repair import RecordRepair
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.state_transfer import TransferReceiver, TransferSender, ignore_end
-from sailrun.replication.store import RANGES_PER_GROUP, PutResult, RecordStore
+from sailrun.replication.store import PutResult, RecordStore
 
 SECOND_US = 1_000_000
 # A rumor is sent this often; this often some records are checked against their hashes, and expired ones go.
@@ -180,7 +181,7 @@
         self._digest_requests[request_id] = name
         while len(self._digest_requests) > MAX_OPEN_REQUESTS:
             del self._digest_requests[next(iter(self._digest_requests))]
-        digests = self.store.group_digests()
+        digests = self.store.digests.list_groups()
         request = DigestRequest(request_id, self.copy.epoch, digests, self.copy.is_complete)
         return [OutgoingMessage(name, request)]
 
@@ -192,17 +193,12 @@
         return []
 
     def _on_digest_request(self, sender: str, request: DigestRequest) -> list[OutgoingMessage]:
-        range_digests = self.store.find_differing_groups(request.group_digests)
-        ranges = (
-            number
-            for group in range_digests
-            for number in range(group * RANGES_PER_GROUP, (group + 1) * RANGES_PER_GROUP)
-        )
+        range_digests = self.store.digests.find_differing_groups(request.group_digests)
         reply = DigestReply(
             request.request_id,
             self.copy.epoch,
             range_digests,
-            self.store.count_records(ranges),
+            self.store.digests.count_records(list_ranges(range_digests)),
             self.copy.is_complete,
             self.epochs.get_record() if request.epoch < self.copy.epoch else None,
         )
@@ -222,7 +218,7 @@
             messages = self._on_other_epoch(now_us, sender, reply)
             if reply.epoch != self.copy.epoch or messages:
                 return messages
-        differing = self.store.find_differing_ranges(reply.range_digests)
+        differing = self.store.digests.find_differing_ranges(reply.range_digests)
         if not self.copy.is_complete:
             self._copy_transfer.on_digest_reply(now_us, sender, reply, differing)
         elif (
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -46,9 +46,9 @@
     is_mark_active,
     list_request_ids,
 )
+from sailrun.replication.range_digests import FIRM_GROUP_COUNT, list_ranges
 from sailrun.replication.records import STRONG, Key, Record, apply_write
 from sailrun.replication.rounds import STRAGGLER_US, Round, Rounds
-from sailrun.replication.store import FIRM_GROUP_COUNT, RANGES_PER_GROUP
 
 SECOND_US = 1_000_000
 # Waiting marks and old deletions are looked for this often.
@@ -124,7 +124,7 @@
         )
 
     def _digest_groups(self) -> list[int]:
-        return self._store.group_digests()[:FIRM_GROUP_COUNT]
+        return self._store.digests.list_groups()[:FIRM_GROUP_COUNT]
 
     def _on_prepared(self, now_us: int) -> None:
         if not self._catches_up:
@@ -186,7 +186,7 @@
             return
         if sender in made.transferring or sender in made.votes:
             return
-        ranges = self._store.find_differing_ranges(promise.range_digests)
+        ranges = self._store.digests.find_differing_ranges(promise.range_digests)
 
         def on_end(now_us: int, complete: bool) -> None:
             made.transferring.discard(sender)
@@ -231,14 +231,10 @@
         """Whether the asker's copy is level with this one, and how many records it may lack."""
         if not self.is_open or self._epoch != self._anti_entropy.copy.epoch:
             return None
-        groups = self._store.find_differing_groups(request.group_digests[:FIRM_GROUP_COUNT])
-        ranges = (
-            number
-            for group in groups
-            for number in range(group * RANGES_PER_GROUP, (group + 1) * RANGES_PER_GROUP)
-        )
+        groups = self._store.digests.find_differing_groups(request.group_digests[:FIRM_GROUP_COUNT])
+        missing_records = self._store.digests.count_records(list_ranges(groups))
         state = MarkState.BEHIND if groups else MarkState.DONE
-        return MarkReply(request.id, state, self.term, missing_records=self._store.count_records(ranges))
+        return MarkReply(request.id, state, self.term, missing_records=missing_records)
 
     def _read_mark(self, request: MarkRequest, key: Key) -> MarkReply:
         if self._writes.is_open(key):
--- a/sailrun/replication/copy_lag.py
+++ b/sailrun/replication/copy_lag.py
@@ -9,7 +9,7 @@
 from sailrun.replication.anti_entropy import AntiEntropy
 from sailrun.replication.mark_client import LeaderRequest, decode_reply
 from sailrun.replication.messages import MarkOperation, MarkRequest, MarkState, OutgoingMessage
-from sailrun.replication.store import FIRM_GROUP_COUNT
+from sailrun.replication.range_digests import FIRM_GROUP_COUNT
 
 SECOND_US = 1_000_000
 # The leader is asked this often, and less often in a fleet of more than so many nodes, so that its load stays
@@ -71,7 +71,7 @@
         if not copy.is_complete:
             self.missing_records = copy.missing_records
             return []
-        digests = self._anti_entropy.store.group_digests()[:FIRM_GROUP_COUNT]
+        digests = self._anti_entropy.store.digests.list_groups()[:FIRM_GROUP_COUNT]
         request = MarkRequest(MarkOperation.COMPARE, group_digests=digests)
         self._send(LeaderRequest(request, self._on_reply))
         messages: list[OutgoingMessage] = []
--- a/sailrun/replication/copy_transfer.py
+++ b/sailrun/replication/copy_transfer.py
@@ -14,9 +14,10 @@
 from sailrun.replication.copy_state import CopyState
 from sailrun.replication.epochs import extract_local_writes
 from sailrun.replication.messages import DigestReply
+from sailrun.replication.range_digests import RANGE_COUNT
 from sailrun.replication.records import Key, Record
 from sailrun.replication.state_transfer import TransferReceiver, ignore_end
-from sailrun.replication.store import RANGE_COUNT, RecordStore
+from sailrun.replication.store import RecordStore
 
 SECOND_US = 1_000_000
 # How many senders are asked for ranges at once.
--- a/sailrun/replication/inspection.py
+++ b/sailrun/replication/inspection.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from sailrun.replication.operator_marks import MARK_KINDS, MarkStatus, MarkVersion, resolve_mark
+from sailrun.replication.range_digests import FIRM_GROUP_COUNT
 from sailrun.replication.records import Record
 from sailrun.replication.replica import OUTLIER_REPORT, SERVER_LIST, Replica
-from sailrun.replication.store import FIRM_GROUP_COUNT
 
 SECOND_US = 1_000_000
 
@@ -31,7 +31,7 @@
             "s": None if lag_s is None else round(lag_s, 3),
             "stale": replica.is_stale(now_us),
         },
-        "digest": f"{store.digest_firm_records():016x}",
+        "digest": f"{store.digests.get_firm_digest():016x}",
         "records": [_describe_record(replica, now_us, record) for record in store.iterate_records(kind)],
         "conflicts": [_describe_mark(mark) for mark in replica.list_marks() if mark.has_conflict],
         "bytes": store.size_bytes,
@@ -109,5 +109,5 @@
 
 def describe_ranges(replica: Replica) -> dict[str, Any]:
     """What tells two copies apart: the digest of each range of firm records."""
-    digests = [d for group in range(FIRM_GROUP_COUNT) for d in replica.store.range_digests(group)]
+    digests = [d for group in range(FIRM_GROUP_COUNT) for d in replica.store.digests.list_ranges(group)]
     return {"epoch": replica.anti_entropy.copy.epoch, "ranges": [f"{d:016x}" for d in digests]}
--- a/sailrun/replication/state_transfer.py
+++ b/sailrun/replication/state_transfer.py
@@ -10,9 +10,10 @@
 from dataclasses import dataclass
 
 from sailrun.replication.messages import OutgoingMessage, PageRequest, RecordPage, SenderBusy
+from sailrun.replication.range_digests import find_range
 from sailrun.replication.records import Key, estimate_size_bytes
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import RecordStore, find_range
+from sailrun.replication.store import RecordStore
 
 SECOND_US = 1_000_000
 BYTES_PER_KB = 1000
--- a/sailrun/replication/store.py
+++ b/sailrun/replication/store.py
@@ -1,7 +1,6 @@
-"""One node's copy: records by key, digests over ranges of keys, bounds, and its own check for spoilt bytes.
+"""One node's copy: records by key, within bounds, with digests and a check of its own for corrupted bytes.
 
-Pure. Keys fall into ranges by their hash; each range has a digest (the sum of its records' hashes), 16 ranges
-make a group. Two copies are compared group by group, then range by range, and only what differs is passed.
+Pure. Firm records stay until they are deleted and forgotten; soft ones expire unless they are reported again.
 """
 
 from __future__ import annotations
@@ -9,14 +8,15 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 from enum import Enum
-from hashlib import blake2b
 
 from sortedcontainers import SortedList
 
+from sailrun.replication.range_digests import RangeDigests, find_range
 from sailrun.replication.records import (
     InvalidRecordError,
     Key,
     Record,
+    Version,
     contradicts,
     estimate_size_bytes,
     hash_record,
@@ -25,13 +25,11 @@
 )
 from sailrun.replication.settings import ReplicationSettings
 
-SECOND = 1_000_000
-# Firm records first, then soft ones: so many ranges of each, in groups.
-FIRM_RANGE_COUNT, RANGES_PER_GROUP = 256, 16
-RANGE_COUNT = 2 * FIRM_RANGE_COUNT
-FIRM_GROUP_COUNT = FIRM_RANGE_COUNT // RANGES_PER_GROUP
-
-_64 = (1 << 64) - 1
+SECOND_US = 1_000_000
+US_PER_MS = 1000
+BYTES_PER_MEGABYTE = 1e6
+# Firm records may take the settings' bounds this many times over: marks get in where reports no longer do.
+FIRM_BOUND_FACTOR = 2
 
 
 class PutResult(Enum):
@@ -40,55 +38,59 @@
     NEW = "new"  # this copy knows more than before
     KNOWN = "known"
     CONTRADICTS = "differs"  # the same version with another content: nothing was taken
-    EXPIRED = "old"  # a soft record that has ended
+    EXPIRED = "old"  # a soft record past its time
     FULL = "full"
 
 
 @dataclass(slots=True)
 class _Entry:
     record: Record
-    hash: int
+    hash: int  # taken when the record came in
     size_bytes: int
     written_us: int  # when it was written, by this node's clock; of a firm one, when it came to be so here
 
 
-def find_range(key: Key, soft: bool) -> int:
-    """Which range a key falls into, the same on every node."""
-    number = blake2b("\0".join(key).encode(), digest_size=1).digest()[0]
-    return number + (FIRM_RANGE_COUNT if soft else 0)
-
-
 class RecordStore:
-    def __init__(self, terms: ReplicationSettings, salt: bytes, off: frozenset[str] = frozenset()) -> None:
-        """`salt` is the fleet's own, so that copies of two fleets are never alike."""
-        self.settings, self._salt, self._off = terms, salt, off
+    """The records of one copy."""
+
+    def __init__(
+        self, settings: ReplicationSettings, salt: bytes, disabled_rules: frozenset[str] = frozenset()
+    ) -> None:
+        """`salt` is the fleet's own, so that copies of two fleets never look alike. `disabled_rules` are
+        safety rules that the laboratory switches off.
+        """
+        self.settings, self._salt = settings, salt
+        self._checks_hashes = "mend" not in disabled_rules
+        self._keeps_concurrent = "causality" not in disabled_rules
+        self._keeps_deletions = "forget" not in disabled_rules
         self._entries: dict[Key, _Entry] = {}
-        self._order: SortedList[tuple[int, Key]] = SortedList()
-        self._keys: SortedList[Key] = SortedList()
+        self._by_range: SortedList[tuple[int, Key]] = SortedList()
+        self._by_key: SortedList[Key] = SortedList()
         self._soft: set[Key] = set()
-        self._digests = [0] * RANGE_COUNT
-        self._counts = [0] * RANGE_COUNT
+        self.digests = RangeDigests()
         self.size_bytes = 0
-        self.corrupted: list[Key] = []  # found by `scrub`, for whoever drives this; emptied by him
-        self.rejected_full = 0
-        self._scrubbed = 0
+        self.corrupted: list[Key] = []  # found so far; emptied by whoever drives this
+        self.rejected_full = 0  # records there was no room for
+        self._scrub_place = 0
         self.on_change: Callable[[Record], None] = lambda record: None
 
     def __len__(self) -> int:
+        """How many records there are."""
         return len(self._entries)
 
     # ------------------------------------------------------------------ reading
 
     def get(self, key: Key) -> Record | None:
+        """The record as it is held."""
         entry = self._entries.get(key)
         return entry.record if entry is not None else None
 
     def get_intact(self, key: Key) -> Record | None:
-        """The record as it goes out: not where its bytes do not fit their hash any more."""
+        """The record as it may go out; None, and noted: its bytes do not fit its hash any more."""
         entry = self._entries.get(key)
         if entry is None:
             return None
-        if "mend" not in self._off and hash_record(entry.record, self._salt) != entry.hash:
+        if self._checks_hashes and hash_record(entry.record, self._salt) != entry.hash:
             if key not in self.corrupted:
                 self.corrupted.append(key)
             return None
@@ -99,195 +101,175 @@
         return (r for key in list(self._entries) if (r := self.get_intact(key)) is not None)
 
     def iterate_records(self, kind: str = "") -> Iterator[Record]:
-        """By key; of one kind, or all."""
+        """Records in the order of their keys; of one kind, or all."""
         least, most = ((kind, "", ""), (f"{kind}\0", "", "")) if kind else (None, None)
-        for key in list(self._keys.irange(least, most)):
+        for key in list(self._by_key.irange(least, most)):
             yield self._entries[key].record
 
+    def list_firm_records(self) -> list[tuple[Record, int]]:
+        """All firm records with their hashes, corrupted or not."""
+        return [(entry.record, entry.hash) for entry in self._entries.values() if not entry.record.soft]
+
+    def get_hash(self, key: Key) -> int:
+        """The hash that was taken of a record when it came in; 0: there is none."""
+        entry = self._entries.get(key)
+        return entry.hash if entry is not None else 0
+
     def age_us(self, now_us: int, key: Key) -> int:
+        """How long ago the record was written, or came to be so here. Raises KeyError if there is none."""
         return now_us - self._entries[key].written_us
 
     def with_age(self, now_us: int, record: Record) -> Record:
-        """As it goes out: a soft one with its age."""
+        """The record as it goes out: a soft one with its age."""
         if not record.soft:
             return record
-        age_ms = max(0, self.age_us(now_us, record.key)) // 1000
+        age_ms = max(0, self.age_us(now_us, record.key)) // US_PER_MS
         return Record(*record.key, True, record.versions, record.context, age_ms)
 
-    def group_digests(self) -> list[int]:
-        """One digest for each group of ranges."""
-        return [
-            sum(self._digests[n : n + RANGES_PER_GROUP]) & _64
-            for n in range(0, RANGE_COUNT, RANGES_PER_GROUP)
-        ]
-
-    def range_digests(self, group: int) -> list[int]:
-        return self._digests[group * RANGES_PER_GROUP : (group + 1) * RANGES_PER_GROUP]
-
-    def find_differing_groups(self, groups: list[int]) -> dict[int, list[int]]:
-        """The digests of ranges in those of the first groups that are not as told."""
-        pairs = enumerate(zip(self.group_digests(), groups, strict=False))
-        return {n: self.range_digests(n) for n, (mine, told) in pairs if mine != told}
-
-    def find_differing_ranges(self, leaves: dict[int, list[int]]) -> list[int]:
-        """Ranges in which this copy is another than the one whose digests were told, by group."""
-        return [
-            n * RANGES_PER_GROUP + k
-            for n, told in leaves.items()
-            if 0 <= n < RANGE_COUNT // RANGES_PER_GROUP
-            for k, (mine, other) in enumerate(zip(self.range_digests(n), told, strict=False))
-            if mine != other
-        ]
-
-    def count_records(self, ranges: Iterable[int]) -> int:
-        return sum(self._counts[n] for n in ranges)
-
-    def digest_firm_records(self) -> int:
-        """Of all firm records: equal where two copies hold the same."""
-        return sum((n + 1) * d for n, d in enumerate(self._digests[:FIRM_RANGE_COUNT])) & _64
-
     def read_page(
-        self, now_us: int, ranges: list[int], after: Key | None, most_bytes: int
+        self, now_us: int, ranges: list[int], after: Key | None, max_bytes: int
     ) -> tuple[list[Record], Key | None]:
-        """Records of these ranges in their order, from after that key on, and where the page ends; None: no
-        more. `after` is of the first range.
+        """Records of these ranges in their order, and the key where the page ends; None: nothing follows.
+        `after`: of the first range, only what follows that key. A page is full once it has `max_bytes`.
         """
         page: list[Record] = []
-        size = 0
+        size_bytes = 0
         for place, number in enumerate(ranges):
-            least = (number, after) if place == 0 and after is not None else (number, ("", "", ""))
-            for _, key in self._order.irange(
-                least, (number + 1,), inclusive=(after is None or place > 0, False)
-            ):
-                if size >= most_bytes:
+            is_resumed = place == 0 and after is not None
+            least = (number, after) if is_resumed else (number, ("", "", ""))
+            for _, key in self._by_range.irange(least, (number + 1,), inclusive=(not is_resumed, False)):
+                if size_bytes >= max_bytes:
                     return page, page[-1].key
                 record = self.get_intact(key)
                 if record is not None:
                     page.append(self.with_age(now_us, record))
-                    size += estimate_size_bytes(record)
+                    size_bytes += estimate_size_bytes(record)
         return page, None
 
     # ------------------------------------------------------------------ writing
 
     def put(self, now_us: int, record: Record) -> PutResult:
-        """Merges a record in. Raises BadRecord for one that is none."""
+        """Merges a record. Raises InvalidRecordError for one that is none."""
         validate_record(record)
         old = self._entries.get(record.key)
-        if old is None:
-            if record.soft and record.age_ms * 1000 > self.settings.belief_s * SECOND:
-                return PutResult.EXPIRED
-            if self._full(record):
-                self.rejected_full += 1
-                return PutResult.FULL
-            self._set(now_us, record)
-            return PutResult.NEW
-        if old.record.soft is not record.soft:
+        return self._add(now_us, record) if old is None else self._merge(now_us, old.record, record)
+
+    def _add(self, now_us: int, record: Record) -> PutResult:
+        if record.soft and record.age_ms * US_PER_MS > self.settings.belief_s * SECOND_US:
+            return PutResult.EXPIRED
+        if self._is_full_for(record):
+            self.rejected_full += 1
+            return PutResult.FULL
+        self._set(now_us, record)
+        return PutResult.NEW
+
+    def _merge(self, now_us: int, old: Record, record: Record) -> PutResult:
+        if old.soft is not record.soft:
             raise InvalidRecordError(f"{record.kind}: soft at one node, firm at another")
-        if contradicts(old.record, record):
+        if contradicts(old, record):
             return PutResult.CONTRADICTS
-        merged = merge_records(old.record, record)
-        if "causality" in self._off and len(merged.versions) > 1:
-            merged = Record(*merged.key, merged.soft, merged.versions[-1:], merged.context, merged.age_ms)
-        if merged.versions == old.record.versions and merged.context == old.record.context:
+        merged = merge_records(old, record)
+        if not self._keeps_concurrent and len(merged.versions) > 1:
+            latest = merged.versions[-1:]
+            merged = Record(*merged.key, merged.soft, latest, merged.context, merged.age_ms)
+        if merged.versions == old.versions and merged.context == old.context:
             return PutResult.KNOWN
         self._set(now_us, merged)
         return PutResult.NEW
 
-    def get_hash(self, key: Key) -> int:
-        """The hash that was taken of a record when it came; 0: there is none."""
-        entry = self._entries.get(key)
-        return entry.hash if entry is not None else 0
-
-    def list_firm_records(self) -> list[tuple[Record, int]]:
-        """All firm records with their hashes, sound or not."""
-        return [(entry.record, entry.hash) for entry in self._entries.values() if not entry.record.soft]
-
     def load(self, now_us: int, records: Iterable[tuple[Record, int]]) -> int:
-        """Takes over many firm records at once that a copy held before, into an empty one, with the hashes
-        taken then (0: taken now); returns how many there was no room for.
+        """Fills an empty copy with many firm records at once that a copy held before, with the hashes taken
+        then (0: taken now); returns how many there was no room for.
         """
-        left = 0
+        left_out = 0
         places: list[tuple[int, Key]] = []
-        room = 2 * self.settings.records, 2 * self.settings.megabytes * 1e6
-        for record, known in records:
-            size = estimate_size_bytes(record)
-            if len(self._entries) >= room[0] or self.size_bytes + size > room[1]:
-                left += 1
+        for record, known_hash in records:
+            size_bytes = estimate_size_bytes(record)
+            if self._exceeds_bounds(FIRM_BOUND_FACTOR, size_bytes):
+                left_out += 1
                 continue
-            mark = known or hash_record(record, self._salt)
+            hash_ = known_hash or hash_record(record, self._salt)
             number = find_range(record.key, False)
-            self._entries[record.key] = _Entry(record, mark, size, now_us)
-            self._digests[number] = (self._digests[number] + mark) & _64
-            self._counts[number] += 1
-            self.size_bytes += size
+            self._entries[record.key] = _Entry(record, hash_, size_bytes, now_us)
+            self.digests.add(number, hash_)
+            self.size_bytes += size_bytes
             places.append((number, record.key))
-        self._order = SortedList(places)
-        self._keys = SortedList(self._entries)
-        return left
+        self._by_range = SortedList(places)
+        self._by_key = SortedList(self._entries)
+        return left_out
 
     def replace(self, now_us: int, record: Record) -> None:
-        """Takes this instead of what is held: a spoilt copy is mended."""
+        """Takes this record instead of what is held. Raises InvalidRecordError for one that is none."""
         validate_record(record)
         self._set(now_us, record)
 
-    def _full(self, record: Record) -> bool:
-        room = 1 if record.soft else 2  # firm records may take as much again
-        more = len(self._entries) >= room * self.settings.records
-        return more or self.size_bytes + estimate_size_bytes(record) > room * self.settings.megabytes * 1e6
+    def _is_full_for(self, record: Record) -> bool:
+        factor = 1 if record.soft else FIRM_BOUND_FACTOR
+        return self._exceeds_bounds(factor, estimate_size_bytes(record))
+
+    def _exceeds_bounds(self, factor: int, more_bytes: int) -> bool:
+        max_bytes = factor * self.settings.megabytes * BYTES_PER_MEGABYTE
+        is_full = len(self._entries) >= factor * self.settings.records
+        return is_full or self.size_bytes + more_bytes > max_bytes
 
     def _set(self, now_us: int, record: Record) -> None:
         self.remove(record.key)
-        mark, size = hash_record(record, self._salt), estimate_size_bytes(record)
-        made_us = now_us - record.age_ms * 1000
+        hash_, size_bytes = hash_record(record, self._salt), estimate_size_bytes(record)
+        written_us = now_us - record.age_ms * US_PER_MS
         number = find_range(record.key, record.soft)
-        self._entries[record.key] = _Entry(record, mark, size, made_us)
-        self._order.add((number, record.key))
-        self._keys.add(record.key)
+        self._entries[record.key] = _Entry(record, hash_, size_bytes, written_us)
+        self._by_range.add((number, record.key))
+        self._by_key.add(record.key)
         if record.soft:
             self._soft.add(record.key)
-        self._digests[number] = (self._digests[number] + mark) & _64
-        self._counts[number] += 1
-        self.size_bytes += size
+        self.digests.add(number, hash_)
+        self.size_bytes += size_bytes
         self.on_change(record)
 
     def remove(self, key: Key) -> None:
-        """Forgets a record, so that it is as if it had never been."""
+        """Forgets a record, so that it is as if it had never been; nothing if there is none."""
         entry = self._entries.pop(key, None)
         if entry is None:
             return
         number = find_range(key, entry.record.soft)
-        self._order.remove((number, key))
-        self._keys.remove(key)
+        self._by_range.remove((number, key))
+        self._by_key.remove(key)
         self._soft.discard(key)
-        self._digests[number] = (self._digests[number] - entry.hash) & _64
-        self._counts[number] -= 1
+        self.digests.remove(number, entry.hash)
         self.size_bytes -= entry.size_bytes
 
     def clear(self) -> None:
+        """Forgets all records."""
         for key in list(self._entries):
             self.remove(key)
 
     # ------------------------------------------------------------------ time
 
     def expire_records(self, now_us: int) -> None:
-        """Drops soft records that nobody has said again."""
-        if "forget" in self._off:
-            keep_us = self.settings.keep_s * SECOND
-            for key in [
-                k for k, e in self._entries.items() if e.record.is_deleted and now_us - e.written_us > keep_us
-            ]:
-                self.remove(key)
-        limit_us = self.settings.belief_s * SECOND
-        ended = [k for k in self._soft if now_us - self._entries[k].written_us > limit_us]
-        for key in ended:
+        """Drops soft records that nobody has reported again."""
+        if not self._keeps_deletions:
+            self._drop_old_deletions(now_us)
+        ttl_us = self.settings.belief_s * SECOND_US
+        for key in [key for key in self._soft if now_us - self._entries[key].written_us > ttl_us]:
+            self.remove(key)
+
+    def _drop_old_deletions(self, now_us: int) -> None:
+        """What a node without epochs would do: each forgets deletions for itself."""
+        retention_us = self.settings.keep_s * SECOND_US
+        old = [
+            key
+            for key, entry in self._entries.items()
+            if entry.record.is_deleted and now_us - entry.written_us > retention_us
+        ]
+        for key in old:
             self.remove(key)
 
     def scrub(self, share: float) -> None:
-        """Checks this share of the records, in turn, against the hash taken when they came in."""
-        keys = self._order
-        for _ in range(min(len(keys), 1 + int(len(keys) * share))):
-            self._scrubbed = (self._scrubbed + 1) % len(keys)
-            self.get_intact(keys[self._scrubbed][1])
+        """Checks this share of the records, in turn, against the hashes taken when they came in."""
+        places = self._by_range
+        for _ in range(min(len(places), 1 + int(len(places) * share))):
+            self._scrub_place = (self._scrub_place + 1) % len(places)
+            self.get_intact(places[self._scrub_place][1])
 
     def corrupt(self, key: Key) -> None:
         """For the laboratory: flips one bit of a record's content, as bad memory would."""
@@ -295,5 +277,5 @@
         first, *others = entry.record.versions
         half = len(first.content) // 2
         content = first.content[:half] + bytes([first.content[half] ^ 1]) + first.content[half + 1 :]
-        versions = [type(first)(first.actor, first.count, content, first.deleted), *others]
+        versions = [Version(first.actor, first.count, content, first.deleted), *others]
         entry.record = Record(*key, entry.record.soft, versions, entry.record.context)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -35,6 +35,7 @@
 from sailrun.replication.operator_marks import MarkVersion, OperatorMark, resolve_mark
 from sailrun.replication.operator_marks import encode_mark as pack_mark
 from sailrun.replication.outlier_reports import OutlierReport, OutlierReporter, combine_outlier_reports
+from sailrun.replication.range_digests import FIRM_RANGE_COUNT, RANGE_COUNT, find_range
 from sailrun.replication.records import (
     STRONG,
     InvalidRecordError,
@@ -48,7 +49,7 @@
 from sailrun.replication.server_lists import read_stored_server_list, store_server_list
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.state_transfer import TransferSender
-from sailrun.replication.store import FIRM_RANGE_COUNT, RANGE_COUNT, PutResult, RecordStore, find_range
+from sailrun.replication.store import PutResult, RecordStore
 from tests.support import Relay, full, ten_seconds
 
 SECOND = 1_000_000
@@ -226,9 +227,9 @@
         if after is None:
             break
         ranges = ranges[ranges.index(find_range(after, False)) :]
-    assert (other.digest_firm_records(), other.group_digests(), len(other)) == (
-        store.digest_firm_records(),
-        store.group_digests(),
+    assert (other.digests.get_firm_digest(), other.digests.list_groups(), len(other)) == (
+        store.digests.get_firm_digest(),
+        store.digests.list_groups(),
         len(store),
     )
     assert pages >= len(store) // 3
@@ -412,7 +413,7 @@
 
 def alike(fleet: VirtualFleet, names: list[str]) -> bool:
     parts = [part(fleet, n) for n in names]
-    return len({p.store.digest_firm_records() for p in parts}) == 1 and all(
+    return len({p.store.digests.get_firm_digest() for p in parts}) == 1 and all(
         p.anti_entropy.copy.is_complete for p in parts
     )
 
