--- a/sailrun/replication/messages.py
+++ b/sailrun/replication/messages.py
@@ -1,7 +1,9 @@
-"""What members say to each other about the state they keep copies of; `owners/envelope.py` carries it.
+"""Messages between members about replicated state; `leadership/envelope.py` carries them.
 
-`epoch` counts how often the fleet has forgotten what was taken back: copies of different epochs are never
-merged. Digests are of groups or ranges, see `store.py`. Numbers are the asker's own.
+The tags and the order of the fields are the wire's, and older than the names here: an array is read by place,
+and newer versions add fields at the end. `request_id` is the asker's own, and comes back in the reply.
+`epoch` counts how often the fleet has forgotten deleted records (`epochs.py`): copies of different epochs are
+never merged. Digests are of ranges of keys, or of groups of ranges (`range_digests.py`).
 """
 
 from __future__ import annotations
@@ -13,73 +15,82 @@
 
 from sailrun.replication.records import Count, Key, Record
 
+# ---------------------------------------------------------------------- anti-entropy and state transfer
+
 
 class Rumor(msgspec.Struct, array_like=True, frozen=True, tag="rumor"):
-    """What has changed of late."""
+    """Records that changed of late."""
 
     epoch: int
     records: list[Record]
 
 
 class DigestRequest(msgspec.Struct, array_like=True, frozen=True, tag="sum"):
-    """How is your copy? Mine has these digests, by group."""
+    """Asks how the receiver's copy compares with the sender's, which has these digests."""
 
     request_id: int
     epoch: int
     group_digests: list[int]
-    complete: bool  # the sender has a whole copy
+    complete: bool  # the sender's copy is
 
 
 class DigestReply(msgspec.Struct, array_like=True, frozen=True, tag="differs"):
-    """Mine has other digests in these groups: those of their ranges. `forgotten` is the record of the latest
-    epoch, where the asker's is older.
-    """
+    """The sender's digests in the groups that differ; none where the copies are alike."""
 
     request_id: int
     epoch: int
-    range_digests: dict[int, list[int]]
+    range_digests: dict[int, list[int]]  # by group
     record_count: int  # in the ranges of those groups
-    complete: bool
-    epoch_record: Record | None = None
+    complete: bool  # the sender's copy is
+    epoch_record: Record | None = None  # that of the latest epoch, where the asker's is older
 
 
 class PageRequest(msgspec.Struct, array_like=True, frozen=True, tag="take"):
-    """Give me the records of these ranges, from after that key of the first one on."""
+    """Asks for the records of these ranges; of the first one, only for what follows the key `after`."""
 
     request_id: int
     epoch: int
     ranges: list[int]
     after: Key | None
-    urgent: bool = False  # a voter's memory or an owner's beginning: not held to the givers' rate
+    urgent: bool = False  # a voter's recovery or a leader's beginning: not held to the sender's rate
 
 
 class RecordPage(msgspec.Struct, array_like=True, frozen=True, tag="given"):
+    """Records of the ranges asked for."""
+
     request_id: int
     epoch: int
     records: list[Record]
-    after: Key | None  # where the piece ends; None: that was all
+    after: Key | None  # the key where the page ends; None: nothing follows
 
 
 class SenderBusy(msgspec.Struct, array_like=True, frozen=True, tag="busy"):
+    """The sender of a state transfer has no capacity now."""
+
     request_id: int
     retry_after_us: int
 
 
 class RecordRequest(msgspec.Struct, array_like=True, frozen=True, tag="fetch"):
-    """What do you have of this record? Asked of all voters where two copies differ without a reason."""
+    """Asks a voter for its copy of a record, where two copies differ without a reason."""
 
     request_id: int
     key: Key
 
 
 class RecordReply(msgspec.Struct, array_like=True, frozen=True, tag="fetched"):
+    """A voter's copy of a record; None: it has none."""
+
     request_id: int
     key: Key
     record: Record | None
 
 
+# ---------------------------------------------------------------------- a leader and the voters
+
+
 class Prepare(msgspec.Struct, array_like=True, frozen=True, tag="promise"):
-    """To a voter, by a new owner: take nothing of a lower term any more, and say how your copy is."""
+    """From a new leader to a voter: to accept nothing of a lower term, and to compare its copy."""
 
     term: int
     request_id: int
@@ -88,18 +99,18 @@
 
 
 class Promise(msgspec.Struct, array_like=True, frozen=True, tag="promised"):
-    """`life` is which of its lives the voter is in, `lives` the latest of each voter that it knows of."""
+    """A voter accepts nothing of a lower term from now on."""
 
     term: int
     request_id: int
     epoch: int
-    incarnation: int
-    crash_vector: dict[str, int]
+    incarnation: int  # of the voter
+    crash_vector: dict[str, int]  # the latest incarnation of each voter that it knows of
     range_digests: dict[int, list[int]]  # of the groups that differ
 
 
 class Accept(msgspec.Struct, array_like=True, frozen=True, tag="put"):
-    """Keep these for me."""
+    """From a leader: to hold these records. Members that do not vote may be asked as well."""
 
     term: int
     request_id: int
@@ -108,7 +119,7 @@
 
 
 class CatchUp(msgspec.Struct, array_like=True, frozen=True, tag="level"):
-    """Say so once you hold everything that I hold."""
+    """From a leader to a voter: to reply once it holds everything that the leader holds."""
 
     term: int
     request_id: int
@@ -117,16 +128,16 @@
 
 
 class Accepted(msgspec.Struct, array_like=True, frozen=True, tag="kept"):
-    """The answer to `Put` and `Level`. Of a member that does not vote, `life` is 0."""
+    """The reply to `Accept` and `CatchUp`."""
 
     term: int
     request_id: int
-    incarnation: int
+    incarnation: int  # of a member that does not vote: 0
     crash_vector: dict[str, int]
 
 
 class TermSuperseded(msgspec.Struct, array_like=True, frozen=True, tag="higher"):
-    """Your term is over: a higher one was promised."""
+    """The leader's term is over: the voter has promised a higher one."""
 
     term: int
     request_id: int
@@ -134,7 +145,7 @@
 
 
 class DeletionQuery(msgspec.Struct, array_like=True, frozen=True, tag="have"):
-    """Do you know that all these were taken back?"""
+    """From a leader: whether the member knows that all these versions were deleted."""
 
     term: int
     request_id: int
@@ -143,28 +154,35 @@
 
 
 class DeletionReply(msgspec.Struct, array_like=True, frozen=True, tag="has"):
+    """Whether the member's copy is complete, of the same epoch, and knows all of them."""
+
     term: int
     request_id: int
     knows_all: bool
 
 
+# ---------------------------------------------------------------------- recovery of a voter
+
+
 class IncarnationRequest(msgspec.Struct, array_like=True, frozen=True, tag="knows"):
-    """A voter that has started: which life am I in?"""
+    """From a voter that lost its memory: which incarnation of it is the latest known."""
 
     request_id: int
 
 
 class IncarnationReply(msgspec.Struct, array_like=True, frozen=True, tag="known"):
+    """What another voter knows."""
+
     request_id: int
-    recovered: bool
+    recovered: bool  # this voter remembers everything that it promised
     crash_vector: dict[str, int]
     promised_term: int
-    verifying_folder: bool = False  # its folder is being compared: it will know in a moment
+    verifying_folder: bool = False  # it may remember: its folder is being compared with the others'
 
 
 class RecoveryRequest(msgspec.Struct, array_like=True, frozen=True, tag="recover"):
-    """A voter that has started, in this life of its: from now on nothing it said in former ones counts. Say
-    what you have promised, and how your copy is.
+    """From a voter in its new incarnation: nothing that it said in former ones counts from now on. Asks what
+    the receiver has promised, and how its copy compares.
     """
 
     request_id: int
@@ -174,11 +192,13 @@
 
 
 class RecoveryReply(msgspec.Struct, array_like=True, frozen=True, tag="recovering"):
+    """Another voter has noted the incarnation."""
+
     request_id: int
     epoch: int
     crash_vector: dict[str, int]
     promised_term: int
-    range_digests: dict[int, list[int]]
+    range_digests: dict[int, list[int]]  # of the groups that differ
 
 
 ReplicationBody = (
@@ -212,6 +232,9 @@
     body: ReplicationBody
 
 
+# ---------------------------------------------------------------------- requests to the leader
+
+
 class MarkOperation(StrEnum):
     """What is asked of the leader of the marks. A leader rejects an operation that it does not know."""
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -108,11 +108,11 @@
 def test_out_on_one_side_and_back_on_the_other_stays_out_until_a_word_that_saw_both() -> None:
     both = apply_write(None, KEY, False, "n1", (0, 1), mark("first", True))
     out = apply_write(both, KEY, False, "n1", (0, 2), mark("out", True))
-    back = apply_write(both, KEY, False, "n2", (0, 1), mark("back", False), gone=True)
+    back = apply_write(both, KEY, False, "n2", (0, 1), mark("back", False), deleted=True)
     met = merge_records(out, back)
     assert (resolve_mark(met).active, resolve_mark(met).has_conflict) == (True, True)
     settled = merge_records(
-        met, apply_write(met, KEY, False, STRONG, (7, 1), mark("settled", False), gone=True)
+        met, apply_write(met, KEY, False, STRONG, (7, 1), mark("settled", False), deleted=True)
     )
     assert (resolve_mark(settled).active, resolve_mark(settled).has_conflict, len(settled.versions)) == (
         False,
