--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -145,7 +145,7 @@
 
 def _records(records: int) -> dict[str, float]:
     tracemalloc.start()
-    store = RecordStore(ReplicationSettings(enabled=True, records=1_000_000), b"fleet")
+    store = RecordStore(ReplicationSettings(enabled=True, max_records=1_000_000), b"fleet")
     before = tracemalloc.get_traced_memory()[0]
     for n in range(records):
         store.put(0, apply_write(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
--- a/benchmarks/capacity/rows_replica.py
+++ b/benchmarks/capacity/rows_replica.py
@@ -22,7 +22,7 @@
 from sailrun.replication.settings import ReplicationSettings
 
 COPIES = "replica/: one owner writes, a majority of voters keeps, rumors and comparisons spread"
-RECORDS = ReplicationSettings().records
+RECORDS = ReplicationSettings().max_records
 
 
 def longer(nodes: float) -> float:
--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -85,7 +85,7 @@
         node = self.nodes[name] = Replica(
             name,
             self.lives[name],
-            ReplicationSettings(enabled=True, sync_s=600.0, scrub_s=600.0),
+            ReplicationSettings(enabled=True, compare_interval_s=600.0, scrub_interval_s=600.0),
             "lab",
             members,
             lambda: Voters(owners, self.off),
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -83,7 +83,12 @@
         PermitSettings(enabled=plan.permits, drains=DRAINS, out=OUT, lease_s=PERMIT_LEASE_S),
         ListReaderSettings(enabled=not plan.copies),
         replica=ReplicationSettings(
-            enabled=plan.copies, sync_s=0.5, stale_s=5.0, keep_s=KEEP_S, absent_s=ABSENT_S, scrub_s=4.0
+            enabled=plan.copies,
+            compare_interval_s=0.5,
+            stale_after_s=5.0,
+            deletion_retention_s=KEEP_S,
+            absent_member_wait_s=ABSENT_S,
+            scrub_interval_s=4.0,
         ),
     )
 
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -186,7 +186,7 @@
         "owners": {**msgspec.structs.asdict(terms.owners), "record": True},
         "permits": msgspec.structs.asdict(terms.permits),
         "reader": msgspec.structs.asdict(terms.reader),
-        "replica": msgspec.structs.asdict(terms.replica),
+        "replica": msgspec.to_builtins(terms.replica),
         "shards": msgspec.to_builtins(terms.shards),
         "rebalance": {"enabled": terms.pace},
     }
--- a/sailrun/operator_settings.py
+++ b/sailrun/operator_settings.py
@@ -86,11 +86,12 @@
         yield from _member_faults(members)
     if told.shards.enabled:
         yield from shard_faults(told.shards, members.region, owners)
-    if told.replica.enabled and told.replica.absent_s < told.replica.keep_s:
+    replica = told.replica
+    if replica.enabled and replica.absent_member_wait_s < replica.deletion_retention_s:
         # Else a node could be given up before what it has to know was kept for as long as stated.
         yield (
             "replica.absent_s",
-            f"is {told.replica.absent_s:g}, under keep_s, which is {told.replica.keep_s:g}",
+            f"is {replica.absent_member_wait_s:g}, under keep_s, which is {replica.deletion_retention_s:g}",
         )
     if owners.enabled:
         yield from _owner_faults(owners)
--- a/sailrun/replication/__init__.py
+++ b/sailrun/replication/__init__.py
@@ -1,1 +1,1 @@
-"""State that all nodes of a fleet keep copies of: marks of staff, lists, beliefs about form servers."""
+"""State that all nodes of a fleet hold copies of: operator marks, server lists, outlier reports."""
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -79,16 +79,7 @@
         self.sender = TransferSender(settings)
         self._gossip = GossipQueue(store)
         self.epochs = EpochTracker(store, self.copy, self._journal, self._gossip.discard, self.log_event)
-        self._repair = RecordRepair(
-            name,
-            store,
-            voters,
-            is_majority,
-            self.make_request_id,
-            lambda now_us, reason: self._discard_copy(now_us, self.copy.epoch, reason),
-            self.log_event,
-            self._checks_hashes,
-        )
+        self._repair = self._make_repair(voters, is_majority)
         self._copy_transfer = CopyTransfer(
             name, store, self.copy, members, voters, self.receiver, self._rng, self._complete_copy
         )
@@ -97,6 +88,20 @@
         self._gossip_at_us = self._compare_at_us = self._scrub_at_us = now_us
         self._is_full_logged = False
 
+    def _make_repair(
+        self, voters: Callable[[], list[str]], is_majority: Callable[[set[str]], bool]
+    ) -> RecordRepair:
+        return RecordRepair(
+            self._name,
+            self.store,
+            voters,
+            is_majority,
+            self.make_request_id,
+            lambda now_us, reason: self._discard_copy(now_us, self.copy.epoch, reason),
+            self.log_event,
+            self._checks_hashes,
+        )
+
     @property
     def awaiting_repair(self) -> Collection[Key]:
         """Records whose bytes were corrupted here and that were not received again yet."""
@@ -320,7 +325,7 @@
             messages += self._repair.poll_voters(now_us)
         if now_us >= self._compare_at_us:
             jitter = 1 - COMPARE_JITTER + 2 * COMPARE_JITTER * self._rng.random()
-            self._compare_at_us = now_us + int(self.settings.sync_s * SECOND_US * jitter)
+            self._compare_at_us = now_us + int(self.settings.compare_interval_s * SECOND_US * jitter)
             if self.copy.is_complete:
                 for name in self._sample_members(1):
                     messages += self.request_digests(name)
@@ -364,7 +369,7 @@
     def _scrub(self, now_us: int) -> None:
         self.store.expire_records(now_us)
         if self._checks_hashes:
-            self.store.scrub(min(1.0, SCRUB_INTERVAL_US / SECOND_US / self.settings.scrub_s))
+            self.store.scrub(min(1.0, SCRUB_INTERVAL_US / SECOND_US / self.settings.scrub_interval_s))
         for key in self._repair.give_up_lost(now_us):
             self.on_lost(key)
 
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -360,14 +360,14 @@
         """Has the fleet forget old deletions once all members know of them, but for those long gone."""
         settings = self._anti_entropy.settings
         if self._survey is None:
-            old = find_old_deletions(self._store, now_us, int(settings.keep_s * SECOND_US))
+            old = find_old_deletions(self._store, now_us, int(settings.deletion_retention_s * SECOND_US))
             if not old or self._writes.count_open():
                 return []
             if not self._forgets:
                 return []  # each node forgets for itself
             self._survey = DeletionSurvey(self._name, self._anti_entropy.make_request_id(), old)
         survey = self._survey
-        awaited = list_awaited_members(self._members, now_us, int(settings.absent_s * SECOND_US))
+        awaited = list_awaited_members(self._members, now_us, int(settings.absent_member_wait_s * SECOND_US))
         survey.add_members(awaited)
         if not self._anti_entropy.epochs.knows_deletions(survey.deleted_versions):
             self._survey = None
--- a/sailrun/replication/copy_lag.py
+++ b/sailrun/replication/copy_lag.py
@@ -55,7 +55,7 @@
     def is_stale(self, now_us: int) -> bool:
         """Whether the lag is not known, or more than the settings allow."""
         lag_s = self.get_lag_s(now_us)
-        return lag_s is None or lag_s > self._anti_entropy.settings.stale_s
+        return lag_s is None or lag_s > self._anti_entropy.settings.stale_after_s
 
     def due_us(self) -> int:
         """When `turn` has something to do."""
--- a/sailrun/replication/operator_marks.py
+++ b/sailrun/replication/operator_marks.py
@@ -1,4 +1,6 @@
-"""Marks: what staff said of a form server or node, and what it comes to where copies hold several words."""
+"""Operator marks: what an operator set of a form server or node, and what it comes to where a copy holds
+several versions that did not know of each other.
+"""
 
 from __future__ import annotations
 
@@ -12,31 +14,28 @@
 from sailrun.replication.store import RecordStore
 
 OUT, DRAIN = "out", "drain"
-# Kinds that a mark may be of: what they keep out of service is on the safe side wherever copies differ.
+# The kinds of marks: where versions differ, the side that keeps something out of service wins.
 MARK_KINDS = (OUT, DRAIN)
-# Ids of the latest writes of a record, so that none is done twice.
-MAX_REQUEST_IDS = 16
+MAX_REQUEST_IDS = 16  # of the latest writes of a record, so that none is done twice
 MAX_KIND_CHARACTERS = 40  # of a kind that is not known, in a reply
 MAX_REASON_CHARACTERS = 200
 
 
 class OperatorMark(msgspec.Struct, array_like=True, frozen=True):
-    """`on`: the subject is out. `waits`: it will be once there is room. `at_s` is the writer's wall clock,
-    for staff to read; it decides nothing.
-    """
+    """The content of one version of a mark."""
 
-    id: str
-    active: bool
-    waiting: bool
+    id: str  # of the request that wrote it
+    active: bool  # the subject is out of service
+    waiting: bool  # it will be once there is capacity
     author: str
     reason: str
-    written_at_s: float
-    node: str
-    request_ids: list[str] = []
+    written_at_s: float  # the writer's wall clock, for operators to read; it decides nothing
+    node: str  # which wrote it
+    request_ids: list[str] = []  # of the latest writes of the mark, the newest last
 
 
-class _Begins(msgspec.Struct, array_like=True, frozen=True):
-    """As much of a mark as says whether it keeps anything out."""
+class _MarkHead(msgspec.Struct, array_like=True, frozen=True):
+    """As much of a mark as says whether it keeps anything out of service."""
 
     id: str
     active: bool
@@ -45,10 +44,11 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(OperatorMark)
-_begins = msgspec.msgpack.Decoder(_Begins)
+_head_decoder = msgspec.msgpack.Decoder(_MarkHead)
 
 
 def encode_mark(mark: OperatorMark) -> bytes:
+    """The content of a mark's version."""
     return _encoder.encode(mark)
 
 
@@ -83,15 +83,16 @@
 
     @property
     def has_conflict(self) -> bool:
+        """Whether some versions have the mark in force, or waiting, and others do not."""
         return len({mark.active and not deleted for mark, deleted in self.versions}) > 1
 
 
 def is_mark_active(record: Record) -> bool:
-    """Whether its subject is out: out on one side and in on the other stays out."""
+    """Whether the subject is out of service: it is if any version says so."""
     for version in record.versions:
         if not version.deleted:
             try:
-                mark = _begins.decode(version.content)
+                mark = _head_decoder.decode(version.content)
             except msgspec.MsgspecError:
                 continue  # of a version of the program whose marks this one cannot read
             if mark.active and not mark.waiting:
@@ -119,6 +120,7 @@
 
 
 def iterate_marks(store: RecordStore) -> Iterator[MarkStatus]:
+    """All marks of a copy, by kind and subject."""
     for kind in MARK_KINDS:
         for record in store.iterate_records(kind):
             yield resolve_mark(record)
--- a/sailrun/replication/outlier_exchange.py
+++ b/sailrun/replication/outlier_exchange.py
@@ -19,7 +19,7 @@
 
     def __init__(self, node: Node, replica: Replica, fleet: FleetServices) -> None:
         self._node, self._replica, self._fleet = node, replica, fleet
-        self._reporter = OutlierReporter(replica.settings.belief_s)
+        self._reporter = OutlierReporter(replica.settings.outlier_report_ttl_s)
 
     def turn(self, now_us: int) -> None:
         """Exchanges the latest reports."""
@@ -37,6 +37,8 @@
     def _receive_reports(self, now_us: int) -> None:
         store, settings = self._replica.store, self._replica.settings
         reports = ((r, store.age_us(now_us, r.key)) for r in store.iterate_records(OUTLIER_REPORT))
-        outliers = combine_outlier_reports(reports, self._fleet.living(), self._replica.name, settings.voices)
+        outliers = combine_outlier_reports(
+            reports, self._fleet.living(), self._replica.name, settings.min_reporters
+        )
         if outliers.ejected_us or outliers.setup_us:
             self._node.receive_peer_outliers(outliers.ejected_us, outliers.setup_us)
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -111,18 +111,7 @@
         self._rng = random.Random(seed)
         self.store = RecordStore(settings, fleet.encode(), disabled_rules)
         self.store.on_change = self._on_change
-        self.anti_entropy = AntiEntropy(
-            name,
-            self.store,
-            settings,
-            members,
-            lambda: voters().all(),
-            lambda names: voters().majority(names),
-            self._rng.getrandbits(32),
-            now_us,
-            disabled_rules,
-            self._journal,
-        )
+        self.anti_entropy = self._make_anti_entropy(now_us)
         # Requests to the leader of the marks; emptied by whoever drives this.
         self.leader_requests: list[LeaderRequest] = []
         self._client = MarkClient(self.leader_requests.append, record_event)
@@ -139,6 +128,20 @@
         self._changed_lists: set[Key] = set()  # not journalled yet
         self._journal_lists_at_us = now_us
 
+    def _make_anti_entropy(self, now_us: int) -> AntiEntropy:
+        return AntiEntropy(
+            self.name,
+            self.store,
+            self.settings,
+            self._members,
+            lambda: self._voters().all(),
+            lambda names: self._voters().majority(names),
+            self._rng.getrandbits(32),
+            now_us,
+            self._disabled_rules,
+            self._journal,
+        )
+
     # ------------------------------------------------------------------ who votes, who leads
 
     def apply_voters(self, now_us: int) -> None:
--- a/sailrun/replication/server_lists.py
+++ b/sailrun/replication/server_lists.py
@@ -1,10 +1,10 @@
-"""The last good list of form servers among the fleet's copies, by the registry that told it."""
+"""The last good list of form servers in the replicated state, by the registry that sent it."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from sailrun.decisions.events import ListKind
 from sailrun.discovery import BadServerList, read_server_list
@@ -13,24 +13,29 @@
 from sailrun.replication.replica import SERVER_LIST, Replica
 
 
+class StoredServerList(NamedTuple):
+    """A list as a cached update, and how long it has been here (us) at a time (us)."""
+
+    update: ServerListUpdate
+    age_us: Callable[[int], int]
+
+
 def store_server_list(
-    replica: Replica, now_us: int, subject: str, revision: int, members: list[dict[str, Any]]
+    replica: Replica, now_us: int, source: str, revision: int, members: list[dict[str, Any]]
 ) -> None:
-    """Puts a list among the copies; one that is too long for a record stays out."""
+    """Stores the members of a list as the registry sent them; a list without a revision, or one that is too
+    long for a record, is left out.
+    """
     if revision < 0:
         return
-    content = json.dumps(sorted(members, key=lambda m: str(m["id"])), sort_keys=True).encode()
+    content = json.dumps(sorted(members, key=lambda member: str(member["id"])), sort_keys=True).encode()
     if len(content) <= MAX_CONTENT_BYTES:
-        replica.store_server_list(now_us, subject, revision, content)
+        replica.store_server_list(now_us, source, revision, content)
 
 
-def read_stored_server_list(
-    replica: Replica, subject: str
-) -> tuple[ServerListUpdate, Callable[[int], int]] | None:
-    """The list that the copies have of a registry, as one perhaps old, and how long it has been here (us) at
-    a time; None: there is none.
-    """
-    key = (SERVER_LIST, subject, "")
+def read_stored_server_list(replica: Replica, source: str) -> StoredServerList | None:
+    """The list of a registry; None: there is none, or none that this version of the program can read."""
+    key = (SERVER_LIST, source, "")
     record = replica.store.get(key)
     if record is None:
         return None
@@ -42,5 +47,5 @@
         )
     except (ValueError, BadServerList):
         return None
-    kept = ServerListUpdate(ListKind.CACHED, update.revision, update.form_servers)
-    return kept, lambda now_us: replica.store.age_us(now_us, key)
+    cached = ServerListUpdate(ListKind.CACHED, update.revision, update.form_servers)
+    return StoredServerList(cached, lambda now_us: replica.store.age_us(now_us, key))
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -79,16 +79,20 @@
         """
         request = MarkRequest(
             MarkOperation.WRITE,
-            self._replica.make_request_id(),
-            self._fleet.highest_term(MARKS_TASK),
-            kind,
-            subject,
-            active,
-            author,
-            reason,
-            time.time(),
-            wait == WAIT_FOR_ALL,
+            id=self._replica.make_request_id(),
+            term=self._fleet.highest_term(MARKS_TASK),
+            kind=kind,
+            subject=subject,
+            active=active,
+            author=author,
+            reason=reason,
+            written_at_s=time.time(),
+            all_members=wait == WAIT_FOR_ALL,
         )
+        self._start_write(request, wait == WAIT_FOR_NONE, on_outcome)
+        return request.id
+
+    def _start_write(self, request: MarkRequest, is_local: bool, on_outcome: OnOutcome) -> None:
         while len(self.outcomes) >= MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
         self.outcomes[request.id] = None
@@ -98,7 +102,7 @@
             on_outcome(outcome)
 
         def write(now_us: int) -> None:
-            if wait == WAIT_FOR_NONE:
+            if is_local:
                 outcome = self._replica.write_mark_locally(now_us, request)
                 # Of a node that has a folder, the mark is there when the outcome is known.
                 self._fleet.when_kept(
@@ -108,7 +112,6 @@
                 self._replica.write_mark(now_us, request, finish)
 
         self._fleet.call_soon(write)
-        return request.id
 
     def _log_outcome(self, request: MarkRequest, outcome: MarkOutcome) -> None:
         self.outcomes[request.id] = outcome
--- a/sailrun/replication/state_transfer.py
+++ b/sailrun/replication/state_transfer.py
@@ -111,7 +111,7 @@
         transfer.pages += 1
         transfer.attempts, transfer.request_at_us = 0, now_us
         size_bytes = sum(estimate_size_bytes(record) for record in page.records)
-        rate = self.settings.take_kb_s * BYTES_PER_KB
+        rate = self.settings.receive_kb_per_s * BYTES_PER_KB
         self._next_page_us = max(now_us, self._next_page_us) + int(size_bytes / rate * SECOND_US)
         if page.after is None or not page.records:
             self.end_transfer(now_us, transfer, True)
@@ -152,7 +152,7 @@
                 del self._receivers[name]
         if not request.urgent:
             ahead_us = self._sent_until_us - now_us
-            has_place = receiver in self._receivers or len(self._receivers) < self.settings.takers
+            has_place = receiver in self._receivers or len(self._receivers) < self.settings.max_receivers
             if not has_place or not is_complete or ahead_us > BURST_US:
                 self.rejected_requests += 1
                 retry_after_us = max(MIN_RETRY_US, ahead_us) + (0 if has_place else NO_PLACE_RETRY_US)
@@ -162,6 +162,6 @@
         ranges = sorted(set(request.ranges))
         records, after = store.read_page(now_us, ranges, request.after, self.settings.page_kb * BYTES_PER_KB)
         size_bytes = sum(estimate_size_bytes(record) for record in records)
-        rate = self.settings.give_kb_s * BYTES_PER_KB
+        rate = self.settings.send_kb_per_s * BYTES_PER_KB
         self._sent_until_us = max(now_us, self._sent_until_us) + int(size_bytes / rate * SECOND_US)
         return RecordPage(request.request_id, request.epoch, records, after)
--- a/sailrun/replication/store.py
+++ b/sailrun/replication/store.py
@@ -155,7 +155,7 @@
         return self._add(now_us, record) if old is None else self._merge(now_us, old.record, record)
 
     def _add(self, now_us: int, record: Record) -> PutResult:
-        if record.soft and record.age_ms * US_PER_MS > self.settings.belief_s * SECOND_US:
+        if record.soft and record.age_ms * US_PER_MS > self.settings.outlier_report_ttl_s * SECOND_US:
             return PutResult.EXPIRED
         if self._is_full_for(record):
             self.rejected_full += 1
@@ -208,8 +208,8 @@
         return self._exceeds_bounds(factor, estimate_size_bytes(record))
 
     def _exceeds_bounds(self, factor: int, more_bytes: int) -> bool:
-        max_bytes = factor * self.settings.megabytes * BYTES_PER_MEGABYTE
-        is_full = len(self._entries) >= factor * self.settings.records
+        max_bytes = factor * self.settings.max_megabytes * BYTES_PER_MEGABYTE
+        is_full = len(self._entries) >= factor * self.settings.max_records
         return is_full or self.size_bytes + more_bytes > max_bytes
 
     def _set(self, now_us: int, record: Record) -> None:
@@ -249,13 +249,13 @@
         """Drops soft records that nobody has reported again."""
         if not self._keeps_deletions:
             self._drop_old_deletions(now_us)
-        ttl_us = self.settings.belief_s * SECOND_US
+        ttl_us = self.settings.outlier_report_ttl_s * SECOND_US
         for key in [key for key in self._soft if now_us - self._entries[key].written_us > ttl_us]:
             self.remove(key)
 
     def _drop_old_deletions(self, now_us: int) -> None:
         """What a node without epochs would do: each forgets deletions for itself."""
-        retention_us = self.settings.keep_s * SECOND_US
+        retention_us = self.settings.deletion_retention_s * SECOND_US
         old = [
             key
             for key, entry in self._entries.items()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -148,7 +148,7 @@
 
 
 def test_a_full_copy_refuses_what_is_soft_and_still_takes_marks() -> None:
-    store = a_store(records=100)
+    store = a_store(max_records=100)
     for n in range(120):
         took = store.put(0, apply_write(None, ("belief", f"n{n}", ""), True, f"n{n}", (1, 1), b"x"))
     assert took is PutResult.FULL and len(store) == 100 and store.rejected_full == 20
@@ -183,7 +183,7 @@
 
 
 def test_what_somebody_said_ages_on_its_way_and_ends() -> None:
-    one, other, third = (a_store(belief_s=10.0) for _ in range(3))
+    one, other, third = (a_store(outlier_report_ttl_s=10.0) for _ in range(3))
     key = ("belief", "n1", "")
     one.put(0, apply_write(None, key, True, "n1", (1, 1), b"x"))
     held = one.get(key)
@@ -358,7 +358,9 @@
     store = a_store()
     for n in range(400):
         store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x" * 200))
-    giver = TransferSender(ReplicationSettings(enabled=True, takers=3, give_kb_s=100.0, page_kb=16))
+    giver = TransferSender(
+        ReplicationSettings(enabled=True, max_receivers=3, send_kb_per_s=100.0, page_kb=16)
+    )
     ranges = list(range(FIRM_RANGE_COUNT))
     answers = [
         giver.answer_request(0, f"t{n}", PageRequest(1, 0, ranges, None), store, True) for n in range(100)
