--- a/benchmarks/fuzz_folder.py
+++ b/benchmarks/fuzz_folder.py
@@ -11,13 +11,13 @@
 import random
 import sys
 
-import atheris  # type: ignore[import-not-found]
+import atheris
 
 with atheris.instrument_imports():
     from sailrun.lab.faults.disk import SimFiles
     from sailrun.lab.faults.killing import last_of, write
-    from sailrun.storage.folder import Sound, read_folder
-    from sailrun.storage.frames import NewerSchema
+    from sailrun.storage.errors import NewerSchemaError
+    from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 
 MOST = 60
 
@@ -38,15 +38,15 @@
         FILES._names[name].data = bytearray(content)
     for _ in range(told.ConsumeIntInRange(1, 3)):
         name = told.PickValueInList(list(KEPT))
-        content = FILES._names[name].data
-        at = told.ConsumeIntInRange(0, len(content))
-        content[at : at + told.ConsumeIntInRange(0, 40)] = told.ConsumeBytes(told.ConsumeIntInRange(0, 80))
+        file = FILES._names[name].data
+        at = told.ConsumeIntInRange(0, len(file))
+        file[at : at + told.ConsumeIntInRange(0, 40)] = told.ConsumeBytes(told.ConsumeIntInRange(0, 80))
     try:
         found = read_folder(FILES)
-    except NewerSchema:
+    except NewerSchemaError:
         return
-    if found.sound is Sound.SOUND and not 0 <= last_of(found.memory) <= MOST + 10:
-        raise AssertionError(f"believed what never was: {last_of(found.memory)}")
+    if found.integrity is FolderIntegrity.INTACT and not 0 <= last_of(found.state) <= MOST + 10:
+        raise AssertionError(f"believed what never was: {last_of(found.state)}")
 
 
 if __name__ == "__main__":
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -21,15 +21,15 @@
 from sailrun.leadership.lasting import Lasting
 from sailrun.leadership.permits import Use
 from sailrun.leadership.reader import Reading
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.replication.inspection import describe_state
 from sailrun.replication.messages import MarkRequest
 from sailrun.replication.replica import MARKS_TASK, Replica
-from sailrun.storage.folder import Sound, read_folder
+from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 from sailrun.storage.opening import open_folder
 from sailrun.storage.settings import StorageSettings
-from sailrun.storage.write_ahead_log import Done, Work, WriteAheadLog
-from sailrun.storage.writer import Writer
+from sailrun.storage.write_ahead_log import WriteAheadLog, WriteBatch, WriteResult
+from sailrun.storage.writer import BatchWriter
 
 SECOND = 1_000_000
 # What a node that is stopped finds in its sockets when it wakes; the rest was dropped.
@@ -61,7 +61,7 @@
     waking: int = 0  # the number of its next turn; turns of an older one are void
     wakes_us: int = 0  # when that is, in shared time
     files: SimFiles = field(default_factory=SimFiles)
-    writer: Writer | None = None
+    writer: BatchWriter | None = None
     write_ahead_log: WriteAheadLog | None = None
     stalled_us: int = 0  # its disk does nothing until then
     # A folder of before, and whether it comes back with its inodes.
@@ -184,9 +184,9 @@
         self.row("started", name, life=me.life, clock_s=clock_s)
         self._wake(node, 0)
 
-    def _record_of(self, node: VirtualNode, life: int) -> Record:
+    def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         """What a node says of itself as it starts."""
-        return Record(node.name, life, 1, State.ALIVE, node.address, node.zone)
+        return MemberRecord(node.name, life, 1, MemberState.ALIVE, node.address, node.zone)
 
     def _give_work(self, node: VirtualNode) -> None:
         agent = node.agent
@@ -260,11 +260,18 @@
 
         slow_us, now_us = int(agent.terms.owners.lease_s * SECOND) // 2, self.clock_us(node)
         opened = open_folder(node.files, terms, slow_us, node.name, "lab", another, now_us, self._off)
-        node.write_ahead_log, node.writer, found = opened.write_ahead_log, opened.writer, opened.found
-        sound = found.sound is Sound.SOUND
-        self.row("folder", node.name, what="found", sound=found.sound.value, why=found.why, torn=found.torn)
+        node.write_ahead_log, node.writer, found = opened.write_ahead_log, opened.writer, opened.contents
+        sound = found.integrity is FolderIntegrity.INTACT
+        self.row(
+            "folder",
+            node.name,
+            what="found",
+            sound=found.integrity.value,
+            why=found.reason,
+            torn=found.torn_bytes,
+        )
         lasting = Lasting(
-            opened.write_ahead_log, opened.identity, found.memory, sound, found.position, wall_s, another
+            opened.write_ahead_log, opened.identity, found.state, sound, found.position, wall_s, another
         )
         agent.take_up(self.clock_us(node), lasting)
 
@@ -274,26 +281,26 @@
         if wal is None or node.stopped:
             return
         work = wal.turn(self.clock_us(node))
-        if wal.notes:
-            for what, facts in wal.notes:
+        if wal.log_events:
+            for what, facts in wal.log_events:
                 self.row("folder", node.name, what=what, facts=str(facts))
-            wal.notes.clear()
+            wal.log_events.clear()
         if work is not None:
             wait_us = max(int(self._luck.uniform(*SYNC_US)), node.stalled_us - self.time.now_us)
             self.time.after(wait_us // 2, self._written, node, node.writer, work, wait_us - wait_us // 2)
 
-    def _written(self, node: VirtualNode, writer: Writer | None, work: Work, told_us: int) -> None:
+    def _written(self, node: VirtualNode, writer: BatchWriter | None, work: WriteBatch, told_us: int) -> None:
         """The disk has done it, or the process that asked for it is gone; a moment later, if it is not
         stopped, the process knows.
         """
         if writer is None or node.writer is not writer:
             return
-        done = writer.do(work)
-        while writer.idle():
+        done = writer.write(work)
+        while writer.continue_snapshot():
             pass
         self.time.after(told_us, self._wrote, node, writer, done)
 
-    def _wrote(self, node: VirtualNode, writer: Writer, done: Done) -> None:
+    def _wrote(self, node: VirtualNode, writer: BatchWriter, done: WriteResult) -> None:
         if node.writer is not writer or node.agent is None:
             return
         if node.stopped:
@@ -376,7 +383,7 @@
         if reading.reads(now_us):
             reading.read(self.revision, [])
         has = reading.due(now_us)
-        if has is None or not agent.members.joined:
+        if has is None or not agent.members.has_joined:
             return []
 
         def done(now_us: int, sent_us: int, content: Any) -> None:
@@ -430,7 +437,7 @@
     def _look_at_copies(self) -> None:
         for node in self.nodes.values():
             replica = node.agent.replica if node.agent is not None and not node.stopped else None
-            if replica is not None and node.agent is not None and node.agent.members.joined:
+            if replica is not None and node.agent is not None and node.agent.members.has_joined:
                 state = describe_state(replica, self.clock_us(node))
                 behind_s = state["behind"]["s"]
                 self.row(
@@ -549,7 +556,7 @@
 
     def tasks(self) -> list[str]:
         agents = [node.agent for node in self.nodes.values() if node.agent is not None]
-        return sorted({task for agent in agents if agent.members.joined for task in agent.tasks()})
+        return sorted({task for agent in agents if agent.members.has_joined for task in agent.tasks()})
 
     def want(self, name: str, kind: str, subject: str, for_us: int) -> None:
         agent = self.nodes[name].agent
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -48,7 +48,7 @@
 from sailrun.leadership.agent import Out
 from sailrun.leadership.envelope import LONGEST_DATAGRAM, Envelope, pack
 from sailrun.leadership.traffic import Traffic
-from sailrun.membership.messages import Record
+from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
 RECORDED = (*KEPT, "started", "died", "fault", "look")
@@ -84,7 +84,7 @@
             self.start(name)
         if self.plan.faults == "begin":
             return
-        records = [self.agent(name).members.me for name in self.names]
+        records = [self.agent(name).members.own_record for name in self.names]
         gc.disable()  # nothing of this is garbage
         for name in self.names:
             others = [record for record in records if record.name != name]
@@ -97,7 +97,7 @@
         assert isinstance(agent, MeteredAgent)
         return agent
 
-    def _record_of(self, node: VirtualNode, life: int) -> Record:
+    def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         return record_of(self.place_of[node.name], life)
 
     def start(self, name: str, clock_s: float = 0.0) -> None:
@@ -198,9 +198,9 @@
 
     def _knows(self, name: str, names: list[str], lives: dict[str, int]) -> bool:
         members = self.agent(name).members
-        if not members.joined or members.names != names:
+        if not members.has_joined or members.living_names != names:
             return False
-        known = {other: members.record(other) for other in lives}
+        known = {other: members.find_record(other) for other in lives}
         return all(record is not None and record.life == lives[other] for other, record in known.items())
 
     def until_known(self) -> Known:
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -10,17 +10,17 @@
 import msgspec
 
 from sailrun.leadership.messages import Claim, OwnerBody
-from sailrun.membership.messages import MemberBody, Record
+from sailrun.membership.messages import MemberBody, MemberRecord
 from sailrun.replication.messages import ReplicationBody
 from sailrun.sharding.messages import ShardBody
-from sailrun.storage.messages import LastingBody
+from sailrun.storage.messages import StorageMessage
 
 LONGEST_DATAGRAM = 1200
 LONGEST_FRAME = 4 * 1024 * 1024
 # What rides along, so that a datagram stays below its limit whatever the names are.
 MOST_NEWS, MOST_CLAIMS = 4, 3
 
-Body = MemberBody | OwnerBody | ReplicationBody | LastingBody | ShardBody
+Body = MemberBody | OwnerBody | ReplicationBody | StorageMessage | ShardBody
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
@@ -31,7 +31,7 @@
     life: int
     incarnation: int
     body: Body
-    news: list[Record] = []
+    news: list[MemberRecord] = []
     claims: list[Claim] = []
 
 
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -28,18 +28,19 @@
 from sailrun.leadership.pace import PaceCoordinator, PaceShare
 from sailrun.leadership.permits import DRAIN, OUT, Use
 from sailrun.leadership.shared import SharedDiscovery
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.node.clock import log
-from sailrun.node.leaving import Reason
+from sailrun.node.shutdown import ShutdownReason
 from sailrun.replication.service import ReplicationService
-from sailrun.storage.folder import Sound, new_identity
+from sailrun.storage.folder_identity import generate_identity
+from sailrun.storage.folder_reader import FolderIntegrity
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
     from sailrun.operator_settings import Operator
     from sailrun.sharding.exercise import ActExerciser
     from sailrun.sharding.part import ShardsPart
-    from sailrun.storage.service import LastingPart
+    from sailrun.storage.service import StorageService
 
 SECOND = 1_000_000
 # While a node drains for a rolling drain, it is looked at this often whether it is empty.
@@ -66,7 +67,7 @@
     """One node's part in its fleet."""
 
     def __init__(
-        self, node: Node, config: NodeConfig, patient: bool, lasting: LastingPart | None = None
+        self, node: Node, config: NodeConfig, patient: bool, lasting: StorageService | None = None
     ) -> None:
         """Raises OSError for an address that is not to be had, unless a predecessor is about to give it
         up.
@@ -75,11 +76,11 @@
         terms = agent_terms(config.operator)
         told = terms.members
         self._node = node
-        me = Record(
+        me = MemberRecord(
             told.name,
             secrets.randbits(62),
             1,
-            State.ALIVE,
+            MemberState.ALIVE,
             told.advertise or told.listen,
             config.settings.zone,
             told.region,
@@ -108,8 +109,8 @@
         self._exerciser = self._new_exerciser() if terms.owners.record else None
         self._lasting = lasting
         if lasting is not None:
-            self.agent.backing.aside = lasting.aside
-            lasting.on_done = lambda done: self.carrier.post(lambda now_us: self.agent.wrote(now_us, done))
+            self.agent.backing.aside = lasting.list_auxiliary_entries
+            lasting.on_result = lambda done: self.carrier.post(lambda now_us: self.agent.wrote(now_us, done))
 
     def _new_exerciser(self) -> ActExerciser | None:
         """For the laboratory's checks, which need acts on behalf of shards."""
@@ -126,29 +127,29 @@
         self._shared = SharedDiscovery(self._node, source, revision, self.agent, self.carrier)
         return self._shared
 
-    def _take_up(self, lasting: LastingPart) -> None:
-        found = lasting.found
+    def _take_up(self, lasting: StorageService) -> None:
+        found = lasting.contents
         self.agent.take_up(
             boot_us(),
             Lasting(
                 lasting.write_ahead_log,
                 lasting.identity,
-                found.memory,
-                found.sound is Sound.SOUND,
+                found.state,
+                found.integrity is FolderIntegrity.INTACT,
                 found.position,
                 time.time(),
-                new_identity,
+                generate_identity,
             ),
         )
-        found.memory.records, found.memory.marks = {}, {}  # the copy has them now
+        found.state.records, found.state.record_digests = {}, {}  # the copy has them now
         if self.copies is not None:
-            self.copies.restore_draining(lasting.drains)
+            self.copies.restore_draining(lasting.starts_draining)
 
     async def run(self) -> None:
         """Until cancelled, or given up. A fault in here leaves the node as it would be without a fleet."""
         try:
             async with anyio.create_task_group() as group:
-                if self._lasting is not None and await self._lasting.wait():
+                if self._lasting is not None and await self._lasting.acquire():
                     # Nothing else knows the agent yet, and a large copy takes its time.
                     await to_thread.run_sync(self._take_up, self._lasting)
                     group.start_soon(self._lasting.run, self._node)
@@ -197,7 +198,7 @@
 
     def living(self) -> set[str]:
         """The names of the members that live, as far as is known."""
-        return set(self.agent.members.names)
+        return set(self.agent.members.living_names)
 
     def highest_term(self, task: str) -> int:
         """The highest term under which anybody is known to have owned the task."""
@@ -233,7 +234,7 @@
 
     def _follow_drain(self, now_us: int, shards: ShardsPart) -> None:
         """A node that is drained hands its shards over too, in its turn, and has some again afterwards."""
-        drains = Reason.DRAIN in self._node.leaving
+        drains = ShutdownReason.DRAIN in self._node.shutdown
         if drains is not self._drains:
             self._drains = drains
             shards.plan_to_leave(now_us, drains)
@@ -352,7 +353,7 @@
         """`reply` is called with "" once it is begun, or with why it is not."""
 
         def call(now_us: int) -> list[Out]:
-            unknown = [n for n in nodes if not self.agent.members.lives(n)]
+            unknown = [n for n in nodes if not self.agent.members.is_living(n)]
             if unknown:
                 reply(f"no member {', '.join(unknown[:5])}")
             elif self.agent.holder is None:
@@ -395,8 +396,8 @@
             "orders_late": tallies.orders_late,
             "bad_messages": tallies.bad_messages,
             "wrong_fleet": tallies.wrong_fleet,
-            "strangers": members.stray,
-            "slowness": members.slowness,
+            "strangers": members.unknown_sender_count,
+            "slowness": members.local_health_multiplier,
             "messages_in": self.carrier.traffic.messages_in,
             "messages_out": self.carrier.traffic.messages_out,
             "bytes_in": self.carrier.traffic.bytes_in,
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -11,7 +11,7 @@
 import random
 from collections.abc import Callable, Collection
 
-from sailrun.membership.swim import Members
+from sailrun.membership.membership import Membership
 from sailrun.replication.copy_state import CopyState
 from sailrun.replication.copy_transfer import MAX_SENDERS, CopyTransfer
 from sailrun.replication.epochs import EpochTracker
@@ -52,7 +52,7 @@
         name: str,
         store: RecordStore,
         settings: ReplicationSettings,
-        members: Members,
+        members: Membership,
         voters: Callable[[], list[str]],
         is_majority: Callable[[set[str]], bool],
         seed: int,
@@ -346,7 +346,7 @@
         messages += self._send_rumor()
         while self._compare_next:
             name = self._compare_next.pop()
-            if self._members.lives(name) and self.receiver.find_background_transfer(name) is None:
+            if self._members.is_living(name) and self.receiver.find_background_transfer(name) is None:
                 messages += self.request_digests(name)
         return messages
 
@@ -362,7 +362,7 @@
         return [OutgoingMessage(name, rumor) for name in names]
 
     def _sample_members(self, count: int) -> list[str]:
-        names = self._members.names
+        names = self._members.living_names
         chosen = self._rng.sample(names, min(count + 1, len(names)))
         return [name for name in chosen if name != self._name][:count]
 
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from sailrun.leadership.quorum import Voters
-from sailrun.membership.swim import Members
+from sailrun.membership.membership import Membership
 from sailrun.replication.anti_entropy import AntiEntropy
 from sailrun.replication.deletion_survey import DeletionSurvey, find_old_deletions, list_awaited_members
 from sailrun.replication.epochs import EPOCH_RECORD_KEY, DeletedVersions, EpochRecord
@@ -72,7 +72,7 @@
         term: int,
         name: str,
         voters: Callable[[], Voters],
-        members: Members,
+        members: Membership,
         anti_entropy: AntiEntropy,
         get_limit: Callable[[str], int | None],
         now_us: int,
@@ -258,7 +258,7 @@
         is_waiting = request.active and not self._has_capacity(request.kind, key)
         made = self._write(now_us, request, key, is_waiting, written_ids)
         if request.all_members:
-            made.observers = {name for name in self._members.names if name != self._name}
+            made.observers = {name for name in self._members.living_names if name != self._name}
         return self._writes.describe(request)
 
     def _is_past_retries(self, now_us: int) -> bool:
--- a/sailrun/replication/copy_lag.py
+++ b/sailrun/replication/copy_lag.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from sailrun.membership.swim import Members
+from sailrun.membership.membership import Membership
 from sailrun.replication.anti_entropy import AntiEntropy
 from sailrun.replication.mark_client import LeaderRequest, decode_reply
 from sailrun.replication.messages import MarkOperation, MarkRequest, MarkState, OutgoingMessage
@@ -24,7 +24,7 @@
         self,
         name: str,
         anti_entropy: AntiEntropy,
-        members: Members,
+        members: Membership,
         send: Callable[[LeaderRequest], None],
         now_us: int,
     ) -> None:
@@ -65,7 +65,7 @@
         """Compares this copy with the leader's; `leader` is empty where nobody is known to lead."""
         if now_us < self._compare_at_us:
             return []
-        nodes = len(self._members.names)
+        nodes = len(self._members.living_names)
         self._compare_at_us = now_us + COMPARE_INTERVAL_US * max(1, nodes // COMPARE_NODES)
         copy = self._anti_entropy.copy
         if not copy.is_complete:
--- a/sailrun/replication/copy_transfer.py
+++ b/sailrun/replication/copy_transfer.py
@@ -9,8 +9,8 @@
 import random
 from collections.abc import Callable
 
-from sailrun.membership.messages import State
-from sailrun.membership.swim import Members
+from sailrun.membership.membership import Membership
+from sailrun.membership.messages import MemberState
 from sailrun.replication.copy_state import CopyState
 from sailrun.replication.epochs import extract_local_writes
 from sailrun.replication.messages import DigestReply
@@ -37,7 +37,7 @@
         name: str,
         store: RecordStore,
         copy: CopyState,
-        members: Members,
+        members: Membership,
         voters: Callable[[], list[str]],
         receiver: TransferReceiver,
         rng: random.Random,
@@ -85,7 +85,7 @@
         self._complete_if_nobody_is(now_us)
         if self._copy.is_complete:
             return []
-        others = [name for name in self._members.names if name != self._name]
+        others = [name for name in self._members.living_names if name != self._name]
         free = [
             name
             for name in others
@@ -116,7 +116,9 @@
         voters = set(self._voters())
         if self._name not in voters or waited_us < VOTERS_WAIT_US:
             return
-        present = {r.name for r, _ in self._members.known() if r.state is not State.LEFT} & voters
+        present = {
+            r.name for r, _ in self._members.records_with_age() if r.state is not MemberState.LEFT
+        } & voters
         incomplete = {
             name
             for name in present
--- a/sailrun/replication/deletion_survey.py
+++ b/sailrun/replication/deletion_survey.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from sailrun.membership.messages import State
-from sailrun.membership.swim import Members
+from sailrun.membership.membership import Membership
+from sailrun.membership.messages import MemberState
 from sailrun.replication.epochs import DeletedVersions
 from sailrun.replication.messages import DeletionQuery, DeletionReply, OutgoingMessage
 from sailrun.replication.operator_marks import MARK_KINDS
@@ -24,13 +24,13 @@
     return found
 
 
-def list_awaited_members(members: Members, now_us: int, absent_us: int) -> list[str]:
+def list_awaited_members(members: Membership, now_us: int, absent_us: int) -> list[str]:
     """Members that have to know of a deletion: those that live, and those gone for less than `absent_us`."""
     return [
         record.name
-        for record, since_us in members.known()
-        if record.state in (State.ALIVE, State.SUSPECT)
-        or (record.state is State.GONE and now_us - since_us < absent_us)
+        for record, since_us in members.records_with_age()
+        if record.state in (MemberState.ALIVE, MemberState.SUSPECT)
+        or (record.state is MemberState.DEAD and now_us - since_us < absent_us)
     ]
 
 
--- a/sailrun/replication/mark_writes.py
+++ b/sailrun/replication/mark_writes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from sailrun.leadership.quorum import Voters
-from sailrun.membership.swim import Members
+from sailrun.membership.membership import Membership
 from sailrun.replication.messages import MarkReply, MarkRequest, MarkState
 from sailrun.replication.records import Key
 from sailrun.replication.rounds import Round
@@ -27,7 +27,7 @@
 class MarkWrites:
     """The latest writes by the id of their request."""
 
-    def __init__(self, term: int, name: str, voters: Callable[[], Voters], members: Members) -> None:
+    def __init__(self, term: int, name: str, voters: Callable[[], Voters], members: Membership) -> None:
         self._term, self._name, self._voters, self._members = term, name, voters, members
         self._writes: dict[str, Write] = {}  # the oldest first
 
@@ -59,6 +59,6 @@
         state = MarkState.PENDING
         if made.has_majority:
             state = MarkState.WAITING if write.is_waiting else MarkState.DONE
-        living = {name for name in made.observers if self._members.lives(name)}
+        living = {name for name in made.observers if self._members.is_living(name)}
         all_members = bool(made.observers) and living <= made.observer_acks | made.votes.keys()
         return MarkReply(request.id, state, self._term, copies, replicas, all_members)
--- a/sailrun/replication/outlier_exchange.py
+++ b/sailrun/replication/outlier_exchange.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from sailrun.node.peer_beliefs import Beliefs
+from sailrun.node.outlier_gossip import OutlierReport
 from sailrun.replication.fleet_services import FleetServices
 from sailrun.replication.outlier_reports import OutlierReporter, combine_outlier_reports
 from sailrun.replication.replica import OUTLIER_REPORT, Replica
@@ -26,9 +26,9 @@
         self._node.report_outliers(lambda observed: self._fleet.call_soon(self._make_publish(observed)))
         self._receive_reports(now_us)
 
-    def _make_publish(self, observed: Beliefs) -> Callable[[int], None]:
+    def _make_publish(self, observed: OutlierReport) -> Callable[[int], None]:
         def publish(now_us: int) -> None:
-            report = self._reporter.make_report(now_us, observed.out, observed.setup_us)
+            report = self._reporter.make_report(now_us, observed.ejected_for_us, observed.mean_setup_us)
             if report is not None and self._replica.anti_entropy.copy.is_complete:
                 self._replica.publish_outlier_report(now_us, report)
 
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from sailrun.leadership.quorum import Voters
-from sailrun.membership.swim import Members
+from sailrun.membership.membership import Membership
 from sailrun.replication.acceptor import Acceptor
 from sailrun.replication.anti_entropy import AntiEntropy
 from sailrun.replication.coordinator import MarkCoordinator
@@ -93,7 +93,7 @@
         incarnation: int,
         settings: ReplicationSettings,
         fleet: str,
-        members: Members,
+        members: Membership,
         voters: Callable[[], Voters],
         get_mark_limit: Callable[[str], int | None],
         seed: int,
@@ -264,7 +264,7 @@
         count, content = (0, self._local_writes), encode_mark(self._make_local_mark(request))
         record = apply_write(before, key, False, self._actor, count, content, not request.active)
         self._put_own(now_us, record)
-        return MarkOutcome(request.id, MarkState.DONE, 1, len(self._members.names))
+        return MarkOutcome(request.id, MarkState.DONE, 1, len(self._members.living_names))
 
     def _make_local_mark(self, request: MarkRequest) -> OperatorMark:
         return OperatorMark(
@@ -315,7 +315,7 @@
     def publish_outlier_report(self, now_us: int, content: bytes) -> None:
         """Replaces this node's report of outliers."""
         self._outlier_reports += 1
-        count = (self._members.me.incarnation, self._outlier_reports)
+        count = (self._members.own_record.incarnation, self._outlier_reports)
         key = (OUTLIER_REPORT, self.name, "")
         self._put_own(now_us, apply_write(None, key, True, self.name, count, content))
 
--- a/sailrun/storage/entries.py
+++ b/sailrun/storage/entries.py
@@ -1,272 +1,184 @@
-"""What is written down, entry by entry, and what all entries together come to. Pure.
+"""The entries of the write-ahead log, and their bytes. Pure.
 
-An entry states how something is from then on, never what is to be added: whoever applies one twice, or a
-later one of the same thing alone, comes to the same. Fields are read by place; a newer version of the program
-may add some at the end, with a default, and an older file is read with those defaults. Another kind of entry,
-or another meaning, is another schema (`frames.SCHEMA`).
+An entry states how something is from then on, never a difference: applying one twice, or only the later of
+two about the same thing, has the same result. On the disk an entry is a MessagePack array that begins with
+its tag. Fields are read by position; a newer version of the program may add some at the end, with a default,
+and an older file is read with those defaults. Another kind of entry, or another meaning, is another schema
+(`frames.SCHEMA`).
+
+The names given by `tag=` and `name=` are those on the disk and in what `sailrun lasting export` prints.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from dataclasses import dataclass, field
-
 import msgspec
 
 from sailrun.replication.records import Key, Record
+from sailrun.storage.errors import InvalidEntryError
 
 
-class Begun(msgspec.Struct, array_like=True, frozen=True, tag="begun"):
-    """A process has taken the folder over. `life` counts them."""
+class ProcessStarted(msgspec.Struct, array_like=True, frozen=True, tag="begun"):
+    """A process has taken the folder over; `incarnation` counts them. `wall_s` is for people to read."""
 
-    life: int
-    wall_s: float  # for staff to read
+    incarnation: int = msgspec.field(name="life")
+    wall_s: float
 
 
-class Ended(msgspec.Struct, array_like=True, frozen=True, tag="ended"):
-    """It has ended in good order, and nothing of it was left to write."""
+class CleanShutdown(msgspec.Struct, array_like=True, frozen=True, tag="ended"):
+    """The process has ended in good order, with nothing left to write."""
 
     wall_s: float
 
 
-class Slot(msgspec.Struct, array_like=True, frozen=True, tag="slot"):
-    """A voter's grant of a task: to whom, under which term, and the highest it ever granted. Renewals change
-    nothing of this.
+class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="slot"):
+    """A voter's grant of a task's lease: to which member in which of its incarnations, under which term, and
+    the highest term it ever granted for the task. Renewals change nothing of this.
     """
 
     task: str
     term: int
     holder: str
-    life: int
-    highest: int
-    released: bool = False
+    incarnation: int = msgspec.field(name="life")
+    highest_term: int = msgspec.field(name="highest")
+    is_released: bool = msgspec.field(default=False, name="released")
 
 
-class Floor(msgspec.Struct, array_like=True, frozen=True, tag="floor"):
-    """A term that is known of a task; of no task: below which none is granted for any."""
+class TermFloor(msgspec.Struct, array_like=True, frozen=True, tag="floor"):
+    """A term that is known of a task; with an empty task, the term below which none is granted for any."""
 
     task: str
     term: int
 
 
-class Votes(msgspec.Struct, array_like=True, frozen=True, tag="votes"):
-    """Whether the voter here knows of all that it may ever have granted. One that is learning it from the
-    others does not, however sound its folder.
+class VoterState(msgspec.Struct, array_like=True, frozen=True, tag="votes"):
+    """Whether the voter knows of every lease that it may ever have granted. One that is still recovering
+    them from the other voters does not, however intact its folder is.
     """
 
-    remembers: bool
+    is_complete: bool = msgspec.field(name="remembers")
 
 
-class Keeps(msgspec.Struct, array_like=True, frozen=True, tag="keeps"):
-    """What a voter has promised of marks, in which of its lives, and the lives of others that it knows."""
+class AcceptorState(msgspec.Struct, array_like=True, frozen=True, tag="keeps"):
+    """What a voter has promised as an acceptor of operator marks, in which of its incarnations, the
+    incarnations of others that it knows, and whether it knows all its promises.
+    """
 
-    life: int
-    promised: int
-    lives: dict[str, int]
-    remembers: bool
+    incarnation: int = msgspec.field(name="life")
+    promised_term: int = msgspec.field(name="promised")
+    peer_incarnations: dict[str, int] = msgspec.field(name="lives")
+    is_complete: bool = msgspec.field(name="remembers")
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True, tag="held"):
-    """A record of the fleet's state, as this copy has it. `mark` is the hash that was taken when it came to
-    be so there (0: none is known): a copy whose bytes were spoilt in memory is found out after a restart as
-    well.
+class StoredRecord(msgspec.Struct, array_like=True, frozen=True, tag="held"):
+    """A record of the replicated state. `digest` is the hash that was taken when the record was received
+    (0: unknown), so that bytes spoilt in memory are noticed after a restart as well.
     """
 
     record: Record
-    mark: int = 0
+    digest: int = msgspec.field(default=0, name="mark")
 
 
-class Dropped(msgspec.Struct, array_like=True, frozen=True, tag="dropped"):
-    """A record that the fleet has forgotten."""
+class DeletedRecord(msgspec.Struct, array_like=True, frozen=True, tag="dropped"):
+    """A record that is no longer part of the replicated state."""
 
     key: Key
 
 
-class Copy(msgspec.Struct, array_like=True, frozen=True, tag="copy"):
-    """The copy as a whole: its epoch, and whether it is one. `cleared`: all records were thrown away."""
+class ReplicaStatus(msgspec.Struct, array_like=True, frozen=True, tag="copy"):
+    """The replica as a whole: its epoch, and whether it has every record. `was_cleared`: all records were
+    removed.
+    """
 
     epoch: int
-    whole: bool
-    cleared: bool = False
+    is_complete: bool = msgspec.field(name="whole")
+    was_cleared: bool = msgspec.field(default=False, name="cleared")
 
 
-class Noted(msgspec.Struct, array_like=True, frozen=True, tag="noted"):
-    """The newest that another voter has told of its folder. Of a voter without one, `identity` is empty.
-    `run` tells two processes apart that both took this life.
+class PeerFolderVersion(msgspec.Struct, array_like=True, frozen=True, tag="noted"):
+    """The newest version of another voter's folder that it has reported; `identity` is empty for a voter
+    without a folder. `process_number` distinguishes two processes that both took this incarnation.
     """
 
     voter: str
     identity: str
-    life: int
+    incarnation: int = msgspec.field(name="life")
     position: int
-    run: int = 0
+    process_number: int = msgspec.field(default=0, name="run")
 
 
-class Learned(msgspec.Struct, array_like=True, frozen=True, tag="learned"):
-    """What this node's decision module had learned of form servers, packed by `beliefs.py`."""
+class DecisionSnapshot(msgspec.Struct, array_like=True, frozen=True, tag="learned"):
+    """What this node's decisions had learned of form servers, encoded by `decision_snapshot.py`."""
 
     wall_s: float
     content: bytes
 
 
-class Hand(msgspec.Struct, array_like=True, frozen=True, tag="hand"):
-    """Form servers that staff have taken out at this node alone: there is no fleet that would keep it."""
+class OperatorOverrides(msgspec.Struct, array_like=True, frozen=True, tag="hand"):
+    """Form servers that operators have taken out of service at this node, of a node without a fleet: there
+    is no replicated state that would have it.
+    """
 
-    out: list[str]
+    out_of_service: list[str] = msgspec.field(name="out")
 
 
-class Drained(msgspec.Struct, array_like=True, frozen=True, tag="walked"):
-    """The rolling drain `walk` (so called on the disk and by `export`) has drained this node: not again."""
+class DrainCompleted(msgspec.Struct, array_like=True, frozen=True, tag="walked"):
+    """The rolling drain of that name has drained this node, and is not to drain it again."""
 
-    walk: str
+    drain: str = msgspec.field(name="walk")
 
 
 class DrainPlan(msgspec.Struct, array_like=True, frozen=True, tag="planned"):
-    """A rolling drain that was begun here, to be gone on with; over once there are no names."""
+    """A rolling drain that was begun at this node and is to be continued after a restart: the nodes that are
+    left, each drained for `for_us` microseconds. It is over once there are none.
+    """
 
-    walk: str
+    drain: str = msgspec.field(name="walk")
     for_us: int
-    names: list[str]
+    nodes: list[str] = msgspec.field(name="names")
 
 
 Entry = (
-    Begun
-    | Ended
-    | Slot
-    | Floor
-    | Votes
-    | Keeps
-    | Held
-    | Dropped
-    | Copy
-    | Noted
-    | Learned
-    | Hand
-    | Drained
+    ProcessStarted
+    | CleanShutdown
+    | LeaseGrant
+    | TermFloor
+    | VoterState
+    | AcceptorState
+    | StoredRecord
+    | DeletedRecord
+    | ReplicaStatus
+    | PeerFolderVersion
+    | DecisionSnapshot
+    | OperatorOverrides
+    | DrainCompleted
     | DrainPlan
 )
-# Rolling drains that are remembered; the oldest make room.
-MOST_DRAINS = 256
-
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
-_of_many: msgspec.msgpack.Decoder[list[Entry]] = msgspec.msgpack.Decoder(list[Entry])
+_list_decoder: msgspec.msgpack.Decoder[list[Entry]] = msgspec.msgpack.Decoder(list[Entry])
 
 
-def pack(entry: Entry) -> bytes:
+def encode_entry(entry: Entry) -> bytes:
+    """The bytes of one entry."""
     return _encoder.encode(entry)
 
 
-def pack_many(entries: list[Entry]) -> bytes:
+def encode_entries(entries: list[Entry]) -> bytes:
+    """The bytes of several entries, as one array."""
     return _encoder.encode(entries)
 
 
-def unpack_many(data: bytes) -> list[Entry]:
-    """Raises ValueError for what are no entries of this schema."""
+def decode_entries(data: bytes) -> list[Entry]:
+    """Raises InvalidEntryError."""
     try:
-        return _of_many.decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ValueError(f"no entries: {error}") from None
+        return _list_decoder.decode(data)
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise InvalidEntryError(f"no entries: {error}") from None
 
 
-def unpack(data: bytes) -> Entry:
-    """Raises ValueError for what is no entry of this schema."""
+def decode_entry(data: bytes) -> Entry:
+    """Raises InvalidEntryError."""
     try:
         return _decoder.decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ValueError(f"no entry: {error}") from None
-
-
-@dataclass(slots=True)
-class Memory:
-    """What all entries so far come to."""
-
-    life: int = 0  # how many processes have had the folder
-    clean: bool = False  # the last one ended in good order
-    begun_s: float = 0.0  # by its wall clock
-    slots: dict[str, Slot] = field(default_factory=dict)
-    floors: dict[str, int] = field(default_factory=dict)
-    votes: bool = False
-    keeps: Keeps | None = None
-    records: dict[Key, Record] = field(default_factory=dict)
-    marks: dict[Key, int] = field(default_factory=dict)  # by record, its hash where that is known
-    epoch: int = 0
-    whole: bool = False
-    notes: dict[str, Noted] = field(default_factory=dict)
-    learned: Learned | None = None
-    hand: Hand | None = None
-    drained: dict[str, None] = field(default_factory=dict)
-    plans: dict[str, DrainPlan] = field(default_factory=dict)
-
-    def apply(self, entry: Entry) -> None:
-        if isinstance(entry, Held):  # most are
-            key = entry.record.key
-            self.records[key], self.marks[key] = entry.record, entry.mark
-            return
-        match entry:
-            case Begun(life, wall_s):
-                self.life, self.clean, self.begun_s = life, False, wall_s
-            case Ended():
-                self.clean = True
-            case Slot(task):
-                self.slots[task] = entry
-            case Floor(task, term):
-                self.floors[task] = max(term, self.floors.get(task, 0))
-            case Votes(remembers):
-                self.votes = remembers
-            case Keeps():
-                self.keeps = entry
-            case Dropped(key):
-                self.records.pop(key, None)
-                self.marks.pop(key, None)
-            case Copy(epoch, whole, cleared):
-                self.epoch, self.whole = epoch, whole
-                if cleared:
-                    self.records.clear()
-                    self.marks.clear()
-            case Noted(voter):
-                self.notes[voter] = entry
-            case Learned():
-                self.learned = entry
-            case Hand():
-                self.hand = entry
-            case Drained(walk):
-                self.drained[walk] = None
-                while len(self.drained) > MOST_DRAINS:
-                    del self.drained[next(iter(self.drained))]
-            case DrainPlan(walk, _, names):
-                self.plans.pop(walk, None)
-                if names:
-                    self.plans[walk] = entry
-                while len(self.plans) > MOST_DRAINS:
-                    del self.plans[next(iter(self.plans))]
-
-    def entries(self) -> Iterator[Entry]:
-        """What makes another memory the same as this."""
-        if self.life:
-            yield Begun(self.life, self.begun_s)
-        if self.clean:
-            yield Ended(self.begun_s)
-        yield from self.slots.values()
-        yield from (Floor(task, term) for task, term in self.floors.items())
-        yield Votes(self.votes)
-        if self.keeps is not None:
-            yield self.keeps
-        yield from (Held(record, self.marks.get(key, 0)) for key, record in self.records.items())
-        yield Copy(self.epoch, self.whole)
-        yield from self.notes.values()
-        if self.learned is not None:
-            yield self.learned
-        if self.hand is not None:
-            yield self.hand
-        yield from (Drained(walk) for walk in self.drained)
-        yield from self.plans.values()
-
-    def highest(self) -> dict[str, int]:
-        """By task, the highest term that was granted or heard of; of no task: below which none may be
-        given.
-        """
-        terms = dict(self.floors)
-        for task, slot in self.slots.items():
-            terms[task] = max(slot.highest, slot.term, terms.get(task, 0))
-        return terms
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise InvalidEntryError(f"no entry: {error}") from None
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -21,11 +21,10 @@
 from sailrun.leadership.envelope import BadMessage, Envelope, pack, unpack
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
-from sailrun.membership.messages import Record as MemberRecord
-from sailrun.membership.messages import State
+from sailrun.membership.membership import Membership
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
-from sailrun.membership.swim import Members
-from sailrun.node.peer_beliefs import PeerBeliefs
+from sailrun.node.outlier_gossip import OutlierGossip
 from sailrun.replication import messages
 from sailrun.replication.acceptor import find_consistent_voters
 from sailrun.replication.epochs import EPOCH_RECORD_KEY
@@ -244,11 +243,11 @@
 
 
 def replica(name: str = "n1", **terms: Any) -> Replica:
-    members = Members(
-        MemberRecord(name, 1, 1, State.ALIVE, name), MembershipSettings(enabled=True, name=name), 1, 0
+    members = Membership(
+        MemberRecord(name, 1, 1, MemberState.ALIVE, name), MembershipSettings(enabled=True, name=name), 1, 0
     )
-    others = [MemberRecord(f"n{n}", n, 1, State.ALIVE, f"n{n}") for n in range(1, 5) if f"n{n}" != name]
-    members.hear_news(0, others, others[0].name)
+    others = [MemberRecord(f"n{n}", n, 1, MemberState.ALIVE, f"n{n}") for n in range(1, 5) if f"n{n}" != name]
+    members.merge_records(0, others, others[0].name)
     owners = LeadershipSettings(enabled=True, voters=("n1", "n2", "n3"))
     made = Replica(
         name,
@@ -638,11 +637,11 @@
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 21)))
     bad = 7
-    peers = PeerBeliefs(relay.balancer, lambda *a, **k: None)
+    peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
 
     def hear_beliefs(n: int) -> None:
         if hearsay_again_us is not None and n % 5 == 0:
-            event = peers.told(relay.now, {bad: 30 * SECOND - n * 200_000}, (), 10_000)
+            event = peers.merge_reports(relay.now, {bad: 30 * SECOND - n * 200_000}, (), 10_000)
             if event is not None:
                 relay.feed(event)
 
@@ -662,13 +661,13 @@
 def test_hearsay_never_keeps_away_from_much_nor_for_long_nor_from_who_answered_here() -> None:
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 10)))
-    peers = PeerBeliefs(relay.balancer, lambda *a, **k: None)
-    event = peers.told(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND), {1}, 0)
+    peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
+    event = peers.merge_reports(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND), {1}, 0)
     assert event is not None
     relay.feed(event)
     away = relay.balancer.avoided_backends(relay.now)
     assert len(away) == 3 and 1 not in away
-    assert peers.own(relay.now, {}).out == {}
-    assert peers.told(relay.now + 12 * SECOND, {away[0]: 60 * SECOND}, (), 0) is None  # tried first
+    assert peers.local_report(relay.now, {}).ejected_for_us == {}
+    assert peers.merge_reports(relay.now + 12 * SECOND, {away[0]: 60 * SECOND}, (), 0) is None  # tried first
     relay.advance(10 * SECOND)
     assert relay.balancer.avoided_backends(relay.now) == []
