--- a/benchmarks/capacity/rows_replica.py
+++ b/benchmarks/capacity/rows_replica.py
@@ -18,16 +18,16 @@
     row,
     samples,
 )
-from sailrun.replication.replica import WHERE_NODES
+from sailrun.replication.copy_lag import COMPARE_NODES
 from sailrun.replication.settings import ReplicationSettings
 
-COPIES = "replica/: one owner writes, a majority of voters keeps, rumors and comparisons spread"
-RECORDS = ReplicationSettings().records
+COPIES = "replication/: one owner writes, a majority of voters keeps, rumors and comparisons spread"
+RECORDS = ReplicationSettings().max_records
 
 
 def longer(nodes: float) -> float:
     """How many times longer than a second a node waits before it asks whether it is behind."""
-    return max(1, nodes // WHERE_NODES)
+    return max(1, nodes // COMPARE_NODES)
 
 
 def asks_s(nodes: float) -> float:
@@ -44,7 +44,7 @@
 
 def behind(record: Record) -> Row:
     role, cost = "every node", "until a node notices that its copy is behind the owner"
-    mechanism = "replica/replica.py: `WHERE_US` and `WHERE_NODES`"
+    mechanism = "replication/copy_lag.py: `COMPARE_INTERVAL_US` and `COMPARE_NODES`"
     try:
         found = asked_every(record)
     except Missing as missing:
@@ -156,7 +156,7 @@
             role="every node",
             cost=f"memory of a full copy ({RECORDS:,} records)",
             bound=MEMORY,
-            mechanism="replica/store.py",
+            mechanism="replication/store.py",
             arithmetic="memory for a record * the most records allowed by default",
             kind="line",
         ),
@@ -167,7 +167,7 @@
             role="every node",
             cost="memory of a copy that keeps a month's changes, each its own record",
             bound=MEMORY,
-            mechanism="replica/store.py",
+            mechanism="replication/store.py",
             arithmetic="memory for a record * changes a day * 30 (assumed)",
             kind="line",
             reckoned=True,
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -21,8 +21,8 @@
 
 if TYPE_CHECKING:
     from sailrun.leadership.service import FleetPart
-    from sailrun.replication.replica import Answer
-    from sailrun.replication.service import CopiesPart
+    from sailrun.replication.mark_client import MarkOutcome
+    from sailrun.replication.service import ReplicationService
 
 SECOND = 1_000_000
 # The kinds of permits, as the fleet names them.
@@ -40,15 +40,17 @@
 PLACE_US = 2_000
 
 
-def _put(copies: CopiesPart, kind: str, subject: str, on: bool, reply: Callable[[Answer], None]) -> None:
-    copies.mark(kind, subject, on, reply, who="control")
+def _put(
+    copies: ReplicationService, kind: str, subject: str, on: bool, reply: Callable[[MarkOutcome], None]
+) -> None:
+    copies.set_mark(kind, subject, on, reply, author="control")
 
 
-def _shown(id_: str, made: Answer | None) -> dict[str, object]:
+def _shown(id_: str, made: MarkOutcome | None) -> dict[str, object]:
     """What became of a mark, for whoever asks; None: nothing yet."""
     if made is None:
         return {"id": id_, "state": "pending", "copies": 0, "of": 0, "why": ""}
-    return {"id": id_, "state": made.state, "copies": made.copies, "of": made.of, "why": made.why}
+    return {"id": id_, "state": made.state, "copies": made.copies, "of": made.replicas, "why": made.reason}
 
 
 class ControlServer:
@@ -187,14 +189,14 @@
                 return fail("[shards] is off here") if shown is None else answer(shown)
         return answer(await send_query(partial(fleet.show, words[0])))
 
-    async def _marked(self, fleet: FleetPart, copies: CopiesPart, call: Call) -> bytes:
+    async def _marked(self, fleet: FleetPart, copies: ReplicationService, call: Call) -> bytes:
         """What holds for the fleet wherever it is said."""
         kind, subject = (OUT, call.form_server) if call.form_server else (DRAIN, fleet.agent.name)
         on = call.verb in (Verb.SET_DOWN, Verb.DRAIN_ON)
         why_not = await self._no_subject(fleet, kind, subject, on)
         if why_not:
             return fail(why_not)
-        made: Answer | None = None
+        made: MarkOutcome | None = None
         clock = self._node.clock
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
             made = await send_query(lambda reply: _put(copies, kind, subject, on, reply))
@@ -202,7 +204,7 @@
             return fail("no majority has answered so far: it may come into force yet")
         if made.state == "waits":
             return fail("queued: as many are out as permits allow, and carried out in its turn")
-        return OK if made.state == "done" else fail(made.why or made.state)
+        return OK if made.state == "done" else fail(made.reason or made.state)
 
     async def _of_copies(self, fleet: FleetPart, words: tuple[str, ...]) -> bytes:
         """The state that all nodes of the fleet keep copies of."""
@@ -218,11 +220,11 @@
                     return fail(why_not)
                 return await self._mark(copies, kind, subject, on == "on", wait, unquote(who), unquote(why))
             case "marked", str(id_):
-                if id_ not in copies.answers:
+                if id_ not in copies.outcomes:
                     return fail(f"no mark '{id_[:40]}' was made here")
-                return answer(_shown(id_, copies.answers[id_]))
+                return answer(_shown(id_, copies.outcomes[id_]))
             case "look", str(kind), str(subject):
-                words_ = await send_query(partial(copies.look, kind, subject))
+                words_ = await send_query(partial(copies.read_mark, kind, subject))
                 return fail("the owner of the marks was not heard") if words_ is None else answer(words_)
         return answer(await send_query(partial(fleet.show, " ".join(words))))
 
@@ -238,14 +240,14 @@
         return "" if listed or not on else f"no form server '{subject[:80]}'"
 
     async def _mark(
-        self, copies: CopiesPart, kind: str, subject: str, on: bool, wait: str, who: str, why: str
+        self, copies: ReplicationService, kind: str, subject: str, on: bool, wait: str, who: str, why: str
     ) -> bytes:
-        made: Answer | None = None
+        made: MarkOutcome | None = None
         ids: list[str] = []
         clock = self._node.clock
 
-        def ask(reply: Callable[[Answer], None]) -> None:
-            ids.append(copies.mark(kind, subject, on, reply, wait, who, why))
+        def ask(reply: Callable[[MarkOutcome], None]) -> None:
+            ids.append(copies.set_mark(kind, subject, on, reply, wait, who, why))
 
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
             made = await send_query(ask)
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -22,9 +22,9 @@
 from sailrun.leadership.permits import Use
 from sailrun.leadership.reader import Reading
 from sailrun.membership.messages import MemberRecord, MemberState
-from sailrun.replication.messages import Op
-from sailrun.replication.replica import MARKS, Replica
-from sailrun.replication.state import show_state
+from sailrun.replication.inspection import describe_state
+from sailrun.replication.messages import MarkRequest
+from sailrun.replication.replica import MARKS_TASK, Replica
 from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 from sailrun.storage.opening import open_folder
 from sailrun.storage.settings import StorageSettings
@@ -438,7 +438,7 @@
         for node in self.nodes.values():
             replica = node.agent.replica if node.agent is not None and not node.stopped else None
             if replica is not None and node.agent is not None and node.agent.members.has_joined:
-                state = show_state(replica, self.clock_us(node))
+                state = describe_state(replica, self.clock_us(node))
                 behind_s = state["behind"]["s"]
                 self.row(
                     "copy",
@@ -456,28 +456,30 @@
         node = self.nodes[name]
         return node.agent.replica if node.agent is not None and not node.stopped else None
 
-    def _op(self, name: str, what: str, subject: str, on: bool) -> Op:
+    def _op(self, name: str, what: str, subject: str, on: bool) -> MarkRequest:
         agent = self.nodes[name].agent
         assert agent is not None and agent.replica is not None
-        under = agent.leases.of(MARKS).owned
-        return Op(what, agent.replica.new_id(), under, "out", subject, on, "staff", "a test")
+        under = agent.leases.of(MARKS_TASK).owned
+        return MarkRequest(
+            what, agent.replica.make_request_id(), under, "out", subject, on, "staff", "a test"
+        )
 
     def mark(self, name: str, subject: str, on: bool) -> None:
         replica, node = self._replica(name), self.nodes[name]
         if replica is not None:
             op = self._op(name, "mark", subject, on)
-            replica.mark(self.clock_us(node), op, lambda answer: None, STAFF_US)
+            replica.write_mark(self.clock_us(node), op, lambda answer: None, STAFF_US)
             self._soon(node)
 
     def mark_here(self, name: str, subject: str, on: bool) -> None:
         replica, node = self._replica(name), self.nodes[name]
         if replica is not None:
-            replica.mark_here(self.clock_us(node), self._op(name, "mark", subject, on))
+            replica.write_mark_locally(self.clock_us(node), self._op(name, "mark", subject, on))
 
     def look(self, name: str, subject: str) -> None:
         replica, node = self._replica(name), self.nodes[name]
         if replica is not None:
-            replica.look(self.clock_us(node), "out", subject, lambda words: None, STAFF_US)
+            replica.read_mark(self.clock_us(node), "out", subject, lambda words: None, STAFF_US)
             self._soon(node)
 
     def _soon(self, node: VirtualNode) -> None:
@@ -486,11 +488,11 @@
 
     def spoil(self, name: str) -> None:
         replica = self._replica(name)
-        keys = [r.key for r in replica.store.records("out")] if replica is not None else []
+        keys = [r.key for r in replica.store.iterate_records("out")] if replica is not None else []
         if replica is not None and keys:
             key = self._luck.choice(keys)
             self.row("fault", name, what="spoil", subject="/".join(key[:2]))
-            replica.store.spoil(key)
+            replica.store.corrupt(key)
 
     # ------------------------------------------------------------------ the network
 
--- a/sailrun/leadership/backing.py
+++ b/sailrun/leadership/backing.py
@@ -18,7 +18,7 @@
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.voter import Voter
-from sailrun.replication.messages import Kept, Promised, Recovering
+from sailrun.replication.messages import Accepted, Promise, RecoveryReply
 from sailrun.replication.replica import Replica
 from sailrun.storage import entries as e
 from sailrun.storage.folder_reader import paused_garbage_collection
@@ -29,13 +29,23 @@
 
 Post = tuple[str, msgspec.Struct]
 # What a voter answers and is held to after a restart: sent once what it rests on is on the disk.
-PROMISES = (Grant, Promised, Kept, Recovering, Recalled, FreshnessReply)
+PROMISES = (Grant, Promise, Accepted, RecoveryReply, Recalled, FreshnessReply)
 # Of these, what a folder without them would be too old for: a majority is told how far it has come, before.
-TOLD = (Grant, Promised, Kept, Recovering)
+TOLD = (Grant, Promise, Accepted, RecoveryReply)
 # Promises that wait for other voters to note them; the oldest make room.
 MOST_UNTOLD = 1000
 
 
+def _reply_key(body: Any) -> int:
+    """What tells a reply from others of its type to the same member."""
+    if isinstance(body, Grant):
+        return body.term
+    if isinstance(body, Promise | Accepted | RecoveryReply):
+        return body.request_id
+    number: int = body.number
+    return number
+
+
 class Backing:
     """`run` is this process's own number. `record` is told every act, for the laboratory's checks."""
 
@@ -134,12 +144,12 @@
         if memory.is_replica_complete:
             held = ((r, memory.record_digests[key]) for key, r in memory.records.items())
             with paused_garbage_collection():
-                left = replica.take_up(now_us, held, memory.epoch)
+                left = replica.restore(now_us, held, memory.epoch)
             facts: dict[str, object] = {"records": len(replica.store), "epoch": memory.epoch}
             self.notes.append(("copy-found", {**facts, "left": left or None}))
         keeps = memory.acceptor
         if replica.acceptor is not None and keeps is not None:
-            replica.acceptor.take_up(
+            replica.acceptor.restore(
                 keeps.incarnation, keeps.promised_term, keeps.peer_incarnations, keeps.is_complete
             )
             if not keeps.is_complete:
@@ -172,7 +182,7 @@
         if wal.is_synced(position):
             return self._waits_for_notes(position, name, body)
         if wal.is_disk_available:
-            key = (name, type(body), body.term if isinstance(body, Grant) else body.number)
+            key = (name, type(body), _reply_key(body))
             wal.defer_reply(now_us, position, key, (name, body))
         return True
 
@@ -288,8 +298,8 @@
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None and voter.may_remember:
             voter.trust()
-        if acceptor is not None and acceptor.may_remember:
-            acceptor.trust()
+        if acceptor is not None and acceptor.is_verifying_folder:
+            acceptor.trust_folder()
         self._act("folder", what="trusted")
         own = self.standing.own
         self.notes.append(("lasting-trusted", {"life": own.incarnation if own is not None else None}))
@@ -309,8 +319,7 @@
         if voter is not None:
             voter.forget(now_us)
         if acceptor is not None:
-            acceptor.may_remember = False
-            acceptor.restart(now_us)
+            acceptor.distrust_folder(now_us)
         facts: dict[str, object] = {"why": standing.stale_reason, "loaded": lasting.loaded}
         if known is not None:
             facts |= {"known_life": known.incarnation, "known_position": known.position}
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -31,7 +31,7 @@
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.node.clock import log
 from sailrun.node.shutdown import ShutdownReason
-from sailrun.replication.service import CopiesPart
+from sailrun.replication.service import ReplicationService
 from sailrun.storage.folder_identity import generate_identity
 from sailrun.storage.folder_reader import FolderIntegrity
 
@@ -103,7 +103,9 @@
         self._drains = False
         if terms.pace:
             self.agent.answers[PACE] = self._lend
-        self.copies = CopiesPart(node, self.agent.replica, self) if self.agent.replica is not None else None
+        self.copies = (
+            ReplicationService(node, self.agent.replica, self) if self.agent.replica is not None else None
+        )
         self._exerciser = self._new_exerciser() if terms.owners.record else None
         self._lasting = lasting
         if lasting is not None:
@@ -141,7 +143,7 @@
         )
         found.state.records, found.state.record_digests = {}, {}  # the copy has them now
         if self.copies is not None:
-            self.copies.begins_with(lasting.starts_draining)
+            self.copies.restore_draining(lasting.starts_draining)
 
     async def run(self) -> None:
         """Until cancelled, or given up. A fault in here leaves the node as it would be without a fleet."""
@@ -373,7 +375,7 @@
             if what in shown:
                 reply(shown[what](self.agent, now_us))
             elif what.startswith(("state", "ranges")):
-                reply(self.copies.show(now_us, what) if self.copies is not None else None)
+                reply(self.copies.describe(now_us, what) if self.copies is not None else None)
             elif what == "counts":
                 reply(self._counts())
             elif what.startswith("shards"):
--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -1,303 +1,242 @@
-"""The acceptor of replicated marks: a voter's promises, what it accepts, and its recovery after a restart.
-
-An acceptor with a durable folder has forgotten nothing and goes on in its former life. One without a folder
-has lost its memory at a restart, and is trusted again only by way of the others, since every majority has
-somebody who remembers. It numbers its new life (one more than any voter remembers of it), has a majority of
-remembering voters store that number, and then takes over what they hold. What it said in an earlier life is
-void from then on: whoever counts the voters' answers finds one that knows of the later life, and does not
-count the older one (crash-consistent quorums: Michael, Ports, Sharma, Szekeres 2017).
+"""The acceptor of replicated marks: a voter's promises, and what it accepts (as in Multi-Paxos).
 
 Pure: messages and the time (microseconds) come in, messages go out.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from dataclasses import dataclass, field
-
-import msgspec
+from collections.abc import Callable, Mapping
 
 from sailrun.leadership.quorum import Voters
-from sailrun.replication.journal import Journal
+from sailrun.replication.acceptor_recovery import AcceptorRecovery
+from sailrun.replication.acceptor_state import AcceptorState, CrashVector, DurableAcceptorState
+from sailrun.replication.anti_entropy import AntiEntropy
+from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.messages import (
-    Higher,
-    Kept,
-    Known,
-    Knows,
-    Level,
+    Accept,
+    Accepted,
+    CatchUp,
+    IncarnationReply,
+    IncarnationRequest,
+    OutgoingMessage,
+    Prepare,
     Promise,
-    Promised,
-    Put,
-    Recover,
-    Recovering,
+    RecoveryReply,
+    RecoveryRequest,
+    TermSuperseded,
 )
+from sailrun.replication.range_digests import list_ranges
 from sailrun.replication.records import covers
-from sailrun.replication.store import GROUP, Store
-from sailrun.replication.sync import Sync
-
-SECOND = 1_000_000
-ASK_US = 250_000
-# Where too many voters have forgotten for a majority to remember, the others are waited for so long.
-PATIENCE_US = 8 * SECOND
-Post = tuple[str, msgspec.Struct]
-
-
-@dataclass(slots=True)
-class _Recovery:
-    """How far a voter's return has come."""
+from sailrun.replication.store import RecordStore
 
-    number: int
-    began_us: int
-    known: dict[str, Known] = field(default_factory=dict)
-    life: int = 0  # the one it has asked to be written down
-    told: dict[str, Recovering] = field(default_factory=dict)
-    pulling: set[str] = field(default_factory=set)
-    taken: set[str] = field(default_factory=set)  # voters whose copy was taken over whole
+# How many leaders' requests to catch up are remembered; there is one leader at a time, or a few that do not
+# know of each other.
+MAX_CATCH_UPS = 16
 
 
-def consistent(answers: dict[str, tuple[int, dict[str, int]]]) -> set[str]:
-    """Of voters' answers, with the life each was given in and the lives it knew of: those that stand. An
-    answer from a life that another of these voters knows to have ended says nothing any more.
+def find_consistent_voters(answers: Mapping[str, tuple[int, CrashVector]]) -> set[str]:
+    """Of voters' answers, each with the incarnation it was given in and the crash vector then: those that
+    count. An answer of an incarnation that another of these voters knows to have ended says nothing any more.
     """
     return {
         name
-        for name, (life, _) in answers.items()
-        if all(lives.get(name, 0) <= life for _, lives in answers.values())
+        for name, (incarnation, _) in answers.items()
+        if all(vector.get(name, 0) <= incarnation for _, vector in answers.values())
     }
 
 
 class Acceptor:
-    """One voter's part in writing marks. `off` names safety rules that the laboratory switches off."""
+    """One voter's part in writing marks."""
 
     def __init__(
         self,
         name: str,
         voters: Callable[[], Voters],
-        store: Store,
-        sync: Sync,
+        store: RecordStore,
+        anti_entropy: AntiEntropy,
         now_us: int,
-        off: frozenset[str] = frozenset(),
-        journal: Journal | None = None,
+        disabled_rules: frozenset[str] = frozenset(),
+        journal: ReplicaJournal | None = None,
     ) -> None:
-        self._name, self._voters, self._store, self._sync, self._off = name, voters, store, sync, off
-        self._journal = journal or Journal()
-        self.may_remember = False  # a folder is being compared with what the others know of it
-        self.life = 0
-        self.lives: dict[str, int] = {}
-        self.promised = 0
-        self.remembers = "lives" in off
-        self._recovery = _Recovery(sync.next_number(), now_us)
-        self._ask_us = now_us
-        self._levels: dict[tuple[str, int], bool] = {}  # (owner, number): whether it is reached
+        """`disabled_rules` are safety rules that the laboratory switches off."""
+        self._name, self._store, self._anti_entropy = name, store, anti_entropy
+        self._checks_terms = "fence" not in disabled_rules
+        self._checks_epochs = "forget" not in disabled_rules
+        self._trusts_restarts = "lives" in disabled_rules
+        self.state = AcceptorState(journal or ReplicaJournal(), self._trusts_restarts)
+        self.recovery = AcceptorRecovery(name, voters, store, anti_entropy, self.state, now_us)
+        self._caught_up: dict[tuple[str, int], bool] = {}  # by leader and request id
 
-    def restart(self, now_us: int) -> None:
-        """This copy was thrown away: the voter is as one that has just started."""
-        self.remembers = "lives" in self._off
-        self._recovery = _Recovery(self._sync.next_number(), now_us)
-        self._levels.clear()
-        self._write()
-
-    # ------------------------------------------------------------------ what outlasts the process
+    # ------------------------------------------------------------------ restarts
 
-    def take_up(self, life: int, promised: int, lives: dict[str, int], remembers: bool) -> None:
-        """What its folder has of the time before this process; `remembers`: it says that this was all, as
-        `trust` or `restart` will tell.
+    def restart(self, now_us: int) -> None:
+        """The copy was discarded: the voter is as one that has just started."""
+        self.state.is_recovered = self._trusts_restarts
+        self.recovery.restart(now_us)
+        self._caught_up.clear()
+        self.state.save()
+
+    def restore(
+        self, incarnation: int, promised_term: int, crash_vector: CrashVector, is_recovered: bool
+    ) -> None:
+        """What its folder has of the time before this process; `is_recovered`: the folder says that this was
+        all, as `trust_folder` or `distrust_folder` will tell.
         """
-        self.life, self.promised = max(life, self.life), max(promised, self.promised)
-        self.lives = {**lives, **self.lives}
-        self.may_remember = remembers
-
-    def trust(self) -> None:
+        state = self.state
+        state.incarnation = max(incarnation, state.incarnation)
+        state.promised_term = max(promised_term, state.promised_term)
+        state.crash_vector = {**crash_vector, **state.crash_vector}
+        state.is_verifying_folder = is_recovered
+
+    @property
+    def is_verifying_folder(self) -> bool:
+        """Whether the folder is being compared with what the others know of it."""
+        return self.state.is_verifying_folder
+
+    def trust_folder(self) -> None:
         """The folder is the newest there is."""
-        self.may_remember = False
-        self.remembers = self._sync.whole
+        self.state.is_verifying_folder = False
+        self.state.is_recovered = self._anti_entropy.copy.is_complete
 
-    def state(self) -> tuple[int, int, dict[str, int], bool]:
-        """As the journal has it: life, highest promised term, known lives, whether nothing is forgotten."""
-        return self.life, self.promised, dict(self.lives), self.remembers or self.may_remember
+    def distrust_folder(self, now_us: int) -> None:
+        """A newer folder was there: what was restored is not all that was promised."""
+        self.state.is_verifying_folder = False
+        self.restart(now_us)
 
-    def _write(self) -> None:
-        self._journal.keeps(*self.state())
+    def get_durable_state(self) -> DurableAcceptorState:
+        """The state as the journal has it."""
+        return self.state.get_durable_state()
 
-    def _promise(self, term: int) -> None:
-        if term > self.promised:
-            self.promised = term
-            self._write()
+    def due_us(self) -> int | None:
+        """When `turn` has something to do; None: nothing by itself."""
+        return self.recovery.due_us()
+
+    def turn(self, now_us: int) -> list[OutgoingMessage]:
+        """Does what is due; returns the messages to send."""
+        return self.recovery.turn(now_us)
 
-    # ------------------------------------------------------------------ what owners ask
+    # ------------------------------------------------------------------ messages
 
-    def hear(self, now_us: int, sender: str, body: object) -> list[Post]:
+    def receive(self, now_us: int, sender: str, body: object) -> list[OutgoingMessage]:
+        """Handles a message of a leader or of another voter; returns the replies."""
         match body:
-            case Promise(term, number, epoch, groups):
-                if not self._speaks(epoch):
-                    return []
-                if term < self.promised and "fence" not in self._off:
-                    return [(sender, Higher(term, number, self.promised))]
-                self._promise(term)
-                leaves = self._store.unlike(groups)
-                return [(sender, Promised(term, number, epoch, self.life, dict(self.lives), leaves))]
-            case Put(term, number, epoch, records):
-                if not self._speaks(epoch):
-                    return self._sync.ask(sender) if epoch > self._sync.epoch else []
-                if term < self.promised and "fence" not in self._off:
-                    return [(sender, Higher(term, number, self.promised))]
-                self._promise(term)
-                self._sync.take_in(now_us, records, 0)
-                if not all(covers(self._store.get(r.key), [v.dot for v in r.versions]) for r in records):
-                    return []  # full, or none of this program's
-                return [(sender, Kept(term, number, self.life, dict(self.lives)))]
-            case Level(term, number, epoch, groups):
-                if not self._speaks(epoch):
-                    return []
-                if term < self.promised and "fence" not in self._off:
-                    return [(sender, Higher(term, number, self.promised))]
-                self._promise(term)
-                return self._level(now_us, sender, body, groups)
-            case Knows(number):
-                known = Known(number, self.remembers, self._all_lives(), self.promised, self.may_remember)
-                return [(sender, known)]
-            case Known():
-                return self._is_known(now_us, sender, body)
-            case Recover(number, life, epoch, groups):
-                if not self.remembers or not self._sync.whole:
-                    return []
-                if life > self.lives.get(sender, 0):
-                    self.lives[sender] = life
-                    self._write()
-                told = Recovering(
-                    number, self._sync.epoch, self._all_lives(), self.promised, self._store.unlike(groups)
-                )
-                return [(sender, told)]
-            case Recovering():
-                return self._recovering(now_us, sender, body)
+            case Prepare():
+                return self._on_prepare(sender, body)
+            case Accept():
+                return self._on_accept(now_us, sender, body)
+            case CatchUp():
+                return self._on_catch_up(now_us, sender, body)
+            case IncarnationRequest(request_id):
+                return [OutgoingMessage(sender, self._describe_incarnations(request_id))]
+            case IncarnationReply():
+                self.recovery.on_incarnation_reply(now_us, sender, body)
+            case RecoveryRequest():
+                return self._on_recovery_request(sender, body)
+            case RecoveryReply():
+                self.recovery.on_recovery_reply(now_us, sender, body)
         return []
 
-    def _speaks(self, epoch: int) -> bool:
-        same = epoch == self._sync.epoch or "forget" in self._off
-        return self.remembers and self._sync.whole and same
-
-    def _all_lives(self) -> dict[str, int]:
-        return {**self.lives, self._name: max(self.life, self.lives.get(self._name, 0))}
-
-    def _level(self, now_us: int, sender: str, level: Level, groups: list[int]) -> list[Post]:
-        """Takes over what the owner holds and this voter does not, and says so then."""
-        key = (sender, level.number)
-        if self._store.groups()[: len(groups)] == groups:
-            self._levels[key] = True
-        if self._levels.get(key):
-            return [(sender, Kept(level.term, level.number, self.life, dict(self.lives)))]
-        if key not in self._levels:
-            while len(self._levels) >= 16:
-                del self._levels[next(iter(self._levels))]
-            self._levels[key] = False
-            ranges = [n * GROUP + k for n in self._store.unlike(groups) for k in range(GROUP)]
-
-            def done(now_us: int, whole: bool) -> None:
-                if key in self._levels:
-                    if whole:
-                        self._levels[key] = True
-                    else:
-                        del self._levels[key]
-
-            self._sync.taker.begin(now_us, sender, ranges, done, urgent=True)
-        return []
+    def _may_answer(self, epoch: int) -> bool:
+        is_same_epoch = epoch == self._anti_entropy.copy.epoch or not self._checks_epochs
+        return self.state.is_recovered and self._anti_entropy.copy.is_complete and is_same_epoch
 
-    # ------------------------------------------------------------------ the voter's own return
+    def _reject_or_promise(self, sender: str, request: Prepare | Accept | CatchUp) -> list[OutgoingMessage]:
+        """A rejection of a leader whose term is over; otherwise nothing, and its term is promised."""
+        if request.term < self.state.promised_term and self._checks_terms:
+            rejection = TermSuperseded(request.term, request.request_id, self.state.promised_term)
+            return [OutgoingMessage(sender, rejection)]
+        self.state.promise(request.term)
+        return []
 
-    def due_us(self) -> int | None:
-        return None if self.remembers or self.may_remember else self._ask_us
+    def _make_accepted(self, request: Accept | CatchUp) -> Accepted:
+        state = self.state
+        return Accepted(request.term, request.request_id, state.incarnation, dict(state.crash_vector))
 
-    def turn(self, now_us: int) -> list[Post]:
-        if self.remembers or self.may_remember or now_us < self._ask_us:
+    def _on_prepare(self, sender: str, request: Prepare) -> list[OutgoingMessage]:
+        if not self._may_answer(request.epoch):
             return []
-        self._ask_us = now_us + ASK_US
-        if not self._sync.whole:
-            self._recovery.began_us = now_us
+        if rejection := self._reject_or_promise(sender, request):
+            return rejection
+        promise = Promise(
+            request.term,
+            request.request_id,
+            request.epoch,
+            self.state.incarnation,
+            dict(self.state.crash_vector),
+            self._store.digests.find_differing_groups(request.group_digests),
+        )
+        return [OutgoingMessage(sender, promise)]
+
+    def _on_accept(self, now_us: int, sender: str, request: Accept) -> list[OutgoingMessage]:
+        if not self._may_answer(request.epoch):
+            is_behind = request.epoch > self._anti_entropy.copy.epoch
+            return self._anti_entropy.request_digests(sender) if is_behind else []
+        if rejection := self._reject_or_promise(sender, request):
+            return rejection
+        self._anti_entropy.merge_received(now_us, request.records)
+        if not all(covers(self._store.get(r.key), [v.dot for v in r.versions]) for r in request.records):
+            return []  # the copy is full, or a record was invalid
+        return [OutgoingMessage(sender, self._make_accepted(request))]
+
+    def _on_catch_up(self, now_us: int, sender: str, request: CatchUp) -> list[OutgoingMessage]:
+        """Takes over what the leader holds and this voter does not; accepts when it is asked again then."""
+        if not self._may_answer(request.epoch):
             return []
-        back, voters = self._recovery, [n for n in self._voters().all() if n != self._name]
-        if not back.life:
-            self._found(now_us)
-            return [] if self.remembers else [(n, Knows(back.number)) for n in voters]
-        groups = self._store.groups()[: len(self._store.groups()) // 2]
-        asked = [n for n in voters if n not in back.taken and n not in back.pulling]
-        return [(n, Recover(back.number, back.life, self._sync.epoch, groups)) for n in asked]
-
-    def _is_known(self, now_us: int, sender: str, told: Known) -> list[Post]:
-        back = self._recovery
-        if (
-            self.remembers
-            or self.may_remember
-            or told.number != back.number
-            or back.life
-            or sender not in self._voters().all()
-        ):
-            return []
-        back.known[sender] = told
-        remembering = {name for name, known in back.known.items() if known.remembers}
-        if self._voters().majority(remembering):
-            lives = [known.lives.get(self._name, 0) for known in back.known.values()]
-            back.life = 1 + max(self.life, *lives)
-            self._ask_us = now_us
+        if rejection := self._reject_or_promise(sender, request):
+            return rejection
+        key = (sender, request.request_id)
+        digests = request.group_digests
+        if self._store.digests.list_groups()[: len(digests)] == digests:
+            self._caught_up[key] = True
+        if self._caught_up.get(key):
+            return [OutgoingMessage(sender, self._make_accepted(request))]
+        if key not in self._caught_up:
+            self._begin_catch_up(now_us, key, digests)
         return []
 
-    def _found(self, now_us: int) -> None:
-        """Too few voters can remember, as at the fleet's very beginning: what members' copies hold is all
-        there is, and is what this voter begins with.
-        """
-        back, voters = self._recovery, self._voters()
-        forgot = {n for n, known in back.known.items() if not known.remembers and not known.may_remember}
-        forgot.add(self._name)
-        unheard = set(voters.all()) - back.known.keys() - {self._name}
-        if voters.majority(set(voters.all()) - forgot):
-            return  # a majority may remember yet: what it holds must not be passed over
-        if unheard and now_us - back.began_us < PATIENCE_US:
-            return
-        lives = [known.lives for known in back.known.values()]
-        self.life = 1 + max([self.life, *(known.get(self._name, 0) for known in lives)])
-        for known in lives:
-            for name, life in known.items():
-                if name != self._name:
-                    self.lives[name] = max(life, self.lives.get(name, 0))
-        self.promised = max([self.promised, *(known.promised for known in back.known.values())])
-        self.remembers = True
-        self._write()
-        self._sync.on_founded()
-        self._sync.note("marks-founded", life=self.life, records=len(self._store))
-
-    def _recovering(self, now_us: int, sender: str, told: Recovering) -> list[Post]:
-        back = self._recovery
-        known = sender in self._voters().all() and told.number == back.number
-        if self.remembers or not back.life or not known or sender in back.taken | back.pulling:
-            return []
-        if told.epoch != self._sync.epoch:
+    def _begin_catch_up(self, now_us: int, key: tuple[str, int], digests: list[int]) -> None:
+        while len(self._caught_up) >= MAX_CATCH_UPS:
+            del self._caught_up[next(iter(self._caught_up))]
+        self._caught_up[key] = False
+        ranges = list_ranges(self._store.digests.find_differing_groups(digests))
+
+        def on_end(now_us: int, complete: bool) -> None:
+            if key in self._caught_up and complete:
+                self._caught_up[key] = True
+            elif key in self._caught_up:
+                del self._caught_up[key]
+
+        self._anti_entropy.receiver.begin(now_us, key[0], ranges, on_end, urgent=True)
+
+    # ------------------------------------------------------------------ other voters' recovery
+
+    def _get_crash_vector(self) -> CrashVector:
+        """The crash vector with this voter's own incarnation."""
+        known = self.state.crash_vector.get(self._name, 0)
+        return {**self.state.crash_vector, self._name: max(self.state.incarnation, known)}
+
+    def _describe_incarnations(self, request_id: int) -> IncarnationReply:
+        state = self.state
+        return IncarnationReply(
+            request_id,
+            state.is_recovered,
+            self._get_crash_vector(),
+            state.promised_term,
+            state.is_verifying_folder,
+        )
+
+    def _on_recovery_request(self, sender: str, request: RecoveryRequest) -> list[OutgoingMessage]:
+        state = self.state
+        if not state.is_recovered or not self._anti_entropy.copy.is_complete:
             return []
-        back.told[sender] = told
-        back.pulling.add(sender)
-
-        def done(now_us: int, whole: bool) -> None:
-            back.pulling.discard(sender)
-            if whole:
-                back.taken.add(sender)
-                self._end_recovery(now_us, back)
-
-        ranges = self._store.differing(told.leaves)
-        if ranges:
-            self._sync.taker.begin(now_us, sender, ranges, done, urgent=True)
-        else:
-            done(now_us, True)
-        return []
-
-    def _end_recovery(self, now_us: int, back: _Recovery) -> None:
-        if back is not self._recovery or self.remembers or not self._voters().majority(back.taken):
-            return
-        self.life = back.life
-        for name in back.taken:
-            told = back.told[name]
-            self.promised = max(self.promised, told.promised)
-            for voter, life in told.lives.items():
-                if voter != self._name:
-                    self.lives[voter] = max(life, self.lives.get(voter, 0))
-        self.remembers = True
-        self._write()
-        self._sync.on_remembered()
-        self._sync.note("marks-remembered", life=self.life, voters=",".join(sorted(back.taken)))
+        if request.incarnation > state.crash_vector.get(sender, 0):
+            state.crash_vector[sender] = request.incarnation
+            state.save()
+        reply = RecoveryReply(
+            request.request_id,
+            self._anti_entropy.copy.epoch,
+            self._get_crash_vector(),
+            state.promised_term,
+            self._store.digests.find_differing_groups(request.group_digests),
+        )
+        return [OutgoingMessage(sender, reply)]
--- a/sailrun/storage/write_ahead_log.py
+++ b/sailrun/storage/write_ahead_log.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from typing import Any
 
-from sailrun.replication.records import size_of
+from sailrun.replication.records import estimate_size_bytes
 from sailrun.storage.entries import Entry, StoredRecord
 from sailrun.storage.settings import MEGABYTE, StorageSettings
 
@@ -94,7 +94,7 @@
             self._oldest_pending_us = self._now_us
         self._pending.append(entry)
         self._pending_bytes += (
-            size_of(entry.record) if isinstance(entry, StoredRecord) else TYPICAL_ENTRY_BYTES
+            estimate_size_bytes(entry.record) if isinstance(entry, StoredRecord) else TYPICAL_ENTRY_BYTES
         )
         if self._pending_bytes > self.settings.queue_mb * MEGABYTE:
             self._drop_pending()
