--- a/sailrun/storage/cli.py
+++ b/sailrun/storage/cli.py
@@ -58,11 +58,11 @@
 
 def _believed(found: FolderContents, half_life_s: float, now_s: float) -> dict[str, Any]:
     """What a node would go by if it started now."""
-    from sailrun.replication.marks import KINDS, standing
+    from sailrun.replication.operator_marks import MARK_KINDS, resolve_mark
     from sailrun.storage.decision_snapshot import remaining_ejections_us, remaining_weight
 
     memory = found.state
-    marks = [standing(r) for r in memory.records.values() if r.kind in KINDS]
+    marks = [resolve_mark(r) for r in memory.records.values() if r.kind in MARK_KINDS]
     age_s = now_s - memory.decision_snapshot.wall_s if memory.decision_snapshot is not None else 0.0
     weight = remaining_weight(age_s, half_life_s) if memory.decision_snapshot is not None else 0.0
     out = (
@@ -75,8 +75,10 @@
             {
                 "kind": s.kind,
                 "subject": s.subject,
-                "on": s.on,
-                "words": [{"id": m.id, "who": m.who, "why": m.why, "gone": gone} for m, gone in s.words],
+                "on": s.active,
+                "words": [
+                    {"id": m.id, "who": m.author, "why": m.reason, "gone": gone} for m, gone in s.versions
+                ],
             }
             for s in sorted(marks, key=lambda s: (s.kind, s.subject))
         ],
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -22,7 +22,7 @@
 from sailrun.node.clock import log
 from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import ServerListUpdate
-from sailrun.replication.marks import DRAIN, OUT, keeps_out
+from sailrun.replication.operator_marks import DRAIN, OUT, is_mark_active
 from sailrun.storage import decision_snapshot
 from sailrun.storage import entries as e
 from sailrun.storage.errors import NewerSchemaError
@@ -151,7 +151,7 @@
         """
         memory = self.contents.state
         out = frozenset(
-            r.subject for r in memory.records.values() if r.kind == OUT and not r.soft and keeps_out(r)
+            r.subject for r in memory.records.values() if r.kind == OUT and not r.soft and is_mark_active(r)
         )
         drain = memory.records.get((DRAIN, self._name, ""))
         learned = None
@@ -160,7 +160,7 @@
             learned = decision_snapshot.decode_snapshot(
                 memory.decision_snapshot.content, now_us, self.settings.half_life_s, listed
             )
-        self.starts_draining = drains and drain is not None and keeps_out(drain)
+        self.starts_draining = drains and drain is not None and is_mark_active(drain)
         by_hand = (
             frozenset(memory.operator_overrides.out_of_service)
             if memory.operator_overrides is not None
--- a/sailrun/storage/snapshot_writer.py
+++ b/sailrun/storage/snapshot_writer.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from itertools import chain, islice
 
-from sailrun.replication.records import size_of
+from sailrun.replication.records import estimate_size_bytes
 from sailrun.storage.entries import Entry, StoredRecord, encode_entries
 from sailrun.storage.files import FolderFiles
 from sailrun.storage.folder_layout import TEMPORARY_SUFFIX, name_snapshot
@@ -67,4 +67,4 @@
 
 
 def _count_record_bytes(entries: list[Entry]) -> int:
-    return sum(size_of(entry.record) for entry in entries if isinstance(entry, StoredRecord))
+    return sum(estimate_size_bytes(entry.record) for entry in entries if isinstance(entry, StoredRecord))
