--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -31,8 +31,7 @@
 from sailrun.replication.inspection import describe_versions
 from sailrun.replication.mark_client import MarkOutcome
 from sailrun.replication.messages import Accept, MarkRequest, PageRequest, RecordPage, SenderBusy
-from sailrun.replication.operator_marks import MarkVersion, OperatorMark, resolve_mark
-from sailrun.replication.operator_marks import encode_mark as pack_mark
+from sailrun.replication.operator_marks import MarkVersion, OperatorMark, encode_mark, resolve_mark
 from sailrun.replication.outlier_reports import OutlierReport, OutlierReporter, combine_outlier_reports
 from sailrun.replication.range_digests import FIRM_RANGE_COUNT, RANGE_COUNT, find_range
 from sailrun.replication.records import (
@@ -55,7 +54,7 @@
 KEY = ("out", "s-00000001", "")
 
 
-def record(dots: dict[tuple[str, int], bool], seen: dict[str, int]) -> Record:
+def make_record(dots: dict[tuple[str, int], bool], seen: dict[str, int]) -> Record:
     versions = [Version(a, (0, n), f"{a}{n}".encode(), gone) for (a, n), gone in sorted(dots.items())]
     return Record(*KEY, False, versions, {a: (0, n) for a, n in seen.items()})
 
@@ -66,7 +65,7 @@
     seen = draw(st.dictionaries(st.sampled_from("abc"), st.integers(1, 4), min_size=1))
     dots = [(a, n) for a, most in seen.items() for n in range(1, most + 1)]
     held = draw(st.sets(st.sampled_from(dots), max_size=4))
-    return record({(a, n): (n + ord(a)) % 3 == 0 for a, n in held}, seen)
+    return make_record({(a, n): (n + ord(a)) % 3 == 0 for a, n in held}, seen)
 
 
 @given(records(), records(), records())
@@ -78,7 +77,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 2), st.booleans()), max_size=25))
-def test_copies_that_pass_everything_on_are_the_same_and_lose_no_word(
+def test_copies_that_exchange_everything_are_equal_and_lose_no_version(
     steps: list[tuple[int, int, bool]],
 ) -> None:
     copies: list[Record | None] = [None, None, None]
@@ -101,10 +100,10 @@
 
 
 def mark(id_: str, on: bool) -> bytes:
-    return pack_mark(OperatorMark(id_, on, False, "a", "b", 0.0, "n", [id_]))
+    return encode_mark(OperatorMark(id_, on, False, "a", "b", 0.0, "n", [id_]))
 
 
-def test_out_on_one_side_and_back_on_the_other_stays_out_until_a_word_that_saw_both() -> None:
+def test_a_mark_active_on_one_side_and_deleted_on_the_other_stays_active_until_a_write_saw_both() -> None:
     both = apply_write(None, KEY, False, "n1", (0, 1), mark("first", True))
     out = apply_write(both, KEY, False, "n1", (0, 2), mark("out", True))
     back = apply_write(both, KEY, False, "n2", (0, 1), mark("back", False), deleted=True)
@@ -121,7 +120,7 @@
     assert merge_records(settled, out) == settled  # nothing brings it back
 
 
-def test_words_of_owners_are_in_the_order_of_their_terms_whoever_comes_last() -> None:
+def test_writes_of_leaders_are_in_the_order_of_their_terms_whichever_comes_last() -> None:
     old = apply_write(None, KEY, False, STRONG, (3, 9), b"old")
     new = apply_write(None, KEY, False, STRONG, (4, 1), b"new")
     for met in (merge_records(old, new), merge_records(new, old)):
@@ -142,12 +141,12 @@
 # -------------------------------------------------------------------- a copy's bounds and checks
 
 
-def a_store(**terms: Any) -> RecordStore:
+def make_store(**terms: Any) -> RecordStore:
     return RecordStore(ReplicationSettings(enabled=True, **terms), b"fleet")
 
 
-def test_a_full_copy_refuses_what_is_soft_and_still_takes_marks() -> None:
-    store = a_store(max_records=100)
+def test_a_full_copy_rejects_soft_records_and_still_accepts_marks() -> None:
+    store = make_store(max_records=100)
     for n in range(120):
         took = store.put(0, apply_write(None, ("belief", f"n{n}", ""), True, f"n{n}", (1, 1), b"x"))
     assert took is PutResult.FULL and len(store) == 100 and store.rejected_full == 20
@@ -158,15 +157,15 @@
 
 
 def test_a_list_of_an_older_revision_never_replaces_a_newer() -> None:
-    store = a_store()
+    store = make_store()
     for revision in (5, 9, 7):
         store.put(0, apply_write(None, ("list", "r", ""), False, "r", (0, revision), b"%d" % revision))
     held = store.get(("list", "r", ""))
     assert held is not None and [v.content for v in held.versions] == [b"9"]
 
 
-def test_the_last_good_list_is_had_from_the_copies_as_one_perhaps_old() -> None:
-    node = replica()
+def test_the_last_good_list_is_read_from_the_copies_as_a_cached_one() -> None:
+    node = make_replica()
     entry = {"id": "s-00000001", "host_port": "127.0.0.1:9", "phase": "SERVING", "locality": "z0"}
     store_server_list(node, 0, "127.0.0.1:1 z0", 7, [entry])
     store_server_list(node, 0, "127.0.0.1:1 z0", 6, [])
@@ -181,8 +180,8 @@
     assert age_us(5 * SECOND) == 5 * SECOND
 
 
-def test_what_somebody_said_ages_on_its_way_and_ends() -> None:
-    one, other, third = (a_store(outlier_report_ttl_s=10.0) for _ in range(3))
+def test_a_soft_record_ages_on_its_way_and_expires() -> None:
+    one, other, third = (make_store(outlier_report_ttl_s=10.0) for _ in range(3))
     key = ("belief", "n1", "")
     one.put(0, apply_write(None, key, True, "n1", (1, 1), b"x"))
     held = one.get(key)
@@ -194,8 +193,8 @@
     assert len(other) == 0
 
 
-def test_a_byte_that_was_flipped_is_found_and_never_passed_on() -> None:
-    store = a_store()
+def test_a_corrupted_record_is_found_and_never_sent_on() -> None:
+    store = make_store()
     for n in range(40):
         store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"content"))
     store.corrupt(("out", "s-7", ""))
@@ -208,15 +207,15 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.booleans()), max_size=60))
-def test_digests_and_pages_follow_what_a_copy_holds(steps: list[tuple[int, bool]]) -> None:
-    store = a_store()
+def test_digests_and_pages_follow_the_records_of_a_copy(steps: list[tuple[int, bool]]) -> None:
+    store = make_store()
     for count, (n, put) in enumerate(steps):
         key = ("out", f"s-{n}", "")
         if put:
             store.put(0, apply_write(store.get(key), key, False, "n", (0, count), b"x"))
         else:
             store.remove(key)
-    other = a_store()
+    other = make_store()
     pages, after, ranges = 0, None, list(range(RANGE_COUNT))
     while True:
         page, after = store.read_page(0, ranges, after, 100)
@@ -234,7 +233,7 @@
     assert pages >= len(store) // 3
 
 
-def test_answers_of_a_former_life_do_not_count() -> None:
+def test_replies_of_a_former_incarnation_do_not_count() -> None:
     assert find_consistent_voters({"a": (1, {}), "b": (2, {"a": 1})}) == {"a", "b"}
     assert find_consistent_voters({"a": (1, {}), "b": (2, {"a": 2})}) == {"b"}
 
@@ -242,7 +241,7 @@
 # -------------------------------------------------------------------- messages of whatever kind
 
 
-def replica(name: str = "n1", **terms: Any) -> Replica:
+def make_replica(name: str = "n1", **terms: Any) -> Replica:
     members = Membership(
         MemberRecord(name, 1, 1, MemberState.ALIVE, name), MembershipSettings(enabled=True, name=name), 1, 0
     )
@@ -299,7 +298,7 @@
 @settings(max_examples=300, deadline=None)
 @given(st.data())
 def test_no_message_of_a_member_ends_a_node_whatever_is_in_it(data: st.DataObject) -> None:
-    node = replica()
+    node = make_replica()
     node.set_leadership(0, 5)
     assert node.acceptor is not None
     node.acceptor.state.is_recovered = data.draw(st.booleans())
@@ -314,8 +313,8 @@
 
 
 @given(st.binary(max_size=400), st.integers(0, 10**6), st.integers(0, 255))
-def test_bytes_that_are_no_message_are_refused_as_such(junk: bytes, at: int, byte: int) -> None:
-    sound = pack(Envelope("f", "n2", 1, 1, Accept(1, 1, 0, [record({("a", 1): False}, {"a": 1})])))
+def test_bytes_that_are_no_message_are_rejected_as_such(junk: bytes, at: int, byte: int) -> None:
+    sound = pack(Envelope("f", "n2", 1, 1, Accept(1, 1, 0, [make_record({("a", 1): False}, {"a": 1})])))
     at %= len(sound)
     for told in (junk, sound[:at], sound[:at] + bytes([byte]) + sound[at + 1 :]):
         try:
@@ -324,8 +323,8 @@
             continue
 
 
-def test_a_record_that_contradicts_itself_is_not_taken() -> None:
-    store = a_store()
+def test_a_record_that_contradicts_itself_is_not_accepted() -> None:
+    store = make_store()
     for bad in (
         Record(*KEY, False, [], {}),
         Record(*KEY, False, [Version("a", (0, 2), b"")], {"a": (0, 1)}),
@@ -337,9 +336,9 @@
     assert len(store) == 0
 
 
-def test_a_kind_that_this_version_does_not_know_is_carried_unchanged() -> None:
+def test_an_unknown_kind_of_record_is_replicated_unchanged() -> None:
     newer = apply_write(None, ("tides", "s-1", "x"), False, "n9", (0, 1), b"\x93\x01\x02\x03")
-    one, other = replica("n1"), replica("n2")
+    one, other = make_replica("n1"), make_replica("n2")
     one.receive(0, "n2", messages.Rumor(0, [newer]))
     asked = other.anti_entropy.request_digests("n1")[0][1]
     differs = one.receive(0, "n2", asked)[0][1]
@@ -353,8 +352,8 @@
 # -------------------------------------------------------------------- passing copies on
 
 
-def test_a_giver_refuses_those_beyond_what_it_may_give_but_not_a_voter_that_returns() -> None:
-    store = a_store()
+def test_a_sender_rejects_receivers_beyond_its_rate_but_not_a_voter_that_recovers() -> None:
+    store = make_store()
     for n in range(400):
         store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x" * 200))
     giver = TransferSender(
@@ -374,7 +373,7 @@
     )
 
 
-def a_fleet(nodes: int, seed: int, kind: str = "copies") -> VirtualFleet:
+def make_fleet(nodes: int, seed: int, kind: str = "copies") -> VirtualFleet:
     made = VirtualFleet(
         nodes, 3, 1, lambda n, voters, joins: agent_terms(n, voters, joins, PLANS[kind]), seed
     )
@@ -386,7 +385,7 @@
     return (fleet.time.now_us - BEGIN_US) / SECOND
 
 
-def until(fleet: VirtualFleet, true: Callable[[], object], for_s: float = 20.0) -> float:
+def run_until(fleet: VirtualFleet, true: Callable[[], object], for_s: float = 20.0) -> float:
     """Lets time pass until it is so; returns how long that took, in seconds."""
     began_s = now_s(fleet)
     while not true():
@@ -395,165 +394,181 @@
     return now_s(fleet) - began_s
 
 
-def part(fleet: VirtualFleet, name: str) -> Replica:
+def replica_of(fleet: VirtualFleet, name: str) -> Replica:
     agent = fleet.nodes[name].agent
     assert agent is not None and agent.replica is not None
     return agent.replica
 
 
-def put_mark(fleet: VirtualFleet, name: str, subject: str, on: bool, everybody: bool = False) -> MarkOutcome:
+def write_mark(
+    fleet: VirtualFleet, name: str, subject: str, on: bool, everybody: bool = False
+) -> MarkOutcome:
     answers: list[MarkOutcome] = []
     node = fleet.nodes[name]
     op = MarkRequest(
-        "mark", part(fleet, name).make_request_id(), 0, "out", subject, on, all_members=everybody
+        "mark", replica_of(fleet, name).make_request_id(), 0, "out", subject, on, all_members=everybody
     )
-    part(fleet, name).write_mark(fleet.clock_us(node), op, answers.append)
-    until(fleet, lambda: answers)
+    replica_of(fleet, name).write_mark(fleet.clock_us(node), op, answers.append)
+    run_until(fleet, lambda: answers)
     return answers[0]
 
 
-def alike(fleet: VirtualFleet, names: list[str]) -> bool:
-    parts = [part(fleet, n) for n in names]
+def are_alike(fleet: VirtualFleet, names: list[str]) -> bool:
+    parts = [replica_of(fleet, n) for n in names]
     return len({p.store.digests.get_firm_digest() for p in parts}) == 1 and all(
         p.anti_entropy.copy.is_complete for p in parts
     )
 
 
-def test_a_mark_made_anywhere_is_in_force_everywhere_and_a_restart_learns_it() -> None:
-    fleet = a_fleet(5, 3)
+def test_a_mark_written_anywhere_is_active_everywhere_and_after_a_restart() -> None:
+    fleet = make_fleet(5, 3)
     fleet.run(5.0)
-    answer = put_mark(fleet, "n4", "s-00000001", True, everybody=True)
+    answer = write_mark(fleet, "n4", "s-00000001", True, everybody=True)
     assert (answer.state, answer.copies, answer.replicas) == ("done", 5, 5)
-    until(
+    run_until(
         fleet,
-        lambda: all(("out", "s-00000001", True) in part(fleet, n).mark_changes for n in fleet.names),
+        lambda: all(("out", "s-00000001", True) in replica_of(fleet, n).mark_changes for n in fleet.names),
         1.0,
     )
     fleet.kill("n4")
     fleet.start("n4")
-    until(fleet, lambda: ("out", "s-00000001", True) in part(fleet, "n4").mark_changes, 5.0)
+    run_until(fleet, lambda: ("out", "s-00000001", True) in replica_of(fleet, "n4").mark_changes, 5.0)
 
 
-def test_a_minority_is_told_that_nothing_is_known_and_its_own_word_meets_the_others() -> None:
-    fleet = a_fleet(5, 4)
+def test_a_minority_gets_an_unknown_outcome_and_its_local_writes_merge_after_the_partition() -> None:
+    fleet = make_fleet(5, 4)
     fleet.run(5.0)
     cut = fleet.cut(["n0", "n4"], ["n1", "n2", "n3"])
     fleet.run(9.0)
-    assert put_mark(fleet, "n4", "s-00000001", True).state == "unknown"
+    assert write_mark(fleet, "n4", "s-00000001", True).state == "unknown"
     fleet.mark_here("n4", "s-00000002", True)
-    behind_s = part(fleet, "n4").get_lag_s(fleet.clock_us(fleet.nodes["n4"]))
+    behind_s = replica_of(fleet, "n4").get_lag_s(fleet.clock_us(fleet.nodes["n4"]))
     assert behind_s is not None and behind_s > 3.0
-    assert put_mark(fleet, "n2", "s-00000003", True).state == "done"
+    assert write_mark(fleet, "n2", "s-00000003", True).state == "done"
     fleet.heal(cut)
-    until(fleet, lambda: alike(fleet, fleet.names))
-    assert {s.subject for s in part(fleet, "n1").list_marks() if s.active} >= {"s-00000002", "s-00000003"}
+    run_until(fleet, lambda: are_alike(fleet, fleet.names))
+    assert {s.subject for s in replica_of(fleet, "n1").list_marks() if s.active} >= {
+        "s-00000002",
+        "s-00000003",
+    }
 
 
-def test_who_was_away_while_a_mark_was_forgotten_brings_it_not_back_and_loses_none_of_its_own() -> None:
-    fleet = a_fleet(5, 5, "copies-return")
+def test_a_node_absent_while_a_mark_was_forgotten_does_not_restore_it_and_loses_no_local_write() -> None:
+    fleet = make_fleet(5, 5, "copies-return")
     fleet.run(5.0)
-    put_mark(fleet, "n1", "s-00000001", True, everybody=True)
+    write_mark(fleet, "n1", "s-00000001", True, everybody=True)
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 6.0)
     fleet.mark_here("n4", "s-00000002", True)
-    put_mark(fleet, "n1", "s-00000001", False)
-    until(fleet, lambda: part(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
+    write_mark(fleet, "n1", "s-00000001", False)
+    run_until(fleet, lambda: replica_of(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
     key = ("out", "s-00000001", "")
-    assert part(fleet, "n1").store.get(key) is None and part(fleet, "n4").store.get(key) is not None
+    assert (
+        replica_of(fleet, "n1").store.get(key) is None and replica_of(fleet, "n4").store.get(key) is not None
+    )
     fleet.heal(cut)
-    until(fleet, lambda: alike(fleet, fleet.names))
-    assert part(fleet, "n4").anti_entropy.copy.copies_begun == 1  # it began with a whole copy
-    assert all(part(fleet, n).store.get(key) is None for n in fleet.names)
-    assert all(part(fleet, n).store.get(("out", "s-00000002", "")) for n in fleet.names)
+    run_until(fleet, lambda: are_alike(fleet, fleet.names))
+    assert replica_of(fleet, "n4").anti_entropy.copy.copies_begun == 1  # it began with a whole copy
+    assert all(replica_of(fleet, n).store.get(key) is None for n in fleet.names)
+    assert all(replica_of(fleet, n).store.get(("out", "s-00000002", "")) for n in fleet.names)
 
 
-def test_a_big_copy_goes_on_where_a_cut_link_left_off_and_from_more_than_one_giver() -> None:
-    fleet = a_fleet(5, 6)
+def test_a_large_transfer_resumes_where_a_partition_ended_it_and_from_several_senders() -> None:
+    fleet = make_fleet(5, 6)
     fleet.run(5.0)
     fleet.kill("n4")
     for name in ("n0", "n1", "n2", "n3"):
-        store = part(fleet, name).store
+        store = replica_of(fleet, name).store
         for n in range(4000):
             key = ("tides", f"s-{n}", "")
             store.put(
                 fleet.clock_us(fleet.nodes[name]), apply_write(None, key, False, "x", (0, n), b"x" * 100)
             )
     fleet.start("n4")
-    until(
+    run_until(
         fleet,
         lambda: (
-            len({p.sender for p in part(fleet, "n4").anti_entropy.receiver.transfers if not p.urgent}) >= 2
+            len({p.sender for p in replica_of(fleet, "n4").anti_entropy.receiver.transfers if not p.urgent})
+            >= 2
         ),
         3.0,
     )
     fleet.run(now_s(fleet) + 0.1)
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 4.0)
-    had = len(part(fleet, "n4").store)
+    had = len(replica_of(fleet, "n4").store)
     assert 0 < had < 4000
     fleet.heal(cut)
-    until(fleet, lambda: part(fleet, "n4").anti_entropy.copy.is_complete, 30.0)
-    until(fleet, lambda: alike(fleet, fleet.names))
-    taker = part(fleet, "n4").anti_entropy.receiver
+    run_until(fleet, lambda: replica_of(fleet, "n4").anti_entropy.copy.is_complete, 30.0)
+    run_until(fleet, lambda: are_alike(fleet, fleet.names))
+    taker = replica_of(fleet, "n4").anti_entropy.receiver
     # Ranges are not taken twice: what was there before the cut is not in the pieces after it.
     assert taker.resumed >= 1 and taker.pages < 40
 
 
-def test_sixty_nodes_begin_together_and_fifty_seven_return_at_once() -> None:
-    fleet = a_fleet(60, 9)
+def test_sixty_nodes_start_together_and_fifty_seven_restart_at_once() -> None:
+    fleet = make_fleet(60, 9)
     fleet.run(1.0)
-    until(fleet, lambda: all(part(fleet, n).anti_entropy.copy.is_complete for n in fleet.names), 8.0)
-    put_mark(fleet, "n1", "s-00000001", True)
+    run_until(
+        fleet, lambda: all(replica_of(fleet, n).anti_entropy.copy.is_complete for n in fleet.names), 8.0
+    )
+    write_mark(fleet, "n1", "s-00000001", True)
     back = fleet.names[3:]
     for name in back:
         fleet.kill(name)
     for name in back:
         fleet.start(name)
     fleet.run(now_s(fleet) + 1.0)
-    until(fleet, lambda: all(part(fleet, n).anti_entropy.copy.is_complete for n in back), 12.0)
-    assert all(part(fleet, n).store.get(KEY) for n in fleet.names)
-    most = max(part(fleet, n).anti_entropy.sender.pages_sent for n in fleet.names[:3])
+    run_until(fleet, lambda: all(replica_of(fleet, n).anti_entropy.copy.is_complete for n in back), 12.0)
+    assert all(replica_of(fleet, n).store.get(KEY) for n in fleet.names)
+    most = max(replica_of(fleet, n).anti_entropy.sender.pages_sent for n in fleet.names[:3])
     assert most < 57 * 3  # those that had caught up gave as well
 
 
-def test_two_copies_of_one_word_with_two_contents_are_settled_by_the_voters() -> None:
-    fleet = a_fleet(5, 7)
+def test_one_version_with_two_contents_is_settled_by_the_voters() -> None:
+    fleet = make_fleet(5, 7)
     fleet.run(5.0)
-    put_mark(fleet, "n1", "s-00000001", True, everybody=True)
-    store = part(fleet, "n4").store
+    write_mark(fleet, "n1", "s-00000001", True, everybody=True)
+    store = replica_of(fleet, "n4").store
     held = store.get(KEY)
     assert held is not None
     (version,) = held.versions
     store.replace(0, Record(*KEY, False, [Version(version.actor, version.count, b"other")], held.context))
-    until(fleet, lambda: alike(fleet, fleet.names))
-    assert part(fleet, "n4").anti_entropy.repaired == 1 and part(fleet, "n0").anti_entropy.repaired == 0
+    run_until(fleet, lambda: are_alike(fleet, fleet.names))
+    assert (
+        replica_of(fleet, "n4").anti_entropy.repaired == 1
+        and replica_of(fleet, "n0").anti_entropy.repaired == 0
+    )
 
 
-def test_forgotten_words_of_nodes_are_told_from_new_ones() -> None:
-    fleet = a_fleet(5, 8, "copies-return")
+def test_forgotten_local_writes_are_distinguished_from_new_ones() -> None:
+    fleet = make_fleet(5, 8, "copies-return")
     fleet.run(5.0)
     fleet.mark_here("n4", "s-00000001", True)
-    until(fleet, lambda: alike(fleet, fleet.names))
+    run_until(fleet, lambda: are_alike(fleet, fleet.names))
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 6.0)
-    put_mark(fleet, "n1", "s-00000001", False)
-    until(fleet, lambda: part(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
+    write_mark(fleet, "n1", "s-00000001", False)
+    run_until(fleet, lambda: replica_of(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
     fleet.heal(cut)
-    until(fleet, lambda: alike(fleet, fleet.names))
-    assert all(part(fleet, n).store.get(KEY) is None for n in fleet.names)
-    assert part(fleet, "n0").store.get(EPOCH_RECORD_KEY) is not None
+    run_until(fleet, lambda: are_alike(fleet, fleet.names))
+    assert all(replica_of(fleet, n).store.get(KEY) is None for n in fleet.names)
+    assert replica_of(fleet, "n0").store.get(EPOCH_RECORD_KEY) is not None
 
 
 # -------------------------------------------------------------------- beliefs
 
 
-def told(name: str, out: dict[str, int], setup_ms: int = 0) -> Record:
+def report_of(name: str, out: dict[str, int], setup_ms: int = 0) -> Record:
     content = msgspec.msgpack.encode(OutlierReport(out, setup_ms))
     return apply_write(None, ("belief", name, ""), True, name, (1, 1), content)
 
 
-def test_one_voice_ejects_nobody_and_two_do_for_as_long_as_both_say() -> None:
-    said = [(told("n2", {"s-1": 9000, "s-2": 9000}, 40), SECOND), (told("n3", {"s-1": 5000}, 60), SECOND)]
+def test_one_report_ejects_nothing_and_two_do_for_as_long_as_both_agree() -> None:
+    said = [
+        (report_of("n2", {"s-1": 9000, "s-2": 9000}, 40), SECOND),
+        (report_of("n3", {"s-1": 5000}, 60), SECOND),
+    ]
     living = {"n1", "n2", "n3"}
     assert combine_outlier_reports(said, living, "n1", 2) == ({"s-1": 4 * SECOND}, 50_000)
     assert combine_outlier_reports(said, {"n1", "n2"}, "n1", 2)[0] == {}
@@ -561,7 +576,7 @@
     assert combine_outlier_reports([(r, 6 * SECOND) for r, _ in said], living, "n1", 2)[0] == {}
 
 
-def test_a_belief_is_said_when_it_changes_and_again_before_it_ends() -> None:
+def test_an_outlier_report_is_sent_when_it_changes_and_again_before_it_expires() -> None:
     voice = OutlierReporter(report_ttl_s=30.0)
     assert voice.make_report(0, {}, 0) is None
     assert voice.make_report(SECOND, {"s-1": SECOND}, 0) is not None
@@ -573,7 +588,7 @@
 # -------------------------------------------------------------------- the checker, and days that are judged
 
 
-def test_the_checker_tells_histories_of_one_copy_from_others() -> None:
+def test_the_checker_distinguishes_histories_of_one_copy_from_others() -> None:
     def w(begin: float, end: float, value: str) -> Operation:
         return Operation(begin, end, True, value)
 
@@ -594,7 +609,7 @@
 
 
 @pytest.mark.parametrize("kind", [k for k, plan in PLANS.items() if plan.copies])
-def test_days_of_copies_keep_every_rule(kind: str) -> None:
+def test_days_of_replication_keep_every_rule(kind: str) -> None:
     # The last ones found a copy taken for whole that was empty, and a word whose context went with its copy.
     # With 17 nodes, more words stood beside each other than a record could hold.
     for seed, nodes in ((7001, 5), (1059, 5), (1033, 5), (6, 17)):
@@ -618,7 +633,7 @@
     raise AssertionError(f"{rule} off: {check} found nothing in 29 days")
 
 
-def test_no_order_of_messages_restarts_and_owners_loses_an_acknowledged_mark() -> None:
+def test_no_order_of_messages_restarts_and_leaders_loses_an_acknowledged_mark() -> None:
     found = explore_copies(120, first=50_000)
     assert not found.fault, (found.seed, found.fault, found.events[-20:])
     assert found.acknowledged > 50 and found.opened > 100 and found.restarts > 100
@@ -630,7 +645,7 @@
     assert found.fault
 
 
-def bad_attempts(hearsay_again_us: int | None) -> tuple[int, int]:
+def bad_attempts(report_interval_us: int | None) -> tuple[int, int]:
     """A node just started, twenty form servers, one of which times every attempt out; sixty households a
     second for 10 s. Returns attempts there and how many households were brought up at once.
     """
@@ -639,26 +654,26 @@
     bad = 7
     peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
 
-    def hear_beliefs(n: int) -> None:
-        if hearsay_again_us is not None and n % 5 == 0:
+    def receive_reports(n: int) -> None:
+        if report_interval_us is not None and n % 5 == 0:
             event = peers.merge_reports(relay.now, {bad: 30 * SECOND - n * 200_000}, (), 10_000)
             if event is not None:
                 relay.feed(event)
 
-    brought_up = ten_seconds(relay, bad, hear_beliefs)
+    brought_up = ten_seconds(relay, bad, receive_reports)
     relay.finish()
     sends = [backend for promise in relay.promises.values() for backend, _ in promise.sends]
     return sends.count(bad), brought_up
 
 
-def test_a_node_just_started_spares_the_form_server_that_others_found_bad() -> None:
+def test_a_node_just_started_avoids_the_form_server_that_others_reported() -> None:
     without, up_without = bad_attempts(None)
     with_, up_with = bad_attempts(SECOND)
     assert without >= 3 and 5 * with_ <= without, (without, with_)
     assert up_with > up_without >= 500
 
 
-def test_hearsay_never_keeps_away_from_much_nor_for_long_nor_from_who_answered_here() -> None:
+def test_gossiped_reports_never_eject_many_nor_for_long_nor_a_form_server_that_answered_here() -> None:
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 10)))
     peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
