--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -80,7 +80,7 @@
         self, incarnation: int, promised_term: int, crash_vector: CrashVector, is_recovered: bool
     ) -> None:
         """What its folder has of the time before this process; `is_recovered`: the folder says that this was
-        all, as `trust_folder` or `distrust_folder` will tell.
+        all, which `trust_folder` or `distrust_folder` decides later.
         """
         state = self.state
         state.incarnation = max(incarnation, state.incarnation)
--- a/sailrun/replication/acceptor_state.py
+++ b/sailrun/replication/acceptor_state.py
@@ -1,4 +1,4 @@
-"""What a voter remembers of its promises and of the other voters, and when its journal is told."""
+"""What a voter remembers of its promises and of the other voters, and how that is journalled."""
 
 from __future__ import annotations
 
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -72,7 +72,7 @@
         self.copy = CopyState()
         # Lines for the operator's log, each with its fields; emptied by whoever drives this.
         self.log_events: list[tuple[str, dict[str, object]]] = []
-        # The copy was discarded, in whole or in part; told whether others counted on what it held.
+        # The copy was discarded, or a record of it; called with whether others counted on what it had.
         self.on_discarded: Callable[[int, bool], None] = lambda now_us, was_counted: None
         self.on_lost: Callable[[Key], None] = lambda key: None  # nobody had the record
         self.receiver = TransferReceiver(settings, self.make_request_id)
@@ -113,7 +113,7 @@
         return self._repair.repaired
 
     def restore(self, epoch: int) -> None:
-        """A complete copy of this epoch was found at the start; how far it is behind, others will tell."""
+        """A complete copy of this epoch was found at the start; how far it is behind is found out later."""
         self.copy.epoch, self.copy.is_complete = epoch, True
         self._copy_transfer.set_complete()
 
@@ -242,7 +242,7 @@
             return []
         record = reply.epoch_record
         if record is None and self.copy.is_complete and not reply.complete:
-            return []  # it has begun a copy of that epoch, and knows no more of it: others will tell
+            return []  # it has begun a copy of that epoch, and knows no more of it: others do
         if not self.copy.is_complete or record is None or not self.epochs.advance(now_us, record):
             self._discard_copy(now_us, reply.epoch, "too far behind")
             return self.request_digests(sender)
--- a/sailrun/replication/copy_transfer.py
+++ b/sailrun/replication/copy_transfer.py
@@ -22,8 +22,9 @@
 SECOND_US = 1_000_000
 # How many senders are asked for ranges at once.
 MAX_SENDERS = 3
-# Voters that have told each other for so long that none of them has a complete copy begin with what there is;
-# any other node does after so long without a sender. A reply that the copy is incomplete counts for so long.
+# Voters that have reported to each other for so long that none of them has a complete copy begin with what
+# there is; any other node does after so long without a sender. A reply that the copy is incomplete counts for
+# so long.
 VOTERS_WAIT_US, MEMBERS_WAIT_US, REPLY_VALID_US = SECOND_US, 10 * SECOND_US, 3 * SECOND_US
 # A sender that was asked is not asked again before.
 ASK_AGAIN_US = SECOND_US // 2
--- a/sailrun/replication/epochs.py
+++ b/sailrun/replication/epochs.py
@@ -1,7 +1,7 @@
 """Epochs: deleted records are forgotten by the whole fleet together, so that none of them can come back.
 
 The record of the latest epoch lists what was forgotten with it. A copy goes on to an epoch only if it knows
-that all of it was deleted; a copy that does not cannot tell what else it has missed, and is taken anew.
+that all of it was deleted; a copy that does not cannot know what else it has missed, and is taken anew.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     """The content of the record of the latest epoch: the versions that were forgotten with it.
 
     `local_writes`: with this epoch and those before, up to which count of a node's local writes of a record
-    went with it, so that a node that returns with other local writes can tell them from these.
+    went with it, so that a node that returns with other local writes can distinguish them from these.
     """
 
     epoch: int
--- a/sailrun/replication/inspection.py
+++ b/sailrun/replication/inspection.py
@@ -108,6 +108,6 @@
 
 
 def describe_ranges(replica: Replica) -> dict[str, Any]:
-    """What tells two copies apart: the digest of each range of firm records."""
+    """What two copies differ in: the digest of each range of firm records."""
     digests = [d for group in range(FIRM_GROUP_COUNT) for d in replica.store.digests.list_ranges(group)]
     return {"epoch": replica.anti_entropy.copy.epoch, "ranges": [f"{d:016x}" for d in digests]}
--- a/sailrun/replication/mark_client.py
+++ b/sailrun/replication/mark_client.py
@@ -93,7 +93,7 @@
     """Writes and reads of marks that are under way here."""
 
     def __init__(self, send: Callable[[LeaderRequest], None], record_event: Callable[..., None]) -> None:
-        """`record_event` is told what was called and answered, for the laboratory's checks."""
+        """`record_event` is called with what was requested and answered, for the laboratory's checks."""
         self._send, self._record_event = send, record_event
         self._writes: dict[str, _Write] = {}
         self._reads: dict[str, _Read] = {}
--- a/sailrun/replication/mark_effects.py
+++ b/sailrun/replication/mark_effects.py
@@ -61,8 +61,8 @@
     def _check_all(self, is_level_unknown: bool) -> set[tuple[str, str]]:
         active = set(list_active_marks(self._anti_entropy.store))
         active |= {key[:2] for key in self._anti_entropy.awaiting_repair if key[:2] in self.active}
-        # A copy just taken may come of a sender that is behind: what was in force stays so until the leader
-        # was heard.
+        # A copy just taken may come of a sender that is behind: what was in force stays so until the
+        # leader has replied.
         self._is_full_check_due = self._anti_entropy.copy.copies_begun > 0 and is_level_unknown
         return active | self.active if self._is_full_check_due else active
 
--- a/sailrun/replication/outlier_exchange.py
+++ b/sailrun/replication/outlier_exchange.py
@@ -15,7 +15,7 @@
 
 
 class OutlierExchange:
-    """Reports what this node observes, and tells the core what enough others report."""
+    """Reports what this node observes, and notifies the core of what enough others report."""
 
     def __init__(self, node: Node, replica: Replica, fleet: FleetServices) -> None:
         self._node, self._replica, self._fleet = node, replica, fleet
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -103,7 +103,8 @@
         journal: ReplicaJournal | None = None,
     ) -> None:
         """`incarnation` is this process's own number. `get_mark_limit` gives how many marks of a kind may be
-        in force at a time; None: any number. `record_event` is told every step that the laboratory checks.
+        in force at a time; None: any number. `record_event` is called with every step that the laboratory
+        checks.
         """
         self.settings, self.name, self._members, self._voters = settings, name, members, voters
         self._get_mark_limit, self._disabled_rules = get_mark_limit, disabled_rules
--- a/sailrun/replication/state_transfer.py
+++ b/sailrun/replication/state_transfer.py
@@ -23,7 +23,7 @@
 RECEIVER_ACTIVE_US = 2 * SECOND_US
 # A sender may be ahead of its rate by so much.
 BURST_US = SECOND_US // 4
-# What a receiver is told to wait: at least so long, and so much longer where all places are taken.
+# How long a receiver is to wait: at least so long, and so much longer where all places are taken.
 MIN_RETRY_US, NO_PLACE_RETRY_US = SECOND_US // 4, SECOND_US // 2
 
 
