--- a/sailrun/leadership/backing.py
+++ b/sailrun/leadership/backing.py
@@ -152,7 +152,7 @@
             entries.append(e.ProcessStarted(own.incarnation, self._lasting.wall_s))
         if voter is not None:
             entries += voter_entries(voter)
-        entries += self.standing.peer_versions.values()
+        entries += self.standing.peers.versions.values()
         if self._drains is not None:
             entries += (e.DrainCompleted(name) for name in self._drains.done())
             entries += (e.DrainPlan(*plan) for plan in self._drains.plans())
@@ -242,7 +242,7 @@
     ) -> tuple[list[Post], list[Post]]:
         """From another voter; returns answers that may go out, and other posts."""
         if isinstance(body, FreshnessQuery):
-            return [], [(sender, self.standing.on_query(sender, body))]
+            return [], [(sender, self.standing.peers.on_query(sender, body))]
         life = self.standing.own.incarnation if self.standing.own is not None else 0
         self.standing.on_reply(sender, body)
         self._stood(now_us, life)
--- a/sailrun/leadership/vote_part.py
+++ b/sailrun/leadership/vote_part.py
@@ -66,7 +66,7 @@
                 voter.released(sender, life, body)
             case Recall():
                 if not body.lasts:
-                    self._backing.standing.on_peer_without_folder(sender, life)
+                    self._backing.standing.peers.on_peer_without_folder(sender, life)
                 return [(sender, voter.recall(body))]
             case Recalled():
                 voter.told(now_us, sender, body)
--- a/sailrun/storage/decision_snapshot.py
+++ b/sailrun/storage/decision_snapshot.py
@@ -1,8 +1,8 @@
-"""What a node had learned of form servers, written down for its next process, and aged when it is read. Pure.
+"""Encodes what a node's decisions had learned of form servers, and ages it when it is read. Pure.
 
-It counts less the longer ago it was: by half for every `half_life_s`. What keeps a form server out ends
-sooner, what limits it widens, and after some half-lives nothing is left. The age is by the wall clock: where
-that was set back since, the age is not known, and nothing is believed.
+What was learned counts half after each `half_life_s`: ejections end sooner, load limits widen, counts become
+smaller, and after some half-lives nothing is left. The age is by the wall clock; where that was set back
+since, the age is unknown and nothing is used.
 """
 
 from __future__ import annotations
@@ -21,91 +21,99 @@
     StateSnapshot,
 )
 
-SECOND = 1_000_000
-# Below this nothing is believed any more.
+SECOND_US = 1_000_000
+# Below this weight nothing is used any more.
 MIN_WEIGHT = 1 / 16
 
+# Fields of a BackendSnapshot in the order of BACKEND_SNAPSHOT_FIELDS.
+BackendValues = list[float | int | bool]
+
 
 class PackedSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """`backends`: by name, in the order of `interface.LEARNED`; `now_us` is the clock of all its times."""
+    """A snapshot as it is stored. `taken_us` is when it was taken, on the clock of all its times; `backends`
+    is by name, `setup_rate` in the order of SETUP_RATE_FIELDS.
+    """
 
     taken_us: int
-    backends: dict[str, list[float | int | bool]]
+    backends: dict[str, BackendValues]
     setup_rate: list[float]
     class_load: dict[str, tuple[float, int]]
 
 
-def encode_snapshot(now_us: int, learned: StateSnapshot, names: Mapping[int, str]) -> bytes:
-    """`names` by number, of the form servers that are listed. Of those that nothing is wrong with, nothing is
-    kept.
+def encode_snapshot(now_us: int, snapshot: StateSnapshot, names: Mapping[int, str]) -> bytes:
+    """The bytes of a snapshot. `names`: of the form servers that are listed, by number; only those are
+    encoded, and of them only those that something is known against.
     """
-    backends = {
-        names[one.id]: [getattr(one, n) for n in BACKEND_SNAPSHOT_FIELDS]
-        for one in learned.backends
-        if one.id in names and _is_worth_saving(now_us, one)
+    backends: dict[str, BackendValues] = {
+        names[backend.id]: [getattr(backend, name) for name in BACKEND_SNAPSHOT_FIELDS]
+        for backend in snapshot.backends
+        if backend.id in names and _is_worth_saving(now_us, backend)
     }
-    told = PackedSnapshot(
-        now_us,
-        backends,
-        list(astuple(learned.setup_rate)) if learned.setup_rate is not None else [],
-        dict(learned.class_load),
-    )
-    return msgspec.msgpack.encode(told)
+    setup_rate = list(astuple(snapshot.setup_rate)) if snapshot.setup_rate is not None else []
+    packed = PackedSnapshot(now_us, backends, setup_rate, dict(snapshot.class_load))
+    return msgspec.msgpack.encode(packed)
 
 
-def _is_worth_saving(now_us: int, one: BackendSnapshot) -> bool:
+def _is_worth_saving(now_us: int, backend: BackendSnapshot) -> bool:
     return (
-        one.ejected_until_us > now_us
-        or bool(one.ejections or one.consecutive_timeouts)
-        or one.half_open
-        or one.load_limit < math.inf
+        backend.ejected_until_us > now_us
+        or bool(backend.ejections or backend.consecutive_timeouts)
+        or backend.half_open
+        or backend.load_limit < math.inf
     )
 
 
 def remaining_weight(age_s: float, half_life_s: float) -> float:
-    """What is left of something learned that long ago, 0 to 1."""
+    """The weight of something learned that long ago, 0 to 1."""
     if age_s < 0:
         return 0.0
-    left = math.exp2(-age_s / half_life_s)
-    return left if left >= MIN_WEIGHT else 0.0
+    weight = math.exp2(-age_s / half_life_s)
+    return weight if weight >= MIN_WEIGHT else 0.0
 
 
 def decode_snapshot(
-    content: bytes, now_us: int, half_life_s: float, numbers: Mapping[str, tuple[int, int]]
+    content: bytes, now_us: int, half_life_s: float, listed: Mapping[str, tuple[int, int]]
 ) -> StateSnapshot | None:
-    """What is still to be believed at `now_us`, of the form servers in `numbers`: by name, number and since
-    when (us) it runs. None: nothing, or the content is none of this version's.
+    """What still counts at `now_us` of the form servers in `listed`: by name, the number and since when (us)
+    it runs. None: nothing, or the content is not of this version.
     """
     try:
-        told = msgspec.msgpack.decode(content, type=PackedSnapshot)
-        weight = remaining_weight((now_us - told.taken_us) / SECOND, half_life_s)
-        if (
-            not weight
-            or len(told.setup_rate) != len(SETUP_RATE_FIELDS)
-            or not all(map(math.isfinite, told.setup_rate))
-        ):
+        packed = msgspec.msgpack.decode(content, type=PackedSnapshot)
+        weight = remaining_weight((now_us - packed.taken_us) / SECOND_US, half_life_s)
+        if not weight or not _is_setup_rate(packed.setup_rate):
             return None
         backends = tuple(
-            _age_backend(one, told.taken_us, now_us, weight)
-            for name, values in told.backends.items()
-            if name in numbers
-            and (one := _restore_backend(values)) is not None
-            and (one.id, one.started_us) == numbers[name]
+            _age_backend(backend, packed.taken_us, now_us, weight)
+            for name, values in packed.backends.items()
+            if name in listed
+            and (backend := _restore_backend(values)) is not None
+            and (backend.id, backend.started_us) == listed[name]
         )
     except (msgspec.MsgspecError, OverflowError):
         return None
-    rate = SetupRateSnapshot(*told.setup_rate)
-    rate = replace(
+    rate = _age_setup_rate(SetupRateSnapshot(*packed.setup_rate), weight)
+    return StateSnapshot(backends, rate, _age_class_load(packed.class_load, weight))
+
+
+def _is_setup_rate(values: list[float]) -> bool:
+    return len(values) == len(SETUP_RATE_FIELDS) and all(map(math.isfinite, values))
+
+
+def _age_setup_rate(rate: SetupRateSnapshot, weight: float) -> SetupRateSnapshot:
+    return replace(
         rate,
         recent_attempts=math.floor(rate.recent_attempts * weight),
         success_share=1.0 - (1.0 - rate.success_share) * weight,
     )
-    load = {name: (mean, math.floor(notes * weight)) for name, (mean, notes) in told.class_load.items()}
-    load = {name: pair for name, pair in load.items() if pair[1] > 0 and math.isfinite(pair[0])}
-    return StateSnapshot(backends, rate, load)
 
 
-def _restore_backend(values: list[float | int | bool]) -> BackendSnapshot | None:
+def _age_class_load(class_load: dict[str, tuple[float, int]], weight: float) -> dict[str, tuple[float, int]]:
+    """By request class, the mean reported load and the number of reports it rests on."""
+    aged = {name: (mean, math.floor(count * weight)) for name, (mean, count) in class_load.items()}
+    return {name: (mean, count) for name, (mean, count) in aged.items() if count > 0 and math.isfinite(mean)}
+
+
+def _restore_backend(values: BackendValues) -> BackendSnapshot | None:
     if len(values) != len(BACKEND_SNAPSHOT_FIELDS):
         return None
     try:
@@ -114,30 +122,34 @@
         return None
 
 
-def _age_backend(one: BackendSnapshot, told_us: int, now_us: int, weight: float) -> BackendSnapshot:
-    left_us = int(max(0, one.ejected_until_us - told_us) * weight)
+def _age_backend(backend: BackendSnapshot, taken_us: int, now_us: int, weight: float) -> BackendSnapshot:
+    ejected_for_us = int(max(0, backend.ejected_until_us - taken_us) * weight)
     return replace(
-        one,
-        ejected_until_us=min(one.ejected_until_us, now_us + left_us),
-        ejections=math.ceil(one.ejections * weight),
-        consecutive_timeouts=math.floor(one.consecutive_timeouts * weight),
-        consecutive_errors=math.floor(one.consecutive_errors * weight),
-        load_limit=one.load_limit / weight,
-        delay_ms=one.delay_ms * weight,
+        backend,
+        ejected_until_us=min(backend.ejected_until_us, now_us + ejected_for_us),
+        ejections=math.ceil(backend.ejections * weight),
+        consecutive_timeouts=math.floor(backend.consecutive_timeouts * weight),
+        consecutive_errors=math.floor(backend.consecutive_errors * weight),
+        load_limit=backend.load_limit / weight,
+        delay_ms=backend.delay_ms * weight,
     )
 
 
 def remaining_ejections_us(content: bytes, now_us: int, half_life_s: float) -> dict[str, int]:
     """By name, for how much longer (us) a node that starts now keeps away from which form servers."""
     try:
-        told = msgspec.msgpack.decode(content, type=PackedSnapshot)
+        packed = msgspec.msgpack.decode(content, type=PackedSnapshot)
     except msgspec.MsgspecError:
         return {}
-    weight = remaining_weight((now_us - told.taken_us) / SECOND, half_life_s)
+    weight = remaining_weight((now_us - packed.taken_us) / SECOND_US, half_life_s)
     if not weight:
         return {}
-    pairs = ((name, _restore_backend(values)) for name, values in told.backends.items())
-    aged = {name: _age_backend(one, told.taken_us, now_us, weight) for name, one in pairs if one is not None}
-    return {
-        name: one.ejected_until_us - now_us for name, one in aged.items() if one.ejected_until_us > now_us
-    }
+    remaining = {}
+    for name, values in packed.backends.items():
+        backend = _restore_backend(values)
+        if backend is None:
+            continue
+        aged = _age_backend(backend, packed.taken_us, now_us, weight)
+        if aged.ejected_until_us > now_us:
+            remaining[name] = aged.ejected_until_us - now_us
+    return remaining
--- a/sailrun/storage/opening.py
+++ b/sailrun/storage/opening.py
@@ -1,4 +1,4 @@
-"""What a start makes of a folder: the same for a running node and for the laboratory's."""
+"""Opens a folder at the start of a process; the same for a running node and in the laboratory."""
 
 from __future__ import annotations
 
@@ -15,41 +15,51 @@
 
 @dataclass(slots=True)
 class OpenedFolder:
+    """A folder that was opened. `identity` is that of the folder from now on: a new one, unless the folder
+    was intact and this node's.
+    """
+
     contents: FolderContents
     write_ahead_log: WriteAheadLog
     writer: BatchWriter
-    identity: str  # that of the folder from now on: another one, unless it is sound
+    identity: str
 
 
 def open_folder(
     files: FolderFiles,
-    terms: StorageSettings,
+    settings: StorageSettings,
     slow_us: int,
     node: str,
     fleet: str,
-    new_identity: Callable[[], str],
+    generate_identity: Callable[[], str],
     now_us: int,
-    off: frozenset[str] = frozenset(),
+    disabled_rules: frozenset[str] = frozenset(),
 ) -> OpenedFolder:
-    """Reads the folder and takes it over as far as it is sound and this node's; otherwise another is begun
-    with the first work. A disk that fails costs the vote until it is well, and nothing else. Raises
-    NewerSchema.
+    """Reads the folder and continues it if it is intact and this node's; otherwise the first batch begins a
+    new one. A failing disk costs the vote until it recovers, and nothing else. Raises NewerSchemaError.
     """
-    try:
-        found = read_folder(files)
-    except OSError as error:
-        found = FolderContents(FolderIntegrity.UNTRUSTED, f"cannot be read: {error.strerror or error}")
-    if found.integrity is FolderIntegrity.INTACT and (found.node, found.fleet) != (node, fleet):
-        found = FolderContents(FolderIntegrity.UNTRUSTED, f"of node {found.node} of fleet {found.fleet}")
-    wal = WriteAheadLog(terms, slow_us, found.position, off)
-    folder = FolderWriter(files, found, off)
-    identity = found.identity.hex()
-    if found.integrity is FolderIntegrity.INTACT:
+    contents = _read(files, node, fleet)
+    wal = WriteAheadLog(settings, slow_us, contents.position, disabled_rules)
+    folder = FolderWriter(files, contents, disabled_rules)
+    identity = contents.identity.hex()
+    if contents.integrity is FolderIntegrity.INTACT:
         try:
             folder.resume()
         except OSError as error:
             wal.complete_batch(now_us, WriteResult(0, 0, error.strerror or str(error)))
     else:
-        identity = new_identity()
+        identity = generate_identity()
         wal.begin_new_folder(bytes.fromhex(identity))
-    return OpenedFolder(found, wal, BatchWriter(folder, node, fleet), identity)
+    return OpenedFolder(contents, wal, BatchWriter(folder, node, fleet), identity)
+
+
+def _read(files: FolderFiles, node: str, fleet: str) -> FolderContents:
+    """The contents; untrusted where they cannot be read or are another node's."""
+    try:
+        contents = read_folder(files)
+    except OSError as error:
+        return FolderContents(FolderIntegrity.UNTRUSTED, f"cannot be read: {error.strerror or error}")
+    is_own = (contents.node, contents.fleet) == (node, fleet)
+    if contents.integrity is FolderIntegrity.INTACT and not is_own:
+        return FolderContents(FolderIntegrity.UNTRUSTED, f"of node {contents.node} of fleet {contents.fleet}")
+    return contents
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -1,15 +1,9 @@
-"""A running node's folder: opened at the start, written by a thread of its own, closed at the end.
-
-The event loop never waits for the disk. The thread does one piece of work at a time, and a part of a snapshot
-when there is none.
-"""
+"""A running node's folder: opened at the start, written by a thread of its own, closed at the end."""
 
 from __future__ import annotations
 
 import contextlib
-import threading
 import time
-import traceback
 from collections.abc import Callable, Iterable
 from pathlib import Path
 from typing import TYPE_CHECKING
@@ -23,8 +17,14 @@
 from sailrun.node.session import ServerListUpdate
 from sailrun.node.succession_state import NodeState
 from sailrun.replication.marks import DRAIN, OUT, keeps_out
-from sailrun.storage import decision_snapshot
-from sailrun.storage import entries as e
+from sailrun.storage.decision_snapshot import decode_snapshot, encode_snapshot
+from sailrun.storage.entries import (
+    CleanShutdown,
+    DecisionSnapshot,
+    Entry,
+    OperatorOverrides,
+    ProcessStarted,
+)
 from sailrun.storage.errors import NewerSchemaError
 from sailrun.storage.files import OsFiles
 from sailrun.storage.folder_identity import generate_identity
@@ -32,60 +32,66 @@
 from sailrun.storage.folder_writer import FolderWriter
 from sailrun.storage.opening import open_folder
 from sailrun.storage.settings import StorageSettings
-from sailrun.storage.write_ahead_log import DiskState, WriteAheadLog, WriteBatch, WriteResult
+from sailrun.storage.write_ahead_log import WriteAheadLog, WriteResult
 from sailrun.storage.writer import BatchWriter
+from sailrun.storage.writer_thread import WriterThread
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
 
-SECOND = 1_000_000
-# What the decision module has learned is written down this often, if it has changed.
-SNAPSHOT_INTERVAL_US = 5 * SECOND
-# Of a node without a fleet, it is looked this often whether staff have taken anything out.
-OVERRIDE_POLL_US = SECOND
-# A successor waits so long for its predecessor to let go of the folder; a node that ends, for its disk.
-LET_GO_US, LAST_US, TRY_S = 10 * SECOND, SECOND // 2, 0.05
+SECOND_US = 1_000_000
+# What the decisions have learned is stored this often.
+SNAPSHOT_INTERVAL_US = 5 * SECOND_US
+# A node without a fleet looks this often whether operators have taken anything out of service.
+OVERRIDE_POLL_US = SECOND_US
+# How long a successor waits for its predecessor to release the folder, and how often it looks.
+LOCK_TIMEOUT_US = 10 * SECOND_US
+LOCK_POLL_S = 0.05
+# How long a node that ends waits for its disk, and how often it looks.
+SHUTDOWN_TIMEOUT_US = SECOND_US // 2
+SHUTDOWN_POLL_S = 0.005
+# The event loop sleeps at least this long between two turns.
+MIN_WAIT_US = 1_000
 
 
 class StorageService:
-    """One node's folder. `clock_us` is the clock that leases are counted by."""
+    """One node's folder. `contents` is what it held at the start; `on_result` is called in the event loop
+    with the result of each batch; `starts_draining` says that the node starts with a drain that an operator
+    mark has asked for.
+    """
 
     def __init__(
         self,
-        terms: StorageSettings,
+        settings: StorageSettings,
         name: str,
         fleet: str,
         slow_us: int,
-        patient: bool,
+        waits_for_predecessor: bool,
         clock_us: Callable[[], int],
     ) -> None:
-        """Patient: a predecessor may have the folder yet, and `wait` has to be called. Raises BadConfig for a
-        folder that is not to be used.
+        """`slow_us`: how long a batch may take, where the settings do not say it. `waits_for_predecessor`: a
+        predecessor may still have the folder, and `acquire` has to be called. `clock_us` is the clock that
+        leases are counted by. Raises BadConfig for a folder that cannot be used.
         """
-        self.settings, self._name, self._fleet, self._clock_us = terms, name, fleet, clock_us
-        self._files = OsFiles(Path(terms.folder))
-        self._slow_us = int(terms.slow_s * SECOND) or slow_us
+        self.settings, self._name, self._fleet, self._clock_us = settings, name, fleet, clock_us
+        self._files = OsFiles(Path(settings.folder))
+        self._slow_us = int(settings.slow_s * SECOND_US) or slow_us
         self.contents = FolderContents(FolderIntegrity.EMPTY)
         self.identity = ""
-        self.write_ahead_log = WriteAheadLog(terms, self._slow_us, 0, frozenset())
+        self.write_ahead_log = WriteAheadLog(settings, self._slow_us, 0, frozenset())
         self.is_open = False
+        self.on_result: Callable[[WriteResult], None] = lambda result: None
+        self.starts_draining = False
         self._writer = BatchWriter(FolderWriter(self._files, self.contents), name, fleet)
-        # Told what became of a piece of work, in the loop.
-        self.on_result: Callable[[WriteResult], None] = lambda done: None
-        self._next_batch: WriteBatch | None = None
-        self._changed = threading.Condition()
-        self._is_stopping = False
-        self._thread: threading.Thread | None = None
+        self._thread: WriterThread | None = None
         self._wakeup = anyio.Event()
         self._next_snapshot_us = 0
-        self._snapshot: e.DecisionSnapshot | None = None
-        self._on_state: Callable[[NodeState], None] = lambda state: None
-        self.starts_draining = False  # the node began with a drain that a mark had said
+        self._snapshot: DecisionSnapshot | None = None
+        self._overrides: OperatorOverrides | None = None
         self._is_without_fleet = False
-        self._overrides: e.OperatorOverrides | None = None
         if self._try_lock():
             self._open_folder()
-        elif not patient:
+        elif not waits_for_predecessor:
             raise BadConfig(self._files.folder, "lasting.folder", "is in use by another process")
 
     # ------------------------------------------------------------------ opening
@@ -97,12 +103,12 @@
         except (FileNotFoundError, NotADirectoryError) as error:
             raise BadConfig(self._files.folder, "lasting.folder", error.strerror or str(error)) from None
         except OSError as error:
-            # Served on without it. Whatever writes there later has to lock it first.
+            # The node serves without it. Whatever writes there later has to lock it first.
             log("lasting-failed", why=error.strerror or str(error))
             return True
 
     def _open_folder(self) -> None:
-        """Reads the folder, and takes it over as far as it is sound."""
+        """Reads the folder, and continues it if it is intact."""
         try:
             opened = open_folder(
                 self._files,
@@ -115,25 +121,28 @@
             )
         except NewerSchemaError as error:
             raise BadConfig(self._files.folder, "lasting.folder", str(error)) from None
-        found = self.contents = opened.contents
+        self.contents, self.identity = opened.contents, opened.identity
         self.write_ahead_log, self._writer = opened.write_ahead_log, opened.writer
-        self.identity = opened.identity
         self.is_open = True
+        self._log_contents()
+
+    def _log_contents(self) -> None:
+        contents = self.contents
         log(
             "lasting",
             folder=self.settings.folder,
-            found=found.integrity.value,
-            why=found.reason or None,
-            life=found.state.incarnation + 1,
-            entries=found.entry_count,
-            records=len(found.state.records),
-            torn=found.torn_bytes or None,
-            clean=found.state.was_clean_shutdown,
+            found=contents.integrity.value,
+            why=contents.reason or None,
+            life=contents.state.incarnation + 1,
+            entries=contents.entry_count,
+            records=len(contents.state.records),
+            torn=contents.torn_bytes or None,
+            clean=contents.state.was_clean_shutdown,
         )
 
     async def acquire(self) -> bool:
-        """Until a predecessor has let go of the folder; False where it does not."""
-        until_us = self._clock_us() + LET_GO_US
+        """Waits until a predecessor has released the folder, and opens it; False where it does not."""
+        until_us = self._clock_us() + LOCK_TIMEOUT_US
         while not self.is_open:
             if self._try_lock():
                 self._open_folder()
@@ -141,76 +150,66 @@
                 log("lasting-failed", why="the folder is in use by another process")
                 return False
             else:
-                await anyio.sleep_until(anyio.current_time() + TRY_S)
+                await anyio.sleep_until(anyio.current_time() + LOCK_POLL_S)
         return True
 
-    def restore_state(self, known: ServerListUpdate, now_us: int, drains: bool) -> NodeState:
-        """What a node begins with, as if a predecessor had told it: what was out by hand is out before
-        anybody is placed, and what was learned of the form servers in `known`, aged by its clock. `drains`:
-        whether it drains where a mark said so.
+    # ------------------------------------------------------------------ what a node starts with
+
+    def restore_state(self, server_list: ServerListUpdate, now_us: int, may_drain: bool) -> NodeState:
+        """The state that a node starts with, in the form that a predecessor would hand over: what operators
+        have taken out of service, and what was learned of the form servers in `server_list`, aged.
+        `may_drain`: whether the node drains where an operator mark said so.
         """
-        memory = self.contents.state
-        out = frozenset(
-            r.subject for r in memory.records.values() if r.kind == OUT and not r.soft and keeps_out(r)
-        )
-        drain = memory.records.get((DRAIN, self._name, ""))
+        state = self.contents.state
+        out_of_service = {
+            record.subject
+            for record in state.records.values()
+            if record.kind == OUT and not record.soft and keeps_out(record)
+        }
+        if state.operator_overrides is not None:
+            out_of_service.update(state.operator_overrides.out_of_service)
+        drain = state.records.get((DRAIN, self._name, ""))
+        self.starts_draining = may_drain and drain is not None and keeps_out(drain)
         learned = None
-        if memory.decision_snapshot is not None:
-            listed = {s.name: (s.number, s.started_us) for s in known.form_servers}
-            learned = decision_snapshot.decode_snapshot(
-                memory.decision_snapshot.content, now_us, self.settings.half_life_s, listed
-            )
-        self.starts_draining = drains and drain is not None and keeps_out(drain)
-        by_hand = (
-            frozenset(memory.operator_overrides.out_of_service)
-            if memory.operator_overrides is not None
-            else frozenset()
-        )
-        return NodeState(known, out | by_hand, self.starts_draining, learned)
+        if state.decision_snapshot is not None:
+            listed = {s.name: (s.number, s.started_us) for s in server_list.form_servers}
+            content, half_life_s = state.decision_snapshot.content, self.settings.half_life_s
+            learned = decode_snapshot(content, now_us, half_life_s, listed)
+        return NodeState(server_list, frozenset(out_of_service), self.starts_draining, learned)
 
     def start_without_fleet(self) -> None:
-        """There is no fleet to write anything: what was learned of form servers is all."""
-        begun = e.ProcessStarted(self.contents.state.incarnation + 1, time.time())
+        """Begins to write for a node without a fleet, which has no member to do so."""
+        started = ProcessStarted(self.contents.state.incarnation + 1, time.time())
         self._overrides = self.contents.state.operator_overrides
 
-        def whole() -> Iterable[e.Entry]:
-            return [
-                begun,
-                *([self._overrides] if self._overrides is not None else []),
-                *self.list_auxiliary_entries(),
-            ]
+        def list_state_entries() -> Iterable[Entry]:
+            overrides = [self._overrides] if self._overrides is not None else []
+            return [started, *overrides, *self.list_auxiliary_entries()]
 
-        self.write_ahead_log.list_state_entries, self.on_result = whole, self._complete_batch
-        self.write_ahead_log.append(begun)
+        self.write_ahead_log.list_state_entries = list_state_entries
+        self.on_result = self._complete_batch
+        self.write_ahead_log.append(started)
 
     # ------------------------------------------------------------------ running
 
     async def run(self, node: Node) -> None:
-        """Until cancelled; then what is left is written, for as long as that may take."""
-        self._on_state = lambda state: self._save_snapshot(state, node.clock.now_us())
+        """Writes until cancelled; then writes what is left, for as long as that may take."""
         token = current_token()
 
-        def told(done: WriteResult) -> None:
+        def post_result(result: WriteResult) -> None:
             with contextlib.suppress(RuntimeError, anyio.RunFinishedError):  # the loop may be over
-                from_thread.run_sync(self._on_batch_result, done, token=token)
+                from_thread.run_sync(self._on_batch_result, result, token=token)
 
-        self._thread = threading.Thread(target=self._run_writer, args=(told,), name="lasting", daemon=True)
+        self._thread = WriterThread(self._writer, post_result)
         self._thread.start()
         try:
             while True:
                 self.turn()
                 now_us = self._clock_us()
-                if now_us >= self._next_snapshot_us:
-                    self._next_snapshot_us = now_us + SNAPSHOT_INTERVAL_US
-                    node.snapshot_state(self._on_state)
-                if self._is_without_fleet:
-                    node.list_operator_overrides(self._save_overrides)
-                due_us = min(
-                    self.write_ahead_log.due_us(now_us) or self._next_snapshot_us, self._next_snapshot_us
-                )
-                due_us = min(due_us, now_us + OVERRIDE_POLL_US) if self._is_without_fleet else due_us
+                self._observe(node, now_us)
+                due_us = self._due_us(now_us)
                 self._wakeup = anyio.Event()
-                wait_s = max(1_000, due_us - now_us) / SECOND
+                wait_s = max(MIN_WAIT_US, due_us - now_us) / SECOND_US
                 with anyio.CancelScope(deadline=anyio.current_time() + wait_s):
                     await self._wakeup.wait()
         finally:
@@ -218,97 +217,91 @@
                 await self._stop()
 
     async def run_without_fleet(self, node: Node, scope: anyio.CancelScope) -> None:
-        """Of a node without a fleet, until the scope is cancelled."""
+        """For a node without a fleet: opens the folder and writes until the scope is cancelled."""
         with scope:
             if await self.acquire():
                 self._is_without_fleet = True
                 self.start_without_fleet()
                 await self.run(node)
 
+    def _observe(self, node: Node, now_us: int) -> None:
+        """Asks the node for what is stored from time to time."""
+        if now_us >= self._next_snapshot_us:
+            self._next_snapshot_us = now_us + SNAPSHOT_INTERVAL_US
+            node.snapshot_state(lambda state: self._save_snapshot(state, node.clock.now_us()))
+        if self._is_without_fleet:
+            node.list_operator_overrides(self._save_overrides)
+
+    def _due_us(self, now_us: int) -> int:
+        due_us = self.write_ahead_log.due_us(now_us) or self._next_snapshot_us
+        due_us = min(due_us, self._next_snapshot_us)
+        return min(due_us, now_us + OVERRIDE_POLL_US) if self._is_without_fleet else due_us
+
     def turn(self) -> None:
-        """Has the disk do what there is to do. Called after every turn of whoever adds entries."""
+        """Submits the next batch if one is due. To be called after entries were appended."""
         if not self.is_open:
             return
-        if self._thread is not None and (work := self.write_ahead_log.turn(self._clock_us())) is not None:
-            self._submit(work)
-        for what, facts in self.write_ahead_log.log_events:
-            log(what, **facts)
+        if self._thread is not None:
+            batch = self.write_ahead_log.turn(self._clock_us())
+            if batch is not None:
+                self._thread.submit(batch)
+        for event in self.write_ahead_log.log_events:
+            log(event.name, **event.fields)
         self.write_ahead_log.log_events.clear()
 
-    def _complete_batch(self, done: WriteResult) -> None:
-        self.write_ahead_log.complete_batch(self._clock_us(), done)
-
-    def _submit(self, work: WriteBatch) -> None:
-        with self._changed:
-            self._next_batch = work
-            self._changed.notify()
-
-    def _on_batch_result(self, done: WriteResult) -> None:
-        self.on_result(done)
+    def _on_batch_result(self, result: WriteResult) -> None:
+        self.on_result(result)
         self._wakeup.set()
 
-    def _run_writer(self, told: Callable[[WriteResult], None]) -> None:
-        """The thread."""
-        more = False
-        while True:
-            with self._changed:
-                while self._next_batch is None and not self._is_stopping and not more:
-                    self._changed.wait()
-                work, self._next_batch = self._next_batch, None
-                if work is None and self._is_stopping:
-                    return
-            try:
-                if work is not None:
-                    told(self._writer.write(work))
-                more = self._writer.continue_snapshot()
-            except Exception:  # a fault in here costs the vote, as a disk that fails does, and nothing else
-                log("fault", where="lasting", trace=traceback.format_exc())
-                more = False
-                if work is not None:
-                    told(WriteResult(0, 0, "a fault of this program"))
+    def _complete_batch(self, result: WriteResult) -> None:
+        self.write_ahead_log.complete_batch(self._clock_us(), result)
+
+    # ------------------------------------------------------------------ ending
 
     async def _stop(self) -> None:
-        """Writes what is left, unless the disk takes too long, and lets go of the folder."""
-        until_us = self._clock_us() + LAST_US
+        """Writes what is left, unless the disk takes too long, and releases the folder."""
+        until_us = self._clock_us() + SHUTDOWN_TIMEOUT_US
         self.on_result = self._complete_batch
-        self.write_ahead_log.append(e.CleanShutdown(time.time()))
-        while self._clock_us() < until_us and self.write_ahead_log.disk_state is DiskState.AVAILABLE:
-            work = self.write_ahead_log.start_batch(self._clock_us())
-            if work is not None:
-                self._submit(work)
-            elif self.write_ahead_log.is_synced(self.write_ahead_log.position):
-                break
-            await anyio.sleep_until(anyio.current_time() + 0.005)
-        with self._changed:
-            self._is_stopping = True
-            self._changed.notify()
-        self.is_open = False
+        self.write_ahead_log.append(CleanShutdown(time.time()))
         thread = self._thread
-        while thread is not None and thread.is_alive() and self._clock_us() < until_us:
-            await anyio.sleep_until(anyio.current_time() + 0.005)
-        if thread is None or not thread.is_alive():
+        if thread is not None:
+            await self._flush(thread, until_us)
+            thread.request_stop()
+        self.is_open = False
+        while thread is not None and thread.is_alive and self._clock_us() < until_us:
+            await anyio.sleep_until(anyio.current_time() + SHUTDOWN_POLL_S)
+        if thread is None or not thread.is_alive:
             self._writer.close()
             self._files.unlock()  # else the folder is this process's until that has ended
 
-    # ------------------------------------------------------------------ what was learned of form servers
+    async def _flush(self, thread: WriterThread, until_us: int) -> None:
+        wal = self.write_ahead_log
+        while self._clock_us() < until_us and wal.is_disk_available:
+            batch = wal.start_batch(self._clock_us())
+            if batch is not None:
+                thread.submit(batch)
+            elif wal.is_synced(wal.position):
+                return
+            await anyio.sleep_until(anyio.current_time() + SHUTDOWN_POLL_S)
+
+    # ------------------------------------------------------------------ what is stored beside member state
+
+    def list_auxiliary_entries(self) -> list[Entry]:
+        """What is stored of the node itself, besides what members write."""
+        snapshot = self._snapshot or self.contents.state.decision_snapshot
+        return [snapshot] if snapshot is not None else []
 
     def _save_snapshot(self, state: NodeState, now_us: int) -> None:
         if state.learned is None or not self.is_open:
             return
         names = {s.number: s.name for s in state.server_list.form_servers}
-        content = decision_snapshot.encode_snapshot(now_us, state.learned, names)
-        self._snapshot = e.DecisionSnapshot(now_us / SECOND, content)
+        content = encode_snapshot(now_us, state.learned, names)
+        self._snapshot = DecisionSnapshot(now_us / SECOND_US, content)
         self.write_ahead_log.append(self._snapshot)
         self.turn()
 
-    def _save_overrides(self, names: frozenset[str]) -> None:
-        if self.is_open and names != frozenset(
-            self._overrides.out_of_service if self._overrides is not None else ()
-        ):
-            self._overrides = e.OperatorOverrides(sorted(names))
+    def _save_overrides(self, out_of_service: frozenset[str]) -> None:
+        saved = frozenset(self._overrides.out_of_service if self._overrides is not None else ())
+        if self.is_open and out_of_service != saved:
+            self._overrides = OperatorOverrides(sorted(out_of_service))
             self.write_ahead_log.append(self._overrides)
-
-    def list_auxiliary_entries(self) -> list[e.Entry]:
-        """What is to be known after a restart, but for what members write."""
-        kept = self._snapshot or self.contents.state.decision_snapshot
-        return [kept] if kept is not None else []
--- a/sailrun/storage/writer.py
+++ b/sailrun/storage/writer.py
@@ -1,4 +1,4 @@
-"""Carries out the write-ahead log's work on a folder. Pure but for the files it is given."""
+"""Carries out the write-ahead log's batches on a folder."""
 
 from __future__ import annotations
 
@@ -9,42 +9,55 @@
 
 
 class BatchWriter:
-    """Does one piece of work at a time. A running node has a thread for it, see `service.py`."""
+    """Writes one batch at a time. A running node has a thread for it, see `writer_thread.py`."""
 
     def __init__(self, folder: FolderWriter, node: str, fleet: str) -> None:
+        """`node` and `fleet` are written to a new folder."""
         self._folder, self._node, self._fleet = folder, node, fleet
+        # Nothing is known of what was not synced before: only a standalone generation helps.
         self._has_failed = False
 
     @property
     def folder(self) -> FolderWriter:
+        """The folder that is written to."""
         return self._folder
 
-    def write(self, work: WriteBatch) -> WriteResult:
-        """Everything up to the work's position is on the disk, or it has failed."""
-        folder = self._folder
+    def write(self, batch: WriteBatch) -> WriteResult:
+        """Writes and syncs the batch. A failure of the disk is a result, not an exception."""
         try:
-            if work.new_identity:
-                folder.create(self._node, self._fleet, work.new_identity, work.position)
-                folder.write_standalone_generation(work.state_entries or (), work.position)
-            elif work.is_standalone or self._has_failed:
-                if work.state_entries is None:
-                    raise OSError(errno.EIO, "waits to be written as a whole")
-                folder.write_standalone_generation(work.state_entries, work.position)
+            if batch.new_identity:
+                self._write_new_folder(batch)
+            elif batch.is_standalone or self._has_failed:
+                self._write_standalone(batch)
             else:
-                folder.append(work.entries)
-                folder.sync()
-                if work.state_entries is not None:
-                    self._finish_snapshot()
-                    folder.begin_generation(work.state_entries)
+                self._append(batch)
         except OSError as error:
             self._has_failed = True
             return WriteResult(0, 0, error.strerror or str(error))
         self._has_failed = False
-        return WriteResult(work.position, folder.journal_bytes)
+        return WriteResult(batch.position, self._folder.journal_bytes)
+
+    def _write_new_folder(self, batch: WriteBatch) -> None:
+        self._folder.create(self._node, self._fleet, batch.new_identity, batch.position)
+        self._folder.write_standalone_generation(batch.state_entries or (), batch.position)
+
+    def _write_standalone(self, batch: WriteBatch) -> None:
+        if batch.state_entries is None:
+            raise OSError(errno.EIO, "waits to be written as a whole")
+        self._folder.write_standalone_generation(batch.state_entries, batch.position)
+
+    def _append(self, batch: WriteBatch) -> None:
+        self._folder.append(batch.entries)
+        self._folder.sync()
+        if batch.state_entries is None:
+            return
+        while self._folder.is_writing_snapshot:
+            self._folder.write_snapshot_chunk()
+        self._folder.begin_generation(batch.state_entries)
 
     def continue_snapshot(self) -> bool:
-        """Goes on with a snapshot, if one is being written; whether there is more of it. A fault of the disk
-        here shows at the next work.
+        """Writes a part of the snapshot, if one is being written; returns whether there is more of it. A
+        failure of the disk shows at the next batch.
         """
         if not self._folder.is_writing_snapshot:
             return False
@@ -55,9 +68,6 @@
             self._folder.close()
             return False
 
-    def _finish_snapshot(self) -> None:
-        while self._folder.is_writing_snapshot:
-            self._folder.write_snapshot_chunk()
-
     def close(self) -> None:
+        """Closes the folder's files."""
         self._folder.close()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -358,7 +358,7 @@
 def asks(voter: FolderFreshness, others: dict[str, FolderFreshness], now_us: int) -> None:
     for name, body in voter.turn(now_us):
         if name in others and isinstance(body, FreshnessQuery):
-            voter.on_reply(name, others[name].on_query("n1", body))
+            voter.on_reply(name, others[name].peers.on_query("n1", body))
 
 
 def test_a_folder_is_gone_by_once_a_majority_knows_of_no_newer() -> None:
@@ -403,7 +403,7 @@
     for at_us in (0, SECOND):
         body = older.turn(at_us)[0][1]
         assert isinstance(body, FreshnessQuery)
-        answer = other.on_query("n1", body)
+        answer = other.peers.on_query("n1", body)
         assert answer.position == 80
     older.on_reply("n2", answer)
     assert older.state is FreshnessState.STALE
@@ -415,8 +415,8 @@
     first.start(OwnFolder("aa", 1, 1, 0, 0), False, {})
     for at_us in (0, SECOND):
         asks(first, {"n2": other}, at_us)
-    other.on_peer_without_folder("n1", 77)
-    other.on_peer_without_folder("n1", 77)
+    other.peers.on_peer_without_folder("n1", 77)
+    other.peers.on_peer_without_folder("n1", 77)
     again = stand("n1")
     again.start(OwnFolder("aa", 3, 2, 10, 10), True, {})
     asks(again, {"n2": other}, 2 * SECOND)
@@ -650,7 +650,7 @@
     first.start(OwnFolder("aa", 1, 7, 0, 0), False, {})
     for at_us in (0, SECOND):
         asks(first, others, at_us)
-    others["n2"].peer_versions.clear()  # n2 knows nothing, n3 is out of reach
+    others["n2"].peers.versions.clear()  # n2 knows nothing, n3 is out of reach
     older = stand("n1")
     older.start(OwnFolder("aa", 2, 3, 20, 20), True, {})
     asks(older, {"n2": others["n2"]}, 0)
