--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -48,10 +48,10 @@
 from sailrun.storage.writer import BatchWriter
 
 SECOND = 1_000_000
-TERMS = StorageSettings(folder="folder")
+SETTINGS = StorageSettings(folder="folder")
 
 
-def kept(most: int = 60, seed: int = 1) -> SimFiles:
+def create_test_folder(most: int = 60, seed: int = 1) -> SimFiles:
     """A folder with that many entries, in a few generations."""
     files = SimFiles()
     write(files, random.Random(seed), lambda number: None, most, frozenset())
@@ -107,7 +107,7 @@
 ) -> None:
     """Pieces of 32 bytes: each of those a write had may be there or not, whatever the others do."""
     monkeypatch.setattr(disk, "PIECE", 32)
-    files = kept(20)
+    files = create_test_folder(20)
     found = read_folder(files)
     folder = FolderWriter(files, found)
     folder.resume()
@@ -133,7 +133,7 @@
 
 
 def test_a_journal_cut_at_every_byte_is_read_up_to_there() -> None:
-    files = kept(40)
+    files = create_test_folder(40)
     found = read_folder(files)
     name = f"journal.{found.journal_generation}"
     whole = files.read(name, 0, 1 << 20)
@@ -146,7 +146,7 @@
         last = now
 
 
-def test_a_byte_changed_by_hand_is_never_believed() -> None:
+def test_a_changed_byte_is_never_accepted() -> None:
     """Whatever byte: what is read is a state that was, and one that was known to be on the disk and is spoilt
     makes the folder doubtful.
     """
@@ -186,10 +186,10 @@
 
 @settings(max_examples=200, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(st.data())
-def test_a_sound_folder_with_anything_in_it_changed_is_a_state_that_was_or_doubtful(
+def test_an_intact_folder_with_anything_in_it_changed_is_an_earlier_state_or_untrusted(
     data: st.DataObject,
 ) -> None:
-    files = kept(30, seed=data.draw(st.integers(0, 5)))
+    files = create_test_folder(30, seed=data.draw(st.integers(0, 5)))
     last = last_of(read_folder(files).state)
     name = data.draw(st.sampled_from(sorted(n for n in files.names() if n != "lock")))
     content = bytearray(files._names[name].data)
@@ -202,7 +202,7 @@
 
 
 def test_a_journal_or_a_snapshot_alone() -> None:
-    files = kept(400)
+    files = create_test_folder(400)
     found = read_folder(files)
     assert found.journal_generation > 2
     for name in (f"journal.{found.journal_generation}", f"journal.{found.journal_generation - 1}"):
@@ -221,8 +221,8 @@
     assert again.integrity is FolderIntegrity.INTACT and last_of(again.state) == last_of(found.state)
 
 
-def test_a_copied_folder_and_another_nodes_are_not_gone_by() -> None:
-    files = kept()
+def test_a_copied_folder_and_another_nodes_are_not_relied_on() -> None:
+    files = create_test_folder()
     assert read_folder(files).integrity is FolderIntegrity.INTACT
     copied = read_folder(files.copy())
     assert copied.integrity is FolderIntegrity.UNTRUSTED and "copied" in copied.reason
@@ -231,7 +231,7 @@
 
 
 def test_a_newer_schema_is_refused_and_older_entries_have_their_defaults() -> None:
-    files = kept()
+    files = create_test_folder()
     name = f"journal.{read_folder(files).journal_generation}"
     head = files._names[name].data
     head[8:10] = (2).to_bytes(2, "little")
@@ -270,22 +270,22 @@
 # ---------------------------------------------------------------------- the write-ahead log
 
 
-def a_log(terms: StorageSettings = TERMS) -> tuple[WriteAheadLog, BatchWriter, SimFiles]:
+def open_log(storage_settings: StorageSettings = SETTINGS) -> tuple[WriteAheadLog, BatchWriter, SimFiles]:
     files = SimFiles()
-    wal = WriteAheadLog(terms, SECOND, 0, frozenset())
+    wal = WriteAheadLog(storage_settings, SECOND, 0, frozenset())
     wal.begin_new_folder(bytes(16))
     writer = BatchWriter(FolderWriter(files, FolderContents(FolderIntegrity.EMPTY)), "n1", "fleet")
     return wal, writer, files
 
 
-def step(wal: WriteAheadLog, writer: BatchWriter, now_us: int) -> list[Any]:
+def write_next_batch(wal: WriteAheadLog, writer: BatchWriter, now_us: int) -> list[Any]:
     work = wal.turn(now_us)
     return wal.complete_batch(now_us, writer.write(work)) if work is not None else []
 
 
-def test_answers_wait_for_the_disk_and_share_a_sync() -> None:
-    wal, writer, files = a_log()
-    step(wal, writer, 0)
+def test_replies_wait_for_the_disk_and_share_a_sync() -> None:
+    wal, writer, files = open_log()
+    write_next_batch(wal, writer, 0)
     for n in range(10):
         wal.defer_reply(0, wal.append(entry_of(n + 1)), n, n)
     syncs = writer.folder.sync_count
@@ -294,13 +294,13 @@
     wal.defer_reply(0, wal.append(entry_of(11)), "late", "late")
     assert wal.complete_batch(1000, writer.write(work)) == list(range(10))
     assert writer.folder.sync_count == syncs + 1
-    assert step(wal, writer, 2000) == ["late"]
+    assert write_next_batch(wal, writer, 2000) == ["late"]
     assert last_of(read_folder(files).state) == 11
 
 
-def test_a_slow_disk_drops_answers_and_a_failing_one_begins_a_generation() -> None:
-    wal, writer, files = a_log()
-    step(wal, writer, 0)
+def test_a_slow_disk_drops_replies_and_a_failing_one_begins_a_generation() -> None:
+    wal, writer, files = open_log()
+    write_next_batch(wal, writer, 0)
     wal.list_state_entries = lambda: list(everything(3))
     wal.defer_reply(0, wal.append(entry_of(1)), "a", "a")
     work = wal.turn(0)
@@ -315,13 +315,13 @@
 
     files.fault = full
     wal.defer_reply(0, wal.append(entry_of(2)), "b", "b")
-    assert step(wal, writer, 3 * SECOND) == [] and not wal.is_disk_available
+    assert write_next_batch(wal, writer, 3 * SECOND) == [] and not wal.is_disk_available
     position = wal.append(entry_of(3))
     assert not wal.is_synced(position) and wal.turn(3 * SECOND + 1) is None  # not at once
-    step(wal, writer, 5 * SECOND)
+    write_next_batch(wal, writer, 5 * SECOND)
     assert wal.disk_state is DiskState.FAILED
     files.fault = lambda what, name: None
-    step(wal, writer, 7 * SECOND)
+    write_next_batch(wal, writer, 7 * SECOND)
     assert wal.is_disk_available and wal.is_synced(position)
     found = read_folder(files)
     assert found.integrity is FolderIntegrity.INTACT and last_of(found.state) == 3
@@ -333,21 +333,21 @@
     ]
 
 
-def test_more_than_the_queue_bears_is_written_as_a_whole() -> None:
-    wal, writer, files = a_log(StorageSettings(folder="f", queue_mb=0.1))
-    step(wal, writer, 0)
+def test_more_than_fits_the_queue_is_replaced_by_the_whole_state() -> None:
+    wal, writer, files = open_log(StorageSettings(folder="f", queue_mb=0.1))
+    write_next_batch(wal, writer, 0)
     wal.list_state_entries = lambda: list(everything(4000))
     for n in range(4000):
         wal.append(entry_of(n + 1))
     assert len(wal._pending) == 0
-    step(wal, writer, SECOND)
+    write_next_batch(wal, writer, SECOND)
     assert last_of(read_folder(files).state) == 4000
 
 
 # ---------------------------------------------------------------------- older folders
 
 
-def stand(name: str, notes: list[e.PeerFolderVersion] | None = None) -> FolderFreshness:
+def create_freshness(name: str, notes: list[e.PeerFolderVersion] | None = None) -> FolderFreshness:
     def majority(names: set[str]) -> bool:
         return len(names & {"n1", "n2", "n3"}) >= 2
 
@@ -355,50 +355,50 @@
     return FolderFreshness(name, lambda: ["n1", "n2", "n3"], majority, noted, 1000, lambda name: True)
 
 
-def asks(voter: FolderFreshness, others: dict[str, FolderFreshness], now_us: int) -> None:
+def exchange_queries(voter: FolderFreshness, others: dict[str, FolderFreshness], now_us: int) -> None:
     for name, body in voter.turn(now_us):
         if name in others and isinstance(body, FreshnessQuery):
             voter.on_reply(name, others[name].peers.on_query("n1", body))
 
 
-def test_a_folder_is_gone_by_once_a_majority_knows_of_no_newer() -> None:
-    others = {"n2": stand("n2"), "n3": stand("n3")}
-    first = stand("n1")
+def test_a_folder_is_relied_on_once_a_majority_knows_of_no_newer() -> None:
+    others = {"n2": create_freshness("n2"), "n3": create_freshness("n3")}
+    first = create_freshness("n1")
     first.start(OwnFolder("aa", 1, 1, 0, 0), False, {})
-    asks(first, others, 0)
-    asks(first, others, SECOND)
+    exchange_queries(first, others, 0)
+    exchange_queries(first, others, SECOND)
     assert first.state is FreshnessState.REJOINED
     assert first.own is not None
     first.own.synced_position = 50
-    asks(first, others, 2 * SECOND)
+    exchange_queries(first, others, 2 * SECOND)
     assert first.is_position_noted(50) and not first.is_position_noted(51)
 
-    again = stand("n1")
+    again = create_freshness("n1")
     again.start(OwnFolder("aa", 2, 2, 50, 50), True, {})
-    asks(again, {"n2": others["n2"]}, 3 * SECOND)
+    exchange_queries(again, {"n2": others["n2"]}, 3 * SECOND)
     again.turn(3 * SECOND + 1)
     assert not again.is_established  # n3 lives, and may know more
     again.turn(4 * SECOND)
     again.turn(5 * SECOND + REPLY_GRACE_US)
     assert again.state is FreshnessState.CONFIRMED
 
-    older = stand("n1")
+    older = create_freshness("n1")
     older.start(OwnFolder("aa", 3, 2, 20, 20), True, {})  # the same life once more, from a backup
-    asks(older, {"n3": others["n3"]}, 9 * SECOND)
+    exchange_queries(older, {"n3": others["n3"]}, 9 * SECOND)
     assert older.state is FreshnessState.STALE and older.stale_reason == "a later position is known"
 
 
-def test_asking_again_does_not_wipe_out_what_was_known() -> None:
+def test_a_repeated_query_does_not_overwrite_what_was_known() -> None:
     """The answer to the first question may be lost; the second is to be told the same."""
-    other = stand("n2")
-    new = stand("n1")
+    other = create_freshness("n2")
+    new = create_freshness("n1")
     new.start(OwnFolder("aa", 1, 5, 0, 0), False, {})
     for at_us in (0, SECOND):
-        asks(new, {"n2": other}, at_us)
+        exchange_queries(new, {"n2": other}, at_us)
     assert new.own is not None
     new.own.synced_position = 80
-    asks(new, {"n2": other}, 2 * SECOND)
-    older = stand("n1")
+    exchange_queries(new, {"n2": other}, 2 * SECOND)
+    older = create_freshness("n1")
     older.start(OwnFolder("aa", 2, 6, 40, 40), True, {})
     for at_us in (0, SECOND):
         body = older.turn(at_us)[0][1]
@@ -410,23 +410,23 @@
 
 
 def test_a_voter_that_ran_without_a_folder_makes_its_old_one_older() -> None:
-    other = stand("n2")
-    first = stand("n1")
+    other = create_freshness("n2")
+    first = create_freshness("n1")
     first.start(OwnFolder("aa", 1, 1, 0, 0), False, {})
     for at_us in (0, SECOND):
-        asks(first, {"n2": other}, at_us)
+        exchange_queries(first, {"n2": other}, at_us)
     other.peers.on_peer_without_folder("n1", 77)
     other.peers.on_peer_without_folder("n1", 77)
-    again = stand("n1")
+    again = create_freshness("n1")
     again.start(OwnFolder("aa", 3, 2, 10, 10), True, {})
-    asks(again, {"n2": other}, 2 * SECOND)
+    exchange_queries(again, {"n2": other}, 2 * SECOND)
     assert again.state is FreshnessState.STALE
 
 
-# ---------------------------------------------------------------------- beliefs
+# ---------------------------------------------------------------------- decision snapshots
 
 
-def learned(number: int, ejected_until_us: int) -> BackendSnapshot:
+def ejected_backend(number: int, ejected_until_us: int) -> BackendSnapshot:
     values: dict[str, Any] = dict.fromkeys(BACKEND_SNAPSHOT_FIELDS, 0) | {
         "id": number,
         "started_us": 5,
@@ -441,7 +441,9 @@
     now_us = 1_800_000_000 * SECOND
     values = {"recent_attempts": 100.0, "success_share": 0.5}
     rate = SetupRateSnapshot(*(values.get(name, 1.0) for name in SETUP_RATE_FIELDS))
-    told = StateSnapshot((learned(1, now_us + 40 * SECOND), learned(2, 0)), rate, {"page-load": (3.0, 8)})
+    told = StateSnapshot(
+        (ejected_backend(1, now_us + 40 * SECOND), ejected_backend(2, 0)), rate, {"page-load": (3.0, 8)}
+    )
     content = decision_snapshot.encode_snapshot(now_us, told, {1: "s-1", 2: "s-2"})
     numbers = {"s-1": (1, 5), "s-2": (2, 6)}  # the second is another process by now
     fresh = decision_snapshot.decode_snapshot(content, now_us, 100.0, numbers)
@@ -474,7 +476,7 @@
     pytest.fail(f"nothing is broken without {rule}")
 
 
-def cli(*words: str) -> subprocess.CompletedProcess[str]:
+def run_cli(*words: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "sailrun", "lasting", *words], capture_output=True, text=True
     )
@@ -486,22 +488,22 @@
     files.make()
     write(files, random.Random(1), lambda number: None, 20, frozenset())
     files.unlock()
-    shown = json.loads(cli("show", str(folder), "--json").stdout)
+    shown = json.loads(run_cli("show", str(folder), "--json").stdout)
     assert shown["sound"] == "sound" and shown["node"] == "n1" and shown["terms"]["task"] >= 19
-    assert "task" in cli("show", str(folder)).stdout
-    assert cli("check", str(folder)).returncode == 0
-    lines = [json.loads(line) for line in cli("export", str(folder)).stdout.splitlines()]
+    assert "task" in run_cli("show", str(folder)).stdout
+    assert run_cli("check", str(folder)).returncode == 0
+    lines = [json.loads(line) for line in run_cli("export", str(folder)).stdout.splitlines()]
     assert {"slot", "held", "copy"} <= {line["entry"] for line in lines}
     journal = max(folder.glob("journal.*"))
     data = bytearray(journal.read_bytes())
     data[HEADER_BYTES + FRAME_HEADER_BYTES] ^= 1
     journal.write_bytes(data)
-    damaged = cli("check", str(folder))
+    damaged = run_cli("check", str(folder))
     assert damaged.returncode == 1 and "doubtful" in damaged.stdout, damaged
-    assert cli("forget", str(folder)).returncode == 2
-    assert cli("forget", str(folder), "--yes").returncode == 0
-    assert cli("check", str(folder)).stdout.strip().endswith("nothing was kept there yet")
-    missing = cli("show", str(tmp_path / "none"))
+    assert run_cli("forget", str(folder)).returncode == 2
+    assert run_cli("forget", str(folder), "--yes").returncode == 0
+    assert run_cli("check", str(folder)).stdout.strip().endswith("nothing was kept there yet")
+    missing = run_cli("show", str(tmp_path / "none"))
     assert missing.returncode == 2 and missing.stderr.count("\n") == 1
 
 
@@ -522,7 +524,7 @@
 # ---------------------------------------------------------------------- fleets in virtual time
 
 
-def a_fleet(seed: int = 1) -> VirtualFleet:
+def start_fleet(seed: int = 1) -> VirtualFleet:
     """Five nodes with folders, three of them voters, that have met."""
     fleet = VirtualFleet(
         5,
@@ -541,17 +543,17 @@
     return (fleet.time.now_us - BEGIN_US) / SECOND
 
 
-def part_of(fleet: VirtualFleet, name: str) -> Replica:
+def replica_of(fleet: VirtualFleet, name: str) -> Replica:
     agent = fleet.nodes[name].agent
     assert agent is not None and agent.replica is not None
     return agent.replica
 
 
 def test_copies_of_members_that_do_not_vote_are_counted_once_they_are_on_the_disk() -> None:
-    fleet = a_fleet()
+    fleet = start_fleet()
     answers: list[Answer] = []
-    op = Op("mark", part_of(fleet, "n4").new_id(), 0, "out", "s-00000001", True, everybody=True)
-    part_of(fleet, "n4").mark(fleet.clock_us(fleet.nodes["n4"]), op, answers.append)
+    op = Op("mark", replica_of(fleet, "n4").new_id(), 0, "out", "s-00000001", True, everybody=True)
+    replica_of(fleet, "n4").mark(fleet.clock_us(fleet.nodes["n4"]), op, answers.append)
     fleet._soon(fleet.nodes["n4"])
     fleet.run(now_s(fleet) + 3.0)
     assert [(a.state, a.copies, a.of) for a in answers] == [("done", 5, 5)]
@@ -560,8 +562,8 @@
         assert ("out", "s-00000001", "") in found.state.records
 
 
-def test_a_nodes_own_word_is_said_once_it_is_on_the_disk_and_says_where_it_is_not() -> None:
-    fleet = a_fleet()
+def test_a_nodes_own_mark_is_reported_once_it_is_on_the_disk_and_reported_where_it_is_not() -> None:
+    fleet = start_fleet()
     node = fleet.nodes["n4"]
     agent = node.agent
     assert agent is not None and node.write_ahead_log is not None
@@ -581,7 +583,7 @@
 
 
 def test_a_voter_that_restarts_with_its_folder_need_not_abstain() -> None:
-    fleet = a_fleet()
+    fleet = start_fleet()
     owner = fleet.owner("marks")
     voter = next(name for name in fleet.voters if name != owner)
     fleet.kill(voter)
@@ -596,7 +598,7 @@
 
 
 def test_all_restarted_at_once_go_on_without_chance_or_clock() -> None:
-    fleet = a_fleet()
+    fleet = start_fleet()
     before = {t: max(s.term for s in _slots(fleet, t)) for t in ("marks",)}
     fleet.mark("n3", "s-00000001", True)
     fleet.run(now_s(fleet) + 1.0)
@@ -608,7 +610,7 @@
     assert fleet.owner("marks") is not None
     after = max(s.term for s in _slots(fleet, "marks"))
     assert before["marks"] < after < before["marks"] + 10  # the next ones, not others by the clock
-    assert all(("out", "s-00000001") in part_of(fleet, name)._used for name in fleet.names)
+    assert all(("out", "s-00000001") in replica_of(fleet, name)._used for name in fleet.names)
 
 
 def _slots(fleet: VirtualFleet, task: str) -> list[Slot]:
@@ -620,7 +622,7 @@
 
 def test_nothing_is_promised_twice_before_a_majority_knows_of_it() -> None:
     """A voter that reaches the candidate and no other voter: the second ask finds the grant on its disk."""
-    fleet = a_fleet()
+    fleet = start_fleet()
     node = fleet.nodes["n0"]
     agent = node.agent
     assert agent is not None
@@ -644,26 +646,26 @@
     assert sent
 
 
-def test_a_voter_told_later_that_its_folder_is_older_goes_by_it_no_more() -> None:
-    others = {"n2": stand("n2"), "n3": stand("n3")}
-    first = stand("n1")
+def test_a_voter_that_learns_later_of_a_newer_folder_stops_relying_on_its_own() -> None:
+    others = {"n2": create_freshness("n2"), "n3": create_freshness("n3")}
+    first = create_freshness("n1")
     first.start(OwnFolder("aa", 1, 7, 0, 0), False, {})
     for at_us in (0, SECOND):
-        asks(first, others, at_us)
+        exchange_queries(first, others, at_us)
     others["n2"].peers.versions.clear()  # n2 knows nothing, n3 is out of reach
-    older = stand("n1")
+    older = create_freshness("n1")
     older.start(OwnFolder("aa", 2, 3, 20, 20), True, {})
-    asks(older, {"n2": others["n2"]}, 0)
+    exchange_queries(older, {"n2": others["n2"]}, 0)
     older.turn(0)
     older.turn(REPLY_GRACE_US + SECOND)
     assert older.state is FreshnessState.CONFIRMED and older.own is not None
     older.own.synced_position = 25
-    asks(older, others, 9 * SECOND)
+    exchange_queries(older, others, 9 * SECOND)
     assert not older.is_established and older.stale_reason == "a later life is known"
 
 
-def test_a_generation_that_stands_alone_is_not_passed_over_where_its_snapshot_is_damaged() -> None:
-    files = kept(30)
+def test_a_standalone_generation_is_not_passed_over_where_its_snapshot_is_damaged() -> None:
+    files = create_test_folder(30)
     folder = FolderWriter(files, read_folder(files))
     folder.resume()
     last = last_of(read_folder(files).state)
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -68,7 +68,9 @@
         running.logged("by-hand", f"server={one}", "out=False")
 
 
-def test_a_planned_restart_leaves_a_folder_that_says_so(fleet: Fleet, servers: list[FormServer]) -> None:
+def test_a_planned_restart_leaves_a_folder_with_a_clean_shutdown(
+    fleet: Fleet, servers: list[FormServer]
+) -> None:
     assert staff(fleet, "n1", "set-down", servers[0].name).returncode == 0
     process = fleet.nodes["n3"].process
     process.send_signal(signal.SIGTERM)
@@ -89,7 +91,9 @@
     return path
 
 
-def test_a_node_without_a_fleet_keeps_what_was_out_by_hand(tmp_path: Path, servers: list[FormServer]) -> None:
+def test_a_node_without_a_fleet_restores_operator_overrides(
+    tmp_path: Path, servers: list[FormServer]
+) -> None:
     roster = Roster([s.entry() for s in servers])
     operator = operator_of(tmp_path, tmp_path / "kept")
     control = free()
@@ -148,7 +152,7 @@
     assert refused(tmp_path, roster, kept).endswith("lasting.folder: of schema 2; this version reads up to 1")
 
 
-def test_a_folder_that_cannot_be_written_costs_nothing_but_what_it_would_keep(
+def test_a_folder_that_cannot_be_written_costs_nothing_but_what_it_would_retain(
     tmp_path: Path, servers: list[FormServer]
 ) -> None:
     (tmp_path / "kept" / "lock").mkdir(parents=True)  # the lock cannot be had, whoever the user is
@@ -160,7 +164,7 @@
         assert running.process.wait(PATIENCE_S) == 0
 
 
-def test_a_process_that_is_replaced_hands_its_folder_over(fleet: Fleet, servers: list[FormServer]) -> None:
+def test_a_process_that_is_replaced_transfers_its_folder(fleet: Fleet, servers: list[FormServer]) -> None:
     one = servers[0].name
     assert staff(fleet, "n2", "set-down", one, "--wait", "all").returncode == 0
     old = fleet.nodes["n1"]
