--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -8,7 +8,7 @@
 from sailrun.leadership.leases import Leases, OwnershipChange
 from sailrun.leadership.permits import Use
 from sailrun.leadership.tallies import Tallies
-from sailrun.membership.swim import Change
+from sailrun.membership.outputs import MembershipChange
 
 
 class Note(NamedTuple):
@@ -36,17 +36,17 @@
         self.notes += [Note(*note) for note in notes]
         notes.clear()
 
-    def member(self, change: Change) -> None:
+    def member(self, change: MembershipChange) -> None:
         record = change.record
         self.add(
             "member",
-            what=change.what,
+            what=change.kind,
             name=record.name,
             incarnation=record.incarnation,
             at=record.address,
-            why=change.why or None,
+            why=change.reason or None,
         )
-        self.act("member", what=change.what, name=record.name, life=record.life)
+        self.act("member", what=change.kind, name=record.name, life=record.life)
 
     def owner(self, change: OwnershipChange) -> None:
         if not change.mine:
--- a/sailrun/leadership/lasting.py
+++ b/sailrun/leadership/lasting.py
@@ -10,7 +10,7 @@
 from itertools import chain
 
 from sailrun.leadership.voter import Slot, Voter
-from sailrun.replication.journal import Journal
+from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.records import Key, Record
 from sailrun.replication.replica import Replica
 from sailrun.storage import entries as e
@@ -33,7 +33,7 @@
     new_identity: Callable[[], str]
 
 
-class MemberJournal(Journal):
+class MemberJournal(ReplicaJournal):
     """Records the changes of all parts of a member; nothing is recorded until there is a log."""
 
     def __init__(self) -> None:
@@ -42,16 +42,16 @@
     def _add(self, entry: e.Entry) -> int:
         return self.write_ahead_log.append(entry) if self.write_ahead_log is not None else 0
 
-    def record(self, record: Record, mark: int) -> None:
+    def write_record(self, record: Record, mark: int) -> None:
         self._add(e.StoredRecord(record, mark))
 
-    def dropped(self, key: Key) -> None:
+    def write_forgotten(self, key: Key) -> None:
         self._add(e.DeletedRecord(key))
 
-    def copy(self, epoch: int, whole: bool, cleared: bool = False) -> None:
+    def write_copy_state(self, epoch: int, whole: bool, cleared: bool = False) -> None:
         self._add(e.ReplicaStatus(epoch, whole, cleared))
 
-    def keeps(self, life: int, promised: int, lives: dict[str, int], remembers: bool) -> None:
+    def write_acceptor_state(self, life: int, promised: int, lives: dict[str, int], remembers: bool) -> None:
         self._add(e.AcceptorState(life, promised, lives, remembers))
 
     def slot(self, task: str, slot: Slot) -> int:
@@ -96,7 +96,7 @@
 
 def replica_entries(replica: Replica) -> Iterable[e.Entry]:
     """As they are now; gone through later, and by another thread."""
-    state = [e.ReplicaStatus(replica.sync.epoch, replica.sync.whole)]
-    keeps = [e.AcceptorState(*replica.acceptor.state())] if replica.acceptor is not None else []
-    held = replica.store.firm()
+    state = [e.ReplicaStatus(replica.anti_entropy.copy.epoch, replica.anti_entropy.copy.is_complete)]
+    keeps = [e.AcceptorState(*replica.acceptor.get_durable_state())] if replica.acceptor is not None else []
+    held = replica.store.list_firm_records()
     return chain(state, keeps, (e.StoredRecord(record, mark) for record, mark in held))
--- a/sailrun/leadership/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -7,8 +7,9 @@
 
 from sailrun.leadership.envelope import MOST_CLAIMS, MOST_NEWS, Body, Envelope
 from sailrun.leadership.leases import Leases
-from sailrun.membership.messages import Joined, MemberBody, Record, Refused
-from sailrun.membership.swim import Letter, Members
+from sailrun.membership.membership import Membership
+from sailrun.membership.messages import JoinAccepted, MemberBody, MemberRecord, Rejected
+from sailrun.membership.outputs import OutgoingMessage
 
 # A change of owner is gossiped so many times, on messages that go out anyway.
 CLAIM_TIMES = 30
@@ -31,27 +32,27 @@
 class Outgoing:
     """Puts messages into envelopes of this node. `fleet` gives the fleet's name."""
 
-    def __init__(self, fleet: Callable[[], str], members: Members, leases: Leases) -> None:
+    def __init__(self, fleet: Callable[[], str], members: Membership, leases: Leases) -> None:
         self._fleet, self._members, self._leases = fleet, members, leases
 
-    def letters(self, letters: list[Letter]) -> list[Out]:
+    def letters(self, letters: list[OutgoingMessage]) -> list[Out]:
         """The membership protocol's own messages, which go by address."""
-        return [Out(letter.address, self._envelope(letter.body, letter.record)) for letter in letters]
+        return [Out(letter.address, self._envelope(letter.body, letter.first_update)) for letter in letters]
 
     def message(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
         """To a member by name; empty where its address is not known."""
-        record = self._members.record(name)
+        record = self._members.find_record(name)
         if record is None:
             return []
         return [Out(record.address, self._envelope(body), name, guard)]
 
-    def _envelope(self, body: Body, first: Record | None = None) -> Envelope:
-        me = self._members.me
+    def _envelope(self, body: Body, first: MemberRecord | None = None) -> Envelope:
+        me = self._members.own_record
         # Gossip rides on what members say anyway, and on nothing that must be small or soon.
-        light = isinstance(body, MemberBody) and not isinstance(body, Refused)
-        news = self._members.news(MOST_NEWS, first) if light else []
+        light = isinstance(body, MemberBody) and not isinstance(body, Rejected)
+        news = self._members.take_updates(MOST_NEWS, first) if light else []
         claims = self._leases.claims(MOST_CLAIMS, CLAIM_TIMES) if light else []
-        if isinstance(body, Joined):
+        if isinstance(body, JoinAccepted):
             # A newcomer may be a voter that has forgotten: it hears of every term there is.
             claims = self._leases.known(MOST_CLAIMS)
         return Envelope(self._fleet(), me.name, me.life, me.incarnation, body, news, claims)
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -28,10 +28,10 @@
 from sailrun.leadership.pace import PaceCoordinator, PaceShare
 from sailrun.leadership.permits import DRAIN, OUT, Use
 from sailrun.leadership.shared import SharedDiscovery
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.node.clock import log
-from sailrun.node.leaving import Reason
-from sailrun.replication.service import CopiesPart
+from sailrun.node.shutdown import ShutdownReason
+from sailrun.replication.service import ReplicationService
 from sailrun.storage.folder_identity import generate_identity
 from sailrun.storage.folder_reader import FolderIntegrity
 
@@ -76,11 +76,11 @@
         terms = agent_terms(config.operator)
         told = terms.members
         self._node = node
-        me = Record(
+        me = MemberRecord(
             told.name,
             secrets.randbits(62),
             1,
-            State.ALIVE,
+            MemberState.ALIVE,
             told.advertise or told.listen,
             config.settings.zone,
             told.region,
@@ -103,7 +103,9 @@
         self._drains = False
         if terms.pace:
             self.agent.answers[PACE] = self._lend
-        self.copies = CopiesPart(node, self.agent.replica, self) if self.agent.replica is not None else None
+        self.copies = (
+            ReplicationService(node, self.agent.replica, self) if self.agent.replica is not None else None
+        )
         self._exerciser = self._new_exerciser() if terms.owners.record else None
         self._lasting = lasting
         if lasting is not None:
@@ -141,7 +143,7 @@
         )
         found.state.records, found.state.record_digests = {}, {}  # the copy has them now
         if self.copies is not None:
-            self.copies.begins_with(lasting.starts_draining)
+            self.copies.restore_draining(lasting.starts_draining)
 
     async def run(self) -> None:
         """Until cancelled, or given up. A fault in here leaves the node as it would be without a fleet."""
@@ -196,7 +198,7 @@
 
     def living(self) -> set[str]:
         """The names of the members that live, as far as is known."""
-        return set(self.agent.members.names)
+        return set(self.agent.members.living_names)
 
     def highest_term(self, task: str) -> int:
         """The highest term under which anybody is known to have owned the task."""
@@ -232,7 +234,7 @@
 
     def _follow_drain(self, now_us: int, shards: ShardsPart) -> None:
         """A node that is drained hands its shards over too, in its turn, and has some again afterwards."""
-        drains = Reason.DRAIN in self._node.leaving
+        drains = ShutdownReason.DRAIN in self._node.shutdown
         if drains is not self._drains:
             self._drains = drains
             shards.plan_to_leave(now_us, drains)
@@ -351,7 +353,7 @@
         """`reply` is called with "" once it is begun, or with why it is not."""
 
         def call(now_us: int) -> list[Out]:
-            unknown = [n for n in nodes if not self.agent.members.lives(n)]
+            unknown = [n for n in nodes if not self.agent.members.is_living(n)]
             if unknown:
                 reply(f"no member {', '.join(unknown[:5])}")
             elif self.agent.holder is None:
@@ -373,7 +375,7 @@
             if what in shown:
                 reply(shown[what](self.agent, now_us))
             elif what.startswith(("state", "ranges")):
-                reply(self.copies.show(now_us, what) if self.copies is not None else None)
+                reply(self.copies.describe(now_us, what) if self.copies is not None else None)
             elif what == "counts":
                 reply(self._counts())
             elif what.startswith("shards"):
@@ -394,8 +396,8 @@
             "orders_late": tallies.orders_late,
             "bad_messages": tallies.bad_messages,
             "wrong_fleet": tallies.wrong_fleet,
-            "strangers": members.stray,
-            "slowness": members.slowness,
+            "strangers": members.unknown_sender_count,
+            "slowness": members.local_health_multiplier,
             "messages_in": self.carrier.traffic.messages_in,
             "messages_out": self.carrier.traffic.messages_out,
             "bytes_in": self.carrier.traffic.bytes_in,
--- a/sailrun/leadership/shared.py
+++ b/sailrun/leadership/shared.py
@@ -13,7 +13,7 @@
 from sailrun.leadership.reader import Reading
 from sailrun.node.clock import log
 from sailrun.node.session import FormServer, ServerListUpdate
-from sailrun.replication.lists import keep_list, kept_list
+from sailrun.replication.server_lists import read_stored_server_list, store_server_list
 
 if TYPE_CHECKING:
     from sailrun.leadership.carrier import Carrier
@@ -93,7 +93,7 @@
         if self._listed or replica is None:
             return
         # Nobody tells this node a list: the last that the fleet had is better than none.
-        kept = kept_list(replica, self._subject)
+        kept = read_stored_server_list(replica, self._subject)
         if kept is not None:
             update, age_us = kept
             log("list-from-copies", revision=update.revision, age_s=round(age_us(boot_us()) / SECOND, 1))
@@ -106,9 +106,14 @@
         """Called by the agent's task."""
         self._reading.owner = bool(self._agent.leases.holds(self._task, now_us))
         replica, revision = self._agent.replica, self._reading.revision
-        if replica is not None and self._reading.owner and revision != self._kept and replica.sync.whole:
+        if (
+            replica is not None
+            and self._reading.owner
+            and revision != self._kept
+            and replica.anti_entropy.copy.is_complete
+        ):
             self._kept = revision
-            keep_list(replica, now_us, self._subject, revision, self._reading.members)
+            store_server_list(replica, now_us, self._subject, revision, self._reading.members)
         reads = self._reading.reads(now_us) or self._reading.revision < 0
         if reads is not self._reads:
             self._reads = reads
@@ -117,7 +122,7 @@
             if reads:
                 self._client.fetch()
         has = self._reading.due(now_us)
-        if has is None or not self._agent.members.joined:
+        if has is None or not self._agent.members.has_joined:
             return []
         return self._agent.ask(now_us, self._task, [has.source, has.revision], self._answered)
 
--- a/sailrun/membership/messages.py
+++ b/sailrun/membership/messages.py
@@ -1,96 +1,147 @@
-"""What members say to each other about who is a member."""
+"""The messages and records of the membership protocol. On the wire they are MessagePack arrays: tags, the
+order of fields and their types are fixed, and a newer version may add fields at the end.
+"""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
 import msgspec
+from msgspec.structs import replace
 
 
-class State(IntEnum):
-    """In the order in which they overrule one another in one incarnation."""
+class MemberState(IntEnum):
+    """A member's state; within one incarnation a greater value supersedes a smaller one."""
 
     ALIVE = 0
     SUSPECT = 1
-    GONE = 2
+    DEAD = 2
     LEFT = 3
 
+    @property
+    def is_living(self) -> bool:
+        """Whether a member in this state takes part: a suspect does until it is declared dead."""
+        return self in (MemberState.ALIVE, MemberState.SUSPECT)
 
-# The role of members set aside for work on behalf of the fleet.
+    @property
+    def has_ended(self) -> bool:
+        """Whether a member in this state takes no part any more."""
+        return not self.is_living
+
+    @property
+    def label(self) -> str:
+        """The name that commands print."""
+        return "gone" if self is MemberState.DEAD else self.name.lower()
+
+
+# The role of members that are reserved for work on behalf of the fleet.
 CONTROL = "control"
 
 
-class Record(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One member as somebody knows it. A process is a `life`; its incarnation grows when it refutes, and a
-    returning name begins above the one it had. `region` and `role` came later: an older version skips them.
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """One member as some member knows it.
+
+    `life` is a random number of the process. `incarnation` is SWIM's: a member increases its own to refute a
+    suspicion, and a returning name begins above the one it had. An older version ignores `region` and `role`.
     """
 
     name: str
     life: int
     incarnation: int
-    state: State
+    state: MemberState
     address: str
     zone: str = ""
     region: str = ""
     role: str = ""
 
-    def overrules(self, other: Record) -> bool:
-        """Any two are in order, the same everywhere: copies converge whatever the order of arrival."""
+    def supersedes(self, other: MemberRecord) -> bool:
+        """Whether this record replaces the other one. The order is total and the same everywhere, so that
+        tables converge whatever the order of arrival.
+        """
         return (self.incarnation, self.state, self.life) > (other.incarnation, other.state, other.life)
 
+    def with_state(self, state: MemberState) -> MemberRecord:
+        """This record with another state."""
+        return replace(self, state=state)
+
 
-def eligible(records: list[Record]) -> list[str]:
-    """The names of those set aside for work on behalf of the fleet; of all where there are none."""
+def list_eligible_names(records: list[MemberRecord]) -> list[str]:
+    """The names of those members that may work on behalf of the fleet: the control members, or all members
+    where there are none.
+    """
     control = [record for record in records if record.role == CONTROL]
     return [record.name for record in control or records]
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping"):
-    number: int
+    """Asks for an `Ack` with the same sequence number; 0: the answer is not waited for."""
+
+    sequence: int
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
-    number: int
-    digest: int  # of the sender's copy of the members
+    """Answers a `Ping`; `table_digest` is of the sender's membership table, 0 in a relayed answer."""
 
+    sequence: int
+    table_digest: int
 
-class PingFor(msgspec.Struct, array_like=True, frozen=True, tag="ping-for"):
-    """Probe the target for me. One who gets no answer in time says so, so that I know that I am heard."""
 
-    number: int
+class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag="ping-for"):
+    """SWIM's ping-req: asks the receiver to ping the target and to relay its answer."""
+
+    sequence: int
     target: str
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag="nack"):
-    number: int
+    """Lifeguard's answer to a `PingRequest` whose target did not answer in time: the path between the two
+    members works.
+    """
+
+    sequence: int
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True, tag="join"):
-    record: Record
+    """Asks to be accepted as a member. Sent to the holder of a name, it reports that another claims it."""
+
+    record: MemberRecord
+
 
+class JoinAccepted(msgspec.Struct, array_like=True, frozen=True, tag="joined"):
+    """Answers a `Join`: the newcomer's incarnation, and the member that accepted it."""
+
+    incarnation: int
+    accepted_by: MemberRecord
 
-class Joined(msgspec.Struct, array_like=True, frozen=True, tag="joined"):
-    incarnation: int  # the newcomer's from now on
-    by: Record  # whom it may ask for the others
 
+class Rejected(msgspec.Struct, array_like=True, frozen=True, tag="refused"):
+    """The sender of a message is no member here. `reason` is one of REJECTED_UNKNOWN, REJECTED_NAME."""
 
-class Refused(msgspec.Struct, array_like=True, frozen=True, tag="refused"):
-    """`why`: `unknown` (join first), `name` (it is another's), `fleet`."""
+    reason: str
+    name_holder_address: str = ""
 
-    why: str
-    by: str = ""
 
+# The receiver does not know the sender: it has to join first.
+REJECTED_UNKNOWN = "unknown"
+# The name belongs to another process, which has `name_holder_address`.
+REJECTED_NAME = "name"
+
+
+class PullRequest(msgspec.Struct, array_like=True, frozen=True, tag="pull"):
+    """Anti-entropy: asks for the records after a name, of the ranges whose digests differ.
+
+    `range_digests` are the requester's, by range of names; empty: all ranges.
+    """
 
-class Pull(msgspec.Struct, array_like=True, frozen=True, tag="pull"):
-    """Tell me those that come after this name, of the ranges in which our copies differ."""
+    after_name: str
+    range_digests: list[int]
 
-    after: str
-    digests: list[int]  # the asker's, by range; empty: all ranges
 
+class TablePage(msgspec.Struct, array_like=True, frozen=True, tag="page"):
+    """Answers a `PullRequest`: records in order of their names, and whether more follow."""
 
-class Page(msgspec.Struct, array_like=True, frozen=True, tag="page"):
-    records: list[Record]
-    more: bool
+    records: list[MemberRecord]
+    has_more: bool
 
 
-MemberBody = Ping | Ack | PingFor | Nack | Join | Joined | Refused | Pull | Page
+MemberBody = Ping | Ack | PingRequest | Nack | Join | JoinAccepted | Rejected | PullRequest | TablePage
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -69,7 +69,7 @@
             passed = self._lasting.restore_state(config.known, clock.now_us(), drains)
         # A predecessor's list is newer than the platform's, and its watch can be gone on with.
         known = passed.server_list if passed is not None and passed.server_list.form_servers else config.known
-        self.node = Node(config.settings, config.seed, clock, known, passed=passed)
+        self.node = Node(config.settings, config.seed, clock, known, predecessor=passed)
         self._revision = known.revision
         descriptors = descriptors_allowed(config.descriptors)
         self._client_front = ClientFront(self.node, config.groups, descriptors)
@@ -92,7 +92,7 @@
                 config.control is not None,
                 self._handed("peer", config.peer_listen),
             )
-            self.node.neighbours = self._datagrams
+            self.node.peer_transport = self._datagrams
 
     def _open_lasting(self, config: NodeConfig, patient: bool) -> StorageService | None:
         if config.operator is None or not config.operator.lasting.enabled:
@@ -220,7 +220,7 @@
         for door in self._open_doors.values():
             group.start_soon(door.run)
         if self._config.settings.probes:
-            self.node.prober = Probes(self.node, group)
+            self.node.health_checker = Probes(self.node, group)
         if self._datagrams is not None:
             group.start_soon(self._datagrams.run)
         if self._fleet is not None:
--- a/sailrun/storage/cli.py
+++ b/sailrun/storage/cli.py
@@ -13,7 +13,7 @@
 
 # What reads a folder is imported in the functions: every command of `sailrun` imports this module.
 if TYPE_CHECKING:
-    from sailrun.replication.marks import Standing
+    from sailrun.replication.operator_marks import MarkStatus
     from sailrun.storage.entries import Entry
     from sailrun.storage.folder_reader import FolderContents
 
@@ -63,11 +63,11 @@
 
 def _describe_start(contents: FolderContents, half_life_s: float, now_s: float) -> Facts:
     """What a node would start with now."""
-    from sailrun.replication.marks import KINDS, standing
+    from sailrun.replication.operator_marks import MARK_KINDS, resolve_mark
     from sailrun.storage.folder_reader import FolderIntegrity
 
     state = contents.state
-    marks = [standing(record) for record in state.records.values() if record.kind in KINDS]
+    marks = [resolve_mark(record) for record in state.records.values() if record.kind in MARK_KINDS]
     overrides = state.operator_overrides
     is_intact = contents.integrity is FolderIntegrity.INTACT
     return {
@@ -82,9 +82,9 @@
     }
 
 
-def _describe_mark(mark: Standing) -> Facts:
-    words = [{"id": m.id, "who": m.who, "why": m.why, "gone": gone} for m, gone in mark.words]
-    return {"kind": mark.kind, "subject": mark.subject, "on": mark.on, "words": words}
+def _describe_mark(mark: MarkStatus) -> Facts:
+    words = [{"id": m.id, "who": m.author, "why": m.reason, "gone": gone} for m, gone in mark.versions]
+    return {"kind": mark.kind, "subject": mark.subject, "on": mark.active, "words": words}
 
 
 def _describe_learned(contents: FolderContents, half_life_s: float, now_s: float) -> Facts:
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -14,9 +14,9 @@
 
 from sailrun.bad_config import BadConfig
 from sailrun.node.clock import log
+from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import ServerListUpdate
-from sailrun.node.succession_state import NodeState
-from sailrun.replication.marks import DRAIN, OUT, keeps_out
+from sailrun.replication.operator_marks import DRAIN, OUT, is_mark_active
 from sailrun.storage.decision_snapshot import decode_snapshot, encode_snapshot
 from sailrun.storage.entries import (
     CleanShutdown,
@@ -155,7 +155,7 @@
 
     # ------------------------------------------------------------------ what a node starts with
 
-    def restore_state(self, server_list: ServerListUpdate, now_us: int, may_drain: bool) -> NodeState:
+    def restore_state(self, server_list: ServerListUpdate, now_us: int, may_drain: bool) -> NodeSnapshot:
         """The state that a node starts with, in the form that a predecessor would hand over: what operators
         have taken out of service, and what was learned of the form servers in `server_list`, aged.
         `may_drain`: whether the node drains where an operator mark said so.
@@ -164,18 +164,18 @@
         out_of_service = {
             record.subject
             for record in state.records.values()
-            if record.kind == OUT and not record.soft and keeps_out(record)
+            if record.kind == OUT and not record.soft and is_mark_active(record)
         }
         if state.operator_overrides is not None:
             out_of_service.update(state.operator_overrides.out_of_service)
         drain = state.records.get((DRAIN, self._name, ""))
-        self.starts_draining = may_drain and drain is not None and keeps_out(drain)
+        self.starts_draining = may_drain and drain is not None and is_mark_active(drain)
         learned = None
         if state.decision_snapshot is not None:
             listed = {s.name: (s.number, s.started_us) for s in server_list.form_servers}
             content, half_life_s = state.decision_snapshot.content, self.settings.half_life_s
             learned = decode_snapshot(content, now_us, half_life_s, listed)
-        return NodeState(server_list, frozenset(out_of_service), self.starts_draining, learned)
+        return NodeSnapshot(server_list, frozenset(out_of_service), self.starts_draining, learned)
 
     def start_without_fleet(self) -> None:
         """Begins to write for a node without a fleet, which has no member to do so."""
@@ -291,11 +291,11 @@
         snapshot = self._snapshot or self.contents.state.decision_snapshot
         return [snapshot] if snapshot is not None else []
 
-    def _save_snapshot(self, state: NodeState, now_us: int) -> None:
-        if state.learned is None or not self.is_open:
+    def _save_snapshot(self, state: NodeSnapshot, now_us: int) -> None:
+        if state.decisions is None or not self.is_open:
             return
         names = {s.number: s.name for s in state.server_list.form_servers}
-        content = encode_snapshot(now_us, state.learned, names)
+        content = encode_snapshot(now_us, state.decisions, names)
         self._snapshot = DecisionSnapshot(now_us / SECOND_US, content)
         self.write_ahead_log.append(self._snapshot)
         self.turn()
--- a/sailrun/storage/write_ahead_log.py
+++ b/sailrun/storage/write_ahead_log.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from sailrun.replication.records import size_of
+from sailrun.replication.records import estimate_size_bytes
 from sailrun.storage.entries import Entry, StoredRecord
 from sailrun.storage.settings import MEGABYTE, StorageSettings
 
@@ -123,7 +123,7 @@
             self._oldest_pending_us = self._now_us
         self._pending.append(entry)
         if isinstance(entry, StoredRecord):
-            self._pending_bytes += size_of(entry.record)
+            self._pending_bytes += estimate_size_bytes(entry.record)
         else:
             self._pending_bytes += TYPICAL_ENTRY_BYTES
         if self._pending_bytes > self.settings.queue_mb * MEGABYTE:
