--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -69,6 +69,7 @@
         self.engine.changed()
 
     async def run(self) -> None:
+        """Relays frames until the connection to the form server ends."""
         try:
             await self.engine.run()
         finally:
@@ -171,20 +172,25 @@
     # ------------------------------------------------------------------ orders of the core
 
     def start_attempt(self, placement: Placement) -> None:
+        """Starts an attempt; returns at once."""
         self._front.group.start_soon(self._try, placement)
 
     def cancel_attempt(self, attempt: int) -> None:
+        """Cancels the attempt that is under way."""
         if self._scope is not None:
             self._scope.cancel()
 
     def reject(self, retry_after_us: int) -> None:
+        """Answers the client that no form server takes the session now; Retry-After in whole milliseconds."""
         info = {proton.symbol(RETRY_AFTER): -(-retry_after_us // 1000)}
         self._detach("refused", REFUSED, "no form server can take the session now", info)
 
     def fail(self) -> None:
+        """Answers the client that the session could not be placed."""
         self._detach("failed", FAILED, "the session could not be placed")
 
     def move(self) -> None:
+        """Moves the client to another node: detaches the link once its transfers have their outcomes."""
         if not self._moving:
             self._moving = True
             self._front.group.start_soon(self._move)
@@ -249,16 +255,20 @@
             self._node.client_left(self._session)
 
     def stands(self) -> bool:
+        """Whether the session is established and is not being moved."""
         return self._form_server is not None and not self._moving and not self._ended
 
     def belongs_to(self, session: Any) -> bool:
+        """Whether the link is one of this AMQP session's."""
         return bool(self.link.session == session)
 
     def flow(self) -> None:
+        """Passes credit on that has come from either side."""
         for relay in self._form_server.relays if self._form_server is not None else []:
             relay.grant()
 
     def delivered(self, delivery: proton.Delivery) -> None:
+        """A transfer's outcome has come from the client."""
         if self._form_server is not None:
             _delivered(delivery, self._form_server.relays)
 
@@ -391,6 +401,7 @@
         self._opened = anyio.Event()
 
     async def run(self) -> None:
+        """Serves the connection until it ends."""
         began_us = self.node.clock.now_us()
         async with anyio.create_task_group() as self.group:
             self.group.start_soon(self._expect_open, began_us + OPEN_BY_US)
@@ -410,6 +421,7 @@
         )
 
     def standing(self) -> Iterable[Callable[[], None]]:
+        """For each link whose session is established, what moves it."""
         return [link.move for link in self._links.values() if link.stands()]
 
     async def _expect_open(self, deadline_us: int) -> None:
@@ -469,6 +481,7 @@
 
 
 def amqp_door(node: Node, listener: socket.socket, terms: AmqpSettings, descriptors: int) -> FrontDoor:
+    """A front that listens for AMQP clients. `descriptors`: how many the process may hold."""
     waiting = WaitingRoom(descriptors)
 
     def greet(sock: socket.socket) -> ClientConnection:
--- a/sailrun/amqp/transfer_relay.py
+++ b/sailrun/amqp/transfer_relay.py
@@ -39,6 +39,7 @@
 
     @property
     def between_transfers(self) -> bool:
+        """Whether no transfer is partway or waits for credit."""
         return self._partial is None and not self._waiting
 
     def grant(self) -> None:
--- a/sailrun/cli.py
+++ b/sailrun/cli.py
@@ -36,6 +36,7 @@
 
 @app.callback(invoke_without_command=True)
 def main(context: typer.Context) -> None:
+    """Starts a node by the environment where no command is given."""
     if context.invoked_subcommand is None:
         start(*by_environment())
 
--- a/sailrun/config.py
+++ b/sailrun/config.py
@@ -41,6 +41,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EnvoyFiles:
+    """Endpoints of a cluster from files in the form of Envoy's discovery."""
+
     cluster: str
     clusters: Path
     endpoints: Path
@@ -48,6 +50,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EnvoyRest:
+    """Endpoints of a cluster from an Envoy management server over REST."""
+
     cluster: str
     address: Address
 
@@ -57,6 +61,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AmqpConfig:
+    """Where clients and form servers speak AMQP 1.0, and the limits stated in its open frame."""
+
     listen: Address
     max_frame_size: int
     idle_time_out_ms: int
@@ -64,6 +70,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
+    """What one node is started with; all names of files and of the environment are mapped here."""
+
     name: str
     listen: Address | None  # where clients that speak the platform's lines connect
     roster: DiscoverySource  # named as in a sidecar's file and in the log
@@ -102,6 +110,7 @@
 
 
 def read_settings(nested: Any) -> Settings:
+    """The settings of the platform's file. Raises ValueError naming the path that is not usable."""
     if not isinstance(nested, dict):
         raise ValueError("is no object")
     settings = read_settings_fields(dict(flatten(nested)))
--- a/sailrun/connection.py
+++ b/sailrun/connection.py
@@ -40,6 +40,7 @@
 
 
 def show_address(address: tuple[str, int]) -> str:
+    """The text form of an address, brackets around an IPv6 host."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
@@ -105,6 +106,7 @@
         return bytes(self._buffer[self._start : stop])
 
     def held(self) -> int:
+        """Bytes that have come in and were not taken yet."""
         return self._end - self._start
 
     def fresh(self) -> bytes:
@@ -135,6 +137,7 @@
         return line
 
     async def write(self, data: bytes) -> None:
+        """Writes all of the data, waiting as needed. Raises OSError if the connection breaks."""
         view = memoryview(data)
         while view:
             try:
@@ -171,6 +174,7 @@
 
     @property
     def closed(self) -> bool:
+        """Whether the socket is closed."""
         return self.sock.fileno() < 0
 
     def close(self, abruptly: bool = False) -> None:
@@ -184,6 +188,7 @@
 
 
 def new_socket(host: str, kind: socket.SocketKind) -> socket.socket:
+    """A non-blocking socket of the host's address family. Raises OutOfDescriptors if there is no room."""
     try:
         return socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, kind | socket.SOCK_NONBLOCK)
     except OSError as error:
--- a/sailrun/control/calls.py
+++ b/sailrun/control/calls.py
@@ -14,6 +14,8 @@
 
 
 class Verb(Enum):
+    """The commands of the control protocol; the values are its words."""
+
     CHECK = "check"
     VARS = "vars"
     SET_DOWN = "set-down"
@@ -56,6 +58,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
+    """One command with its arguments."""
+
     verb: Verb
     form_server: str = ""
     words: tuple[str, ...] = ()  # what is asked of the fleet
@@ -87,6 +91,7 @@
 
 
 def fail(why: str) -> bytes:
+    """A failure's answer of one line, with the reason."""
     return b"fail " + " ".join(why.split()).encode("ascii", "replace") + b"\r\n"
 
 
--- a/sailrun/discovery.py
+++ b/sailrun/discovery.py
@@ -115,6 +115,7 @@
         self._wanted = anyio.Event()
 
     def watch(self, active: bool) -> None:
+        """Opens the watch, or ends it."""
         if active and not self._watching and self._took < 0 and not self._fetching:
             self._spread(self._node.clock.now_us())
         self._watching = active
@@ -133,6 +134,7 @@
         self._http.end()
 
     async def run(self) -> None:
+        """Calls the registry, as a watch or for whole lists, until `drop`."""
         while not self._dropped:
             clock = self._node.clock
             waits = not self._watching and not self._fetching
--- a/sailrun/front.py
+++ b/sailrun/front.py
@@ -51,6 +51,7 @@
         self._bound()
 
     def leave(self, scope: anyio.CancelScope) -> None:
+        """The connection waits no longer: it has asked for something, or has ended."""
         self._waiting.pop(scope, None)
         self._parting.pop(scope, None)
 
@@ -87,7 +88,10 @@
 class Guest(Protocol):
     """One accepted connection, with whatever sessions came through it."""
 
-    async def run(self) -> None: ...
+    async def run(self) -> None:
+        """Serves the connection until it ends."""
+        ...
+
     def standing(self) -> Iterable[Callable[[], None]]:
         """For each session that stands and is not moving yet, what moves it."""
         ...
@@ -128,6 +132,7 @@
             self._accepting.cancel()
 
     def resume(self) -> None:
+        """Accepts again after a pause."""
         if self._resumed is not None:
             self._resumed.set()
             self._resumed = None
--- a/sailrun/hot_restart/link.py
+++ b/sailrun/hot_restart/link.py
@@ -119,6 +119,7 @@
         return self._sets.popleft() if self._sets else []
 
     def close(self, abruptly: bool = False) -> None:
+        """Ends the line, and closes sockets that were received with it and not taken."""
         while self._sets:
             for sock in self._sets.popleft():
                 sock.close()
--- a/sailrun/hot_restart/rules.py
+++ b/sailrun/hot_restart/rules.py
@@ -6,6 +6,8 @@
 
 
 class Role(Enum):
+    """Which part a process has in a replacement."""
+
     ALONE = "alone"  # serves, and nobody has asked to succeed it
     HANDING = "handing"  # a successor was handed the listeners and has not said yes
     SUCCEEDED = "succeeded"  # a successor takes the clients
--- a/sailrun/hot_restart/state.py
+++ b/sailrun/hot_restart/state.py
@@ -34,11 +34,13 @@
 
 
 def pack(kind: str, content: Any) -> bytes:
+    """A line of state: version, checksum, and the kind with its content as JSON."""
     text = json.dumps([kind, content], allow_nan=False, separators=(",", ":")).encode()
     return b"%d %08x %s\n" % (VERSION, zlib.crc32(text), text)
 
 
 def unpack(line: bytes) -> tuple[str, Any]:
+    """Kind and content of a line. Raises BadHandoverMessage."""
     if not line.endswith(b"\n"):
         raise BadHandoverMessage("torn")
     version, _, rest = line[:-1].partition(b" ")
@@ -57,6 +59,7 @@
 
 
 def write_state(state: NodeSnapshot) -> dict[str, Any]:
+    """A node's state as the content of a line."""
     learned = state.decisions or StateSnapshot((), None, {})
     return {
         "roster": {
@@ -90,6 +93,7 @@
 
 
 def read_state(content: Any) -> NodeSnapshot:
+    """A node's state from the content of a line. Raises BadHandoverMessage."""
     try:
         server_list = read_server_list(content["roster"], cached=True)
         by_hand, draining = content["out_by_hand"], content["draining"]
@@ -140,6 +144,7 @@
 
 
 def write_held(held: ProcessLoad) -> dict[str, Any]:
+    """What a process still holds as the content of a line."""
     loads = [[number, load] for number, load in held.loads.items() if load > 0]
     return {
         "loads": loads,
@@ -150,6 +155,7 @@
 
 
 def read_held(content: Any) -> ProcessLoad:
+    """What a process still holds from the content of a line. Raises BadHandoverMessage."""
     try:
         loads = {int(_finite(number)): _finite(load) for number, load in content["loads"]}
         connections, descriptors = int(content["connections"]), int(content["descriptors"])
--- a/sailrun/http_calls.py
+++ b/sailrun/http_calls.py
@@ -20,6 +20,8 @@
 
 
 class HttpCalls:
+    """HTTP/1.1 calls to one address over one connection, which is kept between calls."""
+
     def __init__(self, clock: Clock, address: tuple[str, int]) -> None:
         self._clock = clock
         self._address = address
@@ -28,6 +30,7 @@
         self._spare: int | None = None
 
     def drop(self) -> None:
+        """Closes the connection; the next call opens another."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
--- a/sailrun/node/ports.py
+++ b/sailrun/node/ports.py
@@ -10,7 +10,9 @@
 class EventLog(Protocol):
     """Writes one event with its fields to the log; fields that are None are left out."""
 
-    def __call__(self, what: str, /, **facts: object) -> None: ...
+    def __call__(self, what: str, /, **facts: object) -> None:
+        """Writes one line of the event's name and its fields."""
+        ...
 
 
 class ServiceDiscovery(Protocol):
--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -89,6 +89,8 @@
 
 
 class Rebalancer:
+    """Decides which clients are moved for balance. Pure: time comes with each call."""
+
     def __init__(self, terms: RebalanceSettings, settings: Settings, now_us: int) -> None:
         self._terms = terms
         self._nodes = settings.instances
@@ -193,6 +195,7 @@
                 self._trouble(now_us, "slow-set-ups")
 
     def loaded(self, name: str, load: float) -> None:
+        """The load of an established session was reported."""
         self.connections.loaded(name, load)
 
     def ended(self, now_us: int, name: str, outcome: AttemptOutcome) -> None:
@@ -251,6 +254,7 @@
     # ------------------------------------------------------------------ looks
 
     def due(self, now_us: int) -> bool:
+        """Whether it is time to call `look`."""
         return now_us >= self._look_us
 
     def look(self, now_us: int, elsewhere: Elsewhere) -> Orders:
@@ -283,6 +287,7 @@
         return orders
 
     def warm(self, now_us: int) -> dict[int, Backend]:
+        """Ready backends that are out of slow start, by number."""
         return {
             number: server
             for number, server in self._servers.items()
@@ -291,6 +296,7 @@
         }
 
     def view(self, now_us: int) -> View:
+        """The load of this node and of those heard, by form server."""
         warm = self.warm(now_us)
         own = {n: held.load for n, held in self.connections.held.items() if n in warm}
         heard, voices = self._neighbour_loads.loads(now_us, self.connections.told, warm)
--- a/sailrun/rebalance/connection_table.py
+++ b/sailrun/rebalance/connection_table.py
@@ -55,6 +55,7 @@
     # ------------------------------------------------------------------ events
 
     def stands(self, one: Standing) -> None:
+        """A session is established."""
         self.standing[one.id] = one
         held = self.held.setdefault(one.server, Held())
         members = held.groups.setdefault(one.group, {})
@@ -67,6 +68,7 @@
         at[one.server] = at.get(one.server, 0) + 1
 
     def ended(self, name: str) -> Standing | None:
+        """A session has ended; returns it if it was known."""
         one = self.standing.pop(name, None)
         if one is None:
             return None
@@ -119,6 +121,7 @@
     # ------------------------------------------------------------------ looks
 
     def load_of(self, one: Standing) -> float:
+        """The load of one session: reported, or the mean of its class."""
         if one.load is not None:
             return one.load
         known = self._means.get(one.request_class)
@@ -133,6 +136,7 @@
         return self._unevenness or 2.0 * (self.unit() + self.group_cost())
 
     def group_cost(self) -> float:
+        """What a group costs a form server beside its sessions."""
         return GROUP_COST * self.unit()
 
     def weight(self, members: dict[str, Standing]) -> float:
--- a/sailrun/rebalance/pace.py
+++ b/sailrun/rebalance/pace.py
@@ -33,6 +33,7 @@
         return was_open
 
     def shut(self, now_us: int) -> bool:
+        """Whether moving is suspended."""
         return now_us < self._shut_until_us
 
     def begin(self, now_us: int) -> None:
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -39,9 +39,17 @@
 class Door(Protocol):
     """An address that is listened on, and whoever came to it."""
 
-    def close(self) -> None: ...
-    def shut(self) -> None: ...
-    async def run(self) -> None: ...
+    def close(self) -> None:
+        """Closes the socket."""
+        ...
+
+    def shut(self) -> None:
+        """Accepts no more connections."""
+        ...
+
+    async def run(self) -> None:
+        """Accepts connections until `shut`."""
+        ...
 
 
 def _identity(config: NodeConfig) -> str:
@@ -215,6 +223,7 @@
                 return RestDiscovery(self.node, cluster, address)
 
     def open(self, group: TaskGroup) -> None:
+        """Starts discovery, the fronts and, if configured, the prober in the group."""
         self.group = group
         group.start_soon(self._run_discovery)
         for door in self._open_doors.values():
@@ -346,6 +355,7 @@
             old.shut()
 
     async def heed_signals(self, *, task_status: TaskStatus[None]) -> None:
+        """Reloads at SIGHUP and begins a graceful shutdown at SIGTERM and SIGINT."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             task_status.started()  # nothing is served before this: a signal would kill outright
             async for number in signals:
@@ -358,6 +368,7 @@
 
 
 async def serve(read: Callable[[], NodeConfig]) -> None:
+    """Serves by the configuration that `read` returns, until the node has shut down. Raises BadConfig."""
     config = read()
     inherited = None
     if config.control is not None:
--- a/sailrun/sharding/act_exerciser.py
+++ b/sailrun/sharding/act_exerciser.py
@@ -22,6 +22,8 @@
 
 
 class ActExerciser:
+    """Exercises acts on owned shards, so that a laboratory can judge their fencing."""
+
     def __init__(
         self,
         part: ShardingAgent,
--- a/sailrun/sharding/assigner.py
+++ b/sailrun/sharding/assigner.py
@@ -51,6 +51,8 @@
 
 
 class Assigner:
+    """Assigns the shards of a region; one node at a time does, under a lease."""
+
     def __init__(
         self,
         region: str,
--- a/sailrun/sidecar.py
+++ b/sailrun/sidecar.py
@@ -81,6 +81,7 @@
 
 
 def read_sidecar(path: Path) -> NodeConfig:
+    """The settings of a sidecar from its TOML file. Raises BadConfig naming file and key."""
     try:
         document = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
--- a/sailrun/storage/settings.py
+++ b/sailrun/storage/settings.py
@@ -50,4 +50,5 @@
 
     @property
     def enabled(self) -> bool:
+        """Whether a folder is configured."""
         return bool(self.folder)
--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -55,6 +55,8 @@
         return ClientConnection.adopted(self, content, sockets)
 
     def door(self, listener: socket.socket) -> FrontDoor:
+        """A front that listens for clients of the text protocol."""
+
         def greet(sock: socket.socket) -> ClientConnection:
             return ClientConnection(self, Connection(sock))
 
@@ -139,6 +141,7 @@
     # ------------------------------------------------------------------ orders of the core
 
     def start_attempt(self, placement: Placement) -> None:
+        """Starts an attempt; returns at once."""
         try:
             self._orders.send_nowait(placement)
         except (anyio.ClosedResourceError, anyio.BrokenResourceError):
@@ -147,15 +150,18 @@
             self._node.attempt_ended(self._session, placement, AttemptOutcome.NOT_SENT)
 
     def cancel_attempt(self, attempt: int) -> None:
+        """Cancels the attempt of that number if it is under way."""
         if self._attempt is not None and self._attempt[0] == attempt:
             self._attempt[1].cancel()
 
     def reject(self, retry_after_us: int) -> None:
+        """Answers `BUSY`, with Retry-After in whole milliseconds if there is one."""
         self._answer(
             "refused", b"BUSY %d\r\n" % -(-retry_after_us // 1000) if retry_after_us else b"BUSY\r\n"
         )
 
     def fail(self) -> None:
+        """Answers `ERR`."""
         self._answer("failed", b"ERR\r\n")
 
     def _answer(self, reason: str, line: bytes) -> None:
@@ -166,12 +172,14 @@
             self._reason = reason
 
     def move(self) -> None:
+        """Has the client come again elsewhere: `MOVE` between two lines."""
         if not self._moving_since_us:
             self._moving_since_us = self._node.clock.now_us()
             if self._reading is not None:
                 self._reading.cancel()
 
     def transfer(self, send: SendTransfer) -> None:
+        """Hands the session over to the successor once it is at rest."""
         if self._form_server is not None and not self._moving_since_us:
             self._send_transfer = send
             for scope in (self._listening, self._reading):
@@ -179,11 +187,13 @@
                     scope.cancel()
 
     def standing(self) -> Iterable[Callable[[], None]]:
+        """What moves the client, if its session is established and it is not being moved."""
         return [self.move] if self._form_server is not None and not self._moving_since_us else []
 
     # ------------------------------------------------------------------ the life of the connection
 
     async def run(self) -> None:
+        """Serves the connection until it ends."""
         began_us = self._node.clock.now_us()
         try:
             if self._placement is not None or await self._opened(began_us + FIRST_LINE_US):
--- a/sailrun/text_protocol/figures.py
+++ b/sailrun/text_protocol/figures.py
@@ -53,6 +53,7 @@
         self._small: list[tuple[int, Whose]] = []  # lines of the last second that may have been one
 
     def read(self, now_us: int, value: float, whose: Whose) -> Load | Delay[Whose]:
+        """Tells a load from a delay. `value`: as stated; `whose`: the session that stated it."""
         if self._least_ms <= 0 or not 0 < value < LONGEST_MS:
             return Load(value)
         self._small = [(at, who) for at, who in self._small if now_us - at <= SECOND + SLACK_US]
--- a/sailrun/text_protocol/lines.py
+++ b/sailrun/text_protocol/lines.py
@@ -86,6 +86,7 @@
 
 
 def word_of(line: bytes) -> bytes:
+    """The first word of a line; empty for an empty line."""
     return line.split(None, 1)[0] if line.strip() else b""
 
 
--- a/sailrun/text_protocol/neighbours.py
+++ b/sailrun/text_protocol/neighbours.py
@@ -51,9 +51,11 @@
         self._reading.cancel()
 
     def resume(self) -> None:
+        """Receives again after a pause."""
         self._reads.set()
 
     def send(self, neighbour: int | None, content: bytes) -> None:
+        """Sends a datagram to one node, or to all (`neighbour` None)."""
         if len(content) > LONGEST_DATAGRAM:
             log("neighbour-message-too-long", bytes=len(content))
             return
@@ -68,6 +70,7 @@
                 log("neighbour-unreached", neighbour=neighbour, error=str(error))
 
     async def run(self) -> None:
+        """Receives datagrams until the task is cancelled."""
         while True:
             await self._reads.wait()
             with anyio.CancelScope() as self._reading:
@@ -91,6 +94,7 @@
         self._node, self._group = node, group
 
     def probe(self, form_server: FormServer, until_us: int) -> None:
+        """Starts a health check, given up at `until_us`."""
         self._group.start_soon(self._probe, form_server, until_us)
 
     async def _probe(self, form_server: FormServer, until_us: int) -> None:
--- a/sailrun/wire.py
+++ b/sailrun/wire.py
@@ -78,6 +78,7 @@
 
 
 def list_update(f: Fields, lists: dict[int, tuple[Backend, ...]]) -> BackendListUpdate:
+    """A list or the news of a failed call, with the list that its `setId` names. Raises WireError."""
     m = "discovery"
     kind = choice(m, f, "kind", {str(k.value): k for k in ListKind})
     entries: tuple[Backend, ...] = ()
@@ -234,8 +235,10 @@
 
 
 def action_line(who: int, action: Action) -> str:
+    """An action of instance `who` as a line."""
     return _LINES[type(action)](who, action)
 
 
 def fault_line(who: int, cause: str) -> str:
+    """The line that ends an instance after a fault of its own."""
     return f"give_in\twho={who}\ttext={_one_line(cause)}"
--- a/sailrun/xds/discovery.py
+++ b/sailrun/xds/discovery.py
@@ -47,10 +47,12 @@
         self._rejected: dict[str, str] = {}
 
     def watch(self, active: bool) -> None:
+        """Opens the watch, or ends it."""
         self._watching = active
         self._wanted.set()
 
     def fetch(self) -> None:
+        """Asks for the whole list once."""
         self._told = None  # told again at the next look, changed or not
         self._wanted.set()
 
@@ -59,6 +61,7 @@
         """Gives up whatever is held open of the source."""
 
     async def run(self) -> None:
+        """Looks for changes until the task is cancelled."""
         while True:
             if not self._watching and self._told is not None:
                 self._wanted = anyio.Event()
@@ -167,6 +170,7 @@
         self._errors: dict[str, str] = {}
 
     def drop(self) -> None:
+        """Ends the calls that are under way."""
         self._http.end()
 
     def _unreached(self, error: Exception) -> None:
--- a/sailrun/xds/mapping.py
+++ b/sailrun/xds/mapping.py
@@ -87,6 +87,7 @@
 
 
 def find_endpoints(update: Update, name: str) -> Any | None:
+    """The endpoints of a cluster, None if the update has none. Raises BadUpdate if they come twice."""
     found = [resource for resource in update.resources if resource.cluster_name == name]
     if len(found) > 1:
         raise BadUpdate(f"endpoints of '{name}' come twice")
