--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -14,20 +14,20 @@
 
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.leadership.agent import AgentSettings, Out
-from sailrun.leadership.envelope import Body, Envelope, pack, unpack
+from sailrun.leadership.agent import AgentSettings, OutgoingEnvelope
+from sailrun.leadership.envelope import Body, Envelope, decode_envelope, encode_envelope
 from sailrun.leadership.messages import (
-    Ask,
-    Deny,
-    Grant,
-    NotMine,
-    Order,
-    Question,
-    Recall,
-    Recalled,
-    Refusal,
-    Release,
-    Yield,
+    LeaderRequest,
+    LeaderResponse,
+    LeaseDenial,
+    LeaseGrant,
+    LeaseHandover,
+    LeaseRelease,
+    LeaseRequest,
+    NotLeader,
+    ResponseRejection,
+    TermQuery,
+    TermReport,
 )
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
 from sailrun.membership.messages import MemberBody
@@ -41,8 +41,8 @@
 VOTERS = 7
 MOST_OUT = 1_000
 MEMBERS, LEASES, COPIES, SHARDS, OTHER = "members", "leases", "copies", "shards", "other"
-_ASKED_OF_OWNERS = (Question, Order, NotMine, Refusal)
-_OF_LEASES = (Ask, Grant, Deny, Release, Yield, Recall, Recalled)
+_ASKED_OF_OWNERS = (LeaderRequest, LeaderResponse, NotLeader, ResponseRejection)
+_OF_LEASES = (LeaseRequest, LeaseGrant, LeaseDenial, LeaseRelease, LeaseHandover, TermQuery, TermReport)
 
 
 def terms_of_all(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
@@ -153,14 +153,14 @@
     def _arrive(self, sender: str, address: str, to: VirtualNode, envelope: Envelope) -> None:
         if to.agent is None or self._is_cut(sender, to.name):
             return
-        data = pack(envelope)
+        data = encode_envelope(envelope)
         self._count(to, envelope, len(data))
         began_ns, self._aside_ns = time.thread_time_ns(), 0
-        super()._arrive(sender, address, to, unpack(data))
+        super()._arrive(sender, address, to, decode_envelope(data))
         self.counts[to.name].cpu_ns += time.thread_time_ns() - began_ns - self._aside_ns
 
-    def _put(self, node: VirtualNode, out: Out) -> None:
-        length = len(pack(out.envelope))
+    def _put(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
+        length = len(encode_envelope(out.envelope))
         packed_ns = time.thread_time_ns()
         self._count(node, out.envelope, length)
         super()._put(node, out)
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -16,7 +16,7 @@
 
 from benchmarks.capacity.counting_fleet import LEASES, CountingFleet, NodeCounts
 from benchmarks.capacity.record import Measurement
-from sailrun.leadership.permits import TASK as PERMITS
+from sailrun.leadership.permits import PERMITS_TASK as PERMITS
 from sailrun.replication.messages import Op
 from sailrun.replication.replica import MARKS, Answer, Replica
 
--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -14,10 +14,10 @@
 from benchmarks.capacity.record import Measurement
 from benchmarks.knowledge import LOAD
 from benchmarks.knowledge import measure as rounds_of
-from sailrun.leadership.envelope import Envelope, pack, unpack
+from sailrun.leadership.envelope import Envelope, decode_envelope, encode_envelope
 from sailrun.leadership.leases import best_placed
-from sailrun.leadership.messages import Order, Question
-from sailrun.leadership.pace import ASK_US, PaceCoordinator
+from sailrun.leadership.messages import LeaderRequest, LeaderResponse
+from sailrun.leadership.move_rate import REQUEST_INTERVAL_US, MoveRateCoordinator
 from sailrun.load_gossip.digest import LONGEST, Digest, room, write
 from sailrun.load_gossip.rounds import NODE_US, ROUND_US
 from sailrun.replication.records import written
@@ -80,24 +80,24 @@
 
 
 def _pace(nodes: int) -> dict[str, float]:
-    office, numbers = PaceCoordinator(1, 0), count(1)
+    office, numbers = MoveRateCoordinator(1, 0), count(1)
     now_us = 10 * SECOND
     for n in range(nodes):
         office.asked(now_us, f"node-{n:05}")
     began_ns = time.thread_time_ns()
     for n in range(ASKS):
-        now_us += ASK_US // nodes
-        question = unpack(pack(_envelope(Question("pace", 1, next(numbers))))).body
-        assert isinstance(question, Question)
+        now_us += REQUEST_INTERVAL_US // nodes
+        question = decode_envelope(encode_envelope(_envelope(LeaderRequest("pace", 1, next(numbers))))).body
+        assert isinstance(question, LeaderRequest)
         lent = office.asked(now_us, f"node-{n % nodes:05}")
-        answer = pack(_envelope(Order("pace", 1, question.number, lent)))
+        answer = encode_envelope(_envelope(LeaderResponse("pace", 1, question.number, lent)))
     took_us = (time.thread_time_ns() - began_ns) / 1e3 / ASKS
-    length = len(pack(_envelope(Question("pace", 1, 1)))) + len(answer) + 2 * HEADER
-    asks_s = nodes * SECOND / ASK_US
+    length = len(encode_envelope(_envelope(LeaderRequest("pace", 1, 1)))) + len(answer) + 2 * HEADER
+    asks_s = nodes * SECOND / REQUEST_INTERVAL_US
     return {"cpu_us": took_us, "bytes_s": asks_s * length, "messages_s": 2 * asks_s}
 
 
-def _envelope(body: Question | Order) -> Envelope:
+def _envelope(body: LeaderRequest | LeaderResponse) -> Envelope:
     return Envelope("capacity", "node-00001", 1 << 60, 1, body)
 
 
@@ -165,8 +165,8 @@
 
 def _list(servers: int) -> dict[str, float]:
     members = [roster_entry(f"s-{n:08x}", "10.20.30.40:5000", "SERVING") for n in range(servers)]
-    order = Order("roster/z1", 1, 1, ["roster", 1, members])
-    return {"list_bytes": len(pack(_envelope(order))) + HEADER}
+    order = LeaderResponse("roster/z1", 1, 1, ["roster", 1, members])
+    return {"list_bytes": len(encode_envelope(_envelope(order))) + HEADER}
 
 
 def lists() -> list[Measurement]:
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -20,7 +20,7 @@
 from sailrun.node.reply import answer_to
 
 if TYPE_CHECKING:
-    from sailrun.leadership.service import FleetPart
+    from sailrun.leadership.service import FleetService
     from sailrun.replication.replica import Answer
     from sailrun.replication.service import CopiesPart
 
@@ -55,7 +55,7 @@
     """Answers the calls of operators to one node."""
 
     def __init__(
-        self, node: Node, listener: socket.socket, fleet: Callable[[], FleetPart | None] = lambda: None
+        self, node: Node, listener: socket.socket, fleet: Callable[[], FleetService | None] = lambda: None
     ) -> None:
         self._node, self._listener, self._fleet = node, listener, fleet
         self._spare: list[int] = []  # descriptors held for callers to come
@@ -169,7 +169,7 @@
                 await answer_to(partial(node.set_draining, call.verb is Verb.DRAIN_ON))
                 return OK
 
-    async def _of_fleet(self, fleet: FleetPart, words: tuple[str, ...]) -> bytes:
+    async def _of_fleet(self, fleet: FleetService, words: tuple[str, ...]) -> bytes:
         match words:
             case "walk", str(name), str(ms), str(nodes):
                 if not ms.isdigit():
@@ -187,7 +187,7 @@
                 return fail("[shards] is off here") if shown is None else answer(shown)
         return answer(await answer_to(partial(fleet.show, words[0])))
 
-    async def _marked(self, fleet: FleetPart, copies: CopiesPart, call: Call) -> bytes:
+    async def _marked(self, fleet: FleetService, copies: CopiesPart, call: Call) -> bytes:
         """What holds for the fleet wherever it is said."""
         kind, subject = (OUT, call.form_server) if call.form_server else (DRAIN, fleet.agent.name)
         on = call.verb in (Verb.SET_DOWN, Verb.DRAIN_ON)
@@ -204,7 +204,7 @@
             return fail("queued: as many are out as permits allow, and carried out in its turn")
         return OK if made.state == "done" else fail(made.why or made.state)
 
-    async def _of_copies(self, fleet: FleetPart, words: tuple[str, ...]) -> bytes:
+    async def _of_copies(self, fleet: FleetService, words: tuple[str, ...]) -> bytes:
         """The state that all nodes of the fleet keep copies of."""
         copies = fleet.copies
         if copies is None:
@@ -226,7 +226,7 @@
                 return fail("the owner of the marks was not heard") if words_ is None else answer(words_)
         return answer(await answer_to(partial(fleet.show, " ".join(words))))
 
-    async def _no_subject(self, fleet: FleetPart, kind: str, subject: str, on: bool) -> str:
+    async def _no_subject(self, fleet: FleetService, kind: str, subject: str, on: bool) -> str:
         """Why nothing of that name can be marked; empty: it can. What is marked already can always be taken
         back.
         """
@@ -251,7 +251,7 @@
             made = await answer_to(ask)
         return answer(_shown(ids[0], made))
 
-    async def _permitted(self, fleet: FleetPart, call: Call) -> bytes:
+    async def _permitted(self, fleet: FleetService, call: Call) -> bytes:
         """What takes something out of service waits for a permit, and is carried out in its turn."""
         kind, subject = (OUT, call.form_server) if call.form_server else (DRAIN, fleet.agent.name)
         if call.verb in (Verb.SET_UP, Verb.DRAIN_OFF):
--- a/sailrun/lab/faults/explore.py
+++ b/sailrun/lab/faults/explore.py
@@ -16,10 +16,10 @@
 from typing import Any
 
 from sailrun.leadership.leases import Leases
-from sailrun.leadership.messages import Ask, Grant, Recall, Recalled, Release
+from sailrun.leadership.messages import LeaseGrant, LeaseRelease, LeaseRequest, TermQuery, TermReport
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
-from sailrun.leadership.voter import Voter, abstain_us
+from sailrun.leadership.voter import Voter, abstention_us
 
 SECOND = 1_000_000
 TASK = "t"
@@ -195,18 +195,18 @@
     def _deliver(self, world: World, sender: str, to: str, body: Any) -> None:
         now_us = world.now_us
         match body:
-            case Ask():
+            case LeaseRequest():
                 answer = world.voters[to].asked(now_us, sender, 0, body)
                 # A denial only has its candidate give up sooner than it would without: taken for lost.
-                if isinstance(answer, Grant):
+                if isinstance(answer, LeaseGrant):
                     world.flying.append((to, sender, answer))
-            case Release():
+            case LeaseRelease():
                 world.voters[to].released(sender, 0, body)
-            case Recall():
+            case TermQuery():
                 world.flying.append((to, sender, world.voters[to].recall(body)))
-            case Recalled():
+            case TermReport():
                 world.voters[to].told(now_us, sender, body)
-            case Grant():
+            case LeaseGrant():
                 world.leases[to].granted(now_us, sender, body)
 
     def _judge(self, world: World, found: Found) -> str:
@@ -254,7 +254,7 @@
                 (k, s.term, s.holder, s.until_us - now_us, s.released, s.highest)
                 for k, s in voter._slots.items()
             )
-            waited_us = min(now_us - voter._began_us, abstain_us(self._terms))
+            waited_us = min(now_us - voter._began_us, abstention_us(self._terms))
             granted = [
                 t.granted[name] - now_us if name in t.granted else None
                 for leases in world.leases.values()
--- a/sailrun/lab/faults/relays.py
+++ b/sailrun/lab/faults/relays.py
@@ -17,7 +17,7 @@
 import anyio
 from anyio.abc import SocketStream, TaskGroup
 
-from sailrun.leadership.envelope import LONGEST_DATAGRAM, LONGEST_FRAME, BadMessage, unpack
+from sailrun.leadership.envelope import MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, BadEnvelope, decode_envelope
 
 Address = tuple[str, int]
 HOST = "127.0.0.1"
@@ -99,7 +99,7 @@
         while True:
             await anyio.wait_readable(sock)
             try:
-                data, source = sock.recvfrom(LONGEST_DATAGRAM + 1)
+                data, source = sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 continue
             if source not in by_source:
@@ -148,10 +148,10 @@
                 while True:
                     head = await _exactly(stream, 4)
                     size = int.from_bytes(head, "big")
-                    if size > LONGEST_FRAME:
+                    if size > MAX_FRAME_BYTES:
                         return
                     data = await _exactly(stream, size)
-                    sender = unpack(data).sender
+                    sender = decode_envelope(data).sender
                     if self._is_cut(sender, to.name) or self._luck.random() < self.weather.lost:
                         self.dropped += 1
                         return
@@ -166,7 +166,7 @@
                         return
                     await out.send(head + data)
                     self.passed += 1
-            except (*_BROKEN, BadMessage):
+            except (*_BROKEN, BadEnvelope):
                 return
             finally:
                 if out is not None:
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -10,7 +10,7 @@
     shard_agent_terms,
 )
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
-from sailrun.leadership.agent import Out
+from sailrun.leadership.agent import OutgoingEnvelope
 from sailrun.membership.messages import Record, State
 from sailrun.sharding.exercise import EVERY_US, ActExerciser
 from sailrun.sharding.messages import ShardAct
@@ -56,7 +56,7 @@
             self._exercisers[node.name] = node.life, exerciser
         return exerciser
 
-    def _is_act(self, out: Out) -> bool:
+    def _is_act(self, out: OutgoingEnvelope) -> bool:
         return isinstance(out.envelope.body, ShardAct)
 
     def hand_over(self, name: str) -> None:
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -15,12 +15,12 @@
 from sailrun.lab.faults.disk import SimFiles
 from sailrun.lab.faults.history import Row
 from sailrun.lab.scheduler import BEGIN_US, Scheduler
-from sailrun.leadership.agent import READER, Agent, AgentSettings, Out
-from sailrun.leadership.envelope import Envelope, pack
-from sailrun.leadership.founding import founding_term
-from sailrun.leadership.lasting import Lasting
-from sailrun.leadership.permits import Use
-from sailrun.leadership.reader import Reading
+from sailrun.leadership.agent import READER_TASK_PREFIX, Agent, AgentSettings, OutgoingEnvelope
+from sailrun.leadership.envelope import Envelope, encode_envelope
+from sailrun.leadership.initial_term import new_initial_term
+from sailrun.leadership.list_reader import SharedList
+from sailrun.leadership.member_journal import OpenedFolder
+from sailrun.leadership.permits import PermitChange
 from sailrun.membership.messages import Record, State
 from sailrun.replication.messages import Op
 from sailrun.replication.replica import MARKS, Replica
@@ -51,7 +51,7 @@
     rate: float  # of its clock
     offset_us: int = 0
     agent: Agent | None = None
-    reading: Reading | None = None
+    reading: SharedList | None = None
     life: int = 0
     stopped: bool = False
     stop_in_send: bool = False
@@ -174,7 +174,7 @@
             terms,
             luck.getrandbits(32),
             self.clock_us(node),
-            lambda: founding_term(self.time.now_us / SECOND + ahead_s, luck.getrandbits(12)),
+            lambda: new_initial_term(self.time.now_us / SECOND + ahead_s, luck.getrandbits(12)),
             self._off,
             record,
         )
@@ -193,8 +193,8 @@
         assert agent is not None
         if not agent.terms.reader.enabled:
             return
-        task = READER + node.zone
-        reading = node.reading = Reading("roster", agent.terms.reader, self.clock_us(node))
+        task = READER_TASK_PREFIX + node.zone
+        reading = node.reading = SharedList("roster", agent.terms.reader, self.clock_us(node))
         agent.answers[task] = lambda now_us, sender, content: reading.answer(content)
 
     def kill(self, name: str) -> None:
@@ -263,7 +263,7 @@
         node.write_ahead_log, node.writer, found = opened.write_ahead_log, opened.writer, opened.found
         sound = found.sound is Sound.SOUND
         self.row("folder", node.name, what="found", sound=found.sound.value, why=found.why, torn=found.torn)
-        lasting = Lasting(
+        lasting = OpenedFolder(
             opened.write_ahead_log, opened.identity, found.memory, sound, found.position, wall_s, another
         )
         agent.take_up(self.clock_us(node), lasting)
@@ -370,8 +370,10 @@
                 due_us = min(due_us, node.write_ahead_log.due_us(now_us) or due_us)
             self._wake(node, max(1_000, due_us - now_us))
 
-    def _read(self, node: VirtualNode, agent: Agent, reading: Reading, now_us: int) -> list[Out]:
-        task = READER + node.zone
+    def _read(
+        self, node: VirtualNode, agent: Agent, reading: SharedList, now_us: int
+    ) -> list[OutgoingEnvelope]:
+        task = READER_TASK_PREFIX + node.zone
         reading.owner = bool(agent.leases.holds(task, now_us))
         if reading.reads(now_us):
             reading.read(self.revision, [])
@@ -397,7 +399,7 @@
         if not node.stopped and self.time.now_us + wait_us < node.wakes_us:
             self._wake(node, wait_us)
 
-    def _send(self, node: VirtualNode, outs: list[Out]) -> None:
+    def _send(self, node: VirtualNode, outs: list[OutgoingEnvelope]) -> None:
         agent = node.agent
         assert agent is not None
         agent.notes.clear()
@@ -414,11 +416,11 @@
         for out in outs:
             self._put(node, out)
 
-    def _is_act(self, out: Out) -> bool:
+    def _is_act(self, out: OutgoingEnvelope) -> bool:
         """Whether it was made under a lease that may end before it is sent."""
         return out.guard is not None
 
-    def _send_late(self, node: VirtualNode, stop: int, outs: list[Out]) -> None:
+    def _send_late(self, node: VirtualNode, stop: int, outs: list[OutgoingEnvelope]) -> None:
         if node.agent is None or node.stop != stop:
             return
         for out in outs:
@@ -487,13 +489,13 @@
 
     # ------------------------------------------------------------------ the network
 
-    def _put(self, node: VirtualNode, out: Out) -> None:
+    def _put(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
         self._sent += 1
         kind = type(out.envelope.body).__name__
         self.by_body[kind] = self.by_body.get(kind, 0) + 1
         if self._sent % WEIGHED == 0:
             self.weighed += 1
-            self.bytes += len(pack(out.envelope))
+            self.bytes += len(encode_envelope(out.envelope))
         to = self._at.get(out.address)
         luck = self._luck
         if to is None or self._is_cut(node.name, to.name):
@@ -559,7 +561,7 @@
         life = self.nodes[name].life
         previous = agent.on_use
 
-        def used(use: Use) -> None:
+        def used(use: PermitChange) -> None:
             previous(use)
             if use.yes and (use.kind, use.subject) == (kind, subject):
                 self.time.after(for_us, self._give_back, name, life, kind, subject)
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -20,13 +20,13 @@
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import Place
 from sailrun.lab.scale.settings import record_of
-from sailrun.leadership.agent import READER, AgentSettings, Out
-from sailrun.leadership.carrier import Carrier
+from sailrun.leadership.agent import READER_TASK_PREFIX, AgentSettings, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
 from sailrun.leadership.envelope import Envelope
-from sailrun.leadership.founding import founding_term
-from sailrun.leadership.reader import Reading
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.initial_term import new_initial_term
+from sailrun.leadership.list_reader import SharedList
+from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.transport import Transport
 from sailrun.membership.messages import Record
 
 SECOND = 1_000_000
@@ -54,7 +54,7 @@
     return 1 + max(0, now_us - began_us) // (ROSTER_S * SECOND)
 
 
-class ModelledCarrier(Carrier):
+class ModelledCarrier(Transport):
     """Its datagrams and frames take the network model's way. A frame waits before it is queued for its link,
     so that its owner's term is looked at after the delay, not before.
     """
@@ -63,7 +63,7 @@
         super().__init__(agent, split_address(place.address), patient=False)
         self._metered, self._place, self._network, self._delays = agent, place, network, delays
 
-    def _send(self, datagrams: socket.socket, outs: list[Out]) -> None:
+    def _send(self, datagrams: socket.socket, outs: list[OutgoingEnvelope]) -> None:
         began_s = thread_time()
         super()._send(datagrams, outs)
         self._metered.cpu_s += thread_time() - began_s
@@ -86,7 +86,7 @@
         super()._put(datagrams, data, address)
         self._metered.cpu_s += thread_time() - began_s
 
-    def _by_link(self, out: Out, data: bytes) -> None:
+    def _by_link(self, out: OutgoingEnvelope, data: bytes) -> None:
         to = self._network.by_address.get(out.address)
         if to is None:
             return
@@ -137,13 +137,13 @@
             terms,
             luck.getrandbits(32),
             boot_us(),
-            lambda: founding_term(time.time(), luck.getrandbits(12)),
+            lambda: new_initial_term(time.time(), luck.getrandbits(12)),
             record=record,
         )
         self.carrier = ModelledCarrier(self.agent, place, network, delays)
         self.carrier.after = self._after
-        self._task = READER + place.zone
-        self._reading = Reading(roster, terms.reader, boot_us())
+        self._task = READER_TASK_PREFIX + place.zone
+        self._reading = SharedList(roster, terms.reader, boot_us())
         self.agent.answers[self._task] = lambda now_us, sender, content: self._reading.answer(content)
         self._scope = anyio.CancelScope()
         self._checked = (-1, 0)  # the members' version, and the sum of their names
@@ -167,7 +167,7 @@
 
     # ------------------------------------------------------------------ the roster's list
 
-    def _after(self, now_us: int) -> list[Out]:
+    def _after(self, now_us: int) -> list[OutgoingEnvelope]:
         """As a real node does after each turn: the reader of its zone reads, the others ask the reader."""
         reading = self._reading
         reading.owner = bool(self.agent.owns(self._task, now_us))
@@ -202,7 +202,7 @@
         return record is not None and record.life == life_of(seed, name, number)
 
 
-def node_report(agent: MeteredAgent, life: int, traffic: Traffic, now_us: int) -> NodeReport:
+def node_report(agent: MeteredAgent, life: int, traffic: TrafficCounters, now_us: int) -> NodeReport:
     """What one node has used, what it owns, and how many shards it may use."""
     tasks = [task for task in agent.tasks() if agent.owns(task, now_us)]
     report = NodeReport(agent.name, life, traffic, agent.cpu_s, tasks, agent.voter is not None)
--- a/sailrun/lab/scale/host_messages.py
+++ b/sailrun/lab/scale/host_messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sailrun.lab.scale.plan import ScalePlan
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.traffic import TrafficCounters
 
 # ------------------------------------------------------------------ commands
 
@@ -99,7 +99,7 @@
 
     name: str
     life: int
-    traffic: Traffic
+    traffic: TrafficCounters
     cpu_s: float
     tasks: list[str]
     voter: bool
--- a/sailrun/lab/scale/metered_agent.py
+++ b/sailrun/lab/scale/metered_agent.py
@@ -5,7 +5,7 @@
 from time import thread_time
 from typing import Any
 
-from sailrun.leadership.agent import Agent, Out
+from sailrun.leadership.agent import Agent, OutgoingEnvelope
 from sailrun.leadership.envelope import Envelope
 
 
@@ -16,13 +16,13 @@
         self.cpu_s = 0.0
         super().__init__(*arguments, **options)
 
-    def hear(self, now_us: int, address: str, envelope: Envelope) -> list[Out]:
+    def hear(self, now_us: int, address: str, envelope: Envelope) -> list[OutgoingEnvelope]:
         began_s = thread_time()
         outs = super().hear(now_us, address, envelope)
         self.cpu_s += thread_time() - began_s
         return outs
 
-    def turn(self, now_us: int) -> list[Out]:
+    def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         began_s = thread_time()
         outs = super().turn(now_us)
         self.notes.clear()  # nobody reads a log of hundreds of nodes
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -30,7 +30,7 @@
 from sailrun.lab.settings import WorldSettings
 from sailrun.leadership.agent import AgentSettings
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.traffic import TrafficCounters
 
 BROKEN = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
 KEPT_ACTS = ("hold", "lost")
@@ -132,7 +132,7 @@
         except OSError:
             return None
         keys = ("messages_in", "messages_out", "bytes_in", "bytes_out")
-        traffic = Traffic(*(counts[key] for key in keys))
+        traffic = TrafficCounters(*(counts[key] for key in keys))
         report = NodeReport(self.place.name, self.lives, traffic, cpu_s, [], False, memory)
         shown = await self._asked("fleet shards")
         report.shards = len(shown["usable"]) if shown is not None else 0
--- a/sailrun/lab/scale/roles.py
+++ b/sailrun/lab/scale/roles.py
@@ -8,7 +8,7 @@
 
 from sailrun.lab.figures import quantile
 from sailrun.lab.scale.host_messages import NodeReport
-from sailrun.leadership.agent import READER
+from sailrun.leadership.agent import READER_TASK_PREFIX
 
 ORDINARY, VOTER, READER_ROLE, REAL = "ordinary", "voter", "reader", "real"
 CONTROL_ROLE, ASSIGNER = "control", "assigner"
@@ -47,7 +47,7 @@
 
 
 def _role_of_owner(task: str) -> str:
-    if task.startswith(READER):
+    if task.startswith(READER_TASK_PREFIX):
         return READER_ROLE
     return ASSIGNER if task.startswith(SHARDS_TASK) else f"owner_{task}"
 
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -54,7 +54,7 @@
 from sailrun.lab.scale.roles import NodeUse, use_between
 from sailrun.lab.scale.settings import node_terms
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.traffic import TrafficCounters
 
 # Blocks of loopback addresses, by their second octet, that a run may take.
 BLOCKS = range(16, 240)
@@ -335,7 +335,7 @@
         """The sample of before the begin, for the same nodes."""
 
         def fresh(report: NodeReport) -> NodeReport:
-            return NodeReport(report.name, report.life, Traffic(), 0.0, [], report.voter)
+            return NodeReport(report.name, report.life, TrafficCounters(), 0.0, [], report.voter)
 
         began_s = time.monotonic() - (boot_us() - self.begin_us) / 1e6
         hosts = {
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -45,9 +45,9 @@
 from sailrun.lab.scale.settings import node_terms, record_of
 from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.leadership.agent import Out
-from sailrun.leadership.envelope import LONGEST_DATAGRAM, Envelope, pack
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.agent import OutgoingEnvelope
+from sailrun.leadership.envelope import MAX_DATAGRAM_BYTES, Envelope, encode_envelope
+from sailrun.leadership.traffic import TrafficCounters
 from sailrun.membership.messages import Record
 
 SECOND = 1_000_000
@@ -74,7 +74,7 @@
             node = self.nodes[place.name]
             node.address, node.zone = place.address, place.zone
         self._at = {node.address: node for node in self.nodes.values()}
-        self.traffic: dict[str, Traffic] = {}
+        self.traffic: dict[str, TrafficCounters] = {}
         self._stops: dict[str, int] = {}
 
     def begin(self) -> None:
@@ -101,7 +101,7 @@
         return record_of(self.place_of[node.name], life)
 
     def start(self, name: str, clock_s: float = 0.0) -> None:
-        self.traffic[name] = Traffic()
+        self.traffic[name] = TrafficCounters()
         super().start(name, clock_s)
 
     def row(self, kind: str, node: str, **facts: Any) -> None:
@@ -114,9 +114,9 @@
 
     # ------------------------------------------------------------------ the network
 
-    def _put(self, node: VirtualNode, out: Out) -> None:
+    def _put(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
         began_s = thread_time()
-        size = len(pack(out.envelope))
+        size = len(encode_envelope(out.envelope))
         if isinstance(node.agent, MeteredAgent):
             node.agent.cpu_s += thread_time() - began_s
         self.traffic[node.name].sent(size)
@@ -124,7 +124,7 @@
         if to is None:
             return
         model, sender, receiver = self.network, self.place_of[node.name], self.place_of[to.name]
-        by_link = size > LONGEST_DATAGRAM
+        by_link = size > MAX_DATAGRAM_BYTES
         wait_s = model.frame_s(sender, receiver) if by_link else model.datagram_s(sender, receiver)
         if wait_s is not None:
             self.time.after(int(wait_s * SECOND), self._come, sender, to, out.envelope, size)
@@ -218,7 +218,9 @@
 
     def _report(self, node: VirtualNode) -> NodeReport:
         agent, counted = self.agent(node.name), self.traffic[node.name]
-        traffic = Traffic(counted.messages_in, counted.messages_out, counted.bytes_in, counted.bytes_out)
+        traffic = TrafficCounters(
+            counted.messages_in, counted.messages_out, counted.bytes_in, counted.bytes_out
+        )
         return node_report(agent, node.life, traffic, self.clock_us(node))
 
 
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -17,36 +17,36 @@
 import msgspec
 
 from sailrun.leadership.agent_settings import AgentSettings
-from sailrun.leadership.backing import Backing
-from sailrun.leadership.change_log import ChangeLog, Note
+from sailrun.leadership.change_log import ChangeLog, LogEvent
+from sailrun.leadership.durable_state import DurableState
 from sailrun.leadership.envelope import Body, Envelope
-from sailrun.leadership.lasting import Lasting
-from sailrun.leadership.leases import Leases, OwnershipChange
+from sailrun.leadership.leases import LeadershipChange, Leases
+from sailrun.leadership.member_journal import OpenedFolder
 from sailrun.leadership.messages import (
-    Ask,
-    Deny,
     DrainRequest,
     DrainStatus,
-    Grant,
-    NotMine,
-    Order,
-    Question,
-    Recall,
-    Recalled,
-    Refusal,
-    Release,
-    Yield,
+    LeaderRequest,
+    LeaderResponse,
+    LeaseDenial,
+    LeaseGrant,
+    LeaseHandover,
+    LeaseRelease,
+    LeaseRequest,
+    NotLeader,
+    ResponseRejection,
+    TermQuery,
+    TermReport,
 )
-from sailrun.leadership.outgoing import Guard, Out, Outgoing
-from sailrun.leadership.ownership import PACE, READER, Ownership
-from sailrun.leadership.permit_part import PermitPart
-from sailrun.leadership.permits import TASK as PERMITS
-from sailrun.leadership.permits import PermitCoordinator, PermitHolder, Use
-from sailrun.leadership.questions import Addressed, Asker, OnAnswer, Questions
+from sailrun.leadership.outgoing import EnvelopeFactory, OutgoingEnvelope, TermGuard
+from sailrun.leadership.permit_role import PermitRole
+from sailrun.leadership.permits import PERMITS_TASK as PERMITS
+from sailrun.leadership.permits import PermitChange, PermitCoordinator, PermitHolder
 from sailrun.leadership.quorum import Voters
+from sailrun.leadership.requests import AddressedMessage, OnResponse, PendingRequests, Requester
 from sailrun.leadership.rolling_drain import RollingDrains
-from sailrun.leadership.vote_part import VotePart
+from sailrun.leadership.task_leadership import MOVE_RATE_TASK, READER_TASK_PREFIX, TaskLeadership
 from sailrun.leadership.voter import Voter
+from sailrun.leadership.voter_role import VoterRole
 from sailrun.membership.messages import MemberBody, Record, State
 from sailrun.membership.swim import Members
 from sailrun.replication.replica import MARKS, Replica
@@ -58,7 +58,7 @@
 if TYPE_CHECKING:
     from sailrun.sharding.part import ShardsPart
 
-__all__ = ["PACE", "READER", "Agent", "AgentSettings", "Out"]
+__all__ = ["MOVE_RATE_TASK", "READER_TASK_PREFIX", "Agent", "AgentSettings", "OutgoingEnvelope"]
 
 # Messages for members by name.
 Posts = Iterable[tuple[str, Any]]
@@ -85,19 +85,19 @@
         self.name, self.life, self.zone = me.name, me.life, me.zone
         # Work that others do: who answers questions about a task, asked with the asker's name and content.
         self.answers: dict[str, Callable[[int, str, Any], Any]] = {}
-        self.on_ownership_change: Callable[[int, OwnershipChange], None] = lambda now_us, change: None
-        self.on_use: Callable[[Use], None] = lambda use: None
+        self.on_ownership_change: Callable[[int, LeadershipChange], None] = lambda now_us, change: None
+        self.on_use: Callable[[PermitChange], None] = lambda use: None
         chance = random.Random(seed)  # each part has its own number, always in this order
         self.voters = Voters(terms.owners, off)
         self.members = Members(me, terms.members, chance.getrandbits(32), now_us)
         self.leases = Leases(me.name, self.voters, terms.owners, chance.getrandbits(32), now_us, off)
         self._change_log = ChangeLog(record)
         self.tallies = self._change_log.tallies
-        self._ownership = Ownership(self.members, self.leases, me.zone, terms, self.tallies)
-        self._outgoing = Outgoing(lambda: self.terms.members.fleet, self.members, self.leases)
-        self.backing = Backing(me.name, me.life, lambda: self.voters, self.members.lives, record, off)
-        self._vote = VotePart(me.name, self.voters, terms.owners, self.backing, founding, now_us, off)
-        self._permits = PermitPart(terms.permits, self._change_log, off)
+        self._ownership = TaskLeadership(self.members, self.leases, me.zone, terms, self.tallies)
+        self._outgoing = EnvelopeFactory(lambda: self.terms.members.fleet, self.members, self.leases)
+        self.backing = DurableState(me.name, me.life, lambda: self.voters, self.members.lives, record, off)
+        self._vote = VoterRole(me.name, self.voters, terms.owners, self.backing, founding, now_us, off)
+        self._permits = PermitRole(terms.permits, self._change_log, off)
         self.rolling_drains = RollingDrains(me.name, self.holder)
         self.replica = self._new_replica(chance.getrandbits(32), now_us) if terms.replica.enabled else None
         self.backing.serve(lambda: self.voter, self.replica, self.rolling_drains)
@@ -120,9 +120,9 @@
             self.backing.journal,
         )
 
-    def _new_questions(self, number: int) -> Questions:
-        return Questions(
-            Asker(self.name, self.life),
+    def _new_questions(self, number: int) -> PendingRequests:
+        return PendingRequests(
+            Requester(self.name, self.life),
             self.leases,
             self._ownership,
             self._answer,
@@ -145,7 +145,7 @@
         )
 
     @property
-    def notes(self) -> list[Note]:
+    def notes(self) -> list[LogEvent]:
         """Lines for the log; the driver empties them."""
         return self._change_log.notes
 
@@ -166,17 +166,17 @@
 
     # ------------------------------------------------------------------ what outlasts the process
 
-    def take_up(self, now_us: int, lasting: Lasting) -> None:
+    def take_up(self, now_us: int, lasting: OpenedFolder) -> None:
         """Goes by a folder, as far as that can be: before the first turn."""
         self.backing.take_up(now_us, lasting)
 
-    def wrote(self, now_us: int, done: Done) -> list[Out]:
+    def wrote(self, now_us: int, done: Done) -> list[OutgoingEnvelope]:
         """What became of the work of the disk; the answers that waited for it may go out."""
         self._now_us = now_us
         outs = self._backed(*self.backing.wrote(now_us, done))
         return outs + self._changes(now_us)
 
-    def _backed(self, answers: Posts, posts: Posts) -> list[Out]:
+    def _backed(self, answers: Posts, posts: Posts) -> list[OutgoingEnvelope]:
         """Answers were held back as long as they had to be."""
         return [out for name, body in answers for out in self._deliver(name, body)] + self._posts(posts)
 
@@ -190,7 +190,7 @@
         """The term under which this node may act for the task now; 0: it may not, or rests at first."""
         return self._ownership.owns(task, now_us)
 
-    def still(self, guard: Guard, now_us: int) -> bool:
+    def still(self, guard: TermGuard, now_us: int) -> bool:
         """Whether what was made under that term may still be sent."""
         return self._ownership.still(guard, now_us)
 
@@ -200,7 +200,7 @@
 
     # ------------------------------------------------------------------ what comes in
 
-    def hear(self, now_us: int, address: str, envelope: Envelope) -> list[Out]:
+    def hear(self, now_us: int, address: str, envelope: Envelope) -> list[OutgoingEnvelope]:
         self._now_us = now_us
         if envelope.fleet != self.terms.members.fleet:
             self.tallies.wrong_fleet += 1
@@ -208,7 +208,7 @@
         body, name, life = envelope.body, envelope.sender, envelope.life
         if name != self.name:
             self.members.heard_from(now_us, name, life, envelope.incarnation)
-        outs: list[Out] = []
+        outs: list[OutgoingEnvelope] = []
         if isinstance(body, MemberBody):
             sender = Record(name, life, envelope.incarnation, State.ALIVE, address)
             outs = self._outgoing.letters(self.members.hear(now_us, sender, body))
@@ -227,26 +227,26 @@
         self.leases.heard_of(task, term, holder, now_us)
         self._vote.heard_of(task, term)
 
-    def _heard(self, now_us: int, sender: str, life: int, body: Body) -> list[Out]:
+    def _heard(self, now_us: int, sender: str, life: int, body: Body) -> list[OutgoingEnvelope]:
         match body:
-            case Ask() | Release() | Recall() | Recalled():
+            case LeaseRequest() | LeaseRelease() | TermQuery() | TermReport():
                 # One that was refused its name is no voter.
                 if self.members.joined:
                     return self._posts(self._vote.hear(now_us, sender, life, body))
-            case Grant():
+            case LeaseGrant():
                 self.leases.granted(now_us, sender, body)
-            case Deny():
+            case LeaseDenial():
                 return self._posts(self.leases.denied(now_us, sender, body))
-            case Yield():
+            case LeaseHandover():
                 self.leases.yielded(now_us, body)
                 return self._turn_leases(now_us)
-            case Question():
-                return self._send(self._questions.questioned(now_us, Asker(sender, life), body))
-            case Order():
+            case LeaderRequest():
+                return self._send(self._questions.questioned(now_us, Requester(sender, life), body))
+            case LeaderResponse():
                 return self._send(self._questions.ordered(now_us, sender, body))
-            case Refusal():
+            case ResponseRejection():
                 self._questions.refused(now_us, body)
-            case NotMine():
+            case NotLeader():
                 return self._send(self._questions.sent_on(now_us, sender, body))
             case DrainRequest():
                 return self._post(sender, self.rolling_drains.asked(now_us, body))
@@ -265,11 +265,11 @@
 
     # ------------------------------------------------------------------ questions and orders
 
-    def ask(self, now_us: int, task: str, content: Any, done: OnAnswer) -> list[Out]:
+    def ask(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[OutgoingEnvelope]:
         """A question to a task's owner, whoever that is; see `Questions.ask`."""
         return self._send(self._questions.ask(now_us, task, content, done))
 
-    def _answer(self, now_us: int, task: str, term: int, asker: Asker, content: Any) -> Any:
+    def _answer(self, now_us: int, task: str, term: int, asker: Requester, content: Any) -> Any:
         """As the owner of the task, under its term; None: there is no answer."""
         if task == PERMITS:
             return self._permits.answer(now_us, term, asker.name, asker.life, content)
@@ -297,7 +297,7 @@
         backing_us = self.backing.due_us()
         return due_us if backing_us is None else min(due_us, backing_us)
 
-    def turn(self, now_us: int) -> list[Out]:
+    def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         self._now_us = now_us
         outs = self._outgoing.letters(self.members.turn(now_us))
         if self.voter is not None and self.members.joined:
@@ -314,14 +314,14 @@
             outs += self._posts(self.shards.turn(now_us))
         return outs + self._changes(now_us)
 
-    def _turn_leases(self, now_us: int) -> list[Out]:
+    def _turn_leases(self, now_us: int) -> list[OutgoingEnvelope]:
         return self._posts(self.leases.turn(now_us, self.tasks()))
 
-    def _turn_permits(self, now_us: int) -> list[Out]:
+    def _turn_permits(self, now_us: int) -> list[OutgoingEnvelope]:
         questions = self._permits.questions(now_us)
         return [out for content, done in questions for out in self.ask(now_us, PERMITS, content, done)]
 
-    def _turn_replica(self, now_us: int, replica: Replica) -> list[Out]:
+    def _turn_replica(self, now_us: int, replica: Replica) -> list[OutgoingEnvelope]:
         coordinator = replica.coordinator
         if coordinator is not None and coordinator.higher > coordinator.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
@@ -333,7 +333,7 @@
         self._change_log.move_from(replica.sync.notes)
         return outs
 
-    def leave(self, now_us: int) -> list[Out]:
+    def leave(self, now_us: int) -> list[OutgoingEnvelope]:
         """In good order: what this node owns is handed over, permits are given back, and it is a member no
         more.
         """
@@ -360,7 +360,7 @@
 
     # ------------------------------------------------------------------ what has changed
 
-    def _changes(self, now_us: int) -> list[Out]:
+    def _changes(self, now_us: int) -> list[OutgoingEnvelope]:
         """Tells the log and the work what has changed."""
         for change in _emptied(self.members.changes):
             self._change_log.member(change)
@@ -377,7 +377,7 @@
         self._change_log.in_touch(self.leases.in_touch(now_us), len(self.voters.all()))
         return []
 
-    def _ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
+    def _ownership_changed(self, now_us: int, change: LeadershipChange) -> None:
         self._change_log.owner(change)
         if change.task == PERMITS:
             self._permits.ownership_changed(now_us, change)
@@ -388,16 +388,16 @@
 
     # ------------------------------------------------------------------ what goes out
 
-    def say(self, now_us: int, posts: list[ShardPost]) -> list[Out]:
+    def say(self, now_us: int, posts: list[ShardPost]) -> list[OutgoingEnvelope]:
         """What the part of shards has to say outside of a turn, as acts on a shard's behalf."""
         self._now_us = now_us
         return self._posts(posts) if self.members.joined else []
 
-    def _send(self, messages: list[Addressed]) -> list[Out]:
+    def _send(self, messages: list[AddressedMessage]) -> list[OutgoingEnvelope]:
         return [out for one in messages for out in self._post(one.name, one.body, one.guard)]
 
-    def _posts(self, posts: Posts) -> list[Out]:
-        outs: list[Out] = []
+    def _posts(self, posts: Posts) -> list[OutgoingEnvelope]:
+        outs: list[OutgoingEnvelope] = []
         for name, body in posts:
             if self._still_wanted(body):
                 outs += self._post(name, body)
@@ -405,17 +405,17 @@
 
     def _still_wanted(self, body: Any) -> bool:
         """A lease that this node's own vote has denied is not asked for any more."""
-        if isinstance(body, Ask):
+        if isinstance(body, LeaseRequest):
             return self.leases.wants(body)
         return not isinstance(body, Ballot) or self.shards is None or self.shards.wants(body)
 
-    def _post(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
+    def _post(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """To a member by name; a promise is held until the disk has what it rests on."""
         if self.backing.keeps_back(self._now_us, name, body):
             return []
         return self._deliver(name, body, guard)
 
-    def _deliver(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
+    def _deliver(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """To this node itself, at once."""
         if name == self.name:
             return self._heard(self._now_us, name, self.life, body)
--- a/sailrun/leadership/agent_settings.py
+++ b/sailrun/leadership/agent_settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from sailrun.leadership.permits import OUT
+from sailrun.leadership.permits import OUT_OF_SERVICE
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
 from sailrun.membership.settings import MembershipSettings
 from sailrun.replication.settings import ReplicationSettings
@@ -25,4 +25,4 @@
 
     def most_marks(self, kind: str) -> int | None:
         """How many marks of that kind may be in force at a time; None: any number."""
-        return self.permits.out if self.permits.enabled and kind == OUT else None
+        return self.permits.out if self.permits.enabled and kind == OUT_OF_SERVICE else None
--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from sailrun.leadership.leases import Leases, OwnershipChange
-from sailrun.leadership.permits import Use
-from sailrun.leadership.tallies import Tallies
+from sailrun.leadership.counters import AgentCounters
+from sailrun.leadership.leases import LeadershipChange, Leases
+from sailrun.leadership.permits import PermitChange
 from sailrun.membership.swim import Change
 
 
-class Note(NamedTuple):
+class LogEvent(NamedTuple):
     """A line for the log: its name, and its fields."""
 
     what: str
@@ -23,17 +23,17 @@
 
     def __init__(self, act: Callable[..., None]) -> None:
         self.act = act
-        self.tallies = Tallies()
-        self.notes: list[Note] = []
+        self.tallies = AgentCounters()
+        self.notes: list[LogEvent] = []
         self._in_touch = True
         self._held_until_us: dict[str, int] = {}  # until when a task was held, as last recorded
 
     def add(self, what: str, /, **facts: object) -> None:
-        self.notes.append(Note(what, facts))
+        self.notes.append(LogEvent(what, facts))
 
     def move_from(self, notes: list[tuple[str, dict[str, object]]]) -> None:
         """Takes over the lines of a part, which has none then."""
-        self.notes += [Note(*note) for note in notes]
+        self.notes += [LogEvent(*note) for note in notes]
         notes.clear()
 
     def member(self, change: Change) -> None:
@@ -48,13 +48,13 @@
         )
         self.act("member", what=change.what, name=record.name, life=record.life)
 
-    def owner(self, change: OwnershipChange) -> None:
+    def owner(self, change: LeadershipChange) -> None:
         if not change.mine:
             self.act("lost", task=change.task, term=change.term, why=change.why)
         self.tallies.changes[change.why] = self.tallies.changes.get(change.why, 0) + 1
         self.add("owner", task=change.task, term=change.term, mine=change.mine, why=change.why)
 
-    def permit(self, use: Use) -> None:
+    def permit(self, use: PermitChange) -> None:
         if not use.yes:
             self.act("unuse", subject=f"{use.kind}/{use.subject}")
         self.add("permit", kind=use.kind, subject=use.subject, yes=use.yes, why=use.why or None)
--- a/sailrun/leadership/tallies.py
+++ b/sailrun/leadership/counters.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class Tallies:
+class AgentCounters:
     """Counts since the process started."""
 
     orders_sent: int = 0
--- a/sailrun/leadership/backing.py
+++ b/sailrun/leadership/durable_state.py
@@ -13,8 +13,14 @@
 
 import msgspec
 
-from sailrun.leadership.lasting import Lasting, MemberJournal, known_slots, replica_entries, voter_entries
-from sailrun.leadership.messages import Grant, Recalled
+from sailrun.leadership.member_journal import (
+    MemberJournal,
+    OpenedFolder,
+    replica_entries,
+    restore_granted_leases,
+    voter_entries,
+)
+from sailrun.leadership.messages import LeaseGrant, TermReport
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.voter import Voter
@@ -28,14 +34,14 @@
 
 Post = tuple[str, msgspec.Struct]
 # What a voter answers and is held to after a restart: sent once what it rests on is on the disk.
-PROMISES = (Grant, Promised, Kept, Recovering, Recalled, Stood)
+DURABLE_RESPONSES = (LeaseGrant, Promised, Kept, Recovering, TermReport, Stood)
 # Of these, what a folder without them would be too old for: a majority is told how far it has come, before.
-TOLD = (Grant, Promised, Kept, Recovering)
+MAJORITY_KNOWN_RESPONSES = (LeaseGrant, Promised, Kept, Recovering)
 # Promises that wait for other voters to note them; the oldest make room.
-MOST_UNTOLD = 1000
+MAX_AWAITING_MAJORITY = 1000
 
 
-class Backing:
+class DurableState:
     """`run` is this process's own number. `record` is told every act, for the laboratory's checks."""
 
     def __init__(
@@ -61,7 +67,7 @@
             lives,
             off,
         )
-        self._lasting: Lasting | None = None
+        self._lasting: OpenedFolder | None = None
         self._voter: Callable[[], Voter | None] = lambda: None
         self._replica: Replica | None = None
         self._drains: RollingDrains | None = None
@@ -97,7 +103,7 @@
 
     # ------------------------------------------------------------------ beginning
 
-    def take_up(self, now_us: int, lasting: Lasting) -> None:
+    def take_up(self, now_us: int, lasting: OpenedFolder) -> None:
         """Goes by a folder, as far as that can be: before the first turn. Who votes asks the other voters
         whether they know of a newer one, and grants nothing before.
         """
@@ -113,7 +119,7 @@
         if voter is not None:
             voter.lasts = True
         if voter is not None and sound and memory.votes:
-            voter.take_up(now_us, known_slots(memory), memory.floors)
+            voter.take_up(now_us, restore_granted_leases(memory), memory.floors)
         elif voter is not None:
             # As far as it goes: terms only rise by it, and the others are asked for the rest.
             for task, term in memory.highest().items():
@@ -158,16 +164,16 @@
 
     def keeps_back(self, now_us: int, name: str, body: Any) -> bool:
         """Whether a message is held until the disk has what it rests on; where that fails, it never goes."""
-        if self._lasting is None or not isinstance(body, PROMISES):
+        if self._lasting is None or not isinstance(body, DURABLE_RESPONSES):
             return False
         wal, voter = self._lasting.write_ahead_log, self._voter()
         position = wal.position
-        if isinstance(body, Grant) and voter is not None:
+        if isinstance(body, LeaseGrant) and voter is not None:
             position = voter.position(body.task)  # a renewal rests on the grant alone
         if wal.ready(position):
             return self._waits_for_notes(position, name, body)
         if wal.able:
-            key = (name, type(body), body.term if isinstance(body, Grant) else body.number)
+            key = (name, type(body), body.term if isinstance(body, LeaseGrant) else body.number)
             wal.hold(now_us, position, key, (name, body))
         return True
 
@@ -176,11 +182,15 @@
         there.
         """
         own = self.standing.own
-        told = isinstance(body, TOLD) and self._voter() is not None and not self._off & {"generation", "sync"}
+        told = (
+            isinstance(body, MAJORITY_KNOWN_RESPONSES)
+            and self._voter() is not None
+            and not self._off & {"generation", "sync"}
+        )
         if not told or own is None or self._lasting is None or self.standing.known(position):
             return False
         own.synced = self._lasting.write_ahead_log.synced  # told to the others at the next turn
-        self._untold = [*self._untold[-MOST_UNTOLD:], (position, name, body)]
+        self._untold = [*self._untold[-MAX_AWAITING_MAJORITY:], (position, name, body)]
         return True
 
     def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
@@ -205,9 +215,9 @@
                 answer(True)
                 continue
             name, body = answer
-            if isinstance(body, TOLD) and self._voter() is not None:
+            if isinstance(body, MAJORITY_KNOWN_RESPONSES) and self._voter() is not None:
                 if "generation" not in self._off:
-                    self._untold = [*self._untold[-MOST_UNTOLD:], (wal.synced, name, body)]
+                    self._untold = [*self._untold[-MAX_AWAITING_MAJORITY:], (wal.synced, name, body)]
                     continue
                 self._act("promised", position=wal.synced)
             answers.append((name, body))
@@ -285,7 +295,7 @@
         own = self.standing.own
         self.notes.append(("lasting-trusted", {"life": own.life if own is not None else None}))
 
-    def _forget(self, now_us: int, lasting: Lasting) -> None:
+    def _forget(self, now_us: int, lasting: OpenedFolder) -> None:
         """The folder is older than what the fleet knows: another is begun, and this voter learns from the
         others what it may have promised.
         """
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -9,18 +9,18 @@
 
 import msgspec
 
-from sailrun.leadership.messages import Claim, OwnerBody
+from sailrun.leadership.messages import LeaderHint, LeadershipBody
 from sailrun.membership.messages import MemberBody, Record
 from sailrun.replication.messages import ReplicaBody
 from sailrun.sharding.messages import ShardBody
 from sailrun.storage.messages import LastingBody
 
-LONGEST_DATAGRAM = 1200
-LONGEST_FRAME = 4 * 1024 * 1024
+MAX_DATAGRAM_BYTES = 1200
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 # What rides along, so that a datagram stays below its limit whatever the names are.
-MOST_NEWS, MOST_CLAIMS = 4, 3
+MAX_MEMBER_UPDATES, MAX_LEADER_HINTS = 4, 3
 
-Body = MemberBody | OwnerBody | ReplicaBody | LastingBody | ShardBody
+Body = MemberBody | LeadershipBody | ReplicaBody | LastingBody | ShardBody
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
@@ -32,10 +32,10 @@
     incarnation: int
     body: Body
     news: list[Record] = []
-    claims: list[Claim] = []
+    claims: list[LeaderHint] = []
 
 
-class BadMessage(ValueError):
+class BadEnvelope(ValueError):
     """No envelope of this program."""
 
 
@@ -43,13 +43,13 @@
 _decoder = msgspec.msgpack.Decoder(Envelope)
 
 
-def pack(envelope: Envelope) -> bytes:
+def encode_envelope(envelope: Envelope) -> bytes:
     return _encoder.encode(envelope)
 
 
-def unpack(data: bytes) -> Envelope:
+def decode_envelope(data: bytes) -> Envelope:
     """Raises BadMessage for whatever is none."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError, RecursionError) as error:
-        raise BadMessage(str(error)) from None
+        raise BadEnvelope(str(error)) from None
--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -17,25 +17,32 @@
 import mmh3
 
 from sailrun.decisions.placement import MASK, key_hash, server_hash
-from sailrun.leadership.messages import Ask, Claim, Deny, Grant, Release, Yield
+from sailrun.leadership.messages import (
+    LeaderHint,
+    LeaseDenial,
+    LeaseGrant,
+    LeaseHandover,
+    LeaseRelease,
+    LeaseRequest,
+)
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
 SECOND = 1_000_000
 # So many of the best placed members try for a task; each waits so much longer than the one before it.
-CANDIDATES, STAGGER_US = 3, 150_000
+MAX_CANDIDATES, CANDIDATE_STAGGER_US = 3, 150_000
 # A lease is renewed so often while it lasts; an ask is given up after this part of it.
-RENEWALS, GIVEN_UP = 8, 0.5
+RENEWALS_PER_LEASE, REQUEST_TIMEOUT_LEASES = 8, 0.5
 # After a task was yielded to a node, it asks so often for so long.
-EAGER_US, EAGER_FOR_US = 40_000, SECOND
+HANDOVER_RETRY_US, HANDOVER_RETRY_PERIOD_US = 40_000, SECOND
 # Of the tasks that a better placed node should have, one is given back in so long.
-GIVE_BACK_US = 10 * SECOND
-Post = tuple[str, Ask | Release | Yield]
+FAIL_BACK_INTERVAL_US = 10 * SECOND
+Post = tuple[str, LeaseRequest | LeaseRelease | LeaseHandover]
 
 
 def best_placed(task: str, names: list[str]) -> list[str]:
     """The candidates for a task among the names, by rendezvous hashing: the highest score first."""
-    return heapq.nsmallest(CANDIDATES, names, key=lambda name: (-_score(task, name), name))
+    return heapq.nsmallest(MAX_CANDIDATES, names, key=lambda name: (-_score(task, name), name))
 
 
 @lru_cache(maxsize=16_384)
@@ -44,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnershipChange:
+class LeadershipChange:
     """This node became a task's owner, or is none any more. `why`: granted, lapsed, released, outvoted."""
 
     task: str
@@ -95,7 +102,7 @@
         self._random = random.Random(seed)
         self._number = self._random.getrandbits(30) << 20
         self.by_task: dict[str, TaskLease] = {}
-        self.changes: list[OwnershipChange] = []  # the driver reads and empties it
+        self.changes: list[LeadershipChange] = []  # the driver reads and empties it
         self.news: dict[str, int] = {}  # tasks whose owner is to be told, and how often that was done
         self.heard_us: dict[str, int] = {}  # by voter, when it last answered
         self._lease_us = int(terms.lease_s * SECOND)
@@ -144,7 +151,7 @@
         if lease.until_us and term > lease.term:
             self._lose(lease, "outvoted", now_us)
 
-    def claims(self, most: int, times: int) -> list[Claim]:
+    def claims(self, most: int, times: int) -> list[LeaderHint]:
         """Hearsay to ride along: what was told least often; each so many times."""
         told = []
         for task in sorted(self.news, key=self.news.__getitem__)[:most]:
@@ -152,13 +159,13 @@
             if self.news[task] >= times:
                 del self.news[task]
             lease = self.by_task[task]
-            told.append(Claim(task, lease.owned, lease.holder))
+            told.append(LeaderHint(task, lease.owned, lease.holder))
         return told
 
-    def known(self, most: int) -> list[Claim]:
+    def known(self, most: int) -> list[LeaderHint]:
         """The highest terms heard of, the latest changes of owner first."""
         leases = sorted(self.by_task.values(), key=lambda t: (-t.owned, t.task))
-        return [Claim(t.task, t.owned, t.holder) for t in leases[:most] if t.owned]
+        return [LeaderHint(t.task, t.owned, t.holder) for t in leases[:most] if t.owned]
 
     # ------------------------------------------------------------------ time
 
@@ -168,7 +175,7 @@
         for task, names in tasks.items():
             lease = self.of(task)
             if lease.until_us or lease.asking_us:
-                due_us = min(due_us, lease.renewed_us + self._lease_us // RENEWALS)
+                due_us = min(due_us, lease.renewed_us + self._lease_us // RENEWALS_PER_LEASE)
                 if lease.until_us:
                     due_us = min(due_us, lease.until_us)
             elif not self.leaving and self._name in names:
@@ -181,17 +188,17 @@
         for lease in list(self.by_task.values()):
             if lease.until_us and now_us >= lease.until_us and "clock" not in self._off:
                 self._lose(lease, "lapsed", now_us)
-                posts += [(voter, Release(lease.task, lease.term)) for voter in self.voters.all()]
+                posts += [(voter, LeaseRelease(lease.task, lease.term)) for voter in self.voters.all()]
         for task, names in tasks.items():
             lease = self.of(task)
             if lease.until_us:
-                if now_us - lease.renewed_us >= self._lease_us // RENEWALS:
+                if now_us - lease.renewed_us >= self._lease_us // RENEWALS_PER_LEASE:
                     posts += self._ask(now_us, lease)
                 posts += self._give_back(now_us, lease, names)
             elif lease.asking_us:
-                if now_us - lease.asking_us >= GIVEN_UP * self._lease_us:
+                if now_us - lease.asking_us >= REQUEST_TIMEOUT_LEASES * self._lease_us:
                     posts += self._give_up(now_us, lease)
-                elif now_us - lease.renewed_us >= self._lease_us // RENEWALS:
+                elif now_us - lease.renewed_us >= self._lease_us // RENEWALS_PER_LEASE:
                     posts += self._ask(now_us, lease)
             elif not self.leaving and self._name in names and now_us >= lease.try_us:
                 lease.term = lease.floor + (0 if "terms" in self._off and lease.floor else 1)
@@ -206,13 +213,13 @@
         self._number += 1
         lease.renewed_us = now_us
         lease.sent[self._number] = now_us
-        while len(lease.sent) > 4 * RENEWALS:
+        while len(lease.sent) > 4 * RENEWALS_PER_LEASE:
             del lease.sent[next(iter(lease.sent))]
-        ask = Ask(lease.task, lease.term, self._number, self.voters.stage, bool(lease.until_us))
+        ask = LeaseRequest(lease.task, lease.term, self._number, self.voters.stage, bool(lease.until_us))
         # Its own voter first: where that one denies, nobody else is asked.
         return [(voter, ask) for voter in sorted(self.voters.all(), key=lambda name: name != self._name)]
 
-    def wants(self, ask: Ask) -> bool:
+    def wants(self, ask: LeaseRequest) -> bool:
         """Whether that is still asked for: its own voter may have denied it meanwhile."""
         lease = self.of(ask.task)
         return lease.term == ask.term and bool(lease.asking_us or lease.until_us)
@@ -221,7 +228,7 @@
         """No majority in time: those that granted are freed at once, and the next try is at another
         moment.
         """
-        posts: list[Post] = [(v, Release(lease.task, lease.term)) for v in self.voters.all()]
+        posts: list[Post] = [(v, LeaseRelease(lease.task, lease.term)) for v in self.voters.all()]
         lease.floor = max(lease.floor, lease.term)
         lease.asking_us = 0
         lease.try_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
@@ -234,7 +241,7 @@
             return []
         lease.better_us = lease.better_us or now_us
         wait_us = int(self._terms.give_back_s * SECOND)
-        if now_us - lease.better_us < wait_us or now_us - self._given_back_us < GIVE_BACK_US:
+        if now_us - lease.better_us < wait_us or now_us - self._given_back_us < FAIL_BACK_INTERVAL_US:
             return []
         self._given_back_us = now_us
         return self.release(now_us, lease.task, names[0])
@@ -246,10 +253,10 @@
             return []
         term = lease.term
         self._lose(lease, "released", now_us)
-        posts: list[Post] = [(voter, Release(task, term)) for voter in self.voters.all()]
+        posts: list[Post] = [(voter, LeaseRelease(task, term)) for voter in self.voters.all()]
         if to is not None and to != self._name:
             lease.try_us = now_us + 2 * self._lease_us
-            posts.append((to, Yield(task, term)))
+            posts.append((to, LeaseHandover(task, term)))
         return posts
 
     def leave(self, now_us: int, tasks: dict[str, list[str]]) -> list[Post]:
@@ -266,7 +273,7 @@
 
     # ------------------------------------------------------------------ what voters say
 
-    def granted(self, now_us: int, voter: str, grant: Grant) -> None:
+    def granted(self, now_us: int, voter: str, grant: LeaseGrant) -> None:
         self.heard_us[voter] = now_us
         lease = self.of(grant.task)
         sent_us = lease.sent.get(grant.number)
@@ -288,10 +295,10 @@
             lease.floor = lease.owned = lease.term
             lease.holder, lease.until_us = self._name, until_us
             self.news[lease.task] = 0
-            self.changes.append(OwnershipChange(lease.task, lease.term, True, "granted"))
+            self.changes.append(LeadershipChange(lease.task, lease.term, True, "granted"))
         lease.until_us = max(lease.until_us, until_us)
 
-    def denied(self, now_us: int, voter: str, deny: Deny) -> list[Post]:
+    def denied(self, now_us: int, voter: str, deny: LeaseDenial) -> list[Post]:
         self.heard_us[voter] = now_us
         lease = self.of(deny.task)
         if deny.number not in lease.sent:
@@ -303,7 +310,7 @@
             lease.denied.add(voter)
             # One whose lease ends in a moment is waited for. Otherwise nothing that was granted is kept:
             # it would be in the way of whoever owns the task, or of a candidate that has more.
-            short = deny.why == "held" and deny.left_us < self._lease_us // RENEWALS
+            short = deny.why == "held" and deny.left_us < self._lease_us // RENEWALS_PER_LEASE
             enough = self.voters.majority(set(self.voters.all()) - lease.denied)
             if not enough or (not short and deny.why in ("held", "term")):
                 posts = self._give_up(now_us, lease)
@@ -312,23 +319,23 @@
         # A voter that denies a renewal takes away its own grant, no more: the others' may be a majority.
         return []
 
-    def _wait_us(self, now_us: int, lease: TaskLease, deny: Deny) -> int:
+    def _wait_us(self, now_us: int, lease: TaskLease, deny: LeaseDenial) -> int:
         if now_us < lease.eager_until_us:
-            return EAGER_US
-        jitter_us = int(STAGGER_US * (lease.rank + 0.3 * self._random.random()))
+            return HANDOVER_RETRY_US
+        jitter_us = int(CANDIDATE_STAGGER_US * (lease.rank + 0.3 * self._random.random()))
         if deny.why == "term":
             return jitter_us
-        return min(max(deny.left_us, EAGER_US), 2 * self._lease_us) + jitter_us
+        return min(max(deny.left_us, HANDOVER_RETRY_US), 2 * self._lease_us) + jitter_us
 
-    def yielded(self, now_us: int, told: Yield) -> None:
+    def yielded(self, now_us: int, told: LeaseHandover) -> None:
         """Its owner has given the task up, for this node to take."""
         lease = self.of(told.task)
         lease.floor = max(lease.floor, told.term)
         if not self.leaving:
-            lease.try_us, lease.eager_until_us = now_us, now_us + EAGER_FOR_US
+            lease.try_us, lease.eager_until_us = now_us, now_us + HANDOVER_RETRY_PERIOD_US
 
     def _lose(self, lease: TaskLease, why: str, now_us: int) -> None:
         lease.until_us = lease.asking_us = 0
         lease.floor = max(lease.floor, lease.term)
         lease.try_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
-        self.changes.append(OwnershipChange(lease.task, lease.term, False, why))
+        self.changes.append(LeadershipChange(lease.task, lease.term, False, why))
--- a/sailrun/leadership/reader.py
+++ b/sailrun/leadership/list_reader.py
@@ -18,14 +18,14 @@
 SECOND = 1_000_000
 
 
-class Has(msgspec.Struct, array_like=True, frozen=True):
+class ListQuery(msgspec.Struct, array_like=True, frozen=True):
     """A question: which list the asker has, of which source. A revision of -1: none."""
 
     source: str
     revision: int
 
 
-class Tells(msgspec.Struct, array_like=True, frozen=True):
+class ListReply(msgspec.Struct, array_like=True, frozen=True):
     """The reader's answer. `members`: the whole list in the registry's form, where the asker's is older."""
 
     source: str
@@ -33,7 +33,7 @@
     members: list[dict[str, Any]] | None = None
 
 
-class Reading:
+class SharedList:
     """One node's part: what it knows of the registry, and from whom."""
 
     def __init__(self, source: str, terms: ListReaderSettings, now_us: int) -> None:
@@ -54,28 +54,28 @@
         """What the registry itself told: it holds, whatever was known."""
         self.revision, self.members = revision, members
 
-    def due(self, now_us: int) -> Has | None:
+    def due(self, now_us: int) -> ListQuery | None:
         """The question for the reader, if it is time for one."""
         if self.owner or now_us < self._ask_us:
             return None
         self._ask_us = now_us + int(self._terms.ask_s * SECOND)
-        return Has(self.source, self.revision)
+        return ListQuery(self.source, self.revision)
 
     def answer(self, content: Any) -> Any:
         """As the reader; None where there is nothing to tell."""
         try:
-            has = msgspec.convert(content, Has)
+            has = msgspec.convert(content, ListQuery)
         except msgspec.ValidationError:
             return None
         if self.revision < 0 or has.source != self.source:
             return None
         members = self.members if has.revision < self.revision else None
-        return msgspec.to_builtins(Tells(self.source, self.revision, members))
+        return msgspec.to_builtins(ListReply(self.source, self.revision, members))
 
     def told(self, now_us: int, content: Any) -> list[dict[str, Any]] | None:
         """The reader's answer; returns the list where it is newer than what is known here."""
         try:
-            tells = msgspec.convert(content, Tells)
+            tells = msgspec.convert(content, ListReply)
         except msgspec.ValidationError:
             self.refused += 1
             return None
--- a/sailrun/leadership/lasting.py
+++ b/sailrun/leadership/member_journal.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from itertools import chain
 
-from sailrun.leadership.voter import Slot, Voter
+from sailrun.leadership.voter import GrantedLease, Voter
 from sailrun.replication.journal import Journal
 from sailrun.replication.records import Key, Record
 from sailrun.replication.replica import Replica
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Lasting:
+class OpenedFolder:
     """A folder that was opened: what it held, and what is written to it from now on. `sound`: as far as the
     folder itself can tell, it holds all that was ever promised from it.
     """
@@ -53,8 +53,8 @@
     def keeps(self, life: int, promised: int, lives: dict[str, int], remembers: bool) -> None:
         self._add(e.Keeps(life, promised, lives, remembers))
 
-    def slot(self, task: str, slot: Slot) -> int:
-        return self._add(slot_entry(task, slot))
+    def slot(self, task: str, slot: GrantedLease) -> int:
+        return self._add(granted_lease_entry(task, slot))
 
     def floor(self, task: str, term: int) -> int:
         return self._add(e.Floor(task, term))
@@ -75,21 +75,21 @@
         self._add(e.DrainPlan(name, for_us, nodes))
 
 
-def slot_entry(task: str, slot: Slot) -> e.Slot:
+def granted_lease_entry(task: str, slot: GrantedLease) -> e.Slot:
     return e.Slot(task, slot.term, slot.holder, slot.life, slot.highest, slot.released)
 
 
-def known_slots(memory: e.Memory) -> dict[str, Slot]:
+def restore_granted_leases(memory: e.Memory) -> dict[str, GrantedLease]:
     """A voter's grants, as its memory has them."""
     return {
-        task: Slot(s.term, s.holder, s.life, 0, s.released, max(s.highest, s.term))
+        task: GrantedLease(s.term, s.holder, s.life, 0, s.released, max(s.highest, s.term))
         for task, s in memory.slots.items()
     }
 
 
 def voter_entries(voter: Voter) -> Iterator[e.Entry]:
     yield e.Votes(voter.remembers or voter.may_remember)
-    yield from (slot_entry(task, slot) for task, slot in voter.slots().items())
+    yield from (granted_lease_entry(task, slot) for task, slot in voter.slots().items())
     yield from (e.Floor(task, term) for task, term in voter.floors().items())
 
 
--- a/sailrun/leadership/messages.py
+++ b/sailrun/leadership/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 
-class Claim(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class LeaderHint(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """Hearsay: who owned a task, under which term. It decides nothing; it spares asking."""
 
     task: str
@@ -19,7 +19,7 @@
     holder: str
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
+class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
     """Grant me the task, or renew it. `number` is the asker's own, so that answers are not mixed up."""
 
     task: str
@@ -29,13 +29,13 @@
     renews: bool = False  # the asker has owned it under this term without a gap
 
 
-class Grant(msgspec.Struct, array_like=True, frozen=True, tag="grant"):
+class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="grant"):
     task: str
     term: int
     number: int
 
 
-class Deny(msgspec.Struct, array_like=True, frozen=True, tag="deny"):
+class LeaseDenial(msgspec.Struct, array_like=True, frozen=True, tag="deny"):
     """`why`: `held`, `term` (too low), `abstains`, `stage`, `disk` (too slow, or failed). `left_us`: when to
     ask again.
     """
@@ -48,21 +48,21 @@
     holder: str = ""
 
 
-class Release(msgspec.Struct, array_like=True, frozen=True, tag="release"):
+class LeaseRelease(msgspec.Struct, array_like=True, frozen=True, tag="release"):
     """To a voter: the lease is not used any more."""
 
     task: str
     term: int
 
 
-class Yield(msgspec.Struct, array_like=True, frozen=True, tag="yield"):
+class LeaseHandover(msgspec.Struct, array_like=True, frozen=True, tag="yield"):
     """To the next owner: the task is free, take it."""
 
     task: str
     term: int
 
 
-class Recall(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
+class TermQuery(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
     """A voter that has started asks the others what it may have forgotten. `lasts`: it has a folder, which
     tells them how far that has come; else whatever folder it had is older than what it does from now on.
     """
@@ -71,14 +71,14 @@
     lasts: bool = False
 
 
-class Recalled(msgspec.Struct, array_like=True, frozen=True, tag="recalled"):
+class TermReport(msgspec.Struct, array_like=True, frozen=True, tag="recalled"):
     number: int
     remembers: bool  # whether the sender has been a voter without a gap
     terms: dict[str, int]
     may_remember: bool = False  # its folder is being compared: it will know in a moment
 
 
-class Question(msgspec.Struct, array_like=True, frozen=True, tag="question"):
+class LeaderRequest(msgspec.Struct, array_like=True, frozen=True, tag="question"):
     """To the owner of a task. `term`: the highest the asker knows; an owner of less is none any more."""
 
     task: str
@@ -87,7 +87,7 @@
     content: Any = None
 
 
-class Order(msgspec.Struct, array_like=True, frozen=True, tag="order"):
+class LeaderResponse(msgspec.Struct, array_like=True, frozen=True, tag="order"):
     """The owner's answer: what the asker is to do, or may. Nothing of an owner's comes but as an answer, so
     that the asker's own clock tells how old it is.
     """
@@ -98,7 +98,7 @@
     content: Any = None
 
 
-class Refusal(msgspec.Struct, array_like=True, frozen=True, tag="refusal"):
+class ResponseRejection(msgspec.Struct, array_like=True, frozen=True, tag="refusal"):
     """An order was not taken: a higher term is known, or it came too late."""
 
     task: str
@@ -107,7 +107,7 @@
     late: bool
 
 
-class NotMine(msgspec.Struct, array_like=True, frozen=True, tag="not-mine"):
+class NotLeader(msgspec.Struct, array_like=True, frozen=True, tag="not-mine"):
     """The question came to one that does not own the task."""
 
     task: str
@@ -133,7 +133,7 @@
     why: str = ""
 
 
-class Want(msgspec.Struct, array_like=True, frozen=True):
+class PermitRequest(msgspec.Struct, array_like=True, frozen=True):
     """A question about a permit: I ask for it, hold it, or give it back (`state`: want, held, back).
 
     `place` is what an owner gave when it queued this, and `(0, 0)` before that.
@@ -145,7 +145,7 @@
     place: tuple[int, int] = (0, 0)
 
 
-class Say(msgspec.Struct, array_like=True, frozen=True):
+class PermitResponse(msgspec.Struct, array_like=True, frozen=True):
     """The answer: `yes` lasts for a permit's lease from when the question was sent."""
 
     kind: str
@@ -156,18 +156,18 @@
     why: str = ""
 
 
-OwnerBody = (
-    Ask
-    | Grant
-    | Deny
-    | Release
-    | Yield
-    | Recall
-    | Recalled
-    | Question
-    | Order
-    | Refusal
-    | NotMine
+LeadershipBody = (
+    LeaseRequest
+    | LeaseGrant
+    | LeaseDenial
+    | LeaseRelease
+    | LeaseHandover
+    | TermQuery
+    | TermReport
+    | LeaderRequest
+    | LeaderResponse
+    | ResponseRejection
+    | NotLeader
     | DrainRequest
     | DrainStatus
 )
--- a/sailrun/leadership/pace.py
+++ b/sailrun/leadership/move_rate.py
@@ -14,21 +14,21 @@
 
 SECOND = 1_000_000
 # A share lasts for so long from when it was asked for; it is asked for this often while clients are moved.
-LENT_US, ASK_US = 2 * SECOND, 500_000
+RATE_GRANT_US, REQUEST_INTERVAL_US = 2 * SECOND, 500_000
 
 
-class Lent(msgspec.Struct, array_like=True, frozen=True):
+class RateGrant(msgspec.Struct, array_like=True, frozen=True):
     """The answer: this part of the whole pace, 0 to 1."""
 
     share: float
 
 
-class PaceCoordinator:
+class MoveRateCoordinator:
     """The owner's side: lends shares. Made anew at each term."""
 
     def __init__(self, term: int, now_us: int) -> None:
         self.term = term
-        self._open_us = now_us + int(LENT_US * (1 + 3 * DRIFT))
+        self._open_us = now_us + int(RATE_GRANT_US * (1 + 3 * DRIFT))
         self._lent: dict[str, list[tuple[float, int]]] = {}  # by node: shares it may use, and until when
 
     def asked(self, now_us: int, sender: str) -> Any:
@@ -38,15 +38,15 @@
             if not self._lent[name] and name != sender:
                 del self._lent[name]
         if now_us < self._open_us:
-            return msgspec.to_builtins(Lent(0.0))
+            return msgspec.to_builtins(RateGrant(0.0))
         # The answer may be lost, and what was lent before used to its end: the largest counts.
         others = sum(max(share for share, _ in lent) for name, lent in self._lent.items() if name != sender)
         share = max(0.0, min(1.0 / len(self._lent.keys() | {sender}), 1.0 - others))
-        self._lent.setdefault(sender, []).append((share, now_us + LENT_US))
-        return msgspec.to_builtins(Lent(share))
+        self._lent.setdefault(sender, []).append((share, now_us + RATE_GRANT_US))
+        return msgspec.to_builtins(RateGrant(share))
 
 
-class PaceShare:
+class MoveRateShare:
     """The client's side: what this node was lent, and until when."""
 
     def __init__(self) -> None:
@@ -55,15 +55,15 @@
     def due(self, now_us: int) -> bool:
         if now_us < self._ask_us:
             return False
-        self._ask_us = now_us + ASK_US
+        self._ask_us = now_us + REQUEST_INTERVAL_US
         return True
 
     def told(self, sent_us: int, content: Any) -> None:
         try:
-            lent = msgspec.convert(content, Lent)
+            lent = msgspec.convert(content, RateGrant)
         except msgspec.ValidationError:
             return
-        self._share, self._until_us = lent.share, sent_us + int(LENT_US * (1 - 2 * DRIFT))
+        self._share, self._until_us = lent.share, sent_us + int(RATE_GRANT_US * (1 - 2 * DRIFT))
 
     def share(self, now_us: int) -> float:
         """0 where nothing was lent, or it has ended."""
--- a/sailrun/leadership/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sailrun.leadership.envelope import MOST_CLAIMS, MOST_NEWS, Body, Envelope
+from sailrun.leadership.envelope import MAX_LEADER_HINTS, MAX_MEMBER_UPDATES, Body, Envelope
 from sailrun.leadership.leases import Leases
 from sailrun.membership.messages import Joined, MemberBody, Record, Refused
 from sailrun.membership.swim import Letter, Members
 
 # A change of owner is gossiped so many times, on messages that go out anyway.
-CLAIM_TIMES = 30
+LEADER_HINT_SENDS = 30
 # A task, and the term under which the sender has to own it yet when the message leaves.
-Guard = tuple[str, int]
+TermGuard = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Out:
+class OutgoingEnvelope:
     """An envelope for an address. With a guard it may only be sent while this node owns that task under that
     term: whoever sends looks at the clock once more, after any wait.
     """
@@ -25,33 +25,35 @@
     address: str
     envelope: Envelope
     to: str = ""
-    guard: Guard | None = None
+    guard: TermGuard | None = None
 
 
-class Outgoing:
+class EnvelopeFactory:
     """Puts messages into envelopes of this node. `fleet` gives the fleet's name."""
 
     def __init__(self, fleet: Callable[[], str], members: Members, leases: Leases) -> None:
         self._fleet, self._members, self._leases = fleet, members, leases
 
-    def letters(self, letters: list[Letter]) -> list[Out]:
+    def letters(self, letters: list[Letter]) -> list[OutgoingEnvelope]:
         """The membership protocol's own messages, which go by address."""
-        return [Out(letter.address, self._envelope(letter.body, letter.record)) for letter in letters]
+        return [
+            OutgoingEnvelope(letter.address, self._envelope(letter.body, letter.record)) for letter in letters
+        ]
 
-    def message(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
+    def message(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """To a member by name; empty where its address is not known."""
         record = self._members.record(name)
         if record is None:
             return []
-        return [Out(record.address, self._envelope(body), name, guard)]
+        return [OutgoingEnvelope(record.address, self._envelope(body), name, guard)]
 
     def _envelope(self, body: Body, first: Record | None = None) -> Envelope:
         me = self._members.me
         # Gossip rides on what members say anyway, and on nothing that must be small or soon.
         light = isinstance(body, MemberBody) and not isinstance(body, Refused)
-        news = self._members.news(MOST_NEWS, first) if light else []
-        claims = self._leases.claims(MOST_CLAIMS, CLAIM_TIMES) if light else []
+        news = self._members.news(MAX_MEMBER_UPDATES, first) if light else []
+        claims = self._leases.claims(MAX_LEADER_HINTS, LEADER_HINT_SENDS) if light else []
         if isinstance(body, Joined):
             # A newcomer may be a voter that has forgotten: it hears of every term there is.
-            claims = self._leases.known(MOST_CLAIMS)
+            claims = self._leases.known(MAX_LEADER_HINTS)
         return Envelope(self._fleet(), me.name, me.life, me.incarnation, body, news, claims)
--- a/sailrun/leadership/permit_part.py
+++ b/sailrun/leadership/permit_role.py
@@ -7,14 +7,14 @@
 import msgspec
 
 from sailrun.leadership.change_log import ChangeLog
-from sailrun.leadership.leases import OwnershipChange
-from sailrun.leadership.messages import Say, Want
+from sailrun.leadership.leases import LeadershipChange
+from sailrun.leadership.messages import PermitRequest, PermitResponse
 from sailrun.leadership.permits import PermitCoordinator, PermitHolder
-from sailrun.leadership.questions import OnAnswer
+from sailrun.leadership.requests import OnResponse
 from sailrun.leadership.settings import PermitSettings
 
 
-class PermitPart:
+class PermitRole:
     """`off` names safety rules that the laboratory switches off."""
 
     def __init__(self, terms: PermitSettings, change_log: ChangeLog, off: frozenset[str]) -> None:
@@ -30,7 +30,7 @@
 
     # ------------------------------------------------------------------ as the owner
 
-    def ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
+    def ownership_changed(self, now_us: int, change: LeadershipChange) -> None:
         self.coordinator = self._new_coordinator(now_us, change.term) if change.mine else None
 
     def _new_coordinator(self, now_us: int, term: int) -> PermitCoordinator:
@@ -39,7 +39,7 @@
     def answer(self, now_us: int, term: int, sender: str, life: int, content: Any) -> Any:
         """The answer to a `Want` as it came in, under this node's term; None: it is none."""
         try:
-            want = msgspec.convert(content, Want)
+            want = msgspec.convert(content, PermitRequest)
         except msgspec.ValidationError:
             self._change_log.tallies.bad_messages += 1
             return None
@@ -49,15 +49,15 @@
 
     # ------------------------------------------------------------------ as a client
 
-    def questions(self, now_us: int) -> list[tuple[Any, OnAnswer]]:
+    def questions(self, now_us: int) -> list[tuple[Any, OnResponse]]:
         """What is to be asked of the owner now, each with who is told the answer."""
         wants = self.holder.turn(now_us) if self.holder is not None else []
         return [(msgspec.to_builtins(want), self._on_answer(want)) for want in wants]
 
-    def _on_answer(self, want: Want) -> OnAnswer:
+    def _on_answer(self, want: PermitRequest) -> OnResponse:
         def answered(now_us: int, sent_us: int, content: Any) -> None:
             try:
-                say = msgspec.convert(content, Say)
+                say = msgspec.convert(content, PermitResponse)
             except msgspec.ValidationError:
                 self._change_log.tallies.bad_messages += 1
                 return
@@ -65,7 +65,7 @@
 
         return answered
 
-    def _told(self, now_us: int, sent_us: int, want: Want, say: Say) -> None:
+    def _told(self, now_us: int, sent_us: int, want: PermitRequest, say: PermitResponse) -> None:
         if self.holder is None:
             return
         self.holder.told(now_us, sent_us, want, say)
--- a/sailrun/leadership/permits.py
+++ b/sailrun/leadership/permits.py
@@ -12,29 +12,29 @@
 
 from dataclasses import dataclass, field
 
-from sailrun.leadership.messages import Say, Want
+from sailrun.leadership.messages import PermitRequest, PermitResponse
 from sailrun.leadership.settings import DRIFT, PermitSettings
 
 SECOND = 1_000_000
-TASK = "permits"
-DRAIN, OUT = "drain", "out"
+PERMITS_TASK = "permits"
+DRAIN, OUT_OF_SERVICE = "drain", "out"
 # A holder, or one that waits, says so this many times within a permit's lease, and at least once a second.
-SAYS = 6
-MOST_ENTRIES = 10_000
+RENEWALS_PER_LEASE = 6
+MAX_QUEUE_ENTRIES = 10_000
 # More questions at once than this are left for the next turn.
-AT_ONCE = 64
+MAX_REQUESTS_PER_TURN = 64
 Key = tuple[str, str]
 
 
 @dataclass(slots=True)
-class _Entry:
+class _GrantedPermit:
     """A permit in use; several nodes may hold the one for a form server, each having it out."""
 
     holders: dict[str, tuple[int, int]] = field(default_factory=dict)  # by name: its life, and until when
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _QueueEntry:
     place: tuple[int, int]
     until_us: int
 
@@ -48,8 +48,8 @@
         self._terms, self.term = terms, term
         self._lease_us = int(terms.lease_s * SECOND)
         self.open_us = now_us + (0 if "grace" in off else int(self._lease_us * (1 + 3 * DRIFT)))
-        self._in_use: dict[Key, _Entry] = {}
-        self._queue: dict[tuple[Key, str], _Waiting] = {}  # by what, and who
+        self._in_use: dict[Key, _GrantedPermit] = {}
+        self._queue: dict[tuple[Key, str], _QueueEntry] = {}  # by what, and who
         self._count = 0
 
     def use(self, terms: PermitSettings) -> None:
@@ -57,9 +57,9 @@
         self._terms = terms
 
     def limit(self, kind: str) -> int:
-        return {DRAIN: self._terms.drains, OUT: self._terms.out}.get(kind, 0)
+        return {DRAIN: self._terms.drains, OUT_OF_SERVICE: self._terms.out}.get(kind, 0)
 
-    def asked(self, now_us: int, sender: str, life: int, want: Want) -> Say:
+    def asked(self, now_us: int, sender: str, life: int, want: PermitRequest) -> PermitResponse:
         """Answers one question; the same question again gets the same answer."""
         key = (want.kind, want.subject)
         self._sweep(now_us)
@@ -70,9 +70,9 @@
                 entry.holders.pop(sender, None)
                 if not entry.holders:
                     del self._in_use[key]
-            return Say(*key, False, (0, 0), 0, "back")
+            return PermitResponse(*key, False, (0, 0), 0, "back")
         if not self.limit(want.kind):
-            return Say(*key, False, (0, 0), 0, f"no permits of the kind {want.kind}")
+            return PermitResponse(*key, False, (0, 0), 0, f"no permits of the kind {want.kind}")
         entry = self._in_use.get(key)
         held = entry is not None and sender in entry.holders and entry.holders[sender][0] == life
         claims = want.state == "held"
@@ -80,30 +80,30 @@
             held = True  # given by the owner before: it is in use, however many there are
         place = self._queue_up(now_us, key, sender, want.place)
         if place is None:
-            return Say(*key, False, (0, 0), 0, f"{MOST_ENTRIES} wait already")
+            return PermitResponse(*key, False, (0, 0), 0, f"{MAX_QUEUE_ENTRIES} wait already")
         ahead = self._ahead(key, place)
         free = entry is not None or (
             now_us >= self.open_us and self.used(want.kind) + ahead < self.limit(want.kind)
         )
         if not held and not free:
             why = self._why(now_us, want.kind)
-            return Say(*key, False, place, ahead, why)
+            return PermitResponse(*key, False, place, ahead, why)
         self._queue.pop((key, sender), None)
-        entry = self._in_use.setdefault(key, _Entry())
+        entry = self._in_use.setdefault(key, _GrantedPermit())
         # A life that came back has the permit of the one before: they are not two.
         entry.holders[sender] = (life, now_us + self._lease_us)
-        return Say(*key, True, place, 0)
+        return PermitResponse(*key, True, place, 0)
 
     def _queue_up(self, now_us: int, key: Key, sender: str, place: tuple[int, int]) -> tuple[int, int] | None:
         """The place in the queue: what a former owner gave still counts, before all that came later."""
         waiting = self._queue.get((key, sender))
         if waiting is None:
-            if len(self._queue) >= MOST_ENTRIES:
+            if len(self._queue) >= MAX_QUEUE_ENTRIES:
                 return None
             if place == (0, 0):
                 self._count += 1
                 place = (self.term, self._count)
-            waiting = self._queue[(key, sender)] = _Waiting(place, 0)
+            waiting = self._queue[(key, sender)] = _QueueEntry(place, 0)
         waiting.until_us = now_us + self._lease_us
         return waiting.place
 
@@ -158,7 +158,7 @@
 
 
 @dataclass(slots=True)
-class Wanted:
+class PermitState:
     """What one node wants or holds."""
 
     kind: str
@@ -173,7 +173,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class PermitChange:
     """A permit is this node's, or is not any more."""
 
     kind: str
@@ -188,18 +188,18 @@
     def __init__(self, terms: PermitSettings) -> None:
         self._terms = terms
         self._lease_us = int(terms.lease_s * SECOND)
-        self.wanted: dict[Key, Wanted] = {}
-        self.uses: list[Use] = []  # the driver reads and empties it
+        self.wanted: dict[Key, PermitState] = {}
+        self.uses: list[PermitChange] = []  # the driver reads and empties it
 
     @property
     def ask_us(self) -> int:
-        return min(SECOND, self._lease_us // SAYS)
+        return min(SECOND, self._lease_us // RENEWALS_PER_LEASE)
 
-    def want(self, kind: str, subject: str) -> Wanted:
+    def want(self, kind: str, subject: str) -> PermitState:
         key = (kind, subject)
         wanted = self.wanted.get(key)
         if wanted is None or wanted.state == "back":
-            wanted = self.wanted[key] = Wanted(kind, subject)
+            wanted = self.wanted[key] = PermitState(kind, subject)
         return wanted
 
     def give_back(self, now_us: int, kind: str, subject: str) -> None:
@@ -207,7 +207,7 @@
         if wanted is None or wanted.state == "back":
             return
         if wanted.state == "held":
-            self.uses.append(Use(kind, subject, False, "given back"))
+            self.uses.append(PermitChange(kind, subject, False, "given back"))
         wanted.state, wanted.next_us, wanted.until_us = "back", now_us, 0
         wanted.back_until_us = now_us + self._lease_us
 
@@ -222,23 +222,23 @@
             due_us = min(due_us, wanted.next_us, wanted.until_us or due_us)
         return due_us
 
-    def turn(self, now_us: int) -> list[Want]:
+    def turn(self, now_us: int) -> list[PermitRequest]:
         """What is to be asked of the owner now."""
-        wants: list[Want] = []
+        wants: list[PermitRequest] = []
         for key, wanted in list(self.wanted.items()):
             if wanted.state == "held" and now_us >= wanted.until_us:
                 # The coordinator counts it as free from now on: it is used no longer, and asked for anew.
                 wanted.state, wanted.until_us = "want", 0
-                self.uses.append(Use(*key, False, "lapsed: its owner was not heard of in time"))
+                self.uses.append(PermitChange(*key, False, "lapsed: its owner was not heard of in time"))
             if wanted.state == "back" and now_us >= wanted.back_until_us:
                 del self.wanted[key]
                 continue
-            if now_us >= wanted.next_us and len(wants) < AT_ONCE:
+            if now_us >= wanted.next_us and len(wants) < MAX_REQUESTS_PER_TURN:
                 wanted.next_us = now_us + self.ask_us
-                wants.append(Want(*key, wanted.state, wanted.place))
+                wants.append(PermitRequest(*key, wanted.state, wanted.place))
         return wants
 
-    def told(self, now_us: int, sent_us: int, asked: Want, say: Say) -> None:
+    def told(self, now_us: int, sent_us: int, asked: PermitRequest, say: PermitResponse) -> None:
         """The owner's answer to what was asked at `sent_us`."""
         key = (say.kind, say.subject)
         wanted = self.wanted.get(key)
@@ -254,9 +254,9 @@
         until_us = sent_us + int(self._lease_us * (1 - 2 * DRIFT))
         if say.yes and now_us < until_us:
             if wanted.state != "held":
-                self.uses.append(Use(*key, True))
+                self.uses.append(PermitChange(*key, True))
             wanted.state, wanted.until_us = "held", max(wanted.until_us, until_us)
         elif not say.yes and wanted.state == "held" and asked.state == "held":
             # Its owner knows nothing of it: it has ended there.
             wanted.state, wanted.until_us = "want", 0
-            self.uses.append(Use(*key, False, say.why or "not known to its owner"))
+            self.uses.append(PermitChange(*key, False, say.why or "not known to its owner"))
--- a/sailrun/leadership/questions.py
+++ b/sailrun/leadership/requests.py
@@ -14,29 +14,29 @@
 from typing import Any
 
 from sailrun.leadership.change_log import ChangeLog
-from sailrun.leadership.leases import CANDIDATES, Leases
-from sailrun.leadership.messages import NotMine, Order, Question, Refusal
-from sailrun.leadership.outgoing import Guard
-from sailrun.leadership.ownership import Ownership
+from sailrun.leadership.leases import MAX_CANDIDATES, Leases
+from sailrun.leadership.messages import LeaderRequest, LeaderResponse, NotLeader, ResponseRejection
+from sailrun.leadership.outgoing import TermGuard
+from sailrun.leadership.task_leadership import TaskLeadership
 
 SECOND = 1_000_000
 # So many questions wait for answers at a time; the oldest make room.
-MOST_QUESTIONS = 4096
+MAX_PENDING_REQUESTS = 4096
 # Told the time, when the question was sent, and what was answered.
-OnAnswer = Callable[[int, int, Any], None]
+OnResponse = Callable[[int, int, Any], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Addressed:
+class AddressedMessage:
     """A message for a member by name; for `guard` see `Out`."""
 
     name: str
-    body: Question | NotMine | Order | Refusal
-    guard: Guard | None = None
+    body: LeaderRequest | NotLeader | LeaderResponse | ResponseRejection
+    guard: TermGuard | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class Requester:
     """Who asked a question: a member's name, and the number of its process."""
 
     name: str
@@ -44,15 +44,15 @@
 
 
 @dataclass(slots=True)
-class _Asked:
+class _PendingRequest:
     task: str
     content: Any
     sent_us: int
-    done: OnAnswer
+    done: OnResponse
     tries: int = 0
 
 
-class Questions:
+class PendingRequests:
     """Both sides at one node: what it asks of owners, and what it answers as the owner.
 
     `answer` gives the owner's answer to a question (now, its task, its term, who asked, the content); None:
@@ -62,10 +62,10 @@
 
     def __init__(
         self,
-        me: Asker,
+        me: Requester,
         leases: Leases,
-        ownership: Ownership,
-        answer: Callable[[int, str, int, Asker, Any], Any],
+        ownership: TaskLeadership,
+        answer: Callable[[int, str, int, Requester, Any], Any],
         heard_of: Callable[[int, str, int, str], None],
         change_log: ChangeLog,
         order_s: float,
@@ -76,35 +76,35 @@
         self._answer, self._heard_of = answer, heard_of
         self._change_log, self._tallies = change_log, change_log.tallies
         self._order_us, self._number, self._off = int(order_s * SECOND), number, off
-        self._waiting: dict[int, _Asked] = {}
+        self._waiting: dict[int, _PendingRequest] = {}
 
     # ------------------------------------------------------------------ as the one that asks
 
-    def ask(self, now_us: int, task: str, content: Any, done: OnAnswer) -> list[Addressed]:
+    def ask(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[AddressedMessage]:
         """A question to a task's owner, whoever that is. `done` is called with its answer, if one comes in
         time and of no lower term than was heard of; else nothing is, and the question is to be asked again.
         """
         self._number += 1
-        while len(self._waiting) >= MOST_QUESTIONS:
+        while len(self._waiting) >= MAX_PENDING_REQUESTS:
             del self._waiting[next(iter(self._waiting))]
-        asked = self._waiting[self._number] = _Asked(task, content, now_us, done)
+        asked = self._waiting[self._number] = _PendingRequest(task, content, now_us, done)
         return self._send(now_us, self._number, asked)
 
-    def _send(self, now_us: int, number: int, asked: _Asked) -> list[Addressed]:
+    def _send(self, now_us: int, number: int, asked: _PendingRequest) -> list[AddressedMessage]:
         task = asked.task
-        question = Question(task, self._leases.of(task).owned, number, asked.content)
+        question = LeaderRequest(task, self._leases.of(task).owned, number, asked.content)
         holder = self._ownership.holder_of(task)
         if holder == self._me.name or (not holder and self._leases.holds(task, now_us)):
             return self.questioned(now_us, self._me, question)
         if not holder:
-            others = self._ownership.tasks().get(task, ())[:CANDIDATES]
+            others = self._ownership.tasks().get(task, ())[:MAX_CANDIDATES]
             names = [name for name in others if name != self._me.name]
             if not names:
                 return []
             holder = names[(number + asked.tries) % len(names)]
-        return [Addressed(holder, question)]
+        return [AddressedMessage(holder, question)]
 
-    def ordered(self, now_us: int, sender: str, order: Order) -> list[Addressed]:
+    def ordered(self, now_us: int, sender: str, order: LeaderResponse) -> list[AddressedMessage]:
         """An answer has come: it is taken, or its sender is told that it is not."""
         asked = self._waiting.pop(order.number, None)
         owned = self._leases.of(order.task).owned
@@ -112,7 +112,7 @@
         if "fence" in self._off:
             late, owned = False, 0
         if late or order.term < owned:
-            return self._refuse(sender, order, Refusal(order.task, owned, order.number, late))
+            return self._refuse(sender, order, ResponseRejection(order.task, owned, order.number, late))
         self._tallies.orders_taken += 1
         self._change_log.act("take", task=order.task, term=order.term, number=order.number, of=sender)
         self._heard_of(now_us, order.task, order.term, sender)
@@ -120,7 +120,9 @@
             asked.done(now_us, asked.sent_us, order.content)
         return []
 
-    def _refuse(self, sender: str, order: Order, refusal: Refusal) -> list[Addressed]:
+    def _refuse(
+        self, sender: str, order: LeaderResponse, refusal: ResponseRejection
+    ) -> list[AddressedMessage]:
         if refusal.late:
             self._tallies.orders_late += 1
         else:
@@ -128,16 +130,16 @@
         self._change_log.act(
             "refuse", task=order.task, term=order.term, number=order.number, late=refusal.late
         )
-        return [Addressed(sender, refusal)] if sender != self._me.name else []
+        return [AddressedMessage(sender, refusal)] if sender != self._me.name else []
 
-    def sent_on(self, now_us: int, sender: str, told: NotMine) -> list[Addressed]:
+    def sent_on(self, now_us: int, sender: str, told: NotLeader) -> list[AddressedMessage]:
         """Whom we asked does not own it: asked once more, of whom it names or of another candidate."""
         asked = self._waiting.get(told.number)
         lease = self._leases.of(told.task)
         self._heard_of(now_us, told.task, told.term, told.holder)
         if lease.holder == sender and told.term >= lease.owned:
             lease.holder = ""
-        if asked is None or asked.tries >= CANDIDATES:
+        if asked is None or asked.tries >= MAX_CANDIDATES:
             return []
         asked.tries += 1
         return self._send(now_us, told.number, asked)
@@ -151,7 +153,7 @@
 
     # ------------------------------------------------------------------ as the owner
 
-    def questioned(self, now_us: int, asker: Asker, question: Question) -> list[Addressed]:
+    def questioned(self, now_us: int, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
         """A question has come: answered under this node's term, or sent on."""
         self._heard_of(now_us, question.task, question.term, "")
         term = self._ownership.owns(question.task, now_us)
@@ -160,22 +162,24 @@
         content = self._answer(now_us, question.task, term, asker, question.content)
         if content is None:
             return []
-        order = Order(question.task, term, question.number, content)
+        order = LeaderResponse(question.task, term, question.number, content)
         self._change_log.act(
             "act", task=order.task, term=term, number=order.number, to=asker.name, made_us=now_us
         )
         self._tallies.orders_sent += 1
         if asker.name == self._me.name:
             return self.ordered(now_us, self._me.name, order)
-        return [Addressed(asker.name, order, (question.task, term))]
+        return [AddressedMessage(asker.name, order, (question.task, term))]
 
-    def _send_on(self, asker: Asker, question: Question) -> list[Addressed]:
+    def _send_on(self, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
         if asker.name == self._me.name:
             return []
         lease = self._leases.of(question.task)
-        return [Addressed(asker.name, NotMine(question.task, lease.owned, lease.holder, question.number))]
+        return [
+            AddressedMessage(asker.name, NotLeader(question.task, lease.owned, lease.holder, question.number))
+        ]
 
-    def refused(self, now_us: int, refusal: Refusal) -> None:
+    def refused(self, now_us: int, refusal: ResponseRejection) -> None:
         """An order of this node was not taken."""
         self._leases.of(refusal.task).refused += 1
         self._change_log.add("order-refused", task=refusal.task, term=refusal.term, late=refusal.late)
--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -16,22 +16,22 @@
 from dataclasses import dataclass, field
 
 from sailrun.leadership.messages import DrainRequest, DrainStatus
-from sailrun.leadership.permits import DRAIN, PermitHolder, Use
+from sailrun.leadership.permits import DRAIN, PermitChange, PermitHolder
 
 SECOND = 1_000_000
-ASK_US = 300_000
+REQUEST_INTERVAL_US = 300_000
 # A node that has not answered for so long is passed over, so that the others get their turn.
-SILENT_US = 10 * SECOND
+SILENCE_TIMEOUT_US = 10 * SECOND
 # What a node has done is on its disk within this, or said all the same.
-WRITE_US = 5 * SECOND
+WRITE_TIMEOUT_US = 5 * SECOND
 # So many rolling drains are remembered, here and where one was begun.
-KEPT = 64
+MAX_REMEMBERED_DRAINS = 64
 # The states in which nothing more is asked of a node.
-OVER = ("done", "refused", "silent")
+FINAL_STATES = ("done", "refused", "silent")
 
 
 @dataclass(slots=True)
-class Step:
+class NodeProgress:
     """How far one node of the list is, as it last said."""
 
     node: str
@@ -47,15 +47,15 @@
 
     name: str
     for_us: int
-    steps: list[Step] = field(default_factory=list)
+    steps: list[NodeProgress] = field(default_factory=list)
 
     @property
     def over(self) -> bool:
-        return all(step.state in OVER for step in self.steps)
+        return all(step.state in FINAL_STATES for step in self.steps)
 
 
 @dataclass(slots=True)
-class _OwnDrain:
+class _LocalDrain:
     """This node's own part in a rolling drain."""
 
     name: str
@@ -73,7 +73,7 @@
     def __init__(self, name: str, holder: PermitHolder | None) -> None:
         self._name, self._holder = name, holder
         self.begun: dict[str, RollingDrain] = {}
-        self._own: dict[str, _OwnDrain] = {}
+        self._own: dict[str, _LocalDrain] = {}
         self.drain: bool | None = None  # what the core is to do; the driver reads and empties it
         # Told what is to be known after a restart: that this node's own part ends, which is answered with the
         # position of that entry, and is done once the position is `safe`; a rolling drain begun here, with
@@ -86,7 +86,7 @@
     def take_up(self, now_us: int, done: Iterable[str], plans: Iterable[tuple[str, int, list[str]]]) -> None:
         """What a process before this one knew: parts that are done, rolling drains to go on with."""
         for name in done:
-            self._own[name] = _OwnDrain(name, 0, "done")
+            self._own[name] = _LocalDrain(name, 0, "done")
         for name, for_us, nodes in plans:
             self._begin(now_us, name, nodes, for_us)
 
@@ -105,24 +105,24 @@
             self.on_plan(name, for_us, nodes)
 
     def _begin(self, now_us: int, name: str, nodes: list[str], for_us: int) -> None:
-        while len(self.begun) >= KEPT:
+        while len(self.begun) >= MAX_REMEMBERED_DRAINS:
             del self.begun[next(iter(self.begun))]
-        self.begun[name] = RollingDrain(name, for_us, [Step(node, heard_us=now_us) for node in nodes])
+        self.begun[name] = RollingDrain(name, for_us, [NodeProgress(node, heard_us=now_us) for node in nodes])
 
     def turn(self, now_us: int) -> list[tuple[str, DrainRequest]]:
         """Tells each node in turn: the next one once the one before has its place in the queue."""
         posts: list[tuple[str, DrainRequest]] = []
         for begun in self.begun.values():
             for step in begun.steps:
-                if step.state in OVER:
+                if step.state in FINAL_STATES:
                     continue
                 if step.asked_us == 0:
                     step.heard_us = now_us
-                if now_us - step.heard_us > SILENT_US and step.state in ("not asked", "asked"):
+                if now_us - step.heard_us > SILENCE_TIMEOUT_US and step.state in ("not asked", "asked"):
                     # Passed over; one that has its place and is silent may be restarting.
                     step.state, step.why = "silent", "not reached"
                     continue
-                if now_us - step.asked_us >= ASK_US:
+                if now_us - step.asked_us >= REQUEST_INTERVAL_US:
                     step.asked_us = now_us
                     posts.append((step.node, DrainRequest(begun.name, begun.for_us)))
                 if step.state in ("not asked", "asked"):
@@ -146,13 +146,13 @@
             return DrainStatus(request.name, "refused", "permits are off here")
         own = self._own.get(request.name)
         if own is None:
-            while len(self._own) >= KEPT:
+            while len(self._own) >= MAX_REMEMBERED_DRAINS:
                 del self._own[next(iter(self._own))]
-            own = self._own[request.name] = _OwnDrain(request.name, request.for_us)
+            own = self._own[request.name] = _LocalDrain(request.name, request.for_us)
         self._go_on(now_us)
         return DrainStatus(own.name, own.state, own.why)
 
-    def used(self, use: Use) -> None:
+    def used(self, use: PermitChange) -> None:
         """A permit has come or gone: the drain begins, or is broken off and waits for the next permit."""
         if (use.kind, use.subject) != (DRAIN, self._name):
             return
@@ -185,7 +185,7 @@
                 if own.ends < 0:
                     own.ends, own.ends_us = self.on_end(own.name), now_us
                 # A disk that fails holds nobody up for longer than this.
-                if not self.safe(own.ends) and now_us - own.ends_us < WRITE_US:
+                if not self.safe(own.ends) and now_us - own.ends_us < WRITE_TIMEOUT_US:
                     continue
                 own.state = "done"
                 self.on_done(own.name)
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -19,15 +19,15 @@
 from sailrun.config import NodeConfig, RegistryService
 from sailrun.connection import split_address
 from sailrun.leadership import status
-from sailrun.leadership.agent import PACE, Agent, AgentSettings, Out
-from sailrun.leadership.carrier import Carrier
+from sailrun.leadership.agent import MOVE_RATE_TASK, Agent, AgentSettings, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.founding import founding_term
-from sailrun.leadership.lasting import Lasting
-from sailrun.leadership.leases import OwnershipChange
-from sailrun.leadership.pace import PaceCoordinator, PaceShare
-from sailrun.leadership.permits import DRAIN, OUT, Use
-from sailrun.leadership.shared import SharedDiscovery
+from sailrun.leadership.initial_term import new_initial_term
+from sailrun.leadership.leases import LeadershipChange
+from sailrun.leadership.member_journal import OpenedFolder
+from sailrun.leadership.move_rate import MoveRateCoordinator, MoveRateShare
+from sailrun.leadership.permits import DRAIN, OUT_OF_SERVICE, PermitChange
+from sailrun.leadership.shared_discovery import SharedDiscovery
+from sailrun.leadership.transport import Transport
 from sailrun.membership.messages import Record, State
 from sailrun.node.clock import log
 from sailrun.node.leaving import Reason
@@ -43,12 +43,12 @@
 
 SECOND = 1_000_000
 # While a node drains for a rolling drain, it is looked at this often whether it is empty.
-LOOK_US = 200_000
+SESSION_COUNT_INTERVAL_US = 200_000
 # Two clocks are looked at within this, or once more.
-CLOCKS_US, CLOCKS_TRIES = 500, 10
+MAX_CLOCK_READ_GAP_US, MAX_CLOCK_READS = 500, 10
 
 
-def agent_terms(operator: Operator) -> AgentSettings:
+def agent_settings(operator: Operator) -> AgentSettings:
     """The agent's part of an operator's file."""
     pace = operator.rebalance.enabled and operator.owners.enabled
     return AgentSettings(
@@ -62,7 +62,7 @@
     )
 
 
-class FleetPart:
+class FleetService:
     """One node's part in its fleet."""
 
     def __init__(
@@ -72,7 +72,7 @@
         up.
         """
         assert config.operator is not None
-        terms = agent_terms(config.operator)
+        terms = agent_settings(config.operator)
         told = terms.members
         self._node = node
         me = Record(
@@ -89,19 +89,19 @@
         self.agent = Agent(me, terms, secrets.randbits(32), boot_us(), _founding, record=record)
         self.agent.on_use = self._used
         self.agent.on_ownership_change = self._ownership_changed
-        self.carrier = Carrier(self.agent, split_address(told.listen), patient)
+        self.carrier = Transport(self.agent, split_address(told.listen), patient)
         self.carrier.after = self._after
         self._shared: SharedDiscovery | None = None
         self._by_hand: dict[str, bool] = {}  # form servers that a permit was asked for: whether it is in use
         self._waiting: dict[tuple[str, str], list[Callable[[str], None]]] = {}
-        self._pace_coordinator: PaceCoordinator | None = None
-        self._pace = PaceShare()
+        self._pace_coordinator: MoveRateCoordinator | None = None
+        self._pace = MoveRateShare()
         self._share, self._wants_pace = -1.0, False
         self._look_us = 0
         self._drain_by_hand = False
         self._drains = False
         if terms.pace:
-            self.agent.answers[PACE] = self._lend
+            self.agent.answers[MOVE_RATE_TASK] = self._lend
         self.copies = CopiesPart(node, self.agent.replica, self) if self.agent.replica is not None else None
         self._exerciser = self._new_exerciser() if terms.owners.record else None
         self._lasting = lasting
@@ -128,7 +128,7 @@
         found = lasting.found
         self.agent.take_up(
             boot_us(),
-            Lasting(
+            OpenedFolder(
                 lasting.write_ahead_log,
                 lasting.identity,
                 found.memory,
@@ -168,7 +168,7 @@
         """A successor takes the name and the address over."""
         self.carrier.post(self._give_up)
 
-    def _give_up(self, now_us: int) -> list[Out]:
+    def _give_up(self, now_us: int) -> list[OutgoingEnvelope]:
         self.carrier.ends = True
         self._alone()
         return self.agent.leave(now_us)
@@ -176,7 +176,7 @@
     def use(self, terms: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
 
-        def call(now_us: int) -> list[Out]:
+        def call(now_us: int) -> list[OutgoingEnvelope]:
             self.agent.use_terms(now_us, terms)
             return []
 
@@ -187,7 +187,7 @@
     def call_soon(self, call: Callable[[int], None]) -> None:
         """Has the agent's task call this with the time (microseconds)."""
 
-        def called(now_us: int) -> list[Out]:
+        def called(now_us: int) -> list[OutgoingEnvelope]:
             call(now_us)
             return []
 
@@ -207,15 +207,15 @@
 
     # ------------------------------------------------------------------ after each turn
 
-    def _after(self, now_us: int) -> list[Out]:
-        outs: list[Out] = []
+    def _after(self, now_us: int) -> list[OutgoingEnvelope]:
+        outs: list[OutgoingEnvelope] = []
         if self._shared is not None:
             outs += self._shared.turn(now_us)
         if self.agent.rolling_drains.drain is not None:
             on, self.agent.rolling_drains.drain = self.agent.rolling_drains.drain, None
             self._node.set_draining(on, lambda done: None)
         if self.agent.rolling_drains.draining and now_us >= self._look_us:
-            self._look_us = now_us + LOOK_US
+            self._look_us = now_us + SESSION_COUNT_INTERVAL_US
             self._node.read_metrics(lambda figures: self._standing(figures.inflight))
         if self.agent.shards is not None:
             self._follow_drain(now_us, self.agent.shards)
@@ -237,22 +237,22 @@
             shards.plan_to_leave(now_us, drains)
 
     def _standing(self, sessions: int) -> None:
-        def call(now_us: int) -> list[Out]:
+        def call(now_us: int) -> list[OutgoingEnvelope]:
             self.agent.rolling_drains.standing(now_us, sessions)
             return []
 
         self.carrier.post(call)
 
-    def _ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
-        if change.task == PACE:
-            self._pace_coordinator = PaceCoordinator(change.term, now_us) if change.mine else None
+    def _ownership_changed(self, now_us: int, change: LeadershipChange) -> None:
+        if change.task == MOVE_RATE_TASK:
+            self._pace_coordinator = MoveRateCoordinator(change.term, now_us) if change.mine else None
 
     # ------------------------------------------------------------------ the rebalancer's pace
 
     def _lend(self, now_us: int, sender: str, content: Any) -> Any:
         return self._pace_coordinator.asked(now_us, sender) if self._pace_coordinator is not None else None
 
-    def _ask_pace(self, now_us: int) -> list[Out]:
+    def _ask_pace(self, now_us: int) -> list[OutgoingEnvelope]:
         share = self._pace.share(now_us)
         if not self._pace.due(now_us):
             return []
@@ -267,23 +267,23 @@
         def answered(now_us: int, sent_us: int, content: Any) -> None:
             self._pace.told(sent_us, content)
 
-        return self.agent.ask(now_us, PACE, [], answered)
+        return self.agent.ask(now_us, MOVE_RATE_TASK, [], answered)
 
     def _moving(self, wanted: bool) -> None:
         self._wants_pace = wanted
 
     # ------------------------------------------------------------------ permits
 
-    def _used(self, use: Use) -> None:
+    def _used(self, use: PermitChange) -> None:
         """A permit came or went; the core is told, and whoever waits for the answer."""
-        if use.kind == OUT and use.subject in self._by_hand:
+        if use.kind == OUT_OF_SERVICE and use.subject in self._by_hand:
             self._by_hand[use.subject] = use.yes
 
             def done(known: bool) -> None:
                 if use.yes and not known:
-                    self.carrier.post(lambda now_us: self._drop(now_us, OUT, use.subject))
+                    self.carrier.post(lambda now_us: self._drop(now_us, OUT_OF_SERVICE, use.subject))
                 answer = "" if known or not use.yes else f"no form server '{use.subject[:80]}'"
-                self._answer(OUT, use.subject, answer if use.yes else use.why)
+                self._answer(OUT_OF_SERVICE, use.subject, answer if use.yes else use.why)
 
             self._node.set_operator_override(use.subject, use.yes, done)
         if use.kind == DRAIN and self._drain_by_hand:
@@ -295,7 +295,7 @@
         for reply in self._waiting.pop((kind, subject), ()):
             reply(why)
 
-    def _drop(self, now_us: int, kind: str, subject: str) -> list[Out]:
+    def _drop(self, now_us: int, kind: str, subject: str) -> list[OutgoingEnvelope]:
         if self.agent.holder is not None:
             self.agent.holder.give_back(now_us, kind, subject)
         self._by_hand.pop(subject, None)
@@ -310,12 +310,12 @@
         time.
         """
 
-        def call(now_us: int) -> list[Out]:
+        def call(now_us: int) -> list[OutgoingEnvelope]:
             holder = self.agent.holder
             if holder is None:
                 reply("permits are off")
                 return []
-            if kind == OUT:
+            if kind == OUT_OF_SERVICE:
                 self._by_hand.setdefault(subject, False)
             else:
                 self._drain_by_hand = True
@@ -337,7 +337,7 @@
         return f"queued with {wanted.ahead} before it, and carried out in its turn: {wanted.why}"
 
     def give_back(self, kind: str, subject: str) -> None:
-        def call(now_us: int) -> list[Out]:
+        def call(now_us: int) -> list[OutgoingEnvelope]:
             if kind == DRAIN:
                 self._drain_by_hand = False
             return self._drop(now_us, kind, subject)
@@ -349,7 +349,7 @@
     ) -> None:
         """`reply` is called with "" once it is begun, or with why it is not."""
 
-        def call(now_us: int) -> list[Out]:
+        def call(now_us: int) -> list[OutgoingEnvelope]:
             unknown = [n for n in nodes if not self.agent.members.lives(n)]
             if unknown:
                 reply(f"no member {', '.join(unknown[:5])}")
@@ -367,7 +367,7 @@
     def show(self, what: str, reply: Callable[[Any], None]) -> None:
         """`members`, `owners`, `permits`, `counts`, or `walk NAME`: a rolling drain; as JSON has it."""
 
-        def call(now_us: int) -> list[Out]:
+        def call(now_us: int) -> list[OutgoingEnvelope]:
             shown = {"members": status.members, "owners": status.owners, "permits": status.permits}
             if what in shown:
                 reply(shown[what](self.agent, now_us))
@@ -404,16 +404,16 @@
 
 
 def _founding() -> int:
-    return founding_term(time.time(), random.SystemRandom().getrandbits(12))
+    return new_initial_term(time.time(), random.SystemRandom().getrandbits(12))
 
 
 def _record(kind: str, **facts: Any) -> None:
     """For the laboratory: every act, in the time that all processes of a machine share, and how far this
     node's own clock had what it names before or after.
     """
-    for _ in range(CLOCKS_TRIES):
+    for _ in range(MAX_CLOCK_READS):
         at_us, own_us = time.monotonic_ns() // 1000, boot_us()
-        if time.monotonic_ns() // 1000 - at_us < CLOCKS_US:
+        if time.monotonic_ns() // 1000 - at_us < MAX_CLOCK_READ_GAP_US:
             break  # else this process was stopped between its looks at the clocks
     if "until_us" in facts:
         facts["left_us"] = facts.pop("until_us") - own_us
--- a/sailrun/leadership/shared.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -8,20 +8,20 @@
 from sailrun.connection import show_address
 from sailrun.decisions.events import ListKind
 from sailrun.discovery import BadServerList, DiscoveryClient, phase_of, read_server_list
-from sailrun.leadership.agent import READER, Agent, Out
+from sailrun.leadership.agent import READER_TASK_PREFIX, Agent, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.reader import Reading
+from sailrun.leadership.list_reader import SharedList
 from sailrun.node.clock import log
 from sailrun.node.session import FormServer, ServerListUpdate
 from sailrun.replication.lists import keep_list, kept_list
 
 if TYPE_CHECKING:
-    from sailrun.leadership.carrier import Carrier
+    from sailrun.leadership.transport import Transport
     from sailrun.node.core import Node
 
 SECOND = 1_000_000
 # The core hears that nothing has changed as often as it would of a watch.
-UNCHANGED_US = 5 * SECOND
+UNCHANGED_INTERVAL_US = 5 * SECOND
 
 
 class SharedDiscovery:
@@ -31,17 +31,17 @@
     """
 
     def __init__(
-        self, node: Node, source: RegistryService, revision: int, agent: Agent, carrier: Carrier
+        self, node: Node, source: RegistryService, revision: int, agent: Agent, carrier: Transport
     ) -> None:
         self._node, self._agent, self._carrier = node, agent, carrier
         self.clock, self.settings = node.clock, node.settings  # what a client asks of a node
         self._client = DiscoveryClient(self, source.address, revision, node.settings.index)  # type: ignore[arg-type]
-        self._reading = Reading(show_address(source.address), agent.terms.reader, boot_us())
+        self._reading = SharedList(show_address(source.address), agent.terms.reader, boot_us())
         self._listed: dict[str, FormServer] = {}
         self._watching = False
         self._reads = True
         self._told_us = 0
-        self._task = READER + agent.zone
+        self._task = READER_TASK_PREFIX + agent.zone
         self._subject = f"{show_address(source.address)} {agent.zone}"  # of the list in the fleet's copies
         self._kept = -1  # the revision of the list that this node put there last
         self._answer = lambda now_us, sender, content: self._reading.answer(content)
@@ -102,7 +102,7 @@
 
     # ------------------------------------------------------------------ what the reader tells
 
-    def turn(self, now_us: int) -> list[Out]:
+    def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         """Called by the agent's task."""
         self._reading.owner = bool(self._agent.leases.holds(self._task, now_us))
         replica, revision = self._agent.replica, self._reading.revision
@@ -124,7 +124,7 @@
     def _answered(self, now_us: int, sent_us: int, content: Any) -> None:
         members = self._reading.told(now_us, content)
         if members is None:
-            if not self._reads and now_us - self._told_us > UNCHANGED_US:
+            if not self._reads and now_us - self._told_us > UNCHANGED_INTERVAL_US:
                 self._told_us = now_us
                 self._node.server_list_updated(ServerListUpdate(ListKind.DELTA, self._reading.revision, ()))
             return
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from sailrun.leadership.agent import Agent
-from sailrun.leadership.permits import TASK as PERMITS
+from sailrun.leadership.permits import PERMITS_TASK as PERMITS
 
 SECOND = 1_000_000
 Rows = list[dict[str, Any]]
--- a/sailrun/leadership/ownership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -3,25 +3,25 @@
 from __future__ import annotations
 
 from sailrun.leadership.agent_settings import AgentSettings
+from sailrun.leadership.counters import AgentCounters
 from sailrun.leadership.leases import Leases, best_placed
-from sailrun.leadership.outgoing import Guard
-from sailrun.leadership.permits import TASK as PERMITS
+from sailrun.leadership.outgoing import TermGuard
+from sailrun.leadership.permits import PERMITS_TASK as PERMITS
 from sailrun.leadership.settings import DRIFT
-from sailrun.leadership.tallies import Tallies
 from sailrun.membership.messages import eligible
 from sailrun.membership.swim import Members
 from sailrun.replication.replica import MARKS
 
 SECOND = 1_000_000
-READER = "roster/"  # and the data centre
-PACE = "pace"
+READER_TASK_PREFIX = "roster/"  # and the data centre
+MOVE_RATE_TASK = "pace"
 
 
-class Ownership:
+class TaskLeadership:
     """Times are microseconds of the clock that leases are counted by."""
 
     def __init__(
-        self, members: Members, leases: Leases, zone: str, terms: AgentSettings, tallies: Tallies
+        self, members: Members, leases: Leases, zone: str, terms: AgentSettings, tallies: AgentCounters
     ) -> None:
         self._members, self._leases, self._zone = members, leases, zone
         self._terms, self._tallies = terms, tallies
@@ -48,11 +48,11 @@
         if self._terms.permits.enabled:
             tasks[PERMITS] = best_placed(PERMITS, names)
         if self._terms.pace:
-            tasks[PACE] = best_placed(PACE, names)
+            tasks[MOVE_RATE_TASK] = best_placed(MOVE_RATE_TASK, names)
         if self._terms.replica.enabled:
             tasks[MARKS] = best_placed(MARKS, names)
         if self._terms.reader.enabled:
-            task = READER + self._zone
+            task = READER_TASK_PREFIX + self._zone
             tasks[task] = best_placed(task, eligible([r for r in living if r.zone == self._zone]))
         return tasks
 
@@ -66,7 +66,7 @@
             return 0
         return term
 
-    def still(self, guard: Guard, now_us: int) -> bool:
+    def still(self, guard: TermGuard, now_us: int) -> bool:
         """Whether what was made under that term may still be sent."""
         task, term = guard
         yes = self._leases.holds(task, now_us) == term
--- a/sailrun/leadership/traffic.py
+++ b/sailrun/leadership/traffic.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class Traffic:
+class TrafficCounters:
     """Messages and their bytes since the process started, without the headers of IP, UDP and TCP."""
 
     messages_in: int = 0
--- a/sailrun/leadership/carrier.py
+++ b/sailrun/leadership/transport.py
@@ -27,23 +27,30 @@
     show_address,
     split_address,
 )
-from sailrun.leadership.agent import Agent, Out
+from sailrun.leadership.agent import Agent, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.envelope import LONGEST_DATAGRAM, LONGEST_FRAME, BadMessage, Envelope, pack, unpack
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.envelope import (
+    MAX_DATAGRAM_BYTES,
+    MAX_FRAME_BYTES,
+    BadEnvelope,
+    Envelope,
+    decode_envelope,
+    encode_envelope,
+)
+from sailrun.leadership.traffic import TrafficCounters
 from sailrun.node.clock import log
 
 SECOND = 1_000_000
 # Frames that wait for one link, and links that are open, each way.
-MOST_QUEUED, MOST_LINKS = 4, 64
+MAX_QUEUED_FRAMES, MAX_LINKS = 4, 64
 # A link that is not set up, or has carried nothing, within this is ended.
-LINK_S, IDLE_S = 2.0, 30.0
+LINK_TIMEOUT_S, LINK_IDLE_TIMEOUT_S = 2.0, 30.0
 # Datagrams read in one go before others get their turn.
-AT_ONCE = 64
-_HEAD = 4
+MAX_DATAGRAMS_PER_READ = 64
+_FRAME_HEADER_BYTES = 4
 
 
-class Carrier:
+class Transport:
     """The sockets of one member."""
 
     def __init__(self, agent: Agent, address: tuple[str, int], patient: bool) -> None:
@@ -52,16 +59,16 @@
         """
         self.agent = agent
         self._address, self._patient = address, patient
-        self._calls: deque[Callable[[], list[Out]]] = deque()
+        self._calls: deque[Callable[[], list[OutgoingEnvelope]]] = deque()
         self._called = anyio.Event()
-        self._links: dict[str, _Link] = {}
+        self._links: dict[str, _OutgoingLink] = {}
         self._accepted = 0
-        self.traffic = Traffic()
+        self.traffic = TrafficCounters()
         self.bad_frames = 0
         self._sockets: tuple[socket.socket, socket.socket] | None = None
         self.ends = False  # after what is to be sent now, the address is given up
         # After each turn of the agent: what has changed is acted on.
-        self.after: Callable[[int], list[Out]] = lambda now_us: []
+        self.after: Callable[[int], list[OutgoingEnvelope]] = lambda now_us: []
         try:
             self._sockets = self._bind()
         except OSError as error:
@@ -77,7 +84,7 @@
             datagrams.close()
             raise
 
-    def post(self, call: Callable[[int], list[Out]]) -> None:
+    def post(self, call: Callable[[int], list[OutgoingEnvelope]]) -> None:
         """Has the agent's task call this with the time, and send what it returns."""
         self._calls.append(lambda: call(boot_us()))
         self._called.set()
@@ -125,10 +132,10 @@
                 log(note.what, **note.facts)
             self.agent.notes.clear()
 
-    def _send(self, datagrams: socket.socket, outs: list[Out]) -> None:
+    def _send(self, datagrams: socket.socket, outs: list[OutgoingEnvelope]) -> None:
         for out in outs:
-            data = pack(out.envelope)
-            if len(data) > LONGEST_DATAGRAM:
+            data = encode_envelope(out.envelope)
+            if len(data) > MAX_DATAGRAM_BYTES:
                 self._by_link(out, data)
                 continue
             # The clock is looked at last of all.
@@ -148,9 +155,9 @@
     async def _read(self, datagrams: socket.socket) -> None:
         while True:
             await anyio.wait_readable(datagrams)
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_DATAGRAMS_PER_READ):
                 try:
-                    data, sender = datagrams.recvfrom(LONGEST_DATAGRAM + 1)
+                    data, sender = datagrams.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except OSError:
                     break
                 self._came(data, show_address(sender[:2]))
@@ -160,14 +167,14 @@
         self.traffic.received(len(data))
         try:
             envelope = self._unpacked(data)
-        except BadMessage:
+        except BadEnvelope:
             self.agent.tallies.bad_messages += 1
             return False
         self._hear(address, envelope)
         return True
 
     def _unpacked(self, data: bytes) -> Envelope:
-        return unpack(data)
+        return decode_envelope(data)
 
     def _hear(self, address: str, envelope: Envelope) -> None:
         self.post(lambda now_us: self.agent.hear(now_us, address, envelope))
@@ -179,22 +186,22 @@
             except OSError:
                 await anyio.sleep_until(anyio.current_time() + 0.1)  # no descriptors: others go first
                 continue
-            if self._accepted >= MOST_LINKS:
+            if self._accepted >= MAX_LINKS:
                 sock.close()
                 continue
             self._accepted += 1
-            group.start_soon(self._hear_link, Connection(sock, LONGEST_FRAME + _HEAD))
+            group.start_soon(self._hear_link, Connection(sock, MAX_FRAME_BYTES + _FRAME_HEADER_BYTES))
 
     async def _hear_link(self, link: Connection) -> None:
         """Reads frames until one is none, the other side ends, or nothing comes for long."""
         try:
             with contextlib.suppress(OSError, Overlong):
                 while True:
-                    with anyio.CancelScope(deadline=anyio.current_time() + IDLE_S) as waiting:
-                        data = await _frame(link)
+                    with anyio.CancelScope(deadline=anyio.current_time() + LINK_IDLE_TIMEOUT_S) as waiting:
+                        data = await _read_frame(link)
                     if waiting.cancelled_caught or data is None:
                         return
-                    self.traffic.bytes_in += _HEAD
+                    self.traffic.bytes_in += _FRAME_HEADER_BYTES
                     if not self._came(data, show_address(link.sock.getpeername()[:2])):
                         self.bad_frames += 1
                         log("link-ended", reason="bad-frame", peer=show_address(link.sock.getpeername()[:2]))
@@ -205,24 +212,24 @@
 
     # ------------------------------------------------------------------ links
 
-    def _by_link(self, out: Out, data: bytes) -> None:
+    def _by_link(self, out: OutgoingEnvelope, data: bytes) -> None:
         link = self._links.get(out.address)
         if link is None:
-            if len(self._links) >= MOST_LINKS:
+            if len(self._links) >= MAX_LINKS:
                 return  # asked for again
-            link = self._links[out.address] = _Link()
+            link = self._links[out.address] = _OutgoingLink()
             self._group.start_soon(self._run_link, out.address, link)
-        if len(link.queue) < MOST_QUEUED:
+        if len(link.queue) < MAX_QUEUED_FRAMES:
             link.queue.append((data, out.guard))
             link.filled.set()
 
-    async def _run_link(self, address: str, link: _Link) -> None:
+    async def _run_link(self, address: str, link: _OutgoingLink) -> None:
         connection: Connection | None = None
         try:
-            with anyio.CancelScope(deadline=anyio.current_time() + LINK_S):
+            with anyio.CancelScope(deadline=anyio.current_time() + LINK_TIMEOUT_S):
                 connection = await connect(split_address(address))
             while connection is not None:
-                with anyio.CancelScope(deadline=anyio.current_time() + IDLE_S) as idle:
+                with anyio.CancelScope(deadline=anyio.current_time() + LINK_IDLE_TIMEOUT_S) as idle:
                     while not link.queue:
                         link.filled = anyio.Event()
                         await link.filled.wait()
@@ -231,11 +238,11 @@
                 data, guard = link.queue.popleft()
                 if guard is not None and not self.agent.still(guard, boot_us()):
                     continue
-                with anyio.CancelScope(deadline=anyio.current_time() + LINK_S) as writing:
-                    await connection.write(len(data).to_bytes(_HEAD, "big") + data)
+                with anyio.CancelScope(deadline=anyio.current_time() + LINK_TIMEOUT_S) as writing:
+                    await connection.write(len(data).to_bytes(_FRAME_HEADER_BYTES, "big") + data)
                 if writing.cancelled_caught:
                     return  # half a frame may be out
-                self.traffic.sent(len(data) + _HEAD)
+                self.traffic.sent(len(data) + _FRAME_HEADER_BYTES)
         except (OSError, ValueError):
             pass  # what waits is dropped, and asked for again
         finally:
@@ -244,7 +251,7 @@
                 connection.close()
 
 
-class _Link:
+class _OutgoingLink:
     """What waits to go out to one member."""
 
     def __init__(self) -> None:
@@ -252,16 +259,16 @@
         self.filled: Any = anyio.Event()
 
 
-async def _frame(link: Connection) -> bytes | None:
+async def _read_frame(link: Connection) -> bytes | None:
     """The next frame's content; None where the other side has ended. Raises Overlong for one too long."""
-    while link.held() < _HEAD:
+    while link.held() < _FRAME_HEADER_BYTES:
         if not await link.fill():
             return None
-    length = int.from_bytes(link.peek(_HEAD), "big")
-    if length > LONGEST_FRAME:
+    length = int.from_bytes(link.peek(_FRAME_HEADER_BYTES), "big")
+    if length > MAX_FRAME_BYTES:
         raise Overlong(f"a frame of {length} bytes")
-    while link.held() < _HEAD + length:
+    while link.held() < _FRAME_HEADER_BYTES + length:
         if not await link.fill():
             return None
-    link.take(_HEAD)
+    link.take(_FRAME_HEADER_BYTES)
     return link.take(length)
--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -15,17 +15,24 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release
+from sailrun.leadership.messages import (
+    LeaseDenial,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    TermQuery,
+    TermReport,
+)
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
 SECOND = 1_000_000
-RECALL_US = 250_000
+TERM_QUERY_INTERVAL_US = 250_000
 # A voter that cannot hear a majority that remembers waits for so many more leases before it begins anew.
-PATIENCE = 2.0
+EXTRA_WAIT_LEASES = 2.0
 
 
-def abstain_us(terms: LeadershipSettings) -> int:
+def abstention_us(terms: LeadershipSettings) -> int:
     """How long a voter that has started grants nothing, by its own clock: a lease, in whatever clock it
     runs.
     """
@@ -33,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Slot:
+class GrantedLease:
     """What was granted of one task."""
 
     term: int
@@ -60,13 +67,13 @@
         """`founding` gives a term above all that were ever given, as far as chance and a clock can."""
         self._name, self.voters, self._terms, self._off = name, voters, terms, off
         self._founding = founding
-        self._slots: dict[str, Slot] = {}
+        self._slots: dict[str, GrantedLease] = {}
         self._floor: dict[str, int] = {}  # terms heard of, not granted here
         self._least = 0  # for tasks never heard of
         self._began_us = now_us
         self._recall_us = now_us
         self._number = 0
-        self._recalled: dict[str, Recalled] = {}  # the latest of each
+        self._recalled: dict[str, TermReport] = {}  # the latest of each
         self.remembers = "abstain" in off
         self.founded = False
         # With a folder: whether what it holds may turn out to be all that this voter ever granted; that there
@@ -76,7 +83,7 @@
         self.lasts = False
         self.registered: Callable[[], bool] = lambda: True
         self.able: Callable[[], bool] = lambda: True
-        self.write_slot: Callable[[str, Slot], int] = lambda task, slot: 0
+        self.write_slot: Callable[[str, GrantedLease], int] = lambda task, slot: 0
         self.write_floor: Callable[[str, int], int] = lambda task, term: 0
         self.write_votes: Callable[[bool], int] = lambda remembers: 0
         self.on_founded: Callable[[], None] = lambda: None
@@ -84,12 +91,12 @@
 
     # ------------------------------------------------------------------ what outlasts the process
 
-    def take_up(self, now_us: int, slots: dict[str, Slot], floors: dict[str, int]) -> None:
+    def take_up(self, now_us: int, slots: dict[str, GrantedLease], floors: dict[str, int]) -> None:
         """What was granted before this process, as its folder tells. Every lease may have been renewed right
         before the end: it may be in use for as long as a voter without a memory abstains. Nothing is granted
         until `trust` says that this was all.
         """
-        until_us = now_us + abstain_us(self._terms)
+        until_us = now_us + abstention_us(self._terms)
         for task, slot in slots.items():
             slot.until_us = until_us
             self._slots[task] = slot
@@ -119,7 +126,7 @@
         self._began_us = self._recall_us = now_us
         self._recalled.clear()
 
-    def slots(self) -> dict[str, Slot]:
+    def slots(self) -> dict[str, GrantedLease]:
         return self._slots
 
     def floors(self) -> dict[str, int]:
@@ -143,16 +150,20 @@
         if term > self._floor.get(task, 0):
             self._floor[task] = term
 
-    def asked(self, now_us: int, candidate: str, life: int, ask: Ask) -> Grant | Deny:
+    def asked(self, now_us: int, candidate: str, life: int, ask: LeaseRequest) -> LeaseGrant | LeaseDenial:
         task = ask.task
 
-        def deny(why: str, left_us: int = 0, holder: str = "") -> Deny:
-            return Deny(task, self.highest(task), ask.number, why, max(0, left_us), holder)
+        def deny(why: str, left_us: int = 0, holder: str = "") -> LeaseDenial:
+            return LeaseDenial(task, self.highest(task), ask.number, why, max(0, left_us), holder)
 
         if not self.voters.allows(ask.stage):
             return deny("stage", SECOND)
         if not self.remembers:
-            wait_us = RECALL_US if self.may_remember else self._began_us + abstain_us(self._terms) - now_us
+            wait_us = (
+                TERM_QUERY_INTERVAL_US
+                if self.may_remember
+                else self._began_us + abstention_us(self._terms) - now_us
+            )
             return deny("abstains", wait_us)
         slot = self._slots.get(task)
         until_us = now_us + int(self._terms.lease_s * SECOND)
@@ -161,7 +172,7 @@
                 if slot.released:
                     return deny("term")
                 slot.until_us = until_us
-                return Grant(task, ask.term, ask.number)
+                return LeaseGrant(task, ask.term, ask.number)
             if slot.until_us > now_us and not slot.released:
                 return deny("held", slot.until_us - now_us, slot.holder)
         highest = self.highest(task)
@@ -172,12 +183,14 @@
         if ask.term < highest + (0 if "terms" in self._off else 1) and (not ask.renews or gone_by):
             return deny("term")
         if not self.able():
-            return deny("disk", RECALL_US)  # it would be promised only once it is too late
-        slot = self._slots[task] = Slot(ask.term, candidate, life, until_us, highest=max(highest, ask.term))
+            return deny("disk", TERM_QUERY_INTERVAL_US)  # it would be promised only once it is too late
+        slot = self._slots[task] = GrantedLease(
+            ask.term, candidate, life, until_us, highest=max(highest, ask.term)
+        )
         slot.position = self.write_slot(task, slot)
-        return Grant(task, ask.term, ask.number)
+        return LeaseGrant(task, ask.term, ask.number)
 
-    def released(self, candidate: str, life: int, release: Release) -> None:
+    def released(self, candidate: str, life: int, release: LeaseRelease) -> None:
         """The holder uses its lease no more: only it can say so. An ask under that term may still come."""
         self.heard_of(release.task, release.term)
         slot = self._slots.get(release.task)
@@ -200,26 +213,28 @@
         waits = self.remembers or self.may_remember or not self.registered()
         return None if waits else self._recall_us
 
-    def turn(self, now_us: int) -> list[tuple[str, Recall]]:
+    def turn(self, now_us: int) -> list[tuple[str, TermQuery]]:
         """Asks the others what this voter may have forgotten, until it may grant."""
         # Who asks says that it has no memory, which makes a folder of its older: first others know of this
         # one.
         if self.remembers or self.may_remember or now_us < self._recall_us or not self.registered():
             return []
-        self._recall_us = now_us + RECALL_US
+        self._recall_us = now_us + TERM_QUERY_INTERVAL_US
         self._end_abstaining(now_us)
         if self.remembers:
             return []
         self._number += 1
-        return [(name, Recall(self._number, self.lasts)) for name in self.voters.all() if name != self._name]
+        return [
+            (name, TermQuery(self._number, self.lasts)) for name in self.voters.all() if name != self._name
+        ]
 
-    def recall(self, recall: Recall) -> Recalled:
+    def recall(self, recall: TermQuery) -> TermReport:
         terms = {task: self.highest(task) for task in {*self._slots, *self._floor}}
         if self._least:
             terms[""] = self._least
-        return Recalled(recall.number, self.remembers, terms, self.may_remember)
+        return TermReport(recall.number, self.remembers, terms, self.may_remember)
 
-    def told(self, now_us: int, sender: str, answer: Recalled) -> None:
+    def told(self, now_us: int, sender: str, answer: TermReport) -> None:
         if self.remembers or self.may_remember or sender not in self.voters.all():
             return
         self._recalled[sender] = answer
@@ -227,7 +242,7 @@
 
     def _end_abstaining(self, now_us: int) -> None:
         waited_us = now_us - self._began_us
-        if waited_us < abstain_us(self._terms) or not self.registered():
+        if waited_us < abstention_us(self._terms) or not self.registered():
             return
         remembering = {name for name, a in self._recalled.items() if a.remembers}
         everybody = {*self._recalled, self._name} >= set(self.voters.all())
@@ -239,7 +254,9 @@
             if self.lasts and self.voters.majority(set(self.voters.all()) - forgot):
                 return  # a majority has folders that may remember: no clock and no chance is needed
             lost = everybody and not remembering
-            patient = waited_us >= abstain_us(self._terms) + int(PATIENCE * self._terms.lease_s * SECOND)
+            patient = waited_us >= abstention_us(self._terms) + int(
+                EXTRA_WAIT_LEASES * self._terms.lease_s * SECOND
+            )
             if not self.voters.majority({*self._recalled, self._name}) or not (lost or patient):
                 return
             self._least = max(self._founding(), self._least)
--- a/sailrun/leadership/vote_part.py
+++ b/sailrun/leadership/voter_role.py
@@ -4,16 +4,23 @@
 
 from collections.abc import Callable
 
-from sailrun.leadership.backing import Backing
-from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release
+from sailrun.leadership.durable_state import DurableState
+from sailrun.leadership.messages import (
+    LeaseDenial,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    TermQuery,
+    TermReport,
+)
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
 from sailrun.leadership.voter import Voter
 
-Post = tuple[str, Grant | Deny | Recalled]
+Post = tuple[str, LeaseGrant | LeaseDenial | TermReport]
 
 
-class VotePart:
+class VoterRole:
     """`founding` gives the term that a fleet without any memory begins with. `off` names safety rules that
     the laboratory switches off.
     """
@@ -23,7 +30,7 @@
         name: str,
         voters: Voters,
         terms: LeadershipSettings,
-        backing: Backing,
+        backing: DurableState,
         founding: Callable[[], int],
         now_us: int,
         off: frozenset[str],
@@ -53,21 +60,21 @@
             self.voter.heard_of(task, term)
 
     def hear(
-        self, now_us: int, sender: str, life: int, body: Ask | Release | Recall | Recalled
+        self, now_us: int, sender: str, life: int, body: LeaseRequest | LeaseRelease | TermQuery | TermReport
     ) -> list[Post]:
         """What candidates, and voters that have started, ask or tell a voter."""
         voter = self.voter
         if voter is None:
             return []
         match body:
-            case Ask():
+            case LeaseRequest():
                 return [(sender, voter.asked(now_us, sender, life, body))]
-            case Release():
+            case LeaseRelease():
                 voter.released(sender, life, body)
-            case Recall():
+            case TermQuery():
                 if not body.lasts:
                     self._backing.standing.forgot(sender, life)
                 return [(sender, voter.recall(body))]
-            case Recalled():
+            case TermReport():
                 voter.told(now_us, sender, body)
         return []
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from sailrun.hot_restart.handover import Inherited
     from sailrun.leadership.agent import AgentSettings
-    from sailrun.leadership.service import FleetPart
-    from sailrun.leadership.shared import SharedDiscovery
+    from sailrun.leadership.service import FleetService
+    from sailrun.leadership.shared_discovery import SharedDiscovery
     from sailrun.storage.service import LastingPart
     from sailrun.xds.discovery import EnvoyDiscovery
 
@@ -105,13 +105,13 @@
         name, fleet = members.name or config.name, members.fleet if members.enabled else ""
         return LastingPart(config.operator.lasting, name, fleet, slow_us, patient, boot_us)
 
-    def _join_fleet(self, config: NodeConfig, patient: bool) -> FleetPart | None:
+    def _join_fleet(self, config: NodeConfig, patient: bool) -> FleetService | None:
         if config.operator is None or not config.operator.members.enabled:
             return None
         # Loaded only where it is switched on: the platform's nodes have no path to each other but datagrams.
-        from sailrun.leadership.service import FleetPart
+        from sailrun.leadership.service import FleetService
 
-        return FleetPart(self.node, config, patient, self._lasting)
+        return FleetService(self.node, config, patient, self._lasting)
 
     def _switch(self, config: NodeConfig) -> None:
         """Switches subsystems on or off, as the operator's file has them."""
@@ -312,7 +312,7 @@
             return None
         import msgspec
 
-        from sailrun.leadership.service import agent_terms
+        from sailrun.leadership.service import agent_settings
         from sailrun.operator_settings import voters_follow
 
         if (why := voters_follow(before.owners, after.owners)) is not None:
@@ -326,7 +326,7 @@
         permits = msgspec.structs.replace(
             after.permits, lease_s=before.permits.lease_s, enabled=before.permits.enabled
         )
-        terms = agent_terms(after)
+        terms = agent_settings(after)
         kept_on = before.replica.enabled  # a copy is begun, or given up, at a start
         return replace(
             terms,
--- a/sailrun/sharding/messages.py
+++ b/sailrun/sharding/messages.py
@@ -10,7 +10,15 @@
 import msgspec
 from msgspec import Meta
 
-from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
+from sailrun.leadership.messages import (
+    LeaseDenial,
+    LeaseGrant,
+    LeaseHandover,
+    LeaseRelease,
+    LeaseRequest,
+    TermQuery,
+    TermReport,
+)
 
 # Sessions that one generation may add or remove, so that a change fits a datagram.
 MOST_CHANGED = 24
@@ -181,7 +189,7 @@
 
     region: str
     digest: int
-    body: Ask | Grant | Deny | Release | Yield | Recall | Recalled
+    body: LeaseRequest | LeaseGrant | LeaseDenial | LeaseRelease | LeaseHandover | TermQuery | TermReport
 
 
 ShardBody = (
--- a/sailrun/sharding/part.py
+++ b/sailrun/sharding/part.py
@@ -10,7 +10,15 @@
 from typing import Any, Protocol
 
 from sailrun.leadership.leases import Leases, best_placed
-from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
+from sailrun.leadership.messages import (
+    LeaseDenial,
+    LeaseGrant,
+    LeaseHandover,
+    LeaseRelease,
+    LeaseRequest,
+    TermQuery,
+    TermReport,
+)
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 from sailrun.leadership.voter import Voter
@@ -115,7 +123,7 @@
 
     def wants(self, ballot: Ballot) -> bool:
         """Whether what is asked of a voter is still asked: this member's own vote may have been denied."""
-        return not isinstance(ballot.body, Ask) or self.leases.wants(ballot.body)
+        return not isinstance(ballot.body, LeaseRequest) or self.leases.wants(ballot.body)
 
     # ------------------------------------------------------------------ what comes in
 
@@ -160,11 +168,11 @@
 
     def _voted(self, now_us: int, sender: str, life: int, ballot: Ballot) -> list[Post]:
         match ballot.body:
-            case Grant():
+            case LeaseGrant():
                 self.leases.granted(now_us, sender, ballot.body)
-            case Deny():
+            case LeaseDenial():
                 return self._ballots(self.leases.denied(now_us, sender, ballot.body))
-            case Yield():
+            case LeaseHandover():
                 self.leases.yielded(now_us, ballot.body)
                 return self._turn_leases(now_us)
             case body:
@@ -172,18 +180,18 @@
         return []
 
     def _asked_to_vote(
-        self, now_us: int, sender: str, life: int, body: Ask | Release | Recall | Recalled
+        self, now_us: int, sender: str, life: int, body: LeaseRequest | LeaseRelease | TermQuery | TermReport
     ) -> list[tuple[str, Any]]:
         if self.voter is None:
             return []
         match body:
-            case Ask():
+            case LeaseRequest():
                 return [(sender, self.voter.asked(now_us, sender, life, body))]
-            case Release():
+            case LeaseRelease():
                 self.voter.released(sender, life, body)
-            case Recall():
+            case TermQuery():
                 return [(sender, self.voter.recall(body))]
-            case Recalled():
+            case TermReport():
                 self.voter.told(now_us, sender, body)
         return []
 
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -28,9 +28,9 @@
 from sailrun.lab.faults.play import LASTING, FaultDay, agent_terms, play_virtual
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.leadership.agent import Out
-from sailrun.leadership.messages import Ask, Grant
-from sailrun.leadership.voter import Slot
+from sailrun.leadership.agent import OutgoingEnvelope
+from sailrun.leadership.messages import LeaseGrant, LeaseRequest
+from sailrun.leadership.voter import GrantedLease
 from sailrun.replication.messages import Op
 from sailrun.replication.records import written
 from sailrun.replication.replica import Answer, Replica
@@ -606,7 +606,7 @@
     assert all(("out", "s-00000001") in part_of(fleet, name)._used for name in fleet.names)
 
 
-def _slots(fleet: VirtualFleet, task: str) -> list[Slot]:
+def _slots(fleet: VirtualFleet, task: str) -> list[GrantedLease]:
     voters = [
         n.agent.voter for n in fleet.nodes.values() if n.agent is not None and n.agent.voter is not None
     ]
@@ -619,18 +619,18 @@
     node = fleet.nodes["n0"]
     agent = node.agent
     assert agent is not None
-    sent: list[Grant] = []
+    sent: list[LeaseGrant] = []
     put = fleet._put
 
-    def collect(sender: VirtualNode, out: Out) -> None:
-        if sender is node and isinstance(out.envelope.body, Grant) and out.envelope.body.task == "t":
+    def collect(sender: VirtualNode, out: OutgoingEnvelope) -> None:
+        if sender is node and isinstance(out.envelope.body, LeaseGrant) and out.envelope.body.task == "t":
             sent.append(out.envelope.body)
         put(sender, out)
 
     fleet._put = collect  # type: ignore[method-assign, assignment]
     cut = fleet.cut(["n0"], ["n1", "n2"])
     for number in (1, 2, 3):
-        ask = Ask("t", 2**52, number, agent.voters.stage, number > 1)
+        ask = LeaseRequest("t", 2**52, number, agent.voters.stage, number > 1)
         fleet._send(node, agent._heard(fleet.clock_us(node), "n4", 1, ask))
         fleet.run(now_s(fleet) + 0.5)
     assert not sent
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -12,27 +12,27 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from sailrun.bad_config import BadConfig
-from sailrun.leadership.founding import founding_term
+from sailrun.leadership.initial_term import new_initial_term
 from sailrun.leadership.leases import Leases, best_placed
+from sailrun.leadership.list_reader import SharedList
 from sailrun.leadership.messages import (
-    Ask,
-    Deny,
     DrainRequest,
     DrainStatus,
-    Grant,
-    Recall,
-    Recalled,
-    Release,
-    Say,
-    Want,
+    LeaseDenial,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    PermitRequest,
+    PermitResponse,
+    TermQuery,
+    TermReport,
 )
-from sailrun.leadership.pace import LENT_US, PaceCoordinator, PaceShare
-from sailrun.leadership.permits import DRAIN, OUT, PermitCoordinator, PermitHolder
+from sailrun.leadership.move_rate import RATE_GRANT_US, MoveRateCoordinator, MoveRateShare
+from sailrun.leadership.permits import DRAIN, OUT_OF_SERVICE, PermitCoordinator, PermitHolder
 from sailrun.leadership.quorum import Voters
-from sailrun.leadership.reader import Reading
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
-from sailrun.leadership.voter import Voter, abstain_us
+from sailrun.leadership.voter import Voter, abstention_us
 from sailrun.membership.messages import Record, State, eligible
 from sailrun.operator_settings import read_operator, voters_follow
 from sailrun.storage import entries
@@ -48,8 +48,8 @@
     return made
 
 
-def ask(term: int, number: int = 1, stage: int = TERMS.stage) -> Ask:
-    return Ask("t", term, number, stage)
+def ask(term: int, number: int = 1, stage: int = TERMS.stage) -> LeaseRequest:
+    return LeaseRequest("t", term, number, stage)
 
 
 # ---------------------------------------------------------------------- voters
@@ -57,48 +57,48 @@
 
 def test_a_voter_grants_one_holder_at_a_time_and_no_term_twice() -> None:
     one = voter()
-    assert one.asked(0, "x", 1, ask(1)) == Grant("t", 1, 1)
+    assert one.asked(0, "x", 1, ask(1)) == LeaseGrant("t", 1, 1)
     held = one.asked(SECOND, "y", 1, ask(2))
-    assert isinstance(held, Deny) and (held.why, held.holder, held.left_us) == ("held", "x", SECOND)
-    assert isinstance(one.asked(2 * SECOND, "y", 1, ask(1)), Deny)
-    assert isinstance(one.asked(2 * SECOND, "y", 1, ask(2)), Grant)
+    assert isinstance(held, LeaseDenial) and (held.why, held.holder, held.left_us) == ("held", "x", SECOND)
+    assert isinstance(one.asked(2 * SECOND, "y", 1, ask(1)), LeaseDenial)
+    assert isinstance(one.asked(2 * SECOND, "y", 1, ask(2)), LeaseGrant)
     late = one.asked(2 * SECOND, "x", 1, ask(1))
-    assert isinstance(late, Deny) and late.term == 2
+    assert isinstance(late, LeaseDenial) and late.term == 2
 
 
 def test_another_life_under_the_holders_name_is_another_holder() -> None:
     one = voter()
     one.asked(0, "x", 1, ask(1))
-    assert isinstance(one.asked(1, "x", 2, ask(1)), Deny)
-    one.released("x", 2, Release("t", 1))
-    assert isinstance(one.asked(2, "y", 1, ask(2)), Deny)
-    one.released("x", 1, Release("t", 1))
-    assert isinstance(one.asked(3, "y", 1, ask(2)), Grant)
-    assert isinstance(one.asked(4, "x", 1, ask(1)), Deny)  # what was given up is not renewed
+    assert isinstance(one.asked(1, "x", 2, ask(1)), LeaseDenial)
+    one.released("x", 2, LeaseRelease("t", 1))
+    assert isinstance(one.asked(2, "y", 1, ask(2)), LeaseDenial)
+    one.released("x", 1, LeaseRelease("t", 1))
+    assert isinstance(one.asked(3, "y", 1, ask(2)), LeaseGrant)
+    assert isinstance(one.asked(4, "x", 1, ask(1)), LeaseDenial)  # what was given up is not renewed
 
 
 def test_a_voter_that_has_started_abstains_until_leases_ended_and_two_that_remember_told_it() -> None:
     one = voter(remembers=False)
-    over_us = abstain_us(TERMS)
-    one.told(1, "b", Recalled(1, True, {"t": 7}))
+    over_us = abstention_us(TERMS)
+    one.told(1, "b", TermReport(1, True, {"t": 7}))
     denied = one.asked(over_us - 1, "x", 1, ask(9))
-    assert isinstance(denied, Deny) and denied.why == "abstains"
+    assert isinstance(denied, LeaseDenial) and denied.why == "abstains"
     one.turn(over_us)
     assert not one.remembers
-    one.told(over_us, "c", Recalled(1, True, {"t": 5}))
+    one.told(over_us, "c", TermReport(1, True, {"t": 5}))
     assert one.remembers and not one.founded and one.highest("t") == 7
-    assert isinstance(one.asked(over_us, "x", 1, ask(7)), Deny)
-    assert isinstance(one.asked(over_us, "x", 1, ask(8)), Grant)
+    assert isinstance(one.asked(over_us, "x", 1, ask(7)), LeaseDenial)
+    assert isinstance(one.asked(over_us, "x", 1, ask(8)), LeaseGrant)
 
 
 def test_where_nobody_remembers_terms_begin_above_what_can_be_known() -> None:
     one = voter(remembers=False)
-    over_us = abstain_us(TERMS)
+    over_us = abstention_us(TERMS)
     for name in ("b", "c"):
-        one.told(over_us, name, Recalled(1, False, {"t": 2_000} if name == "b" else {}))
+        one.told(over_us, name, TermReport(1, False, {"t": 2_000} if name == "b" else {}))
     assert one.remembers and one.founded
     assert one.highest("t") == 2_000 and one.highest("other") == 1_000
-    assert one.recall(Recall(1)).terms == {"t": 2_000, "": 1_000}
+    assert one.recall(TermQuery(1)).terms == {"t": 2_000, "": 1_000}
 
 
 def test_a_voter_alone_does_not_found() -> None:
@@ -108,9 +108,9 @@
 
 
 def test_founding_terms_grow_with_the_clock_and_stay_in_53_bits() -> None:
-    assert founding_term(1.8e9, 0xFFF) < founding_term(1.8e9 + 1, 0)
-    assert founding_term(2_300_000_000, 0xFFF) < 2**53
-    assert founding_term(-5.0, 0) == 0
+    assert new_initial_term(1.8e9, 0xFFF) < new_initial_term(1.8e9 + 1, 0)
+    assert new_initial_term(2_300_000_000, 0xFFF) < 2**53
+    assert new_initial_term(-5.0, 0) == 0
 
 
 def test_voters_are_exchanged_through_a_stage_in_which_both_are_asked() -> None:
@@ -140,9 +140,9 @@
 
 def test_an_owner_counts_from_when_it_asked_and_less_than_its_voters() -> None:
     one, number = asking(SECOND)
-    one.granted(2_500_000, "a", Grant("t", 1, number))
+    one.granted(2_500_000, "a", LeaseGrant("t", 1, number))
     assert not one.holds("t", 2_500_000)
-    one.granted(2_500_000, "b", Grant("t", 1, number))
+    one.granted(2_500_000, "b", LeaseGrant("t", 1, number))
     assert one.holds("t", 2_500_000) == 1 and one.until_us("t") == 2_960_000
     assert not one.holds("t", 2_960_000)
 
@@ -150,7 +150,7 @@
 def test_grants_that_come_too_late_make_no_owner() -> None:
     one, number = asking(SECOND)
     for name in ("a", "b", "c"):
-        one.granted(3 * SECOND, name, Grant("t", 1, number))
+        one.granted(3 * SECOND, name, LeaseGrant("t", 1, number))
     assert not one.holds("t", 3 * SECOND) and not one.changes
 
 
@@ -167,8 +167,8 @@
 
 def held(
     coordinator: PermitCoordinator, now_us: int, name: str, kind: str, subject: str, state: str = "want"
-) -> Say:
-    return coordinator.asked(now_us, name, 1, Want(kind, subject, state))
+) -> PermitResponse:
+    return coordinator.asked(now_us, name, 1, PermitRequest(kind, subject, state))
 
 
 def open_coordinator(now_us: int = 10 * SECOND) -> PermitCoordinator:
@@ -188,14 +188,14 @@
 
 def test_the_same_form_server_out_at_several_nodes_is_one_permit() -> None:
     coordinator, now_us = open_coordinator(), 10 * SECOND
-    assert all(held(coordinator, now_us, name, OUT, "s-1").yes for name in "abc")
-    assert held(coordinator, now_us, "a", OUT, "s-2").yes
-    assert not held(coordinator, now_us, "a", OUT, "s-3").yes
+    assert all(held(coordinator, now_us, name, OUT_OF_SERVICE, "s-1").yes for name in "abc")
+    assert held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-2").yes
+    assert not held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").yes
     for name in "ab":
-        held(coordinator, now_us, name, OUT, "s-1", "back")
-    assert not held(coordinator, now_us, "a", OUT, "s-3").yes
-    held(coordinator, now_us, "c", OUT, "s-1", "back")
-    assert held(coordinator, now_us, "a", OUT, "s-3").yes
+        held(coordinator, now_us, name, OUT_OF_SERVICE, "s-1", "back")
+    assert not held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").yes
+    held(coordinator, now_us, "c", OUT_OF_SERVICE, "s-1", "back")
+    assert held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").yes
 
 
 def test_a_dead_holders_permit_ends_and_the_next_one_has_it() -> None:
@@ -207,15 +207,19 @@
 
 def test_a_new_owner_listens_first_and_keeps_the_places_of_the_one_before() -> None:
     coordinator = PermitCoordinator(PERMITS, 6, 0)
-    assert held(coordinator, 1, "a", OUT, "s-1", "held").yes
-    assert not held(coordinator, 1, "b", OUT, "s-2").yes
-    waiting = coordinator.asked(1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
+    assert held(coordinator, 1, "a", OUT_OF_SERVICE, "s-1", "held").yes
+    assert not held(coordinator, 1, "b", OUT_OF_SERVICE, "s-2").yes
+    waiting = coordinator.asked(1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1)))
     assert not waiting.yes and waiting.place == (5, 1)
-    held(coordinator, coordinator.open_us - 1, "a", OUT, "s-1", "held")
-    coordinator.asked(coordinator.open_us - 1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
-    held(coordinator, coordinator.open_us - 1, "b", OUT, "s-2")
-    assert not held(coordinator, coordinator.open_us, "b", OUT, "s-2").yes  # s-3 has the earlier place
-    assert coordinator.asked(coordinator.open_us, "c", 1, Want(OUT, "s-3", "want", (5, 1))).yes
+    held(coordinator, coordinator.open_us - 1, "a", OUT_OF_SERVICE, "s-1", "held")
+    coordinator.asked(coordinator.open_us - 1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1)))
+    held(coordinator, coordinator.open_us - 1, "b", OUT_OF_SERVICE, "s-2")
+    assert not held(
+        coordinator, coordinator.open_us, "b", OUT_OF_SERVICE, "s-2"
+    ).yes  # s-3 has the earlier place
+    assert coordinator.asked(
+        coordinator.open_us, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1))
+    ).yes
 
 
 class Permitting(RuleBasedStateMachine):
@@ -227,15 +231,15 @@
         self.coordinator = PermitCoordinator(PERMITS, 1, 0)
         self.term = 1
         self.holders = {name: PermitHolder(PERMITS) for name in "abcd"}
-        self.flying: list[tuple[str, int, Want]] = []
+        self.flying: list[tuple[str, int, PermitRequest]] = []
 
     @rule(name=st.sampled_from("abcd"), number=st.integers(1, 4))
     def want(self, name: str, number: int) -> None:
-        self.holders[name].want(OUT, f"s-{number}")
+        self.holders[name].want(OUT_OF_SERVICE, f"s-{number}")
 
     @rule(name=st.sampled_from("abcd"), number=st.integers(1, 4))
     def give_back(self, name: str, number: int) -> None:
-        self.holders[name].give_back(self.now_us, OUT, f"s-{number}")
+        self.holders[name].give_back(self.now_us, OUT_OF_SERVICE, f"s-{number}")
 
     @rule(part=st.integers(1, 60))
     def pass_time(self, part: int) -> None:
@@ -323,12 +327,12 @@
 
 
 def test_an_older_list_is_never_taken_and_silence_has_a_node_read_for_itself() -> None:
-    reader, node = (Reading("r:1", ListReaderSettings(), 0) for _ in range(2))
+    reader, node = (SharedList("r:1", ListReaderSettings(), 0) for _ in range(2))
     reader.read(7, [{"id": "s-1"}])
     assert node.told(0, reader.answer(["r:1", -1])) == [{"id": "s-1"}]
     assert node.told(0, reader.answer(["r:1", 7])) is None and node.revision == 7
     assert not node.reads(2_900_000) and node.reads(3_000_000)
-    stale = Reading("r:1", ListReaderSettings(), 0)
+    stale = SharedList("r:1", ListReaderSettings(), 0)
     stale.read(6, [])
     assert node.told(4_000_000, stale.answer(["r:1", 5])) is None and node.refused == 1
     assert node.reads(4_000_000)  # a reader that is behind counts as silent
@@ -337,8 +341,8 @@
 
 
 def test_shares_of_the_pace_never_come_to_more_than_the_whole() -> None:
-    coordinator, shares = PaceCoordinator(1, 0), {name: PaceShare() for name in "abc"}
-    now_us = LENT_US
+    coordinator, shares = MoveRateCoordinator(1, 0), {name: MoveRateShare() for name in "abc"}
+    now_us = RATE_GRANT_US
     assert coordinator.asked(now_us, "a") == [0.0]
     seen = []
     for step in range(60):
@@ -351,7 +355,7 @@
                     share.told(now_us, answer)
         seen.append(sum(share.share(now_us) for share in shares.values()))
     assert max(seen) <= 1.0 + 1e-9 and seen[-1] > 0.9
-    assert all(share.share(now_us + LENT_US) == 0 for share in shares.values())
+    assert all(share.share(now_us + RATE_GRANT_US) == 0 for share in shares.values())
 
 
 GOOD = """
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -15,7 +15,7 @@
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import agent_terms
 from sailrun.lab.faults.virtual import VirtualFleet
-from sailrun.leadership.envelope import LONGEST_DATAGRAM, BadMessage, unpack
+from sailrun.leadership.envelope import MAX_DATAGRAM_BYTES, BadEnvelope, decode_envelope
 from sailrun.membership.messages import Record, State
 from sailrun.membership.settings import MembershipSettings
 from sailrun.membership.swim import Members
@@ -132,10 +132,10 @@
     assert agent.members.stray == before + 1 and agent.members.record("nobody") is None
 
 
-@given(st.binary(max_size=LONGEST_DATAGRAM))
+@given(st.binary(max_size=MAX_DATAGRAM_BYTES))
 def test_whatever_comes_is_an_envelope_or_a_bad_message(data: bytes) -> None:
-    with suppress(BadMessage):
-        unpack(data)
+    with suppress(BadEnvelope):
+        decode_envelope(data)
 
 
 RECORDS = st.builds(
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -18,7 +18,7 @@
 from sailrun.lab.faults.play import FaultDay, agent_terms, play_virtual
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.leadership.envelope import BadMessage, Envelope, pack, unpack
+from sailrun.leadership.envelope import BadEnvelope, Envelope, decode_envelope, encode_envelope
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
 from sailrun.membership.messages import Record as MemberRecord
@@ -282,7 +282,7 @@
         kind = data.draw(st.sampled_from(KINDS))
         hints = typing.get_type_hints(kind)
         body = kind(**{f: data.draw(any_of(hints[f]), label=f) for f in kind.__struct_fields__})
-        sent = unpack(pack(Envelope("f", "n2", 1, 1, body))).body
+        sent = decode_envelope(encode_envelope(Envelope("f", "n2", 1, 1, body))).body
         assert sent == body
         node.hear(n * SECOND, data.draw(st.sampled_from(["n2", "n4", "nobody"])), body)
         node.turn(n * SECOND + 1, "n2")
@@ -290,12 +290,12 @@
 
 @given(st.binary(max_size=400), st.integers(0, 10**6), st.integers(0, 255))
 def test_bytes_that_are_no_message_are_refused_as_such(junk: bytes, at: int, byte: int) -> None:
-    sound = pack(Envelope("f", "n2", 1, 1, Put(1, 1, 0, [record({("a", 1): False}, {"a": 1})])))
+    sound = encode_envelope(Envelope("f", "n2", 1, 1, Put(1, 1, 0, [record({("a", 1): False}, {"a": 1})])))
     at %= len(sound)
     for told in (junk, sound[:at], sound[:at] + bytes([byte]) + sound[at + 1 :]):
         try:
-            unpack(told)
-        except BadMessage:
+            decode_envelope(told)
+        except BadEnvelope:
             continue
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -52,7 +52,7 @@
 from sailrun.lab.scale.role_table import is_of_role, role_lines
 from sailrun.lab.scale.roles import MEASURES, NodeUse, role_figures, roles_of, use_between
 from sailrun.lab.scale.settings import node_terms
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.traffic import TrafficCounters
 
 SECOND = 1_000_000
 SMALL = ScalePlan(nodes=3, hollow=60, seconds=3.0)
@@ -240,7 +240,9 @@
 
 
 def _report(name: str, sent: int, cpu_s: float, *tasks: str, voter: bool = False) -> NodeReport:
-    return NodeReport(name, 1, Traffic(sent, 2 * sent, 10 * sent, 100 * sent), cpu_s, list(tasks), voter)
+    return NodeReport(
+        name, 1, TrafficCounters(sent, 2 * sent, 10 * sent, 100 * sent), cpu_s, list(tasks), voter
+    )
 
 
 def test_a_nodes_use_is_what_was_added_each_second() -> None:
@@ -312,7 +314,7 @@
 
 
 def test_more_or_fewer_shards_in_use_than_there_are_are_found() -> None:
-    reports = [NodeReport("a", 1, Traffic(), 0.0, [], False, shards=n) for n in (4, 6)]
+    reports = [NodeReport("a", 1, TrafficCounters(), 0.0, [], False, shards=n) for n in (4, 6)]
     assert shards_check(reports, 10).holds
     assert not shards_check(reports, 11).holds and not shards_check(reports, 9).holds
 
--- a/tests/test_shards_wire.py
+++ b/tests/test_shards_wire.py
@@ -14,9 +14,9 @@
 from sailrun.lab.faults.shard_fleet import ShardFleet
 from sailrun.lab.faults.shard_world import SHARDS_OF_A_REGION, shards_terms
 from sailrun.lab.faults.virtual import VirtualNode
-from sailrun.leadership.agent import Agent, Out
-from sailrun.leadership.envelope import BadMessage, Body, Envelope, pack, unpack
-from sailrun.leadership.messages import Ask
+from sailrun.leadership.agent import Agent, OutgoingEnvelope
+from sailrun.leadership.envelope import BadEnvelope, Body, Envelope, decode_envelope, encode_envelope
+from sailrun.leadership.messages import LeaseRequest
 from sailrun.sharding.messages import (
     Ballot,
     Change,
@@ -52,7 +52,7 @@
     TableRefused(REGION, 3, 1, 7, 4),
     ShardAct(REGION, 5, Token(2, 48), 1),
     ShardActRefused(REGION, 5, 1, Token(2, 48)),
-    Ballot(REGION, DIGEST, Ask("shards/r0", 3, 1, 1, False)),
+    Ballot(REGION, DIGEST, LeaseRequest("shards/r0", 3, 1, 1, False)),
 ]
 
 
@@ -99,10 +99,10 @@
         agent = self.agent(sender)
         return Envelope("lab", sender, agent.life, agent.members.me.incarnation, body)
 
-    def hear(self, name: str, sender: str, body: Body) -> list[Out]:
+    def hear(self, name: str, sender: str, body: Body) -> list[OutgoingEnvelope]:
         """What a node answers to a message of another member."""
         node = self.node(name)
-        envelope = unpack(pack(self.envelope(sender, body)))
+        envelope = decode_envelope(encode_envelope(self.envelope(sender, body)))
         return self.agent(name).hear(self.fleet.clock_us(node), self.node(sender).address, envelope)
 
     def answers(self, name: str, sender: str, body: Body) -> list[Body]:
@@ -132,30 +132,30 @@
     envelope = _envelope(body)
     fields = msgspec.to_builtins(envelope)
     fields[4] += [7, "new", [1]]
-    assert unpack(msgspec.msgpack.encode(fields)).body == body
+    assert decode_envelope(msgspec.msgpack.encode(fields)).body == body
 
 
 def test_a_heartbeat_of_an_older_version_is_read_without_what_came_later() -> None:
     body = Renew(REGION, DIGEST, 1, 48, 5, 2)
     fields = msgspec.to_builtins(_envelope(body))
     fields[4] = fields[4][:7]
-    assert unpack(msgspec.msgpack.encode(fields)).body == body
+    assert decode_envelope(msgspec.msgpack.encode(fields)).body == body
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
 def test_a_kind_that_is_not_known_is_dropped_whole(body: ShardBody) -> None:
     fields = msgspec.to_builtins(_envelope(body))
     fields[4][0] = "shard-unheard-of"
-    with pytest.raises(BadMessage):
-        unpack(msgspec.msgpack.encode(fields))
+    with pytest.raises(BadEnvelope):
+        decode_envelope(msgspec.msgpack.encode(fields))
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
 def test_a_message_cut_short_anywhere_is_none(body: ShardBody) -> None:
-    data = pack(_envelope(body))
+    data = encode_envelope(_envelope(body))
     for length in range(len(data)):
-        with pytest.raises(BadMessage):
-            unpack(data[:length])
+        with pytest.raises(BadEnvelope):
+            decode_envelope(data[:length])
 
 
 @pytest.mark.parametrize("number", [-1, 2**63, 2**64 - 1])
@@ -178,8 +178,8 @@
 def test_a_number_that_is_none_of_this_program_s_is_refused(body: ShardBody, number: int) -> None:
     """Generations, sessions and shards are counted in 64 bits: a number beyond them would end the agent."""
     fields = _replaced(msgspec.to_builtins(_envelope(body)), 991, number)
-    with pytest.raises(BadMessage):
-        unpack(msgspec.msgpack.encode(fields))
+    with pytest.raises(BadEnvelope):
+        decode_envelope(msgspec.msgpack.encode(fields))
 
 
 def _replaced(value: Any, old: int, new: int) -> Any:
@@ -230,8 +230,8 @@
             inside = inside[step]
         inside[path[-1]] = copy.deepcopy(value)
     try:
-        envelope = unpack(msgspec.msgpack.encode(fields))
-    except BadMessage:
+        envelope = decode_envelope(msgspec.msgpack.encode(fields))
+    except BadEnvelope:
         return
     session = stormed.part(NODE).session
     if session is None or not session.generation:
@@ -241,7 +241,7 @@
     outs = agent.hear(now_us, stormed.node(sender).address, envelope)
     outs += agent.turn(now_us)
     for out in outs:
-        unpack(pack(out.envelope))
+        decode_envelope(encode_envelope(out.envelope))
 
 
 def _lively(running: Running, to: str, body: ShardBody) -> ShardBody:
@@ -263,15 +263,15 @@
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=60), st.sampled_from(BODIES), st.integers(0, 200))
 def test_bytes_of_chance_are_no_message_or_a_message(data: bytes, body: ShardBody, at: int) -> None:
-    whole = bytearray(pack(Envelope("lab", OTHER, 1, 1, body)))
+    whole = bytearray(encode_envelope(Envelope("lab", OTHER, 1, 1, body)))
     spot = at % len(whole)
     whole[spot : spot + len(data)] = data
     for text in (data, bytes(whole)):
         try:
-            envelope = unpack(text)
-        except BadMessage:
+            envelope = decode_envelope(text)
+        except BadEnvelope:
             continue
-        assert unpack(pack(envelope)) == envelope
+        assert decode_envelope(encode_envelope(envelope)) == envelope
 
 
 # ---------------------------------------------------------------------- what is read, and wrong
@@ -293,7 +293,9 @@
             == []
         )
         assert (
-            running.answers("n0", "n2", Ballot(REGION, DIGEST ^ 1, Ask("shards/r0", 2**60, 1, 1, False)))
+            running.answers(
+                "n0", "n2", Ballot(REGION, DIGEST ^ 1, LeaseRequest("shards/r0", 2**60, 1, 1, False))
+            )
             == []
         )
     assert told == [RenewRefused(REGION, 9, "settings")] * 3
