--- a/sailrun/lab/faults/explore.py
+++ b/sailrun/lab/faults/explore.py
@@ -90,15 +90,19 @@
     for name, old in world.leases.items():
         leases = after.leases[name] = copy.copy(old)
         leases.by_task, leases.changes = {}, []
-        leases.news, leases.heard_us = dict(old.news), dict(old.heard_us)
+        leases.hint_sends, leases.last_contact_us = dict(old.hint_sends), dict(old.last_contact_us)
         for task, lease in old.by_task.items():
             one = leases.by_task[task] = copy.copy(lease)
-            one.sent, one.granted, one.denied = dict(one.sent), dict(one.granted), set(one.denied)
+            one.request_times_us, one.granted_request_us, one.denied_by = (
+                dict(one.request_times_us),
+                dict(one.granted_request_us),
+                set(one.denied_by),
+            )
     after.voters = {}
     for name, was in world.voters.items():
         voter = after.voters[name] = copy.copy(was)
-        voter._slots = {task: copy.copy(slot) for task, slot in was._slots.items()}
-        voter._floor, voter._recalled = dict(was._floor), dict(was._recalled)
+        voter._grants = {task: copy.copy(slot) for task, slot in was._grants.items()}
+        voter._observed_terms, voter._term_reports = dict(was._observed_terms), dict(was._term_reports)
     return after
 
 
@@ -196,22 +200,22 @@
         now_us = world.now_us
         match body:
             case LeaseRequest():
-                answer = world.voters[to].asked(now_us, sender, 0, body)
+                answer = world.voters[to].on_lease_request(now_us, sender, 0, body)
                 # A denial only has its candidate give up sooner than it would without: taken for lost.
                 if isinstance(answer, LeaseGrant):
                     world.flying.append((to, sender, answer))
             case LeaseRelease():
-                world.voters[to].released(sender, 0, body)
+                world.voters[to].on_release(sender, 0, body)
             case TermQuery():
-                world.flying.append((to, sender, world.voters[to].recall(body)))
+                world.flying.append((to, sender, world.voters[to].report_terms(body)))
             case TermReport():
-                world.voters[to].told(now_us, sender, body)
+                world.voters[to].on_term_report(now_us, sender, body)
             case LeaseGrant():
-                world.leases[to].granted(now_us, sender, body)
+                world.leases[to].on_grant(now_us, sender, body)
 
     def _judge(self, world: World, found: Found) -> str:
         """What must hold in every state."""
-        owners = {n: t.holds(TASK, world.now_us) for n, t in world.leases.items()}
+        owners = {n: t.held_term(TASK, world.now_us) for n, t in world.leases.items()}
         holding = {n: term for n, term in owners.items() if term}
         if len(holding) > 1:
             return f"two owners at {world.now_us} us: {holding}"
@@ -243,20 +247,31 @@
         for leases in world.leases.values():
             for t in leases.by_task.values():
                 parts.append(
-                    (t.term, t.until_us and t.until_us - now_us, t.asking_us and t.asking_us - now_us)
+                    (
+                        t.term,
+                        t.expires_us and t.expires_us - now_us,
+                        t.requesting_since_us and t.requesting_since_us - now_us,
+                    )
+                )
+                parts.append(
+                    (
+                        t.next_attempt_us - now_us,
+                        t.last_request_us - now_us,
+                        t.highest_seen_term,
+                        leases._number,
+                    )
                 )
-                parts.append((t.try_us - now_us, t.renewed_us - now_us, t.floor, leases._number))
-                parts.append([(number, sent_us - now_us) for number, sent_us in t.sent.items()])
+                parts.append([(number, sent_us - now_us) for number, sent_us in t.request_times_us.items()])
         among = [m for m in world.flying if m[0] in VOTERS and m[1] in VOTERS]
         about = []
         for name, voter in world.voters.items():
             slots = (
-                (k, s.term, s.holder, s.until_us - now_us, s.released, s.highest)
-                for k, s in voter._slots.items()
+                (k, s.term, s.holder, s.expires_us - now_us, s.is_released, s.highest_term)
+                for k, s in voter._grants.items()
             )
-            waited_us = min(now_us - voter._began_us, abstention_us(self._terms))
+            waited_us = min(now_us - voter._started_us, abstention_us(self._terms))
             granted = [
-                t.granted[name] - now_us if name in t.granted else None
+                t.granted_request_us[name] - now_us if name in t.granted_request_us else None
                 for leases in world.leases.values()
                 for t in leases.by_task.values()
             ]
@@ -267,14 +282,14 @@
             )
             whole = (
                 sorted(slots),
-                sorted(voter._floor.items()),
-                voter._least,
+                sorted(voter._observed_terms.items()),
+                voter._minimum_term,
                 voter.remembers,
                 granted,
                 flying,
             )
             forgetful = (
-                () if voter.remembers else (name, waited_us, sorted(map(repr, voter._recalled.items())))
+                () if voter.remembers else (name, waited_us, sorted(map(repr, voter._term_reports.items())))
             )
             about.append(repr((whole, forgetful, name if among else "")))
         return hash((repr(parts), tuple(sorted(about)), tuple(sorted(map(repr, among)))))
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -374,7 +374,7 @@
         self, node: VirtualNode, agent: Agent, reading: SharedList, now_us: int
     ) -> list[OutgoingEnvelope]:
         task = READER_TASK_PREFIX + node.zone
-        reading.owner = bool(agent.leases.holds(task, now_us))
+        reading.owner = bool(agent.leases.held_term(task, now_us))
         if reading.reads(now_us):
             reading.read(self.revision, [])
         has = reading.due(now_us)
@@ -454,7 +454,7 @@
     def _op(self, name: str, what: str, subject: str, on: bool) -> Op:
         agent = self.nodes[name].agent
         assert agent is not None and agent.replica is not None
-        under = agent.leases.of(MARKS).owned
+        under = agent.leases.lease_of(MARKS).highest_granted_term
         return Op(what, agent.replica.new_id(), under, "out", subject, on, "staff", "a test")
 
     def mark(self, name: str, subject: str, on: bool) -> None:
@@ -543,7 +543,7 @@
 
     def owner(self, task: str) -> str | None:
         for node in self.nodes.values():
-            if node.agent is not None and node.agent.leases.holds(task, self.clock_us(node)):
+            if node.agent is not None and node.agent.leases.held_term(task, self.clock_us(node)):
                 return node.name
         return None
 
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -184,19 +184,19 @@
 
     def tasks(self) -> dict[str, list[str]]:
         """The tasks this node may own, with the best placed of the living members that may as well."""
-        return self._ownership.tasks()
+        return self._ownership.candidate_tasks()
 
     def owns(self, task: str, now_us: int) -> int:
         """The term under which this node may act for the task now; 0: it may not, or rests at first."""
-        return self._ownership.owns(task, now_us)
+        return self._ownership.leading_term(task, now_us)
 
     def still(self, guard: TermGuard, now_us: int) -> bool:
         """Whether what was made under that term may still be sent."""
-        return self._ownership.still(guard, now_us)
+        return self._ownership.may_send(guard, now_us)
 
     def holder_of(self, task: str) -> str:
         """Hearsay: who owns the task; empty where none is known to live."""
-        return self._ownership.holder_of(task)
+        return self._ownership.known_leader(task)
 
     # ------------------------------------------------------------------ what comes in
 
@@ -211,12 +211,12 @@
         outs: list[OutgoingEnvelope] = []
         if isinstance(body, MemberBody):
             sender = Record(name, life, envelope.incarnation, State.ALIVE, address)
-            outs = self._outgoing.letters(self.members.hear(now_us, sender, body))
+            outs = self._outgoing.address_letters(self.members.hear(now_us, sender, body))
         elif not self.members.knows(name, life):
             return []
         if self.members.is_current(name, life):
-            self.members.hear_news(now_us, envelope.news, name)
-            for claim in envelope.claims:
+            self.members.hear_news(now_us, envelope.member_updates, name)
+            for claim in envelope.leader_hints:
                 self._heard_of(now_us, claim.task, claim.term, claim.holder)
             if not isinstance(body, MemberBody):
                 outs += self._heard(now_us, name, life, body)
@@ -224,7 +224,7 @@
 
     def _heard_of(self, now_us: int, task: str, term: int, holder: str) -> None:
         """Hearsay: a term of a task, and who owned it then, if that is known."""
-        self.leases.heard_of(task, term, holder, now_us)
+        self.leases.observe_term(task, term, holder, now_us)
         self._vote.heard_of(task, term)
 
     def _heard(self, now_us: int, sender: str, life: int, body: Body) -> list[OutgoingEnvelope]:
@@ -234,11 +234,11 @@
                 if self.members.joined:
                     return self._posts(self._vote.hear(now_us, sender, life, body))
             case LeaseGrant():
-                self.leases.granted(now_us, sender, body)
+                self.leases.on_grant(now_us, sender, body)
             case LeaseDenial():
-                return self._posts(self.leases.denied(now_us, sender, body))
+                return self._posts(self.leases.on_denial(now_us, sender, body))
             case LeaseHandover():
-                self.leases.yielded(now_us, body)
+                self.leases.on_handover(now_us, body)
                 return self._turn_leases(now_us)
             case LeaderRequest():
                 return self._send(self._questions.questioned(now_us, Requester(sender, life), body))
@@ -256,7 +256,7 @@
                 if self.shards is not None and self.members.joined:
                     return self._posts(self.shards.hear(now_us, sender, life, body))
             case Stand() | Stood():
-                if sender in self.voters.all():
+                if sender in self.voters.names():
                     return self._backed(*self.backing.heard(now_us, sender, body))
             case _:
                 if self.replica is not None and self.members.joined:
@@ -299,7 +299,7 @@
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         self._now_us = now_us
-        outs = self._outgoing.letters(self.members.turn(now_us))
+        outs = self._outgoing.address_letters(self.members.turn(now_us))
         if self.voter is not None and self.members.joined:
             outs += self._posts(self.voter.turn(now_us))
             outs += self._posts(self.backing.turn(now_us))
@@ -325,7 +325,7 @@
         coordinator = replica.coordinator
         if coordinator is not None and coordinator.higher > coordinator.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
-            self.leases.heard_of(MARKS, coordinator.higher, "", now_us)
+            self.leases.observe_term(MARKS, coordinator.higher, "", now_us)
             self._changes(now_us)
         outs = self._posts(replica.turn(now_us, self.holder_of(MARKS)))
         for op, done in _emptied(replica.questions):
@@ -343,19 +343,19 @@
         outs += self._turn_permits(now_us)
         if self.shards is not None:
             outs += self._posts(self.shards.leave(now_us))
-        outs += self._outgoing.letters(self.members.leave(now_us))
+        outs += self._outgoing.address_letters(self.members.leave(now_us))
         return outs + self._changes(now_us)
 
     def use_terms(self, now_us: int, terms: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
         if terms.owners != self.terms.owners:
             self.voters = Voters(terms.owners, self._off)
-            self.leases.use(self.voters, terms.owners)
+            self.leases.update_settings(self.voters, terms.owners)
             self._vote.use(now_us, self.voters, terms.owners)
             if self.replica is not None:
                 self.replica.use_voters(now_us)
         self._permits.use(terms.permits)
-        self._ownership.use(terms)
+        self._ownership.update_settings(terms)
         self.terms = terms
 
     # ------------------------------------------------------------------ what has changed
@@ -374,7 +374,7 @@
             self._change_log.permit(use)
             self.rolling_drains.used(use)
             self.on_use(use)
-        self._change_log.in_touch(self.leases.in_touch(now_us), len(self.voters.all()))
+        self._change_log.in_touch(self.leases.reaches_majority(now_us), len(self.voters.names()))
         return []
 
     def _ownership_changed(self, now_us: int, change: LeadershipChange) -> None:
@@ -382,7 +382,7 @@
         if change.task == PERMITS:
             self._permits.ownership_changed(now_us, change)
         if change.task == MARKS and self.replica is not None:
-            self.replica.turned(now_us, change.term if change.mine else 0)
+            self.replica.turned(now_us, change.term if change.is_leader else 0)
             self._change_log.record_hold_anew(change.task)
         self.on_ownership_change(now_us, change)
 
@@ -406,7 +406,7 @@
     def _still_wanted(self, body: Any) -> bool:
         """A lease that this node's own vote has denied is not asked for any more."""
         if isinstance(body, LeaseRequest):
-            return self.leases.wants(body)
+            return self.leases.is_requested(body)
         return not isinstance(body, Ballot) or self.shards is None or self.shards.wants(body)
 
     def _post(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
@@ -419,7 +419,7 @@
         """To this node itself, at once."""
         if name == self.name:
             return self._heard(self._now_us, name, self.life, body)
-        return self._outgoing.message(name, body, guard)
+        return self._outgoing.address_member(name, body, guard)
 
 
 def _emptied(queue: list[Item]) -> list[Item]:
--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -49,10 +49,10 @@
         self.act("member", what=change.what, name=record.name, life=record.life)
 
     def owner(self, change: LeadershipChange) -> None:
-        if not change.mine:
-            self.act("lost", task=change.task, term=change.term, why=change.why)
-        self.tallies.changes[change.why] = self.tallies.changes.get(change.why, 0) + 1
-        self.add("owner", task=change.task, term=change.term, mine=change.mine, why=change.why)
+        if not change.is_leader:
+            self.act("lost", task=change.task, term=change.term, why=change.reason)
+        self.tallies.changes[change.reason] = self.tallies.changes.get(change.reason, 0) + 1
+        self.add("owner", task=change.task, term=change.term, mine=change.is_leader, why=change.reason)
 
     def permit(self, use: PermitChange) -> None:
         if not use.yes:
@@ -62,9 +62,9 @@
     def held(self, leases: Leases) -> None:
         """Records until when this node owns its tasks, where that has changed."""
         for task, lease in leases.by_task.items():
-            if lease.until_us and self._held_until_us.get(task) != lease.until_us:
-                self._held_until_us[task] = lease.until_us
-                self.act("hold", task=task, term=lease.term, until_us=lease.until_us)
+            if lease.expires_us and self._held_until_us.get(task) != lease.expires_us:
+                self._held_until_us[task] = lease.expires_us
+                self.act("hold", task=task, term=lease.term, until_us=lease.expires_us)
 
     def record_hold_anew(self, task: str) -> None:
         """The next `held` records the task's end, whether it has changed or not."""
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -60,8 +60,8 @@
         self.aside: Callable[[], list[e.Entry]] = list
         self.standing = Standing(
             name,
-            lambda: voters().all(),
-            lambda names: voters().majority(names),
+            lambda: voters().names(),
+            lambda names: voters().is_majority(names),
             self.journal.noted,
             (run & 0xFFFFFFFF) << 20,
             lives,
@@ -88,12 +88,12 @@
 
     def back(self, voter: Voter) -> None:
         """A voter that has just been made writes down what it promises."""
-        voter.write_slot, voter.write_floor = self.journal.slot, self.journal.floor
-        voter.write_votes = self.journal.votes
-        voter.on_founded = lambda: self._act("founded", what="terms")
-        voter.on_remembered = lambda: self._act("remembered", what="terms")
-        voter.registered = lambda: self.standing.registered
-        voter.able = lambda: self._lasting is None or self._lasting.write_ahead_log.able
+        voter.persist_grant, voter.persist_observed_term = self.journal.slot, self.journal.floor
+        voter.persist_memory_state = self.journal.votes
+        voter.on_new_terms = lambda: self._act("founded", what="terms")
+        voter.on_memory_complete = lambda: self._act("remembered", what="terms")
+        voter.is_registered = lambda: self.standing.registered
+        voter.can_persist = lambda: self._lasting is None or self._lasting.write_ahead_log.able
         # What a folder has of another time as a voter may not be all: `take_up` comes after.
         self.standing.trust = self._trusted = Trust.LEARNS
 
@@ -117,13 +117,13 @@
         self._begun_at = self.journal.begun(own.life, lasting.wall_s)
         voter = self._voter()
         if voter is not None:
-            voter.lasts = True
+            voter.has_durable_state = True
         if voter is not None and sound and memory.votes:
-            voter.take_up(now_us, restore_granted_leases(memory), memory.floors)
+            voter.restore(now_us, restore_granted_leases(memory), memory.floors)
         elif voter is not None:
             # As far as it goes: terms only rise by it, and the others are asked for the rest.
             for task, term in memory.highest().items():
-                voter.heard_of(task, term)
+                voter.observe_term(task, term)
             self._act("folder", what="learning", of="terms")
         if sound and self._drains is not None:
             plans = [(p.walk, p.for_us, p.names) for p in memory.plans.values()]
@@ -169,7 +169,7 @@
         wal, voter = self._lasting.write_ahead_log, self._voter()
         position = wal.position
         if isinstance(body, LeaseGrant) and voter is not None:
-            position = voter.position(body.task)  # a renewal rests on the grant alone
+            position = voter.log_position(body.task)  # a renewal rests on the grant alone
         if wal.ready(position):
             return self._waits_for_notes(position, name, body)
         if wal.able:
@@ -288,7 +288,7 @@
         """Nobody knows of a newer folder: this voter has forgotten nothing of what that says it remembers."""
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None and voter.may_remember:
-            voter.trust()
+            voter.confirm_restored()
         if acceptor is not None and acceptor.may_remember:
             acceptor.trust()
         self._act("folder", what="trusted")
@@ -308,7 +308,7 @@
         lasting.write_ahead_log.renew(bytes.fromhex(lasting.identity))
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None:
-            voter.forget(now_us)
+            voter.discard_memory(now_us)
         if acceptor is not None:
             acceptor.may_remember = False
             acceptor.restart(now_us)
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -31,8 +31,8 @@
     life: int
     incarnation: int
     body: Body
-    news: list[Record] = []
-    claims: list[LeaderHint] = []
+    member_updates: list[Record] = []
+    leader_hints: list[LeaderHint] = []
 
 
 class BadEnvelope(ValueError):
--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -56,8 +56,8 @@
 
     task: str
     term: int
-    mine: bool
-    why: str
+    is_leader: bool
+    reason: str
 
 
 @dataclass(slots=True)
@@ -66,21 +66,25 @@
 
     task: str
     term: int = 0  # asked for or held
-    until_us: int = 0  # held until then; 0: not held
-    since_us: int = 0
-    asking_us: int = 0  # since when the term is asked for; 0: not asking
-    sent: dict[int, int] = field(default_factory=dict)  # by number, when it was asked
-    granted: dict[str, int] = field(default_factory=dict)  # by voter, when what it granted last was sent
-    try_us: int = 0
-    eager_until_us: int = 0
-    floor: int = 0  # the highest term anybody has asked under, as far as heard
-    owned: int = 0  # the highest term that somebody was granted by a majority; orders of less are refused
+    expires_us: int = 0  # held until then; 0: not held
+    acquired_us: int = 0
+    requesting_since_us: int = 0  # since when the term is asked for; 0: not asking
+    request_times_us: dict[int, int] = field(default_factory=dict)  # by number, when it was asked
+    granted_request_us: dict[str, int] = field(
+        default_factory=dict
+    )  # by voter, when what it granted last was sent
+    next_attempt_us: int = 0
+    handover_until_us: int = 0
+    highest_seen_term: int = 0  # the highest term anybody has asked under, as far as heard
+    highest_granted_term: int = (
+        0  # the highest term that somebody was granted by a majority; orders of less are refused
+    )
     holder: str = ""  # hearsay: who owns it
-    renewed_us: int = 0
-    better_us: int = 0  # since when a better placed member lives
+    last_request_us: int = 0
+    better_candidate_since_us: int = 0  # since when a better placed member lives
     rank: int = 0  # of this node among those that try for it
-    denied: set[str] = field(default_factory=set)  # the voters that denied what is asked for
-    refused: int = 0  # orders of ours that were refused for their term
+    denied_by: set[str] = field(default_factory=set)  # the voters that denied what is asked for
+    rejected_responses: int = 0  # orders of ours that were refused for their term
 
 
 class Leases:
@@ -98,26 +102,26 @@
         now_us: int,
         off: frozenset[str] = frozenset(),
     ) -> None:
-        self._name, self.voters, self._terms, self._off = name, voters, terms, off
+        self._name, self.voters, self._settings, self._disabled_rules = name, voters, terms, off
         self._random = random.Random(seed)
         self._number = self._random.getrandbits(30) << 20
         self.by_task: dict[str, TaskLease] = {}
         self.changes: list[LeadershipChange] = []  # the driver reads and empties it
-        self.news: dict[str, int] = {}  # tasks whose owner is to be told, and how often that was done
-        self.heard_us: dict[str, int] = {}  # by voter, when it last answered
+        self.hint_sends: dict[str, int] = {}  # tasks whose owner is to be told, and how often that was done
+        self.last_contact_us: dict[str, int] = {}  # by voter, when it last answered
         self._lease_us = int(terms.lease_s * SECOND)
-        self._given_back_us = now_us
-        self._began_us = now_us
+        self._last_fail_back_us = now_us
+        self._started_us = now_us
         self.leaving = False
 
-    def use(self, voters: Voters, terms: LeadershipSettings) -> None:
+    def update_settings(self, voters: Voters, terms: LeadershipSettings) -> None:
         """From now on these voters count, also for what is held: a renewal of before is none any more."""
-        self.voters, self._terms, self._lease_us = voters, terms, int(terms.lease_s * SECOND)
+        self.voters, self._settings, self._lease_us = voters, terms, int(terms.lease_s * SECOND)
         for lease in self.by_task.values():
-            lease.sent.clear()
-            lease.granted.clear()
+            lease.request_times_us.clear()
+            lease.granted_request_us.clear()
 
-    def of(self, task: str) -> TaskLease:
+    def lease_of(self, task: str) -> TaskLease:
         lease = self.by_task.get(task)
         if lease is None:
             lease = self.by_task[task] = TaskLease(task)
@@ -125,47 +129,51 @@
 
     # ------------------------------------------------------------------ what holds
 
-    def holds(self, task: str, now_us: int) -> int:
+    def held_term(self, task: str, now_us: int) -> int:
         """The term under which this node owns the task now; 0: it does not."""
         lease = self.by_task.get(task)
-        if lease is None or not lease.until_us:
+        if lease is None or not lease.expires_us:
             return 0
-        return lease.term if now_us < lease.until_us or "clock" in self._off else 0
+        return lease.term if now_us < lease.expires_us or "clock" in self._disabled_rules else 0
 
-    def until_us(self, task: str) -> int:
+    def expiry_us(self, task: str) -> int:
         lease = self.by_task.get(task)
-        return lease.until_us if lease is not None else 0
+        return lease.expires_us if lease is not None else 0
 
-    def in_touch(self, now_us: int) -> bool:
+    def reaches_majority(self, now_us: int) -> bool:
         """Whether a majority of the voters has answered of late, or there was no time for it yet."""
-        recent = {n for n, at in self.heard_us.items() if now_us - at < 2 * self._lease_us}
-        return self.voters.majority(recent) or now_us - self._began_us < 2 * self._lease_us
+        recent = {n for n, at in self.last_contact_us.items() if now_us - at < 2 * self._lease_us}
+        return self.voters.is_majority(recent) or now_us - self._started_us < 2 * self._lease_us
 
-    def heard_of(self, task: str, term: int, holder: str, now_us: int) -> None:
+    def observe_term(self, task: str, term: int, holder: str, now_us: int) -> None:
         """Hearsay: a term that was granted, and to whom."""
-        lease = self.of(task)
-        lease.floor = max(lease.floor, term)
-        if term > lease.owned or (term == lease.owned and not lease.holder):
-            lease.owned, lease.holder = term, holder or lease.holder
-            self.news[task] = 0
-        if lease.until_us and term > lease.term:
-            self._lose(lease, "outvoted", now_us)
-
-    def claims(self, most: int, times: int) -> list[LeaderHint]:
+        lease = self.lease_of(task)
+        lease.highest_seen_term = max(lease.highest_seen_term, term)
+        if term > lease.highest_granted_term or (term == lease.highest_granted_term and not lease.holder):
+            lease.highest_granted_term, lease.holder = term, holder or lease.holder
+            self.hint_sends[task] = 0
+        if lease.expires_us and term > lease.term:
+            self._end_lease(lease, "outvoted", now_us)
+
+    def next_leader_hints(self, most: int, times: int) -> list[LeaderHint]:
         """Hearsay to ride along: what was told least often; each so many times."""
         told = []
-        for task in sorted(self.news, key=self.news.__getitem__)[:most]:
-            self.news[task] += 1
-            if self.news[task] >= times:
-                del self.news[task]
+        for task in sorted(self.hint_sends, key=self.hint_sends.__getitem__)[:most]:
+            self.hint_sends[task] += 1
+            if self.hint_sends[task] >= times:
+                del self.hint_sends[task]
             lease = self.by_task[task]
-            told.append(LeaderHint(task, lease.owned, lease.holder))
+            told.append(LeaderHint(task, lease.highest_granted_term, lease.holder))
         return told
 
-    def known(self, most: int) -> list[LeaderHint]:
+    def latest_leader_hints(self, most: int) -> list[LeaderHint]:
         """The highest terms heard of, the latest changes of owner first."""
-        leases = sorted(self.by_task.values(), key=lambda t: (-t.owned, t.task))
-        return [LeaderHint(t.task, t.owned, t.holder) for t in leases[:most] if t.owned]
+        leases = sorted(self.by_task.values(), key=lambda t: (-t.highest_granted_term, t.task))
+        return [
+            LeaderHint(t.task, t.highest_granted_term, t.holder)
+            for t in leases[:most]
+            if t.highest_granted_term
+        ]
 
     # ------------------------------------------------------------------ time
 
@@ -173,89 +181,94 @@
         """When `turn` wants to be called next."""
         due_us = now_us + self._lease_us
         for task, names in tasks.items():
-            lease = self.of(task)
-            if lease.until_us or lease.asking_us:
-                due_us = min(due_us, lease.renewed_us + self._lease_us // RENEWALS_PER_LEASE)
-                if lease.until_us:
-                    due_us = min(due_us, lease.until_us)
+            lease = self.lease_of(task)
+            if lease.expires_us or lease.requesting_since_us:
+                due_us = min(due_us, lease.last_request_us + self._lease_us // RENEWALS_PER_LEASE)
+                if lease.expires_us:
+                    due_us = min(due_us, lease.expires_us)
             elif not self.leaving and self._name in names:
-                due_us = min(due_us, lease.try_us)
+                due_us = min(due_us, lease.next_attempt_us)
         return due_us
 
     def turn(self, now_us: int, tasks: dict[str, list[str]]) -> list[Post]:
         """`tasks`: by name, the living members that may own it, best placed first."""
         posts: list[Post] = []
         for lease in list(self.by_task.values()):
-            if lease.until_us and now_us >= lease.until_us and "clock" not in self._off:
-                self._lose(lease, "lapsed", now_us)
-                posts += [(voter, LeaseRelease(lease.task, lease.term)) for voter in self.voters.all()]
+            if lease.expires_us and now_us >= lease.expires_us and "clock" not in self._disabled_rules:
+                self._end_lease(lease, "lapsed", now_us)
+                posts += [(voter, LeaseRelease(lease.task, lease.term)) for voter in self.voters.names()]
         for task, names in tasks.items():
-            lease = self.of(task)
-            if lease.until_us:
-                if now_us - lease.renewed_us >= self._lease_us // RENEWALS_PER_LEASE:
-                    posts += self._ask(now_us, lease)
-                posts += self._give_back(now_us, lease, names)
-            elif lease.asking_us:
-                if now_us - lease.asking_us >= REQUEST_TIMEOUT_LEASES * self._lease_us:
-                    posts += self._give_up(now_us, lease)
-                elif now_us - lease.renewed_us >= self._lease_us // RENEWALS_PER_LEASE:
-                    posts += self._ask(now_us, lease)
-            elif not self.leaving and self._name in names and now_us >= lease.try_us:
-                lease.term = lease.floor + (0 if "terms" in self._off and lease.floor else 1)
-                lease.asking_us, lease.rank = now_us, names.index(self._name)
-                lease.sent.clear()
-                lease.granted.clear()
-                lease.denied.clear()
-                posts += self._ask(now_us, lease)
+            lease = self.lease_of(task)
+            if lease.expires_us:
+                if now_us - lease.last_request_us >= self._lease_us // RENEWALS_PER_LEASE:
+                    posts += self._request_lease(now_us, lease)
+                posts += self._fail_back(now_us, lease, names)
+            elif lease.requesting_since_us:
+                if now_us - lease.requesting_since_us >= REQUEST_TIMEOUT_LEASES * self._lease_us:
+                    posts += self._abandon_request(now_us, lease)
+                elif now_us - lease.last_request_us >= self._lease_us // RENEWALS_PER_LEASE:
+                    posts += self._request_lease(now_us, lease)
+            elif not self.leaving and self._name in names and now_us >= lease.next_attempt_us:
+                lease.term = lease.highest_seen_term + (
+                    0 if "terms" in self._disabled_rules and lease.highest_seen_term else 1
+                )
+                lease.requesting_since_us, lease.rank = now_us, names.index(self._name)
+                lease.request_times_us.clear()
+                lease.granted_request_us.clear()
+                lease.denied_by.clear()
+                posts += self._request_lease(now_us, lease)
         return posts
 
-    def _ask(self, now_us: int, lease: TaskLease) -> list[Post]:
+    def _request_lease(self, now_us: int, lease: TaskLease) -> list[Post]:
         self._number += 1
-        lease.renewed_us = now_us
-        lease.sent[self._number] = now_us
-        while len(lease.sent) > 4 * RENEWALS_PER_LEASE:
-            del lease.sent[next(iter(lease.sent))]
-        ask = LeaseRequest(lease.task, lease.term, self._number, self.voters.stage, bool(lease.until_us))
+        lease.last_request_us = now_us
+        lease.request_times_us[self._number] = now_us
+        while len(lease.request_times_us) > 4 * RENEWALS_PER_LEASE:
+            del lease.request_times_us[next(iter(lease.request_times_us))]
+        ask = LeaseRequest(lease.task, lease.term, self._number, self.voters.stage, bool(lease.expires_us))
         # Its own voter first: where that one denies, nobody else is asked.
-        return [(voter, ask) for voter in sorted(self.voters.all(), key=lambda name: name != self._name)]
+        return [(voter, ask) for voter in sorted(self.voters.names(), key=lambda name: name != self._name)]
 
-    def wants(self, ask: LeaseRequest) -> bool:
+    def is_requested(self, ask: LeaseRequest) -> bool:
         """Whether that is still asked for: its own voter may have denied it meanwhile."""
-        lease = self.of(ask.task)
-        return lease.term == ask.term and bool(lease.asking_us or lease.until_us)
+        lease = self.lease_of(ask.task)
+        return lease.term == ask.term and bool(lease.requesting_since_us or lease.expires_us)
 
-    def _give_up(self, now_us: int, lease: TaskLease) -> list[Post]:
+    def _abandon_request(self, now_us: int, lease: TaskLease) -> list[Post]:
         """No majority in time: those that granted are freed at once, and the next try is at another
         moment.
         """
-        posts: list[Post] = [(v, LeaseRelease(lease.task, lease.term)) for v in self.voters.all()]
-        lease.floor = max(lease.floor, lease.term)
-        lease.asking_us = 0
-        lease.try_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
+        posts: list[Post] = [(v, LeaseRelease(lease.task, lease.term)) for v in self.voters.names()]
+        lease.highest_seen_term = max(lease.highest_seen_term, lease.term)
+        lease.requesting_since_us = 0
+        lease.next_attempt_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
         return posts
 
-    def _give_back(self, now_us: int, lease: TaskLease, names: list[str]) -> list[Post]:
+    def _fail_back(self, now_us: int, lease: TaskLease, names: list[str]) -> list[Post]:
         """A better placed member that has been there for long gets the task, one task at a time."""
         if not names or names[0] == self._name:
-            lease.better_us = 0
+            lease.better_candidate_since_us = 0
             return []
-        lease.better_us = lease.better_us or now_us
-        wait_us = int(self._terms.give_back_s * SECOND)
-        if now_us - lease.better_us < wait_us or now_us - self._given_back_us < FAIL_BACK_INTERVAL_US:
+        lease.better_candidate_since_us = lease.better_candidate_since_us or now_us
+        wait_us = int(self._settings.give_back_s * SECOND)
+        if (
+            now_us - lease.better_candidate_since_us < wait_us
+            or now_us - self._last_fail_back_us < FAIL_BACK_INTERVAL_US
+        ):
             return []
-        self._given_back_us = now_us
+        self._last_fail_back_us = now_us
         return self.release(now_us, lease.task, names[0])
 
     def release(self, now_us: int, task: str, to: str | None) -> list[Post]:
         """Gives a task up, in good order: the voters are freed, and the next one is told."""
-        lease = self.of(task)
-        if not lease.until_us:
+        lease = self.lease_of(task)
+        if not lease.expires_us:
             return []
         term = lease.term
-        self._lose(lease, "released", now_us)
-        posts: list[Post] = [(voter, LeaseRelease(task, term)) for voter in self.voters.all()]
+        self._end_lease(lease, "released", now_us)
+        posts: list[Post] = [(voter, LeaseRelease(task, term)) for voter in self.voters.names()]
         if to is not None and to != self._name:
-            lease.try_us = now_us + 2 * self._lease_us
+            lease.next_attempt_us = now_us + 2 * self._lease_us
             posts.append((to, LeaseHandover(task, term)))
         return posts
 
@@ -264,78 +277,78 @@
         self.leaving = True
         posts: list[Post] = []
         for task, lease in self.by_task.items():
-            if lease.until_us:
+            if lease.expires_us:
                 others = [n for n in tasks.get(task, ()) if n != self._name]
                 posts += self.release(now_us, task, others[0] if others else None)
-            elif lease.asking_us:
-                posts += self._give_up(now_us, lease)
+            elif lease.requesting_since_us:
+                posts += self._abandon_request(now_us, lease)
         return posts
 
     # ------------------------------------------------------------------ what voters say
 
-    def granted(self, now_us: int, voter: str, grant: LeaseGrant) -> None:
-        self.heard_us[voter] = now_us
-        lease = self.of(grant.task)
-        sent_us = lease.sent.get(grant.number)
-        if sent_us is None or grant.term != lease.term or not (lease.asking_us or lease.until_us):
+    def on_grant(self, now_us: int, voter: str, grant: LeaseGrant) -> None:
+        self.last_contact_us[voter] = now_us
+        lease = self.lease_of(grant.task)
+        sent_us = lease.request_times_us.get(grant.number)
+        if sent_us is None or grant.term != lease.term or not (lease.requesting_since_us or lease.expires_us):
             return
-        if lease.until_us and now_us >= lease.until_us and "clock" not in self._off:
+        if lease.expires_us and now_us >= lease.expires_us and "clock" not in self._disabled_rules:
             # It had ended before this came: what was owned under the term is over.
-            self._lose(lease, "lapsed", now_us)
+            self._end_lease(lease, "lapsed", now_us)
             return
-        lease.granted[voter] = max(sent_us, lease.granted.get(voter, 0))
-        end_us = self.voters.ends(lease.granted)
+        lease.granted_request_us[voter] = max(sent_us, lease.granted_request_us.get(voter, 0))
+        end_us = self.voters.majority_time_us(lease.granted_request_us)
         if not end_us:
             return
         until_us = end_us + int(self._lease_us * (1 - 2 * DRIFT))
-        if lease.asking_us:
+        if lease.requesting_since_us:
             if now_us >= until_us:
                 return
-            lease.asking_us, lease.since_us, lease.better_us = 0, now_us, 0
-            lease.floor = lease.owned = lease.term
-            lease.holder, lease.until_us = self._name, until_us
-            self.news[lease.task] = 0
+            lease.requesting_since_us, lease.acquired_us, lease.better_candidate_since_us = 0, now_us, 0
+            lease.highest_seen_term = lease.highest_granted_term = lease.term
+            lease.holder, lease.expires_us = self._name, until_us
+            self.hint_sends[lease.task] = 0
             self.changes.append(LeadershipChange(lease.task, lease.term, True, "granted"))
-        lease.until_us = max(lease.until_us, until_us)
+        lease.expires_us = max(lease.expires_us, until_us)
 
-    def denied(self, now_us: int, voter: str, deny: LeaseDenial) -> list[Post]:
-        self.heard_us[voter] = now_us
-        lease = self.of(deny.task)
-        if deny.number not in lease.sent:
+    def on_denial(self, now_us: int, voter: str, deny: LeaseDenial) -> list[Post]:
+        self.last_contact_us[voter] = now_us
+        lease = self.lease_of(deny.task)
+        if deny.number not in lease.request_times_us:
             return []
-        lease.floor = max(lease.floor, deny.term)
+        lease.highest_seen_term = max(lease.highest_seen_term, deny.term)
         if deny.holder and deny.holder != self._name:
             lease.holder = deny.holder
-        if lease.asking_us:
-            lease.denied.add(voter)
+        if lease.requesting_since_us:
+            lease.denied_by.add(voter)
             # One whose lease ends in a moment is waited for. Otherwise nothing that was granted is kept:
             # it would be in the way of whoever owns the task, or of a candidate that has more.
-            short = deny.why == "held" and deny.left_us < self._lease_us // RENEWALS_PER_LEASE
-            enough = self.voters.majority(set(self.voters.all()) - lease.denied)
-            if not enough or (not short and deny.why in ("held", "term")):
-                posts = self._give_up(now_us, lease)
-                lease.try_us = now_us + self._wait_us(now_us, lease, deny)
+            short = deny.reason == "held" and deny.retry_after_us < self._lease_us // RENEWALS_PER_LEASE
+            enough = self.voters.is_majority(set(self.voters.names()) - lease.denied_by)
+            if not enough or (not short and deny.reason in ("held", "term")):
+                posts = self._abandon_request(now_us, lease)
+                lease.next_attempt_us = now_us + self._retry_delay_us(now_us, lease, deny)
                 return posts
         # A voter that denies a renewal takes away its own grant, no more: the others' may be a majority.
         return []
 
-    def _wait_us(self, now_us: int, lease: TaskLease, deny: LeaseDenial) -> int:
-        if now_us < lease.eager_until_us:
+    def _retry_delay_us(self, now_us: int, lease: TaskLease, deny: LeaseDenial) -> int:
+        if now_us < lease.handover_until_us:
             return HANDOVER_RETRY_US
         jitter_us = int(CANDIDATE_STAGGER_US * (lease.rank + 0.3 * self._random.random()))
-        if deny.why == "term":
+        if deny.reason == "term":
             return jitter_us
-        return min(max(deny.left_us, HANDOVER_RETRY_US), 2 * self._lease_us) + jitter_us
+        return min(max(deny.retry_after_us, HANDOVER_RETRY_US), 2 * self._lease_us) + jitter_us
 
-    def yielded(self, now_us: int, told: LeaseHandover) -> None:
+    def on_handover(self, now_us: int, told: LeaseHandover) -> None:
         """Its owner has given the task up, for this node to take."""
-        lease = self.of(told.task)
-        lease.floor = max(lease.floor, told.term)
+        lease = self.lease_of(told.task)
+        lease.highest_seen_term = max(lease.highest_seen_term, told.term)
         if not self.leaving:
-            lease.try_us, lease.eager_until_us = now_us, now_us + HANDOVER_RETRY_PERIOD_US
+            lease.next_attempt_us, lease.handover_until_us = now_us, now_us + HANDOVER_RETRY_PERIOD_US
 
-    def _lose(self, lease: TaskLease, why: str, now_us: int) -> None:
-        lease.until_us = lease.asking_us = 0
-        lease.floor = max(lease.floor, lease.term)
-        lease.try_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
+    def _end_lease(self, lease: TaskLease, why: str, now_us: int) -> None:
+        lease.expires_us = lease.requesting_since_us = 0
+        lease.highest_seen_term = max(lease.highest_seen_term, lease.term)
+        lease.next_attempt_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
         self.changes.append(LeadershipChange(lease.task, lease.term, False, why))
--- a/sailrun/leadership/member_journal.py
+++ b/sailrun/leadership/member_journal.py
@@ -76,7 +76,7 @@
 
 
 def granted_lease_entry(task: str, slot: GrantedLease) -> e.Slot:
-    return e.Slot(task, slot.term, slot.holder, slot.life, slot.highest, slot.released)
+    return e.Slot(task, slot.term, slot.holder, slot.life, slot.highest_term, slot.is_released)
 
 
 def restore_granted_leases(memory: e.Memory) -> dict[str, GrantedLease]:
@@ -89,8 +89,8 @@
 
 def voter_entries(voter: Voter) -> Iterator[e.Entry]:
     yield e.Votes(voter.remembers or voter.may_remember)
-    yield from (granted_lease_entry(task, slot) for task, slot in voter.slots().items())
-    yield from (e.Floor(task, term) for task, term in voter.floors().items())
+    yield from (granted_lease_entry(task, slot) for task, slot in voter.granted_leases().items())
+    yield from (e.Floor(task, term) for task, term in voter.observed_terms().items())
 
 
 def replica_entries(replica: Replica) -> Iterable[e.Entry]:
--- a/sailrun/leadership/messages.py
+++ b/sailrun/leadership/messages.py
@@ -26,7 +26,7 @@
     term: int
     number: int
     stage: int  # which voters the asker counts
-    renews: bool = False  # the asker has owned it under this term without a gap
+    is_renewal: bool = False  # the asker has owned it under this term without a gap
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="grant"):
@@ -43,8 +43,8 @@
     task: str
     term: int  # the highest the voter knows
     number: int
-    why: str
-    left_us: int
+    reason: str
+    retry_after_us: int
     holder: str = ""
 
 
@@ -68,7 +68,7 @@
     """
 
     number: int
-    lasts: bool = False
+    has_durable_state: bool = False
 
 
 class TermReport(msgspec.Struct, array_like=True, frozen=True, tag="recalled"):
@@ -104,7 +104,7 @@
     task: str
     term: int  # the highest known here
     number: int
-    late: bool
+    is_late: bool
 
 
 class NotLeader(msgspec.Struct, array_like=True, frozen=True, tag="not-mine"):
@@ -122,7 +122,7 @@
     """
 
     name: str
-    for_us: int
+    stay_empty_us: int
 
 
 class DrainStatus(msgspec.Struct, array_like=True, frozen=True, tag="walking"):
@@ -130,7 +130,7 @@
 
     name: str
     state: str
-    why: str = ""
+    reason: str = ""
 
 
 class PermitRequest(msgspec.Struct, array_like=True, frozen=True):
@@ -142,7 +142,7 @@
     kind: str
     subject: str
     state: str
-    place: tuple[int, int] = (0, 0)
+    queue_position: tuple[int, int] = (0, 0)
 
 
 class PermitResponse(msgspec.Struct, array_like=True, frozen=True):
@@ -150,10 +150,10 @@
 
     kind: str
     subject: str
-    yes: bool
-    place: tuple[int, int]
-    ahead: int  # who waits before it
-    why: str = ""
+    is_granted: bool
+    queue_position: tuple[int, int]
+    requests_ahead: int  # who waits before it
+    reason: str = ""
 
 
 LeadershipBody = (
--- a/sailrun/leadership/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -24,7 +24,7 @@
 
     address: str
     envelope: Envelope
-    to: str = ""
+    recipient: str = ""
     guard: TermGuard | None = None
 
 
@@ -32,15 +32,15 @@
     """Puts messages into envelopes of this node. `fleet` gives the fleet's name."""
 
     def __init__(self, fleet: Callable[[], str], members: Members, leases: Leases) -> None:
-        self._fleet, self._members, self._leases = fleet, members, leases
+        self._fleet_name, self._members, self._leases = fleet, members, leases
 
-    def letters(self, letters: list[Letter]) -> list[OutgoingEnvelope]:
+    def address_letters(self, letters: list[Letter]) -> list[OutgoingEnvelope]:
         """The membership protocol's own messages, which go by address."""
         return [
             OutgoingEnvelope(letter.address, self._envelope(letter.body, letter.record)) for letter in letters
         ]
 
-    def message(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
+    def address_member(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """To a member by name; empty where its address is not known."""
         record = self._members.record(name)
         if record is None:
@@ -52,8 +52,8 @@
         # Gossip rides on what members say anyway, and on nothing that must be small or soon.
         light = isinstance(body, MemberBody) and not isinstance(body, Refused)
         news = self._members.news(MAX_MEMBER_UPDATES, first) if light else []
-        claims = self._leases.claims(MAX_LEADER_HINTS, LEADER_HINT_SENDS) if light else []
+        claims = self._leases.next_leader_hints(MAX_LEADER_HINTS, LEADER_HINT_SENDS) if light else []
         if isinstance(body, Joined):
             # A newcomer may be a voter that has forgotten: it hears of every term there is.
-            claims = self._leases.known(MAX_LEADER_HINTS)
-        return Envelope(self._fleet(), me.name, me.life, me.incarnation, body, news, claims)
+            claims = self._leases.latest_leader_hints(MAX_LEADER_HINTS)
+        return Envelope(self._fleet_name(), me.name, me.life, me.incarnation, body, news, claims)
--- a/sailrun/leadership/permit_role.py
+++ b/sailrun/leadership/permit_role.py
@@ -31,7 +31,7 @@
     # ------------------------------------------------------------------ as the owner
 
     def ownership_changed(self, now_us: int, change: LeadershipChange) -> None:
-        self.coordinator = self._new_coordinator(now_us, change.term) if change.mine else None
+        self.coordinator = self._new_coordinator(now_us, change.term) if change.is_leader else None
 
     def _new_coordinator(self, now_us: int, term: int) -> PermitCoordinator:
         return PermitCoordinator(self._terms, term, now_us, self._off)
--- a/sailrun/leadership/permits.py
+++ b/sailrun/leadership/permits.py
@@ -78,7 +78,7 @@
         claims = want.state == "held"
         if claims and not held and now_us < self.open_us:
             held = True  # given by the owner before: it is in use, however many there are
-        place = self._queue_up(now_us, key, sender, want.place)
+        place = self._queue_up(now_us, key, sender, want.queue_position)
         if place is None:
             return PermitResponse(*key, False, (0, 0), 0, f"{MAX_QUEUE_ENTRIES} wait already")
         ahead = self._ahead(key, place)
@@ -250,13 +250,13 @@
             return
         if asked.state == "back":
             return
-        wanted.place, wanted.ahead, wanted.why = say.place, say.ahead, say.why
+        wanted.place, wanted.ahead, wanted.why = say.queue_position, say.requests_ahead, say.reason
         until_us = sent_us + int(self._lease_us * (1 - 2 * DRIFT))
-        if say.yes and now_us < until_us:
+        if say.is_granted and now_us < until_us:
             if wanted.state != "held":
                 self.uses.append(PermitChange(*key, True))
             wanted.state, wanted.until_us = "held", max(wanted.until_us, until_us)
-        elif not say.yes and wanted.state == "held" and asked.state == "held":
+        elif not say.is_granted and wanted.state == "held" and asked.state == "held":
             # Its owner knows nothing of it: it has ended there.
             wanted.state, wanted.until_us = "want", 0
-            self.uses.append(PermitChange(*key, False, say.why or "not known to its owner"))
+            self.uses.append(PermitChange(*key, False, say.reason or "not known to its owner"))
--- a/sailrun/leadership/quorum.py
+++ b/sailrun/leadership/quorum.py
@@ -13,31 +13,31 @@
     """
 
     def __init__(self, terms: LeadershipSettings, off: frozenset[str] = frozenset()) -> None:
-        self._sets = [terms.voters, *([terms.voters_before] if terms.voters_before else [])]
+        self._voter_sets = [terms.voters, *([terms.voters_before] if terms.voters_before else [])]
         self.stage = terms.stage
-        self._off = off
+        self._disabled_rules = off
 
-    def all(self) -> list[str]:
+    def names(self) -> list[str]:
         """Every voter's name, by name."""
-        return sorted({name for names in self._sets for name in names})
+        return sorted({name for names in self._voter_sets for name in names})
 
-    def majority(self, names: Collection[str]) -> bool:
-        if "majority" in self._off:
+    def is_majority(self, names: Collection[str]) -> bool:
+        if "majority" in self._disabled_rules:
             return bool(names)
-        return all(2 * sum(1 for n in voters if n in names) > len(voters) for voters in self._sets)
+        return all(2 * sum(1 for n in voters if n in names) > len(voters) for voters in self._voter_sets)
 
-    def allows(self, stage: int) -> bool:
+    def accepts_stage(self, stage: int) -> bool:
         """Whether a voter may grant to one that counts the voters of another stage: the next one, never an
         older one, nor any further off, whose majorities might have nobody in common with these.
         """
         return self.stage <= stage <= self.stage + 1
 
-    def ends(self, until: dict[str, int]) -> int:
+    def majority_time_us(self, until: dict[str, int]) -> int:
         """When the latest time has come that a majority stands for; 0: no majority."""
         ends = []
-        for voters in self._sets:
+        for voters in self._voter_sets:
             times = sorted((until[n] for n in voters if n in until), reverse=True)
-            needed = 1 if "majority" in self._off else len(voters) // 2 + 1
+            needed = 1 if "majority" in self._disabled_rules else len(voters) // 2 + 1
             if len(times) < needed:
                 return 0
             ends.append(times[needed - 1])
--- a/sailrun/leadership/requests.py
+++ b/sailrun/leadership/requests.py
@@ -92,12 +92,14 @@
 
     def _send(self, now_us: int, number: int, asked: _PendingRequest) -> list[AddressedMessage]:
         task = asked.task
-        question = LeaderRequest(task, self._leases.of(task).owned, number, asked.content)
-        holder = self._ownership.holder_of(task)
-        if holder == self._me.name or (not holder and self._leases.holds(task, now_us)):
+        question = LeaderRequest(
+            task, self._leases.lease_of(task).highest_granted_term, number, asked.content
+        )
+        holder = self._ownership.known_leader(task)
+        if holder == self._me.name or (not holder and self._leases.held_term(task, now_us)):
             return self.questioned(now_us, self._me, question)
         if not holder:
-            others = self._ownership.tasks().get(task, ())[:MAX_CANDIDATES]
+            others = self._ownership.candidate_tasks().get(task, ())[:MAX_CANDIDATES]
             names = [name for name in others if name != self._me.name]
             if not names:
                 return []
@@ -107,7 +109,7 @@
     def ordered(self, now_us: int, sender: str, order: LeaderResponse) -> list[AddressedMessage]:
         """An answer has come: it is taken, or its sender is told that it is not."""
         asked = self._waiting.pop(order.number, None)
-        owned = self._leases.of(order.task).owned
+        owned = self._leases.lease_of(order.task).highest_granted_term
         late = asked is None or asked.task != order.task or now_us - asked.sent_us > self._order_us
         if "fence" in self._off:
             late, owned = False, 0
@@ -123,21 +125,21 @@
     def _refuse(
         self, sender: str, order: LeaderResponse, refusal: ResponseRejection
     ) -> list[AddressedMessage]:
-        if refusal.late:
+        if refusal.is_late:
             self._tallies.orders_late += 1
         else:
             self._tallies.orders_refused += 1
         self._change_log.act(
-            "refuse", task=order.task, term=order.term, number=order.number, late=refusal.late
+            "refuse", task=order.task, term=order.term, number=order.number, late=refusal.is_late
         )
         return [AddressedMessage(sender, refusal)] if sender != self._me.name else []
 
     def sent_on(self, now_us: int, sender: str, told: NotLeader) -> list[AddressedMessage]:
         """Whom we asked does not own it: asked once more, of whom it names or of another candidate."""
         asked = self._waiting.get(told.number)
-        lease = self._leases.of(told.task)
+        lease = self._leases.lease_of(told.task)
         self._heard_of(now_us, told.task, told.term, told.holder)
-        if lease.holder == sender and told.term >= lease.owned:
+        if lease.holder == sender and told.term >= lease.highest_granted_term:
             lease.holder = ""
         if asked is None or asked.tries >= MAX_CANDIDATES:
             return []
@@ -156,7 +158,7 @@
     def questioned(self, now_us: int, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
         """A question has come: answered under this node's term, or sent on."""
         self._heard_of(now_us, question.task, question.term, "")
-        term = self._ownership.owns(question.task, now_us)
+        term = self._ownership.leading_term(question.task, now_us)
         if not term:
             return self._send_on(asker, question)
         content = self._answer(now_us, question.task, term, asker, question.content)
@@ -174,13 +176,16 @@
     def _send_on(self, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
         if asker.name == self._me.name:
             return []
-        lease = self._leases.of(question.task)
+        lease = self._leases.lease_of(question.task)
         return [
-            AddressedMessage(asker.name, NotLeader(question.task, lease.owned, lease.holder, question.number))
+            AddressedMessage(
+                asker.name,
+                NotLeader(question.task, lease.highest_granted_term, lease.holder, question.number),
+            )
         ]
 
     def refused(self, now_us: int, refusal: ResponseRejection) -> None:
         """An order of this node was not taken."""
-        self._leases.of(refusal.task).refused += 1
-        self._change_log.add("order-refused", task=refusal.task, term=refusal.term, late=refusal.late)
+        self._leases.lease_of(refusal.task).rejected_responses += 1
+        self._change_log.add("order-refused", task=refusal.task, term=refusal.term, late=refusal.is_late)
         self._heard_of(now_us, refusal.task, refusal.term, "")
--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -134,7 +134,7 @@
         begun = self.begun.get(status.name)
         for step in begun.steps if begun is not None else ():
             if step.node == sender and step.state != "done":
-                step.state, step.why, step.heard_us = status.state, status.why, now_us
+                step.state, step.why, step.heard_us = status.state, status.reason, now_us
                 if begun is not None and begun.over:
                     self.on_plan(begun.name, 0, [])
 
@@ -148,7 +148,7 @@
         if own is None:
             while len(self._own) >= MAX_REMEMBERED_DRAINS:
                 del self._own[next(iter(self._own))]
-            own = self._own[request.name] = _LocalDrain(request.name, request.for_us)
+            own = self._own[request.name] = _LocalDrain(request.name, request.stay_empty_us)
         self._go_on(now_us)
         return DrainStatus(own.name, own.state, own.why)
 
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -199,7 +199,7 @@
 
     def highest_term(self, task: str) -> int:
         """The highest term under which anybody is known to have owned the task."""
-        return self.agent.leases.of(task).owned
+        return self.agent.leases.lease_of(task).highest_granted_term
 
     def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
         """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
@@ -245,7 +245,7 @@
 
     def _ownership_changed(self, now_us: int, change: LeadershipChange) -> None:
         if change.task == MOVE_RATE_TASK:
-            self._pace_coordinator = MoveRateCoordinator(change.term, now_us) if change.mine else None
+            self._pace_coordinator = MoveRateCoordinator(change.term, now_us) if change.is_leader else None
 
     # ------------------------------------------------------------------ the rebalancer's pace
 
@@ -399,7 +399,7 @@
             "messages_out": self.carrier.traffic.messages_out,
             "bytes_in": self.carrier.traffic.bytes_in,
             "bytes_out": self.carrier.traffic.bytes_out,
-            "in_touch": self.agent.leases.in_touch(boot_us()),
+            "in_touch": self.agent.leases.reaches_majority(boot_us()),
         }
 
 
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -104,7 +104,7 @@
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         """Called by the agent's task."""
-        self._reading.owner = bool(self._agent.leases.holds(self._task, now_us))
+        self._reading.owner = bool(self._agent.leases.held_term(self._task, now_us))
         replica, revision = self._agent.replica, self._reading.revision
         if replica is not None and self._reading.owner and revision != self._kept and replica.sync.whole:
             self._kept = revision
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -15,7 +15,7 @@
 
 
 def members(agent: Agent, now_us: int) -> Rows:
-    voters = agent.voters.all()
+    voters = agent.voters.names()
     return [
         {
             "name": record.name,
@@ -35,10 +35,10 @@
         {
             "task": task,
             "holder": lease.holder or None,
-            "term": lease.owned,
-            "held": bool(agent.leases.holds(task, now_us)),
-            "ends_in_s": _seconds(lease.until_us - now_us) if lease.until_us else None,
-            "refused_orders": lease.refused,
+            "term": lease.highest_granted_term,
+            "held": bool(agent.leases.held_term(task, now_us)),
+            "ends_in_s": _seconds(lease.expires_us - now_us) if lease.expires_us else None,
+            "refused_orders": lease.rejected_responses,
         }
         for task, lease in sorted(agent.leases.by_task.items())
     ]
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -24,57 +24,57 @@
         self, members: Members, leases: Leases, zone: str, terms: AgentSettings, tallies: AgentCounters
     ) -> None:
         self._members, self._leases, self._zone = members, leases, zone
-        self._terms, self._tallies = terms, tallies
-        self._rest_us = int(int(terms.owners.order_s * SECOND) * (1 + 3 * DRIFT))
-        self._tasks: dict[str, list[str]] = {}
-        self._tasks_version = -1  # the version of the members that they were made of
+        self._settings, self._counters = terms, tallies
+        self._initial_rest_us = int(int(terms.owners.order_s * SECOND) * (1 + 3 * DRIFT))
+        self._candidate_tasks: dict[str, list[str]] = {}
+        self._members_version = -1  # the version of the members that they were made of
 
-    def use(self, terms: AgentSettings) -> None:
+    def update_settings(self, terms: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
-        self._terms = terms
-        self._tasks_version = -1
+        self._settings = terms
+        self._members_version = -1
 
-    def tasks(self) -> dict[str, list[str]]:
+    def candidate_tasks(self) -> dict[str, list[str]]:
         """The tasks this node may own, with the best placed of the living members that may as well."""
-        if self._members.version != self._tasks_version:
-            self._tasks_version = self._members.version
-            self._tasks = self._candidates()
-        return self._tasks
+        if self._members.version != self._members_version:
+            self._members_version = self._members.version
+            self._candidate_tasks = self._place_tasks()
+        return self._candidate_tasks
 
-    def _candidates(self) -> dict[str, list[str]]:
+    def _place_tasks(self) -> dict[str, list[str]]:
         living = self._members.living()
         names = eligible(living)
         tasks = {}
-        if self._terms.permits.enabled:
+        if self._settings.permits.enabled:
             tasks[PERMITS] = best_placed(PERMITS, names)
-        if self._terms.pace:
+        if self._settings.pace:
             tasks[MOVE_RATE_TASK] = best_placed(MOVE_RATE_TASK, names)
-        if self._terms.replica.enabled:
+        if self._settings.replica.enabled:
             tasks[MARKS] = best_placed(MARKS, names)
-        if self._terms.reader.enabled:
+        if self._settings.reader.enabled:
             task = READER_TASK_PREFIX + self._zone
             tasks[task] = best_placed(task, eligible([r for r in living if r.zone == self._zone]))
         return tasks
 
-    def owns(self, task: str, now_us: int) -> int:
+    def leading_term(self, task: str, now_us: int) -> int:
         """The term under which this node may act for the task now; 0: it may not, or rests.
 
         An owner rests at first, until no order of the one before it is taken any more.
         """
-        term = self._leases.holds(task, now_us)
-        if not term or now_us - self._leases.of(task).since_us < self._rest_us:
+        term = self._leases.held_term(task, now_us)
+        if not term or now_us - self._leases.lease_of(task).acquired_us < self._initial_rest_us:
             return 0
         return term
 
-    def still(self, guard: TermGuard, now_us: int) -> bool:
+    def may_send(self, guard: TermGuard, now_us: int) -> bool:
         """Whether what was made under that term may still be sent."""
         task, term = guard
-        yes = self._leases.holds(task, now_us) == term
+        yes = self._leases.held_term(task, now_us) == term
         if not yes:
-            self._tallies.orders_dropped += 1
+            self._counters.orders_dropped += 1
         return yes
 
-    def holder_of(self, task: str) -> str:
+    def known_leader(self, task: str) -> str:
         """Hearsay: who owns the task; empty where none is known to live."""
-        holder = self._leases.of(task).holder
+        holder = self._leases.lease_of(task).holder
         return holder if holder and self._members.lives(holder) else ""
--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -46,10 +46,10 @@
     term: int
     holder: str
     life: int
-    until_us: int
-    released: bool = False
-    highest: int = 0  # granted of the task at any time
-    position: int = 0  # the entry that says so, where this is written down
+    expires_us: int
+    is_released: bool = False
+    highest_term: int = 0  # granted of the task at any time
+    log_position: int = 0  # the entry that says so, where this is written down
 
 
 class Voter:
@@ -65,209 +65,219 @@
         off: frozenset[str] = frozenset(),
     ) -> None:
         """`founding` gives a term above all that were ever given, as far as chance and a clock can."""
-        self._name, self.voters, self._terms, self._off = name, voters, terms, off
-        self._founding = founding
-        self._slots: dict[str, GrantedLease] = {}
-        self._floor: dict[str, int] = {}  # terms heard of, not granted here
-        self._least = 0  # for tasks never heard of
-        self._began_us = now_us
-        self._recall_us = now_us
+        self._name, self.voters, self._settings, self._disabled_rules = name, voters, terms, off
+        self._new_initial_term = founding
+        self._grants: dict[str, GrantedLease] = {}
+        self._observed_terms: dict[str, int] = {}  # terms heard of, not granted here
+        self._minimum_term = 0  # for tasks never heard of
+        self._started_us = now_us
+        self._next_query_us = now_us
         self._number = 0
-        self._recalled: dict[str, TermReport] = {}  # the latest of each
+        self._term_reports: dict[str, TermReport] = {}  # the latest of each
         self.remembers = "abstain" in off
-        self.founded = False
+        self.began_new_terms = False
         # With a folder: whether what it holds may turn out to be all that this voter ever granted; that there
         # is one; whether it may vote as one that has learned anew; whether its disk keeps up; who writes
         # down.
         self.may_remember = False
-        self.lasts = False
-        self.registered: Callable[[], bool] = lambda: True
-        self.able: Callable[[], bool] = lambda: True
-        self.write_slot: Callable[[str, GrantedLease], int] = lambda task, slot: 0
-        self.write_floor: Callable[[str, int], int] = lambda task, term: 0
-        self.write_votes: Callable[[bool], int] = lambda remembers: 0
-        self.on_founded: Callable[[], None] = lambda: None
-        self.on_remembered: Callable[[], None] = lambda: None
+        self.has_durable_state = False
+        self.is_registered: Callable[[], bool] = lambda: True
+        self.can_persist: Callable[[], bool] = lambda: True
+        self.persist_grant: Callable[[str, GrantedLease], int] = lambda task, slot: 0
+        self.persist_observed_term: Callable[[str, int], int] = lambda task, term: 0
+        self.persist_memory_state: Callable[[bool], int] = lambda remembers: 0
+        self.on_new_terms: Callable[[], None] = lambda: None
+        self.on_memory_complete: Callable[[], None] = lambda: None
 
     # ------------------------------------------------------------------ what outlasts the process
 
-    def take_up(self, now_us: int, slots: dict[str, GrantedLease], floors: dict[str, int]) -> None:
+    def restore(self, now_us: int, slots: dict[str, GrantedLease], floors: dict[str, int]) -> None:
         """What was granted before this process, as its folder tells. Every lease may have been renewed right
         before the end: it may be in use for as long as a voter without a memory abstains. Nothing is granted
         until `trust` says that this was all.
         """
-        until_us = now_us + abstention_us(self._terms)
+        until_us = now_us + abstention_us(self._settings)
         for task, slot in slots.items():
-            slot.until_us = until_us
-            self._slots[task] = slot
+            slot.expires_us = until_us
+            self._grants[task] = slot
         for task, term in floors.items():
-            self.heard_of(task, term)
-        self._least = max(self._least, floors.get("", 0))
+            self.observe_term(task, term)
+        self._minimum_term = max(self._minimum_term, floors.get("", 0))
         self.may_remember = True
 
-    def trust(self) -> None:
+    def confirm_restored(self) -> None:
         """The folder is the newest there is: this voter remembers, and need not abstain."""
         self.may_remember = False
-        self._remember(True)
+        self._set_remembers(True)
 
-    def _remember(self, yes: bool) -> None:
+    def _set_remembers(self, yes: bool) -> None:
         self.remembers = yes
-        self.write_votes(yes)
+        self.persist_memory_state(yes)
         if yes:
-            self.on_remembered()
+            self.on_memory_complete()
 
-    def forget(self, now_us: int) -> None:
+    def discard_memory(self, now_us: int) -> None:
         """The folder is older than what the fleet knows: as if there had been none. Terms only rise by it."""
-        for task in self._slots:
-            self.heard_of(task, self.highest(task))
-        self._slots.clear()
+        for task in self._grants:
+            self.observe_term(task, self.highest_term(task))
+        self._grants.clear()
         self.may_remember = False
-        self._remember(False)
-        self._began_us = self._recall_us = now_us
-        self._recalled.clear()
+        self._set_remembers(False)
+        self._started_us = self._next_query_us = now_us
+        self._term_reports.clear()
 
-    def slots(self) -> dict[str, GrantedLease]:
-        return self._slots
+    def granted_leases(self) -> dict[str, GrantedLease]:
+        return self._grants
 
-    def floors(self) -> dict[str, int]:
+    def observed_terms(self) -> dict[str, int]:
         """Terms heard of; of no task: below which none is granted for any."""
-        return {**self._floor, "": self._least} if self._least else self._floor
+        return (
+            {**self._observed_terms, "": self._minimum_term} if self._minimum_term else self._observed_terms
+        )
 
-    def position(self, task: str) -> int:
+    def log_position(self, task: str) -> int:
         """The entry that a grant of the task rests on."""
-        slot = self._slots.get(task)
-        return slot.position if slot is not None else 0
+        slot = self._grants.get(task)
+        return slot.log_position if slot is not None else 0
 
     # ------------------------------------------------------------------ leases
 
-    def highest(self, task: str) -> int:
+    def highest_term(self, task: str) -> int:
         """The highest term this voter knows of the task."""
-        slot = self._slots.get(task)
-        return max(slot.highest if slot else 0, self._floor.get(task, 0), self._least)
+        slot = self._grants.get(task)
+        return max(slot.highest_term if slot else 0, self._observed_terms.get(task, 0), self._minimum_term)
 
-    def heard_of(self, task: str, term: int) -> None:
+    def observe_term(self, task: str, term: int) -> None:
         """Hearsay may raise what is granted next, never lower it."""
-        if term > self._floor.get(task, 0):
-            self._floor[task] = term
+        if term > self._observed_terms.get(task, 0):
+            self._observed_terms[task] = term
 
-    def asked(self, now_us: int, candidate: str, life: int, ask: LeaseRequest) -> LeaseGrant | LeaseDenial:
+    def on_lease_request(
+        self, now_us: int, candidate: str, life: int, ask: LeaseRequest
+    ) -> LeaseGrant | LeaseDenial:
         task = ask.task
 
         def deny(why: str, left_us: int = 0, holder: str = "") -> LeaseDenial:
-            return LeaseDenial(task, self.highest(task), ask.number, why, max(0, left_us), holder)
+            return LeaseDenial(task, self.highest_term(task), ask.number, why, max(0, left_us), holder)
 
-        if not self.voters.allows(ask.stage):
+        if not self.voters.accepts_stage(ask.stage):
             return deny("stage", SECOND)
         if not self.remembers:
             wait_us = (
                 TERM_QUERY_INTERVAL_US
                 if self.may_remember
-                else self._began_us + abstention_us(self._terms) - now_us
+                else self._started_us + abstention_us(self._settings) - now_us
             )
             return deny("abstains", wait_us)
-        slot = self._slots.get(task)
-        until_us = now_us + int(self._terms.lease_s * SECOND)
+        slot = self._grants.get(task)
+        until_us = now_us + int(self._settings.lease_s * SECOND)
         if slot is not None:
             if (slot.holder, slot.life, slot.term) == (candidate, life, ask.term):
-                if slot.released:
+                if slot.is_released:
                     return deny("term")
-                slot.until_us = until_us
+                slot.expires_us = until_us
                 return LeaseGrant(task, ask.term, ask.number)
-            if slot.until_us > now_us and not slot.released:
-                return deny("held", slot.until_us - now_us, slot.holder)
-        highest = self.highest(task)
+            if slot.expires_us > now_us and not slot.is_released:
+                return deny("held", slot.expires_us - now_us, slot.holder)
+        highest = self.highest_term(task)
         # An owner that has been one without a gap may renew where a candidate got this vote alone: had
         # that one
         # had a majority, this one would not be owner any more. What comes late, it does not count itself.
         gone_by = slot is not None and slot.term >= ask.term and (slot.holder, slot.life) == (candidate, life)
-        if ask.term < highest + (0 if "terms" in self._off else 1) and (not ask.renews or gone_by):
+        if ask.term < highest + (0 if "terms" in self._disabled_rules else 1) and (
+            not ask.is_renewal or gone_by
+        ):
             return deny("term")
-        if not self.able():
+        if not self.can_persist():
             return deny("disk", TERM_QUERY_INTERVAL_US)  # it would be promised only once it is too late
-        slot = self._slots[task] = GrantedLease(
-            ask.term, candidate, life, until_us, highest=max(highest, ask.term)
+        slot = self._grants[task] = GrantedLease(
+            ask.term, candidate, life, until_us, highest_term=max(highest, ask.term)
         )
-        slot.position = self.write_slot(task, slot)
+        slot.log_position = self.persist_grant(task, slot)
         return LeaseGrant(task, ask.term, ask.number)
 
-    def released(self, candidate: str, life: int, release: LeaseRelease) -> None:
+    def on_release(self, candidate: str, life: int, release: LeaseRelease) -> None:
         """The holder uses its lease no more: only it can say so. An ask under that term may still come."""
-        self.heard_of(release.task, release.term)
-        slot = self._slots.get(release.task)
+        self.observe_term(release.task, release.term)
+        slot = self._grants.get(release.task)
         if slot is not None and (slot.holder, slot.life, slot.term) == (candidate, life, release.term):
-            slot.released = True
-            self.write_slot(release.task, slot)  # nobody waits for it: what is not known to be free is held
+            slot.is_released = True
+            self.persist_grant(
+                release.task, slot
+            )  # nobody waits for it: what is not known to be free is held
 
-    def holders(self, now_us: int) -> dict[str, tuple[str, int, int]]:
+    def active_holders(self, now_us: int) -> dict[str, tuple[str, int, int]]:
         """By task: holder, term, and how long its lease has left here, in microseconds."""
         return {
-            task: (slot.holder, slot.term, slot.until_us - now_us)
-            for task, slot in self._slots.items()
-            if slot.until_us > now_us and not slot.released
+            task: (slot.holder, slot.term, slot.expires_us - now_us)
+            for task, slot in self._grants.items()
+            if slot.expires_us > now_us and not slot.is_released
         }
 
     # ------------------------------------------------------------------ what a former life may have granted
 
     def due_us(self) -> int | None:
         """When `turn` wants to be called; None: not for itself."""
-        waits = self.remembers or self.may_remember or not self.registered()
-        return None if waits else self._recall_us
+        waits = self.remembers or self.may_remember or not self.is_registered()
+        return None if waits else self._next_query_us
 
     def turn(self, now_us: int) -> list[tuple[str, TermQuery]]:
         """Asks the others what this voter may have forgotten, until it may grant."""
         # Who asks says that it has no memory, which makes a folder of its older: first others know of this
         # one.
-        if self.remembers or self.may_remember or now_us < self._recall_us or not self.registered():
+        if self.remembers or self.may_remember or now_us < self._next_query_us or not self.is_registered():
             return []
-        self._recall_us = now_us + TERM_QUERY_INTERVAL_US
+        self._next_query_us = now_us + TERM_QUERY_INTERVAL_US
         self._end_abstaining(now_us)
         if self.remembers:
             return []
         self._number += 1
         return [
-            (name, TermQuery(self._number, self.lasts)) for name in self.voters.all() if name != self._name
+            (name, TermQuery(self._number, self.has_durable_state))
+            for name in self.voters.names()
+            if name != self._name
         ]
 
-    def recall(self, recall: TermQuery) -> TermReport:
-        terms = {task: self.highest(task) for task in {*self._slots, *self._floor}}
-        if self._least:
-            terms[""] = self._least
+    def report_terms(self, recall: TermQuery) -> TermReport:
+        terms = {task: self.highest_term(task) for task in {*self._grants, *self._observed_terms}}
+        if self._minimum_term:
+            terms[""] = self._minimum_term
         return TermReport(recall.number, self.remembers, terms, self.may_remember)
 
-    def told(self, now_us: int, sender: str, answer: TermReport) -> None:
-        if self.remembers or self.may_remember or sender not in self.voters.all():
+    def on_term_report(self, now_us: int, sender: str, answer: TermReport) -> None:
+        if self.remembers or self.may_remember or sender not in self.voters.names():
             return
-        self._recalled[sender] = answer
+        self._term_reports[sender] = answer
         self._end_abstaining(now_us)
 
     def _end_abstaining(self, now_us: int) -> None:
-        waited_us = now_us - self._began_us
-        if waited_us < abstention_us(self._terms) or not self.registered():
+        waited_us = now_us - self._started_us
+        if waited_us < abstention_us(self._settings) or not self.is_registered():
             return
-        remembering = {name for name, a in self._recalled.items() if a.remembers}
-        everybody = {*self._recalled, self._name} >= set(self.voters.all())
-        if not self.voters.majority(remembering):
+        remembering = {name for name, a in self._term_reports.items() if a.remembers}
+        everybody = {*self._term_reports, self._name} >= set(self.voters.names())
+        if not self.voters.is_majority(remembering):
             # Too few remember: a term may have been forgotten by all who granted it.
-            if any(a.may_remember for a in self._recalled.values()):
+            if any(a.may_remember for a in self._term_reports.values()):
                 return  # they will tell in a moment
-            forgot = {name for name, a in self._recalled.items() if not a.remembers} | {self._name}
-            if self.lasts and self.voters.majority(set(self.voters.all()) - forgot):
+            forgot = {name for name, a in self._term_reports.items() if not a.remembers} | {self._name}
+            if self.has_durable_state and self.voters.is_majority(set(self.voters.names()) - forgot):
                 return  # a majority has folders that may remember: no clock and no chance is needed
             lost = everybody and not remembering
-            patient = waited_us >= abstention_us(self._terms) + int(
-                EXTRA_WAIT_LEASES * self._terms.lease_s * SECOND
+            patient = waited_us >= abstention_us(self._settings) + int(
+                EXTRA_WAIT_LEASES * self._settings.lease_s * SECOND
             )
-            if not self.voters.majority({*self._recalled, self._name}) or not (lost or patient):
+            if not self.voters.is_majority({*self._term_reports, self._name}) or not (lost or patient):
                 return
-            self._least = max(self._founding(), self._least)
-            self.write_floor("", self._least)
-            self.founded = True
-            self.on_founded()
-        for answer in self._recalled.values():
+            self._minimum_term = max(self._new_initial_term(), self._minimum_term)
+            self.persist_observed_term("", self._minimum_term)
+            self.began_new_terms = True
+            self.on_new_terms()
+        for answer in self._term_reports.values():
             for task, term in answer.terms.items():
                 if task:
-                    self.heard_of(task, term)
+                    self.observe_term(task, term)
                 else:
-                    self._least = max(self._least, term)
-        self._recalled.clear()
-        self._remember(True)
+                    self._minimum_term = max(self._minimum_term, term)
+        self._term_reports.clear()
+        self._set_remembers(True)
--- a/sailrun/leadership/voter_role.py
+++ b/sailrun/leadership/voter_role.py
@@ -37,7 +37,7 @@
     ) -> None:
         self._name, self._terms, self._backing = name, terms, backing
         self._founding, self._off = founding, off
-        self.voter = self._new_voter(now_us, voters) if name in voters.all() else None
+        self.voter = self._new_voter(now_us, voters) if name in voters.names() else None
 
     def _new_voter(self, now_us: int, voters: Voters) -> Voter:
         voter = Voter(self._name, voters, self._terms, now_us, self._founding, self._off)
@@ -46,7 +46,7 @@
 
     def use(self, now_us: int, voters: Voters, terms: LeadershipSettings) -> None:
         """From now on these are the voters; this node may have become one, or be none any more."""
-        if self._name not in voters.all():
+        if self._name not in voters.names():
             self.voter = None
         elif self.voter is None:
             self.voter = self._new_voter(now_us, voters)
@@ -57,7 +57,7 @@
     def heard_of(self, task: str, term: int) -> None:
         """Hearsay: a term of a task."""
         if self.voter is not None:
-            self.voter.heard_of(task, term)
+            self.voter.observe_term(task, term)
 
     def hear(
         self, now_us: int, sender: str, life: int, body: LeaseRequest | LeaseRelease | TermQuery | TermReport
@@ -68,13 +68,13 @@
             return []
         match body:
             case LeaseRequest():
-                return [(sender, voter.asked(now_us, sender, life, body))]
+                return [(sender, voter.on_lease_request(now_us, sender, life, body))]
             case LeaseRelease():
-                voter.released(sender, life, body)
+                voter.on_release(sender, life, body)
             case TermQuery():
-                if not body.lasts:
+                if not body.has_durable_state:
                     self._backing.standing.forgot(sender, life)
-                return [(sender, voter.recall(body))]
+                return [(sender, voter.report_terms(body))]
             case TermReport():
-                voter.told(now_us, sender, body)
+                voter.on_term_report(now_us, sender, body)
         return []
--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -214,7 +214,7 @@
         if not self._sync.whole:
             self._recovery.began_us = now_us
             return []
-        back, voters = self._recovery, [n for n in self._voters().all() if n != self._name]
+        back, voters = self._recovery, [n for n in self._voters().names() if n != self._name]
         if not back.life:
             self._found(now_us)
             return [] if self.remembers else [(n, Knows(back.number)) for n in voters]
@@ -229,12 +229,12 @@
             or self.may_remember
             or told.number != back.number
             or back.life
-            or sender not in self._voters().all()
+            or sender not in self._voters().names()
         ):
             return []
         back.known[sender] = told
         remembering = {name for name, known in back.known.items() if known.remembers}
-        if self._voters().majority(remembering):
+        if self._voters().is_majority(remembering):
             lives = [known.lives.get(self._name, 0) for known in back.known.values()]
             back.life = 1 + max(self.life, *lives)
             self._ask_us = now_us
@@ -247,8 +247,8 @@
         back, voters = self._recovery, self._voters()
         forgot = {n for n, known in back.known.items() if not known.remembers and not known.may_remember}
         forgot.add(self._name)
-        unheard = set(voters.all()) - back.known.keys() - {self._name}
-        if voters.majority(set(voters.all()) - forgot):
+        unheard = set(voters.names()) - back.known.keys() - {self._name}
+        if voters.is_majority(set(voters.names()) - forgot):
             return  # a majority may remember yet: what it holds must not be passed over
         if unheard and now_us - back.began_us < PATIENCE_US:
             return
@@ -266,7 +266,7 @@
 
     def _recovering(self, now_us: int, sender: str, told: Recovering) -> list[Post]:
         back = self._recovery
-        known = sender in self._voters().all() and told.number == back.number
+        known = sender in self._voters().names() and told.number == back.number
         if self.remembers or not back.life or not known or sender in back.taken | back.pulling:
             return []
         if told.epoch != self._sync.epoch:
@@ -288,7 +288,7 @@
         return []
 
     def _end_recovery(self, now_us: int, back: _Recovery) -> None:
-        if back is not self._recovery or self.remembers or not self._voters().majority(back.taken):
+        if back is not self._recovery or self.remembers or not self._voters().is_majority(back.taken):
             return
         self.life = back.life
         for name in back.taken:
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -154,7 +154,7 @@
             case Kept(term, number, life, lives) if term == self.term:
                 made = self._rounds.get(number)
                 if made is not None:
-                    if sender in self._voters().all():
+                    if sender in self._voters().names():
                         self._ack(now_us, made, sender, life, lives)
                     if sender in made.others:
                         made.kept.add(sender)
@@ -166,7 +166,7 @@
 
     def _promised(self, now_us: int, sender: str, told: Promised) -> None:
         made = self._rounds.get(told.number)
-        if made is None or sender not in self._voters().all() or sender in made.pulling | made.acks.keys():
+        if made is None or sender not in self._voters().names() or sender in made.pulling | made.acks.keys():
             return
         ranges = self._store.differing(told.leaves)
 
@@ -186,7 +186,7 @@
         standing = consistent(made.acks) if "lives" not in self._off else set(made.acks)
         for name in made.acks.keys() - standing:
             del made.acks[name]  # of a former life: asked again
-        if not made.stands and self._voters().majority(standing):
+        if not made.stands and self._voters().is_majority(standing):
             made.stands = True
             made.done(now_us)
 
@@ -224,7 +224,7 @@
         if op.id in ids:
             # Done under a former term; a majority held it before this one opened.
             return Said(
-                op.id, "done", self.term, len(self._voters().all()) // 2 + 1, len(self._voters().all())
+                op.id, "done", self.term, len(self._voters().names()) // 2 + 1, len(self._voters().names())
             )
         if len(ids) >= MOST_IDS and not self._long_ago(now_us):
             return Said(op.id, "unknown", self.term, why="too much was written there meanwhile")
@@ -278,7 +278,7 @@
             return Said(op.id, "unknown", self.term)
         made = write.round
         copies = len({*made.acks, *made.kept, self._me})
-        of = len({*self._voters().all(), *made.others, self._me})
+        of = len({*self._voters().names(), *made.others, self._me})
         state = ("waits" if write.waits else "done") if made.stands else "pending"
         alive = {n for n in made.others if self._members.lives(n)}
         everybody = bool(made.others) and alive <= made.kept | made.acks.keys()
@@ -295,7 +295,7 @@
         if not self._same_copy or (self._sync.epoch != self._epoch and not self._forgetting):
             self._begin(now_us)  # with another copy, or in an epoch that another owner began
         posts: list[Post] = []
-        voters = self._voters().all()
+        voters = self._voters().names()
         for made in list(self._rounds.values()):
             if now_us < made.next_us:
                 continue
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -118,8 +118,8 @@
             self.store,
             terms,
             members,
-            lambda: voters().all(),
-            lambda names: voters().majority(names),
+            lambda: voters().names(),
+            lambda names: voters().is_majority(names),
             self._luck.getrandbits(32),
             now_us,
             off,
@@ -153,7 +153,7 @@
     # ------------------------------------------------------------------ who votes, who owns
 
     def use_voters(self, now_us: int) -> None:
-        if self.name not in self._voters().all():
+        if self.name not in self._voters().names():
             self.acceptor = None
         elif self.acceptor is None:
             self.acceptor = Acceptor(
--- a/sailrun/sharding/part.py
+++ b/sailrun/sharding/part.py
@@ -119,11 +119,11 @@
 
     def is_assigner(self, now_us: int) -> bool:
         """Whether this member may act as its region's assigner now."""
-        return bool(self.leases.holds(self.task, now_us))
+        return bool(self.leases.held_term(self.task, now_us))
 
     def wants(self, ballot: Ballot) -> bool:
         """Whether what is asked of a voter is still asked: this member's own vote may have been denied."""
-        return not isinstance(ballot.body, LeaseRequest) or self.leases.wants(ballot.body)
+        return not isinstance(ballot.body, LeaseRequest) or self.leases.is_requested(ballot.body)
 
     # ------------------------------------------------------------------ what comes in
 
@@ -169,11 +169,11 @@
     def _voted(self, now_us: int, sender: str, life: int, ballot: Ballot) -> list[Post]:
         match ballot.body:
             case LeaseGrant():
-                self.leases.granted(now_us, sender, ballot.body)
+                self.leases.on_grant(now_us, sender, ballot.body)
             case LeaseDenial():
-                return self._ballots(self.leases.denied(now_us, sender, ballot.body))
+                return self._ballots(self.leases.on_denial(now_us, sender, ballot.body))
             case LeaseHandover():
-                self.leases.yielded(now_us, ballot.body)
+                self.leases.on_handover(now_us, ballot.body)
                 return self._turn_leases(now_us)
             case body:
                 return self._ballots(self._asked_to_vote(now_us, sender, life, body))
@@ -186,13 +186,13 @@
             return []
         match body:
             case LeaseRequest():
-                return [(sender, self.voter.asked(now_us, sender, life, body))]
+                return [(sender, self.voter.on_lease_request(now_us, sender, life, body))]
             case LeaseRelease():
-                self.voter.released(sender, life, body)
+                self.voter.on_release(sender, life, body)
             case TermQuery():
-                return [(sender, self.voter.recall(body))]
+                return [(sender, self.voter.report_terms(body))]
             case TermReport():
-                self.voter.told(now_us, sender, body)
+                self.voter.on_term_report(now_us, sender, body)
         return []
 
     def _renew(self, now_us: int, sender: str, asked: Renew) -> list[Post]:
@@ -205,10 +205,10 @@
     def _holder(self, now_us: int) -> str:
         """Who is the assigner, as far as this member knows; empty: nobody."""
         if self.voter is not None:
-            held = self.voter.holders(now_us).get(self.task)
+            held = self.voter.active_holders(now_us).get(self.task)
             if held is not None:
                 return held[0]
-        return self.leases.of(self.task).holder
+        return self.leases.lease_of(self.task).holder
 
     def _told(self, now_us: int, sender: str, body: Renewed | RenewRefused) -> None:
         if self.session is None:
@@ -307,15 +307,20 @@
     def _follow(self, now_us: int) -> list[Post]:
         """Becomes the assigner, or ceases to be, as the lease says; and does an assigner's work."""
         for change in self._emptied(self.leases.changes):
-            self.assigner = self._new_assigner(change.term, now_us) if change.mine else None
-            facts = {"region": self.region.name, "term": change.term, "mine": change.mine, "why": change.why}
+            self.assigner = self._new_assigner(change.term, now_us) if change.is_leader else None
+            facts = {
+                "region": self.region.name,
+                "term": change.term,
+                "mine": change.is_leader,
+                "why": change.reason,
+            }
             self.notes.append(("shards-assigner", facts))
-            if not change.mine:
-                self._act("lost", task=self.task, term=change.term, why=change.why)
-        lease = self.leases.of(self.task)
-        if lease.until_us and lease.until_us != self._held_until_us:
-            self._held_until_us = lease.until_us
-            self._act("hold", task=self.task, term=lease.term, until_us=lease.until_us)
+            if not change.is_leader:
+                self._act("lost", task=self.task, term=change.term, why=change.reason)
+        lease = self.leases.lease_of(self.task)
+        if lease.expires_us and lease.expires_us != self._held_until_us:
+            self._held_until_us = lease.expires_us
+            self._act("hold", task=self.task, term=lease.term, until_us=lease.expires_us)
         if self.assigner is None or not self.is_assigner(now_us):
             return []
         return self._work(now_us, self.assigner)
@@ -324,7 +329,7 @@
         higher = assigner.writer.higher_term
         if higher > assigner.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
-            self.leases.heard_of(self.task, higher, "", now_us)
+            self.leases.observe_term(self.task, higher, "", now_us)
             return []
         return assigner.turn(now_us)
 
@@ -376,7 +381,7 @@
             self.notes += [generation_note(self.region.name, change, nodes) for change in changes]
         if self.session is not None:
             self.notes += [session_note(event) for event in self._emptied(self.session.events)]
-        if self.voter is not None and self._in_touch is not self.leases.in_touch(now_us):
+        if self.voter is not None and self._in_touch is not self.leases.reaches_majority(now_us):
             self._in_touch = not self._in_touch
             what = "shards-in-touch" if self._in_touch else "shards-rest"
             self.notes.append((what, {"region": self.region.name, "voters": len(self.region.voters)}))
--- a/sailrun/sharding/register.py
+++ b/sailrun/sharding/register.py
@@ -159,7 +159,7 @@
 
     def hear(self, now_us: int, sender: str, body: TableRead | TableWritten | TableRefused) -> None:
         """Takes a voter's answer. To be called only while the lease is held: later it counts no more."""
-        if body.term != self.term or sender not in self._voters.all():
+        if body.term != self.term or sender not in self._voters.names():
             return
         match body:
             case TableRead():
@@ -180,10 +180,10 @@
 
     def _end_reading(self, now_us: int, reading: _Reading) -> None:
         remembering = {name for name, answer in reading.answers.items() if answer.remembers}
-        if self._voters.majority(remembering) or (remembering and "register" in self._off):
+        if self._voters.is_majority(remembering) or (remembering and "register" in self._off):
             states = [reading.answers[name].state for name in remembering]
             found = max((s for s in states if s is not None), key=_order, default=None)
-        elif now_us >= self._anew_us and self._voters.majority(reading.answers.keys()):
+        elif now_us >= self._anew_us and self._voters.is_majority(reading.answers.keys()):
             found = None
         else:
             return
@@ -200,7 +200,7 @@
         if writing is None or told.number != writing.number:
             return
         writing.acknowledged[sender] = told.life
-        if self._voters.majority(writing.acknowledged.keys()):
+        if self._voters.is_majority(writing.acknowledged.keys()):
             self.state = writing.state
 
     # ------------------------------------------------------------------ time
@@ -213,11 +213,11 @@
     def _left(self) -> list[str]:
         """The voters that have not answered what is asked now."""
         if self._reading is not None:
-            return [name for name in self._voters.all() if name not in self._reading.answers]
+            return [name for name in self._voters.names() if name not in self._reading.answers]
         if self._writing is None:
             return []
         acknowledged = self._writing.acknowledged
-        lives = {name: self._life_of(name) for name in self._voters.all()}
+        lives = {name: self._life_of(name) for name in self._voters.names()}
         return [name for name, life in lives.items() if life is not None and acknowledged.get(name) != life]
 
     def turn(self, now_us: int) -> list[Post]:
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -610,7 +610,7 @@
     voters = [
         n.agent.voter for n in fleet.nodes.values() if n.agent is not None and n.agent.voter is not None
     ]
-    return [v.slots()[task] for v in voters if task in v.slots()]
+    return [v.granted_leases()[task] for v in voters if task in v.granted_leases()]
 
 
 def test_nothing_is_promised_twice_before_a_majority_knows_of_it() -> None:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -57,48 +57,54 @@
 
 def test_a_voter_grants_one_holder_at_a_time_and_no_term_twice() -> None:
     one = voter()
-    assert one.asked(0, "x", 1, ask(1)) == LeaseGrant("t", 1, 1)
-    held = one.asked(SECOND, "y", 1, ask(2))
-    assert isinstance(held, LeaseDenial) and (held.why, held.holder, held.left_us) == ("held", "x", SECOND)
-    assert isinstance(one.asked(2 * SECOND, "y", 1, ask(1)), LeaseDenial)
-    assert isinstance(one.asked(2 * SECOND, "y", 1, ask(2)), LeaseGrant)
-    late = one.asked(2 * SECOND, "x", 1, ask(1))
+    assert one.on_lease_request(0, "x", 1, ask(1)) == LeaseGrant("t", 1, 1)
+    held = one.on_lease_request(SECOND, "y", 1, ask(2))
+    assert isinstance(held, LeaseDenial) and (held.reason, held.holder, held.retry_after_us) == (
+        "held",
+        "x",
+        SECOND,
+    )
+    assert isinstance(one.on_lease_request(2 * SECOND, "y", 1, ask(1)), LeaseDenial)
+    assert isinstance(one.on_lease_request(2 * SECOND, "y", 1, ask(2)), LeaseGrant)
+    late = one.on_lease_request(2 * SECOND, "x", 1, ask(1))
     assert isinstance(late, LeaseDenial) and late.term == 2
 
 
 def test_another_life_under_the_holders_name_is_another_holder() -> None:
     one = voter()
-    one.asked(0, "x", 1, ask(1))
-    assert isinstance(one.asked(1, "x", 2, ask(1)), LeaseDenial)
-    one.released("x", 2, LeaseRelease("t", 1))
-    assert isinstance(one.asked(2, "y", 1, ask(2)), LeaseDenial)
-    one.released("x", 1, LeaseRelease("t", 1))
-    assert isinstance(one.asked(3, "y", 1, ask(2)), LeaseGrant)
-    assert isinstance(one.asked(4, "x", 1, ask(1)), LeaseDenial)  # what was given up is not renewed
+    one.on_lease_request(0, "x", 1, ask(1))
+    assert isinstance(one.on_lease_request(1, "x", 2, ask(1)), LeaseDenial)
+    one.on_release("x", 2, LeaseRelease("t", 1))
+    assert isinstance(one.on_lease_request(2, "y", 1, ask(2)), LeaseDenial)
+    one.on_release("x", 1, LeaseRelease("t", 1))
+    assert isinstance(one.on_lease_request(3, "y", 1, ask(2)), LeaseGrant)
+    assert isinstance(
+        one.on_lease_request(4, "x", 1, ask(1)), LeaseDenial
+    )  # what was given up is not renewed
 
 
 def test_a_voter_that_has_started_abstains_until_leases_ended_and_two_that_remember_told_it() -> None:
     one = voter(remembers=False)
     over_us = abstention_us(TERMS)
-    one.told(1, "b", TermReport(1, True, {"t": 7}))
-    denied = one.asked(over_us - 1, "x", 1, ask(9))
-    assert isinstance(denied, LeaseDenial) and denied.why == "abstains"
+    one.on_term_report(1, "b", TermReport(1, True, {"t": 7}))
+    denied = one.on_lease_request(over_us - 1, "x", 1, ask(9))
+    assert isinstance(denied, LeaseDenial) and denied.reason == "abstains"
     one.turn(over_us)
     assert not one.remembers
-    one.told(over_us, "c", TermReport(1, True, {"t": 5}))
-    assert one.remembers and not one.founded and one.highest("t") == 7
-    assert isinstance(one.asked(over_us, "x", 1, ask(7)), LeaseDenial)
-    assert isinstance(one.asked(over_us, "x", 1, ask(8)), LeaseGrant)
+    one.on_term_report(over_us, "c", TermReport(1, True, {"t": 5}))
+    assert one.remembers and not one.began_new_terms and one.highest_term("t") == 7
+    assert isinstance(one.on_lease_request(over_us, "x", 1, ask(7)), LeaseDenial)
+    assert isinstance(one.on_lease_request(over_us, "x", 1, ask(8)), LeaseGrant)
 
 
 def test_where_nobody_remembers_terms_begin_above_what_can_be_known() -> None:
     one = voter(remembers=False)
     over_us = abstention_us(TERMS)
     for name in ("b", "c"):
-        one.told(over_us, name, TermReport(1, False, {"t": 2_000} if name == "b" else {}))
-    assert one.remembers and one.founded
-    assert one.highest("t") == 2_000 and one.highest("other") == 1_000
-    assert one.recall(TermQuery(1)).terms == {"t": 2_000, "": 1_000}
+        one.on_term_report(over_us, name, TermReport(1, False, {"t": 2_000} if name == "b" else {}))
+    assert one.remembers and one.began_new_terms
+    assert one.highest_term("t") == 2_000 and one.highest_term("other") == 1_000
+    assert one.report_terms(TermQuery(1)).terms == {"t": 2_000, "": 1_000}
 
 
 def test_a_voter_alone_does_not_found() -> None:
@@ -118,12 +124,12 @@
     both = LeadershipSettings(enabled=True, voters=("a", "b", "d"), voters_before=("a", "b", "c"), revision=2)
     after = LeadershipSettings(enabled=True, voters=("a", "b", "d"), revision=2)
     assert (before.stage, both.stage, after.stage) == (2, 3, 4)
-    assert not Voters(both).majority({"b", "d"}) and Voters(both).majority({"a", "b"})
-    assert Voters(both).majority({"a", "c", "d"})
+    assert not Voters(both).is_majority({"b", "d"}) and Voters(both).is_majority({"a", "b"})
+    assert Voters(both).is_majority({"a", "c", "d"})
     for one, other, allowed in ((before, both, True), (both, after, True), (before, after, False)):
-        assert Voters(one).allows(other.stage) is allowed
+        assert Voters(one).accepts_stage(other.stage) is allowed
         assert (voters_follow(one, other) is None) is allowed
-    assert not Voters(both).allows(before.stage)
+    assert not Voters(both).accepts_stage(before.stage)
     other = LeadershipSettings(enabled=True, voters=("a", "b", "e"), revision=2)
     assert voters_follow(both, other) is not None
 
@@ -140,18 +146,18 @@
 
 def test_an_owner_counts_from_when_it_asked_and_less_than_its_voters() -> None:
     one, number = asking(SECOND)
-    one.granted(2_500_000, "a", LeaseGrant("t", 1, number))
-    assert not one.holds("t", 2_500_000)
-    one.granted(2_500_000, "b", LeaseGrant("t", 1, number))
-    assert one.holds("t", 2_500_000) == 1 and one.until_us("t") == 2_960_000
-    assert not one.holds("t", 2_960_000)
+    one.on_grant(2_500_000, "a", LeaseGrant("t", 1, number))
+    assert not one.held_term("t", 2_500_000)
+    one.on_grant(2_500_000, "b", LeaseGrant("t", 1, number))
+    assert one.held_term("t", 2_500_000) == 1 and one.expiry_us("t") == 2_960_000
+    assert not one.held_term("t", 2_960_000)
 
 
 def test_grants_that_come_too_late_make_no_owner() -> None:
     one, number = asking(SECOND)
     for name in ("a", "b", "c"):
-        one.granted(3 * SECOND, name, LeaseGrant("t", 1, number))
-    assert not one.holds("t", 3 * SECOND) and not one.changes
+        one.on_grant(3 * SECOND, name, LeaseGrant("t", 1, number))
+    assert not one.held_term("t", 3 * SECOND) and not one.changes
 
 
 def test_tasks_are_placed_by_the_designs_score_and_stay_when_others_come() -> None:
@@ -177,49 +183,49 @@
 
 def test_permits_go_in_the_order_of_the_queue_and_no_more_than_allowed() -> None:
     coordinator, now_us = open_coordinator(), 10 * SECOND
-    assert held(coordinator, now_us, "a", DRAIN, "a").yes
+    assert held(coordinator, now_us, "a", DRAIN, "a").is_granted
     second, third = (held(coordinator, now_us, n, DRAIN, n) for n in ("b", "c"))
-    assert (second.yes, second.ahead, third.ahead) == (False, 0, 1)
-    assert "1 of 1 in use: a" in second.why
+    assert (second.is_granted, second.requests_ahead, third.requests_ahead) == (False, 0, 1)
+    assert "1 of 1 in use: a" in second.reason
     held(coordinator, now_us, "a", DRAIN, "a", "back")
-    assert not held(coordinator, now_us, "c", DRAIN, "c").yes
-    assert held(coordinator, now_us, "b", DRAIN, "b").yes
+    assert not held(coordinator, now_us, "c", DRAIN, "c").is_granted
+    assert held(coordinator, now_us, "b", DRAIN, "b").is_granted
 
 
 def test_the_same_form_server_out_at_several_nodes_is_one_permit() -> None:
     coordinator, now_us = open_coordinator(), 10 * SECOND
-    assert all(held(coordinator, now_us, name, OUT_OF_SERVICE, "s-1").yes for name in "abc")
-    assert held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-2").yes
-    assert not held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").yes
+    assert all(held(coordinator, now_us, name, OUT_OF_SERVICE, "s-1").is_granted for name in "abc")
+    assert held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-2").is_granted
+    assert not held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").is_granted
     for name in "ab":
         held(coordinator, now_us, name, OUT_OF_SERVICE, "s-1", "back")
-    assert not held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").yes
+    assert not held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").is_granted
     held(coordinator, now_us, "c", OUT_OF_SERVICE, "s-1", "back")
-    assert held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").yes
+    assert held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").is_granted
 
 
 def test_a_dead_holders_permit_ends_and_the_next_one_has_it() -> None:
     coordinator, now_us = open_coordinator(), 10 * SECOND
     held(coordinator, now_us, "a", DRAIN, "a")
-    assert not held(coordinator, now_us + 3 * SECOND, "b", DRAIN, "b").yes
-    assert held(coordinator, now_us + 4 * SECOND, "b", DRAIN, "b").yes
+    assert not held(coordinator, now_us + 3 * SECOND, "b", DRAIN, "b").is_granted
+    assert held(coordinator, now_us + 4 * SECOND, "b", DRAIN, "b").is_granted
 
 
 def test_a_new_owner_listens_first_and_keeps_the_places_of_the_one_before() -> None:
     coordinator = PermitCoordinator(PERMITS, 6, 0)
-    assert held(coordinator, 1, "a", OUT_OF_SERVICE, "s-1", "held").yes
-    assert not held(coordinator, 1, "b", OUT_OF_SERVICE, "s-2").yes
+    assert held(coordinator, 1, "a", OUT_OF_SERVICE, "s-1", "held").is_granted
+    assert not held(coordinator, 1, "b", OUT_OF_SERVICE, "s-2").is_granted
     waiting = coordinator.asked(1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1)))
-    assert not waiting.yes and waiting.place == (5, 1)
+    assert not waiting.is_granted and waiting.queue_position == (5, 1)
     held(coordinator, coordinator.open_us - 1, "a", OUT_OF_SERVICE, "s-1", "held")
     coordinator.asked(coordinator.open_us - 1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1)))
     held(coordinator, coordinator.open_us - 1, "b", OUT_OF_SERVICE, "s-2")
     assert not held(
         coordinator, coordinator.open_us, "b", OUT_OF_SERVICE, "s-2"
-    ).yes  # s-3 has the earlier place
+    ).is_granted  # s-3 has the earlier place
     assert coordinator.asked(
         coordinator.open_us, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1))
-    ).yes
+    ).is_granted
 
 
 class Permitting(RuleBasedStateMachine):
