--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -54,8 +54,8 @@
         LeadershipSettings(enabled=True, voters=tuple(voters)),
         PermitSettings(enabled=True, out=MOST_OUT),
         ListReaderSettings(enabled=True),
-        pace=True,
-        replica=ReplicationSettings(enabled=True),
+        shares_move_rate=True,
+        replication=ReplicationSettings(enabled=True),
     )
 
 
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -297,8 +297,8 @@
     owner = fleet.owner(PERMITS) or fleet.names[0]
     for name in fleet.names[-waiting:]:
         agent = fleet.nodes[name].agent
-        assert agent is not None and agent.holder is not None
-        agent.holder.want("drain", name)
+        assert agent is not None and agent.permit_holder is not None
+        agent.permit_holder.request("drain", name)
         fleet._soon(fleet.nodes[name])
     fleet.run_for(5.0)
     fleet.forget_counts()
--- a/benchmarks/capacity/measure_leases.py
+++ b/benchmarks/capacity/measure_leases.py
@@ -16,9 +16,9 @@
     """Has one node try for so many tasks more."""
     agent = fleet.nodes[name].agent
     assert agent is not None
-    usual = agent.tasks
+    usual = agent.candidate_tasks
     more = {f"shard/{n:06}": [name] for n in range(shards)}
-    agent.tasks = lambda: {**usual(), **more}  # type: ignore[method-assign]
+    agent.candidate_tasks = lambda: {**usual(), **more}  # type: ignore[method-assign]
 
 
 def _play(shards: int) -> dict[str, float]:
--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -83,13 +83,13 @@
     office, numbers = MoveRateCoordinator(1, 0), count(1)
     now_us = 10 * SECOND
     for n in range(nodes):
-        office.asked(now_us, f"node-{n:05}")
+        office.grant_share(now_us, f"node-{n:05}")
     began_ns = time.thread_time_ns()
     for n in range(ASKS):
         now_us += REQUEST_INTERVAL_US // nodes
         question = decode_envelope(encode_envelope(_envelope(LeaderRequest("pace", 1, next(numbers))))).body
         assert isinstance(question, LeaderRequest)
-        lent = office.asked(now_us, f"node-{n % nodes:05}")
+        lent = office.grant_share(now_us, f"node-{n % nodes:05}")
         answer = encode_envelope(_envelope(LeaderResponse("pace", 1, question.number, lent)))
     took_us = (time.thread_time_ns() - began_ns) / 1e3 / ASKS
     length = len(encode_envelope(_envelope(LeaderRequest("pace", 1, 1)))) + len(answer) + 2 * HEADER
--- a/benchmarks/capacity/measure_shards.py
+++ b/benchmarks/capacity/measure_shards.py
@@ -111,12 +111,12 @@
         usual = terms_of_all(index, voters, joins)
         region = RegionSettings(name=REGION, shards=self._shards, voters=tuple(voters))
         return AgentSettings(
-            usual.members,
-            usual.owners,
+            usual.membership,
+            usual.leadership,
             usual.permits,
-            usual.reader,
-            usual.pace,
-            usual.replica,
+            usual.list_reader,
+            usual.shares_move_rate,
+            usual.replication,
             ShardingSettings(enabled=True, regions=(region,)),
         )
 
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -152,8 +152,8 @@
         node, fleet = self._node, self._fleet()
         if call.verb is Verb.FLEET:
             return await self._of_fleet(fleet, call.words) if fleet is not None else fail("no fleet here")
-        if fleet is not None and fleet.copies is not None and call.verb in _PERMITTED:
-            return await self._marked(fleet, fleet.copies, call)
+        if fleet is not None and fleet.replication is not None and call.verb in _PERMITTED:
+            return await self._marked(fleet, fleet.replication, call)
         if fleet is not None and fleet.permits and call.verb in _PERMITTED:
             return await self._permitted(fleet, call)
         match call.verb:
@@ -206,7 +206,7 @@
 
     async def _of_copies(self, fleet: FleetService, words: tuple[str, ...]) -> bytes:
         """The state that all nodes of the fleet keep copies of."""
-        copies = fleet.copies
+        copies = fleet.replication
         if copies is None:
             return fail("no copies here: [replica] is off")
         match words:
@@ -266,5 +266,5 @@
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
             why = await answer_to(partial(fleet.ask_permit, kind, subject))
         if why is None:
-            return fail(fleet.why_not(kind, subject))
+            return fail(fleet.describe_pending_permit(kind, subject))
         return fail(why) if why else OK
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -82,7 +82,7 @@
         ),
         PermitSettings(enabled=plan.permits, drains=DRAINS, out=OUT, lease_s=PERMIT_LEASE_S),
         ListReaderSettings(enabled=not plan.copies),
-        replica=ReplicationSettings(
+        replication=ReplicationSettings(
             enabled=plan.copies, sync_s=0.5, stale_s=5.0, keep_s=KEEP_S, absent_s=ABSENT_S, scrub_s=4.0
         ),
     )
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -301,12 +301,16 @@
         joins = [_text(n.relay) for n in self.nodes.values() if n.index < 3 and n is not node]
         terms = self._terms(node.index, self.voters, joins)
         tables: dict[str, Any] = {
-            "members": {**_set(terms.members), "listen": _text(node.members), "advertise": _text(node.relay)},
-            "owners": {**_set(terms.owners), "record": True},
+            "members": {
+                **_set(terms.membership),
+                "listen": _text(node.members),
+                "advertise": _text(node.relay),
+            },
+            "owners": {**_set(terms.leadership), "record": True},
             "permits": _set(terms.permits),
-            "reader": _set(terms.reader),
-            "replica": _set(terms.replica),
-            "shards": _set(terms.shards),
+            "reader": _set(terms.list_reader),
+            "replica": _set(terms.replication),
+            "shards": _set(terms.sharding),
         }
         if self._lasting is not None:
             tables["lasting"] = {**_set(self._lasting), "folder": str(self._kept(node.name))}
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -44,7 +44,7 @@
         if agent is None or node.stopped:
             return
         now_us = self.clock_us(node)
-        self._send(node, agent.say(now_us, self._exerciser(node).turn(now_us)))
+        self._send(node, agent.send_shard_messages(now_us, self._exerciser(node).turn(now_us)))
 
     def _exerciser(self, node: VirtualNode) -> ActExerciser:
         life, exerciser = self._exercisers.get(node.name, (0, None))
--- a/sailrun/lab/faults/shard_world.py
+++ b/sailrun/lab/faults/shard_world.py
@@ -81,6 +81,6 @@
         ),
         PermitSettings(enabled=False),
         ListReaderSettings(enabled=False),
-        replica=ReplicationSettings(enabled=False),
-        shards=shards_terms(),
+        replication=ReplicationSettings(enabled=False),
+        sharding=shards_terms(),
     )
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -191,11 +191,11 @@
     def _give_work(self, node: VirtualNode) -> None:
         agent = node.agent
         assert agent is not None
-        if not agent.terms.reader.enabled:
+        if not agent.settings.list_reader.enabled:
             return
         task = READER_TASK_PREFIX + node.zone
-        reading = node.reading = SharedList("roster", agent.terms.reader, self.clock_us(node))
-        agent.answers[task] = lambda now_us, sender, content: reading.answer(content)
+        reading = node.reading = SharedList("roster", agent.settings.list_reader, self.clock_us(node))
+        agent.request_handlers[task] = lambda now_us, sender, content: reading.answer_query(content)
 
     def kill(self, name: str) -> None:
         node = self.nodes[name]
@@ -258,7 +258,7 @@
         def another() -> str:
             return f"{luck.getrandbits(128):032x}"
 
-        slow_us, now_us = int(agent.terms.owners.lease_s * SECOND) // 2, self.clock_us(node)
+        slow_us, now_us = int(agent.settings.leadership.lease_s * SECOND) // 2, self.clock_us(node)
         opened = open_folder(node.files, terms, slow_us, node.name, "lab", another, now_us, self._off)
         node.write_ahead_log, node.writer, found = opened.write_ahead_log, opened.writer, opened.found
         sound = found.sound is Sound.SOUND
@@ -266,7 +266,7 @@
         lasting = OpenedFolder(
             opened.write_ahead_log, opened.identity, found.memory, sound, found.position, wall_s, another
         )
-        agent.take_up(self.clock_us(node), lasting)
+        agent.restore(self.clock_us(node), lasting)
 
     def _to_disk(self, node: VirtualNode) -> None:
         """Has a node's disk do what there is to do, some time from now."""
@@ -300,7 +300,7 @@
             self.time.after(SECOND // 10, self._wrote, node, writer, done)
             return
         now_us = self.clock_us(node)
-        self._send(node, node.agent.wrote(now_us, done))
+        self._send(node, node.agent.on_written(now_us, done))
         self._soon(node)
 
     def power_cut(self, names: list[str]) -> None:
@@ -362,8 +362,8 @@
         if node.reading is not None:
             outs += self._read(node, agent, node.reading, now_us)
         self._send(node, outs)
-        if agent.rolling_drains.draining:
-            agent.rolling_drains.standing(now_us, 0)
+        if agent.rolling_drains.is_draining:
+            agent.rolling_drains.on_session_count(now_us, 0)
         if not node.stopped:
             due_us = agent.due_us(now_us)
             if node.write_ahead_log is not None:
@@ -374,17 +374,17 @@
         self, node: VirtualNode, agent: Agent, reading: SharedList, now_us: int
     ) -> list[OutgoingEnvelope]:
         task = READER_TASK_PREFIX + node.zone
-        reading.owner = bool(agent.leases.held_term(task, now_us))
-        if reading.reads(now_us):
-            reading.read(self.revision, [])
-        has = reading.due(now_us)
+        reading.is_leader = bool(agent.leases.held_term(task, now_us))
+        if reading.must_read_registry(now_us):
+            reading.on_registry_list(self.revision, [])
+        has = reading.next_query(now_us)
         if has is None or not agent.members.joined:
             return []
 
         def done(now_us: int, sent_us: int, content: Any) -> None:
-            reading.told(now_us, content)
+            reading.on_reply(now_us, content)
 
-        return agent.ask(now_us, task, [has.source, has.revision], done)
+        return agent.request(now_us, task, [has.source, has.revision], done)
 
     def _hear(self, node: VirtualNode, address: str, envelope: Envelope) -> None:
         if node.agent is None:
@@ -394,7 +394,7 @@
                 node.inbox.append((address, envelope))
             return
         now_us = self.clock_us(node)
-        self._send(node, node.agent.hear(now_us, address, envelope))
+        self._send(node, node.agent.on_envelope(now_us, address, envelope))
         wait_us = max(1_000, node.agent.due_us(now_us) - now_us)
         if not node.stopped and self.time.now_us + wait_us < node.wakes_us:
             self._wake(node, wait_us)
@@ -402,10 +402,10 @@
     def _send(self, node: VirtualNode, outs: list[OutgoingEnvelope]) -> None:
         agent = node.agent
         assert agent is not None
-        agent.notes.clear()
+        agent.log_events.clear()
         self._to_disk(node)
         now_us = self.clock_us(node)
-        outs = [out for out in outs if out.guard is None or agent.still(out.guard, now_us)]
+        outs = [out for out in outs if out.guard is None or agent.may_send(out.guard, now_us)]
         if node.stop_in_send and any(self._is_act(out) for out in outs):
             # It has looked at the clock, and is stopped before it sends.
             node.stop_in_send, node.stopped = False, True
@@ -549,34 +549,34 @@
 
     def tasks(self) -> list[str]:
         agents = [node.agent for node in self.nodes.values() if node.agent is not None]
-        return sorted({task for agent in agents if agent.members.joined for task in agent.tasks()})
+        return sorted({task for agent in agents if agent.members.joined for task in agent.candidate_tasks()})
 
     def want(self, name: str, kind: str, subject: str, for_us: int) -> None:
         agent = self.nodes[name].agent
-        if agent is None or agent.holder is None or self.nodes[name].stopped:
+        if agent is None or agent.permit_holder is None or self.nodes[name].stopped:
             return
-        if (kind, subject) in agent.holder.wanted:
+        if (kind, subject) in agent.permit_holder.permits:
             return
-        agent.holder.want(kind, subject)
+        agent.permit_holder.request(kind, subject)
         life = self.nodes[name].life
-        previous = agent.on_use
+        previous = agent.on_permit_change
 
         def used(use: PermitChange) -> None:
             previous(use)
-            if use.yes and (use.kind, use.subject) == (kind, subject):
+            if use.is_held and (use.kind, use.subject) == (kind, subject):
                 self.time.after(for_us, self._give_back, name, life, kind, subject)
 
-        agent.on_use = used
+        agent.on_permit_change = used
 
     def _give_back(self, name: str, life: int, kind: str, subject: str) -> None:
         node = self.nodes[name]
-        if node.agent is None or node.life != life or node.agent.holder is None:
+        if node.agent is None or node.life != life or node.agent.permit_holder is None:
             return
         if node.stopped:
             self.time.after(SECOND, self._give_back, name, life, kind, subject)
             return
-        node.agent.holder.give_back(self.clock_us(node), kind, subject)
-        self._send(node, node.agent._changes(self.clock_us(node)))
+        node.agent.permit_holder.release(self.clock_us(node), kind, subject)
+        self._send(node, node.agent._publish_changes(self.clock_us(node)))
 
     def hand_over(self, name: str) -> None:
         """Only nodes that own shards hand anything over before they leave."""
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -68,7 +68,7 @@
         super()._send(datagrams, outs)
         self._metered.cpu_s += thread_time() - began_s
 
-    def _put(self, datagrams: socket.socket, data: bytes, address: str) -> None:
+    def _send_datagram(self, datagrams: socket.socket, data: bytes, address: str) -> None:
         to = self._network.by_address.get(address)
         if to is None:
             return
@@ -77,40 +77,40 @@
             self.traffic.sent(len(data))
             return
         if wait_s < AT_ONCE_S:
-            super()._put(datagrams, data, address)
+            super()._send_datagram(datagrams, data, address)
         else:
             self._delays.after(wait_s, partial(self._put_late, datagrams, data, address))
 
     def _put_late(self, datagrams: socket.socket, data: bytes, address: str) -> None:
         began_s = thread_time()
-        super()._put(datagrams, data, address)
+        super()._send_datagram(datagrams, data, address)
         self._metered.cpu_s += thread_time() - began_s
 
-    def _by_link(self, out: OutgoingEnvelope, data: bytes) -> None:
+    def _queue_frame(self, out: OutgoingEnvelope, data: bytes) -> None:
         to = self._network.by_address.get(out.address)
         if to is None:
             return
         wait_s = self._network.frame_s(self._place, to)
         if wait_s is not None:
-            self._delays.after(wait_s, partial(super()._by_link, out, data))
+            self._delays.after(wait_s, partial(super()._queue_frame, out, data))
 
-    def _unpacked(self, data: bytes) -> Envelope:
+    def _decode(self, data: bytes) -> Envelope:
         began_s = thread_time()
         try:
-            return super()._unpacked(data)
+            return super()._decode(data)
         finally:
             self._metered.cpu_s += thread_time() - began_s
 
-    def _hear(self, address: str, envelope: Envelope) -> None:
+    def _on_envelope(self, address: str, envelope: Envelope) -> None:
         """A real process knows no model: what it sends takes its way here."""
         sender = self._network.by_name.get(envelope.sender)
         if sender is None or not sender.real:
             if sender is None or self._network.passes(sender, self._place):
-                super()._hear(address, envelope)
+                super()._on_envelope(address, envelope)
             return
         wait_s = self._network.datagram_s(sender, self._place)
         if wait_s is not None:
-            self._delays.after(wait_s, partial(super()._hear, address, envelope))
+            self._delays.after(wait_s, partial(super()._on_envelope, address, envelope))
 
 
 class HollowNode:
@@ -141,10 +141,12 @@
             record=record,
         )
         self.carrier = ModelledCarrier(self.agent, place, network, delays)
-        self.carrier.after = self._after
+        self.carrier.after_turn = self._after
         self._task = READER_TASK_PREFIX + place.zone
-        self._reading = SharedList(roster, terms.reader, boot_us())
-        self.agent.answers[self._task] = lambda now_us, sender, content: self._reading.answer(content)
+        self._reading = SharedList(roster, terms.list_reader, boot_us())
+        self.agent.request_handlers[self._task] = lambda now_us, sender, content: self._reading.answer_query(
+            content
+        )
         self._scope = anyio.CancelScope()
         self._checked = (-1, 0)  # the members' version, and the sum of their names
 
@@ -170,16 +172,16 @@
     def _after(self, now_us: int) -> list[OutgoingEnvelope]:
         """As a real node does after each turn: the reader of its zone reads, the others ask the reader."""
         reading = self._reading
-        reading.owner = bool(self.agent.owns(self._task, now_us))
-        if reading.reads(now_us):
-            reading.read(roster_revision(self._began_us, now_us), [])
-        has = reading.due(now_us)
+        reading.is_leader = bool(self.agent.leading_term(self._task, now_us))
+        if reading.must_read_registry(now_us):
+            reading.on_registry_list(roster_revision(self._began_us, now_us), [])
+        has = reading.next_query(now_us)
         if has is None or not self.agent.members.joined:
             return []
-        return self.agent.ask(now_us, self._task, [has.source, has.revision], self._answered)
+        return self.agent.request(now_us, self._task, [has.source, has.revision], self._answered)
 
     def _answered(self, now_us: int, sent_us: int, content: Any) -> None:
-        self._reading.told(now_us, content)
+        self._reading.on_reply(now_us, content)
 
     # ------------------------------------------------------------------ what is looked at
 
@@ -204,7 +206,7 @@
 
 def node_report(agent: MeteredAgent, life: int, traffic: TrafficCounters, now_us: int) -> NodeReport:
     """What one node has used, what it owns, and how many shards it may use."""
-    tasks = [task for task in agent.tasks() if agent.owns(task, now_us)]
+    tasks = [task for task in agent.candidate_tasks() if agent.leading_term(task, now_us)]
     report = NodeReport(agent.name, life, traffic, agent.cpu_s, tasks, agent.voter is not None)
     part = agent.shards
     if part is None:
--- a/sailrun/lab/scale/metered_agent.py
+++ b/sailrun/lab/scale/metered_agent.py
@@ -16,16 +16,16 @@
         self.cpu_s = 0.0
         super().__init__(*arguments, **options)
 
-    def hear(self, now_us: int, address: str, envelope: Envelope) -> list[OutgoingEnvelope]:
+    def on_envelope(self, now_us: int, address: str, envelope: Envelope) -> list[OutgoingEnvelope]:
         began_s = thread_time()
-        outs = super().hear(now_us, address, envelope)
+        outs = super().on_envelope(now_us, address, envelope)
         self.cpu_s += thread_time() - began_s
         return outs
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         began_s = thread_time()
         outs = super().turn(now_us)
-        self.notes.clear()  # nobody reads a log of hundreds of nodes
+        self.log_events.clear()  # nobody reads a log of hundreds of nodes
         self.cpu_s += thread_time() - began_s
         return outs
 
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -182,13 +182,13 @@
         "settings": settings,
     }
     tables: dict[str, Any] = {
-        "members": msgspec.structs.asdict(terms.members),
-        "owners": {**msgspec.structs.asdict(terms.owners), "record": True},
+        "members": msgspec.structs.asdict(terms.membership),
+        "owners": {**msgspec.structs.asdict(terms.leadership), "record": True},
         "permits": msgspec.structs.asdict(terms.permits),
-        "reader": msgspec.structs.asdict(terms.reader),
-        "replica": msgspec.structs.asdict(terms.replica),
-        "shards": msgspec.to_builtins(terms.shards),
-        "rebalance": {"enabled": terms.pace},
+        "reader": msgspec.structs.asdict(terms.list_reader),
+        "replica": msgspec.structs.asdict(terms.replication),
+        "shards": msgspec.to_builtins(terms.sharding),
+        "rebalance": {"enabled": terms.shares_move_rate},
     }
     files = ProcessFiles(folder / f"{place.name}.json", folder / f"{place.name}.toml")
     files.config.write_text(json.dumps(config))
--- a/sailrun/lab/scale/settings.py
+++ b/sailrun/lab/scale/settings.py
@@ -31,9 +31,9 @@
         LeadershipSettings(enabled=True, voters=voters_of(places)),
         PermitSettings(enabled=True),
         ListReaderSettings(enabled=True),
-        pace=True,
-        replica=ReplicationSettings(enabled=plan.replica),
-        shards=shards_terms(plan, places),
+        shares_move_rate=True,
+        replication=ReplicationSettings(enabled=plan.replica),
+        sharding=shards_terms(plan, places),
     )
 
 
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -80,57 +80,63 @@
         off: frozenset[str] = frozenset(),
         record: Callable[..., None] = lambda kind, **facts: None,
     ) -> None:
-        self.terms, self._off, self._act = terms, off, record
+        self.settings, self._disabled_rules, self._record = terms, off, record
         self._now_us = now_us
         self.name, self.life, self.zone = me.name, me.life, me.zone
         # Work that others do: who answers questions about a task, asked with the asker's name and content.
-        self.answers: dict[str, Callable[[int, str, Any], Any]] = {}
-        self.on_ownership_change: Callable[[int, LeadershipChange], None] = lambda now_us, change: None
-        self.on_use: Callable[[PermitChange], None] = lambda use: None
+        self.request_handlers: dict[str, Callable[[int, str, Any], Any]] = {}
+        self.on_leadership_change: Callable[[int, LeadershipChange], None] = lambda now_us, change: None
+        self.on_permit_change: Callable[[PermitChange], None] = lambda use: None
         chance = random.Random(seed)  # each part has its own number, always in this order
-        self.voters = Voters(terms.owners, off)
-        self.members = Members(me, terms.members, chance.getrandbits(32), now_us)
-        self.leases = Leases(me.name, self.voters, terms.owners, chance.getrandbits(32), now_us, off)
+        self.voters = Voters(terms.leadership, off)
+        self.members = Members(me, terms.membership, chance.getrandbits(32), now_us)
+        self.leases = Leases(me.name, self.voters, terms.leadership, chance.getrandbits(32), now_us, off)
         self._change_log = ChangeLog(record)
-        self.tallies = self._change_log.tallies
-        self._ownership = TaskLeadership(self.members, self.leases, me.zone, terms, self.tallies)
-        self._outgoing = EnvelopeFactory(lambda: self.terms.members.fleet, self.members, self.leases)
-        self.backing = DurableState(me.name, me.life, lambda: self.voters, self.members.lives, record, off)
-        self._vote = VoterRole(me.name, self.voters, terms.owners, self.backing, founding, now_us, off)
-        self._permits = PermitRole(terms.permits, self._change_log, off)
-        self.rolling_drains = RollingDrains(me.name, self.holder)
-        self.replica = self._new_replica(chance.getrandbits(32), now_us) if terms.replica.enabled else None
-        self.backing.serve(lambda: self.voter, self.replica, self.rolling_drains)
-        self._questions = self._new_questions(chance.getrandbits(30) << 20)
-        self.shards = self._new_shards(me, chance, now_us, founding) if terms.shards.enabled else None
+        self.counters = self._change_log.counters
+        self._leadership = TaskLeadership(self.members, self.leases, me.zone, terms, self.counters)
+        self._envelopes = EnvelopeFactory(lambda: self.settings.membership.fleet, self.members, self.leases)
+        self.durable_state = DurableState(
+            me.name, me.life, lambda: self.voters, self.members.lives, record, off
+        )
+        self._voter_role = VoterRole(
+            me.name, self.voters, terms.leadership, self.durable_state, founding, now_us, off
+        )
+        self._permit_role = PermitRole(terms.permits, self._change_log, off)
+        self.rolling_drains = RollingDrains(me.name, self.permit_holder)
+        self.replica = (
+            self._new_replica(chance.getrandbits(32), now_us) if terms.replication.enabled else None
+        )
+        self.durable_state.attach_parts(lambda: self.voter, self.replica, self.rolling_drains)
+        self._requests = self._new_requests(chance.getrandbits(30) << 20)
+        self.shards = self._new_shards(me, chance, now_us, founding) if terms.sharding.enabled else None
 
     def _new_replica(self, seed: int, now_us: int) -> Replica:
         return Replica(
             self.name,
             self.life,
-            self.terms.replica,
-            self.terms.members.fleet,
+            self.settings.replication,
+            self.settings.membership.fleet,
             self.members,
             lambda: self.voters,
-            lambda kind: self.terms.most_marks(kind),
+            lambda kind: self.settings.max_marks(kind),
             seed,
             now_us,
-            self._off,
-            self._act,
-            self.backing.journal,
+            self._disabled_rules,
+            self._record,
+            self.durable_state.journal,
         )
 
-    def _new_questions(self, number: int) -> PendingRequests:
+    def _new_requests(self, number: int) -> PendingRequests:
         return PendingRequests(
             Requester(self.name, self.life),
             self.leases,
-            self._ownership,
-            self._answer,
-            self._heard_of,
+            self._leadership,
+            self._handle_request,
+            self._observe_term,
             self._change_log,
-            self.terms.owners.order_s,
+            self.settings.leadership.order_s,
             number,
-            self._off,
+            self._disabled_rules,
         )
 
     def _new_shards(
@@ -139,71 +145,79 @@
         # Loaded only where it is switched on: it needs numpy.
         from sailrun.sharding.part import ShardsPart
 
-        terms, draw = self.terms, chance.getrandbits
+        terms, draw = self.settings, chance.getrandbits
         return ShardsPart(
-            me, terms.shards, terms.owners, self.members, draw, now_us, founding, self._off, self._act
+            me,
+            terms.sharding,
+            terms.leadership,
+            self.members,
+            draw,
+            now_us,
+            founding,
+            self._disabled_rules,
+            self._record,
         )
 
     @property
-    def notes(self) -> list[LogEvent]:
+    def log_events(self) -> list[LogEvent]:
         """Lines for the log; the driver empties them."""
-        return self._change_log.notes
+        return self._change_log.events
 
     @property
     def voter(self) -> Voter | None:
         """None: this node does not vote."""
-        return self._vote.voter
+        return self._voter_role.voter
 
     @property
-    def holder(self) -> PermitHolder | None:
+    def permit_holder(self) -> PermitHolder | None:
         """The permits this node wants or holds; None: permits are off."""
-        return self._permits.holder
+        return self._permit_role.holder
 
     @property
     def permit_coordinator(self) -> PermitCoordinator | None:
         """The fleet's permits, while this node owns them."""
-        return self._permits.coordinator
+        return self._permit_role.coordinator
 
     # ------------------------------------------------------------------ what outlasts the process
 
-    def take_up(self, now_us: int, lasting: OpenedFolder) -> None:
+    def restore(self, now_us: int, lasting: OpenedFolder) -> None:
         """Goes by a folder, as far as that can be: before the first turn."""
-        self.backing.take_up(now_us, lasting)
+        self.durable_state.restore(now_us, lasting)
 
-    def wrote(self, now_us: int, done: Done) -> list[OutgoingEnvelope]:
+    def on_written(self, now_us: int, done: Done) -> list[OutgoingEnvelope]:
         """What became of the work of the disk; the answers that waited for it may go out."""
         self._now_us = now_us
-        outs = self._backed(*self.backing.wrote(now_us, done))
-        return outs + self._changes(now_us)
+        outs = self._send_released(*self.durable_state.on_written(now_us, done))
+        return outs + self._publish_changes(now_us)
 
-    def _backed(self, answers: Posts, posts: Posts) -> list[OutgoingEnvelope]:
+    def _send_released(self, answers: Posts, posts: Posts) -> list[OutgoingEnvelope]:
         """Answers were held back as long as they had to be."""
-        return [out for name, body in answers for out in self._deliver(name, body)] + self._posts(posts)
+        return [out for name, body in answers for out in self._deliver(name, body)] + self._post_all(posts)
 
     # ------------------------------------------------------------------ who may own what
 
-    def tasks(self) -> dict[str, list[str]]:
+    def candidate_tasks(self) -> dict[str, list[str]]:
         """The tasks this node may own, with the best placed of the living members that may as well."""
-        return self._ownership.candidate_tasks()
+        return self._leadership.candidate_tasks()
 
-    def owns(self, task: str, now_us: int) -> int:
+    def leading_term(self, task: str, now_us: int) -> int:
         """The term under which this node may act for the task now; 0: it may not, or rests at first."""
-        return self._ownership.leading_term(task, now_us)
+        return self._leadership.leading_term(task, now_us)
 
-    def still(self, guard: TermGuard, now_us: int) -> bool:
+    def may_send(self, guard: TermGuard, now_us: int) -> bool:
         """Whether what was made under that term may still be sent."""
-        return self._ownership.may_send(guard, now_us)
+        return self._leadership.may_send(guard, now_us)
 
-    def holder_of(self, task: str) -> str:
+    def known_leader(self, task: str) -> str:
         """Hearsay: who owns the task; empty where none is known to live."""
-        return self._ownership.known_leader(task)
+        return self._leadership.known_leader(task)
 
     # ------------------------------------------------------------------ what comes in
 
-    def hear(self, now_us: int, address: str, envelope: Envelope) -> list[OutgoingEnvelope]:
+    def on_envelope(self, now_us: int, address: str, envelope: Envelope) -> list[OutgoingEnvelope]:
         self._now_us = now_us
-        if envelope.fleet != self.terms.members.fleet:
-            self.tallies.wrong_fleet += 1
+        if envelope.fleet != self.settings.membership.fleet:
+            self.counters.foreign_messages += 1
             return []
         body, name, life = envelope.body, envelope.sender, envelope.life
         if name != self.name:
@@ -211,71 +225,71 @@
         outs: list[OutgoingEnvelope] = []
         if isinstance(body, MemberBody):
             sender = Record(name, life, envelope.incarnation, State.ALIVE, address)
-            outs = self._outgoing.address_letters(self.members.hear(now_us, sender, body))
+            outs = self._envelopes.address_letters(self.members.hear(now_us, sender, body))
         elif not self.members.knows(name, life):
             return []
         if self.members.is_current(name, life):
             self.members.hear_news(now_us, envelope.member_updates, name)
             for claim in envelope.leader_hints:
-                self._heard_of(now_us, claim.task, claim.term, claim.holder)
+                self._observe_term(now_us, claim.task, claim.term, claim.holder)
             if not isinstance(body, MemberBody):
-                outs += self._heard(now_us, name, life, body)
-        return outs + self._changes(now_us)
+                outs += self._dispatch(now_us, name, life, body)
+        return outs + self._publish_changes(now_us)
 
-    def _heard_of(self, now_us: int, task: str, term: int, holder: str) -> None:
+    def _observe_term(self, now_us: int, task: str, term: int, holder: str) -> None:
         """Hearsay: a term of a task, and who owned it then, if that is known."""
         self.leases.observe_term(task, term, holder, now_us)
-        self._vote.heard_of(task, term)
+        self._voter_role.observe_term(task, term)
 
-    def _heard(self, now_us: int, sender: str, life: int, body: Body) -> list[OutgoingEnvelope]:
+    def _dispatch(self, now_us: int, sender: str, life: int, body: Body) -> list[OutgoingEnvelope]:
         match body:
             case LeaseRequest() | LeaseRelease() | TermQuery() | TermReport():
                 # One that was refused its name is no voter.
                 if self.members.joined:
-                    return self._posts(self._vote.hear(now_us, sender, life, body))
+                    return self._post_all(self._voter_role.on_message(now_us, sender, life, body))
             case LeaseGrant():
                 self.leases.on_grant(now_us, sender, body)
             case LeaseDenial():
-                return self._posts(self.leases.on_denial(now_us, sender, body))
+                return self._post_all(self.leases.on_denial(now_us, sender, body))
             case LeaseHandover():
                 self.leases.on_handover(now_us, body)
                 return self._turn_leases(now_us)
             case LeaderRequest():
-                return self._send(self._questions.questioned(now_us, Requester(sender, life), body))
+                return self._post_addressed(self._requests.on_request(now_us, Requester(sender, life), body))
             case LeaderResponse():
-                return self._send(self._questions.ordered(now_us, sender, body))
+                return self._post_addressed(self._requests.on_response(now_us, sender, body))
             case ResponseRejection():
-                self._questions.refused(now_us, body)
+                self._requests.on_rejection(now_us, body)
             case NotLeader():
-                return self._send(self._questions.sent_on(now_us, sender, body))
+                return self._post_addressed(self._requests.on_not_leader(now_us, sender, body))
             case DrainRequest():
-                return self._post(sender, self.rolling_drains.asked(now_us, body))
+                return self._post(sender, self.rolling_drains.on_request(now_us, body))
             case DrainStatus():
-                self.rolling_drains.told(now_us, sender, body)
+                self.rolling_drains.on_status(now_us, sender, body)
             case _ if isinstance(body, ShardBody):
                 if self.shards is not None and self.members.joined:
-                    return self._posts(self.shards.hear(now_us, sender, life, body))
+                    return self._post_all(self.shards.hear(now_us, sender, life, body))
             case Stand() | Stood():
                 if sender in self.voters.names():
-                    return self._backed(*self.backing.heard(now_us, sender, body))
+                    return self._send_released(*self.durable_state.on_freshness_message(now_us, sender, body))
             case _:
                 if self.replica is not None and self.members.joined:
-                    return self._posts(self.replica.hear(now_us, sender, body))
+                    return self._post_all(self.replica.hear(now_us, sender, body))
         return []
 
     # ------------------------------------------------------------------ questions and orders
 
-    def ask(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[OutgoingEnvelope]:
+    def request(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[OutgoingEnvelope]:
         """A question to a task's owner, whoever that is; see `Questions.ask`."""
-        return self._send(self._questions.ask(now_us, task, content, done))
+        return self._post_addressed(self._requests.request(now_us, task, content, done))
 
-    def _answer(self, now_us: int, task: str, term: int, asker: Requester, content: Any) -> Any:
+    def _handle_request(self, now_us: int, task: str, term: int, asker: Requester, content: Any) -> Any:
         """As the owner of the task, under its term; None: there is no answer."""
         if task == PERMITS:
-            return self._permits.answer(now_us, term, asker.name, asker.life, content)
+            return self._permit_role.answer_request(now_us, term, asker.name, asker.life, content)
         if task == MARKS:
             return self.replica.answer(now_us, asker.name, content) if self.replica is not None else None
-        answer = self.answers.get(task)
+        answer = self.request_handlers.get(task)
         return answer(now_us, asker.name, content) if answer is not None else None
 
     # ------------------------------------------------------------------ time
@@ -285,51 +299,51 @@
         due_us = self.members.due_us(now_us)
         if not self.members.joined:
             return due_us
-        due_us = min(due_us, self.leases.due_us(now_us, self.tasks()))
+        due_us = min(due_us, self.leases.due_us(now_us, self.candidate_tasks()))
         if self.voter is not None:
             due_us = min(due_us, self.voter.due_us() or due_us)
-        if self.holder is not None and self.holder.wanted:
-            due_us = min(due_us, self.holder.due_us(now_us))
+        if self.permit_holder is not None and self.permit_holder.permits:
+            due_us = min(due_us, self.permit_holder.due_us(now_us))
         if self.replica is not None:
             due_us = min(due_us, self.replica.due_us(now_us))
         if self.shards is not None:
             due_us = min(due_us, self.shards.due_us(now_us))
-        backing_us = self.backing.due_us()
+        backing_us = self.durable_state.due_us()
         return due_us if backing_us is None else min(due_us, backing_us)
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         self._now_us = now_us
-        outs = self._outgoing.address_letters(self.members.turn(now_us))
+        outs = self._envelopes.address_letters(self.members.turn(now_us))
         if self.voter is not None and self.members.joined:
-            outs += self._posts(self.voter.turn(now_us))
-            outs += self._posts(self.backing.turn(now_us))
+            outs += self._post_all(self.voter.turn(now_us))
+            outs += self._post_all(self.durable_state.turn(now_us))
         if self.members.joined and not self.members.leaving:
             outs += self._turn_leases(now_us)
-        self._questions.forget_late(now_us)
+        self._requests.drop_expired(now_us)
         outs += self._turn_permits(now_us)
-        outs += self._posts(self.rolling_drains.turn(now_us))
+        outs += self._post_all(self.rolling_drains.turn(now_us))
         if self.replica is not None and self.members.joined and not self.members.leaving:
             outs += self._turn_replica(now_us, self.replica)
         if self.shards is not None and self.members.joined and not self.members.leaving:
-            outs += self._posts(self.shards.turn(now_us))
-        return outs + self._changes(now_us)
+            outs += self._post_all(self.shards.turn(now_us))
+        return outs + self._publish_changes(now_us)
 
     def _turn_leases(self, now_us: int) -> list[OutgoingEnvelope]:
-        return self._posts(self.leases.turn(now_us, self.tasks()))
+        return self._post_all(self.leases.turn(now_us, self.candidate_tasks()))
 
     def _turn_permits(self, now_us: int) -> list[OutgoingEnvelope]:
-        questions = self._permits.questions(now_us)
-        return [out for content, done in questions for out in self.ask(now_us, PERMITS, content, done)]
+        questions = self._permit_role.due_requests(now_us)
+        return [out for content, done in questions for out in self.request(now_us, PERMITS, content, done)]
 
     def _turn_replica(self, now_us: int, replica: Replica) -> list[OutgoingEnvelope]:
         coordinator = replica.coordinator
         if coordinator is not None and coordinator.higher > coordinator.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
             self.leases.observe_term(MARKS, coordinator.higher, "", now_us)
-            self._changes(now_us)
-        outs = self._posts(replica.turn(now_us, self.holder_of(MARKS)))
+            self._publish_changes(now_us)
+        outs = self._post_all(replica.turn(now_us, self.known_leader(MARKS)))
         for op, done in _emptied(replica.questions):
-            outs += self.ask(now_us, MARKS, msgspec.to_builtins(op), done)
+            outs += self.request(now_us, MARKS, msgspec.to_builtins(op), done)
         self._change_log.move_from(replica.sync.notes)
         return outs
 
@@ -338,65 +352,65 @@
         more.
         """
         self._now_us = now_us
-        outs = self._posts(self.leases.leave(now_us, self.tasks()))
-        self._permits.give_all_back(now_us)
+        outs = self._post_all(self.leases.leave(now_us, self.candidate_tasks()))
+        self._permit_role.release_all(now_us)
         outs += self._turn_permits(now_us)
         if self.shards is not None:
-            outs += self._posts(self.shards.leave(now_us))
-        outs += self._outgoing.address_letters(self.members.leave(now_us))
-        return outs + self._changes(now_us)
+            outs += self._post_all(self.shards.leave(now_us))
+        outs += self._envelopes.address_letters(self.members.leave(now_us))
+        return outs + self._publish_changes(now_us)
 
-    def use_terms(self, now_us: int, terms: AgentSettings) -> None:
+    def update_settings(self, now_us: int, terms: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
-        if terms.owners != self.terms.owners:
-            self.voters = Voters(terms.owners, self._off)
-            self.leases.update_settings(self.voters, terms.owners)
-            self._vote.use(now_us, self.voters, terms.owners)
+        if terms.leadership != self.settings.leadership:
+            self.voters = Voters(terms.leadership, self._disabled_rules)
+            self.leases.update_settings(self.voters, terms.leadership)
+            self._voter_role.update_settings(now_us, self.voters, terms.leadership)
             if self.replica is not None:
                 self.replica.use_voters(now_us)
-        self._permits.use(terms.permits)
-        self._ownership.update_settings(terms)
-        self.terms = terms
+        self._permit_role.update_settings(terms.permits)
+        self._leadership.update_settings(terms)
+        self.settings = terms
 
     # ------------------------------------------------------------------ what has changed
 
-    def _changes(self, now_us: int) -> list[OutgoingEnvelope]:
+    def _publish_changes(self, now_us: int) -> list[OutgoingEnvelope]:
         """Tells the log and the work what has changed."""
         for change in _emptied(self.members.changes):
-            self._change_log.member(change)
+            self._change_log.log_member(change)
         for ownership in _emptied(self.leases.changes):
-            self._ownership_changed(now_us, ownership)
-        self._change_log.held(self.leases)
-        self._change_log.move_from(self.backing.notes)
+            self._on_leadership_change(now_us, ownership)
+        self._change_log.record_held_leases(self.leases)
+        self._change_log.move_from(self.durable_state.log_events)
         if self.shards is not None:
             self._change_log.move_from(self.shards.notes)
-        for use in _emptied(self.holder.uses) if self.holder is not None else ():
-            self._change_log.permit(use)
-            self.rolling_drains.used(use)
-            self.on_use(use)
-        self._change_log.in_touch(self.leases.reaches_majority(now_us), len(self.voters.names()))
+        for use in _emptied(self.permit_holder.changes) if self.permit_holder is not None else ():
+            self._change_log.log_permit(use)
+            self.rolling_drains.on_permit_change(use)
+            self.on_permit_change(use)
+        self._change_log.log_majority_contact(self.leases.reaches_majority(now_us), len(self.voters.names()))
         return []
 
-    def _ownership_changed(self, now_us: int, change: LeadershipChange) -> None:
-        self._change_log.owner(change)
+    def _on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
+        self._change_log.log_leadership(change)
         if change.task == PERMITS:
-            self._permits.ownership_changed(now_us, change)
+            self._permit_role.on_leadership_change(now_us, change)
         if change.task == MARKS and self.replica is not None:
             self.replica.turned(now_us, change.term if change.is_leader else 0)
-            self._change_log.record_hold_anew(change.task)
-        self.on_ownership_change(now_us, change)
+            self._change_log.forget_recorded_expiry(change.task)
+        self.on_leadership_change(now_us, change)
 
     # ------------------------------------------------------------------ what goes out
 
-    def say(self, now_us: int, posts: list[ShardPost]) -> list[OutgoingEnvelope]:
+    def send_shard_messages(self, now_us: int, posts: list[ShardPost]) -> list[OutgoingEnvelope]:
         """What the part of shards has to say outside of a turn, as acts on a shard's behalf."""
         self._now_us = now_us
-        return self._posts(posts) if self.members.joined else []
+        return self._post_all(posts) if self.members.joined else []
 
-    def _send(self, messages: list[AddressedMessage]) -> list[OutgoingEnvelope]:
+    def _post_addressed(self, messages: list[AddressedMessage]) -> list[OutgoingEnvelope]:
         return [out for one in messages for out in self._post(one.name, one.body, one.guard)]
 
-    def _posts(self, posts: Posts) -> list[OutgoingEnvelope]:
+    def _post_all(self, posts: Posts) -> list[OutgoingEnvelope]:
         outs: list[OutgoingEnvelope] = []
         for name, body in posts:
             if self._still_wanted(body):
@@ -411,15 +425,15 @@
 
     def _post(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """To a member by name; a promise is held until the disk has what it rests on."""
-        if self.backing.keeps_back(self._now_us, name, body):
+        if self.durable_state.hold_if_not_durable(self._now_us, name, body):
             return []
         return self._deliver(name, body, guard)
 
     def _deliver(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """To this node itself, at once."""
         if name == self.name:
-            return self._heard(self._now_us, name, self.life, body)
-        return self._outgoing.address_member(name, body, guard)
+            return self._dispatch(self._now_us, name, self.life, body)
+        return self._envelopes.address_member(name, body, guard)
 
 
 def _emptied(queue: list[Item]) -> list[Item]:
--- a/sailrun/leadership/agent_settings.py
+++ b/sailrun/leadership/agent_settings.py
@@ -15,14 +15,14 @@
 class AgentSettings:
     """`pace`: whether the pace of moves for balance is shared out by an owner."""
 
-    members: MembershipSettings
-    owners: LeadershipSettings
+    membership: MembershipSettings
+    leadership: LeadershipSettings
     permits: PermitSettings = field(default_factory=PermitSettings)
-    reader: ListReaderSettings = field(default_factory=ListReaderSettings)
-    pace: bool = False
-    replica: ReplicationSettings = field(default_factory=ReplicationSettings)
-    shards: ShardingSettings = field(default_factory=ShardingSettings)
+    list_reader: ListReaderSettings = field(default_factory=ListReaderSettings)
+    shares_move_rate: bool = False
+    replication: ReplicationSettings = field(default_factory=ReplicationSettings)
+    sharding: ShardingSettings = field(default_factory=ShardingSettings)
 
-    def most_marks(self, kind: str) -> int | None:
+    def max_marks(self, kind: str) -> int | None:
         """How many marks of that kind may be in force at a time; None: any number."""
         return self.permits.out if self.permits.enabled and kind == OUT_OF_SERVICE else None
--- a/sailrun/leadership/counters.py
+++ b/sailrun/leadership/counters.py
@@ -9,11 +9,11 @@
 class AgentCounters:
     """Counts since the process started."""
 
-    orders_sent: int = 0
-    orders_dropped: int = 0  # the term had ended before they were sent
-    orders_taken: int = 0
-    orders_refused: int = 0  # by this node, for their term
-    orders_late: int = 0  # by this node, for their age
-    bad_messages: int = 0
-    wrong_fleet: int = 0
-    changes: dict[str, int] = field(default_factory=dict)  # of owner, by why
+    responses_sent: int = 0
+    responses_expired: int = 0  # the term had ended before they were sent
+    responses_accepted: int = 0
+    responses_of_lower_term: int = 0  # by this node, for their term
+    responses_too_late: int = 0  # by this node, for their age
+    malformed_messages: int = 0
+    foreign_messages: int = 0
+    leadership_changes: dict[str, int] = field(default_factory=dict)  # of owner, by why
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -53,12 +53,14 @@
         record: Callable[..., None],
         off: frozenset[str] = frozenset(),
     ) -> None:
-        self._run, self._act, self._off = run, record, off
+        self._run, self._record, self._disabled_rules = run, record, off
         self.journal = MemberJournal()
-        self.notes: list[tuple[str, dict[str, object]]] = []  # for the log; emptied by whoever drives this
+        self.log_events: list[
+            tuple[str, dict[str, object]]
+        ] = []  # for the log; emptied by whoever drives this
         # What else is to be known after a restart; told by whoever drives this.
-        self.aside: Callable[[], list[e.Entry]] = list
-        self.standing = Standing(
+        self.extra_entries: Callable[[], list[e.Entry]] = list
+        self.freshness = Standing(
             name,
             lambda: voters().names(),
             lambda names: voters().is_majority(names),
@@ -67,54 +69,56 @@
             lives,
             off,
         )
-        self._lasting: OpenedFolder | None = None
+        self._folder: OpenedFolder | None = None
         self._voter: Callable[[], Voter | None] = lambda: None
         self._replica: Replica | None = None
-        self._drains: RollingDrains | None = None
-        self._untold: list[tuple[int, str, Any]] = []  # promises that wait for a majority to know of them
-        self._begun_at = 0  # the entry that says in which life of the folder this process is
-        self._trusted = Trust.LEARNS
+        self._rolling_drains: RollingDrains | None = None
+        self._awaiting_majority: list[
+            tuple[int, str, Any]
+        ] = []  # promises that wait for a majority to know of them
+        self._life_position = 0  # the entry that says in which life of the folder this process is
+        self._last_trust = Trust.LEARNS
 
     # ------------------------------------------------------------------ whom it is for
 
-    def serve(
+    def attach_parts(
         self, voter: Callable[[], Voter | None], replica: Replica | None, drains: RollingDrains
     ) -> None:
         """The parts whose state outlasts the process; who votes may change."""
-        self._voter, self._replica, self._drains = voter, replica, drains
-        drains.on_end, drains.on_plan = self.journal.drained, self.journal.planned
-        drains.on_done = lambda name: self._act("walked", walk=name)
-        drains.safe = self.ready
+        self._voter, self._replica, self._rolling_drains = voter, replica, drains
+        drains.persist_completion, drains.persist_plan = self.journal.drained, self.journal.planned
+        drains.on_done = lambda name: self._record("walked", walk=name)
+        drains.is_durable = self.is_durable
 
-    def back(self, voter: Voter) -> None:
+    def attach_voter(self, voter: Voter) -> None:
         """A voter that has just been made writes down what it promises."""
         voter.persist_grant, voter.persist_observed_term = self.journal.slot, self.journal.floor
         voter.persist_memory_state = self.journal.votes
-        voter.on_new_terms = lambda: self._act("founded", what="terms")
-        voter.on_memory_complete = lambda: self._act("remembered", what="terms")
-        voter.is_registered = lambda: self.standing.registered
-        voter.can_persist = lambda: self._lasting is None or self._lasting.write_ahead_log.able
+        voter.on_new_terms = lambda: self._record("founded", what="terms")
+        voter.on_memory_complete = lambda: self._record("remembered", what="terms")
+        voter.is_registered = lambda: self.freshness.registered
+        voter.can_persist = lambda: self._folder is None or self._folder.write_ahead_log.able
         # What a folder has of another time as a voter may not be all: `take_up` comes after.
-        self.standing.trust = self._trusted = Trust.LEARNS
+        self.freshness.trust = self._last_trust = Trust.LEARNS
 
-    def ready(self, position: int) -> bool:
+    def is_durable(self, position: int) -> bool:
         """Whether everything up to that entry is on the disk, if there is any."""
-        return self._lasting is None or self._lasting.write_ahead_log.ready(position)
+        return self._folder is None or self._folder.write_ahead_log.ready(position)
 
     # ------------------------------------------------------------------ beginning
 
-    def take_up(self, now_us: int, lasting: OpenedFolder) -> None:
+    def restore(self, now_us: int, lasting: OpenedFolder) -> None:
         """Goes by a folder, as far as that can be: before the first turn. Who votes asks the other voters
         whether they know of a newer one, and grants nothing before.
         """
-        self._lasting, memory, sound = lasting, lasting.memory, lasting.sound
+        self._folder, memory, sound = lasting, lasting.memory, lasting.is_sound
         wal = self.journal.write_ahead_log = lasting.write_ahead_log
-        wal.whole = self.whole
+        wal.whole = self.snapshot_entries
         wal.on_dropped = lambda answer: answer(False) if callable(answer) else None
-        own = Own(lasting.identity, self._run, memory.life + 1, lasting.loaded, wal.synced)
-        self.standing.take_up(own, sound, memory.notes)
-        self._trusted = self.standing.trust
-        self._begun_at = self.journal.begun(own.life, lasting.wall_s)
+        own = Own(lasting.identity, self._run, memory.life + 1, lasting.found_position, wal.synced)
+        self.freshness.take_up(own, sound, memory.notes)
+        self._last_trust = self.freshness.trust
+        self._life_position = self.journal.begun(own.life, lasting.wall_s)
         voter = self._voter()
         if voter is not None:
             voter.has_durable_state = True
@@ -124,80 +128,80 @@
             # As far as it goes: terms only rise by it, and the others are asked for the rest.
             for task, term in memory.highest().items():
                 voter.observe_term(task, term)
-            self._act("folder", what="learning", of="terms")
-        if sound and self._drains is not None:
+            self._record("folder", what="learning", of="terms")
+        if sound and self._rolling_drains is not None:
             plans = [(p.walk, p.for_us, p.names) for p in memory.plans.values()]
-            self._drains.take_up(now_us, memory.drained, plans)
+            self._rolling_drains.restore(now_us, memory.drained, plans)
         if sound and self._replica is not None:
-            self._take_up_copy(now_us, self._replica, memory)
-        if self.standing.trust is Trust.TRUSTED:
-            self._trust()
+            self._restore_replica(now_us, self._replica, memory)
+        if self.freshness.trust is Trust.TRUSTED:
+            self._confirm_folder()
 
-    def _take_up_copy(self, now_us: int, replica: Replica, memory: e.Memory) -> None:
+    def _restore_replica(self, now_us: int, replica: Replica, memory: e.Memory) -> None:
         if memory.whole:
             held = ((r, memory.marks[key]) for key, r in memory.records.items())
             with uncollected():
                 left = replica.take_up(now_us, held, memory.epoch)
             facts: dict[str, object] = {"records": len(replica.store), "epoch": memory.epoch}
-            self.notes.append(("copy-found", {**facts, "left": left or None}))
+            self.log_events.append(("copy-found", {**facts, "left": left or None}))
         keeps = memory.keeps
         if replica.acceptor is not None and keeps is not None:
             replica.acceptor.take_up(keeps.life, keeps.promised, keeps.lives, keeps.remembers)
             if not keeps.remembers:
-                self._act("folder", what="learning", of="marks")
+                self._record("folder", what="learning", of="marks")
 
-    def whole(self) -> Iterable[e.Entry]:
+    def snapshot_entries(self) -> Iterable[e.Entry]:
         """All that is to be known after a restart, as it is now: to be gone through once, wherever."""
-        own, voter, entries = self.standing.own, self._voter(), list[e.Entry]()
-        if own is not None and self._lasting is not None:
-            entries.append(e.Begun(own.life, self._lasting.wall_s))
+        own, voter, entries = self.freshness.own, self._voter(), list[e.Entry]()
+        if own is not None and self._folder is not None:
+            entries.append(e.Begun(own.life, self._folder.wall_s))
         if voter is not None:
             entries += voter_entries(voter)
-        entries += self.standing.notes.values()
-        if self._drains is not None:
-            entries += (e.Drained(name) for name in self._drains.done())
-            entries += (e.DrainPlan(*plan) for plan in self._drains.plans())
+        entries += self.freshness.notes.values()
+        if self._rolling_drains is not None:
+            entries += (e.Drained(name) for name in self._rolling_drains.completed_names())
+            entries += (e.DrainPlan(*plan) for plan in self._rolling_drains.unfinished_plans())
         copied = replica_entries(self._replica) if self._replica is not None else []
-        return chain(entries, self.aside(), copied)
+        return chain(entries, self.extra_entries(), copied)
 
     # ------------------------------------------------------------------ promises
 
-    def keeps_back(self, now_us: int, name: str, body: Any) -> bool:
+    def hold_if_not_durable(self, now_us: int, name: str, body: Any) -> bool:
         """Whether a message is held until the disk has what it rests on; where that fails, it never goes."""
-        if self._lasting is None or not isinstance(body, DURABLE_RESPONSES):
+        if self._folder is None or not isinstance(body, DURABLE_RESPONSES):
             return False
-        wal, voter = self._lasting.write_ahead_log, self._voter()
+        wal, voter = self._folder.write_ahead_log, self._voter()
         position = wal.position
         if isinstance(body, LeaseGrant) and voter is not None:
             position = voter.log_position(body.task)  # a renewal rests on the grant alone
         if wal.ready(position):
-            return self._waits_for_notes(position, name, body)
+            return self._hold_for_majority(position, name, body)
         if wal.able:
             key = (name, type(body), body.term if isinstance(body, LeaseGrant) else body.number)
             wal.hold(now_us, position, key, (name, body))
         return True
 
-    def _waits_for_notes(self, position: int, name: str, body: Any) -> bool:
+    def _hold_for_majority(self, position: int, name: str, body: Any) -> bool:
         """Whether what is on the disk is promised again, or renewed, before a majority knows that it is
         there.
         """
-        own = self.standing.own
+        own = self.freshness.own
         told = (
             isinstance(body, MAJORITY_KNOWN_RESPONSES)
             and self._voter() is not None
-            and not self._off & {"generation", "sync"}
+            and not self._disabled_rules & {"generation", "sync"}
         )
-        if not told or own is None or self._lasting is None or self.standing.known(position):
+        if not told or own is None or self._folder is None or self.freshness.known(position):
             return False
-        own.synced = self._lasting.write_ahead_log.synced  # told to the others at the next turn
-        self._untold = [*self._untold[-MAX_AWAITING_MAJORITY:], (position, name, body)]
+        own.synced = self._folder.write_ahead_log.synced  # told to the others at the next turn
+        self._awaiting_majority = [*self._awaiting_majority[-MAX_AWAITING_MAJORITY:], (position, name, body)]
         return True
 
     def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
         """Calls with whether all that was written so far is on the disk: once it is, or at once where there
         is none, or it fails.
         """
-        wal = self._lasting.write_ahead_log if self._lasting is not None else None
+        wal = self._folder.write_ahead_log if self._folder is not None else None
         if wal is None or wal.ready(wal.position):
             call(True)
         elif not wal.able:
@@ -205,10 +209,10 @@
         else:
             wal.hold(now_us, wal.position, call, call)
 
-    def wrote(self, now_us: int, done: Done) -> tuple[list[Post], list[Post]]:
+    def on_written(self, now_us: int, done: Done) -> tuple[list[Post], list[Post]]:
         """What became of the work of the disk; returns answers that may go out, and other posts."""
-        assert self._lasting is not None
-        wal = self._lasting.write_ahead_log
+        assert self._folder is not None
+        wal = self._folder.write_ahead_log
         answers: list[Post] = []
         for answer in wal.done(now_us, done):
             if callable(answer):
@@ -216,95 +220,100 @@
                 continue
             name, body = answer
             if isinstance(body, MAJORITY_KNOWN_RESPONSES) and self._voter() is not None:
-                if "generation" not in self._off:
-                    self._untold = [*self._untold[-MAX_AWAITING_MAJORITY:], (wal.synced, name, body)]
+                if "generation" not in self._disabled_rules:
+                    self._awaiting_majority = [
+                        *self._awaiting_majority[-MAX_AWAITING_MAJORITY:],
+                        (wal.synced, name, body),
+                    ]
                     continue
-                self._act("promised", position=wal.synced)
+                self._record("promised", position=wal.synced)
             answers.append((name, body))
         posts: list[Post] = []
-        if self._untold and self.standing.own is not None:
+        if self._awaiting_majority and self.freshness.own is not None:
             # Something is promised: a majority is to know how far the folder has come.
-            self.standing.own.synced = wal.synced
-            posts += self.standing.tell(now_us)
+            self.freshness.own.synced = wal.synced
+            posts += self.freshness.tell(now_us)
         return answers, posts
 
-    def _told_enough(self) -> list[Post]:
+    def _release_known_by_majority(self) -> list[Post]:
         """What was promised, as far as a majority knows that the folder has it."""
-        known = {position for position, _, _ in self._untold if self.standing.known(position)}
+        known = {position for position, _, _ in self._awaiting_majority if self.freshness.known(position)}
         if not known:
             return []
-        self._act("promised", position=max(known))
-        ready = [(name, body) for position, name, body in self._untold if position in known]
-        self._untold = [u for u in self._untold if u[0] not in known]
+        self._record("promised", position=max(known))
+        ready = [(name, body) for position, name, body in self._awaiting_majority if position in known]
+        self._awaiting_majority = [u for u in self._awaiting_majority if u[0] not in known]
         return ready
 
     # ------------------------------------------------------------------ whether the folder is the newest
 
-    def heard(self, now_us: int, sender: str, body: Stand | Stood) -> tuple[list[Post], list[Post]]:
+    def on_freshness_message(
+        self, now_us: int, sender: str, body: Stand | Stood
+    ) -> tuple[list[Post], list[Post]]:
         """From another voter; returns answers that may go out, and other posts."""
         if isinstance(body, Stand):
-            return [], [(sender, self.standing.hear(sender, body))]
-        life = self.standing.own.life if self.standing.own is not None else 0
-        self.standing.told(sender, body)
-        self._stood(now_us, life)
-        return (self._told_enough() if self._untold else []), []
+            return [], [(sender, self.freshness.hear(sender, body))]
+        life = self.freshness.own.life if self.freshness.own is not None else 0
+        self.freshness.told(sender, body)
+        self._apply_freshness(now_us, life)
+        return (self._release_known_by_majority() if self._awaiting_majority else []), []
 
-    def _may_ask(self) -> bool:
+    def _may_query(self) -> bool:
         """That this process has the folder is to be on the disk before anybody hears of it."""
-        return not self.standing.asking or self.ready(self._begun_at)
+        return not self.freshness.asking or self.is_durable(self._life_position)
 
     def due_us(self) -> int | None:
         """When `turn` wants to be called; None: not for itself."""
-        if self._lasting is None or self._voter() is None or not self._may_ask():
+        if self._folder is None or self._voter() is None or not self._may_query():
             return None
-        return self.standing.due_us()
+        return self.freshness.due_us()
 
     def turn(self, now_us: int) -> list[Post]:
-        own = self.standing.own
-        if own is None or self._voter() is None or not self._may_ask():
+        own = self.freshness.own
+        if own is None or self._voter() is None or not self._may_query():
             return []
         life = own.life
-        posts = list[Post](self.standing.turn(now_us))
-        self._stood(now_us, life)
+        posts = list[Post](self.freshness.turn(now_us))
+        self._apply_freshness(now_us, life)
         return posts
 
-    def _stood(self, now_us: int, life: int) -> None:
+    def _apply_freshness(self, now_us: int, life: int) -> None:
         """Acts on what became of the comparison of folders."""
-        standing, lasting = self.standing, self._lasting
+        standing, lasting = self.freshness, self._folder
         if lasting is None or standing.own is None:
             return
-        if standing.trust is not self._trusted:
-            self._trusted = standing.trust
+        if standing.trust is not self._last_trust:
+            self._last_trust = standing.trust
             if standing.trust is Trust.TRUSTED:
-                self._trust()
+                self._confirm_folder()
             elif standing.trust is Trust.OLD:
-                self._forget(now_us, lasting)
+                self._replace_folder(now_us, lasting)
             elif standing.trust is Trust.LEARNED:
-                self._act("folder", what="learned")
+                self._record("folder", what="learned")
         if standing.own.life != life:
-            self._begun_at = self.journal.begun(standing.own.life, lasting.wall_s)
+            self._life_position = self.journal.begun(standing.own.life, lasting.wall_s)
 
-    def _trust(self) -> None:
+    def _confirm_folder(self) -> None:
         """Nobody knows of a newer folder: this voter has forgotten nothing of what that says it remembers."""
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None and voter.may_remember:
             voter.confirm_restored()
         if acceptor is not None and acceptor.may_remember:
             acceptor.trust()
-        self._act("folder", what="trusted")
-        own = self.standing.own
-        self.notes.append(("lasting-trusted", {"life": own.life if own is not None else None}))
+        self._record("folder", what="trusted")
+        own = self.freshness.own
+        self.log_events.append(("lasting-trusted", {"life": own.life if own is not None else None}))
 
-    def _forget(self, now_us: int, lasting: OpenedFolder) -> None:
+    def _replace_folder(self, now_us: int, lasting: OpenedFolder) -> None:
         """The folder is older than what the fleet knows: another is begun, and this voter learns from the
         others what it may have promised.
         """
-        standing = self.standing
+        standing = self.freshness
         known = standing.newest
         lasting.identity = lasting.new_identity()
         standing.begin_anew(lasting.identity)
-        self._trusted = standing.trust
-        self._untold.clear()  # promised by what is not gone by any more
+        self._last_trust = standing.trust
+        self._awaiting_majority.clear()  # promised by what is not gone by any more
         lasting.write_ahead_log.renew(bytes.fromhex(lasting.identity))
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None:
@@ -312,8 +321,8 @@
         if acceptor is not None:
             acceptor.may_remember = False
             acceptor.restart(now_us)
-        facts: dict[str, object] = {"why": standing.why_old, "loaded": lasting.loaded}
+        facts: dict[str, object] = {"why": standing.why_old, "loaded": lasting.found_position}
         if known is not None:
             facts |= {"known_life": known.life, "known_position": known.position}
-        self._act("folder", what="old", why=standing.why_old)
-        self.notes.append(("lasting-old", facts))
+        self._record("folder", what="old", why=standing.why_old)
+        self.log_events.append(("lasting-old", facts))
--- a/sailrun/leadership/list_reader.py
+++ b/sailrun/leadership/list_reader.py
@@ -30,38 +30,38 @@
 
     source: str
     revision: int
-    members: list[dict[str, Any]] | None = None
+    entries: list[dict[str, Any]] | None = None
 
 
 class SharedList:
     """One node's part: what it knows of the registry, and from whom."""
 
     def __init__(self, source: str, terms: ListReaderSettings, now_us: int) -> None:
-        self.source, self._terms = source, terms
+        self.source, self._settings = source, terms
         self.revision = -1
-        self.members: list[dict[str, Any]] = []
-        self.owner = False  # this node reads for the others
-        self.taken = 0
-        self.refused = 0  # lists that were older, or of another source
-        self._heard_us = now_us
-        self._ask_us = now_us
-
-    def reads(self, now_us: int) -> bool:
+        self.entries: list[dict[str, Any]] = []
+        self.is_leader = False  # this node reads for the others
+        self.lists_accepted = 0
+        self.lists_rejected = 0  # lists that were older, or of another source
+        self._last_contact_us = now_us
+        self._next_query_us = now_us
+
+    def must_read_registry(self, now_us: int) -> bool:
         """Whether this node has to read the registry itself."""
-        return self.owner or now_us - self._heard_us >= self._terms.silence_s * SECOND
+        return self.is_leader or now_us - self._last_contact_us >= self._settings.silence_s * SECOND
 
-    def read(self, revision: int, members: list[dict[str, Any]]) -> None:
+    def on_registry_list(self, revision: int, members: list[dict[str, Any]]) -> None:
         """What the registry itself told: it holds, whatever was known."""
-        self.revision, self.members = revision, members
+        self.revision, self.entries = revision, members
 
-    def due(self, now_us: int) -> ListQuery | None:
+    def next_query(self, now_us: int) -> ListQuery | None:
         """The question for the reader, if it is time for one."""
-        if self.owner or now_us < self._ask_us:
+        if self.is_leader or now_us < self._next_query_us:
             return None
-        self._ask_us = now_us + int(self._terms.ask_s * SECOND)
+        self._next_query_us = now_us + int(self._settings.ask_s * SECOND)
         return ListQuery(self.source, self.revision)
 
-    def answer(self, content: Any) -> Any:
+    def answer_query(self, content: Any) -> Any:
         """As the reader; None where there is nothing to tell."""
         try:
             has = msgspec.convert(content, ListQuery)
@@ -69,22 +69,22 @@
             return None
         if self.revision < 0 or has.source != self.source:
             return None
-        members = self.members if has.revision < self.revision else None
+        members = self.entries if has.revision < self.revision else None
         return msgspec.to_builtins(ListReply(self.source, self.revision, members))
 
-    def told(self, now_us: int, content: Any) -> list[dict[str, Any]] | None:
+    def on_reply(self, now_us: int, content: Any) -> list[dict[str, Any]] | None:
         """The reader's answer; returns the list where it is newer than what is known here."""
         try:
             tells = msgspec.convert(content, ListReply)
         except msgspec.ValidationError:
-            self.refused += 1
+            self.lists_rejected += 1
             return None
         if tells.source != self.source or tells.revision < self.revision:
-            self.refused += 1  # and it counts as silence: this node will ask the registry itself
+            self.lists_rejected += 1  # and it counts as silence: this node will ask the registry itself
             return None
-        self._heard_us = now_us
-        if tells.members is None or tells.revision == self.revision:
+        self._last_contact_us = now_us
+        if tells.entries is None or tells.revision == self.revision:
             return None
-        self.revision, self.members = tells.revision, tells.members
-        self.taken += 1
-        return tells.members
+        self.revision, self.entries = tells.revision, tells.entries
+        self.lists_accepted += 1
+        return tells.entries
--- a/sailrun/leadership/member_journal.py
+++ b/sailrun/leadership/member_journal.py
@@ -26,8 +26,8 @@
     write_ahead_log: WriteAheadLog
     identity: str
     memory: e.Memory
-    sound: bool
-    loaded: int  # the position that was found
+    is_sound: bool
+    found_position: int  # the position that was found
     wall_s: float
     new_identity: Callable[[], str]
 
--- a/sailrun/leadership/move_rate.py
+++ b/sailrun/leadership/move_rate.py
@@ -28,21 +28,21 @@
 
     def __init__(self, term: int, now_us: int) -> None:
         self.term = term
-        self._open_us = now_us + int(RATE_GRANT_US * (1 + 3 * DRIFT))
-        self._lent: dict[str, list[tuple[float, int]]] = {}  # by node: shares it may use, and until when
+        self._opens_us = now_us + int(RATE_GRANT_US * (1 + 3 * DRIFT))
+        self._grants: dict[str, list[tuple[float, int]]] = {}  # by node: shares it may use, and until when
 
-    def asked(self, now_us: int, sender: str) -> Any:
+    def grant_share(self, now_us: int, sender: str) -> Any:
         """Lends an even share, as far as there is any left."""
-        for name, lent in list(self._lent.items()):
-            self._lent[name] = [one for one in lent if one[1] > now_us]
-            if not self._lent[name] and name != sender:
-                del self._lent[name]
-        if now_us < self._open_us:
+        for name, lent in list(self._grants.items()):
+            self._grants[name] = [one for one in lent if one[1] > now_us]
+            if not self._grants[name] and name != sender:
+                del self._grants[name]
+        if now_us < self._opens_us:
             return msgspec.to_builtins(RateGrant(0.0))
         # The answer may be lost, and what was lent before used to its end: the largest counts.
-        others = sum(max(share for share, _ in lent) for name, lent in self._lent.items() if name != sender)
-        share = max(0.0, min(1.0 / len(self._lent.keys() | {sender}), 1.0 - others))
-        self._lent.setdefault(sender, []).append((share, now_us + RATE_GRANT_US))
+        others = sum(max(share for share, _ in lent) for name, lent in self._grants.items() if name != sender)
+        share = max(0.0, min(1.0 / len(self._grants.keys() | {sender}), 1.0 - others))
+        self._grants.setdefault(sender, []).append((share, now_us + RATE_GRANT_US))
         return msgspec.to_builtins(RateGrant(share))
 
 
@@ -50,21 +50,21 @@
     """The client's side: what this node was lent, and until when."""
 
     def __init__(self) -> None:
-        self._share, self._until_us, self._ask_us = 0.0, 0, 0
+        self._share, self._expires_us, self._next_request_us = 0.0, 0, 0
 
-    def due(self, now_us: int) -> bool:
-        if now_us < self._ask_us:
+    def take_due_request(self, now_us: int) -> bool:
+        if now_us < self._next_request_us:
             return False
-        self._ask_us = now_us + REQUEST_INTERVAL_US
+        self._next_request_us = now_us + REQUEST_INTERVAL_US
         return True
 
-    def told(self, sent_us: int, content: Any) -> None:
+    def on_grant(self, sent_us: int, content: Any) -> None:
         try:
             lent = msgspec.convert(content, RateGrant)
         except msgspec.ValidationError:
             return
-        self._share, self._until_us = lent.share, sent_us + int(RATE_GRANT_US * (1 - 2 * DRIFT))
+        self._share, self._expires_us = lent.share, sent_us + int(RATE_GRANT_US * (1 - 2 * DRIFT))
 
-    def share(self, now_us: int) -> float:
+    def current_share(self, now_us: int) -> float:
         """0 where nothing was lent, or it has ended."""
-        return self._share if now_us < self._until_us else 0.0
+        return self._share if now_us < self._expires_us else 0.0
--- a/sailrun/leadership/requests.py
+++ b/sailrun/leadership/requests.py
@@ -48,8 +48,8 @@
     task: str
     content: Any
     sent_us: int
-    done: OnResponse
-    tries: int = 0
+    on_response: OnResponse
+    attempts: int = 0
 
 
 class PendingRequests:
@@ -72,22 +72,22 @@
         number: int,
         off: frozenset[str],
     ) -> None:
-        self._me, self._leases, self._ownership = me, leases, ownership
-        self._answer, self._heard_of = answer, heard_of
-        self._change_log, self._tallies = change_log, change_log.tallies
-        self._order_us, self._number, self._off = int(order_s * SECOND), number, off
-        self._waiting: dict[int, _PendingRequest] = {}
+        self._me, self._leases, self._leadership = me, leases, ownership
+        self._handle_request, self._observe_term = answer, heard_of
+        self._change_log, self._counters = change_log, change_log.counters
+        self._response_timeout_us, self._number, self._disabled_rules = int(order_s * SECOND), number, off
+        self._pending: dict[int, _PendingRequest] = {}
 
     # ------------------------------------------------------------------ as the one that asks
 
-    def ask(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[AddressedMessage]:
+    def request(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[AddressedMessage]:
         """A question to a task's owner, whoever that is. `done` is called with its answer, if one comes in
         time and of no lower term than was heard of; else nothing is, and the question is to be asked again.
         """
         self._number += 1
-        while len(self._waiting) >= MAX_PENDING_REQUESTS:
-            del self._waiting[next(iter(self._waiting))]
-        asked = self._waiting[self._number] = _PendingRequest(task, content, now_us, done)
+        while len(self._pending) >= MAX_PENDING_REQUESTS:
+            del self._pending[next(iter(self._pending))]
+        asked = self._pending[self._number] = _PendingRequest(task, content, now_us, done)
         return self._send(now_us, self._number, asked)
 
     def _send(self, now_us: int, number: int, asked: _PendingRequest) -> list[AddressedMessage]:
@@ -95,85 +95,85 @@
         question = LeaderRequest(
             task, self._leases.lease_of(task).highest_granted_term, number, asked.content
         )
-        holder = self._ownership.known_leader(task)
+        holder = self._leadership.known_leader(task)
         if holder == self._me.name or (not holder and self._leases.held_term(task, now_us)):
-            return self.questioned(now_us, self._me, question)
+            return self.on_request(now_us, self._me, question)
         if not holder:
-            others = self._ownership.candidate_tasks().get(task, ())[:MAX_CANDIDATES]
+            others = self._leadership.candidate_tasks().get(task, ())[:MAX_CANDIDATES]
             names = [name for name in others if name != self._me.name]
             if not names:
                 return []
-            holder = names[(number + asked.tries) % len(names)]
+            holder = names[(number + asked.attempts) % len(names)]
         return [AddressedMessage(holder, question)]
 
-    def ordered(self, now_us: int, sender: str, order: LeaderResponse) -> list[AddressedMessage]:
+    def on_response(self, now_us: int, sender: str, order: LeaderResponse) -> list[AddressedMessage]:
         """An answer has come: it is taken, or its sender is told that it is not."""
-        asked = self._waiting.pop(order.number, None)
+        asked = self._pending.pop(order.number, None)
         owned = self._leases.lease_of(order.task).highest_granted_term
-        late = asked is None or asked.task != order.task or now_us - asked.sent_us > self._order_us
-        if "fence" in self._off:
+        late = asked is None or asked.task != order.task or now_us - asked.sent_us > self._response_timeout_us
+        if "fence" in self._disabled_rules:
             late, owned = False, 0
         if late or order.term < owned:
-            return self._refuse(sender, order, ResponseRejection(order.task, owned, order.number, late))
-        self._tallies.orders_taken += 1
-        self._change_log.act("take", task=order.task, term=order.term, number=order.number, of=sender)
-        self._heard_of(now_us, order.task, order.term, sender)
+            return self._reject(sender, order, ResponseRejection(order.task, owned, order.number, late))
+        self._counters.responses_accepted += 1
+        self._change_log.record("take", task=order.task, term=order.term, number=order.number, of=sender)
+        self._observe_term(now_us, order.task, order.term, sender)
         if asked is not None:
-            asked.done(now_us, asked.sent_us, order.content)
+            asked.on_response(now_us, asked.sent_us, order.content)
         return []
 
-    def _refuse(
+    def _reject(
         self, sender: str, order: LeaderResponse, refusal: ResponseRejection
     ) -> list[AddressedMessage]:
         if refusal.is_late:
-            self._tallies.orders_late += 1
+            self._counters.responses_too_late += 1
         else:
-            self._tallies.orders_refused += 1
-        self._change_log.act(
+            self._counters.responses_of_lower_term += 1
+        self._change_log.record(
             "refuse", task=order.task, term=order.term, number=order.number, late=refusal.is_late
         )
         return [AddressedMessage(sender, refusal)] if sender != self._me.name else []
 
-    def sent_on(self, now_us: int, sender: str, told: NotLeader) -> list[AddressedMessage]:
+    def on_not_leader(self, now_us: int, sender: str, told: NotLeader) -> list[AddressedMessage]:
         """Whom we asked does not own it: asked once more, of whom it names or of another candidate."""
-        asked = self._waiting.get(told.number)
+        asked = self._pending.get(told.number)
         lease = self._leases.lease_of(told.task)
-        self._heard_of(now_us, told.task, told.term, told.holder)
+        self._observe_term(now_us, told.task, told.term, told.holder)
         if lease.holder == sender and told.term >= lease.highest_granted_term:
             lease.holder = ""
-        if asked is None or asked.tries >= MAX_CANDIDATES:
+        if asked is None or asked.attempts >= MAX_CANDIDATES:
             return []
-        asked.tries += 1
+        asked.attempts += 1
         return self._send(now_us, told.number, asked)
 
-    def forget_late(self, now_us: int) -> None:
+    def drop_expired(self, now_us: int) -> None:
         """Questions that no order would be in time for wait no longer."""
-        for number, asked in list(self._waiting.items()):
-            if now_us - asked.sent_us <= self._order_us:
+        for number, asked in list(self._pending.items()):
+            if now_us - asked.sent_us <= self._response_timeout_us:
                 break  # the others were sent later
-            del self._waiting[number]
+            del self._pending[number]
 
     # ------------------------------------------------------------------ as the owner
 
-    def questioned(self, now_us: int, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
+    def on_request(self, now_us: int, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
         """A question has come: answered under this node's term, or sent on."""
-        self._heard_of(now_us, question.task, question.term, "")
-        term = self._ownership.leading_term(question.task, now_us)
+        self._observe_term(now_us, question.task, question.term, "")
+        term = self._leadership.leading_term(question.task, now_us)
         if not term:
-            return self._send_on(asker, question)
-        content = self._answer(now_us, question.task, term, asker, question.content)
+            return self._redirect(asker, question)
+        content = self._handle_request(now_us, question.task, term, asker, question.content)
         if content is None:
             return []
         order = LeaderResponse(question.task, term, question.number, content)
-        self._change_log.act(
+        self._change_log.record(
             "act", task=order.task, term=term, number=order.number, to=asker.name, made_us=now_us
         )
-        self._tallies.orders_sent += 1
+        self._counters.responses_sent += 1
         if asker.name == self._me.name:
-            return self.ordered(now_us, self._me.name, order)
+            return self.on_response(now_us, self._me.name, order)
         return [AddressedMessage(asker.name, order, (question.task, term))]
 
-    def _send_on(self, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
+    def _redirect(self, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
         if asker.name == self._me.name:
             return []
         lease = self._leases.lease_of(question.task)
@@ -184,8 +184,8 @@
             )
         ]
 
-    def refused(self, now_us: int, refusal: ResponseRejection) -> None:
+    def on_rejection(self, now_us: int, refusal: ResponseRejection) -> None:
         """An order of this node was not taken."""
         self._leases.lease_of(refusal.task).rejected_responses += 1
         self._change_log.add("order-refused", task=refusal.task, term=refusal.term, late=refusal.is_late)
-        self._heard_of(now_us, refusal.task, refusal.term, "")
+        self._observe_term(now_us, refusal.task, refusal.term, "")
--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -36,9 +36,9 @@
 
     node: str
     state: str = "not asked"
-    why: str = ""
-    asked_us: int = 0
-    heard_us: int = 0
+    reason: str = ""
+    last_request_us: int = 0
+    last_contact_us: int = 0
 
 
 @dataclass(slots=True)
@@ -46,11 +46,11 @@
     """One that was begun at this node; each node stays empty for `for_us`."""
 
     name: str
-    for_us: int
+    stay_empty_us: int
     steps: list[NodeProgress] = field(default_factory=list)
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         return all(step.state in FINAL_STATES for step in self.steps)
 
 
@@ -59,141 +59,156 @@
     """This node's own part in a rolling drain."""
 
     name: str
-    for_us: int
+    stay_empty_us: int
     state: str = "asked"
-    why: str = ""
-    empty_us: int = 0
-    ends: int = -1  # the entry that says that it ends
-    ends_us: int = 0
+    reason: str = ""
+    empty_since_us: int = 0
+    completion_position: int = -1  # the entry that says that it ends
+    completion_written_us: int = 0
 
 
 class RollingDrains:
     """Both sides: the rolling drains begun here, and this node's own part in any."""
 
     def __init__(self, name: str, holder: PermitHolder | None) -> None:
-        self._name, self._holder = name, holder
-        self.begun: dict[str, RollingDrain] = {}
-        self._own: dict[str, _LocalDrain] = {}
-        self.drain: bool | None = None  # what the core is to do; the driver reads and empties it
+        self._name, self._permits = name, holder
+        self.drains: dict[str, RollingDrain] = {}
+        self._local_drains: dict[str, _LocalDrain] = {}
+        self.core_drain_change: bool | None = None  # what the core is to do; the driver reads and empties it
         # Told what is to be known after a restart: that this node's own part ends, which is answered with the
         # position of that entry, and is done once the position is `safe`; a rolling drain begun here, with
         # how long each node stays empty, and without names once it is over.
-        self.on_end: Callable[[str], int] = lambda name: 0
-        self.safe: Callable[[int], bool] = lambda entry: True
+        self.persist_completion: Callable[[str], int] = lambda name: 0
+        self.is_durable: Callable[[int], bool] = lambda entry: True
         self.on_done: Callable[[str], None] = lambda name: None
-        self.on_plan: Callable[[str, int, list[str]], None] = lambda name, for_us, names: None
+        self.persist_plan: Callable[[str, int, list[str]], None] = lambda name, for_us, names: None
 
-    def take_up(self, now_us: int, done: Iterable[str], plans: Iterable[tuple[str, int, list[str]]]) -> None:
+    def restore(self, now_us: int, done: Iterable[str], plans: Iterable[tuple[str, int, list[str]]]) -> None:
         """What a process before this one knew: parts that are done, rolling drains to go on with."""
         for name in done:
-            self._own[name] = _LocalDrain(name, 0, "done")
+            self._local_drains[name] = _LocalDrain(name, 0, "done")
         for name, for_us, nodes in plans:
             self._begin(now_us, name, nodes, for_us)
 
-    def plans(self) -> list[tuple[str, int, list[str]]]:
-        return [(b.name, b.for_us, [s.node for s in b.steps]) for b in self.begun.values() if not b.over]
+    def unfinished_plans(self) -> list[tuple[str, int, list[str]]]:
+        return [
+            (b.name, b.stay_empty_us, [s.node for s in b.steps])
+            for b in self.drains.values()
+            if not b.is_over
+        ]
 
-    def done(self) -> list[str]:
-        return [own.name for own in self._own.values() if own.state == "done"]
+    def completed_names(self) -> list[str]:
+        return [own.name for own in self._local_drains.values() if own.state == "done"]
 
     # ------------------------------------------------------------------ where it was begun
 
     def begin(self, now_us: int, name: str, nodes: list[str], for_us: int) -> None:
         """Drains the nodes in this order. The same name again changes nothing."""
-        if name not in self.begun:
+        if name not in self.drains:
             self._begin(now_us, name, nodes, for_us)
-            self.on_plan(name, for_us, nodes)
+            self.persist_plan(name, for_us, nodes)
 
     def _begin(self, now_us: int, name: str, nodes: list[str], for_us: int) -> None:
-        while len(self.begun) >= MAX_REMEMBERED_DRAINS:
-            del self.begun[next(iter(self.begun))]
-        self.begun[name] = RollingDrain(name, for_us, [NodeProgress(node, heard_us=now_us) for node in nodes])
+        while len(self.drains) >= MAX_REMEMBERED_DRAINS:
+            del self.drains[next(iter(self.drains))]
+        self.drains[name] = RollingDrain(
+            name, for_us, [NodeProgress(node, last_contact_us=now_us) for node in nodes]
+        )
 
     def turn(self, now_us: int) -> list[tuple[str, DrainRequest]]:
         """Tells each node in turn: the next one once the one before has its place in the queue."""
         posts: list[tuple[str, DrainRequest]] = []
-        for begun in self.begun.values():
+        for begun in self.drains.values():
             for step in begun.steps:
                 if step.state in FINAL_STATES:
                     continue
-                if step.asked_us == 0:
-                    step.heard_us = now_us
-                if now_us - step.heard_us > SILENCE_TIMEOUT_US and step.state in ("not asked", "asked"):
+                if step.last_request_us == 0:
+                    step.last_contact_us = now_us
+                if now_us - step.last_contact_us > SILENCE_TIMEOUT_US and step.state in (
+                    "not asked",
+                    "asked",
+                ):
                     # Passed over; one that has its place and is silent may be restarting.
-                    step.state, step.why = "silent", "not reached"
+                    step.state, step.reason = "silent", "not reached"
                     continue
-                if now_us - step.asked_us >= REQUEST_INTERVAL_US:
-                    step.asked_us = now_us
-                    posts.append((step.node, DrainRequest(begun.name, begun.for_us)))
+                if now_us - step.last_request_us >= REQUEST_INTERVAL_US:
+                    step.last_request_us = now_us
+                    posts.append((step.node, DrainRequest(begun.name, begun.stay_empty_us)))
                 if step.state in ("not asked", "asked"):
                     break  # the order of the list is the order of the queue
-        self._go_on(now_us)
+        self._advance_local(now_us)
         return posts
 
-    def told(self, now_us: int, sender: str, status: DrainStatus) -> None:
-        begun = self.begun.get(status.name)
+    def on_status(self, now_us: int, sender: str, status: DrainStatus) -> None:
+        begun = self.drains.get(status.name)
         for step in begun.steps if begun is not None else ():
             if step.node == sender and step.state != "done":
-                step.state, step.why, step.heard_us = status.state, status.reason, now_us
-                if begun is not None and begun.over:
-                    self.on_plan(begun.name, 0, [])
+                step.state, step.reason, step.last_contact_us = status.state, status.reason, now_us
+                if begun is not None and begun.is_over:
+                    self.persist_plan(begun.name, 0, [])
 
     # ------------------------------------------------------------------ the node's own part
 
-    def asked(self, now_us: int, request: DrainRequest) -> DrainStatus:
+    def on_request(self, now_us: int, request: DrainRequest) -> DrainStatus:
         """This node is to drain itself; the answer says how far that is."""
-        if self._holder is None:
+        if self._permits is None:
             return DrainStatus(request.name, "refused", "permits are off here")
-        own = self._own.get(request.name)
+        own = self._local_drains.get(request.name)
         if own is None:
-            while len(self._own) >= MAX_REMEMBERED_DRAINS:
-                del self._own[next(iter(self._own))]
-            own = self._own[request.name] = _LocalDrain(request.name, request.stay_empty_us)
-        self._go_on(now_us)
-        return DrainStatus(own.name, own.state, own.why)
+            while len(self._local_drains) >= MAX_REMEMBERED_DRAINS:
+                del self._local_drains[next(iter(self._local_drains))]
+            own = self._local_drains[request.name] = _LocalDrain(request.name, request.stay_empty_us)
+        self._advance_local(now_us)
+        return DrainStatus(own.name, own.state, own.reason)
 
-    def used(self, use: PermitChange) -> None:
+    def on_permit_change(self, use: PermitChange) -> None:
         """A permit has come or gone: the drain begins, or is broken off and waits for the next permit."""
         if (use.kind, use.subject) != (DRAIN, self._name):
             return
-        for own in self._own.values():
-            if use.yes and own.state in ("asked", "queued"):
-                own.state, own.why, own.empty_us = "draining", "", 0
-                self.drain = True
+        for own in self._local_drains.values():
+            if use.is_held and own.state in ("asked", "queued"):
+                own.state, own.reason, own.empty_since_us = "draining", "", 0
+                self.core_drain_change = True
                 return
-            if not use.yes and own.state in ("draining", "empty"):
-                own.state, own.why, self.drain = "queued", use.why, False
+            if not use.is_held and own.state in ("draining", "empty"):
+                own.state, own.reason, self.core_drain_change = "queued", use.reason, False
                 return
 
-    def standing(self, now_us: int, sessions: int) -> None:
+    def on_session_count(self, now_us: int, sessions: int) -> None:
         """How many sessions this node holds; asked only while it drains."""
-        for own in self._own.values():
+        for own in self._local_drains.values():
             if own.state == "draining" and not sessions:
-                own.state, own.empty_us = "empty", now_us
-        self._go_on(now_us)
+                own.state, own.empty_since_us = "empty", now_us
+        self._advance_local(now_us)
 
     @property
-    def draining(self) -> bool:
-        return any(own.state in ("draining", "empty") for own in self._own.values())
+    def is_draining(self) -> bool:
+        return any(own.state in ("draining", "empty") for own in self._local_drains.values())
 
-    def _go_on(self, now_us: int) -> None:
-        if self._holder is None:
+    def _advance_local(self, now_us: int) -> None:
+        if self._permits is None:
             return
-        working = self.draining
-        for own in self._own.values():
-            if own.state == "empty" and now_us - own.empty_us >= own.for_us:
-                if own.ends < 0:
-                    own.ends, own.ends_us = self.on_end(own.name), now_us
+        working = self.is_draining
+        for own in self._local_drains.values():
+            if own.state == "empty" and now_us - own.empty_since_us >= own.stay_empty_us:
+                if own.completion_position < 0:
+                    own.completion_position, own.completion_written_us = (
+                        self.persist_completion(own.name),
+                        now_us,
+                    )
                 # A disk that fails holds nobody up for longer than this.
-                if not self.safe(own.ends) and now_us - own.ends_us < WRITE_TIMEOUT_US:
+                if (
+                    not self.is_durable(own.completion_position)
+                    and now_us - own.completion_written_us < WRITE_TIMEOUT_US
+                ):
                     continue
                 own.state = "done"
                 self.on_done(own.name)
-                self._holder.give_back(now_us, DRAIN, self._name)
-                self.drain, working = False, False
+                self._permits.release(now_us, DRAIN, self._name)
+                self.core_drain_change, working = False, False
             elif own.state in ("asked", "queued") and not working:
-                wanted = self._holder.want(DRAIN, self._name)
-                own.why = wanted.why
-                if wanted.place != (0, 0):
+                wanted = self._permits.request(DRAIN, self._name)
+                own.reason = wanted.reason
+                if wanted.queue_position != (0, 0):
                     own.state = "queued"
                 working = True  # one part after another
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -73,7 +73,7 @@
         """
         assert config.operator is not None
         terms = agent_settings(config.operator)
-        told = terms.members
+        told = terms.membership
         self._node = node
         me = Record(
             told.name,
@@ -85,12 +85,12 @@
             told.region,
             told.role,
         )
-        record = _record if terms.owners.record else _forget
+        record = _record if terms.leadership.record else _forget
         self.agent = Agent(me, terms, secrets.randbits(32), boot_us(), _founding, record=record)
-        self.agent.on_use = self._used
-        self.agent.on_ownership_change = self._ownership_changed
-        self.carrier = Transport(self.agent, split_address(told.listen), patient)
-        self.carrier.after = self._after
+        self.agent.on_permit_change = self._on_permit_change
+        self.agent.on_leadership_change = self._on_leadership_change
+        self.transport = Transport(self.agent, split_address(told.listen), patient)
+        self.transport.after_turn = self._after
         self._shared: SharedDiscovery | None = None
         self._by_hand: dict[str, bool] = {}  # form servers that a permit was asked for: whether it is in use
         self._waiting: dict[tuple[str, str], list[Callable[[str], None]]] = {}
@@ -100,14 +100,18 @@
         self._look_us = 0
         self._drain_by_hand = False
         self._drains = False
-        if terms.pace:
-            self.agent.answers[MOVE_RATE_TASK] = self._lend
-        self.copies = CopiesPart(node, self.agent.replica, self) if self.agent.replica is not None else None
-        self._exerciser = self._new_exerciser() if terms.owners.record else None
-        self._lasting = lasting
+        if terms.shares_move_rate:
+            self.agent.request_handlers[MOVE_RATE_TASK] = self._grant_rate
+        self.replication = (
+            CopiesPart(node, self.agent.replica, self) if self.agent.replica is not None else None
+        )
+        self._exerciser = self._new_exerciser() if terms.leadership.record else None
+        self._storage = lasting
         if lasting is not None:
-            self.agent.backing.aside = lasting.aside
-            lasting.on_done = lambda done: self.carrier.post(lambda now_us: self.agent.wrote(now_us, done))
+            self.agent.durable_state.extra_entries = lasting.aside
+            lasting.on_done = lambda done: self.transport.post(
+                lambda now_us: self.agent.on_written(now_us, done)
+            )
 
     def _new_exerciser(self) -> ActExerciser | None:
         """For the laboratory's checks, which need acts on behalf of shards."""
@@ -117,16 +121,16 @@
 
         return ActExerciser(self.agent.shards, self.agent.members, self.agent.name, secrets.randbits(32))
 
-    def discovery(self, source: RegistryService, revision: int) -> SharedDiscovery | None:
+    def new_discovery(self, source: RegistryService, revision: int) -> SharedDiscovery | None:
         """What the core has for a registry; None: the registry itself."""
-        if not self.agent.terms.reader.enabled:
+        if not self.agent.settings.list_reader.enabled:
             return None
-        self._shared = SharedDiscovery(self._node, source, revision, self.agent, self.carrier)
+        self._shared = SharedDiscovery(self._node, source, revision, self.agent, self.transport)
         return self._shared
 
-    def _take_up(self, lasting: LastingPart) -> None:
+    def _restore(self, lasting: LastingPart) -> None:
         found = lasting.found
-        self.agent.take_up(
+        self.agent.restore(
             boot_us(),
             OpenedFolder(
                 lasting.write_ahead_log,
@@ -139,48 +143,48 @@
             ),
         )
         found.memory.records, found.memory.marks = {}, {}  # the copy has them now
-        if self.copies is not None:
-            self.copies.begins_with(lasting.drains)
+        if self.replication is not None:
+            self.replication.begins_with(lasting.drains)
 
     async def run(self) -> None:
         """Until cancelled, or given up. A fault in here leaves the node as it would be without a fleet."""
         try:
             async with anyio.create_task_group() as group:
-                if self._lasting is not None and await self._lasting.wait():
+                if self._storage is not None and await self._storage.wait():
                     # Nothing else knows the agent yet, and a large copy takes its time.
-                    await to_thread.run_sync(self._take_up, self._lasting)
-                    group.start_soon(self._lasting.run, self._node)
-                await self.carrier.run()
+                    await to_thread.run_sync(self._restore, self._storage)
+                    group.start_soon(self._storage.run, self._node)
+                await self.transport.run()
                 group.cancel_scope.cancel()
         except Exception:
             log("fault", where="fleet", trace=traceback.format_exc())
-            self._alone()
+            self._read_registry_directly()
 
-    def _alone(self) -> None:
+    def _read_registry_directly(self) -> None:
         if self._shared is not None:
-            self._shared.alone()
+            self._shared.read_directly()
 
     def leave(self) -> None:
         """The process ends: what is owned is handed over at once."""
-        self.carrier.post(self.agent.leave)
+        self.transport.post(self.agent.leave)
 
-    def give_up(self) -> None:
+    def release_address(self) -> None:
         """A successor takes the name and the address over."""
-        self.carrier.post(self._give_up)
+        self.transport.post(self._release_address)
 
-    def _give_up(self, now_us: int) -> list[OutgoingEnvelope]:
-        self.carrier.ends = True
-        self._alone()
+    def _release_address(self, now_us: int) -> list[OutgoingEnvelope]:
+        self.transport.closes_after_send = True
+        self._read_registry_directly()
         return self.agent.leave(now_us)
 
-    def use(self, terms: AgentSettings) -> None:
+    def update_settings(self, terms: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
 
         def call(now_us: int) -> list[OutgoingEnvelope]:
-            self.agent.use_terms(now_us, terms)
+            self.agent.update_settings(now_us, terms)
             return []
 
-        self.carrier.post(call)
+        self.transport.post(call)
 
     # ------------------------------------------------------------------ for the copies
 
@@ -191,7 +195,7 @@
             call(now_us)
             return []
 
-        self.carrier.post(called)
+        self.transport.post(called)
 
     def living(self) -> set[str]:
         """The names of the members that live, as far as is known."""
@@ -203,7 +207,7 @@
 
     def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
         """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
-        self.agent.backing.when_kept(now_us, call)
+        self.agent.durable_state.when_kept(now_us, call)
 
     # ------------------------------------------------------------------ after each turn
 
@@ -211,53 +215,58 @@
         outs: list[OutgoingEnvelope] = []
         if self._shared is not None:
             outs += self._shared.turn(now_us)
-        if self.agent.rolling_drains.drain is not None:
-            on, self.agent.rolling_drains.drain = self.agent.rolling_drains.drain, None
+        if self.agent.rolling_drains.core_drain_change is not None:
+            on, self.agent.rolling_drains.core_drain_change = (
+                self.agent.rolling_drains.core_drain_change,
+                None,
+            )
             self._node.set_draining(on, lambda done: None)
-        if self.agent.rolling_drains.draining and now_us >= self._look_us:
+        if self.agent.rolling_drains.is_draining and now_us >= self._look_us:
             self._look_us = now_us + SESSION_COUNT_INTERVAL_US
-            self._node.read_metrics(lambda figures: self._standing(figures.inflight))
+            self._node.read_metrics(lambda figures: self._on_session_count(figures.inflight))
         if self.agent.shards is not None:
-            self._follow_drain(now_us, self.agent.shards)
-        if self.agent.terms.pace:
-            outs += self._ask_pace(now_us)
-        if self.copies is not None:
-            self.copies.turn(now_us)
+            self._follow_core_drain(now_us, self.agent.shards)
+        if self.agent.settings.shares_move_rate:
+            outs += self._request_rate(now_us)
+        if self.replication is not None:
+            self.replication.turn(now_us)
         if self._exerciser is not None:
-            outs += self.agent.say(now_us, self._exerciser.turn(now_us))
-        if self._lasting is not None:
-            self._lasting.turn()
+            outs += self.agent.send_shard_messages(now_us, self._exerciser.turn(now_us))
+        if self._storage is not None:
+            self._storage.turn()
         return outs
 
-    def _follow_drain(self, now_us: int, shards: ShardsPart) -> None:
+    def _follow_core_drain(self, now_us: int, shards: ShardsPart) -> None:
         """A node that is drained hands its shards over too, in its turn, and has some again afterwards."""
         drains = Reason.DRAIN in self._node.leaving
         if drains is not self._drains:
             self._drains = drains
             shards.plan_to_leave(now_us, drains)
 
-    def _standing(self, sessions: int) -> None:
+    def _on_session_count(self, sessions: int) -> None:
         def call(now_us: int) -> list[OutgoingEnvelope]:
-            self.agent.rolling_drains.standing(now_us, sessions)
+            self.agent.rolling_drains.on_session_count(now_us, sessions)
             return []
 
-        self.carrier.post(call)
+        self.transport.post(call)
 
-    def _ownership_changed(self, now_us: int, change: LeadershipChange) -> None:
+    def _on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
         if change.task == MOVE_RATE_TASK:
             self._pace_coordinator = MoveRateCoordinator(change.term, now_us) if change.is_leader else None
 
     # ------------------------------------------------------------------ the rebalancer's pace
 
-    def _lend(self, now_us: int, sender: str, content: Any) -> Any:
-        return self._pace_coordinator.asked(now_us, sender) if self._pace_coordinator is not None else None
+    def _grant_rate(self, now_us: int, sender: str, content: Any) -> Any:
+        return (
+            self._pace_coordinator.grant_share(now_us, sender) if self._pace_coordinator is not None else None
+        )
 
-    def _ask_pace(self, now_us: int) -> list[OutgoingEnvelope]:
-        share = self._pace.share(now_us)
-        if not self._pace.due(now_us):
+    def _request_rate(self, now_us: int) -> list[OutgoingEnvelope]:
+        share = self._pace.current_share(now_us)
+        if not self._pace.take_due_request(now_us):
             return []
         # Whether any is wanted is the core's to say; what it says counts from the next time on.
-        self._node.set_move_rate_share(share, self._moving)
+        self._node.set_move_rate_share(share, self._on_rate_wanted)
         if (share > 0) is not (self._share > 0) or self._share < 0:
             log("pace", share=round(share, 3))
         self._share = share
@@ -265,45 +274,47 @@
             return []
 
         def answered(now_us: int, sent_us: int, content: Any) -> None:
-            self._pace.told(sent_us, content)
+            self._pace.on_grant(sent_us, content)
 
-        return self.agent.ask(now_us, MOVE_RATE_TASK, [], answered)
+        return self.agent.request(now_us, MOVE_RATE_TASK, [], answered)
 
-    def _moving(self, wanted: bool) -> None:
+    def _on_rate_wanted(self, wanted: bool) -> None:
         self._wants_pace = wanted
 
     # ------------------------------------------------------------------ permits
 
-    def _used(self, use: PermitChange) -> None:
+    def _on_permit_change(self, use: PermitChange) -> None:
         """A permit came or went; the core is told, and whoever waits for the answer."""
         if use.kind == OUT_OF_SERVICE and use.subject in self._by_hand:
-            self._by_hand[use.subject] = use.yes
+            self._by_hand[use.subject] = use.is_held
 
             def done(known: bool) -> None:
-                if use.yes and not known:
-                    self.carrier.post(lambda now_us: self._drop(now_us, OUT_OF_SERVICE, use.subject))
-                answer = "" if known or not use.yes else f"no form server '{use.subject[:80]}'"
-                self._answer(OUT_OF_SERVICE, use.subject, answer if use.yes else use.why)
-
-            self._node.set_operator_override(use.subject, use.yes, done)
+                if use.is_held and not known:
+                    self.transport.post(
+                        lambda now_us: self._release_permit(now_us, OUT_OF_SERVICE, use.subject)
+                    )
+                answer = "" if known or not use.is_held else f"no form server '{use.subject[:80]}'"
+                self._answer(OUT_OF_SERVICE, use.subject, answer if use.is_held else use.reason)
+
+            self._node.set_operator_override(use.subject, use.is_held, done)
         if use.kind == DRAIN and self._drain_by_hand:
             self._node.set_draining(
-                use.yes, lambda done: self._answer(DRAIN, use.subject, "" if use.yes else use.why)
+                use.is_held, lambda done: self._answer(DRAIN, use.subject, "" if use.is_held else use.reason)
             )
 
     def _answer(self, kind: str, subject: str, why: str) -> None:
         for reply in self._waiting.pop((kind, subject), ()):
             reply(why)
 
-    def _drop(self, now_us: int, kind: str, subject: str) -> list[OutgoingEnvelope]:
-        if self.agent.holder is not None:
-            self.agent.holder.give_back(now_us, kind, subject)
+    def _release_permit(self, now_us: int, kind: str, subject: str) -> list[OutgoingEnvelope]:
+        if self.agent.permit_holder is not None:
+            self.agent.permit_holder.release(now_us, kind, subject)
         self._by_hand.pop(subject, None)
         return []
 
     @property
     def permits(self) -> bool:
-        return self.agent.holder is not None
+        return self.agent.permit_holder is not None
 
     def ask_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
         """`reply` is called with "" once it is in use, or with why it is not; it may not be called in
@@ -311,7 +322,7 @@
         """
 
         def call(now_us: int) -> list[OutgoingEnvelope]:
-            holder = self.agent.holder
+            holder = self.agent.permit_holder
             if holder is None:
                 reply("permits are off")
                 return []
@@ -319,30 +330,30 @@
                 self._by_hand.setdefault(subject, False)
             else:
                 self._drain_by_hand = True
-            if holder.holds(kind, subject, now_us):
+            if holder.is_held(kind, subject, now_us):
                 reply("")
                 return []
-            holder.want(kind, subject).next_us = 0
+            holder.request(kind, subject).next_request_us = 0
             self._waiting.setdefault((kind, subject), []).append(reply)
             return []
 
-        self.carrier.post(call)
+        self.transport.post(call)
 
-    def why_not(self, kind: str, subject: str) -> str:
+    def describe_pending_permit(self, kind: str, subject: str) -> str:
         """Why a permit that is asked for is not there yet."""
-        holder = self.agent.holder
-        wanted = holder.wanted.get((kind, subject)) if holder is not None else None
+        holder = self.agent.permit_holder
+        wanted = holder.permits.get((kind, subject)) if holder is not None else None
         if wanted is None:
             return "not asked for"
-        return f"queued with {wanted.ahead} before it, and carried out in its turn: {wanted.why}"
+        return f"queued with {wanted.requests_ahead} before it, and carried out in its turn: {wanted.reason}"
 
     def give_back(self, kind: str, subject: str) -> None:
         def call(now_us: int) -> list[OutgoingEnvelope]:
             if kind == DRAIN:
                 self._drain_by_hand = False
-            return self._drop(now_us, kind, subject)
+            return self._release_permit(now_us, kind, subject)
 
-        self.carrier.post(call)
+        self.transport.post(call)
 
     def begin_rolling_drain(
         self, name: str, nodes: list[str], for_us: int, reply: Callable[[str], None]
@@ -353,14 +364,14 @@
             unknown = [n for n in nodes if not self.agent.members.lives(n)]
             if unknown:
                 reply(f"no member {', '.join(unknown[:5])}")
-            elif self.agent.holder is None:
+            elif self.agent.permit_holder is None:
                 reply("permits are off")
             else:
                 self.agent.rolling_drains.begin(now_us, name, nodes, for_us)
                 reply("")
             return []
 
-        self.carrier.post(call)
+        self.transport.post(call)
 
     # ------------------------------------------------------------------ what staff see
 
@@ -372,7 +383,7 @@
             if what in shown:
                 reply(shown[what](self.agent, now_us))
             elif what.startswith(("state", "ranges")):
-                reply(self.copies.show(now_us, what) if self.copies is not None else None)
+                reply(self.replication.show(now_us, what) if self.replication is not None else None)
             elif what == "counts":
                 reply(self._counts())
             elif what.startswith("shards"):
@@ -381,24 +392,24 @@
                 reply(status.rolling_drain(self.agent, what.removeprefix("walk ")))
             return []
 
-        self.carrier.post(call)
+        self.transport.post(call)
 
     def _counts(self) -> dict[str, Any]:
-        tallies, members = self.agent.tallies, self.agent.members
+        tallies, members = self.agent.counters, self.agent.members
         return {
-            "orders_sent": tallies.orders_sent,
-            "orders_dropped": tallies.orders_dropped,
-            "orders_taken": tallies.orders_taken,
-            "orders_refused": tallies.orders_refused,
-            "orders_late": tallies.orders_late,
-            "bad_messages": tallies.bad_messages,
-            "wrong_fleet": tallies.wrong_fleet,
+            "orders_sent": tallies.responses_sent,
+            "orders_dropped": tallies.responses_expired,
+            "orders_taken": tallies.responses_accepted,
+            "orders_refused": tallies.responses_of_lower_term,
+            "orders_late": tallies.responses_too_late,
+            "bad_messages": tallies.malformed_messages,
+            "wrong_fleet": tallies.foreign_messages,
             "strangers": members.stray,
             "slowness": members.slowness,
-            "messages_in": self.carrier.traffic.messages_in,
-            "messages_out": self.carrier.traffic.messages_out,
-            "bytes_in": self.carrier.traffic.bytes_in,
-            "bytes_out": self.carrier.traffic.bytes_out,
+            "messages_in": self.transport.traffic.messages_in,
+            "messages_out": self.transport.traffic.messages_out,
+            "bytes_in": self.transport.traffic.bytes_in,
+            "bytes_out": self.transport.traffic.bytes_out,
             "in_touch": self.agent.leases.reaches_majority(boot_us()),
         }
 
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -33,41 +33,43 @@
     def __init__(
         self, node: Node, source: RegistryService, revision: int, agent: Agent, carrier: Transport
     ) -> None:
-        self._node, self._agent, self._carrier = node, agent, carrier
+        self._node, self._agent, self._transport = node, agent, carrier
         self.clock, self.settings = node.clock, node.settings  # what a client asks of a node
         self._client = DiscoveryClient(self, source.address, revision, node.settings.index)  # type: ignore[arg-type]
-        self._reading = SharedList(show_address(source.address), agent.terms.reader, boot_us())
+        self._shared_list = SharedList(show_address(source.address), agent.settings.list_reader, boot_us())
         self._listed: dict[str, FormServer] = {}
         self._watching = False
-        self._reads = True
-        self._told_us = 0
+        self._reads_registry = True
+        self._last_update_us = 0
         self._task = READER_TASK_PREFIX + agent.zone
         self._subject = f"{show_address(source.address)} {agent.zone}"  # of the list in the fleet's copies
-        self._kept = -1  # the revision of the list that this node put there last
-        self._answer = lambda now_us, sender, content: self._reading.answer(content)
-        agent.answers[self._task] = self._answer
+        self._stored_revision = -1  # the revision of the list that this node put there last
+        self._handle_query = lambda now_us, sender, content: self._shared_list.answer_query(content)
+        agent.request_handlers[self._task] = self._handle_query
 
     # ------------------------------------------------------------------ what the core wants
 
     def watch(self, active: bool) -> None:
         self._watching = active
-        self._client.watch(active and self._reads)
+        self._client.watch(active and self._reads_registry)
 
     def fetch(self) -> None:
-        if self._reads or self._reading.revision < 0:
+        if self._reads_registry or self._shared_list.revision < 0:
             self._client.fetch()
         else:
             servers = tuple(self._listed.values())
-            self._node.server_list_updated(ServerListUpdate(ListKind.FULL, self._reading.revision, servers))
+            self._node.server_list_updated(
+                ServerListUpdate(ListKind.FULL, self._shared_list.revision, servers)
+            )
 
     def drop(self) -> None:
         self._client.drop()
-        if self._agent.answers.get(self._task) is self._answer:
-            del self._agent.answers[self._task]
+        if self._agent.request_handlers.get(self._task) is self._handle_query:
+            del self._agent.request_handlers[self._task]
 
-    def alone(self) -> None:
+    def read_directly(self) -> None:
         """There is no fleet any more: this node reads for itself."""
-        self._reads, self._reading.owner = True, False
+        self._reads_registry, self._shared_list.is_leader = True, False
         self._client.watch(self._watching)
         self._client.fetch()
 
@@ -81,10 +83,12 @@
             self._listed.clear()
         for entry in update.form_servers:
             self._listed[entry.name] = entry
-        if update.kind is not ListKind.DELTA or update.form_servers or self._reading.revision < 0:
-            self._reading.read(update.revision, [_as_json(entry) for entry in self._listed.values()])
+        if update.kind is not ListKind.DELTA or update.form_servers or self._shared_list.revision < 0:
+            self._shared_list.on_registry_list(
+                update.revision, [_as_json(entry) for entry in self._listed.values()]
+            )
         else:
-            self._reading.revision = update.revision
+            self._shared_list.revision = update.revision
         self._node.server_list_updated(update)
 
     def discovery_failed(self, why: str) -> None:
@@ -104,39 +108,51 @@
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         """Called by the agent's task."""
-        self._reading.owner = bool(self._agent.leases.held_term(self._task, now_us))
-        replica, revision = self._agent.replica, self._reading.revision
-        if replica is not None and self._reading.owner and revision != self._kept and replica.sync.whole:
-            self._kept = revision
-            keep_list(replica, now_us, self._subject, revision, self._reading.members)
-        reads = self._reading.reads(now_us) or self._reading.revision < 0
-        if reads is not self._reads:
-            self._reads = reads
-            log("roster-reader", reads=reads, owner=self._reading.owner, revision=self._reading.revision)
+        self._shared_list.is_leader = bool(self._agent.leases.held_term(self._task, now_us))
+        replica, revision = self._agent.replica, self._shared_list.revision
+        if (
+            replica is not None
+            and self._shared_list.is_leader
+            and revision != self._stored_revision
+            and replica.sync.whole
+        ):
+            self._stored_revision = revision
+            keep_list(replica, now_us, self._subject, revision, self._shared_list.entries)
+        reads = self._shared_list.must_read_registry(now_us) or self._shared_list.revision < 0
+        if reads is not self._reads_registry:
+            self._reads_registry = reads
+            log(
+                "roster-reader",
+                reads=reads,
+                owner=self._shared_list.is_leader,
+                revision=self._shared_list.revision,
+            )
             self._client.watch(reads and self._watching)
             if reads:
                 self._client.fetch()
-        has = self._reading.due(now_us)
+        has = self._shared_list.next_query(now_us)
         if has is None or not self._agent.members.joined:
             return []
-        return self._agent.ask(now_us, self._task, [has.source, has.revision], self._answered)
+        return self._agent.request(now_us, self._task, [has.source, has.revision], self._on_reply)
 
-    def _answered(self, now_us: int, sent_us: int, content: Any) -> None:
-        members = self._reading.told(now_us, content)
+    def _on_reply(self, now_us: int, sent_us: int, content: Any) -> None:
+        members = self._shared_list.on_reply(now_us, content)
         if members is None:
-            if not self._reads and now_us - self._told_us > UNCHANGED_INTERVAL_US:
-                self._told_us = now_us
-                self._node.server_list_updated(ServerListUpdate(ListKind.DELTA, self._reading.revision, ()))
+            if not self._reads_registry and now_us - self._last_update_us > UNCHANGED_INTERVAL_US:
+                self._last_update_us = now_us
+                self._node.server_list_updated(
+                    ServerListUpdate(ListKind.DELTA, self._shared_list.revision, ())
+                )
             return
         try:
             update = read_server_list(
-                {"complete": True, "revision": self._reading.revision, "members": members}
+                {"complete": True, "revision": self._shared_list.revision, "members": members}
             )
         except BadServerList as error:
             log("reader-list-refused", why=str(error))
-            self._reading.revision = -1  # the registry itself is asked
+            self._shared_list.revision = -1  # the registry itself is asked
             return
-        self._told_us = now_us
+        self._last_update_us = now_us
         self._listed = {entry.name: entry for entry in update.form_servers}
         self._node.server_list_updated(update)
 
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -46,27 +46,27 @@
 
 def permits(agent: Agent, now_us: int) -> Rows:
     """The fleet's, at their owner; elsewhere those that this node holds or wants."""
-    holder, coordinator = agent.holder, agent.permit_coordinator
-    if coordinator is not None and agent.owns(PERMITS, now_us):
-        return coordinator.table(now_us)
+    holder, coordinator = agent.permit_holder, agent.permit_coordinator
+    if coordinator is not None and agent.leading_term(PERMITS, now_us):
+        return coordinator.rows(now_us)
     return [
         {
             "kind": wanted.kind,
             "subject": wanted.subject,
             "holder": agent.name,
             "state": {"want": "waiting"}.get(wanted.state, wanted.state),
-            "ends_in_s": _seconds(wanted.until_us - now_us) if wanted.until_us else None,
+            "ends_in_s": _seconds(wanted.expires_us - now_us) if wanted.expires_us else None,
         }
-        for wanted in (holder.wanted.values() if holder is not None else ())
+        for wanted in (holder.permits.values() if holder is not None else ())
     ]
 
 
 def rolling_drain(agent: Agent, name: str) -> Rows | None:
     """None: no rolling drain of that name was begun here."""
-    begun = agent.rolling_drains.begun.get(name)
+    begun = agent.rolling_drains.drains.get(name)
     if begun is None:
         return None
-    return [{"name": step.node, "state": step.state, "why": step.why} for step in begun.steps]
+    return [{"name": step.node, "state": step.state, "why": step.reason} for step in begun.steps]
 
 
 def _seconds(us: int) -> float:
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -25,7 +25,7 @@
     ) -> None:
         self._members, self._leases, self._zone = members, leases, zone
         self._settings, self._counters = terms, tallies
-        self._initial_rest_us = int(int(terms.owners.order_s * SECOND) * (1 + 3 * DRIFT))
+        self._initial_rest_us = int(int(terms.leadership.order_s * SECOND) * (1 + 3 * DRIFT))
         self._candidate_tasks: dict[str, list[str]] = {}
         self._members_version = -1  # the version of the members that they were made of
 
@@ -47,11 +47,11 @@
         tasks = {}
         if self._settings.permits.enabled:
             tasks[PERMITS] = best_placed(PERMITS, names)
-        if self._settings.pace:
+        if self._settings.shares_move_rate:
             tasks[MOVE_RATE_TASK] = best_placed(MOVE_RATE_TASK, names)
-        if self._settings.replica.enabled:
+        if self._settings.replication.enabled:
             tasks[MARKS] = best_placed(MARKS, names)
-        if self._settings.reader.enabled:
+        if self._settings.list_reader.enabled:
             task = READER_TASK_PREFIX + self._zone
             tasks[task] = best_placed(task, eligible([r for r in living if r.zone == self._zone]))
         return tasks
@@ -71,7 +71,7 @@
         task, term = guard
         yes = self._leases.held_term(task, now_us) == term
         if not yes:
-            self._counters.orders_dropped += 1
+            self._counters.responses_expired += 1
         return yes
 
     def known_leader(self, task: str) -> str:
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -58,17 +58,17 @@
         otherwise that raises OSError.
         """
         self.agent = agent
-        self._address, self._patient = address, patient
+        self._address, self._waits_for_address = address, patient
         self._calls: deque[Callable[[], list[OutgoingEnvelope]]] = deque()
         self._called = anyio.Event()
         self._links: dict[str, _OutgoingLink] = {}
-        self._accepted = 0
+        self._accepted_links = 0
         self.traffic = TrafficCounters()
         self.bad_frames = 0
         self._sockets: tuple[socket.socket, socket.socket] | None = None
-        self.ends = False  # after what is to be sent now, the address is given up
+        self.closes_after_send = False  # after what is to be sent now, the address is given up
         # After each turn of the agent: what has changed is acted on.
-        self.after: Callable[[int], list[OutgoingEnvelope]] = lambda now_us: []
+        self.after_turn: Callable[[int], list[OutgoingEnvelope]] = lambda now_us: []
         try:
             self._sockets = self._bind()
         except OSError as error:
@@ -107,14 +107,14 @@
                 self._group = group
                 group.start_soon(self._read, datagrams)
                 group.start_soon(self._accept, listener, group)
-                await self._own(datagrams)
+                await self._run_agent(datagrams)
                 group.cancel_scope.cancel()
         finally:
             self.close()
 
     # ------------------------------------------------------------------ the task that owns the agent
 
-    async def _own(self, datagrams: socket.socket) -> None:
+    async def _run_agent(self, datagrams: socket.socket) -> None:
         while True:
             now_us = boot_us()
             due_us = self.agent.due_us(now_us)
@@ -123,27 +123,27 @@
             self._called = anyio.Event()
             while self._calls:
                 self._send(datagrams, self._calls.popleft()())
-            if self.ends:
+            if self.closes_after_send:
                 return
             now_us = boot_us()
             self._send(datagrams, self.agent.turn(now_us))
-            self._send(datagrams, self.after(now_us))
-            for note in self.agent.notes:
-                log(note.what, **note.facts)
-            self.agent.notes.clear()
+            self._send(datagrams, self.after_turn(now_us))
+            for note in self.agent.log_events:
+                log(note.name, **note.fields)
+            self.agent.log_events.clear()
 
     def _send(self, datagrams: socket.socket, outs: list[OutgoingEnvelope]) -> None:
         for out in outs:
             data = encode_envelope(out.envelope)
             if len(data) > MAX_DATAGRAM_BYTES:
-                self._by_link(out, data)
+                self._queue_frame(out, data)
                 continue
             # The clock is looked at last of all.
-            if out.guard is not None and not self.agent.still(out.guard, boot_us()):
+            if out.guard is not None and not self.agent.may_send(out.guard, boot_us()):
                 continue
-            self._put(datagrams, data, out.address)
+            self._send_datagram(datagrams, data, out.address)
 
-    def _put(self, datagrams: socket.socket, data: bytes, address: str) -> None:
+    def _send_datagram(self, datagrams: socket.socket, data: bytes, address: str) -> None:
         try:
             datagrams.sendto(data, split_address(address))
         except (OSError, ValueError):
@@ -160,24 +160,24 @@
                     data, sender = datagrams.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except OSError:
                     break
-                self._came(data, show_address(sender[:2]))
+                self._on_data(data, show_address(sender[:2]))
             await anyio.sleep(0)
 
-    def _came(self, data: bytes, address: str) -> bool:
+    def _on_data(self, data: bytes, address: str) -> bool:
         self.traffic.received(len(data))
         try:
-            envelope = self._unpacked(data)
+            envelope = self._decode(data)
         except BadEnvelope:
-            self.agent.tallies.bad_messages += 1
+            self.agent.counters.malformed_messages += 1
             return False
-        self._hear(address, envelope)
+        self._on_envelope(address, envelope)
         return True
 
-    def _unpacked(self, data: bytes) -> Envelope:
+    def _decode(self, data: bytes) -> Envelope:
         return decode_envelope(data)
 
-    def _hear(self, address: str, envelope: Envelope) -> None:
-        self.post(lambda now_us: self.agent.hear(now_us, address, envelope))
+    def _on_envelope(self, address: str, envelope: Envelope) -> None:
+        self.post(lambda now_us: self.agent.on_envelope(now_us, address, envelope))
 
     async def _accept(self, listener: socket.socket, group: TaskGroup) -> None:
         while True:
@@ -186,13 +186,13 @@
             except OSError:
                 await anyio.sleep_until(anyio.current_time() + 0.1)  # no descriptors: others go first
                 continue
-            if self._accepted >= MAX_LINKS:
+            if self._accepted_links >= MAX_LINKS:
                 sock.close()
                 continue
-            self._accepted += 1
-            group.start_soon(self._hear_link, Connection(sock, MAX_FRAME_BYTES + _FRAME_HEADER_BYTES))
+            self._accepted_links += 1
+            group.start_soon(self._serve_link, Connection(sock, MAX_FRAME_BYTES + _FRAME_HEADER_BYTES))
 
-    async def _hear_link(self, link: Connection) -> None:
+    async def _serve_link(self, link: Connection) -> None:
         """Reads frames until one is none, the other side ends, or nothing comes for long."""
         try:
             with contextlib.suppress(OSError, Overlong):
@@ -202,17 +202,17 @@
                     if waiting.cancelled_caught or data is None:
                         return
                     self.traffic.bytes_in += _FRAME_HEADER_BYTES
-                    if not self._came(data, show_address(link.sock.getpeername()[:2])):
+                    if not self._on_data(data, show_address(link.sock.getpeername()[:2])):
                         self.bad_frames += 1
                         log("link-ended", reason="bad-frame", peer=show_address(link.sock.getpeername()[:2]))
                         return
         finally:
             link.close()
-            self._accepted -= 1
+            self._accepted_links -= 1
 
     # ------------------------------------------------------------------ links
 
-    def _by_link(self, out: OutgoingEnvelope, data: bytes) -> None:
+    def _queue_frame(self, out: OutgoingEnvelope, data: bytes) -> None:
         link = self._links.get(out.address)
         if link is None:
             if len(self._links) >= MAX_LINKS:
@@ -236,7 +236,7 @@
                 if idle.cancelled_caught:
                     return
                 data, guard = link.queue.popleft()
-                if guard is not None and not self.agent.still(guard, boot_us()):
+                if guard is not None and not self.agent.may_send(guard, boot_us()):
                     continue
                 with anyio.CancelScope(deadline=anyio.current_time() + LINK_TIMEOUT_S) as writing:
                     await connection.write(len(data).to_bytes(_FRAME_HEADER_BYTES, "big") + data)
--- a/sailrun/leadership/voter_role.py
+++ b/sailrun/leadership/voter_role.py
@@ -35,16 +35,18 @@
         now_us: int,
         off: frozenset[str],
     ) -> None:
-        self._name, self._terms, self._backing = name, terms, backing
-        self._founding, self._off = founding, off
+        self._name, self._settings, self._durable_state = name, terms, backing
+        self._new_initial_term, self._disabled_rules = founding, off
         self.voter = self._new_voter(now_us, voters) if name in voters.names() else None
 
     def _new_voter(self, now_us: int, voters: Voters) -> Voter:
-        voter = Voter(self._name, voters, self._terms, now_us, self._founding, self._off)
-        self._backing.back(voter)
+        voter = Voter(
+            self._name, voters, self._settings, now_us, self._new_initial_term, self._disabled_rules
+        )
+        self._durable_state.attach_voter(voter)
         return voter
 
-    def use(self, now_us: int, voters: Voters, terms: LeadershipSettings) -> None:
+    def update_settings(self, now_us: int, voters: Voters, terms: LeadershipSettings) -> None:
         """From now on these are the voters; this node may have become one, or be none any more."""
         if self._name not in voters.names():
             self.voter = None
@@ -52,14 +54,14 @@
             self.voter = self._new_voter(now_us, voters)
         else:
             self.voter.voters = voters
-        self._terms = terms
+        self._settings = terms
 
-    def heard_of(self, task: str, term: int) -> None:
+    def observe_term(self, task: str, term: int) -> None:
         """Hearsay: a term of a task."""
         if self.voter is not None:
             self.voter.observe_term(task, term)
 
-    def hear(
+    def on_message(
         self, now_us: int, sender: str, life: int, body: LeaseRequest | LeaseRelease | TermQuery | TermReport
     ) -> list[Post]:
         """What candidates, and voters that have started, ask or tell a voter."""
@@ -73,7 +75,7 @@
                 voter.on_release(sender, life, body)
             case TermQuery():
                 if not body.has_durable_state:
-                    self._backing.standing.forgot(sender, life)
+                    self._durable_state.freshness.forgot(sender, life)
                 return [(sender, voter.report_terms(body))]
             case TermReport():
                 voter.on_term_report(now_us, sender, body)
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -189,7 +189,7 @@
             self._writing.cancel()  # the folder is the successor's now
         elif yes and self._fleet is not None:
             # The name and the address are the successor's now, and the folder.
-            self._fleet.give_up()
+            self._fleet.release_address()
         else:
             self._lasting = self._open_lasting(self._config, patient=True)
             self._fleet = self._join_fleet(self._config, patient=True)
@@ -202,7 +202,9 @@
         match config.roster:
             case RegistryService(address):
                 shared = (
-                    self._fleet.discovery(config.roster, self._revision) if self._fleet is not None else None
+                    self._fleet.new_discovery(config.roster, self._revision)
+                    if self._fleet is not None
+                    else None
                 )
                 return shared or DiscoveryClient(self.node, address, self._revision, config.seed)
             case EnvoyFiles(cluster, clusters, endpoints):
@@ -293,7 +295,7 @@
         if "operator" in changed:
             self._switch(config)
         if fleet_terms is not None and self._fleet is not None:
-            self._fleet.use(fleet_terms)
+            self._fleet.update_settings(fleet_terms)
         if "roster" in changed:
             self._asking.cancel()
             self._discovery, self._asking = self._discovery_for(config), anyio.CancelScope()
@@ -330,11 +332,11 @@
         kept_on = before.replica.enabled  # a copy is begun, or given up, at a start
         return replace(
             terms,
-            members=before.members,
-            owners=kept,
+            membership=before.members,
+            leadership=kept,
             permits=permits,
-            reader=before.reader,
-            replica=msgspec.structs.replace(after.replica, enabled=kept_on),
+            list_reader=before.reader,
+            replication=msgspec.structs.replace(after.replica, enabled=kept_on),
         )
 
     def _exchange(self, key: str, new: Door | None) -> None:
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -562,14 +562,14 @@
     assert agent is not None and node.write_ahead_log is not None
     told: list[bool] = []
     fleet.mark_here("n4", "s-00000002", True)
-    agent.backing.when_kept(fleet.clock_us(node), told.append)
+    agent.durable_state.when_kept(fleet.clock_us(node), told.append)
     assert not told
     fleet._soon(node)
     fleet.run(now_s(fleet) + 0.1)
     assert told == [True]
     fleet.fill(["n4"], 60 * SECOND)
     fleet.mark_here("n4", "s-00000003", True)
-    agent.backing.when_kept(fleet.clock_us(node), told.append)
+    agent.durable_state.when_kept(fleet.clock_us(node), told.append)
     fleet._soon(node)
     fleet.run(now_s(fleet) + 0.1)
     assert told == [True, False]
@@ -631,7 +631,7 @@
     cut = fleet.cut(["n0"], ["n1", "n2"])
     for number in (1, 2, 3):
         ask = LeaseRequest("t", 2**52, number, agent.voters.stage, number > 1)
-        fleet._send(node, agent._heard(fleet.clock_us(node), "n4", 1, ask))
+        fleet._send(node, agent._dispatch(fleet.clock_us(node), "n4", 1, ask))
         fleet.run(now_s(fleet) + 0.5)
     assert not sent
     fleet.heal(cut)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -174,7 +174,7 @@
 def held(
     coordinator: PermitCoordinator, now_us: int, name: str, kind: str, subject: str, state: str = "want"
 ) -> PermitResponse:
-    return coordinator.asked(now_us, name, 1, PermitRequest(kind, subject, state))
+    return coordinator.on_request(now_us, name, 1, PermitRequest(kind, subject, state))
 
 
 def open_coordinator(now_us: int = 10 * SECOND) -> PermitCoordinator:
@@ -215,16 +215,18 @@
     coordinator = PermitCoordinator(PERMITS, 6, 0)
     assert held(coordinator, 1, "a", OUT_OF_SERVICE, "s-1", "held").is_granted
     assert not held(coordinator, 1, "b", OUT_OF_SERVICE, "s-2").is_granted
-    waiting = coordinator.asked(1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1)))
+    waiting = coordinator.on_request(1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1)))
     assert not waiting.is_granted and waiting.queue_position == (5, 1)
-    held(coordinator, coordinator.open_us - 1, "a", OUT_OF_SERVICE, "s-1", "held")
-    coordinator.asked(coordinator.open_us - 1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1)))
-    held(coordinator, coordinator.open_us - 1, "b", OUT_OF_SERVICE, "s-2")
+    held(coordinator, coordinator.opens_us - 1, "a", OUT_OF_SERVICE, "s-1", "held")
+    coordinator.on_request(
+        coordinator.opens_us - 1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1))
+    )
+    held(coordinator, coordinator.opens_us - 1, "b", OUT_OF_SERVICE, "s-2")
     assert not held(
-        coordinator, coordinator.open_us, "b", OUT_OF_SERVICE, "s-2"
+        coordinator, coordinator.opens_us, "b", OUT_OF_SERVICE, "s-2"
     ).is_granted  # s-3 has the earlier place
-    assert coordinator.asked(
-        coordinator.open_us, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1))
+    assert coordinator.on_request(
+        coordinator.opens_us, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1))
     ).is_granted
 
 
@@ -241,11 +243,11 @@
 
     @rule(name=st.sampled_from("abcd"), number=st.integers(1, 4))
     def want(self, name: str, number: int) -> None:
-        self.holders[name].want(OUT_OF_SERVICE, f"s-{number}")
+        self.holders[name].request(OUT_OF_SERVICE, f"s-{number}")
 
     @rule(name=st.sampled_from("abcd"), number=st.integers(1, 4))
     def give_back(self, name: str, number: int) -> None:
-        self.holders[name].give_back(self.now_us, OUT_OF_SERVICE, f"s-{number}")
+        self.holders[name].release(self.now_us, OUT_OF_SERVICE, f"s-{number}")
 
     @rule(part=st.integers(1, 60))
     def pass_time(self, part: int) -> None:
@@ -260,9 +262,9 @@
     def answer(self, data: Any, lost: bool) -> None:
         at = data.draw(st.integers(0, len(self.flying) - 1))
         name, sent_us, want = self.flying.pop(at)
-        say = self.coordinator.asked(self.now_us, name, 1, want)
+        say = self.coordinator.on_request(self.now_us, name, 1, want)
         if not lost:
-            self.holders[name].told(self.now_us, sent_us, want, say)
+            self.holders[name].on_response(self.now_us, sent_us, want, say)
 
     @rule()
     def another_owner(self) -> None:
@@ -277,8 +279,8 @@
         out = {
             subject
             for holder in self.holders.values()
-            for kind, subject in holder.wanted
-            if holder.holds(kind, subject, self.now_us)
+            for kind, subject in holder.permits
+            if holder.is_held(kind, subject, self.now_us)
         }
         assert len(out) <= PERMITS.out, out
 
@@ -295,28 +297,28 @@
 
     def play(now_us: int) -> None:
         for to, word in drains["a"].turn(now_us):
-            drains["a"].told(now_us, to, drains[to].asked(now_us, word))
+            drains["a"].on_status(now_us, to, drains[to].on_request(now_us, word))
         for name, holder in holders.items():
             for want in holder.turn(now_us):
-                holder.told(now_us, now_us, want, coordinator.asked(now_us, name, 1, want))
-            for use in holder.uses:
-                drains[name].used(use)
-            holder.uses.clear()
-            if drains[name].drain:
+                holder.on_response(now_us, now_us, want, coordinator.on_request(now_us, name, 1, want))
+            for use in holder.changes:
+                drains[name].on_permit_change(use)
+            holder.changes.clear()
+            if drains[name].core_drain_change:
                 drained.append(name)
-            drains[name].drain = None
-            if drains[name].draining:
-                drains[name].standing(now_us, 0)
+            drains[name].core_drain_change = None
+            if drains[name].is_draining:
+                drains[name].on_session_count(now_us, 0)
 
     drains["a"].begin(0, "w", ["c", "a", "b"], SECOND)
     for tenth in range(400):
         play(tenth * SECOND // 10)
-    assert drains["a"].begun["w"].over and drained == ["c", "a", "b"]
-    drains["a"].begun.clear()
+    assert drains["a"].drains["w"].is_over and drained == ["c", "a", "b"]
+    drains["a"].drains.clear()
     drains["a"].begin(40 * SECOND, "w", ["c", "a", "b"], SECOND)
     for tenth in range(400, 500):
         play(tenth * SECOND // 10)
-    assert drained == ["c", "a", "b"] and drains["a"].begun["w"].over
+    assert drained == ["c", "a", "b"] and drains["a"].drains["w"].is_over
 
 
 def test_a_rolling_drain_keeps_its_older_names_on_the_wire_and_on_the_disk() -> None:
@@ -334,34 +336,34 @@
 
 def test_an_older_list_is_never_taken_and_silence_has_a_node_read_for_itself() -> None:
     reader, node = (SharedList("r:1", ListReaderSettings(), 0) for _ in range(2))
-    reader.read(7, [{"id": "s-1"}])
-    assert node.told(0, reader.answer(["r:1", -1])) == [{"id": "s-1"}]
-    assert node.told(0, reader.answer(["r:1", 7])) is None and node.revision == 7
-    assert not node.reads(2_900_000) and node.reads(3_000_000)
+    reader.on_registry_list(7, [{"id": "s-1"}])
+    assert node.on_reply(0, reader.answer_query(["r:1", -1])) == [{"id": "s-1"}]
+    assert node.on_reply(0, reader.answer_query(["r:1", 7])) is None and node.revision == 7
+    assert not node.must_read_registry(2_900_000) and node.must_read_registry(3_000_000)
     stale = SharedList("r:1", ListReaderSettings(), 0)
-    stale.read(6, [])
-    assert node.told(4_000_000, stale.answer(["r:1", 5])) is None and node.refused == 1
-    assert node.reads(4_000_000)  # a reader that is behind counts as silent
-    assert stale.answer(["r:2", -1]) is None
-    assert node.told(4_000_000, ["r:2", 9, []]) is None and node.told(0, "nothing") is None
+    stale.on_registry_list(6, [])
+    assert node.on_reply(4_000_000, stale.answer_query(["r:1", 5])) is None and node.lists_rejected == 1
+    assert node.must_read_registry(4_000_000)  # a reader that is behind counts as silent
+    assert stale.answer_query(["r:2", -1]) is None
+    assert node.on_reply(4_000_000, ["r:2", 9, []]) is None and node.on_reply(0, "nothing") is None
 
 
 def test_shares_of_the_pace_never_come_to_more_than_the_whole() -> None:
     coordinator, shares = MoveRateCoordinator(1, 0), {name: MoveRateShare() for name in "abc"}
     now_us = RATE_GRANT_US
-    assert coordinator.asked(now_us, "a") == [0.0]
+    assert coordinator.grant_share(now_us, "a") == [0.0]
     seen = []
     for step in range(60):
         now_us += 100_000
         for n, (name, share) in enumerate(shares.items()):
             # Some join later, and some answers get lost.
             if step >= 10 * n and (step + n) % 4:
-                answer = coordinator.asked(now_us, name)
+                answer = coordinator.grant_share(now_us, name)
                 if (step + n) % 3:
-                    share.told(now_us, answer)
-        seen.append(sum(share.share(now_us) for share in shares.values()))
+                    share.on_grant(now_us, answer)
+        seen.append(sum(share.current_share(now_us) for share in shares.values()))
     assert max(seen) <= 1.0 + 1e-9 and seen[-1] > 0.9
-    assert all(share.share(now_us + RATE_GRANT_US) == 0 for share in shares.values())
+    assert all(share.current_share(now_us + RATE_GRANT_US) == 0 for share in shares.values())
 
 
 GOOD = """
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -85,10 +85,10 @@
     for region in {place.region for place in places}:
         voters = control_of(places, region)
         assert len(voters) == 3 and len({p.zone for p in control if p.region == region}) == 3
-        told = node_terms(plan, places, next(p for p in places if p.region == region)).shards.region(region)
+        told = node_terms(plan, places, next(p for p in places if p.region == region)).sharding.region(region)
         assert told is not None and (told.voters, told.shards) == (voters, 1_000)
     assert set(voters_of(places)) <= {place.name for place in control}
-    assert not node_terms(SMALL, place_nodes(SMALL), place_nodes(SMALL)[0]).shards.enabled
+    assert not node_terms(SMALL, place_nodes(SMALL), place_nodes(SMALL)[0]).sharding.enabled
     with pytest.raises(DoesNotFit, match="fewer than 24"):
         check_fit(replace(plan, hollow=23))
 
@@ -100,9 +100,9 @@
 def test_terms_are_those_of_the_place() -> None:
     places = place_nodes(replace(SMALL, replica=False))
     terms = node_terms(replace(SMALL, replica=False), places, places[1])
-    assert terms.members.name == "n1" and terms.members.listen == places[1].address
-    assert places[1].address not in terms.members.join and len(terms.members.join) == 2
-    assert terms.owners.enabled and terms.reader.enabled and not terms.replica.enabled
+    assert terms.membership.name == "n1" and terms.membership.listen == places[1].address
+    assert places[1].address not in terms.membership.join and len(terms.membership.join) == 2
+    assert terms.leadership.enabled and terms.list_reader.enabled and not terms.replication.enabled
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shards_wire.py
+++ b/tests/test_shards_wire.py
@@ -103,7 +103,7 @@
         """What a node answers to a message of another member."""
         node = self.node(name)
         envelope = decode_envelope(encode_envelope(self.envelope(sender, body)))
-        return self.agent(name).hear(self.fleet.clock_us(node), self.node(sender).address, envelope)
+        return self.agent(name).on_envelope(self.fleet.clock_us(node), self.node(sender).address, envelope)
 
     def answers(self, name: str, sender: str, body: Body) -> list[Body]:
         return [out.envelope.body for out in self.hear(name, sender, body)]
@@ -238,7 +238,7 @@
         stormed.begin()  # one that owns nothing any more has little to be wrong about
     node, agent = stormed.node(to), stormed.agent(to)
     now_us = stormed.fleet.clock_us(node)
-    outs = agent.hear(now_us, stormed.node(sender).address, envelope)
+    outs = agent.on_envelope(now_us, stormed.node(sender).address, envelope)
     outs += agent.turn(now_us)
     for out in outs:
         decode_envelope(encode_envelope(out.envelope))
@@ -281,7 +281,7 @@
     assigner = running.assigner()
     part, before = running.part(assigner), running.owned()
     generation = part.assigner.generation if part.assigner is not None else 0
-    running.agent(assigner).notes.clear()
+    running.agent(assigner).log_events.clear()
     promised = [running.part(name).acceptor for name in ("n0", "n2", "n4")]
     terms = [acceptor.promised for acceptor in promised if acceptor is not None]
     told: list[Body] = []
@@ -299,7 +299,7 @@
             == []
         )
     assert told == [RenewRefused(REGION, 9, "settings")] * 3
-    notes = [facts for what, facts in running.agent(assigner).notes if what == "shards-settings-differ"]
+    notes = [facts for what, facts in running.agent(assigner).log_events if what == "shards-settings-differ"]
     assert notes == [{"name": OTHER}]  # one line, however many there are
     assert part.bad_settings >= 3
     assert part.assigner is not None and part.assigner.generation == generation
