--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -60,7 +60,7 @@
     """
 
     def __init__(self, agent: MeteredAgent, place: Place, network: NetworkModel, delays: DelayLine) -> None:
-        super().__init__(agent, split_address(place.address), patient=False)
+        super().__init__(agent, split_address(place.address), waits_for_address=False)
         self._metered, self._place, self._network, self._delays = agent, place, network, delays
 
     def _send(self, datagrams: socket.socket, outs: list[OutgoingEnvelope]) -> None:
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -61,7 +61,7 @@
 __all__ = ["MOVE_RATE_TASK", "READER_TASK_PREFIX", "Agent", "AgentSettings", "OutgoingEnvelope"]
 
 # Messages for members by name.
-Posts = Iterable[tuple[str, Any]]
+Messages = Iterable[tuple[str, Any]]
 Item = TypeVar("Item")
 
 
@@ -73,42 +73,54 @@
     def __init__(
         self,
         me: Record,
-        terms: AgentSettings,
+        settings: AgentSettings,
         seed: int,
         now_us: int,
-        founding: Callable[[], int],
-        off: frozenset[str] = frozenset(),
+        new_initial_term: Callable[[], int],
+        disabled_rules: frozenset[str] = frozenset(),
         record: Callable[..., None] = lambda kind, **facts: None,
     ) -> None:
-        self.settings, self._disabled_rules, self._record = terms, off, record
+        self.settings, self._disabled_rules, self._record = settings, disabled_rules, record
         self._now_us = now_us
         self.name, self.life, self.zone = me.name, me.life, me.zone
         # Work that others do: who answers questions about a task, asked with the asker's name and content.
         self.request_handlers: dict[str, Callable[[int, str, Any], Any]] = {}
         self.on_leadership_change: Callable[[int, LeadershipChange], None] = lambda now_us, change: None
         self.on_permit_change: Callable[[PermitChange], None] = lambda use: None
-        chance = random.Random(seed)  # each part has its own number, always in this order
-        self.voters = Voters(terms.leadership, off)
-        self.members = Members(me, terms.membership, chance.getrandbits(32), now_us)
-        self.leases = Leases(me.name, self.voters, terms.leadership, chance.getrandbits(32), now_us, off)
+        random_source = random.Random(seed)  # each part has its own number, always in this order
+        self.voters = Voters(settings.leadership, disabled_rules)
+        self.members = Members(me, settings.membership, random_source.getrandbits(32), now_us)
+        self.leases = Leases(
+            me.name, self.voters, settings.leadership, random_source.getrandbits(32), now_us, disabled_rules
+        )
         self._change_log = ChangeLog(record)
         self.counters = self._change_log.counters
-        self._leadership = TaskLeadership(self.members, self.leases, me.zone, terms, self.counters)
+        self._leadership = TaskLeadership(self.members, self.leases, me.zone, settings, self.counters)
         self._envelopes = EnvelopeFactory(lambda: self.settings.membership.fleet, self.members, self.leases)
         self.durable_state = DurableState(
-            me.name, me.life, lambda: self.voters, self.members.lives, record, off
+            me.name, me.life, lambda: self.voters, self.members.lives, record, disabled_rules
         )
         self._voter_role = VoterRole(
-            me.name, self.voters, terms.leadership, self.durable_state, founding, now_us, off
+            me.name,
+            self.voters,
+            settings.leadership,
+            self.durable_state,
+            new_initial_term,
+            now_us,
+            disabled_rules,
         )
-        self._permit_role = PermitRole(terms.permits, self._change_log, off)
+        self._permit_role = PermitRole(settings.permits, self._change_log, disabled_rules)
         self.rolling_drains = RollingDrains(me.name, self.permit_holder)
         self.replica = (
-            self._new_replica(chance.getrandbits(32), now_us) if terms.replication.enabled else None
+            self._new_replica(random_source.getrandbits(32), now_us) if settings.replication.enabled else None
         )
         self.durable_state.attach_parts(lambda: self.voter, self.replica, self.rolling_drains)
-        self._requests = self._new_requests(chance.getrandbits(30) << 20)
-        self.shards = self._new_shards(me, chance, now_us, founding) if terms.sharding.enabled else None
+        self._requests = self._new_requests(random_source.getrandbits(30) << 20)
+        self.shards = (
+            self._new_shards(me, random_source, now_us, new_initial_term)
+            if settings.sharding.enabled
+            else None
+        )
 
     def _new_replica(self, seed: int, now_us: int) -> Replica:
         return Replica(
@@ -140,20 +152,20 @@
         )
 
     def _new_shards(
-        self, me: Record, chance: random.Random, now_us: int, founding: Callable[[], int]
+        self, me: Record, random_source: random.Random, now_us: int, new_initial_term: Callable[[], int]
     ) -> ShardsPart:
         # Loaded only where it is switched on: it needs numpy.
         from sailrun.sharding.part import ShardsPart
 
-        terms, draw = self.settings, chance.getrandbits
+        settings, draw = self.settings, random_source.getrandbits
         return ShardsPart(
             me,
-            terms.sharding,
-            terms.leadership,
+            settings.sharding,
+            settings.leadership,
             self.members,
             draw,
             now_us,
-            founding,
+            new_initial_term,
             self._disabled_rules,
             self._record,
         )
@@ -180,19 +192,19 @@
 
     # ------------------------------------------------------------------ what outlasts the process
 
-    def restore(self, now_us: int, lasting: OpenedFolder) -> None:
+    def restore(self, now_us: int, folder: OpenedFolder) -> None:
         """Goes by a folder, as far as that can be: before the first turn."""
-        self.durable_state.restore(now_us, lasting)
+        self.durable_state.restore(now_us, folder)
 
     def on_written(self, now_us: int, done: Done) -> list[OutgoingEnvelope]:
         """What became of the work of the disk; the answers that waited for it may go out."""
         self._now_us = now_us
-        outs = self._send_released(*self.durable_state.on_written(now_us, done))
-        return outs + self._publish_changes(now_us)
+        envelopes = self._send_released(*self.durable_state.on_written(now_us, done))
+        return envelopes + self._publish_changes(now_us)
 
-    def _send_released(self, answers: Posts, posts: Posts) -> list[OutgoingEnvelope]:
+    def _send_released(self, answers: Messages, messages: Messages) -> list[OutgoingEnvelope]:
         """Answers were held back as long as they had to be."""
-        return [out for name, body in answers for out in self._deliver(name, body)] + self._post_all(posts)
+        return [out for name, body in answers for out in self._deliver(name, body)] + self._post_all(messages)
 
     # ------------------------------------------------------------------ who may own what
 
@@ -222,10 +234,10 @@
         body, name, life = envelope.body, envelope.sender, envelope.life
         if name != self.name:
             self.members.heard_from(now_us, name, life, envelope.incarnation)
-        outs: list[OutgoingEnvelope] = []
+        envelopes: list[OutgoingEnvelope] = []
         if isinstance(body, MemberBody):
             sender = Record(name, life, envelope.incarnation, State.ALIVE, address)
-            outs = self._envelopes.address_letters(self.members.hear(now_us, sender, body))
+            envelopes = self._envelopes.address_letters(self.members.hear(now_us, sender, body))
         elif not self.members.knows(name, life):
             return []
         if self.members.is_current(name, life):
@@ -233,8 +245,8 @@
             for claim in envelope.leader_hints:
                 self._observe_term(now_us, claim.task, claim.term, claim.holder)
             if not isinstance(body, MemberBody):
-                outs += self._dispatch(now_us, name, life, body)
-        return outs + self._publish_changes(now_us)
+                envelopes += self._dispatch(now_us, name, life, body)
+        return envelopes + self._publish_changes(now_us)
 
     def _observe_term(self, now_us: int, task: str, term: int, holder: str) -> None:
         """Hearsay: a term of a task, and who owned it then, if that is known."""
@@ -313,20 +325,20 @@
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         self._now_us = now_us
-        outs = self._envelopes.address_letters(self.members.turn(now_us))
+        envelopes = self._envelopes.address_letters(self.members.turn(now_us))
         if self.voter is not None and self.members.joined:
-            outs += self._post_all(self.voter.turn(now_us))
-            outs += self._post_all(self.durable_state.turn(now_us))
+            envelopes += self._post_all(self.voter.turn(now_us))
+            envelopes += self._post_all(self.durable_state.turn(now_us))
         if self.members.joined and not self.members.leaving:
-            outs += self._turn_leases(now_us)
+            envelopes += self._turn_leases(now_us)
         self._requests.drop_expired(now_us)
-        outs += self._turn_permits(now_us)
-        outs += self._post_all(self.rolling_drains.turn(now_us))
+        envelopes += self._turn_permits(now_us)
+        envelopes += self._post_all(self.rolling_drains.turn(now_us))
         if self.replica is not None and self.members.joined and not self.members.leaving:
-            outs += self._turn_replica(now_us, self.replica)
+            envelopes += self._turn_replica(now_us, self.replica)
         if self.shards is not None and self.members.joined and not self.members.leaving:
-            outs += self._post_all(self.shards.turn(now_us))
-        return outs + self._publish_changes(now_us)
+            envelopes += self._post_all(self.shards.turn(now_us))
+        return envelopes + self._publish_changes(now_us)
 
     def _turn_leases(self, now_us: int) -> list[OutgoingEnvelope]:
         return self._post_all(self.leases.turn(now_us, self.candidate_tasks()))
@@ -341,53 +353,53 @@
             # A voter has promised a higher term: this one is over, and the next is above that.
             self.leases.observe_term(MARKS, coordinator.higher, "", now_us)
             self._publish_changes(now_us)
-        outs = self._post_all(replica.turn(now_us, self.known_leader(MARKS)))
+        envelopes = self._post_all(replica.turn(now_us, self.known_leader(MARKS)))
         for op, done in _emptied(replica.questions):
-            outs += self.request(now_us, MARKS, msgspec.to_builtins(op), done)
+            envelopes += self.request(now_us, MARKS, msgspec.to_builtins(op), done)
         self._change_log.move_from(replica.sync.notes)
-        return outs
+        return envelopes
 
     def leave(self, now_us: int) -> list[OutgoingEnvelope]:
         """In good order: what this node owns is handed over, permits are given back, and it is a member no
         more.
         """
         self._now_us = now_us
-        outs = self._post_all(self.leases.leave(now_us, self.candidate_tasks()))
+        envelopes = self._post_all(self.leases.leave(now_us, self.candidate_tasks()))
         self._permit_role.release_all(now_us)
-        outs += self._turn_permits(now_us)
+        envelopes += self._turn_permits(now_us)
         if self.shards is not None:
-            outs += self._post_all(self.shards.leave(now_us))
-        outs += self._envelopes.address_letters(self.members.leave(now_us))
-        return outs + self._publish_changes(now_us)
+            envelopes += self._post_all(self.shards.leave(now_us))
+        envelopes += self._envelopes.address_letters(self.members.leave(now_us))
+        return envelopes + self._publish_changes(now_us)
 
-    def update_settings(self, now_us: int, terms: AgentSettings) -> None:
+    def update_settings(self, now_us: int, settings: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
-        if terms.leadership != self.settings.leadership:
-            self.voters = Voters(terms.leadership, self._disabled_rules)
-            self.leases.update_settings(self.voters, terms.leadership)
-            self._voter_role.update_settings(now_us, self.voters, terms.leadership)
+        if settings.leadership != self.settings.leadership:
+            self.voters = Voters(settings.leadership, self._disabled_rules)
+            self.leases.update_settings(self.voters, settings.leadership)
+            self._voter_role.update_settings(now_us, self.voters, settings.leadership)
             if self.replica is not None:
                 self.replica.use_voters(now_us)
-        self._permit_role.update_settings(terms.permits)
-        self._leadership.update_settings(terms)
-        self.settings = terms
+        self._permit_role.update_settings(settings.permits)
+        self._leadership.update_settings(settings)
+        self.settings = settings
 
     # ------------------------------------------------------------------ what has changed
 
     def _publish_changes(self, now_us: int) -> list[OutgoingEnvelope]:
         """Tells the log and the work what has changed."""
-        for change in _emptied(self.members.changes):
-            self._change_log.log_member(change)
-        for ownership in _emptied(self.leases.changes):
-            self._on_leadership_change(now_us, ownership)
+        for member_change in _emptied(self.members.changes):
+            self._change_log.log_member(member_change)
+        for leadership_change in _emptied(self.leases.changes):
+            self._on_leadership_change(now_us, leadership_change)
         self._change_log.record_held_leases(self.leases)
         self._change_log.move_from(self.durable_state.log_events)
         if self.shards is not None:
             self._change_log.move_from(self.shards.notes)
-        for use in _emptied(self.permit_holder.changes) if self.permit_holder is not None else ():
-            self._change_log.log_permit(use)
-            self.rolling_drains.on_permit_change(use)
-            self.on_permit_change(use)
+        for permit_change in _emptied(self.permit_holder.changes) if self.permit_holder is not None else ():
+            self._change_log.log_permit(permit_change)
+            self.rolling_drains.on_permit_change(permit_change)
+            self.on_permit_change(permit_change)
         self._change_log.log_majority_contact(self.leases.reaches_majority(now_us), len(self.voters.names()))
         return []
 
@@ -402,20 +414,20 @@
 
     # ------------------------------------------------------------------ what goes out
 
-    def send_shard_messages(self, now_us: int, posts: list[ShardPost]) -> list[OutgoingEnvelope]:
+    def send_shard_messages(self, now_us: int, messages: list[ShardPost]) -> list[OutgoingEnvelope]:
         """What the part of shards has to say outside of a turn, as acts on a shard's behalf."""
         self._now_us = now_us
-        return self._post_all(posts) if self.members.joined else []
+        return self._post_all(messages) if self.members.joined else []
 
     def _post_addressed(self, messages: list[AddressedMessage]) -> list[OutgoingEnvelope]:
         return [out for one in messages for out in self._post(one.name, one.body, one.guard)]
 
-    def _post_all(self, posts: Posts) -> list[OutgoingEnvelope]:
-        outs: list[OutgoingEnvelope] = []
-        for name, body in posts:
+    def _post_all(self, messages: Messages) -> list[OutgoingEnvelope]:
+        envelopes: list[OutgoingEnvelope] = []
+        for name, body in messages:
             if self._still_wanted(body):
-                outs += self._post(name, body)
-        return outs
+                envelopes += self._post(name, body)
+        return envelopes
 
     def _still_wanted(self, body: Any) -> bool:
         """A lease that this node's own vote has denied is not asked for any more."""
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -32,7 +32,7 @@
 from sailrun.storage.standing import Own, Standing, Trust
 from sailrun.storage.write_ahead_log import Done
 
-Post = tuple[str, msgspec.Struct]
+Message = tuple[str, msgspec.Struct]
 # What a voter answers and is held to after a restart: sent once what it rests on is on the disk.
 DURABLE_RESPONSES = (LeaseGrant, Promised, Kept, Recovering, TermReport, Stood)
 # Of these, what a folder without them would be too old for: a majority is told how far it has come, before.
@@ -51,9 +51,9 @@
         voters: Callable[[], Voters],
         lives: Callable[[str], bool],
         record: Callable[..., None],
-        off: frozenset[str] = frozenset(),
+        disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        self._run, self._record, self._disabled_rules = run, record, off
+        self._run, self._record, self._disabled_rules = run, record, disabled_rules
         self.journal = MemberJournal()
         self.log_events: list[
             tuple[str, dict[str, object]]
@@ -67,7 +67,7 @@
             self.journal.noted,
             (run & 0xFFFFFFFF) << 20,
             lives,
-            off,
+            disabled_rules,
         )
         self._folder: OpenedFolder | None = None
         self._voter: Callable[[], Voter | None] = lambda: None
@@ -82,13 +82,16 @@
     # ------------------------------------------------------------------ whom it is for
 
     def attach_parts(
-        self, voter: Callable[[], Voter | None], replica: Replica | None, drains: RollingDrains
+        self, voter: Callable[[], Voter | None], replica: Replica | None, rolling_drains: RollingDrains
     ) -> None:
         """The parts whose state outlasts the process; who votes may change."""
-        self._voter, self._replica, self._rolling_drains = voter, replica, drains
-        drains.persist_completion, drains.persist_plan = self.journal.drained, self.journal.planned
-        drains.on_done = lambda name: self._record("walked", walk=name)
-        drains.is_durable = self.is_durable
+        self._voter, self._replica, self._rolling_drains = voter, replica, rolling_drains
+        rolling_drains.persist_completion, rolling_drains.persist_plan = (
+            self.journal.drained,
+            self.journal.planned,
+        )
+        rolling_drains.on_done = lambda name: self._record("walked", walk=name)
+        rolling_drains.is_durable = self.is_durable
 
     def attach_voter(self, voter: Voter) -> None:
         """A voter that has just been made writes down what it promises."""
@@ -107,18 +110,18 @@
 
     # ------------------------------------------------------------------ beginning
 
-    def restore(self, now_us: int, lasting: OpenedFolder) -> None:
+    def restore(self, now_us: int, folder: OpenedFolder) -> None:
         """Goes by a folder, as far as that can be: before the first turn. Who votes asks the other voters
         whether they know of a newer one, and grants nothing before.
         """
-        self._folder, memory, sound = lasting, lasting.memory, lasting.is_sound
-        wal = self.journal.write_ahead_log = lasting.write_ahead_log
-        wal.whole = self.snapshot_entries
-        wal.on_dropped = lambda answer: answer(False) if callable(answer) else None
-        own = Own(lasting.identity, self._run, memory.life + 1, lasting.found_position, wal.synced)
+        self._folder, memory, sound = folder, folder.memory, folder.is_sound
+        log = self.journal.write_ahead_log = folder.write_ahead_log
+        log.whole = self.snapshot_entries
+        log.on_dropped = lambda answer: answer(False) if callable(answer) else None
+        own = Own(folder.identity, self._run, memory.life + 1, folder.found_position, log.synced)
         self.freshness.take_up(own, sound, memory.notes)
         self._last_trust = self.freshness.trust
-        self._life_position = self.journal.begun(own.life, lasting.wall_s)
+        self._life_position = self.journal.begun(own.life, folder.wall_s)
         voter = self._voter()
         if voter is not None:
             voter.has_durable_state = True
@@ -170,15 +173,15 @@
         """Whether a message is held until the disk has what it rests on; where that fails, it never goes."""
         if self._folder is None or not isinstance(body, DURABLE_RESPONSES):
             return False
-        wal, voter = self._folder.write_ahead_log, self._voter()
-        position = wal.position
+        log, voter = self._folder.write_ahead_log, self._voter()
+        position = log.position
         if isinstance(body, LeaseGrant) and voter is not None:
             position = voter.log_position(body.task)  # a renewal rests on the grant alone
-        if wal.ready(position):
+        if log.ready(position):
             return self._hold_for_majority(position, name, body)
-        if wal.able:
+        if log.able:
             key = (name, type(body), body.term if isinstance(body, LeaseGrant) else body.number)
-            wal.hold(now_us, position, key, (name, body))
+            log.hold(now_us, position, key, (name, body))
         return True
 
     def _hold_for_majority(self, position: int, name: str, body: Any) -> bool:
@@ -186,12 +189,12 @@
         there.
         """
         own = self.freshness.own
-        told = (
+        needs_majority = (
             isinstance(body, MAJORITY_KNOWN_RESPONSES)
             and self._voter() is not None
             and not self._disabled_rules & {"generation", "sync"}
         )
-        if not told or own is None or self._folder is None or self.freshness.known(position):
+        if not needs_majority or own is None or self._folder is None or self.freshness.known(position):
             return False
         own.synced = self._folder.write_ahead_log.synced  # told to the others at the next turn
         self._awaiting_majority = [*self._awaiting_majority[-MAX_AWAITING_MAJORITY:], (position, name, body)]
@@ -201,20 +204,20 @@
         """Calls with whether all that was written so far is on the disk: once it is, or at once where there
         is none, or it fails.
         """
-        wal = self._folder.write_ahead_log if self._folder is not None else None
-        if wal is None or wal.ready(wal.position):
+        log = self._folder.write_ahead_log if self._folder is not None else None
+        if log is None or log.ready(log.position):
             call(True)
-        elif not wal.able:
+        elif not log.able:
             call(False)
         else:
-            wal.hold(now_us, wal.position, call, call)
+            log.hold(now_us, log.position, call, call)
 
-    def on_written(self, now_us: int, done: Done) -> tuple[list[Post], list[Post]]:
+    def on_written(self, now_us: int, done: Done) -> tuple[list[Message], list[Message]]:
         """What became of the work of the disk; returns answers that may go out, and other posts."""
         assert self._folder is not None
-        wal = self._folder.write_ahead_log
-        answers: list[Post] = []
-        for answer in wal.done(now_us, done):
+        log = self._folder.write_ahead_log
+        answers: list[Message] = []
+        for answer in log.done(now_us, done):
             if callable(answer):
                 answer(True)
                 continue
@@ -223,19 +226,19 @@
                 if "generation" not in self._disabled_rules:
                     self._awaiting_majority = [
                         *self._awaiting_majority[-MAX_AWAITING_MAJORITY:],
-                        (wal.synced, name, body),
+                        (log.synced, name, body),
                     ]
                     continue
-                self._record("promised", position=wal.synced)
+                self._record("promised", position=log.synced)
             answers.append((name, body))
-        posts: list[Post] = []
+        messages: list[Message] = []
         if self._awaiting_majority and self.freshness.own is not None:
             # Something is promised: a majority is to know how far the folder has come.
-            self.freshness.own.synced = wal.synced
-            posts += self.freshness.tell(now_us)
-        return answers, posts
+            self.freshness.own.synced = log.synced
+            messages += self.freshness.tell(now_us)
+        return answers, messages
 
-    def _release_known_by_majority(self) -> list[Post]:
+    def _release_known_by_majority(self) -> list[Message]:
         """What was promised, as far as a majority knows that the folder has it."""
         known = {position for position, _, _ in self._awaiting_majority if self.freshness.known(position)}
         if not known:
@@ -249,7 +252,7 @@
 
     def on_freshness_message(
         self, now_us: int, sender: str, body: Stand | Stood
-    ) -> tuple[list[Post], list[Post]]:
+    ) -> tuple[list[Message], list[Message]]:
         """From another voter; returns answers that may go out, and other posts."""
         if isinstance(body, Stand):
             return [], [(sender, self.freshness.hear(sender, body))]
@@ -268,30 +271,30 @@
             return None
         return self.freshness.due_us()
 
-    def turn(self, now_us: int) -> list[Post]:
+    def turn(self, now_us: int) -> list[Message]:
         own = self.freshness.own
         if own is None or self._voter() is None or not self._may_query():
             return []
         life = own.life
-        posts = list[Post](self.freshness.turn(now_us))
+        messages = list[Message](self.freshness.turn(now_us))
         self._apply_freshness(now_us, life)
-        return posts
+        return messages
 
     def _apply_freshness(self, now_us: int, life: int) -> None:
         """Acts on what became of the comparison of folders."""
-        standing, lasting = self.freshness, self._folder
-        if lasting is None or standing.own is None:
+        standing, folder = self.freshness, self._folder
+        if folder is None or standing.own is None:
             return
         if standing.trust is not self._last_trust:
             self._last_trust = standing.trust
             if standing.trust is Trust.TRUSTED:
                 self._confirm_folder()
             elif standing.trust is Trust.OLD:
-                self._replace_folder(now_us, lasting)
+                self._replace_folder(now_us, folder)
             elif standing.trust is Trust.LEARNED:
                 self._record("folder", what="learned")
         if standing.own.life != life:
-            self._life_position = self.journal.begun(standing.own.life, lasting.wall_s)
+            self._life_position = self.journal.begun(standing.own.life, folder.wall_s)
 
     def _confirm_folder(self) -> None:
         """Nobody knows of a newer folder: this voter has forgotten nothing of what that says it remembers."""
@@ -304,24 +307,24 @@
         own = self.freshness.own
         self.log_events.append(("lasting-trusted", {"life": own.life if own is not None else None}))
 
-    def _replace_folder(self, now_us: int, lasting: OpenedFolder) -> None:
+    def _replace_folder(self, now_us: int, folder: OpenedFolder) -> None:
         """The folder is older than what the fleet knows: another is begun, and this voter learns from the
         others what it may have promised.
         """
         standing = self.freshness
         known = standing.newest
-        lasting.identity = lasting.new_identity()
-        standing.begin_anew(lasting.identity)
+        folder.identity = folder.new_identity()
+        standing.begin_anew(folder.identity)
         self._last_trust = standing.trust
         self._awaiting_majority.clear()  # promised by what is not gone by any more
-        lasting.write_ahead_log.renew(bytes.fromhex(lasting.identity))
+        folder.write_ahead_log.renew(bytes.fromhex(folder.identity))
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None:
             voter.discard_memory(now_us)
         if acceptor is not None:
             acceptor.may_remember = False
             acceptor.restart(now_us)
-        facts: dict[str, object] = {"why": standing.why_old, "loaded": lasting.found_position}
+        facts: dict[str, object] = {"why": standing.why_old, "loaded": folder.found_position}
         if known is not None:
             facts |= {"known_life": known.life, "known_position": known.position}
         self._record("folder", what="old", why=standing.why_old)
--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -37,7 +37,7 @@
 HANDOVER_RETRY_US, HANDOVER_RETRY_PERIOD_US = 40_000, SECOND
 # Of the tasks that a better placed node should have, one is given back in so long.
 FAIL_BACK_INTERVAL_US = 10 * SECOND
-Post = tuple[str, LeaseRequest | LeaseRelease | LeaseHandover]
+Message = tuple[str, LeaseRequest | LeaseRelease | LeaseHandover]
 
 
 def best_placed(task: str, names: list[str]) -> list[str]:
@@ -97,26 +97,26 @@
         self,
         name: str,
         voters: Voters,
-        terms: LeadershipSettings,
+        settings: LeadershipSettings,
         seed: int,
         now_us: int,
-        off: frozenset[str] = frozenset(),
+        disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        self._name, self.voters, self._settings, self._disabled_rules = name, voters, terms, off
+        self._name, self.voters, self._settings, self._disabled_rules = name, voters, settings, disabled_rules
         self._random = random.Random(seed)
         self._number = self._random.getrandbits(30) << 20
         self.by_task: dict[str, TaskLease] = {}
         self.changes: list[LeadershipChange] = []  # the driver reads and empties it
         self.hint_sends: dict[str, int] = {}  # tasks whose owner is to be told, and how often that was done
         self.last_contact_us: dict[str, int] = {}  # by voter, when it last answered
-        self._lease_us = int(terms.lease_s * SECOND)
+        self._lease_us = int(settings.lease_s * SECOND)
         self._last_fail_back_us = now_us
         self._started_us = now_us
         self.leaving = False
 
-    def update_settings(self, voters: Voters, terms: LeadershipSettings) -> None:
+    def update_settings(self, voters: Voters, settings: LeadershipSettings) -> None:
         """From now on these voters count, also for what is held: a renewal of before is none any more."""
-        self.voters, self._settings, self._lease_us = voters, terms, int(terms.lease_s * SECOND)
+        self.voters, self._settings, self._lease_us = voters, settings, int(settings.lease_s * SECOND)
         for lease in self.by_task.values():
             lease.request_times_us.clear()
             lease.granted_request_us.clear()
@@ -155,23 +155,23 @@
         if lease.expires_us and term > lease.term:
             self._end_lease(lease, "outvoted", now_us)
 
-    def next_leader_hints(self, most: int, times: int) -> list[LeaderHint]:
+    def next_leader_hints(self, max_count: int, max_sends: int) -> list[LeaderHint]:
         """Hearsay to ride along: what was told least often; each so many times."""
-        told = []
-        for task in sorted(self.hint_sends, key=self.hint_sends.__getitem__)[:most]:
+        handover = []
+        for task in sorted(self.hint_sends, key=self.hint_sends.__getitem__)[:max_count]:
             self.hint_sends[task] += 1
-            if self.hint_sends[task] >= times:
+            if self.hint_sends[task] >= max_sends:
                 del self.hint_sends[task]
             lease = self.by_task[task]
-            told.append(LeaderHint(task, lease.highest_granted_term, lease.holder))
-        return told
+            handover.append(LeaderHint(task, lease.highest_granted_term, lease.holder))
+        return handover
 
-    def latest_leader_hints(self, most: int) -> list[LeaderHint]:
+    def latest_leader_hints(self, max_count: int) -> list[LeaderHint]:
         """The highest terms heard of, the latest changes of owner first."""
         leases = sorted(self.by_task.values(), key=lambda t: (-t.highest_granted_term, t.task))
         return [
             LeaderHint(t.task, t.highest_granted_term, t.holder)
-            for t in leases[:most]
+            for t in leases[:max_count]
             if t.highest_granted_term
         ]
 
@@ -190,24 +190,24 @@
                 due_us = min(due_us, lease.next_attempt_us)
         return due_us
 
-    def turn(self, now_us: int, tasks: dict[str, list[str]]) -> list[Post]:
+    def turn(self, now_us: int, tasks: dict[str, list[str]]) -> list[Message]:
         """`tasks`: by name, the living members that may own it, best placed first."""
-        posts: list[Post] = []
+        messages: list[Message] = []
         for lease in list(self.by_task.values()):
             if lease.expires_us and now_us >= lease.expires_us and "clock" not in self._disabled_rules:
                 self._end_lease(lease, "lapsed", now_us)
-                posts += [(voter, LeaseRelease(lease.task, lease.term)) for voter in self.voters.names()]
+                messages += [(voter, LeaseRelease(lease.task, lease.term)) for voter in self.voters.names()]
         for task, names in tasks.items():
             lease = self.lease_of(task)
             if lease.expires_us:
                 if now_us - lease.last_request_us >= self._lease_us // RENEWALS_PER_LEASE:
-                    posts += self._request_lease(now_us, lease)
-                posts += self._fail_back(now_us, lease, names)
+                    messages += self._request_lease(now_us, lease)
+                messages += self._fail_back(now_us, lease, names)
             elif lease.requesting_since_us:
                 if now_us - lease.requesting_since_us >= REQUEST_TIMEOUT_LEASES * self._lease_us:
-                    posts += self._abandon_request(now_us, lease)
+                    messages += self._abandon_request(now_us, lease)
                 elif now_us - lease.last_request_us >= self._lease_us // RENEWALS_PER_LEASE:
-                    posts += self._request_lease(now_us, lease)
+                    messages += self._request_lease(now_us, lease)
             elif not self.leaving and self._name in names and now_us >= lease.next_attempt_us:
                 lease.term = lease.highest_seen_term + (
                     0 if "terms" in self._disabled_rules and lease.highest_seen_term else 1
@@ -216,35 +216,39 @@
                 lease.request_times_us.clear()
                 lease.granted_request_us.clear()
                 lease.denied_by.clear()
-                posts += self._request_lease(now_us, lease)
-        return posts
+                messages += self._request_lease(now_us, lease)
+        return messages
 
-    def _request_lease(self, now_us: int, lease: TaskLease) -> list[Post]:
+    def _request_lease(self, now_us: int, lease: TaskLease) -> list[Message]:
         self._number += 1
         lease.last_request_us = now_us
         lease.request_times_us[self._number] = now_us
         while len(lease.request_times_us) > 4 * RENEWALS_PER_LEASE:
             del lease.request_times_us[next(iter(lease.request_times_us))]
-        ask = LeaseRequest(lease.task, lease.term, self._number, self.voters.stage, bool(lease.expires_us))
+        request = LeaseRequest(
+            lease.task, lease.term, self._number, self.voters.stage, bool(lease.expires_us)
+        )
         # Its own voter first: where that one denies, nobody else is asked.
-        return [(voter, ask) for voter in sorted(self.voters.names(), key=lambda name: name != self._name)]
+        return [
+            (voter, request) for voter in sorted(self.voters.names(), key=lambda name: name != self._name)
+        ]
 
-    def is_requested(self, ask: LeaseRequest) -> bool:
+    def is_requested(self, request: LeaseRequest) -> bool:
         """Whether that is still asked for: its own voter may have denied it meanwhile."""
-        lease = self.lease_of(ask.task)
-        return lease.term == ask.term and bool(lease.requesting_since_us or lease.expires_us)
+        lease = self.lease_of(request.task)
+        return lease.term == request.term and bool(lease.requesting_since_us or lease.expires_us)
 
-    def _abandon_request(self, now_us: int, lease: TaskLease) -> list[Post]:
+    def _abandon_request(self, now_us: int, lease: TaskLease) -> list[Message]:
         """No majority in time: those that granted are freed at once, and the next try is at another
         moment.
         """
-        posts: list[Post] = [(v, LeaseRelease(lease.task, lease.term)) for v in self.voters.names()]
+        messages: list[Message] = [(v, LeaseRelease(lease.task, lease.term)) for v in self.voters.names()]
         lease.highest_seen_term = max(lease.highest_seen_term, lease.term)
         lease.requesting_since_us = 0
         lease.next_attempt_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
-        return posts
+        return messages
 
-    def _fail_back(self, now_us: int, lease: TaskLease, names: list[str]) -> list[Post]:
+    def _fail_back(self, now_us: int, lease: TaskLease, names: list[str]) -> list[Message]:
         """A better placed member that has been there for long gets the task, one task at a time."""
         if not names or names[0] == self._name:
             lease.better_candidate_since_us = 0
@@ -259,30 +263,30 @@
         self._last_fail_back_us = now_us
         return self.release(now_us, lease.task, names[0])
 
-    def release(self, now_us: int, task: str, to: str | None) -> list[Post]:
+    def release(self, now_us: int, task: str, to: str | None) -> list[Message]:
         """Gives a task up, in good order: the voters are freed, and the next one is told."""
         lease = self.lease_of(task)
         if not lease.expires_us:
             return []
         term = lease.term
         self._end_lease(lease, "released", now_us)
-        posts: list[Post] = [(voter, LeaseRelease(task, term)) for voter in self.voters.names()]
+        messages: list[Message] = [(voter, LeaseRelease(task, term)) for voter in self.voters.names()]
         if to is not None and to != self._name:
             lease.next_attempt_us = now_us + 2 * self._lease_us
-            posts.append((to, LeaseHandover(task, term)))
-        return posts
+            messages.append((to, LeaseHandover(task, term)))
+        return messages
 
-    def leave(self, now_us: int, tasks: dict[str, list[str]]) -> list[Post]:
+    def leave(self, now_us: int, tasks: dict[str, list[str]]) -> list[Message]:
         """This node ends: what it owns goes to the next at once, what it asks for is let go."""
         self.leaving = True
-        posts: list[Post] = []
+        messages: list[Message] = []
         for task, lease in self.by_task.items():
             if lease.expires_us:
                 others = [n for n in tasks.get(task, ()) if n != self._name]
-                posts += self.release(now_us, task, others[0] if others else None)
+                messages += self.release(now_us, task, others[0] if others else None)
             elif lease.requesting_since_us:
-                posts += self._abandon_request(now_us, lease)
-        return posts
+                messages += self._abandon_request(now_us, lease)
+        return messages
 
     # ------------------------------------------------------------------ what voters say
 
@@ -311,39 +315,39 @@
             self.changes.append(LeadershipChange(lease.task, lease.term, True, "granted"))
         lease.expires_us = max(lease.expires_us, until_us)
 
-    def on_denial(self, now_us: int, voter: str, deny: LeaseDenial) -> list[Post]:
+    def on_denial(self, now_us: int, voter: str, denial: LeaseDenial) -> list[Message]:
         self.last_contact_us[voter] = now_us
-        lease = self.lease_of(deny.task)
-        if deny.number not in lease.request_times_us:
+        lease = self.lease_of(denial.task)
+        if denial.number not in lease.request_times_us:
             return []
-        lease.highest_seen_term = max(lease.highest_seen_term, deny.term)
-        if deny.holder and deny.holder != self._name:
-            lease.holder = deny.holder
+        lease.highest_seen_term = max(lease.highest_seen_term, denial.term)
+        if denial.holder and denial.holder != self._name:
+            lease.holder = denial.holder
         if lease.requesting_since_us:
             lease.denied_by.add(voter)
             # One whose lease ends in a moment is waited for. Otherwise nothing that was granted is kept:
             # it would be in the way of whoever owns the task, or of a candidate that has more.
-            short = deny.reason == "held" and deny.retry_after_us < self._lease_us // RENEWALS_PER_LEASE
+            short = denial.reason == "held" and denial.retry_after_us < self._lease_us // RENEWALS_PER_LEASE
             enough = self.voters.is_majority(set(self.voters.names()) - lease.denied_by)
-            if not enough or (not short and deny.reason in ("held", "term")):
-                posts = self._abandon_request(now_us, lease)
-                lease.next_attempt_us = now_us + self._retry_delay_us(now_us, lease, deny)
-                return posts
+            if not enough or (not short and denial.reason in ("held", "term")):
+                messages = self._abandon_request(now_us, lease)
+                lease.next_attempt_us = now_us + self._retry_delay_us(now_us, lease, denial)
+                return messages
         # A voter that denies a renewal takes away its own grant, no more: the others' may be a majority.
         return []
 
-    def _retry_delay_us(self, now_us: int, lease: TaskLease, deny: LeaseDenial) -> int:
+    def _retry_delay_us(self, now_us: int, lease: TaskLease, denial: LeaseDenial) -> int:
         if now_us < lease.handover_until_us:
             return HANDOVER_RETRY_US
         jitter_us = int(CANDIDATE_STAGGER_US * (lease.rank + 0.3 * self._random.random()))
-        if deny.reason == "term":
+        if denial.reason == "term":
             return jitter_us
-        return min(max(deny.retry_after_us, HANDOVER_RETRY_US), 2 * self._lease_us) + jitter_us
+        return min(max(denial.retry_after_us, HANDOVER_RETRY_US), 2 * self._lease_us) + jitter_us
 
-    def on_handover(self, now_us: int, told: LeaseHandover) -> None:
+    def on_handover(self, now_us: int, handover: LeaseHandover) -> None:
         """Its owner has given the task up, for this node to take."""
-        lease = self.lease_of(told.task)
-        lease.highest_seen_term = max(lease.highest_seen_term, told.term)
+        lease = self.lease_of(handover.task)
+        lease.highest_seen_term = max(lease.highest_seen_term, handover.term)
         if not self.leaving:
             lease.next_attempt_us, lease.handover_until_us = now_us, now_us + HANDOVER_RETRY_PERIOD_US
 
--- a/sailrun/leadership/list_reader.py
+++ b/sailrun/leadership/list_reader.py
@@ -36,8 +36,8 @@
 class SharedList:
     """One node's part: what it knows of the registry, and from whom."""
 
-    def __init__(self, source: str, terms: ListReaderSettings, now_us: int) -> None:
-        self.source, self._settings = source, terms
+    def __init__(self, source: str, settings: ListReaderSettings, now_us: int) -> None:
+        self.source, self._settings = source, settings
         self.revision = -1
         self.entries: list[dict[str, Any]] = []
         self.is_leader = False  # this node reads for the others
@@ -64,27 +64,27 @@
     def answer_query(self, content: Any) -> Any:
         """As the reader; None where there is nothing to tell."""
         try:
-            has = msgspec.convert(content, ListQuery)
+            query = msgspec.convert(content, ListQuery)
         except msgspec.ValidationError:
             return None
-        if self.revision < 0 or has.source != self.source:
+        if self.revision < 0 or query.source != self.source:
             return None
-        members = self.entries if has.revision < self.revision else None
+        members = self.entries if query.revision < self.revision else None
         return msgspec.to_builtins(ListReply(self.source, self.revision, members))
 
     def on_reply(self, now_us: int, content: Any) -> list[dict[str, Any]] | None:
         """The reader's answer; returns the list where it is newer than what is known here."""
         try:
-            tells = msgspec.convert(content, ListReply)
+            reply = msgspec.convert(content, ListReply)
         except msgspec.ValidationError:
             self.lists_rejected += 1
             return None
-        if tells.source != self.source or tells.revision < self.revision:
+        if reply.source != self.source or reply.revision < self.revision:
             self.lists_rejected += 1  # and it counts as silence: this node will ask the registry itself
             return None
         self._last_contact_us = now_us
-        if tells.entries is None or tells.revision == self.revision:
+        if reply.entries is None or reply.revision == self.revision:
             return None
-        self.revision, self.entries = tells.revision, tells.entries
+        self.revision, self.entries = reply.revision, reply.entries
         self.lists_accepted += 1
-        return tells.entries
+        return reply.entries
--- a/sailrun/leadership/move_rate.py
+++ b/sailrun/leadership/move_rate.py
@@ -33,14 +33,16 @@
 
     def grant_share(self, now_us: int, sender: str) -> Any:
         """Lends an even share, as far as there is any left."""
-        for name, lent in list(self._grants.items()):
-            self._grants[name] = [one for one in lent if one[1] > now_us]
+        for name, grant in list(self._grants.items()):
+            self._grants[name] = [one for one in grant if one[1] > now_us]
             if not self._grants[name] and name != sender:
                 del self._grants[name]
         if now_us < self._opens_us:
             return msgspec.to_builtins(RateGrant(0.0))
         # The answer may be lost, and what was lent before used to its end: the largest counts.
-        others = sum(max(share for share, _ in lent) for name, lent in self._grants.items() if name != sender)
+        others = sum(
+            max(share for share, _ in grant) for name, grant in self._grants.items() if name != sender
+        )
         share = max(0.0, min(1.0 / len(self._grants.keys() | {sender}), 1.0 - others))
         self._grants.setdefault(sender, []).append((share, now_us + RATE_GRANT_US))
         return msgspec.to_builtins(RateGrant(share))
@@ -60,10 +62,10 @@
 
     def on_grant(self, sent_us: int, content: Any) -> None:
         try:
-            lent = msgspec.convert(content, RateGrant)
+            grant = msgspec.convert(content, RateGrant)
         except msgspec.ValidationError:
             return
-        self._share, self._expires_us = lent.share, sent_us + int(RATE_GRANT_US * (1 - 2 * DRIFT))
+        self._share, self._expires_us = grant.share, sent_us + int(RATE_GRANT_US * (1 - 2 * DRIFT))
 
     def current_share(self, now_us: int) -> float:
         """0 where nothing was lent, or it has ended."""
--- a/sailrun/leadership/permit_role.py
+++ b/sailrun/leadership/permit_role.py
@@ -17,16 +17,18 @@
 class PermitRole:
     """`off` names safety rules that the laboratory switches off."""
 
-    def __init__(self, terms: PermitSettings, change_log: ChangeLog, off: frozenset[str]) -> None:
-        self._settings, self._change_log, self._disabled_rules = terms, change_log, off
-        self.holder = PermitHolder(terms) if terms.enabled else None
+    def __init__(
+        self, settings: PermitSettings, change_log: ChangeLog, disabled_rules: frozenset[str]
+    ) -> None:
+        self._settings, self._change_log, self._disabled_rules = settings, change_log, disabled_rules
+        self.holder = PermitHolder(settings) if settings.enabled else None
         self.coordinator: PermitCoordinator | None = None
 
-    def update_settings(self, terms: PermitSettings) -> None:
+    def update_settings(self, settings: PermitSettings) -> None:
         """Takes over an operator's file that was read again."""
-        self._settings = terms
+        self._settings = settings
         if self.coordinator is not None:
-            self.coordinator.update_settings(terms)
+            self.coordinator.update_settings(settings)
 
     # ------------------------------------------------------------------ as the owner
 
@@ -39,39 +41,43 @@
     def answer_request(self, now_us: int, term: int, sender: str, life: int, content: Any) -> Any:
         """The answer to a `Want` as it came in, under this node's term; None: it is none."""
         try:
-            want = msgspec.convert(content, PermitRequest)
+            request = msgspec.convert(content, PermitRequest)
         except msgspec.ValidationError:
             self._change_log.counters.malformed_messages += 1
             return None
         if self.coordinator is None or self.coordinator.term != term:
             self.coordinator = self._new_coordinator(now_us, term)
-        return msgspec.to_builtins(self.coordinator.on_request(now_us, sender, life, want))
+        return msgspec.to_builtins(self.coordinator.on_request(now_us, sender, life, request))
 
     # ------------------------------------------------------------------ as a client
 
     def due_requests(self, now_us: int) -> list[tuple[Any, OnResponse]]:
         """What is to be asked of the owner now, each with who is told the answer."""
-        wants = self.holder.turn(now_us) if self.holder is not None else []
-        return [(msgspec.to_builtins(want), self._response_handler(want)) for want in wants]
+        requests = self.holder.turn(now_us) if self.holder is not None else []
+        return [(msgspec.to_builtins(request), self._response_handler(request)) for request in requests]
 
-    def _response_handler(self, want: PermitRequest) -> OnResponse:
+    def _response_handler(self, request: PermitRequest) -> OnResponse:
         def answered(now_us: int, sent_us: int, content: Any) -> None:
             try:
-                say = msgspec.convert(content, PermitResponse)
+                response = msgspec.convert(content, PermitResponse)
             except msgspec.ValidationError:
                 self._change_log.counters.malformed_messages += 1
                 return
-            self._on_response(now_us, sent_us, want, say)
+            self._on_response(now_us, sent_us, request, response)
 
         return answered
 
-    def _on_response(self, now_us: int, sent_us: int, want: PermitRequest, say: PermitResponse) -> None:
+    def _on_response(
+        self, now_us: int, sent_us: int, request: PermitRequest, response: PermitResponse
+    ) -> None:
         if self.holder is None:
             return
-        self.holder.on_response(now_us, sent_us, want, say)
-        wanted = self.holder.permits.get((say.kind, say.subject))
-        if wanted is not None and wanted.state == "held":
-            self._change_log.record("use", subject=f"{say.kind}/{say.subject}", until_us=wanted.expires_us)
+        self.holder.on_response(now_us, sent_us, request, response)
+        permit = self.holder.permits.get((response.kind, response.subject))
+        if permit is not None and permit.state == "held":
+            self._change_log.record(
+                "use", subject=f"{response.kind}/{response.subject}", until_us=permit.expires_us
+            )
 
     def release_all(self, now_us: int) -> None:
         if self.holder is None:
--- a/sailrun/leadership/permits.py
+++ b/sailrun/leadership/permits.py
@@ -45,59 +45,59 @@
     """The owner's side: limits, grants and the queue. Made anew at each term; closed until `open_us`."""
 
     def __init__(
-        self, terms: PermitSettings, term: int, now_us: int, off: frozenset[str] = frozenset()
+        self, settings: PermitSettings, term: int, now_us: int, disabled_rules: frozenset[str] = frozenset()
     ) -> None:
-        self._settings, self.term = terms, term
-        self._lease_us = int(terms.lease_s * SECOND)
-        self.opens_us = now_us + (0 if "grace" in off else int(self._lease_us * (1 + 3 * DRIFT)))
+        self._settings, self.term = settings, term
+        self._lease_us = int(settings.lease_s * SECOND)
+        self.opens_us = now_us + (0 if "grace" in disabled_rules else int(self._lease_us * (1 + 3 * DRIFT)))
         self._in_use: dict[Key, _GrantedPermit] = {}
         self._queue: dict[tuple[Key, str], _QueueEntry] = {}  # by what, and who
         self._count = 0
 
-    def update_settings(self, terms: PermitSettings) -> None:
+    def update_settings(self, settings: PermitSettings) -> None:
         """Other limits from now on; what is in use above them stays until it is given back."""
-        self._settings = terms
+        self._settings = settings
 
     def limit_of(self, kind: str) -> int:
         return {DRAIN: self._settings.drains, OUT_OF_SERVICE: self._settings.out}.get(kind, 0)
 
-    def on_request(self, now_us: int, sender: str, life: int, want: PermitRequest) -> PermitResponse:
+    def on_request(self, now_us: int, sender: str, life: int, request: PermitRequest) -> PermitResponse:
         """Answers one question; the same question again gets the same answer."""
-        key = (want.kind, want.subject)
+        key = (request.kind, request.subject)
         self._drop_expired(now_us)
-        if want.state == "back":
+        if request.state == "back":
             self._queue.pop((key, sender), None)
-            entry = self._in_use.get(key)
-            if entry is not None:
-                entry.expiry_by_holder.pop(sender, None)
-                if not entry.expiry_by_holder:
+            granted = self._in_use.get(key)
+            if granted is not None:
+                granted.expiry_by_holder.pop(sender, None)
+                if not granted.expiry_by_holder:
                     del self._in_use[key]
             return PermitResponse(*key, False, (0, 0), 0, "back")
-        if not self.limit_of(want.kind):
-            return PermitResponse(*key, False, (0, 0), 0, f"no permits of the kind {want.kind}")
-        entry = self._in_use.get(key)
+        if not self.limit_of(request.kind):
+            return PermitResponse(*key, False, (0, 0), 0, f"no permits of the kind {request.kind}")
+        granted = self._in_use.get(key)
         held = (
-            entry is not None
-            and sender in entry.expiry_by_holder
-            and entry.expiry_by_holder[sender][0] == life
+            granted is not None
+            and sender in granted.expiry_by_holder
+            and granted.expiry_by_holder[sender][0] == life
         )
-        claims = want.state == "held"
+        claims = request.state == "held"
         if claims and not held and now_us < self.opens_us:
             held = True  # given by the owner before: it is in use, however many there are
-        place = self._enqueue(now_us, key, sender, want.queue_position)
+        place = self._enqueue(now_us, key, sender, request.queue_position)
         if place is None:
             return PermitResponse(*key, False, (0, 0), 0, f"{MAX_QUEUE_ENTRIES} wait already")
         ahead = self._count_ahead(key, place)
-        free = entry is not None or (
-            now_us >= self.opens_us and self.count_in_use(want.kind) + ahead < self.limit_of(want.kind)
+        free = granted is not None or (
+            now_us >= self.opens_us and self.count_in_use(request.kind) + ahead < self.limit_of(request.kind)
         )
         if not held and not free:
-            why = self._denial_reason(now_us, want.kind)
+            why = self._denial_reason(now_us, request.kind)
             return PermitResponse(*key, False, place, ahead, why)
         self._queue.pop((key, sender), None)
-        entry = self._in_use.setdefault(key, _GrantedPermit())
+        granted = self._in_use.setdefault(key, _GrantedPermit())
         # A life that came back has the permit of the one before: they are not two.
-        entry.expiry_by_holder[sender] = (life, now_us + self._lease_us)
+        granted.expiry_by_holder[sender] = (life, now_us + self._lease_us)
         return PermitResponse(*key, True, place, 0)
 
     def _enqueue(self, now_us: int, key: Key, sender: str, place: tuple[int, int]) -> tuple[int, int] | None:
@@ -130,15 +130,15 @@
         return sum(1 for k, _ in self._in_use if k == kind)
 
     def _drop_expired(self, now_us: int) -> None:
-        for key, entry in list(self._in_use.items()):
-            for name, (_, until_us) in list(entry.expiry_by_holder.items()):
+        for key, granted in list(self._in_use.items()):
+            for name, (_, until_us) in list(granted.expiry_by_holder.items()):
                 if now_us >= until_us:
-                    del entry.expiry_by_holder[name]
-            if not entry.expiry_by_holder:
+                    del granted.expiry_by_holder[name]
+            if not granted.expiry_by_holder:
                 del self._in_use[key]
-        for waiting, told in list(self._queue.items()):
-            if now_us >= told.expires_us:
-                del self._queue[waiting]
+        for key_and_name, waiting in list(self._queue.items()):
+            if now_us >= waiting.expires_us:
+                del self._queue[key_and_name]
 
     def rows(self, now_us: int) -> list[dict[str, object]]:
         """Who holds what and who waits, for staff."""
@@ -151,8 +151,8 @@
                 "state": "held",
                 "ends_in_s": _s(until - now_us),
             }
-            for (kind, subject), entry in sorted(self._in_use.items())
-            for name, (_, until) in sorted(entry.expiry_by_holder.items())
+            for (kind, subject), granted in sorted(self._in_use.items())
+            for name, (_, until) in sorted(granted.expiry_by_holder.items())
         ]
         waiting = sorted(self._queue.items(), key=lambda item: item[1].position)
         return rows + [
@@ -193,9 +193,9 @@
 class PermitHolder:
     """The client's side: what this node wants and holds, and until when by its own clock."""
 
-    def __init__(self, terms: PermitSettings) -> None:
-        self._settings = terms
-        self._lease_us = int(terms.lease_s * SECOND)
+    def __init__(self, settings: PermitSettings) -> None:
+        self._settings = settings
+        self._lease_us = int(settings.lease_s * SECOND)
         self.permits: dict[Key, PermitState] = {}
         self.changes: list[PermitChange] = []  # the driver reads and empties it
 
@@ -205,70 +205,72 @@
 
     def request(self, kind: str, subject: str) -> PermitState:
         key = (kind, subject)
-        wanted = self.permits.get(key)
-        if wanted is None or wanted.state == "back":
-            wanted = self.permits[key] = PermitState(kind, subject)
-        return wanted
+        permit = self.permits.get(key)
+        if permit is None or permit.state == "back":
+            permit = self.permits[key] = PermitState(kind, subject)
+        return permit
 
     def release(self, now_us: int, kind: str, subject: str) -> None:
-        wanted = self.permits.get((kind, subject))
-        if wanted is None or wanted.state == "back":
+        permit = self.permits.get((kind, subject))
+        if permit is None or permit.state == "back":
             return
-        if wanted.state == "held":
+        if permit.state == "held":
             self.changes.append(PermitChange(kind, subject, False, "given back"))
-        wanted.state, wanted.next_request_us, wanted.expires_us = "back", now_us, 0
-        wanted.release_until_us = now_us + self._lease_us
+        permit.state, permit.next_request_us, permit.expires_us = "back", now_us, 0
+        permit.release_until_us = now_us + self._lease_us
 
     def is_held(self, kind: str, subject: str, now_us: int) -> bool:
-        wanted = self.permits.get((kind, subject))
-        return wanted is not None and wanted.state == "held" and now_us < wanted.expires_us
+        permit = self.permits.get((kind, subject))
+        return permit is not None and permit.state == "held" and now_us < permit.expires_us
 
     def due_us(self, now_us: int) -> int:
         """When `turn` wants to be called next."""
         due_us = now_us + SECOND
-        for wanted in self.permits.values():
-            due_us = min(due_us, wanted.next_request_us, wanted.expires_us or due_us)
+        for permit in self.permits.values():
+            due_us = min(due_us, permit.next_request_us, permit.expires_us or due_us)
         return due_us
 
     def turn(self, now_us: int) -> list[PermitRequest]:
         """What is to be asked of the owner now."""
-        wants: list[PermitRequest] = []
-        for key, wanted in list(self.permits.items()):
-            if wanted.state == "held" and now_us >= wanted.expires_us:
+        requests: list[PermitRequest] = []
+        for key, permit in list(self.permits.items()):
+            if permit.state == "held" and now_us >= permit.expires_us:
                 # The coordinator counts it as free from now on: it is used no longer, and asked for anew.
-                wanted.state, wanted.expires_us = "want", 0
+                permit.state, permit.expires_us = "want", 0
                 self.changes.append(PermitChange(*key, False, "lapsed: its owner was not heard of in time"))
-            if wanted.state == "back" and now_us >= wanted.release_until_us:
+            if permit.state == "back" and now_us >= permit.release_until_us:
                 del self.permits[key]
                 continue
-            if now_us >= wanted.next_request_us and len(wants) < MAX_REQUESTS_PER_TURN:
-                wanted.next_request_us = now_us + self.request_interval_us
-                wants.append(PermitRequest(*key, wanted.state, wanted.queue_position))
-        return wants
+            if now_us >= permit.next_request_us and len(requests) < MAX_REQUESTS_PER_TURN:
+                permit.next_request_us = now_us + self.request_interval_us
+                requests.append(PermitRequest(*key, permit.state, permit.queue_position))
+        return requests
 
-    def on_response(self, now_us: int, sent_us: int, asked: PermitRequest, say: PermitResponse) -> None:
+    def on_response(
+        self, now_us: int, sent_us: int, request: PermitRequest, response: PermitResponse
+    ) -> None:
         """The owner's answer to what was asked at `sent_us`."""
-        key = (say.kind, say.subject)
-        wanted = self.permits.get(key)
-        if wanted is None or (asked.kind, asked.subject) != key:
+        key = (response.kind, response.subject)
+        permit = self.permits.get(key)
+        if permit is None or (request.kind, request.subject) != key:
             return
-        if wanted.state == "back":
-            if asked.state == "back":
+        if permit.state == "back":
+            if request.state == "back":
                 del self.permits[key]
             return
-        if asked.state == "back":
+        if request.state == "back":
             return
-        wanted.queue_position, wanted.requests_ahead, wanted.reason = (
-            say.queue_position,
-            say.requests_ahead,
-            say.reason,
+        permit.queue_position, permit.requests_ahead, permit.reason = (
+            response.queue_position,
+            response.requests_ahead,
+            response.reason,
         )
         until_us = sent_us + int(self._lease_us * (1 - 2 * DRIFT))
-        if say.is_granted and now_us < until_us:
-            if wanted.state != "held":
+        if response.is_granted and now_us < until_us:
+            if permit.state != "held":
                 self.changes.append(PermitChange(*key, True))
-            wanted.state, wanted.expires_us = "held", max(wanted.expires_us, until_us)
-        elif not say.is_granted and wanted.state == "held" and asked.state == "held":
+            permit.state, permit.expires_us = "held", max(permit.expires_us, until_us)
+        elif not response.is_granted and permit.state == "held" and request.state == "held":
             # Its owner knows nothing of it: it has ended there.
-            wanted.state, wanted.expires_us = "want", 0
-            self.changes.append(PermitChange(*key, False, say.reason or "not known to its owner"))
+            permit.state, permit.expires_us = "want", 0
+            self.changes.append(PermitChange(*key, False, response.reason or "not known to its owner"))
--- a/sailrun/leadership/quorum.py
+++ b/sailrun/leadership/quorum.py
@@ -12,10 +12,10 @@
     stages have a voter in common.
     """
 
-    def __init__(self, terms: LeadershipSettings, off: frozenset[str] = frozenset()) -> None:
-        self._voter_sets = [terms.voters, *([terms.voters_before] if terms.voters_before else [])]
-        self.stage = terms.stage
-        self._disabled_rules = off
+    def __init__(self, settings: LeadershipSettings, disabled_rules: frozenset[str] = frozenset()) -> None:
+        self._voter_sets = [settings.voters, *([settings.voters_before] if settings.voters_before else [])]
+        self.stage = settings.stage
+        self._disabled_rules = disabled_rules
 
     def names(self) -> list[str]:
         """Every voter's name, by name."""
--- a/sailrun/leadership/requests.py
+++ b/sailrun/leadership/requests.py
@@ -64,18 +64,22 @@
         self,
         me: Requester,
         leases: Leases,
-        ownership: TaskLeadership,
-        answer: Callable[[int, str, int, Requester, Any], Any],
-        heard_of: Callable[[int, str, int, str], None],
+        leadership: TaskLeadership,
+        handle_request: Callable[[int, str, int, Requester, Any], Any],
+        observe_term: Callable[[int, str, int, str], None],
         change_log: ChangeLog,
-        order_s: float,
+        response_timeout_s: float,
         number: int,
-        off: frozenset[str],
+        disabled_rules: frozenset[str],
     ) -> None:
-        self._me, self._leases, self._leadership = me, leases, ownership
-        self._handle_request, self._observe_term = answer, heard_of
+        self._me, self._leases, self._leadership = me, leases, leadership
+        self._handle_request, self._observe_term = handle_request, observe_term
         self._change_log, self._counters = change_log, change_log.counters
-        self._response_timeout_us, self._number, self._disabled_rules = int(order_s * SECOND), number, off
+        self._response_timeout_us, self._number, self._disabled_rules = (
+            int(response_timeout_s * SECOND),
+            number,
+            disabled_rules,
+        )
         self._pending: dict[int, _PendingRequest] = {}
 
     # ------------------------------------------------------------------ as the one that asks
@@ -87,105 +91,115 @@
         self._number += 1
         while len(self._pending) >= MAX_PENDING_REQUESTS:
             del self._pending[next(iter(self._pending))]
-        asked = self._pending[self._number] = _PendingRequest(task, content, now_us, done)
-        return self._send(now_us, self._number, asked)
+        pending = self._pending[self._number] = _PendingRequest(task, content, now_us, done)
+        return self._send(now_us, self._number, pending)
 
-    def _send(self, now_us: int, number: int, asked: _PendingRequest) -> list[AddressedMessage]:
-        task = asked.task
-        question = LeaderRequest(
-            task, self._leases.lease_of(task).highest_granted_term, number, asked.content
+    def _send(self, now_us: int, number: int, pending: _PendingRequest) -> list[AddressedMessage]:
+        task = pending.task
+        request = LeaderRequest(
+            task, self._leases.lease_of(task).highest_granted_term, number, pending.content
         )
         holder = self._leadership.known_leader(task)
         if holder == self._me.name or (not holder and self._leases.held_term(task, now_us)):
-            return self.on_request(now_us, self._me, question)
+            return self.on_request(now_us, self._me, request)
         if not holder:
-            others = self._leadership.candidate_tasks().get(task, ())[:MAX_CANDIDATES]
-            names = [name for name in others if name != self._me.name]
-            if not names:
+            living = self._leadership.candidate_tasks().get(task, ())[:MAX_CANDIDATES]
+            candidates = [name for name in living if name != self._me.name]
+            if not candidates:
                 return []
-            holder = names[(number + asked.attempts) % len(names)]
-        return [AddressedMessage(holder, question)]
+            holder = candidates[(number + pending.attempts) % len(candidates)]
+        return [AddressedMessage(holder, request)]
 
-    def on_response(self, now_us: int, sender: str, order: LeaderResponse) -> list[AddressedMessage]:
+    def on_response(self, now_us: int, sender: str, response: LeaderResponse) -> list[AddressedMessage]:
         """An answer has come: it is taken, or its sender is told that it is not."""
-        asked = self._pending.pop(order.number, None)
-        owned = self._leases.lease_of(order.task).highest_granted_term
-        late = asked is None or asked.task != order.task or now_us - asked.sent_us > self._response_timeout_us
+        pending = self._pending.pop(response.number, None)
+        highest_term = self._leases.lease_of(response.task).highest_granted_term
+        is_late = (
+            pending is None
+            or pending.task != response.task
+            or now_us - pending.sent_us > self._response_timeout_us
+        )
         if "fence" in self._disabled_rules:
-            late, owned = False, 0
-        if late or order.term < owned:
-            return self._reject(sender, order, ResponseRejection(order.task, owned, order.number, late))
+            is_late, highest_term = False, 0
+        if is_late or response.term < highest_term:
+            return self._reject(
+                sender, response, ResponseRejection(response.task, highest_term, response.number, is_late)
+            )
         self._counters.responses_accepted += 1
-        self._change_log.record("take", task=order.task, term=order.term, number=order.number, of=sender)
-        self._observe_term(now_us, order.task, order.term, sender)
-        if asked is not None:
-            asked.on_response(now_us, asked.sent_us, order.content)
+        self._change_log.record(
+            "take", task=response.task, term=response.term, number=response.number, of=sender
+        )
+        self._observe_term(now_us, response.task, response.term, sender)
+        if pending is not None:
+            pending.on_response(now_us, pending.sent_us, response.content)
         return []
 
     def _reject(
-        self, sender: str, order: LeaderResponse, refusal: ResponseRejection
+        self, sender: str, response: LeaderResponse, rejection: ResponseRejection
     ) -> list[AddressedMessage]:
-        if refusal.is_late:
+        if rejection.is_late:
             self._counters.responses_too_late += 1
         else:
             self._counters.responses_of_lower_term += 1
         self._change_log.record(
-            "refuse", task=order.task, term=order.term, number=order.number, late=refusal.is_late
+            "refuse", task=response.task, term=response.term, number=response.number, late=rejection.is_late
         )
-        return [AddressedMessage(sender, refusal)] if sender != self._me.name else []
+        return [AddressedMessage(sender, rejection)] if sender != self._me.name else []
 
-    def on_not_leader(self, now_us: int, sender: str, told: NotLeader) -> list[AddressedMessage]:
+    def on_not_leader(self, now_us: int, sender: str, redirect: NotLeader) -> list[AddressedMessage]:
         """Whom we asked does not own it: asked once more, of whom it names or of another candidate."""
-        asked = self._pending.get(told.number)
-        lease = self._leases.lease_of(told.task)
-        self._observe_term(now_us, told.task, told.term, told.holder)
-        if lease.holder == sender and told.term >= lease.highest_granted_term:
+        pending = self._pending.get(redirect.number)
+        lease = self._leases.lease_of(redirect.task)
+        self._observe_term(now_us, redirect.task, redirect.term, redirect.holder)
+        if lease.holder == sender and redirect.term >= lease.highest_granted_term:
             lease.holder = ""
-        if asked is None or asked.attempts >= MAX_CANDIDATES:
+        if pending is None or pending.attempts >= MAX_CANDIDATES:
             return []
-        asked.attempts += 1
-        return self._send(now_us, told.number, asked)
+        pending.attempts += 1
+        return self._send(now_us, redirect.number, pending)
 
     def drop_expired(self, now_us: int) -> None:
         """Questions that no order would be in time for wait no longer."""
-        for number, asked in list(self._pending.items()):
-            if now_us - asked.sent_us <= self._response_timeout_us:
+        for number, pending in list(self._pending.items()):
+            if now_us - pending.sent_us <= self._response_timeout_us:
                 break  # the others were sent later
             del self._pending[number]
 
     # ------------------------------------------------------------------ as the owner
 
-    def on_request(self, now_us: int, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
+    def on_request(self, now_us: int, requester: Requester, request: LeaderRequest) -> list[AddressedMessage]:
         """A question has come: answered under this node's term, or sent on."""
-        self._observe_term(now_us, question.task, question.term, "")
-        term = self._leadership.leading_term(question.task, now_us)
+        self._observe_term(now_us, request.task, request.term, "")
+        term = self._leadership.leading_term(request.task, now_us)
         if not term:
-            return self._redirect(asker, question)
-        content = self._handle_request(now_us, question.task, term, asker, question.content)
+            return self._redirect(requester, request)
+        content = self._handle_request(now_us, request.task, term, requester, request.content)
         if content is None:
             return []
-        order = LeaderResponse(question.task, term, question.number, content)
+        response = LeaderResponse(request.task, term, request.number, content)
         self._change_log.record(
-            "act", task=order.task, term=term, number=order.number, to=asker.name, made_us=now_us
+            "act", task=response.task, term=term, number=response.number, to=requester.name, made_us=now_us
         )
         self._counters.responses_sent += 1
-        if asker.name == self._me.name:
-            return self.on_response(now_us, self._me.name, order)
-        return [AddressedMessage(asker.name, order, (question.task, term))]
+        if requester.name == self._me.name:
+            return self.on_response(now_us, self._me.name, response)
+        return [AddressedMessage(requester.name, response, (request.task, term))]
 
-    def _redirect(self, asker: Requester, question: LeaderRequest) -> list[AddressedMessage]:
-        if asker.name == self._me.name:
+    def _redirect(self, requester: Requester, request: LeaderRequest) -> list[AddressedMessage]:
+        if requester.name == self._me.name:
             return []
-        lease = self._leases.lease_of(question.task)
+        lease = self._leases.lease_of(request.task)
         return [
             AddressedMessage(
-                asker.name,
-                NotLeader(question.task, lease.highest_granted_term, lease.holder, question.number),
+                requester.name,
+                NotLeader(request.task, lease.highest_granted_term, lease.holder, request.number),
             )
         ]
 
-    def on_rejection(self, now_us: int, refusal: ResponseRejection) -> None:
+    def on_rejection(self, now_us: int, rejection: ResponseRejection) -> None:
         """An order of this node was not taken."""
-        self._leases.lease_of(refusal.task).rejected_responses += 1
-        self._change_log.add("order-refused", task=refusal.task, term=refusal.term, late=refusal.is_late)
-        self._observe_term(now_us, refusal.task, refusal.term, "")
+        self._leases.lease_of(rejection.task).rejected_responses += 1
+        self._change_log.add(
+            "order-refused", task=rejection.task, term=rejection.term, late=rejection.is_late
+        )
+        self._observe_term(now_us, rejection.task, rejection.term, "")
--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -81,14 +81,14 @@
         self.persist_completion: Callable[[str], int] = lambda name: 0
         self.is_durable: Callable[[int], bool] = lambda entry: True
         self.on_done: Callable[[str], None] = lambda name: None
-        self.persist_plan: Callable[[str, int, list[str]], None] = lambda name, for_us, names: None
+        self.persist_plan: Callable[[str, int, list[str]], None] = lambda name, stay_empty_us, names: None
 
     def restore(self, now_us: int, done: Iterable[str], plans: Iterable[tuple[str, int, list[str]]]) -> None:
         """What a process before this one knew: parts that are done, rolling drains to go on with."""
         for name in done:
             self._local_drains[name] = _LocalDrain(name, 0, "done")
-        for name, for_us, nodes in plans:
-            self._begin(now_us, name, nodes, for_us)
+        for name, stay_empty_us, nodes in plans:
+            self._begin(now_us, name, nodes, stay_empty_us)
 
     def unfinished_plans(self) -> list[tuple[str, int, list[str]]]:
         return [
@@ -98,28 +98,28 @@
         ]
 
     def completed_names(self) -> list[str]:
-        return [own.name for own in self._local_drains.values() if own.state == "done"]
+        return [local.name for local in self._local_drains.values() if local.state == "done"]
 
     # ------------------------------------------------------------------ where it was begun
 
-    def begin(self, now_us: int, name: str, nodes: list[str], for_us: int) -> None:
+    def begin(self, now_us: int, name: str, nodes: list[str], stay_empty_us: int) -> None:
         """Drains the nodes in this order. The same name again changes nothing."""
         if name not in self.drains:
-            self._begin(now_us, name, nodes, for_us)
-            self.persist_plan(name, for_us, nodes)
+            self._begin(now_us, name, nodes, stay_empty_us)
+            self.persist_plan(name, stay_empty_us, nodes)
 
-    def _begin(self, now_us: int, name: str, nodes: list[str], for_us: int) -> None:
+    def _begin(self, now_us: int, name: str, nodes: list[str], stay_empty_us: int) -> None:
         while len(self.drains) >= MAX_REMEMBERED_DRAINS:
             del self.drains[next(iter(self.drains))]
         self.drains[name] = RollingDrain(
-            name, for_us, [NodeProgress(node, last_contact_us=now_us) for node in nodes]
+            name, stay_empty_us, [NodeProgress(node, last_contact_us=now_us) for node in nodes]
         )
 
     def turn(self, now_us: int) -> list[tuple[str, DrainRequest]]:
         """Tells each node in turn: the next one once the one before has its place in the queue."""
-        posts: list[tuple[str, DrainRequest]] = []
-        for begun in self.drains.values():
-            for step in begun.steps:
+        requests: list[tuple[str, DrainRequest]] = []
+        for drain in self.drains.values():
+            for step in drain.steps:
                 if step.state in FINAL_STATES:
                     continue
                 if step.last_request_us == 0:
@@ -133,19 +133,19 @@
                     continue
                 if now_us - step.last_request_us >= REQUEST_INTERVAL_US:
                     step.last_request_us = now_us
-                    posts.append((step.node, DrainRequest(begun.name, begun.stay_empty_us)))
+                    requests.append((step.node, DrainRequest(drain.name, drain.stay_empty_us)))
                 if step.state in ("not asked", "asked"):
                     break  # the order of the list is the order of the queue
         self._advance_local(now_us)
-        return posts
+        return requests
 
     def on_status(self, now_us: int, sender: str, status: DrainStatus) -> None:
-        begun = self.drains.get(status.name)
-        for step in begun.steps if begun is not None else ():
+        drain = self.drains.get(status.name)
+        for step in drain.steps if drain is not None else ():
             if step.node == sender and step.state != "done":
                 step.state, step.reason, step.last_contact_us = status.state, status.reason, now_us
-                if begun is not None and begun.is_over:
-                    self.persist_plan(begun.name, 0, [])
+                if drain is not None and drain.is_over:
+                    self.persist_plan(drain.name, 0, [])
 
     # ------------------------------------------------------------------ the node's own part
 
@@ -153,62 +153,62 @@
         """This node is to drain itself; the answer says how far that is."""
         if self._permits is None:
             return DrainStatus(request.name, "refused", "permits are off here")
-        own = self._local_drains.get(request.name)
-        if own is None:
+        local = self._local_drains.get(request.name)
+        if local is None:
             while len(self._local_drains) >= MAX_REMEMBERED_DRAINS:
                 del self._local_drains[next(iter(self._local_drains))]
-            own = self._local_drains[request.name] = _LocalDrain(request.name, request.stay_empty_us)
+            local = self._local_drains[request.name] = _LocalDrain(request.name, request.stay_empty_us)
         self._advance_local(now_us)
-        return DrainStatus(own.name, own.state, own.reason)
+        return DrainStatus(local.name, local.state, local.reason)
 
     def on_permit_change(self, use: PermitChange) -> None:
         """A permit has come or gone: the drain begins, or is broken off and waits for the next permit."""
         if (use.kind, use.subject) != (DRAIN, self._name):
             return
-        for own in self._local_drains.values():
-            if use.is_held and own.state in ("asked", "queued"):
-                own.state, own.reason, own.empty_since_us = "draining", "", 0
+        for local in self._local_drains.values():
+            if use.is_held and local.state in ("asked", "queued"):
+                local.state, local.reason, local.empty_since_us = "draining", "", 0
                 self.core_drain_change = True
                 return
-            if not use.is_held and own.state in ("draining", "empty"):
-                own.state, own.reason, self.core_drain_change = "queued", use.reason, False
+            if not use.is_held and local.state in ("draining", "empty"):
+                local.state, local.reason, self.core_drain_change = "queued", use.reason, False
                 return
 
     def on_session_count(self, now_us: int, sessions: int) -> None:
         """How many sessions this node holds; asked only while it drains."""
-        for own in self._local_drains.values():
-            if own.state == "draining" and not sessions:
-                own.state, own.empty_since_us = "empty", now_us
+        for local in self._local_drains.values():
+            if local.state == "draining" and not sessions:
+                local.state, local.empty_since_us = "empty", now_us
         self._advance_local(now_us)
 
     @property
     def is_draining(self) -> bool:
-        return any(own.state in ("draining", "empty") for own in self._local_drains.values())
+        return any(local.state in ("draining", "empty") for local in self._local_drains.values())
 
     def _advance_local(self, now_us: int) -> None:
         if self._permits is None:
             return
-        working = self.is_draining
-        for own in self._local_drains.values():
-            if own.state == "empty" and now_us - own.empty_since_us >= own.stay_empty_us:
-                if own.completion_position < 0:
-                    own.completion_position, own.completion_written_us = (
-                        self.persist_completion(own.name),
+        is_busy = self.is_draining
+        for local in self._local_drains.values():
+            if local.state == "empty" and now_us - local.empty_since_us >= local.stay_empty_us:
+                if local.completion_position < 0:
+                    local.completion_position, local.completion_written_us = (
+                        self.persist_completion(local.name),
                         now_us,
                     )
                 # A disk that fails holds nobody up for longer than this.
                 if (
-                    not self.is_durable(own.completion_position)
-                    and now_us - own.completion_written_us < WRITE_TIMEOUT_US
+                    not self.is_durable(local.completion_position)
+                    and now_us - local.completion_written_us < WRITE_TIMEOUT_US
                 ):
                     continue
-                own.state = "done"
-                self.on_done(own.name)
+                local.state = "done"
+                self.on_done(local.name)
                 self._permits.release(now_us, DRAIN, self._name)
-                self.core_drain_change, working = False, False
-            elif own.state in ("asked", "queued") and not working:
-                wanted = self._permits.request(DRAIN, self._name)
-                own.reason = wanted.reason
-                if wanted.queue_position != (0, 0):
-                    own.state = "queued"
-                working = True  # one part after another
+                self.core_drain_change, is_busy = False, False
+            elif local.state in ("asked", "queued") and not is_busy:
+                permit = self._permits.request(DRAIN, self._name)
+                local.reason = permit.reason
+                if permit.queue_position != (0, 0):
+                    local.state = "queued"
+                is_busy = True  # one part after another
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -21,17 +21,17 @@
     """Times are microseconds of the clock that leases are counted by."""
 
     def __init__(
-        self, members: Members, leases: Leases, zone: str, terms: AgentSettings, tallies: AgentCounters
+        self, members: Members, leases: Leases, zone: str, settings: AgentSettings, counters: AgentCounters
     ) -> None:
         self._members, self._leases, self._zone = members, leases, zone
-        self._settings, self._counters = terms, tallies
-        self._initial_rest_us = int(int(terms.leadership.order_s * SECOND) * (1 + 3 * DRIFT))
+        self._settings, self._counters = settings, counters
+        self._initial_rest_us = int(int(settings.leadership.order_s * SECOND) * (1 + 3 * DRIFT))
         self._candidate_tasks: dict[str, list[str]] = {}
         self._members_version = -1  # the version of the members that they were made of
 
-    def update_settings(self, terms: AgentSettings) -> None:
+    def update_settings(self, settings: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
-        self._settings = terms
+        self._settings = settings
         self._members_version = -1
 
     def candidate_tasks(self) -> dict[str, list[str]]:
@@ -69,10 +69,10 @@
     def may_send(self, guard: TermGuard, now_us: int) -> bool:
         """Whether what was made under that term may still be sent."""
         task, term = guard
-        yes = self._leases.held_term(task, now_us) == term
-        if not yes:
+        may_send = self._leases.held_term(task, now_us) == term
+        if not may_send:
             self._counters.responses_expired += 1
-        return yes
+        return may_send
 
     def known_leader(self, task: str) -> str:
         """Hearsay: who owns the task; empty where none is known to live."""
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -53,12 +53,12 @@
 class Transport:
     """The sockets of one member."""
 
-    def __init__(self, agent: Agent, address: tuple[str, int], patient: bool) -> None:
+    def __init__(self, agent: Agent, address: tuple[str, int], waits_for_address: bool) -> None:
         """Patient: where the address is taken by a predecessor that is about to end, it is tried for again;
         otherwise that raises OSError.
         """
         self.agent = agent
-        self._address, self._waits_for_address = address, patient
+        self._address, self._waits_for_address = address, waits_for_address
         self._calls: deque[Callable[[], list[OutgoingEnvelope]]] = deque()
         self._called = anyio.Event()
         self._links: dict[str, _OutgoingLink] = {}
@@ -72,7 +72,7 @@
         try:
             self._sockets = self._bind()
         except OSError as error:
-            if not patient or error.errno != errno.EADDRINUSE:
+            if not waits_for_address or error.errno != errno.EADDRINUSE:
                 raise
 
     def _bind(self) -> tuple[socket.socket, socket.socket]:
@@ -132,16 +132,16 @@
                 log(note.name, **note.fields)
             self.agent.log_events.clear()
 
-    def _send(self, datagrams: socket.socket, outs: list[OutgoingEnvelope]) -> None:
-        for out in outs:
-            data = encode_envelope(out.envelope)
+    def _send(self, datagrams: socket.socket, envelopes: list[OutgoingEnvelope]) -> None:
+        for outgoing in envelopes:
+            data = encode_envelope(outgoing.envelope)
             if len(data) > MAX_DATAGRAM_BYTES:
-                self._queue_frame(out, data)
+                self._queue_frame(outgoing, data)
                 continue
             # The clock is looked at last of all.
-            if out.guard is not None and not self.agent.may_send(out.guard, boot_us()):
+            if outgoing.guard is not None and not self.agent.may_send(outgoing.guard, boot_us()):
                 continue
-            self._send_datagram(datagrams, data, out.address)
+            self._send_datagram(datagrams, data, outgoing.address)
 
     def _send_datagram(self, datagrams: socket.socket, data: bytes, address: str) -> None:
         try:
@@ -212,15 +212,15 @@
 
     # ------------------------------------------------------------------ links
 
-    def _queue_frame(self, out: OutgoingEnvelope, data: bytes) -> None:
-        link = self._links.get(out.address)
+    def _queue_frame(self, outgoing: OutgoingEnvelope, data: bytes) -> None:
+        link = self._links.get(outgoing.address)
         if link is None:
             if len(self._links) >= MAX_LINKS:
                 return  # asked for again
-            link = self._links[out.address] = _OutgoingLink()
-            self._group.start_soon(self._run_link, out.address, link)
+            link = self._links[outgoing.address] = _OutgoingLink()
+            self._group.start_soon(self._run_link, outgoing.address, link)
         if len(link.queue) < MAX_QUEUED_FRAMES:
-            link.queue.append((data, out.guard))
+            link.queue.append((data, outgoing.guard))
             link.filled.set()
 
     async def _run_link(self, address: str, link: _OutgoingLink) -> None:
--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -32,11 +32,11 @@
 EXTRA_WAIT_LEASES = 2.0
 
 
-def abstention_us(terms: LeadershipSettings) -> int:
+def abstention_us(settings: LeadershipSettings) -> int:
     """How long a voter that has started grants nothing, by its own clock: a lease, in whatever clock it
     runs.
     """
-    return int(terms.lease_s * SECOND * (1 + 2 * DRIFT))
+    return int(settings.lease_s * SECOND * (1 + 2 * DRIFT))
 
 
 @dataclass(slots=True)
@@ -59,14 +59,14 @@
         self,
         name: str,
         voters: Voters,
-        terms: LeadershipSettings,
+        settings: LeadershipSettings,
         now_us: int,
-        founding: Callable[[], int],
-        off: frozenset[str] = frozenset(),
+        new_initial_term: Callable[[], int],
+        disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
         """`founding` gives a term above all that were ever given, as far as chance and a clock can."""
-        self._name, self.voters, self._settings, self._disabled_rules = name, voters, terms, off
-        self._new_initial_term = founding
+        self._name, self.voters, self._settings, self._disabled_rules = name, voters, settings, disabled_rules
+        self._new_initial_term = new_initial_term
         self._grants: dict[str, GrantedLease] = {}
         self._observed_terms: dict[str, int] = {}  # terms heard of, not granted here
         self._minimum_term = 0  # for tasks never heard of
@@ -74,7 +74,7 @@
         self._next_query_us = now_us
         self._number = 0
         self._term_reports: dict[str, TermReport] = {}  # the latest of each
-        self.remembers = "abstain" in off
+        self.remembers = "abstain" in disabled_rules
         self.began_new_terms = False
         # With a folder: whether what it holds may turn out to be all that this voter ever granted; that there
         # is one; whether it may vote as one that has learned anew; whether its disk keeps up; who writes
@@ -83,7 +83,7 @@
         self.has_durable_state = False
         self.is_registered: Callable[[], bool] = lambda: True
         self.can_persist: Callable[[], bool] = lambda: True
-        self.persist_grant: Callable[[str, GrantedLease], int] = lambda task, slot: 0
+        self.persist_grant: Callable[[str, GrantedLease], int] = lambda task, grant: 0
         self.persist_observed_term: Callable[[str, int], int] = lambda task, term: 0
         self.persist_memory_state: Callable[[bool], int] = lambda remembers: 0
         self.on_new_terms: Callable[[], None] = lambda: None
@@ -91,18 +91,18 @@
 
     # ------------------------------------------------------------------ what outlasts the process
 
-    def restore(self, now_us: int, slots: dict[str, GrantedLease], floors: dict[str, int]) -> None:
+    def restore(self, now_us: int, grants: dict[str, GrantedLease], observed_terms: dict[str, int]) -> None:
         """What was granted before this process, as its folder tells. Every lease may have been renewed right
         before the end: it may be in use for as long as a voter without a memory abstains. Nothing is granted
         until `trust` says that this was all.
         """
         until_us = now_us + abstention_us(self._settings)
-        for task, slot in slots.items():
-            slot.expires_us = until_us
-            self._grants[task] = slot
-        for task, term in floors.items():
+        for task, grant in grants.items():
+            grant.expires_us = until_us
+            self._grants[task] = grant
+        for task, term in observed_terms.items():
             self.observe_term(task, term)
-        self._minimum_term = max(self._minimum_term, floors.get("", 0))
+        self._minimum_term = max(self._minimum_term, observed_terms.get("", 0))
         self.may_remember = True
 
     def confirm_restored(self) -> None:
@@ -110,10 +110,10 @@
         self.may_remember = False
         self._set_remembers(True)
 
-    def _set_remembers(self, yes: bool) -> None:
-        self.remembers = yes
-        self.persist_memory_state(yes)
-        if yes:
+    def _set_remembers(self, remembers: bool) -> None:
+        self.remembers = remembers
+        self.persist_memory_state(remembers)
+        if remembers:
             self.on_memory_complete()
 
     def discard_memory(self, now_us: int) -> None:
@@ -137,15 +137,15 @@
 
     def log_position(self, task: str) -> int:
         """The entry that a grant of the task rests on."""
-        slot = self._grants.get(task)
-        return slot.log_position if slot is not None else 0
+        grant = self._grants.get(task)
+        return grant.log_position if grant is not None else 0
 
     # ------------------------------------------------------------------ leases
 
     def highest_term(self, task: str) -> int:
         """The highest term this voter knows of the task."""
-        slot = self._grants.get(task)
-        return max(slot.highest_term if slot else 0, self._observed_terms.get(task, 0), self._minimum_term)
+        grant = self._grants.get(task)
+        return max(grant.highest_term if grant else 0, self._observed_terms.get(task, 0), self._minimum_term)
 
     def observe_term(self, task: str, term: int) -> None:
         """Hearsay may raise what is granted next, never lower it."""
@@ -153,14 +153,14 @@
             self._observed_terms[task] = term
 
     def on_lease_request(
-        self, now_us: int, candidate: str, life: int, ask: LeaseRequest
+        self, now_us: int, candidate: str, life: int, request: LeaseRequest
     ) -> LeaseGrant | LeaseDenial:
-        task = ask.task
+        task = request.task
 
         def deny(why: str, left_us: int = 0, holder: str = "") -> LeaseDenial:
-            return LeaseDenial(task, self.highest_term(task), ask.number, why, max(0, left_us), holder)
+            return LeaseDenial(task, self.highest_term(task), request.number, why, max(0, left_us), holder)
 
-        if not self.voters.accepts_stage(ask.stage):
+        if not self.voters.accepts_stage(request.stage):
             return deny("stage", SECOND)
         if not self.remembers:
             wait_us = (
@@ -169,49 +169,53 @@
                 else self._started_us + abstention_us(self._settings) - now_us
             )
             return deny("abstains", wait_us)
-        slot = self._grants.get(task)
+        grant = self._grants.get(task)
         until_us = now_us + int(self._settings.lease_s * SECOND)
-        if slot is not None:
-            if (slot.holder, slot.life, slot.term) == (candidate, life, ask.term):
-                if slot.is_released:
+        if grant is not None:
+            if (grant.holder, grant.life, grant.term) == (candidate, life, request.term):
+                if grant.is_released:
                     return deny("term")
-                slot.expires_us = until_us
-                return LeaseGrant(task, ask.term, ask.number)
-            if slot.expires_us > now_us and not slot.is_released:
-                return deny("held", slot.expires_us - now_us, slot.holder)
+                grant.expires_us = until_us
+                return LeaseGrant(task, request.term, request.number)
+            if grant.expires_us > now_us and not grant.is_released:
+                return deny("held", grant.expires_us - now_us, grant.holder)
         highest = self.highest_term(task)
         # An owner that has been one without a gap may renew where a candidate got this vote alone: had
         # that one
         # had a majority, this one would not be owner any more. What comes late, it does not count itself.
-        gone_by = slot is not None and slot.term >= ask.term and (slot.holder, slot.life) == (candidate, life)
-        if ask.term < highest + (0 if "terms" in self._disabled_rules else 1) and (
-            not ask.is_renewal or gone_by
+        gone_by = (
+            grant is not None
+            and grant.term >= request.term
+            and (grant.holder, grant.life) == (candidate, life)
+        )
+        if request.term < highest + (0 if "terms" in self._disabled_rules else 1) and (
+            not request.is_renewal or gone_by
         ):
             return deny("term")
         if not self.can_persist():
             return deny("disk", TERM_QUERY_INTERVAL_US)  # it would be promised only once it is too late
-        slot = self._grants[task] = GrantedLease(
-            ask.term, candidate, life, until_us, highest_term=max(highest, ask.term)
+        grant = self._grants[task] = GrantedLease(
+            request.term, candidate, life, until_us, highest_term=max(highest, request.term)
         )
-        slot.log_position = self.persist_grant(task, slot)
-        return LeaseGrant(task, ask.term, ask.number)
+        grant.log_position = self.persist_grant(task, grant)
+        return LeaseGrant(task, request.term, request.number)
 
     def on_release(self, candidate: str, life: int, release: LeaseRelease) -> None:
         """The holder uses its lease no more: only it can say so. An ask under that term may still come."""
         self.observe_term(release.task, release.term)
-        slot = self._grants.get(release.task)
-        if slot is not None and (slot.holder, slot.life, slot.term) == (candidate, life, release.term):
-            slot.is_released = True
+        grant = self._grants.get(release.task)
+        if grant is not None and (grant.holder, grant.life, grant.term) == (candidate, life, release.term):
+            grant.is_released = True
             self.persist_grant(
-                release.task, slot
+                release.task, grant
             )  # nobody waits for it: what is not known to be free is held
 
     def active_holders(self, now_us: int) -> dict[str, tuple[str, int, int]]:
         """By task: holder, term, and how long its lease has left here, in microseconds."""
         return {
-            task: (slot.holder, slot.term, slot.expires_us - now_us)
-            for task, slot in self._grants.items()
-            if slot.expires_us > now_us and not slot.is_released
+            task: (grant.holder, grant.term, grant.expires_us - now_us)
+            for task, grant in self._grants.items()
+            if grant.expires_us > now_us and not grant.is_released
         }
 
     # ------------------------------------------------------------------ what a former life may have granted
@@ -238,16 +242,16 @@
             if name != self._name
         ]
 
-    def report_terms(self, recall: TermQuery) -> TermReport:
-        terms = {task: self.highest_term(task) for task in {*self._grants, *self._observed_terms}}
+    def report_terms(self, query: TermQuery) -> TermReport:
+        highest_terms = {task: self.highest_term(task) for task in {*self._grants, *self._observed_terms}}
         if self._minimum_term:
-            terms[""] = self._minimum_term
-        return TermReport(recall.number, self.remembers, terms, self.may_remember)
+            highest_terms[""] = self._minimum_term
+        return TermReport(query.number, self.remembers, highest_terms, self.may_remember)
 
-    def on_term_report(self, now_us: int, sender: str, answer: TermReport) -> None:
+    def on_term_report(self, now_us: int, sender: str, report: TermReport) -> None:
         if self.remembers or self.may_remember or sender not in self.voters.names():
             return
-        self._term_reports[sender] = answer
+        self._term_reports[sender] = report
         self._end_abstaining(now_us)
 
     def _end_abstaining(self, now_us: int) -> None:
@@ -273,8 +277,8 @@
             self.persist_observed_term("", self._minimum_term)
             self.began_new_terms = True
             self.on_new_terms()
-        for answer in self._term_reports.values():
-            for task, term in answer.terms.items():
+        for report in self._term_reports.values():
+            for task, term in report.terms.items():
                 if task:
                     self.observe_term(task, term)
                 else:
--- a/sailrun/leadership/voter_role.py
+++ b/sailrun/leadership/voter_role.py
@@ -17,7 +17,7 @@
 from sailrun.leadership.settings import LeadershipSettings
 from sailrun.leadership.voter import Voter
 
-Post = tuple[str, LeaseGrant | LeaseDenial | TermReport]
+Message = tuple[str, LeaseGrant | LeaseDenial | TermReport]
 
 
 class VoterRole:
@@ -29,14 +29,14 @@
         self,
         name: str,
         voters: Voters,
-        terms: LeadershipSettings,
-        backing: DurableState,
-        founding: Callable[[], int],
+        settings: LeadershipSettings,
+        durable_state: DurableState,
+        new_initial_term: Callable[[], int],
         now_us: int,
-        off: frozenset[str],
+        disabled_rules: frozenset[str],
     ) -> None:
-        self._name, self._settings, self._durable_state = name, terms, backing
-        self._new_initial_term, self._disabled_rules = founding, off
+        self._name, self._settings, self._durable_state = name, settings, durable_state
+        self._new_initial_term, self._disabled_rules = new_initial_term, disabled_rules
         self.voter = self._new_voter(now_us, voters) if name in voters.names() else None
 
     def _new_voter(self, now_us: int, voters: Voters) -> Voter:
@@ -46,7 +46,7 @@
         self._durable_state.attach_voter(voter)
         return voter
 
-    def update_settings(self, now_us: int, voters: Voters, terms: LeadershipSettings) -> None:
+    def update_settings(self, now_us: int, voters: Voters, settings: LeadershipSettings) -> None:
         """From now on these are the voters; this node may have become one, or be none any more."""
         if self._name not in voters.names():
             self.voter = None
@@ -54,7 +54,7 @@
             self.voter = self._new_voter(now_us, voters)
         else:
             self.voter.voters = voters
-        self._settings = terms
+        self._settings = settings
 
     def observe_term(self, task: str, term: int) -> None:
         """Hearsay: a term of a task."""
@@ -63,7 +63,7 @@
 
     def on_message(
         self, now_us: int, sender: str, life: int, body: LeaseRequest | LeaseRelease | TermQuery | TermReport
-    ) -> list[Post]:
+    ) -> list[Message]:
         """What candidates, and voters that have started, ask or tell a voter."""
         voter = self.voter
         if voter is None:
