--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -39,8 +39,7 @@
 )
 from sailrun.leadership.outgoing import EnvelopeFactory, OutgoingEnvelope, TermGuard
 from sailrun.leadership.permit_role import PermitRole
-from sailrun.leadership.permits import PERMITS_TASK as PERMITS
-from sailrun.leadership.permits import PermitChange, PermitCoordinator, PermitHolder
+from sailrun.leadership.permits import PERMITS_TASK, PermitChange, PermitCoordinator, PermitHolder
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.requests import AddressedMessage, OnResponse, PendingRequests, Requester
 from sailrun.leadership.rolling_drain import RollingDrains
@@ -297,7 +296,7 @@
 
     def _handle_request(self, now_us: int, task: str, term: int, asker: Requester, content: Any) -> Any:
         """As the owner of the task, under its term; None: there is no answer."""
-        if task == PERMITS:
+        if task == PERMITS_TASK:
             return self._permit_role.answer_request(now_us, term, asker.name, asker.life, content)
         if task == MARKS:
             return self.replica.answer(now_us, asker.name, content) if self.replica is not None else None
@@ -345,7 +344,9 @@
 
     def _turn_permits(self, now_us: int) -> list[OutgoingEnvelope]:
         questions = self._permit_role.due_requests(now_us)
-        return [out for content, done in questions for out in self.request(now_us, PERMITS, content, done)]
+        return [
+            out for content, done in questions for out in self.request(now_us, PERMITS_TASK, content, done)
+        ]
 
     def _turn_replica(self, now_us: int, replica: Replica) -> list[OutgoingEnvelope]:
         coordinator = replica.coordinator
@@ -405,7 +406,7 @@
 
     def _on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
         self._change_log.log_leadership(change)
-        if change.task == PERMITS:
+        if change.task == PERMITS_TASK:
             self._permit_role.on_leadership_change(now_us, change)
         if change.task == MARKS and self.replica is not None:
             self.replica.turned(now_us, change.term if change.is_leader else 0)
--- /dev/null
+++ b/sailrun/leadership/move_rate_service.py
@@ -0,0 +1,64 @@
+"""This node's part in sharing out the fleet's rate of moves: granted as the leader, used by the core."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from sailrun.leadership.leases import LeadershipChange
+from sailrun.leadership.move_rate import MoveRateCoordinator, MoveRateShare
+from sailrun.leadership.task_leadership import MOVE_RATE_TASK
+from sailrun.node.clock import log
+
+if TYPE_CHECKING:
+    from sailrun.leadership.agent import Agent
+    from sailrun.leadership.outgoing import OutgoingEnvelope
+    from sailrun.node.core import Node
+
+UNKNOWN_SHARE = -1.0
+SHOWN_DIGITS = 3
+
+
+class MoveRateService:
+    """Tells the core which share of the fleet's rate of moves it may use, and requests that share.
+
+    `grants_shares`: whether this node answers the requests of others while it leads the task.
+    """
+
+    def __init__(self, node: Node, agent: Agent, grants_shares: bool) -> None:
+        self._node, self._agent = node, agent
+        self._coordinator: MoveRateCoordinator | None = None
+        self._granted = MoveRateShare()
+        self._logged_share = UNKNOWN_SHARE
+        self._is_wanted = False
+        if grants_shares:
+            agent.request_handlers[MOVE_RATE_TASK] = self._grant_share
+
+    def on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
+        """This node became the leader that grants shares, or is none any more."""
+        if change.task == MOVE_RATE_TASK:
+            self._coordinator = MoveRateCoordinator(change.term, now_us) if change.is_leader else None
+
+    def _grant_share(self, now_us: int, sender: str, content: Any) -> Any:
+        if self._coordinator is None:
+            return None
+        return self._coordinator.grant_share(now_us, sender)
+
+    def turn(self, now_us: int) -> list[OutgoingEnvelope]:
+        """Passes the share of now to the core, and requests one from the leader where the core needs any."""
+        share = self._granted.current_share(now_us)
+        if not self._granted.take_due_request(now_us):
+            return []
+        # The core says whether it needs a share; its answer counts from the next time on.
+        self._node.set_move_rate_share(share, self._on_wanted)
+        if (share > 0) is not (self._logged_share > 0) or self._logged_share < 0:
+            log("pace", share=round(share, SHOWN_DIGITS))
+        self._logged_share = share
+        if not self._is_wanted:
+            return []
+        return self._agent.request(now_us, MOVE_RATE_TASK, [], self._on_response)
+
+    def _on_response(self, now_us: int, sent_us: int, content: Any) -> None:
+        self._granted.on_grant(sent_us, content)
+
+    def _on_wanted(self, wanted: bool) -> None:
+        self._is_wanted = wanted
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -1,6 +1,6 @@
-"""What staff are shown of one agent, as rows that JSON can have. Times left are in seconds.
+"""What operators are shown of one agent, as rows that JSON can have. Remaining times are in seconds.
 
-The names of the fields are an interface to scripts.
+The names of the fields are an interface to scripts: they stay, whatever the attributes are called here.
 """
 
 from __future__ import annotations
@@ -8,13 +8,15 @@
 from typing import Any
 
 from sailrun.leadership.agent import Agent
-from sailrun.leadership.permits import PERMITS_TASK as PERMITS
+from sailrun.leadership.permits import PERMITS_TASK
+from sailrun.leadership.traffic import TrafficCounters
 
 SECOND = 1_000_000
 Rows = list[dict[str, Any]]
 
 
-def members(agent: Agent, now_us: int) -> Rows:
+def member_rows(agent: Agent, now_us: int) -> Rows:
+    """One row for each member that is known, living or not."""
     voters = agent.voters.names()
     return [
         {
@@ -30,7 +32,8 @@
     ]
 
 
-def owners(agent: Agent, now_us: int) -> Rows:
+def lease_rows(agent: Agent, now_us: int) -> Rows:
+    """One row for each task: its leader as far as is known, and whether this node is it."""
     return [
         {
             "task": task,
@@ -44,10 +47,10 @@
     ]
 
 
-def permits(agent: Agent, now_us: int) -> Rows:
-    """The fleet's, at their owner; elsewhere those that this node holds or wants."""
+def permit_rows(agent: Agent, now_us: int) -> Rows:
+    """All permits of the fleet at their leader; elsewhere those that this node holds or requests."""
     holder, coordinator = agent.permit_holder, agent.permit_coordinator
-    if coordinator is not None and agent.leading_term(PERMITS, now_us):
+    if coordinator is not None and agent.leading_term(PERMITS_TASK, now_us):
         return coordinator.rows(now_us)
     return [
         {
@@ -61,8 +64,8 @@
     ]
 
 
-def rolling_drain(agent: Agent, name: str) -> Rows | None:
-    """None: no rolling drain of that name was begun here."""
+def rolling_drain_rows(agent: Agent, name: str) -> Rows | None:
+    """How far each node of a rolling drain is; None: none of that name was started here."""
     begun = agent.rolling_drains.drains.get(name)
     if begun is None:
         return None
@@ -73,7 +76,7 @@
     return round(us / SECOND, 3)
 
 
-def shards(agent: Agent, now_us: int, node: str) -> dict[str, Any] | None:
+def shard_status(agent: Agent, now_us: int, node: str) -> dict[str, Any] | None:
     """This node's shards, or those placed on another one; None: `[shards]` is off."""
     if agent.shards is None:
         return None
@@ -81,3 +84,24 @@
     from sailrun.sharding.status import shards_status
 
     return shards_status(agent.shards, now_us, node)
+
+
+def counters(agent: Agent, traffic: TrafficCounters, now_us: int) -> dict[str, Any]:
+    """Counts since the process started, and whether a majority of the voters answers."""
+    counted, members = agent.counters, agent.members
+    return {
+        "orders_sent": counted.responses_sent,
+        "orders_dropped": counted.responses_expired,
+        "orders_taken": counted.responses_accepted,
+        "orders_refused": counted.responses_of_lower_term,
+        "orders_late": counted.responses_too_late,
+        "bad_messages": counted.malformed_messages,
+        "wrong_fleet": counted.foreign_messages,
+        "strangers": members.stray,
+        "slowness": members.slowness,
+        "messages_in": traffic.messages_in,
+        "messages_out": traffic.messages_out,
+        "bytes_in": traffic.bytes_in,
+        "bytes_out": traffic.bytes_out,
+        "in_touch": agent.leases.reaches_majority(now_us),
+    }
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -6,7 +6,7 @@
 from sailrun.leadership.counters import AgentCounters
 from sailrun.leadership.leases import Leases, best_placed
 from sailrun.leadership.outgoing import TermGuard
-from sailrun.leadership.permits import PERMITS_TASK as PERMITS
+from sailrun.leadership.permits import PERMITS_TASK
 from sailrun.leadership.settings import DRIFT
 from sailrun.membership.messages import eligible
 from sailrun.membership.swim import Members
@@ -46,7 +46,7 @@
         names = eligible(living)
         tasks = {}
         if self._settings.permits.enabled:
-            tasks[PERMITS] = best_placed(PERMITS, names)
+            tasks[PERMITS_TASK] = best_placed(PERMITS_TASK, names)
         if self._settings.shares_move_rate:
             tasks[MOVE_RATE_TASK] = best_placed(MOVE_RATE_TASK, names)
         if self._settings.replication.enabled:
