--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -21,7 +21,7 @@
 from sailrun.leadership.durable_state import DurableState
 from sailrun.leadership.envelope import Body, Envelope
 from sailrun.leadership.leases import LeadershipChange, Leases
-from sailrun.leadership.member_journal import OpenedFolder
+from sailrun.leadership.member_journal import MemberFolder
 from sailrun.leadership.messages import (
     DrainRequest,
     DrainStatus,
@@ -46,13 +46,13 @@
 from sailrun.leadership.task_leadership import MOVE_RATE_TASK, READER_TASK_PREFIX, TaskLeadership
 from sailrun.leadership.voter import Voter
 from sailrun.leadership.voter_role import VoterRole
-from sailrun.membership.messages import MemberBody, Record, State
-from sailrun.membership.swim import Members
+from sailrun.membership.membership import Membership
+from sailrun.membership.messages import MemberBody, MemberRecord, MemberState
 from sailrun.replication.replica import MARKS, Replica
 from sailrun.sharding.messages import Ballot, ShardBody
 from sailrun.sharding.messages import Post as ShardPost
-from sailrun.storage.messages import Stand, Stood
-from sailrun.storage.write_ahead_log import Done
+from sailrun.storage.messages import FreshnessQuery, FreshnessReply
+from sailrun.storage.write_ahead_log import WriteResult
 
 if TYPE_CHECKING:
     from sailrun.sharding.part import ShardsPart
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        me: Record,
+        me: MemberRecord,
         settings: AgentSettings,
         seed: int,
         now_us: int,
@@ -88,7 +88,7 @@
         self.on_permit_change: Callable[[PermitChange], None] = lambda use: None
         random_source = random.Random(seed)  # each part has its own number, always in this order
         self.voters = Voters(settings.leadership, disabled_rules)
-        self.members = Members(me, settings.membership, random_source.getrandbits(32), now_us)
+        self.members = Membership(me, settings.membership, random_source.getrandbits(32), now_us)
         self.leases = Leases(
             me.name, self.voters, settings.leadership, random_source.getrandbits(32), now_us, disabled_rules
         )
@@ -97,7 +97,7 @@
         self._leadership = TaskLeadership(self.members, self.leases, me.zone, settings, self.counters)
         self._envelopes = EnvelopeFactory(lambda: self.settings.membership.fleet, self.members, self.leases)
         self.durable_state = DurableState(
-            me.name, me.life, lambda: self.voters, self.members.lives, record, disabled_rules
+            me.name, me.life, lambda: self.voters, self.members.is_living, record, disabled_rules
         )
         self._voter_role = VoterRole(
             me.name,
@@ -151,7 +151,7 @@
         )
 
     def _new_shards(
-        self, me: Record, random_source: random.Random, now_us: int, new_initial_term: Callable[[], int]
+        self, me: MemberRecord, random_source: random.Random, now_us: int, new_initial_term: Callable[[], int]
     ) -> ShardsPart:
         # Loaded only where it is switched on: it needs numpy.
         from sailrun.sharding.part import ShardsPart
@@ -191,11 +191,11 @@
 
     # ------------------------------------------------------------------ what outlasts the process
 
-    def restore(self, now_us: int, folder: OpenedFolder) -> None:
+    def restore(self, now_us: int, folder: MemberFolder) -> None:
         """Goes by a folder, as far as that can be: before the first turn."""
         self.durable_state.restore(now_us, folder)
 
-    def on_written(self, now_us: int, done: Done) -> list[OutgoingEnvelope]:
+    def on_written(self, now_us: int, done: WriteResult) -> list[OutgoingEnvelope]:
         """What became of the work of the disk; the answers that waited for it may go out."""
         self._now_us = now_us
         envelopes = self._send_released(*self.durable_state.on_written(now_us, done))
@@ -232,15 +232,15 @@
             return []
         body, name, life = envelope.body, envelope.sender, envelope.life
         if name != self.name:
-            self.members.heard_from(now_us, name, life, envelope.incarnation)
+            self.members.observe_contact(now_us, name, life, envelope.incarnation)
         envelopes: list[OutgoingEnvelope] = []
         if isinstance(body, MemberBody):
-            sender = Record(name, life, envelope.incarnation, State.ALIVE, address)
-            envelopes = self._envelopes.address_letters(self.members.hear(now_us, sender, body))
-        elif not self.members.knows(name, life):
+            sender = MemberRecord(name, life, envelope.incarnation, MemberState.ALIVE, address)
+            envelopes = self._envelopes.address_letters(self.members.receive(now_us, sender, body))
+        elif not self.members.accept_sender(name, life):
             return []
-        if self.members.is_current(name, life):
-            self.members.hear_news(now_us, envelope.member_updates, name)
+        if self.members.is_current_process(name, life):
+            self.members.merge_records(now_us, envelope.member_updates, name)
             for claim in envelope.leader_hints:
                 self._observe_term(now_us, claim.task, claim.term, claim.holder)
             if not isinstance(body, MemberBody):
@@ -256,7 +256,7 @@
         match body:
             case LeaseRequest() | LeaseRelease() | TermQuery() | TermReport():
                 # One that was refused its name is no voter.
-                if self.members.joined:
+                if self.members.has_joined:
                     return self._post_all(self._voter_role.on_message(now_us, sender, life, body))
             case LeaseGrant():
                 self.leases.on_grant(now_us, sender, body)
@@ -278,13 +278,13 @@
             case DrainStatus():
                 self.rolling_drains.on_status(now_us, sender, body)
             case _ if isinstance(body, ShardBody):
-                if self.shards is not None and self.members.joined:
+                if self.shards is not None and self.members.has_joined:
                     return self._post_all(self.shards.hear(now_us, sender, life, body))
-            case Stand() | Stood():
+            case FreshnessQuery() | FreshnessReply():
                 if sender in self.voters.names():
                     return self._send_released(*self.durable_state.on_freshness_message(now_us, sender, body))
             case _:
-                if self.replica is not None and self.members.joined:
+                if self.replica is not None and self.members.has_joined:
                     return self._post_all(self.replica.hear(now_us, sender, body))
         return []
 
@@ -308,7 +308,7 @@
     def due_us(self, now_us: int) -> int:
         """When `turn` wants to be called next, should nothing come in."""
         due_us = self.members.due_us(now_us)
-        if not self.members.joined:
+        if not self.members.has_joined:
             return due_us
         due_us = min(due_us, self.leases.due_us(now_us, self.candidate_tasks()))
         if self.voter is not None:
@@ -324,18 +324,18 @@
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         self._now_us = now_us
-        envelopes = self._envelopes.address_letters(self.members.turn(now_us))
-        if self.voter is not None and self.members.joined:
+        envelopes = self._envelopes.address_letters(self.members.tick(now_us))
+        if self.voter is not None and self.members.has_joined:
             envelopes += self._post_all(self.voter.turn(now_us))
             envelopes += self._post_all(self.durable_state.turn(now_us))
-        if self.members.joined and not self.members.leaving:
+        if self.members.has_joined and not self.members.is_leaving:
             envelopes += self._turn_leases(now_us)
         self._requests.drop_expired(now_us)
         envelopes += self._turn_permits(now_us)
         envelopes += self._post_all(self.rolling_drains.turn(now_us))
-        if self.replica is not None and self.members.joined and not self.members.leaving:
+        if self.replica is not None and self.members.has_joined and not self.members.is_leaving:
             envelopes += self._turn_replica(now_us, self.replica)
-        if self.shards is not None and self.members.joined and not self.members.leaving:
+        if self.shards is not None and self.members.has_joined and not self.members.is_leaving:
             envelopes += self._post_all(self.shards.turn(now_us))
         return envelopes + self._publish_changes(now_us)
 
@@ -418,7 +418,7 @@
     def send_shard_messages(self, now_us: int, messages: list[ShardPost]) -> list[OutgoingEnvelope]:
         """What the part of shards has to say outside of a turn, as acts on a shard's behalf."""
         self._now_us = now_us
-        return self._post_all(messages) if self.members.joined else []
+        return self._post_all(messages) if self.members.has_joined else []
 
     def _post_addressed(self, messages: list[AddressedMessage]) -> list[OutgoingEnvelope]:
         return [out for one in messages for out in self._post(one.name, one.body, one.guard)]
--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -8,7 +8,7 @@
 from sailrun.leadership.counters import AgentCounters
 from sailrun.leadership.leases import LeadershipChange, Leases
 from sailrun.leadership.permits import PermitChange
-from sailrun.membership.swim import Change
+from sailrun.membership.outputs import MembershipChange
 
 
 class LogEvent(NamedTuple):
@@ -36,17 +36,17 @@
         self.events += [LogEvent(*note) for note in notes]
         notes.clear()
 
-    def log_member(self, change: Change) -> None:
+    def log_member(self, change: MembershipChange) -> None:
         record = change.record
         self.add(
             "member",
-            what=change.what,
+            what=change.kind,
             name=record.name,
             incarnation=record.incarnation,
             at=record.address,
-            why=change.why or None,
+            why=change.reason or None,
         )
-        self.record("member", what=change.what, name=record.name, life=record.life)
+        self.record("member", what=change.kind, name=record.name, life=record.life)
 
     def log_leadership(self, change: LeadershipChange) -> None:
         if not change.is_leader:
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from sailrun.leadership.member_journal import (
+    MemberFolder,
     MemberJournal,
-    OpenedFolder,
     replica_entries,
     restore_granted_leases,
     voter_entries,
@@ -27,14 +27,15 @@
 from sailrun.replication.messages import Kept, Promised, Recovering
 from sailrun.replication.replica import Replica
 from sailrun.storage import entries as e
-from sailrun.storage.folder import uncollected
-from sailrun.storage.messages import Stand, Stood
-from sailrun.storage.standing import Own, Standing, Trust
-from sailrun.storage.write_ahead_log import Done
+from sailrun.storage.folder_reader import paused_garbage_collection
+from sailrun.storage.freshness import FolderFreshness, FreshnessState, OwnFolder
+from sailrun.storage.messages import FreshnessQuery, FreshnessReply
+from sailrun.storage.persisted_state import PersistedState
+from sailrun.storage.write_ahead_log import WriteResult
 
 Message = tuple[str, msgspec.Struct]
 # What a voter answers and is held to after a restart: sent once what it rests on is on the disk.
-DURABLE_RESPONSES = (LeaseGrant, Promised, Kept, Recovering, TermReport, Stood)
+DURABLE_RESPONSES = (LeaseGrant, Promised, Kept, Recovering, TermReport, FreshnessReply)
 # Of these, what a folder without them would be too old for: a majority is told how far it has come, before.
 MAJORITY_KNOWN_RESPONSES = (LeaseGrant, Promised, Kept, Recovering)
 # Promises that wait for other voters to note them; the oldest make room.
@@ -60,7 +61,7 @@
         ] = []  # for the log; emptied by whoever drives this
         # What else is to be known after a restart; told by whoever drives this.
         self.extra_entries: Callable[[], list[e.Entry]] = list
-        self.freshness = Standing(
+        self.freshness = FolderFreshness(
             name,
             lambda: voters().names(),
             lambda names: voters().is_majority(names),
@@ -69,7 +70,7 @@
             lives,
             disabled_rules,
         )
-        self._folder: OpenedFolder | None = None
+        self._folder: MemberFolder | None = None
         self._voter: Callable[[], Voter | None] = lambda: None
         self._replica: Replica | None = None
         self._rolling_drains: RollingDrains | None = None
@@ -77,7 +78,7 @@
             tuple[int, str, Any]
         ] = []  # promises that wait for a majority to know of them
         self._life_position = 0  # the entry that says in which life of the folder this process is
-        self._last_trust = Trust.LEARNS
+        self._last_trust = FreshnessState.REJOINING
 
     # ------------------------------------------------------------------ whom it is for
 
@@ -99,70 +100,74 @@
         voter.persist_memory_state = self.journal.votes
         voter.on_new_terms = lambda: self._record("founded", what="terms")
         voter.on_memory_complete = lambda: self._record("remembered", what="terms")
-        voter.is_registered = lambda: self.freshness.registered
-        voter.can_persist = lambda: self._folder is None or self._folder.write_ahead_log.able
+        voter.is_registered = lambda: self.freshness.is_established
+        voter.can_persist = lambda: self._folder is None or self._folder.write_ahead_log.is_disk_available
         # What a folder has of another time as a voter may not be all: `take_up` comes after.
-        self.freshness.trust = self._last_trust = Trust.LEARNS
+        self.freshness.state = self._last_trust = FreshnessState.REJOINING
 
     def is_durable(self, position: int) -> bool:
         """Whether everything up to that entry is on the disk, if there is any."""
-        return self._folder is None or self._folder.write_ahead_log.ready(position)
+        return self._folder is None or self._folder.write_ahead_log.is_synced(position)
 
     # ------------------------------------------------------------------ beginning
 
-    def restore(self, now_us: int, folder: OpenedFolder) -> None:
+    def restore(self, now_us: int, folder: MemberFolder) -> None:
         """Goes by a folder, as far as that can be: before the first turn. Who votes asks the other voters
         whether they know of a newer one, and grants nothing before.
         """
         self._folder, memory, sound = folder, folder.memory, folder.is_sound
         log = self.journal.write_ahead_log = folder.write_ahead_log
-        log.whole = self.snapshot_entries
-        log.on_dropped = lambda answer: answer(False) if callable(answer) else None
-        own = Own(folder.identity, self._run, memory.life + 1, folder.found_position, log.synced)
-        self.freshness.take_up(own, sound, memory.notes)
-        self._last_trust = self.freshness.trust
-        self._life_position = self.journal.begun(own.life, folder.wall_s)
+        log.list_state_entries = self.snapshot_entries
+        log.on_reply_dropped = lambda answer: answer(False) if callable(answer) else None
+        own = OwnFolder(
+            folder.identity, self._run, memory.incarnation + 1, folder.found_position, log.synced_position
+        )
+        self.freshness.start(own, sound, memory.peer_folders)
+        self._last_trust = self.freshness.state
+        self._life_position = self.journal.begun(own.incarnation, folder.wall_s)
         voter = self._voter()
         if voter is not None:
             voter.has_durable_state = True
-        if voter is not None and sound and memory.votes:
-            voter.restore(now_us, restore_granted_leases(memory), memory.floors)
+        if voter is not None and sound and memory.is_voter_complete:
+            voter.restore(now_us, restore_granted_leases(memory), memory.term_floors)
         elif voter is not None:
             # As far as it goes: terms only rise by it, and the others are asked for the rest.
-            for task, term in memory.highest().items():
+            for task, term in memory.highest_terms().items():
                 voter.observe_term(task, term)
             self._record("folder", what="learning", of="terms")
         if sound and self._rolling_drains is not None:
-            plans = [(p.walk, p.for_us, p.names) for p in memory.plans.values()]
-            self._rolling_drains.restore(now_us, memory.drained, plans)
+            plans = [(p.drain, p.for_us, p.nodes) for p in memory.drain_plans.values()]
+            self._rolling_drains.restore(now_us, memory.completed_drains, plans)
         if sound and self._replica is not None:
             self._restore_replica(now_us, self._replica, memory)
-        if self.freshness.trust is Trust.TRUSTED:
+        if self.freshness.state is FreshnessState.CONFIRMED:
             self._confirm_folder()
 
-    def _restore_replica(self, now_us: int, replica: Replica, memory: e.Memory) -> None:
-        if memory.whole:
-            held = ((r, memory.marks[key]) for key, r in memory.records.items())
-            with uncollected():
+    def _restore_replica(self, now_us: int, replica: Replica, memory: PersistedState) -> None:
+        if memory.is_replica_complete:
+            held = ((r, memory.record_digests[key]) for key, r in memory.records.items())
+            with paused_garbage_collection():
                 left = replica.take_up(now_us, held, memory.epoch)
             facts: dict[str, object] = {"records": len(replica.store), "epoch": memory.epoch}
             self.log_events.append(("copy-found", {**facts, "left": left or None}))
-        keeps = memory.keeps
+        keeps = memory.acceptor
         if replica.acceptor is not None and keeps is not None:
-            replica.acceptor.take_up(keeps.life, keeps.promised, keeps.lives, keeps.remembers)
-            if not keeps.remembers:
+            replica.acceptor.take_up(
+                keeps.incarnation, keeps.promised_term, keeps.peer_incarnations, keeps.is_complete
+            )
+            if not keeps.is_complete:
                 self._record("folder", what="learning", of="marks")
 
     def snapshot_entries(self) -> Iterable[e.Entry]:
         """All that is to be known after a restart, as it is now: to be gone through once, wherever."""
         own, voter, entries = self.freshness.own, self._voter(), list[e.Entry]()
         if own is not None and self._folder is not None:
-            entries.append(e.Begun(own.life, self._folder.wall_s))
+            entries.append(e.ProcessStarted(own.incarnation, self._folder.wall_s))
         if voter is not None:
             entries += voter_entries(voter)
-        entries += self.freshness.notes.values()
+        entries += self.freshness.peer_versions.values()
         if self._rolling_drains is not None:
-            entries += (e.Drained(name) for name in self._rolling_drains.completed_names())
+            entries += (e.DrainCompleted(name) for name in self._rolling_drains.completed_names())
             entries += (e.DrainPlan(*plan) for plan in self._rolling_drains.unfinished_plans())
         copied = replica_entries(self._replica) if self._replica is not None else []
         return chain(entries, self.extra_entries(), copied)
@@ -177,11 +182,11 @@
         position = log.position
         if isinstance(body, LeaseGrant) and voter is not None:
             position = voter.log_position(body.task)  # a renewal rests on the grant alone
-        if log.ready(position):
+        if log.is_synced(position):
             return self._hold_for_majority(position, name, body)
-        if log.able:
+        if log.is_disk_available:
             key = (name, type(body), body.term if isinstance(body, LeaseGrant) else body.number)
-            log.hold(now_us, position, key, (name, body))
+            log.defer_reply(now_us, position, key, (name, body))
         return True
 
     def _hold_for_majority(self, position: int, name: str, body: Any) -> bool:
@@ -194,9 +199,16 @@
             and self._voter() is not None
             and not self._disabled_rules & {"generation", "sync"}
         )
-        if not needs_majority or own is None or self._folder is None or self.freshness.known(position):
+        if (
+            not needs_majority
+            or own is None
+            or self._folder is None
+            or self.freshness.is_position_noted(position)
+        ):
             return False
-        own.synced = self._folder.write_ahead_log.synced  # told to the others at the next turn
+        own.synced_position = (
+            self._folder.write_ahead_log.synced_position
+        )  # told to the others at the next turn
         self._awaiting_majority = [*self._awaiting_majority[-MAX_AWAITING_MAJORITY:], (position, name, body)]
         return True
 
@@ -205,19 +217,19 @@
         is none, or it fails.
         """
         log = self._folder.write_ahead_log if self._folder is not None else None
-        if log is None or log.ready(log.position):
+        if log is None or log.is_synced(log.position):
             call(True)
-        elif not log.able:
+        elif not log.is_disk_available:
             call(False)
         else:
-            log.hold(now_us, log.position, call, call)
+            log.defer_reply(now_us, log.position, call, call)
 
-    def on_written(self, now_us: int, done: Done) -> tuple[list[Message], list[Message]]:
+    def on_written(self, now_us: int, done: WriteResult) -> tuple[list[Message], list[Message]]:
         """What became of the work of the disk; returns answers that may go out, and other posts."""
         assert self._folder is not None
         log = self._folder.write_ahead_log
         answers: list[Message] = []
-        for answer in log.done(now_us, done):
+        for answer in log.complete_batch(now_us, done):
             if callable(answer):
                 answer(True)
                 continue
@@ -226,21 +238,25 @@
                 if "generation" not in self._disabled_rules:
                     self._awaiting_majority = [
                         *self._awaiting_majority[-MAX_AWAITING_MAJORITY:],
-                        (log.synced, name, body),
+                        (log.synced_position, name, body),
                     ]
                     continue
-                self._record("promised", position=log.synced)
+                self._record("promised", position=log.synced_position)
             answers.append((name, body))
         messages: list[Message] = []
         if self._awaiting_majority and self.freshness.own is not None:
             # Something is promised: a majority is to know how far the folder has come.
-            self.freshness.own.synced = log.synced
-            messages += self.freshness.tell(now_us)
+            self.freshness.own.synced_position = log.synced_position
+            messages += self.freshness.report_position(now_us)
         return answers, messages
 
     def _release_known_by_majority(self) -> list[Message]:
         """What was promised, as far as a majority knows that the folder has it."""
-        known = {position for position, _, _ in self._awaiting_majority if self.freshness.known(position)}
+        known = {
+            position
+            for position, _, _ in self._awaiting_majority
+            if self.freshness.is_position_noted(position)
+        }
         if not known:
             return []
         self._record("promised", position=max(known))
@@ -251,19 +267,19 @@
     # ------------------------------------------------------------------ whether the folder is the newest
 
     def on_freshness_message(
-        self, now_us: int, sender: str, body: Stand | Stood
+        self, now_us: int, sender: str, body: FreshnessQuery | FreshnessReply
     ) -> tuple[list[Message], list[Message]]:
         """From another voter; returns answers that may go out, and other posts."""
-        if isinstance(body, Stand):
-            return [], [(sender, self.freshness.hear(sender, body))]
-        life = self.freshness.own.life if self.freshness.own is not None else 0
-        self.freshness.told(sender, body)
+        if isinstance(body, FreshnessQuery):
+            return [], [(sender, self.freshness.on_query(sender, body))]
+        life = self.freshness.own.incarnation if self.freshness.own is not None else 0
+        self.freshness.on_reply(sender, body)
         self._apply_freshness(now_us, life)
         return (self._release_known_by_majority() if self._awaiting_majority else []), []
 
     def _may_query(self) -> bool:
         """That this process has the folder is to be on the disk before anybody hears of it."""
-        return not self.freshness.asking or self.is_durable(self._life_position)
+        return not self.freshness.is_querying or self.is_durable(self._life_position)
 
     def due_us(self) -> int | None:
         """When `turn` wants to be called; None: not for itself."""
@@ -275,7 +291,7 @@
         own = self.freshness.own
         if own is None or self._voter() is None or not self._may_query():
             return []
-        life = own.life
+        life = own.incarnation
         messages = list[Message](self.freshness.turn(now_us))
         self._apply_freshness(now_us, life)
         return messages
@@ -285,16 +301,16 @@
         standing, folder = self.freshness, self._folder
         if folder is None or standing.own is None:
             return
-        if standing.trust is not self._last_trust:
-            self._last_trust = standing.trust
-            if standing.trust is Trust.TRUSTED:
+        if standing.state is not self._last_trust:
+            self._last_trust = standing.state
+            if standing.state is FreshnessState.CONFIRMED:
                 self._confirm_folder()
-            elif standing.trust is Trust.OLD:
+            elif standing.state is FreshnessState.STALE:
                 self._replace_folder(now_us, folder)
-            elif standing.trust is Trust.LEARNED:
+            elif standing.state is FreshnessState.REJOINED:
                 self._record("folder", what="learned")
-        if standing.own.life != life:
-            self._life_position = self.journal.begun(standing.own.life, folder.wall_s)
+        if standing.own.incarnation != life:
+            self._life_position = self.journal.begun(standing.own.incarnation, folder.wall_s)
 
     def _confirm_folder(self) -> None:
         """Nobody knows of a newer folder: this voter has forgotten nothing of what that says it remembers."""
@@ -305,27 +321,27 @@
             acceptor.trust()
         self._record("folder", what="trusted")
         own = self.freshness.own
-        self.log_events.append(("lasting-trusted", {"life": own.life if own is not None else None}))
+        self.log_events.append(("lasting-trusted", {"life": own.incarnation if own is not None else None}))
 
-    def _replace_folder(self, now_us: int, folder: OpenedFolder) -> None:
+    def _replace_folder(self, now_us: int, folder: MemberFolder) -> None:
         """The folder is older than what the fleet knows: another is begun, and this voter learns from the
         others what it may have promised.
         """
         standing = self.freshness
-        known = standing.newest
-        folder.identity = folder.new_identity()
-        standing.begin_anew(folder.identity)
-        self._last_trust = standing.trust
+        known = standing.newest_known
+        folder.identity = folder.generate_identity()
+        standing.restart_with_new_folder(folder.identity)
+        self._last_trust = standing.state
         self._awaiting_majority.clear()  # promised by what is not gone by any more
-        folder.write_ahead_log.renew(bytes.fromhex(folder.identity))
+        folder.write_ahead_log.begin_new_folder(bytes.fromhex(folder.identity))
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None:
             voter.discard_memory(now_us)
         if acceptor is not None:
             acceptor.may_remember = False
             acceptor.restart(now_us)
-        facts: dict[str, object] = {"why": standing.why_old, "loaded": folder.found_position}
+        facts: dict[str, object] = {"why": standing.stale_reason, "loaded": folder.found_position}
         if known is not None:
-            facts |= {"known_life": known.life, "known_position": known.position}
-        self._record("folder", what="old", why=standing.why_old)
+            facts |= {"known_life": known.incarnation, "known_position": known.position}
+        self._record("folder", what="old", why=standing.stale_reason)
         self.log_events.append(("lasting-old", facts))
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -10,17 +10,17 @@
 import msgspec
 
 from sailrun.leadership.messages import LeaderHint, LeadershipBody
-from sailrun.membership.messages import MemberBody, Record
+from sailrun.membership.messages import MemberBody, MemberRecord
 from sailrun.replication.messages import ReplicaBody
 from sailrun.sharding.messages import ShardBody
-from sailrun.storage.messages import LastingBody
+from sailrun.storage.messages import StorageMessage
 
 MAX_DATAGRAM_BYTES = 1200
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 # What rides along, so that a datagram stays below its limit whatever the names are.
 MAX_MEMBER_UPDATES, MAX_LEADER_HINTS = 4, 3
 
-Body = MemberBody | LeadershipBody | ReplicaBody | LastingBody | ShardBody
+Body = MemberBody | LeadershipBody | ReplicaBody | StorageMessage | ShardBody
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
@@ -31,7 +31,7 @@
     life: int
     incarnation: int
     body: Body
-    member_updates: list[Record] = []
+    member_updates: list[MemberRecord] = []
     leader_hints: list[LeaderHint] = []
 
 
--- a/sailrun/leadership/operator_permits.py
+++ b/sailrun/leadership/operator_permits.py
@@ -83,7 +83,7 @@
         """
 
         def begin(now_us: int) -> list[OutgoingEnvelope]:
-            unknown = [node for node in nodes if not self._agent.members.lives(node)]
+            unknown = [node for node in nodes if not self._agent.members.is_living(node)]
             if unknown:
                 reply(f"no member {', '.join(unknown[:MAX_SHOWN_NAMES])}")
             elif self._agent.permit_holder is None:
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -23,23 +23,24 @@
 from sailrun.leadership.agent import Agent, AgentSettings, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
 from sailrun.leadership.initial_term import new_initial_term
-from sailrun.leadership.member_journal import OpenedFolder
+from sailrun.leadership.member_journal import MemberFolder
 from sailrun.leadership.move_rate_service import MoveRateService
 from sailrun.leadership.operator_permits import OperatorPermits
 from sailrun.leadership.shared_discovery import SharedDiscovery
 from sailrun.leadership.transport import Transport
-from sailrun.membership.messages import Record, State
+from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.node.clock import log
-from sailrun.node.leaving import Reason
+from sailrun.node.shutdown import ShutdownReason
 from sailrun.replication.service import CopiesPart
-from sailrun.storage.folder import Sound, new_identity
+from sailrun.storage.folder_identity import generate_identity
+from sailrun.storage.folder_reader import FolderIntegrity
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
     from sailrun.operator_settings import Operator
     from sailrun.sharding.exercise import ActExerciser
     from sailrun.sharding.part import ShardsPart
-    from sailrun.storage.service import LastingPart
+    from sailrun.storage.service import StorageService
 
 # While this node drains for a rolling drain, its sessions are counted this often.
 SESSION_COUNT_INTERVAL_US = 200_000
@@ -67,7 +68,7 @@
     """
 
     def __init__(
-        self, node: Node, config: NodeConfig, waits_for_address: bool, storage: LastingPart | None = None
+        self, node: Node, config: NodeConfig, waits_for_address: bool, storage: StorageService | None = None
     ) -> None:
         """Raises OSError for an address that cannot be bound, unless `waits_for_address`: then a predecessor
         is about to release it. Raises ValueError without an operator's file.
@@ -114,9 +115,11 @@
             self.agent.shards, self.agent.members, self.agent.name, secrets.randbits(SEED_BITS)
         )
 
-    def _attach_storage(self, storage: LastingPart) -> None:
-        self.agent.durable_state.extra_entries = storage.aside
-        storage.on_done = lambda done: self.transport.post(lambda now_us: self.agent.on_written(now_us, done))
+    def _attach_storage(self, storage: StorageService) -> None:
+        self.agent.durable_state.extra_entries = storage.list_auxiliary_entries
+        storage.on_result = lambda done: self.transport.post(
+            lambda now_us: self.agent.on_written(now_us, done)
+        )
 
     def new_discovery(self, source: RegistryService, revision: int) -> SharedDiscovery | None:
         """The service discovery of the core for a registry; None: the core is to use the registry itself."""
@@ -133,7 +136,7 @@
         """
         try:
             async with anyio.create_task_group() as group:
-                if self._storage is not None and await self._storage.wait():
+                if self._storage is not None and await self._storage.acquire():
                     # Nothing else knows the agent yet, and a large replica takes its time.
                     await to_thread.run_sync(self._restore, self._storage)
                     group.start_soon(self._storage.run, self._node)
@@ -144,21 +147,21 @@
             log("fault", where="fleet", trace=traceback.format_exc())
             self._read_registry_directly()
 
-    def _restore(self, storage: LastingPart) -> None:
-        found = storage.found
-        folder = OpenedFolder(
+    def _restore(self, storage: StorageService) -> None:
+        found = storage.contents
+        folder = MemberFolder(
             storage.write_ahead_log,
             storage.identity,
-            found.memory,
-            found.sound is Sound.SOUND,
+            found.state,
+            found.integrity is FolderIntegrity.INTACT,
             found.position,
             time.time(),
-            new_identity,
+            generate_identity,
         )
         self.agent.restore(boot_us(), folder)
-        found.memory.records, found.memory.marks = {}, {}  # the replica has them now
+        found.state.records, found.state.record_digests = {}, {}  # the replica has them now
         if self.replication is not None:
-            self.replication.begins_with(storage.drains)
+            self.replication.begins_with(storage.starts_draining)
 
     def _read_registry_directly(self) -> None:
         if self._shared is not None:
@@ -194,7 +197,7 @@
 
     def living(self) -> set[str]:
         """The names of the members that live, as far as is known."""
-        return set(self.agent.members.names)
+        return set(self.agent.members.living_names)
 
     def highest_term(self, task: str) -> int:
         """The highest term under which anybody is known to have led the task."""
@@ -237,7 +240,7 @@
 
     def _follow_core_drain(self, now_us: int, shards: ShardsPart) -> None:
         """A draining node hands its shards over too, in its turn, and is given some again afterwards."""
-        drains = Reason.DRAIN in self._node.leaving
+        drains = ShutdownReason.DRAIN in self._node.shutdown
         if drains is not self._core_drains:
             self._core_drains = drains
             shards.plan_to_leave(now_us, drains)
@@ -292,14 +295,14 @@
         return status.rolling_drain_rows(self.agent, what.removeprefix("walk "))
 
 
-def _own_record(settings: AgentSettings, zone: str) -> Record:
+def _own_record(settings: AgentSettings, zone: str) -> MemberRecord:
     """This process as a member, with an id of its own."""
     membership = settings.membership
-    return Record(
+    return MemberRecord(
         membership.name,
         secrets.randbits(PROCESS_ID_BITS),
         1,
-        State.ALIVE,
+        MemberState.ALIVE,
         membership.advertise or membership.listen,
         zone,
         membership.region,
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -131,7 +131,7 @@
             if reads:
                 self._client.fetch()
         has = self._shared_list.next_query(now_us)
-        if has is None or not self._agent.members.joined:
+        if has is None or not self._agent.members.has_joined:
             return []
         return self._agent.request(now_us, self._task, [has.source, has.revision], self._on_reply)
 
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -22,13 +22,13 @@
         {
             "name": record.name,
             "incarnation": record.incarnation,
-            "state": record.state.name.lower(),
+            "state": record.state.label,
             "since_s": _seconds(now_us - since_us),
             "voter": record.name in voters,
             "address": record.address,
             "zone": record.zone,
         }
-        for record, since_us in agent.members.known()
+        for record, since_us in agent.members.records_with_age()
     ]
 
 
@@ -97,8 +97,8 @@
         "orders_late": counted.responses_too_late,
         "bad_messages": counted.malformed_messages,
         "wrong_fleet": counted.foreign_messages,
-        "strangers": members.stray,
-        "slowness": members.slowness,
+        "strangers": members.unknown_sender_count,
+        "slowness": members.local_health_multiplier,
         "messages_in": traffic.messages_in,
         "messages_out": traffic.messages_out,
         "bytes_in": traffic.bytes_in,
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -8,8 +8,8 @@
 from sailrun.leadership.outgoing import TermGuard
 from sailrun.leadership.permits import PERMITS_TASK
 from sailrun.leadership.settings import DRIFT
-from sailrun.membership.messages import eligible
-from sailrun.membership.swim import Members
+from sailrun.membership.membership import Membership
+from sailrun.membership.messages import list_eligible_names
 from sailrun.replication.replica import MARKS
 
 SECOND = 1_000_000
@@ -21,7 +21,7 @@
     """Times are microseconds of the clock that leases are counted by."""
 
     def __init__(
-        self, members: Members, leases: Leases, zone: str, settings: AgentSettings, counters: AgentCounters
+        self, members: Membership, leases: Leases, zone: str, settings: AgentSettings, counters: AgentCounters
     ) -> None:
         self._members, self._leases, self._zone = members, leases, zone
         self._settings, self._counters = settings, counters
@@ -36,14 +36,14 @@
 
     def candidate_tasks(self) -> dict[str, list[str]]:
         """The tasks this node may own, with the best placed of the living members that may as well."""
-        if self._members.version != self._members_version:
-            self._members_version = self._members.version
+        if self._members.living_version != self._members_version:
+            self._members_version = self._members.living_version
             self._candidate_tasks = self._place_tasks()
         return self._candidate_tasks
 
     def _place_tasks(self) -> dict[str, list[str]]:
-        living = self._members.living()
-        names = eligible(living)
+        living = self._members.living_records()
+        names = list_eligible_names(living)
         tasks = {}
         if self._settings.permits.enabled:
             tasks[PERMITS_TASK] = best_placed(PERMITS_TASK, names)
@@ -53,7 +53,7 @@
             tasks[MARKS] = best_placed(MARKS, names)
         if self._settings.list_reader.enabled:
             task = READER_TASK_PREFIX + self._zone
-            tasks[task] = best_placed(task, eligible([r for r in living if r.zone == self._zone]))
+            tasks[task] = best_placed(task, list_eligible_names([r for r in living if r.zone == self._zone]))
         return tasks
 
     def leading_term(self, task: str, now_us: int) -> int:
@@ -77,4 +77,4 @@
     def known_leader(self, task: str) -> str:
         """Hearsay: who owns the task; empty where none is known to live."""
         holder = self._leases.lease_of(task).holder
-        return holder if holder and self._members.lives(holder) else ""
+        return holder if holder and self._members.is_living(holder) else ""
--- a/sailrun/leadership/voter_role.py
+++ b/sailrun/leadership/voter_role.py
@@ -75,7 +75,7 @@
                 voter.on_release(sender, life, body)
             case TermQuery():
                 if not body.has_durable_state:
-                    self._durable_state.freshness.forgot(sender, life)
+                    self._durable_state.freshness.on_peer_without_folder(sender, life)
                 return [(sender, voter.report_terms(body))]
             case TermReport():
                 voter.on_term_report(now_us, sender, body)
--- /dev/null
+++ b/sailrun/load_gossip/datagram.py
@@ -0,0 +1,240 @@
+"""The datagrams of a round: a node's report of its load, the collector's summary, a newcomer's request.
+
+A backend (form server) is named by two bytes of its number's hash, its load by seven bits of a logarithm. The
+names are sorted and the gaps between them written in a Rice code: ninety backends and two hundred nodes fit
+into one datagram. An eighth bit says that the backend is overloaded: the sender sees late messages there, or
+lost connections.
+"""
+
+from __future__ import annotations
+
+import math
+import struct
+from collections import Counter
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, replace
+from enum import IntFlag
+
+import mmh3
+
+from sailrun.load_gossip.rice_code import BitReader, BitWriter, TornBits, choose_parameter, max_bits
+
+FORMAT_VERSION = 0xF2
+MAX_DATAGRAM_BYTES = 256
+# Version, kind and flags, number of backends, connections, round.
+_HEADER = struct.Struct("<BBBHI")
+MAX_BACKENDS = 0xFF
+MAX_CONNECTIONS = 0xFFFF
+ROUND_MASK = 0xFFFFFFFF
+
+NAME_BITS = 16
+LOAD_BITS = 7
+ENTRY_BITS = LOAD_BITS + 1  # the load, and whether the backend is overloaded
+NAMES = 1 << NAME_BITS
+MAX_LOAD_STEP = (1 << LOAD_BITS) - 1
+# One step of the logarithm: a load is encoded to within 5%.
+LOAD_STEP_RATIO = 1.09
+# The load that is the first step, by whether loads are reported in us of work a second or as connections.
+FIRST_LOAD_STEP = {False: 0.25, True: 50.0}
+
+
+class InvalidDatagram(ValueError):
+    """The bytes are no datagram of this format; the message says why."""
+
+
+class _Flag(IntFlag):
+    SUMMARY = 1  # else a report
+    LOADS_REPORTED = 2
+    ALERT = 4
+    REQUEST = 8
+    COMPLETE = 16
+    RELAYED = 32
+
+
+@dataclass(frozen=True, slots=True)
+class LoadDatagram:
+    """A report of one node, or, with `contributors`, a summary of the nodes whose reports arrived."""
+
+    round_number: int
+    loads: Mapping[int, float]  # by `short_name` of the backend's number
+    connections: int
+    loads_reported: bool  # loads are us of work a second, not connections
+    has_alert: bool = False
+    overloaded: frozenset[int] = frozenset()
+    contributors: frozenset[int] | None = None  # indexes of nodes; None: no summary
+    is_complete: bool = True  # a backend that is not named has no load; else its load is unknown
+    is_relayed: bool = False  # passed on to a node that requested it
+    is_request: bool = False  # of a node that has received no summary yet
+
+    def _flags(self) -> _Flag:
+        states = {
+            _Flag.SUMMARY: self.contributors is not None,
+            _Flag.LOADS_REPORTED: self.loads_reported,
+            _Flag.ALERT: self.has_alert,
+            _Flag.REQUEST: self.is_request,
+            _Flag.COMPLETE: self.is_complete,
+            _Flag.RELAYED: self.is_relayed,
+        }
+        flags = _Flag(0)
+        for flag, is_set in states.items():
+            flags |= flag if is_set else _Flag(0)
+        return flags
+
+    def encode_header(self, backend_count: int) -> bytes:
+        """The fixed part of the datagram."""
+        connections = min(self.connections, MAX_CONNECTIONS)
+        round_number = self.round_number & ROUND_MASK
+        return _HEADER.pack(FORMAT_VERSION, self._flags(), backend_count, connections, round_number)
+
+
+def short_name(number: int) -> int:
+    """Two bytes that name a backend. `ambiguous_names` finds those of more than one backend."""
+    return mmh3.hash(number.to_bytes(8, "little"), signed=False) >> (32 - NAME_BITS)
+
+
+def ambiguous_names(numbers: Iterable[int]) -> frozenset[int]:
+    """Short names that more than one of these backends has: a load under such a name is of no use."""
+    counts = Counter(map(short_name, numbers))
+    return frozenset(name for name, count in counts.items() if count > 1)
+
+
+def datagram_capacity(nodes: int) -> int:
+    """How many backends fit into any summary, whatever their names, in a fleet of so many nodes."""
+    free_bits = 8 * (MAX_DATAGRAM_BYTES - _HEADER.size - _contributor_bytes(nodes))
+    count = 1
+    while count < MAX_BACKENDS and max_bits(count + 1, NAMES, ENTRY_BITS) <= free_bits:
+        count += 1
+    return count
+
+
+# ---------------------------------------------------------------------- encoding
+
+
+def encode_datagram(datagram: LoadDatagram, nodes: int) -> bytes:
+    """At most MAX_DATAGRAM_BYTES; raises ValueError for more backends than `datagram_capacity`."""
+    names = sorted({*datagram.loads, *datagram.overloaded})
+    if len(names) > datagram_capacity(nodes):
+        raise ValueError(f"{len(names)} form servers")
+    parameter = choose_parameter(len(names), NAMES)
+    writer = BitWriter()
+    previous = -1
+    for name in names:
+        writer.append_rice(name - previous - 1, parameter)
+        step = _load_to_step(datagram.loads.get(name, 0.0), datagram.loads_reported)
+        writer.append(step << 1 | (name in datagram.overloaded), ENTRY_BITS)
+        previous = name
+    contributors = b""
+    if datagram.contributors is not None:
+        bits = sum(1 << index for index in datagram.contributors)
+        contributors = bits.to_bytes(_contributor_bytes(nodes), "little")
+    return datagram.encode_header(len(names)) + contributors + writer.to_bytes()
+
+
+def _contributor_bytes(nodes: int) -> int:
+    return (nodes + 7) // 8
+
+
+def _load_to_step(load: float, loads_reported: bool) -> int:
+    first = FIRST_LOAD_STEP[loads_reported]
+    if load < first / 2:
+        return 0
+    return max(1, min(MAX_LOAD_STEP, 1 + round(math.log(load / first, LOAD_STEP_RATIO))))
+
+
+def _step_to_load(step: int, loads_reported: bool) -> float:
+    return FIRST_LOAD_STEP[loads_reported] * LOAD_STEP_RATIO ** (step - 1) if step else 0.0
+
+
+# ---------------------------------------------------------------------- decoding
+
+
+def decode_datagram(content: bytes, nodes: int) -> LoadDatagram:
+    """Raises InvalidDatagram for whatever a node of a fleet of so many would not have sent."""
+    if not _HEADER.size <= len(content) <= MAX_DATAGRAM_BYTES or content[0] != FORMAT_VERSION:
+        raise InvalidDatagram("another version, or no datagram of this kind")
+    _, kind, count, connections, round_number = _HEADER.unpack_from(content)
+    flags = _decode_flags(kind, count)
+    entries_at, contributors = _HEADER.size, None
+    if _Flag.SUMMARY in flags:
+        entries_at += _contributor_bytes(nodes)
+        contributors = _decode_contributors(content, entries_at, nodes)
+    loads_reported = _Flag.LOADS_REPORTED in flags
+    loads, overloaded = _decode_entries(content, entries_at, count, loads_reported)
+    return LoadDatagram(
+        round_number,
+        loads,
+        connections,
+        loads_reported,
+        has_alert=_Flag.ALERT in flags,
+        overloaded=overloaded,
+        contributors=contributors,
+        is_complete=_Flag.COMPLETE in flags,
+        is_relayed=_Flag.RELAYED in flags,
+        is_request=_Flag.REQUEST in flags,
+    )
+
+
+def _decode_flags(kind: int, backend_count: int) -> _Flag:
+    """A request names no backends and is no summary."""
+    has_unknown_bits = bool(kind & ~sum(_Flag))
+    is_bad_request = bool(kind & _Flag.REQUEST) and (backend_count > 0 or bool(kind & _Flag.SUMMARY))
+    if has_unknown_bits or is_bad_request:
+        raise InvalidDatagram(f"kind {kind}")
+    return _Flag(kind)
+
+
+def _decode_contributors(content: bytes, end: int, nodes: int) -> frozenset[int]:
+    bits = int.from_bytes(content[_HEADER.size : end], "little")
+    if len(content) < end or bits >> nodes:
+        raise InvalidDatagram("a node that there is not")
+    return frozenset(index for index in range(nodes) if bits >> index & 1)
+
+
+def _decode_entries(
+    content: bytes, start: int, count: int, loads_reported: bool
+) -> tuple[dict[int, float], frozenset[int]]:
+    """Loads by short name, and the names of the overloaded backends."""
+    loads: dict[int, float] = {}
+    overloaded: set[int] = set()
+    reader = BitReader(content[start:])
+    parameter, name = choose_parameter(count, NAMES), -1
+    try:
+        for _ in range(count):
+            name += 1 + reader.read_rice(parameter)
+            if name >= NAMES:
+                raise InvalidDatagram("a name that there is not")
+            entry = reader.read(ENTRY_BITS)
+            loads[name] = _step_to_load(entry >> 1, loads_reported)
+            if entry & 1:
+                overloaded.add(name)
+    except TornBits as error:
+        raise InvalidDatagram(str(error)) from error
+    if not reader.is_at_end():
+        raise InvalidDatagram(f"{len(content)} bytes for {count} form servers")
+    return loads, frozenset(overloaded)
+
+
+# ---------------------------------------------------------------------- reports in parts
+
+
+def split_report(report: LoadDatagram, capacity: int) -> list[LoadDatagram]:
+    """One node's report, in as many datagrams as it takes."""
+    names = sorted(report.loads)
+    if len(names) <= capacity:
+        return [report]
+    parts = (frozenset(names[start : start + capacity]) for start in range(0, len(names), capacity))
+    return [
+        replace(
+            report,
+            loads={name: report.loads[name] for name in sorted(part)},
+            overloaded=report.overloaded & part,
+        )
+        for part in parts
+    ]
+
+
+def merge_parts(one: LoadDatagram | None, other: LoadDatagram) -> LoadDatagram:
+    """Two parts of one node's report; the same part twice counts once."""
+    if one is None:
+        return other
+    return replace(one, loads={**one.loads, **other.loads}, overloaded=one.overloaded | other.overloaded)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -87,28 +87,28 @@
 
 
 def test_a_front_that_sends_twice_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    place = Visit.place
+    start_attempt = Visit.start_attempt
 
     def twice(self: Visit, placement: object) -> None:
-        place(self, placement)  # type: ignore[arg-type]
+        start_attempt(self, placement)  # type: ignore[arg-type]
         if self.session.resumed_at is None:
-            place(self, placement)  # type: ignore[arg-type]
+            start_attempt(self, placement)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Visit, "place", twice)
+    monkeypatch.setattr(Visit, "start_attempt", twice)
     summary, _ = play(Request("calm", seconds=8.0, households=60))
     held = {check.name: check.holds for check in summary.checks}
     assert not held["one-attempt-outstanding"]
 
 
 def test_a_decision_that_forgets_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    from sailrun.decisions.balancer import Balancer
+    from sailrun.decisions.backend_list import BackendList
 
-    entry = Balancer._entry
+    apply_entry = BackendList.apply_entry
 
-    def always_ready(self: Balancer, told: Backend) -> None:
-        entry(self, Backend(told.id, BackendState.READY, told.zone, 0, told.capacity, told.started_us))
+    def always_ready(self: BackendList, told: Backend) -> None:
+        apply_entry(self, Backend(told.id, BackendState.READY, told.zone, 0, told.capacity, told.started_us))
 
-    monkeypatch.setattr(Balancer, "_entry", always_ready)
+    monkeypatch.setattr(BackendList, "apply_entry", always_ready)
 
     def one_drains(day: VirtualDay) -> None:
         day.drain(next(iter(day.servers.values())), 20 * SECOND)
