--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -1,7 +1,7 @@
-"""One member of the fleet as a whole: its view of the others, its vote, what it owns, and what it asks
-owners for.
+"""One member of the fleet as a whole: its view of the others, its vote, the tasks it leads, and what it
+requests of other leaders.
 
-Pure: envelopes and the time come in, envelopes go out. `carrier.py` drives it by sockets, the laboratory in
+Pure: envelopes and the time come in, envelopes go out. `transport.py` drives it by sockets, the laboratory in
 virtual time. The time is one clock of this process that goes on while the machine sleeps and is never set, in
 microseconds.
 
@@ -65,8 +65,11 @@
 
 
 class Agent:
-    """`founding` gives the term that a fleet without any memory begins with. `off` names safety rules that
-    the laboratory switches off. `record` is told every act, for the laboratory's checks.
+    """Joins the parts of a member. Times are microseconds.
+
+    `new_initial_term` gives the term that a fleet without any memory begins with. `disabled_rules` names
+    safety rules that the laboratory switches off. `record` is called with every act, for the laboratory's
+    checks.
     """
 
     def __init__(
@@ -82,7 +85,7 @@
         self.settings, self._disabled_rules, self._record = settings, disabled_rules, record
         self._now_us = now_us
         self.name, self.life, self.zone = me.name, me.life, me.zone
-        # Work that others do: who answers questions about a task, asked with the asker's name and content.
+        # By task, who answers its requests: called with the time, the sender and the content.
         self.request_handlers: dict[str, Callable[[int, str, Any], Any]] = {}
         self.on_leadership_change: Callable[[int, LeadershipChange], None] = lambda now_us, change: None
         self.on_permit_change: Callable[[PermitChange], None] = lambda use: None
@@ -171,7 +174,7 @@
 
     @property
     def log_events(self) -> list[LogEvent]:
-        """Lines for the log; the driver empties them."""
+        """Events for the log; the driver empties them."""
         return self._change_log.events
 
     @property
@@ -181,12 +184,12 @@
 
     @property
     def permit_holder(self) -> PermitHolder | None:
-        """The permits this node wants or holds; None: permits are off."""
+        """The permits this node requests or holds; None: permits are off."""
         return self._permit_role.holder
 
     @property
     def permit_coordinator(self) -> PermitCoordinator | None:
-        """The fleet's permits, while this node owns them."""
+        """The fleet's permits, while this node leads that task."""
         return self._permit_role.coordinator
 
     # ------------------------------------------------------------------ what outlasts the process
@@ -205,10 +208,10 @@
         """Answers were held back as long as they had to be."""
         return [out for name, body in answers for out in self._deliver(name, body)] + self._post_all(messages)
 
-    # ------------------------------------------------------------------ who may own what
+    # ------------------------------------------------------------------ who may lead what
 
     def candidate_tasks(self) -> dict[str, list[str]]:
-        """The tasks this node may own, with the best placed of the living members that may as well."""
+        """The tasks this node may lead, with the best placed of the living members that may as well."""
         return self._leadership.candidate_tasks()
 
     def leading_term(self, task: str, now_us: int) -> int:
@@ -220,12 +223,13 @@
         return self._leadership.may_send(guard, now_us)
 
     def known_leader(self, task: str) -> str:
-        """Hearsay: who owns the task; empty where none is known to live."""
+        """By gossip: who leads the task; empty where none is known to live."""
         return self._leadership.known_leader(task)
 
     # ------------------------------------------------------------------ what comes in
 
     def on_envelope(self, now_us: int, address: str, envelope: Envelope) -> list[OutgoingEnvelope]:
+        """An envelope came in from `address`; returns what is to be sent in consequence."""
         self._now_us = now_us
         if envelope.fleet != self.settings.membership.fleet:
             self.counters.foreign_messages += 1
@@ -248,7 +252,7 @@
         return envelopes + self._publish_changes(now_us)
 
     def _observe_term(self, now_us: int, task: str, term: int, holder: str) -> None:
-        """Hearsay: a term of a task, and who owned it then, if that is known."""
+        """By gossip: a term of a task, and who led it then, if that is known."""
         self.leases.observe_term(task, term, holder, now_us)
         self._voter_role.observe_term(task, term)
 
@@ -288,10 +292,10 @@
                     return self._post_all(self.replica.hear(now_us, sender, body))
         return []
 
-    # ------------------------------------------------------------------ questions and orders
+    # ------------------------------------------------------------------ requests and responses
 
     def request(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[OutgoingEnvelope]:
-        """A question to a task's owner, whoever that is; see `Questions.ask`."""
+        """A request to a task's leader, whoever that is; see `PendingRequests.request`."""
         return self._post_addressed(self._requests.request(now_us, task, content, done))
 
     def _handle_request(self, now_us: int, task: str, term: int, asker: Requester, content: Any) -> Any:
@@ -323,6 +327,7 @@
         return due_us if backing_us is None else min(due_us, backing_us)
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
+        """Does what is due by the clock; returns what is to be sent."""
         self._now_us = now_us
         envelopes = self._envelopes.address_letters(self.members.tick(now_us))
         if self.voter is not None and self.members.has_joined:
--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -1,4 +1,4 @@
-"""What changed at one agent: lines for the operator's log, and acts for the laboratory's checks."""
+"""What changed at one agent: events for the operator's log, and acts for the laboratory's checks."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class LogEvent(NamedTuple):
-    """A line for the log: its name, and its fields."""
+    """An event for the log: its name, and its fields."""
 
     name: str
     fields: dict[str, object]
 
 
 class ChangeLog:
-    """`act` is told the kind of every act, and its facts. The driver writes `notes` down and empties them."""
+    """`record` is called with the kind of every act and its facts. The driver logs and empties `events`."""
 
     def __init__(self, act: Callable[..., None]) -> None:
         self.record = act
@@ -29,6 +29,7 @@
         self._recorded_expiry_us: dict[str, int] = {}  # until when a task was held, as last recorded
 
     def add(self, what: str, /, **facts: object) -> None:
+        """Adds an event; `what` is its name in the log."""
         self.events.append(LogEvent(what, facts))
 
     def move_from(self, notes: list[tuple[str, dict[str, object]]]) -> None:
@@ -37,6 +38,7 @@
         notes.clear()
 
     def log_member(self, change: MembershipChange) -> None:
+        """Records that a member joined, was suspected, left or is gone."""
         record = change.record
         self.add(
             "member",
@@ -49,6 +51,7 @@
         self.record("member", what=change.kind, name=record.name, life=record.life)
 
     def log_leadership(self, change: LeadershipChange) -> None:
+        """Records that this node became a task's leader, or is none any more."""
         if not change.is_leader:
             self.record("lost", task=change.task, term=change.term, why=change.reason)
         self.counters.leadership_changes[change.reason] = (
@@ -57,6 +60,7 @@
         self.add("owner", task=change.task, term=change.term, mine=change.is_leader, why=change.reason)
 
     def log_permit(self, use: PermitChange) -> None:
+        """Records that a permit was granted to this node, or has ended."""
         if not use.is_held:
             self.record("unuse", subject=f"{use.kind}/{use.subject}")
         self.add("permit", kind=use.kind, subject=use.subject, yes=use.is_held, why=use.reason or None)
@@ -69,7 +73,7 @@
                 self.record("hold", task=task, term=lease.term, until_us=lease.expires_us)
 
     def forget_recorded_expiry(self, task: str) -> None:
-        """The next `held` records the task's end, whether it has changed or not."""
+        """The next `record_held_leases` records when the lease ends, whether that has changed or not."""
         self._recorded_expiry_us.pop(task, None)
 
     def log_majority_contact(self, in_touch: bool, voters: int) -> None:
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -1,8 +1,8 @@
 """What of a member outlasts its process: promises are held back until its folder has what they rest on and a
 majority knows so, and a voter goes by its folder once the others know of no newer one.
 
-Pure. The write-ahead log knows what is on the disk (`lasting/write_ahead_log.py`), the standing what other
-voters know of this folder and of theirs (`lasting/standing.py`).
+Pure. The write-ahead log knows what is on the disk (`storage/write_ahead_log.py`), the folder's
+freshness what other voters know of this folder and of theirs (`storage/freshness.py`).
 """
 
 from __future__ import annotations
@@ -43,7 +43,10 @@
 
 
 class DurableState:
-    """`run` is this process's own number. `record` is told every act, for the laboratory's checks."""
+    """Journals what a member must know after a restart, and restores it.
+
+    `run` is the id of this process. `record` is called with every act, for the laboratory's checks.
+    """
 
     def __init__(
         self,
@@ -102,7 +105,7 @@
         voter.on_memory_complete = lambda: self._record("remembered", what="terms")
         voter.is_registered = lambda: self.freshness.is_established
         voter.can_persist = lambda: self._folder is None or self._folder.write_ahead_log.is_disk_available
-        # What a folder has of another time as a voter may not be all: `take_up` comes after.
+        # What a folder has of another time as a voter may not be all: `restore` comes after.
         self.freshness.state = self._last_trust = FreshnessState.REJOINING
 
     def is_durable(self, position: int) -> bool:
@@ -288,6 +291,7 @@
         return self.freshness.due_us()
 
     def turn(self, now_us: int) -> list[Message]:
+        """Queries the other voters about this folder, where that is due; returns messages by recipient."""
         own = self.freshness.own
         if own is None or self._voter() is None or not self._may_query():
             return []
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -24,7 +24,8 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """`life` and `incarnation` are the sender's own; `news` and `claims` are hearsay that rides along."""
+    """`life` and `incarnation` are the sender's own; `member_updates` and `leader_hints` are gossip that
+    rides along."""
 
     fleet: str
     sender: str
@@ -44,6 +45,7 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
+    """The envelope as MessagePack."""
     return _encoder.encode(envelope)
 
 
--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -35,7 +35,7 @@
 RENEWALS_PER_LEASE, REQUEST_TIMEOUT_LEASES = 8, 0.5
 # After a task was yielded to a node, it asks so often for so long.
 HANDOVER_RETRY_US, HANDOVER_RETRY_PERIOD_US = 40_000, SECOND
-# Of the tasks that a better placed node should have, one is given back in so long.
+# Of the tasks that a better placed node should have, one is failed back within this.
 FAIL_BACK_INTERVAL_US = 10 * SECOND
 Message = tuple[str, LeaseRequest | LeaseRelease | LeaseHandover]
 
@@ -52,7 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipChange:
-    """This node became a task's owner, or is none any more. `why`: granted, lapsed, released, outvoted."""
+    """This node became a task's leader, or is none any more.
+
+    `reason`: `granted`, `lapsed`, `released` or `outvoted`.
+    """
 
     task: str
     term: int
@@ -65,32 +68,30 @@
     """What this node knows of the lease of one task, whether it holds it or not."""
 
     task: str
-    term: int = 0  # asked for or held
+    term: int = 0  # requested or held
     expires_us: int = 0  # held until then; 0: not held
     acquired_us: int = 0
-    requesting_since_us: int = 0  # since when the term is asked for; 0: not asking
-    request_times_us: dict[int, int] = field(default_factory=dict)  # by number, when it was asked
-    granted_request_us: dict[str, int] = field(
-        default_factory=dict
-    )  # by voter, when what it granted last was sent
+    requesting_since_us: int = 0  # 0: not requesting
+    request_times_us: dict[int, int] = field(default_factory=dict)  # by the request's number
+    # By voter, when the latest request that it granted was sent.
+    granted_request_us: dict[str, int] = field(default_factory=dict)
     next_attempt_us: int = 0
-    handover_until_us: int = 0
-    highest_seen_term: int = 0  # the highest term anybody has asked under, as far as heard
-    highest_granted_term: int = (
-        0  # the highest term that somebody was granted by a majority; orders of less are refused
-    )
-    holder: str = ""  # hearsay: who owns it
+    handover_until_us: int = 0  # until then it is requested often: its leader has yielded it to this node
+    highest_seen_term: int = 0  # the highest that anybody has requested, as far as known
+    # The highest that a majority granted to somebody; responses of lower terms are rejected.
+    highest_granted_term: int = 0
+    holder: str = ""  # from gossip: who leads the task
     last_request_us: int = 0
     better_candidate_since_us: int = 0  # since when a better placed member lives
-    rank: int = 0  # of this node among those that try for it
-    denied_by: set[str] = field(default_factory=set)  # the voters that denied what is asked for
-    rejected_responses: int = 0  # orders of ours that were refused for their term
+    rank: int = 0  # of this node among the candidates
+    denied_by: set[str] = field(default_factory=set)  # the voters that denied the current request
+    rejected_responses: int = 0  # responses of this node that were rejected for their term
 
 
 class Leases:
-    """The leases of all tasks, as one node holds, seeks or hears of them.
+    """The leases of all tasks, as one node holds them, requests them or knows of them by gossip.
 
-    `off` names safety rules that the laboratory switches off.
+    `disabled_rules` names safety rules that the laboratory switches off.
     """
 
     def __init__(
@@ -122,6 +123,7 @@
             lease.granted_request_us.clear()
 
     def lease_of(self, task: str) -> TaskLease:
+        """What is known of a task's lease; begun empty at the first call."""
         lease = self.by_task.get(task)
         if lease is None:
             lease = self.by_task[task] = TaskLease(task)
@@ -130,13 +132,14 @@
     # ------------------------------------------------------------------ what holds
 
     def held_term(self, task: str, now_us: int) -> int:
-        """The term under which this node owns the task now; 0: it does not."""
+        """The term under which this node holds the task now; 0: it does not."""
         lease = self.by_task.get(task)
         if lease is None or not lease.expires_us:
             return 0
         return lease.term if now_us < lease.expires_us or "clock" in self._disabled_rules else 0
 
     def expiry_us(self, task: str) -> int:
+        """Until when this node holds the task; 0: it does not."""
         lease = self.by_task.get(task)
         return lease.expires_us if lease is not None else 0
 
@@ -146,7 +149,7 @@
         return self.voters.is_majority(recent) or now_us - self._started_us < 2 * self._lease_us
 
     def observe_term(self, task: str, term: int, holder: str, now_us: int) -> None:
-        """Hearsay: a term that was granted, and to whom."""
+        """By gossip: a term that was granted, and to whom."""
         lease = self.lease_of(task)
         lease.highest_seen_term = max(lease.highest_seen_term, term)
         if term > lease.highest_granted_term or (term == lease.highest_granted_term and not lease.holder):
@@ -156,7 +159,7 @@
             self._end_lease(lease, "outvoted", now_us)
 
     def next_leader_hints(self, max_count: int, max_sends: int) -> list[LeaderHint]:
-        """Hearsay to ride along: what was told least often; each so many times."""
+        """Gossip to ride along: what was sent least often; each hint `max_sends` times."""
         handover = []
         for task in sorted(self.hint_sends, key=self.hint_sends.__getitem__)[:max_count]:
             self.hint_sends[task] += 1
@@ -167,7 +170,7 @@
         return handover
 
     def latest_leader_hints(self, max_count: int) -> list[LeaderHint]:
-        """The highest terms heard of, the latest changes of owner first."""
+        """The highest terms known, the latest changes of leader first."""
         leases = sorted(self.by_task.values(), key=lambda t: (-t.highest_granted_term, t.task))
         return [
             LeaderHint(t.task, t.highest_granted_term, t.holder)
@@ -234,7 +237,7 @@
         ]
 
     def is_requested(self, request: LeaseRequest) -> bool:
-        """Whether that is still asked for: its own voter may have denied it meanwhile."""
+        """Whether the lease is still requested: this node's own voter may have denied it meanwhile."""
         lease = self.lease_of(request.task)
         return lease.term == request.term and bool(lease.requesting_since_us or lease.expires_us)
 
@@ -264,7 +267,7 @@
         return self.release(now_us, lease.task, names[0])
 
     def release(self, now_us: int, task: str, to: str | None) -> list[Message]:
-        """Gives a task up, in good order: the voters are freed, and the next one is told."""
+        """Gives a task up, in good order: the voters are freed, and the next leader is notified."""
         lease = self.lease_of(task)
         if not lease.expires_us:
             return []
@@ -277,7 +280,7 @@
         return messages
 
     def leave(self, now_us: int, tasks: dict[str, list[str]]) -> list[Message]:
-        """This node ends: what it owns goes to the next at once, what it asks for is let go."""
+        """This node ends: what it leads is handed over at once, what it requests is abandoned."""
         self.leaving = True
         messages: list[Message] = []
         for task, lease in self.by_task.items():
@@ -291,6 +294,7 @@
     # ------------------------------------------------------------------ what voters say
 
     def on_grant(self, now_us: int, voter: str, grant: LeaseGrant) -> None:
+        """A voter granted or renewed the lease. It is held once a majority has, counted from the request."""
         self.last_contact_us[voter] = now_us
         lease = self.lease_of(grant.task)
         sent_us = lease.request_times_us.get(grant.number)
@@ -316,6 +320,7 @@
         lease.expires_us = max(lease.expires_us, until_us)
 
     def on_denial(self, now_us: int, voter: str, denial: LeaseDenial) -> list[Message]:
+        """A voter denied the lease; returns releases where the request is abandoned for it."""
         self.last_contact_us[voter] = now_us
         lease = self.lease_of(denial.task)
         if denial.number not in lease.request_times_us:
@@ -345,7 +350,7 @@
         return min(max(denial.retry_after_us, HANDOVER_RETRY_US), 2 * self._lease_us) + jitter_us
 
     def on_handover(self, now_us: int, handover: LeaseHandover) -> None:
-        """Its owner has given the task up, for this node to take."""
+        """The leader has given the task up, for this node to take over."""
         lease = self.lease_of(handover.task)
         lease.highest_seen_term = max(lease.highest_seen_term, handover.term)
         if not self.leaving:
--- a/sailrun/leadership/list_reader.py
+++ b/sailrun/leadership/list_reader.py
@@ -19,14 +19,16 @@
 
 
 class ListQuery(msgspec.Struct, array_like=True, frozen=True):
-    """A question: which list the asker has, of which source. A revision of -1: none."""
+    """A request's content: which list its sender has, of which source. A revision of -1: none."""
 
     source: str
     revision: int
 
 
 class ListReply(msgspec.Struct, array_like=True, frozen=True):
-    """The reader's answer. `members`: the whole list in the registry's form, where the asker's is older."""
+    """The reader's response. `entries`: the whole list in the registry's form, where the requester's is
+    older.
+    """
 
     source: str
     revision: int
@@ -51,7 +53,7 @@
         return self.is_leader or now_us - self._last_contact_us >= self._settings.silence_s * SECOND
 
     def on_registry_list(self, revision: int, members: list[dict[str, Any]]) -> None:
-        """What the registry itself told: it holds, whatever was known."""
+        """The registry itself sent a list: it holds, whatever was known."""
         self.revision, self.entries = revision, members
 
     def next_query(self, now_us: int) -> ListQuery | None:
@@ -62,7 +64,7 @@
         return ListQuery(self.source, self.revision)
 
     def answer_query(self, content: Any) -> Any:
-        """As the reader; None where there is nothing to tell."""
+        """The response of the reader; None where there is none."""
         try:
             query = msgspec.convert(content, ListQuery)
         except msgspec.ValidationError:
--- a/sailrun/leadership/member_journal.py
+++ b/sailrun/leadership/member_journal.py
@@ -43,40 +43,52 @@
         return self.write_ahead_log.append(entry) if self.write_ahead_log is not None else 0
 
     def record(self, record: Record, mark: int) -> None:
+        """A record of the replica was stored, with its digest."""
         self._add(e.StoredRecord(record, mark))
 
     def dropped(self, key: Key) -> None:
+        """A record of the replica was deleted."""
         self._add(e.DeletedRecord(key))
 
     def copy(self, epoch: int, whole: bool, cleared: bool = False) -> None:
+        """The replica's epoch, whether it is complete, and whether it was cleared."""
         self._add(e.ReplicaStatus(epoch, whole, cleared))
 
     def keeps(self, life: int, promised: int, lives: dict[str, int], remembers: bool) -> None:
+        """The state of the replica's acceptor."""
         self._add(e.AcceptorState(life, promised, lives, remembers))
 
     def slot(self, task: str, slot: GrantedLease) -> int:
+        """A lease this voter granted; returns the entry's position."""
         return self._add(granted_lease_entry(task, slot))
 
     def floor(self, task: str, term: int) -> int:
+        """A term below which this voter grants none; returns the entry's position."""
         return self._add(e.TermFloor(task, term))
 
     def votes(self, remembers: bool) -> int:
+        """Whether the folder has all that this voter ever granted; returns the entry's position."""
         return self._add(e.VoterState(remembers))
 
     def noted(self, noted: e.PeerFolderVersion) -> None:
+        """How far the folder of another voter has come."""
         self._add(noted)
 
     def begun(self, life: int, wall_s: float) -> int:
+        """A process began with this folder, at that Unix time in seconds; returns the entry's position."""
         return self._add(e.ProcessStarted(life, wall_s))
 
     def drained(self, name: str) -> int:
+        """This node's part in a rolling drain is complete; returns the entry's position."""
         return self._add(e.DrainCompleted(name))
 
     def planned(self, name: str, for_us: int, nodes: list[str]) -> None:
+        """A rolling drain was begun here; without nodes: it is over."""
         self._add(e.DrainPlan(name, for_us, nodes))
 
 
 def granted_lease_entry(task: str, slot: GrantedLease) -> e.LeaseGrant:
+    """A voter's grant as an entry of the folder."""
     return e.LeaseGrant(task, slot.term, slot.holder, slot.life, slot.highest_term, slot.is_released)
 
 
@@ -89,6 +101,7 @@
 
 
 def voter_entries(voter: Voter) -> Iterator[e.Entry]:
+    """Everything a voter must know after a restart."""
     yield e.VoterState(voter.remembers or voter.may_remember)
     yield from (granted_lease_entry(task, slot) for task, slot in voter.granted_leases().items())
     yield from (e.TermFloor(task, term) for task, term in voter.observed_terms().items())
--- a/sailrun/leadership/messages.py
+++ b/sailrun/leadership/messages.py
@@ -12,7 +12,7 @@
 
 
 class LeaderHint(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Hearsay: who owned a task, under which term. It decides nothing; it spares asking."""
+    """Gossip: who led a task, under which term. It decides nothing; it saves requests."""
 
     task: str
     term: int
@@ -20,7 +20,9 @@
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """Grant me the task, or renew it. `number` is the asker's own, so that answers are not mixed up."""
+    """A candidate's request for a lease of the task, or for its renewal. `number` is the candidate's own: it
+    matches answers to requests.
+    """
 
     task: str
     term: int
@@ -30,14 +32,17 @@
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="grant"):
+    """A voter's answer to a request for a lease: granted, or renewed."""
+
     task: str
     term: int
     number: int
 
 
 class LeaseDenial(msgspec.Struct, array_like=True, frozen=True, tag="deny"):
-    """`why`: `held`, `term` (too low), `abstains`, `stage`, `disk` (too slow, or failed). `left_us`: when to
-    ask again.
+    """A voter's refusal. `retry_after_us`: when to request again.
+
+    `reason`: `held`, `term` (too low), `abstains`, `stage`, `disk` (too slow, or failed).
     """
 
     task: str
@@ -49,22 +54,22 @@
 
 
 class LeaseRelease(msgspec.Struct, array_like=True, frozen=True, tag="release"):
-    """To a voter: the lease is not used any more."""
+    """To a voter: its holder uses the lease no longer."""
 
     task: str
     term: int
 
 
 class LeaseHandover(msgspec.Struct, array_like=True, frozen=True, tag="yield"):
-    """To the next owner: the task is free, take it."""
+    """To the next leader: the task is free."""
 
     task: str
     term: int
 
 
 class TermQuery(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
-    """A voter that has started asks the others what it may have forgotten. `lasts`: it has a folder, which
-    tells them how far that has come; else whatever folder it had is older than what it does from now on.
+    """A voter that has started requests the terms that it may have forgotten. `has_durable_state`: its folder
+    reports how far it has come; else whatever folder it had is older than what it does from now on.
     """
 
     number: int
@@ -72,6 +77,8 @@
 
 
 class TermReport(msgspec.Struct, array_like=True, frozen=True, tag="recalled"):
+    """The answer to a `TermQuery`: the highest term of each task; of no task: the least of any."""
+
     number: int
     remembers: bool  # whether the sender has been a voter without a gap
     terms: dict[str, int]
@@ -79,7 +86,10 @@
 
 
 class LeaderRequest(msgspec.Struct, array_like=True, frozen=True, tag="question"):
-    """To the owner of a task. `term`: the highest the asker knows; an owner of less is none any more."""
+    """A request to the leader of a task.
+
+    `term`: the highest that the sender knows; a leader of a lower one is none any more.
+    """
 
     task: str
     term: int
@@ -88,8 +98,8 @@
 
 
 class LeaderResponse(msgspec.Struct, array_like=True, frozen=True, tag="order"):
-    """The owner's answer: what the asker is to do, or may. Nothing of an owner's comes but as an answer, so
-    that the asker's own clock tells how old it is.
+    """The leader's response: what the sender of the request is to do, or may. A leader sends nothing but
+    responses, so that the receiver's own clock measures how old they are.
     """
 
     task: str
@@ -99,7 +109,7 @@
 
 
 class ResponseRejection(msgspec.Struct, array_like=True, frozen=True, tag="refusal"):
-    """An order was not taken: a higher term is known, or it came too late."""
+    """A response was not accepted: a higher term is known, or it came too late."""
 
     task: str
     term: int  # the highest known here
@@ -108,7 +118,7 @@
 
 
 class NotLeader(msgspec.Struct, array_like=True, frozen=True, tag="not-mine"):
-    """The question came to one that does not own the task."""
+    """The request came to a member that does not lead the task."""
 
     task: str
     term: int
@@ -126,7 +136,7 @@
 
 
 class DrainStatus(msgspec.Struct, array_like=True, frozen=True, tag="walking"):
-    """How far a node is with it: `asked`, `queued`, `draining`, `empty`, `done` or `refused`."""
+    """How far a node is with its drain: `asked`, `queued`, `draining`, `empty`, `done` or `refused`."""
 
     name: str
     state: str
@@ -134,9 +144,10 @@
 
 
 class PermitRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A question about a permit: I ask for it, hold it, or give it back (`state`: want, held, back).
+    """The content of a `LeaderRequest` about a permit.
 
-    `place` is what an owner gave when it queued this, and `(0, 0)` before that.
+    `state`: `want` (requested), `held` or `back` (released).
+    `queue_position` is what a leader gave when it queued this, and `(0, 0)` before that.
     """
 
     kind: str
@@ -146,7 +157,7 @@
 
 
 class PermitResponse(msgspec.Struct, array_like=True, frozen=True):
-    """The answer: `yes` lasts for a permit's lease from when the question was sent."""
+    """The response: `is_granted` lasts for a permit's lease from when the request was sent."""
 
     kind: str
     subject: str
--- a/sailrun/leadership/move_rate.py
+++ b/sailrun/leadership/move_rate.py
@@ -1,7 +1,7 @@
-"""The fleet's pace of moving clients for balance, shared out among the nodes by one owner.
+"""The fleet's rate of moving clients for balance, shared out among the nodes by one leader.
 
-Shares are lent for a short time and never add up to more than the whole. What was lent counts until it has
-ended, and a new owner lends nothing until all that the one before may have lent has ended.
+Shares are granted for a short time and never add up to more than the whole. A grant counts until it has
+ended, and a new leader grants nothing until all that its predecessor may have granted has ended.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class MoveRateCoordinator:
-    """The owner's side: lends shares. Made anew at each term."""
+    """The leader's side: grants shares. Made anew at each term."""
 
     def __init__(self, term: int, now_us: int) -> None:
         self.term = term
@@ -32,7 +32,7 @@
         self._grants: dict[str, list[tuple[float, int]]] = {}  # by node: shares it may use, and until when
 
     def grant_share(self, now_us: int, sender: str) -> Any:
-        """Lends an even share, as far as there is any left."""
+        """Grants an even share, as far as there is any left."""
         for name, grant in list(self._grants.items()):
             self._grants[name] = [one for one in grant if one[1] > now_us]
             if not self._grants[name] and name != sender:
@@ -49,18 +49,20 @@
 
 
 class MoveRateShare:
-    """The client's side: what this node was lent, and until when."""
+    """The client's side: what this node was granted, and until when."""
 
     def __init__(self) -> None:
         self._share, self._expires_us, self._next_request_us = 0.0, 0, 0
 
     def take_due_request(self, now_us: int) -> bool:
+        """Whether a request is due now; the next one is due an interval later."""
         if now_us < self._next_request_us:
             return False
         self._next_request_us = now_us + REQUEST_INTERVAL_US
         return True
 
     def on_grant(self, sent_us: int, content: Any) -> None:
+        """The leader's answer to a request sent at `sent_us`; one that is malformed is ignored."""
         try:
             grant = msgspec.convert(content, RateGrant)
         except msgspec.ValidationError:
@@ -68,5 +70,5 @@
         self._share, self._expires_us = grant.share, sent_us + int(RATE_GRANT_US * (1 - 2 * DRIFT))
 
     def current_share(self, now_us: int) -> float:
-        """0 where nothing was lent, or it has ended."""
+        """This node's share, 0 to 1; 0 where none was granted, or the grant has ended."""
         return self._share if now_us < self._expires_us else 0.0
--- a/sailrun/leadership/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingEnvelope:
-    """An envelope for an address. With a guard it may only be sent while this node owns that task under that
+    """An envelope for an address. With a guard it may only be sent while this node leads that task under that
     term: whoever sends looks at the clock once more, after any wait.
     """
 
--- a/sailrun/leadership/permit_role.py
+++ b/sailrun/leadership/permit_role.py
@@ -1,4 +1,4 @@
-"""Both sides of permits at one node: what it wants as a client, and what it grants while it owns the task."""
+"""Both sides of permits at one node: what it requests as a client, and what it grants as the leader."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PermitRole:
-    """`off` names safety rules that the laboratory switches off."""
+    """`disabled_rules` names safety rules that the laboratory switches off."""
 
     def __init__(
         self, settings: PermitSettings, change_log: ChangeLog, disabled_rules: frozenset[str]
@@ -33,13 +33,14 @@
     # ------------------------------------------------------------------ as the owner
 
     def on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
+        """This node leads the permits from now on, with a coordinator begun anew, or does not any more."""
         self.coordinator = self._new_coordinator(now_us, change.term) if change.is_leader else None
 
     def _new_coordinator(self, now_us: int, term: int) -> PermitCoordinator:
         return PermitCoordinator(self._settings, term, now_us, self._disabled_rules)
 
     def answer_request(self, now_us: int, term: int, sender: str, life: int, content: Any) -> Any:
-        """The answer to a `Want` as it came in, under this node's term; None: it is none."""
+        """The answer to a `PermitRequest` as it came in, under this node's term; None: it is none."""
         try:
             request = msgspec.convert(content, PermitRequest)
         except msgspec.ValidationError:
@@ -52,7 +53,7 @@
     # ------------------------------------------------------------------ as a client
 
     def due_requests(self, now_us: int) -> list[tuple[Any, OnResponse]]:
-        """What is to be asked of the owner now, each with who is told the answer."""
+        """The requests that are due now, each with the handler of its response."""
         requests = self.holder.turn(now_us) if self.holder is not None else []
         return [(msgspec.to_builtins(request), self._response_handler(request)) for request in requests]
 
@@ -80,6 +81,7 @@
             )
 
     def release_all(self, now_us: int) -> None:
+        """Releases every permit that this node holds or requests."""
         if self.holder is None:
             return
         for kind, subject in list(self.holder.permits):
--- a/sailrun/leadership/permits.py
+++ b/sailrun/leadership/permits.py
@@ -1,6 +1,6 @@
 """Permits limit how much may be out of service at a time: nodes that drain, form servers taken out by staff.
 
-The owner of the task `permits` is their coordinator. Each permit is a lease of its own, which its holder
+The leader of the task `permits` is their coordinator. Each permit is a lease of its own, which its holder
 renews. Nothing is stored: holders and those that wait repeat their requests. A new coordinator therefore only
 listens at first, for as long as a permit of its predecessor may last; what nobody claims by then is in use by
 nobody, since its holder's own clock has ended it before.
@@ -42,7 +42,7 @@
 
 
 class PermitCoordinator:
-    """The owner's side: limits, grants and the queue. Made anew at each term; closed until `open_us`."""
+    """The leader's side: limits, grants and the queue. Made anew at each term; closed until `opens_us`."""
 
     def __init__(
         self, settings: PermitSettings, term: int, now_us: int, disabled_rules: frozenset[str] = frozenset()
@@ -59,6 +59,7 @@
         self._settings = settings
 
     def limit_of(self, kind: str) -> int:
+        """How many permits of a kind may be in use at a time; 0: there is no such kind."""
         return {DRAIN: self._settings.drains, OUT_OF_SERVICE: self._settings.out}.get(kind, 0)
 
     def on_request(self, now_us: int, sender: str, life: int, request: PermitRequest) -> PermitResponse:
@@ -101,7 +102,7 @@
         return PermitResponse(*key, True, place, 0)
 
     def _enqueue(self, now_us: int, key: Key, sender: str, place: tuple[int, int]) -> tuple[int, int] | None:
-        """The place in the queue: what a former owner gave still counts, before all that came later."""
+        """The position in the queue: one that a former leader gave still counts, before all later ones."""
         waiting = self._queue.get((key, sender))
         if waiting is None:
             if len(self._queue) >= MAX_QUEUE_ENTRIES:
@@ -127,6 +128,7 @@
         return f"{len(used)} of {self.limit_of(kind)} in use: {', '.join(used[:5])}"
 
     def count_in_use(self, kind: str) -> int:
+        """How many permits of a kind are in use."""
         return sum(1 for k, _ in self._in_use if k == kind)
 
     def _drop_expired(self, now_us: int) -> None:
@@ -141,7 +143,7 @@
                 del self._queue[key_and_name]
 
     def rows(self, now_us: int) -> list[dict[str, object]]:
-        """Who holds what and who waits, for staff."""
+        """Who holds what and who waits, for operators."""
         self._drop_expired(now_us)
         rows: list[dict[str, object]] = [
             {
@@ -167,7 +169,7 @@
 
 @dataclass(slots=True)
 class PermitState:
-    """What one node wants or holds."""
+    """A permit that one node requests, holds or releases."""
 
     kind: str
     subject: str
@@ -191,7 +193,7 @@
 
 
 class PermitHolder:
-    """The client's side: what this node wants and holds, and until when by its own clock."""
+    """The client's side: what this node requests and holds, and until when by its own clock."""
 
     def __init__(self, settings: PermitSettings) -> None:
         self._settings = settings
@@ -201,9 +203,11 @@
 
     @property
     def request_interval_us(self) -> int:
+        """How often a permit is requested, or renewed."""
         return min(SECOND, self._lease_us // RENEWALS_PER_LEASE)
 
     def request(self, kind: str, subject: str) -> PermitState:
+        """Begins to request a permit, unless it is requested or held already."""
         key = (kind, subject)
         permit = self.permits.get(key)
         if permit is None or permit.state == "back":
@@ -211,6 +215,7 @@
         return permit
 
     def release(self, now_us: int, kind: str, subject: str) -> None:
+        """Gives a permit up, or stops requesting it; the leader is notified."""
         permit = self.permits.get((kind, subject))
         if permit is None or permit.state == "back":
             return
@@ -220,6 +225,7 @@
         permit.release_until_us = now_us + self._lease_us
 
     def is_held(self, kind: str, subject: str, now_us: int) -> bool:
+        """Whether this node may use the permit now."""
         permit = self.permits.get((kind, subject))
         return permit is not None and permit.state == "held" and now_us < permit.expires_us
 
@@ -231,7 +237,7 @@
         return due_us
 
     def turn(self, now_us: int) -> list[PermitRequest]:
-        """What is to be asked of the owner now."""
+        """The requests that are due to the leader now."""
         requests: list[PermitRequest] = []
         for key, permit in list(self.permits.items()):
             if permit.state == "held" and now_us >= permit.expires_us:
@@ -249,7 +255,7 @@
     def on_response(
         self, now_us: int, sent_us: int, request: PermitRequest, response: PermitResponse
     ) -> None:
-        """The owner's answer to what was asked at `sent_us`."""
+        """The leader's response to a request sent at `sent_us`."""
         key = (response.kind, response.subject)
         permit = self.permits.get(key)
         if permit is None or (request.kind, request.subject) != key:
--- a/sailrun/leadership/quorum.py
+++ b/sailrun/leadership/quorum.py
@@ -1,4 +1,4 @@
-"""Whose word counts: the voters, and while one of them is exchanged, the voters before as well."""
+"""Whose votes count: the voters, and while one of them is exchanged, the voters before as well."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
         return sorted({name for names in self._voter_sets for name in names})
 
     def is_majority(self, names: Collection[str]) -> bool:
+        """Whether these names are a majority of every set of voters that counts."""
         if "majority" in self._disabled_rules:
             return bool(names)
         return all(2 * sum(1 for n in voters if n in names) > len(voters) for voters in self._voter_sets)
--- a/sailrun/leadership/requests.py
+++ b/sailrun/leadership/requests.py
@@ -1,8 +1,8 @@
-"""Questions to the owners of tasks, and the orders that answer them.
+"""Requests to the leaders of tasks, and their responses.
 
-Nothing of an owner's comes but as an answer, so that the asker's own clock tells how old an order is. An
-order is taken if it answers a question that waits here, came in time, and is of no lower term than was heard
-of. An owner answers only while it may act under its term.
+A leader sends nothing but responses, so that the requester's own clock measures how old a response is. One
+is accepted if it answers a request that is pending here, came in time, and is of no lower term than was
+observed. A leader responds only while it may act under its term.
 
 Pure: messages and the time (microseconds) come in, messages for members go out.
 """
@@ -20,15 +20,15 @@
 from sailrun.leadership.task_leadership import TaskLeadership
 
 SECOND = 1_000_000
-# So many questions wait for answers at a time; the oldest make room.
+# The oldest requests make room for newer ones.
 MAX_PENDING_REQUESTS = 4096
-# Told the time, when the question was sent, and what was answered.
+# Called with the time, when the request was sent, and the content of the response.
 OnResponse = Callable[[int, int, Any], None]
 
 
 @dataclass(frozen=True, slots=True)
 class AddressedMessage:
-    """A message for a member by name; for `guard` see `Out`."""
+    """A message for a member by name; for `guard` see `OutgoingEnvelope`."""
 
     name: str
     body: LeaderRequest | NotLeader | LeaderResponse | ResponseRejection
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Requester:
-    """Who asked a question: a member's name, and the number of its process."""
+    """Who sent a request: a member's name, and the id of its process."""
 
     name: str
     life: int
@@ -53,11 +53,11 @@
 
 
 class PendingRequests:
-    """Both sides at one node: what it asks of owners, and what it answers as the owner.
+    """Both sides at one node: its requests to leaders, and its responses as a leader.
 
-    `answer` gives the owner's answer to a question (now, its task, its term, who asked, the content); None:
-    there is none. `heard_of` is told of every term that is heard of. `number` is where the numbers of this
-    node's questions begin.
+    `handle_request` gives the content of a response (called with now, the task, the term, the requester and
+    the content of the request); None: there is no response. `observe_term` is called with every term that
+    comes in. This node's requests are numbered from `number` on.
     """
 
     def __init__(
@@ -82,11 +82,11 @@
         )
         self._pending: dict[int, _PendingRequest] = {}
 
-    # ------------------------------------------------------------------ as the one that asks
+    # ------------------------------------------------------------------ as the requester
 
     def request(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[AddressedMessage]:
-        """A question to a task's owner, whoever that is. `done` is called with its answer, if one comes in
-        time and of no lower term than was heard of; else nothing is, and the question is to be asked again.
+        """Sends a request to a task's leader, whoever that is. `done` is called with the response, if one
+        comes in time and of no lower term than was observed; else it never is, and the caller retries.
         """
         self._number += 1
         while len(self._pending) >= MAX_PENDING_REQUESTS:
@@ -111,7 +111,7 @@
         return [AddressedMessage(holder, request)]
 
     def on_response(self, now_us: int, sender: str, response: LeaderResponse) -> list[AddressedMessage]:
-        """An answer has come: it is taken, or its sender is told that it is not."""
+        """A response came in: it is accepted, or its sender is notified that it is not."""
         pending = self._pending.pop(response.number, None)
         highest_term = self._leases.lease_of(response.task).highest_granted_term
         is_late = (
@@ -147,7 +147,7 @@
         return [AddressedMessage(sender, rejection)] if sender != self._me.name else []
 
     def on_not_leader(self, now_us: int, sender: str, redirect: NotLeader) -> list[AddressedMessage]:
-        """Whom we asked does not own it: asked once more, of whom it names or of another candidate."""
+        """The receiver does not lead the task: retried at the leader it names, or at another candidate."""
         pending = self._pending.get(redirect.number)
         lease = self._leases.lease_of(redirect.task)
         self._observe_term(now_us, redirect.task, redirect.term, redirect.holder)
@@ -159,16 +159,16 @@
         return self._send(now_us, redirect.number, pending)
 
     def drop_expired(self, now_us: int) -> None:
-        """Questions that no order would be in time for wait no longer."""
+        """Drops requests for which no response would be in time."""
         for number, pending in list(self._pending.items()):
             if now_us - pending.sent_us <= self._response_timeout_us:
                 break  # the others were sent later
             del self._pending[number]
 
-    # ------------------------------------------------------------------ as the owner
+    # ------------------------------------------------------------------ as the leader
 
     def on_request(self, now_us: int, requester: Requester, request: LeaderRequest) -> list[AddressedMessage]:
-        """A question has come: answered under this node's term, or sent on."""
+        """A request came in: responded to under this node's term, or redirected."""
         self._observe_term(now_us, request.task, request.term, "")
         term = self._leadership.leading_term(request.task, now_us)
         if not term:
@@ -197,7 +197,7 @@
         ]
 
     def on_rejection(self, now_us: int, rejection: ResponseRejection) -> None:
-        """An order of this node was not taken."""
+        """A response of this node was not accepted."""
         self._leases.lease_of(rejection.task).rejected_responses += 1
         self._change_log.add(
             "order-refused", task=rejection.task, term=rejection.term, late=rejection.is_late
--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class RollingDrain:
-    """One that was begun at this node; each node stays empty for `for_us`."""
+    """One that was begun at this node; each node stays empty for `stay_empty_us`."""
 
     name: str
     stay_empty_us: int
@@ -51,6 +51,7 @@
 
     @property
     def is_over(self) -> bool:
+        """Whether no node of the list is requested to do anything more."""
         return all(step.state in FINAL_STATES for step in self.steps)
 
 
@@ -91,6 +92,7 @@
             self._begin(now_us, name, nodes, stay_empty_us)
 
     def unfinished_plans(self) -> list[tuple[str, int, list[str]]]:
+        """Name, time to stay empty and nodes of each drain begun here that is not over."""
         return [
             (b.name, b.stay_empty_us, [s.node for s in b.steps])
             for b in self.drains.values()
@@ -98,6 +100,7 @@
         ]
 
     def completed_names(self) -> list[str]:
+        """The rolling drains in which this node has completed its part."""
         return [local.name for local in self._local_drains.values() if local.state == "done"]
 
     # ------------------------------------------------------------------ where it was begun
@@ -140,6 +143,7 @@
         return requests
 
     def on_status(self, now_us: int, sender: str, status: DrainStatus) -> None:
+        """A node of a list reported how far it is."""
         drain = self.drains.get(status.name)
         for step in drain.steps if drain is not None else ():
             if step.node == sender and step.state != "done":
@@ -183,6 +187,7 @@
 
     @property
     def is_draining(self) -> bool:
+        """Whether this node drains, or stays empty, for a rolling drain."""
         return any(local.state in ("draining", "empty") for local in self._local_drains.values())
 
     def _advance_local(self, now_us: int) -> None:
--- a/sailrun/leadership/settings.py
+++ b/sailrun/leadership/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets of owned work: the tables `[owners]`, `[permits]` and `[reader]` of the operator's
+"""What an operator sets of leadership: the tables `[owners]`, `[permits]` and `[reader]` of the operator's
 file.
 """
 
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -31,9 +31,9 @@
     """
 
     def __init__(
-        self, node: Node, source: RegistryService, revision: int, agent: Agent, carrier: Transport
+        self, node: Node, source: RegistryService, revision: int, agent: Agent, transport: Transport
     ) -> None:
-        self._node, self._agent, self._transport = node, agent, carrier
+        self._node, self._agent, self._transport = node, agent, transport
         self.clock, self.settings = node.clock, node.settings  # what a client asks of a node
         self._client = DiscoveryClient(self, source.address, revision, node.settings.index)  # type: ignore[arg-type]
         self._shared_list = SharedList(show_address(source.address), agent.settings.list_reader, boot_us())
@@ -50,10 +50,12 @@
     # ------------------------------------------------------------------ what the core wants
 
     def watch(self, active: bool) -> None:
+        """The core subscribes to the list of its form servers, or unsubscribes."""
         self._watching = active
         self._client.watch(active and self._reads_registry)
 
     def fetch(self) -> None:
+        """The core requests the whole list once more."""
         if self._reads_registry or self._shared_list.revision < 0:
             self._client.fetch()
         else:
@@ -63,6 +65,7 @@
             )
 
     def drop(self) -> None:
+        """The core uses this discovery no longer."""
         self._client.drop()
         if self._agent.request_handlers.get(self._task) is self._handle_query:
             del self._agent.request_handlers[self._task]
@@ -74,11 +77,13 @@
         self._client.fetch()
 
     async def run(self) -> None:
+        """Runs the registry's client, until cancelled."""
         await self._client.run()
 
     # ------------------------------------------------------------------ what the registry tells
 
     def server_list_updated(self, update: ServerListUpdate) -> None:
+        """The registry's client read a list, or an update of it."""
         if update.kind is not ListKind.DELTA:
             self._listed.clear()
         for entry in update.form_servers:
@@ -92,6 +97,7 @@
         self._node.server_list_updated(update)
 
     def discovery_failed(self, why: str) -> None:
+        """The registry's client could not read: without any list, the replica's last one is used."""
         self._node.discovery_failed(why)
         replica = self._agent.replica
         if self._listed or replica is None:
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -1,4 +1,4 @@
-"""Which tasks of the fleet this node may own, and whether it may act for one now."""
+"""Which tasks of the fleet this node may lead, and whether it may act for one now."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self._members_version = -1
 
     def candidate_tasks(self) -> dict[str, list[str]]:
-        """The tasks this node may own, with the best placed of the living members that may as well."""
+        """The tasks this node may lead, with the best placed of the living members that may as well."""
         if self._members.living_version != self._members_version:
             self._members_version = self._members.living_version
             self._candidate_tasks = self._place_tasks()
@@ -59,7 +59,7 @@
     def leading_term(self, task: str, now_us: int) -> int:
         """The term under which this node may act for the task now; 0: it may not, or rests.
 
-        An owner rests at first, until no order of the one before it is taken any more.
+        A leader rests at first, until no response of its predecessor is accepted any more.
         """
         term = self._leases.held_term(task, now_us)
         if not term or now_us - self._leases.lease_of(task).acquired_us < self._initial_rest_us:
@@ -75,6 +75,6 @@
         return may_send
 
     def known_leader(self, task: str) -> str:
-        """Hearsay: who owns the task; empty where none is known to live."""
+        """By gossip: who leads the task; empty where none is known to live."""
         holder = self._leases.lease_of(task).holder
         return holder if holder and self._members.is_living(holder) else ""
--- a/sailrun/leadership/traffic.py
+++ b/sailrun/leadership/traffic.py
@@ -15,9 +15,11 @@
     bytes_out: int = 0
 
     def received(self, size: int) -> None:
+        """Counts a message that came in, of `size` bytes."""
         self.messages_in += 1
         self.bytes_in += size
 
     def sent(self, size: int) -> None:
+        """Counts a message that went out, of `size` bytes."""
         self.messages_out += 1
         self.bytes_out += size
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -90,6 +90,7 @@
         self._called.set()
 
     def close(self) -> None:
+        """Closes the sockets; safe to call more than once."""
         for sock in self._sockets or ():
             if sock.fileno() >= 0:
                 with contextlib.suppress(RuntimeError):  # no event loop runs yet
@@ -97,6 +98,7 @@
                 sock.close()
 
     async def run(self) -> None:
+        """Binds the address and drives the agent, until cancelled or `closes_after_send`."""
         while self._sockets is None:
             await anyio.sleep_until(anyio.current_time() + 0.2)
             with contextlib.suppress(OSError):
--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -1,13 +1,12 @@
-"""One voter: to whom it has granted which task, until when, and under which term. Its memory is the
-process's, or outlasts it in a folder of its own (`take_up`).
+"""One voter: to whom it has granted which task, until when, and under which term. Its memory is that of the
+process, or durable in a folder (`restore`).
 
 Safety rests on three promises, each kept by this clock alone:
 - while a lease that it granted may be in use, nobody else is granted the task;
 - it grants no term twice, and none below one it has granted;
-- after a start it grants nothing until every lease that its former life may have granted has ended, and it
-has
-  learned from a majority of voters that remember what terms there were. Where there is no such majority any
-  more, it begins above all it can learn of (`FOUNDING`).
+- after a start it grants nothing until every lease that its former process may have granted has ended, and
+  a majority of voters that remember have reported what terms there were. Where there is no such majority any
+  more, it begins above all terms it can learn of (`new_initial_term`).
 """
 
 from __future__ import annotations
@@ -28,13 +27,13 @@
 
 SECOND = 1_000_000
 TERM_QUERY_INTERVAL_US = 250_000
-# A voter that cannot hear a majority that remembers waits for so many more leases before it begins anew.
+# A voter that cannot reach a majority that remembers waits for so many more leases before it begins anew.
 EXTRA_WAIT_LEASES = 2.0
 
 
 def abstention_us(settings: LeadershipSettings) -> int:
-    """How long a voter that has started grants nothing, by its own clock: a lease, in whatever clock it
-    runs.
+    """How long a voter that has started grants nothing, in microseconds of its own clock: a lease, by
+    whatever clock that runs.
     """
     return int(settings.lease_s * SECOND * (1 + 2 * DRIFT))
 
@@ -49,11 +48,14 @@
     expires_us: int
     is_released: bool = False
     highest_term: int = 0  # granted of the task at any time
-    log_position: int = 0  # the entry that says so, where this is written down
+    log_position: int = 0  # of the journal's entry for it; 0: none
 
 
 class Voter:
-    """`rules`: safety rules that the laboratory switches off, to see that its checks find out."""
+    """Grants leases, and keeps count of terms. Times are microseconds of one monotonic clock.
+
+    `disabled_rules`: safety rules that the laboratory switches off, to see that its checks find out.
+    """
 
     def __init__(
         self,
@@ -64,7 +66,9 @@
         new_initial_term: Callable[[], int],
         disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        """`founding` gives a term above all that were ever given, as far as chance and a clock can."""
+        """`new_initial_term` gives a term above all that were ever granted, as far as chance and a clock
+        can.
+        """
         self._name, self.voters, self._settings, self._disabled_rules = name, voters, settings, disabled_rules
         self._new_initial_term = new_initial_term
         self._grants: dict[str, GrantedLease] = {}
@@ -94,7 +98,7 @@
     def restore(self, now_us: int, grants: dict[str, GrantedLease], observed_terms: dict[str, int]) -> None:
         """What was granted before this process, as its folder tells. Every lease may have been renewed right
         before the end: it may be in use for as long as a voter without a memory abstains. Nothing is granted
-        until `trust` says that this was all.
+        until `confirm_restored` says that this was all.
         """
         until_us = now_us + abstention_us(self._settings)
         for task, grant in grants.items():
@@ -127,6 +131,7 @@
         self._term_reports.clear()
 
     def granted_leases(self) -> dict[str, GrantedLease]:
+        """The latest grant of each task, whether its lease still runs or not."""
         return self._grants
 
     def observed_terms(self) -> dict[str, int]:
@@ -148,13 +153,14 @@
         return max(grant.highest_term if grant else 0, self._observed_terms.get(task, 0), self._minimum_term)
 
     def observe_term(self, task: str, term: int) -> None:
-        """Hearsay may raise what is granted next, never lower it."""
+        """A term that was gossiped may raise what is granted next, never lower it."""
         if term > self._observed_terms.get(task, 0):
             self._observed_terms[task] = term
 
     def on_lease_request(
         self, now_us: int, candidate: str, life: int, request: LeaseRequest
     ) -> LeaseGrant | LeaseDenial:
+        """Grants or denies a task to a candidate, which is known by its name and its process."""
         task = request.task
 
         def deny(why: str, left_us: int = 0, holder: str = "") -> LeaseDenial:
@@ -201,7 +207,7 @@
         return LeaseGrant(task, request.term, request.number)
 
     def on_release(self, candidate: str, life: int, release: LeaseRelease) -> None:
-        """The holder uses its lease no more: only it can say so. An ask under that term may still come."""
+        """The holder uses its lease no longer: only it can say so. A late request for it is denied."""
         self.observe_term(release.task, release.term)
         grant = self._grants.get(release.task)
         if grant is not None and (grant.holder, grant.life, grant.term) == (candidate, life, release.term):
@@ -226,7 +232,7 @@
         return None if waits else self._next_query_us
 
     def turn(self, now_us: int) -> list[tuple[str, TermQuery]]:
-        """Asks the others what this voter may have forgotten, until it may grant."""
+        """Requests from the others what this voter may have forgotten, until it may grant."""
         # Who asks says that it has no memory, which makes a folder of its older: first others know of this
         # one.
         if self.remembers or self.may_remember or now_us < self._next_query_us or not self.is_registered():
@@ -243,12 +249,14 @@
         ]
 
     def report_terms(self, query: TermQuery) -> TermReport:
+        """Answers another voter that has started: the highest term of each task known here."""
         highest_terms = {task: self.highest_term(task) for task in {*self._grants, *self._observed_terms}}
         if self._minimum_term:
             highest_terms[""] = self._minimum_term
         return TermReport(query.number, self.remembers, highest_terms, self.may_remember)
 
     def on_term_report(self, now_us: int, sender: str, report: TermReport) -> None:
+        """Another voter's answer, used only while this one abstains."""
         if self.remembers or self.may_remember or sender not in self.voters.names():
             return
         self._term_reports[sender] = report
--- a/sailrun/leadership/voter_role.py
+++ b/sailrun/leadership/voter_role.py
@@ -21,8 +21,8 @@
 
 
 class VoterRole:
-    """`founding` gives the term that a fleet without any memory begins with. `off` names safety rules that
-    the laboratory switches off.
+    """`new_initial_term` gives the term that a fleet without any memory begins with. `disabled_rules` names
+    safety rules that the laboratory switches off.
     """
 
     def __init__(
