--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -42,6 +42,7 @@
 from sailrun.leadership.permits import PERMITS_TASK, PermitChange, PermitCoordinator, PermitHolder
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.requests import AddressedMessage, OnResponse, PendingRequests, Requester
+from sailrun.leadership.response_gate import Released
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.task_leadership import MOVE_RATE_TASK, READER_TASK_PREFIX, TaskLeadership
 from sailrun.leadership.voter import Voter
@@ -201,12 +202,13 @@
     def on_written(self, now_us: int, done: WriteResult) -> list[OutgoingEnvelope]:
         """What became of the work of the disk; the answers that waited for it may go out."""
         self._now_us = now_us
-        envelopes = self._send_released(*self.durable_state.on_written(now_us, done))
+        envelopes = self._send_released(self.durable_state.on_written(now_us, done))
         return envelopes + self._publish_changes(now_us)
 
-    def _send_released(self, answers: Messages, messages: Messages) -> list[OutgoingEnvelope]:
-        """Answers were held back as long as they had to be."""
-        return [out for name, body in answers for out in self._deliver(name, body)] + self._post_all(messages)
+    def _send_released(self, released: Released) -> list[OutgoingEnvelope]:
+        """Responses were withheld as long as they had to be, other messages may have to be yet."""
+        delivered = [out for name, body in released.responses for out in self._deliver(name, body)]
+        return delivered + self._post_all(released.messages)
 
     # ------------------------------------------------------------------ who may lead what
 
@@ -286,7 +288,7 @@
                     return self._post_all(self.shards.hear(now_us, sender, life, body))
             case FreshnessQuery() | FreshnessReply():
                 if sender in self.voters.names():
-                    return self._send_released(*self.durable_state.on_freshness_message(now_us, sender, body))
+                    return self._send_released(self.durable_state.on_freshness_message(now_us, sender, body))
             case _:
                 if self.replica is not None and self.members.has_joined:
                     return self._post_all(self.replica.hear(now_us, sender, body))
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -1,5 +1,5 @@
-"""What of a member outlasts its process: promises are held back until its folder has what they rest on and a
-majority knows so, and a voter goes by its folder once the others know of no newer one.
+"""What of a member outlasts its process: it is journalled, and restored at a start; a voter relies on its
+folder once the other voters know of no newer one.
 
 Pure. The write-ahead log knows what is on the disk (`storage/write_ahead_log.py`), the folder's
 freshness what other voters know of this folder and of theirs (`storage/freshness.py`).
@@ -11,8 +11,6 @@
 from itertools import chain
 from typing import Any
 
-import msgspec
-
 from sailrun.leadership.member_journal import (
     MemberFolder,
     MemberJournal,
@@ -20,11 +18,10 @@
     restore_granted_leases,
     voter_entries,
 )
-from sailrun.leadership.messages import LeaseGrant, TermReport
 from sailrun.leadership.quorum import Voters
+from sailrun.leadership.response_gate import Message, Released, ResponseGate
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.voter import Voter
-from sailrun.replication.messages import Kept, Promised, Recovering
 from sailrun.replication.replica import Replica
 from sailrun.storage import entries as e
 from sailrun.storage.folder_reader import paused_garbage_collection
@@ -33,14 +30,6 @@
 from sailrun.storage.persisted_state import PersistedState
 from sailrun.storage.write_ahead_log import WriteResult
 
-Message = tuple[str, msgspec.Struct]
-# What a voter answers and is held to after a restart: sent once what it rests on is on the disk.
-DURABLE_RESPONSES = (LeaseGrant, Promised, Kept, Recovering, TermReport, FreshnessReply)
-# Of these, what a folder without them would be too old for: a majority is told how far it has come, before.
-MAJORITY_KNOWN_RESPONSES = (LeaseGrant, Promised, Kept, Recovering)
-# Promises that wait for other voters to note them; the oldest make room.
-MAX_AWAITING_MAJORITY = 1000
-
 
 class DurableState:
     """Journals what a member must know after a restart, and restores it.
@@ -59,10 +48,9 @@
     ) -> None:
         self._run, self._record, self._disabled_rules = run, record, disabled_rules
         self.journal = MemberJournal()
-        self.log_events: list[
-            tuple[str, dict[str, object]]
-        ] = []  # for the log; emptied by whoever drives this
-        # What else is to be known after a restart; told by whoever drives this.
+        # For the log: each with its name and its fields; emptied by whoever drives this.
+        self.log_events: list[tuple[str, dict[str, object]]] = []
+        # What else is to be known after a restart, as whoever drives this has it.
         self.extra_entries: Callable[[], list[e.Entry]] = list
         self.freshness = FolderFreshness(
             name,
@@ -77,9 +65,7 @@
         self._voter: Callable[[], Voter | None] = lambda: None
         self._replica: Replica | None = None
         self._rolling_drains: RollingDrains | None = None
-        self._awaiting_majority: list[
-            tuple[int, str, Any]
-        ] = []  # promises that wait for a majority to know of them
+        self._gate = ResponseGate(self.freshness, lambda: self._voter(), record, disabled_rules)
         self._life_position = 0  # the entry that says in which life of the folder this process is
         self._last_trust = FreshnessState.REJOINING
 
@@ -119,7 +105,7 @@
         whether they know of a newer one, and grants nothing before.
         """
         self._folder, memory, sound = folder, folder.memory, folder.is_sound
-        log = self.journal.write_ahead_log = folder.write_ahead_log
+        log = self.journal.write_ahead_log = self._gate.write_ahead_log = folder.write_ahead_log
         log.list_state_entries = self.snapshot_entries
         log.on_reply_dropped = lambda answer: answer(False) if callable(answer) else None
         own = OwnFolder(
@@ -175,110 +161,32 @@
         copied = replica_entries(self._replica) if self._replica is not None else []
         return chain(entries, self.extra_entries(), copied)
 
-    # ------------------------------------------------------------------ promises
+    # ------------------------------------------------------------------ responses
 
     def hold_if_not_durable(self, now_us: int, name: str, body: Any) -> bool:
-        """Whether a message is held until the disk has what it rests on; where that fails, it never goes."""
-        if self._folder is None or not isinstance(body, DURABLE_RESPONSES):
-            return False
-        log, voter = self._folder.write_ahead_log, self._voter()
-        position = log.position
-        if isinstance(body, LeaseGrant) and voter is not None:
-            position = voter.log_position(body.task)  # a renewal rests on the grant alone
-        if log.is_synced(position):
-            return self._hold_for_majority(position, name, body)
-        if log.is_disk_available:
-            key = (name, type(body), body.term if isinstance(body, LeaseGrant) else body.number)
-            log.defer_reply(now_us, position, key, (name, body))
-        return True
-
-    def _hold_for_majority(self, position: int, name: str, body: Any) -> bool:
-        """Whether what is on the disk is promised again, or renewed, before a majority knows that it is
-        there.
-        """
-        own = self.freshness.own
-        needs_majority = (
-            isinstance(body, MAJORITY_KNOWN_RESPONSES)
-            and self._voter() is not None
-            and not self._disabled_rules & {"generation", "sync"}
-        )
-        if (
-            not needs_majority
-            or own is None
-            or self._folder is None
-            or self.freshness.is_position_noted(position)
-        ):
-            return False
-        own.synced_position = (
-            self._folder.write_ahead_log.synced_position
-        )  # told to the others at the next turn
-        self._awaiting_majority = [*self._awaiting_majority[-MAX_AWAITING_MAJORITY:], (position, name, body)]
-        return True
+        """See `ResponseGate.withhold`."""
+        return self._gate.withhold(now_us, name, body)
 
     def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
-        """Calls with whether all that was written so far is on the disk: once it is, or at once where there
-        is none, or it fails.
-        """
-        log = self._folder.write_ahead_log if self._folder is not None else None
-        if log is None or log.is_synced(log.position):
-            call(True)
-        elif not log.is_disk_available:
-            call(False)
-        else:
-            log.defer_reply(now_us, log.position, call, call)
+        """See `ResponseGate.call_when_durable`."""
+        self._gate.call_when_durable(now_us, call)
 
-    def on_written(self, now_us: int, done: WriteResult) -> tuple[list[Message], list[Message]]:
-        """What became of the work of the disk; returns answers that may go out, and other posts."""
-        assert self._folder is not None
-        log = self._folder.write_ahead_log
-        answers: list[Message] = []
-        for answer in log.complete_batch(now_us, done):
-            if callable(answer):
-                answer(True)
-                continue
-            name, body = answer
-            if isinstance(body, MAJORITY_KNOWN_RESPONSES) and self._voter() is not None:
-                if "generation" not in self._disabled_rules:
-                    self._awaiting_majority = [
-                        *self._awaiting_majority[-MAX_AWAITING_MAJORITY:],
-                        (log.synced_position, name, body),
-                    ]
-                    continue
-                self._record("promised", position=log.synced_position)
-            answers.append((name, body))
-        messages: list[Message] = []
-        if self._awaiting_majority and self.freshness.own is not None:
-            # Something is promised: a majority is to know how far the folder has come.
-            self.freshness.own.synced_position = log.synced_position
-            messages += self.freshness.report_position(now_us)
-        return answers, messages
-
-    def _release_known_by_majority(self) -> list[Message]:
-        """What was promised, as far as a majority knows that the folder has it."""
-        known = {
-            position
-            for position, _, _ in self._awaiting_majority
-            if self.freshness.is_position_noted(position)
-        }
-        if not known:
-            return []
-        self._record("promised", position=max(known))
-        ready = [(name, body) for position, name, body in self._awaiting_majority if position in known]
-        self._awaiting_majority = [u for u in self._awaiting_majority if u[0] not in known]
-        return ready
+    def on_written(self, now_us: int, result: WriteResult) -> Released:
+        """See `ResponseGate.on_written`."""
+        return self._gate.on_written(now_us, result)
 
     # ------------------------------------------------------------------ whether the folder is the newest
 
     def on_freshness_message(
         self, now_us: int, sender: str, body: FreshnessQuery | FreshnessReply
-    ) -> tuple[list[Message], list[Message]]:
-        """From another voter; returns answers that may go out, and other posts."""
+    ) -> Released:
+        """Another voter queries how new this folder is, or answers such a query."""
         if isinstance(body, FreshnessQuery):
-            return [], [(sender, self.freshness.on_query(sender, body))]
+            return Released(messages=[(sender, self.freshness.on_query(sender, body))])
         life = self.freshness.own.incarnation if self.freshness.own is not None else 0
         self.freshness.on_reply(sender, body)
         self._apply_freshness(now_us, life)
-        return (self._release_known_by_majority() if self._awaiting_majority else []), []
+        return self._gate.release_noted()
 
     def _may_query(self) -> bool:
         """That this process has the folder is to be on the disk before anybody hears of it."""
@@ -302,19 +210,19 @@
 
     def _apply_freshness(self, now_us: int, life: int) -> None:
         """Acts on what became of the comparison of folders."""
-        standing, folder = self.freshness, self._folder
-        if folder is None or standing.own is None:
+        freshness, folder = self.freshness, self._folder
+        if folder is None or freshness.own is None:
             return
-        if standing.state is not self._last_trust:
-            self._last_trust = standing.state
-            if standing.state is FreshnessState.CONFIRMED:
+        if freshness.state is not self._last_trust:
+            self._last_trust = freshness.state
+            if freshness.state is FreshnessState.CONFIRMED:
                 self._confirm_folder()
-            elif standing.state is FreshnessState.STALE:
+            elif freshness.state is FreshnessState.STALE:
                 self._replace_folder(now_us, folder)
-            elif standing.state is FreshnessState.REJOINED:
+            elif freshness.state is FreshnessState.REJOINED:
                 self._record("folder", what="learned")
-        if standing.own.incarnation != life:
-            self._life_position = self.journal.begun(standing.own.incarnation, folder.wall_s)
+        if freshness.own.incarnation != life:
+            self._life_position = self.journal.begun(freshness.own.incarnation, folder.wall_s)
 
     def _confirm_folder(self) -> None:
         """Nobody knows of a newer folder: this voter has forgotten nothing of what that says it remembers."""
@@ -331,12 +239,12 @@
         """The folder is older than what the fleet knows: another is begun, and this voter learns from the
         others what it may have promised.
         """
-        standing = self.freshness
-        known = standing.newest_known
+        freshness = self.freshness
+        known = freshness.newest_known
         folder.identity = folder.generate_identity()
-        standing.restart_with_new_folder(folder.identity)
-        self._last_trust = standing.state
-        self._awaiting_majority.clear()  # promised by what is not gone by any more
+        freshness.restart_with_new_folder(folder.identity)
+        self._last_trust = freshness.state
+        self._gate.discard()
         folder.write_ahead_log.begin_new_folder(bytes.fromhex(folder.identity))
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None:
@@ -344,8 +252,8 @@
         if acceptor is not None:
             acceptor.may_remember = False
             acceptor.restart(now_us)
-        facts: dict[str, object] = {"why": standing.stale_reason, "loaded": folder.found_position}
+        facts: dict[str, object] = {"why": freshness.stale_reason, "loaded": folder.found_position}
         if known is not None:
             facts |= {"known_life": known.incarnation, "known_position": known.position}
-        self._record("folder", what="old", why=standing.stale_reason)
+        self._record("folder", what="old", why=freshness.stale_reason)
         self.log_events.append(("lasting-old", facts))
