--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -16,7 +16,7 @@
 
 from benchmarks.capacity.counting_fleet import LEASES, CountingFleet, NodeCounts
 from benchmarks.capacity.record import Measurement
-from sailrun.leadership.permits import TASK as PERMITS
+from sailrun.leadership.permits import PERMITS_TASK as PERMITS
 from sailrun.replication.mark_client import MarkOutcome
 from sailrun.replication.messages import MarkRequest
 from sailrun.replication.replica import MARKS_TASK, Replica
@@ -298,8 +298,8 @@
     owner = fleet.owner(PERMITS) or fleet.names[0]
     for name in fleet.names[-waiting:]:
         agent = fleet.nodes[name].agent
-        assert agent is not None and agent.holder is not None
-        agent.holder.want("drain", name)
+        assert agent is not None and agent.permit_holder is not None
+        agent.permit_holder.request("drain", name)
         fleet._soon(fleet.nodes[name])
     fleet.run_for(5.0)
     fleet.forget_counts()
--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -14,10 +14,10 @@
 from benchmarks.capacity.record import Measurement
 from benchmarks.knowledge import LOAD
 from benchmarks.knowledge import measure as rounds_of
-from sailrun.leadership.envelope import Envelope, pack, unpack
+from sailrun.leadership.envelope import Envelope, decode_envelope, encode_envelope
 from sailrun.leadership.leases import best_placed
-from sailrun.leadership.messages import Order, Question
-from sailrun.leadership.pace import ASK_US, PaceCoordinator
+from sailrun.leadership.messages import LeaderRequest, LeaderResponse
+from sailrun.leadership.move_rate import REQUEST_INTERVAL_US, MoveRateCoordinator
 from sailrun.load_gossip.aggregation_rounds import MIN_ROUND_US, ROUND_US_PER_NODE
 from sailrun.load_gossip.datagram import MAX_DATAGRAM_BYTES, LoadDatagram, datagram_capacity, encode_datagram
 from sailrun.replication.records import apply_write
@@ -80,29 +80,29 @@
 
 
 def _pace(nodes: int) -> dict[str, float]:
-    office, numbers = PaceCoordinator(1, 0), count(1)
+    office, numbers = MoveRateCoordinator(1, 0), count(1)
     now_us = 10 * SECOND
     for n in range(nodes):
-        office.asked(now_us, f"node-{n:05}")
+        office.grant_share(now_us, f"node-{n:05}")
     began_ns = time.thread_time_ns()
     for n in range(MAX_REQUESTS):
-        now_us += ASK_US // nodes
-        question = unpack(pack(_envelope(Question("pace", 1, next(numbers))))).body
-        assert isinstance(question, Question)
-        lent = office.asked(now_us, f"node-{n % nodes:05}")
-        answer = pack(_envelope(Order("pace", 1, question.number, lent)))
+        now_us += REQUEST_INTERVAL_US // nodes
+        question = decode_envelope(encode_envelope(_envelope(LeaderRequest("pace", 1, next(numbers))))).body
+        assert isinstance(question, LeaderRequest)
+        lent = office.grant_share(now_us, f"node-{n % nodes:05}")
+        answer = encode_envelope(_envelope(LeaderResponse("pace", 1, question.number, lent)))
     took_us = (time.thread_time_ns() - began_ns) / 1e3 / MAX_REQUESTS
-    length = len(pack(_envelope(Question("pace", 1, 1)))) + len(answer) + 2 * HEADER
-    asks_s = nodes * SECOND / ASK_US
+    length = len(encode_envelope(_envelope(LeaderRequest("pace", 1, 1)))) + len(answer) + 2 * HEADER
+    asks_s = nodes * SECOND / REQUEST_INTERVAL_US
     return {"cpu_us": took_us, "bytes_s": asks_s * length, "messages_s": 2 * asks_s}
 
 
-def _envelope(body: Question | Order) -> Envelope:
+def _envelope(body: LeaderRequest | LeaderResponse) -> Envelope:
     return Envelope("capacity", "node-00001", 1 << 60, 1, body)
 
 
 def pace() -> list[Measurement]:
-    how = "`PaceCoordinator` while every node moves clients and asks every half second"
+    how = "`MoveRateCoordinator` while every node moves clients and asks every half second"
     return _sizes("pace_lent", "nodes that move clients", (50, 100, 200, 400, 800), how, _pace)
 
 
@@ -166,8 +166,8 @@
 
 def _list(servers: int) -> dict[str, float]:
     members = [roster_entry(f"s-{n:08x}", "10.20.30.40:5000", "SERVING") for n in range(servers)]
-    order = Order("roster/z1", 1, 1, ["roster", 1, members])
-    return {"list_bytes": len(pack(_envelope(order))) + HEADER}
+    order = LeaderResponse("roster/z1", 1, 1, ["roster", 1, members])
+    return {"list_bytes": len(encode_envelope(_envelope(order))) + HEADER}
 
 
 def lists() -> list[Measurement]:
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -20,7 +20,7 @@
 from sailrun.node.queries import send_query
 
 if TYPE_CHECKING:
-    from sailrun.leadership.service import FleetPart
+    from sailrun.leadership.service import FleetService
     from sailrun.replication.mark_client import MarkOutcome
     from sailrun.replication.service import ReplicationService
 
@@ -57,7 +57,7 @@
     """Answers the calls of operators to one node."""
 
     def __init__(
-        self, node: Node, listener: socket.socket, fleet: Callable[[], FleetPart | None] = lambda: None
+        self, node: Node, listener: socket.socket, fleet: Callable[[], FleetService | None] = lambda: None
     ) -> None:
         self._node, self._listener, self._fleet = node, listener, fleet
         self._spare: list[int] = []  # descriptors held for callers to come
@@ -154,8 +154,8 @@
         node, fleet = self._node, self._fleet()
         if call.verb is Verb.FLEET:
             return await self._of_fleet(fleet, call.words) if fleet is not None else fail("no fleet here")
-        if fleet is not None and fleet.copies is not None and call.verb in _PERMITTED:
-            return await self._marked(fleet, fleet.copies, call)
+        if fleet is not None and fleet.replication is not None and call.verb in _PERMITTED:
+            return await self._marked(fleet, fleet.replication, call)
         if fleet is not None and fleet.permits and call.verb in _PERMITTED:
             return await self._permitted(fleet, call)
         match call.verb:
@@ -171,7 +171,7 @@
                 await send_query(partial(node.set_draining, call.verb is Verb.DRAIN_ON))
                 return OK
 
-    async def _of_fleet(self, fleet: FleetPart, words: tuple[str, ...]) -> bytes:
+    async def _of_fleet(self, fleet: FleetService, words: tuple[str, ...]) -> bytes:
         match words:
             case "walk", str(name), str(ms), str(nodes):
                 if not ms.isdigit():
@@ -189,7 +189,7 @@
                 return fail("[shards] is off here") if shown is None else answer(shown)
         return answer(await send_query(partial(fleet.show, words[0])))
 
-    async def _marked(self, fleet: FleetPart, copies: ReplicationService, call: Call) -> bytes:
+    async def _marked(self, fleet: FleetService, copies: ReplicationService, call: Call) -> bytes:
         """What holds for the fleet wherever it is said."""
         kind, subject = (OUT, call.form_server) if call.form_server else (DRAIN, fleet.agent.name)
         on = call.verb in (Verb.SET_DOWN, Verb.DRAIN_ON)
@@ -206,9 +206,9 @@
             return fail("queued: as many are out as permits allow, and carried out in its turn")
         return OK if made.state == "done" else fail(made.reason or made.state)
 
-    async def _of_copies(self, fleet: FleetPart, words: tuple[str, ...]) -> bytes:
+    async def _of_copies(self, fleet: FleetService, words: tuple[str, ...]) -> bytes:
         """The state that all nodes of the fleet keep copies of."""
-        copies = fleet.copies
+        copies = fleet.replication
         if copies is None:
             return fail("no copies here: [replica] is off")
         match words:
@@ -228,7 +228,7 @@
                 return fail("the owner of the marks was not heard") if words_ is None else answer(words_)
         return answer(await send_query(partial(fleet.show, " ".join(words))))
 
-    async def _no_subject(self, fleet: FleetPart, kind: str, subject: str, on: bool) -> str:
+    async def _no_subject(self, fleet: FleetService, kind: str, subject: str, on: bool) -> str:
         """Why nothing of that name can be marked; empty: it can. What is marked already can always be taken
         back.
         """
@@ -253,7 +253,7 @@
             made = await send_query(ask)
         return answer(_shown(ids[0], made))
 
-    async def _permitted(self, fleet: FleetPart, call: Call) -> bytes:
+    async def _permitted(self, fleet: FleetService, call: Call) -> bytes:
         """What takes something out of service waits for a permit, and is carried out in its turn."""
         kind, subject = (OUT, call.form_server) if call.form_server else (DRAIN, fleet.agent.name)
         if call.verb in (Verb.SET_UP, Verb.DRAIN_OFF):
@@ -268,5 +268,5 @@
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
             why = await send_query(partial(fleet.ask_permit, kind, subject))
         if why is None:
-            return fail(fleet.why_not(kind, subject))
+            return fail(fleet.describe_pending_permit(kind, subject))
         return fail(why) if why else OK
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -82,7 +82,7 @@
         ),
         PermitSettings(enabled=plan.permits, drains=DRAINS, out=OUT, lease_s=PERMIT_LEASE_S),
         ListReaderSettings(enabled=not plan.copies),
-        replica=ReplicationSettings(
+        replication=ReplicationSettings(
             enabled=plan.copies,
             compare_interval_s=0.5,
             stale_after_s=5.0,
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -15,12 +15,12 @@
 from sailrun.lab.faults.disk import SimFiles
 from sailrun.lab.faults.history import Row
 from sailrun.lab.scheduler import BEGIN_US, Scheduler
-from sailrun.leadership.agent import READER, Agent, AgentSettings, Out
-from sailrun.leadership.envelope import Envelope, pack
-from sailrun.leadership.founding import founding_term
-from sailrun.leadership.lasting import Lasting
-from sailrun.leadership.permits import Use
-from sailrun.leadership.reader import Reading
+from sailrun.leadership.agent import READER_TASK_PREFIX, Agent, AgentSettings, OutgoingEnvelope
+from sailrun.leadership.envelope import Envelope, encode_envelope
+from sailrun.leadership.initial_term import new_initial_term
+from sailrun.leadership.list_reader import SharedList
+from sailrun.leadership.member_journal import MemberFolder
+from sailrun.leadership.permits import PermitChange
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.replication.inspection import describe_state
 from sailrun.replication.messages import MarkRequest
@@ -51,7 +51,7 @@
     rate: float  # of its clock
     offset_us: int = 0
     agent: Agent | None = None
-    reading: Reading | None = None
+    reading: SharedList | None = None
     life: int = 0
     stopped: bool = False
     stop_in_send: bool = False
@@ -174,7 +174,7 @@
             terms,
             luck.getrandbits(32),
             self.clock_us(node),
-            lambda: founding_term(self.time.now_us / SECOND + ahead_s, luck.getrandbits(12)),
+            lambda: new_initial_term(self.time.now_us / SECOND + ahead_s, luck.getrandbits(12)),
             self._off,
             record,
         )
@@ -191,11 +191,11 @@
     def _give_work(self, node: VirtualNode) -> None:
         agent = node.agent
         assert agent is not None
-        if not agent.terms.reader.enabled:
+        if not agent.settings.list_reader.enabled:
             return
-        task = READER + node.zone
-        reading = node.reading = Reading("roster", agent.terms.reader, self.clock_us(node))
-        agent.answers[task] = lambda now_us, sender, content: reading.answer(content)
+        task = READER_TASK_PREFIX + node.zone
+        reading = node.reading = SharedList("roster", agent.settings.list_reader, self.clock_us(node))
+        agent.request_handlers[task] = lambda now_us, sender, content: reading.answer_query(content)
 
     def kill(self, name: str) -> None:
         node = self.nodes[name]
@@ -258,7 +258,7 @@
         def another() -> str:
             return f"{luck.getrandbits(128):032x}"
 
-        slow_us, now_us = int(agent.terms.owners.lease_s * SECOND) // 2, self.clock_us(node)
+        slow_us, now_us = int(agent.settings.leadership.lease_s * SECOND) // 2, self.clock_us(node)
         opened = open_folder(node.files, terms, slow_us, node.name, "lab", another, now_us, self._off)
         node.write_ahead_log, node.writer, found = opened.write_ahead_log, opened.writer, opened.contents
         sound = found.integrity is FolderIntegrity.INTACT
@@ -270,10 +270,10 @@
             why=found.reason,
             torn=found.torn_bytes,
         )
-        lasting = Lasting(
+        lasting = MemberFolder(
             opened.write_ahead_log, opened.identity, found.state, sound, found.position, wall_s, another
         )
-        agent.take_up(self.clock_us(node), lasting)
+        agent.restore(self.clock_us(node), lasting)
 
     def _to_disk(self, node: VirtualNode) -> None:
         """Has a node's disk do what there is to do, some time from now."""
@@ -307,7 +307,7 @@
             self.time.after(SECOND // 10, self._wrote, node, writer, done)
             return
         now_us = self.clock_us(node)
-        self._send(node, node.agent.wrote(now_us, done))
+        self._send(node, node.agent.on_written(now_us, done))
         self._soon(node)
 
     def power_cut(self, names: list[str]) -> None:
@@ -369,27 +369,29 @@
         if node.reading is not None:
             outs += self._read(node, agent, node.reading, now_us)
         self._send(node, outs)
-        if agent.rolling_drains.draining:
-            agent.rolling_drains.standing(now_us, 0)
+        if agent.rolling_drains.is_draining:
+            agent.rolling_drains.on_session_count(now_us, 0)
         if not node.stopped:
             due_us = agent.due_us(now_us)
             if node.write_ahead_log is not None:
                 due_us = min(due_us, node.write_ahead_log.due_us(now_us) or due_us)
             self._wake(node, max(1_000, due_us - now_us))
 
-    def _read(self, node: VirtualNode, agent: Agent, reading: Reading, now_us: int) -> list[Out]:
-        task = READER + node.zone
-        reading.owner = bool(agent.leases.holds(task, now_us))
-        if reading.reads(now_us):
-            reading.read(self.revision, [])
-        has = reading.due(now_us)
+    def _read(
+        self, node: VirtualNode, agent: Agent, reading: SharedList, now_us: int
+    ) -> list[OutgoingEnvelope]:
+        task = READER_TASK_PREFIX + node.zone
+        reading.is_leader = bool(agent.leases.held_term(task, now_us))
+        if reading.must_read_registry(now_us):
+            reading.on_registry_list(self.revision, [])
+        has = reading.next_query(now_us)
         if has is None or not agent.members.has_joined:
             return []
 
         def done(now_us: int, sent_us: int, content: Any) -> None:
-            reading.told(now_us, content)
+            reading.on_reply(now_us, content)
 
-        return agent.ask(now_us, task, [has.source, has.revision], done)
+        return agent.request(now_us, task, [has.source, has.revision], done)
 
     def _hear(self, node: VirtualNode, address: str, envelope: Envelope) -> None:
         if node.agent is None:
@@ -399,18 +401,18 @@
                 node.inbox.append((address, envelope))
             return
         now_us = self.clock_us(node)
-        self._send(node, node.agent.hear(now_us, address, envelope))
+        self._send(node, node.agent.on_envelope(now_us, address, envelope))
         wait_us = max(1_000, node.agent.due_us(now_us) - now_us)
         if not node.stopped and self.time.now_us + wait_us < node.wakes_us:
             self._wake(node, wait_us)
 
-    def _send(self, node: VirtualNode, outs: list[Out]) -> None:
+    def _send(self, node: VirtualNode, outs: list[OutgoingEnvelope]) -> None:
         agent = node.agent
         assert agent is not None
-        agent.notes.clear()
+        agent.log_events.clear()
         self._to_disk(node)
         now_us = self.clock_us(node)
-        outs = [out for out in outs if out.guard is None or agent.still(out.guard, now_us)]
+        outs = [out for out in outs if out.guard is None or agent.may_send(out.guard, now_us)]
         if node.stop_in_send and any(self._is_act(out) for out in outs):
             # It has looked at the clock, and is stopped before it sends.
             node.stop_in_send, node.stopped = False, True
@@ -421,11 +423,11 @@
         for out in outs:
             self._put(node, out)
 
-    def _is_act(self, out: Out) -> bool:
+    def _is_act(self, out: OutgoingEnvelope) -> bool:
         """Whether it was made under a lease that may end before it is sent."""
         return out.guard is not None
 
-    def _send_late(self, node: VirtualNode, stop: int, outs: list[Out]) -> None:
+    def _send_late(self, node: VirtualNode, stop: int, outs: list[OutgoingEnvelope]) -> None:
         if node.agent is None or node.stop != stop:
             return
         for out in outs:
@@ -459,7 +461,7 @@
     def _op(self, name: str, what: str, subject: str, on: bool) -> MarkRequest:
         agent = self.nodes[name].agent
         assert agent is not None and agent.replica is not None
-        under = agent.leases.of(MARKS_TASK).owned
+        under = agent.leases.lease_of(MARKS_TASK).highest_granted_term
         return MarkRequest(
             what, agent.replica.make_request_id(), under, "out", subject, on, "staff", "a test"
         )
@@ -496,13 +498,13 @@
 
     # ------------------------------------------------------------------ the network
 
-    def _put(self, node: VirtualNode, out: Out) -> None:
+    def _put(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
         self._sent += 1
         kind = type(out.envelope.body).__name__
         self.by_body[kind] = self.by_body.get(kind, 0) + 1
         if self._sent % WEIGHED == 0:
             self.weighed += 1
-            self.bytes += len(pack(out.envelope))
+            self.bytes += len(encode_envelope(out.envelope))
         to = self._at.get(out.address)
         luck = self._luck
         if to is None or self._is_cut(node.name, to.name):
@@ -550,40 +552,42 @@
 
     def owner(self, task: str) -> str | None:
         for node in self.nodes.values():
-            if node.agent is not None and node.agent.leases.holds(task, self.clock_us(node)):
+            if node.agent is not None and node.agent.leases.held_term(task, self.clock_us(node)):
                 return node.name
         return None
 
     def tasks(self) -> list[str]:
         agents = [node.agent for node in self.nodes.values() if node.agent is not None]
-        return sorted({task for agent in agents if agent.members.has_joined for task in agent.tasks()})
+        return sorted(
+            {task for agent in agents if agent.members.has_joined for task in agent.candidate_tasks()}
+        )
 
     def want(self, name: str, kind: str, subject: str, for_us: int) -> None:
         agent = self.nodes[name].agent
-        if agent is None or agent.holder is None or self.nodes[name].stopped:
+        if agent is None or agent.permit_holder is None or self.nodes[name].stopped:
             return
-        if (kind, subject) in agent.holder.wanted:
+        if (kind, subject) in agent.permit_holder.permits:
             return
-        agent.holder.want(kind, subject)
+        agent.permit_holder.request(kind, subject)
         life = self.nodes[name].life
-        previous = agent.on_use
+        previous = agent.on_permit_change
 
-        def used(use: Use) -> None:
+        def used(use: PermitChange) -> None:
             previous(use)
-            if use.yes and (use.kind, use.subject) == (kind, subject):
+            if use.is_held and (use.kind, use.subject) == (kind, subject):
                 self.time.after(for_us, self._give_back, name, life, kind, subject)
 
-        agent.on_use = used
+        agent.on_permit_change = used
 
     def _give_back(self, name: str, life: int, kind: str, subject: str) -> None:
         node = self.nodes[name]
-        if node.agent is None or node.life != life or node.agent.holder is None:
+        if node.agent is None or node.life != life or node.agent.permit_holder is None:
             return
         if node.stopped:
             self.time.after(SECOND, self._give_back, name, life, kind, subject)
             return
-        node.agent.holder.give_back(self.clock_us(node), kind, subject)
-        self._send(node, node.agent._changes(self.clock_us(node)))
+        node.agent.permit_holder.release(self.clock_us(node), kind, subject)
+        self._send(node, node.agent._publish_changes(self.clock_us(node)))
 
     def hand_over(self, name: str) -> None:
         """Only nodes that own shards hand anything over before they leave."""
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -20,13 +20,13 @@
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import Place
 from sailrun.lab.scale.settings import record_of
-from sailrun.leadership.agent import READER, AgentSettings, Out
-from sailrun.leadership.carrier import Carrier
+from sailrun.leadership.agent import READER_TASK_PREFIX, AgentSettings, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
 from sailrun.leadership.envelope import Envelope
-from sailrun.leadership.founding import founding_term
-from sailrun.leadership.reader import Reading
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.initial_term import new_initial_term
+from sailrun.leadership.list_reader import SharedList
+from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.transport import Transport
 from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
@@ -54,21 +54,21 @@
     return 1 + max(0, now_us - began_us) // (ROSTER_S * SECOND)
 
 
-class ModelledCarrier(Carrier):
+class ModelledCarrier(Transport):
     """Its datagrams and frames take the network model's way. A frame waits before it is queued for its link,
     so that its owner's term is looked at after the delay, not before.
     """
 
     def __init__(self, agent: MeteredAgent, place: Place, network: NetworkModel, delays: DelayLine) -> None:
-        super().__init__(agent, split_address(place.address), patient=False)
+        super().__init__(agent, split_address(place.address), waits_for_address=False)
         self._metered, self._place, self._network, self._delays = agent, place, network, delays
 
-    def _send(self, datagrams: socket.socket, outs: list[Out]) -> None:
+    def _send(self, datagrams: socket.socket, outs: list[OutgoingEnvelope]) -> None:
         began_s = thread_time()
         super()._send(datagrams, outs)
         self._metered.cpu_s += thread_time() - began_s
 
-    def _put(self, datagrams: socket.socket, data: bytes, address: str) -> None:
+    def _send_datagram(self, datagrams: socket.socket, data: bytes, address: str) -> None:
         to = self._network.by_address.get(address)
         if to is None:
             return
@@ -77,40 +77,40 @@
             self.traffic.sent(len(data))
             return
         if wait_s < AT_ONCE_S:
-            super()._put(datagrams, data, address)
+            super()._send_datagram(datagrams, data, address)
         else:
             self._delays.after(wait_s, partial(self._put_late, datagrams, data, address))
 
     def _put_late(self, datagrams: socket.socket, data: bytes, address: str) -> None:
         began_s = thread_time()
-        super()._put(datagrams, data, address)
+        super()._send_datagram(datagrams, data, address)
         self._metered.cpu_s += thread_time() - began_s
 
-    def _by_link(self, out: Out, data: bytes) -> None:
+    def _queue_frame(self, out: OutgoingEnvelope, data: bytes) -> None:
         to = self._network.by_address.get(out.address)
         if to is None:
             return
         wait_s = self._network.frame_s(self._place, to)
         if wait_s is not None:
-            self._delays.after(wait_s, partial(super()._by_link, out, data))
+            self._delays.after(wait_s, partial(super()._queue_frame, out, data))
 
-    def _unpacked(self, data: bytes) -> Envelope:
+    def _decode(self, data: bytes) -> Envelope:
         began_s = thread_time()
         try:
-            return super()._unpacked(data)
+            return super()._decode(data)
         finally:
             self._metered.cpu_s += thread_time() - began_s
 
-    def _hear(self, address: str, envelope: Envelope) -> None:
+    def _on_envelope(self, address: str, envelope: Envelope) -> None:
         """A real process knows no model: what it sends takes its way here."""
         sender = self._network.by_name.get(envelope.sender)
         if sender is None or not sender.real:
             if sender is None or self._network.passes(sender, self._place):
-                super()._hear(address, envelope)
+                super()._on_envelope(address, envelope)
             return
         wait_s = self._network.datagram_s(sender, self._place)
         if wait_s is not None:
-            self._delays.after(wait_s, partial(super()._hear, address, envelope))
+            self._delays.after(wait_s, partial(super()._on_envelope, address, envelope))
 
 
 class HollowNode:
@@ -137,14 +137,16 @@
             terms,
             luck.getrandbits(32),
             boot_us(),
-            lambda: founding_term(time.time(), luck.getrandbits(12)),
+            lambda: new_initial_term(time.time(), luck.getrandbits(12)),
             record=record,
         )
         self.carrier = ModelledCarrier(self.agent, place, network, delays)
-        self.carrier.after = self._after
-        self._task = READER + place.zone
-        self._reading = Reading(roster, terms.reader, boot_us())
-        self.agent.answers[self._task] = lambda now_us, sender, content: self._reading.answer(content)
+        self.carrier.after_turn = self._after
+        self._task = READER_TASK_PREFIX + place.zone
+        self._reading = SharedList(roster, terms.list_reader, boot_us())
+        self.agent.request_handlers[self._task] = lambda now_us, sender, content: self._reading.answer_query(
+            content
+        )
         self._scope = anyio.CancelScope()
         self._checked = (-1, 0)  # the members' version, and the sum of their names
 
@@ -167,19 +169,19 @@
 
     # ------------------------------------------------------------------ the roster's list
 
-    def _after(self, now_us: int) -> list[Out]:
+    def _after(self, now_us: int) -> list[OutgoingEnvelope]:
         """As a real node does after each turn: the reader of its zone reads, the others ask the reader."""
         reading = self._reading
-        reading.owner = bool(self.agent.owns(self._task, now_us))
-        if reading.reads(now_us):
-            reading.read(roster_revision(self._began_us, now_us), [])
-        has = reading.due(now_us)
+        reading.is_leader = bool(self.agent.leading_term(self._task, now_us))
+        if reading.must_read_registry(now_us):
+            reading.on_registry_list(roster_revision(self._began_us, now_us), [])
+        has = reading.next_query(now_us)
         if has is None or not self.agent.members.has_joined:
             return []
-        return self.agent.ask(now_us, self._task, [has.source, has.revision], self._answered)
+        return self.agent.request(now_us, self._task, [has.source, has.revision], self._answered)
 
     def _answered(self, now_us: int, sent_us: int, content: Any) -> None:
-        self._reading.told(now_us, content)
+        self._reading.on_reply(now_us, content)
 
     # ------------------------------------------------------------------ what is looked at
 
@@ -202,9 +204,9 @@
         return record is not None and record.life == life_of(seed, name, number)
 
 
-def node_report(agent: MeteredAgent, life: int, traffic: Traffic, now_us: int) -> NodeReport:
+def node_report(agent: MeteredAgent, life: int, traffic: TrafficCounters, now_us: int) -> NodeReport:
     """What one node has used, what it owns, and how many shards it may use."""
-    tasks = [task for task in agent.tasks() if agent.owns(task, now_us)]
+    tasks = [task for task in agent.candidate_tasks() if agent.leading_term(task, now_us)]
     report = NodeReport(agent.name, life, traffic, agent.cpu_s, tasks, agent.voter is not None)
     part = agent.shards
     if part is None:
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -30,7 +30,7 @@
 from sailrun.lab.settings import WorldSettings
 from sailrun.leadership.agent import AgentSettings
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.traffic import TrafficCounters
 
 BROKEN = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
 KEPT_ACTS = ("hold", "lost")
@@ -132,7 +132,7 @@
         except OSError:
             return None
         keys = ("messages_in", "messages_out", "bytes_in", "bytes_out")
-        traffic = Traffic(*(counts[key] for key in keys))
+        traffic = TrafficCounters(*(counts[key] for key in keys))
         report = NodeReport(self.place.name, self.lives, traffic, cpu_s, [], False, memory)
         shown = await self._asked("fleet shards")
         report.shards = len(shown["usable"]) if shown is not None else 0
@@ -182,13 +182,13 @@
         "settings": settings,
     }
     tables: dict[str, Any] = {
-        "members": msgspec.structs.asdict(terms.members),
-        "owners": {**msgspec.structs.asdict(terms.owners), "record": True},
+        "members": msgspec.structs.asdict(terms.membership),
+        "owners": {**msgspec.structs.asdict(terms.leadership), "record": True},
         "permits": msgspec.structs.asdict(terms.permits),
-        "reader": msgspec.structs.asdict(terms.reader),
-        "replica": msgspec.to_builtins(terms.replica),
-        "shards": msgspec.to_builtins(terms.shards),
-        "rebalance": {"enabled": terms.pace},
+        "reader": msgspec.structs.asdict(terms.list_reader),
+        "replica": msgspec.to_builtins(terms.replication),
+        "shards": msgspec.to_builtins(terms.sharding),
+        "rebalance": {"enabled": terms.shares_move_rate},
     }
     files = ProcessFiles(folder / f"{place.name}.json", folder / f"{place.name}.toml")
     files.config.write_text(json.dumps(config))
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -9,33 +9,34 @@
 
 import msgspec
 
-from sailrun.leadership.messages import Claim, OwnerBody
+from sailrun.leadership.messages import LeaderHint, LeadershipBody
 from sailrun.membership.messages import MemberBody, MemberRecord
 from sailrun.replication.messages import ReplicationBody
 from sailrun.sharding.messages import ShardBody
 from sailrun.storage.messages import StorageMessage
 
-LONGEST_DATAGRAM = 1200
-LONGEST_FRAME = 4 * 1024 * 1024
+MAX_DATAGRAM_BYTES = 1200
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 # What rides along, so that a datagram stays below its limit whatever the names are.
-MOST_NEWS, MOST_CLAIMS = 4, 3
+MAX_MEMBER_UPDATES, MAX_LEADER_HINTS = 4, 3
 
-Body = MemberBody | OwnerBody | ReplicationBody | StorageMessage | ShardBody
+Body = MemberBody | LeadershipBody | ReplicationBody | StorageMessage | ShardBody
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """`life` and `incarnation` are the sender's own; `news` and `claims` are hearsay that rides along."""
+    """`life` and `incarnation` are the sender's own; `member_updates` and `leader_hints` are gossip that
+    rides along."""
 
     fleet: str
     sender: str
     life: int
     incarnation: int
     body: Body
-    news: list[MemberRecord] = []
-    claims: list[Claim] = []
+    member_updates: list[MemberRecord] = []
+    leader_hints: list[LeaderHint] = []
 
 
-class BadMessage(ValueError):
+class BadEnvelope(ValueError):
     """No envelope of this program."""
 
 
@@ -43,13 +44,14 @@
 _decoder = msgspec.msgpack.Decoder(Envelope)
 
 
-def pack(envelope: Envelope) -> bytes:
+def encode_envelope(envelope: Envelope) -> bytes:
+    """The envelope as MessagePack."""
     return _encoder.encode(envelope)
 
 
-def unpack(data: bytes) -> Envelope:
+def decode_envelope(data: bytes) -> Envelope:
     """Raises BadMessage for whatever is none."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError, RecursionError) as error:
-        raise BadMessage(str(error)) from None
+        raise BadEnvelope(str(error)) from None
--- a/sailrun/leadership/messages.py
+++ b/sailrun/leadership/messages.py
@@ -11,75 +11,85 @@
 import msgspec
 
 
-class Claim(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Hearsay: who owned a task, under which term. It decides nothing; it spares asking."""
+class LeaderHint(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """Gossip: who led a task, under which term. It decides nothing; it saves requests."""
 
     task: str
     term: int
     holder: str
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """Grant me the task, or renew it. `number` is the asker's own, so that answers are not mixed up."""
+class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
+    """A candidate's request for a lease of the task, or for its renewal. `number` is the candidate's own: it
+    matches answers to requests.
+    """
 
     task: str
     term: int
     number: int
     stage: int  # which voters the asker counts
-    renews: bool = False  # the asker has owned it under this term without a gap
+    is_renewal: bool = False  # the asker has owned it under this term without a gap
+
 
+class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="grant"):
+    """A voter's answer to a request for a lease: granted, or renewed."""
 
-class Grant(msgspec.Struct, array_like=True, frozen=True, tag="grant"):
     task: str
     term: int
     number: int
 
 
-class Deny(msgspec.Struct, array_like=True, frozen=True, tag="deny"):
-    """`why`: `held`, `term` (too low), `abstains`, `stage`, `disk` (too slow, or failed). `left_us`: when to
-    ask again.
+class LeaseDenial(msgspec.Struct, array_like=True, frozen=True, tag="deny"):
+    """A voter's refusal. `retry_after_us`: when to request again.
+
+    `reason`: `held`, `term` (too low), `abstains`, `stage`, `disk` (too slow, or failed).
     """
 
     task: str
     term: int  # the highest the voter knows
     number: int
-    why: str
-    left_us: int
+    reason: str
+    retry_after_us: int
     holder: str = ""
 
 
-class Release(msgspec.Struct, array_like=True, frozen=True, tag="release"):
-    """To a voter: the lease is not used any more."""
+class LeaseRelease(msgspec.Struct, array_like=True, frozen=True, tag="release"):
+    """To a voter: its holder uses the lease no longer."""
 
     task: str
     term: int
 
 
-class Yield(msgspec.Struct, array_like=True, frozen=True, tag="yield"):
-    """To the next owner: the task is free, take it."""
+class LeaseHandover(msgspec.Struct, array_like=True, frozen=True, tag="yield"):
+    """To the next leader: the task is free."""
 
     task: str
     term: int
 
 
-class Recall(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
-    """A voter that has started asks the others what it may have forgotten. `lasts`: it has a folder, which
-    tells them how far that has come; else whatever folder it had is older than what it does from now on.
+class TermQuery(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
+    """A voter that has started requests the terms that it may have forgotten. `has_durable_state`: its folder
+    reports how far it has come; else whatever folder it had is older than what it does from now on.
     """
 
     number: int
-    lasts: bool = False
+    has_durable_state: bool = False
 
 
-class Recalled(msgspec.Struct, array_like=True, frozen=True, tag="recalled"):
+class TermReport(msgspec.Struct, array_like=True, frozen=True, tag="recalled"):
+    """The answer to a `TermQuery`: the highest term of each task; of no task: the least of any."""
+
     number: int
     remembers: bool  # whether the sender has been a voter without a gap
     terms: dict[str, int]
     may_remember: bool = False  # its folder is being compared: it will know in a moment
 
 
-class Question(msgspec.Struct, array_like=True, frozen=True, tag="question"):
-    """To the owner of a task. `term`: the highest the asker knows; an owner of less is none any more."""
+class LeaderRequest(msgspec.Struct, array_like=True, frozen=True, tag="question"):
+    """A request to the leader of a task.
+
+    `term`: the highest that the sender knows; a leader of a lower one is none any more.
+    """
 
     task: str
     term: int
@@ -87,9 +97,9 @@
     content: Any = None
 
 
-class Order(msgspec.Struct, array_like=True, frozen=True, tag="order"):
-    """The owner's answer: what the asker is to do, or may. Nothing of an owner's comes but as an answer, so
-    that the asker's own clock tells how old it is.
+class LeaderResponse(msgspec.Struct, array_like=True, frozen=True, tag="order"):
+    """The leader's response: what the sender of the request is to do, or may. A leader sends nothing but
+    responses, so that the receiver's own clock measures how old they are.
     """
 
     task: str
@@ -98,17 +108,17 @@
     content: Any = None
 
 
-class Refusal(msgspec.Struct, array_like=True, frozen=True, tag="refusal"):
-    """An order was not taken: a higher term is known, or it came too late."""
+class ResponseRejection(msgspec.Struct, array_like=True, frozen=True, tag="refusal"):
+    """A response was not accepted: a higher term is known, or it came too late."""
 
     task: str
     term: int  # the highest known here
     number: int
-    late: bool
+    is_late: bool
 
 
-class NotMine(msgspec.Struct, array_like=True, frozen=True, tag="not-mine"):
-    """The question came to one that does not own the task."""
+class NotLeader(msgspec.Struct, array_like=True, frozen=True, tag="not-mine"):
+    """The request came to a member that does not lead the task."""
 
     task: str
     term: int
@@ -122,52 +132,53 @@
     """
 
     name: str
-    for_us: int
+    stay_empty_us: int
 
 
 class DrainStatus(msgspec.Struct, array_like=True, frozen=True, tag="walking"):
-    """How far a node is with it: `asked`, `queued`, `draining`, `empty`, `done` or `refused`."""
+    """How far a node is with its drain: `asked`, `queued`, `draining`, `empty`, `done` or `refused`."""
 
     name: str
     state: str
-    why: str = ""
+    reason: str = ""
 
 
-class Want(msgspec.Struct, array_like=True, frozen=True):
-    """A question about a permit: I ask for it, hold it, or give it back (`state`: want, held, back).
+class PermitRequest(msgspec.Struct, array_like=True, frozen=True):
+    """The content of a `LeaderRequest` about a permit.
 
-    `place` is what an owner gave when it queued this, and `(0, 0)` before that.
+    `state`: `want` (requested), `held` or `back` (released).
+    `queue_position` is what a leader gave when it queued this, and `(0, 0)` before that.
     """
 
     kind: str
     subject: str
     state: str
-    place: tuple[int, int] = (0, 0)
+    queue_position: tuple[int, int] = (0, 0)
 
 
-class Say(msgspec.Struct, array_like=True, frozen=True):
-    """The answer: `yes` lasts for a permit's lease from when the question was sent."""
+class PermitResponse(msgspec.Struct, array_like=True, frozen=True):
+    """The response: `is_granted` lasts for a permit's lease from when the request was sent."""
 
     kind: str
     subject: str
-    yes: bool
-    place: tuple[int, int]
-    ahead: int  # who waits before it
-    why: str = ""
-
-
-OwnerBody = (
-    Ask
-    | Grant
-    | Deny
-    | Release
-    | Yield
-    | Recall
-    | Recalled
-    | Question
-    | Order
-    | Refusal
-    | NotMine
+    is_granted: bool
+    queue_position: tuple[int, int]
+    requests_ahead: int  # who waits before it
+    reason: str = ""
+
+
+LeadershipBody = (
+    LeaseRequest
+    | LeaseGrant
+    | LeaseDenial
+    | LeaseRelease
+    | LeaseHandover
+    | TermQuery
+    | TermReport
+    | LeaderRequest
+    | LeaderResponse
+    | ResponseRejection
+    | NotLeader
     | DrainRequest
     | DrainStatus
 )
--- a/sailrun/leadership/permits.py
+++ b/sailrun/leadership/permits.py
@@ -1,6 +1,6 @@
 """Permits limit how much may be out of service at a time: nodes that drain, form servers taken out by staff.
 
-The owner of the task `permits` is their coordinator. Each permit is a lease of its own, which its holder
+The leader of the task `permits` is their coordinator. Each permit is a lease of its own, which its holder
 renews. Nothing is stored: holders and those that wait repeat their requests. A new coordinator therefore only
 listens at first, for as long as a permit of its predecessor may last; what nobody claims by then is in use by
 nobody, since its holder's own clock has ended it before.
@@ -12,129 +12,139 @@
 
 from dataclasses import dataclass, field
 
-from sailrun.leadership.messages import Say, Want
+from sailrun.leadership.messages import PermitRequest, PermitResponse
 from sailrun.leadership.settings import DRIFT, PermitSettings
 
 SECOND = 1_000_000
-TASK = "permits"
-DRAIN, OUT = "drain", "out"
+PERMITS_TASK = "permits"
+DRAIN, OUT_OF_SERVICE = "drain", "out"
 # A holder, or one that waits, says so this many times within a permit's lease, and at least once a second.
-SAYS = 6
-MOST_ENTRIES = 10_000
+RENEWALS_PER_LEASE = 6
+MAX_QUEUE_ENTRIES = 10_000
 # More questions at once than this are left for the next turn.
-AT_ONCE = 64
+MAX_REQUESTS_PER_TURN = 64
 Key = tuple[str, str]
 
 
 @dataclass(slots=True)
-class _Entry:
+class _GrantedPermit:
     """A permit in use; several nodes may hold the one for a form server, each having it out."""
 
-    holders: dict[str, tuple[int, int]] = field(default_factory=dict)  # by name: its life, and until when
+    expiry_by_holder: dict[str, tuple[int, int]] = field(
+        default_factory=dict
+    )  # by name: its life, and until when
 
 
 @dataclass(slots=True)
-class _Waiting:
-    place: tuple[int, int]
-    until_us: int
+class _QueueEntry:
+    position: tuple[int, int]
+    expires_us: int
 
 
 class PermitCoordinator:
-    """The owner's side: limits, grants and the queue. Made anew at each term; closed until `open_us`."""
+    """The leader's side: limits, grants and the queue. Made anew at each term; closed until `opens_us`."""
 
     def __init__(
-        self, terms: PermitSettings, term: int, now_us: int, off: frozenset[str] = frozenset()
+        self, settings: PermitSettings, term: int, now_us: int, disabled_rules: frozenset[str] = frozenset()
     ) -> None:
-        self._terms, self.term = terms, term
-        self._lease_us = int(terms.lease_s * SECOND)
-        self.open_us = now_us + (0 if "grace" in off else int(self._lease_us * (1 + 3 * DRIFT)))
-        self._in_use: dict[Key, _Entry] = {}
-        self._queue: dict[tuple[Key, str], _Waiting] = {}  # by what, and who
+        self._settings, self.term = settings, term
+        self._lease_us = int(settings.lease_s * SECOND)
+        self.opens_us = now_us + (0 if "grace" in disabled_rules else int(self._lease_us * (1 + 3 * DRIFT)))
+        self._in_use: dict[Key, _GrantedPermit] = {}
+        self._queue: dict[tuple[Key, str], _QueueEntry] = {}  # by what, and who
         self._count = 0
 
-    def use(self, terms: PermitSettings) -> None:
+    def update_settings(self, settings: PermitSettings) -> None:
         """Other limits from now on; what is in use above them stays until it is given back."""
-        self._terms = terms
+        self._settings = settings
 
-    def limit(self, kind: str) -> int:
-        return {DRAIN: self._terms.drains, OUT: self._terms.out}.get(kind, 0)
+    def limit_of(self, kind: str) -> int:
+        """How many permits of a kind may be in use at a time; 0: there is no such kind."""
+        return {DRAIN: self._settings.drains, OUT_OF_SERVICE: self._settings.out}.get(kind, 0)
 
-    def asked(self, now_us: int, sender: str, life: int, want: Want) -> Say:
+    def on_request(self, now_us: int, sender: str, life: int, request: PermitRequest) -> PermitResponse:
         """Answers one question; the same question again gets the same answer."""
-        key = (want.kind, want.subject)
-        self._sweep(now_us)
-        if want.state == "back":
+        key = (request.kind, request.subject)
+        self._drop_expired(now_us)
+        if request.state == "back":
             self._queue.pop((key, sender), None)
-            entry = self._in_use.get(key)
-            if entry is not None:
-                entry.holders.pop(sender, None)
-                if not entry.holders:
+            granted = self._in_use.get(key)
+            if granted is not None:
+                granted.expiry_by_holder.pop(sender, None)
+                if not granted.expiry_by_holder:
                     del self._in_use[key]
-            return Say(*key, False, (0, 0), 0, "back")
-        if not self.limit(want.kind):
-            return Say(*key, False, (0, 0), 0, f"no permits of the kind {want.kind}")
-        entry = self._in_use.get(key)
-        held = entry is not None and sender in entry.holders and entry.holders[sender][0] == life
-        claims = want.state == "held"
-        if claims and not held and now_us < self.open_us:
+            return PermitResponse(*key, False, (0, 0), 0, "back")
+        if not self.limit_of(request.kind):
+            return PermitResponse(*key, False, (0, 0), 0, f"no permits of the kind {request.kind}")
+        granted = self._in_use.get(key)
+        held = (
+            granted is not None
+            and sender in granted.expiry_by_holder
+            and granted.expiry_by_holder[sender][0] == life
+        )
+        claims = request.state == "held"
+        if claims and not held and now_us < self.opens_us:
             held = True  # given by the owner before: it is in use, however many there are
-        place = self._queue_up(now_us, key, sender, want.place)
+        place = self._enqueue(now_us, key, sender, request.queue_position)
         if place is None:
-            return Say(*key, False, (0, 0), 0, f"{MOST_ENTRIES} wait already")
-        ahead = self._ahead(key, place)
-        free = entry is not None or (
-            now_us >= self.open_us and self.used(want.kind) + ahead < self.limit(want.kind)
+            return PermitResponse(*key, False, (0, 0), 0, f"{MAX_QUEUE_ENTRIES} wait already")
+        ahead = self._count_ahead(key, place)
+        free = granted is not None or (
+            now_us >= self.opens_us and self.count_in_use(request.kind) + ahead < self.limit_of(request.kind)
         )
         if not held and not free:
-            why = self._why(now_us, want.kind)
-            return Say(*key, False, place, ahead, why)
+            why = self._denial_reason(now_us, request.kind)
+            return PermitResponse(*key, False, place, ahead, why)
         self._queue.pop((key, sender), None)
-        entry = self._in_use.setdefault(key, _Entry())
+        granted = self._in_use.setdefault(key, _GrantedPermit())
         # A life that came back has the permit of the one before: they are not two.
-        entry.holders[sender] = (life, now_us + self._lease_us)
-        return Say(*key, True, place, 0)
+        granted.expiry_by_holder[sender] = (life, now_us + self._lease_us)
+        return PermitResponse(*key, True, place, 0)
 
-    def _queue_up(self, now_us: int, key: Key, sender: str, place: tuple[int, int]) -> tuple[int, int] | None:
-        """The place in the queue: what a former owner gave still counts, before all that came later."""
+    def _enqueue(self, now_us: int, key: Key, sender: str, place: tuple[int, int]) -> tuple[int, int] | None:
+        """The position in the queue: one that a former leader gave still counts, before all later ones."""
         waiting = self._queue.get((key, sender))
         if waiting is None:
-            if len(self._queue) >= MOST_ENTRIES:
+            if len(self._queue) >= MAX_QUEUE_ENTRIES:
                 return None
             if place == (0, 0):
                 self._count += 1
                 place = (self.term, self._count)
-            waiting = self._queue[(key, sender)] = _Waiting(place, 0)
-        waiting.until_us = now_us + self._lease_us
-        return waiting.place
+            waiting = self._queue[(key, sender)] = _QueueEntry(place, 0)
+        waiting.expires_us = now_us + self._lease_us
+        return waiting.position
 
-    def _ahead(self, key: Key, place: tuple[int, int]) -> int:
+    def _count_ahead(self, key: Key, place: tuple[int, int]) -> int:
         """Other things of the kind that wait with an earlier place."""
-        before = {k for (k, _), w in self._queue.items() if k[0] == key[0] and k != key and w.place < place}
+        before = {
+            k for (k, _), w in self._queue.items() if k[0] == key[0] and k != key and w.position < place
+        }
         return len(before - self._in_use.keys())
 
-    def _why(self, now_us: int, kind: str) -> str:
-        if now_us < self.open_us:
-            return f"a new owner listens for {(self.open_us - now_us) / SECOND:.1f} s more"
+    def _denial_reason(self, now_us: int, kind: str) -> str:
+        if now_us < self.opens_us:
+            return f"a new owner listens for {(self.opens_us - now_us) / SECOND:.1f} s more"
         used = sorted(subject for k, subject in self._in_use if k == kind)
-        return f"{len(used)} of {self.limit(kind)} in use: {', '.join(used[:5])}"
+        return f"{len(used)} of {self.limit_of(kind)} in use: {', '.join(used[:5])}"
 
-    def used(self, kind: str) -> int:
+    def count_in_use(self, kind: str) -> int:
+        """How many permits of a kind are in use."""
         return sum(1 for k, _ in self._in_use if k == kind)
 
-    def _sweep(self, now_us: int) -> None:
-        for key, entry in list(self._in_use.items()):
-            for name, (_, until_us) in list(entry.holders.items()):
+    def _drop_expired(self, now_us: int) -> None:
+        for key, granted in list(self._in_use.items()):
+            for name, (_, until_us) in list(granted.expiry_by_holder.items()):
                 if now_us >= until_us:
-                    del entry.holders[name]
-            if not entry.holders:
+                    del granted.expiry_by_holder[name]
+            if not granted.expiry_by_holder:
                 del self._in_use[key]
-        for waiting, told in list(self._queue.items()):
-            if now_us >= told.until_us:
-                del self._queue[waiting]
+        for key_and_name, waiting in list(self._queue.items()):
+            if now_us >= waiting.expires_us:
+                del self._queue[key_and_name]
 
-    def table(self, now_us: int) -> list[dict[str, object]]:
-        """Who holds what and who waits, for staff."""
-        self._sweep(now_us)
+    def rows(self, now_us: int) -> list[dict[str, object]]:
+        """Who holds what and who waits, for operators."""
+        self._drop_expired(now_us)
         rows: list[dict[str, object]] = [
             {
                 "kind": kind,
@@ -143,10 +153,10 @@
                 "state": "held",
                 "ends_in_s": _s(until - now_us),
             }
-            for (kind, subject), entry in sorted(self._in_use.items())
-            for name, (_, until) in sorted(entry.holders.items())
+            for (kind, subject), granted in sorted(self._in_use.items())
+            for name, (_, until) in sorted(granted.expiry_by_holder.items())
         ]
-        waiting = sorted(self._queue.items(), key=lambda item: item[1].place)
+        waiting = sorted(self._queue.items(), key=lambda item: item[1].position)
         return rows + [
             {"kind": key[0], "subject": key[1], "holder": name, "state": "waiting", "ends_in_s": None}
             for (key, name), _ in waiting
@@ -158,105 +168,115 @@
 
 
 @dataclass(slots=True)
-class Wanted:
-    """What one node wants or holds."""
+class PermitState:
+    """A permit that one node requests, holds or releases."""
 
     kind: str
     subject: str
     state: str = "want"  # want, held, back
-    place: tuple[int, int] = (0, 0)
-    until_us: int = 0  # held until then
-    next_us: int = 0  # when to ask again
-    why: str = "not asked yet"
-    ahead: int = 0
-    back_until_us: int = 0  # a permit given back is said so until answered, or until it has ended anyway
+    queue_position: tuple[int, int] = (0, 0)
+    expires_us: int = 0  # held until then
+    next_request_us: int = 0  # when to ask again
+    reason: str = "not asked yet"
+    requests_ahead: int = 0
+    release_until_us: int = 0  # a permit given back is said so until answered, or until it has ended anyway
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class PermitChange:
     """A permit is this node's, or is not any more."""
 
     kind: str
     subject: str
-    yes: bool
-    why: str = ""
+    is_held: bool
+    reason: str = ""
 
 
 class PermitHolder:
-    """The client's side: what this node wants and holds, and until when by its own clock."""
+    """The client's side: what this node requests and holds, and until when by its own clock."""
 
-    def __init__(self, terms: PermitSettings) -> None:
-        self._terms = terms
-        self._lease_us = int(terms.lease_s * SECOND)
-        self.wanted: dict[Key, Wanted] = {}
-        self.uses: list[Use] = []  # the driver reads and empties it
+    def __init__(self, settings: PermitSettings) -> None:
+        self._settings = settings
+        self._lease_us = int(settings.lease_s * SECOND)
+        self.permits: dict[Key, PermitState] = {}
+        self.changes: list[PermitChange] = []  # the driver reads and empties it
 
     @property
-    def ask_us(self) -> int:
-        return min(SECOND, self._lease_us // SAYS)
+    def request_interval_us(self) -> int:
+        """How often a permit is requested, or renewed."""
+        return min(SECOND, self._lease_us // RENEWALS_PER_LEASE)
 
-    def want(self, kind: str, subject: str) -> Wanted:
+    def request(self, kind: str, subject: str) -> PermitState:
+        """Begins to request a permit, unless it is requested or held already."""
         key = (kind, subject)
-        wanted = self.wanted.get(key)
-        if wanted is None or wanted.state == "back":
-            wanted = self.wanted[key] = Wanted(kind, subject)
-        return wanted
-
-    def give_back(self, now_us: int, kind: str, subject: str) -> None:
-        wanted = self.wanted.get((kind, subject))
-        if wanted is None or wanted.state == "back":
+        permit = self.permits.get(key)
+        if permit is None or permit.state == "back":
+            permit = self.permits[key] = PermitState(kind, subject)
+        return permit
+
+    def release(self, now_us: int, kind: str, subject: str) -> None:
+        """Gives a permit up, or stops requesting it; the leader is notified."""
+        permit = self.permits.get((kind, subject))
+        if permit is None or permit.state == "back":
             return
-        if wanted.state == "held":
-            self.uses.append(Use(kind, subject, False, "given back"))
-        wanted.state, wanted.next_us, wanted.until_us = "back", now_us, 0
-        wanted.back_until_us = now_us + self._lease_us
+        if permit.state == "held":
+            self.changes.append(PermitChange(kind, subject, False, "given back"))
+        permit.state, permit.next_request_us, permit.expires_us = "back", now_us, 0
+        permit.release_until_us = now_us + self._lease_us
 
-    def holds(self, kind: str, subject: str, now_us: int) -> bool:
-        wanted = self.wanted.get((kind, subject))
-        return wanted is not None and wanted.state == "held" and now_us < wanted.until_us
+    def is_held(self, kind: str, subject: str, now_us: int) -> bool:
+        """Whether this node may use the permit now."""
+        permit = self.permits.get((kind, subject))
+        return permit is not None and permit.state == "held" and now_us < permit.expires_us
 
     def due_us(self, now_us: int) -> int:
         """When `turn` wants to be called next."""
         due_us = now_us + SECOND
-        for wanted in self.wanted.values():
-            due_us = min(due_us, wanted.next_us, wanted.until_us or due_us)
+        for permit in self.permits.values():
+            due_us = min(due_us, permit.next_request_us, permit.expires_us or due_us)
         return due_us
 
-    def turn(self, now_us: int) -> list[Want]:
-        """What is to be asked of the owner now."""
-        wants: list[Want] = []
-        for key, wanted in list(self.wanted.items()):
-            if wanted.state == "held" and now_us >= wanted.until_us:
+    def turn(self, now_us: int) -> list[PermitRequest]:
+        """The requests that are due to the leader now."""
+        requests: list[PermitRequest] = []
+        for key, permit in list(self.permits.items()):
+            if permit.state == "held" and now_us >= permit.expires_us:
                 # The coordinator counts it as free from now on: it is used no longer, and asked for anew.
-                wanted.state, wanted.until_us = "want", 0
-                self.uses.append(Use(*key, False, "lapsed: its owner was not heard of in time"))
-            if wanted.state == "back" and now_us >= wanted.back_until_us:
-                del self.wanted[key]
+                permit.state, permit.expires_us = "want", 0
+                self.changes.append(PermitChange(*key, False, "lapsed: its owner was not heard of in time"))
+            if permit.state == "back" and now_us >= permit.release_until_us:
+                del self.permits[key]
                 continue
-            if now_us >= wanted.next_us and len(wants) < AT_ONCE:
-                wanted.next_us = now_us + self.ask_us
-                wants.append(Want(*key, wanted.state, wanted.place))
-        return wants
-
-    def told(self, now_us: int, sent_us: int, asked: Want, say: Say) -> None:
-        """The owner's answer to what was asked at `sent_us`."""
-        key = (say.kind, say.subject)
-        wanted = self.wanted.get(key)
-        if wanted is None or (asked.kind, asked.subject) != key:
+            if now_us >= permit.next_request_us and len(requests) < MAX_REQUESTS_PER_TURN:
+                permit.next_request_us = now_us + self.request_interval_us
+                requests.append(PermitRequest(*key, permit.state, permit.queue_position))
+        return requests
+
+    def on_response(
+        self, now_us: int, sent_us: int, request: PermitRequest, response: PermitResponse
+    ) -> None:
+        """The leader's response to a request sent at `sent_us`."""
+        key = (response.kind, response.subject)
+        permit = self.permits.get(key)
+        if permit is None or (request.kind, request.subject) != key:
             return
-        if wanted.state == "back":
-            if asked.state == "back":
-                del self.wanted[key]
+        if permit.state == "back":
+            if request.state == "back":
+                del self.permits[key]
             return
-        if asked.state == "back":
+        if request.state == "back":
             return
-        wanted.place, wanted.ahead, wanted.why = say.place, say.ahead, say.why
+        permit.queue_position, permit.requests_ahead, permit.reason = (
+            response.queue_position,
+            response.requests_ahead,
+            response.reason,
+        )
         until_us = sent_us + int(self._lease_us * (1 - 2 * DRIFT))
-        if say.yes and now_us < until_us:
-            if wanted.state != "held":
-                self.uses.append(Use(*key, True))
-            wanted.state, wanted.until_us = "held", max(wanted.until_us, until_us)
-        elif not say.yes and wanted.state == "held" and asked.state == "held":
+        if response.is_granted and now_us < until_us:
+            if permit.state != "held":
+                self.changes.append(PermitChange(*key, True))
+            permit.state, permit.expires_us = "held", max(permit.expires_us, until_us)
+        elif not response.is_granted and permit.state == "held" and request.state == "held":
             # Its owner knows nothing of it: it has ended there.
-            wanted.state, wanted.until_us = "want", 0
-            self.uses.append(Use(*key, False, say.why or "not known to its owner"))
+            permit.state, permit.expires_us = "want", 0
+            self.changes.append(PermitChange(*key, False, response.reason or "not known to its owner"))
--- a/sailrun/leadership/carrier.py
+++ b/sailrun/leadership/transport.py
@@ -27,45 +27,52 @@
     show_address,
     split_address,
 )
-from sailrun.leadership.agent import Agent, Out
+from sailrun.leadership.agent import Agent, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.envelope import LONGEST_DATAGRAM, LONGEST_FRAME, BadMessage, Envelope, pack, unpack
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.envelope import (
+    MAX_DATAGRAM_BYTES,
+    MAX_FRAME_BYTES,
+    BadEnvelope,
+    Envelope,
+    decode_envelope,
+    encode_envelope,
+)
+from sailrun.leadership.traffic import TrafficCounters
 from sailrun.node.clock import log
 
 SECOND = 1_000_000
 # Frames that wait for one link, and links that are open, each way.
-MOST_QUEUED, MOST_LINKS = 4, 64
+MAX_QUEUED_FRAMES, MAX_LINKS = 4, 64
 # A link that is not set up, or has carried nothing, within this is ended.
-LINK_S, IDLE_S = 2.0, 30.0
+LINK_TIMEOUT_S, LINK_IDLE_TIMEOUT_S = 2.0, 30.0
 # Datagrams read in one go before others get their turn.
-AT_ONCE = 64
-_HEAD = 4
+MAX_DATAGRAMS_PER_READ = 64
+_FRAME_HEADER_BYTES = 4
 
 
-class Carrier:
+class Transport:
     """The sockets of one member."""
 
-    def __init__(self, agent: Agent, address: tuple[str, int], patient: bool) -> None:
+    def __init__(self, agent: Agent, address: tuple[str, int], waits_for_address: bool) -> None:
         """Patient: where the address is taken by a predecessor that is about to end, it is tried for again;
         otherwise that raises OSError.
         """
         self.agent = agent
-        self._address, self._patient = address, patient
-        self._calls: deque[Callable[[], list[Out]]] = deque()
+        self._address, self._waits_for_address = address, waits_for_address
+        self._calls: deque[Callable[[], list[OutgoingEnvelope]]] = deque()
         self._called = anyio.Event()
-        self._links: dict[str, _Link] = {}
-        self._accepted = 0
-        self.traffic = Traffic()
+        self._links: dict[str, _OutgoingLink] = {}
+        self._accepted_links = 0
+        self.traffic = TrafficCounters()
         self.bad_frames = 0
         self._sockets: tuple[socket.socket, socket.socket] | None = None
-        self.ends = False  # after what is to be sent now, the address is given up
+        self.closes_after_send = False  # after what is to be sent now, the address is given up
         # After each turn of the agent: what has changed is acted on.
-        self.after: Callable[[int], list[Out]] = lambda now_us: []
+        self.after_turn: Callable[[int], list[OutgoingEnvelope]] = lambda now_us: []
         try:
             self._sockets = self._bind()
         except OSError as error:
-            if not patient or error.errno != errno.EADDRINUSE:
+            if not waits_for_address or error.errno != errno.EADDRINUSE:
                 raise
 
     def _bind(self) -> tuple[socket.socket, socket.socket]:
@@ -77,12 +84,13 @@
             datagrams.close()
             raise
 
-    def post(self, call: Callable[[int], list[Out]]) -> None:
+    def post(self, call: Callable[[int], list[OutgoingEnvelope]]) -> None:
         """Has the agent's task call this with the time, and send what it returns."""
         self._calls.append(lambda: call(boot_us()))
         self._called.set()
 
     def close(self) -> None:
+        """Closes the sockets; safe to call more than once."""
         for sock in self._sockets or ():
             if sock.fileno() >= 0:
                 with contextlib.suppress(RuntimeError):  # no event loop runs yet
@@ -90,6 +98,7 @@
                 sock.close()
 
     async def run(self) -> None:
+        """Binds the address and drives the agent, until cancelled or `closes_after_send`."""
         while self._sockets is None:
             await anyio.sleep_until(anyio.current_time() + 0.2)
             with contextlib.suppress(OSError):
@@ -100,14 +109,14 @@
                 self._group = group
                 group.start_soon(self._read, datagrams)
                 group.start_soon(self._accept, listener, group)
-                await self._own(datagrams)
+                await self._run_agent(datagrams)
                 group.cancel_scope.cancel()
         finally:
             self.close()
 
     # ------------------------------------------------------------------ the task that owns the agent
 
-    async def _own(self, datagrams: socket.socket) -> None:
+    async def _run_agent(self, datagrams: socket.socket) -> None:
         while True:
             now_us = boot_us()
             due_us = self.agent.due_us(now_us)
@@ -116,27 +125,27 @@
             self._called = anyio.Event()
             while self._calls:
                 self._send(datagrams, self._calls.popleft()())
-            if self.ends:
+            if self.closes_after_send:
                 return
             now_us = boot_us()
             self._send(datagrams, self.agent.turn(now_us))
-            self._send(datagrams, self.after(now_us))
-            for note in self.agent.notes:
-                log(note.what, **note.facts)
-            self.agent.notes.clear()
-
-    def _send(self, datagrams: socket.socket, outs: list[Out]) -> None:
-        for out in outs:
-            data = pack(out.envelope)
-            if len(data) > LONGEST_DATAGRAM:
-                self._by_link(out, data)
+            self._send(datagrams, self.after_turn(now_us))
+            for note in self.agent.log_events:
+                log(note.name, **note.fields)
+            self.agent.log_events.clear()
+
+    def _send(self, datagrams: socket.socket, envelopes: list[OutgoingEnvelope]) -> None:
+        for outgoing in envelopes:
+            data = encode_envelope(outgoing.envelope)
+            if len(data) > MAX_DATAGRAM_BYTES:
+                self._queue_frame(outgoing, data)
                 continue
             # The clock is looked at last of all.
-            if out.guard is not None and not self.agent.still(out.guard, boot_us()):
+            if outgoing.guard is not None and not self.agent.may_send(outgoing.guard, boot_us()):
                 continue
-            self._put(datagrams, data, out.address)
+            self._send_datagram(datagrams, data, outgoing.address)
 
-    def _put(self, datagrams: socket.socket, data: bytes, address: str) -> None:
+    def _send_datagram(self, datagrams: socket.socket, data: bytes, address: str) -> None:
         try:
             datagrams.sendto(data, split_address(address))
         except (OSError, ValueError):
@@ -148,29 +157,29 @@
     async def _read(self, datagrams: socket.socket) -> None:
         while True:
             await anyio.wait_readable(datagrams)
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_DATAGRAMS_PER_READ):
                 try:
-                    data, sender = datagrams.recvfrom(LONGEST_DATAGRAM + 1)
+                    data, sender = datagrams.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except OSError:
                     break
-                self._came(data, show_address(sender[:2]))
+                self._on_data(data, show_address(sender[:2]))
             await anyio.sleep(0)
 
-    def _came(self, data: bytes, address: str) -> bool:
+    def _on_data(self, data: bytes, address: str) -> bool:
         self.traffic.received(len(data))
         try:
-            envelope = self._unpacked(data)
-        except BadMessage:
-            self.agent.tallies.bad_messages += 1
+            envelope = self._decode(data)
+        except BadEnvelope:
+            self.agent.counters.malformed_messages += 1
             return False
-        self._hear(address, envelope)
+        self._on_envelope(address, envelope)
         return True
 
-    def _unpacked(self, data: bytes) -> Envelope:
-        return unpack(data)
+    def _decode(self, data: bytes) -> Envelope:
+        return decode_envelope(data)
 
-    def _hear(self, address: str, envelope: Envelope) -> None:
-        self.post(lambda now_us: self.agent.hear(now_us, address, envelope))
+    def _on_envelope(self, address: str, envelope: Envelope) -> None:
+        self.post(lambda now_us: self.agent.on_envelope(now_us, address, envelope))
 
     async def _accept(self, listener: socket.socket, group: TaskGroup) -> None:
         while True:
@@ -179,63 +188,63 @@
             except OSError:
                 await anyio.sleep_until(anyio.current_time() + 0.1)  # no descriptors: others go first
                 continue
-            if self._accepted >= MOST_LINKS:
+            if self._accepted_links >= MAX_LINKS:
                 sock.close()
                 continue
-            self._accepted += 1
-            group.start_soon(self._hear_link, Connection(sock, LONGEST_FRAME + _HEAD))
+            self._accepted_links += 1
+            group.start_soon(self._serve_link, Connection(sock, MAX_FRAME_BYTES + _FRAME_HEADER_BYTES))
 
-    async def _hear_link(self, link: Connection) -> None:
+    async def _serve_link(self, link: Connection) -> None:
         """Reads frames until one is none, the other side ends, or nothing comes for long."""
         try:
             with contextlib.suppress(OSError, Overlong):
                 while True:
-                    with anyio.CancelScope(deadline=anyio.current_time() + IDLE_S) as waiting:
-                        data = await _frame(link)
+                    with anyio.CancelScope(deadline=anyio.current_time() + LINK_IDLE_TIMEOUT_S) as waiting:
+                        data = await _read_frame(link)
                     if waiting.cancelled_caught or data is None:
                         return
-                    self.traffic.bytes_in += _HEAD
-                    if not self._came(data, show_address(link.sock.getpeername()[:2])):
+                    self.traffic.bytes_in += _FRAME_HEADER_BYTES
+                    if not self._on_data(data, show_address(link.sock.getpeername()[:2])):
                         self.bad_frames += 1
                         log("link-ended", reason="bad-frame", peer=show_address(link.sock.getpeername()[:2]))
                         return
         finally:
             link.close()
-            self._accepted -= 1
+            self._accepted_links -= 1
 
     # ------------------------------------------------------------------ links
 
-    def _by_link(self, out: Out, data: bytes) -> None:
-        link = self._links.get(out.address)
+    def _queue_frame(self, outgoing: OutgoingEnvelope, data: bytes) -> None:
+        link = self._links.get(outgoing.address)
         if link is None:
-            if len(self._links) >= MOST_LINKS:
+            if len(self._links) >= MAX_LINKS:
                 return  # asked for again
-            link = self._links[out.address] = _Link()
-            self._group.start_soon(self._run_link, out.address, link)
-        if len(link.queue) < MOST_QUEUED:
-            link.queue.append((data, out.guard))
+            link = self._links[outgoing.address] = _OutgoingLink()
+            self._group.start_soon(self._run_link, outgoing.address, link)
+        if len(link.queue) < MAX_QUEUED_FRAMES:
+            link.queue.append((data, outgoing.guard))
             link.filled.set()
 
-    async def _run_link(self, address: str, link: _Link) -> None:
+    async def _run_link(self, address: str, link: _OutgoingLink) -> None:
         connection: Connection | None = None
         try:
-            with anyio.CancelScope(deadline=anyio.current_time() + LINK_S):
+            with anyio.CancelScope(deadline=anyio.current_time() + LINK_TIMEOUT_S):
                 connection = await connect(split_address(address))
             while connection is not None:
-                with anyio.CancelScope(deadline=anyio.current_time() + IDLE_S) as idle:
+                with anyio.CancelScope(deadline=anyio.current_time() + LINK_IDLE_TIMEOUT_S) as idle:
                     while not link.queue:
                         link.filled = anyio.Event()
                         await link.filled.wait()
                 if idle.cancelled_caught:
                     return
                 data, guard = link.queue.popleft()
-                if guard is not None and not self.agent.still(guard, boot_us()):
+                if guard is not None and not self.agent.may_send(guard, boot_us()):
                     continue
-                with anyio.CancelScope(deadline=anyio.current_time() + LINK_S) as writing:
-                    await connection.write(len(data).to_bytes(_HEAD, "big") + data)
+                with anyio.CancelScope(deadline=anyio.current_time() + LINK_TIMEOUT_S) as writing:
+                    await connection.write(len(data).to_bytes(_FRAME_HEADER_BYTES, "big") + data)
                 if writing.cancelled_caught:
                     return  # half a frame may be out
-                self.traffic.sent(len(data) + _HEAD)
+                self.traffic.sent(len(data) + _FRAME_HEADER_BYTES)
         except (OSError, ValueError):
             pass  # what waits is dropped, and asked for again
         finally:
@@ -244,7 +253,7 @@
                 connection.close()
 
 
-class _Link:
+class _OutgoingLink:
     """What waits to go out to one member."""
 
     def __init__(self) -> None:
@@ -252,16 +261,16 @@
         self.filled: Any = anyio.Event()
 
 
-async def _frame(link: Connection) -> bytes | None:
+async def _read_frame(link: Connection) -> bytes | None:
     """The next frame's content; None where the other side has ended. Raises Overlong for one too long."""
-    while link.held() < _HEAD:
+    while link.held() < _FRAME_HEADER_BYTES:
         if not await link.fill():
             return None
-    length = int.from_bytes(link.peek(_HEAD), "big")
-    if length > LONGEST_FRAME:
+    length = int.from_bytes(link.peek(_FRAME_HEADER_BYTES), "big")
+    if length > MAX_FRAME_BYTES:
         raise Overlong(f"a frame of {length} bytes")
-    while link.held() < _HEAD + length:
+    while link.held() < _FRAME_HEADER_BYTES + length:
         if not await link.fill():
             return None
-    link.take(_HEAD)
+    link.take(_FRAME_HEADER_BYTES)
     return link.take(length)
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -174,7 +174,7 @@
         made = self._rounds.get(accepted.request_id)
         if made is None:
             return
-        if sender in self._voters().all():
+        if sender in self._voters().names():
             self._rounds.count_vote(now_us, made, sender, accepted.incarnation, accepted.crash_vector)
         if sender in made.observers:
             made.observer_acks.add(sender)
@@ -182,7 +182,7 @@
     def _on_promise(self, now_us: int, sender: str, promise: Promise) -> None:
         """Takes over what the voter held when it promised; only then its promise counts."""
         made = self._rounds.get(promise.request_id)
-        if made is None or sender not in self._voters().all():
+        if made is None or sender not in self._voters().names():
             return
         if sender in made.transferring or sender in made.votes:
             return
@@ -245,7 +245,7 @@
 
     def _write_mark(self, now_us: int, request: MarkRequest, key: Key) -> MarkReply:
         written_ids = list_request_ids(self._store.get(key))
-        voters = len(self._voters().all())
+        voters = len(self._voters().names())
         if request.id in written_ids:
             # Done under a former term; a majority held it before this one opened.
             return MarkReply(request.id, MarkState.DONE, self.term, voters // 2 + 1, voters)
--- a/sailrun/replication/mark_writes.py
+++ b/sailrun/replication/mark_writes.py
@@ -55,7 +55,7 @@
             return MarkReply(request.id, MarkState.UNKNOWN, self._term)
         made = write.round
         copies = len({*made.votes, *made.observer_acks, self._name})
-        replicas = len({*self._voters().all(), *made.observers, self._name})
+        replicas = len({*self._voters().names(), *made.observers, self._name})
         state = MarkState.PENDING
         if made.has_majority:
             state = MarkState.WAITING if write.is_waiting else MarkState.DONE
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -135,8 +135,8 @@
             self.store,
             self.settings,
             self._members,
-            lambda: self._voters().all(),
-            lambda names: self._voters().majority(names),
+            lambda: self._voters().names(),
+            lambda names: self._voters().is_majority(names),
             self._rng.getrandbits(32),
             now_us,
             self._disabled_rules,
@@ -147,7 +147,7 @@
 
     def apply_voters(self, now_us: int) -> None:
         """The fleet's voters may have changed: this node may be one, or be one no longer."""
-        if self.name not in self._voters().all():
+        if self.name not in self._voters().names():
             self.acceptor = None
         elif self.acceptor is None:
             self.acceptor = Acceptor(
--- a/sailrun/replication/rounds.py
+++ b/sailrun/replication/rounds.py
@@ -80,7 +80,7 @@
         counting = find_consistent_voters(one.votes) if self._checks_incarnations else set(one.votes)
         for name in one.votes.keys() - counting:
             del one.votes[name]  # asked again
-        if not one.has_majority and self._voters().majority(counting):
+        if not one.has_majority and self._voters().is_majority(counting):
             one.has_majority = True
             one.on_majority(now_us)
 
@@ -91,7 +91,7 @@
     def turn(self, now_us: int) -> list[OutgoingMessage]:
         """Messages that are due; rounds that have run their time end."""
         messages: list[OutgoingMessage] = []
-        voters = self._voters().all()
+        voters = self._voters().names()
         for one in list(self._rounds.values()):
             if now_us < one.send_at_us:
                 continue
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from sailrun.hot_restart.handover import Inherited
     from sailrun.leadership.agent import AgentSettings
-    from sailrun.leadership.service import FleetPart
-    from sailrun.leadership.shared import SharedDiscovery
+    from sailrun.leadership.service import FleetService
+    from sailrun.leadership.shared_discovery import SharedDiscovery
     from sailrun.storage.service import StorageService
     from sailrun.xds.discovery import EnvoyDiscovery
 
@@ -113,13 +113,13 @@
         name, fleet = members.name or config.name, members.fleet if members.enabled else ""
         return StorageService(config.operator.lasting, name, fleet, slow_us, patient, boot_us)
 
-    def _join_fleet(self, config: NodeConfig, patient: bool) -> FleetPart | None:
+    def _join_fleet(self, config: NodeConfig, patient: bool) -> FleetService | None:
         if config.operator is None or not config.operator.members.enabled:
             return None
         # Loaded only where it is switched on: the platform's nodes have no path to each other but datagrams.
-        from sailrun.leadership.service import FleetPart
+        from sailrun.leadership.service import FleetService
 
-        return FleetPart(self.node, config, patient, self._lasting)
+        return FleetService(self.node, config, patient, self._lasting)
 
     def _switch(self, config: NodeConfig) -> None:
         """Switches subsystems on or off, as the operator's file has them."""
@@ -197,7 +197,7 @@
             self._writing.cancel()  # the folder is the successor's now
         elif yes and self._fleet is not None:
             # The name and the address are the successor's now, and the folder.
-            self._fleet.give_up()
+            self._fleet.release_address()
         else:
             self._lasting = self._open_lasting(self._config, patient=True)
             self._fleet = self._join_fleet(self._config, patient=True)
@@ -210,7 +210,9 @@
         match config.roster:
             case RegistryService(address):
                 shared = (
-                    self._fleet.discovery(config.roster, self._revision) if self._fleet is not None else None
+                    self._fleet.new_discovery(config.roster, self._revision)
+                    if self._fleet is not None
+                    else None
                 )
                 return shared or DiscoveryClient(self.node, address, self._revision, config.seed)
             case EnvoyFiles(cluster, clusters, endpoints):
@@ -302,7 +304,7 @@
         if "operator" in changed:
             self._switch(config)
         if fleet_terms is not None and self._fleet is not None:
-            self._fleet.use(fleet_terms)
+            self._fleet.update_settings(fleet_terms)
         if "roster" in changed:
             self._asking.cancel()
             self._discovery, self._asking = self._discovery_for(config), anyio.CancelScope()
@@ -321,7 +323,7 @@
             return None
         import msgspec
 
-        from sailrun.leadership.service import agent_terms
+        from sailrun.leadership.service import agent_settings
         from sailrun.operator_settings import voters_follow
 
         if (why := voters_follow(before.owners, after.owners)) is not None:
@@ -335,15 +337,15 @@
         permits = msgspec.structs.replace(
             after.permits, lease_s=before.permits.lease_s, enabled=before.permits.enabled
         )
-        terms = agent_terms(after)
+        terms = agent_settings(after)
         kept_on = before.replica.enabled  # a copy is begun, or given up, at a start
         return replace(
             terms,
-            members=before.members,
-            owners=kept,
+            membership=before.members,
+            leadership=kept,
             permits=permits,
-            reader=before.reader,
-            replica=msgspec.structs.replace(after.replica, enabled=kept_on),
+            list_reader=before.reader,
+            replication=msgspec.structs.replace(after.replica, enabled=kept_on),
         )
 
     def _exchange(self, key: str, new: Door | None) -> None:
--- a/sailrun/sharding/assigner_election.py
+++ b/sailrun/sharding/assigner_election.py
@@ -5,8 +5,16 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from sailrun.leadership.leases import Leases, OwnershipChange, best_placed
-from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
+from sailrun.leadership.leases import LeadershipChange, Leases, best_placed
+from sailrun.leadership.messages import (
+    LeaseDenial,
+    LeaseGrant,
+    LeaseHandover,
+    LeaseRelease,
+    LeaseRequest,
+    TermQuery,
+    TermReport,
+)
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
 from sailrun.leadership.voter import Voter
@@ -83,55 +91,55 @@
 
     def is_assigner(self, now_us: int) -> bool:
         """Whether this member may act as its region's assigner now."""
-        return bool(self._leases.holds(self.task, now_us))
+        return bool(self._leases.held_term(self.task, now_us))
 
     def known_assigner(self, now_us: int) -> str:
         """The assigner, as far as this member knows; empty: none is known."""
         if self._voter is not None:
-            held = self._voter.holders(now_us).get(self.task)
+            held = self._voter.active_holders(now_us).get(self.task)
             if held is not None:
                 return held[0]
-        return self._leases.of(self.task).holder
+        return self._leases.lease_of(self.task).holder
 
     def is_still_wanted(self, message: ElectionMessage) -> bool:
         """False for a request to a voter that this member's own vote has denied meanwhile."""
-        return not isinstance(message.body, Ask) or self._leases.wants(message.body)
+        return not isinstance(message.body, LeaseRequest) or self._leases.is_requested(message.body)
 
     # ------------------------------------------------------------------ messages
 
     def receive(self, now_us: int, sender: str, life: int, message: ElectionMessage) -> list[PeerMessage]:
         """Takes in a vote or a request for one."""
         match message.body:
-            case Grant() as grant:
-                self._leases.granted(now_us, sender, grant)
-            case Deny() as denial:
-                return self._wrap(self._leases.denied(now_us, sender, denial))
-            case Yield() as handover:
-                self._leases.yielded(now_us, handover)
+            case LeaseGrant() as grant:
+                self._leases.on_grant(now_us, sender, grant)
+            case LeaseDenial() as denial:
+                return self._wrap(self._leases.on_denial(now_us, sender, denial))
+            case LeaseHandover() as handover:
+                self._leases.on_handover(now_us, handover)
                 return self.tick_leases(now_us)
             case body:
                 return self._wrap(self._vote(now_us, sender, life, body))
         return []
 
     def _vote(
-        self, now_us: int, sender: str, life: int, body: Ask | Release | Recall | Recalled
+        self, now_us: int, sender: str, life: int, body: LeaseRequest | LeaseRelease | TermQuery | TermReport
     ) -> list[tuple[str, Any]]:
         if self._voter is None:
             return []
         match body:
-            case Ask():
-                return [(sender, self._voter.asked(now_us, sender, life, body))]
-            case Release():
-                self._voter.released(sender, life, body)
-            case Recall():
-                return [(sender, self._voter.recall(body))]
-            case Recalled():
-                self._voter.told(now_us, sender, body)
+            case LeaseRequest():
+                return [(sender, self._voter.on_lease_request(now_us, sender, life, body))]
+            case LeaseRelease():
+                self._voter.on_release(sender, life, body)
+            case TermQuery():
+                return [(sender, self._voter.report_terms(body))]
+            case TermReport():
+                self._voter.on_term_report(now_us, sender, body)
         return []
 
     def observe_term(self, now_us: int, term: int) -> None:
         """A voter has promised that term: a lease under a lower one is over, the next one is above it."""
-        self._leases.heard_of(self.task, term, "", now_us)
+        self._leases.observe_term(self.task, term, "", now_us)
 
     def _wrap(self, messages: Iterable[tuple[str, Any]]) -> list[PeerMessage]:
         region = self._region.name
@@ -161,7 +169,7 @@
 
     # ------------------------------------------------------------------ outcome
 
-    def take_changes(self) -> list[OwnershipChange]:
+    def take_changes(self) -> list[LeadershipChange]:
         """The changes of the lease since the last call."""
         changes = self._leases.changes[:]
         self._leases.changes.clear()
@@ -169,14 +177,14 @@
 
     def record_lease(self) -> None:
         """Records until when the lease is held, where that has changed."""
-        lease = self._leases.of(self.task)
-        if lease.until_us and lease.until_us != self._recorded_until_us:
-            self._recorded_until_us = lease.until_us
-            self._record("hold", task=self.task, term=lease.term, until_us=lease.until_us)
+        lease = self._leases.lease_of(self.task)
+        if lease.expires_us and lease.expires_us != self._recorded_until_us:
+            self._recorded_until_us = lease.expires_us
+            self._record("hold", task=self.task, term=lease.term, until_us=lease.expires_us)
 
     def take_majority_change(self, now_us: int) -> bool | None:
         """Whether a voter reaches a majority of the voters, where that has changed since the last call."""
-        if self._voter is None or self._reaches_majority is self._leases.in_touch(now_us):
+        if self._voter is None or self._reaches_majority is self._leases.reaches_majority(now_us):
             return None
         self._reaches_majority = not self._reaches_majority
         return self._reaches_majority
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -52,7 +52,7 @@
 from sailrun.lab.scale.role_table import is_of_role, role_lines
 from sailrun.lab.scale.roles import MEASURES, NodeUse, role_figures, roles_of, use_between
 from sailrun.lab.scale.settings import node_terms
-from sailrun.leadership.traffic import Traffic
+from sailrun.leadership.traffic import TrafficCounters
 
 SECOND = 1_000_000
 SMALL = ScalePlan(nodes=3, hollow=60, seconds=3.0)
@@ -85,10 +85,10 @@
     for region in {place.region for place in places}:
         voters = control_of(places, region)
         assert len(voters) == 3 and len({p.zone for p in control if p.region == region}) == 3
-        told = node_terms(plan, places, next(p for p in places if p.region == region)).shards.region(region)
+        told = node_terms(plan, places, next(p for p in places if p.region == region)).sharding.region(region)
         assert told is not None and (told.voters, told.shards) == (voters, 1_000)
     assert set(voters_of(places)) <= {place.name for place in control}
-    assert not node_terms(SMALL, place_nodes(SMALL), place_nodes(SMALL)[0]).shards.enabled
+    assert not node_terms(SMALL, place_nodes(SMALL), place_nodes(SMALL)[0]).sharding.enabled
     with pytest.raises(DoesNotFit, match="fewer than 24"):
         check_fit(replace(plan, hollow=23))
 
@@ -100,9 +100,9 @@
 def test_terms_are_those_of_the_place() -> None:
     places = place_nodes(replace(SMALL, replica=False))
     terms = node_terms(replace(SMALL, replica=False), places, places[1])
-    assert terms.members.name == "n1" and terms.members.listen == places[1].address
-    assert places[1].address not in terms.members.join and len(terms.members.join) == 2
-    assert terms.owners.enabled and terms.reader.enabled and not terms.replica.enabled
+    assert terms.membership.name == "n1" and terms.membership.listen == places[1].address
+    assert places[1].address not in terms.membership.join and len(terms.membership.join) == 2
+    assert terms.leadership.enabled and terms.list_reader.enabled and not terms.replication.enabled
 
 
 @pytest.mark.parametrize(
@@ -240,7 +240,9 @@
 
 
 def _report(name: str, sent: int, cpu_s: float, *tasks: str, voter: bool = False) -> NodeReport:
-    return NodeReport(name, 1, Traffic(sent, 2 * sent, 10 * sent, 100 * sent), cpu_s, list(tasks), voter)
+    return NodeReport(
+        name, 1, TrafficCounters(sent, 2 * sent, 10 * sent, 100 * sent), cpu_s, list(tasks), voter
+    )
 
 
 def test_a_nodes_use_is_what_was_added_each_second() -> None:
@@ -312,7 +314,7 @@
 
 
 def test_more_or_fewer_shards_in_use_than_there_are_are_found() -> None:
-    reports = [NodeReport("a", 1, Traffic(), 0.0, [], False, shards=n) for n in (4, 6)]
+    reports = [NodeReport("a", 1, TrafficCounters(), 0.0, [], False, shards=n) for n in (4, 6)]
     assert shards_check(reports, 10).holds
     assert not shards_check(reports, 11).holds and not shards_check(reports, 9).holds
 
