--- a/sailrun/leadership/response_gate.py
+++ b/sailrun/leadership/response_gate.py
@@ -76,7 +76,7 @@
         if log.is_synced(position):
             return self._withhold_for_majority(log, position, recipient, body)
         if log.is_disk_available:
-            key = (recipient, type(body), body.term if isinstance(body, LeaseGrant) else body.number)
+            key = (recipient, type(body), _request_number(body))
             log.defer_reply(now_us, position, key, (recipient, body))
         return True
 
@@ -149,3 +149,13 @@
     def discard(self) -> None:
         """Drops what is held: it was promised by a folder that counts no longer."""
         self._awaiting_majority.clear()
+
+
+def _request_number(body: Any) -> int:
+    """What a response answers: a lease's term, or the number of the request."""
+    if isinstance(body, LeaseGrant):
+        return body.term
+    if isinstance(body, (Accepted, Promise, RecoveryReply)):
+        return body.request_id
+    number: int = body.number
+    return number
