--- a/deploy/sites/lay_out.py
+++ b/deploy/sites/lay_out.py
@@ -21,6 +21,7 @@
 
 
 def with_changes(base: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
+    """The settings of a deployment; a value of `-` takes a setting away."""
     merged = dict(base)
     for name, value in changes.items():
         if value == "-":
@@ -33,6 +34,7 @@
 
 
 def main() -> None:
+    """Writes each deployment beside this file as changes to the one named on the command line."""
     if len(sys.argv) != 2:
         sys.exit("usage: python deploy/sites/lay_out.py BASE")
     base, here = Path(sys.argv[1]), Path(__file__).parent
--- a/sailrun/benchlink.py
+++ b/sailrun/benchlink.py
@@ -45,7 +45,7 @@
                 continue
             fields = split_fields(name, parts)
             who = integer(name, fields, "who")
-            if name == "crash_now" or name == "born":
+            if name in ("crash_now", "born"):
                 # what a killed instance still wanted to do must not reach its successor's world
                 reply = [entry for entry in reply if entry[0] != who]
                 self._instances.pop(who, None)
--- a/sailrun/config.py
+++ b/sailrun/config.py
@@ -118,8 +118,44 @@
     return settings
 
 
-def read_node_config(path: Path) -> NodeConfig:
-    """Reads the platform's file; keys that it adds for others are left alone."""
+class _Document:
+    """The platform's JSON document, read key by key; each complaint names file and key."""
+
+    def __init__(self, path: Path) -> None:
+        self.path = path
+        self.values = _read_json_object(path)
+
+    def complain(self, key: str, reason: str) -> BadConfig:
+        """The error for a key that is not usable."""
+        return BadConfig(self.path, key, reason)
+
+    def find(self, key: str) -> Any:
+        """The file's value, else the environment's: the file is replaced under a running node, its
+        environment never is.
+        """
+        value = self.values.get(key)
+        return (os.environ.get(_IN_ENVIRONMENT.get(key, "")) or None) if value is None else value
+
+    def require(self, key: str) -> Any:
+        """The value of a key that must be there."""
+        value = self.find(key)
+        if value is None:
+            raise self.complain(key, "is missing")
+        return value
+
+    def address(self, key: str, value: Any) -> Address:
+        """A value that must be an address."""
+        try:
+            return split_address(str(value))
+        except ValueError as error:
+            raise self.complain(key, str(error)) from None
+
+    def optional_address(self, key: str, value: Any) -> Address | None:
+        """The same where there may be none."""
+        return self.address(key, value) if value else None
+
+
+def _read_json_object(path: Path) -> dict[str, Any]:
     try:
         document = json.loads(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
@@ -128,60 +164,64 @@
         raise BadConfig(path, "", f"no JSON: {error}") from None
     if not isinstance(document, dict):
         raise BadConfig(path, "", "no object")
+    return document
 
-    def address(key: str, value: Any) -> Address:
-        try:
-            return split_address(str(value))
-        except ValueError as error:
-            raise BadConfig(path, key, str(error)) from None
 
-    def told(key: str) -> Any:
-        # The file is replaced under a running node, its environment never is: the file comes first.
-        value = document.get(key)
-        return (os.environ.get(_IN_ENVIRONMENT.get(key, "")) or None) if value is None else value
-
-    def need(key: str) -> Any:
-        value = told(key)
-        if value is None:
-            raise BadConfig(path, key, "is missing")
-        return value
-
-    try:
-        seed = int(str(need("seed")), 16)
-    except ValueError:
-        raise BadConfig(path, "seed", f"'{document['seed']}' is no hex number") from None
-    try:
-        settings = read_settings(need("settings"))
-    except ValueError as error:
-        raise BadConfig(path, "settings", str(error)) from None
-    try:
-        known = read_server_list(need("known"), cached=True)
-    except BadServerList as error:
-        raise BadConfig(path, "known", str(error)) from None
-    peers = document.get("peers", [])
+def read_node_config(path: Path) -> NodeConfig:
+    """Reads the platform's file; keys that it adds for others are left alone. Raises BadConfig."""
+    document = _Document(path)
+    seed = _read_seed(document)
+    settings = _read_settings(document)
+    known = _read_known_list(document)
+    peers = document.values.get("peers", [])
     if not isinstance(peers, list):
-        raise BadConfig(path, "peers", "is no list")
-    peer_listen, everyone = document.get("peer_listen"), document.get("peers_all")
-    family = document["settings"].get("familyInfo")
-    limits = document.get("limits")
-    descriptors = limits.get("sockets") if isinstance(limits, dict) else None
-    if descriptors is not None and (not isinstance(descriptors, int) or descriptors < 1):
-        raise BadConfig(path, "limits.sockets", f"is {descriptors!r}, no number of descriptors")
-    listen = address("listen", need("listen"))
-    control = address("control", told("control")) if told("control") else None
+        raise document.complain("peers", "is no list")
+    family = document.values["settings"].get("familyInfo")
+    descriptors = _read_descriptors(document)
+    listen = document.address("listen", document.require("listen"))
+    control = document.optional_address("control", document.find("control"))
     if control == listen:
-        raise BadConfig(path, "control", "is the address where clients connect")
+        raise document.complain("control", "is the address where clients connect")
     return NodeConfig(
-        name=str(need("name")),
+        name=str(document.require("name")),
         listen=listen,
-        roster=RegistryService(address("discovery", need("discovery"))),
+        roster=RegistryService(document.address("discovery", document.require("discovery"))),
         seed=seed,
-        peer_listen=address("peer_listen", peer_listen) if peer_listen else None,
-        peers=[address(f"peers[{n}]", peer) for n, peer in enumerate(peers)],
-        peers_all=address("peers_all", everyone) if everyone else None,
+        peer_listen=document.optional_address("peer_listen", document.values.get("peer_listen")),
+        peers=[document.address(f"peers[{n}]", peer) for n, peer in enumerate(peers)],
+        peers_all=document.optional_address("peers_all", document.values.get("peers_all")),
         known=known,
         settings=settings,
         groups=bool(family.get("groups", True)) if isinstance(family, dict) else True,
         descriptors=descriptors,
         control=control,
     )
+
+
+def _read_seed(document: _Document) -> int:
+    try:
+        return int(str(document.require("seed")), 16)
+    except ValueError:
+        raise document.complain("seed", f"'{document.values['seed']}' is no hex number") from None
+
+
+def _read_settings(document: _Document) -> Settings:
+    try:
+        return read_settings(document.require("settings"))
+    except ValueError as error:
+        raise document.complain("settings", str(error)) from None
+
+
+def _read_known_list(document: _Document) -> ServerListUpdate:
+    try:
+        return read_server_list(document.require("known"), cached=True)
+    except BadServerList as error:
+        raise document.complain("known", str(error)) from None
+
+
+def _read_descriptors(document: _Document) -> int | None:
+    limits = document.values.get("limits")
+    descriptors = limits.get("sockets") if isinstance(limits, dict) else None
+    if descriptors is not None and (not isinstance(descriptors, int) or descriptors < 1):
+        raise document.complain("limits.sockets", f"is {descriptors!r}, no number of descriptors")
+    return descriptors
--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -173,7 +173,7 @@
     # ------------------------------------------------------------------ as the successor
 
     async def _follow(self, inherited: Inherited) -> None:
-        def hear(talk: _Talk, kind: str, content: Any, group: TaskGroup) -> None:
+        def hear(talk: _Talk, kind: str, content: Any, _group: TaskGroup) -> None:
             if kind == "held":
                 held = read_held(content)
                 self._leave_descriptors(held.descriptors)
--- a/sailrun/lab/faults/explore.py
+++ b/sailrun/lab/faults/explore.py
@@ -83,7 +83,7 @@
 
 
 def _copied(world: World) -> World:
-    """Copies what changes; messages never do. (A copy of everything takes fifty times as long.)"""
+    """Copies what changes; messages never do. A copy of everything takes fifty times as long."""
     after = copy.copy(world)
     after.flying, after.given, after.lives = world.flying[:], dict(world.given), dict(world.lives)
     after.leases = {}
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -258,7 +258,9 @@
         self.leases.observe_term(task, term, holder, now_us)
         self._voter_role.observe_term(task, term)
 
-    def _dispatch(self, now_us: int, sender: str, life: int, body: Body) -> list[OutgoingEnvelope]:
+    def _dispatch(  # noqa: C901, PLR0911, PLR0912 - a case for each message
+        self, now_us: int, sender: str, life: int, body: Body
+    ) -> list[OutgoingEnvelope]:
         match body:
             case LeaseRequest() | LeaseRelease() | TermQuery() | TermReport():
                 # One that was refused its name is no voter.
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -25,7 +25,8 @@
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
     """`life` and `incarnation` are the sender's own; `member_updates` and `leader_hints` are gossip that
-    rides along."""
+    rides along.
+    """
 
     fleet: str
     sender: str
--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -200,7 +200,7 @@
         self._caught_up[key] = False
         ranges = list_ranges(self._store.digests.find_differing_groups(digests))
 
-        def on_end(now_us: int, complete: bool) -> None:
+        def on_end(_now_us: int, complete: bool) -> None:
             if key in self._caught_up and complete:
                 self._caught_up[key] = True
             elif key in self._caught_up:
--- a/sailrun/replication/acceptor_recovery.py
+++ b/sailrun/replication/acceptor_recovery.py
@@ -156,7 +156,7 @@
         attempt.recovery_replies[sender] = reply
         attempt.transferring.add(sender)
 
-        def on_end(now_us: int, complete: bool) -> None:
+        def on_end(_now_us: int, complete: bool) -> None:
             attempt.transferring.discard(sender)
             if complete:
                 attempt.recovered_from.add(sender)
--- a/sailrun/replication/mark_applier.py
+++ b/sailrun/replication/mark_applier.py
@@ -60,7 +60,7 @@
             self._set_override(subject, True)
 
     def _make_reconcile(self, overridden: frozenset[str]) -> Callable[[int], None]:
-        def reconcile(now_us: int) -> None:
+        def reconcile(_now_us: int) -> None:
             active = {(mark.kind, mark.subject) for mark in self._replica.list_marks() if mark.active}
             marked = {subject for kind, subject in active if kind == OUT}
             for subject in sorted(overridden - marked):
--- a/sailrun/replication/mark_client.py
+++ b/sailrun/replication/mark_client.py
@@ -137,7 +137,7 @@
     # ------------------------------------------------------------------ replies
 
     def _make_on_write_reply(self, write: _Write) -> OnReply:
-        def on_reply(now_us: int, sent_us: int, content: Any) -> None:
+        def on_reply(now_us: int, _sent_us: int, content: Any) -> None:
             reply = decode_reply(content)
             if reply is not None and reply.id == write.request.id and reply.id in self._writes:
                 self._on_write_reply(now_us, write, reply)
@@ -165,7 +165,7 @@
             write.on_outcome(outcome)
 
     def _make_on_read_reply(self, read: _Read) -> OnReply:
-        def on_reply(now_us: int, sent_us: int, content: Any) -> None:
+        def on_reply(now_us: int, _sent_us: int, content: Any) -> None:
             reply = decode_reply(content)
             if reply is None or read.request.id not in self._reads:
                 return
--- a/sailrun/storage/persisted_state.py
+++ b/sailrun/storage/persisted_state.py
@@ -54,7 +54,7 @@
     completed_drains: dict[str, None] = field(default_factory=dict)  # in order of completion
     drain_plans: dict[str, DrainPlan] = field(default_factory=dict)  # by drain
 
-    def apply(self, entry: Entry) -> None:
+    def apply(self, entry: Entry) -> None:  # noqa: C901, PLR0912 - a case for each entry
         """Brings the state up to date with one more entry."""
         if isinstance(entry, StoredRecord):  # most are
             key = entry.record.key
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -1,5 +1,7 @@
-"""A form server that had just started was pushed over by what all nodes sent it together, though each of them
-kept to its own allowance. The allowance of a node was worked out from the sessions that stand, as a part of
+"""All nodes together send a form server in slow start no more than it bears.
+
+One had been overloaded by what all nodes sent it together, though each of them kept to its own allowance.
+The allowance of a node was worked out from the sessions that stand, as a part of
 what the form server may come to hold, and not from the calls that it bears within the window of the rule. It
 also piled up while nothing came, and nothing kept all nodes from spending theirs in the same moment. So after
 a quiet time, when the clients of a lost form server came back at once, every node spent what it had saved.
