--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Owners, permits and the rest of owned work as pure modules, case by case."""
+"""Leases, permits, rolling drains and the other parts of leadership as pure modules, case by case."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     )  # what was given up is not renewed
 
 
-def test_a_voter_that_has_started_abstains_until_leases_ended_and_two_that_remember_told_it() -> None:
+def test_a_voter_that_has_started_abstains_until_leases_ended_and_two_that_remember_reported_terms() -> None:
     one = voter(remembers=False)
     over_us = abstention_us(TERMS)
     one.on_term_report(1, "b", TermReport(1, True, {"t": 7}))
@@ -107,7 +107,7 @@
     assert one.report_terms(TermQuery(1)).terms == {"t": 2_000, "": 1_000}
 
 
-def test_a_voter_alone_does_not_found() -> None:
+def test_a_voter_alone_does_not_begin_new_terms() -> None:
     one = voter(remembers=False)
     one.turn(100 * SECOND)
     assert not one.remembers
@@ -134,7 +134,7 @@
     assert voters_follow(both, other) is not None
 
 
-# ---------------------------------------------------------------------- holding
+# ---------------------------------------------------------------------- leases
 
 
 def asking(now_us: int) -> tuple[Leases, int]:
@@ -144,7 +144,7 @@
     return one, posts[0][1].number  # type: ignore[union-attr]
 
 
-def test_an_owner_counts_from_when_it_asked_and_less_than_its_voters() -> None:
+def test_a_leader_counts_its_lease_from_its_request_and_less_than_its_voters() -> None:
     one, number = asking(SECOND)
     one.on_grant(2_500_000, "a", LeaseGrant("t", 1, number))
     assert not one.held_term("t", 2_500_000)
@@ -153,7 +153,7 @@
     assert not one.held_term("t", 2_960_000)
 
 
-def test_grants_that_come_too_late_make_no_owner() -> None:
+def test_grants_that_come_too_late_make_no_leader() -> None:
     one, number = asking(SECOND)
     for name in ("a", "b", "c"):
         one.on_grant(3 * SECOND, name, LeaseGrant("t", 1, number))
@@ -211,7 +211,7 @@
     assert held(coordinator, now_us + 4 * SECOND, "b", DRAIN, "b").is_granted
 
 
-def test_a_new_owner_listens_first_and_keeps_the_places_of_the_one_before() -> None:
+def test_a_new_leader_observes_first_and_retains_the_queue_positions_of_the_one_before() -> None:
     coordinator = PermitCoordinator(PERMITS, 6, 0)
     assert held(coordinator, 1, "a", OUT_OF_SERVICE, "s-1", "held").is_granted
     assert not held(coordinator, 1, "b", OUT_OF_SERVICE, "s-2").is_granted
@@ -231,7 +231,7 @@
 
 
 class Permitting(RuleBasedStateMachine):
-    """One owner at a time, replaced at will; holders whose questions and answers get lost or wait."""
+    """One leader at a time, replaced at will; holders whose requests and responses get lost or wait."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -289,7 +289,7 @@
 TestPermitting.settings = hypothesis_settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-def test_a_walk_goes_on_with_the_same_name_and_drains_nobody_twice() -> None:
+def test_a_rolling_drain_resumes_under_the_same_name_and_drains_no_node_twice() -> None:
     coordinator = open_coordinator(0)
     holders = {name: PermitHolder(PERMITS) for name in "abc"}
     drains = {name: RollingDrains(name, holder) for name, holder in holders.items()}
@@ -334,7 +334,7 @@
 # ---------------------------------------------------------------------- the reader, the pace, the file
 
 
-def test_an_older_list_is_never_taken_and_silence_has_a_node_read_for_itself() -> None:
+def test_an_older_list_is_never_accepted_and_a_silent_reader_has_a_node_read_the_registry() -> None:
     reader, node = (SharedList("r:1", ListReaderSettings(), 0) for _ in range(2))
     reader.on_registry_list(7, [{"id": "s-1"}])
     assert node.on_reply(0, reader.answer_query(["r:1", -1])) == [{"id": "s-1"}]
@@ -348,7 +348,7 @@
     assert node.on_reply(4_000_000, ["r:2", 9, []]) is None and node.on_reply(0, "nothing") is None
 
 
-def test_shares_of_the_pace_never_come_to_more_than_the_whole() -> None:
+def test_shares_of_the_move_rate_never_add_up_to_more_than_the_whole() -> None:
     coordinator, shares = MoveRateCoordinator(1, 0), {name: MoveRateShare() for name in "abc"}
     now_us = RATE_GRANT_US
     assert coordinator.grant_share(now_us, "a") == [0.0]
@@ -401,7 +401,7 @@
     assert "\n" not in str(told.value)
 
 
-def test_a_good_file_is_taken(tmp_path: Path) -> None:
+def test_a_valid_file_is_accepted(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(GOOD)
     assert [name for name, table in read_operator(path).tables() if table.enabled] == ["members", "owners"]
