--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -129,7 +129,7 @@
         yield Fleet(tmp_path, roster, stack)
 
 
-def test_members_and_owners_are_shown_and_a_killed_owner_is_succeeded(fleet: Fleet) -> None:
+def test_members_and_leaders_are_shown_and_a_killed_leader_is_succeeded(fleet: Fleet) -> None:
     members = fleet.ask("n1", "members")
     assert [(m["name"], m["state"], m["voter"]) for m in members] == [
         (name, "alive", True) for name in ("n1", "n2", "n3")
@@ -169,7 +169,7 @@
     running.logged("reloaded", "changed=operator")
 
 
-def test_a_second_form_server_waits_for_the_first_and_a_dead_holder_gives_back(
+def test_a_second_form_server_waits_for_the_first_and_the_permit_of_a_dead_holder_ends(
     fleet: Fleet, servers: list[FormServer]
 ) -> None:
     one, other = (s.name for s in servers[:2])
@@ -189,7 +189,7 @@
     fleet.until(lambda: sum("by-hand" in x and "out=True" in x for x in fleet.nodes["n1"].lines) == 2)
 
 
-def test_nodes_are_drained_one_after_another_and_the_walk_outlives_its_owner(fleet: Fleet) -> None:
+def test_nodes_are_drained_one_after_another_and_the_drain_outlives_its_leader(fleet: Fleet) -> None:
     owner = fleet.owner("permits")
     others = [name for name in fleet.nodes if name != owner]
     command = ["fleet", "drain", *others, "--for", "1", "--at", fleet.nodes[others[0]].control]
