--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -161,50 +161,66 @@
         self, now_us: int, candidate: str, life: int, request: LeaseRequest
     ) -> LeaseGrant | LeaseDenial:
         """Grants or denies a task to a candidate, which is known by its name and its process."""
-        task = request.task
-
-        def deny(why: str, left_us: int = 0, holder: str = "") -> LeaseDenial:
-            return LeaseDenial(task, self.highest_term(task), request.number, why, max(0, left_us), holder)
-
         if not self.voters.accepts_stage(request.stage):
-            return deny("stage", SECOND)
+            return self._deny(request, "stage", SECOND)
         if not self.remembers:
-            wait_us = (
-                TERM_QUERY_INTERVAL_US
-                if self.may_remember
-                else self._started_us + abstention_us(self._settings) - now_us
-            )
-            return deny("abstains", wait_us)
-        grant = self._grants.get(task)
-        until_us = now_us + int(self._settings.lease_s * SECOND)
-        if grant is not None:
-            if (grant.holder, grant.life, grant.term) == (candidate, life, request.term):
-                if grant.is_released:
-                    return deny("term")
-                grant.expires_us = until_us
-                return LeaseGrant(task, request.term, request.number)
-            if grant.expires_us > now_us and not grant.is_released:
-                return deny("held", grant.expires_us - now_us, grant.holder)
-        highest = self.highest_term(task)
-        # An owner that has been one without a gap may renew where a candidate got this vote alone: had
-        # that one
-        # had a majority, this one would not be owner any more. What comes late, it does not count itself.
-        gone_by = (
+            return self._deny(request, "abstains", self._abstention_left_us(now_us))
+        grant = self._grants.get(request.task)
+        if grant is not None and (grant.holder, grant.life, grant.term) == (candidate, life, request.term):
+            return self._renew(now_us, grant, request)
+        if grant is not None and grant.expires_us > now_us and not grant.is_released:
+            return self._deny(request, "held", grant.expires_us - now_us, grant.holder)
+        if self._is_term_too_low(candidate, life, request):
+            return self._deny(request, "term")
+        if not self.can_persist():
+            # It would be promised only once it is too late.
+            return self._deny(request, "disk", TERM_QUERY_INTERVAL_US)
+        return self._grant(now_us, candidate, life, request)
+
+    def _deny(
+        self, request: LeaseRequest, reason: str, retry_after_us: int = 0, holder: str = ""
+    ) -> LeaseDenial:
+        highest = self.highest_term(request.task)
+        return LeaseDenial(request.task, highest, request.number, reason, max(0, retry_after_us), holder)
+
+    def _abstention_left_us(self, now_us: int) -> int:
+        if self.may_remember:
+            return TERM_QUERY_INTERVAL_US
+        return self._started_us + abstention_us(self._settings) - now_us
+
+    def _expiry_us(self, now_us: int) -> int:
+        return now_us + int(self._settings.lease_s * SECOND)
+
+    def _renew(self, now_us: int, grant: GrantedLease, request: LeaseRequest) -> LeaseGrant | LeaseDenial:
+        if grant.is_released:
+            return self._deny(request, "term")
+        grant.expires_us = self._expiry_us(now_us)
+        return LeaseGrant(request.task, request.term, request.number)
+
+    def _is_term_too_low(self, candidate: str, life: int, request: LeaseRequest) -> bool:
+        """Whether a term was granted before, or is below one that was.
+
+        A leader that has been one without a gap may renew where a candidate got this vote alone: had that
+        candidate had a majority, the leader would be none any more. Late grants it does not count.
+        """
+        least = self.highest_term(request.task) + (0 if "terms" in self._disabled_rules else 1)
+        if request.term >= least:
+            return False
+        grant = self._grants.get(request.task)
+        is_overtaken = (
             grant is not None
             and grant.term >= request.term
             and (grant.holder, grant.life) == (candidate, life)
         )
-        if request.term < highest + (0 if "terms" in self._disabled_rules else 1) and (
-            not request.is_renewal or gone_by
-        ):
-            return deny("term")
-        if not self.can_persist():
-            return deny("disk", TERM_QUERY_INTERVAL_US)  # it would be promised only once it is too late
-        grant = self._grants[task] = GrantedLease(
-            request.term, candidate, life, until_us, highest_term=max(highest, request.term)
-        )
+        return not request.is_renewal or is_overtaken
+
+    def _grant(self, now_us: int, candidate: str, life: int, request: LeaseRequest) -> LeaseGrant:
+        task, term = request.task, request.term
+        highest = max(self.highest_term(task), term)
+        grant = GrantedLease(term, candidate, life, self._expiry_us(now_us), highest_term=highest)
+        self._grants[task] = grant
         grant.log_position = self.persist_grant(task, grant)
-        return LeaseGrant(task, request.term, request.number)
+        return LeaseGrant(task, term, request.number)
 
     def on_release(self, candidate: str, life: int, release: LeaseRelease) -> None:
         """The holder uses its lease no longer: only it can say so. A late request for it is denied."""
