--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -20,9 +20,9 @@
 from sailrun.leadership.move_rate import REQUEST_INTERVAL_US, MoveRateCoordinator
 from sailrun.load_gossip.aggregation_rounds import MIN_ROUND_US, ROUND_US_PER_NODE
 from sailrun.load_gossip.datagram import MAX_DATAGRAM_BYTES, LoadDatagram, datagram_capacity, encode_datagram
-from sailrun.replication.records import written
+from sailrun.replication.records import apply_write
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import Store
+from sailrun.replication.store import RecordStore
 from tests.stand_ins import roster_entry
 
 SECOND = 1_000_000
@@ -146,10 +146,10 @@
 
 def _records(records: int) -> dict[str, float]:
     tracemalloc.start()
-    store = Store(ReplicationSettings(enabled=True, records=1_000_000), b"fleet")
+    store = RecordStore(ReplicationSettings(enabled=True, max_records=1_000_000), b"fleet")
     before = tracemalloc.get_traced_memory()[0]
     for n in range(records):
-        store.put(0, written(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
+        store.put(0, apply_write(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {"memory_mb": (after - before) / 1e6}
--- a/benchmarks/capacity/rows_tasks.py
+++ b/benchmarks/capacity/rows_tasks.py
@@ -131,7 +131,7 @@
 
 
 def marks(record: Record) -> list[Row]:
-    asking = "replica/replica.py: each node asks every second, past 200 nodes more seldom"
+    asking = "replication/copy_lag.py: each node asks every second, past 200 nodes more seldom"
     about = (
         ("marks.bytes_s", "at rest, nodes ask whether they are behind: bytes", BYTES),
         ("marks.cpu", "at rest, the same: processor time, without sockets", CORE),
--- a/sailrun/lab/faults/killing.py
+++ b/sailrun/lab/faults/killing.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from sailrun.replication.records import written
+from sailrun.replication.records import apply_write
 from sailrun.storage import entries as e
 from sailrun.storage.files import FolderFiles, OsFiles
 from sailrun.storage.folder_identity import generate_identity
@@ -40,7 +40,7 @@
     if number % 2:
         return e.LeaseGrant("task", number, "n1", 1, number)
     return e.StoredRecord(
-        written(None, ("out", f"s-{number:08x}", ""), False, "x", (0, number), b"x" * (number % 50))
+        apply_write(None, ("out", f"s-{number:08x}", ""), False, "x", (0, number), b"x" * (number % 50))
     )
 
 
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -214,7 +214,7 @@
     if part.is_assigner(now_us):
         tasks.append(part.task)
     report.control = part.session is None
-    report.shards = len(part.session.usable(now_us)) if part.session is not None else 0
+    report.shards = len(part.session.usable_shards(now_us)) if part.session is not None else 0
     return report
 
 
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -186,7 +186,7 @@
         "owners": {**msgspec.structs.asdict(terms.leadership), "record": True},
         "permits": msgspec.structs.asdict(terms.permits),
         "reader": msgspec.structs.asdict(terms.list_reader),
-        "replica": msgspec.structs.asdict(terms.replication),
+        "replica": msgspec.to_builtins(terms.replication),
         "shards": msgspec.to_builtins(terms.sharding),
         "rebalance": {"enabled": terms.shares_move_rate},
     }
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -49,14 +49,14 @@
 from sailrun.leadership.voter_role import VoterRole
 from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberBody, MemberRecord, MemberState
-from sailrun.replication.replica import MARKS, Replica
-from sailrun.sharding.messages import Ballot, ShardBody
-from sailrun.sharding.messages import Post as ShardPost
+from sailrun.replication.replica import MARKS_TASK, Replica
+from sailrun.sharding.messages import ElectionMessage, ShardBody
+from sailrun.sharding.messages import PeerMessage as ShardPost
 from sailrun.storage.messages import FreshnessQuery, FreshnessReply
 from sailrun.storage.write_ahead_log import WriteResult
 
 if TYPE_CHECKING:
-    from sailrun.sharding.part import ShardsPart
+    from sailrun.sharding.agent import ShardingAgent
 
 __all__ = ["MOVE_RATE_TASK", "READER_TASK_PREFIX", "Agent", "AgentSettings", "OutgoingEnvelope"]
 
@@ -156,12 +156,12 @@
 
     def _new_shards(
         self, me: MemberRecord, random_source: random.Random, now_us: int, new_initial_term: Callable[[], int]
-    ) -> ShardsPart:
+    ) -> ShardingAgent:
         # Loaded only where it is switched on: it needs numpy.
-        from sailrun.sharding.part import ShardsPart
+        from sailrun.sharding.agent import ShardingAgent
 
         settings, draw = self.settings, random_source.getrandbits
-        return ShardsPart(
+        return ShardingAgent(
             me,
             settings.sharding,
             settings.leadership,
@@ -285,13 +285,13 @@
                 self.rolling_drains.on_status(now_us, sender, body)
             case _ if isinstance(body, ShardBody):
                 if self.shards is not None and self.members.has_joined:
-                    return self._post_all(self.shards.hear(now_us, sender, life, body))
+                    return self._post_all(self.shards.receive(now_us, sender, life, body))
             case FreshnessQuery() | FreshnessReply():
                 if sender in self.voters.names():
                     return self._send_released(self.durable_state.on_freshness_message(now_us, sender, body))
             case _:
                 if self.replica is not None and self.members.has_joined:
-                    return self._post_all(self.replica.hear(now_us, sender, body))
+                    return self._post_all(self.replica.receive(now_us, sender, body))
         return []
 
     # ------------------------------------------------------------------ requests and responses
@@ -304,8 +304,8 @@
         """As the owner of the task, under its term; None: there is no answer."""
         if task == PERMITS_TASK:
             return self._permit_role.answer_request(now_us, term, asker.name, asker.life, content)
-        if task == MARKS:
-            return self.replica.answer(now_us, asker.name, content) if self.replica is not None else None
+        if task == MARKS_TASK:
+            return self.replica.answer_request(now_us, content) if self.replica is not None else None
         answer = self.request_handlers.get(task)
         return answer(now_us, asker.name, content) if answer is not None else None
 
@@ -343,7 +343,7 @@
         if self.replica is not None and self.members.has_joined and not self.members.is_leaving:
             envelopes += self._turn_replica(now_us, self.replica)
         if self.shards is not None and self.members.has_joined and not self.members.is_leaving:
-            envelopes += self._post_all(self.shards.turn(now_us))
+            envelopes += self._post_all(self.shards.tick(now_us))
         return envelopes + self._publish_changes(now_us)
 
     def _turn_leases(self, now_us: int) -> list[OutgoingEnvelope]:
@@ -357,14 +357,14 @@
 
     def _turn_replica(self, now_us: int, replica: Replica) -> list[OutgoingEnvelope]:
         coordinator = replica.coordinator
-        if coordinator is not None and coordinator.higher > coordinator.term:
+        if coordinator is not None and coordinator.superseding_term > coordinator.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
-            self.leases.observe_term(MARKS, coordinator.higher, "", now_us)
+            self.leases.observe_term(MARKS_TASK, coordinator.superseding_term, "", now_us)
             self._publish_changes(now_us)
-        envelopes = self._post_all(replica.turn(now_us, self.known_leader(MARKS)))
-        for op, done in _emptied(replica.questions):
-            envelopes += self.request(now_us, MARKS, msgspec.to_builtins(op), done)
-        self._change_log.move_from(replica.sync.notes)
+        envelopes = self._post_all(replica.turn(now_us, self.known_leader(MARKS_TASK)))
+        for op, done in _emptied(replica.leader_requests):
+            envelopes += self.request(now_us, MARKS_TASK, msgspec.to_builtins(op), done)
+        self._change_log.move_from(replica.anti_entropy.log_events)
         return envelopes
 
     def leave(self, now_us: int) -> list[OutgoingEnvelope]:
@@ -387,7 +387,7 @@
             self.leases.update_settings(self.voters, settings.leadership)
             self._voter_role.update_settings(now_us, self.voters, settings.leadership)
             if self.replica is not None:
-                self.replica.use_voters(now_us)
+                self.replica.apply_voters(now_us)
         self._permit_role.update_settings(settings.permits)
         self._leadership.update_settings(settings)
         self.settings = settings
@@ -415,8 +415,8 @@
         self._change_log.log_leadership(change)
         if change.task == PERMITS_TASK:
             self._permit_role.on_leadership_change(now_us, change)
-        if change.task == MARKS and self.replica is not None:
-            self.replica.turned(now_us, change.term if change.is_leader else 0)
+        if change.task == MARKS_TASK and self.replica is not None:
+            self.replica.set_leadership(now_us, change.term if change.is_leader else 0)
             self._change_log.forget_recorded_expiry(change.task)
         self.on_leadership_change(now_us, change)
 
@@ -441,7 +441,9 @@
         """A lease that this node's own vote has denied is not asked for any more."""
         if isinstance(body, LeaseRequest):
             return self.leases.is_requested(body)
-        return not isinstance(body, Ballot) or self.shards is None or self.shards.wants(body)
+        return (
+            not isinstance(body, ElectionMessage) or self.shards is None or self.shards.is_still_wanted(body)
+        )
 
     def _post(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """To a member by name; a promise is held until the disk has what it rests on."""
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -136,12 +136,12 @@
         if memory.is_replica_complete:
             held = ((r, memory.record_digests[key]) for key, r in memory.records.items())
             with paused_garbage_collection():
-                left = replica.take_up(now_us, held, memory.epoch)
+                left = replica.restore(now_us, held, memory.epoch)
             facts: dict[str, object] = {"records": len(replica.store), "epoch": memory.epoch}
             self.log_events.append(("copy-found", {**facts, "left": left or None}))
         keeps = memory.acceptor
         if replica.acceptor is not None and keeps is not None:
-            replica.acceptor.take_up(
+            replica.acceptor.restore(
                 keeps.incarnation, keeps.promised_term, keeps.peer_incarnations, keeps.is_complete
             )
             if not keeps.is_complete:
@@ -154,7 +154,7 @@
             entries.append(e.ProcessStarted(own.incarnation, self._folder.wall_s))
         if voter is not None:
             entries += voter_entries(voter)
-        entries += self.freshness.peer_versions.values()
+        entries += self.freshness.peers.versions.values()
         if self._rolling_drains is not None:
             entries += (e.DrainCompleted(name) for name in self._rolling_drains.completed_names())
             entries += (e.DrainPlan(*plan) for plan in self._rolling_drains.unfinished_plans())
@@ -182,7 +182,7 @@
     ) -> Released:
         """Another voter queries how new this folder is, or answers such a query."""
         if isinstance(body, FreshnessQuery):
-            return Released(messages=[(sender, self.freshness.on_query(sender, body))])
+            return Released(messages=[(sender, self.freshness.peers.on_query(sender, body))])
         life = self.freshness.own.incarnation if self.freshness.own is not None else 0
         self.freshness.on_reply(sender, body)
         self._apply_freshness(now_us, life)
@@ -229,8 +229,8 @@
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None and voter.may_remember:
             voter.confirm_restored()
-        if acceptor is not None and acceptor.may_remember:
-            acceptor.trust()
+        if acceptor is not None and acceptor.is_verifying_folder:
+            acceptor.trust_folder()
         self._record("folder", what="trusted")
         own = self.freshness.own
         self.log_events.append(("lasting-trusted", {"life": own.incarnation if own is not None else None}))
@@ -250,8 +250,7 @@
         if voter is not None:
             voter.discard_memory(now_us)
         if acceptor is not None:
-            acceptor.may_remember = False
-            acceptor.restart(now_us)
+            acceptor.distrust_folder(now_us)
         facts: dict[str, object] = {"why": freshness.stale_reason, "loaded": folder.found_position}
         if known is not None:
             facts |= {"known_life": known.incarnation, "known_position": known.position}
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -11,7 +11,7 @@
 
 from sailrun.leadership.messages import LeaderHint, LeadershipBody
 from sailrun.membership.messages import MemberBody, MemberRecord
-from sailrun.replication.messages import ReplicaBody
+from sailrun.replication.messages import ReplicationBody
 from sailrun.sharding.messages import ShardBody
 from sailrun.storage.messages import StorageMessage
 
@@ -20,7 +20,7 @@
 # What rides along, so that a datagram stays below its limit whatever the names are.
 MAX_MEMBER_UPDATES, MAX_LEADER_HINTS = 4, 3
 
-Body = MemberBody | LeadershipBody | ReplicaBody | StorageMessage | ShardBody
+Body = MemberBody | LeadershipBody | ReplicationBody | StorageMessage | ShardBody
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
--- a/sailrun/leadership/response_gate.py
+++ b/sailrun/leadership/response_gate.py
@@ -14,7 +14,7 @@
 from sailrun.leadership.envelope import Body
 from sailrun.leadership.messages import LeaseGrant, TermReport
 from sailrun.leadership.voter import Voter
-from sailrun.replication.messages import Kept, Promised, Recovering
+from sailrun.replication.messages import Accepted, Promise, RecoveryReply
 from sailrun.storage.freshness import FolderFreshness
 from sailrun.storage.messages import FreshnessReply
 from sailrun.storage.write_ahead_log import WriteAheadLog, WriteResult
@@ -22,9 +22,9 @@
 # A message and the name of the member it is for.
 Message = tuple[str, Body]
 # What a voter answers and is held to after a restart.
-DURABLE_RESPONSES = (LeaseGrant, Promised, Kept, Recovering, TermReport, FreshnessReply)
+DURABLE_RESPONSES = (LeaseGrant, Promise, Accepted, RecoveryReply, TermReport, FreshnessReply)
 # Of these, what a folder without them would be too old for.
-MAJORITY_KNOWN_RESPONSES = (LeaseGrant, Promised, Kept, Recovering)
+MAJORITY_KNOWN_RESPONSES = (LeaseGrant, Promise, Accepted, RecoveryReply)
 # The oldest responses that wait for a majority make room for newer ones.
 MAX_AWAITING_MAJORITY = 1000
 
@@ -76,7 +76,7 @@
         if log.is_synced(position):
             return self._withhold_for_majority(log, position, recipient, body)
         if log.is_disk_available:
-            key = (recipient, type(body), body.term if isinstance(body, LeaseGrant) else body.number)
+            key = (recipient, type(body), _request_number(body))
             log.defer_reply(now_us, position, key, (recipient, body))
         return True
 
@@ -149,3 +149,13 @@
     def discard(self) -> None:
         """Drops what is held: it was promised by a folder that counts no longer."""
         self._awaiting_majority.clear()
+
+
+def _request_number(body: Any) -> int:
+    """What a response answers: a lease's term, or the number of the request."""
+    if isinstance(body, LeaseGrant):
+        return body.term
+    if isinstance(body, (Accepted, Promise, RecoveryReply)):
+        return body.request_id
+    number: int = body.number
+    return number
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -31,15 +31,15 @@
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.node.clock import log
 from sailrun.node.shutdown import ShutdownReason
-from sailrun.replication.service import CopiesPart
+from sailrun.replication.service import ReplicationService
 from sailrun.storage.folder_identity import generate_identity
 from sailrun.storage.folder_reader import FolderIntegrity
 
 if TYPE_CHECKING:
     from sailrun.node.core import Node
     from sailrun.operator_settings import Operator
-    from sailrun.sharding.exercise import ActExerciser
-    from sailrun.sharding.part import ShardsPart
+    from sailrun.sharding.act_exerciser import ActExerciser
+    from sailrun.sharding.agent import ShardingAgent
     from sailrun.storage.service import StorageService
 
 # While this node drains for a rolling drain, its sessions are counted this often.
@@ -100,16 +100,16 @@
         if storage is not None:
             self._attach_storage(storage)
 
-    def _new_replication(self) -> CopiesPart | None:
+    def _new_replication(self) -> ReplicationService | None:
         if self.agent.replica is None:
             return None
-        return CopiesPart(self._node, self.agent.replica, self)
+        return ReplicationService(self._node, self.agent.replica, self)
 
     def _new_exerciser(self) -> ActExerciser | None:
         """For the laboratory's checks, which need acts on behalf of shards."""
         if self.agent.shards is None:
             return None
-        from sailrun.sharding.exercise import ActExerciser
+        from sailrun.sharding.act_exerciser import ActExerciser
 
         return ActExerciser(
             self.agent.shards, self.agent.members, self.agent.name, secrets.randbits(SEED_BITS)
@@ -161,7 +161,7 @@
         self.agent.restore(boot_us(), folder)
         found.state.records, found.state.record_digests = {}, {}  # the replica has them now
         if self.replication is not None:
-            self.replication.begins_with(storage.starts_draining)
+            self.replication.restore_draining(storage.starts_draining)
 
     def _read_registry_directly(self) -> None:
         if self._shared is not None:
@@ -221,7 +221,7 @@
         if self.replication is not None:
             self.replication.turn(now_us)
         if self._exerciser is not None:
-            envelopes += self.agent.send_shard_messages(now_us, self._exerciser.turn(now_us))
+            envelopes += self.agent.send_shard_messages(now_us, self._exerciser.tick(now_us))
         if self._storage is not None:
             self._storage.turn()
         return envelopes
@@ -238,12 +238,12 @@
     def _on_session_count(self, sessions: int) -> None:
         self.call_soon(lambda now_us: self.agent.rolling_drains.on_session_count(now_us, sessions))
 
-    def _follow_core_drain(self, now_us: int, shards: ShardsPart) -> None:
+    def _follow_core_drain(self, now_us: int, shards: ShardingAgent) -> None:
         """A draining node hands its shards over too, in its turn, and is given some again afterwards."""
         drains = ShutdownReason.DRAIN in self._node.shutdown
         if drains is not self._core_drains:
             self._core_drains = drains
-            shards.plan_to_leave(now_us, drains)
+            shards.set_leaving(now_us, drains)
 
     # ------------------------------------------------------------------ permits of operators
 
@@ -287,7 +287,7 @@
         if what in tables:
             return tables[what](self.agent, now_us)
         if what.startswith(("state", "ranges")):
-            return self.replication.show(now_us, what) if self.replication is not None else None
+            return self.replication.describe(now_us, what) if self.replication is not None else None
         if what == "counts":
             return status.counters(self.agent, self.transport.traffic, boot_us())
         if what.startswith("shards"):
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -13,7 +13,7 @@
 from sailrun.leadership.list_reader import SharedList
 from sailrun.node.clock import log
 from sailrun.node.session import FormServer, ServerListUpdate
-from sailrun.replication.lists import keep_list, kept_list
+from sailrun.replication.server_lists import read_stored_server_list, store_server_list
 
 if TYPE_CHECKING:
     from sailrun.leadership.transport import Transport
@@ -103,7 +103,7 @@
         if self._listed or replica is None:
             return
         # Nobody tells this node a list: the last that the fleet had is better than none.
-        kept = kept_list(replica, self._subject)
+        kept = read_stored_server_list(replica, self._subject)
         if kept is not None:
             update, age_us = kept
             log("list-from-copies", revision=update.revision, age_s=round(age_us(boot_us()) / SECOND, 1))
@@ -120,10 +120,10 @@
             replica is not None
             and self._shared_list.is_leader
             and revision != self._stored_revision
-            and replica.sync.whole
+            and replica.anti_entropy.copy.is_complete
         ):
             self._stored_revision = revision
-            keep_list(replica, now_us, self._subject, revision, self._shared_list.entries)
+            store_server_list(replica, now_us, self._subject, revision, self._shared_list.entries)
         reads = self._shared_list.must_read_registry(now_us) or self._shared_list.revision < 0
         if reads is not self._reads_registry:
             self._reads_registry = reads
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -10,7 +10,7 @@
 from sailrun.leadership.settings import DRIFT
 from sailrun.membership.membership import Membership
 from sailrun.membership.messages import list_eligible_names
-from sailrun.replication.replica import MARKS
+from sailrun.replication.replica import MARKS_TASK
 
 SECOND = 1_000_000
 READER_TASK_PREFIX = "roster/"  # and the data centre
@@ -50,7 +50,7 @@
         if self._settings.shares_move_rate:
             tasks[MOVE_RATE_TASK] = best_placed(MOVE_RATE_TASK, names)
         if self._settings.replication.enabled:
-            tasks[MARKS] = best_placed(MARKS, names)
+            tasks[MARKS_TASK] = best_placed(MARKS_TASK, names)
         if self._settings.list_reader.enabled:
             task = READER_TASK_PREFIX + self._zone
             tasks[task] = best_placed(task, list_eligible_names([r for r in living if r.zone == self._zone]))
--- a/sailrun/replication/messages.py
+++ b/sailrun/replication/messages.py
@@ -1,235 +1,294 @@
-"""What members say to each other about the state they keep copies of; `owners/envelope.py` carries it.
+"""Messages between members about replicated state; `leadership/envelope.py` carries them.
 
-`epoch` counts how often the fleet has forgotten what was taken back: copies of different epochs are never
-merged. Digests are of groups or ranges, see `store.py`. Numbers are the asker's own.
+The tags and the order of the fields are the wire's, and older than the names here: an array is read by place,
+and newer versions add fields at the end. `request_id` is the asker's own, and comes back in the reply.
+`epoch` counts how often the fleet has forgotten deleted records (`epochs.py`): copies of different epochs are
+never merged. Digests are of ranges of keys, or of groups of ranges (`range_digests.py`).
 """
 
 from __future__ import annotations
 
+from enum import StrEnum
+from typing import NamedTuple
+
 import msgspec
 
 from sailrun.replication.records import Count, Key, Record
 
+# ---------------------------------------------------------------------- anti-entropy and state transfer
+
 
 class Rumor(msgspec.Struct, array_like=True, frozen=True, tag="rumor"):
-    """What has changed of late."""
+    """Records that changed of late."""
 
     epoch: int
     records: list[Record]
 
 
-class Sum(msgspec.Struct, array_like=True, frozen=True, tag="sum"):
-    """How is your copy? Mine has these digests, by group."""
+class DigestRequest(msgspec.Struct, array_like=True, frozen=True, tag="sum"):
+    """Asks how the receiver's copy compares with the sender's, which has these digests."""
 
-    number: int
+    request_id: int
     epoch: int
-    groups: list[int]
-    whole: bool  # the sender has a whole copy
+    group_digests: list[int]
+    complete: bool  # the sender's copy is
 
 
-class Differs(msgspec.Struct, array_like=True, frozen=True, tag="differs"):
-    """Mine has other digests in these groups: those of their ranges. `forgotten` is the record of the latest
-    epoch, where the asker's is older.
-    """
+class DigestReply(msgspec.Struct, array_like=True, frozen=True, tag="differs"):
+    """The sender's digests in the groups that differ; none where the copies are alike."""
 
-    number: int
+    request_id: int
     epoch: int
-    leaves: dict[int, list[int]]
-    records: int  # in the ranges of those groups
-    whole: bool
-    forgotten: Record | None = None
+    range_digests: dict[int, list[int]]  # by group
+    record_count: int  # in the ranges of those groups
+    complete: bool  # the sender's copy is
+    epoch_record: Record | None = None  # that of the latest epoch, where the asker's is older
 
 
-class Take(msgspec.Struct, array_like=True, frozen=True, tag="take"):
-    """Give me the records of these ranges, from after that key of the first one on."""
+class PageRequest(msgspec.Struct, array_like=True, frozen=True, tag="take"):
+    """Asks for the records of these ranges; of the first one, only for what follows the key `after`."""
 
-    number: int
+    request_id: int
     epoch: int
     ranges: list[int]
     after: Key | None
-    urgent: bool = False  # a voter's memory or an owner's beginning: not held to the givers' rate
+    urgent: bool = False  # a voter's recovery or a leader's beginning: not held to the sender's rate
+
 
+class RecordPage(msgspec.Struct, array_like=True, frozen=True, tag="given"):
+    """Records of the ranges asked for."""
 
-class Given(msgspec.Struct, array_like=True, frozen=True, tag="given"):
-    number: int
+    request_id: int
     epoch: int
     records: list[Record]
-    after: Key | None  # where the piece ends; None: that was all
+    after: Key | None  # the key where the page ends; None: nothing follows
 
 
-class Busy(msgspec.Struct, array_like=True, frozen=True, tag="busy"):
-    number: int
-    wait_us: int
+class SenderBusy(msgspec.Struct, array_like=True, frozen=True, tag="busy"):
+    """The sender of a state transfer has no capacity now."""
 
+    request_id: int
+    retry_after_us: int
 
-class Fetch(msgspec.Struct, array_like=True, frozen=True, tag="fetch"):
-    """What do you have of this record? Asked of all voters where two copies differ without a reason."""
 
-    number: int
+class RecordRequest(msgspec.Struct, array_like=True, frozen=True, tag="fetch"):
+    """Asks a voter for its copy of a record, where two copies differ without a reason."""
+
+    request_id: int
     key: Key
 
 
-class Fetched(msgspec.Struct, array_like=True, frozen=True, tag="fetched"):
-    number: int
+class RecordReply(msgspec.Struct, array_like=True, frozen=True, tag="fetched"):
+    """A voter's copy of a record; None: it has none."""
+
+    request_id: int
     key: Key
     record: Record | None
 
 
-class Promise(msgspec.Struct, array_like=True, frozen=True, tag="promise"):
-    """To a voter, by a new owner: take nothing of a lower term any more, and say how your copy is."""
+# ---------------------------------------------------------------------- a leader and the voters
+
+
+class Prepare(msgspec.Struct, array_like=True, frozen=True, tag="promise"):
+    """From a new leader to a voter: to accept nothing of a lower term, and to compare its copy."""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
-    groups: list[int]
+    group_digests: list[int]
 
 
-class Promised(msgspec.Struct, array_like=True, frozen=True, tag="promised"):
-    """`life` is which of its lives the voter is in, `lives` the latest of each voter that it knows of."""
+class Promise(msgspec.Struct, array_like=True, frozen=True, tag="promised"):
+    """A voter accepts nothing of a lower term from now on."""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
-    life: int
-    lives: dict[str, int]
-    leaves: dict[int, list[int]]  # of the groups that differ
+    incarnation: int  # of the voter
+    crash_vector: dict[str, int]  # the latest incarnation of each voter that it knows of
+    range_digests: dict[int, list[int]]  # of the groups that differ
 
 
-class Put(msgspec.Struct, array_like=True, frozen=True, tag="put"):
-    """Keep these for me."""
+class Accept(msgspec.Struct, array_like=True, frozen=True, tag="put"):
+    """From a leader: to hold these records. Members that do not vote may be asked as well."""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
     records: list[Record]
 
 
-class Level(msgspec.Struct, array_like=True, frozen=True, tag="level"):
-    """Say so once you hold everything that I hold."""
+class CatchUp(msgspec.Struct, array_like=True, frozen=True, tag="level"):
+    """From a leader to a voter: to reply once it holds everything that the leader holds."""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
-    groups: list[int]
+    group_digests: list[int]
 
 
-class Kept(msgspec.Struct, array_like=True, frozen=True, tag="kept"):
-    """The answer to `Put` and `Level`. Of a member that does not vote, `life` is 0."""
+class Accepted(msgspec.Struct, array_like=True, frozen=True, tag="kept"):
+    """The reply to `Accept` and `CatchUp`."""
 
     term: int
-    number: int
-    life: int
-    lives: dict[str, int]
+    request_id: int
+    incarnation: int  # of a member that does not vote: 0
+    crash_vector: dict[str, int]
 
 
-class Higher(msgspec.Struct, array_like=True, frozen=True, tag="higher"):
-    """Your term is over: a higher one was promised."""
+class TermSuperseded(msgspec.Struct, array_like=True, frozen=True, tag="higher"):
+    """The leader's term is over: the voter has promised a higher one."""
 
     term: int
-    number: int
-    promised: int
+    request_id: int
+    promised_term: int
 
 
-class Have(msgspec.Struct, array_like=True, frozen=True, tag="have"):
-    """Do you know that all these were taken back?"""
+class DeletionQuery(msgspec.Struct, array_like=True, frozen=True, tag="have"):
+    """From a leader: whether the member knows that all these versions were deleted."""
 
     term: int
-    number: int
+    request_id: int
     epoch: int
-    items: list[tuple[Key, str, Count]]
+    deleted_versions: list[tuple[Key, str, Count]]
 
 
-class Has(msgspec.Struct, array_like=True, frozen=True, tag="has"):
+class DeletionReply(msgspec.Struct, array_like=True, frozen=True, tag="has"):
+    """Whether the member's copy is complete, of the same epoch, and knows all of them."""
+
     term: int
-    number: int
-    yes: bool
+    request_id: int
+    knows_all: bool
+
+
+# ---------------------------------------------------------------------- recovery of a voter
+
 
+class IncarnationRequest(msgspec.Struct, array_like=True, frozen=True, tag="knows"):
+    """From a voter that lost its memory: which incarnation of it is the latest known."""
 
-class Knows(msgspec.Struct, array_like=True, frozen=True, tag="knows"):
-    """A voter that has started: which life am I in?"""
+    request_id: int
 
-    number: int
 
+class IncarnationReply(msgspec.Struct, array_like=True, frozen=True, tag="known"):
+    """What another voter knows."""
 
-class Known(msgspec.Struct, array_like=True, frozen=True, tag="known"):
-    number: int
-    remembers: bool
-    lives: dict[str, int]
-    promised: int
-    may_remember: bool = False  # its folder is being compared: it will know in a moment
+    request_id: int
+    recovered: bool  # this voter remembers everything that it promised
+    crash_vector: dict[str, int]
+    promised_term: int
+    verifying_folder: bool = False  # it may remember: its folder is being compared with the others'
 
 
-class Recover(msgspec.Struct, array_like=True, frozen=True, tag="recover"):
-    """A voter that has started, in this life of its: from now on nothing it said in former ones counts. Say
-    what you have promised, and how your copy is.
+class RecoveryRequest(msgspec.Struct, array_like=True, frozen=True, tag="recover"):
+    """From a voter in its new incarnation: nothing that it said in former ones counts from now on. Asks what
+    the receiver has promised, and how its copy compares.
     """
 
-    number: int
-    life: int
+    request_id: int
+    incarnation: int
     epoch: int
-    groups: list[int]
+    group_digests: list[int]
 
 
-class Recovering(msgspec.Struct, array_like=True, frozen=True, tag="recovering"):
-    number: int
+class RecoveryReply(msgspec.Struct, array_like=True, frozen=True, tag="recovering"):
+    """Another voter has noted the incarnation."""
+
+    request_id: int
     epoch: int
-    lives: dict[str, int]
-    promised: int
-    leaves: dict[int, list[int]]
+    crash_vector: dict[str, int]
+    promised_term: int
+    range_digests: dict[int, list[int]]  # of the groups that differ
 
 
-ReplicaBody = (
+ReplicationBody = (
     Rumor
-    | Sum
-    | Differs
-    | Take
-    | Given
-    | Busy
-    | Fetch
-    | Fetched
+    | DigestRequest
+    | DigestReply
+    | PageRequest
+    | RecordPage
+    | SenderBusy
+    | RecordRequest
+    | RecordReply
+    | Prepare
     | Promise
-    | Promised
-    | Put
-    | Level
-    | Kept
-    | Higher
-    | Have
-    | Has
-    | Knows
-    | Known
-    | Recover
-    | Recovering
+    | Accept
+    | CatchUp
+    | Accepted
+    | TermSuperseded
+    | DeletionQuery
+    | DeletionReply
+    | IncarnationRequest
+    | IncarnationReply
+    | RecoveryRequest
+    | RecoveryReply
 )
 
 
-class Op(msgspec.Struct, array_like=True, frozen=True):
-    """A question to the owner of the marks. `what`: `mark`, `look`, `poll`, `where`."""
+class OutgoingMessage(NamedTuple):
+    """A message, and the name of the member it is for."""
+
+    receiver: str
+    body: ReplicationBody
+
 
-    what: str
+# ---------------------------------------------------------------------- requests to the leader
+
+
+class MarkOperation(StrEnum):
+    """What is asked of the leader of the marks. A leader rejects an operation that it does not know."""
+
+    WRITE = "mark"
+    READ = "look"
+    POLL = "poll"  # what became of a write
+    COMPARE = "where"  # whether the asker's copy is level with the leader's
+
+
+class MarkState(StrEnum):
+    """What became of a request."""
+
+    DONE = "done"
+    PENDING = "pending"  # written, and without a majority yet
+    WAITING = "waits"  # done, and in force once there is capacity
+    REJECTED = "refused"
+    OPENING = "opening"  # nothing was done: the leader's term has just begun
+    OTHER_TERM = "other"  # nothing was done: the request is meant for another term
+    UNKNOWN = "unknown"  # it may have been done under a former term
+    BEHIND = "behind"  # the asker's copy lacks something
+
+
+class MarkRequest(msgspec.Struct, array_like=True, frozen=True):
+    """A request to the leader of the marks; a leader of another term than `term` does not write.
+
+    `operation` is a `MarkOperation`, or one of a later version of the program.
+    """
+
+    operation: str
     id: str = ""
-    under: int = 0  # the term it is meant for: an owner of another one does nothing
+    term: int = 0
     kind: str = ""
     subject: str = ""
-    on: bool = False
-    who: str = ""
-    why: str = ""
-    at_s: float = 0.0  # what the writer's wall clock showed; it decides nothing
-    everybody: bool = False  # also count the copies of members that do not vote
-    groups: list[int] = []  # `where`: the asker's digests
-
-
-class Said(msgspec.Struct, array_like=True, frozen=True):
-    """The owner's answer. `state`: `done` and `pending` (with how many copies), `waits` (done, and in force
-    once there is room), `refused`, `opening` (nothing was done yet), `other` (nothing was done: `under` is
-    the term now), `unknown` (it may have been done under a former term).
+    active: bool = False
+    author: str = ""
+    reason: str = ""
+    written_at_s: float = 0.0  # what the writer's wall clock showed; it decides nothing
+    all_members: bool = False  # also count the copies of members that do not vote
+    group_digests: list[int] = []  # of a comparison: the asker's
+
+
+class MarkReply(msgspec.Struct, array_like=True, frozen=True):
+    """The leader's reply, with the leader's term.
+
+    `state` is a `MarkState`, or one of a later version of the program. Of a write, `copies` of `replicas`
+    members have it, and `all_members` says whether every living member does.
     """
 
     id: str
     state: str
-    under: int = 0
+    term: int = 0
     copies: int = 0
-    of: int = 0
-    everybody: bool = False  # every living member holds it
-    why: str = ""
-    versions: list[tuple[bytes, bool]] = []  # `look`: contents, and whether each takes the mark back
-    records: int = 0  # `where`: how many records the asker may lack
+    replicas: int = 0
+    all_members: bool = False
+    reason: str = ""
+    versions: list[tuple[bytes, bool]] = []  # of a read: contents, and whether each deletes the mark
+    missing_records: int = 0  # of a comparison: how many records the asker may lack
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -1,14 +1,13 @@
-"""One node's part in the state that the fleet keeps copies of: its copy, its vote, the owner's work if it is
-the owner, and what staff and the core do with it here.
+"""One node's replica of the fleet's state: its copy, its vote, the leader's work if it leads, and what the
+operators and the core do with it here.
 
-Pure: messages and the time go in, posts and questions come out.
+Pure: messages and the time (microseconds) come in, messages and requests to the leader go out.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
 from typing import Any
 
 import msgspec
@@ -16,498 +15,383 @@
 from sailrun.leadership.quorum import Voters
 from sailrun.membership.membership import Membership
 from sailrun.replication.acceptor import Acceptor
-from sailrun.replication.coordinator import MarksCoordinator
-from sailrun.replication.journal import Journal
-from sailrun.replication.marks import KINDS, Mark, Standing, in_force, keeps_out, marks, pack, unpack
+from sailrun.replication.anti_entropy import AntiEntropy
+from sailrun.replication.coordinator import MarkCoordinator
+from sailrun.replication.copy_lag import CopyLag
+from sailrun.replication.journal import ReplicaJournal
+from sailrun.replication.mark_client import (
+    DEFAULT_TIMEOUT_US,
+    LeaderRequest,
+    MarkClient,
+    MarkOutcome,
+    OnOutcome,
+    OnVersions,
+)
+from sailrun.replication.mark_effects import MarkChange, MarkEffects
 from sailrun.replication.messages import (
-    Fetch,
-    Fetched,
-    Has,
-    Have,
-    Higher,
-    Kept,
-    Known,
-    Knows,
-    Level,
-    Op,
+    Accept,
+    Accepted,
+    CatchUp,
+    DeletionQuery,
+    DeletionReply,
+    IncarnationReply,
+    IncarnationRequest,
+    MarkOperation,
+    MarkRequest,
+    MarkState,
+    OutgoingMessage,
+    Prepare,
     Promise,
-    Promised,
-    Put,
-    Recover,
-    Recovering,
-    Said,
+    RecordReply,
+    RecordRequest,
+    RecoveryReply,
+    RecoveryRequest,
+    TermSuperseded,
+)
+from sailrun.replication.operator_marks import (
+    MARK_KINDS,
+    MAX_KIND_CHARACTERS,
+    MarkStatus,
+    OperatorMark,
+    decode_mark,
+    encode_mark,
+    iterate_marks,
 )
-from sailrun.replication.records import Key, Record, written
+from sailrun.replication.records import Key, Record, apply_write
 from sailrun.replication.settings import ReplicationSettings
-from sailrun.replication.store import GROUP, RANGES, Store
-from sailrun.replication.sync import Sync
-
-SECOND = 1_000_000
-MARKS = "marks"
-Post = tuple[str, msgspec.Struct]
-# A question about a mark is said again so soon; whether this copy is behind is asked so often, and less often
-# in a fleet of more than so many.
-ASK_US, WHERE_US, WHERE_NODES = 100_000, SECOND, 200
-# How long a mark is tried for where its writer says nothing else.
-MARK_US = 6 * SECOND
-MOST_WRITES = 1000
-# The latest list is written down so often, where anything is.
-LISTS_US = 10 * SECOND
-BELIEF, LIST = "belief", "list"
-_FOR_ACCEPTOR = (Promise, Put, Level, Knows, Known, Recover, Recovering)
-_FOR_COORDINATOR = (Promised, Kept, Higher, Has)
-
-
-@dataclass(frozen=True, slots=True)
-class Answer:
-    """What became of a mark. `state`: `done`, `waits`, `refused`, or `unknown`: it may come into force
-    yet.
-    """
-
-    id: str
-    state: str
-    copies: int
-    of: int
-    why: str = ""
-    term: int = 0
-
-
-@dataclass(slots=True)
-class _Writing:
-    op: Op
-    reply: Callable[[Answer], None]
-    until_us: int
-    next_us: int
-    heard: Said | None = None
-
-
-@dataclass(slots=True)
-class _Looking:
-    op: Op
-    reply: Callable[[list[tuple[Mark, bool]] | None], None]
-    until_us: int
-    next_us: int
+from sailrun.replication.store import RecordStore
+
+SECOND_US = 1_000_000
+# The task whose leader writes the marks.
+MARKS_TASK = "marks"
+# Kinds of records that are no marks.
+OUTLIER_REPORT, SERVER_LIST = "belief", "list"
+# Server lists that changed are journalled this often.
+JOURNAL_LISTS_INTERVAL_US = 10 * SECOND_US
+_FOR_ACCEPTOR = (
+    Prepare,
+    Accept,
+    CatchUp,
+    IncarnationRequest,
+    IncarnationReply,
+    RecoveryRequest,
+    RecoveryReply,
+)
+_FOR_COORDINATOR = (Promise, Accepted, TermSuperseded, DeletionReply)
+
+
+def _ignore_event(kind: str, **facts: object) -> None:
+    """For replicas whose events nobody records."""
 
 
 class Replica:
+    """Ties the parts of a node's replica together."""
+
     def __init__(
         self,
         name: str,
-        life: int,
-        terms: ReplicationSettings,
+        incarnation: int,
+        settings: ReplicationSettings,
         fleet: str,
         members: Membership,
         voters: Callable[[], Voters],
-        limit: Callable[[str], int | None],
+        get_mark_limit: Callable[[str], int | None],
         seed: int,
         now_us: int,
-        off: frozenset[str] = frozenset(),
-        record: Callable[..., None] = lambda kind, **facts: None,
-        journal: Journal | None = None,
+        disabled_rules: frozenset[str] = frozenset(),
+        record_event: Callable[..., None] = _ignore_event,
+        journal: ReplicaJournal | None = None,
     ) -> None:
-        self._journal = journal or Journal()
-        self._lists: set[Key] = set()  # changed lists, which nobody counts on and which change often
-        self._lists_us = now_us
-        self.terms, self.name, self._members, self._voters, self._off = terms, name, members, voters, off
-        self._limit, self._act = limit, record
-        self._luck = random.Random(seed)
-        self.store = Store(terms, fleet.encode(), off)
+        """`incarnation` is this process's own number. `get_mark_limit` gives how many marks of a kind may be
+        in force at a time; None: any number. `record_event` is called with every step that the laboratory
+        checks.
+        """
+        self.settings, self.name, self._members, self._voters = settings, name, members, voters
+        self._get_mark_limit, self._disabled_rules = get_mark_limit, disabled_rules
+        self._record_event, self._journal = record_event, journal or ReplicaJournal()
+        self._rng = random.Random(seed)
+        self.store = RecordStore(settings, fleet.encode(), disabled_rules)
         self.store.on_change = self._on_change
-        self.sync = Sync(
-            name,
+        self.anti_entropy = self._make_anti_entropy(now_us)
+        # Requests to the leader of the marks; emptied by whoever drives this.
+        self.leader_requests: list[LeaderRequest] = []
+        self._client = MarkClient(self.leader_requests.append, record_event)
+        self._effects = MarkEffects(self.anti_entropy)
+        self._lag = CopyLag(name, self.anti_entropy, members, self.leader_requests.append, now_us)
+        self.anti_entropy.on_discarded = self._on_discarded
+        self.anti_entropy.on_lost = self._effects.touch
+        self.acceptor: Acceptor | None = None
+        self.coordinator: MarkCoordinator | None = None
+        self.apply_voters(now_us)
+        self._actor = f"{name}/{incarnation:x}"  # of this process's local writes
+        self._local_writes = 0
+        self._outlier_reports = 0
+        self._changed_lists: set[Key] = set()  # not journalled yet
+        self._journal_lists_at_us = now_us
+
+    def _make_anti_entropy(self, now_us: int) -> AntiEntropy:
+        return AntiEntropy(
+            self.name,
             self.store,
-            terms,
-            members,
-            lambda: voters().names(),
-            lambda names: voters().is_majority(names),
-            self._luck.getrandbits(32),
+            self.settings,
+            self._members,
+            lambda: self._voters().names(),
+            lambda names: self._voters().is_majority(names),
+            self._rng.getrandbits(32),
             now_us,
-            off,
+            self._disabled_rules,
             self._journal,
         )
-        self.acceptor: Acceptor | None = None
-        self.coordinator: MarksCoordinator | None = None
-        self.use_voters(now_us)
-        self.sync.on_thrown = self._thrown
-        self.sync.on_founded = lambda: self._act("founded", what="marks")
-        self.sync.on_remembered = lambda: self._act("remembered", what="marks")
-        self.sync.on_lost = lambda key: self._touched.add(key) if key[0] in KINDS else None
-        self._actor = f"{name}/{life:x}"
-        self._count = 0
-        self._beliefs = 0
-        # Questions to the owner of the marks, each with who is told the answer; emptied by who drives this.
-        self.questions: list[tuple[Op, Callable[[int, int, Any], None]]] = []
-        # What came into force or is so no longer: kind, subject, whether; emptied by who drives this.
-        self.uses: list[tuple[str, str, bool]] = []
-        self._used: set[tuple[str, str]] = set()
-        self._touched: set[Key] = set()
-        self._look_over = True  # all marks are to be looked at, not only those that changed
-        self._writing: dict[str, _Writing] = {}
-        self._looking: dict[str, _Looking] = {}
-        self.level_us = -1  # when this copy was last known to hold what the owner held; -1: never
-        self.lacks = 0
-        self._behind_owner = False  # as it last said: its copy is asked for what differs
-        self._where_us = now_us
-        self._stale = False
-
-    # ------------------------------------------------------------------ who votes, who owns
-
-    def use_voters(self, now_us: int) -> None:
+
+    # ------------------------------------------------------------------ who votes, who leads
+
+    def apply_voters(self, now_us: int) -> None:
+        """The fleet's voters may have changed: this node may be one, or be one no longer."""
         if self.name not in self._voters().names():
             self.acceptor = None
         elif self.acceptor is None:
             self.acceptor = Acceptor(
-                self.name, self._voters, self.store, self.sync, now_us, self._off, self._journal
+                self.name,
+                self._voters,
+                self.store,
+                self.anti_entropy,
+                now_us,
+                self._disabled_rules,
+                self._journal,
             )
+            recovery = self.acceptor.recovery
+            recovery.on_bootstrapped = lambda: self._record_event("founded", what=MARKS_TASK)
+            recovery.on_recovered = lambda: self._record_event("remembered", what=MARKS_TASK)
 
-    def take_up(self, now_us: int, records: Iterable[tuple[Record, int]], epoch: int) -> int:
-        """A whole copy that outlasted the process, with the records' hashes (0: not known). Its marks are in
-        force until others tell more; returns how many records there was no room for.
-        """
-        left = self.store.load(now_us, records)
-        self.sync.take_up(epoch)
-        self._look_over = True
-        return left
-
-    def _thrown(self, now_us: int, counted: bool) -> None:
-        self.level_us = -1
-        self._look_over = True
-        if counted and self.acceptor is not None:
-            self.acceptor.restart(now_us)
-
-    def turned(self, now_us: int, term: int) -> None:
-        """This node owns the marks under that term from now on; 0: it does not any more."""
+    def set_leadership(self, now_us: int, term: int) -> None:
+        """This node leads the marks under that term from now on; 0: it does not any more."""
         self.coordinator = None
         if term:
-            self.coordinator = MarksCoordinator(
+            self.coordinator = MarkCoordinator(
                 term,
                 self.name,
                 self._voters,
                 self._members,
-                self.sync,
-                self._limit,
+                self.anti_entropy,
+                self._get_mark_limit,
                 now_us,
-                self._off,
+                self._disabled_rules,
             )
 
+    def restore(self, now_us: int, records: Iterable[tuple[Record, int]], epoch: int) -> int:
+        """Takes over a complete copy that outlasted the process, with the records' hashes (0: not known). Its
+        marks are in force until others send more; returns how many records there was no room for.
+        """
+        left_out = self.store.load(now_us, records)
+        self.anti_entropy.restore(epoch)
+        self._effects.require_full_check()
+        return left_out
+
+    def _on_discarded(self, now_us: int, was_counted: bool) -> None:
+        self._lag.reset()
+        self._effects.require_full_check()
+        if was_counted and self.acceptor is not None:
+            self.acceptor.restart(now_us)
+
     # ------------------------------------------------------------------ messages
 
-    def hear(self, now_us: int, sender: str, body: object) -> list[Post]:
+    def receive(self, now_us: int, sender: str, body: object) -> list[OutgoingMessage]:
+        """Handles a message of another member; returns the replies."""
         if isinstance(body, _FOR_ACCEPTOR):
             if self.acceptor is not None:
-                return self.acceptor.hear(now_us, sender, body)
-            if isinstance(body, Put):
-                return self._keep_for(now_us, sender, body)
-            return []
+                return self.acceptor.receive(now_us, sender, body)
+            return self._accept_as_observer(now_us, sender, body) if isinstance(body, Accept) else []
         if isinstance(body, _FOR_COORDINATOR):
             if self.coordinator is not None:
-                self.coordinator.hear(now_us, sender, body)
+                self.coordinator.receive(now_us, sender, body)
             return []
-        if isinstance(body, Have):
-            same = body.epoch == self.sync.epoch
-            return [(sender, Has(body.term, body.number, same and self.sync.knows_all(body.items)))]
-        if isinstance(body, Fetch | Fetched) and not self.sync.whole:
+        if isinstance(body, DeletionQuery):
+            is_same_epoch = body.epoch == self.anti_entropy.copy.epoch
+            knows_all = is_same_epoch and self.anti_entropy.epochs.knows_deletions(body.deleted_versions)
+            return [OutgoingMessage(sender, DeletionReply(body.term, body.request_id, knows_all))]
+        if isinstance(body, RecordRequest | RecordReply) and not self.anti_entropy.copy.is_complete:
             return []
-        return self.sync.hear(now_us, sender, body)
+        return self.anti_entropy.receive(now_us, sender, body)
 
-    def _keep_for(self, now_us: int, sender: str, put: Put) -> list[Post]:
-        """As a member that does not vote: a copy more."""
-        if not self.sync.whole or put.epoch != self.sync.epoch:
+    def _accept_as_observer(self, now_us: int, sender: str, request: Accept) -> list[OutgoingMessage]:
+        """As a member that does not vote: one more copy."""
+        copy = self.anti_entropy.copy
+        if not copy.is_complete or request.epoch != copy.epoch:
             return []
-        self.sync.take_in(now_us, put.records, 0)
-        return [(sender, Kept(put.term, put.number, 0, {}))]
+        self.anti_entropy.merge_received(now_us, request.records)
+        return [OutgoingMessage(sender, Accepted(request.term, request.request_id, 0, {}))]
 
-    def answer(self, now_us: int, sender: str, content: Any) -> Any:
-        """As the owner of the marks."""
+    def answer_request(self, now_us: int, content: Any) -> Any:
+        """Answers a `MarkRequest` of plain objects as the leader, with a reply of plain objects. None: this
+        node does not lead, the content is no request, or the asker is to ask again.
+        """
         try:
-            op = msgspec.convert(content, Op)
+            request = msgspec.convert(content, MarkRequest)
         except msgspec.ValidationError:
             return None
         if self.coordinator is None:
             return None
-        said = self.coordinator.asked(now_us, sender, op)
-        return msgspec.to_builtins(said, builtin_types=(bytes,)) if said is not None else None
+        reply = self.coordinator.answer_request(now_us, request)
+        return msgspec.to_builtins(reply, builtin_types=(bytes,)) if reply is not None else None
 
-    # ------------------------------------------------------------------ what staff want
+    # ------------------------------------------------------------------ marks
 
-    def new_id(self) -> str:
-        return f"m{self._luck.getrandbits(64):016x}"
+    def make_request_id(self) -> str:
+        """An id for a request about a mark, unlike any other of the fleet."""
+        return f"m{self._rng.getrandbits(64):016x}"
 
-    def mark(
-        self,
-        now_us: int,
-        op: Op,
-        reply: Callable[[Answer], None],
-        for_us: int = MARK_US,
+    def write_mark(
+        self, now_us: int, request: MarkRequest, on_outcome: OnOutcome, timeout_us: int = DEFAULT_TIMEOUT_US
     ) -> None:
-        """A mark that a majority is to hold: `reply` is called once, with what became of it."""
-        if len(self._writing) >= MOST_WRITES:
-            reply(Answer(op.id, "refused", 0, 0, f"{MOST_WRITES} marks are under way here"))
-            return
-        self._act("call", id=op.id, what="mark", subject=f"{op.kind}/{op.subject}", on=op.on)
-        self._writing[op.id] = _Writing(op, reply, now_us + for_us, now_us)
-
-    def mark_here(self, now_us: int, op: Op) -> Answer:
-        """A mark on this node's own word: it spreads, and stays beside others that it had not seen."""
-        if op.kind not in KINDS:
-            return Answer(op.id, "refused", 0, 0, f"no kind {op.kind[:40]}")
-        if self._limit(op.kind) is not None and op.on:
-            return Answer(op.id, "refused", 0, 0, "with permits, a majority has to know of it")
-        key = (op.kind, op.subject, "")
-        self._count += 1
-        mark = Mark(op.id, op.on, False, op.who, op.why, op.at_s, self.name, [op.id])
+        """Writes a mark that a majority is to hold; `on_outcome` is called once."""
+        self._client.write(now_us, request, on_outcome, timeout_us)
+
+    def write_mark_locally(self, now_us: int, request: MarkRequest) -> MarkOutcome:
+        """Writes a mark here alone: it spreads, and stays beside others that it had not seen."""
+        if request.kind not in MARK_KINDS:
+            reason = f"no kind {request.kind[:MAX_KIND_CHARACTERS]}"
+            return MarkOutcome(request.id, MarkState.REJECTED, 0, 0, reason)
+        if self._get_mark_limit(request.kind) is not None and request.active:
+            reason = "with permits, a majority has to know of it"
+            return MarkOutcome(request.id, MarkState.REJECTED, 0, 0, reason)
+        key = (request.kind, request.subject, "")
         before = self.store.get(key)
-        record = written(before, key, False, self._actor, (0, self._count), pack(mark), gone=not op.on)
-        saw = [m.id for v in before.versions if (m := unpack(v)) is not None] if before is not None else []
-        self._act("weak", id=op.id, subject=f"{op.kind}/{op.subject}", on=op.on, saw=",".join(saw) or None)
-        self.store.put(now_us, record)
-        self.sync.changed(record)
-        return Answer(op.id, "done", 1, len(self._members.living_names))
+        seen = [m.id for v in before.versions if (m := decode_mark(v)) is not None] if before else []
+        subject = f"{request.kind}/{request.subject}"
+        self._record_event(
+            "weak", id=request.id, subject=subject, on=request.active, saw=",".join(seen) or None
+        )
+        self._local_writes += 1
+        count, content = (0, self._local_writes), encode_mark(self._make_local_mark(request))
+        record = apply_write(before, key, False, self._actor, count, content, not request.active)
+        self._put_own(now_us, record)
+        return MarkOutcome(request.id, MarkState.DONE, 1, len(self._members.living_names))
+
+    def _make_local_mark(self, request: MarkRequest) -> OperatorMark:
+        return OperatorMark(
+            request.id,
+            request.active,
+            False,
+            request.author,
+            request.reason,
+            request.written_at_s,
+            self.name,
+            [request.id],
+        )
 
-    def look(
+    def read_mark(
         self,
         now_us: int,
         kind: str,
         subject: str,
-        reply: Callable[[list[tuple[Mark, bool]] | None], None],
-        for_us: int = MARK_US,
+        on_versions: OnVersions,
+        timeout_us: int = DEFAULT_TIMEOUT_US,
     ) -> str:
-        """What the owner knows of a mark: no older than the question. None: it was not heard in time."""
-        op = Op("look", self.new_id(), 0, kind, subject)
-        self._act("call", id=op.id, what="look", subject=f"{kind}/{subject}")
-        self._looking[op.id] = _Looking(op, reply, now_us + for_us, now_us)
-        return op.id
-
-    def believe(self, now_us: int, content: bytes) -> None:
-        """What this node believes of form servers, for the others."""
-        self._beliefs += 1
-        count = (self._members.own_record.incarnation, self._beliefs)
-        record = written(None, (BELIEF, self.name, ""), True, self.name, count, content)
-        self.store.put(now_us, record)
-        self.sync.changed(record)
-
-    def keep_list(self, now_us: int, source: str, revision: int, content: bytes) -> None:
-        """The list that the source told under this revision; one that is not newer changes nothing."""
-        key = (LIST, source, "")
+        """Reads a mark from the leader, no older than the call; returns the request's id."""
+        request = MarkRequest(MarkOperation.READ, self.make_request_id(), 0, kind, subject)
+        self._client.read(now_us, request, on_versions, timeout_us)
+        return request.id
+
+    def list_marks(self) -> list[MarkStatus]:
+        """All marks of this copy."""
+        return list(iterate_marks(self.store))
+
+    @property
+    def active_marks(self) -> set[tuple[str, str]]:
+        """Kind and subject of all marks in force here."""
+        return self._effects.active
+
+    @property
+    def mark_changes(self) -> list[MarkChange]:
+        """What came into force here, or is in force no longer, and was not taken yet."""
+        return self._effects.changes
+
+    def take_mark_changes(self) -> list[MarkChange]:
+        """The changes since the last call."""
+        changes, self._effects.changes = self._effects.changes, []
+        return changes
+
+    # ------------------------------------------------------------------ outlier reports and server lists
+
+    def publish_outlier_report(self, now_us: int, content: bytes) -> None:
+        """Replaces this node's report of outliers."""
+        self._outlier_reports += 1
+        count = (self._members.own_record.incarnation, self._outlier_reports)
+        key = (OUTLIER_REPORT, self.name, "")
+        self._put_own(now_us, apply_write(None, key, True, self.name, count, content))
+
+    def store_server_list(self, now_us: int, source: str, revision: int, content: bytes) -> None:
+        """Stores the list that a source sent under this revision; one that is not newer changes nothing."""
+        key = (SERVER_LIST, source, "")
         before = self.store.get(key)
-        if before is not None and before.seen.get(source, (0, -1)) >= (0, revision):
+        if before is not None and before.context.get(source, (0, -1)) >= (0, revision):
             return
-        record = written(before, key, False, source, (0, revision), content)
+        self._put_own(now_us, apply_write(before, key, False, source, (0, revision), content))
+
+    def _put_own(self, now_us: int, record: Record) -> None:
         self.store.put(now_us, record)
-        self.sync.changed(record)
+        self.anti_entropy.queue_gossip(record)
+
+    # ------------------------------------------------------------------ how far behind
+
+    @property
+    def missing_records(self) -> int:
+        """How many records this copy may lack, by the leader's last reply or while it is being taken."""
+        copy = self.anti_entropy.copy
+        missing = self._lag.missing_records
+        return missing if copy.is_complete else max(missing, copy.missing_records)
+
+    def get_lag_s(self, now_us: int) -> float | None:
+        """How old the newest thing may be that this copy does not hold; None: not known."""
+        return self._lag.get_lag_s(now_us)
+
+    def is_stale(self, now_us: int) -> bool:
+        """Whether the lag is not known, or more than the settings allow."""
+        return self._lag.is_stale(now_us)
 
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        due_us = min(self.sync.due_us(now_us), self._where_us)
+        """When `turn` has something to do."""
+        due_us = min([self.anti_entropy.due_us(), self._lag.due_us()])
         if self.acceptor is not None:
             due_us = min(due_us, self.acceptor.due_us() or due_us)
         if self.coordinator is not None:
             due_us = min(due_us, self.coordinator.due_us())
-        for writing in self._writing.values():
-            due_us = min(due_us, writing.next_us)
-        for looking in self._looking.values():
-            due_us = min(due_us, looking.next_us)
-        return due_us
-
-    def turn(self, now_us: int, owner: str) -> list[Post]:
-        """`owner`: who owns the marks, by hearsay; empty: nobody is known to."""
-        posts = self.sync.turn(now_us)
+        return min([due_us, *self._client.list_due_us()])
+
+    def turn(self, now_us: int, leader: str) -> list[OutgoingMessage]:
+        """Does what is due; returns the messages to send. `leader`: who leads the marks, as far as is known;
+        empty: nobody.
+        """
+        messages = self.anti_entropy.turn(now_us)
         if self.acceptor is not None:
-            posts += self.acceptor.turn(now_us)
+            messages += self.acceptor.turn(now_us)
         if self.coordinator is not None:
-            posts += self.coordinator.turn(now_us)
-        posts += self._compare(now_us, owner)
-        self._ask(now_us)
-        self._apply(now_us)
-        self._write_lists(now_us)
-        return posts
-
-    def _compare(self, now_us: int, owner: str) -> list[Post]:
-        """Asks the owner whether this copy is behind."""
-        if self.coordinator is not None and self.coordinator.open:
-            self.level_us, self.lacks = now_us, 0
-        if now_us < self._where_us:
-            return []
-        self._where_us = now_us + WHERE_US * max(1, len(self._members.living_names) // WHERE_NODES)
-        if not self.sync.whole:
-            self.lacks = self.sync.missing
-            return []
-        firm = self.store.groups()[: RANGES // GROUP]
-
-        def told(now_us: int, sent_us: int, content: Any) -> None:
-            said = _said(content)
-            if said is not None and said.state == "done" and self.sync.whole:
-                self.level_us, self.lacks = max(self.level_us, sent_us), 0
-            elif said is not None:
-                self.lacks = said.records
-                self._behind_owner = True
-
-        self.questions.append((Op("where", groups=firm), told))
-        posts: list[Post] = []
-        if self._behind_owner and owner and owner != self.name:
-            self._behind_owner = False
-            posts = self.sync.ask(owner)
-        stale = self.stale(now_us)
-        if stale is not self._stale:
-            self._stale = stale
-            self.sync.note("marks-stale" if stale else "marks-fresh", marks=len(self._used))
-        return posts
-
-    def behind_s(self, now_us: int) -> float | None:
-        """How old the newest thing may be that this copy does not hold; None: not known."""
-        return (now_us - self.level_us) / SECOND if self.level_us >= 0 else None
-
-    def stale(self, now_us: int) -> bool:
-        behind_s = self.behind_s(now_us)
-        return behind_s is None or behind_s > self.terms.stale_s
-
-    def _ask(self, now_us: int) -> None:
-        for writing in list(self._writing.values()):
-            if now_us >= writing.until_us:
-                self._end_write(writing, self._late(writing))
-            elif now_us >= writing.next_us:
-                writing.next_us = now_us + ASK_US
-                self.questions.append((writing.op, self._said_of(writing)))
-        for looking in list(self._looking.values()):
-            if now_us >= looking.until_us:
-                self._end_look(looking, None)
-            elif now_us >= looking.next_us:
-                looking.next_us = now_us + ASK_US
-                self.questions.append((looking.op, self._seen_by(looking)))
-
-    @staticmethod
-    def _late(writing: _Writing) -> Answer:
-        said = writing.heard
-        if said is not None and said.state in ("done", "waits"):  # all were waited for, and some are missing
-            why = f"{said.copies} of {said.of} hold it"
-            return Answer(writing.op.id, said.state, said.copies, said.of, why, said.under)
-        copies = said.copies if said is not None else 0
-        why = "no majority has answered: it may come into force yet"
-        return Answer(writing.op.id, "unknown", copies, said.of if said is not None else 0, why)
-
-    def _said_of(self, writing: _Writing) -> Callable[[int, int, Any], None]:
-        def told(now_us: int, sent_us: int, content: Any) -> None:
-            said = _said(content)
-            if said is None or said.id != writing.op.id or writing.op.id not in self._writing:
-                return
-            match said.state:
-                case "other":
-                    writing.op = msgspec.structs.replace(writing.op, under=said.under)
-                    writing.next_us = now_us
-                case "done" | "waits":
-                    writing.heard = said
-                    if writing.op.everybody and not said.everybody:
-                        return
-                    self._end_write(
-                        writing, Answer(said.id, said.state, said.copies, said.of, said.why, said.under)
-                    )
-                case "pending":
-                    writing.heard = said
-                case "refused" | "unknown":
-                    self._end_write(
-                        writing, Answer(said.id, said.state, said.copies, said.of, said.why, said.under)
-                    )
-
-        return told
-
-    def _end_write(self, writing: _Writing, answer: Answer) -> None:
-        if self._writing.pop(writing.op.id, None) is not None:
-            self._act("answer", id=answer.id, state=answer.state, copies=answer.copies)
-            writing.reply(answer)
-
-    def _seen_by(self, looking: _Looking) -> Callable[[int, int, Any], None]:
-        def told(now_us: int, sent_us: int, content: Any) -> None:
-            said = _said(content)
-            if said is None or looking.op.id not in self._looking:
-                return
-            if said.state == "other":
-                looking.op = msgspec.structs.replace(looking.op, under=said.under)
-                looking.next_us = now_us
-            elif said.state == "done":
-                words = []
-                for content_, gone in said.versions:
-                    mark = _mark(content_)
-                    if mark is not None:
-                        words.append((mark, gone))
-                self._end_look(looking, words)
-
-        return told
-
-    def _end_look(self, looking: _Looking, words: list[tuple[Mark, bool]] | None) -> None:
-        if self._looking.pop(looking.op.id, None) is not None:
-            ids = ",".join(sorted(m.id for m, gone in words if not gone)) if words is not None else None
-            state = "done" if words is not None else "unknown"
-            self._act("answer", id=looking.op.id, state=state, value=ids or "none")
-            looking.reply(words)
-
-    # ------------------------------------------------------------------ what is in force here
+            messages += self.coordinator.turn(now_us)
+            if self.coordinator.is_open:
+                self._lag.set_level(now_us)
+        messages += self._lag.turn(now_us, leader, len(self._effects.active))
+        self._client.turn(now_us)
+        self._effects.update(self._lag.is_level_unknown)
+        self._journal_lists(now_us)
+        return messages
+
+    # ------------------------------------------------------------------ the journal
 
     def _on_change(self, record: Record) -> None:
-        if record.kind in KINDS:
-            self._touched.add(record.key)
-        if record.kind == LIST:
-            self._lists.add(record.key)
+        self._effects.touch(record.key)
+        if record.kind == SERVER_LIST:
+            self._changed_lists.add(record.key)
         elif not record.soft:
-            self._journal.record(record, self.store.mark(record.key))
+            self._journal.write_record(record, self.store.get_hash(record.key))
 
-    def _write_lists(self, now_us: int) -> None:
-        """Lists are long, change often, and are told again by the registry: the latest now and then."""
-        if now_us < self._lists_us:
+    def _journal_lists(self, now_us: int) -> None:
+        """Lists are long, change often, and are sent again by their source: the latest now and then."""
+        if now_us < self._journal_lists_at_us:
             return
-        self._lists_us = now_us + LISTS_US
-        while self._lists:
-            record = self.store.get(self._lists.pop())
+        self._journal_lists_at_us = now_us + JOURNAL_LISTS_INTERVAL_US
+        while self._changed_lists:
+            record = self.store.get(self._changed_lists.pop())
             if record is not None:
-                self._journal.record(record, self.store.mark(record.key))
-
-    def _apply(self, now_us: int) -> None:
-        """Notes what came into force. What a copy held that is taken anew stays so until it is whole."""
-        if not self.sync.whole:
-            self._look_over = True
-            return
-        if self._look_over:
-            self._look_over = False
-            self._touched.clear()
-            now_on = set(in_force(self.store))
-            now_on |= {k[:2] for k in self.sync.lost if k[:2] in self._used}
-            if self.sync.copies and self.level_us < 0:
-                # A copy just taken may be of a giver that is behind: what was out stays out until the owner
-                # was heard.
-                now_on |= self._used
-                self._look_over = True
-        elif self._touched:
-            now_on = set(self._used)
-            for key in self._touched:
-                if key in self.sync.lost:
-                    continue  # its bytes were spoilt: it stays as it is until it is had again
-                record = self.store.get(key)
-                on = record is not None and keeps_out(record)
-                (now_on.add if on else now_on.discard)(key[:2])
-            self._touched.clear()
-        else:
-            return
-        for kind, subject in sorted(now_on - self._used):
-            self.uses.append((kind, subject, True))
-        for kind, subject in sorted(self._used - now_on):
-            self.uses.append((kind, subject, False))
-        self._used = now_on
-
-    # ------------------------------------------------------------------ what staff see
-
-    def standings(self) -> list[Standing]:
-        return list(marks(self.store))
-
-
-def _said(content: Any) -> Said | None:
-    try:
-        return msgspec.convert(content, Said)
-    except msgspec.ValidationError:
-        return None
-
-
-def _mark(content: bytes) -> Mark | None:
-    try:
-        return msgspec.msgpack.decode(content, type=Mark)
-    except msgspec.MsgspecError:
-        return None
+                self._journal.write_record(record, self.store.get_hash(record.key))
--- /dev/null
+++ b/sailrun/sharding/agent.py
@@ -0,0 +1,306 @@
+"""A member's whole part in the ownership of shards: as a node, as a voter, as the assigner. Pure.
+
+`leadership/agent.py` drives it and carries its messages. Each region is independent: its voters are its own,
+and no message of another region changes anything here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from sailrun.leadership.leases import LeadershipChange
+from sailrun.leadership.settings import DRIFT, LeadershipSettings
+from sailrun.membership.messages import CONTROL, MemberRecord
+from sailrun.sharding.assigner import Assigner
+from sailrun.sharding.assigner_election import SEED_BITS, AssignerElection, MembershipView
+from sailrun.sharding.log_events import Note, generation_note, session_note
+from sailrun.sharding.messages import (
+    ElectionMessage,
+    PeerMessage,
+    ReadTable,
+    RenewalRejected,
+    RenewSession,
+    SessionRenewed,
+    ShardAct,
+    ShardActRejected,
+    ShardBody,
+    TableRead,
+    TableRejected,
+    TableWritten,
+    WriteTable,
+)
+from sailrun.sharding.session import NodeSession
+from sailrun.sharding.settings import ShardingSettings
+from sailrun.sharding.shard_acts import ShardActs
+from sailrun.sharding.table_replication import TableAcceptor, TableWriter
+
+SECOND = 1_000_000
+# After more unanswered heartbeats than this another member is asked for the assigner.
+MAX_UNANSWERED_HEARTBEATS = 2
+
+
+class ShardingAgent:
+    """Ties together the election of the assigner, the assigner, the voter's table and the node's session.
+
+    `notes` are events for the log; the driver empties them.
+    """
+
+    def __init__(
+        self,
+        me: MemberRecord,
+        settings: ShardingSettings,
+        owners: LeadershipSettings,
+        members: MembershipView,
+        draw: Callable[[int], int],
+        now_us: int,
+        founding: Callable[[], int],
+        off: frozenset[str] = frozenset(),
+        record: Callable[..., None] = lambda kind, **facts: None,
+    ) -> None:
+        """`draw` returns that many random bits; `founding` a number above all that were ever granted, as
+        far as chance and a clock can. `off` names safety rules that the laboratory switches off. Raises
+        ValueError where the settings have no such region.
+        """
+        region = settings.region(me.region)
+        if region is None:
+            raise ValueError(f"no region '{me.region}'")
+        self.name = me.name
+        self.region = region
+        self.settings = settings
+        self.notes: list[Note] = []
+        self.settings_mismatch_count = 0  # messages of members with other settings
+        self.assigner: Assigner | None = None
+        self.assigner_name = ""  # the member that answered a heartbeat last
+        self._life = me.life
+        self._members = members
+        self._founding = founding
+        self._off = off
+        self._record = record
+        self._settings_digest = settings.digest(region.name)
+        self.election = AssignerElection(
+            me.name, region, self._settings_digest, owners, members, draw, now_us, founding, off, record
+        )
+        self.acceptor = TableAcceptor(region.name, me.life, off) if me.name in region.voters else None
+        self.session: NodeSession | None = None
+        if me.role != CONTROL:
+            self.session = NodeSession(region, settings, draw(SEED_BITS), now_us, off, record)
+        self.acts = ShardActs(region, off, record)
+        self._next_voter = draw(SEED_BITS)  # which voter is asked where the assigner is not known
+
+    @property
+    def task(self) -> str:
+        """The task whose leader is the region's assigner."""
+        return self.election.task
+
+    def is_assigner(self, now_us: int) -> bool:
+        """Whether this member may act as its region's assigner now."""
+        return self.election.is_assigner(now_us)
+
+    def is_still_wanted(self, message: ElectionMessage) -> bool:
+        """False for a request to a voter that this member's own vote has denied meanwhile."""
+        return self.election.is_still_wanted(message)
+
+    # ------------------------------------------------------------------ messages
+
+    def receive(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[PeerMessage]:
+        """Takes in a message of the process `life` of a member, and returns what to send."""
+        if body.region != self.region.name:
+            return []
+        settings_digest = getattr(body, "digest", self._settings_digest)
+        if settings_digest != self._settings_digest:
+            return self._reject_settings(sender, body)
+        messages = self._dispatch(now_us, sender, life, body)
+        return messages + self._follow_election(now_us)
+
+    def _reject_settings(self, sender: str, body: ShardBody) -> list[PeerMessage]:
+        """From a member with other settings: it is notified, and nothing else is done."""
+        self.settings_mismatch_count += 1
+        if self.settings_mismatch_count == 1:
+            self.notes.append(("shards-settings-differ", {"name": sender}))
+        if isinstance(body, RenewSession):
+            rejection = RenewalRejected(self.region.name, body.sequence, "settings")
+            return [PeerMessage(sender, rejection)]
+        return []
+
+    def _dispatch(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[PeerMessage]:
+        match body:
+            case ElectionMessage():
+                return self.election.receive(now_us, sender, life, body)
+            case RenewSession():
+                return self._answer_heartbeat(now_us, sender, body)
+            case SessionRenewed():
+                self._on_renewed(now_us, sender, body)
+            case RenewalRejected():
+                self._on_rejected(now_us, sender, body)
+            case ReadTable() | WriteTable():
+                return self._answer_writer(sender, body)
+            case TableRead() | TableWritten() | TableRejected():
+                if self.assigner is not None and self.is_assigner(now_us):
+                    self.assigner.writer.receive(now_us, sender, body)
+            case ShardAct():
+                return self.acts.receive(sender, body)
+            case ShardActRejected():
+                self.acts.count_rejection()
+        return []
+
+    def _answer_writer(self, sender: str, body: ReadTable | WriteTable) -> list[PeerMessage]:
+        if self.acceptor is None:
+            return []
+        answer = self.acceptor.promise(body) if isinstance(body, ReadTable) else self.acceptor.accept(body)
+        return [PeerMessage(sender, answer)]
+
+    def _answer_heartbeat(self, now_us: int, sender: str, heartbeat: RenewSession) -> list[PeerMessage]:
+        if self.assigner is not None and self.is_assigner(now_us):
+            answer = self.assigner.answer_heartbeat(now_us, sender, heartbeat)
+            return [PeerMessage(sender, answer)] if answer is not None else []
+        assigner_name = self.election.known_assigner(now_us)
+        rejection = RenewalRejected(self.region.name, heartbeat.sequence, "elsewhere", assigner_name)
+        return [PeerMessage(sender, rejection)]
+
+    def _on_renewed(self, now_us: int, sender: str, answer: SessionRenewed) -> None:
+        if self.session is not None:
+            self.assigner_name = sender
+            self.session.on_renewed(now_us, answer)
+
+    def _on_rejected(self, now_us: int, sender: str, answer: RenewalRejected) -> None:
+        if self.session is None:
+            return
+        if answer.reason == "elsewhere":
+            self._follow_referral(now_us, self.session, sender, answer)
+        else:
+            self.session.on_rejected(now_us, answer)
+
+    def _follow_referral(
+        self, now_us: int, session: NodeSession, sender: str, answer: RenewalRejected
+    ) -> None:
+        """The sender is not the assigner: the member that it names is asked next."""
+        named = answer.assigner_name
+        if named == sender or not self._members.is_living(named):
+            named = ""
+        if named and named != self.assigner_name:
+            self.assigner_name = named
+            session.retry_now(now_us)
+        elif self.assigner_name == sender:
+            self.assigner_name = ""
+
+    def send_act(self, now_us: int, shard: int, recipient: str) -> list[PeerMessage]:
+        """Requests work of another member on a shard's behalf; nothing where this node may not act for it."""
+        token = self.session.issue_token(shard, now_us) if self.session is not None else None
+        return [self.acts.send(now_us, shard, token, recipient)] if token is not None else []
+
+    # ------------------------------------------------------------------ time
+
+    def due_us(self, now_us: int) -> int:
+        """When `tick` has to be called next."""
+        due = [self.election.due_us(now_us)]
+        if self.assigner is not None:
+            due.append(self.assigner.due_us(now_us))
+        if self.session is not None:
+            due.append(self.session.due_us(now_us))
+        return min(due)
+
+    def tick(self, now_us: int) -> list[PeerMessage]:
+        """Does what is due by the clock, and returns what to send."""
+        messages = self.election.tick_leases(now_us)
+        messages += self.election.tick_voter(now_us)
+        messages += self._follow_election(now_us)
+        if self.session is not None:
+            messages += self._send_heartbeat(now_us, self.session)
+        self._add_notes(now_us)
+        return messages
+
+    def _send_heartbeat(self, now_us: int, session: NodeSession) -> list[PeerMessage]:
+        """The heartbeat that is due, to the assigner; where none is known, to one voter after another."""
+        heartbeat = session.tick(now_us)
+        if heartbeat is None:
+            return []
+        is_silent = session.unanswered_heartbeats > MAX_UNANSWERED_HEARTBEATS
+        if is_silent or not self._members.is_living(self.assigner_name):
+            self.assigner_name = ""
+        recipient = self.assigner_name
+        if not recipient:
+            self._next_voter += 1
+            recipient = self.region.voters[self._next_voter % len(self.region.voters)]
+        return [PeerMessage(recipient, heartbeat)]
+
+    def leave(self, now_us: int) -> list[PeerMessage]:
+        """The process ends in an orderly way: its session and its lease are released at once."""
+        messages: list[PeerMessage] = []
+        if self.session is not None:
+            self.session.is_leaving = True
+            self.session.release(now_us)
+            messages += self._send_heartbeat(now_us, self.session)
+        messages += self.election.leave(now_us)
+        self._follow_election(now_us)
+        self._add_notes(now_us)
+        return messages
+
+    def set_leaving(self, now_us: int, is_leaving: bool) -> None:
+        """A planned stop: the node's shards move once the assigner permits."""
+        if self.session is not None:
+            self.session.set_leaving(now_us, is_leaving)
+
+    # ------------------------------------------------------------------ the assigner
+
+    def _follow_election(self, now_us: int) -> list[PeerMessage]:
+        """Becomes the assigner, or ceases to be, as the lease says; and does an assigner's work."""
+        for change in self.election.take_changes():
+            self._on_election_change(now_us, change)
+        self.election.record_lease()
+        assigner = self.assigner
+        if assigner is None or not self.is_assigner(now_us):
+            return []
+        higher_term = assigner.writer.higher_term
+        if higher_term > assigner.term:
+            self.election.observe_term(now_us, higher_term)
+            return []
+        return assigner.tick(now_us)
+
+    def _on_election_change(self, now_us: int, change: LeadershipChange) -> None:
+        self.assigner = self._new_assigner(change.term, now_us) if change.is_leader else None
+        facts: dict[str, object] = {
+            "region": self.region.name,
+            "term": change.term,
+            "mine": change.is_leader,
+            "why": change.reason,
+        }
+        self.notes.append(("shards-assigner", facts))
+        if not change.is_leader:
+            self._record("lost", task=self.task, term=change.term, why=change.reason)
+
+    def _new_assigner(self, term: int, now_us: int) -> Assigner:
+        patience_us = int(self.settings.lease_s * SECOND * (1 + DRIFT))
+        writer = TableWriter(
+            self.region.name,
+            self._settings_digest,
+            term,
+            self.election.voters,
+            self._life_of,
+            self._founding,
+            patience_us,
+            now_us,
+            self._off,
+        )
+        return Assigner(self.region.name, self.settings, writer, now_us, self._off)
+
+    def _life_of(self, name: str) -> int | None:
+        if name == self.name:
+            return self._life
+        record = self._members.find_record(name)
+        return record.life if record is not None and self._members.is_living(name) else None
+
+    # ------------------------------------------------------------------ log
+
+    def _add_notes(self, now_us: int) -> None:
+        if self.assigner is not None:
+            node_count = len(self.assigner.sessions)
+            for change in self.assigner.committed_changes:
+                self.notes.append(generation_note(self.region.name, change, node_count))
+            self.assigner.committed_changes.clear()
+        if self.session is not None:
+            self.notes += [session_note(event) for event in self.session.events]
+            self.session.events.clear()
+        reaches_majority = self.election.take_majority_change(now_us)
+        if reaches_majority is not None:
+            what = "shards-in-touch" if reaches_majority else "shards-rest"
+            self.notes.append((what, {"region": self.region.name, "voters": len(self.region.voters)}))
