--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -12,7 +12,7 @@
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.leadership.agent import Out
 from sailrun.membership.messages import MemberRecord, MemberState
-from sailrun.sharding.act_exerciser import EVERY_US, ActExerciser
+from sailrun.sharding.act_exerciser import ACT_INTERVAL_US, ActExerciser
 from sailrun.sharding.messages import ShardAct
 
 
@@ -29,7 +29,7 @@
     def begin(self) -> None:
         super().begin()
         for n, name in enumerate(self.names):
-            self.time.after(EVERY_US * n // len(self.names), self._act_for_shards, name)
+            self.time.after(ACT_INTERVAL_US * n // len(self.names), self._act_for_shards, name)
 
     def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         place = place_of(node.index)
@@ -40,7 +40,7 @@
     # ------------------------------------------------------------------ acts
 
     def _act_for_shards(self, name: str) -> None:
-        self.time.after(EVERY_US, self._act_for_shards, name)
+        self.time.after(ACT_INTERVAL_US, self._act_for_shards, name)
         node = self.nodes[name]
         agent = node.agent
         if agent is None or node.stopped:
--- a/sailrun/sharding/__init__.py
+++ b/sailrun/sharding/__init__.py
@@ -1,4 +1,4 @@
-"""Ownership of many shards: one lease per node, shards placed by rendezvous hashing.
+"""Ownership of many shards: one lease for each node, shards placed by rendezvous hashing.
 
-All modules are pure; `part.py` puts them together for one member. Why it is safe: `docs/design/shards.md`.
+All modules are pure; `agent.py` ties them together for one member. Why it is safe: `docs/design/shards.md`.
 """
--- a/sailrun/sharding/act_exerciser.py
+++ b/sailrun/sharding/act_exerciser.py
@@ -1,9 +1,7 @@
 """For the laboratory: a node acts for the shards it owns, again and again, so that the checks have occasions.
 
-Half of the acts for a shard go to one control member, which owns no shards: its fence sees the acts of every
-owner there is. The others go to the member that is placed best but for the owner itself.
-
-Pure.
+Half of the acts for a shard go to one control member, which owns no shards: its fence receives the acts of
+every owner there is. The others go to the best placed member other than the owner itself. Pure.
 """
 
 from __future__ import annotations
@@ -17,43 +15,49 @@
 from sailrun.sharding.messages import PeerMessage
 
 SECOND = 1_000_000
-# So often it acts, for so many of its shards.
-EVERY_US, AT_A_TIME = SECOND // 4, 4
+ACT_INTERVAL_US = SECOND // 4
+SHARDS_PER_INTERVAL = 4
+CONTROL_SHARE = 0.5
 
 
 class ActExerciser:
+    """Sends acts for some of a node's shards at intervals."""
+
     def __init__(
         self,
-        part: ShardingAgent,
+        agent: ShardingAgent,
         members: MembershipView,
         name: str,
         seed: int,
-        every_us: int = EVERY_US,
-        at_a_time: int = AT_A_TIME,
+        interval_us: int = ACT_INTERVAL_US,
+        shards_per_interval: int = SHARDS_PER_INTERVAL,
     ) -> None:
         """Acts for the shards of the member called `name`."""
-        self._part, self._members, self._name = part, members, name
-        self._every_us, self._at_a_time = every_us, at_a_time
-        self._luck = random.Random(seed)
+        self._agent = agent
+        self._members = members
+        self._name = name
+        self._interval_us = interval_us
+        self._shards_per_interval = shards_per_interval
+        self._random = random.Random(seed)
         self._next_us = 0
 
     def tick(self, now_us: int) -> list[PeerMessage]:
         """The acts that are due, where this member may act."""
-        session = self._part.session
+        session = self._agent.session
         if session is None or now_us < self._next_us:
             return []
-        self._next_us = now_us + self._every_us
+        self._next_us = now_us + self._interval_us
         usable = sorted(session.usable_shards(now_us))
-        posts: list[PeerMessage] = []
-        for shard in self._luck.sample(usable, min(self._at_a_time, len(usable))):
-            posts += self._act(now_us, shard)
-        return posts
+        messages: list[PeerMessage] = []
+        for shard in self._random.sample(usable, min(self._shards_per_interval, len(usable))):
+            messages += self._send_act(now_us, shard)
+        return messages
 
-    def _act(self, now_us: int, shard: int) -> list[PeerMessage]:
-        region = self._part.region.name
+    def _send_act(self, now_us: int, shard: int) -> list[PeerMessage]:
+        region = self._agent.region.name
         others = [r for r in self._members.living_records() if r.region == region and r.name != self._name]
         control = [record for record in others if record.role == CONTROL]
-        if control and self._luck.random() < 0.5:
+        if control and self._random.random() < CONTROL_SHARE:
             others = control
         best = best_placed(f"{region}/act/{shard}", [record.name for record in others])
-        return self._part.send_act(now_us, shard, best[0]) if best else []
+        return self._agent.send_act(now_us, shard, best[0]) if best else []
--- a/sailrun/sharding/session.py
+++ b/sailrun/sharding/session.py
@@ -21,7 +21,7 @@
 )
 from sailrun.sharding.placement_replica import PlacementReplica
 from sailrun.sharding.record_formats import SessionList, ShardList
-from sailrun.sharding.settings import RENEWALS, RegionSettings, ShardingSettings
+from sailrun.sharding.settings import RENEWALS_PER_LEASE, RegionSettings, ShardingSettings
 
 SECOND = 1_000_000
 # Heartbeats whose answer is accepted yet.
@@ -288,7 +288,7 @@
         )
 
     def _interval_us(self) -> int:
-        interval_us = self._lease_us // RENEWALS
+        interval_us = self._lease_us // RENEWALS_PER_LEASE
         if self._released_session or self._is_waiting or self.unanswered_heartbeats > 1:
             return min(interval_us, WAITING_INTERVAL_US)
         return int(interval_us * self._random.uniform(0.9, 1.0))
--- a/sailrun/sharding/settings.py
+++ b/sailrun/sharding/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets of shards: the table `[shards]` of the operator's file."""
+"""Settings of the ownership of shards: the table `[shards]` of the deploy file."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
 MOST_SHARDS = 1_000_000
-# Times a lease is asked for while it lasts.
-RENEWALS = 4
+# Times a lease is renewed while it lasts.
+RENEWALS_PER_LEASE = 4
 # The part of a lease that is left, by a node's own clock, when its next heartbeat is due.
-LEFT = 1 - 2 * DRIFT - 1 / RENEWALS
+REMAINING_LEASE_SHARE = 1 - 2 * DRIFT - 1 / RENEWALS_PER_LEASE
 
 
 class RegionSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -57,13 +57,13 @@
         return next((region for region in self.regions if region.name == name), None)
 
     def digest(self, region: str) -> int:
-        """Of what has to be the same at all nodes of a region; part of every message between them."""
+        """A digest of the settings that must be the same at all nodes of a region."""
         told = self.region(region)
         return zlib.crc32(msgspec.msgpack.encode([self.lease_s, told]))
 
 
 def region_owners(region: RegionSettings, owners: LeadershipSettings) -> LeadershipSettings:
-    """The terms of the lease on the region's assigner: the fleet's, with the region's own voters."""
+    """The settings of the lease on the region's assigner: the fleet's, with the region's own voters."""
     return LeadershipSettings(
         enabled=True,
         voters=region.voters,
@@ -76,7 +76,7 @@
 def shard_faults(
     shards: ShardingSettings, members_region: str, owners: LeadershipSettings
 ) -> Iterator[tuple[str, str]]:
-    """What is wrong with the table, given the node's own region: pairs of key and fault."""
+    """The faults of the table, given the node's own region: pairs of key and fault."""
     if not shards.regions:
         yield "shards.regions", "is missing: at least one region is needed"
     names = [region.name for region in shards.regions]
@@ -89,7 +89,7 @@
     if names and members_region not in names:
         yield "members.region", f"'{members_region}' is none of {', '.join(names)}"
     change_s = 2 * (owners.lease_s + owners.order_s)
-    least_s = change_s / LEFT
+    least_s = change_s / REMAINING_LEASE_SHARE
     if shards.lease_s < least_s:
         # Else a change of assigner would end leases of nodes whose heartbeat was just due.
         of_what = f"{change_s:g} of a change of assigner, and a heartbeat"
--- a/sailrun/sharding/status.py
+++ b/sailrun/sharding/status.py
@@ -1,4 +1,4 @@
-"""What staff are shown of shards, as JSON can have it. The fields' names are an interface to scripts."""
+"""The status of shards as JSON. The names of the fields are an interface to scripts."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 SECOND = 1_000_000
 
 
-def shards_status(part: ShardingAgent, now_us: int, node: str = "") -> dict[str, Any]:
+def shards_status(agent: ShardingAgent, now_us: int, node: str = "") -> dict[str, Any]:
     """A member's region and its assigner; its own shards, or those placed on another `node`."""
-    assigns = part.is_assigner(now_us)
+    assigns = agent.is_assigner(now_us)
     shown: dict[str, Any] = {
-        "region": part.region.name,
-        "assigner": part.name if assigns else part.assigner_name or None,
+        "region": agent.region.name,
+        "assigner": agent.name if assigns else agent.assigner_name or None,
         "is_assigner": assigns,
-        "shards": part.region.shards,
+        "shards": agent.region.shards,
     }
-    if assigns and part.assigner is not None:
-        shown["generation"] = part.assigner.generation
-        shown["settled"] = part.assigner.settled_generation
-        shown["nodes"] = len(part.assigner.sessions)
-    if part.session is not None:
-        shown |= _of_session(part.session, part.name, node or part.name, now_us)
+    if assigns and agent.assigner is not None:
+        shown["generation"] = agent.assigner.generation
+        shown["settled"] = agent.assigner.settled_generation
+        shown["nodes"] = len(agent.assigner.sessions)
+    if agent.session is not None:
+        shown |= _of_session(agent.session, agent.name, node or agent.name, now_us)
     return shown
 
 
--- a/sailrun/sharding/table_replication.py
+++ b/sailrun/sharding/table_replication.py
@@ -1,11 +1,9 @@
-"""A region's table of sessions, kept by a majority of its voters in memory.
+"""A region's table of sessions, stored by a majority of its voters in memory. Pure.
 
-There is one writer at a time: the assigner, who holds the region's lease. It reads a majority of voters that
-remember, writes the newest table it found there under its own term, and then one generation after another. A
-voter that was restarted has forgotten; it counts again once an assigner has written to that very life of it.
-Why nothing that a majority held is lost by this: `docs/design/shards.md`.
-
-Pure.
+There is one writer at a time: the assigner, which holds the region's lease. It reads a majority of voters
+with memory, writes the newest table found there under its own term, and then one generation after another, as
+in Paxos. A voter that was restarted has no memory; it counts again once an assigner has written to that very
+process. Why nothing that a majority stores is lost by this: `docs/design/shards.md`.
 """
 
 from __future__ import annotations
@@ -29,77 +27,82 @@
 )
 
 SECOND = 1_000_000
-# What was not answered is said again so soon, and later and later up to the second figure.
-AGAIN_US, SLOWEST_US = 100_000, 5 * SECOND
-# So many of the latest changes are kept, for nodes that are behind.
-MOST_CHANGES = 64
+# A request without an answer is sent again after the first time, then later and later up to the second.
+MIN_RETRY_US = 100_000
+MAX_RETRY_US = 5 * SECOND
+# So many of the latest changes are stored, for nodes that are behind.
+STORED_CHANGES = 64
 
 
 def next_state(state: TableState, term: int, joined: list[Session], left: list[int]) -> TableState:
-    """The table after one more change."""
+    """The table after one more change; `left` are numbers of sessions."""
     generation = state.generation + 1
     change = GenerationChange(generation, joined, left)
-    gone = set(left)
-    sessions = [session for session in state.sessions if session.number not in gone] + joined
-    return TableState(term, generation, sessions, [*state.changes, change][-MOST_CHANGES:])
+    removed = set(left)
+    sessions = [session for session in state.sessions if session.number not in removed] + joined
+    return TableState(term, generation, sessions, [*state.changes, change][-STORED_CHANGES:])
 
 
 class TableAcceptor:
-    """One voter's copy. `life`: this process's own number; a write for another life is refused."""
+    """One voter's copy of the table. `life`: this process's number; a write for another one is rejected."""
 
     def __init__(self, region: str, life: int, off: frozenset[str] = frozenset()) -> None:
-        self._region, self._life = region, life
+        """`off` names safety rules that the laboratory switches off."""
         self.promised_term = 0
         self.state: TableState | None = None
         self.has_memory = "remember" in off
-
-    def promise(self, asked: ReadTable) -> TableRead | TableRejected:
-        """Promises to take nothing of a lower term."""
-        if asked.term < self.promised_term:
-            return self._refused(asked.term, asked.sequence)
-        self.promised_term = asked.term
-        return TableRead(self._region, asked.term, asked.sequence, self._life, self.has_memory, self.state)
-
-    def accept(self, told: WriteTable) -> TableWritten | TableRejected:
-        """Keeps the table, unless a higher term was promised or another life is meant."""
-        term = told.state.term
-        if told.life != self._life:
-            return TableRejected(self._region, term, told.sequence, self._life, 0)
+        self._region = region
+        self._life = life
+
+    def promise(self, request: ReadTable) -> TableRead | TableRejected:
+        """Promises to accept nothing of a lower term, and returns the table."""
+        if request.term < self.promised_term:
+            return self._reject(request.term, request.sequence)
+        self.promised_term = request.term
+        return TableRead(
+            self._region, request.term, request.sequence, self._life, self.has_memory, self.state
+        )
+
+    def accept(self, request: WriteTable) -> TableWritten | TableRejected:
+        """Stores the table, unless a higher term was promised or another process is meant."""
+        term = request.state.term
+        if request.life != self._life:
+            return TableRejected(self._region, term, request.sequence, self._life, 0)
         if term < self.promised_term:
-            return self._refused(term, told.sequence)
+            return self._reject(term, request.sequence)
         self.promised_term = term
         self.has_memory = True
-        if self.state is None or _order(told.state) > _order(self.state):
-            self.state = told.state
-        return TableWritten(self._region, term, told.sequence, self._life)
+        if self.state is None or _version(request.state) > _version(self.state):
+            self.state = request.state
+        return TableWritten(self._region, term, request.sequence, self._life)
 
-    def _refused(self, term: int, number: int) -> TableRejected:
-        return TableRejected(self._region, term, number, self._life, self.promised_term)
+    def _reject(self, term: int, sequence: int) -> TableRejected:
+        return TableRejected(self._region, term, sequence, self._life, self.promised_term)
 
 
-def _order(state: TableState) -> tuple[int, int]:
+def _version(state: TableState) -> tuple[int, int]:
     return state.term, state.generation
 
 
 @dataclass(slots=True)
-class _Told:
-    """What one voter was sent last."""
+class _Retry:
+    """When a voter is sent the present request again."""
 
     next_us: int = 0
-    wait_us: int = AGAIN_US
+    wait_us: int = MIN_RETRY_US
 
 
 @dataclass(slots=True)
 class _Reading:
-    number: int
-    answers: dict[str, TableRead] = field(default_factory=dict)
+    sequence: int
+    answers: dict[str, TableRead] = field(default_factory=dict)  # by voter
 
 
 @dataclass(slots=True)
 class _Writing:
-    number: int
+    sequence: int
     state: TableState
-    acknowledged: dict[str, int] = field(default_factory=dict)  # by voter, in which life
+    acknowledged_by: dict[str, int] = field(default_factory=dict)  # the process, by voter
 
 
 class TableWriter:
@@ -117,129 +120,135 @@
         now_us: int,
         off: frozenset[str] = frozenset(),
     ) -> None:
-        """`life_of` gives a living voter's life, as far as known. After `patience_us` without a majority that
-        remembers a table is begun anew, above `founding`: by then the lease of every node has ended.
+        """`life_of` returns a living voter's process number, as far as known. After `patience_us` without a
+        majority that has memory an empty table is begun, above `founding`: by then the lease of every node
+        has ended. `off` names safety rules that the laboratory switches off.
         """
-        self._region, self._digest, self.term, self._voters = region, digest, term, voters
-        self._life_of, self._founding, self._off = life_of, founding, off
-        self._anew_us = now_us + patience_us
-        self._numbers = 0
-        self._told: dict[str, _Told] = {}
-        self._reading: _Reading | None = _Reading(self._next_number())
-        self._writing: _Writing | None = None
-        self._least_generation = 0
-        self.state: TableState | None = None  # the latest that a majority keeps
-        self.is_new_table = False
+        self.term = term
+        self.state: TableState | None = None  # the latest that a majority stores
+        self.is_new_table = False  # no majority had memory: the table was begun empty
         self.higher_term = 0  # one that a voter has promised above this one
+        self._region = region
+        self._settings_digest = digest
+        self._voters = voters
+        self._life_of = life_of
+        self._founding = founding
+        self._off = off
+        self._new_table_us = now_us + patience_us
+        self._sequence = 0
+        self._retries: dict[str, _Retry] = {}  # of the present request, by voter
+        self._reading: _Reading | None = _Reading(self._next_sequence())
+        self._writing: _Writing | None = None
+        self._observed_generation = 0
 
-    def _next_number(self) -> int:
-        self._numbers += 1
-        self._told = {}
-        return self._numbers
+    def _next_sequence(self) -> int:
+        """The number of a new request; the retries of the previous one end."""
+        self._sequence += 1
+        self._retries = {}
+        return self._sequence
 
     @property
     def is_idle(self) -> bool:
-        """Whether a next table may be written."""
-        return self._reading is None and self.state is not None and self._pending is None
-
-    @property
-    def _pending(self) -> _Writing | None:
-        writing = self._writing
-        return writing if writing is not None and writing.state is not self.state else None
+        """Whether the next table may be written."""
+        is_written = self._writing is None or self._writing.state is self.state
+        return self._reading is None and self.state is not None and is_written
 
     def observe_generation(self, generation: int) -> None:
-        """A node goes by that generation: a table begun anew has to be above it."""
-        self._least_generation = max(self._least_generation, generation)
+        """A node applies that generation: a table that is begun empty has to be above it."""
+        self._observed_generation = max(self._observed_generation, generation)
 
     def write(self, state: TableState) -> None:
-        """Has the voters keep the next table; `state` shows it once a majority does."""
-        self._writing = _Writing(self._next_number(), state)
+        """Has the voters store the next table; `state` shows it once a majority does."""
+        self._writing = _Writing(self._next_sequence(), state)
 
-    # ------------------------------------------------------------------ what voters say
+    # ------------------------------------------------------------------ answers
 
     def receive(self, now_us: int, sender: str, body: TableRead | TableWritten | TableRejected) -> None:
-        """Takes a voter's answer. To be called only while the lease is held: later it counts no more."""
+        """Takes in a voter's answer. To be called only while the lease is held: later it has no value."""
         if body.term != self.term or sender not in self._voters.all():
             return
         match body:
             case TableRead():
-                self._read(now_us, sender, body)
+                self._on_read(now_us, sender, body)
             case TableWritten():
-                self._written(sender, body)
+                self._on_written(sender, body)
             case TableRejected():
                 self.higher_term = max(self.higher_term, body.promised_term)
 
-    def _read(self, now_us: int, sender: str, answer: TableRead) -> None:
+    def _on_read(self, now_us: int, sender: str, answer: TableRead) -> None:
         reading = self._reading
-        if reading is None or answer.sequence != reading.number:
+        if reading is None or answer.sequence != reading.sequence:
             return
         reading.answers[sender] = answer
         if answer.state is not None:
             self.observe_generation(answer.state.generation)
-        self._end_reading(now_us, reading)
-
-    def _end_reading(self, now_us: int, reading: _Reading) -> None:
-        remembering = {name for name, answer in reading.answers.items() if answer.has_memory}
-        if self._voters.majority(remembering) or (remembering and "register" in self._off):
-            states = [reading.answers[name].state for name in remembering]
-            found = max((s for s in states if s is not None), key=_order, default=None)
-        elif now_us >= self._anew_us and self._voters.majority(reading.answers.keys()):
-            found = None
-        else:
+        self._complete_reading(now_us, reading)
+
+    def _complete_reading(self, now_us: int, reading: _Reading) -> None:
+        """Writes the newest table found, or an empty one, as soon as the answers permit."""
+        with_memory = {name for name, answer in reading.answers.items() if answer.has_memory}
+        newest: TableState | None = None
+        if self._voters.majority(with_memory) or (with_memory and "register" in self._off):
+            states = [reading.answers[name].state for name in with_memory]
+            newest = max((state for state in states if state is not None), key=_version, default=None)
+        elif now_us < self._new_table_us or not self._voters.majority(reading.answers.keys()):
             return
-        if found is None:
+        if newest is None:
             self.is_new_table = True
-            generation = max(self._founding(), self._least_generation) + 1
-            found = TableState(self.term, generation, [], [])
+            generation = max(self._founding(), self._observed_generation) + 1
+            newest = TableState(self.term, generation, [], [])
         self._reading = None
-        # A majority has to keep it under this term before anybody is told.
-        self.write(msgspec.structs.replace(found, term=self.term))
+        # A majority has to store it under this term before any node receives it.
+        self.write(msgspec.structs.replace(newest, term=self.term))
 
-    def _written(self, sender: str, told: TableWritten) -> None:
+    def _on_written(self, sender: str, answer: TableWritten) -> None:
         writing = self._writing
-        if writing is None or told.sequence != writing.number:
+        if writing is None or answer.sequence != writing.sequence:
             return
-        writing.acknowledged[sender] = told.life
-        if self._voters.majority(writing.acknowledged.keys()):
+        writing.acknowledged_by[sender] = answer.life
+        if self._voters.majority(writing.acknowledged_by.keys()):
             self.state = writing.state
 
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """When `turn` wants to be called next."""
-        due = [self._told.get(name, _Told()).next_us for name in self._left()]
-        return min(due, default=now_us + SLOWEST_US)
+        """When `tick` has to be called next."""
+        due = [self._retries.get(name, _Retry()).next_us for name in self._pending_voters()]
+        return min(due, default=now_us + MAX_RETRY_US)
 
-    def _left(self) -> list[str]:
-        """The voters that have not answered what is asked now."""
+    def _pending_voters(self) -> list[str]:
+        """The voters that have not answered the present request."""
         if self._reading is not None:
             return [name for name in self._voters.all() if name not in self._reading.answers]
         if self._writing is None:
             return []
-        acknowledged = self._writing.acknowledged
+        acknowledged_by = self._writing.acknowledged_by
         lives = {name: self._life_of(name) for name in self._voters.all()}
-        return [name for name, life in lives.items() if life is not None and acknowledged.get(name) != life]
+        return [
+            name for name, life in lives.items() if life is not None and acknowledged_by.get(name) != life
+        ]
 
     def tick(self, now_us: int) -> list[PeerMessage]:
-        """What is to be said to voters now."""
-        if self._reading is not None and now_us >= self._anew_us:
-            self._end_reading(now_us, self._reading)
-        posts: list[PeerMessage] = []
-        for name in self._left():
-            told = self._told.setdefault(name, _Told())
-            if now_us < told.next_us:
+        """The requests to voters that are due."""
+        if self._reading is not None and now_us >= self._new_table_us:
+            self._complete_reading(now_us, self._reading)
+        messages: list[PeerMessage] = []
+        for name in self._pending_voters():
+            retry = self._retries.setdefault(name, _Retry())
+            if now_us < retry.next_us:
                 continue
-            told.next_us = now_us + told.wait_us
-            told.wait_us = min(SLOWEST_US, 2 * told.wait_us)
-            body = self._ask(name)
-            if body is not None:
-                posts.append(PeerMessage(name, body))
-        return posts
-
-    def _ask(self, name: str) -> ReadTable | WriteTable | None:
+            retry.next_us = now_us + retry.wait_us
+            retry.wait_us = min(MAX_RETRY_US, 2 * retry.wait_us)
+            request = self._build_request(name)
+            if request is not None:
+                messages.append(PeerMessage(name, request))
+        return messages
+
+    def _build_request(self, name: str) -> ReadTable | WriteTable | None:
         if self._reading is not None:
-            return ReadTable(self._region, self._digest, self.term, self._reading.number)
+            return ReadTable(self._region, self._settings_digest, self.term, self._reading.sequence)
         life = self._life_of(name)
         if self._writing is None or life is None:
             return None
-        return WriteTable(self._region, self._digest, self._writing.number, life, self._writing.state)
+        writing = self._writing
+        return WriteTable(self._region, self._settings_digest, writing.sequence, life, writing.state)
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -494,7 +494,7 @@
 
 
 def test_a_fence_forgets_those_heard_of_longest_ago() -> None:
-    fence = TokenFence(most=2)
+    fence = TokenFence(capacity=2)
     for shard in (1, 2, 1, 3):
         assert fence.accept("east", shard, FencingToken(9, 1))
     assert fence.highest_token("east", 2) is None and fence.highest_token("east", 1) == FencingToken(9, 1)
