--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -67,7 +67,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(NAMES, NAMES), max_size=6), st.integers(1, 40))
-def test_a_change_moves_only_what_it_has_to_and_says_what_waits(
+def test_a_change_moves_only_what_it_has_to_and_marks_what_waits(
     steps: list[tuple[list[int], list[int]]], shards: int
 ) -> None:
     placement = Placement("east", shards)
@@ -93,7 +93,7 @@
             assert not living or now in {s.number for s in joined}
 
 
-def test_a_whole_region_is_placed_again_after_everybody_left() -> None:
+def test_a_complete_region_is_placed_again_after_all_sessions_left() -> None:
     placement = Placement("east", 20)
     placement.place_all(1, [session("a", 1)])
     placement.apply_change(GenerationChange(2, [], [1]))
@@ -110,7 +110,7 @@
     return TableState(term, generation, sessions or [], [])
 
 
-def test_a_voter_takes_nothing_below_its_promise_and_nothing_for_another_life() -> None:
+def test_a_voter_accepts_nothing_below_its_promise_and_nothing_for_another_process() -> None:
     acceptor = TableAcceptor("east", 7)
     assert acceptor.promise(ReadTable("east", 0, 3, 1)) == TableRead("east", 3, 1, 7, False, None)
     lower = acceptor.accept(WriteTable("east", 0, 1, 7, written(2, 9)))
@@ -169,13 +169,13 @@
         return writer
 
 
-def test_a_table_is_begun_anew_only_once_the_leases_of_all_nodes_have_ended() -> None:
+def test_a_new_table_is_begun_only_once_the_leases_of_all_nodes_have_ended() -> None:
     region = Region()
     writer = region.founded()
     assert writer.state == TableState(1, 1001, [], [])
 
 
-def test_the_next_writer_goes_on_from_what_a_majority_keeps() -> None:
+def test_the_next_writer_continues_from_the_table_that_a_majority_stores() -> None:
     region = Region()
     first = region.founded()
     assert first.state is not None
@@ -190,7 +190,7 @@
         assert (second.state.generation, second.state.sessions) == (1002, [session("a", 1)])
 
 
-def test_what_no_majority_keeps_is_not_told() -> None:
+def test_a_table_that_no_majority_stores_is_not_published() -> None:
     region = Region()
     first = region.founded()
     assert first.state is not None
@@ -200,7 +200,7 @@
     assert first.state.generation == 1001 and not first.is_idle
 
 
-def test_a_voter_that_was_restarted_counts_only_once_this_life_was_written_to() -> None:
+def test_a_restarted_voter_counts_only_once_its_new_process_was_written_to() -> None:
     region = Region()
     first = region.founded()
     assert first.state is not None
@@ -227,7 +227,7 @@
     assert third.state is not None and third.state.generation == 1002
 
 
-def test_a_table_begun_anew_is_above_all_that_was_heard_of() -> None:
+def test_a_new_table_is_above_every_observed_generation() -> None:
     region = Region()
     region.founded()
     for name in VOTERS:
@@ -281,7 +281,7 @@
         return [numbers[name] for name in names]
 
 
-def test_newcomers_are_added_together_and_get_the_whole_table_in_pages() -> None:
+def test_newcomers_are_added_together_and_receive_the_complete_table_in_pages() -> None:
     assigned = Assigned()
     names = [f"n{n:03}" for n in range(MAX_CHANGED_SESSIONS + 3)]
     numbers = assigned.join(*names)
@@ -295,7 +295,7 @@
     assert [s.name for s in (*first.sessions, *second.sessions)] == names
 
 
-def test_a_session_not_heard_of_for_a_lease_is_ended_and_others_are_told() -> None:
+def test_a_session_without_contact_for_a_lease_is_ended_and_others_are_notified() -> None:
     assigned = Assigned()
     one, other = assigned.join("a", "b")
     generation = assigned.assigner.generation
@@ -334,7 +334,7 @@
     assert [(s.name, s.nonce) for s in assigned.assigner.sessions] == [("a", 2)]
 
 
-def test_settled_is_what_all_sessions_go_by() -> None:
+def test_the_settled_generation_is_applied_by_all_sessions() -> None:
     assigned = Assigned()
     one, other = assigned.join("a", "b")
     generation = assigned.assigner.generation
@@ -344,7 +344,7 @@
     assert isinstance(answer, SessionRenewed) and answer.settled_generation == generation
 
 
-def test_planned_stops_are_let_through_one_after_another() -> None:
+def test_planned_stops_are_permitted_one_after_another() -> None:
     assigned = Assigned()
     one, other = assigned.join("a", "b")
     generation = assigned.assigner.generation
@@ -383,7 +383,7 @@
     return made, own
 
 
-def test_a_node_uses_its_shards_from_when_it_asked_for_less_than_a_lease() -> None:
+def test_a_node_uses_its_shards_for_less_than_a_lease_from_when_it_sent_its_heartbeat() -> None:
     made, own = begun()
     mine = [s for s in range(60) if best_of(s, [own, session("b", 13)]) == 12]
     assert made.usable_shards(2 * SECOND) == set(mine) and made.issue_token(
@@ -394,7 +394,7 @@
     assert made.issue_token(mine[0], SECOND + int(0.981 * LEASE_US)) is None
 
 
-def test_a_node_that_lapsed_asks_for_another_session_and_takes_no_late_answer() -> None:
+def test_a_node_whose_session_lapsed_requests_another_and_accepts_no_late_answer() -> None:
     made, own = begun()
     late = made.tick(3 * SECOND)
     assert late is not None and late.session_number == 12
@@ -412,7 +412,9 @@
     assert made.usable_shards(2 * SECOND) == set(made.placed_shards())
 
 
-def test_a_joiner_takes_over_only_once_all_go_by_its_generation_and_the_dead_are_inherited_at_once() -> None:
+def test_a_joiner_takes_over_only_once_all_apply_its_generation_and_shards_of_ended_sessions_at_once() -> (
+    None
+):
     made, own = begun()
     before = made.usable_shards(2 * SECOND)
     third = session("c", 14)
@@ -429,7 +431,7 @@
     assert made.usable_shards(2 * SECOND) == set(range(60))
 
 
-def test_a_change_that_was_missed_is_asked_for() -> None:
+def test_a_missed_change_is_requested() -> None:
     made, _ = begun()
     made.on_renewed(2 * SECOND, SessionRenewed("east", 0, 0, 52, 50, [GenerationChange(52, [], [13])]))
     assert made.generation == 50
@@ -440,7 +442,7 @@
     assert made.generation == 52
 
 
-def test_a_newcomer_asks_at_once_when_it_hears_that_it_was_added() -> None:
+def test_a_newcomer_sends_a_heartbeat_soon_after_it_was_added() -> None:
     made = node()
     asked = made.tick(SECOND)
     assert asked is not None
@@ -454,7 +456,7 @@
     assert made.due_us(SECOND + 3) < 2 * SECOND < due_us and not made.session_number
 
 
-def test_a_refused_session_is_given_up_at_once() -> None:
+def test_a_rejected_session_is_ended_at_once() -> None:
     made, _ = begun()
     asked = made.tick(4 * SECOND)
     assert asked is not None
@@ -483,7 +485,7 @@
 
 @settings(max_examples=50, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 5), st.integers(0, 3)), max_size=40))
-def test_no_token_is_taken_below_one_that_was(acts: list[tuple[int, int, int]]) -> None:
+def test_no_token_is_accepted_below_an_accepted_one(acts: list[tuple[int, int, int]]) -> None:
     fence = TokenFence()
     highest: dict[int, FencingToken] = {}
     for shard, generation, number in acts:
@@ -493,7 +495,7 @@
         assert fence.highest_token("east", shard) == highest[shard]
 
 
-def test_a_fence_forgets_those_heard_of_longest_ago() -> None:
+def test_a_fence_forgets_the_shards_whose_tokens_are_oldest() -> None:
     fence = TokenFence(capacity=2)
     for shard in (1, 2, 1, 3):
         assert fence.accept("east", shard, FencingToken(9, 1))
--- a/tests/test_sharding_wire.py
+++ b/tests/test_sharding_wire.py
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
-def test_a_kind_that_is_not_known_is_dropped_whole(body: ShardBody) -> None:
+def test_an_unknown_kind_of_message_is_dropped(body: ShardBody) -> None:
     fields = msgspec.to_builtins(_envelope(body))
     fields[4][0] = "shard-unheard-of"
     with pytest.raises(BadMessage):
@@ -281,7 +281,7 @@
 # ---------------------------------------------------------------------- what is read, and wrong
 
 
-def test_a_member_with_other_settings_is_told_and_changes_nothing(running: Running) -> None:
+def test_a_member_with_other_settings_is_notified_and_changes_nothing(running: Running) -> None:
     assigner = running.assigner()
     part, before = running.part(assigner), running.owned()
     generation = part.assigner.generation if part.assigner is not None else 0
@@ -312,7 +312,7 @@
     assert running.owned() == before
 
 
-def test_a_refusal_for_settings_does_not_end_a_session(running: Running) -> None:
+def test_a_rejection_for_settings_does_not_end_a_session(running: Running) -> None:
     before = running.owned()
     session = running.part(NODE).session
     assert session is not None and before[NODE]
@@ -333,7 +333,7 @@
     assert running.owned() == before
 
 
-def test_a_change_that_does_not_follow_is_not_taken_in(running: Running) -> None:
+def test_a_change_that_does_not_follow_is_not_applied(running: Running) -> None:
     session = running.part(NODE).session
     assert session is not None
     generation, before = session.generation, running.owned()
@@ -345,7 +345,7 @@
     assert running.owned() == before
 
 
-def test_a_page_of_an_older_table_or_out_of_its_turn_is_not_taken_in(running: Running) -> None:
+def test_a_page_of_an_older_table_or_out_of_order_is_not_applied(running: Running) -> None:
     session = running.part(NODE).session
     assert session is not None
     generation, before = session.generation, running.owned()
