--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -10,7 +10,7 @@
     shard_agent_terms,
 )
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
-from sailrun.leadership.agent import Out
+from sailrun.leadership.agent import OutgoingEnvelope
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.sharding.act_exerciser import ACT_INTERVAL_US, ActExerciser
 from sailrun.sharding.messages import ShardAct
@@ -46,7 +46,7 @@
         if agent is None or node.stopped:
             return
         now_us = self.clock_us(node)
-        self._send(node, agent.say(now_us, self._exerciser(node).tick(now_us)))
+        self._send(node, agent.send_shard_messages(now_us, self._exerciser(node).tick(now_us)))
 
     def _exerciser(self, node: VirtualNode) -> ActExerciser:
         life, exerciser = self._exercisers.get(node.name, (0, None))
@@ -58,7 +58,7 @@
             self._exercisers[node.name] = node.life, exerciser
         return exerciser
 
-    def _is_act(self, out: Out) -> bool:
+    def _is_act(self, out: OutgoingEnvelope) -> bool:
         return isinstance(out.envelope.body, ShardAct)
 
     def hand_over(self, name: str) -> None:
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -1,7 +1,7 @@
-"""One member of the fleet as a whole: its view of the others, its vote, what it owns, and what it asks
-owners for.
+"""One member of the fleet as a whole: its view of the others, its vote, the tasks it leads, and what it
+requests of other leaders.
 
-Pure: envelopes and the time come in, envelopes go out. `carrier.py` drives it by sockets, the laboratory in
+Pure: envelopes and the time come in, envelopes go out. `transport.py` drives it by sockets, the laboratory in
 virtual time. The time is one clock of this process that goes on while the machine sleeps and is never set, in
 microseconds.
 
@@ -17,36 +17,36 @@
 import msgspec
 
 from sailrun.leadership.agent_settings import AgentSettings
-from sailrun.leadership.backing import Backing
-from sailrun.leadership.change_log import ChangeLog, Note
+from sailrun.leadership.change_log import ChangeLog, LogEvent
+from sailrun.leadership.durable_state import DurableState
 from sailrun.leadership.envelope import Body, Envelope
-from sailrun.leadership.lasting import Lasting
-from sailrun.leadership.leases import Leases, OwnershipChange
+from sailrun.leadership.leases import LeadershipChange, Leases
+from sailrun.leadership.member_journal import MemberFolder
 from sailrun.leadership.messages import (
-    Ask,
-    Deny,
     DrainRequest,
     DrainStatus,
-    Grant,
-    NotMine,
-    Order,
-    Question,
-    Recall,
-    Recalled,
-    Refusal,
-    Release,
-    Yield,
+    LeaderRequest,
+    LeaderResponse,
+    LeaseDenial,
+    LeaseGrant,
+    LeaseHandover,
+    LeaseRelease,
+    LeaseRequest,
+    NotLeader,
+    ResponseRejection,
+    TermQuery,
+    TermReport,
 )
-from sailrun.leadership.outgoing import Guard, Out, Outgoing
-from sailrun.leadership.ownership import PACE, READER, Ownership
-from sailrun.leadership.permit_part import PermitPart
-from sailrun.leadership.permits import TASK as PERMITS
-from sailrun.leadership.permits import PermitCoordinator, PermitHolder, Use
-from sailrun.leadership.questions import Addressed, Asker, OnAnswer, Questions
+from sailrun.leadership.outgoing import EnvelopeFactory, OutgoingEnvelope, TermGuard
+from sailrun.leadership.permit_role import PermitRole
+from sailrun.leadership.permits import PERMITS_TASK, PermitChange, PermitCoordinator, PermitHolder
 from sailrun.leadership.quorum import Voters
+from sailrun.leadership.requests import AddressedMessage, OnResponse, PendingRequests, Requester
+from sailrun.leadership.response_gate import Released
 from sailrun.leadership.rolling_drain import RollingDrains
-from sailrun.leadership.vote_part import VotePart
+from sailrun.leadership.task_leadership import MOVE_RATE_TASK, READER_TASK_PREFIX, TaskLeadership
 from sailrun.leadership.voter import Voter
+from sailrun.leadership.voter_role import VoterRole
 from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberBody, MemberRecord, MemberState
 from sailrun.replication.replica import MARKS_TASK, Replica
@@ -58,224 +58,255 @@
 if TYPE_CHECKING:
     from sailrun.sharding.agent import ShardingAgent
 
-__all__ = ["PACE", "READER", "Agent", "AgentSettings", "Out"]
+__all__ = ["MOVE_RATE_TASK", "READER_TASK_PREFIX", "Agent", "AgentSettings", "OutgoingEnvelope"]
 
 # Messages for members by name.
-Posts = Iterable[tuple[str, Any]]
+Messages = Iterable[tuple[str, Any]]
 Item = TypeVar("Item")
 
 
 class Agent:
-    """`founding` gives the term that a fleet without any memory begins with. `off` names safety rules that
-    the laboratory switches off. `record` is told every act, for the laboratory's checks.
+    """Joins the parts of a member. Times are microseconds.
+
+    `new_initial_term` gives the term that a fleet without any memory begins with. `disabled_rules` names
+    safety rules that the laboratory switches off. `record` is called with every act, for the laboratory's
+    checks.
     """
 
     def __init__(
         self,
         me: MemberRecord,
-        terms: AgentSettings,
+        settings: AgentSettings,
         seed: int,
         now_us: int,
-        founding: Callable[[], int],
-        off: frozenset[str] = frozenset(),
+        new_initial_term: Callable[[], int],
+        disabled_rules: frozenset[str] = frozenset(),
         record: Callable[..., None] = lambda kind, **facts: None,
     ) -> None:
-        self.terms, self._off, self._act = terms, off, record
+        self.settings, self._disabled_rules, self._record = settings, disabled_rules, record
         self._now_us = now_us
         self.name, self.life, self.zone = me.name, me.life, me.zone
-        # Work that others do: who answers questions about a task, asked with the asker's name and content.
-        self.answers: dict[str, Callable[[int, str, Any], Any]] = {}
-        self.on_ownership_change: Callable[[int, OwnershipChange], None] = lambda now_us, change: None
-        self.on_use: Callable[[Use], None] = lambda use: None
-        chance = random.Random(seed)  # each part has its own number, always in this order
-        self.voters = Voters(terms.owners, off)
-        self.members = Membership(me, terms.members, chance.getrandbits(32), now_us)
-        self.leases = Leases(me.name, self.voters, terms.owners, chance.getrandbits(32), now_us, off)
+        # By task, who answers its requests: called with the time, the sender and the content.
+        self.request_handlers: dict[str, Callable[[int, str, Any], Any]] = {}
+        self.on_leadership_change: Callable[[int, LeadershipChange], None] = lambda now_us, change: None
+        self.on_permit_change: Callable[[PermitChange], None] = lambda use: None
+        random_source = random.Random(seed)  # each part has its own number, always in this order
+        self.voters = Voters(settings.leadership, disabled_rules)
+        self.members = Membership(me, settings.membership, random_source.getrandbits(32), now_us)
+        self.leases = Leases(
+            me.name, self.voters, settings.leadership, random_source.getrandbits(32), now_us, disabled_rules
+        )
         self._change_log = ChangeLog(record)
-        self.tallies = self._change_log.tallies
-        self._ownership = Ownership(self.members, self.leases, me.zone, terms, self.tallies)
-        self._outgoing = Outgoing(lambda: self.terms.members.fleet, self.members, self.leases)
-        self.backing = Backing(me.name, me.life, lambda: self.voters, self.members.is_living, record, off)
-        self._vote = VotePart(me.name, self.voters, terms.owners, self.backing, founding, now_us, off)
-        self._permits = PermitPart(terms.permits, self._change_log, off)
-        self.rolling_drains = RollingDrains(me.name, self.holder)
-        self.replica = self._new_replica(chance.getrandbits(32), now_us) if terms.replica.enabled else None
-        self.backing.serve(lambda: self.voter, self.replica, self.rolling_drains)
-        self._questions = self._new_questions(chance.getrandbits(30) << 20)
-        self.shards = self._new_shards(me, chance, now_us, founding) if terms.shards.enabled else None
+        self.counters = self._change_log.counters
+        self._leadership = TaskLeadership(self.members, self.leases, me.zone, settings, self.counters)
+        self._envelopes = EnvelopeFactory(lambda: self.settings.membership.fleet, self.members, self.leases)
+        self.durable_state = DurableState(
+            me.name, me.life, lambda: self.voters, self.members.is_living, record, disabled_rules
+        )
+        self._voter_role = VoterRole(
+            me.name,
+            self.voters,
+            settings.leadership,
+            self.durable_state,
+            new_initial_term,
+            now_us,
+            disabled_rules,
+        )
+        self._permit_role = PermitRole(settings.permits, self._change_log, disabled_rules)
+        self.rolling_drains = RollingDrains(me.name, self.permit_holder)
+        self.replica = (
+            self._new_replica(random_source.getrandbits(32), now_us) if settings.replication.enabled else None
+        )
+        self.durable_state.attach_parts(lambda: self.voter, self.replica, self.rolling_drains)
+        self._requests = self._new_requests(random_source.getrandbits(30) << 20)
+        self.shards = (
+            self._new_shards(me, random_source, now_us, new_initial_term)
+            if settings.sharding.enabled
+            else None
+        )
 
     def _new_replica(self, seed: int, now_us: int) -> Replica:
         return Replica(
             self.name,
             self.life,
-            self.terms.replica,
-            self.terms.members.fleet,
+            self.settings.replication,
+            self.settings.membership.fleet,
             self.members,
             lambda: self.voters,
-            lambda kind: self.terms.most_marks(kind),
+            lambda kind: self.settings.max_marks(kind),
             seed,
             now_us,
-            self._off,
-            self._act,
-            self.backing.journal,
+            self._disabled_rules,
+            self._record,
+            self.durable_state.journal,
         )
 
-    def _new_questions(self, number: int) -> Questions:
-        return Questions(
-            Asker(self.name, self.life),
+    def _new_requests(self, number: int) -> PendingRequests:
+        return PendingRequests(
+            Requester(self.name, self.life),
             self.leases,
-            self._ownership,
-            self._answer,
-            self._heard_of,
+            self._leadership,
+            self._handle_request,
+            self._observe_term,
             self._change_log,
-            self.terms.owners.order_s,
+            self.settings.leadership.order_s,
             number,
-            self._off,
+            self._disabled_rules,
         )
 
     def _new_shards(
-        self, me: MemberRecord, chance: random.Random, now_us: int, founding: Callable[[], int]
+        self, me: MemberRecord, random_source: random.Random, now_us: int, new_initial_term: Callable[[], int]
     ) -> ShardingAgent:
         # Loaded only where it is switched on: it needs numpy.
         from sailrun.sharding.agent import ShardingAgent
 
-        terms, draw = self.terms, chance.getrandbits
+        settings, draw = self.settings, random_source.getrandbits
         return ShardingAgent(
-            me, terms.shards, terms.owners, self.members, draw, now_us, founding, self._off, self._act
+            me,
+            settings.sharding,
+            settings.leadership,
+            self.members,
+            draw,
+            now_us,
+            new_initial_term,
+            self._disabled_rules,
+            self._record,
         )
 
     @property
-    def notes(self) -> list[Note]:
-        """Lines for the log; the driver empties them."""
-        return self._change_log.notes
+    def log_events(self) -> list[LogEvent]:
+        """Events for the log; the driver empties them."""
+        return self._change_log.events
 
     @property
     def voter(self) -> Voter | None:
         """None: this node does not vote."""
-        return self._vote.voter
+        return self._voter_role.voter
 
     @property
-    def holder(self) -> PermitHolder | None:
-        """The permits this node wants or holds; None: permits are off."""
-        return self._permits.holder
+    def permit_holder(self) -> PermitHolder | None:
+        """The permits this node requests or holds; None: permits are off."""
+        return self._permit_role.holder
 
     @property
     def permit_coordinator(self) -> PermitCoordinator | None:
-        """The fleet's permits, while this node owns them."""
-        return self._permits.coordinator
+        """The fleet's permits, while this node leads that task."""
+        return self._permit_role.coordinator
 
     # ------------------------------------------------------------------ what outlasts the process
 
-    def take_up(self, now_us: int, lasting: Lasting) -> None:
+    def restore(self, now_us: int, folder: MemberFolder) -> None:
         """Goes by a folder, as far as that can be: before the first turn."""
-        self.backing.take_up(now_us, lasting)
+        self.durable_state.restore(now_us, folder)
 
-    def wrote(self, now_us: int, done: WriteResult) -> list[Out]:
+    def on_written(self, now_us: int, done: WriteResult) -> list[OutgoingEnvelope]:
         """What became of the work of the disk; the answers that waited for it may go out."""
         self._now_us = now_us
-        outs = self._backed(*self.backing.wrote(now_us, done))
-        return outs + self._changes(now_us)
+        envelopes = self._send_released(self.durable_state.on_written(now_us, done))
+        return envelopes + self._publish_changes(now_us)
 
-    def _backed(self, answers: Posts, posts: Posts) -> list[Out]:
-        """Answers were held back as long as they had to be."""
-        return [out for name, body in answers for out in self._deliver(name, body)] + self._posts(posts)
+    def _send_released(self, released: Released) -> list[OutgoingEnvelope]:
+        """Responses were withheld as long as they had to be, other messages may have to be yet."""
+        delivered = [out for name, body in released.responses for out in self._deliver(name, body)]
+        return delivered + self._post_all(released.messages)
 
-    # ------------------------------------------------------------------ who may own what
+    # ------------------------------------------------------------------ who may lead what
 
-    def tasks(self) -> dict[str, list[str]]:
-        """The tasks this node may own, with the best placed of the living members that may as well."""
-        return self._ownership.tasks()
+    def candidate_tasks(self) -> dict[str, list[str]]:
+        """The tasks this node may lead, with the best placed of the living members that may as well."""
+        return self._leadership.candidate_tasks()
 
-    def owns(self, task: str, now_us: int) -> int:
+    def leading_term(self, task: str, now_us: int) -> int:
         """The term under which this node may act for the task now; 0: it may not, or rests at first."""
-        return self._ownership.owns(task, now_us)
+        return self._leadership.leading_term(task, now_us)
 
-    def still(self, guard: Guard, now_us: int) -> bool:
+    def may_send(self, guard: TermGuard, now_us: int) -> bool:
         """Whether what was made under that term may still be sent."""
-        return self._ownership.still(guard, now_us)
+        return self._leadership.may_send(guard, now_us)
 
-    def holder_of(self, task: str) -> str:
-        """Hearsay: who owns the task; empty where none is known to live."""
-        return self._ownership.holder_of(task)
+    def known_leader(self, task: str) -> str:
+        """By gossip: who leads the task; empty where none is known to live."""
+        return self._leadership.known_leader(task)
 
     # ------------------------------------------------------------------ what comes in
 
-    def hear(self, now_us: int, address: str, envelope: Envelope) -> list[Out]:
+    def on_envelope(self, now_us: int, address: str, envelope: Envelope) -> list[OutgoingEnvelope]:
+        """An envelope came in from `address`; returns what is to be sent in consequence."""
         self._now_us = now_us
-        if envelope.fleet != self.terms.members.fleet:
-            self.tallies.wrong_fleet += 1
+        if envelope.fleet != self.settings.membership.fleet:
+            self.counters.foreign_messages += 1
             return []
         body, name, life = envelope.body, envelope.sender, envelope.life
         if name != self.name:
             self.members.observe_contact(now_us, name, life, envelope.incarnation)
-        outs: list[Out] = []
+        envelopes: list[OutgoingEnvelope] = []
         if isinstance(body, MemberBody):
             sender = MemberRecord(name, life, envelope.incarnation, MemberState.ALIVE, address)
-            outs = self._outgoing.letters(self.members.receive(now_us, sender, body))
+            envelopes = self._envelopes.address_letters(self.members.receive(now_us, sender, body))
         elif not self.members.accept_sender(name, life):
             return []
         if self.members.is_current_process(name, life):
-            self.members.merge_records(now_us, envelope.news, name)
-            for claim in envelope.claims:
-                self._heard_of(now_us, claim.task, claim.term, claim.holder)
+            self.members.merge_records(now_us, envelope.member_updates, name)
+            for claim in envelope.leader_hints:
+                self._observe_term(now_us, claim.task, claim.term, claim.holder)
             if not isinstance(body, MemberBody):
-                outs += self._heard(now_us, name, life, body)
-        return outs + self._changes(now_us)
+                envelopes += self._dispatch(now_us, name, life, body)
+        return envelopes + self._publish_changes(now_us)
 
-    def _heard_of(self, now_us: int, task: str, term: int, holder: str) -> None:
-        """Hearsay: a term of a task, and who owned it then, if that is known."""
-        self.leases.heard_of(task, term, holder, now_us)
-        self._vote.heard_of(task, term)
+    def _observe_term(self, now_us: int, task: str, term: int, holder: str) -> None:
+        """By gossip: a term of a task, and who led it then, if that is known."""
+        self.leases.observe_term(task, term, holder, now_us)
+        self._voter_role.observe_term(task, term)
 
-    def _heard(self, now_us: int, sender: str, life: int, body: Body) -> list[Out]:
+    def _dispatch(self, now_us: int, sender: str, life: int, body: Body) -> list[OutgoingEnvelope]:
         match body:
-            case Ask() | Release() | Recall() | Recalled():
+            case LeaseRequest() | LeaseRelease() | TermQuery() | TermReport():
                 # One that was refused its name is no voter.
                 if self.members.has_joined:
-                    return self._posts(self._vote.hear(now_us, sender, life, body))
-            case Grant():
-                self.leases.granted(now_us, sender, body)
-            case Deny():
-                return self._posts(self.leases.denied(now_us, sender, body))
-            case Yield():
-                self.leases.yielded(now_us, body)
+                    return self._post_all(self._voter_role.on_message(now_us, sender, life, body))
+            case LeaseGrant():
+                self.leases.on_grant(now_us, sender, body)
+            case LeaseDenial():
+                return self._post_all(self.leases.on_denial(now_us, sender, body))
+            case LeaseHandover():
+                self.leases.on_handover(now_us, body)
                 return self._turn_leases(now_us)
-            case Question():
-                return self._send(self._questions.questioned(now_us, Asker(sender, life), body))
-            case Order():
-                return self._send(self._questions.ordered(now_us, sender, body))
-            case Refusal():
-                self._questions.refused(now_us, body)
-            case NotMine():
-                return self._send(self._questions.sent_on(now_us, sender, body))
+            case LeaderRequest():
+                return self._post_addressed(self._requests.on_request(now_us, Requester(sender, life), body))
+            case LeaderResponse():
+                return self._post_addressed(self._requests.on_response(now_us, sender, body))
+            case ResponseRejection():
+                self._requests.on_rejection(now_us, body)
+            case NotLeader():
+                return self._post_addressed(self._requests.on_not_leader(now_us, sender, body))
             case DrainRequest():
-                return self._post(sender, self.rolling_drains.asked(now_us, body))
+                return self._post(sender, self.rolling_drains.on_request(now_us, body))
             case DrainStatus():
-                self.rolling_drains.told(now_us, sender, body)
+                self.rolling_drains.on_status(now_us, sender, body)
             case _ if isinstance(body, ShardBody):
                 if self.shards is not None and self.members.has_joined:
-                    return self._posts(self.shards.receive(now_us, sender, life, body))
+                    return self._post_all(self.shards.receive(now_us, sender, life, body))
             case FreshnessQuery() | FreshnessReply():
-                if sender in self.voters.all():
-                    return self._backed(*self.backing.heard(now_us, sender, body))
+                if sender in self.voters.names():
+                    return self._send_released(self.durable_state.on_freshness_message(now_us, sender, body))
             case _:
                 if self.replica is not None and self.members.has_joined:
-                    return self._posts(self.replica.receive(now_us, sender, body))
+                    return self._post_all(self.replica.receive(now_us, sender, body))
         return []
 
-    # ------------------------------------------------------------------ questions and orders
+    # ------------------------------------------------------------------ requests and responses
 
-    def ask(self, now_us: int, task: str, content: Any, done: OnAnswer) -> list[Out]:
-        """A question to a task's owner, whoever that is; see `Questions.ask`."""
-        return self._send(self._questions.ask(now_us, task, content, done))
+    def request(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[OutgoingEnvelope]:
+        """A request to a task's leader, whoever that is; see `PendingRequests.request`."""
+        return self._post_addressed(self._requests.request(now_us, task, content, done))
 
-    def _answer(self, now_us: int, task: str, term: int, asker: Asker, content: Any) -> Any:
+    def _handle_request(self, now_us: int, task: str, term: int, asker: Requester, content: Any) -> Any:
         """As the owner of the task, under its term; None: there is no answer."""
-        if task == PERMITS:
-            return self._permits.answer(now_us, term, asker.name, asker.life, content)
+        if task == PERMITS_TASK:
+            return self._permit_role.answer_request(now_us, term, asker.name, asker.life, content)
         if task == MARKS_TASK:
             return self.replica.answer_request(now_us, content) if self.replica is not None else None
-        answer = self.answers.get(task)
+        answer = self.request_handlers.get(task)
         return answer(now_us, asker.name, content) if answer is not None else None
 
     # ------------------------------------------------------------------ time
@@ -285,143 +316,146 @@
         due_us = self.members.due_us(now_us)
         if not self.members.has_joined:
             return due_us
-        due_us = min(due_us, self.leases.due_us(now_us, self.tasks()))
+        due_us = min(due_us, self.leases.due_us(now_us, self.candidate_tasks()))
         if self.voter is not None:
             due_us = min(due_us, self.voter.due_us() or due_us)
-        if self.holder is not None and self.holder.wanted:
-            due_us = min(due_us, self.holder.due_us(now_us))
+        if self.permit_holder is not None and self.permit_holder.permits:
+            due_us = min(due_us, self.permit_holder.due_us(now_us))
         if self.replica is not None:
             due_us = min(due_us, self.replica.due_us(now_us))
         if self.shards is not None:
             due_us = min(due_us, self.shards.due_us(now_us))
-        backing_us = self.backing.due_us()
+        backing_us = self.durable_state.due_us()
         return due_us if backing_us is None else min(due_us, backing_us)
 
-    def turn(self, now_us: int) -> list[Out]:
+    def turn(self, now_us: int) -> list[OutgoingEnvelope]:
+        """Does what is due by the clock; returns what is to be sent."""
         self._now_us = now_us
-        outs = self._outgoing.letters(self.members.tick(now_us))
+        envelopes = self._envelopes.address_letters(self.members.tick(now_us))
         if self.voter is not None and self.members.has_joined:
-            outs += self._posts(self.voter.turn(now_us))
-            outs += self._posts(self.backing.turn(now_us))
+            envelopes += self._post_all(self.voter.turn(now_us))
+            envelopes += self._post_all(self.durable_state.turn(now_us))
         if self.members.has_joined and not self.members.is_leaving:
-            outs += self._turn_leases(now_us)
-        self._questions.forget_late(now_us)
-        outs += self._turn_permits(now_us)
-        outs += self._posts(self.rolling_drains.turn(now_us))
+            envelopes += self._turn_leases(now_us)
+        self._requests.drop_expired(now_us)
+        envelopes += self._turn_permits(now_us)
+        envelopes += self._post_all(self.rolling_drains.turn(now_us))
         if self.replica is not None and self.members.has_joined and not self.members.is_leaving:
-            outs += self._turn_replica(now_us, self.replica)
+            envelopes += self._turn_replica(now_us, self.replica)
         if self.shards is not None and self.members.has_joined and not self.members.is_leaving:
-            outs += self._posts(self.shards.tick(now_us))
-        return outs + self._changes(now_us)
+            envelopes += self._post_all(self.shards.tick(now_us))
+        return envelopes + self._publish_changes(now_us)
 
-    def _turn_leases(self, now_us: int) -> list[Out]:
-        return self._posts(self.leases.turn(now_us, self.tasks()))
+    def _turn_leases(self, now_us: int) -> list[OutgoingEnvelope]:
+        return self._post_all(self.leases.turn(now_us, self.candidate_tasks()))
 
-    def _turn_permits(self, now_us: int) -> list[Out]:
-        questions = self._permits.questions(now_us)
-        return [out for content, done in questions for out in self.ask(now_us, PERMITS, content, done)]
+    def _turn_permits(self, now_us: int) -> list[OutgoingEnvelope]:
+        questions = self._permit_role.due_requests(now_us)
+        return [
+            out for content, done in questions for out in self.request(now_us, PERMITS_TASK, content, done)
+        ]
 
-    def _turn_replica(self, now_us: int, replica: Replica) -> list[Out]:
+    def _turn_replica(self, now_us: int, replica: Replica) -> list[OutgoingEnvelope]:
         coordinator = replica.coordinator
         if coordinator is not None and coordinator.superseding_term > coordinator.term:
             # A voter has promised a higher term: this one is over, and the next is above that.
-            self.leases.heard_of(MARKS_TASK, coordinator.superseding_term, "", now_us)
-            self._changes(now_us)
-        outs = self._posts(replica.turn(now_us, self.holder_of(MARKS_TASK)))
+            self.leases.observe_term(MARKS_TASK, coordinator.superseding_term, "", now_us)
+            self._publish_changes(now_us)
+        envelopes = self._post_all(replica.turn(now_us, self.known_leader(MARKS_TASK)))
         for op, done in _emptied(replica.leader_requests):
-            outs += self.ask(now_us, MARKS_TASK, msgspec.to_builtins(op), done)
+            envelopes += self.request(now_us, MARKS_TASK, msgspec.to_builtins(op), done)
         self._change_log.move_from(replica.anti_entropy.log_events)
-        return outs
+        return envelopes
 
-    def leave(self, now_us: int) -> list[Out]:
+    def leave(self, now_us: int) -> list[OutgoingEnvelope]:
         """In good order: what this node owns is handed over, permits are given back, and it is a member no
         more.
         """
         self._now_us = now_us
-        outs = self._posts(self.leases.leave(now_us, self.tasks()))
-        self._permits.give_all_back(now_us)
-        outs += self._turn_permits(now_us)
+        envelopes = self._post_all(self.leases.leave(now_us, self.candidate_tasks()))
+        self._permit_role.release_all(now_us)
+        envelopes += self._turn_permits(now_us)
         if self.shards is not None:
-            outs += self._posts(self.shards.leave(now_us))
-        outs += self._outgoing.letters(self.members.leave(now_us))
-        return outs + self._changes(now_us)
+            envelopes += self._post_all(self.shards.leave(now_us))
+        envelopes += self._envelopes.address_letters(self.members.leave(now_us))
+        return envelopes + self._publish_changes(now_us)
 
-    def use_terms(self, now_us: int, terms: AgentSettings) -> None:
+    def update_settings(self, now_us: int, settings: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
-        if terms.owners != self.terms.owners:
-            self.voters = Voters(terms.owners, self._off)
-            self.leases.use(self.voters, terms.owners)
-            self._vote.use(now_us, self.voters, terms.owners)
+        if settings.leadership != self.settings.leadership:
+            self.voters = Voters(settings.leadership, self._disabled_rules)
+            self.leases.update_settings(self.voters, settings.leadership)
+            self._voter_role.update_settings(now_us, self.voters, settings.leadership)
             if self.replica is not None:
                 self.replica.apply_voters(now_us)
-        self._permits.use(terms.permits)
-        self._ownership.use(terms)
-        self.terms = terms
+        self._permit_role.update_settings(settings.permits)
+        self._leadership.update_settings(settings)
+        self.settings = settings
 
     # ------------------------------------------------------------------ what has changed
 
-    def _changes(self, now_us: int) -> list[Out]:
+    def _publish_changes(self, now_us: int) -> list[OutgoingEnvelope]:
         """Tells the log and the work what has changed."""
-        for change in _emptied(self.members.changes):
-            self._change_log.member(change)
-        for ownership in _emptied(self.leases.changes):
-            self._ownership_changed(now_us, ownership)
-        self._change_log.held(self.leases)
-        self._change_log.move_from(self.backing.notes)
+        for member_change in _emptied(self.members.changes):
+            self._change_log.log_member(member_change)
+        for leadership_change in _emptied(self.leases.changes):
+            self._on_leadership_change(now_us, leadership_change)
+        self._change_log.record_held_leases(self.leases)
+        self._change_log.move_from(self.durable_state.log_events)
         if self.shards is not None:
             self._change_log.move_from(self.shards.notes)
-        for use in _emptied(self.holder.uses) if self.holder is not None else ():
-            self._change_log.permit(use)
-            self.rolling_drains.used(use)
-            self.on_use(use)
-        self._change_log.in_touch(self.leases.in_touch(now_us), len(self.voters.all()))
+        for permit_change in _emptied(self.permit_holder.changes) if self.permit_holder is not None else ():
+            self._change_log.log_permit(permit_change)
+            self.rolling_drains.on_permit_change(permit_change)
+            self.on_permit_change(permit_change)
+        self._change_log.log_majority_contact(self.leases.reaches_majority(now_us), len(self.voters.names()))
         return []
 
-    def _ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
-        self._change_log.owner(change)
-        if change.task == PERMITS:
-            self._permits.ownership_changed(now_us, change)
+    def _on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
+        self._change_log.log_leadership(change)
+        if change.task == PERMITS_TASK:
+            self._permit_role.on_leadership_change(now_us, change)
         if change.task == MARKS_TASK and self.replica is not None:
-            self.replica.set_leadership(now_us, change.term if change.mine else 0)
-            self._change_log.record_hold_anew(change.task)
-        self.on_ownership_change(now_us, change)
+            self.replica.set_leadership(now_us, change.term if change.is_leader else 0)
+            self._change_log.forget_recorded_expiry(change.task)
+        self.on_leadership_change(now_us, change)
 
     # ------------------------------------------------------------------ what goes out
 
-    def say(self, now_us: int, posts: list[ShardPost]) -> list[Out]:
+    def send_shard_messages(self, now_us: int, messages: list[ShardPost]) -> list[OutgoingEnvelope]:
         """What the part of shards has to say outside of a turn, as acts on a shard's behalf."""
         self._now_us = now_us
-        return self._posts(posts) if self.members.has_joined else []
+        return self._post_all(messages) if self.members.has_joined else []
 
-    def _send(self, messages: list[Addressed]) -> list[Out]:
+    def _post_addressed(self, messages: list[AddressedMessage]) -> list[OutgoingEnvelope]:
         return [out for one in messages for out in self._post(one.name, one.body, one.guard)]
 
-    def _posts(self, posts: Posts) -> list[Out]:
-        outs: list[Out] = []
-        for name, body in posts:
+    def _post_all(self, messages: Messages) -> list[OutgoingEnvelope]:
+        envelopes: list[OutgoingEnvelope] = []
+        for name, body in messages:
             if self._still_wanted(body):
-                outs += self._post(name, body)
-        return outs
+                envelopes += self._post(name, body)
+        return envelopes
 
     def _still_wanted(self, body: Any) -> bool:
         """A lease that this node's own vote has denied is not asked for any more."""
-        if isinstance(body, Ask):
-            return self.leases.wants(body)
+        if isinstance(body, LeaseRequest):
+            return self.leases.is_requested(body)
         return (
             not isinstance(body, ElectionMessage) or self.shards is None or self.shards.is_still_wanted(body)
         )
 
-    def _post(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
+    def _post(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """To a member by name; a promise is held until the disk has what it rests on."""
-        if self.backing.keeps_back(self._now_us, name, body):
+        if self.durable_state.hold_if_not_durable(self._now_us, name, body):
             return []
         return self._deliver(name, body, guard)
 
-    def _deliver(self, name: str, body: Body, guard: Guard | None = None) -> list[Out]:
+    def _deliver(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """To this node itself, at once."""
         if name == self.name:
-            return self._heard(self._now_us, name, self.life, body)
-        return self._outgoing.message(name, body, guard)
+            return self._dispatch(self._now_us, name, self.life, body)
+        return self._envelopes.address_member(name, body, guard)
 
 
 def _emptied(queue: list[Item]) -> list[Item]:
--- /dev/null
+++ b/sailrun/leadership/requests.py
@@ -0,0 +1,205 @@
+"""Requests to the leaders of tasks, and their responses.
+
+A leader sends nothing but responses, so that the requester's own clock measures how old a response is. One
+is accepted if it answers a request that is pending here, came in time, and is of no lower term than was
+observed. A leader responds only while it may act under its term.
+
+Pure: messages and the time (microseconds) come in, messages for members go out.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from sailrun.leadership.change_log import ChangeLog
+from sailrun.leadership.leases import MAX_CANDIDATES, Leases
+from sailrun.leadership.messages import LeaderRequest, LeaderResponse, NotLeader, ResponseRejection
+from sailrun.leadership.outgoing import TermGuard
+from sailrun.leadership.task_leadership import TaskLeadership
+
+SECOND = 1_000_000
+# The oldest requests make room for newer ones.
+MAX_PENDING_REQUESTS = 4096
+# Called with the time, when the request was sent, and the content of the response.
+OnResponse = Callable[[int, int, Any], None]
+
+
+@dataclass(frozen=True, slots=True)
+class AddressedMessage:
+    """A message for a member by name; for `guard` see `OutgoingEnvelope`."""
+
+    name: str
+    body: LeaderRequest | NotLeader | LeaderResponse | ResponseRejection
+    guard: TermGuard | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Requester:
+    """Who sent a request: a member's name, and the id of its process."""
+
+    name: str
+    life: int
+
+
+@dataclass(slots=True)
+class _PendingRequest:
+    task: str
+    content: Any
+    sent_us: int
+    on_response: OnResponse
+    attempts: int = 0
+
+
+class PendingRequests:
+    """Both sides at one node: its requests to leaders, and its responses as a leader.
+
+    `handle_request` gives the content of a response (called with now, the task, the term, the requester and
+    the content of the request); None: there is no response. `observe_term` is called with every term that
+    comes in. This node's requests are numbered from `number` on.
+    """
+
+    def __init__(
+        self,
+        me: Requester,
+        leases: Leases,
+        leadership: TaskLeadership,
+        handle_request: Callable[[int, str, int, Requester, Any], Any],
+        observe_term: Callable[[int, str, int, str], None],
+        change_log: ChangeLog,
+        response_timeout_s: float,
+        number: int,
+        disabled_rules: frozenset[str],
+    ) -> None:
+        self._me, self._leases, self._leadership = me, leases, leadership
+        self._handle_request, self._observe_term = handle_request, observe_term
+        self._change_log, self._counters = change_log, change_log.counters
+        self._response_timeout_us, self._number, self._disabled_rules = (
+            int(response_timeout_s * SECOND),
+            number,
+            disabled_rules,
+        )
+        self._pending: dict[int, _PendingRequest] = {}
+
+    # ------------------------------------------------------------------ as the requester
+
+    def request(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[AddressedMessage]:
+        """Sends a request to a task's leader, whoever that is. `done` is called with the response, if one
+        comes in time and of no lower term than was observed; else it never is, and the caller retries.
+        """
+        self._number += 1
+        while len(self._pending) >= MAX_PENDING_REQUESTS:
+            del self._pending[next(iter(self._pending))]
+        pending = self._pending[self._number] = _PendingRequest(task, content, now_us, done)
+        return self._send(now_us, self._number, pending)
+
+    def _send(self, now_us: int, number: int, pending: _PendingRequest) -> list[AddressedMessage]:
+        task = pending.task
+        request = LeaderRequest(
+            task, self._leases.lease_of(task).highest_granted_term, number, pending.content
+        )
+        holder = self._leadership.known_leader(task)
+        if holder == self._me.name or (not holder and self._leases.held_term(task, now_us)):
+            return self.on_request(now_us, self._me, request)
+        if not holder:
+            living = self._leadership.candidate_tasks().get(task, ())[:MAX_CANDIDATES]
+            candidates = [name for name in living if name != self._me.name]
+            if not candidates:
+                return []
+            holder = candidates[(number + pending.attempts) % len(candidates)]
+        return [AddressedMessage(holder, request)]
+
+    def on_response(self, now_us: int, sender: str, response: LeaderResponse) -> list[AddressedMessage]:
+        """A response came in: it is accepted, or its sender is notified that it is not."""
+        pending = self._pending.pop(response.number, None)
+        highest_term = self._leases.lease_of(response.task).highest_granted_term
+        is_late = (
+            pending is None
+            or pending.task != response.task
+            or now_us - pending.sent_us > self._response_timeout_us
+        )
+        if "fence" in self._disabled_rules:
+            is_late, highest_term = False, 0
+        if is_late or response.term < highest_term:
+            return self._reject(
+                sender, response, ResponseRejection(response.task, highest_term, response.number, is_late)
+            )
+        self._counters.responses_accepted += 1
+        self._change_log.record(
+            "take", task=response.task, term=response.term, number=response.number, of=sender
+        )
+        self._observe_term(now_us, response.task, response.term, sender)
+        if pending is not None:
+            pending.on_response(now_us, pending.sent_us, response.content)
+        return []
+
+    def _reject(
+        self, sender: str, response: LeaderResponse, rejection: ResponseRejection
+    ) -> list[AddressedMessage]:
+        if rejection.is_late:
+            self._counters.responses_too_late += 1
+        else:
+            self._counters.responses_of_lower_term += 1
+        self._change_log.record(
+            "refuse", task=response.task, term=response.term, number=response.number, late=rejection.is_late
+        )
+        return [AddressedMessage(sender, rejection)] if sender != self._me.name else []
+
+    def on_not_leader(self, now_us: int, sender: str, redirect: NotLeader) -> list[AddressedMessage]:
+        """The receiver does not lead the task: retried at the leader it names, or at another candidate."""
+        pending = self._pending.get(redirect.number)
+        lease = self._leases.lease_of(redirect.task)
+        self._observe_term(now_us, redirect.task, redirect.term, redirect.holder)
+        if lease.holder == sender and redirect.term >= lease.highest_granted_term:
+            lease.holder = ""
+        if pending is None or pending.attempts >= MAX_CANDIDATES:
+            return []
+        pending.attempts += 1
+        return self._send(now_us, redirect.number, pending)
+
+    def drop_expired(self, now_us: int) -> None:
+        """Drops requests for which no response would be in time."""
+        for number, pending in list(self._pending.items()):
+            if now_us - pending.sent_us <= self._response_timeout_us:
+                break  # the others were sent later
+            del self._pending[number]
+
+    # ------------------------------------------------------------------ as the leader
+
+    def on_request(self, now_us: int, requester: Requester, request: LeaderRequest) -> list[AddressedMessage]:
+        """A request came in: responded to under this node's term, or redirected."""
+        self._observe_term(now_us, request.task, request.term, "")
+        term = self._leadership.leading_term(request.task, now_us)
+        if not term:
+            return self._redirect(requester, request)
+        content = self._handle_request(now_us, request.task, term, requester, request.content)
+        if content is None:
+            return []
+        response = LeaderResponse(request.task, term, request.number, content)
+        self._change_log.record(
+            "act", task=response.task, term=term, number=response.number, to=requester.name, made_us=now_us
+        )
+        self._counters.responses_sent += 1
+        if requester.name == self._me.name:
+            return self.on_response(now_us, self._me.name, response)
+        return [AddressedMessage(requester.name, response, (request.task, term))]
+
+    def _redirect(self, requester: Requester, request: LeaderRequest) -> list[AddressedMessage]:
+        if requester.name == self._me.name:
+            return []
+        lease = self._leases.lease_of(request.task)
+        return [
+            AddressedMessage(
+                requester.name,
+                NotLeader(request.task, lease.highest_granted_term, lease.holder, request.number),
+            )
+        ]
+
+    def on_rejection(self, now_us: int, rejection: ResponseRejection) -> None:
+        """A response of this node was not accepted."""
+        self._leases.lease_of(rejection.task).rejected_responses += 1
+        self._change_log.add(
+            "order-refused", task=rejection.task, term=rejection.term, late=rejection.is_late
+        )
+        self._observe_term(now_us, rejection.task, rejection.term, "")
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -1,7 +1,7 @@
-"""What a running node has of the fleet: its agent, its carrier, and what owners let it do.
+"""A running node's part in its fleet: its agent, the agent's transport, and what leaders let the node do.
 
-Nothing here is on a client's path: the core is told what it may do, and goes on as it is where nobody
-tells it.
+Nothing here is on a client's path: the core is notified of what it may do, and carries on as it is where
+nobody notifies it.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from sailrun.config import NodeConfig, RegistryService
 from sailrun.connection import split_address
 from sailrun.leadership import status
-from sailrun.leadership.agent import PACE, Agent, AgentSettings, Out
-from sailrun.leadership.carrier import Carrier
+from sailrun.leadership.act_log import ignore_act, log_act
+from sailrun.leadership.agent import Agent, AgentSettings, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.founding import founding_term
-from sailrun.leadership.lasting import Lasting
-from sailrun.leadership.leases import OwnershipChange
-from sailrun.leadership.pace import PaceCoordinator, PaceShare
-from sailrun.leadership.permits import DRAIN, OUT, Use
-from sailrun.leadership.shared import SharedDiscovery
+from sailrun.leadership.initial_term import new_initial_term
+from sailrun.leadership.member_journal import MemberFolder
+from sailrun.leadership.move_rate_service import MoveRateService
+from sailrun.leadership.operator_permits import OperatorPermits
+from sailrun.leadership.shared_discovery import SharedDiscovery
+from sailrun.leadership.transport import Transport
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.node.clock import log
 from sailrun.node.shutdown import ShutdownReason
@@ -42,75 +42,68 @@
     from sailrun.sharding.agent import ShardingAgent
     from sailrun.storage.service import StorageService
 
-SECOND = 1_000_000
-# While a node drains for a rolling drain, it is looked at this often whether it is empty.
-LOOK_US = 200_000
-# Two clocks are looked at within this, or once more.
-CLOCKS_US, CLOCKS_TRIES = 500, 10
+# While this node drains for a rolling drain, its sessions are counted this often.
+SESSION_COUNT_INTERVAL_US = 200_000
+PROCESS_ID_BITS, SEED_BITS, INITIAL_TERM_BITS = 62, 32, 12
 
 
-def agent_terms(operator: Operator) -> AgentSettings:
+def agent_settings(operator: Operator) -> AgentSettings:
     """The agent's part of an operator's file."""
-    pace = operator.rebalance.enabled and operator.owners.enabled
+    shares_move_rate = operator.rebalance.enabled and operator.owners.enabled
     return AgentSettings(
         operator.members,
         operator.owners,
         operator.permits,
         operator.reader,
-        pace,
+        shares_move_rate,
         operator.replica,
         operator.shards,
     )
 
 
-class FleetPart:
-    """One node's part in its fleet."""
+class FleetService:
+    """Joins the agent of one node with its transport, the core, the replica and the node's folder.
+
+    All calls but `run` return at once; the agent's own task does the work.
+    """
 
     def __init__(
-        self, node: Node, config: NodeConfig, patient: bool, lasting: StorageService | None = None
+        self, node: Node, config: NodeConfig, waits_for_address: bool, storage: StorageService | None = None
     ) -> None:
-        """Raises OSError for an address that is not to be had, unless a predecessor is about to give it
-        up.
+        """Raises OSError for an address that cannot be bound, unless `waits_for_address`: then a predecessor
+        is about to release it. Raises ValueError without an operator's file.
         """
-        assert config.operator is not None
-        terms = agent_terms(config.operator)
-        told = terms.members
+        if config.operator is None:
+            raise ValueError("a node without an operator's file is in no fleet")
+        settings = agent_settings(config.operator)
         self._node = node
-        me = MemberRecord(
-            told.name,
-            secrets.randbits(62),
-            1,
-            MemberState.ALIVE,
-            told.advertise or told.listen,
-            config.settings.zone,
-            told.region,
-            told.role,
+        self.agent = Agent(
+            _own_record(settings, config.settings.zone),
+            settings,
+            secrets.randbits(SEED_BITS),
+            boot_us(),
+            _draw_initial_term,
+            record=log_act if settings.leadership.record else ignore_act,
         )
-        record = _record if terms.owners.record else _forget
-        self.agent = Agent(me, terms, secrets.randbits(32), boot_us(), _founding, record=record)
-        self.agent.on_use = self._used
-        self.agent.on_ownership_change = self._ownership_changed
-        self.carrier = Carrier(self.agent, split_address(told.listen), patient)
-        self.carrier.after = self._after
+        self.transport = Transport(self.agent, split_address(settings.membership.listen), waits_for_address)
+        self.transport.after_turn = self._after_turn
         self._shared: SharedDiscovery | None = None
-        self._by_hand: dict[str, bool] = {}  # form servers that a permit was asked for: whether it is in use
-        self._waiting: dict[tuple[str, str], list[Callable[[str], None]]] = {}
-        self._pace_coordinator: PaceCoordinator | None = None
-        self._pace = PaceShare()
-        self._share, self._wants_pace = -1.0, False
-        self._look_us = 0
-        self._drain_by_hand = False
-        self._drains = False
-        if terms.pace:
-            self.agent.answers[PACE] = self._lend
-        self.copies = (
-            ReplicationService(node, self.agent.replica, self) if self.agent.replica is not None else None
-        )
-        self._exerciser = self._new_exerciser() if terms.owners.record else None
-        self._lasting = lasting
-        if lasting is not None:
-            self.agent.backing.aside = lasting.list_auxiliary_entries
-            lasting.on_result = lambda done: self.carrier.post(lambda now_us: self.agent.wrote(now_us, done))
+        self._operator_permits = OperatorPermits(node, self.agent, self.transport)
+        self.agent.on_permit_change = self._operator_permits.on_permit_change
+        self._move_rate = MoveRateService(node, self.agent, grants_shares=settings.shares_move_rate)
+        self.agent.on_leadership_change = self._move_rate.on_leadership_change
+        self._next_session_count_us = 0
+        self._core_drains = False
+        self.replication = self._new_replication()
+        self._exerciser = self._new_exerciser() if settings.leadership.record else None
+        self._storage = storage
+        if storage is not None:
+            self._attach_storage(storage)
+
+    def _new_replication(self) -> ReplicationService | None:
+        if self.agent.replica is None:
+            return None
+        return ReplicationService(self._node, self.agent.replica, self)
 
     def _new_exerciser(self) -> ActExerciser | None:
         """For the laboratory's checks, which need acts on behalf of shards."""
@@ -118,312 +111,204 @@
             return None
         from sailrun.sharding.act_exerciser import ActExerciser
 
-        return ActExerciser(self.agent.shards, self.agent.members, self.agent.name, secrets.randbits(32))
+        return ActExerciser(
+            self.agent.shards, self.agent.members, self.agent.name, secrets.randbits(SEED_BITS)
+        )
+
+    def _attach_storage(self, storage: StorageService) -> None:
+        self.agent.durable_state.extra_entries = storage.list_auxiliary_entries
+        storage.on_result = lambda done: self.transport.post(
+            lambda now_us: self.agent.on_written(now_us, done)
+        )
 
-    def discovery(self, source: RegistryService, revision: int) -> SharedDiscovery | None:
-        """What the core has for a registry; None: the registry itself."""
-        if not self.agent.terms.reader.enabled:
+    def new_discovery(self, source: RegistryService, revision: int) -> SharedDiscovery | None:
+        """The service discovery of the core for a registry; None: the core is to use the registry itself."""
+        if not self.agent.settings.list_reader.enabled:
             return None
-        self._shared = SharedDiscovery(self._node, source, revision, self.agent, self.carrier)
+        self._shared = SharedDiscovery(self._node, source, revision, self.agent, self.transport)
         return self._shared
 
-    def _take_up(self, lasting: StorageService) -> None:
-        found = lasting.contents
-        self.agent.take_up(
-            boot_us(),
-            Lasting(
-                lasting.write_ahead_log,
-                lasting.identity,
-                found.state,
-                found.integrity is FolderIntegrity.INTACT,
-                found.position,
-                time.time(),
-                generate_identity,
-            ),
-        )
-        found.state.records, found.state.record_digests = {}, {}  # the copy has them now
-        if self.copies is not None:
-            self.copies.restore_draining(lasting.starts_draining)
+    # ------------------------------------------------------------------ from start to end
 
     async def run(self) -> None:
-        """Until cancelled, or given up. A fault in here leaves the node as it would be without a fleet."""
+        """Runs until cancelled, or until the address is released. A fault in here leaves the node as it would
+        be without a fleet.
+        """
         try:
             async with anyio.create_task_group() as group:
-                if self._lasting is not None and await self._lasting.acquire():
-                    # Nothing else knows the agent yet, and a large copy takes its time.
-                    await to_thread.run_sync(self._take_up, self._lasting)
-                    group.start_soon(self._lasting.run, self._node)
-                await self.carrier.run()
+                if self._storage is not None and await self._storage.acquire():
+                    # Nothing else knows the agent yet, and a large replica takes its time.
+                    await to_thread.run_sync(self._restore, self._storage)
+                    group.start_soon(self._storage.run, self._node)
+                await self.transport.run()
                 group.cancel_scope.cancel()
         except Exception:
+            # Broad, because clients are served without a fleet too: no fault of it may end the node.
             log("fault", where="fleet", trace=traceback.format_exc())
-            self._alone()
+            self._read_registry_directly()
+
+    def _restore(self, storage: StorageService) -> None:
+        found = storage.contents
+        folder = MemberFolder(
+            storage.write_ahead_log,
+            storage.identity,
+            found.state,
+            found.integrity is FolderIntegrity.INTACT,
+            found.position,
+            time.time(),
+            generate_identity,
+        )
+        self.agent.restore(boot_us(), folder)
+        found.state.records, found.state.record_digests = {}, {}  # the replica has them now
+        if self.replication is not None:
+            self.replication.restore_draining(storage.starts_draining)
 
-    def _alone(self) -> None:
+    def _read_registry_directly(self) -> None:
         if self._shared is not None:
-            self._shared.alone()
+            self._shared.read_directly()
 
     def leave(self) -> None:
-        """The process ends: what is owned is handed over at once."""
-        self.carrier.post(self.agent.leave)
+        """The process ends: the tasks it leads are handed over at once."""
+        self.transport.post(self.agent.leave)
 
-    def give_up(self) -> None:
+    def release_address(self) -> None:
         """A successor takes the name and the address over."""
-        self.carrier.post(self._give_up)
+        self.transport.post(self._release_address)
 
-    def _give_up(self, now_us: int) -> list[Out]:
-        self.carrier.ends = True
-        self._alone()
+    def _release_address(self, now_us: int) -> list[OutgoingEnvelope]:
+        self.transport.closes_after_send = True
+        self._read_registry_directly()
         return self.agent.leave(now_us)
 
-    def use(self, terms: AgentSettings) -> None:
+    def update_settings(self, settings: AgentSettings) -> None:
         """Takes over an operator's file that was read again."""
+        self.call_soon(lambda now_us: self.agent.update_settings(now_us, settings))
 
-        def call(now_us: int) -> list[Out]:
-            self.agent.use_terms(now_us, terms)
-            return []
-
-        self.carrier.post(call)
-
-    # ------------------------------------------------------------------ for the copies
+    # ------------------------------------------------------------------ for the replica
 
     def call_soon(self, call: Callable[[int], None]) -> None:
         """Has the agent's task call this with the time (microseconds)."""
 
-        def called(now_us: int) -> list[Out]:
+        def called(now_us: int) -> list[OutgoingEnvelope]:
             call(now_us)
             return []
 
-        self.carrier.post(called)
+        self.transport.post(called)
 
     def living(self) -> set[str]:
         """The names of the members that live, as far as is known."""
         return set(self.agent.members.living_names)
 
     def highest_term(self, task: str) -> int:
-        """The highest term under which anybody is known to have owned the task."""
-        return self.agent.leases.of(task).owned
+        """The highest term under which anybody is known to have led the task."""
+        return self.agent.leases.lease_of(task).highest_granted_term
 
     def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
         """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
-        self.agent.backing.when_kept(now_us, call)
+        self.agent.durable_state.when_kept(now_us, call)
 
-    # ------------------------------------------------------------------ after each turn
+    # ------------------------------------------------------------------ after each turn of the agent
 
-    def _after(self, now_us: int) -> list[Out]:
-        outs: list[Out] = []
+    def _after_turn(self, now_us: int) -> list[OutgoingEnvelope]:
+        envelopes: list[OutgoingEnvelope] = []
         if self._shared is not None:
-            outs += self._shared.turn(now_us)
-        if self.agent.rolling_drains.drain is not None:
-            on, self.agent.rolling_drains.drain = self.agent.rolling_drains.drain, None
-            self._node.set_draining(on, lambda done: None)
-        if self.agent.rolling_drains.draining and now_us >= self._look_us:
-            self._look_us = now_us + LOOK_US
-            self._node.read_metrics(lambda figures: self._standing(figures.inflight))
+            envelopes += self._shared.turn(now_us)
+        self._turn_rolling_drain(now_us)
         if self.agent.shards is not None:
-            self._follow_drain(now_us, self.agent.shards)
-        if self.agent.terms.pace:
-            outs += self._ask_pace(now_us)
-        if self.copies is not None:
-            self.copies.turn(now_us)
+            self._follow_core_drain(now_us, self.agent.shards)
+        if self.agent.settings.shares_move_rate:
+            envelopes += self._move_rate.turn(now_us)
+        if self.replication is not None:
+            self.replication.turn(now_us)
         if self._exerciser is not None:
-            outs += self.agent.say(now_us, self._exerciser.tick(now_us))
-        if self._lasting is not None:
-            self._lasting.turn()
-        return outs
-
-    def _follow_drain(self, now_us: int, shards: ShardingAgent) -> None:
-        """A node that is drained hands its shards over too, in its turn, and has some again afterwards."""
+            envelopes += self.agent.send_shard_messages(now_us, self._exerciser.tick(now_us))
+        if self._storage is not None:
+            self._storage.turn()
+        return envelopes
+
+    def _turn_rolling_drain(self, now_us: int) -> None:
+        drains = self.agent.rolling_drains
+        if drains.core_drain_change is not None:
+            draining, drains.core_drain_change = drains.core_drain_change, None
+            self._node.set_draining(draining, lambda done: None)
+        if drains.is_draining and now_us >= self._next_session_count_us:
+            self._next_session_count_us = now_us + SESSION_COUNT_INTERVAL_US
+            self._node.read_metrics(lambda figures: self._on_session_count(figures.inflight))
+
+    def _on_session_count(self, sessions: int) -> None:
+        self.call_soon(lambda now_us: self.agent.rolling_drains.on_session_count(now_us, sessions))
+
+    def _follow_core_drain(self, now_us: int, shards: ShardingAgent) -> None:
+        """A draining node hands its shards over too, in its turn, and is given some again afterwards."""
         drains = ShutdownReason.DRAIN in self._node.shutdown
-        if drains is not self._drains:
-            self._drains = drains
+        if drains is not self._core_drains:
+            self._core_drains = drains
             shards.set_leaving(now_us, drains)
 
-    def _standing(self, sessions: int) -> None:
-        def call(now_us: int) -> list[Out]:
-            self.agent.rolling_drains.standing(now_us, sessions)
-            return []
-
-        self.carrier.post(call)
-
-    def _ownership_changed(self, now_us: int, change: OwnershipChange) -> None:
-        if change.task == PACE:
-            self._pace_coordinator = PaceCoordinator(change.term, now_us) if change.mine else None
-
-    # ------------------------------------------------------------------ the rebalancer's pace
-
-    def _lend(self, now_us: int, sender: str, content: Any) -> Any:
-        return self._pace_coordinator.asked(now_us, sender) if self._pace_coordinator is not None else None
-
-    def _ask_pace(self, now_us: int) -> list[Out]:
-        share = self._pace.share(now_us)
-        if not self._pace.due(now_us):
-            return []
-        # Whether any is wanted is the core's to say; what it says counts from the next time on.
-        self._node.set_move_rate_share(share, self._moving)
-        if (share > 0) is not (self._share > 0) or self._share < 0:
-            log("pace", share=round(share, 3))
-        self._share = share
-        if not self._wants_pace:
-            return []
-
-        def answered(now_us: int, sent_us: int, content: Any) -> None:
-            self._pace.told(sent_us, content)
-
-        return self.agent.ask(now_us, PACE, [], answered)
-
-    def _moving(self, wanted: bool) -> None:
-        self._wants_pace = wanted
-
-    # ------------------------------------------------------------------ permits
-
-    def _used(self, use: Use) -> None:
-        """A permit came or went; the core is told, and whoever waits for the answer."""
-        if use.kind == OUT and use.subject in self._by_hand:
-            self._by_hand[use.subject] = use.yes
-
-            def done(known: bool) -> None:
-                if use.yes and not known:
-                    self.carrier.post(lambda now_us: self._drop(now_us, OUT, use.subject))
-                answer = "" if known or not use.yes else f"no form server '{use.subject[:80]}'"
-                self._answer(OUT, use.subject, answer if use.yes else use.why)
-
-            self._node.set_operator_override(use.subject, use.yes, done)
-        if use.kind == DRAIN and self._drain_by_hand:
-            self._node.set_draining(
-                use.yes, lambda done: self._answer(DRAIN, use.subject, "" if use.yes else use.why)
-            )
-
-    def _answer(self, kind: str, subject: str, why: str) -> None:
-        for reply in self._waiting.pop((kind, subject), ()):
-            reply(why)
-
-    def _drop(self, now_us: int, kind: str, subject: str) -> list[Out]:
-        if self.agent.holder is not None:
-            self.agent.holder.give_back(now_us, kind, subject)
-        self._by_hand.pop(subject, None)
-        return []
+    # ------------------------------------------------------------------ permits of operators
 
     @property
     def permits(self) -> bool:
-        return self.agent.holder is not None
+        """Whether drains, and form servers out of service, need a permit."""
+        return self.agent.permit_holder is not None
 
     def ask_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
-        """`reply` is called with "" once it is in use, or with why it is not; it may not be called in
-        time.
-        """
+        """See `OperatorPermits.request`."""
+        self._operator_permits.request(kind, subject, reply)
 
-        def call(now_us: int) -> list[Out]:
-            holder = self.agent.holder
-            if holder is None:
-                reply("permits are off")
-                return []
-            if kind == OUT:
-                self._by_hand.setdefault(subject, False)
-            else:
-                self._drain_by_hand = True
-            if holder.holds(kind, subject, now_us):
-                reply("")
-                return []
-            holder.want(kind, subject).next_us = 0
-            self._waiting.setdefault((kind, subject), []).append(reply)
-            return []
-
-        self.carrier.post(call)
-
-    def why_not(self, kind: str, subject: str) -> str:
-        """Why a permit that is asked for is not there yet."""
-        holder = self.agent.holder
-        wanted = holder.wanted.get((kind, subject)) if holder is not None else None
-        if wanted is None:
-            return "not asked for"
-        return f"queued with {wanted.ahead} before it, and carried out in its turn: {wanted.why}"
+    def describe_pending_permit(self, kind: str, subject: str) -> str:
+        """See `OperatorPermits.describe_pending`."""
+        return self._operator_permits.describe_pending(kind, subject)
 
     def give_back(self, kind: str, subject: str) -> None:
-        def call(now_us: int) -> list[Out]:
-            if kind == DRAIN:
-                self._drain_by_hand = False
-            return self._drop(now_us, kind, subject)
-
-        self.carrier.post(call)
+        """See `OperatorPermits.release`."""
+        self._operator_permits.release(kind, subject)
 
     def begin_rolling_drain(
-        self, name: str, nodes: list[str], for_us: int, reply: Callable[[str], None]
+        self, name: str, nodes: list[str], stay_empty_us: int, reply: Callable[[str], None]
     ) -> None:
-        """`reply` is called with "" once it is begun, or with why it is not."""
-
-        def call(now_us: int) -> list[Out]:
-            unknown = [n for n in nodes if not self.agent.members.is_living(n)]
-            if unknown:
-                reply(f"no member {', '.join(unknown[:5])}")
-            elif self.agent.holder is None:
-                reply("permits are off")
-            else:
-                self.agent.rolling_drains.begin(now_us, name, nodes, for_us)
-                reply("")
-            return []
-
-        self.carrier.post(call)
+        """See `OperatorPermits.begin_rolling_drain`."""
+        self._operator_permits.begin_rolling_drain(name, nodes, stay_empty_us, reply)
 
-    # ------------------------------------------------------------------ what staff see
+    # ------------------------------------------------------------------ what operators are shown
 
     def show(self, what: str, reply: Callable[[Any], None]) -> None:
-        """`members`, `owners`, `permits`, `counts`, or `walk NAME`: a rolling drain; as JSON has it."""
-
-        def call(now_us: int) -> list[Out]:
-            shown = {"members": status.members, "owners": status.owners, "permits": status.permits}
-            if what in shown:
-                reply(shown[what](self.agent, now_us))
-            elif what.startswith(("state", "ranges")):
-                reply(self.copies.describe(now_us, what) if self.copies is not None else None)
-            elif what == "counts":
-                reply(self._counts())
-            elif what.startswith("shards"):
-                reply(status.shards(self.agent, now_us, what.removeprefix("shards").strip()))
-            else:
-                reply(status.rolling_drain(self.agent, what.removeprefix("walk ")))
-            return []
+        """Replies with values that JSON can have: `members`, `owners`, `permits`, `counts`, `shards [NODE]`,
+        `state...` and `ranges...` of the replica, or `walk NAME` for a rolling drain.
+        """
+        self.call_soon(lambda now_us: reply(self._shown(now_us, what)))
 
-        self.carrier.post(call)
-
-    def _counts(self) -> dict[str, Any]:
-        tallies, members = self.agent.tallies, self.agent.members
-        return {
-            "orders_sent": tallies.orders_sent,
-            "orders_dropped": tallies.orders_dropped,
-            "orders_taken": tallies.orders_taken,
-            "orders_refused": tallies.orders_refused,
-            "orders_late": tallies.orders_late,
-            "bad_messages": tallies.bad_messages,
-            "wrong_fleet": tallies.wrong_fleet,
-            "strangers": members.unknown_sender_count,
-            "slowness": members.local_health_multiplier,
-            "messages_in": self.carrier.traffic.messages_in,
-            "messages_out": self.carrier.traffic.messages_out,
-            "bytes_in": self.carrier.traffic.bytes_in,
-            "bytes_out": self.carrier.traffic.bytes_out,
-            "in_touch": self.agent.leases.in_touch(boot_us()),
+    def _shown(self, now_us: int, what: str) -> Any:
+        tables = {
+            "members": status.member_rows,
+            "owners": status.lease_rows,
+            "permits": status.permit_rows,
         }
+        if what in tables:
+            return tables[what](self.agent, now_us)
+        if what.startswith(("state", "ranges")):
+            return self.replication.describe(now_us, what) if self.replication is not None else None
+        if what == "counts":
+            return status.counters(self.agent, self.transport.traffic, boot_us())
+        if what.startswith("shards"):
+            return status.shard_status(self.agent, now_us, what.removeprefix("shards").strip())
+        return status.rolling_drain_rows(self.agent, what.removeprefix("walk "))
+
+
+def _own_record(settings: AgentSettings, zone: str) -> MemberRecord:
+    """This process as a member, with an id of its own."""
+    membership = settings.membership
+    return MemberRecord(
+        membership.name,
+        secrets.randbits(PROCESS_ID_BITS),
+        1,
+        MemberState.ALIVE,
+        membership.advertise or membership.listen,
+        zone,
+        membership.region,
+        membership.role,
+    )
 
 
-def _founding() -> int:
-    return founding_term(time.time(), random.SystemRandom().getrandbits(12))
-
-
-def _record(kind: str, **facts: Any) -> None:
-    """For the laboratory: every act, in the time that all processes of a machine share, and how far this
-    node's own clock had what it names before or after.
-    """
-    for _ in range(CLOCKS_TRIES):
-        at_us, own_us = time.monotonic_ns() // 1000, boot_us()
-        if time.monotonic_ns() // 1000 - at_us < CLOCKS_US:
-            break  # else this process was stopped between its looks at the clocks
-    if "until_us" in facts:
-        facts["left_us"] = facts.pop("until_us") - own_us
-    if "made_us" in facts:
-        facts["ago_us"] = own_us - facts.pop("made_us")
-    log("act", kind=kind, at_us=at_us, **facts)
-
-
-def _forget(kind: str, **facts: Any) -> None:
-    pass
+def _draw_initial_term() -> int:
+    return new_initial_term(time.time(), random.SystemRandom().getrandbits(INITIAL_TERM_BITS))
--- a/sailrun/replication/acceptor_recovery.py
+++ b/sailrun/replication/acceptor_recovery.py
@@ -86,7 +86,7 @@
         if not self._anti_entropy.copy.is_complete:
             attempt.began_us = now_us
             return []
-        others = [name for name in self._voters().all() if name != self._name]
+        others = [name for name in self._voters().names() if name != self._name]
         if not attempt.incarnation:
             self._bootstrap_if_forgotten(now_us)
             if self._state.is_recovered:
@@ -106,11 +106,11 @@
         attempt, voters = self._attempt, self._voters()
         if self._is_idle or attempt.incarnation or reply.request_id != attempt.request_id:
             return
-        if sender not in voters.all():
+        if sender not in voters.names():
             return
         attempt.incarnation_replies[sender] = reply
         replies = attempt.incarnation_replies
-        if voters.majority({name for name, known in replies.items() if known.recovered}):
+        if voters.is_majority({name for name, known in replies.items() if known.recovered}):
             attempt.incarnation = self._next_incarnation(replies)
             self._request_at_us = now_us
 
@@ -126,8 +126,8 @@
         replies = attempt.incarnation_replies
         forgot = {n for n, r in replies.items() if not r.recovered and not r.verifying_folder}
         forgot.add(self._name)
-        silent = set(voters.all()) - replies.keys() - {self._name}
-        if voters.majority(set(voters.all()) - forgot):
+        silent = set(voters.names()) - replies.keys() - {self._name}
+        if voters.is_majority(set(voters.names()) - forgot):
             return  # a majority may remember yet: what it holds must not be passed over
         if silent and now_us - attempt.began_us < BOOTSTRAP_WAIT_US:
             return
@@ -146,7 +146,7 @@
     def on_recovery_reply(self, now_us: int, sender: str, reply: RecoveryReply) -> None:
         """A recovered voter has stored the new incarnation: what it holds is taken over."""
         attempt = self._attempt
-        is_expected = sender in self._voters().all() and reply.request_id == attempt.request_id
+        is_expected = sender in self._voters().names() and reply.request_id == attempt.request_id
         if self._state.is_recovered or not attempt.incarnation or not is_expected:
             return
         if sender in attempt.recovered_from | attempt.transferring:
@@ -171,7 +171,7 @@
     def _finish(self, attempt: _Attempt) -> None:
         state = self._state
         is_current = attempt is self._attempt and not state.is_recovered
-        if not is_current or not self._voters().majority(attempt.recovered_from):
+        if not is_current or not self._voters().is_majority(attempt.recovered_from):
             return
         state.incarnation = attempt.incarnation
         for name in attempt.recovered_from:
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -103,7 +103,8 @@
         journal: ReplicaJournal | None = None,
     ) -> None:
         """`incarnation` is this process's own number. `get_mark_limit` gives how many marks of a kind may be
-        in force at a time; None: any number. `record_event` is told every step that the laboratory checks.
+        in force at a time; None: any number. `record_event` is called with every step that the laboratory
+        checks.
         """
         self.settings, self.name, self._members, self._voters = settings, name, members, voters
         self._get_mark_limit, self._disabled_rules = get_mark_limit, disabled_rules
@@ -134,8 +135,8 @@
             self.store,
             self.settings,
             self._members,
-            lambda: self._voters().all(),
-            lambda names: self._voters().majority(names),
+            lambda: self._voters().names(),
+            lambda names: self._voters().is_majority(names),
             self._rng.getrandbits(32),
             now_us,
             self._disabled_rules,
@@ -146,7 +147,7 @@
 
     def apply_voters(self, now_us: int) -> None:
         """The fleet's voters may have changed: this node may be one, or be one no longer."""
-        if self.name not in self._voters().all():
+        if self.name not in self._voters().names():
             self.acceptor = None
         elif self.acceptor is None:
             self.acceptor = Acceptor(
--- a/sailrun/sharding/agent.py
+++ b/sailrun/sharding/agent.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from sailrun.leadership.leases import OwnershipChange
+from sailrun.leadership.leases import LeadershipChange
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 from sailrun.membership.messages import CONTROL, MemberRecord
 from sailrun.sharding.assigner import Assigner
@@ -256,17 +256,17 @@
             return []
         return assigner.tick(now_us)
 
-    def _on_election_change(self, now_us: int, change: OwnershipChange) -> None:
-        self.assigner = self._new_assigner(change.term, now_us) if change.mine else None
+    def _on_election_change(self, now_us: int, change: LeadershipChange) -> None:
+        self.assigner = self._new_assigner(change.term, now_us) if change.is_leader else None
         facts: dict[str, object] = {
             "region": self.region.name,
             "term": change.term,
-            "mine": change.mine,
-            "why": change.why,
+            "mine": change.is_leader,
+            "why": change.reason,
         }
         self.notes.append(("shards-assigner", facts))
-        if not change.mine:
-            self._record("lost", task=self.task, term=change.term, why=change.why)
+        if not change.is_leader:
+            self._record("lost", task=self.task, term=change.term, why=change.reason)
 
     def _new_assigner(self, term: int, now_us: int) -> Assigner:
         patience_us = int(self.settings.lease_s * SECOND * (1 + DRIFT))
--- a/sailrun/sharding/messages.py
+++ b/sailrun/sharding/messages.py
@@ -11,7 +11,15 @@
 import msgspec
 from msgspec import Meta
 
-from sailrun.leadership.messages import Ask, Deny, Grant, Recall, Recalled, Release, Yield
+from sailrun.leadership.messages import (
+    LeaseDenial,
+    LeaseGrant,
+    LeaseHandover,
+    LeaseRelease,
+    LeaseRequest,
+    TermQuery,
+    TermReport,
+)
 
 # Sessions that one generation may add or remove, so that a change fits a datagram.
 MAX_CHANGED_SESSIONS = 24
@@ -188,7 +196,7 @@
 
     region: str
     digest: int
-    body: Ask | Grant | Deny | Release | Yield | Recall | Recalled
+    body: LeaseRequest | LeaseGrant | LeaseDenial | LeaseRelease | LeaseHandover | TermQuery | TermReport
 
 
 ShardBody = (
--- a/sailrun/sharding/table_replication.py
+++ b/sailrun/sharding/table_replication.py
@@ -165,7 +165,7 @@
 
     def receive(self, now_us: int, sender: str, body: TableRead | TableWritten | TableRejected) -> None:
         """Takes in a voter's answer. To be called only while the lease is held: later it has no value."""
-        if body.term != self.term or sender not in self._voters.all():
+        if body.term != self.term or sender not in self._voters.names():
             return
         match body:
             case TableRead():
@@ -188,10 +188,10 @@
         """Writes the newest table found, or an empty one, as soon as the answers permit."""
         with_memory = {name for name, answer in reading.answers.items() if answer.has_memory}
         newest: TableState | None = None
-        if self._voters.majority(with_memory) or (with_memory and "register" in self._off):
+        if self._voters.is_majority(with_memory) or (with_memory and "register" in self._off):
             states = [reading.answers[name].state for name in with_memory]
             newest = max((state for state in states if state is not None), key=_version, default=None)
-        elif now_us < self._new_table_us or not self._voters.majority(reading.answers.keys()):
+        elif now_us < self._new_table_us or not self._voters.is_majority(reading.answers.keys()):
             return
         if newest is None:
             self.is_new_table = True
@@ -206,7 +206,7 @@
         if writing is None or answer.sequence != writing.sequence:
             return
         writing.acknowledged_by[sender] = answer.life
-        if self._voters.majority(writing.acknowledged_by.keys()):
+        if self._voters.is_majority(writing.acknowledged_by.keys()):
             self.state = writing.state
 
     # ------------------------------------------------------------------ time
@@ -219,11 +219,11 @@
     def _pending_voters(self) -> list[str]:
         """The voters that have not answered the present request."""
         if self._reading is not None:
-            return [name for name in self._voters.all() if name not in self._reading.answers]
+            return [name for name in self._voters.names() if name not in self._reading.answers]
         if self._writing is None:
             return []
         acknowledged_by = self._writing.acknowledged_by
-        lives = {name: self._life_of(name) for name in self._voters.all()}
+        lives = {name: self._life_of(name) for name in self._voters.names()}
         return [
             name for name, life in lives.items() if life is not None and acknowledged_by.get(name) != life
         ]
--- a/tests/test_owners.py
+++ b/tests/test_leadership.py
@@ -12,27 +12,27 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from sailrun.bad_config import BadConfig
-from sailrun.leadership.founding import founding_term
+from sailrun.leadership.initial_term import new_initial_term
 from sailrun.leadership.leases import Leases, best_placed
+from sailrun.leadership.list_reader import SharedList
 from sailrun.leadership.messages import (
-    Ask,
-    Deny,
     DrainRequest,
     DrainStatus,
-    Grant,
-    Recall,
-    Recalled,
-    Release,
-    Say,
-    Want,
+    LeaseDenial,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    PermitRequest,
+    PermitResponse,
+    TermQuery,
+    TermReport,
 )
-from sailrun.leadership.pace import LENT_US, PaceCoordinator, PaceShare
-from sailrun.leadership.permits import DRAIN, OUT, PermitCoordinator, PermitHolder
+from sailrun.leadership.move_rate import RATE_GRANT_US, MoveRateCoordinator, MoveRateShare
+from sailrun.leadership.permits import DRAIN, OUT_OF_SERVICE, PermitCoordinator, PermitHolder
 from sailrun.leadership.quorum import Voters
-from sailrun.leadership.reader import Reading
 from sailrun.leadership.rolling_drain import RollingDrains
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
-from sailrun.leadership.voter import Voter, abstain_us
+from sailrun.leadership.voter import Voter, abstention_us
 from sailrun.membership.messages import MemberRecord, MemberState, list_eligible_names
 from sailrun.operator_settings import read_operator, voters_follow
 from sailrun.storage import entries
@@ -48,8 +48,8 @@
     return made
 
 
-def ask(term: int, number: int = 1, stage: int = TERMS.stage) -> Ask:
-    return Ask("t", term, number, stage)
+def ask(term: int, number: int = 1, stage: int = TERMS.stage) -> LeaseRequest:
+    return LeaseRequest("t", term, number, stage)
 
 
 # ---------------------------------------------------------------------- voters
@@ -57,48 +57,54 @@
 
 def test_a_voter_grants_one_holder_at_a_time_and_no_term_twice() -> None:
     one = voter()
-    assert one.asked(0, "x", 1, ask(1)) == Grant("t", 1, 1)
-    held = one.asked(SECOND, "y", 1, ask(2))
-    assert isinstance(held, Deny) and (held.why, held.holder, held.left_us) == ("held", "x", SECOND)
-    assert isinstance(one.asked(2 * SECOND, "y", 1, ask(1)), Deny)
-    assert isinstance(one.asked(2 * SECOND, "y", 1, ask(2)), Grant)
-    late = one.asked(2 * SECOND, "x", 1, ask(1))
-    assert isinstance(late, Deny) and late.term == 2
+    assert one.on_lease_request(0, "x", 1, ask(1)) == LeaseGrant("t", 1, 1)
+    held = one.on_lease_request(SECOND, "y", 1, ask(2))
+    assert isinstance(held, LeaseDenial) and (held.reason, held.holder, held.retry_after_us) == (
+        "held",
+        "x",
+        SECOND,
+    )
+    assert isinstance(one.on_lease_request(2 * SECOND, "y", 1, ask(1)), LeaseDenial)
+    assert isinstance(one.on_lease_request(2 * SECOND, "y", 1, ask(2)), LeaseGrant)
+    late = one.on_lease_request(2 * SECOND, "x", 1, ask(1))
+    assert isinstance(late, LeaseDenial) and late.term == 2
 
 
 def test_another_life_under_the_holders_name_is_another_holder() -> None:
     one = voter()
-    one.asked(0, "x", 1, ask(1))
-    assert isinstance(one.asked(1, "x", 2, ask(1)), Deny)
-    one.released("x", 2, Release("t", 1))
-    assert isinstance(one.asked(2, "y", 1, ask(2)), Deny)
-    one.released("x", 1, Release("t", 1))
-    assert isinstance(one.asked(3, "y", 1, ask(2)), Grant)
-    assert isinstance(one.asked(4, "x", 1, ask(1)), Deny)  # what was given up is not renewed
+    one.on_lease_request(0, "x", 1, ask(1))
+    assert isinstance(one.on_lease_request(1, "x", 2, ask(1)), LeaseDenial)
+    one.on_release("x", 2, LeaseRelease("t", 1))
+    assert isinstance(one.on_lease_request(2, "y", 1, ask(2)), LeaseDenial)
+    one.on_release("x", 1, LeaseRelease("t", 1))
+    assert isinstance(one.on_lease_request(3, "y", 1, ask(2)), LeaseGrant)
+    assert isinstance(
+        one.on_lease_request(4, "x", 1, ask(1)), LeaseDenial
+    )  # what was given up is not renewed
 
 
 def test_a_voter_that_has_started_abstains_until_leases_ended_and_two_that_remember_told_it() -> None:
     one = voter(remembers=False)
-    over_us = abstain_us(TERMS)
-    one.told(1, "b", Recalled(1, True, {"t": 7}))
-    denied = one.asked(over_us - 1, "x", 1, ask(9))
-    assert isinstance(denied, Deny) and denied.why == "abstains"
+    over_us = abstention_us(TERMS)
+    one.on_term_report(1, "b", TermReport(1, True, {"t": 7}))
+    denied = one.on_lease_request(over_us - 1, "x", 1, ask(9))
+    assert isinstance(denied, LeaseDenial) and denied.reason == "abstains"
     one.turn(over_us)
     assert not one.remembers
-    one.told(over_us, "c", Recalled(1, True, {"t": 5}))
-    assert one.remembers and not one.founded and one.highest("t") == 7
-    assert isinstance(one.asked(over_us, "x", 1, ask(7)), Deny)
-    assert isinstance(one.asked(over_us, "x", 1, ask(8)), Grant)
+    one.on_term_report(over_us, "c", TermReport(1, True, {"t": 5}))
+    assert one.remembers and not one.began_new_terms and one.highest_term("t") == 7
+    assert isinstance(one.on_lease_request(over_us, "x", 1, ask(7)), LeaseDenial)
+    assert isinstance(one.on_lease_request(over_us, "x", 1, ask(8)), LeaseGrant)
 
 
 def test_where_nobody_remembers_terms_begin_above_what_can_be_known() -> None:
     one = voter(remembers=False)
-    over_us = abstain_us(TERMS)
+    over_us = abstention_us(TERMS)
     for name in ("b", "c"):
-        one.told(over_us, name, Recalled(1, False, {"t": 2_000} if name == "b" else {}))
-    assert one.remembers and one.founded
-    assert one.highest("t") == 2_000 and one.highest("other") == 1_000
-    assert one.recall(Recall(1)).terms == {"t": 2_000, "": 1_000}
+        one.on_term_report(over_us, name, TermReport(1, False, {"t": 2_000} if name == "b" else {}))
+    assert one.remembers and one.began_new_terms
+    assert one.highest_term("t") == 2_000 and one.highest_term("other") == 1_000
+    assert one.report_terms(TermQuery(1)).terms == {"t": 2_000, "": 1_000}
 
 
 def test_a_voter_alone_does_not_found() -> None:
@@ -108,9 +114,9 @@
 
 
 def test_founding_terms_grow_with_the_clock_and_stay_in_53_bits() -> None:
-    assert founding_term(1.8e9, 0xFFF) < founding_term(1.8e9 + 1, 0)
-    assert founding_term(2_300_000_000, 0xFFF) < 2**53
-    assert founding_term(-5.0, 0) == 0
+    assert new_initial_term(1.8e9, 0xFFF) < new_initial_term(1.8e9 + 1, 0)
+    assert new_initial_term(2_300_000_000, 0xFFF) < 2**53
+    assert new_initial_term(-5.0, 0) == 0
 
 
 def test_voters_are_exchanged_through_a_stage_in_which_both_are_asked() -> None:
@@ -118,12 +124,12 @@
     both = LeadershipSettings(enabled=True, voters=("a", "b", "d"), voters_before=("a", "b", "c"), revision=2)
     after = LeadershipSettings(enabled=True, voters=("a", "b", "d"), revision=2)
     assert (before.stage, both.stage, after.stage) == (2, 3, 4)
-    assert not Voters(both).majority({"b", "d"}) and Voters(both).majority({"a", "b"})
-    assert Voters(both).majority({"a", "c", "d"})
+    assert not Voters(both).is_majority({"b", "d"}) and Voters(both).is_majority({"a", "b"})
+    assert Voters(both).is_majority({"a", "c", "d"})
     for one, other, allowed in ((before, both, True), (both, after, True), (before, after, False)):
-        assert Voters(one).allows(other.stage) is allowed
+        assert Voters(one).accepts_stage(other.stage) is allowed
         assert (voters_follow(one, other) is None) is allowed
-    assert not Voters(both).allows(before.stage)
+    assert not Voters(both).accepts_stage(before.stage)
     other = LeadershipSettings(enabled=True, voters=("a", "b", "e"), revision=2)
     assert voters_follow(both, other) is not None
 
@@ -140,18 +146,18 @@
 
 def test_an_owner_counts_from_when_it_asked_and_less_than_its_voters() -> None:
     one, number = asking(SECOND)
-    one.granted(2_500_000, "a", Grant("t", 1, number))
-    assert not one.holds("t", 2_500_000)
-    one.granted(2_500_000, "b", Grant("t", 1, number))
-    assert one.holds("t", 2_500_000) == 1 and one.until_us("t") == 2_960_000
-    assert not one.holds("t", 2_960_000)
+    one.on_grant(2_500_000, "a", LeaseGrant("t", 1, number))
+    assert not one.held_term("t", 2_500_000)
+    one.on_grant(2_500_000, "b", LeaseGrant("t", 1, number))
+    assert one.held_term("t", 2_500_000) == 1 and one.expiry_us("t") == 2_960_000
+    assert not one.held_term("t", 2_960_000)
 
 
 def test_grants_that_come_too_late_make_no_owner() -> None:
     one, number = asking(SECOND)
     for name in ("a", "b", "c"):
-        one.granted(3 * SECOND, name, Grant("t", 1, number))
-    assert not one.holds("t", 3 * SECOND) and not one.changes
+        one.on_grant(3 * SECOND, name, LeaseGrant("t", 1, number))
+    assert not one.held_term("t", 3 * SECOND) and not one.changes
 
 
 def test_tasks_are_placed_by_the_designs_score_and_stay_when_others_come() -> None:
@@ -167,8 +173,8 @@
 
 def held(
     coordinator: PermitCoordinator, now_us: int, name: str, kind: str, subject: str, state: str = "want"
-) -> Say:
-    return coordinator.asked(now_us, name, 1, Want(kind, subject, state))
+) -> PermitResponse:
+    return coordinator.on_request(now_us, name, 1, PermitRequest(kind, subject, state))
 
 
 def open_coordinator(now_us: int = 10 * SECOND) -> PermitCoordinator:
@@ -177,45 +183,51 @@
 
 def test_permits_go_in_the_order_of_the_queue_and_no_more_than_allowed() -> None:
     coordinator, now_us = open_coordinator(), 10 * SECOND
-    assert held(coordinator, now_us, "a", DRAIN, "a").yes
+    assert held(coordinator, now_us, "a", DRAIN, "a").is_granted
     second, third = (held(coordinator, now_us, n, DRAIN, n) for n in ("b", "c"))
-    assert (second.yes, second.ahead, third.ahead) == (False, 0, 1)
-    assert "1 of 1 in use: a" in second.why
+    assert (second.is_granted, second.requests_ahead, third.requests_ahead) == (False, 0, 1)
+    assert "1 of 1 in use: a" in second.reason
     held(coordinator, now_us, "a", DRAIN, "a", "back")
-    assert not held(coordinator, now_us, "c", DRAIN, "c").yes
-    assert held(coordinator, now_us, "b", DRAIN, "b").yes
+    assert not held(coordinator, now_us, "c", DRAIN, "c").is_granted
+    assert held(coordinator, now_us, "b", DRAIN, "b").is_granted
 
 
 def test_the_same_form_server_out_at_several_nodes_is_one_permit() -> None:
     coordinator, now_us = open_coordinator(), 10 * SECOND
-    assert all(held(coordinator, now_us, name, OUT, "s-1").yes for name in "abc")
-    assert held(coordinator, now_us, "a", OUT, "s-2").yes
-    assert not held(coordinator, now_us, "a", OUT, "s-3").yes
+    assert all(held(coordinator, now_us, name, OUT_OF_SERVICE, "s-1").is_granted for name in "abc")
+    assert held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-2").is_granted
+    assert not held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").is_granted
     for name in "ab":
-        held(coordinator, now_us, name, OUT, "s-1", "back")
-    assert not held(coordinator, now_us, "a", OUT, "s-3").yes
-    held(coordinator, now_us, "c", OUT, "s-1", "back")
-    assert held(coordinator, now_us, "a", OUT, "s-3").yes
+        held(coordinator, now_us, name, OUT_OF_SERVICE, "s-1", "back")
+    assert not held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").is_granted
+    held(coordinator, now_us, "c", OUT_OF_SERVICE, "s-1", "back")
+    assert held(coordinator, now_us, "a", OUT_OF_SERVICE, "s-3").is_granted
 
 
 def test_a_dead_holders_permit_ends_and_the_next_one_has_it() -> None:
     coordinator, now_us = open_coordinator(), 10 * SECOND
     held(coordinator, now_us, "a", DRAIN, "a")
-    assert not held(coordinator, now_us + 3 * SECOND, "b", DRAIN, "b").yes
-    assert held(coordinator, now_us + 4 * SECOND, "b", DRAIN, "b").yes
+    assert not held(coordinator, now_us + 3 * SECOND, "b", DRAIN, "b").is_granted
+    assert held(coordinator, now_us + 4 * SECOND, "b", DRAIN, "b").is_granted
 
 
 def test_a_new_owner_listens_first_and_keeps_the_places_of_the_one_before() -> None:
     coordinator = PermitCoordinator(PERMITS, 6, 0)
-    assert held(coordinator, 1, "a", OUT, "s-1", "held").yes
-    assert not held(coordinator, 1, "b", OUT, "s-2").yes
-    waiting = coordinator.asked(1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
-    assert not waiting.yes and waiting.place == (5, 1)
-    held(coordinator, coordinator.open_us - 1, "a", OUT, "s-1", "held")
-    coordinator.asked(coordinator.open_us - 1, "c", 1, Want(OUT, "s-3", "want", (5, 1)))
-    held(coordinator, coordinator.open_us - 1, "b", OUT, "s-2")
-    assert not held(coordinator, coordinator.open_us, "b", OUT, "s-2").yes  # s-3 has the earlier place
-    assert coordinator.asked(coordinator.open_us, "c", 1, Want(OUT, "s-3", "want", (5, 1))).yes
+    assert held(coordinator, 1, "a", OUT_OF_SERVICE, "s-1", "held").is_granted
+    assert not held(coordinator, 1, "b", OUT_OF_SERVICE, "s-2").is_granted
+    waiting = coordinator.on_request(1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1)))
+    assert not waiting.is_granted and waiting.queue_position == (5, 1)
+    held(coordinator, coordinator.opens_us - 1, "a", OUT_OF_SERVICE, "s-1", "held")
+    coordinator.on_request(
+        coordinator.opens_us - 1, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1))
+    )
+    held(coordinator, coordinator.opens_us - 1, "b", OUT_OF_SERVICE, "s-2")
+    assert not held(
+        coordinator, coordinator.opens_us, "b", OUT_OF_SERVICE, "s-2"
+    ).is_granted  # s-3 has the earlier place
+    assert coordinator.on_request(
+        coordinator.opens_us, "c", 1, PermitRequest(OUT_OF_SERVICE, "s-3", "want", (5, 1))
+    ).is_granted
 
 
 class Permitting(RuleBasedStateMachine):
@@ -227,15 +239,15 @@
         self.coordinator = PermitCoordinator(PERMITS, 1, 0)
         self.term = 1
         self.holders = {name: PermitHolder(PERMITS) for name in "abcd"}
-        self.flying: list[tuple[str, int, Want]] = []
+        self.flying: list[tuple[str, int, PermitRequest]] = []
 
     @rule(name=st.sampled_from("abcd"), number=st.integers(1, 4))
     def want(self, name: str, number: int) -> None:
-        self.holders[name].want(OUT, f"s-{number}")
+        self.holders[name].request(OUT_OF_SERVICE, f"s-{number}")
 
     @rule(name=st.sampled_from("abcd"), number=st.integers(1, 4))
     def give_back(self, name: str, number: int) -> None:
-        self.holders[name].give_back(self.now_us, OUT, f"s-{number}")
+        self.holders[name].release(self.now_us, OUT_OF_SERVICE, f"s-{number}")
 
     @rule(part=st.integers(1, 60))
     def pass_time(self, part: int) -> None:
@@ -250,9 +262,9 @@
     def answer(self, data: Any, lost: bool) -> None:
         at = data.draw(st.integers(0, len(self.flying) - 1))
         name, sent_us, want = self.flying.pop(at)
-        say = self.coordinator.asked(self.now_us, name, 1, want)
+        say = self.coordinator.on_request(self.now_us, name, 1, want)
         if not lost:
-            self.holders[name].told(self.now_us, sent_us, want, say)
+            self.holders[name].on_response(self.now_us, sent_us, want, say)
 
     @rule()
     def another_owner(self) -> None:
@@ -267,8 +279,8 @@
         out = {
             subject
             for holder in self.holders.values()
-            for kind, subject in holder.wanted
-            if holder.holds(kind, subject, self.now_us)
+            for kind, subject in holder.permits
+            if holder.is_held(kind, subject, self.now_us)
         }
         assert len(out) <= PERMITS.out, out
 
@@ -285,28 +297,28 @@
 
     def play(now_us: int) -> None:
         for to, word in drains["a"].turn(now_us):
-            drains["a"].told(now_us, to, drains[to].asked(now_us, word))
+            drains["a"].on_status(now_us, to, drains[to].on_request(now_us, word))
         for name, holder in holders.items():
             for want in holder.turn(now_us):
-                holder.told(now_us, now_us, want, coordinator.asked(now_us, name, 1, want))
-            for use in holder.uses:
-                drains[name].used(use)
-            holder.uses.clear()
-            if drains[name].drain:
+                holder.on_response(now_us, now_us, want, coordinator.on_request(now_us, name, 1, want))
+            for use in holder.changes:
+                drains[name].on_permit_change(use)
+            holder.changes.clear()
+            if drains[name].core_drain_change:
                 drained.append(name)
-            drains[name].drain = None
-            if drains[name].draining:
-                drains[name].standing(now_us, 0)
+            drains[name].core_drain_change = None
+            if drains[name].is_draining:
+                drains[name].on_session_count(now_us, 0)
 
     drains["a"].begin(0, "w", ["c", "a", "b"], SECOND)
     for tenth in range(400):
         play(tenth * SECOND // 10)
-    assert drains["a"].begun["w"].over and drained == ["c", "a", "b"]
-    drains["a"].begun.clear()
+    assert drains["a"].drains["w"].is_over and drained == ["c", "a", "b"]
+    drains["a"].drains.clear()
     drains["a"].begin(40 * SECOND, "w", ["c", "a", "b"], SECOND)
     for tenth in range(400, 500):
         play(tenth * SECOND // 10)
-    assert drained == ["c", "a", "b"] and drains["a"].begun["w"].over
+    assert drained == ["c", "a", "b"] and drains["a"].drains["w"].is_over
 
 
 def test_a_rolling_drain_keeps_its_older_names_on_the_wire_and_on_the_disk() -> None:
@@ -323,35 +335,35 @@
 
 
 def test_an_older_list_is_never_taken_and_silence_has_a_node_read_for_itself() -> None:
-    reader, node = (Reading("r:1", ListReaderSettings(), 0) for _ in range(2))
-    reader.read(7, [{"id": "s-1"}])
-    assert node.told(0, reader.answer(["r:1", -1])) == [{"id": "s-1"}]
-    assert node.told(0, reader.answer(["r:1", 7])) is None and node.revision == 7
-    assert not node.reads(2_900_000) and node.reads(3_000_000)
-    stale = Reading("r:1", ListReaderSettings(), 0)
-    stale.read(6, [])
-    assert node.told(4_000_000, stale.answer(["r:1", 5])) is None and node.refused == 1
-    assert node.reads(4_000_000)  # a reader that is behind counts as silent
-    assert stale.answer(["r:2", -1]) is None
-    assert node.told(4_000_000, ["r:2", 9, []]) is None and node.told(0, "nothing") is None
+    reader, node = (SharedList("r:1", ListReaderSettings(), 0) for _ in range(2))
+    reader.on_registry_list(7, [{"id": "s-1"}])
+    assert node.on_reply(0, reader.answer_query(["r:1", -1])) == [{"id": "s-1"}]
+    assert node.on_reply(0, reader.answer_query(["r:1", 7])) is None and node.revision == 7
+    assert not node.must_read_registry(2_900_000) and node.must_read_registry(3_000_000)
+    stale = SharedList("r:1", ListReaderSettings(), 0)
+    stale.on_registry_list(6, [])
+    assert node.on_reply(4_000_000, stale.answer_query(["r:1", 5])) is None and node.lists_rejected == 1
+    assert node.must_read_registry(4_000_000)  # a reader that is behind counts as silent
+    assert stale.answer_query(["r:2", -1]) is None
+    assert node.on_reply(4_000_000, ["r:2", 9, []]) is None and node.on_reply(0, "nothing") is None
 
 
 def test_shares_of_the_pace_never_come_to_more_than_the_whole() -> None:
-    coordinator, shares = PaceCoordinator(1, 0), {name: PaceShare() for name in "abc"}
-    now_us = LENT_US
-    assert coordinator.asked(now_us, "a") == [0.0]
+    coordinator, shares = MoveRateCoordinator(1, 0), {name: MoveRateShare() for name in "abc"}
+    now_us = RATE_GRANT_US
+    assert coordinator.grant_share(now_us, "a") == [0.0]
     seen = []
     for step in range(60):
         now_us += 100_000
         for n, (name, share) in enumerate(shares.items()):
             # Some join later, and some answers get lost.
             if step >= 10 * n and (step + n) % 4:
-                answer = coordinator.asked(now_us, name)
+                answer = coordinator.grant_share(now_us, name)
                 if (step + n) % 3:
-                    share.told(now_us, answer)
-        seen.append(sum(share.share(now_us) for share in shares.values()))
+                    share.on_grant(now_us, answer)
+        seen.append(sum(share.current_share(now_us) for share in shares.values()))
     assert max(seen) <= 1.0 + 1e-9 and seen[-1] > 0.9
-    assert all(share.share(now_us + LENT_US) == 0 for share in shares.values())
+    assert all(share.current_share(now_us + RATE_GRANT_US) == 0 for share in shares.values())
 
 
 GOOD = """
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import agent_terms
 from sailrun.lab.faults.virtual import VirtualFleet
-from sailrun.leadership.envelope import LONGEST_DATAGRAM, BadMessage, unpack
+from sailrun.leadership.envelope import MAX_DATAGRAM_BYTES, BadEnvelope, decode_envelope
 from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
@@ -122,20 +122,20 @@
     agent = made.nodes["n0"].agent
     other = made.nodes["n1"].agent
     assert agent is not None and other is not None
-    (out, *_) = other._outgoing.letters(other.members.leave(made.clock_us(made.nodes["n1"])))
+    (out, *_) = other._envelopes.address_letters(other.members.leave(made.clock_us(made.nodes["n1"])))
     now_us = made.clock_us(made.nodes["n0"])
     foreign = msgspec.structs.replace(out.envelope, fleet="another")
-    assert agent.hear(now_us, "10.0.0.1:1", foreign) == [] and agent.tallies.wrong_fleet == 1
-    stranger = msgspec.structs.replace(out.envelope, sender="nobody", news=[])
+    assert agent.on_envelope(now_us, "10.0.0.1:1", foreign) == [] and agent.counters.foreign_messages == 1
+    stranger = msgspec.structs.replace(out.envelope, sender="nobody", member_updates=[])
     before = agent.members.unknown_sender_count
-    agent.hear(now_us, "10.0.0.77:1", stranger)
+    agent.on_envelope(now_us, "10.0.0.77:1", stranger)
     assert agent.members.unknown_sender_count == before + 1 and agent.members.find_record("nobody") is None
 
 
-@given(st.binary(max_size=LONGEST_DATAGRAM))
+@given(st.binary(max_size=MAX_DATAGRAM_BYTES))
 def test_whatever_comes_is_an_envelope_or_a_bad_message(data: bytes) -> None:
-    with suppress(BadMessage):
-        unpack(data)
+    with suppress(BadEnvelope):
+        decode_envelope(data)
 
 
 RECORDS = st.builds(
