--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -182,10 +182,10 @@
         "settings": settings,
     }
     tables: dict[str, Any] = {
-        "members": msgspec.structs.asdict(terms.membership),
-        "owners": {**msgspec.structs.asdict(terms.leadership), "record": True},
-        "permits": msgspec.structs.asdict(terms.permits),
-        "reader": msgspec.structs.asdict(terms.list_reader),
+        "members": msgspec.to_builtins(terms.membership),
+        "owners": {**msgspec.to_builtins(terms.leadership), "record": True},
+        "permits": msgspec.to_builtins(terms.permits),
+        "reader": msgspec.to_builtins(terms.list_reader),
         "replica": msgspec.to_builtins(terms.replication),
         "shards": msgspec.to_builtins(terms.sharding),
         "rebalance": {"enabled": terms.shares_move_rate},
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -319,7 +319,7 @@
 
 def test_a_node_without_a_fleet_loads_nothing_of_it() -> None:
     code = "import sys, sailrun.cli, sailrun.serve; print([m for m in sys.modules if m.startswith(NAMES)])"
-    parts = ("owners", "members", "replica", "lasting", "lab.faults")
+    parts = ("leadership", "membership", "replication", "sharding", "storage", "lab.faults")
     names = str((*(f"sailrun.{part}" for part in parts), "msgspec"))
     done = subprocess.run(
         [sys.executable, "-c", code.replace("NAMES", names)], capture_output=True, check=True
