--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -12,7 +12,7 @@
 
 from sailrun.amqp.engine import SESSION_BYTES, AmqpSettings, Engine
 from sailrun.amqp.transfer_relay import TransferRelay
-from sailrun.connection import Connection, OutOfDescriptors, connect
+from sailrun.connection import Connection, OutOfDescriptorsError, connect
 from sailrun.decisions.events import AttemptOutcome
 from sailrun.front import FrontDoor, WaitingRoom
 from sailrun.node.clock import log
@@ -336,7 +336,7 @@
                 return None, server.outcome
             kept, server = server, None
             return kept, AttemptOutcome.OK
-        except OutOfDescriptors:
+        except OutOfDescriptorsError:
             log("out-of-descriptors", doing="connect")
             return None, AttemptOutcome.NOT_SENT
         except OSError:
--- a/sailrun/cli.py
+++ b/sailrun/cli.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from sailrun.bad_config import BadConfig
+from sailrun.errors import ConfigError
 from sailrun.start import by_environment, complain, start
 
 app = typer.Typer(
@@ -63,7 +63,7 @@
             print(f"{path}: switches on {', '.join(enabled) or 'nothing'}")
             return
         told = read_sidecar(path)
-    except BadConfig as error:
+    except ConfigError as error:
         complain(error)
     print(f"{path}: fit to serve '{told.name}'")
 
@@ -115,7 +115,7 @@
         read_sidecar(out)
     except OSError as error:
         complain(f"{out}: {error.strerror}")
-    except BadConfig as error:
+    except ConfigError as error:
         out.unlink()
         complain(error)
     print(f"{out}: written for '{application}'")
--- a/sailrun/config.py
+++ b/sailrun/config.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from sailrun.bad_config import BadConfig
 from sailrun.connection import split_address
 from sailrun.decisions.settings import Settings
 from sailrun.decisions.validation import check_settings
-from sailrun.discovery import BadServerList, read_server_list
+from sailrun.discovery import InvalidServerListError, read_server_list
+from sailrun.errors import ConfigError
 from sailrun.node.session import ServerListUpdate
 from sailrun.settings_codec import read_settings_fields
 
@@ -125,9 +125,9 @@
         self.path = path
         self.values = _read_json_object(path)
 
-    def complain(self, key: str, reason: str) -> BadConfig:
+    def complain(self, key: str, reason: str) -> ConfigError:
         """The error for a key that is not usable."""
-        return BadConfig(self.path, key, reason)
+        return ConfigError(self.path, key, reason)
 
     def find(self, key: str) -> Any:
         """The file's value, else the environment's: the file is replaced under a running node, its
@@ -159,16 +159,16 @@
     try:
         document = json.loads(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
-        raise BadConfig(path, "", getattr(error, "strerror", None) or str(error)) from None
+        raise ConfigError(path, "", getattr(error, "strerror", None) or str(error)) from None
     except (json.JSONDecodeError, RecursionError) as error:
-        raise BadConfig(path, "", f"no JSON: {error}") from None
+        raise ConfigError(path, "", f"no JSON: {error}") from None
     if not isinstance(document, dict):
-        raise BadConfig(path, "", "no object")
+        raise ConfigError(path, "", "no object")
     return document
 
 
 def read_node_config(path: Path) -> NodeConfig:
-    """Reads the platform's file; keys that it adds for others are left alone. Raises BadConfig."""
+    """Reads the platform's file; keys that it adds for others are left alone. Raises ConfigError."""
     document = _Document(path)
     seed = _read_seed(document)
     settings = _read_settings(document)
@@ -215,7 +215,7 @@
 def _read_known_list(document: _Document) -> ServerListUpdate:
     try:
         return read_server_list(document.require("known"), cached=True)
-    except BadServerList as error:
+    except InvalidServerListError as error:
         raise document.complain("known", str(error)) from None
 
 
--- a/sailrun/connection.py
+++ b/sailrun/connection.py
@@ -10,6 +10,8 @@
 
 import anyio
 
+from sailrun.errors import SailrunError
+
 FIRST_SIZE = 512
 # A line of the platform's protocol is at most so long; other users of the buffer state their own bound.
 LONGEST_LINE = 4096
@@ -18,11 +20,13 @@
 _NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-class OutOfDescriptors(OSError):
+class OutOfDescriptorsError(SailrunError, OSError):
     """This process may open no further socket: the other side had no part in the failure."""
 
+    log_name = "OutOfDescriptors"
+
 
-class Overlong(ValueError):
+class OverlongLineError(SailrunError, ValueError):
     """The other side sent more than the buffer may hold without anything being taken from it."""
 
 
@@ -75,7 +79,7 @@
                 self._passed = max(0, self._passed - self._start)
                 self._start, self._end = 0, held
             elif len(self._buffer) >= self._most:
-                raise Overlong(f"over {self._most} bytes held")
+                raise OverlongLineError(f"over {self._most} bytes held")
             else:
                 self._buffer.extend(bytes(len(self._buffer)))
         while True:
@@ -131,7 +135,7 @@
         """Waits for a whole line; None if the other side ends first."""
         while (line := self.take_line()) is None:
             if self.held() > LONGEST_LINE:
-                raise Overlong(f"a line of over {LONGEST_LINE} bytes")
+                raise OverlongLineError(f"a line of over {LONGEST_LINE} bytes")
             if not await self.fill():
                 return None
         return line
@@ -188,12 +192,12 @@
 
 
 def new_socket(host: str, kind: socket.SocketKind) -> socket.socket:
-    """A non-blocking socket of the host's address family. Raises OutOfDescriptors if there is no room."""
+    """A non-blocking socket of the host's address family. Raises OutOfDescriptorsError."""
     try:
         return socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, kind | socket.SOCK_NONBLOCK)
     except OSError as error:
         if error.errno in _NO_ROOM:
-            raise OutOfDescriptors(error.errno, os.strerror(error.errno)) from error
+            raise OutOfDescriptorsError(error.errno, os.strerror(error.errno)) from error
         raise
 
 
@@ -230,7 +234,7 @@
 
 
 async def accept(listener: socket.socket) -> socket.socket:
-    """The next connection. Raises OutOfDescriptors where this process may hold no more."""
+    """The next connection. Raises OutOfDescriptorsError where this process may hold no more."""
     while True:
         await anyio.wait_readable(listener)
         try:
@@ -239,5 +243,5 @@
             continue
         except OSError as error:
             if error.errno in _NO_ROOM:
-                raise OutOfDescriptors(error.errno, os.strerror(error.errno)) from error
+                raise OutOfDescriptorsError(error.errno, os.strerror(error.errno)) from error
             raise
--- a/sailrun/control/calls.py
+++ b/sailrun/control/calls.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from sailrun.errors import SailrunError
 from sailrun.node.counters import MetricsSnapshot
 
 LONGEST_CALL = 4096
@@ -52,7 +53,7 @@
 )
 
 
-class BadCall(ValueError):
+class InvalidCallError(SailrunError, ValueError):
     """A line that is no call; says why."""
 
 
@@ -66,24 +67,25 @@
 
 
 def parse_call(line: bytes) -> Call:
-    """Reads one line; raises BadCall for whatever is none of the calls in its right form."""
+    """Reads one line; raises InvalidCallError for whatever is none of the calls in its right form."""
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
-        raise BadCall("not text") from None
+        raise InvalidCallError("not text") from None
     if not words:
-        raise BadCall("an empty line")
+        raise InvalidCallError("an empty line")
     try:
         verb = Verb(words[0])
     except ValueError:
-        raise BadCall(f"no call '{words[0][:40]}'") from None
+        raise InvalidCallError(f"no call '{words[0][:40]}'") from None
     if verb is Verb.FLEET:
         if (words[1:2], len(words)) not in _FLEET:
-            raise BadCall(f"'fleet' takes {_FLEET_CALLS}")
+            raise InvalidCallError(f"'fleet' takes {_FLEET_CALLS}")
         return Call(verb, words=tuple(words[1:]))
     wanted = 2 if verb in NAMING else 1
     if len(words) != wanted:
-        raise BadCall(f"'{verb.value}' takes {'the id of a form server' if wanted == 2 else 'nothing more'}")
+        argument = "the id of a form server" if verb in NAMING else "nothing more"
+        raise InvalidCallError(f"'{verb.value}' takes {argument}")
     return Call(verb, words[1] if wanted == 2 else "")
 
 
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -14,8 +14,18 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from sailrun.connection import Connection, Overlong
-from sailrun.control.calls import LONGEST_CALL, OK, BadCall, Call, Verb, answer, fail, parse_call, show
+from sailrun.connection import Connection, OverlongLineError
+from sailrun.control.calls import (
+    LONGEST_CALL,
+    OK,
+    Call,
+    InvalidCallError,
+    Verb,
+    answer,
+    fail,
+    parse_call,
+    show,
+)
 from sailrun.node.core import Node
 from sailrun.node.queries import send_query
 
@@ -122,7 +132,7 @@
             with call_by, contextlib.suppress(OSError):
                 try:
                     line = await caller.line()
-                except Overlong:
+                except OverlongLineError:
                     line = b"\xff"  # no text, whatever it was
             self._silent.pop(call_by, None)
             if line is not None:
@@ -142,7 +152,7 @@
     async def _answer(self, line: bytes) -> bytes:
         try:
             call = parse_call(line)
-        except BadCall as error:
+        except InvalidCallError as error:
             return fail(str(error))
         answer = fail("busy: try again")
         clock = self._node.clock
--- a/sailrun/discovery.py
+++ b/sailrun/discovery.py
@@ -12,7 +12,8 @@
 from sailrun.connection import split_address
 from sailrun.decisions.events import BackendState, ListKind
 from sailrun.decisions.settings import DiscoveryMode
-from sailrun.http_calls import CallFailed, HttpCalls
+from sailrun.errors import SailrunError, name_in_log
+from sailrun.http_calls import CallFailedError, HttpCalls
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer, ServerListUpdate
 
@@ -41,33 +42,31 @@
     return next(phase for phase, known in _STATES.items() if known is state)
 
 
-class BadServerList(ValueError):
+class InvalidServerListError(SailrunError, ValueError):
     """An answer that is no list of form servers."""
 
-
-# What `BadServerList` is called in the log, where operators search for it.
-LOGGED_BAD_LIST = "BadRoster"
+    log_name = "BadRoster"
 
 
 def _get(entry: dict[str, Any], name: str, *types: type) -> Any:
     value = entry.get(name)
     if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
-        raise BadServerList(f"'{name}' is {value!r}")
+        raise InvalidServerListError(f"'{name}' is {value!r}")
     if isinstance(value, float) and not math.isfinite(value):
-        raise BadServerList(f"'{name}' is {value!r}")
+        raise InvalidServerListError(f"'{name}' is {value!r}")
     return value
 
 
 def _form_server(entry: Any) -> FormServer:
     if not isinstance(entry, dict):
-        raise BadServerList(f"{entry!r} is no entry")
+        raise InvalidServerListError(f"{entry!r} is no entry")
     phase = _get(entry, "phase", str)
     if phase not in _STATES:
-        raise BadServerList(f"'phase' is {phase!r}")
+        raise InvalidServerListError(f"'phase' is {phase!r}")
     try:
         address = split_address(_get(entry, "host_port", str))
     except ValueError as error:
-        raise BadServerList(str(error)) from None
+        raise InvalidServerListError(str(error)) from None
     return FormServer(
         name=_get(entry, "id", str),
         address=address,
@@ -84,7 +83,7 @@
     the other form servers for gone.
     """
     if not isinstance(document, dict):
-        raise BadServerList("no object")
+        raise InvalidServerListError("no object")
     kind = ListKind.FULL if _get(document, "complete", bool) else ListKind.DELTA
     servers = tuple(_form_server(entry) for entry in _get(document, "members", list))
     return ServerListUpdate(ListKind.CACHED if cached else kind, _get(document, "revision", int), servers)
@@ -151,9 +150,9 @@
                 if self._dropped:
                     return
                 update = self._checked(told)
-            except (CallFailed, BadServerList) as error:
+            except (CallFailedError, InvalidServerListError) as error:
                 self._fetching |= whole
-                kind = LOGGED_BAD_LIST if isinstance(error, BadServerList) else type(error).__name__
+                kind = name_in_log(error)
                 self._failed(began_us, f"{kind}: {error}")
                 continue
             self._failures = 0
@@ -173,7 +172,7 @@
         try:
             return read_server_list(json.loads(body))
         except (UnicodeDecodeError, json.JSONDecodeError, RecursionError) as error:
-            raise BadServerList(f"no JSON: {error}") from None
+            raise InvalidServerListError(f"no JSON: {error}") from None
 
     def _checked(self, update: ServerListUpdate) -> ServerListUpdate:
         """An answer older than one that was had before would put back what has changed since. A registry that
@@ -187,7 +186,7 @@
         self._older = update.revision if update.kind is ListKind.FULL else -1
         if not again:
             self._fetching = True
-            raise BadServerList(f"revision {update.revision} is older than {known}")
+            raise InvalidServerListError(f"revision {update.revision} is older than {known}")
         return update
 
     def _failed(self, began_us: int, why: str) -> None:
--- a/sailrun/front.py
+++ b/sailrun/front.py
@@ -11,7 +11,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from sailrun.connection import OutOfDescriptors, accept
+from sailrun.connection import OutOfDescriptorsError, accept
 from sailrun.node.clock import log
 
 # Clients that have asked hold two descriptors each, and two thirds of all; of the last third so many
@@ -168,7 +168,7 @@
             try:
                 sock = await accept(self._listener)
                 group.start_soon(self._serve, self._greet(sock))
-            except OutOfDescriptors:
+            except OutOfDescriptorsError:
                 # Those who knock stay in the listener's queue until others have gone.
                 log("out-of-descriptors", doing="accept")
                 self._waiting.make_room()
--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -14,11 +14,11 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from sailrun.connection import Overlong, show_address
+from sailrun.connection import OverlongLineError, show_address
 from sailrun.hot_restart.link import MOST_SOCKETS, Doorstep, Link, hand, is_ours, knock, receive
 from sailrun.hot_restart.rules import Succession
 from sailrun.hot_restart.state import (
-    BadHandoverMessage,
+    InvalidHandoverError,
     pack,
     read_held,
     read_state,
@@ -91,7 +91,7 @@
             _, content = unpack(line)
             named = [str(key) for key in content["sockets"]]
             state = read_state(content["state"])
-        except (BadHandoverMessage, KeyError, TypeError) as error:
+        except (InvalidHandoverError, KeyError, TypeError) as error:
             log("passage-dropped", why=str(error))
         if len(named) != len(sockets):
             named = [f"unknown {n}" for n in range(len(sockets))]
@@ -162,9 +162,9 @@
                     kind, content = unpack(line)
                     hear(talk, kind, content, group)
                 group.cancel_scope.cancel()
-        except* (OSError, Overlong):
+        except* (OSError, OverlongLineError):
             pass  # it has ended
-        except* BadHandoverMessage as broken:
+        except* InvalidHandoverError as broken:
             log("passage-dropped", why=str(broken.exceptions[0]))
         finally:
             del self._talks[link]
@@ -224,7 +224,7 @@
             try:
                 line = await _line(link) if is_ours(sock) else None
                 asked = line is not None and unpack(line)[0] == "succeed"
-            except (OSError, Overlong, BadHandoverMessage) as error:
+            except (OSError, OverlongLineError, InvalidHandoverError) as error:
                 log("passage-dropped", why=str(error))
         if not asked or not self._rules.asked():
             link.close()
--- a/sailrun/hot_restart/state.py
+++ b/sailrun/hot_restart/state.py
@@ -1,7 +1,7 @@
 """What passes from a predecessor to its successor, as checked lines of JSON. Pure.
 
 A line is the version, a checksum and a kind with its content. What is torn, of another version or out of
-form raises BadHandoverMessage, and nothing of it is used.
+form raises InvalidHandoverError, and nothing of it is used.
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
     SetupRateSnapshot,
     StateSnapshot,
 )
-from sailrun.discovery import BadServerList, phase_of, read_server_list
+from sailrun.discovery import InvalidServerListError, phase_of, read_server_list
+from sailrun.errors import SailrunError
 from sailrun.node.restart_state import NodeSnapshot, ProcessLoad
 from sailrun.node.session import FormServer
 
@@ -29,7 +30,7 @@
 LONGEST = 2 * 1024 * 1024
 
 
-class BadHandoverMessage(ValueError):
+class InvalidHandoverError(SailrunError, ValueError):
     """No usable line; says why."""
 
 
@@ -40,21 +41,21 @@
 
 
 def unpack(line: bytes) -> tuple[str, Any]:
-    """Kind and content of a line. Raises BadHandoverMessage."""
+    """Kind and content of a line. Raises InvalidHandoverError."""
     if not line.endswith(b"\n"):
-        raise BadHandoverMessage("torn")
+        raise InvalidHandoverError("torn")
     version, _, rest = line[:-1].partition(b" ")
     if version != b"%d" % VERSION:
-        raise BadHandoverMessage(f"of version {version[:20].decode('ascii', 'replace')}, not {VERSION}")
+        raise InvalidHandoverError(f"of version {version[:20].decode('ascii', 'replace')}, not {VERSION}")
     checksum, _, text = rest.partition(b" ")
     if checksum != b"%08x" % zlib.crc32(text):
-        raise BadHandoverMessage("its checksum is wrong")
+        raise InvalidHandoverError("its checksum is wrong")
     try:
         kind, content = json.loads(text)
     except (ValueError, TypeError, RecursionError):
-        raise BadHandoverMessage("no kind and content") from None
+        raise InvalidHandoverError("no kind and content") from None
     if not isinstance(kind, str):
-        raise BadHandoverMessage("its kind is no text")
+        raise InvalidHandoverError("its kind is no text")
     return kind, content
 
 
@@ -93,7 +94,7 @@
 
 
 def read_state(content: Any) -> NodeSnapshot:
-    """A node's state from the content of a line. Raises BadHandoverMessage."""
+    """A node's state from the content of a line. Raises InvalidHandoverError."""
     try:
         server_list = read_server_list(content["roster"], cached=True)
         by_hand, draining = content["out_by_hand"], content["draining"]
@@ -104,16 +105,16 @@
         class_load = {
             str(k): (_finite(mean), int(notes)) for k, (mean, notes) in content["class_load"].items()
         }
-    except BadServerList as error:
-        raise BadHandoverMessage(f"its roster: {error}") from None
+    except InvalidServerListError as error:
+        raise InvalidHandoverError(f"its roster: {error}") from None
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise BadHandoverMessage(f"not in its form: {error!r}") from None
+        raise InvalidHandoverError(f"not in its form: {error!r}") from None
     if len(pace) != len(SETUP_RATE_FIELDS):
-        raise BadHandoverMessage("its pace is of another form")
+        raise InvalidHandoverError("its pace is of another form")
     if not isinstance(by_hand, list) or not all(isinstance(name, str) for name in by_hand):
-        raise BadHandoverMessage("'out_by_hand' is no list of ids")
+        raise InvalidHandoverError("'out_by_hand' is no list of ids")
     if not isinstance(draining, bool):
-        raise BadHandoverMessage("'draining' is neither true nor false")
+        raise InvalidHandoverError("'draining' is neither true nor false")
     return NodeSnapshot(
         server_list,
         frozenset(by_hand),
@@ -155,10 +156,10 @@
 
 
 def read_held(content: Any) -> ProcessLoad:
-    """What a process still holds from the content of a line. Raises BadHandoverMessage."""
+    """What a process still holds from the content of a line. Raises InvalidHandoverError."""
     try:
         loads = {int(_finite(number)): _finite(load) for number, load in content["loads"]}
         connections, descriptors = int(content["connections"]), int(content["descriptors"])
         return ProcessLoad(loads, connections, content["told"] is True, descriptors)
     except (KeyError, TypeError, ValueError, OverflowError) as error:
-        raise BadHandoverMessage(f"not in its form: {error!r}") from None
+        raise InvalidHandoverError(f"not in its form: {error!r}") from None
--- a/sailrun/http_calls.py
+++ b/sailrun/http_calls.py
@@ -9,15 +9,18 @@
 import anyio
 import h11
 
-from sailrun.connection import Connection, OutOfDescriptors, Overlong, connect, show_address
+from sailrun.connection import Connection, OutOfDescriptorsError, OverlongLineError, connect, show_address
+from sailrun.errors import SailrunError, name_in_log
 from sailrun.node.clock import Clock
 
 LONGEST_ANSWER = 4 * 1024 * 1024
 
 
-class CallFailed(Exception):
+class CallFailedError(SailrunError):
     """No usable answer came; the text says why."""
 
+    log_name = "CallFailed"
+
 
 class HttpCalls:
     """HTTP/1.1 calls to one address over one connection, which is kept between calls."""
@@ -43,20 +46,20 @@
             self._spare = None
 
     async def call(self, method: str, target: str, body: bytes, deadline_us: int) -> bytes:
-        """The answer's body. Whatever else comes back, or nothing by the deadline, is CallFailed."""
+        """The answer's body. Whatever else comes back, or nothing by the deadline, is CallFailedError."""
         answer: bytes | None = None
         try:
             with anyio.CancelScope(deadline=self._clock.moment(deadline_us)):
                 answer = await self._call(method, target, body)
-        except (OSError, h11.RemoteProtocolError, Overlong) as error:
+        except (OSError, h11.RemoteProtocolError, OverlongLineError) as error:
             self.drop()
-            raise CallFailed(f"{type(error).__name__}: {error}") from None
-        except CallFailed:
+            raise CallFailedError(f"{name_in_log(error)}: {error}") from None
+        except CallFailedError:
             self.drop()
             raise
         if answer is None:
             self.drop()
-            raise CallFailed("no answer in time")
+            raise CallFailedError("no answer in time")
         return answer
 
     async def _connect(self) -> Connection:
@@ -66,7 +69,7 @@
                 self._spare = os.dup(sys.stderr.fileno())
         try:
             return await connect(self._address, LONGEST_ANSWER)
-        except OutOfDescriptors:
+        except OutOfDescriptorsError:
             if self._spare is None:
                 raise
             os.close(self._spare)
@@ -94,13 +97,13 @@
             elif isinstance(event, h11.Data):
                 answer += event.data
                 if len(answer) > LONGEST_ANSWER:
-                    raise Overlong(f"an answer of over {LONGEST_ANSWER} bytes")
+                    raise OverlongLineError(f"an answer of over {LONGEST_ANSWER} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionResetError("ended before the answer")
         if status != 200:
-            raise CallFailed(f"status {status}")
+            raise CallFailedError(f"status {status}")
         if http.our_state is h11.DONE and http.their_state is h11.DONE:
             http.start_next_cycle()
         else:
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -242,12 +242,12 @@
 def _operators(path: Path | None) -> Any:
     if path is None:
         return None
-    from sailrun.bad_config import BadConfig
+    from sailrun.errors import ConfigError
     from sailrun.operator_settings import read_operator
 
     try:
         return read_operator(path).rebalance
-    except BadConfig as error:
+    except ConfigError as error:
         raise _complain(error) from None
 
 
--- a/sailrun/lab/faults/relays.py
+++ b/sailrun/lab/faults/relays.py
@@ -17,7 +17,12 @@
 import anyio
 from anyio.abc import SocketStream, TaskGroup
 
-from sailrun.leadership.envelope import MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, BadEnvelope, decode_envelope
+from sailrun.leadership.envelope import (
+    MAX_DATAGRAM_BYTES,
+    MAX_FRAME_BYTES,
+    InvalidEnvelopeError,
+    decode_envelope,
+)
 
 Address = tuple[str, int]
 HOST = "127.0.0.1"
@@ -166,7 +171,7 @@
                         return
                     await out.send(head + data)
                     self.passed += 1
-            except (*_BROKEN, BadEnvelope):
+            except (*_BROKEN, InvalidEnvelopeError):
                 return
             finally:
                 if out is not None:
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from sailrun.errors import SailrunError
 from sailrun.leadership.messages import LeaderHint, LeadershipBody
 from sailrun.membership.messages import MemberBody, MemberRecord
 from sailrun.replication.messages import ReplicationBody
@@ -37,7 +38,7 @@
     leader_hints: list[LeaderHint] = []
 
 
-class BadEnvelope(ValueError):
+class InvalidEnvelopeError(SailrunError, ValueError):
     """No envelope of this program."""
 
 
@@ -55,4 +56,4 @@
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError, RecursionError) as error:
-        raise BadEnvelope(str(error)) from None
+        raise InvalidEnvelopeError(str(error)) from None
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -7,7 +7,7 @@
 from sailrun.config import RegistryService
 from sailrun.connection import show_address
 from sailrun.decisions.events import ListKind
-from sailrun.discovery import BadServerList, DiscoveryClient, phase_of, read_server_list
+from sailrun.discovery import DiscoveryClient, InvalidServerListError, phase_of, read_server_list
 from sailrun.leadership.agent import READER_TASK_PREFIX, Agent, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
 from sailrun.leadership.list_reader import SharedList
@@ -154,7 +154,7 @@
             update = read_server_list(
                 {"complete": True, "revision": self._shared_list.revision, "members": members}
             )
-        except BadServerList as error:
+        except InvalidServerListError as error:
             log("reader-list-refused", why=str(error))
             self._shared_list.revision = -1  # the registry itself is asked
             return
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -19,7 +19,7 @@
 
 from sailrun.connection import (
     Connection,
-    Overlong,
+    OverlongLineError,
     accept,
     connect,
     listen,
@@ -32,8 +32,8 @@
 from sailrun.leadership.envelope import (
     MAX_DATAGRAM_BYTES,
     MAX_FRAME_BYTES,
-    BadEnvelope,
     Envelope,
+    InvalidEnvelopeError,
     decode_envelope,
     encode_envelope,
 )
@@ -169,7 +169,7 @@
         self.traffic.received(len(data))
         try:
             envelope = self._decode(data)
-        except BadEnvelope:
+        except InvalidEnvelopeError:
             self.agent.counters.malformed_messages += 1
             return False
         self._on_envelope(address, envelope)
@@ -197,7 +197,7 @@
     async def _serve_link(self, link: Connection) -> None:
         """Reads frames until one is none, the other side ends, or nothing comes for long."""
         try:
-            with contextlib.suppress(OSError, Overlong):
+            with contextlib.suppress(OSError, OverlongLineError):
                 while True:
                     with anyio.CancelScope(deadline=anyio.current_time() + LINK_IDLE_TIMEOUT_S) as waiting:
                         data = await _read_frame(link)
@@ -262,13 +262,13 @@
 
 
 async def _read_frame(link: Connection) -> bytes | None:
-    """The next frame's content; None where the other side has ended. Raises Overlong for one too long."""
+    """The next frame's content; None where the other side has ended. Raises OverlongLineError."""
     while link.held() < _FRAME_HEADER_BYTES:
         if not await link.fill():
             return None
     length = int.from_bytes(link.peek(_FRAME_HEADER_BYTES), "big")
     if length > MAX_FRAME_BYTES:
-        raise Overlong(f"a frame of {length} bytes")
+        raise OverlongLineError(f"a frame of {length} bytes")
     while link.held() < _FRAME_HEADER_BYTES + length:
         if not await link.fill():
             return None
--- a/sailrun/load_gossip/aggregation_rounds.py
+++ b/sailrun/load_gossip/aggregation_rounds.py
@@ -18,7 +18,7 @@
 from sailrun.decisions.events import FleetLoad, LocalLoad
 from sailrun.load_gossip.aggregation import build_report, sum_reports
 from sailrun.load_gossip.datagram import (
-    InvalidDatagram,
+    InvalidDatagramError,
     LoadDatagram,
     datagram_capacity,
     decode_datagram,
@@ -167,7 +167,7 @@
         """
         try:
             datagram = decode_datagram(content, self._nodes)
-        except InvalidDatagram:
+        except InvalidDatagramError:
             self.rejected_count += 1
             return RoundOutput([], None)
         if datagram.is_request:
--- a/sailrun/load_gossip/datagram.py
+++ b/sailrun/load_gossip/datagram.py
@@ -17,7 +17,8 @@
 
 import mmh3
 
-from sailrun.load_gossip.rice_code import BitReader, BitWriter, TornBits, choose_parameter, max_bits
+from sailrun.errors import SailrunError
+from sailrun.load_gossip.rice_code import BitReader, BitWriter, TruncatedBitsError, choose_parameter, max_bits
 
 FORMAT_VERSION = 0xF2
 MAX_DATAGRAM_BYTES = 256
@@ -38,7 +39,7 @@
 FIRST_LOAD_STEP = {False: 0.25, True: 50.0}
 
 
-class InvalidDatagram(ValueError):
+class InvalidDatagramError(SailrunError, ValueError):
     """The bytes are no datagram of this format; the message says why."""
 
 
@@ -149,9 +150,9 @@
 
 
 def decode_datagram(content: bytes, nodes: int) -> LoadDatagram:
-    """Raises InvalidDatagram for whatever a node of a fleet of so many would not have sent."""
+    """Raises InvalidDatagramError for whatever a node of a fleet of so many would not have sent."""
     if not _HEADER.size <= len(content) <= MAX_DATAGRAM_BYTES or content[0] != FORMAT_VERSION:
-        raise InvalidDatagram("another version, or no datagram of this kind")
+        raise InvalidDatagramError("another version, or no datagram of this kind")
     _, kind, count, connections, round_number = _HEADER.unpack_from(content)
     flags = _decode_flags(kind, count)
     entries_at, contributors = _HEADER.size, None
@@ -179,14 +180,14 @@
     has_unknown_bits = bool(kind & ~sum(_Flag))
     is_bad_request = bool(kind & _Flag.REQUEST) and (backend_count > 0 or bool(kind & _Flag.SUMMARY))
     if has_unknown_bits or is_bad_request:
-        raise InvalidDatagram(f"kind {kind}")
+        raise InvalidDatagramError(f"kind {kind}")
     return _Flag(kind)
 
 
 def _decode_contributors(content: bytes, end: int, nodes: int) -> frozenset[int]:
     bits = int.from_bytes(content[_HEADER.size : end], "little")
     if len(content) < end or bits >> nodes:
-        raise InvalidDatagram("a node that there is not")
+        raise InvalidDatagramError("a node that there is not")
     return frozenset(index for index in range(nodes) if bits >> index & 1)
 
 
@@ -202,15 +203,15 @@
         for _ in range(count):
             name += 1 + reader.read_rice(parameter)
             if name >= NAMES:
-                raise InvalidDatagram("a name that there is not")
+                raise InvalidDatagramError("a name that there is not")
             entry = reader.read(ENTRY_BITS)
             loads[name] = _step_to_load(entry >> 1, loads_reported)
             if entry & 1:
                 overloaded.add(name)
-    except TornBits as error:
-        raise InvalidDatagram(str(error)) from error
+    except TruncatedBitsError as error:
+        raise InvalidDatagramError(str(error)) from error
     if not reader.is_at_end():
-        raise InvalidDatagram(f"{len(content)} bytes for {count} form servers")
+        raise InvalidDatagramError(f"{len(content)} bytes for {count} form servers")
     return loads, frozenset(overloaded)
 
 
--- a/sailrun/load_gossip/rice_code.py
+++ b/sailrun/load_gossip/rice_code.py
@@ -4,8 +4,10 @@
 
 from __future__ import annotations
 
+from sailrun.errors import SailrunError
 
-class TornBits(ValueError):
+
+class TruncatedBitsError(SailrunError, ValueError):
     """More bits were read than there are."""
 
 
@@ -34,7 +36,7 @@
 
 
 class BitReader:
-    """Reads bits, the most significant first; raises TornBits where there are too few."""
+    """Reads bits, the most significant first; raises TruncatedBitsError where there are too few."""
 
     def __init__(self, content: bytes) -> None:
         self._bits = int.from_bytes(content, "big")
@@ -44,7 +46,7 @@
         """The next `width` bits as a number."""
         self._left -= width
         if self._left < 0:
-            raise TornBits("torn")
+            raise TruncatedBitsError("torn")
         return self._bits >> self._left & ((1 << width) - 1)
 
     def read_rice(self, parameter: int) -> int:
--- a/sailrun/operator_settings.py
+++ b/sailrun/operator_settings.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from sailrun.bad_config import BadConfig
 from sailrun.connection import split_address
+from sailrun.errors import ConfigError
 from sailrun.leadership.quorum import check_voters
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
 from sailrun.membership.settings import MembershipSettings
@@ -49,23 +49,23 @@
 
 
 def read_operator(path: Path) -> Operator:
-    """Raises BadConfig, naming the file and the key."""
+    """Raises ConfigError, naming the file and the key."""
     try:
         told = msgspec.toml.decode(path.read_bytes(), type=Operator)
     except OSError as error:
-        raise BadConfig(path, "", error.strerror or str(error)) from None
+        raise ConfigError(path, "", error.strerror or str(error)) from None
     except msgspec.ValidationError as error:
         what, _, where = str(error).partition(" - at `$.")
-        raise BadConfig(path, where.rstrip("`"), what[:1].lower() + what[1:]) from None
+        raise ConfigError(path, where.rstrip("`"), what[:1].lower() + what[1:]) from None
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
-        raise BadConfig(path, "", f"no TOML: {error}") from None
+        raise ConfigError(path, "", f"no TOML: {error}") from None
     terms = told.rebalance
     if terms.stop_at > terms.start_at:
-        raise BadConfig(path, "rebalance.stop_at", f"is {terms.stop_at}, above start_at {terms.start_at}")
+        raise ConfigError(path, "rebalance.stop_at", f"is {terms.stop_at}, above start_at {terms.start_at}")
     if terms.fill_to > terms.stop_at:
-        raise BadConfig(path, "rebalance.fill_to", f"is {terms.fill_to}, above stop_at {terms.stop_at}")
+        raise ConfigError(path, "rebalance.fill_to", f"is {terms.fill_to}, above stop_at {terms.stop_at}")
     for key, what in _fleet_faults(told):
-        raise BadConfig(path, key, what)
+        raise ConfigError(path, key, what)
     return told
 
 
--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -17,7 +17,7 @@
 from sailrun.decisions.events import AttemptOutcome, Backend, BackendState, ListKind
 from sailrun.decisions.settings import Settings
 from sailrun.rebalance.connection_table import ConnectionTable, Key, Standing
-from sailrun.rebalance.gossip import BadDatagram, LoadReporter, NeighbourLoads, read
+from sailrun.rebalance.gossip import InvalidGossipError, LoadReporter, NeighbourLoads, read
 from sailrun.rebalance.pace import Pace
 from sailrun.rebalance.settings import RebalanceSettings
 
@@ -217,7 +217,7 @@
         """A neighbour's datagram. One that is none of ours is noted, and changes nothing."""
         try:
             report = read(content)
-        except BadDatagram as error:
+        except InvalidGossipError as error:
             if sender not in self._unread:
                 self._unread.add(sender)
                 self._notes.append({"state": "datagram-rejected", "neighbour": sender, "why": str(error)})
--- a/sailrun/rebalance/gossip.py
+++ b/sailrun/rebalance/gossip.py
@@ -16,6 +16,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+from sailrun.errors import SailrunError
+
 # Version, flags, form servers in it, groups in it, sequence number, incarnation (ms of Unix time), the
 # sender's whole load.
 _HEAD = struct.Struct("<BBBBIQf")
@@ -39,7 +41,7 @@
 SOON_US = 500_000
 
 
-class BadDatagram(ValueError):
+class InvalidGossipError(SailrunError, ValueError):
     """No datagram of this kind; says why."""
 
 
@@ -74,17 +76,17 @@
 
 
 def read(content: bytes) -> LoadReport:
-    """Raises BadDatagram for whatever another node of this version would not have written."""
+    """Raises InvalidGossipError for whatever another node of this version would not have written."""
     if len(content) < _HEAD.size or content[0] != VERSION:
-        raise BadDatagram("another version")
+        raise InvalidGossipError("another version")
     _, flags, count, groups, sequence, incarnation, total = _HEAD.unpack_from(content)
     ends = _HEAD.size + count * _ENTRY.size
     if len(content) != ends + groups * _MOVED.size:
-        raise BadDatagram(f"{len(content)} bytes for {count} form servers and {groups} households")
+        raise InvalidGossipError(f"{len(content)} bytes for {count} form servers and {groups} households")
     loads = dict(_ENTRY.iter_unpack(content[_HEAD.size : ends]))
     moved = tuple(one for (one,) in _MOVED.iter_unpack(content[ends:]))
     if not all(math.isfinite(load) and load >= 0 for load in (total, *loads.values())):
-        raise BadDatagram("a load that is none")
+        raise InvalidGossipError("a load that is none")
     return LoadReport(incarnation, sequence, bool(flags & TOLD), total, loads, moved, bool(flags & ALERT))
 
 
--- a/sailrun/replication/records.py
+++ b/sailrun/replication/records.py
@@ -24,6 +24,8 @@
 
 import msgspec
 
+from sailrun.errors import SailrunError
+
 Count = tuple[int, int]
 Dot = tuple[str, Count]
 Key = tuple[str, str, str]  # kind, subject, observer
@@ -77,7 +79,7 @@
         return all(version.deleted for version in self.versions)
 
 
-class InvalidRecordError(ValueError):
+class InvalidRecordError(SailrunError, ValueError):
     """A record that is out of bounds or contradicts itself; says why."""
 
 
--- a/sailrun/replication/server_lists.py
+++ b/sailrun/replication/server_lists.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from sailrun.decisions.events import ListKind
-from sailrun.discovery import BadServerList, read_server_list
+from sailrun.discovery import InvalidServerListError, read_server_list
 from sailrun.node.session import ServerListUpdate
 from sailrun.replication.records import MAX_CONTENT_BYTES
 from sailrun.replication.replica import SERVER_LIST, Replica
@@ -45,7 +45,7 @@
         update = read_server_list(
             {"complete": True, "revision": version.count[1], "members": members}, cached=True
         )
-    except (ValueError, BadServerList):
+    except (ValueError, InvalidServerListError):
         return None
     cached = ServerListUpdate(ListKind.CACHED, update.revision, update.form_servers)
     return StoredServerList(cached, lambda now_us: replica.store.age_us(now_us, key))
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -11,10 +11,10 @@
 import anyio
 from anyio.abc import TaskGroup, TaskStatus
 
-from sailrun.bad_config import BadConfig
 from sailrun.config import Address, EnvoyFiles, EnvoyRest, NodeConfig, RegistryService
 from sailrun.connection import listen, show_address
 from sailrun.discovery import DiscoveryClient
+from sailrun.errors import ConfigError
 from sailrun.front import FrontDoor, descriptors_allowed
 from sailrun.node.clock import Clock, log
 from sailrun.node.core import Node
@@ -281,7 +281,7 @@
             ]
             self._take_over(config, changed)
         except Exception as error:  # whatever is wrong with a file, the node goes on without it
-            why = str(error) if isinstance(error, BadConfig | OSError | ValueError) else repr(error)
+            why = str(error) if isinstance(error, ConfigError | OSError | ValueError) else repr(error)
             log("reload-refused", why=why)
             self.node.configuration_reloaded(False)
             return
@@ -370,7 +370,7 @@
 
 
 async def serve(read: Callable[[], NodeConfig]) -> None:
-    """Serves by the configuration that `read` returns, until the node has shut down. Raises BadConfig."""
+    """Serves by the configuration that `read` returns, until the node has shut down. Raises ConfigError."""
     config = read()
     inherited = None
     if config.control is not None:
--- a/sailrun/sidecar.py
+++ b/sailrun/sidecar.py
@@ -7,7 +7,6 @@
 from pathlib import Path
 from typing import Any
 
-from sailrun.bad_config import BadConfig
 from sailrun.config import (
     Address,
     AmqpConfig,
@@ -21,6 +20,7 @@
 from sailrun.connection import split_address
 from sailrun.decisions.events import ListKind
 from sailrun.decisions.validation import check_settings
+from sailrun.errors import ConfigError
 from sailrun.node.session import ServerListUpdate
 from sailrun.settings_codec import is_setting, read_settings_fields
 
@@ -48,16 +48,16 @@
         for key, value in values.items():
             wanted = KEYS[name].get(key)
             if wanted is None:
-                raise BadConfig(path, self._key(key), "is not known")
+                raise ConfigError(path, self._key(key), "is not known")
             if not isinstance(value, wanted) or isinstance(value, bool):
-                raise BadConfig(path, self._key(key), f"is {value!r}, not a {wanted.__name__}")
+                raise ConfigError(path, self._key(key), f"is {value!r}, not a {wanted.__name__}")
 
     def _key(self, key: str) -> str:
         return f"{self._name}.{key}" if self._name else key
 
     def need(self, key: str) -> Any:
         if key not in self._values:
-            raise BadConfig(self._path, self._key(key), "is missing")
+            raise ConfigError(self._path, self._key(key), "is missing")
         return self._values[key]
 
     def table(self, key: str) -> _Table | None:
@@ -67,12 +67,12 @@
         try:
             return split_address(self.need(key))
         except ValueError as error:
-            raise BadConfig(self._path, self._key(key), str(error)) from None
+            raise ConfigError(self._path, self._key(key), str(error)) from None
 
     def whole(self, key: str, default: int, least: int, most: int) -> int:
         value = self._values.get(key, default)
         if not least <= value <= most:
-            raise BadConfig(self._path, self._key(key), f"is {value}, not from {least} to {most}")
+            raise ConfigError(self._path, self._key(key), f"is {value}, not from {least} to {most}")
         return int(value)
 
     def file(self, key: str) -> Path:
@@ -81,31 +81,31 @@
 
 
 def read_sidecar(path: Path) -> NodeConfig:
-    """The settings of a sidecar from its TOML file. Raises BadConfig naming file and key."""
+    """The settings of a sidecar from its TOML file. Raises ConfigError naming file and key."""
     try:
         document = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
-        raise BadConfig(path, "", getattr(error, "strerror", None) or str(error)) from None
+        raise ConfigError(path, "", getattr(error, "strerror", None) or str(error)) from None
     except tomllib.TOMLDecodeError as error:
-        raise BadConfig(path, "", f"no TOML: {error}") from None
+        raise ConfigError(path, "", f"no TOML: {error}") from None
     top = _Table(path, "", document)
     clients, amqp, control = top.table("households"), top.table("amqp"), top.table("control")
     if clients is None and amqp is None:
-        raise BadConfig(path, "amqp", "is missing, and so is households: nothing would listen")
+        raise ConfigError(path, "amqp", "is missing, and so is households: nothing would listen")
     fields = dict(flatten(top.need("settings")))
     for name in fields:
         if not is_setting(name):
-            raise BadConfig(path, f"settings.{name}", "is not known")
+            raise ConfigError(path, f"settings.{name}", "is not known")
     try:
         settings = read_settings_fields(fields)
         check_settings(settings)
     except ValueError as error:
-        raise BadConfig(path, "settings", str(error)) from None
+        raise ConfigError(path, "settings", str(error)) from None
     groups = fields.get("familyInfo.groups", "true") != "false"
     at = control.address("listen") if control is not None else None
     for other in (clients, amqp):
         if at is not None and other is not None and other.address("listen") == at:
-            raise BadConfig(path, "control.listen", "is an address where clients connect")
+            raise ConfigError(path, "control.listen", "is an address where clients connect")
     return NodeConfig(
         name=top.need("name"),
         control=at,
@@ -134,7 +134,7 @@
     assert table is not None
     source = table.need("source")
     if source not in SOURCES:
-        raise BadConfig(path, "roster.source", f"is '{source}', not one of {', '.join(SOURCES)}")
+        raise ConfigError(path, "roster.source", f"is '{source}', not one of {', '.join(SOURCES)}")
     if source == "http":
         return RegistryService(table.address("address"))
     if source == "xds-rest":
--- a/sailrun/start.py
+++ b/sailrun/start.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, NoReturn
 
-from sailrun.bad_config import BadConfig
+from sailrun.errors import ConfigError
 
 if TYPE_CHECKING:
     from sailrun.config import NodeConfig
@@ -54,7 +54,7 @@
 
     try:
         run(read)
-    except BadConfig as error:
+    except ConfigError as error:
         complain(error)
     except (OSError, ImportError) as error:
         complain(f"{sidecar or config}: {error}")
--- a/sailrun/storage/errors.py
+++ b/sailrun/storage/errors.py
@@ -5,8 +5,10 @@
 
 from __future__ import annotations
 
+from sailrun.errors import SailrunError
 
-class StorageError(ValueError):
+
+class StorageError(SailrunError, ValueError):
     """A file of a node's folder does not hold what this version can use."""
 
 
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -12,7 +12,7 @@
 from anyio import from_thread
 from anyio.lowlevel import current_token
 
-from sailrun.bad_config import BadConfig
+from sailrun.errors import ConfigError
 from sailrun.node.clock import log
 from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import ServerListUpdate
@@ -71,7 +71,7 @@
     ) -> None:
         """`slow_us`: how long a batch may take, where the settings do not say it. `waits_for_predecessor`: a
         predecessor may still have the folder, and `acquire` has to be called. `clock_us` is the clock that
-        leases are counted by. Raises BadConfig for a folder that cannot be used.
+        leases are counted by. Raises ConfigError for a folder that cannot be used.
         """
         self.settings, self._name, self._fleet, self._clock_us = settings, name, fleet, clock_us
         self._files = OsFiles(Path(settings.folder))
@@ -92,7 +92,7 @@
         if self._try_lock():
             self._open_folder()
         elif not waits_for_predecessor:
-            raise BadConfig(self._files.folder, "lasting.folder", "is in use by another process")
+            raise ConfigError(self._files.folder, "lasting.folder", "is in use by another process")
 
     # ------------------------------------------------------------------ opening
 
@@ -101,7 +101,7 @@
             self._files.make()
             return self._files.lock()
         except (FileNotFoundError, NotADirectoryError) as error:
-            raise BadConfig(self._files.folder, "lasting.folder", error.strerror or str(error)) from None
+            raise ConfigError(self._files.folder, "lasting.folder", error.strerror or str(error)) from None
         except OSError as error:
             # The node serves without it. Whatever writes there later has to lock it first.
             log("lasting-failed", why=error.strerror or str(error))
@@ -120,7 +120,7 @@
                 self._clock_us(),
             )
         except NewerSchemaError as error:
-            raise BadConfig(self._files.folder, "lasting.folder", str(error)) from None
+            raise ConfigError(self._files.folder, "lasting.folder", str(error)) from None
         self.contents, self.identity = opened.contents, opened.identity
         self.write_ahead_log, self._writer = opened.write_ahead_log, opened.writer
         self.is_open = True
--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -11,7 +11,7 @@
 from anyio.abc import TaskGroup
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
-from sailrun.connection import Connection, OutOfDescriptors, Overlong, connect
+from sailrun.connection import Connection, OutOfDescriptorsError, OverlongLineError, connect
 from sailrun.decisions.events import AttemptOutcome, BackendState
 from sailrun.front import FrontDoor, WaitingRoom
 from sailrun.node.clock import log
@@ -19,7 +19,15 @@
 from sailrun.node.session import FormServer, FormSession, Placement
 from sailrun.node.session_transfer import SendTransfer, SessionTransfer
 from sailrun.text_protocol.figures import Figures, Load
-from sailrun.text_protocol.lines import ANSWERS, ENDINGS, BadLine, Opening, load_told, parse_opening, word_of
+from sailrun.text_protocol.lines import (
+    ANSWERS,
+    ENDINGS,
+    InvalidLineError,
+    Opening,
+    load_told,
+    parse_opening,
+    word_of,
+)
 
 SECOND = 1_000_000
 # A connection that has not said what it wants by then is ended: silent ones must not eat the descriptors.
@@ -209,7 +217,7 @@
                     await self._turn_away("spoke-too-soon")
                 elif self._reason != "handed-over":
                     await self._part_in_order()
-        except* Overlong:
+        except* OverlongLineError:
             self._reason = "line-too-long"
         except* OSError:
             self._reason, self._broken = "household-broke", True
@@ -253,7 +261,7 @@
         now_us = self._node.clock.now_us()
         try:
             opening = self._opening = parse_opening(line, self._front.classes)
-        except BadLine as error:
+        except InvalidLineError as error:
             await self._turn_away(f"bad-first-line:{error}")
             return False
         if opening.id in self._front.ids:
@@ -305,7 +313,7 @@
                 # Its request may be coming in just now: this is its answer then.
                 crowded = self._node.clock.now_us() < deadline_us
                 await self._turn_away("crowded-out" if crowded else "no-first-line", b"BUSY\r\n")
-        except Overlong:
+        except OverlongLineError:
             await self._turn_away("line-too-long")
         finally:
             self._front.waiting.leave(scope)
@@ -352,7 +360,7 @@
                 self._deaf.set()
                 return
             reason = "household-left"
-        except Overlong:
+        except OverlongLineError:
             reason = "line-too-long"
         except OSError:
             reason, self._broken = "household-broke", True
@@ -520,11 +528,11 @@
                 kept, server = server, None
                 return kept, AttemptOutcome.OK
             return None, outcome
-        except OutOfDescriptors:
+        except OutOfDescriptorsError:
             log("out-of-descriptors", doing="connect")
             self._front.waiting.make_room()
             return None, AttemptOutcome.NOT_SENT
-        except Overlong:
+        except OverlongLineError:
             return None, AttemptOutcome.ERROR
         except OSError:
             return None, AttemptOutcome.RESET if sent else AttemptOutcome.CONNECT_FAILED
@@ -563,7 +571,7 @@
             except OSError:
                 self._reason, self._broken = "form-server-broke", True
                 return ending
-            except Overlong:
+            except OverlongLineError:
                 self._reason, self._broken = "form-server-line-too-long", True
                 return AttemptOutcome.ERROR
             finally:
--- a/sailrun/text_protocol/lines.py
+++ b/sailrun/text_protocol/lines.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 
 from sailrun.decisions.events import AttemptOutcome
+from sailrun.errors import SailrunError
 
 _WORD = re.compile(r"[\x21-\x7e]{1,128}")
 _DEADLINE = re.compile(rb"(?<=[ ,])d=\d+")
@@ -15,7 +16,7 @@
 LONGEST_WAIT_MS = 600_000
 
 
-class BadLine(ValueError):
+class InvalidLineError(SailrunError, ValueError):
     """No first line in the protocol's form."""
 
 
@@ -40,29 +41,29 @@
 
 
 def parse_opening(line: bytes, classes: Container[str]) -> Opening:
-    """Reads a first line. Whatever is not in the protocol's form, or names a class that the settings do
-    not have, is BadLine here: a form server would turn it away or break off, and be taken for unwell.
+    """Reads a first line. Raises InvalidLineError for whatever is not in the protocol's form, or names a
+    class that the settings do not have: a form server would reject it, and be taken for an outlier.
     """
     try:
         words = line.decode("ascii").rstrip("\r\n").split(" ")
     except UnicodeDecodeError:
-        raise BadLine("not text") from None
+        raise InvalidLineError("not text") from None
     if len(words) != 4 or words[0] != "OPEN" or not all(_WORD.fullmatch(w) for w in words[1:]):
-        raise BadLine("not OPEN, an id, a key and a list")
+        raise InvalidLineError("not OPEN, an id, a key and a list")
     facts: dict[str, str] = {}
     for part in words[3].split(","):
         name, sep, value = part.partition("=")
         if not sep or not name or name in facts:
-            raise BadLine(f"'{part}' is no name=value, or comes twice")
+            raise InvalidLineError(f"'{part}' is no name=value, or comes twice")
         facts[name] = value
     if not facts.get("c"):
-        raise BadLine("no class")
+        raise InvalidLineError("no class")
     if facts["c"] not in classes:
-        raise BadLine("a class that does not exist")
+        raise InvalidLineError("a class that does not exist")
     wait = facts.get("d", "")
     # A session from before the run waits for as long as its client likes; a new one is bound by reason.
     if not wait.isdigit() or len(wait) > 12 or not (0 < int(wait) <= LONGEST_WAIT_MS or facts.get("at")):
-        raise BadLine("no time to wait")
+        raise InvalidLineError("no time to wait")
     hint = None
     if "h" in facts:
         try:
@@ -70,7 +71,7 @@
         except ValueError:
             hint = math.nan
         if not math.isfinite(hint) or hint < 0:
-            raise BadLine("an estimate that is no number")
+            raise InvalidLineError("an estimate that is no number")
     return Opening(
         line,
         words[1],
--- a/sailrun/wire_fields.py
+++ b/sailrun/wire_fields.py
@@ -5,11 +5,13 @@
 import math
 from typing import TypeVar
 
+from sailrun.errors import SailrunError
+
 Fields = dict[str, str]
 E = TypeVar("E")
 
 
-class WireError(ValueError):
+class WireError(SailrunError, ValueError):
     """A malformed line: names the message, the field and what was expected."""
 
     def __init__(self, message: str, field: str, expected: str) -> None:
--- a/sailrun/xds/discovery.py
+++ b/sailrun/xds/discovery.py
@@ -10,14 +10,15 @@
 import anyio
 
 from sailrun.decisions.events import BackendState, ListKind
-from sailrun.http_calls import CallFailed, HttpCalls
+from sailrun.errors import name_in_log
+from sailrun.http_calls import CallFailedError, HttpCalls
 from sailrun.node.clock import log
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer, ServerListUpdate
 from sailrun.xds.mapping import (
     CLUSTER,
     ENDPOINTS,
-    BadUpdate,
+    InvalidUpdateError,
     Update,
     endpoints_name,
     find_cluster,
@@ -68,7 +69,7 @@
                 await self._wanted.wait()
             try:
                 await self._look()
-            except (OSError, CallFailed) as error:
+            except (OSError, CallFailedError) as error:
                 self._unreached(error)
             clock = self._node.clock
             await anyio.sleep_until(clock.moment(clock.now_us() + LOOK_US))
@@ -77,7 +78,7 @@
     async def _look(self) -> None: ...
 
     def _unreached(self, error: Exception) -> None:
-        self._reject("source", str(error) or type(error).__name__)
+        self._reject("source", str(error) or name_in_log(error))
 
     def _reject(self, what: str, why: str) -> None:
         if self._rejected.get(what) != why:
@@ -88,7 +89,7 @@
         self._rejected.pop(what, None)
 
     def _take(self, cluster: Any | None, assignment: Any | None) -> None:
-        """Tells the core the form servers, if they changed. Raises BadUpdate before anything is told."""
+        """Passes the form servers on, if they changed. Raises InvalidUpdateError before that."""
         now_us = self._node.clock.now_us()
         first = self._revision == 0
         told: tuple[FormServer, ...] = ()
@@ -126,7 +127,7 @@
             try:
                 update = read_response(path.read_bytes(), type_url)
                 self._check({**self._updates, type_url: update})
-            except BadUpdate as error:
+            except InvalidUpdateError as error:
                 self._reject(path.name, str(error))
                 continue
             self._accepted(path.name)
@@ -182,7 +183,7 @@
             clusters = await self._ask(CLUSTER, [self._cluster])
             cluster = find_cluster(clusters, self._cluster)
             name = endpoints_name(cluster) if cluster is not None else None
-        except BadUpdate as error:
+        except InvalidUpdateError as error:
             self._refuse(CLUSTER, error)
             return
         self._accept(CLUSTER, clusters)
@@ -192,7 +193,7 @@
         try:
             endpoints = await self._ask(ENDPOINTS, [name])
             assignment = find_endpoints(endpoints, name)
-        except BadUpdate as error:
+        except InvalidUpdateError as error:
             self._refuse(ENDPOINTS, error)
             return
         if self._conclude(ENDPOINTS, cluster, assignment):
@@ -201,7 +202,7 @@
     def _conclude(self, type_url: str, cluster: Any | None, assignment: Any | None) -> bool:
         try:
             self._take(cluster, assignment)
-        except BadUpdate as error:
+        except InvalidUpdateError as error:
             self._refuse(type_url, error)
             return False
         self._accepted("source")
@@ -212,7 +213,7 @@
         self._errors.pop(type_url, None)
         self._accepted(PATHS[type_url])
 
-    def _refuse(self, type_url: str, error: BadUpdate) -> None:
+    def _refuse(self, type_url: str, error: InvalidUpdateError) -> None:
         self._errors[type_url] = str(error)
         self._reject(PATHS[type_url], str(error))
 
--- a/sailrun/xds/mapping.py
+++ b/sailrun/xds/mapping.py
@@ -16,6 +16,7 @@
 
 from sailrun.connection import show_address, split_address
 from sailrun.decisions.events import BackendState
+from sailrun.errors import SailrunError
 from sailrun.node.session import FormServer
 
 TYPE_PREFIX = "type.googleapis.com/"
@@ -32,7 +33,7 @@
 }
 
 
-class BadUpdate(ValueError):
+class InvalidUpdateError(SailrunError, ValueError):
     """An update that is not taken over, not even in part."""
 
 
@@ -51,20 +52,20 @@
     try:
         document = json.loads(text)
         if not isinstance(document, dict):
-            raise BadUpdate("no DiscoveryResponse: no object")
+            raise InvalidUpdateError("no DiscoveryResponse: no object")
         json_format.ParseDict(document, response)
     except (json_format.ParseError, json.JSONDecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadUpdate(f"no DiscoveryResponse: {' '.join(str(error).split())}") from None
+        raise InvalidUpdateError(f"no DiscoveryResponse: {' '.join(str(error).split())}") from None
     if response.type_url and response.type_url != type_url:
-        raise BadUpdate(f"type_url is '{response.type_url}', not '{type_url}'")
+        raise InvalidUpdateError(f"type_url is '{response.type_url}', not '{type_url}'")
     resources: list[Message] = []
     for packed in response.resources:
         resource = _RESOURCES[type_url]()
         try:
             if not packed.Unpack(resource):
-                raise BadUpdate(f"a resource is '{packed.type_url}', not '{type_url}'")
+                raise InvalidUpdateError(f"a resource is '{packed.type_url}', not '{type_url}'")
         except DecodeError as error:
-            raise BadUpdate(f"a resource does not decode: {error}") from None
+            raise InvalidUpdateError(f"a resource does not decode: {error}") from None
         resources.append(resource)
     return Update(response.version_info, response.nonce, tuple(resources))
 
@@ -73,7 +74,7 @@
     """The cluster of that name; None where the update no longer has it."""
     found = [cluster for cluster in update.resources if cluster.name == name]
     if len(found) > 1:
-        raise BadUpdate(f"cluster '{name}' comes twice")
+        raise InvalidUpdateError(f"cluster '{name}' comes twice")
     return found[0] if found else None
 
 
@@ -82,15 +83,15 @@
     if cluster.HasField("load_assignment"):
         return None
     if cluster.type != cluster_pb2.Cluster.EDS:
-        raise BadUpdate(f"cluster '{cluster.name}' has neither EDS nor endpoints of its own")
+        raise InvalidUpdateError(f"cluster '{cluster.name}' has neither EDS nor endpoints of its own")
     return str(cluster.eds_cluster_config.service_name or cluster.name)
 
 
 def find_endpoints(update: Update, name: str) -> Any | None:
-    """The endpoints of a cluster, None if the update has none. Raises BadUpdate if they come twice."""
+    """The endpoints of a cluster, None if there are none. Raises InvalidUpdateError if they come twice."""
     found = [resource for resource in update.resources if resource.cluster_name == name]
     if len(found) > 1:
-        raise BadUpdate(f"endpoints of '{name}' come twice")
+        raise InvalidUpdateError(f"endpoints of '{name}' come twice")
     return found[0] if found else None
 
 
@@ -108,7 +109,7 @@
         for endpoint in group.lb_endpoints:
             form_server = _form_server(endpoint, zone, seen_us, now_us)
             if form_server.name in names:
-                raise BadUpdate(f"endpoint '{form_server.name}' comes twice")
+                raise InvalidUpdateError(f"endpoint '{form_server.name}' comes twice")
             names.add(form_server.name)
             by_priority.setdefault(group.priority, []).append(form_server)
     levels = [by_priority[priority] for priority in sorted(by_priority)]
@@ -129,15 +130,15 @@
     if not endpoint.endpoint.address.HasField("socket_address") or socket.WhichOneof("port_specifier") != (
         "port_value"
     ):
-        raise BadUpdate("an endpoint without a socket address and a port")
+        raise InvalidUpdateError("an endpoint without a socket address and a port")
     written = show_address((socket.address, socket.port_value))
     try:
         address = split_address(written)
     except ValueError as error:
-        raise BadUpdate(f"an endpoint: {error}") from None
+        raise InvalidUpdateError(f"an endpoint: {error}") from None
     weight = endpoint.load_balancing_weight.value if endpoint.HasField("load_balancing_weight") else 1
     if weight < 1:
-        raise BadUpdate(f"endpoint '{written}' has weight 0")
+        raise InvalidUpdateError(f"endpoint '{written}' has weight 0")
     return FormServer(
         name=written,
         address=address,
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -16,7 +16,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailrun.control.calls import BadCall, parse_call
+from sailrun.control.calls import InvalidCallError, parse_call
 from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
 from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, connect, free_port, node
 
@@ -49,7 +49,7 @@
 def test_whatever_comes_is_a_call_or_a_bad_call(line: bytes) -> None:
     try:
         call = parse_call(line)
-    except BadCall:
+    except InvalidCallError:
         return
     assert line.split()[0] == call.verb.value.encode()
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sailrun.bad_config import BadConfig
+from sailrun.errors import ConfigError
 from sailrun.leadership.initial_term import new_initial_term
 from sailrun.leadership.leases import Leases, best_placed
 from sailrun.leadership.list_reader import SharedList
@@ -395,7 +395,7 @@
 def test_a_fault_in_the_file_is_one_line_that_names_the_key(tmp_path: Path, text: str, key: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
-    with pytest.raises(BadConfig) as told:
+    with pytest.raises(ConfigError) as told:
         read_operator(path)
     assert str(told.value).startswith(f"{path}: ") and key in str(told.value)
     assert "\n" not in str(told.value)
--- a/tests/test_load_gossip.py
+++ b/tests/test_load_gossip.py
@@ -21,7 +21,7 @@
 )
 from sailrun.load_gossip.datagram import (
     NAMES,
-    InvalidDatagram,
+    InvalidDatagramError,
     LoadDatagram,
     datagram_capacity,
     decode_datagram,
@@ -199,7 +199,7 @@
     for whole in (content, b"\xf2" + content):
         try:
             digest = decode_datagram(whole, 40)
-        except InvalidDatagram:
+        except InvalidDatagramError:
             continue
         assert len(digest.loads) <= datagram_capacity(1) and digest.contributors != frozenset({40})
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import agent_terms
 from sailrun.lab.faults.virtual import VirtualFleet
-from sailrun.leadership.envelope import MAX_DATAGRAM_BYTES, BadEnvelope, decode_envelope
+from sailrun.leadership.envelope import MAX_DATAGRAM_BYTES, InvalidEnvelopeError, decode_envelope
 from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberRecord, MemberState
 from sailrun.membership.settings import MembershipSettings
@@ -134,7 +134,7 @@
 
 @given(st.binary(max_size=MAX_DATAGRAM_BYTES))
 def test_whatever_comes_is_an_envelope_or_a_bad_message(data: bytes) -> None:
-    with suppress(BadEnvelope):
+    with suppress(InvalidEnvelopeError):
         decode_envelope(data)
 
 
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -17,7 +17,7 @@
     ENTRIES,
     LONGEST,
     MOVED,
-    BadDatagram,
+    InvalidGossipError,
     LoadReport,
     LoadReporter,
     NeighbourLoads,
@@ -296,7 +296,7 @@
 
 @given(st.binary(max_size=300))
 def test_no_bytes_whatever_break_a_reader(content: bytes) -> None:
-    with contextlib.suppress(BadDatagram):
+    with contextlib.suppress(InvalidGossipError):
         read(content)
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -18,7 +18,7 @@
 from sailrun.lab.faults.play import FaultDay, agent_terms, play_virtual
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.scheduler import BEGIN_US
-from sailrun.leadership.envelope import BadEnvelope, Envelope, decode_envelope, encode_envelope
+from sailrun.leadership.envelope import Envelope, InvalidEnvelopeError, decode_envelope, encode_envelope
 from sailrun.leadership.quorum import Voters
 from sailrun.leadership.settings import LeadershipSettings
 from sailrun.membership.membership import Membership
@@ -321,7 +321,7 @@
     for told in (junk, sound[:at], sound[:at] + bytes([byte]) + sound[at + 1 :]):
         try:
             decode_envelope(told)
-        except BadEnvelope:
+        except InvalidEnvelopeError:
             continue
 
 
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -525,7 +525,7 @@
     ],
 )
 def test_each_fault_of_the_table_is_one_line_with_its_key(tmp_path, text: str, line: str) -> None:  # type: ignore[no-untyped-def]
-    from sailrun.bad_config import BadConfig
+    from sailrun.errors import ConfigError
     from sailrun.operator_settings import read_operator
 
     path = tmp_path / "operator.toml"
@@ -533,7 +533,7 @@
         '[members]\nenabled = true\nname = "a"\nlisten = "127.0.0.1:1"\nregion = "e"\n'
         '[owners]\nenabled = true\nvoters = ["a", "b", "c"]\n[shards]\nenabled = true\n' + text + "\n"
     )
-    with pytest.raises(BadConfig) as fault:
+    with pytest.raises(ConfigError) as fault:
         read_operator(path)
     assert line in str(fault.value) and "\n" not in str(fault.value)
 
--- a/tests/test_sharding_wire.py
+++ b/tests/test_sharding_wire.py
@@ -15,7 +15,7 @@
 from sailrun.lab.faults.shard_world import SHARDS_OF_A_REGION, shards_terms
 from sailrun.lab.faults.virtual import VirtualNode
 from sailrun.leadership.agent import Agent, OutgoingEnvelope
-from sailrun.leadership.envelope import BadEnvelope, Body, Envelope, decode_envelope, encode_envelope
+from sailrun.leadership.envelope import Body, Envelope, InvalidEnvelopeError, decode_envelope, encode_envelope
 from sailrun.leadership.messages import LeaseRequest
 from sailrun.sharding.agent import ShardingAgent
 from sailrun.sharding.messages import (
@@ -146,7 +146,7 @@
 def test_an_unknown_kind_of_message_is_dropped(body: ShardBody) -> None:
     fields = msgspec.to_builtins(_envelope(body))
     fields[4][0] = "shard-unheard-of"
-    with pytest.raises(BadEnvelope):
+    with pytest.raises(InvalidEnvelopeError):
         decode_envelope(msgspec.msgpack.encode(fields))
 
 
@@ -154,7 +154,7 @@
 def test_a_message_cut_short_anywhere_is_none(body: ShardBody) -> None:
     data = encode_envelope(_envelope(body))
     for length in range(len(data)):
-        with pytest.raises(BadEnvelope):
+        with pytest.raises(InvalidEnvelopeError):
             decode_envelope(data[:length])
 
 
@@ -178,7 +178,7 @@
 def test_a_number_that_is_none_of_this_program_s_is_refused(body: ShardBody, number: int) -> None:
     """Generations, sessions and shards are counted in 64 bits: a number beyond them would end the agent."""
     fields = _replaced(msgspec.to_builtins(_envelope(body)), 991, number)
-    with pytest.raises(BadEnvelope):
+    with pytest.raises(InvalidEnvelopeError):
         decode_envelope(msgspec.msgpack.encode(fields))
 
 
@@ -231,7 +231,7 @@
         inside[path[-1]] = copy.deepcopy(value)
     try:
         envelope = decode_envelope(msgspec.msgpack.encode(fields))
-    except BadEnvelope:
+    except InvalidEnvelopeError:
         return
     session = stormed.part(NODE).session
     if session is None or not session.generation:
@@ -273,7 +273,7 @@
     for text in (data, bytes(whole)):
         try:
             envelope = decode_envelope(text)
-        except BadEnvelope:
+        except InvalidEnvelopeError:
             continue
         assert decode_envelope(encode_envelope(envelope)) == envelope
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -28,7 +28,7 @@
 )
 from sailrun.hot_restart.rules import Role, Succession
 from sailrun.hot_restart.state import (
-    BadHandoverMessage,
+    InvalidHandoverError,
     pack,
     read_held,
     read_state,
@@ -244,10 +244,10 @@
 def test_a_state_torn_or_changed_at_any_byte_is_dropped() -> None:
     line = pack("state", write_state(STATE))
     for n in range(len(line)):
-        with pytest.raises(BadHandoverMessage):
+        with pytest.raises(InvalidHandoverError):
             unpack(line[:n])
         if line[n : n + 1] != b"#":
-            with pytest.raises(BadHandoverMessage):
+            with pytest.raises(InvalidHandoverError):
                 unpack(line[:n] + b"#" + line[n + 1 :])
 
 
@@ -258,7 +258,7 @@
     try:
         read_state({**content, key: other})
         taken = True
-    except BadHandoverMessage:
+    except InvalidHandoverError:
         taken = False
     # What is of the right form is another state, and no fault.
     assert taken is (
@@ -266,9 +266,9 @@
         or (key == "out_by_hand" and isinstance(other, list) and all(isinstance(o, str) for o in other))
         or (key == "draining" and isinstance(other, bool))
     )
-    with pytest.raises(BadHandoverMessage):
+    with pytest.raises(InvalidHandoverError):
         read_state({k: v for k, v in content.items() if k != key})
-    with pytest.raises(BadHandoverMessage):
+    with pytest.raises(InvalidHandoverError):
         read_state(other)
 
 
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sailrun.decisions.events import BackendState
-from sailrun.xds.mapping import CLUSTER, ENDPOINTS, BadUpdate, form_servers, read_response
+from sailrun.xds.mapping import CLUSTER, ENDPOINTS, InvalidUpdateError, form_servers, read_response
 from tests.stand_ins import PATIENCE_S, FormServer, Listener, Peer, RunningNode, sidecar
 
 
@@ -71,7 +71,7 @@
     ],
 )
 def test_an_invalid_update_is_rejected_whole(text: str) -> None:
-    with pytest.raises(BadUpdate):
+    with pytest.raises(InvalidUpdateError):
         for assignment in read_response(text, ENDPOINTS).resources:
             form_servers(assignment, {}, 0)
 
