--- a/benchmarks/capacity/rows_connections.py
+++ b/benchmarks/capacity/rows_connections.py
@@ -6,7 +6,7 @@
 from benchmarks.capacity.target import Target
 from benchmarks.capacity.working import AWARE, WHOLE_CORE, Bound, row
 
-PROXY = "platform/clients.py: a client's connection and one to its form server, one process"
+PROXY = "text_protocol/clients.py: a client's connection and one to its form server, one process"
 # The machine on which this is measured allows so many descriptors to a process.
 DESCRIPTORS, PER_CONNECTION = 20_000, 2
 
--- a/benchmarks/capacity/rows_delivery.py
+++ b/benchmarks/capacity/rows_delivery.py
@@ -7,7 +7,7 @@
 from benchmarks.capacity.target import Target
 from benchmarks.capacity.working import DELIVERED, WHOLE_CORE, row
 
-LINE = "platform/clients.py: a line from a form server passed to its client, one process"
+LINE = "text_protocol/clients.py: a line from a form server passed to its client, one process"
 NONE = "none in the program yet: topics and their fan-out are not built"
 # Assumed: the longest way between two regions, and a hop within one; publisher to owner of the shard, owner
 # to a node of its region or of another, node to client.
--- a/benchmarks/capacity/rows_membership.py
+++ b/benchmarks/capacity/rows_membership.py
@@ -6,7 +6,7 @@
 from benchmarks.capacity.target import Target
 from benchmarks.capacity.working import AWARE, BYTES, CORE, LINK, MEMORY, by_nodes, fit_of, row
 
-SWIM = "members/swim.py: probes, hearsay that rides along, copies compared by digests"
+SWIM = "membership/failure_detector.py: probes, hearsay that rides along, copies compared by digests"
 ALL = "members, leases, copies and the reader together"
 FIT = "fit at the number of nodes"
 LOST = "fit at the number of nodes, a 23rd of them lost"
--- a/benchmarks/capacity/rows_shards.py
+++ b/benchmarks/capacity/rows_shards.py
@@ -9,8 +9,8 @@
 from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, LINK, WHOLE_CORE, Bound, Resized, row
 
 VOTERS = 5
-LEASES = "owners/leases.py and voter.py: a lease for each shard, 8 renewals in 2 s, 5 voters"
-SCORES = "owners/agent.py `Agent.tasks`: every task is scored against every node at each change of members"
+LEASES = "leadership/leases.py and voter.py: a lease for each shard, 8 renewals in 2 s, 5 voters"
+SCORES = "leadership/agent.py `Agent.tasks`: every task is scored against every node at each change of members"
 COUNTED = Bound("shards")
 
 
@@ -98,7 +98,7 @@
             role="control machines",
             cost="cores for a lease for each shard, all voters together",
             bound=Bound("cores", 47.0, "47 machines, one process of one core each (assumed)"),
-            mechanism="owners/voter.py: five voters share nothing: each is asked about every shard",
+            mechanism="leadership/voter.py: five voters share nothing: each is asked about every shard",
             arithmetic="processor time of a lease at a voter * shards * 5 voters",
             kind="line",
             reckoned=True,
@@ -117,7 +117,7 @@
             role="the fleet",
             cost="shards that change owner on an ordinary day",
             bound=COUNTED,
-            mechanism="shards/placement.py",
+            mechanism="sharding/placement.py",
             arithmetic="share moved by a node that goes or comes, by its fit * shards * (33 + 520) * 2",
             kind="through",
             by=Resized("1 / nodes of a region", lambda nodes: 1 / nodes),
@@ -131,7 +131,7 @@
             role="the fleet",
             cost="shards that change owner when a zone goes",
             bound=COUNTED,
-            mechanism="owners/leases.py `best_placed`",
+            mechanism="leadership/leases.py `best_placed`",
             arithmetic="shards / 23; the share moved was measured",
             kind="constant",
             reckoned=True,
--- a/benchmarks/capacity/rows_shards_by_node.py
+++ b/benchmarks/capacity/rows_shards_by_node.py
@@ -19,11 +19,11 @@
     row,
 )
 
-SESSIONS = "shards/session.py and assigner.py: a heartbeat four times in 10 s to the region's assigner"
+SESSIONS = "sharding/session.py and assigner.py: a heartbeat four times in 10 s to the region's assigner"
 # Shards that were placed in the measurement.
 REGION_SHARDS = 125_000
 OF_REGION = "fit at the nodes of a region (633) * its shards / 125,000"
-PLACES = "shards/placement.py: every node places its region's shards by itself, with numpy"
+PLACES = "sharding/placement.py: every node places its region's shards by itself, with numpy"
 
 
 def _in_region(target: Target) -> float:
@@ -114,7 +114,7 @@
         role="every node",
         cost="before: a region's shards scored one by one after one change: seconds",
         bound=IN_FORCE,
-        mechanism="owners/leases.py `best_placed`, as tasks are placed; same run as the next rows",
+        mechanism="leadership/leases.py `best_placed`, as tasks are placed; same run as the next rows",
         arithmetic=OF_REGION,
     )
     return [
--- a/benchmarks/capacity/rows_tasks.py
+++ b/benchmarks/capacity/rows_tasks.py
@@ -9,7 +9,7 @@
 
 # In the measured fleet: permits, pace, marks, and one data centre's reader. At the target a reader a zone.
 TASKS_MEASURED, TASKS_OF_FLEET = 4, 3
-VOTES = "owners/leases.py and voter.py: a lease for each task, renewed 8 times in 2 s with every voter"
+VOTES = "leadership/leases.py and voter.py: a lease for each task, renewed 8 times in 2 s with every voter"
 
 
 def votes(record: Record) -> list[Row]:
@@ -42,7 +42,7 @@
 
 
 def permits(record: Record) -> list[Row]:
-    office = "owners/permits.py: who holds or waits says so once a second"
+    office = "leadership/permits.py: who holds or waits says so once a second"
     return [
         row(
             record,
@@ -68,7 +68,7 @@
 
 
 def pace(record: Record) -> list[Row]:
-    office = "owners/pace.py: a share is asked for each half second while clients are moved"
+    office = "leadership/move_rate.py: a share is asked for each half second while clients are moved"
     return [
         row(
             record,
@@ -94,7 +94,7 @@
 
 
 def reader(record: Record) -> list[Row]:
-    reading = "owners/reader.py: the reader of a zone is asked twice a second by each node there"
+    reading = "leadership/list_reader.py: the reader of a zone is asked twice a second by each node there"
     return [
         row(
             record,
@@ -123,7 +123,7 @@
             role="reader of a zone",
             cost="whole lists of 1,000 form servers for the day's changes: bytes",
             bound=BYTES,
-            mechanism="owners/reader.py: the whole list goes to every node at each change",
+            mechanism="leadership/list_reader.py: the whole list goes to every node at each change",
             arithmetic="list of 1,000 (assumed) * nodes of a zone * 520 changes of a day / 86,400 s",
             reckoned=True,
         ),
