--- a/benchmarks/capacity/rows_control.py
+++ b/benchmarks/capacity/rows_control.py
@@ -26,8 +26,8 @@
         "control machines",
         "47 machines in 6 regions and 23 zones: enough voters after any zone is lost",
         Bound("machines", 47.0, "47 set aside"),
-        "sharding/settings.py: 5 voters a region; leadership/task_leadership.py: control work goes to members "
-        "of that role",
+        "sharding/settings.py: 5 voters a region; leadership/task_leadership.py: control work goes to "
+        "members of that role",
         "reasoned, not run: 6 regions * 5 voters are 30 of the 47; a region has 3 or 4 zones, so "
         "with at most 2 voters of a region in a zone any zone may be lost; voters of fleet tasks (7 at most) "
         "stand in 7 of 23 zones, and a region cut off has none of their majority",
