--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -545,6 +545,6 @@
     check = (
         "import sys, sailrun.operator_settings, sailrun.leadership.agent\n"
         "assert not sailrun.operator_settings.Operator().shards.enabled\n"
-        "assert 'numpy' not in sys.modules and 'sailrun.sharding.part' not in sys.modules"
+        "assert 'numpy' not in sys.modules and 'sailrun.sharding.agent' not in sys.modules"
     )
     subprocess.run([sys.executable, "-c", check], check=True, timeout=30)
