--- /dev/null
+++ b/tests/test_external_names.py
@@ -0,0 +1,125 @@
+"""The names that leave the process are those of the committed list, and no change of one goes unseen."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+import pytest
+
+from benchmarks.external_names import (
+    LIST,
+    LITERALS,
+    ROOT,
+    ExternalName,
+    MissingModuleError,
+    Source,
+    differences,
+    external_names,
+    read_source,
+    show,
+)
+
+SOURCE = read_source(ROOT)
+NAMES = external_names(SOURCE)
+
+# For each kind a file, a name in it with what stands around it, and the same changed on purpose.
+CHANGES = {
+    "amqp": ("sailrun/amqp/clients.py", '"sailrun:key"', '"sailrun:changed"'),
+    "argument": ("sailrun/control/cli.py", "def drain_on(node:", "def drain_on(changed:"),
+    "binary-format": ("sailrun/storage/frames.py", '"<8sHHQ16sQ"', '"<8sHHQ16sI"'),
+    "command": ("sailrun/control/cli.py", '"set-down"', '"changed"'),
+    "control": ("sailrun/leadership/status.py", '"bad_messages"', '"changed"'),
+    "deploy": ("deploy/operator.toml", "widening = ", "changed = "),
+    "environment": ("sailrun/config.py", '"RELAY_DISCOVERY"', '"RELAY_CHANGED"'),
+    "flag": ("sailrun/control/cli.py", '"--behind"', '"--changed"'),
+    "fleet-message": ("sailrun/membership/messages.py", 'tag="ping-for"', 'tag="changed"'),
+    "fleet-value": ("sailrun/leadership/voter.py", '"abstains"', '"changed"'),
+    "hot-restart": ("sailrun/hot_restart/handover.py", '"succeed"', '"changed"'),
+    "laboratory-message": ("sailrun/lab/scale/host_messages.py", 'tag="silence"', 'tag="changed"'),
+    "log-event": ("sailrun/replication/anti_entropy.py", '"copy-begins"', '"changed"'),
+    "log-field": ("sailrun/node/status.py", "waiting=len(", "changed=len("),
+    "log-value": ("sailrun/config.py", "    roster: DiscoverySource", "    changed: DiscoverySource"),
+    "metric": ("sailrun/control/calls.py", "{PREFIX}.hosts_down:", "{PREFIX}.changed:"),
+    "path": ("sailrun/storage/folder_layout.py", '"snapshot."', '"changed."'),
+    "record-column": ("sailrun/lab/world.py", "backlog_us=server", "changed=server"),
+    "record-kind": ("sailrun/lab/world.py", 'note("vanish"', 'note("changed"'),
+    "record-table": ("sailrun/lab/records.py", 'Table("servers")', 'Table("changed")'),
+    "record-value": ("sailrun/lab/scale/results.py", '"known_after_begin_s"', '"changed"'),
+    "registry": ("sailrun/discovery.py", '"SERVING"', '"changed"'),
+    "settings": ("sailrun/replication/settings.py", 'name="voices"', 'name="changed"'),
+    "simulator": ("sailrun/wire.py", "overload_reply", "changed"),
+    "stored": ("sailrun/storage/entries.py", 'name="cleared"', 'name="changed"'),
+    "text-protocol": ("sailrun/text_protocol/lines.py", 'b"LOAD"', 'b"CHANGED"'),
+    "xds": ("sailrun/xds/discovery.py", '"versionInfo"', '"changed"'),
+}
+
+
+def with_text(path: str, text: str) -> Source:
+    return Source({**SOURCE.texts, path: text})
+
+
+def lines(names: Iterable[ExternalName], kind: str) -> set[str]:
+    return {name.line() for name in names if name.kind == kind}
+
+
+def test_the_source_has_the_names_of_the_committed_list() -> None:
+    found = differences(LIST.read_text(), show(NAMES))
+    assert not found, (
+        f"names that leave the process have changed:\n{found}\nIf every change is meant: "
+        "python -m benchmarks.external_names --write"
+    )
+
+
+def test_every_kind_is_changed_on_purpose_below() -> None:
+    assert {name.kind for name in NAMES} == CHANGES.keys()
+
+
+@pytest.mark.parametrize("kind", sorted(CHANGES))
+def test_a_change_of_a_name_is_found(kind: str) -> None:
+    path, before, after = CHANGES[kind]
+    assert before in SOURCE.texts[path], f"{path} has no {before} any more: name another place above"
+    changed = external_names(with_text(path, SOURCE.texts[path].replace(before, after)))
+    was, now = lines(NAMES, kind), lines(changed, kind)
+    assert was - now, "the name that is gone was not found"
+    assert now - was, "the name that came was not found"
+    shown = differences(show(NAMES), show(changed))
+    assert all(f"gone: {line}" in shown for line in was - now)
+    assert all(f"added: {line}" in shown for line in now - was)
+
+
+def test_a_module_that_was_moved_is_an_error() -> None:
+    path = f"sailrun/{LITERALS['simulator'][0]}"
+    rest = {other: text for other, text in SOURCE.texts.items() if other != path}
+    with pytest.raises(MissingModuleError, match=path):
+        external_names(Source(rest))
+
+
+def test_a_class_that_was_renamed_is_an_error() -> None:
+    path = "sailrun/config.py"
+    text = SOURCE.texts[path].replace("class NodeConfig:", "class Renamed:")
+    with pytest.raises(MissingModuleError, match="NodeConfig"):
+        external_names(with_text(path, text))
+
+
+def test_identifiers_and_comments_are_no_names() -> None:
+    path = "sailrun/leadership/status.py"
+    text = SOURCE.texts[path].replace("counted", "renamed") + "\n# a comment\n"
+    text = text.replace('"""Counts since the process started', '"""Reworded')
+    assert text.count("renamed") > 1
+    assert "Reworded" in text
+    assert external_names(with_text(path, text)) == NAMES
+
+
+def test_a_log_event_is_marked_with_what_matches_it() -> None:
+    code = 'from sailrun.node.clock import log\nlog("never-seen-before", some_field=1)\n'
+    both = {
+        "sailrun/node/added.py": code,
+        "tests/test_added.py": 'assert "never-seen-before" in line',
+        "docs/added.md": "| `never-seen-before some_field=…` |",
+    }
+    marks = []
+    for kept in ((0,), (0, 1), (0, 2), (0, 1, 2)):
+        added = {path: text for n, (path, text) in enumerate(both.items()) if n in kept}
+        names = external_names(Source({**SOURCE.texts, **added}))
+        marks += [name.seen for name in names if name.name == "never-seen-before"]
+    assert marks == ["-", "test", "page", "test+page"]
