--- a/sailrun/replication/__init__.py
+++ b/sailrun/replication/__init__.py
@@ -1,1 +1,1 @@
-"""State that all nodes of a fleet hold copies of: operator marks, server lists, outlier reports."""
+"""State that is replicated to all nodes of a fleet: operator marks, server lists and outlier reports."""
--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -1,6 +1,6 @@
-"""The acceptor of replicated marks: a voter's promises, and what it accepts (as in Multi-Paxos).
+"""The acceptor of replicated marks: a voter's promises and the records it accepts (as in Multi-Paxos).
 
-Pure: messages and the time (microseconds) come in, messages go out.
+This module does no I/O: callers pass in messages and the time (microseconds), and send the returned messages.
 """
 
 from __future__ import annotations
@@ -29,24 +29,25 @@
 from sailrun.replication.records import covers
 from sailrun.replication.store import RecordStore
 
-# How many leaders' requests to catch up are remembered; there is one leader at a time, or a few that do not
-# know of each other.
+# How many `CatchUp` requests are tracked. There is one leader at a time, or a few that have not yet detected
+# each other.
 MAX_CATCH_UPS = 16
 
 
-def find_consistent_voters(answers: Mapping[str, tuple[int, CrashVector]]) -> set[str]:
-    """Of voters' answers, each with the incarnation it was given in and the crash vector then: those that
-    count. An answer of an incarnation that another of these voters knows to have ended says nothing any more.
+def find_consistent_voters(replies: Mapping[str, tuple[int, CrashVector]]) -> set[str]:
+    """Returns the voters whose replies count. Each reply comes with the voter's incarnation and crash vector
+    at that time. A reply of an incarnation that has ended, according to another of these voters, does not
+    count.
     """
     return {
         name
-        for name, (incarnation, _) in answers.items()
-        if all(vector.get(name, 0) <= incarnation for _, vector in answers.values())
+        for name, (incarnation, _) in replies.items()
+        if all(vector.get(name, 0) <= incarnation for _, vector in replies.values())
     }
 
 
 class Acceptor:
-    """One voter's part in writing marks."""
+    """The acceptor of one voter."""
 
     def __init__(
         self,
@@ -58,20 +59,20 @@
         disabled_rules: frozenset[str] = frozenset(),
         journal: ReplicaJournal | None = None,
     ) -> None:
-        """`disabled_rules` are safety rules that the laboratory switches off."""
+        """`disabled_rules` are the safety rules that the laboratory switches off."""
         self._name, self._store, self._anti_entropy = name, store, anti_entropy
         self._checks_terms = "fence" not in disabled_rules
         self._checks_epochs = "forget" not in disabled_rules
-        self._trusts_restarts = "lives" in disabled_rules
-        self.state = AcceptorState(journal or ReplicaJournal(), self._trusts_restarts)
+        self._assumes_recovered = "lives" in disabled_rules
+        self.state = AcceptorState(journal or ReplicaJournal(), self._assumes_recovered)
         self.recovery = AcceptorRecovery(name, voters, store, anti_entropy, self.state, now_us)
         self._caught_up: dict[tuple[str, int], bool] = {}  # by leader and request id
 
     # ------------------------------------------------------------------ restarts
 
     def restart(self, now_us: int) -> None:
-        """The copy was discarded: the voter is as one that has just started."""
-        self.state.is_recovered = self._trusts_restarts
+        """Resets the voter to the state of one that has just started, after the replica was discarded."""
+        self.state.is_recovered = self._assumes_recovered
         self.recovery.restart(now_us)
         self._caught_up.clear()
         self.state.save()
@@ -79,8 +80,8 @@
     def restore(
         self, incarnation: int, promised_term: int, crash_vector: CrashVector, is_recovered: bool
     ) -> None:
-        """What its folder has of the time before this process; `is_recovered`: the folder says that this was
-        all, which `trust_folder` or `distrust_folder` decides later.
+        """Restores the state that a former process stored in the folder. `is_recovered`: by the folder, this
+        state is complete; `trust_folder` or `distrust_folder` decides that later.
         """
         state = self.state
         state.incarnation = max(incarnation, state.incarnation)
@@ -90,35 +91,37 @@
 
     @property
     def is_verifying_folder(self) -> bool:
-        """Whether the folder is being compared with what the others know of it."""
+        """Whether the folder's state is still being compared with the other voters' records of it."""
         return self.state.is_verifying_folder
 
     def trust_folder(self) -> None:
-        """The folder is the newest there is."""
+        """Marks the voter as recovered: its folder has the latest state."""
         self.state.is_verifying_folder = False
         self.state.is_recovered = self._anti_entropy.copy.is_complete
 
     def distrust_folder(self, now_us: int) -> None:
-        """A newer folder was there: what was restored is not all that was promised."""
+        """Starts a recovery: the folder is older than the voter's latest state, so promises may
+        be missing.
+        """
         self.state.is_verifying_folder = False
         self.restart(now_us)
 
     def get_durable_state(self) -> DurableAcceptorState:
-        """The state as the journal has it."""
+        """Returns the state as the journal stores it."""
         return self.state.get_durable_state()
 
     def due_us(self) -> int | None:
-        """When `turn` has something to do; None: nothing by itself."""
+        """Returns when `turn` has to be called next; None if nothing is scheduled."""
         return self.recovery.due_us()
 
     def turn(self, now_us: int) -> list[OutgoingMessage]:
-        """Does what is due; returns the messages to send."""
+        """Runs all due work; returns the messages to send."""
         return self.recovery.turn(now_us)
 
     # ------------------------------------------------------------------ messages
 
     def receive(self, now_us: int, sender: str, body: object) -> list[OutgoingMessage]:
-        """Handles a message of a leader or of another voter; returns the replies."""
+        """Handles a message from a leader or another voter; returns the replies."""
         match body:
             case Prepare():
                 return self._on_prepare(sender, body)
@@ -141,7 +144,9 @@
         return self.state.is_recovered and self._anti_entropy.copy.is_complete and is_same_epoch
 
     def _reject_or_promise(self, sender: str, request: Prepare | Accept | CatchUp) -> list[OutgoingMessage]:
-        """A rejection of a leader whose term is over; otherwise nothing, and its term is promised."""
+        """Returns a rejection if a higher term is promised; otherwise promises the term and
+        returns nothing.
+        """
         if request.term < self.state.promised_term and self._checks_terms:
             rejection = TermSuperseded(request.term, request.request_id, self.state.promised_term)
             return [OutgoingMessage(sender, rejection)]
@@ -175,11 +180,13 @@
             return rejection
         self._anti_entropy.merge_received(now_us, request.records)
         if not all(covers(self._store.get(r.key), [v.dot for v in r.versions]) for r in request.records):
-            return []  # the copy is full, or a record was invalid
+            return []  # the store is full, or a record is invalid
         return [OutgoingMessage(sender, self._make_accepted(request))]
 
     def _on_catch_up(self, now_us: int, sender: str, request: CatchUp) -> list[OutgoingMessage]:
-        """Takes over what the leader holds and this voter does not; accepts when it is asked again then."""
+        """Fetches the leader's records that this voter lacks; accepts a later request once it has
+        them all.
+        """
         if not self._may_answer(request.epoch):
             return []
         if rejection := self._reject_or_promise(sender, request):
@@ -208,10 +215,10 @@
 
         self._anti_entropy.receiver.begin(now_us, key[0], ranges, on_end, urgent=True)
 
-    # ------------------------------------------------------------------ other voters' recovery
+    # ------------------------------------------------------------------ recovery of other voters
 
     def _get_crash_vector(self) -> CrashVector:
-        """The crash vector with this voter's own incarnation."""
+        """Returns the crash vector with this voter's own incarnation."""
         known = self.state.crash_vector.get(self._name, 0)
         return {**self.state.crash_vector, self._name: max(self.state.incarnation, known)}
 
--- a/sailrun/replication/acceptor_recovery.py
+++ b/sailrun/replication/acceptor_recovery.py
@@ -1,11 +1,11 @@
-"""Recovery of a voter that lost its memory at a restart.
-
-An acceptor with a durable folder has forgotten nothing and goes on in its former incarnation. One without is
-trusted again only by way of the others, since every majority has a voter that remembers: it numbers its new
-incarnation (one more than any voter knows of it), has a majority of recovered voters store that number, and
-then takes over what they hold. What it said in an earlier incarnation is void from then on: whoever counts
-the voters' replies finds one that knows of the later incarnation, and does not count the older one
-(crash-consistent quorums: Michael, Ports, Sharma, Szekeres 2017).
+"""Recovery of a voter that lost its state at a restart.
+
+An acceptor with a durable folder has lost nothing and continues its former incarnation. An acceptor without
+one recovers from the other voters, since every majority contains a voter that still has its state. It numbers
+its new incarnation (one more than the highest number that any voter knows), has a majority of recovered
+voters store that number, and then fetches their records. Replies from its earlier incarnations are invalid
+from then on: a leader that counts the voters' replies also has a reply of a voter that knows the later
+incarnation, and ignores the older reply (crash-consistent quorums: Michael, Ports, Sharma, Szekeres 2017).
 """
 
 from __future__ import annotations
@@ -27,27 +27,28 @@
 from sailrun.replication.store import RecordStore
 
 SECOND_US = 1_000_000
-# The other voters are asked this often.
+# Requests to the other voters are repeated this often.
 RETRY_INTERVAL_US = SECOND_US // 4
-# Where too many voters have forgotten for a majority to remember, the others are waited for so long.
+# When too many voters have lost their state for a majority to have it, the voter waits this long for the
+# remaining voters before it bootstraps.
 BOOTSTRAP_WAIT_US = 8 * SECOND_US
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """How far a recovery has come; a copy discarded meanwhile begins another one."""
+    """The progress of a recovery. If the replica is discarded meanwhile, a new attempt begins."""
 
     request_id: int
     began_us: int
     incarnation_replies: dict[str, IncarnationReply] = field(default_factory=dict)
-    incarnation: int = 0  # the one that the others are asked to store; 0: not known yet
+    incarnation: int = 0  # the new incarnation, which the other voters are to store; 0: not known yet
     recovery_replies: dict[str, RecoveryReply] = field(default_factory=dict)
     transferring: set[str] = field(default_factory=set)
-    recovered_from: set[str] = field(default_factory=set)  # voters whose copy was taken over
+    recovered_from: set[str] = field(default_factory=set)  # voters whose records were fetched
 
 
 class AcceptorRecovery:
-    """Asks the other voters until this one remembers again."""
+    """Recovers this voter's state from the other voters."""
 
     def __init__(
         self,
@@ -62,7 +63,8 @@
         self._anti_entropy, self._state = anti_entropy, state
         self._attempt = _Attempt(anti_entropy.make_request_id(), now_us)
         self._request_at_us = now_us
-        self.on_bootstrapped: Callable[[], None] = lambda: None  # too few voters remembered
+        # Called after a recovery without a majority of recovered voters.
+        self.on_bootstrapped: Callable[[], None] = lambda: None
         self.on_recovered: Callable[[], None] = lambda: None
 
     @property
@@ -70,15 +72,15 @@
         return self._state.is_recovered or self._state.is_verifying_folder
 
     def restart(self, now_us: int) -> None:
-        """What was found out so far is void."""
+        """Discards the progress of the recovery and begins a new attempt."""
         self._attempt = _Attempt(self._anti_entropy.make_request_id(), now_us)
 
     def due_us(self) -> int | None:
-        """When `turn` has something to do; None: the voter has no need to recover."""
+        """Returns when `turn` has to be called next; None if the voter needs no recovery."""
         return None if self._is_idle else self._request_at_us
 
     def turn(self, now_us: int) -> list[OutgoingMessage]:
-        """Requests to the other voters that are due."""
+        """Returns the due requests to the other voters."""
         if self._is_idle or now_us < self._request_at_us:
             return []
         self._request_at_us = now_us + RETRY_INTERVAL_US
@@ -88,18 +90,18 @@
             return []
         others = [name for name in self._voters().names() if name != self._name]
         if not attempt.incarnation:
-            self._bootstrap_if_forgotten(now_us)
+            self._bootstrap_if_state_lost(now_us)
             if self._state.is_recovered:
                 return []
-            ask = IncarnationRequest(attempt.request_id)
-            return [OutgoingMessage(name, ask) for name in others]
+            incarnation_request = IncarnationRequest(attempt.request_id)
+            return [OutgoingMessage(name, incarnation_request) for name in others]
         digests = self._store.digests.list_groups()[:FIRM_GROUP_COUNT]
         epoch = self._anti_entropy.copy.epoch
-        request = RecoveryRequest(attempt.request_id, attempt.incarnation, epoch, digests)
-        left = [n for n in others if n not in attempt.recovered_from and n not in attempt.transferring]
-        return [OutgoingMessage(name, request) for name in left]
+        recovery_request = RecoveryRequest(attempt.request_id, attempt.incarnation, epoch, digests)
+        remaining = [n for n in others if n not in attempt.recovered_from and n not in attempt.transferring]
+        return [OutgoingMessage(name, recovery_request) for name in remaining]
 
-    # ------------------------------------------------------------------ which incarnation
+    # ------------------------------------------------------------------ numbering the incarnation
 
     def on_incarnation_reply(self, now_us: int, sender: str, reply: IncarnationReply) -> None:
         """Numbers the new incarnation once a majority of recovered voters has replied."""
@@ -118,18 +120,18 @@
         known = [reply.crash_vector.get(self._name, 0) for reply in replies.values()]
         return 1 + max([self._state.incarnation, *known])
 
-    def _bootstrap_if_forgotten(self, now_us: int) -> None:
-        """Where too few voters can remember, as at the fleet's first start, what members' copies hold is all
-        there is, and is what this voter begins with.
+    def _bootstrap_if_state_lost(self, now_us: int) -> None:
+        """Recovers without a majority if too many voters have lost their state, as at the fleet's first
+        start. The voter then begins with the records of its replica, since no other source exists.
         """
         attempt, voters, state = self._attempt, self._voters(), self._state
         replies = attempt.incarnation_replies
-        forgot = {n for n, r in replies.items() if not r.recovered and not r.verifying_folder}
-        forgot.add(self._name)
-        silent = set(voters.names()) - replies.keys() - {self._name}
-        if voters.is_majority(set(voters.names()) - forgot):
-            return  # a majority may remember yet: what it holds must not be passed over
-        if silent and now_us - attempt.began_us < BOOTSTRAP_WAIT_US:
+        lost_state = {n for n, r in replies.items() if not r.recovered and not r.verifying_folder}
+        lost_state.add(self._name)
+        unanswered = set(voters.names()) - replies.keys() - {self._name}
+        if voters.is_majority(set(voters.names()) - lost_state):
+            return  # a majority may still have its state, which must not be skipped
+        if unanswered and now_us - attempt.began_us < BOOTSTRAP_WAIT_US:
             return
         state.incarnation = self._next_incarnation(replies)
         for reply in replies.values():
@@ -141,10 +143,10 @@
         records = len(self._store)
         self._anti_entropy.log_event("marks-founded", life=state.incarnation, records=records)
 
-    # ------------------------------------------------------------------ what the others hold
+    # ------------------------------------------------------------------ fetching the records
 
     def on_recovery_reply(self, now_us: int, sender: str, reply: RecoveryReply) -> None:
-        """A recovered voter has stored the new incarnation: what it holds is taken over."""
+        """Fetches the records of a recovered voter that has stored the new incarnation."""
         attempt = self._attempt
         is_expected = sender in self._voters().names() and reply.request_id == attempt.request_id
         if self._state.is_recovered or not attempt.incarnation or not is_expected:
--- a/sailrun/replication/acceptor_state.py
+++ b/sailrun/replication/acceptor_state.py
@@ -1,4 +1,4 @@
-"""What a voter remembers of its promises and of the other voters, and how that is journalled."""
+"""A voter's promises and its knowledge of the other voters, and how both are written to the journal."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from sailrun.replication.journal import ReplicaJournal
 
-# A voter's crash vector: by name, the latest incarnation of each voter that it knows of (Michael and others
-# 2017). An incarnation is the stretch between two losses of a voter's memory, numbered by the voter.
+# A voter's crash vector: the latest known incarnation of each voter, by name (Michael and others 2017). An
+# incarnation is the period between two losses of a voter's state; the voter numbers its incarnations.
 CrashVector = dict[str, int]
 
 
 class DurableAcceptorState(NamedTuple):
-    """As the journal has it, in this order."""
+    """The state as the journal stores it, in this order."""
 
     incarnation: int
     promised_term: int
@@ -21,39 +21,41 @@
 
 
 class AcceptorState:
-    """A voter's memory; shared by what answers leaders and what recovers it after a restart."""
+    """A voter's state, shared by `Acceptor` and `AcceptorRecovery`."""
 
     def __init__(self, journal: ReplicaJournal, is_recovered: bool) -> None:
         self._journal = journal
         self.incarnation = 0
         self.crash_vector: CrashVector = {}
         self.promised_term = 0
-        self.is_recovered = is_recovered  # nothing that the voter promised or accepted is forgotten
-        self.is_verifying_folder = False  # its folder is being compared with what others know of it
+        self.is_recovered = is_recovered  # the state has everything that the voter promised or accepted
+        self.is_verifying_folder = False  # its folder is being compared with the other voters' records of it
 
     def get_durable_state(self) -> DurableAcceptorState:
-        """The state as it is to be found after a restart."""
+        """Returns the state to restore after a restart."""
         is_recovered = self.is_recovered or self.is_verifying_folder
         return DurableAcceptorState(
             self.incarnation, self.promised_term, dict(self.crash_vector), is_recovered
         )
 
     def save(self) -> None:
-        """Records the state in the journal."""
+        """Writes the state to the journal."""
         self._journal.write_acceptor_state(*self.get_durable_state())
 
     def promise(self, term: int) -> None:
-        """Accepts nothing of a lower term from now on."""
+        """Promises to accept nothing of a lower term."""
         if term > self.promised_term:
             self.promised_term = term
             self.save()
 
     def observe_incarnation(self, voter: str, incarnation: int) -> None:
-        """Notes the incarnation of a voter, unless a later one is known."""
+        """Stores the incarnation of a voter unless a later one is known."""
         self.crash_vector[voter] = max(incarnation, self.crash_vector.get(voter, 0))
 
     def merge_crash_vector(self, name: str, crash_vector: CrashVector) -> None:
-        """Takes over what another voter knows of the others; of itself, voter `name` knows best."""
+        """Merges another voter's crash vector, except for the entry of voter `name` itself, which is the
+        authority on its own incarnation.
+        """
         for voter, incarnation in crash_vector.items():
             if voter != name:
                 self.observe_incarnation(voter, incarnation)
--- a/sailrun/replication/copy_transfer.py
+++ b/sailrun/replication/copy_transfer.py
@@ -1,7 +1,9 @@
-"""Taking a complete copy: a node that has none, or one that is too old, takes every range from the others.
+"""Transfer of a complete replica: a node whose replica is missing or too old fetches all ranges from other
+members.
 
-Ranges are shared among several senders; where one fails, another goes on from the last key that came. Where
-nobody has a complete copy, as at a fleet's first start, what there is becomes the complete copy.
+Ranges are distributed over several senders. If a sender fails, another one continues after the last key
+received. If no member has a complete replica, as at a fleet's first start, the records at hand become the
+complete one.
 """
 
 from __future__ import annotations
@@ -20,18 +22,18 @@
 from sailrun.replication.store import RecordStore
 
 SECOND_US = 1_000_000
-# How many senders are asked for ranges at once.
+# How many senders transfer ranges concurrently.
 MAX_SENDERS = 3
-# Voters that have reported to each other for so long that none of them has a complete copy begin with what
-# there is; any other node does after so long without a sender. A reply that the copy is incomplete counts for
-# so long.
+# After VOTERS_WAIT_US, a voter declares its replica complete if all present voters have reported incomplete
+# ones; such a report is valid for REPLY_VALID_US. Any node does so MEMBERS_WAIT_US after it began its
+# replica, even if transfers are still under way.
 VOTERS_WAIT_US, MEMBERS_WAIT_US, REPLY_VALID_US = SECOND_US, 10 * SECOND_US, 3 * SECOND_US
-# A sender that was asked is not asked again before.
-ASK_AGAIN_US = SECOND_US // 2
+# The least interval between two requests for digests to the same sender.
+MIN_REQUEST_INTERVAL_US = SECOND_US // 2
 
 
 class CopyTransfer:
-    """Which ranges of a complete copy are still missing, and from whom each is taken."""
+    """Tracks the missing ranges of this replica and the sender of each."""
 
     def __init__(
         self,
@@ -44,71 +46,72 @@
         rng: random.Random,
         on_complete: Callable[[int], None],
     ) -> None:
-        """`on_complete` is called with the time when the last range has come."""
+        """`on_complete` is called with the time once no range is missing."""
         self._name, self._store, self._copy = name, store, copy
         self._members, self._voters, self._receiver = members, voters, receiver
         self._rng, self._on_complete = rng, on_complete
         self._missing = set(range(RANGE_COUNT))
-        self._assigned: dict[int, str] = {}  # by missing range, the sender it is being taken from
-        self._resume_after: dict[int, Key] = {}  # by missing range, the last key that came of it
-        self._incomplete_since_us: dict[str, int] = {}  # members without a complete copy, when they said so
-        self._ask_not_before_us: dict[str, int] = {}  # by sender
-        self._local_writes: list[Record] = []  # of copies that were discarded
+        self._assigned: dict[int, str] = {}  # the sender of each range under transfer
+        self._resume_after: dict[int, Key] = {}  # the last key received of each range with a broken transfer
+        self._incomplete_since_us: dict[str, int] = {}  # when each member last reported an incomplete replica
+        self._request_not_before_us: dict[str, int] = {}  # by sender
+        self._local_writes: list[Record] = []  # local writes of discarded replicas
 
     def restart(self) -> None:
-        """Every range is to be taken anew. Local writes of the copy as it is are set aside: the fleet may
-        never have received them. To be called before the copy is cleared.
+        """Marks every range as missing and saves the replica's local writes, which the fleet may not have
+        received yet. Must be called before the replica is cleared.
         """
-        set_aside = {r.key: r for r in self._local_writes} | {r.key: r for r in self._store.intact_records()}
-        extracted = map(extract_local_writes, set_aside.values())
+        saved = {r.key: r for r in self._local_writes} | {r.key: r for r in self._store.intact_records()}
+        extracted = map(extract_local_writes, saved.values())
         self._local_writes = [record for record in extracted if record is not None]
         self._missing = set(range(RANGE_COUNT))
         self._assigned, self._resume_after = {}, {}
         self._incomplete_since_us.clear()
 
     def take_local_writes(self) -> list[Record]:
-        """The local writes that were set aside; they are not kept here any more."""
+        """Returns the saved local writes and removes them here."""
         local_writes, self._local_writes = self._local_writes, []
         return local_writes
 
     def set_complete(self) -> None:
-        """Nothing is missing: a complete copy was found on the disk."""
+        """Marks no range as missing, because a complete replica was loaded from disk."""
         self._missing = set()
 
     def back_off(self, sender: str, until_us: int) -> None:
-        """The sender is busy, and is not asked before."""
-        self._ask_not_before_us[sender] = until_us
+        """Sends no requests to a busy sender before this time."""
+        self._request_not_before_us[sender] = until_us
 
-    # ------------------------------------------------------------------ whom to ask
+    # ------------------------------------------------------------------ choice of senders
 
     def choose_senders(self, now_us: int) -> list[str]:
-        """Members to request digests from now; what they reply goes to `on_digest_reply`."""
-        self._complete_if_nobody_is(now_us)
+        """Returns the members to request digests from now. Their replies go to `on_digest_reply`."""
+        self._complete_if_no_member_is(now_us)
         if self._copy.is_complete:
             return []
         others = [name for name in self._members.living_names if name != self._name]
         free = [
             name
             for name in others
-            if self._ask_not_before_us.get(name, 0) <= now_us
+            if self._request_not_before_us.get(name, 0) <= now_us
             and self._receiver.find_background_transfer(name) is None
         ]
         wanted = MAX_SENDERS - sum(not t.urgent for t in self._receiver.transfers)
         if wanted <= 0 or not free:
             return []
-        # A voter among them: voters are the first to have a complete copy.
+        # Include a voter, because voters are the first to have a complete replica.
         voters = set(self._voters())
         chosen = self._rng.sample(free, min(wanted, len(free)))
         free_voters = [name for name in free if name in voters]
         if free_voters and not voters & set(chosen):
             chosen[0] = self._rng.choice(free_voters)
         for name in chosen:
-            self._ask_not_before_us[name] = now_us + ASK_AGAIN_US
+            self._request_not_before_us[name] = now_us + MIN_REQUEST_INTERVAL_US
         return chosen
 
-    def _complete_if_nobody_is(self, now_us: int) -> None:
-        """Where nobody has a complete copy, voters find that out from each other, few as they are. Other
-        members wait for one of them, and where none comes go on with what there is.
+    def _complete_if_no_member_is(self, now_us: int) -> None:
+        """Declares this replica complete if no member has a complete one. Voters determine this from each
+        other's replies, since they are few. Other members wait for a voter, and continue with their own
+        records if no transfer completes in time.
         """
         waited_us = now_us - self._copy.begun_us
         if waited_us >= MEMBERS_WAIT_US:
@@ -128,14 +131,15 @@
         if present <= incomplete | {self._name}:
             self._on_complete(now_us)
 
-    # ------------------------------------------------------------------ what they have
+    # ------------------------------------------------------------------ transfers
 
     def on_digest_reply(self, now_us: int, sender: str, reply: DigestReply, differing: list[int]) -> None:
-        """Begins to take ranges from a member whose copy differs in these."""
+        """Begins to fetch ranges from a member whose replica differs in the ranges `differing`."""
         if not reply.complete:
             self._incomplete_since_us[sender] = now_us
             if differing and not self._receiver.find_background_transfer(sender):
-                # Nobody may have a complete copy: then all that any member has makes one.
+                # If no member has a complete replica, the records of all members together become the complete
+                # one.
                 self._receiver.begin(now_us, sender, differing, ignore_end, urgent=True)
             return
         self._incomplete_since_us.pop(sender, None)
@@ -144,26 +148,31 @@
         if not self._missing:
             self._on_complete(now_us)
             return
-        unassigned = [n for n in differing if n in self._missing and n not in self._assigned]
+        unassigned = [
+            range_number
+            for range_number in differing
+            if range_number in self._missing and range_number not in self._assigned
+        ]
         share = unassigned[: max(1, len(self._missing) // MAX_SENDERS)]
         if share and self._receiver.find_background_transfer(sender) is None:
             self._assign(now_us, sender, share)
 
     def _assign(self, now_us: int, sender: str, share: list[int]) -> None:
-        share.sort(key=lambda number: number not in self._resume_after)  # first what was broken off
+        # Interrupted ranges come first.
+        share.sort(key=lambda range_number: range_number not in self._resume_after)
         after = self._resume_after.pop(share[0], None)
-        # A page goes on from a key within one range only; the others of the share stay free for now.
+        # A transfer can resume after a key in one range only; the other ranges stay unassigned for now.
         ranges = share[:1] if after is not None else sorted(share)
-        for number in ranges:
-            self._assigned[number] = sender
+        for range_number in ranges:
+            self._assigned[range_number] = sender
         self._take(now_us, sender, ranges, after)
 
     def _take(self, now_us: int, sender: str, ranges: list[int], after: Key | None) -> None:
         def on_end(now_us: int, complete: bool) -> None:
             if self._copy.is_complete:
                 return
-            for number in ranges:
-                self._assigned.pop(number, None)
+            for range_number in ranges:
+                self._assigned.pop(range_number, None)
             self._missing -= set(ranges) if complete else set(ranges) - set(transfer.ranges)
             if not complete and transfer.after is not None:
                 self._resume_after[transfer.ranges[0]] = transfer.after
--- a/sailrun/replication/deletion_survey.py
+++ b/sailrun/replication/deletion_survey.py
@@ -1,4 +1,6 @@
-"""Finds out whether all members know of deletions, so that the fleet may forget them (see `epochs.py`)."""
+"""Determines whether all members have certain deletions, so that the fleet may remove them (see
+`epochs.py`).
+"""
 
 from __future__ import annotations
 
@@ -9,23 +11,27 @@
 from sailrun.replication.operator_marks import MARK_KINDS
 from sailrun.replication.store import RecordStore
 
-# How many deleted marks are forgotten at a time.
-MAX_FORGOTTEN = 100
+# How many deleted marks one epoch removes at most.
+MAX_REMOVED = 100
 
 
 def find_old_deletions(store: RecordStore, now_us: int, retention_us: int) -> DeletedVersions:
-    """Marks that were deleted longer ago than `retention_us`, as far as one survey takes them."""
+    """Returns marks that were deleted longer ago than `retention_us`, at most as many as one
+    epoch removes.
+    """
     found: DeletedVersions = []
     for kind in MARK_KINDS:
         for record in store.iterate_records(kind):
             is_old = store.age_us(now_us, record.key) > retention_us
-            if record.is_deleted and is_old and len(record.versions) == 1 and len(found) < MAX_FORGOTTEN:
+            if record.is_deleted and is_old and len(record.versions) == 1 and len(found) < MAX_REMOVED:
                 found.append((record.key, *record.versions[0].dot))
     return found
 
 
 def list_awaited_members(members: Membership, now_us: int, absent_us: int) -> list[str]:
-    """Members that have to know of a deletion: those that live, and those gone for less than `absent_us`."""
+    """Returns the members that must have a deletion before it is removed: members that are alive or suspect,
+    and members that have been dead for less than `absent_us`.
+    """
     return [
         record.name
         for record, since_us in members.records_with_age()
@@ -35,33 +41,33 @@
 
 
 class DeletionSurvey:
-    """One question to all members: whether they know that all these versions were deleted."""
+    """A query to all members whether they have the deletions of all these versions."""
 
     def __init__(self, name: str, request_id: int, deleted_versions: DeletedVersions) -> None:
-        """`name`: the member that asks; it counts as one that knows."""
+        """`name` is the querying member; it counts as having the deletions."""
         self._name, self._request_id = name, request_id
         self.deleted_versions = deleted_versions
-        self._knows: dict[str, bool] = {}
+        self._has_deletions: dict[str, bool] = {}
 
     def add_members(self, names: list[str]) -> None:
-        """Asks these as well, unless they are asked already."""
+        """Adds these members to the survey unless they belong to it already."""
         for name in names:
-            self._knows.setdefault(name, name == self._name)
+            self._has_deletions.setdefault(name, name == self._name)
 
     def on_reply(self, sender: str, reply: DeletionReply) -> None:
-        """Counts a member's reply; one that knows does not forget it again."""
-        if reply.request_id == self._request_id and sender in self._knows:
-            self._knows[sender] = self._knows[sender] or reply.knows_all
+        """Counts a member's reply. A positive reply is final."""
+        if reply.request_id == self._request_id and sender in self._has_deletions:
+            self._has_deletions[sender] = self._has_deletions[sender] or reply.knows_all
 
     def is_known_to(self, names: list[str]) -> bool:
-        """Whether all of these members know."""
-        return all(self._knows.get(name) for name in names)
+        """Whether all of these members have replied that they have the deletions."""
+        return all(self._has_deletions.get(name) for name in names)
 
     def make_queries(self, term: int, epoch: int) -> list[OutgoingMessage]:
-        """The question to all who have not said yes."""
+        """Returns the query to all members without a positive reply."""
         query = DeletionQuery(term, self._request_id, epoch, self.deleted_versions)
         return [
             OutgoingMessage(name, query)
-            for name, knows in self._knows.items()
-            if not knows and name != self._name
+            for name, has_deletions in self._has_deletions.items()
+            if not has_deletions and name != self._name
         ]
--- a/sailrun/replication/fleet_services.py
+++ b/sailrun/replication/fleet_services.py
@@ -1,4 +1,4 @@
-"""What the running replica needs of the node's part in its fleet."""
+"""The interface of the fleet services that a running replica uses."""
 
 from __future__ import annotations
 
@@ -7,26 +7,30 @@
 
 
 class FleetServices(Protocol):
-    """Implemented by `leadership/service.py`, which makes the replica's service."""
+    """Implemented by `leadership/service.py`, which creates the replica's service."""
 
     @property
     def permits(self) -> bool:
-        """Whether drains wait for permits."""
+        """Whether drains need permits."""
 
     def ask_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
-        """`reply` is called with "" once the permit is in use, or with why it is not."""
+        """Requests a permit. `reply` is called with "" once the permit is in use, or with the
+        reason why not.
+        """
 
     def give_back(self, kind: str, subject: str) -> None:
         """Releases a permit."""
 
     def call_soon(self, call: Callable[[int], None]) -> None:
-        """Has the agent's task call this with the time (microseconds)."""
+        """Schedules the call in the agent's task, with the time (microseconds) as its argument."""
 
     def living(self) -> set[str]:
-        """The names of the members that live, as far as is known."""
+        """Returns the names of the members that are not known to be dead or to have left."""
 
     def highest_term(self, task: str) -> int:
-        """The highest term under which anybody is known to have led the task."""
+        """Returns the highest known term of a leader of the task."""
 
     def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
-        """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
+        """Calls back once the writes so far are on this node's disk, if it has a folder, with whether they
+        are.
+        """
--- a/sailrun/replication/gossip.py
+++ b/sailrun/replication/gossip.py
@@ -1,4 +1,4 @@
-"""Rumor mongering (Demers and others 1987): a change is sent on a few times by each node that learns it."""
+"""Rumor mongering (Demers and others 1987): each node that receives a change forwards it a few times."""
 
 from __future__ import annotations
 
@@ -7,40 +7,42 @@
 from sailrun.replication.records import Key, Record, estimate_size_bytes
 from sailrun.replication.store import RecordStore
 
-# How often each node sends a change, and to how many nodes at a time.
+# How often each node sends a change in total, and to how many nodes at a time.
 MAX_SENDS, FANOUT = 4, 2
-# What goes into one rumor; a longer record is left to the comparison of copies.
+# The size of one rumor; longer records spread by comparison of replicas only.
 MAX_RUMOR_BYTES = 900
 
 
 class GossipQueue:
-    """Keys of records that are still to be sent, the newest change first."""
+    """The keys of records to send, the newest change first."""
 
     def __init__(self, store: RecordStore) -> None:
         self._store = store
-        self._sends: OrderedDict[Key, int] = OrderedDict()  # by key, how often it was sent
+        self._sends: OrderedDict[Key, int] = OrderedDict()  # how often each record was sent, by key
 
     def __bool__(self) -> bool:
-        """Whether anything is to be sent."""
+        """Whether records are queued."""
         return bool(self._sends)
 
     def add(self, record: Record, sends: int = 0) -> None:
-        """Queues a change as if it had been sent so often; one that is too long for a rumor stays out."""
+        """Queues a change as if it had been sent `sends` times; ignores records that are too long for a
+        rumor.
+        """
         if estimate_size_bytes(record) <= MAX_RUMOR_BYTES:
             self._sends[record.key] = sends
             self._sends.move_to_end(record.key, last=False)
 
     def discard(self, key: Key) -> None:
-        """Sends the record no more."""
+        """Removes the record from the queue."""
         self._sends.pop(key, None)
 
     def clear(self) -> None:
-        """Sends nothing that is queued."""
+        """Empties the queue."""
         self._sends.clear()
 
     def take_batch(self, now_us: int, receivers: int) -> list[Record]:
-        """Records for one rumor to so many receivers, at least one however long it is; soft ones have their
-        age at `now_us`.
+        """Returns the records of one rumor to `receivers` members. The first record is included regardless of
+        its size. Soft records have their age at `now_us`.
         """
         records: list[Record] = []
         size_bytes = 0
--- a/sailrun/replication/mark_applier.py
+++ b/sailrun/replication/mark_applier.py
@@ -1,4 +1,4 @@
-"""Brings marks in force to the core of a running node: form servers are ejected, and the node drains."""
+"""Applies active marks to the core of a running node: ejects form servers and drains the node."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 
 def _ignore_result(done: bool) -> None:
-    """For calls to the core whose result changes nothing here."""
+    """Ignores the result of a call to the core."""
 
 
-def _ignore_refusal(reason: str) -> None:
-    """For a permit that is not granted yet: the fleet's part goes on asking."""
+def _ignore_rejection(reason: str) -> None:
+    """Ignores that a permit is not granted yet; the fleet services repeat the request."""
 
 
 class MarkApplier:
-    """Applies what changes, once each, and form servers that the core does not know yet again."""
+    """Applies each change of a mark once, and repeats it for form servers that the core does not list yet."""
 
     def __init__(self, node: Node, replica: Replica, fleet: FleetServices) -> None:
         self._node, self._replica, self._fleet = node, replica, fleet
-        self._unlisted: set[str] = set()  # form servers under a mark that the core does not list
+        self._unlisted: set[str] = set()  # marked form servers that the core does not list
         self._is_draining = False
-        self._is_reconciled = False  # what this process began with is as the fleet has it
+        self._is_reconciled = False  # the state at the process's start was compared with the fleet's marks
 
     def restore_draining(self, is_draining: bool) -> None:
-        """What the node began with, by its folder."""
+        """Sets whether the node was draining, according to its folder."""
         self._is_draining = is_draining
 
     def apply(self, changes: list[MarkChange]) -> None:
-        """Applies what came into force here, or is in force no longer."""
+        """Applies marks that became active or inactive at this node."""
         for change in changes:
             log("mark", kind=change.kind, subject=change.subject, on=change.active)
             if change.kind == OUT:
@@ -46,8 +46,8 @@
                 self._set_draining(change.active)
 
     def reconcile(self, now_us: int) -> None:
-        """Once the copy is level with the fleet's: takes back what a predecessor on this machine had out,
-        and the fleet has put back since.
+        """Removes overrides and a drain that a predecessor on this machine had applied and that the fleet has
+        revoked since. Runs once, as soon as the replica is not stale.
         """
         if self._is_reconciled or self._replica.is_stale(now_us):
             return
@@ -55,7 +55,7 @@
         self._node.list_operator_overrides(lambda names: self._fleet.call_soon(self._make_reconcile(names)))
 
     def retry_unlisted(self) -> None:
-        """The core may list form servers by now that it did not know."""
+        """Applies marks again for form servers that the core did not list before."""
         for subject in sorted(self._unlisted):
             self._set_override(subject, True)
 
@@ -88,6 +88,6 @@
             self._fleet.give_back(DRAIN, self._replica.name)
             self._node.set_draining(False, _ignore_result)
         elif self._fleet.permits:
-            self._fleet.ask_permit(DRAIN, self._replica.name, _ignore_refusal)
+            self._fleet.ask_permit(DRAIN, self._replica.name, _ignore_rejection)
         else:
             self._node.set_draining(True, _ignore_result)
--- a/sailrun/replication/mark_client.py
+++ b/sailrun/replication/mark_client.py
@@ -1,4 +1,6 @@
-"""A node's requests to the leader of the marks: each is sent again until it has an outcome or is too late."""
+"""A node's requests to the leader of the marks, each repeated until it has an outcome or reaches its
+deadline.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +14,19 @@
 from sailrun.replication.operator_marks import MarkVersion, decode_mark_content
 
 SECOND_US = 1_000_000
-# An unanswered request is sent again after this.
+# An unanswered request is repeated after this time.
 RETRY_INTERVAL_US = SECOND_US // 10
-# How long a request is tried for where its caller says nothing else.
+# How long a request is repeated unless the caller sets a timeout.
 DEFAULT_TIMEOUT_US = 6 * SECOND_US
 MAX_OPEN_WRITES = 1000
 
-# Called with the time, when the request was sent, and the reply, if it is one of this program.
+# Called with the time, the time when the request was sent, and the undecoded reply.
 OnReply = Callable[[int, int, Any], None]
 OnVersions = Callable[[list[MarkVersion] | None], None]
 
 
 class LeaderRequest(NamedTuple):
-    """A request to the leader of the marks, whoever that is, and who gets the reply."""
+    """A request to the current leader of the marks, and the callback for the reply."""
 
     request: MarkRequest
     on_reply: OnReply
@@ -32,9 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MarkOutcome:
-    """What became of a write. `state`: done, waiting, rejected, or unknown: it may come into force yet.
+    """The outcome of a write. `state` is done, waiting, rejected or unknown; after unknown, the mark may
+    still become active.
 
-    `copies` of `replicas` members are known to have it; `term` is the leader's.
+    `copies` out of `replicas` members are known to have the mark; `term` is the leader's term.
     """
 
     id: str
@@ -66,7 +69,7 @@
 
 
 def decode_reply(content: Any) -> MarkReply | None:
-    """A leader's reply as it came, built of plain objects; None: it is none of this program."""
+    """Decodes a leader's reply from plain objects; returns None if it is not a valid reply."""
     try:
         return msgspec.convert(content, MarkReply)
     except msgspec.ValidationError:
@@ -78,10 +81,10 @@
 
 
 def _make_late_outcome(write: _Write) -> MarkOutcome:
-    """The outcome of a write at its deadline."""
+    """Returns the outcome of a write that has reached its deadline."""
     id_, reply = write.request.id, write.last_reply
     if reply is not None and reply.state in (MarkState.DONE, MarkState.WAITING):
-        # All members were to have it, and some are missing.
+        # The request waits for all members, and some do not have the mark yet.
         reason = f"{reply.copies} of {reply.replicas} hold it"
         return MarkOutcome(id_, reply.state, reply.copies, reply.replicas, reason, reply.term)
     reason = "no majority has answered: it may come into force yet"
@@ -90,16 +93,16 @@
 
 
 class MarkClient:
-    """Writes and reads of marks that are under way here."""
+    """This node's pending writes and reads of marks."""
 
     def __init__(self, send: Callable[[LeaderRequest], None], record_event: Callable[..., None]) -> None:
-        """`record_event` is called with what was requested and answered, for the laboratory's checks."""
+        """`record_event` receives every request and outcome, for the laboratory's checks."""
         self._send, self._record_event = send, record_event
         self._writes: dict[str, _Write] = {}
         self._reads: dict[str, _Read] = {}
 
     def write(self, now_us: int, request: MarkRequest, on_outcome: OnOutcome, timeout_us: int) -> None:
-        """Has the leader write a mark; `on_outcome` is called once."""
+        """Begins to write a mark through the leader; `on_outcome` is called once."""
         if len(self._writes) >= MAX_OPEN_WRITES:
             reason = f"{MAX_OPEN_WRITES} marks are under way here"
             on_outcome(MarkOutcome(request.id, MarkState.REJECTED, 0, 0, reason))
@@ -109,18 +112,20 @@
         self._writes[request.id] = _Write(request, on_outcome, now_us + timeout_us, now_us)
 
     def read(self, now_us: int, request: MarkRequest, on_versions: OnVersions, timeout_us: int) -> None:
-        """Asks the leader for a mark; `on_versions` is called once, with None if no reply came in time."""
+        """Begins to read a mark from the leader; `on_versions` is called once, with None after
+        the timeout.
+        """
         subject = f"{request.kind}/{request.subject}"
         self._record_event("call", id=request.id, what="look", subject=subject)
         self._reads[request.id] = _Read(request, on_versions, now_us + timeout_us, now_us)
 
     def list_due_us(self) -> list[int]:
-        """When each request is sent again."""
+        """Returns when each pending request is repeated."""
         open_requests: list[_Write | _Read] = [*self._writes.values(), *self._reads.values()]
-        return [one.send_at_us for one in open_requests]
+        return [request.send_at_us for request in open_requests]
 
     def turn(self, now_us: int) -> None:
-        """Sends requests that are due, and ends those that are too late."""
+        """Sends due requests and ends those that have reached their deadline."""
         for write in list(self._writes.values()):
             if now_us >= write.deadline_us:
                 self._end_write(write, _make_late_outcome(write))
--- a/sailrun/replication/mark_writes.py
+++ b/sailrun/replication/mark_writes.py
@@ -1,4 +1,4 @@
-"""The writes of marks under one leader's term, and how far each has come."""
+"""The writes of marks in one leader's term and their progress."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from sailrun.replication.records import Key
 from sailrun.replication.rounds import Round
 
-# Writes without a majority at a time, and writes whose outcome is remembered.
+# How many writes may lack a majority at a time, and how many writes are retained for polls and retries.
 MAX_OPEN_WRITES, MAX_WRITES = 1000, 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """A mark that was written; `is_waiting`: it comes into force once there is capacity."""
+    """A written mark. `is_waiting`: it becomes active once there is capacity."""
 
     key: Key
     round: Round
@@ -25,17 +25,17 @@
 
 
 class MarkWrites:
-    """The latest writes by the id of their request."""
+    """The latest writes, by request id."""
 
     def __init__(self, term: int, name: str, voters: Callable[[], Voters], members: Membership) -> None:
         self._term, self._name, self._voters, self._members = term, name, voters, members
-        self._writes: dict[str, Write] = {}  # the oldest first
+        self._writes: dict[str, Write] = {}  # oldest first
 
     def __contains__(self, request_id: str) -> bool:
         return request_id in self._writes
 
     def add(self, request_id: str, write: Write) -> None:
-        """Remembers a write, and no more of the oldest."""
+        """Adds a write, and drops the oldest ones beyond MAX_WRITES."""
         while len(self._writes) >= MAX_WRITES:
             del self._writes[next(iter(self._writes))]
         self._writes[request_id] = write
@@ -49,16 +49,16 @@
         return any(write.key == key and not write.round.has_majority for write in self._writes.values())
 
     def describe(self, request: MarkRequest) -> MarkReply:
-        """How far the write of a request has come: on how many replicas it is, of how many."""
+        """Returns the progress of a request's write: how many replicas have it, out of how many."""
         write = self._writes.get(request.id)
         if write is None:
             return MarkReply(request.id, MarkState.UNKNOWN, self._term)
-        made = write.round
-        copies = len({*made.votes, *made.observer_acks, self._name})
-        replicas = len({*self._voters().names(), *made.observers, self._name})
+        round_ = write.round
+        copies = len({*round_.votes, *round_.observer_acks, self._name})
+        replicas = len({*self._voters().names(), *round_.observers, self._name})
         state = MarkState.PENDING
-        if made.has_majority:
+        if round_.has_majority:
             state = MarkState.WAITING if write.is_waiting else MarkState.DONE
-        living = {name for name in made.observers if self._members.is_living(name)}
-        all_members = bool(made.observers) and living <= made.observer_acks | made.votes.keys()
+        living = {name for name in round_.observers if self._members.is_living(name)}
+        all_members = bool(round_.observers) and living <= round_.observer_acks | round_.votes.keys()
         return MarkReply(request.id, state, self._term, copies, replicas, all_members)
--- a/sailrun/replication/messages.py
+++ b/sailrun/replication/messages.py
@@ -1,9 +1,9 @@
-"""Messages between members about replicated state; `leadership/envelope.py` carries them.
+"""Messages between members about replicated state, sent in the envelopes of `leadership/envelope.py`.
 
-The tags and the order of the fields are the wire's, and older than the names here: an array is read by place,
-and newer versions add fields at the end. `request_id` is the asker's own, and comes back in the reply.
-`epoch` counts how often the fleet has forgotten deleted records (`epochs.py`): copies of different epochs are
-never merged. Digests are of ranges of keys, or of groups of ranges (`range_digests.py`).
+The tags and the order of the fields belong to the wire format and are older than the names here. Arrays are
+decoded by position, and newer versions add fields at the end. The requester chooses `request_id`, and the
+reply returns it. `epoch` counts how often the fleet has removed deleted records (`epochs.py`); replicas of
+different epochs are never merged. Digests cover ranges of keys or groups of ranges (`range_digests.py`).
 """
 
 from __future__ import annotations
@@ -19,67 +19,69 @@
 
 
 class Rumor(msgspec.Struct, array_like=True, frozen=True, tag="rumor"):
-    """Records that changed of late."""
+    """Gossips records that changed recently."""
 
     epoch: int
     records: list[Record]
 
 
 class DigestRequest(msgspec.Struct, array_like=True, frozen=True, tag="sum"):
-    """Asks how the receiver's copy compares with the sender's, which has these digests."""
+    """Requests the digests in which the receiver's replica differs from the sender's."""
 
     request_id: int
     epoch: int
-    group_digests: list[int]
-    complete: bool  # the sender's copy is
+    group_digests: list[int]  # of the sender's replica
+    complete: bool  # whether the sender's replica is complete
 
 
 class DigestReply(msgspec.Struct, array_like=True, frozen=True, tag="differs"):
-    """The sender's digests in the groups that differ; none where the copies are alike."""
+    """Returns the sender's digests of the groups that differ; empty if the replicas are equal."""
 
     request_id: int
     epoch: int
     range_digests: dict[int, list[int]]  # by group
-    record_count: int  # in the ranges of those groups
-    complete: bool  # the sender's copy is
-    epoch_record: Record | None = None  # that of the latest epoch, where the asker's is older
+    record_count: int  # the sender's records in these groups
+    complete: bool  # whether the sender's replica is complete
+    epoch_record: Record | None = None  # the record of the latest epoch, if the requester's epoch is older
 
 
 class PageRequest(msgspec.Struct, array_like=True, frozen=True, tag="take"):
-    """Asks for the records of these ranges; of the first one, only for what follows the key `after`."""
+    """Requests a page of records of these ranges. With `after`, the first range starts after that key."""
 
     request_id: int
     epoch: int
     ranges: list[int]
     after: Key | None
-    urgent: bool = False  # a voter's recovery or a leader's beginning: not held to the sender's rate
+    urgent: bool = (
+        False  # exempt from the sender's limits: a voter's recovery or the start of a leader's term
+    )
 
 
 class RecordPage(msgspec.Struct, array_like=True, frozen=True, tag="given"):
-    """Records of the ranges asked for."""
+    """Returns records of the requested ranges."""
 
     request_id: int
     epoch: int
     records: list[Record]
-    after: Key | None  # the key where the page ends; None: nothing follows
+    after: Key | None  # the last key of the page; None if no records follow
 
 
 class SenderBusy(msgspec.Struct, array_like=True, frozen=True, tag="busy"):
-    """The sender of a state transfer has no capacity now."""
+    """Rejects a page request because the sender has no capacity now."""
 
     request_id: int
     retry_after_us: int
 
 
 class RecordRequest(msgspec.Struct, array_like=True, frozen=True, tag="fetch"):
-    """Asks a voter for its copy of a record, where two copies differ without a reason."""
+    """Requests a voter's state of a record whose versions contradict each other at two replicas."""
 
     request_id: int
     key: Key
 
 
 class RecordReply(msgspec.Struct, array_like=True, frozen=True, tag="fetched"):
-    """A voter's copy of a record; None: it has none."""
+    """Returns a voter's state of a record; None if the voter does not have it."""
 
     request_id: int
     key: Key
@@ -90,7 +92,9 @@
 
 
 class Prepare(msgspec.Struct, array_like=True, frozen=True, tag="promise"):
-    """From a new leader to a voter: to accept nothing of a lower term, and to compare its copy."""
+    """From a new leader: requests a voter's promise to accept nothing of a lower term, and its differing
+    digests.
+    """
 
     term: int
     request_id: int
@@ -99,18 +103,18 @@
 
 
 class Promise(msgspec.Struct, array_like=True, frozen=True, tag="promised"):
-    """A voter accepts nothing of a lower term from now on."""
+    """A voter's promise to accept nothing of a lower term."""
 
     term: int
     request_id: int
     epoch: int
     incarnation: int  # of the voter
-    crash_vector: dict[str, int]  # the latest incarnation of each voter that it knows of
+    crash_vector: dict[str, int]  # the latest incarnation of each voter that this voter knows
     range_digests: dict[int, list[int]]  # of the groups that differ
 
 
 class Accept(msgspec.Struct, array_like=True, frozen=True, tag="put"):
-    """From a leader: to hold these records. Members that do not vote may be asked as well."""
+    """From a leader: requests to accept these records. Also sent to members that are not voters."""
 
     term: int
     request_id: int
@@ -119,7 +123,7 @@
 
 
 class CatchUp(msgspec.Struct, array_like=True, frozen=True, tag="level"):
-    """From a leader to a voter: to reply once it holds everything that the leader holds."""
+    """From a leader: requests a voter's reply once the voter has all records of the leader."""
 
     term: int
     request_id: int
@@ -128,16 +132,16 @@
 
 
 class Accepted(msgspec.Struct, array_like=True, frozen=True, tag="kept"):
-    """The reply to `Accept` and `CatchUp`."""
+    """Replies to `Accept` and `CatchUp`."""
 
     term: int
     request_id: int
-    incarnation: int  # of a member that does not vote: 0
+    incarnation: int  # of the voter; 0 from a member that is not a voter
     crash_vector: dict[str, int]
 
 
 class TermSuperseded(msgspec.Struct, array_like=True, frozen=True, tag="higher"):
-    """The leader's term is over: the voter has promised a higher one."""
+    """Rejects a leader's request because the voter has promised a higher term."""
 
     term: int
     request_id: int
@@ -145,7 +149,7 @@
 
 
 class DeletionQuery(msgspec.Struct, array_like=True, frozen=True, tag="have"):
-    """From a leader: whether the member knows that all these versions were deleted."""
+    """From a leader: queries whether the member has the deletions of all these versions."""
 
     term: int
     request_id: int
@@ -154,7 +158,7 @@
 
 
 class DeletionReply(msgspec.Struct, array_like=True, frozen=True, tag="has"):
-    """Whether the member's copy is complete, of the same epoch, and knows all of them."""
+    """Returns whether the member's replica is complete, is of the same epoch and has all these deletions."""
 
     term: int
     request_id: int
@@ -165,24 +169,24 @@
 
 
 class IncarnationRequest(msgspec.Struct, array_like=True, frozen=True, tag="knows"):
-    """From a voter that lost its memory: which incarnation of it is the latest known."""
+    """From a voter that lost its state: requests the latest known incarnation of this voter."""
 
     request_id: int
 
 
 class IncarnationReply(msgspec.Struct, array_like=True, frozen=True, tag="known"):
-    """What another voter knows."""
+    """Returns the incarnations and the promised term that another voter knows."""
 
     request_id: int
-    recovered: bool  # this voter remembers everything that it promised
+    recovered: bool  # the replying voter has all its promises
     crash_vector: dict[str, int]
     promised_term: int
-    verifying_folder: bool = False  # it may remember: its folder is being compared with the others'
+    verifying_folder: bool = False  # the replying voter may have its promises: its folder is being verified
 
 
 class RecoveryRequest(msgspec.Struct, array_like=True, frozen=True, tag="recover"):
-    """From a voter in its new incarnation: nothing that it said in former ones counts from now on. Asks what
-    the receiver has promised, and how its copy compares.
+    """From a voter in its new incarnation, which invalidates the replies of earlier ones. Requests the
+    receiver's promised term and its differing digests.
     """
 
     request_id: int
@@ -192,7 +196,9 @@
 
 
 class RecoveryReply(msgspec.Struct, array_like=True, frozen=True, tag="recovering"):
-    """Another voter has noted the incarnation."""
+    """Confirms that another voter has stored the incarnation, and returns that voter's promised term and
+    digests.
+    """
 
     request_id: int
     epoch: int
@@ -226,7 +232,7 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message, and the name of the member it is for."""
+    """A message and the name of its receiver."""
 
     receiver: str
     body: ReplicationBody
@@ -236,31 +242,31 @@
 
 
 class MarkOperation(StrEnum):
-    """What is asked of the leader of the marks. A leader rejects an operation that it does not know."""
+    """The operations of the leader of the marks. A leader rejects unknown operations."""
 
     WRITE = "mark"
     READ = "look"
-    POLL = "poll"  # what became of a write
-    COMPARE = "where"  # whether the asker's copy is level with the leader's
+    POLL = "poll"  # returns the state of a write
+    COMPARE = "where"  # returns whether the client's replica is in sync with the leader's
 
 
 class MarkState(StrEnum):
-    """What became of a request."""
+    """The state of a request."""
 
     DONE = "done"
-    PENDING = "pending"  # written, and without a majority yet
-    WAITING = "waits"  # done, and in force once there is capacity
+    PENDING = "pending"  # written, but not accepted by a majority yet
+    WAITING = "waits"  # accepted by a majority; becomes active once there is capacity
     REJECTED = "refused"
-    OPENING = "opening"  # nothing was done: the leader's term has just begun
-    OTHER_TERM = "other"  # nothing was done: the request is meant for another term
-    UNKNOWN = "unknown"  # it may have been done under a former term
-    BEHIND = "behind"  # the asker's copy lacks something
+    OPENING = "opening"  # not executed: the leader is still preparing its term
+    OTHER_TERM = "other"  # not executed: the request names a different term
+    UNKNOWN = "unknown"  # the leader cannot tell whether the request was executed in a former term
+    BEHIND = "behind"  # the client's replica differs from the leader's
 
 
 class MarkRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A request to the leader of the marks; a leader of another term than `term` does not write.
+    """A request to the leader of the marks. A leader whose term differs from `term` does not write.
 
-    `operation` is a `MarkOperation`, or one of a later version of the program.
+    `operation` is a `MarkOperation` or an operation of a later program version.
     """
 
     operation: str
@@ -271,16 +277,16 @@
     active: bool = False
     author: str = ""
     reason: str = ""
-    written_at_s: float = 0.0  # what the writer's wall clock showed; it decides nothing
-    all_members: bool = False  # also count the copies of members that do not vote
-    group_digests: list[int] = []  # of a comparison: the asker's
+    written_at_s: float = 0.0  # the writer's wall clock, for display only
+    all_members: bool = False  # also wait for members that are not voters
+    group_digests: list[int] = []  # for COMPARE: the digests of the client's replica
 
 
 class MarkReply(msgspec.Struct, array_like=True, frozen=True):
     """The leader's reply, with the leader's term.
 
-    `state` is a `MarkState`, or one of a later version of the program. Of a write, `copies` of `replicas`
-    members have it, and `all_members` says whether every living member does.
+    `state` is a `MarkState` or a state of a later program version. For a write, `copies` out of `replicas`
+    members have the mark, and `all_members` is set if all living members have it.
     """
 
     id: str
@@ -290,5 +296,7 @@
     replicas: int = 0
     all_members: bool = False
     reason: str = ""
-    versions: list[tuple[bytes, bool]] = []  # of a read: contents, and whether each deletes the mark
-    missing_records: int = 0  # of a comparison: how many records the asker may lack
+    versions: list[
+        tuple[bytes, bool]
+    ] = []  # for READ: the contents, and whether each version deletes the mark
+    missing_records: int = 0  # for COMPARE: how many records the client may lack
--- a/sailrun/replication/operator_marks.py
+++ b/sailrun/replication/operator_marks.py
@@ -1,5 +1,5 @@
-"""Operator marks: what an operator set of a form server or node, and what it comes to where a copy holds
-several versions that did not know of each other.
+"""Operator marks: an operator's settings for a form server or node, and how concurrent versions of a mark are
+resolved.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from sailrun.replication.store import RecordStore
 
 OUT, DRAIN = "out", "drain"
-# The kinds of marks: where versions differ, the side that keeps something out of service wins.
+# The kinds of marks. If versions differ, one that takes the subject out of service wins.
 MARK_KINDS = (OUT, DRAIN)
-MAX_REQUEST_IDS = 16  # of the latest writes of a record, so that none is done twice
-MAX_KIND_CHARACTERS = 40  # of a kind that is not known, in a reply
+MAX_REQUEST_IDS = 16  # ids of the latest writes that a mark lists, so that no write is executed twice
+MAX_KIND_CHARACTERS = 40  # of an unknown kind that is quoted in a reply
 MAX_REASON_CHARACTERS = 200
 
 
@@ -25,17 +25,17 @@
     """The content of one version of a mark."""
 
     id: str  # of the request that wrote it
-    active: bool  # the subject is out of service
-    waiting: bool  # it will be once there is capacity
+    active: bool  # the subject is out of service, or will be if `waiting` is set
+    waiting: bool  # the mark becomes active once there is capacity
     author: str
     reason: str
-    written_at_s: float  # the writer's wall clock, for operators to read; it decides nothing
-    node: str  # which wrote it
-    request_ids: list[str] = []  # of the latest writes of the mark, the newest last
+    written_at_s: float  # the writer's wall clock, for display only
+    node: str  # the node that wrote the version
+    request_ids: list[str] = []  # of the latest writes of the mark, newest last
 
 
 class _MarkHead(msgspec.Struct, array_like=True, frozen=True):
-    """As much of a mark as says whether it keeps anything out of service."""
+    """The leading fields of a mark, which determine whether it takes the subject out of service."""
 
     id: str
     active: bool
@@ -48,12 +48,12 @@
 
 
 def encode_mark(mark: OperatorMark) -> bytes:
-    """The content of a mark's version."""
+    """Encodes a mark as the content of a version."""
     return _encoder.encode(mark)
 
 
 def decode_mark_content(content: bytes) -> OperatorMark | None:
-    """None: written by a version of the program whose marks this one cannot read."""
+    """Decodes a mark; returns None if this program version cannot decode it."""
     try:
         return _decoder.decode(content)
     except msgspec.MsgspecError:
@@ -61,12 +61,12 @@
 
 
 def decode_mark(version: Version) -> OperatorMark | None:
-    """The mark in a version; None: this version of the program cannot read it."""
+    """Decodes the mark of a version; returns None if this program version cannot decode it."""
     return decode_mark_content(version.content)
 
 
 class MarkVersion(NamedTuple):
-    """One version of a mark; `deleted`: it takes the mark back."""
+    """One version of a mark; `deleted`: the version deletes the mark."""
 
     mark: OperatorMark
     deleted: bool
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MarkStatus:
-    """What a mark's record comes to."""
+    """The resolved state of a mark's record."""
 
     kind: str
     subject: str
@@ -83,25 +83,25 @@
 
     @property
     def has_conflict(self) -> bool:
-        """Whether some versions have the mark in force, or waiting, and others do not."""
+        """Whether some versions set the mark, active or waiting, and others do not."""
         return len({mark.active and not deleted for mark, deleted in self.versions}) > 1
 
 
 def is_mark_active(record: Record) -> bool:
-    """Whether the subject is out of service: it is if any version says so."""
+    """Whether any version takes the subject out of service."""
     for version in record.versions:
         if not version.deleted:
             try:
                 mark = _head_decoder.decode(version.content)
             except msgspec.MsgspecError:
-                continue  # of a version of the program whose marks this one cannot read
+                continue  # written by a program version whose marks this one cannot decode
             if mark.active and not mark.waiting:
                 return True
     return False
 
 
 def resolve_mark(record: Record) -> MarkStatus:
-    """What the record of a mark comes to; versions that cannot be read here are left out."""
+    """Resolves the record of a mark. Versions that this program version cannot decode are left out."""
     versions = tuple(
         MarkVersion(mark, version.deleted)
         for version in record.versions
@@ -111,7 +111,7 @@
 
 
 def list_request_ids(record: Record | None) -> list[str]:
-    """The requests that the record's versions came of, each once."""
+    """Returns the ids of the requests that wrote the record's versions, without duplicates."""
     ids: list[str] = []
     for version in record.versions if record is not None else ():
         mark = decode_mark(version)
@@ -120,12 +120,12 @@
 
 
 def iterate_marks(store: RecordStore) -> Iterator[MarkStatus]:
-    """All marks of a copy, by kind and subject."""
+    """Iterates over all marks of a replica, by kind and subject."""
     for kind in MARK_KINDS:
         for record in store.iterate_records(kind):
             yield resolve_mark(record)
 
 
 def list_active_marks(store: RecordStore) -> Iterable[tuple[str, str]]:
-    """Kind and subject of all that is out of service by a mark."""
+    """Iterates over kind and subject of all active marks."""
     return (r.key[:2] for kind in MARK_KINDS for r in store.iterate_records(kind) if is_mark_active(r))
--- a/sailrun/replication/outlier_exchange.py
+++ b/sailrun/replication/outlier_exchange.py
@@ -1,4 +1,4 @@
-"""Passes outlier reports between the core of a running node and its copy."""
+"""Passes outlier reports between the core of a running node and its replica."""
 
 from __future__ import annotations
 
@@ -15,14 +15,16 @@
 
 
 class OutlierExchange:
-    """Reports what this node observes, and notifies the core of what enough others report."""
+    """Publishes this node's outlier reports, and passes outliers that enough other nodes report
+    to the core.
+    """
 
     def __init__(self, node: Node, replica: Replica, fleet: FleetServices) -> None:
         self._node, self._replica, self._fleet = node, replica, fleet
         self._reporter = OutlierReporter(replica.settings.outlier_report_ttl_s)
 
     def turn(self, now_us: int) -> None:
-        """Exchanges the latest reports."""
+        """Publishes this node's latest report, and passes the others' reports to the core."""
         self._node.report_outliers(lambda observed: self._fleet.call_soon(self._make_publish(observed)))
         self._receive_reports(now_us)
 
--- a/sailrun/replication/outlier_reports.py
+++ b/sailrun/replication/outlier_reports.py
@@ -1,5 +1,5 @@
-"""Gossiped outlier reports: which form servers a node keeps away from, reported by each node for itself,
-aged, and acted on by others only where enough nodes report the same. Pure.
+"""Gossiped outlier reports. Each node reports the form servers that it has ejected. Reports age, and other
+nodes act on them only if enough nodes report the same form server. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 US_PER_MS = 1000
 SECOND_US = 1_000_000
-# The most form servers in one report, those that are kept away from the longest.
+# The limit of form servers in one report; those with the longest remaining ejection are reported.
 MAX_OUTLIERS = 64
-# A set-up time that changed by less than this share is not reported again.
+# A set-up time that has changed by no more than this share is not reported early.
 MIN_SETUP_CHANGE = 0.25
-# A report is repeated so many times within the time after which it expires.
+# How often an unchanged report is repeated within its time to live.
 REPEATS_PER_TTL = 3
 
 
 class OutlierReport(msgspec.Struct, array_like=True, frozen=True):
-    """The content of a node's report. `ejected_ms`: by form server, for how much longer the node keeps away
-    from it. `setup_ms`: what a set-up usually takes; 0: the node does not know.
+    """The content of a node's report. `ejected_ms`: the remaining ejection time of each form server.
+    `setup_ms`: the usual set-up time; 0 if the node does not know it.
     """
 
     ejected_ms: dict[str, int]
@@ -32,8 +32,8 @@
 
 
 class PeerOutliers(NamedTuple):
-    """What a node may act on: by form server, for how much longer enough others keep away from it, and what
-    set-ups usually take (us; 0: too few know).
+    """The reported outliers that a node may act on: the time for which enough other nodes eject each form
+    server, and the usual set-up time (us; 0 if too few nodes report it).
     """
 
     ejected_us: dict[str, int]
@@ -41,19 +41,19 @@
 
 
 class OutlierReporter:
-    """This node's own report, and when it is worth sending."""
+    """Creates this node's reports and decides when to send them."""
 
     def __init__(self, report_ttl_s: float) -> None:
-        """`report_ttl_s`: after so long a report expires at the others."""
+        """`report_ttl_s` is the time after which a report expires at other nodes."""
         self._repeat_interval_us = int(report_ttl_s * SECOND_US / REPEATS_PER_TTL)
         self._last_report = OutlierReport({})
         self._reported_us = 0
 
     def make_report(self, now_us: int, ejected_us: dict[str, int], setup_us: int) -> bytes | None:
-        """The report to send now; None: nothing has changed, or nothing is to be reported."""
+        """Returns the report to send now; None if no report is due."""
         longest = sorted(ejected_us.items(), key=lambda pair: -pair[1])[:MAX_OUTLIERS]
         report = OutlierReport(
-            {name: left_us // US_PER_MS for name, left_us in longest}, setup_us // US_PER_MS
+            {name: remaining_us // US_PER_MS for name, remaining_us in longest}, setup_us // US_PER_MS
         )
         has_content = bool(report.ejected_ms or report.setup_ms)
         is_due = has_content and now_us - self._reported_us >= self._repeat_interval_us
@@ -72,11 +72,11 @@
 def combine_outlier_reports(
     records: Iterable[tuple[Record, int]], living: set[str], name: str, min_reporters: int
 ) -> PeerOutliers:
-    """What the node `name` may act on: where at least `min_reporters` living others report the same, until
-    the time that so many of them agree on; of set-up times the median. `records` are reports with their age
-    in us.
+    """Returns the outliers that the node `name` may act on: form servers that at least `min_reporters` other
+    living nodes report, for the longest time that so many reports cover, and the median of the set-up times.
+    `records` are reports with their age in us.
     """
-    left_us: dict[str, list[int]] = {}
+    remaining_us: dict[str, list[int]] = {}
     setups_us: list[int] = []
     for record, age_us in records:
         if record.subject == name or record.subject not in living or not record.versions:
@@ -84,16 +84,16 @@
         try:
             report = msgspec.msgpack.decode(record.versions[-1].content, type=OutlierReport)
         except msgspec.MsgspecError:
-            continue  # of another version of the program
+            continue  # written by another program version
         for server, ejected_ms in report.ejected_ms.items():
             if ejected_ms * US_PER_MS > age_us:
-                left_us.setdefault(server, []).append(ejected_ms * US_PER_MS - age_us)
+                remaining_us.setdefault(server, []).append(ejected_ms * US_PER_MS - age_us)
         if report.setup_ms > 0:
             setups_us.append(report.setup_ms * US_PER_MS)
     ejected_us = {
-        server: sorted(reported)[-min_reporters]
-        for server, reported in left_us.items()
-        if len(reported) >= min_reporters
+        server: sorted(remaining_times_us)[-min_reporters]
+        for server, remaining_times_us in remaining_us.items()
+        if len(remaining_times_us) >= min_reporters
     }
     setup_us = int(median(setups_us)) if len(setups_us) >= min_reporters else 0
     return PeerOutliers(ejected_us, setup_us)
--- a/sailrun/replication/range_digests.py
+++ b/sailrun/replication/range_digests.py
@@ -1,8 +1,9 @@
-"""Digests of a copy, by which two copies are compared.
+"""Digests by which two replicas are compared.
 
-Keys fall into ranges by their hash. The digest of a range is the sum of its records' hashes (modulo 2**64),
-and 16 ranges make a group. Two copies are compared group by group, then range by range, and only the records
-of ranges that differ are transferred. Firm records come first, then as many ranges of soft ones.
+Keys are assigned to ranges by their hash. The digest of a range is the sum of its records' hashes (modulo
+2**64), and 16 ranges form a group. Two replicas are compared by group, then by range, and only the records of
+differing ranges are transferred. The lower half of the ranges contains the firm records, the upper half the
+soft ones.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 
 
 def find_range(key: Key, soft: bool) -> int:
-    """The number of the range that a key falls into, the same on every node."""
+    """Returns the number of a key's range, which is the same on every node."""
     number = blake2b("\0".join(key).encode(), digest_size=1).digest()[0]
     return number + (FIRM_RANGE_COUNT if soft else 0)
 
 
 def list_ranges(groups: Iterable[int]) -> list[int]:
-    """The numbers of all ranges of these groups."""
+    """Returns the numbers of all ranges of these groups."""
     return [
         number
         for group in groups
@@ -34,42 +35,42 @@
 
 
 class RangeDigests:
-    """The digests of one copy, kept up to date record by record."""
+    """The digests of one replica, updated with each added or removed record."""
 
     def __init__(self) -> None:
         self._digests = [0] * RANGE_COUNT
         self._counts = [0] * RANGE_COUNT
 
     def add(self, number: int, record_hash: int) -> None:
-        """A record came into the range."""
+        """Adds a record to the digest of a range."""
         self._digests[number] = (self._digests[number] + record_hash) & _64_BITS
         self._counts[number] += 1
 
     def remove(self, number: int, record_hash: int) -> None:
-        """A record of the range went."""
+        """Removes a record from the digest of a range."""
         self._digests[number] = (self._digests[number] - record_hash) & _64_BITS
         self._counts[number] -= 1
 
     def list_groups(self) -> list[int]:
-        """The digest of each group."""
+        """Returns the digest of each group."""
         return [
             sum(self._digests[first : first + RANGES_PER_GROUP]) & _64_BITS
             for first in range(0, RANGE_COUNT, RANGES_PER_GROUP)
         ]
 
     def list_ranges(self, group: int) -> list[int]:
-        """The digest of each range of a group."""
+        """Returns the digest of each range of a group."""
         return self._digests[group * RANGES_PER_GROUP : (group + 1) * RANGES_PER_GROUP]
 
     def find_differing_groups(self, group_digests: list[int]) -> dict[int, list[int]]:
-        """The groups in which this copy differs from another one, with this copy's digests of their ranges.
-        Only as many groups are compared as the other copy has given.
+        """Returns the groups in which this replica differs from another one, with this replica's digests of
+        their ranges. Compares only as many groups as `group_digests` has.
         """
         pairs = enumerate(zip(self.list_groups(), group_digests, strict=False))
         return {group: self.list_ranges(group) for group, (own, other) in pairs if own != other}
 
     def find_differing_ranges(self, range_digests: dict[int, list[int]]) -> list[int]:
-        """The ranges in which this copy differs from another one, whose digests are given by group."""
+        """Returns the ranges in which this replica differs from another one with these digests by group."""
         return [
             group * RANGES_PER_GROUP + place
             for group, digests in range_digests.items()
@@ -79,10 +80,10 @@
         ]
 
     def count_records(self, ranges: Iterable[int]) -> int:
-        """How many records are in these ranges."""
+        """Returns how many records these ranges contain."""
         return sum(self._counts[number] for number in ranges)
 
     def get_firm_digest(self) -> int:
-        """One digest of all firm records: equal where two copies hold the same."""
+        """Returns a digest of all firm records, which is equal for replicas with the same firm records."""
         firm = self._digests[:FIRM_RANGE_COUNT]
         return sum((number + 1) * digest for number, digest in enumerate(firm)) & _64_BITS
--- a/sailrun/replication/server_lists.py
+++ b/sailrun/replication/server_lists.py
@@ -1,4 +1,4 @@
-"""The last good list of form servers in the replicated state, by the registry that sent it."""
+"""The last valid endpoint list of each registry in the replicated state."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 
 
 class StoredServerList(NamedTuple):
-    """A list as a cached update, and how long it has been here (us) at a time (us)."""
+    """A stored list as a cached update. `age_us` returns how long it has been stored here (us) at a time
+    (us).
+    """
 
     update: ServerListUpdate
     age_us: Callable[[int], int]
@@ -23,8 +25,8 @@
 def store_server_list(
     replica: Replica, now_us: int, source: str, revision: int, members: list[dict[str, Any]]
 ) -> None:
-    """Stores the members of a list as the registry sent them; a list without a revision, or one that is too
-    long for a record, is left out.
+    """Stores the members of a list as the registry sent them. Ignores lists without a revision and lists that
+    are too long for a record.
     """
     if revision < 0:
         return
@@ -34,7 +36,9 @@
 
 
 def read_stored_server_list(replica: Replica, source: str) -> StoredServerList | None:
-    """The list of a registry; None: there is none, or none that this version of the program can read."""
+    """Returns the stored list of a registry; None if there is none or this program version cannot
+    decode it.
+    """
     key = (SERVER_LIST, source, "")
     record = replica.store.get(key)
     if record is None:
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -1,7 +1,8 @@
-"""The replica of a running node: marks come into force at the core, operators' calls become marks, and
-outlier reports pass between the core and the copy.
+"""The replication service of a running node: applies marks to the core, turns operators' calls into marks,
+and passes outlier reports between the core and the replica.
 
-Nothing here is on a client's path: a node whose copy is behind goes on with what it has, and says so.
+Clients' requests do not wait for this service: a node whose replica lags behind continues with the state it
+has, and reports the lag.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
     from sailrun.node.core import Node
 
 SECOND_US = 1_000_000
-# Outlier reports are exchanged with the core this often, and marks of form servers that the core did not list
-# are applied again.
+# The interval at which outlier reports are exchanged with the core, and marks of form servers that the core
+# did not list are applied again.
 EXCHANGE_INTERVAL_US = SECOND_US
-# Outcomes are remembered for whoever asks again.
+# How many outcomes are retained for later queries.
 MAX_OUTCOMES = 1000
-# How a call says which copies are to have a mark; the third way is a majority of the voters.
+# Values of `wait` in `set_mark`; any other value waits for a majority of the voters.
 WAIT_FOR_NONE, WAIT_FOR_ALL = "none", "all"
 
 
@@ -39,17 +40,17 @@
 
 
 class ReplicationService:
-    """Joins the core, the replica and the fleet's other services of one running node."""
+    """Connects the core, the replica and the fleet services of one running node."""
 
     def __init__(self, node: Node, replica: Replica, fleet: FleetServices) -> None:
         self._replica, self._fleet = replica, fleet
         self._marks = MarkApplier(node, replica, fleet)
         self._outliers = OutlierExchange(node, replica, fleet)
         self._exchange_at_us = 0
-        self.outcomes: dict[str, MarkOutcome | None] = {}  # by id of the request; None: under way
+        self.outcomes: dict[str, MarkOutcome | None] = {}  # by request id; None: under way
 
     def turn(self, now_us: int) -> None:
-        """To be called after each turn of the agent that drives the replica."""
+        """Runs all due work; the agent that drives the replica calls this after each of its turns."""
         self._marks.apply(self._replica.take_mark_changes())
         if now_us < self._exchange_at_us:
             return
@@ -59,7 +60,7 @@
         self._outliers.turn(now_us)
 
     def restore_draining(self, is_draining: bool) -> None:
-        """What the node began with, by its folder."""
+        """Sets whether the node was draining, according to its folder."""
         self._marks.restore_draining(is_draining)
 
     # ------------------------------------------------------------------ operators' calls
@@ -74,8 +75,8 @@
         author: str = "",
         reason: str = "",
     ) -> str:
-        """Puts a mark, or takes one back; returns the request's id. `wait`: `majority`, `all`, or `none`: on
-        this node alone. `on_outcome` may be called at any time later.
+        """Sets or deletes a mark; returns the request's id. `wait` is `majority`, `all`, or `none` for a
+        local write at this node. `on_outcome` may be called at any later time.
         """
         request = MarkRequest(
             MarkOperation.WRITE,
@@ -104,7 +105,7 @@
         def write(now_us: int) -> None:
             if is_local:
                 outcome = self._replica.write_mark_locally(now_us, request)
-                # Of a node that has a folder, the mark is there when the outcome is known.
+                # At a node with a folder, the outcome is reported after the write of the mark to disk.
                 self._fleet.when_kept(
                     now_us, lambda kept: finish(outcome if kept else _make_undurable(outcome))
                 )
@@ -127,12 +128,14 @@
         )
 
     def read_mark(
-        self, kind: str, subject: str, on_words: Callable[[list[dict[str, Any]] | None], None]
+        self, kind: str, subject: str, on_described: Callable[[list[dict[str, Any]] | None], None]
     ) -> None:
-        """What the leader of the marks has of one, as JSON would have it; None: no reply came in time."""
+        """Reads a mark from the leader; the callback gets its versions as plain objects, or None after the
+        timeout.
+        """
 
         def on_versions(versions: list[MarkVersion] | None) -> None:
-            on_words(describe_versions(versions) if versions is not None else None)
+            on_described(describe_versions(versions) if versions is not None else None)
 
         def read(now_us: int) -> None:
             self._replica.read_mark(now_us, kind, subject, on_versions)
@@ -140,8 +143,8 @@
         self._fleet.call_soon(read)
 
     def describe(self, now_us: int, what: str) -> dict[str, Any]:
-        """`state`, `state KIND` or `ranges`, as JSON would have it."""
-        words = what.split()
-        if words[0] == "ranges":
+        """Returns the description for `state`, `state KIND` or `ranges` as plain objects."""
+        arguments = what.split()
+        if arguments[0] == "ranges":
             return describe_ranges(self._replica)
-        return describe_state(self._replica, now_us, words[1] if len(words) > 1 else "")
+        return describe_state(self._replica, now_us, arguments[1] if len(arguments) > 1 else "")
--- a/sailrun/replication/state_transfer.py
+++ b/sailrun/replication/state_transfer.py
@@ -1,7 +1,8 @@
-"""Both ends of state transfer: records pass in pages, from one sender to one receiver at a time.
+"""Both sides of state transfer, which sends records in pages from one sender to one receiver.
 
-The receiver asks for page after page and keeps to a rate of its own; where a sender does not reply, it ends
-the transfer at the last key that came. The sender serves so many receivers at a time, within its own rate.
+The receiver requests one page after another and limits its own rate. If a sender does not reply, the receiver
+ends the transfer at the last key received. The sender limits the number of concurrent receivers and its own
+rate.
 """
 
 from __future__ import annotations
@@ -17,34 +18,34 @@
 
 SECOND_US = 1_000_000
 BYTES_PER_KB = 1000
-# A page that has not come within this is requested again; after so many requests the transfer ends.
+# A page that has not arrived within the timeout is requested again; after the last attempt the transfer ends.
 PAGE_TIMEOUT_US, MAX_ATTEMPTS = SECOND_US, 3
-# A receiver that asked within this holds one of the sender's places.
+# A receiver counts against `max_receivers` for this long after its latest request.
 RECEIVER_ACTIVE_US = 2 * SECOND_US
-# A sender may be ahead of its rate by so much.
+# A sender may exceed its rate by the amount of data for this time.
 BURST_US = SECOND_US // 4
-# How long a receiver is to wait: at least so long, and so much longer where all places are taken.
-MIN_RETRY_US, NO_PLACE_RETRY_US = SECOND_US // 4, SECOND_US // 2
+# The least time after which a receiver may retry, and the additional time if `max_receivers` is reached.
+MIN_RETRY_US, NO_SLOT_RETRY_US = SECOND_US // 4, SECOND_US // 2
 
 
 @dataclass(slots=True, eq=False)
 class Transfer:
-    """Ranges that are being taken from one sender."""
+    """A transfer of ranges from one sender."""
 
     sender: str
-    ranges: list[int]  # still to come, the first perhaps in part
-    on_end: Callable[[int, bool], None]  # called with the time, and whether all has come
-    urgent: bool = False  # not held to the rates: a voter's recovery, or a leader's beginning
-    after: Key | None = None  # the last key that came of the first range
+    ranges: list[int]  # not complete yet; the first may have been received in part
+    on_end: Callable[[int, bool], None]  # called with the time and whether all ranges were received
+    urgent: bool = False  # exempt from the rate limits: a voter's recovery or the start of a leader's term
+    after: Key | None = None  # the last key received of the first range
     request_id: int = 0
-    request_at_us: int = 0  # when to request, or to request again
+    request_at_us: int = 0  # when to send or repeat the request
     attempts: int = 0
     pages: int = 0
     ended: bool = False
 
 
 def ignore_end(now_us: int, complete: bool) -> None:
-    """For transfers after which nothing is to be done."""
+    """Does nothing; for transfers whose end needs no action."""
 
 
 class TransferReceiver:
@@ -53,9 +54,9 @@
     def __init__(self, settings: ReplicationSettings, make_request_id: Callable[[], int]) -> None:
         self.settings, self._make_request_id = settings, make_request_id
         self.transfers: list[Transfer] = []
-        self.pages = 0  # received since the start
-        self.resumed = 0  # transfers that went on where another one had ended
-        self._next_page_us = 0  # when the rate allows another page
+        self.pages = 0  # received since the process started
+        self.resumed = 0  # transfers that continued an interrupted one
+        self._next_page_us = 0  # when the rate limit allows the next page
 
     def begin(
         self,
@@ -66,26 +67,26 @@
         urgent: bool = False,
         after: Key | None = None,
     ) -> Transfer:
-        """Begins a transfer of these ranges; `after`: of the first one, what follows that key."""
+        """Begins a transfer of these ranges. With `after`, the first range starts after that key."""
         self.resumed += after is not None
         transfer = Transfer(sender, list(ranges), on_end, urgent, after, request_at_us=now_us)
         self.transfers.append(transfer)
         return transfer
 
     def find_background_transfer(self, sender: str) -> Transfer | None:
-        """The transfer from that sender that keeps to the rate, if there is one."""
+        """Returns the transfer from that sender that is not urgent, if there is one."""
         return next((t for t in self.transfers if t.sender == sender and not t.urgent), None)
 
     def find_transfer(self, sender: str, request_id: int) -> Transfer | None:
-        """The transfer whose latest request has this id; None: the reply is late, or to nothing."""
+        """Returns the transfer whose latest request has this id; None if the reply is late or unsolicited."""
         return next((t for t in self.transfers if t.sender == sender and t.request_id == request_id), None)
 
     def due_us(self) -> int | None:
-        """When `turn` has something to do; None: nothing is being transferred."""
+        """Returns when `turn` has to be called next; None if there are no transfers."""
         return min((t.request_at_us for t in self.transfers), default=None)
 
     def turn(self, now_us: int, epoch: int) -> list[OutgoingMessage]:
-        """Requests for pages that are due; ends the transfers whose sender does not reply."""
+        """Returns the due page requests, and ends transfers whose sender does not reply."""
         messages: list[OutgoingMessage] = []
         for transfer in list(self.transfers):
             if now_us < transfer.request_at_us or transfer.ended:
@@ -106,7 +107,7 @@
         return messages
 
     def on_page(self, now_us: int, transfer: Transfer, page: RecordPage) -> None:
-        """A page has come, and its records were merged."""
+        """Updates a transfer after a received page has been merged."""
         self.pages += 1
         transfer.pages += 1
         transfer.attempts, transfer.request_at_us = 0, now_us
@@ -117,19 +118,19 @@
             self.end_transfer(now_us, transfer, True)
             return
         transfer.after = page.after
-        number = find_range(page.after, page.records[-1].soft)
-        if number in transfer.ranges:
-            transfer.ranges = transfer.ranges[transfer.ranges.index(number) :]
+        range_number = find_range(page.after, page.records[-1].soft)
+        if range_number in transfer.ranges:
+            transfer.ranges = transfer.ranges[transfer.ranges.index(range_number) :]
 
     def end_transfer(self, now_us: int, transfer: Transfer, complete: bool) -> None:
-        """Ends a transfer; `complete`: all its ranges have come."""
+        """Ends a transfer; `complete`: whether all its ranges were received."""
         transfer.ended = True
         if transfer in self.transfers:
             self.transfers.remove(transfer)
         transfer.on_end(now_us, complete)
 
     def end_all(self, now_us: int) -> None:
-        """Ends all transfers: what is being received is not wanted any more."""
+        """Ends all transfers as incomplete."""
         for transfer in list(self.transfers):
             self.end_transfer(now_us, transfer, False)
 
@@ -139,23 +140,25 @@
 
     def __init__(self, settings: ReplicationSettings) -> None:
         self.settings = settings
-        self._receivers: dict[str, int] = {}  # by name, when it last asked
-        self._sent_until_us = 0  # what was sent so far fills the rate up to this time
+        self._receivers: dict[str, int] = {}  # when each receiver sent its latest request, by name
+        self._sent_until_us = 0  # the pages sent so far use up the rate until this time
         self.rejected_requests = self.pages_sent = 0
 
     def answer_request(
         self, now_us: int, receiver: str, request: PageRequest, store: RecordStore, is_complete: bool
     ) -> RecordPage | SenderBusy:
-        """A page, or when to come back; a copy that is not complete serves only urgent requests."""
-        for name, asked_us in list(self._receivers.items()):
-            if now_us - asked_us > RECEIVER_ACTIVE_US:
+        """Returns a page, or the time after which to retry. An incomplete replica serves urgent requests
+        only.
+        """
+        for name, requested_us in list(self._receivers.items()):
+            if now_us - requested_us > RECEIVER_ACTIVE_US:
                 del self._receivers[name]
         if not request.urgent:
             ahead_us = self._sent_until_us - now_us
-            has_place = receiver in self._receivers or len(self._receivers) < self.settings.max_receivers
-            if not has_place or not is_complete or ahead_us > BURST_US:
+            has_slot = receiver in self._receivers or len(self._receivers) < self.settings.max_receivers
+            if not has_slot or not is_complete or ahead_us > BURST_US:
                 self.rejected_requests += 1
-                retry_after_us = max(MIN_RETRY_US, ahead_us) + (0 if has_place else NO_PLACE_RETRY_US)
+                retry_after_us = max(MIN_RETRY_US, ahead_us) + (0 if has_slot else NO_SLOT_RETRY_US)
                 return SenderBusy(request.request_id, retry_after_us)
             self._receivers[receiver] = now_us
         self.pages_sent += 1
--- a/sailrun/replication/store.py
+++ b/sailrun/replication/store.py
@@ -1,6 +1,7 @@
-"""One node's copy: records by key, within bounds, with digests and a check of its own for corrupted bytes.
+"""The records of one node's replica: bounded, with digests, and with hashes that detect corrupted bytes.
 
-Pure. Firm records stay until they are deleted and forgotten; soft ones expire unless they are reported again.
+This module does no I/O. Firm records stay until they are deleted and the fleet removes the deletion; soft
+records expire unless they are reported again.
 """
 
 from __future__ import annotations
@@ -28,36 +29,38 @@
 SECOND_US = 1_000_000
 US_PER_MS = 1000
 BYTES_PER_MEGABYTE = 1e6
-# Firm records may take the settings' bounds this many times over: marks get in where reports no longer do.
+# The bounds for firm records are this many times the settings' bounds, so that marks are still accepted when
+# the store rejects soft records.
 FIRM_BOUND_FACTOR = 2
 
 
 class PutResult(Enum):
-    """What became of a record that came in."""
+    """The result of merging a received record."""
 
-    NEW = "new"  # this copy knows more than before
-    KNOWN = "known"
-    CONTRADICTS = "differs"  # the same version with another content: nothing was taken
-    EXPIRED = "old"  # a soft record past its time
-    FULL = "full"
+    NEW = "new"  # the record changed this replica
+    KNOWN = "known"  # the replica already contained it
+    CONTRADICTS = "differs"  # a version has a different content here; the record was not merged
+    EXPIRED = "old"  # a soft record older than its time to live
+    FULL = "full"  # the store has no capacity for it
 
 
 @dataclass(slots=True)
 class _Entry:
     record: Record
-    hash: int  # taken when the record came in
+    hash: int  # computed when the record was stored
     size_bytes: int
-    written_us: int  # when it was written, by this node's clock; of a firm one, when it came to be so here
+    # By this node's clock: when a soft record was written, or when a firm record was last changed here.
+    written_us: int
 
 
 class RecordStore:
-    """The records of one copy."""
+    """The records of one replica."""
 
     def __init__(
         self, settings: ReplicationSettings, salt: bytes, disabled_rules: frozenset[str] = frozenset()
     ) -> None:
-        """`salt` is the fleet's own, so that copies of two fleets never look alike. `disabled_rules` are
-        safety rules that the laboratory switches off.
+        """`salt` differs between fleets, so that hashes of replicas of two fleets do not match.
+        `disabled_rules` are the safety rules that the laboratory switches off.
         """
         self.settings, self._salt = settings, salt
         self._checks_hashes = "mend" not in disabled_rules
@@ -69,24 +72,26 @@
         self._soft: set[Key] = set()
         self.digests = RangeDigests()
         self.size_bytes = 0
-        self.corrupted: list[Key] = []  # found so far; emptied by whoever drives this
-        self.rejected_full = 0  # records there was no room for
-        self._scrub_place = 0
+        self.corrupted: list[Key] = []  # detected and not handled yet; the caller empties it
+        self.rejected_full = 0  # records rejected because the store was full
+        self._scrub_index = 0
         self.on_change: Callable[[Record], None] = lambda record: None
 
     def __len__(self) -> int:
-        """How many records there are."""
+        """The number of records."""
         return len(self._entries)
 
     # ------------------------------------------------------------------ reading
 
     def get(self, key: Key) -> Record | None:
-        """The record as it is held."""
+        """Returns the record without checking its hash; None if there is none."""
         entry = self._entries.get(key)
         return entry.record if entry is not None else None
 
     def get_intact(self, key: Key) -> Record | None:
-        """The record as it may go out; None, and noted: its bytes do not fit its hash any more."""
+        """Returns the record if its bytes match its hash. Otherwise returns None and adds the key to
+        `corrupted`.
+        """
         entry = self._entries.get(key)
         if entry is None:
             return None
@@ -97,30 +102,32 @@
         return entry.record
 
     def intact_records(self) -> Iterator[Record]:
-        """All records whose bytes are as they came in."""
+        """All records whose bytes match their hashes."""
         return (r for key in list(self._entries) if (r := self.get_intact(key)) is not None)
 
     def iterate_records(self, kind: str = "") -> Iterator[Record]:
-        """Records in the order of their keys; of one kind, or all."""
-        least, most = ((kind, "", ""), (f"{kind}\0", "", "")) if kind else (None, None)
-        for key in list(self._by_key.irange(least, most)):
+        """Iterates over the records of one kind, or over all records, in the order of their keys."""
+        first_key, end_key = ((kind, "", ""), (f"{kind}\0", "", "")) if kind else (None, None)
+        for key in list(self._by_key.irange(first_key, end_key)):
             yield self._entries[key].record
 
     def list_firm_records(self) -> list[tuple[Record, int]]:
-        """All firm records with their hashes, corrupted or not."""
+        """Returns all firm records with their stored hashes, including corrupted records."""
         return [(entry.record, entry.hash) for entry in self._entries.values() if not entry.record.soft]
 
     def get_hash(self, key: Key) -> int:
-        """The hash that was taken of a record when it came in; 0: there is none."""
+        """Returns the hash computed when the record was stored; 0 if there is no record."""
         entry = self._entries.get(key)
         return entry.hash if entry is not None else 0
 
     def age_us(self, now_us: int, key: Key) -> int:
-        """How long ago the record was written, or came to be so here. Raises KeyError if there is none."""
+        """Returns the time since a soft record was written or a firm record was last changed here. Raises
+        KeyError if there is no record.
+        """
         return now_us - self._entries[key].written_us
 
     def with_age(self, now_us: int, record: Record) -> Record:
-        """The record as it goes out: a soft one with its age."""
+        """Returns the record for sending; a soft record gets its current age."""
         if not record.soft:
             return record
         age_ms = max(0, self.age_us(now_us, record.key)) // US_PER_MS
@@ -129,15 +136,18 @@
     def read_page(
         self, now_us: int, ranges: list[int], after: Key | None, max_bytes: int
     ) -> tuple[list[Record], Key | None]:
-        """Records of these ranges in their order, and the key where the page ends; None: nothing follows.
-        `after`: of the first range, only what follows that key. A page is full once it has `max_bytes`.
+        """Returns a page of records of these ranges, in order, and its last key, or None if no records follow
+        the page. With `after`, the first range starts after that key. A page is full once it has
+        `max_bytes`.
         """
         page: list[Record] = []
         size_bytes = 0
-        for place, number in enumerate(ranges):
-            is_resumed = place == 0 and after is not None
-            least = (number, after) if is_resumed else (number, ("", "", ""))
-            for _, key in self._by_range.irange(least, (number + 1,), inclusive=(not is_resumed, False)):
+        for index, range_number in enumerate(ranges):
+            is_resumed = index == 0 and after is not None
+            start = (range_number, after) if is_resumed else (range_number, ("", "", ""))
+            for _, key in self._by_range.irange(
+                start, (range_number + 1,), inclusive=(not is_resumed, False)
+            ):
                 if size_bytes >= max_bytes:
                     return page, page[-1].key
                 record = self.get_intact(key)
@@ -149,7 +159,7 @@
     # ------------------------------------------------------------------ writing
 
     def put(self, now_us: int, record: Record) -> PutResult:
-        """Merges a record. Raises InvalidRecordError for one that is none."""
+        """Merges a record. Raises InvalidRecordError if it is invalid."""
         validate_record(record)
         old = self._entries.get(record.key)
         return self._add(now_us, record) if old is None else self._merge(now_us, old.record, record)
@@ -165,7 +175,9 @@
 
     def _merge(self, now_us: int, old: Record, record: Record) -> PutResult:
         if old.soft is not record.soft:
-            raise InvalidRecordError(f"{record.kind}: soft at one node, firm at another")
+            raise InvalidRecordError(
+                f"record {'/'.join(record.key)}: expected soft={old.soft}, received soft={record.soft}"
+            )
         if contradicts(old, record):
             return PutResult.CONTRADICTS
         merged = merge_records(old, record)
@@ -178,28 +190,28 @@
         return PutResult.NEW
 
     def load(self, now_us: int, records: Iterable[tuple[Record, int]]) -> int:
-        """Fills an empty copy with many firm records at once that a copy held before, with the hashes taken
-        then (0: taken now); returns how many there was no room for.
+        """Bulk-loads firm records of an earlier replica into an empty store, with their stored hashes (0:
+        compute the hash now). Returns how many records were left out because the store was full.
         """
-        left_out = 0
-        places: list[tuple[int, Key]] = []
+        rejected_count = 0
+        range_keys: list[tuple[int, Key]] = []
         for record, known_hash in records:
             size_bytes = estimate_size_bytes(record)
             if self._exceeds_bounds(FIRM_BOUND_FACTOR, size_bytes):
-                left_out += 1
+                rejected_count += 1
                 continue
             hash_ = known_hash or hash_record(record, self._salt)
-            number = find_range(record.key, False)
+            range_number = find_range(record.key, False)
             self._entries[record.key] = _Entry(record, hash_, size_bytes, now_us)
-            self.digests.add(number, hash_)
+            self.digests.add(range_number, hash_)
             self.size_bytes += size_bytes
-            places.append((number, record.key))
-        self._by_range = SortedList(places)
+            range_keys.append((range_number, record.key))
+        self._by_range = SortedList(range_keys)
         self._by_key = SortedList(self._entries)
-        return left_out
+        return rejected_count
 
     def replace(self, now_us: int, record: Record) -> None:
-        """Takes this record instead of what is held. Raises InvalidRecordError for one that is none."""
+        """Replaces the stored record without merging. Raises InvalidRecordError if the new one is invalid."""
         validate_record(record)
         self._set(now_us, record)
 
@@ -216,37 +228,37 @@
         self.remove(record.key)
         hash_, size_bytes = hash_record(record, self._salt), estimate_size_bytes(record)
         written_us = now_us - record.age_ms * US_PER_MS
-        number = find_range(record.key, record.soft)
+        range_number = find_range(record.key, record.soft)
         self._entries[record.key] = _Entry(record, hash_, size_bytes, written_us)
-        self._by_range.add((number, record.key))
+        self._by_range.add((range_number, record.key))
         self._by_key.add(record.key)
         if record.soft:
             self._soft.add(record.key)
-        self.digests.add(number, hash_)
+        self.digests.add(range_number, hash_)
         self.size_bytes += size_bytes
         self.on_change(record)
 
     def remove(self, key: Key) -> None:
-        """Forgets a record, so that it is as if it had never been; nothing if there is none."""
+        """Removes a record without a tombstone; does nothing if there is none."""
         entry = self._entries.pop(key, None)
         if entry is None:
             return
-        number = find_range(key, entry.record.soft)
-        self._by_range.remove((number, key))
+        range_number = find_range(key, entry.record.soft)
+        self._by_range.remove((range_number, key))
         self._by_key.remove(key)
         self._soft.discard(key)
-        self.digests.remove(number, entry.hash)
+        self.digests.remove(range_number, entry.hash)
         self.size_bytes -= entry.size_bytes
 
     def clear(self) -> None:
-        """Forgets all records."""
+        """Removes all records."""
         for key in list(self._entries):
             self.remove(key)
 
     # ------------------------------------------------------------------ time
 
     def expire_records(self, now_us: int) -> None:
-        """Drops soft records that nobody has reported again."""
+        """Removes soft records that have not been reported again within their time to live."""
         if not self._keeps_deletions:
             self._drop_old_deletions(now_us)
         ttl_us = self.settings.outlier_report_ttl_s * SECOND_US
@@ -254,7 +266,7 @@
             self.remove(key)
 
     def _drop_old_deletions(self, now_us: int) -> None:
-        """What a node without epochs would do: each forgets deletions for itself."""
+        """Removes old deletions at this node alone, as nodes without epochs would (for the laboratory)."""
         retention_us = self.settings.deletion_retention_s * SECOND_US
         old = [
             key
@@ -265,14 +277,14 @@
             self.remove(key)
 
     def scrub(self, share: float) -> None:
-        """Checks this share of the records, in turn, against the hashes taken when they came in."""
-        places = self._by_range
-        for _ in range(min(len(places), 1 + int(len(places) * share))):
-            self._scrub_place = (self._scrub_place + 1) % len(places)
-            self.get_intact(places[self._scrub_place][1])
+        """Checks the next records, `share` of all of them, against their stored hashes."""
+        range_keys = self._by_range
+        for _ in range(min(len(range_keys), 1 + int(len(range_keys) * share))):
+            self._scrub_index = (self._scrub_index + 1) % len(range_keys)
+            self.get_intact(range_keys[self._scrub_index][1])
 
     def corrupt(self, key: Key) -> None:
-        """For the laboratory: flips one bit of a record's content, as bad memory would."""
+        """Flips one bit of a record's content, as faulty memory would (for the laboratory)."""
         entry = self._entries[key]
         first, *others = entry.record.versions
         half = len(first.content) // 2
