--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -1,9 +1,10 @@
-"""Anti-entropy: copies become alike. Changes are gossiped, differences are found by digests and transferred,
-and a node that has no copy, or one that is too old, takes a complete one.
+"""Anti-entropy: makes the replicas of a fleet converge. Changes are gossiped, differences are found by
+comparing digests and then transferred, and a node whose replica is missing or too old fetches a complete one.
 
-Pure: messages and the time (microseconds) come in, messages go out. Safety of what a majority holds is not
-here (see `acceptor.py` and `coordinator.py`): here nothing is lost because copies only ever merge, and
-nothing that was deleted returns because copies of different epochs are never merged.
+This module does no I/O: callers pass in messages and the time (microseconds), and send the returned messages.
+It does not protect records that a majority has accepted (`acceptor.py` and `coordinator.py` do). Nothing is
+lost here because replicas only merge, and deleted records do not return because replicas of different epochs
+are never merged.
 """
 
 from __future__ import annotations
@@ -36,16 +37,16 @@
 from sailrun.replication.store import PutResult, RecordStore
 
 SECOND_US = 1_000_000
-# A rumor is sent this often; this often some records are checked against their hashes, and expired ones go.
+# Intervals for sending rumors, and for checking some records against their hashes and removing expired ones.
 GOSSIP_INTERVAL_US, SCRUB_INTERVAL_US = 200_000, SECOND_US
-# The comparison of copies is spread over its interval by this share to both sides.
+# The interval between comparisons varies by up to this share in both directions.
 COMPARE_JITTER = 0.2
-# Digest requests whose replies are still taken.
+# Replies are accepted for this many of the latest digest requests.
 MAX_OPEN_REQUESTS = 64
 
 
 class AntiEntropy:
-    """One node's part in keeping copies alike; owns the state of the copy as a whole."""
+    """The anti-entropy of one node; owns the state of its replica as a whole."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         disabled_rules: frozenset[str] = frozenset(),
         journal: ReplicaJournal | None = None,
     ) -> None:
-        """`is_majority` says it of a set of voters. `disabled_rules` are safety rules that the laboratory
+        """`is_majority` tests a set of voters. `disabled_rules` are the safety rules that the laboratory
         switches off.
         """
         self._name, self.store, self.settings, self._members = name, store, settings, members
@@ -70,11 +71,13 @@
         self._checks_epochs = "forget" not in disabled_rules
         self._checks_hashes = "mend" not in disabled_rules
         self.copy = CopyState()
-        # Lines for the operator's log, each with its fields; emptied by whoever drives this.
+        # Events for the operator's log, each with its fields; the caller writes them and empties the list.
         self.log_events: list[tuple[str, dict[str, object]]] = []
-        # The copy was discarded, or a record of it; called with whether others counted on what it had.
+        # Called when the replica or a record of it was discarded, with the time and whether other members
+        # counted on the discarded records.
         self.on_discarded: Callable[[int, bool], None] = lambda now_us, was_counted: None
-        self.on_lost: Callable[[Key], None] = lambda key: None  # nobody had the record
+        # Called for a corrupted record that no member has sent again in time.
+        self.on_lost: Callable[[Key], None] = lambda key: None
         self.receiver = TransferReceiver(settings, self.make_request_id)
         self.sender = TransferSender(settings)
         self._gossip = GossipQueue(store)
@@ -83,8 +86,8 @@
         self._copy_transfer = CopyTransfer(
             name, store, self.copy, members, voters, self.receiver, self._rng, self._complete_copy
         )
-        self._digest_requests: dict[int, str] = {}  # by id, whom it was sent to
-        self._compare_next: list[str] = []  # whose copy is known to differ
+        self._digest_requests: dict[int, str] = {}  # the receivers of digest requests, by request id
+        self._compare_next: list[str] = []  # members whose replicas are known to differ
         self._gossip_at_us = self._compare_at_us = self._scrub_at_us = now_us
         self._is_full_logged = False
 
@@ -104,37 +107,37 @@
 
     @property
     def awaiting_repair(self) -> Collection[Key]:
-        """Records whose bytes were corrupted here and that were not received again yet."""
+        """Keys of records that were corrupted here and have not been received again."""
         return self._repair.awaited
 
     @property
     def repaired(self) -> int:
-        """How many records were repaired since the start."""
+        """How many records were repaired since the process started."""
         return self._repair.repaired
 
     def restore(self, epoch: int) -> None:
-        """A complete copy of this epoch was found at the start; how far it is behind is found out later."""
+        """Sets the epoch of a complete replica that was loaded at the start; its lag is determined later."""
         self.copy.epoch, self.copy.is_complete = epoch, True
         self._copy_transfer.set_complete()
 
     def make_request_id(self) -> int:
-        """An id that no other request of this process has."""
+        """Returns an id that no other request of this process has."""
         self._last_request_id += 1
         return self._last_request_id
 
-    def log_event(self, what: str, **facts: object) -> None:
-        """Adds a line for the operator's log."""
-        self.log_events.append((what, facts))
+    def log_event(self, event: str, **fields: object) -> None:
+        """Adds an event for the operator's log."""
+        self.log_events.append((event, fields))
 
-    # ------------------------------------------------------------------ records that come in
+    # ------------------------------------------------------------------ received records
 
     def queue_gossip(self, record: Record) -> None:
-        """A record became known here: it is sent on."""
+        """Queues a new or changed record for gossip."""
         self._gossip.add(record)
 
     def merge_received(self, now_us: int, records: list[Record], sends: int = 0) -> bool:
-        """Merges records, and sends on what is new as if it had been sent so often. False: one of them is
-        invalid, and it and those after it were not merged.
+        """Merges records and queues those that are new for gossip, as if they had been sent `sends` times
+        already. Returns False if a record is invalid; that record and those after it are not merged.
         """
         for record in records:
             try:
@@ -157,7 +160,9 @@
     # ------------------------------------------------------------------ messages
 
     def receive(self, now_us: int, sender: str, body: object) -> list[OutgoingMessage]:
-        """Handles a message of another member; returns the replies. Messages of other parts are ignored."""
+        """Handles a message from another member; returns the replies. Messages for other modules
+        are ignored.
+        """
         match body:
             case Rumor():
                 return self._on_rumor(now_us, sender, body)
@@ -181,7 +186,7 @@
         return epoch == self.copy.epoch or not self._checks_epochs
 
     def request_digests(self, name: str) -> list[OutgoingMessage]:
-        """Asks a member how its copy compares with this one."""
+        """Returns a request for the digests in which a member's replica differs from this one."""
         request_id = self.make_request_id()
         self._digest_requests[request_id] = name
         while len(self._digest_requests) > MAX_OPEN_REQUESTS:
@@ -235,14 +240,15 @@
         return []
 
     def _on_other_epoch(self, now_us: int, sender: str, reply: DigestReply) -> list[OutgoingMessage]:
-        """Goes on to a later epoch, or discards this copy if it cannot; then the sender is asked anew, since
-        its reply is about the copy that is no more.
+        """Advances to the sender's later epoch, or discards this replica if that is impossible. After
+        discarding it, requests new digests from the sender, because its reply refers to the discarded
+        replica.
         """
         if reply.epoch < self.copy.epoch:
             return []
         record = reply.epoch_record
         if record is None and self.copy.is_complete and not reply.complete:
-            return []  # it has begun a copy of that epoch, and knows no more of it: others do
+            return []  # the sender has only begun to transfer that epoch; other members have its record
         if not self.copy.is_complete or record is None or not self.epochs.advance(now_us, record):
             self._discard_copy(now_us, reply.epoch, "too far behind")
             return self.request_digests(sender)
@@ -260,7 +266,8 @@
         transfer = self.receiver.find_transfer(sender, page.request_id)
         if transfer is None or not self._is_same_epoch(page.epoch):
             return
-        # What completes this copy others have; what differed between complete copies may be new to some.
+        # Records that complete this replica are at other members already. Records in which complete replicas
+        # differed may be new to some members, so they are gossiped once.
         sends = MAX_SENDS - 1 if self.copy.is_complete else MAX_SENDS
         if self.merge_received(now_us, page.records, sends):
             self.receiver.on_page(now_us, transfer, page)
@@ -276,20 +283,20 @@
         else:
             self.receiver.end_transfer(now_us, transfer, False)
 
-    # ------------------------------------------------------------------ the copy as a whole
+    # ------------------------------------------------------------------ the replica as a whole
 
     def _discard_copy(self, now_us: int, epoch: int, reason: str) -> None:
-        """Discards this copy, and begins to take a complete one of that epoch."""
+        """Discards this replica and begins to fetch a complete one of that epoch."""
         self.log_event("copy-begins", why=reason, epoch=epoch, records=len(self.store))
         was_counted = self.copy.is_complete and epoch == self.copy.epoch
-        self.copy.copies_begun += 1
+        self.copy.discard_count += 1
         self.copy.is_complete, self.copy.epoch, self.copy.begun_us = False, epoch, now_us
         self.receiver.end_all(now_us)
         self._copy_transfer.restart()
         self._repair.clear()
         self.store.clear()
         self._gossip.clear()
-        self._digest_requests.clear()  # replies under way are about the copy that is no more
+        self._digest_requests.clear()  # replies under way refer to the discarded replica
         self._journal.write_copy_state(epoch, False, cleared=True)
         self.on_discarded(now_us, was_counted)
 
@@ -301,13 +308,13 @@
         )
         self.copy.missing_records = 0
         local_writes = self._copy_transfer.take_local_writes()
-        for record in self.epochs.drop_forgotten_versions(local_writes):
+        for record in self.epochs.drop_removed_versions(local_writes):
             self.merge_received(now_us, [record])
 
     # ------------------------------------------------------------------ time
 
     def due_us(self) -> int:
-        """When `turn` has something to do."""
+        """Returns when `turn` has to be called next."""
         due_us = min(self._compare_at_us, self._scrub_at_us, self.receiver.due_us() or self._compare_at_us)
         is_gossiping = self._gossip or self._compare_next or self._repair.is_polling
         if is_gossiping or not self.copy.is_complete:
@@ -315,7 +322,7 @@
         return due_us
 
     def turn(self, now_us: int) -> list[OutgoingMessage]:
-        """Does what is due; returns the messages to send."""
+        """Runs all due work; returns the messages to send."""
         if self.copy.begun_us < 0:
             self.copy.begun_us = now_us
         messages: list[OutgoingMessage] = []
@@ -354,7 +361,8 @@
         if not self._gossip:
             return []
         names = self._sample_members(FANOUT)
-        # Ages are those at the next round: on its way a record may seem older than it is, never younger.
+        # Ages are computed for the next gossip time, so that with the delay a record may appear older than it
+        # is but not younger.
         records = self._gossip.take_batch(self._gossip_at_us, len(names))
         if not records or not names:
             return []
@@ -370,7 +378,7 @@
         self.store.expire_records(now_us)
         if self._checks_hashes:
             self.store.scrub(min(1.0, SCRUB_INTERVAL_US / SECOND_US / self.settings.scrub_interval_s))
-        for key in self._repair.give_up_lost(now_us):
+        for key in self._repair.pop_lost(now_us):
             self.on_lost(key)
 
     def _drop_corrupted(self, now_us: int) -> None:
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -1,11 +1,12 @@
-"""The leader's side of replicated marks: a single proposer at a time, fenced by its term (as in Multi-Paxos).
+"""The leader's side of replicated marks: one proposer at a time, fenced by its term (as in Multi-Paxos).
 
-Before it writes, a majority of the acceptors has promised to accept nothing of a lower term, the coordinator
-has read what each of them held at that moment, and a majority holds all of that (so that what it has seen
-cannot be lost again). A write is acknowledged once a majority has accepted it. Safety rests on terms and
-majorities alone: a coordinator whose lease has ended without its knowledge gets no majority any more.
+Before the coordinator writes, three things have happened: a majority of the acceptors has promised to accept
+nothing of a lower term, the coordinator has read the records that each of them held at that moment, and a
+majority holds all these records, so that they cannot be lost any more. A write is acknowledged once a
+majority has accepted it. Safety depends on terms and majorities only: a coordinator that has not noticed the
+end of its lease gets no majority any more.
 
-Pure: messages and the time (microseconds) come in, messages go out.
+This module does no I/O: callers pass in messages and the time (microseconds), and send the returned messages.
 """
 
 from __future__ import annotations
@@ -51,21 +52,23 @@
 from sailrun.replication.rounds import STRAGGLER_US, Round, Rounds
 
 SECOND_US = 1_000_000
-# Waiting marks and old deletions are looked for this often.
+# Waiting marks and old deletions are processed this often.
 HOUSEKEEPING_INTERVAL_US = 2 * SECOND_US
 MAX_AUTHOR_CHARACTERS = 80
 
 
 class Phase(Enum):
-    """How far a leader's beginning has come."""
+    """The phases of a leader's term."""
 
-    PREPARING = "preparing"  # a majority is to promise, and the leader takes over what it holds
-    CATCHING_UP = "catching up"  # a majority is to hold what the leader holds
-    OPEN = "open"  # requests are served
+    PREPARING = "preparing"  # collects promises of a majority and the records that the majority holds
+    CATCHING_UP = "catching up"  # brings a majority up to date with the leader's records
+    OPEN = "open"  # serves requests
 
 
 class MarkCoordinator:
-    """Writes, activates and forgets marks for as long as this node leads them. Made anew at each term."""
+    """Writes and activates marks and removes deleted ones while this node is their leader. Each term has a
+    new coordinator.
+    """
 
     def __init__(
         self,
@@ -78,41 +81,42 @@
         now_us: int,
         disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        """`get_limit` gives how many marks of a kind may be in force at a time; None: any number.
-        `disabled_rules` are safety rules that the laboratory switches off.
+        """`get_limit` returns how many marks of a kind may be active at a time, or None for no limit.
+        `disabled_rules` are the safety rules that the laboratory switches off.
         """
         self.term, self._name, self._voters, self._members = term, name, voters, members
         self._anti_entropy, self._store = anti_entropy, anti_entropy.store
         self._get_limit = get_limit
-        self._forgets = "forget" not in disabled_rules
+        self._removes_deletions = "forget" not in disabled_rules
         self._catches_up = "level" not in disabled_rules
-        self.superseding_term = 0  # a term that a voter has promised above this one
+        self.superseding_term = 0  # a higher term that a voter has promised
         self._phase = Phase.PREPARING
-        self._last_count = 0  # of the versions written under this term
+        self._last_count = 0  # the count of the latest version written in this term
         self._epoch = anti_entropy.copy.epoch
         self._began_us = now_us
         self._rounds = Rounds(voters, "lives" not in disabled_rules)
         self._writes = MarkWrites(term, name, voters, members)
         self._housekeeping_at_us = now_us + HOUSEKEEPING_INTERVAL_US
-        self._copies_begun = -1  # of the copy that this began with; with another one it begins anew
-        self._is_ending_epoch = False  # nothing is written meanwhile
+        # `discard_count` when the term was prepared; after a change the coordinator prepares the term again.
+        self._discard_count = -1
+        self._is_ending_epoch = False  # meanwhile no marks are written
         self._survey: DeletionSurvey | None = None
 
-    # ------------------------------------------------------------------ the beginning of a term
+    # ------------------------------------------------------------------ start of a term
 
     @property
     def is_open(self) -> bool:
-        """Whether requests are served: a majority has promised, and holds all that this node holds."""
+        """Whether requests are served: a majority has promised and holds all records of this node."""
         return self._phase is Phase.OPEN and self._is_same_copy
 
     @property
     def _is_same_copy(self) -> bool:
         copy = self._anti_entropy.copy
-        return copy.is_complete and self._copies_begun == copy.copies_begun
+        return copy.is_complete and self._discard_count == copy.discard_count
 
     def _begin(self, now_us: int) -> None:
         copy = self._anti_entropy.copy
-        self._phase, self._epoch, self._copies_begun = Phase.PREPARING, copy.epoch, copy.copies_begun
+        self._phase, self._epoch, self._discard_count = Phase.PREPARING, copy.epoch, copy.discard_count
         self._is_ending_epoch, self._survey = False, None
         self._rounds.clear()
         request_id = self._anti_entropy.make_request_id()
@@ -134,7 +138,7 @@
         self._begin_catch_up(now_us, self._anti_entropy.make_request_id(), self._open)
 
     def _begin_catch_up(self, now_us: int, request_id: int, on_majority: Callable[[int], None]) -> None:
-        """Has a majority hold everything that this node holds."""
+        """Starts a round that brings a majority up to date with this node's records."""
         self._rounds.begin(
             now_us,
             request_id,
@@ -144,7 +148,7 @@
 
     def _open(self, now_us: int) -> None:
         self._phase = Phase.OPEN
-        self._advance_epoch(now_us)  # the leader before may have decided one
+        self._advance_epoch(now_us)  # the previous leader may have decided the next epoch
         after_ms = (now_us - self._began_us) // 1000
         self._anti_entropy.log_event("marks-open", term=self.term, after_ms=after_ms)
 
@@ -158,7 +162,7 @@
     # ------------------------------------------------------------------ replies of voters and members
 
     def receive(self, now_us: int, sender: str, body: object) -> None:
-        """Handles a reply; those of other terms are ignored."""
+        """Handles a reply; replies to other terms are ignored."""
         match body:
             case Promise() if body.term == self.term:
                 self._on_promise(now_us, sender, body)
@@ -171,38 +175,38 @@
                     self._survey.on_reply(sender, body)
 
     def _on_accepted(self, now_us: int, sender: str, accepted: Accepted) -> None:
-        made = self._rounds.get(accepted.request_id)
-        if made is None:
+        round_ = self._rounds.get(accepted.request_id)
+        if round_ is None:
             return
         if sender in self._voters().names():
-            self._rounds.count_vote(now_us, made, sender, accepted.incarnation, accepted.crash_vector)
-        if sender in made.observers:
-            made.observer_acks.add(sender)
+            self._rounds.count_vote(now_us, round_, sender, accepted.incarnation, accepted.crash_vector)
+        if sender in round_.observers:
+            round_.observer_acks.add(sender)
 
     def _on_promise(self, now_us: int, sender: str, promise: Promise) -> None:
-        """Takes over what the voter held when it promised; only then its promise counts."""
-        made = self._rounds.get(promise.request_id)
-        if made is None or sender not in self._voters().names():
+        """Fetches the records that the voter held when it promised, and counts the promise after that."""
+        round_ = self._rounds.get(promise.request_id)
+        if round_ is None or sender not in self._voters().names():
             return
-        if sender in made.transferring or sender in made.votes:
+        if sender in round_.transferring or sender in round_.votes:
             return
         ranges = self._store.digests.find_differing_ranges(promise.range_digests)
 
         def on_end(now_us: int, complete: bool) -> None:
-            made.transferring.discard(sender)
+            round_.transferring.discard(sender)
             if complete and self._epoch == self._anti_entropy.copy.epoch:
-                self._rounds.count_vote(now_us, made, sender, promise.incarnation, promise.crash_vector)
+                self._rounds.count_vote(now_us, round_, sender, promise.incarnation, promise.crash_vector)
 
         if not ranges or sender == self._name:
             on_end(now_us, True)
             return
-        made.transferring.add(sender)
+        round_.transferring.add(sender)
         self._anti_entropy.receiver.begin(now_us, sender, ranges, on_end, urgent=True)
 
     # ------------------------------------------------------------------ requests
 
     def answer_request(self, now_us: int, request: MarkRequest) -> MarkReply | None:
-        """Answers a member's request; None: it is to ask again later."""
+        """Answers a member's request; returns None if the member should retry later."""
         operation = request.operation
         if operation == MarkOperation.COMPARE:
             return self._compare_digests(request)
@@ -224,11 +228,12 @@
     def _is_serving(self, kind: str) -> bool:
         if not self.is_open or self._is_ending_epoch or self._anti_entropy.copy.epoch != self._epoch:
             return False
-        # A mark of the kind that was corrupted here is being received again: until then nothing is certain.
-        return not any(awaited == kind for awaited, _, _ in self._anti_entropy.awaiting_repair)
+        # While a corrupted mark of this kind is being fetched again, the state of the kind's marks is
+        # uncertain.
+        return not any(awaited_kind == kind for awaited_kind, _, _ in self._anti_entropy.awaiting_repair)
 
     def _compare_digests(self, request: MarkRequest) -> MarkReply | None:
-        """Whether the asker's copy is level with this one, and how many records it may lack."""
+        """Replies whether the client's replica is in sync with this one, and how many records it may lack."""
         if not self.is_open or self._epoch != self._anti_entropy.copy.epoch:
             return None
         groups = self._store.digests.find_differing_groups(request.group_digests[:FIRM_GROUP_COUNT])
@@ -245,10 +250,10 @@
 
     def _write_mark(self, now_us: int, request: MarkRequest, key: Key) -> MarkReply:
         written_ids = list_request_ids(self._store.get(key))
-        voters = len(self._voters().names())
+        voter_count = len(self._voters().names())
         if request.id in written_ids:
-            # Done under a former term; a majority held it before this one opened.
-            return MarkReply(request.id, MarkState.DONE, self.term, voters // 2 + 1, voters)
+            # The write succeeded in a former term, and a majority held it before this term opened.
+            return MarkReply(request.id, MarkState.DONE, self.term, voter_count // 2 + 1, voter_count)
         if len(written_ids) >= MAX_REQUEST_IDS and not self._is_past_retries(now_us):
             reason = "too much was written there meanwhile"
             return MarkReply(request.id, MarkState.UNKNOWN, self.term, reason=reason)
@@ -256,13 +261,13 @@
             reason = f"{MAX_OPEN_WRITES} marks are under way"
             return MarkReply(request.id, MarkState.REJECTED, self.term, reason=reason)
         is_waiting = request.active and not self._has_capacity(request.kind, key)
-        made = self._write(now_us, request, key, is_waiting, written_ids)
+        round_ = self._write(now_us, request, key, is_waiting, written_ids)
         if request.all_members:
-            made.observers = {name for name in self._members.living_names if name != self._name}
+            round_.observers = {name for name in self._members.living_names if name != self._name}
         return self._writes.describe(request)
 
     def _is_past_retries(self, now_us: int) -> bool:
-        """Whether nobody can ask again for what was written under a former term: that is too long ago."""
+        """Whether this term is old enough that clients no longer retry writes of former terms."""
         return now_us - self._began_us > 2 * STRAGGLER_US
 
     def _has_capacity(self, kind: str, key: Key) -> bool:
@@ -288,9 +293,9 @@
             [*written_ids, request.id][-MAX_REQUEST_IDS:],
         )
         record = self._make_version(key, encode_mark(mark), deleted=not request.active)
-        made = self._replicate(now_us, record, lambda now_us: None)
-        self._writes.add(request.id, Write(key, made, is_waiting))
-        return made
+        round_ = self._replicate(now_us, record, lambda now_us: None)
+        self._writes.add(request.id, Write(key, round_, is_waiting))
+        return round_
 
     def _make_version(self, key: Key, content: bytes, deleted: bool = False) -> Record:
         self._last_count += 1
@@ -307,26 +312,26 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self) -> int:
-        """When `turn` has something to do."""
+        """Returns when `turn` has to be called next."""
         return min([self._housekeeping_at_us, *self._rounds.list_due_us()])
 
     def turn(self, now_us: int) -> list[OutgoingMessage]:
-        """Does what is due; returns the messages to send."""
+        """Runs all due work; returns the messages to send."""
         copy = self._anti_entropy.copy
         if not copy.is_complete:
             return []
         if not self._is_same_copy or (copy.epoch != self._epoch and not self._is_ending_epoch):
-            self._begin(now_us)  # with another copy, or in an epoch that another leader began
+            self._begin(now_us)  # the replica was discarded, or another leader began an epoch
         messages = self._rounds.turn(now_us)
         if now_us >= self._housekeeping_at_us:
             self._housekeeping_at_us = now_us + HOUSEKEEPING_INTERVAL_US
             if self.is_open and not self._is_ending_epoch:
                 self._activate_waiting(now_us)
-                messages += self._forget_deletions(now_us)
+                messages += self._remove_deletions(now_us)
         return messages
 
     def _activate_waiting(self, now_us: int) -> None:
-        """Marks that wait come into force in the order of their writes, as far as there is capacity."""
+        """Activates waiting marks in the order of their writes, as far as there is capacity."""
         for kind in MARK_KINDS:
             waiting = [
                 (version.count, record.key, mark)
@@ -334,7 +339,7 @@
                 for version in record.versions
                 if (mark := decode_mark(version)) is not None and mark.waiting and not version.deleted
             ]
-            for _, key, mark in sorted(waiting, key=lambda one: one[0]):
+            for _, key, mark in sorted(waiting, key=lambda entry: entry[0]):
                 if not self._has_capacity(kind, key):
                     break
                 self._activate(now_us, key, mark)
@@ -354,22 +359,24 @@
         if request.id not in self._writes:
             self._write(now_us, request, key, False, list_request_ids(self._store.get(key)))
 
-    # ------------------------------------------------------------------ forgetting what was deleted
+    # ------------------------------------------------------------------ removal of old deletions
 
-    def _forget_deletions(self, now_us: int) -> list[OutgoingMessage]:
-        """Has the fleet forget old deletions once all members know of them, but for those long gone."""
+    def _remove_deletions(self, now_us: int) -> list[OutgoingMessage]:
+        """Removes old deletions from the whole fleet once all members have them. Members that have been dead
+        for longer than the settings allow are not waited for.
+        """
         settings = self._anti_entropy.settings
         if self._survey is None:
             old = find_old_deletions(self._store, now_us, int(settings.deletion_retention_s * SECOND_US))
             if not old or self._writes.count_open():
                 return []
-            if not self._forgets:
-                return []  # each node forgets for itself
+            if not self._removes_deletions:
+                return []  # each node removes deletions on its own
             self._survey = DeletionSurvey(self._name, self._anti_entropy.make_request_id(), old)
         survey = self._survey
         awaited = list_awaited_members(self._members, now_us, int(settings.absent_member_wait_s * SECOND_US))
         survey.add_members(awaited)
-        if not self._anti_entropy.epochs.knows_deletions(survey.deleted_versions):
+        if not self._anti_entropy.epochs.has_deletions(survey.deleted_versions):
             self._survey = None
             return []
         if survey.is_known_to(awaited):
@@ -378,20 +385,20 @@
         return survey.make_queries(self.term, self._epoch)
 
     def _end_epoch(self, now_us: int, deleted_versions: DeletedVersions) -> None:
-        """First a majority holds all that this leader holds, then the next epoch begins with it."""
+        """Brings a majority up to date with this leader's records, then begins the next epoch."""
         next_epoch = self._epoch + 1
         request_id = self._anti_entropy.make_request_id()
 
         def on_caught_up(now_us: int) -> None:
             self._survey = None
             epochs = self._anti_entropy.epochs
-            if self._anti_entropy.copy.epoch != self._epoch or not epochs.knows_deletions(deleted_versions):
+            if self._anti_entropy.copy.epoch != self._epoch or not epochs.has_deletions(deleted_versions):
                 self._is_ending_epoch = False
                 return
             local_writes = epochs.collect_local_writes(deleted_versions)
             content = msgspec.msgpack.encode(EpochRecord(next_epoch, deleted_versions, local_writes))
             record = self._make_version(EPOCH_RECORD_KEY, content)
-            # Decided once a majority holds it: whoever leads next finds it there.
+            # The epoch is decided once a majority holds its record: the next leader finds it there.
             self._replicate(now_us, record, self._advance_epoch)
 
         if not self._rounds.is_any_open:
--- a/sailrun/replication/copy_lag.py
+++ b/sailrun/replication/copy_lag.py
@@ -1,4 +1,4 @@
-"""How far this copy is behind that of the leader of the marks."""
+"""The lag of this replica behind the replica of the leader of the marks."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from sailrun.replication.range_digests import FIRM_GROUP_COUNT
 
 SECOND_US = 1_000_000
-# The leader is asked this often, and less often in a fleet of more than so many nodes, so that its load stays
-# the same.
+# Each node compares its replica with the leader's at this interval. From twice this many nodes on, the
+# interval grows with the fleet, so that the leader's load stays bounded.
 COMPARE_INTERVAL_US, COMPARE_NODES = SECOND_US, 200
 
 
 class CopyLag:
-    """Asks the leader whether this copy is behind, and closes the gap."""
+    """Compares this replica with the leader's and fetches missing records."""
 
     def __init__(
         self,
@@ -29,40 +29,40 @@
         now_us: int,
     ) -> None:
         self._name, self._anti_entropy, self._members, self._send = name, anti_entropy, members, send
-        self._level_us = -1  # when this copy was last known to hold what the leader held; -1: never
-        self.missing_records = 0  # how many records this copy may lack, as the leader said
-        self._is_transfer_due = False  # the leader said that this copy is behind
+        self._in_sync_us = -1  # when this replica was last known to be in sync with the leader's; -1: never
+        self.missing_records = 0  # how many records this replica may lack, by the leader's reply
+        self._is_transfer_due = False  # by the leader's reply, this replica lacks records
         self._compare_at_us = now_us
         self._was_stale = False
 
     @property
-    def is_level_unknown(self) -> bool:
-        """Whether the copy was never found level since it was begun."""
-        return self._level_us < 0
+    def is_sync_unknown(self) -> bool:
+        """Whether this replica has never been in sync with the leader's since it was begun."""
+        return self._in_sync_us < 0
 
     def reset(self) -> None:
-        """The copy was discarded."""
-        self._level_us = -1
+        """Resets the lag to unknown, after the replica was discarded."""
+        self._in_sync_us = -1
 
-    def set_level(self, now_us: int) -> None:
-        """This copy is the leader's own."""
-        self._level_us, self.missing_records = now_us, 0
+    def set_in_sync(self, now_us: int) -> None:
+        """Sets the lag to 0, because this replica is the leader's own."""
+        self._in_sync_us, self.missing_records = now_us, 0
 
     def get_lag_s(self, now_us: int) -> float | None:
-        """How old the newest thing may be that this copy does not hold; None: not known."""
-        return (now_us - self._level_us) / SECOND_US if self._level_us >= 0 else None
+        """Returns the time since this replica was last in sync with the leader's; None if it is not known."""
+        return (now_us - self._in_sync_us) / SECOND_US if self._in_sync_us >= 0 else None
 
     def is_stale(self, now_us: int) -> bool:
-        """Whether the lag is not known, or more than the settings allow."""
+        """Whether the lag is unknown or exceeds the settings' bound."""
         lag_s = self.get_lag_s(now_us)
         return lag_s is None or lag_s > self._anti_entropy.settings.stale_after_s
 
     def due_us(self) -> int:
-        """When `turn` has something to do."""
+        """Returns when `turn` has to be called next."""
         return self._compare_at_us
 
     def turn(self, now_us: int, leader: str, active_marks: int) -> list[OutgoingMessage]:
-        """Compares this copy with the leader's; `leader` is empty where nobody is known to lead."""
+        """Compares this replica with the leader's; `leader` is empty if no leader is known."""
         if now_us < self._compare_at_us:
             return []
         nodes = len(self._members.living_names)
@@ -86,7 +86,7 @@
         if reply is None:
             return
         if reply.state == MarkState.DONE and self._anti_entropy.copy.is_complete:
-            self._level_us, self.missing_records = max(self._level_us, sent_us), 0
+            self._in_sync_us, self.missing_records = max(self._in_sync_us, sent_us), 0
         else:
             self.missing_records = reply.missing_records
             self._is_transfer_due = True
--- a/sailrun/replication/epochs.py
+++ b/sailrun/replication/epochs.py
@@ -1,7 +1,8 @@
-"""Epochs: deleted records are forgotten by the whole fleet together, so that none of them can come back.
+"""Epochs: the whole fleet removes deleted records in the same step, so that none of them can return.
 
-The record of the latest epoch lists what was forgotten with it. A copy goes on to an epoch only if it knows
-that all of it was deleted; a copy that does not cannot know what else it has missed, and is taken anew.
+The record of the latest epoch lists the versions that were removed with it. A replica advances to an epoch
+only if it has the deletions of all these versions. A replica that lacks one of them may have missed other
+changes too, so it is discarded and transferred again.
 """
 
 from __future__ import annotations
@@ -17,15 +18,16 @@
 
 EPOCH_RECORD_KEY: Key = ("fleet", "forgotten", "")
 DeletedVersions = list[tuple[Key, str, Count]]
-# How many local writes that were forgotten are remembered.
+# How many removed local writes an epoch record lists at most.
 MAX_LOCAL_WRITES = 5000
 
 
 class EpochRecord(msgspec.Struct, array_like=True, frozen=True):
-    """The content of the record of the latest epoch: the versions that were forgotten with it.
+    """The content of the record of the latest epoch: the versions that were removed with it.
 
-    `local_writes`: with this epoch and those before, up to which count of a node's local writes of a record
-    went with it, so that a node that returns with other local writes can distinguish them from these.
+    `local_writes` covers this epoch and earlier ones. For each record and actor, it has the highest count of
+    the actor's local writes that were removed, so that a node that returns with local writes can tell new
+    ones from removed ones.
     """
 
     epoch: int
@@ -34,7 +36,9 @@
 
 
 def decode_epoch_record(record: Record | None) -> EpochRecord:
-    """The record's content; that of epoch 0 if there is no record, or none that this version can read."""
+    """Decodes the record's content. Returns epoch 0 without a record, or if this program version cannot
+    decode it.
+    """
     try:
         return msgspec.msgpack.decode(record.versions[-1].content if record else b"", type=EpochRecord)
     except msgspec.MsgspecError:
@@ -42,8 +46,8 @@
 
 
 def extract_local_writes(record: Record) -> Record | None:
-    """The part of a record that no leader wrote and nobody deleted, with the context of its writers; None:
-    there is none. What is left out leaves the context as well: else it would count as superseded.
+    """Returns the versions of a record that are local writes and not deletions; None if there are none. The
+    other versions are removed from the context too: otherwise they would count as superseded.
     """
     local = [v for v in record.versions if v.actor != STRONG and not v.deleted]
     if record.soft or not local:
@@ -56,36 +60,37 @@
 
 
 class EpochTracker:
-    """Takes this copy from one epoch to the next, and answers what it knows of deletions."""
+    """Advances this replica from one epoch to the next, and answers queries about deletions."""
 
     def __init__(
         self,
         store: RecordStore,
         copy: CopyState,
         journal: ReplicaJournal,
-        on_forgotten: Callable[[Key], None],
+        on_removed: Callable[[Key], None],
         log_event: Callable[..., None],
     ) -> None:
         self._store, self._copy, self._journal = store, copy, journal
-        self._on_forgotten, self._log_event = on_forgotten, log_event
+        self._on_removed, self._log_event = on_removed, log_event
 
     def get_record(self) -> Record | None:
-        """The record of the latest epoch, decided or not."""
+        """Returns the record of the latest epoch, whether it is decided or not."""
         return self._store.get(EPOCH_RECORD_KEY)
 
     def advance(self, now_us: int, record: Record) -> bool:
-        """Goes on to the next epoch if this copy knows that everything forgotten with it was deleted; returns
-        whether the copy is of the record's epoch then. To hold the record is no reason to go on: it has to be
-        decided, which a leader knows from a majority, and others from any member that has gone on.
+        """Advances to the next epoch if this replica has all deletions that the epoch removes. Returns
+        whether the replica is of the record's epoch after that. The record must be decided, which a leader
+        learns from a majority and other members learn from any member that has advanced; holding the record
+        is not enough.
         """
         epoch_record = decode_epoch_record(record)
         if epoch_record.epoch <= self._copy.epoch:
             return epoch_record.epoch == self._copy.epoch
         is_next = epoch_record.epoch == self._copy.epoch + 1
-        if not is_next or not self.knows_deletions(epoch_record.deleted_versions):
+        if not is_next or not self.has_deletions(epoch_record.deleted_versions):
             return False
         for key, actor, count in epoch_record.deleted_versions:
-            self._forget(key, actor, count)
+            self._remove_deletion(key, actor, count)
         self._copy.epoch = epoch_record.epoch
         self._journal.write_copy_state(self._copy.epoch, True)
         if self.get_record() != record:
@@ -94,40 +99,38 @@
         self._log_event("forgotten", epoch=self._copy.epoch, records=records)
         return True
 
-    def _forget(self, key: Key, actor: str, count: Count) -> None:
-        known = self._store.get(key)
-        if known is not None and [v.dot for v in known.versions] == [(actor, count)] and known.is_deleted:
+    def _remove_deletion(self, key: Key, actor: str, count: Count) -> None:
+        record = self._store.get(key)
+        if record is not None and [v.dot for v in record.versions] == [(actor, count)] and record.is_deleted:
             self._store.remove(key)
             self._journal.write_forgotten(key)
-            self._on_forgotten(key)
+            self._on_removed(key)
 
-    def knows_deletions(self, deleted_versions: DeletedVersions) -> bool:
-        """Whether this copy is complete and knows all these versions, or what superseded them."""
+    def has_deletions(self, deleted_versions: DeletedVersions) -> bool:
+        """Whether this replica is complete and contains each of these versions or has superseded it."""
         return self._copy.is_complete and all(
             covers(self._store.get(key), [(actor, count)]) for key, actor, count in deleted_versions
         )
 
     def collect_local_writes(self, deleted_versions: DeletedVersions) -> DeletedVersions:
-        """The local writes that the next epoch has to remember, if these versions go with it."""
-        remembered = decode_epoch_record(self.get_record()).local_writes
-        latest = {(key, actor): count for key, actor, count in remembered}
+        """Returns the `local_writes` of the next epoch record, for an epoch that removes these versions."""
+        recorded = decode_epoch_record(self.get_record()).local_writes
+        latest = {(key, actor): count for key, actor, count in recorded}
         for key, _, _ in deleted_versions:
             record = self._store.get(key)
             for actor, count in record.context.items() if record is not None else ():
                 if actor != STRONG:
-                    latest.pop((key, actor), None)  # so that the newest stand last
+                    latest.pop((key, actor), None)  # moves the newest to the end
                     latest[key, actor] = count
         return [(key, actor, count) for (key, actor), count in latest.items()][-MAX_LOCAL_WRITES:]
 
-    def drop_forgotten_versions(self, records: list[Record]) -> list[Record]:
-        """These records of local writes without the versions that were forgotten with an epoch."""
-        remembered = decode_epoch_record(self.get_record()).local_writes
-        forgotten = {(key, actor): count for key, actor, count in remembered}
-        left: list[Record] = []
+    def drop_removed_versions(self, records: list[Record]) -> list[Record]:
+        """Returns records of local writes without the versions that were removed with an epoch."""
+        recorded = decode_epoch_record(self.get_record()).local_writes
+        removed = {(key, actor): count for key, actor, count in recorded}
+        remaining: list[Record] = []
         for record in records:
-            versions = [
-                v for v in record.versions if v.count > forgotten.get((record.key, v.actor), (-1, -1))
-            ]
+            versions = [v for v in record.versions if v.count > removed.get((record.key, v.actor), (-1, -1))]
             if versions:
-                left.append(Record(*record.key, False, versions, record.context))
-        return left
+                remaining.append(Record(*record.key, False, versions, record.context))
+        return remaining
--- a/sailrun/replication/inspection.py
+++ b/sailrun/replication/inspection.py
@@ -1,5 +1,5 @@
-"""A node's copy as operators see it. The keys are those of `sailrun fleet state --json` and of the control
-calls, which scripts read.
+"""Descriptions of a node's replica for operators. The keys belong to the output of `sailrun fleet state
+--json` and of the control calls, which scripts parse.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 def describe_state(replica: Replica, now_us: int, kind: str = "") -> dict[str, Any]:
-    """The copy and its records; of one kind, or all."""
+    """Describes the replica and its records of one kind, or all records."""
     copy, store = replica.anti_entropy.copy, replica.store
     lag_s = replica.get_lag_s(now_us)
     return {
         "node": replica.name,
         "whole": copy.is_complete,
         "epoch": copy.epoch,
-        "copies": copy.copies_begun,
+        "copies": copy.discard_count,
         "voter": _describe_voter(replica),
         "behind": {
             "records": replica.missing_records,
@@ -40,7 +40,7 @@
 
 
 def _describe_voter(replica: Replica) -> str | None:
-    """Whether a voter remembers its promises, or waits for voters that do; None: no voter."""
+    """Returns whether the voter has its promises or still recovers them; None if this node is not a voter."""
     if replica.acceptor is None:
         return None
     return "remembers" if replica.acceptor.state.is_recovered else "waits"
@@ -64,7 +64,7 @@
 
 
 def _decode_content(record: Record) -> Any:
-    """Plain objects; None: the content is not MessagePack."""
+    """Decodes the content into plain objects; returns None if it is not MessagePack."""
     try:
         return msgspec.msgpack.decode(record.versions[-1].content)
     except msgspec.MsgspecError:
@@ -95,7 +95,7 @@
 
 
 def describe_versions(versions: list[MarkVersion]) -> list[dict[str, Any]]:
-    """A mark as its leader has it."""
+    """Describes the versions of a mark that was read from the leader."""
     return [
         {
             "id": mark.id,
@@ -108,6 +108,11 @@
 
 
 def describe_ranges(replica: Replica) -> dict[str, Any]:
-    """What two copies differ in: the digest of each range of firm records."""
-    digests = [d for group in range(FIRM_GROUP_COUNT) for d in replica.store.digests.list_ranges(group)]
-    return {"epoch": replica.anti_entropy.copy.epoch, "ranges": [f"{d:016x}" for d in digests]}
+    """Describes the digest of each range of firm records, by which two replicas can be compared."""
+    digests = [
+        digest for group in range(FIRM_GROUP_COUNT) for digest in replica.store.digests.list_ranges(group)
+    ]
+    return {
+        "epoch": replica.anti_entropy.copy.epoch,
+        "ranges": [f"{digest:016x}" for digest in digests],
+    }
--- a/sailrun/replication/mark_effects.py
+++ b/sailrun/replication/mark_effects.py
@@ -1,4 +1,4 @@
-"""Which marks are in force at this node, by its own copy."""
+"""The marks that are active at this node, according to its own replica."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MarkChange(NamedTuple):
-    """A mark came into force, or is in force no longer."""
+    """A mark became active or inactive."""
 
     kind: str
     subject: str
@@ -18,35 +18,36 @@
 
 
 class MarkEffects:
-    """Follows the copy, and says what changes. What a copy held that is taken anew stays in force until the
-    copy is complete, and what was corrupted until it is received again.
+    """Tracks which marks of the replica are active, and lists the changes. After the replica was discarded,
+    its marks stay active until the new one is complete. A corrupted mark stays active until it is received
+    again.
     """
 
     def __init__(self, anti_entropy: AntiEntropy) -> None:
         self._anti_entropy = anti_entropy
-        self.changes: list[MarkChange] = []  # emptied by whoever drives this
-        self.active: set[tuple[str, str]] = set()  # kind and subject of all that is in force
-        self._touched: set[Key] = set()  # marks that changed since the last update
-        self._is_full_check_due = True  # all marks are to be looked at, not only those that changed
+        self.changes: list[MarkChange] = []  # the caller applies them and empties the list
+        self.active: set[tuple[str, str]] = set()  # kind and subject of all active marks
+        self._touched: set[Key] = set()  # marks that may have changed since the last update
+        self._is_full_check_due = True  # the next update checks all marks, not only the touched ones
 
     def touch(self, key: Key) -> None:
-        """The record may have changed."""
+        """Registers that the record may have changed."""
         if key[0] in MARK_KINDS:
             self._touched.add(key)
 
     def require_full_check(self) -> None:
-        """The copy is another one: all its marks may have changed."""
+        """Makes the next update check all marks, because the replica was replaced."""
         self._is_full_check_due = True
 
-    def update(self, is_level_unknown: bool) -> None:
-        """Notes what changed; `is_level_unknown`: the copy was not found level with the leader's since it was
-        begun.
+    def update(self, is_sync_unknown: bool) -> None:
+        """Updates the active marks and the list of changes. `is_sync_unknown`: the replica has not been in
+        sync with the leader's since it was begun.
         """
         if not self._anti_entropy.copy.is_complete:
             self._is_full_check_due = True
             return
         if self._is_full_check_due:
-            active = self._check_all(is_level_unknown)
+            active = self._check_all(is_sync_unknown)
         elif self._touched:
             active = self._check_touched()
         else:
@@ -58,12 +59,12 @@
             self.changes.append(MarkChange(kind, subject, False))
         self.active = active
 
-    def _check_all(self, is_level_unknown: bool) -> set[tuple[str, str]]:
+    def _check_all(self, is_sync_unknown: bool) -> set[tuple[str, str]]:
         active = set(list_active_marks(self._anti_entropy.store))
         active |= {key[:2] for key in self._anti_entropy.awaiting_repair if key[:2] in self.active}
-        # A copy just taken may come of a sender that is behind: what was in force stays so until the
-        # leader has replied.
-        self._is_full_check_due = self._anti_entropy.copy.copies_begun > 0 and is_level_unknown
+        # A replica that was just transferred may come from a sender that lags behind, so previously active
+        # marks stay active until the replica is in sync with the leader's.
+        self._is_full_check_due = self._anti_entropy.copy.discard_count > 0 and is_sync_unknown
         return active | self.active if self._is_full_check_due else active
 
     def _check_touched(self) -> set[tuple[str, str]]:
--- a/sailrun/replication/repair.py
+++ b/sailrun/replication/repair.py
@@ -1,8 +1,8 @@
-"""Repair of single records whose copies differ without a reason, or whose bytes were corrupted here.
+"""Repair of single records that contradict each other at two replicas or whose bytes were corrupted here.
 
-A version that two copies hold with different contents, each sound by its own hash, is settled by the voters:
-the content that a majority of them holds is right. A record whose bytes no longer fit the hash taken when
-they came in is dropped and received again from others.
+If two replicas have the same version with different contents, and each content matches its own hash, the
+content that a majority of the voters has is the correct one. A record whose bytes no longer match the hash
+computed when it was stored is dropped and received again from other members.
 """
 
 from __future__ import annotations
@@ -15,27 +15,28 @@
 from sailrun.replication.store import RecordStore
 
 SECOND_US = 1_000_000
-# How often the voters are asked for the right content of a record, and how long each time.
+# How often the voters are polled for the correct content of a record, and how long each poll waits for
+# replies.
 MAX_POLLS, POLL_US = 3, SECOND_US
-# With more corrupted records than this at a time, the whole copy is discarded.
+# With more corrupted records than this at a time, the whole replica is discarded.
 MAX_CORRUPTED = 16
-# A corrupted record that nobody has sent again within this was nowhere else.
+# A corrupted record that no member has sent again within this time counts as lost.
 LOST_AFTER_US = 10 * SECOND_US
 
 
 @dataclass(slots=True)
 class _Poll:
-    """Which content of a record is right, as the voters have it."""
+    """A poll of the voters for the correct content of a record."""
 
     key: Key
     request_id: int
-    deadline_us: int = 0  # of the replies; 0: not asked yet
-    copies: dict[str, Record | None] = field(default_factory=dict)  # by voter
+    deadline_us: int = 0  # for the replies; 0: no request sent yet
+    copies: dict[str, Record | None] = field(default_factory=dict)  # the voters' records, by voter
     attempts: int = 1
 
 
 class RecordRepair:
-    """Settles disputed records and has corrupted ones sent again."""
+    """Resolves contradicting records by majority, and tracks corrupted ones until they are received again."""
 
     def __init__(
         self,
@@ -48,33 +49,37 @@
         log_event: Callable[..., None],
         is_enabled: bool = True,
     ) -> None:
-        """`discard_copy` is called with the time and the reason where single records cannot be repaired."""
+        """`discard_copy` is called with the time and the reason if repairing single records is
+        not possible.
+        """
         self._name, self._store = name, store
         self._voters, self._is_majority, self._make_request_id = voters, is_majority, make_request_id
         self._discard_copy, self._log_event, self._is_enabled = discard_copy, log_event, is_enabled
         self._polls: dict[Key, _Poll] = {}
-        self._lost_at_us: dict[Key, int] = {}  # corrupted records, with when they count as lost
-        self.repaired = 0  # records repaired since the start
+        self._lost_at_us: dict[Key, int] = {}  # when each corrupted record counts as lost
+        self.repaired = 0  # records repaired since the process started
 
     @property
     def awaited(self) -> Collection[Key]:
-        """Corrupted records that were dropped here and not received again yet."""
+        """Keys of corrupted records that were dropped here and have not been received again."""
         return self._lost_at_us.keys()
 
     @property
     def is_polling(self) -> bool:
-        """Whether voters are asked, or to be asked, for a record."""
+        """Whether any poll of the voters is under way or about to start."""
         return bool(self._polls)
 
     def clear(self) -> None:
-        """The copy was discarded: nothing of it is to be repaired."""
+        """Stops all repairs, after the replica was discarded."""
         self._lost_at_us.clear()
         self._polls.clear()
 
-    # ------------------------------------------------------------------ corrupted here
+    # ------------------------------------------------------------------ corrupted records
 
     def drop_corrupted(self, now_us: int) -> list[Key]:
-        """Drops the records found corrupted, and returns them; the whole copy goes where they are many."""
+        """Drops the detected corrupted records and returns their keys. If there are more than MAX_CORRUPTED,
+        discards the whole replica instead.
+        """
         corrupted, self._store.corrupted = self._store.corrupted, []
         if len(corrupted) > MAX_CORRUPTED:
             self._discard_copy(now_us, f"{len(corrupted)} records are spoilt")
@@ -86,35 +91,39 @@
         return corrupted
 
     def on_received(self, record: Record) -> None:
-        """A record is new here; it may be one that was corrupted."""
+        """Counts a received record as repaired if it was dropped as corrupted."""
         if record.key in self._lost_at_us:
             del self._lost_at_us[record.key]
             self.repaired += 1
             self._log_event("copy-mended", kind=record.kind, subject=record.subject)
 
-    def give_up_lost(self, now_us: int) -> list[Key]:
-        """The corrupted records that nobody has sent in time; they are not awaited any more."""
+    def pop_lost(self, now_us: int) -> list[Key]:
+        """Returns the corrupted records that no member has sent in time, and stops waiting for them."""
         lost = [key for key, lost_at_us in self._lost_at_us.items() if now_us >= lost_at_us]
         for key in lost:
             del self._lost_at_us[key]
             self._log_event("copy-lost", kind=key[0], subject=key[1], observer=key[2] or None)
         return lost
 
-    # ------------------------------------------------------------------ disputed between copies
+    # ------------------------------------------------------------------ contradicting records
 
     def dispute(self, key: Key) -> None:
-        """Another copy has the same version with another content: the voters are to be asked."""
+        """Begins a poll of the voters, after another replica sent the same version with a
+        different content.
+        """
         record = self._store.get(key)
         if not self._is_enabled or key in self._polls or record is None:
             return
         self._log_event("copy-differs", kind=key[0], subject=key[1], observer=key[2] or None)
         if record.soft:
-            self._store.remove(key)  # its observer reports it again
+            self._store.remove(key)  # its observer will report it again
             return
         self._polls[key] = _Poll(key, self._make_request_id())
 
     def poll_voters(self, now_us: int) -> list[OutgoingMessage]:
-        """Requests for disputed records that are due; discards the copy where no majority agrees."""
+        """Returns the due requests to the voters; discards the replica after MAX_POLLS polls without a
+        majority.
+        """
         messages: list[OutgoingMessage] = []
         voters = [name for name in self._voters() if name != self._name]
         for poll in list(self._polls.values()):
@@ -133,7 +142,7 @@
         return messages
 
     def on_reply(self, now_us: int, sender: str, reply: RecordReply) -> None:
-        """Counts a voter's copy, and takes the content that a majority holds."""
+        """Counts a voter's reply, and adopts the content once a majority of the voters agrees."""
         poll = self._polls.get(reply.key)
         if poll is None or poll.request_id != reply.request_id or sender not in self._voters():
             return
@@ -147,11 +156,11 @@
                 self._settle(now_us, poll, hash_, names)
                 return
 
-    def _settle(self, now_us: int, poll: _Poll, right_hash: int, names: list[str]) -> None:
-        right = poll.copies[names[0]]
-        mine = self._store.get(poll.key)
-        if right is not None and (mine is None or hash_record(mine, b"") != right_hash):
-            self._store.replace(now_us, right)
+    def _settle(self, now_us: int, poll: _Poll, correct_hash: int, names: list[str]) -> None:
+        correct = poll.copies[names[0]]
+        own = self._store.get(poll.key)
+        if correct is not None and (own is None or hash_record(own, b"") != correct_hash):
+            self._store.replace(now_us, correct)
             self.repaired += 1
             kind, subject, _ = poll.key
             self._log_event("copy-mended", kind=kind, subject=subject, voters=",".join(names))
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -1,7 +1,8 @@
-"""One node's replica of the fleet's state: its copy, its vote, the leader's work if it leads, and what the
-operators and the core do with it here.
+"""One node's replica of the fleet's state: its records, its acceptor if the node is a voter, its coordinator
+if the node leads the marks, and the interface for operators and the core.
 
-Pure: messages and the time (microseconds) come in, messages and requests to the leader go out.
+This module does no I/O: callers pass in messages and the time (microseconds), and send the messages and the
+requests to the leader that result.
 """
 
 from __future__ import annotations
@@ -62,13 +63,13 @@
 from sailrun.replication.store import RecordStore
 
 SECOND_US = 1_000_000
-# The task whose leader writes the marks.
+# The leader of this task writes the marks.
 MARKS_TASK = "marks"
-# Kinds of records that are no marks.
+# Kinds of records other than marks.
 OUTLIER_REPORT, SERVER_LIST = "belief", "list"
-# Server lists that changed are journalled this often.
+# Changed server lists are written to the journal this often.
 JOURNAL_LISTS_INTERVAL_US = 10 * SECOND_US
-_FOR_ACCEPTOR = (
+_ACCEPTOR_MESSAGES = (
     Prepare,
     Accept,
     CatchUp,
@@ -77,15 +78,15 @@
     RecoveryRequest,
     RecoveryReply,
 )
-_FOR_COORDINATOR = (Promise, Accepted, TermSuperseded, DeletionReply)
+_COORDINATOR_MESSAGES = (Promise, Accepted, TermSuperseded, DeletionReply)
 
 
 def _ignore_event(kind: str, **facts: object) -> None:
-    """For replicas whose events nobody records."""
+    """Ignores a recorded event; used outside the laboratory."""
 
 
 class Replica:
-    """Ties the parts of a node's replica together."""
+    """Connects the parts of a node's replica."""
 
     def __init__(
         self,
@@ -102,8 +103,8 @@
         record_event: Callable[..., None] = _ignore_event,
         journal: ReplicaJournal | None = None,
     ) -> None:
-        """`incarnation` is this process's own number. `get_mark_limit` gives how many marks of a kind may be
-        in force at a time; None: any number. `record_event` is called with every step that the laboratory
+        """`incarnation` is the number of this process. `get_mark_limit` returns how many marks of a kind may
+        be active at a time, or None for no limit. `record_event` receives every event that the laboratory
         checks.
         """
         self.settings, self.name, self._members, self._voters = settings, name, members, voters
@@ -113,7 +114,7 @@
         self.store = RecordStore(settings, fleet.encode(), disabled_rules)
         self.store.on_change = self._on_change
         self.anti_entropy = self._make_anti_entropy(now_us)
-        # Requests to the leader of the marks; emptied by whoever drives this.
+        # Requests to the leader of the marks; the caller sends them and empties the list.
         self.leader_requests: list[LeaderRequest] = []
         self._client = MarkClient(self.leader_requests.append, record_event)
         self._effects = MarkEffects(self.anti_entropy)
@@ -123,10 +124,10 @@
         self.acceptor: Acceptor | None = None
         self.coordinator: MarkCoordinator | None = None
         self.apply_voters(now_us)
-        self._actor = f"{name}/{incarnation:x}"  # of this process's local writes
+        self._actor = f"{name}/{incarnation:x}"  # the actor of this process's local writes
         self._local_writes = 0
         self._outlier_reports = 0
-        self._changed_lists: set[Key] = set()  # not journalled yet
+        self._changed_lists: set[Key] = set()  # server lists not written to the journal yet
         self._journal_lists_at_us = now_us
 
     def _make_anti_entropy(self, now_us: int) -> AntiEntropy:
@@ -143,10 +144,10 @@
             self._journal,
         )
 
-    # ------------------------------------------------------------------ who votes, who leads
+    # ------------------------------------------------------------------ voters and leadership
 
     def apply_voters(self, now_us: int) -> None:
-        """The fleet's voters may have changed: this node may be one, or be one no longer."""
+        """Creates or removes the acceptor according to whether this node is one of the fleet's voters now."""
         if self.name not in self._voters().names():
             self.acceptor = None
         elif self.acceptor is None:
@@ -164,7 +165,7 @@
             recovery.on_recovered = lambda: self._record_event("remembered", what=MARKS_TASK)
 
     def set_leadership(self, now_us: int, term: int) -> None:
-        """This node leads the marks under that term from now on; 0: it does not any more."""
+        """Makes this node the leader of the marks in this term; with term 0, ends its leadership."""
         self.coordinator = None
         if term:
             self.coordinator = MarkCoordinator(
@@ -179,13 +180,14 @@
             )
 
     def restore(self, now_us: int, records: Iterable[tuple[Record, int]], epoch: int) -> int:
-        """Takes over a complete copy that outlasted the process, with the records' hashes (0: not known). Its
-        marks are in force until others send more; returns how many records there was no room for.
+        """Loads a complete replica that a former process stored, with the records' hashes (0: not known). Its
+        marks are active until other members send newer records. Returns how many records were left out
+        because the store was full.
         """
-        left_out = self.store.load(now_us, records)
+        rejected_count = self.store.load(now_us, records)
         self.anti_entropy.restore(epoch)
         self._effects.require_full_check()
-        return left_out
+        return rejected_count
 
     def _on_discarded(self, now_us: int, was_counted: bool) -> None:
         self._lag.reset()
@@ -196,25 +198,25 @@
     # ------------------------------------------------------------------ messages
 
     def receive(self, now_us: int, sender: str, body: object) -> list[OutgoingMessage]:
-        """Handles a message of another member; returns the replies."""
-        if isinstance(body, _FOR_ACCEPTOR):
+        """Handles a message from another member; returns the replies."""
+        if isinstance(body, _ACCEPTOR_MESSAGES):
             if self.acceptor is not None:
                 return self.acceptor.receive(now_us, sender, body)
             return self._accept_as_observer(now_us, sender, body) if isinstance(body, Accept) else []
-        if isinstance(body, _FOR_COORDINATOR):
+        if isinstance(body, _COORDINATOR_MESSAGES):
             if self.coordinator is not None:
                 self.coordinator.receive(now_us, sender, body)
             return []
         if isinstance(body, DeletionQuery):
             is_same_epoch = body.epoch == self.anti_entropy.copy.epoch
-            knows_all = is_same_epoch and self.anti_entropy.epochs.knows_deletions(body.deleted_versions)
+            knows_all = is_same_epoch and self.anti_entropy.epochs.has_deletions(body.deleted_versions)
             return [OutgoingMessage(sender, DeletionReply(body.term, body.request_id, knows_all))]
         if isinstance(body, RecordRequest | RecordReply) and not self.anti_entropy.copy.is_complete:
             return []
         return self.anti_entropy.receive(now_us, sender, body)
 
     def _accept_as_observer(self, now_us: int, sender: str, request: Accept) -> list[OutgoingMessage]:
-        """As a member that does not vote: one more copy."""
+        """Stores the records of an `Accept` at a member that is not a voter, as one more replica."""
         copy = self.anti_entropy.copy
         if not copy.is_complete or request.epoch != copy.epoch:
             return []
@@ -222,8 +224,8 @@
         return [OutgoingMessage(sender, Accepted(request.term, request.request_id, 0, {}))]
 
     def answer_request(self, now_us: int, content: Any) -> Any:
-        """Answers a `MarkRequest` of plain objects as the leader, with a reply of plain objects. None: this
-        node does not lead, the content is no request, or the asker is to ask again.
+        """Answers a `MarkRequest` as the leader; request and reply consist of plain objects. Returns None if
+        this node is not the leader, if the content is not a valid request, or if the client should retry.
         """
         try:
             request = msgspec.convert(content, MarkRequest)
@@ -237,17 +239,17 @@
     # ------------------------------------------------------------------ marks
 
     def make_request_id(self) -> str:
-        """An id for a request about a mark, unlike any other of the fleet."""
+        """Returns a random id for a mark request, unique in the fleet."""
         return f"m{self._rng.getrandbits(64):016x}"
 
     def write_mark(
         self, now_us: int, request: MarkRequest, on_outcome: OnOutcome, timeout_us: int = DEFAULT_TIMEOUT_US
     ) -> None:
-        """Writes a mark that a majority is to hold; `on_outcome` is called once."""
+        """Writes a mark to a majority of the voters; `on_outcome` is called once."""
         self._client.write(now_us, request, on_outcome, timeout_us)
 
     def write_mark_locally(self, now_us: int, request: MarkRequest) -> MarkOutcome:
-        """Writes a mark here alone: it spreads, and stays beside others that it had not seen."""
+        """Writes a mark to this replica only. It spreads by gossip and stays next to concurrent versions."""
         if request.kind not in MARK_KINDS:
             reason = f"no kind {request.kind[:MAX_KIND_CHARACTERS]}"
             return MarkOutcome(request.id, MarkState.REJECTED, 0, 0, reason)
@@ -255,15 +257,15 @@
             reason = "with permits, a majority has to know of it"
             return MarkOutcome(request.id, MarkState.REJECTED, 0, 0, reason)
         key = (request.kind, request.subject, "")
-        before = self.store.get(key)
-        seen = [m.id for v in before.versions if (m := decode_mark(v)) is not None] if before else []
+        previous = self.store.get(key)
+        seen_ids = [m.id for v in previous.versions if (m := decode_mark(v)) is not None] if previous else []
         subject = f"{request.kind}/{request.subject}"
         self._record_event(
-            "weak", id=request.id, subject=subject, on=request.active, saw=",".join(seen) or None
+            "weak", id=request.id, subject=subject, on=request.active, saw=",".join(seen_ids) or None
         )
         self._local_writes += 1
         count, content = (0, self._local_writes), encode_mark(self._make_local_mark(request))
-        record = apply_write(before, key, False, self._actor, count, content, not request.active)
+        record = apply_write(previous, key, False, self._actor, count, content, not request.active)
         self._put_own(now_us, record)
         return MarkOutcome(request.id, MarkState.DONE, 1, len(self._members.living_names))
 
@@ -287,72 +289,76 @@
         on_versions: OnVersions,
         timeout_us: int = DEFAULT_TIMEOUT_US,
     ) -> str:
-        """Reads a mark from the leader, no older than the call; returns the request's id."""
+        """Requests the state of a mark at the leader as of this call or later; returns the request's id."""
         request = MarkRequest(MarkOperation.READ, self.make_request_id(), 0, kind, subject)
         self._client.read(now_us, request, on_versions, timeout_us)
         return request.id
 
     def list_marks(self) -> list[MarkStatus]:
-        """All marks of this copy."""
+        """Returns all marks of this replica."""
         return list(iterate_marks(self.store))
 
     @property
     def active_marks(self) -> set[tuple[str, str]]:
-        """Kind and subject of all marks in force here."""
+        """Kind and subject of all marks that are active at this node."""
         return self._effects.active
 
     @property
     def mark_changes(self) -> list[MarkChange]:
-        """What came into force here, or is in force no longer, and was not taken yet."""
+        """Marks that became active or inactive at this node since the last `take_mark_changes`."""
         return self._effects.changes
 
     def take_mark_changes(self) -> list[MarkChange]:
-        """The changes since the last call."""
+        """Returns and clears the changes since the last call."""
         changes, self._effects.changes = self._effects.changes, []
         return changes
 
     # ------------------------------------------------------------------ outlier reports and server lists
 
     def publish_outlier_report(self, now_us: int, content: bytes) -> None:
-        """Replaces this node's report of outliers."""
+        """Replaces this node's outlier report."""
         self._outlier_reports += 1
         count = (self._members.own_record.incarnation, self._outlier_reports)
         key = (OUTLIER_REPORT, self.name, "")
         self._put_own(now_us, apply_write(None, key, True, self.name, count, content))
 
     def store_server_list(self, now_us: int, source: str, revision: int, content: bytes) -> None:
-        """Stores the list that a source sent under this revision; one that is not newer changes nothing."""
+        """Stores the list of a source unless its revision is not newer than that of the stored list."""
         key = (SERVER_LIST, source, "")
-        before = self.store.get(key)
-        if before is not None and before.context.get(source, (0, -1)) >= (0, revision):
+        previous = self.store.get(key)
+        if previous is not None and previous.context.get(source, (0, -1)) >= (0, revision):
             return
-        self._put_own(now_us, apply_write(before, key, False, source, (0, revision), content))
+        self._put_own(now_us, apply_write(previous, key, False, source, (0, revision), content))
 
     def _put_own(self, now_us: int, record: Record) -> None:
         self.store.put(now_us, record)
         self.anti_entropy.queue_gossip(record)
 
-    # ------------------------------------------------------------------ how far behind
+    # ------------------------------------------------------------------ replication lag
 
     @property
     def missing_records(self) -> int:
-        """How many records this copy may lack, by the leader's last reply or while it is being taken."""
+        """How many records this replica may lack, by the leader's last reply or by the state transfer under
+        way.
+        """
         copy = self.anti_entropy.copy
         missing = self._lag.missing_records
         return missing if copy.is_complete else max(missing, copy.missing_records)
 
     def get_lag_s(self, now_us: int) -> float | None:
-        """How old the newest thing may be that this copy does not hold; None: not known."""
+        """Returns the replication lag: the time since this replica was last in sync with the leader's; None
+        if it is not known.
+        """
         return self._lag.get_lag_s(now_us)
 
     def is_stale(self, now_us: int) -> bool:
-        """Whether the lag is not known, or more than the settings allow."""
+        """Whether the lag is unknown or exceeds the settings' bound."""
         return self._lag.is_stale(now_us)
 
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """When `turn` has something to do."""
+        """Returns when `turn` has to be called next."""
         due_us = min([self.anti_entropy.due_us(), self._lag.due_us()])
         if self.acceptor is not None:
             due_us = min(due_us, self.acceptor.due_us() or due_us)
@@ -361,8 +367,8 @@
         return min([due_us, *self._client.list_due_us()])
 
     def turn(self, now_us: int, leader: str) -> list[OutgoingMessage]:
-        """Does what is due; returns the messages to send. `leader`: who leads the marks, as far as is known;
-        empty: nobody.
+        """Runs all due work; returns the messages to send. `leader` is the known leader of the marks, empty
+        if there is none.
         """
         messages = self.anti_entropy.turn(now_us)
         if self.acceptor is not None:
@@ -370,10 +376,10 @@
         if self.coordinator is not None:
             messages += self.coordinator.turn(now_us)
             if self.coordinator.is_open:
-                self._lag.set_level(now_us)
+                self._lag.set_in_sync(now_us)
         messages += self._lag.turn(now_us, leader, len(self._effects.active))
         self._client.turn(now_us)
-        self._effects.update(self._lag.is_level_unknown)
+        self._effects.update(self._lag.is_sync_unknown)
         self._journal_lists(now_us)
         return messages
 
@@ -387,7 +393,9 @@
             self._journal.write_record(record, self.store.get_hash(record.key))
 
     def _journal_lists(self, now_us: int) -> None:
-        """Lists are long, change often, and are sent again by their source: the latest now and then."""
+        """Writes the changed server lists to the journal at intervals only, since lists are long, change
+        often and are sent again by their sources.
+        """
         if now_us < self._journal_lists_at_us:
             return
         self._journal_lists_at_us = now_us + JOURNAL_LISTS_INTERVAL_US
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,6 @@
-"""Copies of the fleet's state: how records merge, how copies become alike, and what a bad message does."""
+"""Replication of the fleet's state: merging of records, convergence of replicas, and handling of bad
+messages.
+"""
 
 from __future__ import annotations
 
@@ -50,22 +52,22 @@
 from sailrun.replication.store import PutResult, RecordStore
 from tests.support import Relay, full, ten_seconds
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 KEY = ("out", "s-00000001", "")
 
 
-def make_record(dots: dict[tuple[str, int], bool], seen: dict[str, int]) -> Record:
-    versions = [Version(a, (0, n), f"{a}{n}".encode(), gone) for (a, n), gone in sorted(dots.items())]
-    return Record(*KEY, False, versions, {a: (0, n) for a, n in seen.items()})
+def make_record(dots: dict[tuple[str, int], bool], counts: dict[str, int]) -> Record:
+    versions = [Version(a, (0, n), f"{a}{n}".encode(), deleted) for (a, n), deleted in sorted(dots.items())]
+    return Record(*KEY, False, versions, {a: (0, n) for a, n in counts.items()})
 
 
 @st.composite
 def records(draw: st.DrawFn) -> Record:
-    """Any copy there can be: versions that its context knows, each dot with one content."""
+    """Generates valid records: the context covers all versions, and each dot has a single content."""
     seen = draw(st.dictionaries(st.sampled_from("abc"), st.integers(1, 4), min_size=1))
-    dots = [(a, n) for a, most in seen.items() for n in range(1, most + 1)]
-    held = draw(st.sets(st.sampled_from(dots), max_size=4))
-    return make_record({(a, n): (n + ord(a)) % 3 == 0 for a, n in held}, seen)
+    dots = [(a, n) for a, highest in seen.items() for n in range(1, highest + 1)]
+    held_dots = draw(st.sets(st.sampled_from(dots), max_size=4))
+    return make_record({(a, n): (n + ord(a)) % 3 == 0 for a, n in held_dots}, seen)
 
 
 @given(records(), records(), records())
@@ -77,7 +79,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 2), st.booleans()), max_size=25))
-def test_copies_that_exchange_everything_are_equal_and_lose_no_version(
+def test_replicas_that_exchange_everything_are_equal_and_lose_no_version(
     steps: list[tuple[int, int, bool]],
 ) -> None:
     copies: list[Record | None] = [None, None, None]
@@ -92,39 +94,39 @@
             copies[at] = copies[other]
     known = [c for c in copies if c is not None]
     for one in known:
-        whole = one
+        merged = one
         for another in known:
-            whole = merge_records(whole, another)
-        assert whole.versions  # a word stands until another one has seen it
-        assert all(covers(whole, [v.dot for v in c.versions]) for c in known)
+            merged = merge_records(merged, another)
+        assert merged.versions  # a version stays until a version that has seen it supersedes it
+        assert all(covers(merged, [v.dot for v in c.versions]) for c in known)
 
 
 def mark(id_: str, on: bool) -> bytes:
     return encode_mark(OperatorMark(id_, on, False, "a", "b", 0.0, "n", [id_]))
 
 
-def test_a_mark_active_on_one_side_and_deleted_on_the_other_stays_active_until_a_write_saw_both() -> None:
-    both = apply_write(None, KEY, False, "n1", (0, 1), mark("first", True))
-    out = apply_write(both, KEY, False, "n1", (0, 2), mark("out", True))
-    back = apply_write(both, KEY, False, "n2", (0, 1), mark("back", False), deleted=True)
-    met = merge_records(out, back)
-    assert (resolve_mark(met).active, resolve_mark(met).has_conflict) == (True, True)
+def test_a_mark_with_an_active_and_a_deleted_version_stays_active_until_a_write_has_seen_both() -> None:
+    common = apply_write(None, KEY, False, "n1", (0, 1), mark("first", True))
+    marked = apply_write(common, KEY, False, "n1", (0, 2), mark("out", True))
+    deleted = apply_write(common, KEY, False, "n2", (0, 1), mark("back", False), deleted=True)
+    merged = merge_records(marked, deleted)
+    assert (resolve_mark(merged).active, resolve_mark(merged).has_conflict) == (True, True)
     settled = merge_records(
-        met, apply_write(met, KEY, False, STRONG, (7, 1), mark("settled", False), deleted=True)
+        merged, apply_write(merged, KEY, False, STRONG, (7, 1), mark("settled", False), deleted=True)
     )
     assert (resolve_mark(settled).active, resolve_mark(settled).has_conflict, len(settled.versions)) == (
         False,
         False,
         1,
     )
-    assert merge_records(settled, out) == settled  # nothing brings it back
+    assert merge_records(settled, marked) == settled  # the superseded version does not return
 
 
-def test_writes_of_leaders_are_in_the_order_of_their_terms_whichever_comes_last() -> None:
+def test_writes_of_leaders_are_ordered_by_term_regardless_of_merge_order() -> None:
     old = apply_write(None, KEY, False, STRONG, (3, 9), b"old")
     new = apply_write(None, KEY, False, STRONG, (4, 1), b"new")
-    for met in (merge_records(old, new), merge_records(new, old)):
-        assert [v.content for v in met.versions] == [b"new"]
+    for merged in (merge_records(old, new), merge_records(new, old)):
+        assert [v.content for v in merged.versions] == [b"new"]
 
 
 def test_a_mark_read_from_its_leader_is_described_by_the_keys_that_scripts_read() -> None:
@@ -138,18 +140,18 @@
     ]
 
 
-# -------------------------------------------------------------------- a copy's bounds and checks
+# -------------------------------------------------------------------- bounds and checks of a replica
 
 
-def make_store(**terms: Any) -> RecordStore:
-    return RecordStore(ReplicationSettings(enabled=True, **terms), b"fleet")
+def make_store(**overrides: Any) -> RecordStore:
+    return RecordStore(ReplicationSettings(enabled=True, **overrides), b"fleet")
 
 
-def test_a_full_copy_rejects_soft_records_and_still_accepts_marks() -> None:
+def test_a_full_store_rejects_soft_records_and_still_accepts_marks() -> None:
     store = make_store(max_records=100)
     for n in range(120):
-        took = store.put(0, apply_write(None, ("belief", f"n{n}", ""), True, f"n{n}", (1, 1), b"x"))
-    assert took is PutResult.FULL and len(store) == 100 and store.rejected_full == 20
+        result = store.put(0, apply_write(None, ("belief", f"n{n}", ""), True, f"n{n}", (1, 1), b"x"))
+    assert result is PutResult.FULL and len(store) == 100 and store.rejected_full == 20
     for n in range(50):
         assert (
             store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x")) is PutResult.NEW
@@ -160,40 +162,42 @@
     store = make_store()
     for revision in (5, 9, 7):
         store.put(0, apply_write(None, ("list", "r", ""), False, "r", (0, revision), b"%d" % revision))
-    held = store.get(("list", "r", ""))
-    assert held is not None and [v.content for v in held.versions] == [b"9"]
+    stored = store.get(("list", "r", ""))
+    assert stored is not None and [v.content for v in stored.versions] == [b"9"]
 
 
-def test_the_last_good_list_is_read_from_the_copies_as_a_cached_one() -> None:
+def test_the_last_valid_list_is_read_from_the_replica_as_a_cached_one() -> None:
     node = make_replica()
     entry = {"id": "s-00000001", "host_port": "127.0.0.1:9", "phase": "SERVING", "locality": "z0"}
     store_server_list(node, 0, "127.0.0.1:1 z0", 7, [entry])
     store_server_list(node, 0, "127.0.0.1:1 z0", 6, [])
     found = read_stored_server_list(node, "127.0.0.1:1 z0")
     assert found is not None and read_stored_server_list(node, "127.0.0.1:2 z0") is None
-    news, age_us = found
-    assert (news.kind, news.revision, [s.name for s in news.form_servers]) == (
+    update, age_us = found
+    assert (update.kind, update.revision, [s.name for s in update.form_servers]) == (
         ListKind.CACHED,
         7,
         ["s-00000001"],
     )
-    assert age_us(5 * SECOND) == 5 * SECOND
+    assert age_us(5 * SECOND_US) == 5 * SECOND_US
 
 
-def test_a_soft_record_ages_on_its_way_and_expires() -> None:
+def test_a_soft_record_keeps_its_age_when_sent_and_expires() -> None:
     one, other, third = (make_store(outlier_report_ttl_s=10.0) for _ in range(3))
     key = ("belief", "n1", "")
     one.put(0, apply_write(None, key, True, "n1", (1, 1), b"x"))
-    held = one.get(key)
-    assert held is not None
-    other.put(100 * SECOND, one.with_age(6 * SECOND, held))  # another clock, 6 s old
-    assert other.age_us(100 * SECOND, key) == 6 * SECOND
-    assert third.put(0, one.with_age(11 * SECOND, held)) is PutResult.EXPIRED
-    other.expire_records(105 * SECOND)
+    stored = one.get(key)
+    assert stored is not None
+    other.put(
+        100 * SECOND_US, one.with_age(6 * SECOND_US, stored)
+    )  # a different clock; the record is 6 s old
+    assert other.age_us(100 * SECOND_US, key) == 6 * SECOND_US
+    assert third.put(0, one.with_age(11 * SECOND_US, stored)) is PutResult.EXPIRED
+    other.expire_records(105 * SECOND_US)
     assert len(other) == 0
 
 
-def test_a_corrupted_record_is_found_and_never_sent_on() -> None:
+def test_a_corrupted_record_is_detected_and_never_sent() -> None:
     store = make_store()
     for n in range(40):
         store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"content"))
@@ -207,7 +211,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.booleans()), max_size=60))
-def test_digests_and_pages_follow_the_records_of_a_copy(steps: list[tuple[int, bool]]) -> None:
+def test_digests_and_pages_match_the_records_of_a_replica(steps: list[tuple[int, bool]]) -> None:
     store = make_store()
     for count, (n, put) in enumerate(steps):
         key = ("out", f"s-{n}", "")
@@ -220,8 +224,8 @@
     while True:
         page, after = store.read_page(0, ranges, after, 100)
         pages += 1
-        for held in page:
-            other.put(0, held)
+        for record in page:
+            other.put(0, record)
         if after is None:
             break
         ranges = ranges[ranges.index(find_range(after, False)) :]
@@ -238,94 +242,96 @@
     assert find_consistent_voters({"a": (1, {}), "b": (2, {"a": 2})}) == {"b"}
 
 
-# -------------------------------------------------------------------- messages of whatever kind
+# -------------------------------------------------------------------- arbitrary messages
 
 
-def make_replica(name: str = "n1", **terms: Any) -> Replica:
+def make_replica(name: str = "n1", **overrides: Any) -> Replica:
     members = Membership(
         MemberRecord(name, 1, 1, MemberState.ALIVE, name), MembershipSettings(enabled=True, name=name), 1, 0
     )
     others = [MemberRecord(f"n{n}", n, 1, MemberState.ALIVE, f"n{n}") for n in range(1, 5) if f"n{n}" != name]
     members.merge_records(0, others, others[0].name)
-    owners = LeadershipSettings(enabled=True, voters=("n1", "n2", "n3"))
-    made = Replica(
+    leadership = LeadershipSettings(enabled=True, voters=("n1", "n2", "n3"))
+    replica = Replica(
         name,
         1,
-        ReplicationSettings(enabled=True, **terms),
+        ReplicationSettings(enabled=True, **overrides),
         "f",
         members,
-        lambda: Voters(owners),
+        lambda: Voters(leadership),
         lambda k: None,
         1,
         0,
     )
-    made.anti_entropy.copy.is_complete = True
-    return made
+    replica.anti_entropy.copy.is_complete = True
+    return replica
 
 
-def any_of(hint: Any) -> st.SearchStrategy[Any]:
-    """Whatever a field of this type may hold, sound or not."""
+def values_of(hint: Any) -> st.SearchStrategy[Any]:
+    """Generates values of a type, valid or not."""
     origin, args = typing.get_origin(hint), typing.get_args(hint)
     if hint is Record:
         return st.builds(
             Record,
             *(st.sampled_from(["out", "drain", "fleet", "forgotten", "belief", "", "x" * 300]),) * 3,
             st.booleans(),
-            st.lists(any_of(Version), max_size=3),
-            any_of(dict[str, tuple[int, int]]),
+            st.lists(values_of(Version), max_size=3),
+            values_of(dict[str, tuple[int, int]]),
             st.integers(-(10**6), 10**6),
         )
     if origin is typing.Union or str(origin) == "<class 'types.UnionType'>":
-        return st.one_of(*(any_of(a) for a in args))
+        return st.one_of(*(values_of(a) for a in args))
     if origin is list:
-        return st.lists(any_of(args[0]), max_size=40)
+        return st.lists(values_of(args[0]), max_size=40)
     if origin is dict:
-        return st.dictionaries(any_of(args[0]), any_of(args[1]), max_size=4)
+        return st.dictionaries(values_of(args[0]), values_of(args[1]), max_size=4)
     if origin is tuple:
-        return st.tuples(*(any_of(a) for a in args))
+        return st.tuples(*(values_of(a) for a in args))
     if hint is str:
         return st.sampled_from(["n1", "n2", "n3", "out", "s-00000001", "", "é\0"])
     if hint is int:
         return st.one_of(st.integers(-2, 40), st.integers(0, 2**63))
     if hint is Version:
-        return st.builds(Version, any_of(str), st.tuples(st.integers(0, 9), st.integers(0, 9)), st.binary())
+        return st.builds(
+            Version, values_of(str), st.tuples(st.integers(0, 9), st.integers(0, 9)), st.binary()
+        )
     return st.from_type(hint)
 
 
-KINDS = typing.get_args(messages.ReplicationBody)
+BODY_TYPES = typing.get_args(messages.ReplicationBody)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.data())
-def test_no_message_of_a_member_ends_a_node_whatever_is_in_it(data: st.DataObject) -> None:
+def test_no_content_of_a_message_crashes_a_node(data: st.DataObject) -> None:
     node = make_replica()
     node.set_leadership(0, 5)
     assert node.acceptor is not None
     node.acceptor.state.is_recovered = data.draw(st.booleans())
     for n in range(data.draw(st.integers(1, 4))):
-        kind = data.draw(st.sampled_from(KINDS))
+        kind = data.draw(st.sampled_from(BODY_TYPES))
         hints = typing.get_type_hints(kind)
-        body = kind(**{f: data.draw(any_of(hints[f]), label=f) for f in kind.__struct_fields__})
+        body = kind(**{f: data.draw(values_of(hints[f]), label=f) for f in kind.__struct_fields__})
         sent = decode_envelope(encode_envelope(Envelope("f", "n2", 1, 1, body))).body
         assert sent == body
-        node.receive(n * SECOND, data.draw(st.sampled_from(["n2", "n4", "nobody"])), body)
-        node.turn(n * SECOND + 1, "n2")
+        node.receive(n * SECOND_US, data.draw(st.sampled_from(["n2", "n4", "nobody"])), body)
+        node.turn(n * SECOND_US + 1, "n2")
 
 
 @given(st.binary(max_size=400), st.integers(0, 10**6), st.integers(0, 255))
-def test_bytes_that_are_no_message_are_rejected_as_such(junk: bytes, at: int, byte: int) -> None:
-    sound = encode_envelope(
+def test_bytes_that_are_not_a_message_are_rejected(junk: bytes, at: int, byte: int) -> None:
+    valid = encode_envelope(
         Envelope("f", "n2", 1, 1, Accept(1, 1, 0, [make_record({("a", 1): False}, {"a": 1})]))
     )
-    at %= len(sound)
-    for told in (junk, sound[:at], sound[:at] + bytes([byte]) + sound[at + 1 :]):
+    at %= len(valid)
+    for content in (junk, valid[:at], valid[:at] + bytes([byte]) + valid[at + 1 :]):
         try:
-            decode_envelope(told)
+            decode_envelope(content)
         except InvalidEnvelopeError:
             continue
 
 
-def test_a_record_that_contradicts_itself_is_not_accepted() -> None:
+def test_an_invalid_record_is_not_accepted() -> None:
     store = make_store()
     for bad in (
         Record(*KEY, False, [], {}),
@@ -342,99 +348,99 @@
     newer = apply_write(None, ("tides", "s-1", "x"), False, "n9", (0, 1), b"\x93\x01\x02\x03")
     one, other = make_replica("n1"), make_replica("n2")
     one.receive(0, "n2", messages.Rumor(0, [newer]))
-    asked = other.anti_entropy.request_digests("n1")[0][1]
-    differs = one.receive(0, "n2", asked)[0][1]
-    other.receive(0, "n1", differs)
-    take = next(b for _, b in other.anti_entropy.receiver.turn(0, 0))
-    given_ = one.receive(0, "n2", take)[0][1]
-    other.receive(0, "n1", given_)
+    digest_request = other.anti_entropy.request_digests("n1")[0][1]
+    digest_reply = one.receive(0, "n2", digest_request)[0][1]
+    other.receive(0, "n1", digest_reply)
+    page_request = next(b for _, b in other.anti_entropy.receiver.turn(0, 0))
+    page = one.receive(0, "n2", page_request)[0][1]
+    other.receive(0, "n1", page)
     assert other.store.get(newer.key) == newer
 
 
-# -------------------------------------------------------------------- passing copies on
+# -------------------------------------------------------------------- transfer and convergence of replicas
 
 
 def test_a_sender_rejects_receivers_beyond_its_rate_but_not_a_voter_that_recovers() -> None:
     store = make_store()
     for n in range(400):
         store.put(0, apply_write(None, ("out", f"s-{n}", ""), False, "n", (0, n), b"x" * 200))
-    giver = TransferSender(
+    sender = TransferSender(
         ReplicationSettings(enabled=True, max_receivers=3, send_kb_per_s=100.0, page_kb=16)
     )
     ranges = list(range(FIRM_RANGE_COUNT))
-    answers = [
-        giver.answer_request(0, f"t{n}", PageRequest(1, 0, ranges, None), store, True) for n in range(100)
+    replies = [
+        sender.answer_request(0, f"t{n}", PageRequest(1, 0, ranges, None), store, True) for n in range(100)
     ]
-    assert sum(isinstance(a, RecordPage) for a in answers) <= 3
-    assert all(a.retry_after_us >= SECOND // 4 for a in answers if isinstance(a, SenderBusy))
+    assert sum(isinstance(a, RecordPage) for a in replies) <= 3
+    assert all(a.retry_after_us >= SECOND_US // 4 for a in replies if isinstance(a, SenderBusy))
     assert isinstance(
-        giver.answer_request(0, "voter", PageRequest(1, 0, ranges, None, True), store, True), RecordPage
+        sender.answer_request(0, "voter", PageRequest(1, 0, ranges, None, True), store, True), RecordPage
     )
     assert isinstance(
-        giver.answer_request(3 * SECOND, "late", PageRequest(1, 0, ranges, None), store, True), RecordPage
+        sender.answer_request(3 * SECOND_US, "late", PageRequest(1, 0, ranges, None), store, True), RecordPage
     )
 
 
 def make_fleet(nodes: int, seed: int, kind: str = "copies") -> VirtualFleet:
-    made = VirtualFleet(
+    fleet = VirtualFleet(
         nodes, 3, 1, lambda n, voters, joins: agent_terms(n, voters, joins, PLANS[kind]), seed
     )
-    made.begin()
-    return made
+    fleet.begin()
+    return fleet
 
 
 def now_s(fleet: VirtualFleet) -> float:
-    return (fleet.time.now_us - BEGIN_US) / SECOND
+    return (fleet.time.now_us - BEGIN_US) / SECOND_US
 
 
-def run_until(fleet: VirtualFleet, true: Callable[[], object], for_s: float = 20.0) -> float:
-    """Lets time pass until it is so; returns how long that took, in seconds."""
+def run_until(fleet: VirtualFleet, condition: Callable[[], object], timeout_s: float = 20.0) -> float:
+    """Advances the time until the condition holds; returns how long that took, in seconds."""
     began_s = now_s(fleet)
-    while not true():
-        assert now_s(fleet) - began_s < for_s
+    while not condition():
+        assert now_s(fleet) - began_s < timeout_s
         fleet.run(now_s(fleet) + 0.1)
     return now_s(fleet) - began_s
 
 
-def replica_of(fleet: VirtualFleet, name: str) -> Replica:
+def get_replica(fleet: VirtualFleet, name: str) -> Replica:
     agent = fleet.nodes[name].agent
     assert agent is not None and agent.replica is not None
     return agent.replica
 
 
 def write_mark(
-    fleet: VirtualFleet, name: str, subject: str, on: bool, everybody: bool = False
+    fleet: VirtualFleet, name: str, subject: str, on: bool, all_members: bool = False
 ) -> MarkOutcome:
-    answers: list[MarkOutcome] = []
+    outcomes: list[MarkOutcome] = []
     node = fleet.nodes[name]
-    op = MarkRequest(
-        "mark", replica_of(fleet, name).make_request_id(), 0, "out", subject, on, all_members=everybody
+    request = MarkRequest(
+        "mark", get_replica(fleet, name).make_request_id(), 0, "out", subject, on, all_members=all_members
     )
-    replica_of(fleet, name).write_mark(fleet.clock_us(node), op, answers.append)
-    run_until(fleet, lambda: answers)
-    return answers[0]
+    get_replica(fleet, name).write_mark(fleet.clock_us(node), request, outcomes.append)
+    run_until(fleet, lambda: outcomes)
+    return outcomes[0]
 
 
-def are_alike(fleet: VirtualFleet, names: list[str]) -> bool:
-    parts = [replica_of(fleet, n) for n in names]
-    return len({p.store.digests.get_firm_digest() for p in parts}) == 1 and all(
-        p.anti_entropy.copy.is_complete for p in parts
+def are_converged(fleet: VirtualFleet, names: list[str]) -> bool:
+    replicas = [get_replica(fleet, n) for n in names]
+    return len({replica.store.digests.get_firm_digest() for replica in replicas}) == 1 and all(
+        replica.anti_entropy.copy.is_complete for replica in replicas
     )
 
 
 def test_a_mark_written_anywhere_is_active_everywhere_and_after_a_restart() -> None:
     fleet = make_fleet(5, 3)
     fleet.run(5.0)
-    answer = write_mark(fleet, "n4", "s-00000001", True, everybody=True)
-    assert (answer.state, answer.copies, answer.replicas) == ("done", 5, 5)
+    outcome = write_mark(fleet, "n4", "s-00000001", True, all_members=True)
+    assert (outcome.state, outcome.copies, outcome.replicas) == ("done", 5, 5)
     run_until(
         fleet,
-        lambda: all(("out", "s-00000001", True) in replica_of(fleet, n).mark_changes for n in fleet.names),
+        lambda: all(("out", "s-00000001", True) in get_replica(fleet, n).mark_changes for n in fleet.names),
         1.0,
     )
     fleet.kill("n4")
     fleet.start("n4")
-    run_until(fleet, lambda: ("out", "s-00000001", True) in replica_of(fleet, "n4").mark_changes, 5.0)
+    run_until(fleet, lambda: ("out", "s-00000001", True) in get_replica(fleet, "n4").mark_changes, 5.0)
 
 
 def test_a_minority_gets_an_unknown_outcome_and_its_local_writes_merge_after_the_partition() -> None:
@@ -444,43 +450,44 @@
     fleet.run(9.0)
     assert write_mark(fleet, "n4", "s-00000001", True).state == "unknown"
     fleet.mark_here("n4", "s-00000002", True)
-    behind_s = replica_of(fleet, "n4").get_lag_s(fleet.clock_us(fleet.nodes["n4"]))
+    behind_s = get_replica(fleet, "n4").get_lag_s(fleet.clock_us(fleet.nodes["n4"]))
     assert behind_s is not None and behind_s > 3.0
     assert write_mark(fleet, "n2", "s-00000003", True).state == "done"
     fleet.heal(cut)
-    run_until(fleet, lambda: are_alike(fleet, fleet.names))
-    assert {s.subject for s in replica_of(fleet, "n1").list_marks() if s.active} >= {
+    run_until(fleet, lambda: are_converged(fleet, fleet.names))
+    assert {s.subject for s in get_replica(fleet, "n1").list_marks() if s.active} >= {
         "s-00000002",
         "s-00000003",
     }
 
 
-def test_a_node_absent_while_a_mark_was_forgotten_does_not_restore_it_and_loses_no_local_write() -> None:
+def test_a_node_absent_during_a_removal_does_not_restore_the_mark_and_loses_no_local_write() -> None:
     fleet = make_fleet(5, 5, "copies-return")
     fleet.run(5.0)
-    write_mark(fleet, "n1", "s-00000001", True, everybody=True)
+    write_mark(fleet, "n1", "s-00000001", True, all_members=True)
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 6.0)
     fleet.mark_here("n4", "s-00000002", True)
     write_mark(fleet, "n1", "s-00000001", False)
-    run_until(fleet, lambda: replica_of(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
+    run_until(fleet, lambda: get_replica(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
     key = ("out", "s-00000001", "")
     assert (
-        replica_of(fleet, "n1").store.get(key) is None and replica_of(fleet, "n4").store.get(key) is not None
+        get_replica(fleet, "n1").store.get(key) is None
+        and get_replica(fleet, "n4").store.get(key) is not None
     )
     fleet.heal(cut)
-    run_until(fleet, lambda: are_alike(fleet, fleet.names))
-    assert replica_of(fleet, "n4").anti_entropy.copy.copies_begun == 1  # it began with a whole copy
-    assert all(replica_of(fleet, n).store.get(key) is None for n in fleet.names)
-    assert all(replica_of(fleet, n).store.get(("out", "s-00000002", "")) for n in fleet.names)
+    run_until(fleet, lambda: are_converged(fleet, fleet.names))
+    assert get_replica(fleet, "n4").anti_entropy.copy.discard_count == 1  # it fetched a new replica
+    assert all(get_replica(fleet, n).store.get(key) is None for n in fleet.names)
+    assert all(get_replica(fleet, n).store.get(("out", "s-00000002", "")) for n in fleet.names)
 
 
-def test_a_large_transfer_resumes_where_a_partition_ended_it_and_from_several_senders() -> None:
+def test_a_large_transfer_from_several_senders_resumes_after_a_partition() -> None:
     fleet = make_fleet(5, 6)
     fleet.run(5.0)
     fleet.kill("n4")
     for name in ("n0", "n1", "n2", "n3"):
-        store = replica_of(fleet, name).store
+        store = get_replica(fleet, name).store
         for n in range(4000):
             key = ("tides", f"s-{n}", "")
             store.put(
@@ -490,7 +497,7 @@
     run_until(
         fleet,
         lambda: (
-            len({p.sender for p in replica_of(fleet, "n4").anti_entropy.receiver.transfers if not p.urgent})
+            len({p.sender for p in get_replica(fleet, "n4").anti_entropy.receiver.transfers if not p.urgent})
             >= 2
         ),
         3.0,
@@ -498,99 +505,101 @@
     fleet.run(now_s(fleet) + 0.1)
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 4.0)
-    had = len(replica_of(fleet, "n4").store)
-    assert 0 < had < 4000
+    record_count = len(get_replica(fleet, "n4").store)
+    assert 0 < record_count < 4000
     fleet.heal(cut)
-    run_until(fleet, lambda: replica_of(fleet, "n4").anti_entropy.copy.is_complete, 30.0)
-    run_until(fleet, lambda: are_alike(fleet, fleet.names))
-    taker = replica_of(fleet, "n4").anti_entropy.receiver
-    # Ranges are not taken twice: what was there before the cut is not in the pieces after it.
-    assert taker.resumed >= 1 and taker.pages < 40
+    run_until(fleet, lambda: get_replica(fleet, "n4").anti_entropy.copy.is_complete, 30.0)
+    run_until(fleet, lambda: are_converged(fleet, fleet.names))
+    receiver = get_replica(fleet, "n4").anti_entropy.receiver
+    # Ranges that were complete before the partition are not transferred again.
+    assert receiver.resumed >= 1 and receiver.pages < 40
 
 
 def test_sixty_nodes_start_together_and_fifty_seven_restart_at_once() -> None:
     fleet = make_fleet(60, 9)
     fleet.run(1.0)
     run_until(
-        fleet, lambda: all(replica_of(fleet, n).anti_entropy.copy.is_complete for n in fleet.names), 8.0
+        fleet, lambda: all(get_replica(fleet, n).anti_entropy.copy.is_complete for n in fleet.names), 8.0
     )
     write_mark(fleet, "n1", "s-00000001", True)
-    back = fleet.names[3:]
-    for name in back:
+    restarted = fleet.names[3:]
+    for name in restarted:
         fleet.kill(name)
-    for name in back:
+    for name in restarted:
         fleet.start(name)
     fleet.run(now_s(fleet) + 1.0)
-    run_until(fleet, lambda: all(replica_of(fleet, n).anti_entropy.copy.is_complete for n in back), 12.0)
-    assert all(replica_of(fleet, n).store.get(KEY) for n in fleet.names)
-    most = max(replica_of(fleet, n).anti_entropy.sender.pages_sent for n in fleet.names[:3])
-    assert most < 57 * 3  # those that had caught up gave as well
+    run_until(
+        fleet, lambda: all(get_replica(fleet, n).anti_entropy.copy.is_complete for n in restarted), 12.0
+    )
+    assert all(get_replica(fleet, n).store.get(KEY) for n in fleet.names)
+    most_pages = max(get_replica(fleet, n).anti_entropy.sender.pages_sent for n in fleet.names[:3])
+    assert most_pages < 57 * 3  # restarted nodes also serve transfers once they are complete
 
 
-def test_one_version_with_two_contents_is_settled_by_the_voters() -> None:
+def test_a_version_with_two_contents_is_resolved_by_the_voters() -> None:
     fleet = make_fleet(5, 7)
     fleet.run(5.0)
-    write_mark(fleet, "n1", "s-00000001", True, everybody=True)
-    store = replica_of(fleet, "n4").store
-    held = store.get(KEY)
-    assert held is not None
-    (version,) = held.versions
-    store.replace(0, Record(*KEY, False, [Version(version.actor, version.count, b"other")], held.context))
-    run_until(fleet, lambda: are_alike(fleet, fleet.names))
+    write_mark(fleet, "n1", "s-00000001", True, all_members=True)
+    store = get_replica(fleet, "n4").store
+    stored = store.get(KEY)
+    assert stored is not None
+    (version,) = stored.versions
+    store.replace(0, Record(*KEY, False, [Version(version.actor, version.count, b"other")], stored.context))
+    run_until(fleet, lambda: are_converged(fleet, fleet.names))
     assert (
-        replica_of(fleet, "n4").anti_entropy.repaired == 1
-        and replica_of(fleet, "n0").anti_entropy.repaired == 0
+        get_replica(fleet, "n4").anti_entropy.repaired == 1
+        and get_replica(fleet, "n0").anti_entropy.repaired == 0
     )
 
 
-def test_forgotten_local_writes_are_distinguished_from_new_ones() -> None:
+def test_removed_local_writes_are_distinguished_from_new_ones() -> None:
     fleet = make_fleet(5, 8, "copies-return")
     fleet.run(5.0)
     fleet.mark_here("n4", "s-00000001", True)
-    run_until(fleet, lambda: are_alike(fleet, fleet.names))
+    run_until(fleet, lambda: are_converged(fleet, fleet.names))
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 6.0)
     write_mark(fleet, "n1", "s-00000001", False)
-    run_until(fleet, lambda: replica_of(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
+    run_until(fleet, lambda: get_replica(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
     fleet.heal(cut)
-    run_until(fleet, lambda: are_alike(fleet, fleet.names))
-    assert all(replica_of(fleet, n).store.get(KEY) is None for n in fleet.names)
-    assert replica_of(fleet, "n0").store.get(EPOCH_RECORD_KEY) is not None
+    run_until(fleet, lambda: are_converged(fleet, fleet.names))
+    assert all(get_replica(fleet, n).store.get(KEY) is None for n in fleet.names)
+    assert get_replica(fleet, "n0").store.get(EPOCH_RECORD_KEY) is not None
 
 
-# -------------------------------------------------------------------- beliefs
+# -------------------------------------------------------------------- outlier reports
 
 
-def report_of(name: str, out: dict[str, int], setup_ms: int = 0) -> Record:
-    content = msgspec.msgpack.encode(OutlierReport(out, setup_ms))
+def make_report_record(name: str, ejected_ms: dict[str, int], setup_ms: int = 0) -> Record:
+    content = msgspec.msgpack.encode(OutlierReport(ejected_ms, setup_ms))
     return apply_write(None, ("belief", name, ""), True, name, (1, 1), content)
 
 
 def test_one_report_ejects_nothing_and_two_do_for_as_long_as_both_agree() -> None:
-    said = [
-        (report_of("n2", {"s-1": 9000, "s-2": 9000}, 40), SECOND),
-        (report_of("n3", {"s-1": 5000}, 60), SECOND),
+    reports = [
+        (make_report_record("n2", {"s-1": 9000, "s-2": 9000}, 40), SECOND_US),
+        (make_report_record("n3", {"s-1": 5000}, 60), SECOND_US),
     ]
     living = {"n1", "n2", "n3"}
-    assert combine_outlier_reports(said, living, "n1", 2) == ({"s-1": 4 * SECOND}, 50_000)
-    assert combine_outlier_reports(said, {"n1", "n2"}, "n1", 2)[0] == {}
-    assert combine_outlier_reports(said, living, "n3", 2)[0] == {}
-    assert combine_outlier_reports([(r, 6 * SECOND) for r, _ in said], living, "n1", 2)[0] == {}
+    assert combine_outlier_reports(reports, living, "n1", 2) == ({"s-1": 4 * SECOND_US}, 50_000)
+    assert combine_outlier_reports(reports, {"n1", "n2"}, "n1", 2)[0] == {}
+    assert combine_outlier_reports(reports, living, "n3", 2)[0] == {}
+    assert combine_outlier_reports([(r, 6 * SECOND_US) for r, _ in reports], living, "n1", 2)[0] == {}
 
 
 def test_an_outlier_report_is_sent_when_it_changes_and_again_before_it_expires() -> None:
-    voice = OutlierReporter(report_ttl_s=30.0)
-    assert voice.make_report(0, {}, 0) is None
-    assert voice.make_report(SECOND, {"s-1": SECOND}, 0) is not None
-    assert voice.make_report(2 * SECOND, {"s-1": SECOND // 2}, 0) is None
-    assert voice.make_report(12 * SECOND, {"s-1": SECOND // 2}, 0) is not None
-    assert voice.make_report(13 * SECOND, {}, 0) is not None  # nobody any more
+    reporter = OutlierReporter(report_ttl_s=30.0)
+    assert reporter.make_report(0, {}, 0) is None
+    assert reporter.make_report(SECOND_US, {"s-1": SECOND_US}, 0) is not None
+    assert reporter.make_report(2 * SECOND_US, {"s-1": SECOND_US // 2}, 0) is None
+    assert reporter.make_report(12 * SECOND_US, {"s-1": SECOND_US // 2}, 0) is not None
+    assert reporter.make_report(13 * SECOND_US, {}, 0) is not None  # no form server is ejected any more
 
 
-# -------------------------------------------------------------------- the checker, and days that are judged
+# -------------------------------------------------------------------- linearizability checker, checked runs
 
 
-def test_the_checker_distinguishes_histories_of_one_copy_from_others() -> None:
+def test_the_checker_accepts_linearizable_histories_only() -> None:
     def w(begin: float, end: float, value: str) -> Operation:
         return Operation(begin, end, True, value)
 
@@ -601,22 +610,22 @@
     assert linearizable([w(0, 1, "a"), r(2, 3, "a")], "none")
     assert linearizable([w(0, 9, "a"), r(2, 3, "none"), r(4, 5, "a")], "none")
     assert linearizable([w(0, forever, "a"), r(2, 3, "none"), r(8, 9, "a")], "none")
-    assert not linearizable([w(0, 1, "a"), r(2, 3, "none")], "none")  # lost
-    assert not linearizable([w(0, 9, "a"), r(2, 3, "a"), r(4, 5, "none")], "none")  # seen and gone
-    assert not linearizable([w(0, 1, "a"), w(2, 3, "b"), r(4, 5, "a")], "none")  # undone
+    assert not linearizable([w(0, 1, "a"), r(2, 3, "none")], "none")  # lost write
+    assert not linearizable([w(0, 9, "a"), r(2, 3, "a"), r(4, 5, "none")], "none")  # read, then lost
+    assert not linearizable([w(0, 1, "a"), w(2, 3, "b"), r(4, 5, "a")], "none")  # overwritten value read
     twice = [w(0, forever, "a"), r(1, 2, "a"), w(3, 4, "b"), r(5, 6, "a")]
-    assert not linearizable(twice, "none")  # done twice
+    assert not linearizable(twice, "none")  # write applied twice
     fault = first_fault([w(0, 1, "a"), r(2, 3, "none"), r(4, 5, "a")], "none")
     assert fault is not None and fault.value == "none"
 
 
 @pytest.mark.parametrize("kind", [k for k, plan in PLANS.items() if plan.copies])
-def test_days_of_replication_keep_every_rule(kind: str) -> None:
-    # The last ones found a copy taken for whole that was empty, and a word whose context went with its copy.
-    # With 17 nodes, more words stood beside each other than a record could hold.
+def test_runs_with_replication_faults_pass_every_check(kind: str) -> None:
+    # These seeds found an empty replica that counted as complete, and a version whose context was lost with
+    # its discarded replica. With 17 nodes, a record had more concurrent versions than its bound allowed.
     for seed, nodes in ((7001, 5), (1059, 5), (1033, 5), (6, 17)):
-        played = play_virtual(FaultDay(kind, seed, nodes=nodes))
-        assert not [(c.name, c.faults) for c in played.checks if c.value > c.limit]
+        run = play_virtual(FaultDay(kind, seed, nodes=nodes))
+        assert not [(c.name, c.faults) for c in run.checks if c.value > c.limit]
 
 
 @pytest.mark.parametrize(
@@ -627,10 +636,10 @@
         ("copies-differ", "mend", "copies-alike-at-rest", 1),
     ],
 )
-def test_a_rule_that_is_off_is_found_out(kind: str, rule: str, check: str, first: int) -> None:
+def test_checks_detect_a_disabled_rule(kind: str, rule: str, check: str, first: int) -> None:
     for seed in range(first, first + 29):
-        played = play_virtual(FaultDay(kind, seed, off=frozenset((rule,))))
-        if any(c.name == check and c.value for c in played.checks):
+        run = play_virtual(FaultDay(kind, seed, off=frozenset((rule,))))
+        if any(c.name == check and c.value for c in run.checks):
             return
     raise AssertionError(f"{rule} off: {check} found nothing in 29 days")
 
@@ -642,14 +651,15 @@
 
 
 @pytest.mark.parametrize(("rule", "first"), [("fence", 0), ("majority", 90), ("lives", 780), ("level", 0)])
-def test_the_exploration_finds_each_rule_that_is_off(rule: str, first: int) -> None:
+def test_the_exploration_detects_each_disabled_rule(rule: str, first: int) -> None:
     found = explore_copies(100, off=frozenset((rule,)), first=first)
     assert found.fault
 
 
 def bad_attempts(report_interval_us: int | None) -> tuple[int, int]:
-    """A node just started, twenty form servers, one of which times every attempt out; sixty households a
-    second for 10 s. Returns attempts there and how many households were brought up at once.
+    """Simulates a node that has just started, with twenty form servers, one of which lets every attempt time
+    out, and sixty households per second for 10 s. Returns the number of attempts at that form server, and how
+    many households were connected immediately.
     """
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 21)))
@@ -658,33 +668,34 @@
 
     def receive_reports(n: int) -> None:
         if report_interval_us is not None and n % 5 == 0:
-            event = peers.merge_reports(relay.now, {bad: 30 * SECOND - n * 200_000}, (), 10_000)
+            event = peers.merge_reports(relay.now, {bad: 30 * SECOND_US - n * 200_000}, (), 10_000)
             if event is not None:
                 relay.feed(event)
 
-    brought_up = ten_seconds(relay, bad, receive_reports)
+    connected = ten_seconds(relay, bad, receive_reports)
     relay.finish()
     sends = [backend for promise in relay.promises.values() for backend, _ in promise.sends]
-    return sends.count(bad), brought_up
+    return sends.count(bad), connected
 
 
 def test_a_node_just_started_avoids_the_form_server_that_others_reported() -> None:
-    without, up_without = bad_attempts(None)
-    with_, up_with = bad_attempts(SECOND)
-    assert without >= 3 and 5 * with_ <= without, (without, with_)
-    assert up_with > up_without >= 500
+    attempts_without, connected_without = bad_attempts(None)
+    attempts_with, connected_with = bad_attempts(SECOND_US)
+    assert attempts_without >= 3 and 5 * attempts_with <= attempts_without, (attempts_without, attempts_with)
+    assert connected_with > connected_without >= 500
 
 
-def test_gossiped_reports_never_eject_many_nor_for_long_nor_a_form_server_that_answered_here() -> None:
+def test_gossiped_reports_eject_few_form_servers_briefly_and_none_that_answered_here() -> None:
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 10)))
     peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
-    event = peers.merge_reports(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND), {1}, 0)
+    event = peers.merge_reports(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND_US), {1}, 0)
     assert event is not None
     relay.feed(event)
-    away = relay.balancer.avoided_backends(relay.now)
-    assert len(away) == 3 and 1 not in away
+    avoided = relay.balancer.avoided_backends(relay.now)
+    assert len(avoided) == 3 and 1 not in avoided
     assert peers.local_report(relay.now, {}).ejected_for_us == {}
-    assert peers.merge_reports(relay.now + 12 * SECOND, {away[0]: 60 * SECOND}, (), 0) is None  # tried first
-    relay.advance(10 * SECOND)
+    # After the ejection, this node first tries the form server itself.
+    assert peers.merge_reports(relay.now + 12 * SECOND_US, {avoided[0]: 60 * SECOND_US}, (), 0) is None
+    relay.advance(10 * SECOND_US)
     assert relay.balancer.avoided_backends(relay.now) == []
