--- a/sailrun/load_gossip/__init__.py
+++ b/sailrun/load_gossip/__init__.py
@@ -1,1 +1,3 @@
-"""Gossip of load: in rounds, each node reports its load, one node adds up, and all receive the sum."""
+"""Load gossip: in each round, every node reports its load to a collector, which sends the sum to
+all nodes.
+"""
--- a/sailrun/load_gossip/aggregation.py
+++ b/sailrun/load_gossip/aggregation.py
@@ -1,4 +1,4 @@
-"""A node's report of its own load, and the sum of all reports of a round. Pure."""
+"""Builds a node's report of its own load, and sums all reports of a round. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from sailrun.load_gossip.datagram import LoadDatagram, short_name
 from sailrun.load_gossip.load_estimate import LoadEstimate
 
-# A backend is overloaded if so many of the reports say so.
+# A backend counts as overloaded if at least this many reports name it as overloaded.
 MIN_OVERLOAD_REPORTS = 2
 
 
 def build_report(round_number: int, local: LocalLoad, has_alert: bool) -> LoadDatagram:
-    """This node's report: every backend at which it has load, or that it finds overloaded."""
+    """Builds this node's report of all backends at which it has load or that it detects as overloaded."""
     loads: dict[int, float] = {}
     for number, load in local.loads.items():
         if load > 0 or number in local.overloaded:
@@ -30,14 +30,14 @@
     estimate: LoadEstimate,
     capacity: int,
 ) -> LoadDatagram:
-    """The summary of the reports, by index of the node. Of more backends than `capacity`, the overloaded and
-    those not named for longest are named.
+    """Sums the reports, given by node index. If there are more backends than `capacity`, the summary names
+    the overloaded ones and those that summaries have not named for the longest time.
     """
     sums = _sum_loads(reports)
     overloaded = _agreed_overloads(reports)
     is_complete = len(sums) <= capacity
     if not is_complete:
-        # Backends without load have their turn as well.
+        # Backends without load take part in the rotation as well.
         sums = dict.fromkeys(map(short_name, local.loads), 0.0) | sums
     named = estimate.order_by_last_named(sums, overloaded)[:capacity]
     return LoadDatagram(
@@ -53,15 +53,15 @@
 
 
 def _sum_loads(reports: Mapping[int, LoadDatagram]) -> dict[int, float]:
-    """Loads by short name. Where only some nodes report work, a connection of the others counts as an
-    average one of those that do.
+    """Returns the loads by short name. If only some nodes report work, a connection of the other nodes counts
+    as the average work per connection of those that do.
     """
-    in_work = [report for report in reports.values() if report.loads_reported]
-    work = sum(sum(report.loads.values()) for report in in_work)
-    work_per_connection = work / max(1, sum(report.connections for report in in_work))
+    work_reports = [report for report in reports.values() if report.loads_reported]
+    work = sum(sum(report.loads.values()) for report in work_reports)
+    work_per_connection = work / max(1, sum(report.connections for report in work_reports))
     sums: dict[int, float] = {}
     for report in reports.values():
-        scale = work_per_connection if in_work and not report.loads_reported else 1.0
+        scale = work_per_connection if work_reports and not report.loads_reported else 1.0
         for name, load in report.loads.items():
             sums[name] = sums.get(name, 0.0) + load * scale
     return sums
--- a/sailrun/load_gossip/aggregation_rounds.py
+++ b/sailrun/load_gossip/aggregation_rounds.py
@@ -1,10 +1,11 @@
-"""When a node reports its load to whom, and what it receives of the load of the others. Pure.
+"""The schedule of load reports and summaries. This module does no I/O.
 
-Every node reporting to every other would cost as many datagrams as there are pairs. Here the time names one
-collector for each round: all report to it, it adds up, and sends all nodes the summary. That is two
-datagrams for each node and round, however many nodes there are. A collector that is down costs one round.
+If every node reported to every other, the number of datagrams would grow with the square of the number of
+nodes. Instead, the round number determines one collector per round: all nodes report to it, and it sums the
+reports and sends the summary to all nodes. That is two datagrams per node and round, regardless of the number
+of nodes. A collector that is down costs one round.
 
-A node that has just started requests the latest summary from another one.
+A node that has just started requests the latest summary from another node.
 """
 
 from __future__ import annotations
@@ -26,47 +27,48 @@
     merge_parts,
     split_report,
 )
-from sailrun.load_gossip.load_estimate import SECOND, LoadEstimate
+from sailrun.load_gossip.load_estimate import SECOND_US, LoadEstimate
 
-# The length of a round. Beyond two hundred nodes rounds are longer, so that the fleet sends no more of them.
-MIN_ROUND_US = 2 * SECOND
+# The length of a round. With more than 200 nodes, rounds are longer, so that the fleet's datagram rate stays
+# constant.
+MIN_ROUND_US = 2 * SECOND_US
 ROUND_US_PER_NODE = 10_000
-# Without an alert only every so many rounds is used.
+# Without an alert, nodes report only in every n-th round.
 QUIET_ROUND_INTERVAL = 4
-# Within a round: all report within the first time, the collector adds up after the second.
+# Offsets within a round: nodes report within the first time, the collector sums the reports after the second.
 REPORT_SPREAD_US = 200_000
 COLLECT_US = 300_000
-# An alert, of this node or of the fleet, lasts so long.
-ALERT_US = 6 * SECOND
-# A node that has received no summary requests one so often, at most so many times.
+# The duration of an alert of this node or of the fleet.
+ALERT_US = 6 * SECOND_US
+# A node that has received no summary requests one at this interval, at most MAX_REQUESTS times.
 REQUEST_INTERVAL_US = 400_000
 MAX_REQUESTS = 5
-# The estimate loses weight as it ages: it is restated so often.
-RESTATE_INTERVAL_US = 1 * SECOND
-# Own reports are retained for so many rounds, to be deducted from the summary.
+# The estimate decreases as its summary ages, so it is passed on again at this interval.
+RESTATE_INTERVAL_US = 1 * SECOND_US
+# Own reports are retained for this many rounds, to be subtracted from the summary.
 RETAINED_REPORTS = 3
 
 
 class OutgoingDatagram(NamedTuple):
-    """A datagram for the node of that index; None: for all other nodes."""
+    """A datagram for the node with the index `recipient`; None: for all other nodes."""
 
     recipient: int | None
     content: bytes
 
 
 class RoundOutput(NamedTuple):
-    """What to send, and the load of the other nodes where its estimate has changed."""
+    """The datagrams to send, and the load of the other nodes if its estimate has changed."""
 
     datagrams: list[OutgoingDatagram]
     fleet_load: FleetLoad | None
 
 
 class AggregationRounds:
-    """One node's part in the rounds of its fleet. Times are microseconds of the time of day."""
+    """One node's schedule of reports and summaries. Times are in microseconds since the epoch."""
 
     def __init__(self, index: int, nodes: int, seed: int, now_us: int) -> None:
-        """`index`: this node's, below `nodes`."""
-        self.rejected_count = 0  # datagrams that were invalid, late, or not their sender's to send
+        """`index` is this node's index, below `nodes`."""
+        self.rejected_count = 0  # datagrams that were invalid, late, or from an unexpected sender
         self._index = index
         self._nodes = nodes
         self._capacity = datagram_capacity(nodes)
@@ -74,11 +76,11 @@
         self._round_us = max(MIN_ROUND_US, ROUND_US_PER_NODE * nodes)
         self._estimate = LoadEstimate(index, self._round_us)
         self._alert_until_us = now_us
-        self._round = now_us // self._round_us  # the one under way
+        self._round = now_us // self._round_us  # the current round
         self._own_reports: dict[int, LoadDatagram] = {}  # by round
-        self._collecting: dict[int, LoadDatagram] = {}  # reports of the collected round, by node
+        self._collecting: dict[int, LoadDatagram] = {}  # reports of `_collected_round`, by node
         self._collected_round = 0
-        self._collect_us: int | None = None  # when this node adds up; None: it does not collect
+        self._collect_us: int | None = None  # when this node sums the reports; None: it is not collecting
         self._report_us = self._next_report_us()
         self._request_us = now_us + self._random_us(REQUEST_INTERVAL_US // 4)
         self._requests_sent = 0
@@ -86,13 +88,13 @@
         self._latest_summary: LoadDatagram | None = None
 
     def collector_of(self, round_number: int) -> int:
-        """The index of the node that all report to in this round."""
+        """Returns the index of the node that collects the reports of this round."""
         return mmh3.hash(round_number.to_bytes(8, "little"), 0, signed=False) % self._nodes
 
     # ------------------------------------------------------------------ time
 
     def due_us(self) -> int:
-        """When `tick` has to be called next."""
+        """Returns when `tick` has to be called next."""
         due = [self._report_us, self._restate_us]
         if self._collect_us is not None:
             due.append(self._collect_us)
@@ -101,7 +103,7 @@
         return min(due)
 
     def tick(self, now_us: int, local: LocalLoad) -> RoundOutput:
-        """Does what is due by the clock; `local` is this node's load."""
+        """Runs all due work; `local` is this node's load."""
         if local.alert:
             self._alert_until_us = now_us + ALERT_US
         datagrams: list[OutgoingDatagram] = []
@@ -153,7 +155,9 @@
         return OutgoingDatagram(other, self._encode(request))
 
     def _next_report_us(self) -> int:
-        """A random time in the next round: nodes that report in the same instant lose datagrams together."""
+        """Returns a random time at the start of the next round. If all nodes reported at the same instant,
+        datagrams would be lost.
+        """
         return (self._round + 1) * self._round_us + self._random_us(REPORT_SPREAD_US)
 
     def _random_us(self, span_us: int) -> int:
@@ -162,8 +166,8 @@
     # ------------------------------------------------------------------ datagrams
 
     def receive(self, now_us: int, sender: int, content: bytes, local: LocalLoad) -> RoundOutput:
-        """Takes in a datagram of the node `sender`, and answers it. One that is invalid, late, or not its
-        sender's to send is counted as rejected.
+        """Handles a datagram of the node `sender`; returns the replies. A datagram that is invalid, late, or
+        from an unexpected sender is counted as rejected.
         """
         try:
             datagram = decode_datagram(content, self._nodes)
@@ -179,9 +183,9 @@
 
     def _receive_report(self, now_us: int, sender: int, report: LoadDatagram) -> None:
         round_number = now_us // self._round_us
-        is_for_us = self.collector_of(report.round_number) == self._index
+        is_collector = self.collector_of(report.round_number) == self._index
         is_late = now_us >= report.round_number * self._round_us + COLLECT_US
-        if not is_for_us or is_late or not round_number <= report.round_number <= round_number + 1:
+        if not is_collector or is_late or not round_number <= report.round_number <= round_number + 1:
             self.rejected_count += 1
             return
         self._collect(report.round_number)
@@ -191,14 +195,14 @@
         self, now_us: int, sender: int, summary: LoadDatagram, local: LocalLoad
     ) -> FleetLoad | None:
         round_number = now_us // self._round_us
-        # Only a node without any summary trusts a relayed one.
+        # Only a node without any summary accepts a relayed one.
         if summary.is_relayed:
-            is_trusted = self._latest_summary is None
+            is_accepted = self._latest_summary is None
             oldest = round_number - QUIET_ROUND_INTERVAL
         else:
-            is_trusted = sender == self.collector_of(summary.round_number)
+            is_accepted = sender == self.collector_of(summary.round_number)
             oldest = round_number - 1
-        if not is_trusted or not oldest <= summary.round_number <= round_number + 1:
+        if not is_accepted or not oldest <= summary.round_number <= round_number + 1:
             self.rejected_count += 1
             return None
         if summary.has_alert:
@@ -217,7 +221,7 @@
     # ------------------------------------------------------------------ summaries
 
     def _collect(self, round_number: int) -> None:
-        """Collects the reports of this round, and sums them after COLLECT_US."""
+        """Begins to collect the reports of this round, which are summed COLLECT_US after its start."""
         if self._collected_round != round_number:
             self._collecting = {}
         self._collected_round = round_number
--- a/sailrun/load_gossip/datagram.py
+++ b/sailrun/load_gossip/datagram.py
@@ -1,9 +1,9 @@
-"""The datagrams of a round: a node's report of its load, the collector's summary, a newcomer's request.
+"""The datagrams of a round: a node's report of its load, the collector's summary, and a new node's request.
 
-A backend (form server) is named by two bytes of its number's hash, its load by seven bits of a logarithm. The
-names are sorted and the gaps between them written in a Rice code: ninety backends and two hundred nodes fit
-into one datagram. An eighth bit says that the backend is overloaded: the sender sees late messages there, or
-lost connections.
+A backend (form server) is identified by two bytes of its number's hash. Its load is encoded in seven bits on
+a logarithmic scale; an eighth bit is set if the backend is overloaded, which means that the sender observes
+late messages or lost connections there. The short names are sorted, and the gaps between them are written in
+a Rice code, so that ninety backends and two hundred nodes fit into one datagram.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 FORMAT_VERSION = 0xF2
 MAX_DATAGRAM_BYTES = 256
-# Version, kind and flags, number of backends, connections, round.
+# Version, flags, number of backends, connections, round.
 _HEADER = struct.Struct("<BBBHI")
 MAX_BACKENDS = 0xFF
 MAX_CONNECTIONS = 0xFFFF
@@ -33,14 +33,14 @@
 ENTRY_BITS = LOAD_BITS + 1  # the load, and whether the backend is overloaded
 NAMES = 1 << NAME_BITS
 MAX_LOAD_STEP = (1 << LOAD_BITS) - 1
-# One step of the logarithm: a load is encoded to within 5%.
+# The ratio of consecutive steps of the logarithmic scale; the encoding error of a load is at most 5%.
 LOAD_STEP_RATIO = 1.09
-# The load that is the first step, by whether loads are reported in us of work a second or as connections.
+# The load of the first step: in connections (False) or in microseconds of work per second (True).
 FIRST_LOAD_STEP = {False: 0.25, True: 50.0}
 
 
 class InvalidDatagramError(SailrunError, ValueError):
-    """The bytes are no datagram of this format; the message says why."""
+    """The bytes are not a datagram of this format; the message gives the reason."""
 
 
 class _Flag(IntFlag):
@@ -54,18 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadDatagram:
-    """A report of one node, or, with `contributors`, a summary of the nodes whose reports arrived."""
+    """A report of one node, a request, or, with `contributors`, a summary of the reports of these nodes."""
 
     round_number: int
     loads: Mapping[int, float]  # by `short_name` of the backend's number
     connections: int
-    loads_reported: bool  # loads are us of work a second, not connections
+    loads_reported: bool  # loads are in microseconds of work per second, not in connections
     has_alert: bool = False
     overloaded: frozenset[int] = frozenset()
-    contributors: frozenset[int] | None = None  # indexes of nodes; None: no summary
-    is_complete: bool = True  # a backend that is not named has no load; else its load is unknown
-    is_relayed: bool = False  # passed on to a node that requested it
-    is_request: bool = False  # of a node that has received no summary yet
+    contributors: frozenset[int] | None = None  # indexes of nodes; None: not a summary
+    is_complete: bool = True  # backends that are not named have no load; otherwise their load is unknown
+    is_relayed: bool = False  # a summary forwarded to a node that requested it
+    is_request: bool = False  # a request of a node that has received no summary yet
 
     def _flags(self) -> _Flag:
         states = {
@@ -82,25 +82,29 @@
         return flags
 
     def encode_header(self, backend_count: int) -> bytes:
-        """The fixed part of the datagram."""
+        """Encodes the fixed-size part of the datagram."""
         connections = min(self.connections, MAX_CONNECTIONS)
         round_number = self.round_number & ROUND_MASK
         return _HEADER.pack(FORMAT_VERSION, self._flags(), backend_count, connections, round_number)
 
 
 def short_name(number: int) -> int:
-    """Two bytes that name a backend. `ambiguous_names` finds those of more than one backend."""
+    """Returns the two-byte name of a backend. `ambiguous_names` finds names that several backends share."""
     return mmh3.hash(number.to_bytes(8, "little"), signed=False) >> (32 - NAME_BITS)
 
 
 def ambiguous_names(numbers: Iterable[int]) -> frozenset[int]:
-    """Short names that more than one of these backends has: a load under such a name is of no use."""
+    """Returns the short names that several of these backends share. A load under such a name
+    cannot be used.
+    """
     counts = Counter(map(short_name, numbers))
     return frozenset(name for name, count in counts.items() if count > 1)
 
 
 def datagram_capacity(nodes: int) -> int:
-    """How many backends fit into any summary, whatever their names, in a fleet of so many nodes."""
+    """Returns how many backends fit into a summary in the worst case of names, in a fleet of
+    `nodes` nodes.
+    """
     free_bits = 8 * (MAX_DATAGRAM_BYTES - _HEADER.size - _contributor_bytes(nodes))
     count = 1
     while count < MAX_BACKENDS and max_bits(count + 1, NAMES, ENTRY_BITS) <= free_bits:
@@ -112,10 +116,14 @@
 
 
 def encode_datagram(datagram: LoadDatagram, nodes: int) -> bytes:
-    """At most MAX_DATAGRAM_BYTES; raises ValueError for more backends than `datagram_capacity`."""
+    """Encodes a datagram into at most MAX_DATAGRAM_BYTES. Raises ValueError for more backends than
+    `datagram_capacity`.
+    """
     names = sorted({*datagram.loads, *datagram.overloaded})
     if len(names) > datagram_capacity(nodes):
-        raise ValueError(f"{len(names)} form servers")
+        raise ValueError(
+            f"datagram names {len(names)} form servers, expected at most {datagram_capacity(nodes)}"
+        )
     parameter = choose_parameter(len(names), NAMES)
     writer = BitWriter()
     previous = -1
@@ -150,11 +158,13 @@
 
 
 def decode_datagram(content: bytes, nodes: int) -> LoadDatagram:
-    """Raises InvalidDatagramError for whatever a node of a fleet of so many would not have sent."""
+    """Decodes a datagram. Raises InvalidDatagramError for bytes that no node of a fleet of `nodes` nodes
+    sends.
+    """
     if not _HEADER.size <= len(content) <= MAX_DATAGRAM_BYTES or content[0] != FORMAT_VERSION:
-        raise InvalidDatagramError("another version, or no datagram of this kind")
-    _, kind, count, connections, round_number = _HEADER.unpack_from(content)
-    flags = _decode_flags(kind, count)
+        raise InvalidDatagramError("unsupported format version, or length outside the allowed range")
+    _, flag_bits, count, connections, round_number = _HEADER.unpack_from(content)
+    flags = _decode_flags(flag_bits, count)
     entries_at, contributors = _HEADER.size, None
     if _Flag.SUMMARY in flags:
         entries_at += _contributor_bytes(nodes)
@@ -175,26 +185,32 @@
     )
 
 
-def _decode_flags(kind: int, backend_count: int) -> _Flag:
-    """A request names no backends and is no summary."""
-    has_unknown_bits = bool(kind & ~sum(_Flag))
-    is_bad_request = bool(kind & _Flag.REQUEST) and (backend_count > 0 or bool(kind & _Flag.SUMMARY))
+def _decode_flags(flag_bits: int, backend_count: int) -> _Flag:
+    """Decodes the flags. Raises InvalidDatagramError for unknown flags, and for a request that names backends
+    or is marked as a summary.
+    """
+    has_unknown_bits = bool(flag_bits & ~sum(_Flag))
+    is_bad_request = bool(flag_bits & _Flag.REQUEST) and (
+        backend_count > 0 or bool(flag_bits & _Flag.SUMMARY)
+    )
     if has_unknown_bits or is_bad_request:
-        raise InvalidDatagramError(f"kind {kind}")
-    return _Flag(kind)
+        raise InvalidDatagramError(
+            f"invalid flags 0x{flag_bits:02x} of a datagram with {backend_count} form servers"
+        )
+    return _Flag(flag_bits)
 
 
 def _decode_contributors(content: bytes, end: int, nodes: int) -> frozenset[int]:
     bits = int.from_bytes(content[_HEADER.size : end], "little")
     if len(content) < end or bits >> nodes:
-        raise InvalidDatagramError("a node that there is not")
+        raise InvalidDatagramError("contributors are truncated or contain a node index outside the fleet")
     return frozenset(index for index in range(nodes) if bits >> index & 1)
 
 
 def _decode_entries(
     content: bytes, start: int, count: int, loads_reported: bool
 ) -> tuple[dict[int, float], frozenset[int]]:
-    """Loads by short name, and the names of the overloaded backends."""
+    """Decodes the loads by short name and the short names of the overloaded backends."""
     loads: dict[int, float] = {}
     overloaded: set[int] = set()
     reader = BitReader(content[start:])
@@ -203,7 +219,7 @@
         for _ in range(count):
             name += 1 + reader.read_rice(parameter)
             if name >= NAMES:
-                raise InvalidDatagramError("a name that there is not")
+                raise InvalidDatagramError("short name exceeds NAME_BITS")
             entry = reader.read(ENTRY_BITS)
             loads[name] = _step_to_load(entry >> 1, loads_reported)
             if entry & 1:
@@ -211,7 +227,9 @@
     except TruncatedBitsError as error:
         raise InvalidDatagramError(str(error)) from error
     if not reader.is_at_end():
-        raise InvalidDatagramError(f"{len(content)} bytes for {count} form servers")
+        raise InvalidDatagramError(
+            f"unexpected data at the end of a datagram of {len(content)} bytes with {count} form servers"
+        )
     return loads, frozenset(overloaded)
 
 
@@ -219,7 +237,7 @@
 
 
 def split_report(report: LoadDatagram, capacity: int) -> list[LoadDatagram]:
-    """One node's report, in as many datagrams as it takes."""
+    """Splits one node's report into as many datagrams as it needs."""
     names = sorted(report.loads)
     if len(names) <= capacity:
         return [report]
@@ -235,7 +253,7 @@
 
 
 def merge_parts(one: LoadDatagram | None, other: LoadDatagram) -> LoadDatagram:
-    """Two parts of one node's report; the same part twice counts once."""
+    """Merges two parts of one node's report. A duplicate part counts once."""
     if one is None:
         return other
     return replace(one, loads={**one.loads, **other.loads}, overloaded=one.overloaded | other.overloaded)
--- a/sailrun/load_gossip/load_estimate.py
+++ b/sailrun/load_gossip/load_estimate.py
@@ -1,10 +1,12 @@
-"""An estimate of the load of all other nodes, from summaries that may be incomplete, late or lost. Pure.
-
-A summary covers the nodes whose reports reached its collector. A node that is missing from one summary has
-most likely lost a datagram and still has its load; one that is missing from the next ones as well is gone. So
-a missing node counts with an average part of the previous estimate, less with each summary that lacks it: a
-partition of a few seconds, or a third of the datagrams lost, leaves no gap, and the load of a killed node is
-forgotten within three summaries.
+"""An estimate of the load of all other nodes from summaries that may be incomplete, late or lost. This module
+does no I/O.
+
+A summary covers the nodes whose reports reached its collector. If a node is missing from one summary, its
+report was most likely lost and the node still has its load. If it is missing from the following summaries
+too, the node is most likely gone. Therefore a missing node counts with an average share of the previous
+estimate, and its weight decreases with each summary that lacks it. A partition of a few seconds or the loss
+of a third of the datagrams leaves no gap in the estimate, and the load of a killed node disappears within
+three summaries.
 """
 
 from __future__ import annotations
@@ -15,50 +17,51 @@
 from sailrun.decisions.events import FleetLoad
 from sailrun.load_gossip.datagram import LoadDatagram, ambiguous_names, short_name
 
-SECOND = 1_000_000
-# The weight of a node by how many summaries in a row have lacked it.
+SECOND_US = 1_000_000
+# The weight of a node, by the number of consecutive summaries that lack it.
 MISSED_WEIGHTS = (1.0, 1.0, 0.5)
-# A summary counts in full for so many rounds, and from there on less, evenly, to nothing at so many.
+# A summary has full weight for FRESH_ROUNDS; then its weight decreases linearly to zero at STALE_ROUNDS.
 FRESH_ROUNDS, STALE_ROUNDS = 2.0, 8.0
-# Backends are reported as overloaded for so many rounds after the summary that said so.
+# Backends count as overloaded for this many rounds after the summary that reported it.
 OVERLOAD_VALID_ROUNDS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class _BackendLoad:
-    load: float  # of all nodes, less what this node reported itself
-    round_number: int  # of the summary that named the backend
+    load: float  # of all nodes except this one
+    round_number: int  # of the latest summary that determined the load
 
 
 _NEVER_NAMED = _BackendLoad(0.0, -1)
 
 
 class LoadEstimate:
-    """What is known of the other nodes' load, updated by one summary after another. `index`: this node's."""
+    """The estimated load of the other nodes, updated by each summary. `index` is this node's index."""
 
     def __init__(self, index: int, round_us: int) -> None:
-        self.summary_round = -1  # of the latest summary; -1: none yet
+        self.summary_round = -1  # of the latest summary; -1: none received
         self._index = index
         self._round_us = round_us
         self._loads_reported = False
         self._connections = 0.0
         self._overloaded: frozenset[int] = frozenset()
         self._instances = 1
-        self._is_complete = False  # the latest summary named all backends with any load
+        self._is_complete = False  # the latest summary named all backends with load
         self._loads: dict[int, _BackendLoad] = {}  # by short name
-        self._missed: dict[int, int] = {}  # summaries in a row that lacked it, by node that counts
+        # The number of consecutive summaries that lack each node, by index, for the nodes that still count.
+        self._missed: dict[int, int] = {}
 
     # ------------------------------------------------------------------ summaries
 
     def merge_summary(self, summary: LoadDatagram, own: LoadDatagram | None) -> bool:
-        """Takes in a summary; `own` is this node's report in it, None if it has none. False for one that
-        is not newer than the latest: the estimate never goes back in time.
+        """Merges a summary; `own` is this node's report in it, or None. Returns False for a summary that is
+        not newer than the latest one or has no contributors, because the estimate never goes back in time.
         """
         contributors = summary.contributors or frozenset()
         if summary.round_number <= self.summary_round or not contributors:
             return False
         if summary.loads_reported is not self._loads_reported:
-            # The unit of loads has changed: the previous ones are of no use.
+            # The unit of loads has changed, so the previous loads cannot be used.
             self._loads.clear()
             self._missed.clear()
             self._connections = 0.0
@@ -72,11 +75,11 @@
         self._loads_reported = summary.loads_reported
         self._overloaded = summary.overloaded
         self._instances = len(others) + 1
-        self._forget_stale_loads()
+        self._remove_stale_loads()
         return True
 
     def _update_missed(self, others: frozenset[int]) -> float:
-        """Counts who is missing; returns their part of the previous estimate."""
+        """Counts the missing nodes; returns their share of the previous estimate."""
         weight_before = self._total_weight()
         missed = {index: count + 1 for index, count in self._missed.items() if index not in others}
         self._missed = {index: count for index, count in missed.items() if count < len(MISSED_WEIGHTS)}
@@ -85,7 +88,7 @@
         return min(1.0, missing_weight / weight_before) if weight_before > 0 else 0.0
 
     def _total_weight(self) -> float:
-        """Of how many nodes the load is counted."""
+        """Returns the sum of the weights of the nodes that count."""
         return sum(MISSED_WEIGHTS[count] for count in self._missed.values())
 
     def _merge_loads(self, summary: LoadDatagram, own: LoadDatagram | None, missing_share: float) -> None:
@@ -99,7 +102,7 @@
             missing_load = missing_share * previous.load if previous is not None else 0.0
             self._loads[name] = _BackendLoad(others_load + missing_load, summary.round_number)
 
-    def _forget_stale_loads(self) -> None:
+    def _remove_stale_loads(self) -> None:
         self._loads = {
             name: known
             for name, known in self._loads.items()
@@ -109,7 +112,7 @@
     # ------------------------------------------------------------------ queries
 
     def estimate_fleet_load(self, now_us: int, backends: Iterable[int]) -> FleetLoad:
-        """The load of the other nodes at each of these backends, given by their numbers."""
+        """Estimates the load of the other nodes at each of these backends, given by their numbers."""
         numbers = list(backends)
         loads = self._estimate_loads(now_us, numbers)
         share = self._freshness(now_us, self.summary_round)
@@ -125,7 +128,7 @@
         )
 
     def _estimate_loads(self, now_us: int, numbers: list[int]) -> dict[int, float]:
-        """A backend whose load is unknown counts as an average one, never as an empty one."""
+        """Estimates loads by backend number. A backend with unknown load gets the average load, not zero."""
         ambiguous = ambiguous_names(numbers)
         loads: dict[int, float] = {}
         unknown: list[int] = []
@@ -142,7 +145,9 @@
         return loads | dict.fromkeys(unknown, average)
 
     def order_by_last_named(self, loads: Mapping[int, float], first: frozenset[int]) -> list[int]:
-        """These short names: those in `first`, then those that no summary has named for longest."""
+        """Sorts short names: those in `first`, then those that summaries have not named for the
+        longest time.
+        """
 
         def order(name: int) -> tuple[bool, int, float, int]:
             return name not in first, self._loads.get(name, _NEVER_NAMED).round_number, -loads[name], name
@@ -150,6 +155,6 @@
         return sorted(loads, key=order)
 
     def _freshness(self, now_us: int, round_number: int) -> float:
-        """How much of what a round's summary said still counts, from 1 to 0."""
+        """Returns the weight of a summary by its age, from 1 to 0."""
         age_rounds = now_us / self._round_us - round_number
         return max(0.0, min(1.0, (STALE_ROUNDS - age_rounds) / (STALE_ROUNDS - FRESH_ROUNDS)))
