--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -149,7 +149,7 @@
 
     def _turn(self, name: str) -> None:
         node = self.nodes[name]
-        for to, body in node.turn(self.now_us, ""):
+        for to, body in node.tick(self.now_us, ""):
             self._send(name, to, body)
         node.leader_requests.clear()
         coordinator = node.coordinator
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -363,7 +363,7 @@
             # A voter has promised a higher term: this one is over, and the next is above that.
             self.leases.observe_term(MARKS_TASK, coordinator.superseding_term, "", now_us)
             self._publish_changes(now_us)
-        envelopes = self._post_all(replica.turn(now_us, self.known_leader(MARKS_TASK)))
+        envelopes = self._post_all(replica.tick(now_us, self.known_leader(MARKS_TASK)))
         for op, done in _emptied(replica.leader_requests):
             envelopes += self.request(now_us, MARKS_TASK, msgspec.to_builtins(op), done)
         self._change_log.move_from(replica.anti_entropy.log_events)
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -219,7 +219,7 @@
         if self.agent.settings.shares_move_rate:
             envelopes += self._move_rate.turn(now_us)
         if self.replication is not None:
-            self.replication.turn(now_us)
+            self.replication.tick(now_us)
         if self._exerciser is not None:
             envelopes += self.agent.send_shard_messages(now_us, self._exerciser.tick(now_us))
         if self._storage is not None:
--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -111,12 +111,12 @@
         return self.state.get_durable_state()
 
     def due_us(self) -> int | None:
-        """Returns when `turn` has to be called next; None if nothing is scheduled."""
+        """Returns when `tick` has to be called next; None if nothing is scheduled."""
         return self.recovery.due_us()
 
-    def turn(self, now_us: int) -> list[OutgoingMessage]:
+    def tick(self, now_us: int) -> list[OutgoingMessage]:
         """Runs all due work; returns the messages to send."""
-        return self.recovery.turn(now_us)
+        return self.recovery.tick(now_us)
 
     # ------------------------------------------------------------------ messages
 
--- a/sailrun/replication/acceptor_recovery.py
+++ b/sailrun/replication/acceptor_recovery.py
@@ -76,10 +76,10 @@
         self._attempt = _Attempt(self._anti_entropy.make_request_id(), now_us)
 
     def due_us(self) -> int | None:
-        """Returns when `turn` has to be called next; None if the voter needs no recovery."""
+        """Returns when `tick` has to be called next; None if the voter needs no recovery."""
         return None if self._is_idle else self._request_at_us
 
-    def turn(self, now_us: int) -> list[OutgoingMessage]:
+    def tick(self, now_us: int) -> list[OutgoingMessage]:
         """Returns the due requests to the other voters."""
         if self._is_idle or now_us < self._request_at_us:
             return []
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -314,14 +314,14 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self) -> int:
-        """Returns when `turn` has to be called next."""
+        """Returns when `tick` has to be called next."""
         due_us = min(self._compare_at_us, self._scrub_at_us, self.receiver.due_us() or self._compare_at_us)
         is_gossiping = self._gossip or self._compare_next or self._repair.is_polling
         if is_gossiping or not self.copy.is_complete:
             due_us = min(due_us, self._gossip_at_us)
         return due_us
 
-    def turn(self, now_us: int) -> list[OutgoingMessage]:
+    def tick(self, now_us: int) -> list[OutgoingMessage]:
         """Runs all due work; returns the messages to send."""
         if self.copy.begun_us < 0:
             self.copy.begun_us = now_us
@@ -341,7 +341,7 @@
             self._scrub(now_us)
         if self.store.corrupted:
             self._drop_corrupted(now_us)
-        messages += self.receiver.turn(now_us, self.copy.epoch)
+        messages += self.receiver.tick(now_us, self.copy.epoch)
         return messages
 
     def _gossip_or_copy(self, now_us: int) -> list[OutgoingMessage]:
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -312,17 +312,17 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self) -> int:
-        """Returns when `turn` has to be called next."""
+        """Returns when `tick` has to be called next."""
         return min([self._housekeeping_at_us, *self._rounds.list_due_us()])
 
-    def turn(self, now_us: int) -> list[OutgoingMessage]:
+    def tick(self, now_us: int) -> list[OutgoingMessage]:
         """Runs all due work; returns the messages to send."""
         copy = self._anti_entropy.copy
         if not copy.is_complete:
             return []
         if not self._is_same_copy or (copy.epoch != self._epoch and not self._is_ending_epoch):
             self._begin(now_us)  # the replica was discarded, or another leader began an epoch
-        messages = self._rounds.turn(now_us)
+        messages = self._rounds.tick(now_us)
         if now_us >= self._housekeeping_at_us:
             self._housekeeping_at_us = now_us + HOUSEKEEPING_INTERVAL_US
             if self.is_open and not self._is_ending_epoch:
--- a/sailrun/replication/copy_lag.py
+++ b/sailrun/replication/copy_lag.py
@@ -58,10 +58,10 @@
         return lag_s is None or lag_s > self._anti_entropy.settings.stale_after_s
 
     def due_us(self) -> int:
-        """Returns when `turn` has to be called next."""
+        """Returns when `tick` has to be called next."""
         return self._compare_at_us
 
-    def turn(self, now_us: int, leader: str, active_marks: int) -> list[OutgoingMessage]:
+    def tick(self, now_us: int, leader: str, active_marks: int) -> list[OutgoingMessage]:
         """Compares this replica with the leader's; `leader` is empty if no leader is known."""
         if now_us < self._compare_at_us:
             return []
--- a/sailrun/replication/mark_client.py
+++ b/sailrun/replication/mark_client.py
@@ -124,7 +124,7 @@
         open_requests: list[_Write | _Read] = [*self._writes.values(), *self._reads.values()]
         return [request.send_at_us for request in open_requests]
 
-    def turn(self, now_us: int) -> None:
+    def tick(self, now_us: int) -> None:
         """Sends due requests and ends those that have reached their deadline."""
         for write in list(self._writes.values()):
             if now_us >= write.deadline_us:
--- a/sailrun/replication/outlier_exchange.py
+++ b/sailrun/replication/outlier_exchange.py
@@ -23,7 +23,7 @@
         self._node, self._replica, self._fleet = node, replica, fleet
         self._reporter = OutlierReporter(replica.settings.outlier_report_ttl_s)
 
-    def turn(self, now_us: int) -> None:
+    def tick(self, now_us: int) -> None:
         """Publishes this node's latest report, and passes the others' reports to the core."""
         self._node.report_outliers(lambda observed: self._fleet.call_soon(self._make_publish(observed)))
         self._receive_reports(now_us)
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -358,7 +358,7 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """Returns when `turn` has to be called next."""
+        """Returns when `tick` has to be called next."""
         due_us = min([self.anti_entropy.due_us(), self._lag.due_us()])
         if self.acceptor is not None:
             due_us = min(due_us, self.acceptor.due_us() or due_us)
@@ -366,19 +366,19 @@
             due_us = min(due_us, self.coordinator.due_us())
         return min([due_us, *self._client.list_due_us()])
 
-    def turn(self, now_us: int, leader: str) -> list[OutgoingMessage]:
+    def tick(self, now_us: int, leader: str) -> list[OutgoingMessage]:
         """Runs all due work; returns the messages to send. `leader` is the known leader of the marks, empty
         if there is none.
         """
-        messages = self.anti_entropy.turn(now_us)
+        messages = self.anti_entropy.tick(now_us)
         if self.acceptor is not None:
-            messages += self.acceptor.turn(now_us)
+            messages += self.acceptor.tick(now_us)
         if self.coordinator is not None:
-            messages += self.coordinator.turn(now_us)
+            messages += self.coordinator.tick(now_us)
             if self.coordinator.is_open:
                 self._lag.set_in_sync(now_us)
-        messages += self._lag.turn(now_us, leader, len(self._effects.active))
-        self._client.turn(now_us)
+        messages += self._lag.tick(now_us, leader, len(self._effects.active))
+        self._client.tick(now_us)
         self._effects.update(self._lag.is_sync_unknown)
         self._journal_lists(now_us)
         return messages
--- a/sailrun/replication/rounds.py
+++ b/sailrun/replication/rounds.py
@@ -54,7 +54,7 @@
         make_message: Callable[[], ReplicationBody],
         on_majority: Callable[[int], None],
     ) -> Round:
-        """Begins a round; the next `turn` sends its message."""
+        """Begins a round; the next `tick` sends its message."""
         round_ = Round(request_id, make_message, on_majority, now_us, now_us)
         self._rounds[request_id] = round_
         return round_
@@ -81,7 +81,7 @@
             find_consistent_voters(round_.votes) if self._checks_incarnations else set(round_.votes)
         )
         for name in round_.votes.keys() - counted_voters:
-            del round_.votes[name]  # the next `turn` repeats the request
+            del round_.votes[name]  # the next `tick` repeats the request
         if not round_.has_majority and self._voters().is_majority(counted_voters):
             round_.has_majority = True
             round_.on_majority(now_us)
@@ -90,7 +90,7 @@
         """Returns when each round repeats its message."""
         return [round_.send_at_us for round_ in self._rounds.values()]
 
-    def turn(self, now_us: int) -> list[OutgoingMessage]:
+    def tick(self, now_us: int) -> list[OutgoingMessage]:
         """Returns the due messages, and ends finished rounds."""
         messages: list[OutgoingMessage] = []
         voters = self._voters().names()
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -49,7 +49,7 @@
         self._exchange_at_us = 0
         self.outcomes: dict[str, MarkOutcome | None] = {}  # by request id; None: under way
 
-    def turn(self, now_us: int) -> None:
+    def tick(self, now_us: int) -> None:
         """Runs all due work; the agent that drives the replica calls this after each of its turns."""
         self._marks.apply(self._replica.take_mark_changes())
         if now_us < self._exchange_at_us:
@@ -57,7 +57,7 @@
         self._exchange_at_us = now_us + EXCHANGE_INTERVAL_US
         self._marks.reconcile(now_us)
         self._marks.retry_unlisted()
-        self._outliers.turn(now_us)
+        self._outliers.tick(now_us)
 
     def restore_draining(self, is_draining: bool) -> None:
         """Sets whether the node was draining, according to its folder."""
--- a/sailrun/replication/state_transfer.py
+++ b/sailrun/replication/state_transfer.py
@@ -82,10 +82,10 @@
         return next((t for t in self.transfers if t.sender == sender and t.request_id == request_id), None)
 
     def due_us(self) -> int | None:
-        """Returns when `turn` has to be called next; None if there are no transfers."""
+        """Returns when `tick` has to be called next; None if there are no transfers."""
         return min((t.request_at_us for t in self.transfers), default=None)
 
-    def turn(self, now_us: int, epoch: int) -> list[OutgoingMessage]:
+    def tick(self, now_us: int, epoch: int) -> list[OutgoingMessage]:
         """Returns the due page requests, and ends transfers whose sender does not reply."""
         messages: list[OutgoingMessage] = []
         for transfer in list(self.transfers):
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -315,7 +315,7 @@
         sent = decode_envelope(encode_envelope(Envelope("f", "n2", 1, 1, body))).body
         assert sent == body
         node.receive(n * SECOND_US, data.draw(st.sampled_from(["n2", "n4", "nobody"])), body)
-        node.turn(n * SECOND_US + 1, "n2")
+        node.tick(n * SECOND_US + 1, "n2")
 
 
 @given(st.binary(max_size=400), st.integers(0, 10**6), st.integers(0, 255))
@@ -351,7 +351,7 @@
     digest_request = other.anti_entropy.request_digests("n1")[0][1]
     digest_reply = one.receive(0, "n2", digest_request)[0][1]
     other.receive(0, "n1", digest_reply)
-    page_request = next(b for _, b in other.anti_entropy.receiver.turn(0, 0))
+    page_request = next(b for _, b in other.anti_entropy.receiver.tick(0, 0))
     page = one.receive(0, "n2", page_request)[0][1]
     other.receive(0, "n1", page)
     assert other.store.get(newer.key) == newer
