--- a/sailrun/leadership/member_journal.py
+++ b/sailrun/leadership/member_journal.py
@@ -46,7 +46,7 @@
         """A record of the replica was stored, with its digest."""
         self._add(e.StoredRecord(record, record_hash))
 
-    def write_forgotten(self, key: Key) -> None:
+    def write_removal(self, key: Key) -> None:
         """A record of the replica was deleted."""
         self._add(e.DeletedRecord(key))
 
--- a/sailrun/replication/epochs.py
+++ b/sailrun/replication/epochs.py
@@ -103,7 +103,7 @@
         record = self._store.get(key)
         if record is not None and [v.dot for v in record.versions] == [(actor, count)] and record.is_deleted:
             self._store.remove(key)
-            self._journal.write_forgotten(key)
+            self._journal.write_removal(key)
             self._on_removed(key)
 
     def has_deletions(self, deleted_versions: DeletedVersions) -> bool:
--- a/sailrun/replication/journal.py
+++ b/sailrun/replication/journal.py
@@ -13,7 +13,7 @@
     def write_record(self, record: Record, record_hash: int) -> None:
         """Stores the current state of a record."""
 
-    def write_forgotten(self, key: Key) -> None:
+    def write_removal(self, key: Key) -> None:
         """Stores that the record was removed by a decision of the fleet."""
 
     def write_copy_state(self, epoch: int, is_complete: bool, cleared: bool = False) -> None:
