--- a/sailrun/replication/range_digests.py
+++ b/sailrun/replication/range_digests.py
@@ -72,10 +72,10 @@
     def find_differing_ranges(self, range_digests: dict[int, list[int]]) -> list[int]:
         """Returns the ranges in which this replica differs from another one with these digests by group."""
         return [
-            group * RANGES_PER_GROUP + place
+            group * RANGES_PER_GROUP + offset
             for group, digests in range_digests.items()
             if 0 <= group < GROUP_COUNT
-            for place, (own, other) in enumerate(zip(self.list_ranges(group), digests, strict=False))
+            for offset, (own, other) in enumerate(zip(self.list_ranges(group), digests, strict=False))
             if own != other
         ]
 
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -81,7 +81,7 @@
 _COORDINATOR_MESSAGES = (Promise, Accepted, TermSuperseded, DeletionReply)
 
 
-def _ignore_event(kind: str, **facts: object) -> None:
+def _ignore_event(kind: str, **fields: object) -> None:
     """Ignores a recorded event; used outside the laboratory."""
 
 
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -107,7 +107,7 @@
                 outcome = self._replica.write_mark_locally(now_us, request)
                 # At a node with a folder, the outcome is reported after the write of the mark to disk.
                 self._fleet.when_kept(
-                    now_us, lambda kept: finish(outcome if kept else _make_undurable(outcome))
+                    now_us, lambda is_durable: finish(outcome if is_durable else _make_undurable(outcome))
                 )
             else:
                 self._replica.write_mark(now_us, request, finish)
--- a/tests/test_load_gossip.py
+++ b/tests/test_load_gossip.py
@@ -49,7 +49,7 @@
         loss_rate: float = 0.0,
         down: frozenset[int] = frozenset(),
     ):
-        self.local_loads, self.random, self.lost, self.down = local_loads, Random(seed), loss_rate, down
+        self.local_loads, self.random, self.loss_rate, self.down = local_loads, Random(seed), loss_rate, down
         node_count = len(local_loads)
         self.nodes = [AggregationRounds(k, node_count, seed * 1_000 + k, START_US) for k in range(node_count)]
         self.estimates: dict[int, FleetLoad] = {}
@@ -91,7 +91,7 @@
     def _send(self, now: int, sender: int, to: int, content: bytes) -> None:
         self.sent += 1
         self.bytes += len(content)
-        if self.random.random() >= self.lost and to not in self.down:
+        if self.random.random() >= self.loss_rate and to not in self.down:
             arrival_us = now + self.random.randrange(1_400, 33_000)
             heapq.heappush(self.events, (arrival_us, next(self.order), to, sender, content))
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -319,12 +319,12 @@
 
 
 @given(st.binary(max_size=400), st.integers(0, 10**6), st.integers(0, 255))
-def test_bytes_that_are_not_a_message_are_rejected(junk: bytes, at: int, byte: int) -> None:
+def test_bytes_that_are_not_a_message_are_rejected(random_bytes: bytes, position: int, byte: int) -> None:
     valid = encode_envelope(
         Envelope("f", "n2", 1, 1, Accept(1, 1, 0, [make_record({("a", 1): False}, {"a": 1})]))
     )
-    at %= len(valid)
-    for content in (junk, valid[:at], valid[:at] + bytes([byte]) + valid[at + 1 :]):
+    position %= len(valid)
+    for content in (random_bytes, valid[:position], valid[:position] + bytes([byte]) + valid[position + 1 :]):
         try:
             decode_envelope(content)
         except InvalidEnvelopeError:
@@ -663,19 +663,19 @@
     """
     relay = Relay(seed=3)
     relay.feed(full(*range(1, 21)))
-    bad = 7
+    failing = 7
     peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
 
     def receive_reports(n: int) -> None:
         if report_interval_us is not None and n % 5 == 0:
-            event = peers.merge_reports(relay.now, {bad: 30 * SECOND_US - n * 200_000}, (), 10_000)
+            event = peers.merge_reports(relay.now, {failing: 30 * SECOND_US - n * 200_000}, (), 10_000)
             if event is not None:
                 relay.feed(event)
 
-    connected = ten_seconds(relay, bad, receive_reports)
+    connected = ten_seconds(relay, failing, receive_reports)
     relay.finish()
     sends = [backend for promise in relay.promises.values() for backend, _ in promise.sends]
-    return sends.count(bad), connected
+    return sends.count(failing), connected
 
 
 def test_a_node_just_started_avoids_the_form_server_that_others_reported() -> None:
