--- a/sailrun/node/action_dispatcher.py
+++ b/sailrun/node/action_dispatcher.py
@@ -1,4 +1,4 @@
-"""Executes the actions that the decision module asks for, each with the part of the node that it concerns."""
+"""Dispatches the actions that the decision module returns to the parts of the node that execute them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     Subscribe,
 )
 from sailrun.node.backend_list import BackendList
-from sailrun.node.clock import TurnTime
+from sailrun.node.clock import LoopTime
 from sailrun.node.ports import EventLog, OutgoingPorts
 from sailrun.node.sessions import SessionManager
 from sailrun.node.timers import TimerQueue
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        turn: TurnTime,
+        loop_time: LoopTime,
         sessions: SessionManager,
         backends: BackendList,
         timers: TimerQueue,
@@ -39,15 +39,15 @@
         log: EventLog,
     ) -> None:
         """`connect_timeout_us`: how long a health check may take."""
-        self._turn, self._sessions, self._backends, self._timers = turn, sessions, backends, timers
+        self._loop_time, self._sessions, self._backends, self._timers = loop_time, sessions, backends, timers
         self._ports, self._connect_timeout_us, self._log = ports, connect_timeout_us, log
 
     def abandon_request(self, request: str) -> None:
-        """Fails a request of which an event could not be handled, unless its session is established."""
+        """Fails a request after an error in handling one of its events, unless its session is established."""
         self._sessions.abandon_request(request)
 
     def execute(self, action: Action) -> None:
-        """Executes one action; a port that is not connected is passed over."""
+        """Executes one action; an action for a port that is not connected is ignored."""
         match action:
             case StartAttempt():
                 self._sessions.start_attempt(action)
@@ -60,7 +60,7 @@
             case CancelAttempt():
                 self._sessions.cancel_attempt(action.request, action.attempt)
             case SetTimer():
-                self._timers.set(self._turn.now_us + action.delay_us, action.token)
+                self._timers.set(self._loop_time.now_us + action.delay_us, action.token)
             case Subscribe() | FetchList() | SendToPeer() | ProbeBackend():
                 self._call_port(action)
             case CloseIdle():
@@ -85,7 +85,7 @@
             case ProbeBackend():
                 form_server = self._backends.get(action.backend)
                 if ports.health_checker is not None and form_server is not None:
-                    until_us = self._turn.now_us + self._connect_timeout_us
+                    until_us = self._loop_time.now_us + self._connect_timeout_us
                     ports.health_checker.probe(form_server, until_us)
 
     def _log_slow_start(self, action: SlowStartChanged) -> None:
--- a/sailrun/node/clock.py
+++ b/sailrun/node/clock.py
@@ -1,4 +1,4 @@
-"""The node's one clock, the time of a turn, and the log."""
+"""The node's clock, the time of an event loop iteration, and the log."""
 
 from __future__ import annotations
 
@@ -9,28 +9,30 @@
 
 
 class Clock:
-    """Microseconds since 1970, read once from the system and then advanced by the monotonic clock.
+    """Unix time in microseconds, read once from the system clock and then advanced by the monotonic clock.
 
-    What discovery states in Unix milliseconds therefore converts by a plain multiplication, the same way
-    every time, and a step of the system's clock shifts nothing.
+    A time that discovery states in Unix milliseconds therefore always converts by a plain multiplication, and
+    a step of the system clock does not change any time here.
     """
 
     def __init__(self) -> None:
         self._offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def now_us(self) -> int:
-        """The present, in Unix microseconds."""
+        """The current time in Unix microseconds."""
         return time.monotonic_ns() // 1000 + self._offset_us
 
     def moment(self, at_us: int) -> float:
-        """The same instant in seconds of the event loop's clock, as deadlines of cancel scopes need it."""
+        """Converts Unix microseconds to seconds of the async event loop's clock, as used by the deadlines of
+        cancel scopes.
+        """
         return anyio.current_time() + (at_us - self.now_us()) / 1e6
 
 
-class TurnTime:
-    """The instant of the event loop's present turn, shared by all that runs in it.
+class LoopTime:
+    """The time of the event loop's current iteration, shared by all parts that run in the event loop.
 
-    Everything that one turn does carries this one time. Only the event loop sets it.
+    Everything that happens in one iteration uses this same time. Only the event loop sets it.
     """
 
     __slots__ = ("now_us",)
@@ -39,10 +41,12 @@
         self.now_us = now_us
 
 
-def log(what: str, /, **facts: object) -> None:
-    """Writes one line to standard error: the event's name, then name=value pairs; None is left out."""
-    pairs = "".join(f" {name}={_quote(value)}" for name, value in facts.items() if value is not None)
-    sys.stderr.write(f"{time.time():.3f} {what}{pairs}\n")
+def log(event: str, /, **fields: object) -> None:
+    """Writes one line to standard error: the event's name, then name=value pairs; fields that are None are
+    omitted.
+    """
+    pairs = "".join(f" {name}={_quote(value)}" for name, value in fields.items() if value is not None)
+    sys.stderr.write(f"{time.time():.3f} {event}{pairs}\n")
     sys.stderr.flush()
 
 
--- a/sailrun/node/command_queue.py
+++ b/sailrun/node/command_queue.py
@@ -1,4 +1,4 @@
-"""The queue of commands through which everything from outside reaches the event loop."""
+"""The queue of commands through which all calls from outside enter the event loop."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class CommandQueue:
-    """Calls to be made in the event loop's next turn, in the order in which they were posted."""
+    """Calls that the event loop makes in its next iteration, in the order in which they were posted."""
 
     def __init__(self) -> None:
-        # Handlers of all kinds with the arguments that each was posted with; `post` checks their types.
+        # Handlers with their arguments; `post` has the type checker match the arguments to the handler.
         self._commands: deque[tuple[Callable[..., object], tuple[Any, ...]]] = deque()
         self.wake: Callable[[], None] = lambda: None  # called when the queue is no longer empty
 
@@ -21,13 +21,15 @@
         return bool(self._commands)
 
     def post(self, handler: Callable[[*Arguments], object], *arguments: *Arguments) -> None:
-        """Has `handler` called with these arguments in the next turn, or later in the present one."""
+        """Schedules a call of `handler` with these arguments in the next iteration, or later in the current
+        one.
+        """
         self._commands.append((handler, arguments))
         if len(self._commands) == 1:
             self.wake()
 
     def run(self) -> None:
-        """Makes all calls, those included that are posted meanwhile."""
+        """Makes all calls, including those that are posted meanwhile."""
         while self._commands:
             handler, arguments = self._commands.popleft()
             handler(*arguments)
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -1,8 +1,8 @@
-"""The node: its event loop, and the calls by which everything around it reaches it.
+"""The node: its event loop, and the methods through which the surrounding code calls it.
 
-The parts of the node are one file each, and run in the event loop alone. Fronts, discovery and the other
-nodes make the calls of `Node`; each only posts a command to the queue. The node answers through
-`SessionClient` and its outgoing ports, none of which waits.
+Each part of the node has its own file and runs only in the event loop. Fronts, discovery and the other nodes
+call the methods of `Node`, which only post a command to the queue. The node responds through `SessionClient`
+and its outgoing ports, none of which blocks.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from sailrun.load_gossip.aggregation_rounds import AggregationRounds
 from sailrun.node.action_dispatcher import ActionDispatcher
 from sailrun.node.backend_list import BackendList
-from sailrun.node.clock import Clock, TurnTime, log
+from sailrun.node.clock import Clock, LoopTime, log
 from sailrun.node.command_queue import CommandQueue
 from sailrun.node.counters import Counters, MetricsSnapshot
 from sailrun.node.decision_port import DecisionPort
@@ -45,13 +45,14 @@
     from sailrun.rebalance.balance import Rebalancer
 
 SWEEP_INTERVAL_US = 100_000
-# A form server that anything was received from so lately is not ejected because of others' reports.
+# A form server from which anything was received within this time is not ejected because of other nodes'
+# reports.
 RESPONSIVE_US = 10_000_000
 
 
 class Node:
-    """One node. `run` drives it by the clock; whoever keeps the time himself calls `start`, and then `turn`
-    whenever `due_us` has come or a tick after `wake` was called.
+    """One node. `run` drives it in real time. A caller that controls the time itself calls `start` once, and
+    then `turn` whenever `due_us` is reached, or one tick after `wake` was called.
     """
 
     def __init__(
@@ -59,73 +60,78 @@
         settings: Settings,
         seed: int,
         clock: Clock,
-        known: ServerListUpdate,
+        initial_list: ServerListUpdate,
         log: EventLog = log,
         predecessor: NodeSnapshot | None = None,
     ) -> None:
-        """`known`: the list of form servers to begin with. `predecessor`: the state of the process
-        that this one succeeds.
+        """`initial_list`: the list of form servers at the start. `predecessor`: the state of the process that
+        this one replaces.
         """
         self.settings, self.clock = settings, clock
         self.discovery: ServiceDiscovery | None = None
         self.peer_transport: PeerTransport | None = None
         self.health_checker: HealthChecker | None = None
         self.stopped = False
-        self._known, self._predecessor = known, predecessor
-        self._turn = TurnTime(clock.now_us())
-        self._sweep_us = self._turn.now_us + SWEEP_INTERVAL_US
+        self._initial_list, self._predecessor = initial_list, predecessor
+        self._loop_time = LoopTime(clock.now_us())
+        self._sweep_us = self._loop_time.now_us + SWEEP_INTERVAL_US
         objectives = [c.message_objective_us for c in settings.classes if c.message_objective_us > 0]
         self._latency_threshold_us = min(objectives) / 3 if objectives else 0.0
-        # From what latency on form servers report it, in milliseconds; 0: they never do.
+        # The latency in milliseconds from which on form servers report it; 0: they never do.
         self.reported_delay_threshold_ms = (
             self._latency_threshold_us / 1000 if settings.reports_delay else 0.0
         )
         self.counters = Counters(c.name for c in settings.classes)
-        # The reasons for which all clients are sent away.
+        # The reasons for which all clients are currently moved away.
         self.shutdown = ShutdownPlans(max(c.deadline_us for c in settings.classes))
-        self.rebalancer_port = RebalancerPort(self._turn, log)
+        self.rebalancer_port = RebalancerPort(self._loop_time, log)
         self._queue, self._timers = CommandQueue(), TimerQueue()
-        self._balancer = Balancer(settings, seed, self._turn.now_us)
-        self._decisions = DecisionPort(self._balancer, self._turn, log)
+        self._balancer = Balancer(settings, seed, self._loop_time.now_us)
+        self._decisions = DecisionPort(self._balancer, self._loop_time, log)
         self._outlier_gossip = OutlierGossip(self._balancer, log)
         self._connect_parts(seed, log)
 
     def _connect_parts(self, seed: int, log: EventLog) -> None:
-        """Makes the parts that call others, each after those that it calls."""
-        turn, decisions, plans, port = self._turn, self._decisions, self.shutdown, self.rebalancer_port
+        """Creates the parts that call other parts, each after the parts that it calls."""
+        loop_time, decisions, plans, port = (
+            self._loop_time,
+            self._decisions,
+            self.shutdown,
+            self.rebalancer_port,
+        )
         self._monitors = monitors = FormServerMonitors(self.clock)
-        self._backends = backends = BackendList(turn, decisions, port, log)
-        self._shutdown_controller = shutdown = ShutdownController(turn, plans, monitors, port, log)
+        self._backends = backends = BackendList(loop_time, decisions, port, log)
+        self._shutdown_controller = shutdown = ShutdownController(loop_time, plans, monitors, port, log)
         self._successor = successor = SuccessorTransfer(backends, monitors, plans, shutdown)
         self._sessions = sessions = SessionManager(
-            turn, self._queue, decisions, backends, monitors, successor, port, self.counters, log
+            loop_time, self._queue, decisions, backends, monitors, successor, port, self.counters, log
         )
         connect_timeout_us = self.settings.connect_timeout_us
         decisions.connect(
-            ActionDispatcher(turn, sessions, backends, self._timers, self, connect_timeout_us, log)
+            ActionDispatcher(loop_time, sessions, backends, self._timers, self, connect_timeout_us, log)
         )
         self._supervisor = FormServerSupervisor(
-            turn, monitors, sessions, backends, decisions, self._latency_threshold_us, log
+            loop_time, monitors, sessions, backends, decisions, self._latency_threshold_us, log
         )
-        self._drainer = SessionDrainer(turn, plans, monitors, sessions, SWEEP_INTERVAL_US)
+        self._drainer = SessionDrainer(loop_time, plans, monitors, sessions, SWEEP_INTERVAL_US)
         self._operator = OperatorCommands(backends, plans, shutdown, decisions, port, log)
         rounds = self._make_rounds(seed)
-        self._fleet_load = FleetLoadExchange(rounds, turn, self._balancer, decisions, plans, self)
+        self._fleet_load = FleetLoadExchange(rounds, loop_time, self._balancer, decisions, plans, self)
         self._status = StatusReporter(
-            turn, sessions, monitors, backends, self._fleet_load, self.counters, log
+            loop_time, sessions, monitors, backends, self._fleet_load, self.counters, log
         )
 
     def _make_rounds(self, seed: int) -> AggregationRounds | None:
         settings = self.settings
         if settings.peer_messages and settings.instances > 1:
-            return AggregationRounds(settings.index, settings.instances, seed, self._turn.now_us)
+            return AggregationRounds(settings.index, settings.instances, seed, self._loop_time.now_us)
         return None
 
     # ------------------------------------------------------------------ the event loop
 
     @property
     def wake(self) -> Callable[[], None]:
-        """Called when a command was posted to the empty queue; set by whoever drives the node."""
+        """Called when a command was posted to the empty queue; set by the code that drives the node."""
         return self._queue.wake
 
     @wake.setter
@@ -133,22 +139,24 @@
         self._queue.wake = wake
 
     async def run(self) -> None:
-        """Runs until a shutdown was begun and all clients have been sent away."""
+        """Runs until a shutdown has begun and all clients have been moved away."""
         self.start()
         while not self.stopped:
-            called = anyio.Event()
-            self.wake = called.set
+            woken = anyio.Event()
+            self.wake = woken.set
             with anyio.CancelScope(deadline=self.clock.moment(self.due_us())):
                 if not self._queue:
-                    await called.wait()
-                # What comes in within a tick belongs together, as when a form server's process dies and
-                # all its connections break at once.
+                    await woken.wait()
+                # Collects the commands of one tick, so that related ones are processed together: for example,
+                # when a form server's process dies, all its connections break at once.
                 await anyio.sleep_until(self.clock.moment(self.clock.now_us() + self.settings.tick_us))
             self.turn(self.clock.now_us())
 
     def start(self) -> None:
-        """Takes over the list of form servers and a predecessor's state; called once, before any turn."""
-        self._backends.update(self._known)
+        """Applies the initial list of form servers and the state of a predecessor; called once, before the
+        first iteration.
+        """
+        self._backends.update(self._initial_list)
         if self._predecessor is not None:
             for name in sorted(self._predecessor.excluded):
                 self._operator.apply_override(name, True)
@@ -158,7 +166,7 @@
                 self._operator.set_draining(True)
 
     def due_us(self) -> int:
-        """When a turn is due even if no command is posted, in Unix microseconds."""
+        """When the next iteration is due even if no command is posted, in Unix microseconds."""
         due_us = self._timers.due_us()
         return min(
             self._sweep_us,
@@ -167,8 +175,8 @@
         )
 
     def turn(self, now_us: int) -> None:
-        """Carries out all commands that were posted, and everything whose time has come."""
-        self._turn.now_us = now_us
+        """Runs one iteration: executes all posted commands and everything that is due."""
+        self._loop_time.now_us = now_us
         self._queue.run()
         while (token := self._timers.pop_due(now_us)) is not None:
             self._decisions.feed(TimerFired(token))
@@ -187,7 +195,7 @@
     # ------------------------------------------------------------------ calls of the fronts
 
     def request_session(self, session: FormSession) -> None:
-        """A client requests a form session; one final answer is owed by its deadline."""
+        """A client requests a form session; the node gives exactly one final answer by its deadline."""
         self._queue.post(self._sessions.on_request, session)
 
     def connection_opened(self, session: FormSession, placement: Placement, latency_us: int) -> None:
@@ -195,7 +203,7 @@
         self._queue.post(self._sessions.on_established, session, placement, latency_us)
 
     def request_written(self) -> None:
-        """An attempt's request has gone out to its form server, to the last byte."""
+        """An attempt's request has been written completely to its form server."""
         self._queue.post(self.counters.on_request_written)
 
     def attempt_ended(self, session: FormSession, placement: Placement, outcome: AttemptOutcome) -> None:
@@ -203,7 +211,7 @@
         self._queue.post(self._sessions.on_attempt_ended, session, placement, outcome)
 
     def client_left(self, session: FormSession) -> None:
-        """The client has gone before its session was established."""
+        """The client has left before its session was established."""
         self._queue.post(self._sessions.on_client_left, session)
 
     def report_load(self, session: FormSession, load: float) -> None:
@@ -211,14 +219,14 @@
         self._queue.post(self._sessions.on_load_reported, session, load)
 
     def report_delay(self, session: FormSession, latency_ms: float) -> None:
-        """The session's form server has reported the latency of messages there."""
+        """The session's form server has reported its message latency."""
         self._queue.post(self._supervisor.on_latency_reported, session, latency_ms)
 
     def may_begin(self, session: FormSession, placement: Placement) -> bool:
-        """Whether an attempt may still begin, checked right before its first byte leaves.
+        """Whether an attempt may still begin, checked immediately before its first byte is sent.
 
-        Since it was decided on, its form server may have begun to drain or have moved to another address, or
-        the time for a retry may have run out.
+        Since the decision, the form server may have begun to drain or have changed its address, or the time
+        for a retry may have expired.
         """
         if session.resumed_at is not None:
             return True
@@ -227,11 +235,11 @@
         return self._backends.may_receive(placement.form_server)
 
     def line_forwarded(self, session: FormSession) -> None:
-        """A client's line went to its form server."""
+        """A client's line was forwarded to its form server."""
         self._monitors.on_line_forwarded(session)
 
     def bytes_received(self, session: FormSession) -> None:
-        """Anything at all came from the session's form server."""
+        """Some bytes were received from the session's form server, whether a complete line or not."""
         self._monitors.on_bytes_received(session)
 
     def line_answered(self, session: FormSession) -> None:
@@ -241,15 +249,15 @@
     # ------------------------------------------------------------------ calls of the outgoing ports
 
     def server_list_updated(self, update: ServerListUpdate) -> None:
-        """Discovery has brought the list of form servers, or changes of it."""
+        """Discovery has delivered the list of form servers, or changes to it."""
         self._queue.post(self._backends.update, update)
 
     def discovery_failed(self, why: str) -> None:
-        """The list of form servers could not be had."""
+        """Discovery could not get the list of form servers."""
         self._queue.post(self._backends.on_discovery_failed, why)
 
     def peer_message_received(self, peer: int, content: bytes) -> None:
-        """A datagram has come from the node of this index."""
+        """A datagram was received from the node with this index."""
         self._queue.post(self._receive_peer_message, peer, content)
 
     def probe_ended(self, form_server: FormServer, outcome: AttemptOutcome, latency_us: int) -> None:
@@ -259,15 +267,17 @@
     # ------------------------------------------------------------------ calls of operators and the service
 
     def set_rebalancer(self, rebalancer: Rebalancer | None) -> None:
-        """Sets who moves clients for balance from now on; None: nobody."""
+        """Sets the rebalancer that moves clients from now on; None: no client is moved for balance."""
         self._queue.post(self._set_rebalancer, rebalancer)
 
     def begin_shutdown(self) -> None:
-        """A planned restart begins: answers go on, the moves are spread, and the process ends in time."""
+        """Begins a planned restart: requests are still answered, the moves are spread over time, and the
+        process exits by its deadline.
+        """
         self._queue.post(self._shutdown_controller.begin, ShutdownReason.RESTART)
 
     def configuration_reloaded(self, is_usable: bool) -> None:
-        """A new configuration was taken over, or was not usable."""
+        """A new configuration was applied, or was not usable."""
         self._queue.post(self.counters.on_configuration_reloaded, is_usable)
 
     def read_metrics(self, reply: Reply[MetricsSnapshot]) -> None:
@@ -275,11 +285,13 @@
         self._queue.post(lambda: reply(self._read_metrics()))
 
     def check_ready(self, reply: Reply[bool]) -> None:
-        """Replies whether this node accepts clients, and not only answers them."""
+        """Replies whether this node accepts new clients: it is not shutting down and has a list of form
+        servers.
+        """
         self._queue.post(lambda: reply(not self.shutdown and len(self._backends) > 0))
 
     def set_operator_override(self, name: str, is_excluded: bool, reply: Reply[bool]) -> None:
-        """Excludes a form server, or puts it back; replies False where none of that name is known."""
+        """Excludes a form server or puts it back; replies False if no form server of that name is known."""
         self._queue.post(lambda: reply(self._operator.set_override(name, is_excluded)))
 
     def list_operator_overrides(self, reply: Reply[frozenset[str]]) -> None:
@@ -287,22 +299,24 @@
         self._queue.post(lambda: reply(self._backends.excluded))
 
     def has_form_server(self, name: str, reply: Reply[bool]) -> None:
-        """Replies whether a form server of that name was listed here, or is excluded by an operator."""
+        """Replies whether a form server of that name was ever listed here or is excluded by an operator."""
         self._queue.post(lambda: reply(self._operator.is_known(name)))
 
     @property
     def is_accepting(self) -> bool:
-        """Whether whoever spreads the clients over the nodes should count on this one."""
+        """Whether a load balancer in front of the nodes should send clients to this one."""
         return ShutdownReason.DRAIN not in self.shutdown
 
     def set_draining(self, is_draining: bool, reply: Reply[bool]) -> None:
-        """Sends all clients away, and accepts none until that is ended; replies True."""
+        """Begins or ends a drain: all clients are moved away, and none is accepted until the drain ends.
+        Replies True.
+        """
         self._queue.post(lambda: reply(self._operator.set_draining(is_draining)))
 
     # ------------------------------------------------------------------ calls for the nodes of a fleet
 
     def set_move_rate_share(self, share: float, reply: Reply[bool]) -> None:
-        """Sets this node's share of the fleet's rate of moves, 0 to 1; replies whether it moves clients."""
+        """Sets this node's share of the fleet's move rate, 0 to 1; replies whether it moves clients."""
         self._queue.post(lambda: reply(self.rebalancer_port.set_rate_share(share)))
 
     def report_outliers(self, reply: Reply[OutlierReport]) -> None:
@@ -310,8 +324,8 @@
         self._queue.post(lambda: reply(self._report_outliers()))
 
     def receive_peer_outliers(self, ejected_for_us: dict[str, int], mean_setup_us: int) -> None:
-        """Takes the form servers by name that enough others have ejected, with for how much longer in
-        microseconds, and what a set-up usually takes them.
+        """Receives the form servers that enough other nodes have ejected, by name with the remaining ejection
+        time in microseconds, and the mean set-up time of those nodes.
         """
         self._queue.post(self._receive_peer_outliers, ejected_for_us, mean_setup_us)
 
@@ -319,7 +333,7 @@
 
     @property
     def on_operator_command(self) -> Callable[[str, object], None]:
-        """Called with each operator command that the other process, if there is one, is to mirror."""
+        """Called with each operator command that the node's other process, if there is one, has to mirror."""
         return self._operator.mirror
 
     @on_operator_command.setter
@@ -327,11 +341,11 @@
         self._operator.mirror = mirror
 
     def mirror_operator_command(self, command: str, content: object) -> None:
-        """Carries out what the other process was commanded, as it stated it to `on_operator_command`."""
+        """Executes a command that the other process received and passed to its `on_operator_command`."""
         self._queue.post(self._operator.apply_mirrored, command, content)
 
     def snapshot_state(self, reply: Reply[NodeSnapshot]) -> None:
-        """Replies with the state for a successor, to which the slow-start allowance then belongs."""
+        """Replies with the state for a successor, and transfers the slow-start allowance to it."""
         self._queue.post(lambda: reply(self._snapshot_state()))
 
     def report_held_load(self, reply: Reply[ProcessLoad]) -> None:
@@ -339,8 +353,8 @@
         self._queue.post(lambda: reply(self._fleet_load.local_load()))
 
     def set_successor(self, send: SendTransfer | None) -> None:
-        """A successor serves the clients from now on, and established sessions are sent to it by `send`;
-        None: it is gone, and they are this process's again.
+        """From now on a successor accepts the clients, and `send` transfers established sessions to it. None:
+        the successor is gone, and this process serves the clients again.
         """
         self._queue.post(self._successor.set_successor, send)
 
@@ -352,7 +366,7 @@
         """The load of the sessions that the predecessor still serves; None: it has ended."""
         self._queue.post(self._fleet_load.set_predecessor_load, load)
 
-    # ------------------------------------------------------------------ what the calls do in the event loop
+    # ------------------------------------------------------------------ handlers that run in the event loop
 
     def _set_rebalancer(self, rebalancer: Rebalancer | None) -> None:
         backends, sessions = self._backends.effective_backends(), self._monitors.iterate_sessions()
@@ -364,23 +378,27 @@
             self._decisions.feed(PeerMessage(peer, content))
 
     def _read_metrics(self) -> MetricsSnapshot:
-        listed, avoided = self._backends.list_present(), self._balancer.avoided_backends(self._turn.now_us)
+        listed, avoided = (
+            self._backends.list_present(),
+            self._balancer.avoided_backends(self._loop_time.now_us),
+        )
         return self.counters.snapshot(len(self._sessions), len(listed), len(avoided))
 
     def _report_outliers(self) -> OutlierReport:
-        return self._outlier_gossip.local_report(self._turn.now_us, self._backends.form_servers)
+        return self._outlier_gossip.local_report(self._loop_time.now_us, self._backends.form_servers)
 
     def _receive_peer_outliers(self, ejected_for_us: dict[str, int], mean_setup_us: int) -> None:
-        now_us = self._turn.now_us
-        responsive = self._monitors.list_heard_from(now_us - RESPONSIVE_US)
-        by_number = {server_number(name): left_us for name, left_us in ejected_for_us.items()}
+        now_us = self._loop_time.now_us
+        responsive = self._monitors.list_responsive(now_us - RESPONSIVE_US)
+        by_number = {server_number(name): remaining_us for name, remaining_us in ejected_for_us.items()}
         event = self._outlier_gossip.merge_reports(now_us, by_number, responsive, mean_setup_us)
         if event is not None:
             self._decisions.feed(event)
 
     def _snapshot_state(self) -> NodeSnapshot:
         observed = self._balancer.snapshot()
-        # From now on the successor may send there as well, and neither sees what the other does.
-        self._balancer.forfeit_slow_start_allowance(self._turn.now_us)
+        # From now on the successor may also send to form servers in slow start, and neither process sees what
+        # the other sends.
+        self._balancer.forfeit_slow_start_allowance(self._loop_time.now_us)
         is_draining = ShutdownReason.DRAIN in self.shutdown
         return NodeSnapshot(self._backends.snapshot(), self._backends.excluded, is_draining, observed)
--- a/sailrun/node/counters.py
+++ b/sailrun/node/counters.py
@@ -1,4 +1,4 @@
-"""Counters of answers, attempts and moves: counted by the node, in one place for all fronts."""
+"""Counters of answers, attempts and moves, which the node counts for all fronts together."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ClassCounters:
-    """The final answers to one class's requests: connections established, requests rejected and failed."""
+    """The final answers to the requests of one class: established, rejected and failed."""
 
     __slots__ = ("busy", "failure", "success")
 
@@ -22,41 +22,41 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsSnapshot:
-    """The counters and gauges at one moment; counters are since this process started."""
+    """The counters and gauges at one moment; counters count from the start of this process."""
 
     classes: dict[str, ClassCounters]  # by the name of the request class
-    backend_calls: int  # attempts whose request was written whole to a form server
-    inflight: int  # connections accepted and not yet ended
+    backend_calls: int  # attempts whose request was written completely to a form server
+    inflight: int  # requests and sessions accepted and not yet ended
     hosts_listed: int
-    hosts_down: int  # listed, and avoided: by an operator's or the decisions' exclusion
-    reconfig_ok: int  # configurations taken over at SIGHUP, and those not usable
-    reconfig_failed: int
+    hosts_down: int  # listed form servers that are avoided: excluded by an operator or ejected as outliers
+    reconfig_ok: int  # configurations that were applied at SIGHUP
+    reconfig_failed: int  # configurations that were not usable
 
 
 class Counters:
-    """The node's counters, each incremented where its event happens."""
+    """The node's counters, each incremented where its event occurs."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         """`classes`: the names of all request classes."""
         self.classes = {name: ClassCounters() for name in classes}
-        self.moves = Counter[MoveReason]()  # clients sent to another node, by reason
+        self.moves = Counter[MoveReason]()  # clients moved to another node, by reason
         self.backend_calls = 0
         self.reconfig_ok = 0
         self.reconfig_failed = 0
 
     def on_request_written(self) -> None:
-        """An attempt's request has gone out whole."""
+        """An attempt's request has been written completely."""
         self.backend_calls += 1
 
     def on_configuration_reloaded(self, is_usable: bool) -> None:
-        """A new configuration was taken over, or was not usable."""
+        """A new configuration was applied, or was not usable."""
         if is_usable:
             self.reconfig_ok += 1
         else:
             self.reconfig_failed += 1
 
     def snapshot(self, inflight: int, hosts_listed: int, hosts_down: int) -> MetricsSnapshot:
-        """The counters now, with the gauges that others measure."""
+        """The current counters, with the gauges that the caller has measured."""
         return MetricsSnapshot(
             self.classes,
             self.backend_calls,
--- a/sailrun/node/decision_port.py
+++ b/sailrun/node/decision_port.py
@@ -1,4 +1,4 @@
-"""The way of an event to the decision module, and of its actions to whoever executes them."""
+"""Passes events to the decision module, and the resulting actions to an executor."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     Event,
     RequestArrived,
 )
-from sailrun.node.clock import TurnTime
+from sailrun.node.clock import LoopTime
 from sailrun.node.ports import EventLog
 
-# Events that belong to one request, by whose id they name it.
+# Events that belong to one request, whose id is in their field `request`.
 REQUEST_EVENTS = (
     RequestArrived,
     ConnectionResumed,
@@ -31,35 +31,35 @@
 
 
 class ActionExecutor(Protocol):
-    """Executes what the decision module asks for."""
+    """Executes the actions that the decision module returns."""
 
     def execute(self, action: Action) -> None:
         """Executes one action."""
         ...
 
     def abandon_request(self, request: str) -> None:
-        """Fails a request of which an event could not be handled, unless its session is established."""
+        """Fails a request after an error in handling one of its events, unless its session is established."""
         ...
 
 
 class DecisionPort:
-    """Passes events to the decision module, and has the actions it returns executed in their order."""
+    """Passes events to the decision module, and has the returned actions executed in order."""
 
     _executor: ActionExecutor
 
-    def __init__(self, balancer: Balancer, turn: TurnTime, log: EventLog) -> None:
-        self._balancer, self._turn, self._log = balancer, turn, log
+    def __init__(self, balancer: Balancer, loop_time: LoopTime, log: EventLog) -> None:
+        self._balancer, self._loop_time, self._log = balancer, loop_time, log
 
     def connect(self, executor: ActionExecutor) -> None:
-        """Sets who executes the actions; called once, before the first event."""
+        """Sets the executor of the actions; called once, before the first event."""
         self._executor = executor
 
     def feed(self, event: Event) -> None:
-        """Passes one event at the turn's time, and executes what the module decides."""
+        """Passes one event with the time of the current iteration, and executes the resulting actions."""
         try:
-            actions = self._balancer.handle(self._turn.now_us, event)
+            actions = self._balancer.handle(self._loop_time.now_us, event)
         except Exception:
-            # A fault of the decisions must not take every other client down with the node.
+            # A fault in the decision module must not end the node and the sessions of all its clients.
             self._log("fault", event=type(event).__name__, trace=traceback.format_exc())
             if isinstance(event, REQUEST_EVENTS):
                 self._executor.abandon_request(event.request)
@@ -68,5 +68,5 @@
             try:
                 self._executor.execute(action)
             except Exception:
-                # Nor must a fault of one front in executing an action.
+                # A fault of one front while executing an action must not end the node either.
                 self._log("fault", action=type(action).__name__, trace=traceback.format_exc())
--- a/sailrun/node/fleet_load.py
+++ b/sailrun/node/fleet_load.py
@@ -1,7 +1,7 @@
-"""The exchange of load between the nodes of a fleet, and between two processes that are one node.
+"""The exchange of load between the nodes of a fleet, and between two processes that form one node.
 
-It drives the rounds of the load gossip, and notifies the decisions of the load that others hold: the other
-nodes, and a predecessor on this machine, whose sessions count as this node's towards the others.
+It runs the rounds of the load gossip, and notifies the decision module of the load of the other nodes and of
+a predecessor on this machine. Towards the other nodes, the predecessor's sessions count as this node's.
 """
 
 from __future__ import annotations
@@ -12,54 +12,64 @@
 from sailrun.decisions.events import FleetLoad, LocalLoad
 from sailrun.load_gossip.aggregation_rounds import RESTATE_INTERVAL_US, AggregationRounds, RoundOutput
 from sailrun.load_gossip.datagram import FORMAT_VERSION
-from sailrun.node.clock import TurnTime
+from sailrun.node.clock import LoopTime
 from sailrun.node.decision_port import DecisionPort
 from sailrun.node.ports import OutgoingPorts
 from sailrun.node.restart_state import ProcessLoad
 from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
 
 GOSSIP_PREFIX = bytes((FORMAT_VERSION,))
-# The load of the others is restated as it ages; should that fail to come, it is unknown after so long.
+# The load of the other nodes is restated regularly. It counts as unknown if no restatement arrives for this
+# long.
 OTHERS_VALID_US = 4 * RESTATE_INTERVAL_US
 
 
 class FleetLoadExchange:
-    """The rounds, the load of the other nodes as they last had it, and that of a predecessor."""
+    """The gossip rounds, the last known load of the other nodes, and the load of a predecessor."""
 
     def __init__(
         self,
         rounds: AggregationRounds | None,
-        turn: TurnTime,
+        loop_time: LoopTime,
         balancer: Balancer,
         decisions: DecisionPort,
         plans: ShutdownPlans,
         ports: OutgoingPorts,
     ) -> None:
-        """`rounds`: None where the nodes may not exchange messages."""
-        self._rounds, self._turn, self._balancer, self._decisions = rounds, turn, balancer, decisions
+        """`rounds`: None if the nodes do not exchange messages."""
+        self._rounds, self._loop_time, self._balancer, self._decisions = (
+            rounds,
+            loop_time,
+            balancer,
+            decisions,
+        )
         self._plans, self._ports = plans, ports
-        self._nodes_heard_from = 0  # that the last sum spoke for
-        self._others: FleetLoad | None = None  # of the other nodes, for as long as it is known
-        self._others_until_us = turn.now_us
+        self._reporting_nodes = 0  # the number of nodes that the last sum covered
+        self._others: FleetLoad | None = None  # the load of the other nodes, valid until `_others_until_us`
+        self._others_until_us = loop_time.now_us
         self._predecessor: ProcessLoad | None = None
 
     def due_us(self) -> int | None:
-        """When `run_round` is due next; None: never. Of a node's two processes the successor gossips."""
+        """When `run_round_if_due` has to run next; None: never. If two processes form a node, only the
+        successor gossips.
+        """
         if self._rounds is None or ShutdownReason.SUCCEEDED in self._plans:
             return None
         return self._rounds.due_us()
 
     def run_round_if_due(self) -> None:
-        """Sends what the rounds have to send, if their time has come."""
+        """Runs a gossip round if one is due, and sends its datagrams."""
         due_us = self.due_us()
-        if self._rounds is not None and due_us is not None and self._turn.now_us >= due_us:
-            self._carry_out(self._rounds.tick(self._turn.now_us, self._node_load()))
+        if self._rounds is not None and due_us is not None and self._loop_time.now_us >= due_us:
+            self._carry_out(self._rounds.tick(self._loop_time.now_us, self._node_load()))
 
     def receive(self, peer: int, content: bytes) -> bool:
-        """Takes a datagram of another node, and answers it; False if it is not of the load gossip."""
+        """Handles and answers a datagram from another node; returns False if it is not part of the load
+        gossip.
+        """
         if self._rounds is None or content[:1] != GOSSIP_PREFIX:
             return False
-        self._carry_out(self._rounds.receive(self._turn.now_us, peer, content, self._node_load()))
+        self._carry_out(self._rounds.receive(self._loop_time.now_us, peer, content, self._node_load()))
         return True
 
     def set_predecessor_load(self, load: ProcessLoad | None) -> None:
@@ -68,20 +78,20 @@
         self._decisions.feed(self._others_load())
 
     def local_load(self) -> ProcessLoad:
-        """The load of the sessions established in this process, for the other of the node's two."""
+        """The load of the sessions established in this process, for the node's other process."""
         own = self._balancer.local_load()
         return ProcessLoad(own.loads, own.connections, own.loads_reported)
 
     def describe(self) -> str | None:
-        """For the status line: nodes that the last sum spoke for, and messages refused."""
-        return f"{self._nodes_heard_from}/{self._rounds.rejected_count}" if self._rounds is not None else None
+        """For the status line: the number of nodes that the last sum covered, and of rejected messages."""
+        return f"{self._reporting_nodes}/{self._rounds.rejected_count}" if self._rounds is not None else None
 
     def _carry_out(self, output: RoundOutput) -> None:
-        """Sends datagrams, and notifies the decisions if the load of the others was restated."""
+        """Sends datagrams, and notifies the decision module if the load of the other nodes was restated."""
         others = output.fleet_load
         if others is not None:
-            self._nodes_heard_from = others.instances
-            self._others, self._others_until_us = others, self._turn.now_us + OTHERS_VALID_US
+            self._reporting_nodes = others.instances
+            self._others, self._others_until_us = others, self._loop_time.now_us + OTHERS_VALID_US
         for peer, content in output.datagrams:
             if self._ports.peer_transport is not None:
                 self._ports.peer_transport.send(peer, content)
@@ -89,7 +99,7 @@
             self._decisions.feed(self._others_load())
 
     def _node_load(self) -> LocalLoad:
-        """The load of this node, a predecessor's part included."""
+        """The load of this node, including the load of a predecessor if both state it in the same unit."""
         own, predecessor = self._balancer.local_load(), self._predecessor
         if predecessor is None or predecessor.loads_reported is not own.loads_reported:
             return own
@@ -97,9 +107,9 @@
         return replace(own, loads=loads, connections=own.connections + predecessor.connections)
 
     def _others_load(self) -> FleetLoad:
-        """The load of the other nodes, and of the process before this one."""
+        """The load of the other nodes and of the predecessor."""
         others, predecessor = self._others, self._predecessor
-        if others is None or self._turn.now_us >= self._others_until_us:
+        if others is None or self._loop_time.now_us >= self._others_until_us:
             reported = predecessor is not None and predecessor.loads_reported
             others = FleetLoad({}, 0, reported, 1, frozenset(), 0)
         loads, connections, reported = others.loads, others.connections, others.loads_reported
--- a/sailrun/node/form_server_monitor.py
+++ b/sailrun/node/form_server_monitor.py
@@ -1,4 +1,4 @@
-"""The established sessions of each form server, with what passes through them."""
+"""The established sessions of each form server, and observations of their traffic."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FormServerMonitor:
-    """One form server: its established sessions by id, the latency of messages, and its failure detector."""
+    """One form server: its established sessions by id, its message latency, and its failure detector."""
 
     __slots__ = ("failure_detector", "latency", "sessions")
 
@@ -21,21 +21,21 @@
         self.failure_detector = FailureDetector()
 
     def pending_since_us(self) -> list[int]:
-        """Of each session that awaits an answer, when its oldest unanswered line was sent."""
+        """The send time of the oldest unanswered line of each session that awaits an answer."""
         return [s.unanswered_since_us[0] for s in self.sessions.values() if s.unanswered_since_us]
 
     def latency_us(self, now_us: int) -> int | None:
-        """The median latency of messages now, in microseconds; None if nothing is known."""
+        """The current median message latency in microseconds; None if there are no observations."""
         return self.latency.median_us(now_us, self.pending_since_us())
 
     def poll_latency_report(self, now_us: int, threshold_us: float) -> float | None:
-        """Milliseconds to report, if that is due and there is anything to report."""
+        """The latency to report in milliseconds; None if no report is due or there is nothing to report."""
         if not self.latency.is_report_due(now_us, threshold_us):
             return None
         return self.latency.poll_report(now_us, threshold_us, self.pending_since_us())
 
     def find_unresponsive_sessions(self, now_us: int) -> list[FormSession]:
-        """The sessions that the form server no longer responds to."""
+        """The sessions to which the form server no longer responds."""
         return self.failure_detector.find_unresponsive(now_us, self.sessions.values())
 
     def is_idle(self) -> bool:
@@ -44,24 +44,24 @@
 
 
 class FormServerMonitors:
-    """The monitors of all form servers that had a session here, by number."""
+    """The monitors of all form servers that have or had a session here, by number."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._monitors: dict[int, FormServerMonitor] = {}
-        self._active: dict[int, FormServerMonitor] = {}  # those with anything to observe in a sweep
+        self._active: dict[int, FormServerMonitor] = {}  # the monitors that a sweep has to check
 
-    # ------------------------------------------------------------------ what passes, called by the fronts
+    # ------------------------------------------------------------------ traffic, reported by the fronts
 
     def on_line_forwarded(self, session: FormSession) -> None:
-        """A client's line went to its form server."""
+        """A client's line was forwarded to its form server."""
         session.unanswered_since_us.append(self._clock.now_us())
         if session.placement is not None:
             number = session.placement.form_server.number
             self._active[number] = self._get_or_create(number)
 
     def on_bytes_received(self, session: FormSession) -> None:
-        """Anything at all came from the session's form server."""
+        """Some bytes were received from the session's form server, whether a complete line or not."""
         if session.placement is not None:
             monitor = self._monitors.get(session.placement.form_server.number)
             if monitor is not None:
@@ -98,7 +98,7 @@
         self._monitors[number].sessions.pop(session.id, None)
 
     def count_sessions(self) -> int:
-        """How many sessions are established, those included that are being moved."""
+        """The number of established sessions, including those that are being moved."""
         return sum(len(monitor.sessions) for monitor in self._monitors.values())
 
     def iterate_sessions(self) -> Iterator[tuple[int, FormSession]]:
@@ -114,21 +114,21 @@
     # ------------------------------------------------------------------ monitors
 
     def monitor_of(self, number: int) -> FormServerMonitor:
-        """The monitor of a form server that had a session here; KeyError for any other."""
+        """The monitor of a form server that has or had a session here; raises KeyError for any other."""
         return self._monitors[number]
 
     def list_monitors(self) -> list[tuple[int, FormServerMonitor]]:
-        """All monitors with their form servers' numbers, in the order of the first session."""
+        """All monitors with their form servers' numbers, in the order in which the monitors were created."""
         return list(self._monitors.items())
 
     def list_active(self) -> list[tuple[int, FormServerMonitor]]:
-        """The monitors with anything to observe, with their form servers' numbers."""
+        """The monitors that a sweep has to check, with their form servers' numbers."""
         return list(self._active.items())
 
     def deactivate(self, number: int) -> None:
-        """There is nothing to observe until a client sends another line."""
+        """Excludes a monitor from the sweeps until a client sends another line."""
         del self._active[number]
 
-    def list_heard_from(self, since_us: int) -> list[int]:
-        """Numbers of the form servers that anything was received from after `since_us`."""
+    def list_responsive(self, since_us: int) -> list[int]:
+        """The numbers of the form servers from which anything was received after `since_us`."""
         return [n for n, m in self._monitors.items() if m.failure_detector.last_received_us > since_us]
--- a/sailrun/node/form_server_supervisor.py
+++ b/sailrun/node/form_server_supervisor.py
@@ -1,11 +1,11 @@
-"""What follows from observing form servers: sessions of unresponsive ones are moved, latencies reported."""
+"""Acts on observations of form servers: moves the sessions of unresponsive ones, and reports latencies."""
 
 from __future__ import annotations
 
 from sailrun.decisions.actions import MoveReason
 from sailrun.decisions.events import AttemptNotice, AttemptOutcome, NoticeKind
 from sailrun.node.backend_list import BackendList
-from sailrun.node.clock import TurnTime
+from sailrun.node.clock import LoopTime
 from sailrun.node.decision_port import DecisionPort
 from sailrun.node.form_server_monitor import FormServerMonitor, FormServerMonitors
 from sailrun.node.ports import EventLog
@@ -14,11 +14,11 @@
 
 
 class FormServerSupervisor:
-    """Looks through the monitors in each sweep, and takes the latencies that form servers report."""
+    """Checks the monitors in each sweep, and handles the latencies that form servers report."""
 
     def __init__(
         self,
-        turn: TurnTime,
+        loop_time: LoopTime,
         monitors: FormServerMonitors,
         sessions: SessionManager,
         backends: BackendList,
@@ -26,13 +26,13 @@
         latency_threshold_us: float,
         log: EventLog,
     ) -> None:
-        """`latency_threshold_us`: a latency over this is reported to the decisions; 0: none is."""
-        self._turn, self._monitors, self._sessions = turn, monitors, sessions
+        """`latency_threshold_us`: latencies over this are reported to the decision module; 0: none are."""
+        self._loop_time, self._monitors, self._sessions = loop_time, monitors, sessions
         self._backends, self._decisions, self._log = backends, decisions, log
         self._latency_threshold_us = latency_threshold_us
 
     def sweep(self) -> None:
-        """Looks through the monitors that have anything to observe."""
+        """Checks the active monitors, and deactivates those that are idle."""
         for number, monitor in self._monitors.list_active():
             self._end_unresponsive_sessions(number, monitor)
             self._report_latency(number, monitor)
@@ -40,9 +40,10 @@
                 self._monitors.deactivate(number)
 
     def _end_unresponsive_sessions(self, number: int, monitor: FormServerMonitor) -> None:
-        unresponsive = monitor.find_unresponsive_sessions(self._turn.now_us)
+        unresponsive = monitor.find_unresponsive_sessions(self._loop_time.now_us)
         for session in unresponsive:
-            # The decisions are notified here, of all at one time: they then see that they broke together.
+            # Notifies the decision module of all these sessions at the same time, so that it recognizes that
+            # they ended together.
             self._sessions.move_session(session, MoveReason.UNRESPONSIVE)
             if session.placement is not None:
                 self._sessions.on_attempt_ended(session, session.placement, AttemptOutcome.RESET)
@@ -51,25 +52,25 @@
 
     def _report_latency(self, number: int, monitor: FormServerMonitor) -> None:
         was_slow = monitor.latency.is_slow
-        latency_ms = monitor.poll_latency_report(self._turn.now_us, self._latency_threshold_us)
+        latency_ms = monitor.poll_latency_report(self._loop_time.now_us, self._latency_threshold_us)
         if latency_ms is None:
             return
         is_slow = monitor.latency.is_slow
         if is_slow is not was_slow:
             self._log_latency(number, is_slow, latency_ms)
-        # A notice names a session: any that has a placement stands for the form server.
+        # A notice has to name a session; any session with a placement represents the form server.
         session = next((s for s in monitor.sessions.values() if s.placement is not None), None)
         if session is not None and session.placement is not None:
             attempt = session.placement.attempt
             self._decisions.feed(AttemptNotice(session.id, attempt, number, NoticeKind.DELAY, latency_ms))
 
     def on_latency_reported(self, session: FormSession, latency_ms: float) -> None:
-        """The session's form server has reported the latency of messages there."""
+        """The session's form server has reported its message latency."""
         if session.placement is None or not session.is_established:
             return
         number, attempt = session.placement.form_server.number, session.placement.attempt
         is_slow = latency_ms * 1000 > self._latency_threshold_us
-        if self._monitors.monitor_of(number).latency.on_reported(self._turn.now_us, is_slow):
+        if self._monitors.monitor_of(number).latency.on_reported(self._loop_time.now_us, is_slow):
             self._log_latency(number, is_slow, latency_ms)
         self._decisions.feed(AttemptNotice(session.id, attempt, number, NoticeKind.DELAY, latency_ms))
 
--- a/sailrun/node/operator_commands.py
+++ b/sailrun/node/operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators command: to exclude a form server or put it back, and to drain this node."""
+"""Operator commands: excluding a form server or putting it back, and draining this node."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class OperatorCommand:
-    """The names of the commands, which are those of the messages between two processes that are one node."""
+    """The names of the commands, as used in the messages between two processes that form one node."""
 
     OVERRIDE = "hand"  # content: [name of the form server, whether it is excluded]
     DRAIN = "drain"  # content: whether the node drains
 
 
 class OperatorCommands:
-    """Carries out commands; each is mirrored to the other process where this node runs as two."""
+    """Executes commands, and mirrors each to the other process if two processes form this node."""
 
     def __init__(
         self,
@@ -35,22 +35,24 @@
     ) -> None:
         self._backends, self._plans, self._shutdown = backends, plans, shutdown
         self._decisions, self._rebalancer, self._log = decisions, rebalancer, log
-        # Called with the name of each command that changes something, and its content.
+        # Called with the name and the content of each command that changes the state.
         self.mirror: Callable[[str, object], None] = lambda command, content: None
 
     def is_known(self, name: str) -> bool:
-        """Whether a form server of this name was listed here, or is excluded."""
+        """Whether a form server of this name was ever listed here or is excluded."""
         return self._backends.is_excluded(name) or self._backends.find(name) is not None
 
     def set_override(self, name: str, is_excluded: bool) -> bool:
-        """Excludes a form server, or puts it back; False where none of that name is known."""
+        """Excludes a form server or puts it back; returns False if no form server of that name is known."""
         if not self.is_known(name):
             return False
         self.apply_override(name, is_excluded)
         return True
 
     def apply_override(self, name: str, is_excluded: bool) -> None:
-        """Excludes a form server, known or not, or puts it back; nothing happens where it is so already."""
+        """Excludes a form server or puts it back, whether it is known or not; does nothing if the state does
+        not change.
+        """
         if is_excluded is self._backends.is_excluded(name):
             return
         self._backends.set_excluded(name, is_excluded)
@@ -63,7 +65,7 @@
             self._rebalancer.on_list_update(ListKind.DELTA, (effective,))
 
     def set_draining(self, is_draining: bool) -> bool:
-        """Begins or ends a drain of this node; returns True: that never fails."""
+        """Begins or ends a drain of this node. This never fails; always returns True."""
         if is_draining is not (ShutdownReason.DRAIN in self._plans):
             self.mirror(OperatorCommand.DRAIN, is_draining)
         if is_draining:
@@ -73,7 +75,7 @@
         return True
 
     def apply_mirrored(self, command: str, content: object) -> None:
-        """Carries out what the other process was commanded; what is not of a known form is ignored."""
+        """Executes a command that the other process received; ignores content of an unknown form."""
         match command, content:
             case OperatorCommand.OVERRIDE, [str(name), bool(is_excluded)]:
                 self.apply_override(name, is_excluded)
--- a/sailrun/node/ports.py
+++ b/sailrun/node/ports.py
@@ -1,4 +1,4 @@
-"""The ports of the node: the interfaces of the parts around it that it calls. None of these calls waits."""
+"""The ports of the node: the interfaces of the surrounding parts that it calls. No method blocks."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 
 
 class EventLog(Protocol):
-    """Writes one event with its fields to the log; fields that are None are left out."""
+    """Writes one event with its fields to the log; fields that are None are omitted."""
 
-    def __call__(self, what: str, /, **facts: object) -> None:
-        """Writes one line of the event's name and its fields."""
+    def __call__(self, event: str, /, **fields: object) -> None:
+        """Writes one line with the event's name and its fields."""
         ...
 
 
 class ServiceDiscovery(Protocol):
-    """Where the node gets the list of form servers from."""
+    """The source of the list of form servers."""
 
     def watch(self, active: bool) -> None:
         """Subscribes to changes of the list, or ends the subscription."""
         ...
 
     def fetch(self) -> None:
-        """Requests the whole list once."""
+        """Requests the complete list once."""
         ...
 
 
 class PeerTransport(Protocol):
-    """Datagrams to the other nodes of the fleet, which may be lost."""
+    """Sends datagrams, which may be lost, to the other nodes of the fleet."""
 
     def send(self, peer: int | None, content: bytes) -> None:
-        """Sends to the node of this index, or to all others where it is None."""
+        """Sends to the node with this index, or to all others if `peer` is None."""
         ...
 
 
 class HealthChecker(Protocol):
-    """Checks whether a form server runs; reports through `Node.probe_ended`."""
+    """Checks whether a form server is running; reports the outcome through `Node.probe_ended`."""
 
     def probe(self, form_server: FormServer, until_us: int) -> None:
-        """Begins a check that is given up at `until_us`, in Unix microseconds."""
+        """Begins a health check that times out at `until_us`, in Unix microseconds."""
         ...
 
 
 class OutgoingPorts(Protocol):
-    """The ports that are connected after the node is made; None while one is not."""
+    """The ports that are connected after the node was created; each is None until then."""
 
     discovery: ServiceDiscovery | None
     peer_transport: PeerTransport | None
--- a/sailrun/node/queries.py
+++ b/sailrun/node/queries.py
@@ -1,4 +1,4 @@
-"""Queries to the event loop, which it answers in its next turn."""
+"""Queries to the event loop, which it answers in its next iteration."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 T = TypeVar("T")
 
-Reply = Callable[[T], None]  # takes the answer
+Reply = Callable[[T], None]  # receives the answer
 
 
 async def send_query(query: Callable[[Reply[T]], None]) -> T:
-    """Calls `query` with where its answer goes, and returns that answer.
+    """Calls `query` with a callback for the answer, and waits for that answer.
 
-    The caller's cancel scope carries the deadline.
+    There is no timeout: the caller sets a deadline with a cancel scope.
     """
     answered = anyio.Event()
     answers = list[T]()
--- a/sailrun/node/rebalancer_port.py
+++ b/sailrun/node/rebalancer_port.py
@@ -1,6 +1,6 @@
-"""The way to the rebalancer beside the node: what it is notified of, and what it orders.
+"""The interface to the rebalancer: notifies it of events, and executes the moves that it orders.
 
-It is optional, and dropped after a fault of its own: it is an improvement, and must not end the node.
+The rebalancer is optional. It is dropped after a fault of its own, so that the fault does not end the node.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from sailrun.decisions.actions import MoveReason
 from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import AttemptOutcome, Backend, ListKind
-from sailrun.node.clock import TurnTime
+from sailrun.node.clock import LoopTime
 from sailrun.node.ports import EventLog, OutgoingPorts
 from sailrun.node.session import FormSession
 
@@ -21,10 +21,10 @@
 
 
 class RebalancerPort:
-    """Calls the rebalancer, if there is one, at the turn's time."""
+    """Calls the rebalancer, if there is one, with the time of the current iteration."""
 
-    def __init__(self, turn: TurnTime, log: EventLog) -> None:
-        self._turn, self._log = turn, log
+    def __init__(self, loop_time: LoopTime, log: EventLog) -> None:
+        self._loop_time, self._log = loop_time, log
         self.rebalancer: Rebalancer | None = None  # None: switched off, or dropped after a fault
 
     def _call(self, call: Callable[[Rebalancer], None]) -> None:
@@ -33,31 +33,31 @@
         try:
             call(self.rebalancer)
         except Exception:
-            # Whatever went wrong with it, the node goes on without it.
+            # The node continues without the rebalancer, whatever the fault.
             self._log("fault", where="rebalance", trace=traceback.format_exc())
             self.rebalancer = None
 
-    # ------------------------------------------------------------------ what it is notified of
+    # ------------------------------------------------------------------ notifications
 
     def on_request(self, is_returning: bool) -> None:
         """A client has requested a session."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.arrived(self._turn.now_us, is_returning))
+            self._call(lambda rebalancer: rebalancer.arrived(self._loop_time.now_us, is_returning))
 
     def on_rejected(self) -> None:
         """This node has rejected a request."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.refused(self._turn.now_us))
+            self._call(lambda rebalancer: rebalancer.refused(self._loop_time.now_us))
 
     def on_attempt_rejected(self, number: int) -> None:
         """A form server has rejected an attempt."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.turned_away(self._turn.now_us, number))
+            self._call(lambda rebalancer: rebalancer.turned_away(self._loop_time.now_us, number))
 
     def on_established(
         self, session: FormSession, number: int, has_returned: bool, latency_us: int | None
     ) -> None:
-        """A session is established. `latency_us`: what that took; None: it was resumed or adopted."""
+        """A session is established. `latency_us`: the set-up time; None: it was resumed or adopted."""
         if self.rebalancer is not None:
             self._call(
                 lambda rebalancer: self._add_session(rebalancer, session, number, has_returned, latency_us)
@@ -73,7 +73,7 @@
     ) -> None:
         group = session.group or session.key or session.id
         rebalancer.stands(
-            self._turn.now_us, session.id, number, group, session.request_class, has_returned, latency_us
+            self._loop_time.now_us, session.id, number, group, session.request_class, has_returned, latency_us
         )
         if session.load_hint:
             rebalancer.loaded(session.id, session.load_hint)
@@ -86,37 +86,37 @@
     def on_ended(self, session: FormSession, outcome: AttemptOutcome) -> None:
         """An established session has ended."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.ended(self._turn.now_us, session.id, outcome))
+            self._call(lambda rebalancer: rebalancer.ended(self._loop_time.now_us, session.id, outcome))
 
     def on_list_update(self, kind: ListKind, backends: Iterable[Backend]) -> None:
-        """The list of form servers, or changes of it, excluded ones shown as draining."""
+        """The list of form servers or changes to it have arrived, with excluded ones shown as draining."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.listed(self._turn.now_us, kind, backends))
+            self._call(lambda rebalancer: rebalancer.listed(self._loop_time.now_us, kind, backends))
 
     def on_discovery_failed(self) -> None:
-        """The list of form servers could not be had."""
+        """Discovery could not get the list of form servers."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.discovery_lost(self._turn.now_us))
+            self._call(lambda rebalancer: rebalancer.discovery_lost(self._loop_time.now_us))
 
     def on_peer_message(self, peer: int, content: bytes) -> None:
-        """A datagram of another node that is not of the load gossip."""
+        """A datagram was received from another node that is not part of the load gossip."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.heard(self._turn.now_us, peer, content))
+            self._call(lambda rebalancer: rebalancer.heard(self._loop_time.now_us, peer, content))
 
     def set_draining(self, is_draining: bool) -> None:
-        """Whether this node sends its clients away for a reason of its own."""
+        """Sets whether this node moves all its clients away for a reason of its own."""
         if self.rebalancer is not None:
             self._call(lambda rebalancer: rebalancer.leave(is_draining))
 
     def set_rate_share(self, share: float) -> bool:
-        """This node's share of the fleet's rate of moves, 0 to 1; returns whether it moves any clients."""
+        """Sets this node's share of the fleet's move rate, 0 to 1; returns whether a rebalancer is active."""
         self._call(lambda rebalancer: rebalancer.lent(share))
         return self.rebalancer is not None and self.rebalancer.active
 
-    # ------------------------------------------------------------------ what it orders
+    # ------------------------------------------------------------------ orders of the rebalancer
 
     def run(self, balancer: Balancer, move: Callable[[str, MoveReason], None], ports: OutgoingPorts) -> None:
-        """Has it look for imbalance, if that is due, and carries out what it orders."""
+        """Makes the rebalancer look for imbalance if that is due, and executes its orders."""
         self._call(lambda rebalancer: self._carry_out_orders(rebalancer, balancer, move, ports))
 
     def _carry_out_orders(
@@ -126,7 +126,7 @@
         move: Callable[[str, MoveReason], None],
         ports: OutgoingPorts,
     ) -> None:
-        now_us = self._turn.now_us
+        now_us = self._loop_time.now_us
         if not rebalancer.due(now_us):
             return
         orders = rebalancer.look(now_us, lambda names: balancer.choose_elsewhere(now_us, names))
@@ -146,10 +146,10 @@
         sessions: Iterable[tuple[int, FormSession]],
         is_draining: bool,
     ) -> None:
-        """Switches to another rebalancer, or off, and notifies a new one of the present state.
+        """Switches to another rebalancer or switches it off, and notifies a new one of the current state.
 
-        `sessions`: those established, each with its form server's number. The new one can't know which of
-        them the old one has moved: any may be among them, so all count as returned.
+        `sessions`: the established sessions, each with its form server's number. The new rebalancer cannot
+        know which of them the old one has moved, so all of them count as returned.
         """
         old, self.rebalancer = self.rebalancer, rebalancer
         self._call(lambda new: self._transfer_state(new, old, backends, sessions, is_draining))
@@ -162,11 +162,11 @@
         sessions: Iterable[tuple[int, FormSession]],
         is_draining: bool,
     ) -> None:
-        new.listed(self._turn.now_us, ListKind.FULL, backends)
+        new.listed(self._loop_time.now_us, ListKind.FULL, backends)
         for number, session in sessions:
             self._add_session(new, session, number, True, None)
-            known = old.connections.standing.get(session.id) if old is not None else None
-            if known is not None and known.load is not None:
-                new.loaded(session.id, known.load)
+            connection = old.connections.standing.get(session.id) if old is not None else None
+            if connection is not None and connection.load is not None:
+                new.loaded(session.id, connection.load)
         if is_draining:
             new.leave()
--- a/sailrun/node/restart_state.py
+++ b/sailrun/node/restart_state.py
@@ -1,4 +1,4 @@
-"""The state that a process sends to the one that succeeds it, so that the two are one node."""
+"""The state that a process sends to its successor, so that the two processes form one node."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSnapshot:
-    """Sent once, when the successor starts. Times are Unix microseconds of the machine's one clock."""
+    """The state of a node, sent once, when the successor starts. Times are Unix microseconds of the machine's
+    clock, which both processes share.
+    """
 
     server_list: ServerListUpdate
     excluded: frozenset[str]  # names of the form servers that an operator has excluded
     is_draining: bool
-    decisions: StateSnapshot | None  # what the decisions have observed; None: nothing is known
+    decisions: StateSnapshot | None  # the observations of the decision module; None: there are none
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessLoad:
-    """Sent again and again: the load of the sessions that one of the node's two processes still serves."""
+    """The load of the sessions that one of the node's two processes still serves, sent repeatedly."""
 
     loads: Mapping[int, float]  # by the form servers' numbers
     connections: int
--- a/sailrun/node/session.py
+++ b/sailrun/node/session.py
@@ -1,4 +1,4 @@
-"""Form sessions, the form servers that hold them, and what a front has to offer the node."""
+"""Form sessions, the form servers that serve them, and the interface that a front implements for the node."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 @lru_cache(maxsize=8192)
 def server_number(name: str) -> int:
-    """The number by which the decisions know a form server: the eight hex digits of its id, as every
-    other node and the simulator read them; an id of another form is hashed, likewise everywhere alike.
+    """The number that identifies a form server in the decision module: the eight hex digits of its name. A
+    name of another form is hashed. All nodes and the simulator compute the same number.
     """
     prefix, _, digits = name.partition("-")
     if prefix == "s" and len(digits) == 8 and all(c in "0123456789abcdef" for c in digits):
@@ -38,21 +38,21 @@
     zone: str = ""
     cell: int = 0
     size: float = 1.0  # its capacity, relative to the others'
-    started_us: int = 0  # Unix microseconds; 0: long ago
+    started_us: int = 0  # Unix microseconds; 0: it started long ago
 
     @property
     def number(self) -> int:
-        """The number by which the decisions know it."""
+        """The number that identifies it in the decision module."""
         return server_number(self.name)
 
     def as_backend(self) -> Backend:
-        """The entry in the form that the decisions take."""
+        """The entry as the decision module expects it."""
         return Backend(self.number, self.state, self.zone, self.cell, self.size, self.started_us)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerListUpdate:
-    """What discovery reported at one time: the whole list or changes of it, by `kind`."""
+    """One update from discovery: the complete list of form servers or changes to it, depending on `kind`."""
 
     kind: ListKind
     revision: int
@@ -65,15 +65,15 @@
 
     form_server: FormServer
     attempt: int  # counted from 0 within the session
-    until_us: int  # given up then
-    begin_by_us: float = math.inf  # its first byte leaves before this, or not at all
+    until_us: int  # the attempt times out at this time
+    begin_by_us: float = math.inf  # if its first byte was not sent by then, the attempt is not made
 
 
 class SessionClient(Protocol):
-    """The client's connection as the node sees it, implemented by the front it came through.
+    """The node's interface to a client's connection, implemented by the front that accepted it.
 
-    No call waits. What becomes of an attempt is reported to the node by `connection_opened` and
-    `attempt_ended`.
+    No method blocks. The front reports the outcome of an attempt through `Node.connection_opened` and
+    `Node.attempt_ended`.
     """
 
     def start_attempt(self, placement: Placement) -> None:
@@ -85,19 +85,23 @@
         ...
 
     def reject(self, retry_after_us: int) -> None:
-        """Answers that nothing ran and the client may retry; 0: it is not stated after what time."""
+        """Answers that the request had no effect and the client may retry after `retry_after_us`; 0: the
+        answer states no time.
+        """
         ...
 
     def fail(self) -> None:
-        """Answers that the request failed and may have run."""
+        """Answers that the request failed, and that it may have had an effect."""
         ...
 
     def move(self) -> None:
-        """Has the client reconnect elsewhere, and ends its session."""
+        """Asks the client to reconnect elsewhere, and ends its session."""
         ...
 
     def transfer(self, send: SendTransfer) -> None:
-        """Transfers the session as it is, once it is idle; a front that can't leaves it alone."""
+        """Transfers the session without interrupting it, once it is idle; a front that does not support this
+        does nothing.
+        """
         ...
 
 
@@ -105,8 +109,8 @@
 class FormSession:
     """One client's connection, from its request to its end.
 
-    The front fills in the first fields; those from `placement` on are the node's, and only read elsewhere,
-    except that a front passes `unanswered_since_us` on with a session that it transfers.
+    The front sets the fields before `placement`. Only the node writes the others, with one exception: a front
+    copies `unanswered_since_us` into a session that it transfers.
     """
 
     id: str
@@ -118,7 +122,7 @@
     tenant: str | None = None
     load_hint: float | None = None  # microseconds of work a second
     is_retry: bool = False
-    is_returning: bool = False  # back after a break or a move
+    is_returning: bool = False  # the client returns after a broken connection or a move
     resumed_at: str | None = None  # name of the form server where it was established before this node started
     placement: Placement | None = None  # the attempt under way, or the one that established it
     attempts: int = 0
@@ -126,15 +130,15 @@
     is_established: bool = False
     is_answered: bool = False  # the client has its final answer or has left
     move_reason: MoveReason | None = None  # None: it is not being moved
-    denial_reason: DenialReason | None = None  # why it was rejected or failed
-    unanswered_since_us: deque[int] = field(default_factory=deque)  # when each unanswered line was sent
+    denial_reason: DenialReason | None = None  # the reason for its rejection or failure
+    unanswered_since_us: deque[int] = field(default_factory=deque)  # send times of the unanswered lines
 
     @property
     def move_reason_text(self) -> str | None:
-        """The reason of its move as the log states it."""
+        """The reason for its move as text for the log."""
         return self.move_reason.value if self.move_reason is not None else None
 
     @property
     def denial_reason_text(self) -> str | None:
-        """The reason of its rejection or failure as the log states it."""
+        """The reason for its rejection or failure as text for the log."""
         return self.denial_reason.value if self.denial_reason is not None else None
--- a/sailrun/node/session_drainer.py
+++ b/sailrun/node/session_drainer.py
@@ -1,35 +1,35 @@
-"""Sends clients away, as the plans of a graceful shutdown have it."""
+"""Moves clients away as the shutdown plans require."""
 
 from __future__ import annotations
 
 from sailrun.decisions.actions import MoveReason
-from sailrun.node.clock import TurnTime
+from sailrun.node.clock import LoopTime
 from sailrun.node.form_server_monitor import FormServerMonitors
 from sailrun.node.sessions import SessionManager
 from sailrun.node.shutdown import ShutdownPlans
 
 
 class SessionDrainer:
-    """Moves established sessions and answers pending requests, a step in each sweep."""
+    """Moves established sessions and answers pending requests, one step in each sweep."""
 
     def __init__(
         self,
-        turn: TurnTime,
+        loop_time: LoopTime,
         plans: ShutdownPlans,
         monitors: FormServerMonitors,
         sessions: SessionManager,
         step_us: int,
     ) -> None:
         """`step_us`: the time between two steps."""
-        self._turn, self._plans, self._monitors, self._sessions = turn, plans, monitors, sessions
+        self._loop_time, self._plans, self._monitors, self._sessions = loop_time, plans, monitors, sessions
         self._step_us = step_us
 
     def run_step(self) -> bool:
-        """Does one step; returns whether the process may end.
+        """Does one step; returns whether the process may exit.
 
-        The moves are spread, so that the clients do not all reconnect to the other nodes at once.
+        The moves are spread over time, so that the clients do not all reconnect to the other nodes at once.
         """
-        now_us = self._turn.now_us
+        now_us = self._loop_time.now_us
         unmoved = self._monitors.list_unmoved_sessions()
         for session in unmoved[: self._plans.count_moves(now_us, len(unmoved), self._step_us)]:
             self._sessions.move_session(session, MoveReason.SHUTDOWN)
--- a/sailrun/node/session_transfer.py
+++ b/sailrun/node/session_transfer.py
@@ -1,4 +1,4 @@
-"""An established session on its way from one process to the one that succeeds it."""
+"""The transfer of an established session from one process to its successor."""
 
 from __future__ import annotations
 
@@ -10,25 +10,27 @@
 
 
 class SessionTransfer:
-    """An established session on its way to the successor: its front's state of it, and its two sockets.
+    """An established session that is being transferred: the front's state of the session and its two sockets.
 
-    The sockets are this process's too until `settled` is set: then, if the transfer `is_accepted`, they are
-    the successor's alone.
+    This process still owns the sockets until `settled` is set. If the transfer `is_accepted`, only the
+    successor owns them from then on.
     """
 
     __slots__ = ("content", "is_accepted", "settled", "sockets")
 
     def __init__(self, content: dict[str, Any], sockets: tuple[socket.socket, ...]) -> None:
-        """`content`: JSON, of the front alone. `sockets`: the client's and the form server's."""
+        """`content`: the front's state, as JSON that only the front interprets. `sockets`: the client's and
+        the form server's.
+        """
         self.content, self.sockets = content, sockets
         self.settled = anyio.Event()
         self.is_accepted = False
 
     def settle(self, is_accepted: bool) -> None:
-        """Sets the outcome; a second call changes nothing."""
+        """Sets the outcome; any further call has no effect."""
         if not self.settled.is_set():
             self.is_accepted = is_accepted
             self.settled.set()
 
 
-SendTransfer = Callable[[SessionTransfer], None]  # sends a transfer, and has it settled whatever comes
+SendTransfer = Callable[[SessionTransfer], None]  # sends a transfer, and settles it in every case
--- a/sailrun/node/sessions.py
+++ b/sailrun/node/sessions.py
@@ -17,7 +17,7 @@
     RequestArrived,
 )
 from sailrun.node.backend_list import BackendList
-from sailrun.node.clock import TurnTime
+from sailrun.node.clock import LoopTime
 from sailrun.node.command_queue import CommandQueue
 from sailrun.node.counters import Counters
 from sailrun.node.decision_port import DecisionPort
@@ -27,20 +27,20 @@
 from sailrun.node.session import FormServer, FormSession, Placement
 from sailrun.node.successor_transfer import SuccessorTransfer
 
-# Outcomes of an attempt that has had no effect at its form server.
+# Outcomes of an attempt that had no effect at its form server.
 NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 class SessionManager:
     """All sessions from their request to their end, by id.
 
-    Sessions that are to be resumed at the form server where they were established before this node started
-    go there past the decisions, which hear of them only once they are established again.
+    A session that was established before this node started is resumed at the same form server without asking
+    the decision module, which is notified only once the session is established again.
     """
 
     def __init__(
         self,
-        turn: TurnTime,
+        loop_time: LoopTime,
         queue: CommandQueue,
         decisions: DecisionPort,
         backends: BackendList,
@@ -50,7 +50,7 @@
         counters: Counters,
         log: EventLog,
     ) -> None:
-        self._turn, self._queue, self._decisions, self._backends = turn, queue, decisions, backends
+        self._loop_time, self._queue, self._decisions, self._backends = loop_time, queue, decisions, backends
         self._monitors, self._successor, self._rebalancer = monitors, successor, rebalancer
         self._counters, self._log = counters, log
         self._sessions: dict[str, FormSession] = {}
@@ -75,7 +75,7 @@
             RequestArrived(
                 session.id,
                 session.request_class,
-                max(0, session.deadline_us - self._turn.now_us),
+                max(0, session.deadline_us - self._loop_time.now_us),
                 session.key,
                 session.group,
                 session.tenant,
@@ -94,7 +94,7 @@
             self._place(session, form_server, session.deadline_us)
 
     def on_client_left(self, session: FormSession) -> None:
-        """The client has gone before its session was established."""
+        """The client has left before its session was established."""
         if session.is_answered:
             return
         self._end(session)
@@ -104,7 +104,7 @@
     # ------------------------------------------------------------------ attempts
 
     def start_attempt(self, action: StartAttempt) -> None:
-        """Has the session's front begin an attempt, unless the request was answered meanwhile."""
+        """Makes the session's front begin an attempt, unless the request was answered meanwhile."""
         session = self._sessions.get(action.request)
         if session is None or session.is_answered:
             return
@@ -133,7 +133,9 @@
     def _log_slow_start(
         self, session: FormSession, form_server: FormServer, allowance: SlowStartAllowance
     ) -> None:
-        """What all nodes send to a form server in slow start can be added up from these lines alone."""
+        """Logs each attempt at a form server in slow start, so that the attempts of all nodes there can be
+        summed from these lines alone.
+        """
         self._log(
             "slow-start-send",
             id=session.id,
@@ -144,7 +146,7 @@
         )
 
     def cancel_attempt(self, request: str, attempt: int) -> None:
-        """Has the session's front cancel an attempt, unless the session is established."""
+        """Makes the session's front cancel an attempt, unless the session is established."""
         session = self._sessions.get(request)
         if session is not None and not session.is_established:
             session.client.cancel_attempt(attempt)
@@ -167,7 +169,7 @@
     def on_attempt_ended(self, session: FormSession, placement: Placement, outcome: AttemptOutcome) -> None:
         """An attempt has ended, or the connection that it established."""
         if session.placement is not placement:
-            return  # already taken for ended, as where its form server became unresponsive
+            return  # already treated as ended, for example because its form server became unresponsive
         number = placement.form_server.number
         was_established = session.is_established
         if was_established:
@@ -192,7 +194,9 @@
             self._decisions.feed(AttemptEnded(session.id, placement.attempt, number, outcome, is_over))
 
     def _finish(self, session: FormSession) -> None:
-        """The request is over; one without an answer so far was served to its end in one answer."""
+        """Ends a request. One without a final answer so far counts as a success: the form server served it
+        and ended it with its first answer.
+        """
         if not session.is_answered:
             self._counters.classes[session.request_class].success += 1
         self._end(session)
@@ -226,7 +230,7 @@
         session.placement, session.attempts = placement, placement.attempt + 1
         session.is_established = session.is_answered = session.may_have_run = True
         monitor = self._monitors.add_session(session, number)
-        monitor.failure_detector.last_received_us = self._turn.now_us
+        monitor.failure_detector.last_received_us = self._loop_time.now_us
         self._feed_resumed(session, number)
         self._rebalancer.on_established(session, number, True, None)
         form_server = self._backends.get(number)
@@ -247,13 +251,13 @@
         )
 
     def move(self, request: str, reason: MoveReason) -> None:
-        """Sends the client of an established session to another node, unless that is under way."""
+        """Moves the client of an established session to another node, unless a move is already under way."""
         session = self._sessions.get(request)
         if session is not None and session.is_established and session.move_reason is None:
             self.move_session(session, reason)
 
     def move_session(self, session: FormSession, reason: MoveReason) -> None:
-        """Sends the client of an established session to another node."""
+        """Moves the client of an established session to another node."""
         session.move_reason = reason
         self._counters.moves[reason] += 1
         session.client.move()
@@ -261,7 +265,7 @@
     # ------------------------------------------------------------------ final answers
 
     def reject_request(self, request: str, reason: DenialReason | None, retry_after_us: int) -> None:
-        """Answers that nothing ran, unless the request has its answer."""
+        """Rejects a request, which had no effect, unless it already has its final answer."""
         session = self._end_unanswered(request)
         if session is not None:
             session.denial_reason = reason
@@ -269,7 +273,7 @@
             self._rebalancer.on_rejected()
 
     def fail_request(self, request: str, reason: DenialReason | None) -> None:
-        """Answers that the request failed, unless it has its answer."""
+        """Fails a request, unless it already has its final answer."""
         session = self._end_unanswered(request)
         if session is not None:
             session.denial_reason = reason
@@ -283,7 +287,7 @@
             self._fail(session)
 
     def deny_for_shutdown(self, session: FormSession) -> None:
-        """Gives a pending request its answer because the node shuts down."""
+        """Gives a pending request its final answer because the node shuts down."""
         self._end(session)
         self._decisions.feed(ClientLeft(session.id))
         session.denial_reason = DenialReason.SHUTDOWN
--- a/sailrun/node/shutdown.py
+++ b/sailrun/node/shutdown.py
@@ -1,7 +1,7 @@
-"""When and how fast clients are sent away: for a planned restart, a drain, or a successor.
+"""When and how fast clients are moved away: for a planned restart, a drain, or a successor.
 
-Pure: time comes in. Each reason has its plan, and several may be in force at once: the fastest counts, and
-the end of one leaves the others as they were.
+Free of I/O: callers pass the time in. Each reason has its own plan, and several plans may be in force at
+once: the fastest one applies, and ending one plan does not change the others.
 """
 
 from __future__ import annotations
@@ -10,24 +10,25 @@
 from enum import Enum
 from typing import NamedTuple
 
-# The process is killed no earlier than the longest deadline, taken as 3 s at most, plus 0.7 s after the
-# signal; a drain is checked after 4 s. New clients come for up to 0.4 s more.
+# After the termination signal the process is killed no earlier than the longest request deadline (counted as
+# at most 3 s) plus 0.7 s. A drain is checked after 4 s. New clients arrive for up to 0.4 s after the signal.
 LONGEST_DEADLINE_US = 3_000_000
 ACCEPT_US = 1_000_000
-# The shares of that time in which the moves begin and end. Whoever is moved while new clients still come here
-# comes straight back, and has to be moved once more: so none before that is over.
+# The moves begin and end after these shares of the longest deadline. While new clients still arrive here, a
+# moved client would come straight back and would have to be moved again, so the moves begin after that time.
 MOVES_BEGIN_SHARE = 0.15
 MOVES_END_SHARE = 0.7
-# Established sessions are transferred to a successor as they are: whoever is left after a while is moved. The
-# predecessor is signalled within 6 s: until then there is time, then the plan for that counts too.
+# Established sessions are transferred to a successor without interruption. Clients whose sessions were not
+# transferred after `TRANSFER_US` are moved. The predecessor receives its termination signal within 6 s; from
+# then on the plan for a restart applies as well.
 TRANSFER_US = 1_000_000
 SUCCEEDED_US = 5_000_000
-# How long the last answers are waited for before the process ends.
+# How long the process waits for its last answers to be sent before it exits.
 LAST_ANSWERS_US = 200_000
 
 
 class ShutdownReason(Enum):
-    """Why clients are sent away; the values are those of the log."""
+    """Why clients are moved away; the values are written to the log."""
 
     RESTART = "restart"
     DRAIN = "drain"
@@ -35,17 +36,19 @@
 
 
 class ShutdownPlan(NamedTuple):
-    """The times of one reason, in Unix microseconds."""
+    """The schedule for one reason, in Unix microseconds."""
 
     moves_begin_us: int
-    moves_end_us: int  # all are moved by then
-    accept_until_us: int  # new clients may come until then, or a successor fail that has only just begun
-    answer_by_us: int  # whoever still awaits an answer is given one
-    keeps_running: bool  # the process goes on afterwards
+    moves_end_us: int  # all clients are moved by then
+    accept_until_us: int  # until then new clients may arrive, or a successor that has just started may fail
+    answer_by_us: int  # from then on every pending request is answered at once
+    keeps_running: bool  # the process continues to run afterwards
 
 
 def plan_shutdown(reason: ShutdownReason, now_us: int, longest_deadline_us: int) -> ShutdownPlan:
-    """The plan for a reason that arises now; `longest_deadline_us` is that of any request class."""
+    """The plan for a reason that applies from now on; `longest_deadline_us`: the longest of all request
+    classes.
+    """
     longest_us = min(LONGEST_DEADLINE_US, longest_deadline_us)
     accept_until_us = now_us + ACCEPT_US
     if reason is ShutdownReason.SUCCEEDED:
@@ -55,17 +58,17 @@
         now_us + int(MOVES_BEGIN_SHARE * longest_us),
         now_us + int(MOVES_END_SHARE * longest_us),
         accept_until_us,
-        # After a drain's time a straggler is answered at once, for as long as the drain lasts.
+        # After this time a late request is answered at once, for as long as a drain lasts.
         now_us + longest_us,
         reason is ShutdownReason.DRAIN,
     )
 
 
 class ShutdownPlans:
-    """The plans in force, by reason; true while there is any."""
+    """The plans in force, by reason; true while any plan is in force."""
 
     def __init__(self, longest_deadline_us: int) -> None:
-        """`longest_deadline_us`: of all request classes."""
+        """`longest_deadline_us`: the longest deadline of all request classes."""
         self._longest_deadline_us = longest_deadline_us
         self._plans: dict[ShutdownReason, ShutdownPlan] = {}
 
@@ -76,18 +79,18 @@
         return reason in self._plans
 
     def begin(self, reason: ShutdownReason, now_us: int) -> bool:
-        """Puts a plan in force; False if it is already, whose times then stay as they are."""
+        """Puts a plan in force. Returns False if it already is in force; its times then do not change."""
         if reason in self._plans:
             return False
         self._plans[reason] = plan_shutdown(reason, now_us, self._longest_deadline_us)
         return True
 
     def cancel(self, reason: ShutdownReason) -> bool:
-        """Ends a plan; False if it was not in force."""
+        """Ends a plan; returns False if it was not in force."""
         return self._plans.pop(reason, None) is not None
 
     def count_moves(self, now_us: int, sessions: int, step_us: int) -> int:
-        """How many of so many sessions are moved in this step, with a step every `step_us`."""
+        """How many of the given number of sessions to move in this step, with one step every `step_us`."""
         most = 0
         for plan in self._plans.values():
             if now_us >= plan.moves_begin_us:
@@ -96,11 +99,11 @@
         return most
 
     def must_answer_pending(self, now_us: int) -> bool:
-        """Whether those who still await an answer are given it now."""
+        """Whether all pending requests have to be answered now."""
         return any(now_us >= plan.answer_by_us for plan in self._plans.values())
 
     def may_exit(self, now_us: int, sessions: int, pending: int) -> bool:
-        """Whether the process may end, with so many established sessions and pending requests."""
+        """Whether the process may exit, given the numbers of established sessions and pending requests."""
         for plan in self._plans.values():
             is_empty = now_us >= plan.accept_until_us and not sessions and not pending
             if not plan.keeps_running and (is_empty or now_us >= plan.answer_by_us + LAST_ANSWERS_US):
--- a/sailrun/node/status.py
+++ b/sailrun/node/status.py
@@ -1,9 +1,9 @@
-"""The periodic status line, which on-call engineers look at first."""
+"""The periodic status line in the log, which on-call engineers check first."""
 
 from __future__ import annotations
 
 from sailrun.node.backend_list import BackendList
-from sailrun.node.clock import TurnTime
+from sailrun.node.clock import LoopTime
 from sailrun.node.counters import Counters
 from sailrun.node.fleet_load import FleetLoadExchange
 from sailrun.node.form_server_monitor import FormServerMonitors
@@ -14,11 +14,11 @@
 
 
 class StatusReporter:
-    """Logs how many sessions each form server holds, and the latency of messages there."""
+    """Logs the number of sessions at each form server and its message latency."""
 
     def __init__(
         self,
-        turn: TurnTime,
+        loop_time: LoopTime,
         sessions: SessionManager,
         monitors: FormServerMonitors,
         backends: BackendList,
@@ -26,33 +26,38 @@
         counters: Counters,
         log: EventLog,
     ) -> None:
-        self._turn, self._sessions, self._monitors, self._backends = turn, sessions, monitors, backends
+        self._loop_time, self._sessions, self._monitors, self._backends = (
+            loop_time,
+            sessions,
+            monitors,
+            backends,
+        )
         self._fleet_load, self._counters, self._log = fleet_load, counters, log
-        self._due_us = turn.now_us + STATUS_INTERVAL_US
+        self._due_us = loop_time.now_us + STATUS_INTERVAL_US
 
     def log_if_due(self) -> None:
-        """Logs the line, if an interval has passed since the last."""
-        if self._turn.now_us >= self._due_us:
-            self._due_us = self._turn.now_us + STATUS_INTERVAL_US
+        """Logs the status line if `STATUS_INTERVAL_US` has passed since the last one."""
+        if self._loop_time.now_us >= self._due_us:
+            self._due_us = self._loop_time.now_us + STATUS_INTERVAL_US
             self._log_status()
 
     def _log_status(self) -> None:
-        standing = ",".join(self._describe_form_servers())
+        form_servers = ",".join(self._describe_form_servers())
         moved = ",".join(f"{reason.value}:{count}" for reason, count in self._counters.moves.items())
         self._log(
             "pulse",
             waiting=len(self._sessions.list_pending()),
-            standing=standing or "none",
+            standing=form_servers or "none",
             moved=moved or None,
             fleet=self._fleet_load.describe(),
         )
 
     def _describe_form_servers(self) -> list[str]:
-        """NAME:SESSIONS/LATENCY of each form server that holds any; `-` where no latency is known."""
+        """NAME:SESSIONS/LATENCY of each form server with sessions; LATENCY is `-` if it is unknown."""
         described = []
         for number, monitor in sorted(self._monitors.list_monitors(), key=lambda item: item[0]):
             if monitor.sessions:
-                latency_us = monitor.latency_us(self._turn.now_us)
+                latency_us = monitor.latency_us(self._loop_time.now_us)
                 latency = f"{latency_us / 1000:.1f}ms" if latency_us is not None else "-"
                 described.append(f"{self._backends.name_of(number)}:{len(monitor.sessions)}/{latency}")
         return described
--- a/sailrun/node/successor_transfer.py
+++ b/sailrun/node/successor_transfer.py
@@ -1,4 +1,4 @@
-"""Transfers established sessions to the process that succeeds this one."""
+"""Transfers established sessions to the successor of this process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SuccessorTransfer:
-    """Offers sessions to the successor, while there is one."""
+    """Transfers sessions to the successor while there is one."""
 
     def __init__(
         self,
@@ -25,8 +25,8 @@
         self._send: SendTransfer | None = None
 
     def set_successor(self, send: SendTransfer | None) -> None:
-        """A successor serves the clients from now on, and sessions are sent to it by `send`; None: it is
-        gone, and they are this process's again.
+        """From now on a successor accepts the clients, and `send` transfers established sessions to it. None:
+        the successor is gone, and this process serves the clients again.
         """
         self._send = send
         if send is None:
@@ -37,9 +37,10 @@
             self.offer(session)
 
     def offer(self, session: FormSession) -> None:
-        """Transfers an established session, if there is a successor and the session is to stay.
+        """Transfers an established session if there is a successor and the session is not to be moved.
 
-        Whom a drain sends away, this node's or its form server's, is moved from here: its time has begun.
+        Sessions that a drain of this node or of their form server moves away are not transferred: this
+        process moves them, because the time limit of the drain is already running.
         """
         if (
             self._send is None
