--- a/sailrun/text_protocol/__init__.py
+++ b/sailrun/text_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The thin front: the platform's text lines, for clients, form servers and the other nodes."""
+"""The front for the platform's text protocol, towards clients, form servers and the other nodes."""
--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -1,4 +1,4 @@
-"""A client's connection and, for each attempt, the one to its form server: lines passed both ways."""
+"""A client's connection and the connection of each attempt to a form server; forwards lines both ways."""
 
 from __future__ import annotations
 
@@ -18,61 +18,66 @@
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer, FormSession, Placement
 from sailrun.node.session_transfer import SendTransfer, SessionTransfer
-from sailrun.text_protocol.figures import Figures, Load
+from sailrun.text_protocol.figures import Load, LoadLineClassifier
 from sailrun.text_protocol.lines import (
-    ANSWERS,
-    ENDINGS,
+    ANSWER_OUTCOMES,
+    END_OUTCOMES,
     InvalidLineError,
-    Opening,
-    load_told,
-    parse_opening,
-    word_of,
+    OpenRequest,
+    first_word,
+    parse_load,
+    parse_open_request,
 )
 
 SECOND = 1_000_000
-# A connection that has not said what it wants by then is ended: silent ones must not eat the descriptors.
-FIRST_LINE_US = 2 * SECOND
-# So often a connection may be checked with PING before it asks.
-MOST_CHECKS = 16
-# A client is moved between two lines; a form server that leaves a line half said for so long is cut.
-HALF_LINE_US = SECOND // 2
-# What still comes from the other side after the last words is read and dropped for so long: a close over
-# unread bytes would reset the connection, and the last words with it.
+# A connection that has not sent a request by then is closed, so that silent connections do not use up the
+# file descriptors.
+FIRST_LINE_TIMEOUT_US = 2 * SECOND
+# How often a client may check the connection with PING before its request.
+MAX_PINGS = 16
+# A client is moved between two lines. If the form server has not completed a line after this time, the line
+# is cut off.
+PARTIAL_LINE_TIMEOUT_US = SECOND // 2
+# After the last answer, input from the other side is read and discarded for this long: closing a socket with
+# unread input would reset the connection, and the other side could lose the answer.
 LAST_WORDS_US = SECOND // 4
-# So many of a client's lines are timed at once: one that sends thousands must not fill the memory.
-MOST_TIMED = 64
+# The number of a client's unanswered lines whose send times are recorded; bounds the memory for a client that
+# sends thousands of lines.
+MAX_TIMED_LINES = 64
 _REASONS = {AttemptOutcome.OK: "served", AttemptOutcome.CANCELLED: "sent-away"}
 
 
 class ClientFront:
-    """What the connections of this front share."""
+    """The front of the text protocol: the state that its connections share."""
 
     def __init__(self, node: Node, groups: bool, descriptors: int) -> None:
         self.node = node
-        self.groups = groups  # whether `g` names a group, not the client once more
+        self.groups = groups  # whether `g` names a group; otherwise it only repeats the client
         self.classes = frozenset(c.name for c in node.settings.classes)
         self.waiting = WaitingRoom(descriptors)
-        # What form servers say in LOAD lines, by their names.
-        self.least_ms = node.reported_delay_threshold_ms
-        self.figures: dict[str, Figures[ClientConnection]] = {}
-        # The ids in use. A second connection with one of them would be a second copy of that request.
-        self.ids: set[str] = set()
+        # The lowest delay that form servers report, and the classifiers of their LOAD lines, by name.
+        self.min_delay_ms = node.reported_delay_threshold_ms
+        self.load_classifiers: dict[str, LoadLineClassifier[ClientConnection]] = {}
+        # The ids in use. A second connection with the same id would duplicate that request.
+        self.ids_in_use: set[str] = set()
 
     def adopt(self, content: Any, sockets: Sequence[socket.socket]) -> ClientConnection:
-        """A session that a predecessor hands over; raises ValueError for what is none."""
-        return ClientConnection.adopted(self, content, sockets)
+        """Adopts a session that a predecessor transfers; raises ValueError if the content is not valid."""
+        return ClientConnection.from_transfer(self, content, sockets)
 
     def door(self, listener: socket.socket) -> FrontDoor:
-        """A front that listens for clients of the text protocol."""
+        """Creates the front door that accepts clients of the text protocol."""
 
-        def greet(sock: socket.socket) -> ClientConnection:
+        def make_connection(sock: socket.socket) -> ClientConnection:
             return ClientConnection(self, Connection(sock))
 
-        return FrontDoor(listener, "household", greet, self.waiting)
+        return FrontDoor(listener, "household", make_connection, self.waiting)
 
 
 class ClientConnection:
-    """One client's connection. It is the core's `SessionClient`: the orders only leave notes here."""
+    """One client's connection, the node's `SessionClient`. The node's calls only post commands, which the
+    tasks of this connection execute.
+    """
 
     _group: TaskGroup
 
@@ -80,62 +85,72 @@
         self._front = front
         self._node = front.node
         self._client = connection
-        self._opening: Opening | None = None
-        self._id: str | None = None  # while it is in use here
+        self._request: OpenRequest | None = None
+        self._id: str | None = None  # set while the id is reserved in the front
         self._session: FormSession | None = None
-        self._form_server: Connection | None = None  # once placed
-        self._at: str | None = None
-        self._orders: MemoryObjectSendStream[Placement | bytes]
-        self._inbox: MemoryObjectReceiveStream[Placement | bytes]
-        self._orders, self._inbox = anyio.create_memory_object_stream(8)
-        self._attempt: tuple[int, anyio.CancelScope] | None = None
-        self._reading: anyio.CancelScope | None = None
-        self._load: float | None = None  # as told last, and before that
-        self._load_before: float | None = None
+        self._form_server: Connection | None = None  # set once the session is established
+        self._server_name: str | None = None
+        self._command_sender: MemoryObjectSendStream[Placement | bytes]
+        self._command_receiver: MemoryObjectReceiveStream[Placement | bytes]
+        self._command_sender, self._command_receiver = anyio.create_memory_object_stream(8)
+        self._current_attempt: tuple[int, anyio.CancelScope] | None = None
+        self._wait_scope: anyio.CancelScope | None = None
+        self._load: float | None = None  # the last reported load, and the one before it
+        self._previous_load: float | None = None
         self._moving_since_us = 0
-        self._answered = self._spoke_too_soon = False
+        self._answered = self._sent_too_early = False
         self._reason = "unknown"
         self._broken = False
-        # Standing sessions only: what hands it to a successor; while it hears the client, and once it no
-        # longer does.
+        # Only for established sessions: sends the session to a successor; the scope in which the client is
+        # read; set once the client is no longer read.
         self._send_transfer: SendTransfer | None = None
-        self._listening: anyio.CancelScope | None = None
-        self._deaf = anyio.Event()
+        self._client_read_scope: anyio.CancelScope | None = None
+        self._client_reader_stopped = anyio.Event()
         self._placement: Placement | None = None
 
     @classmethod
-    def adopted(cls, front: ClientFront, content: Any, sockets: Sequence[socket.socket]) -> ClientConnection:
-        """What `_transfer` wrote, in another process."""
+    def from_transfer(
+        cls, front: ClientFront, content: Any, sockets: Sequence[socket.socket]
+    ) -> ClientConnection:
+        """Restores a session from the content that `_make_transfer` created in another process."""
         try:
             client, server = sockets
-            opening = parse_opening(content["line"].encode("latin-1"), front.classes)
+            request = parse_open_request(content["line"].encode("latin-1"), front.classes)
             placement = Placement(
                 FormServer(str(content["server"]), ("", 0), BackendState.GONE), int(content["attempt"]), 0
             )
             unanswered = [int(sent_us) for sent_us in content["unanswered"]]
             load = None if content["load"] is None else float(content["load"])
-            held, half_said = content["held"].encode("latin-1"), content["half_said"].encode("latin-1")
+            client_buffer, server_buffer = (
+                content["held"].encode("latin-1"),
+                content["half_said"].encode("latin-1"),
+            )
             id_ = str(content["id"])
         except (KeyError, TypeError, AttributeError, UnicodeError) as error:
-            raise ValueError(f"no session: {error!r}") from None
-        if opening.id in front.ids:
-            raise ValueError("its id is in use")
+            raise ValueError(f"invalid content of a transferred session: {error!r}") from None
+        if request.id in front.ids_in_use:
+            raise ValueError("the id of the transferred session is already in use")
         self = cls(front, Connection(client))
-        self._take_id(opening.id)
-        self._client.restore(held, shown=False)
+        self._take_id(request.id)
+        self._client.restore(client_buffer, shown=False)
         self._form_server = Connection(server)
-        self._form_server.restore(half_said, shown=True)
-        self._opening, self._at, self._load, self._answered = opening, placement.form_server.name, load, True
+        self._form_server.restore(server_buffer, shown=True)
+        self._request, self._server_name, self._load, self._answered = (
+            request,
+            placement.form_server.name,
+            load,
+            True,
+        )
         self._placement = placement
-        self._session = self._form_session(opening, id_, 0)
+        self._session = self._make_session(request, id_, 0)
         self._session.resumed_at = None
         self._session.unanswered_since_us.extend(unanswered)
         return self
 
-    def _transfer(self, server: Connection) -> SessionTransfer:
-        assert self._opening is not None and self._session is not None and self._placement is not None
+    def _make_transfer(self, server: Connection) -> SessionTransfer:
+        assert self._request is not None and self._session is not None and self._placement is not None
         content = {
-            "line": self._opening.line.decode("latin-1"),
+            "line": self._request.line.decode("latin-1"),
             "id": self._session.id,
             "server": self._placement.form_server.name,
             "attempt": self._placement.attempt,
@@ -146,21 +161,21 @@
         }
         return SessionTransfer(content, (self._client.sock, server.sock))
 
-    # ------------------------------------------------------------------ orders of the core
+    # ------------------------------------------------------------------ commands of the node
 
     def start_attempt(self, placement: Placement) -> None:
-        """Starts an attempt; returns at once."""
+        """Starts an attempt; does not block."""
         try:
-            self._orders.send_nowait(placement)
+            self._command_sender.send_nowait(placement)
         except (anyio.ClosedResourceError, anyio.BrokenResourceError):
-            # The client left while its request lay in the core's queue: nothing was sent.
+            # The client left while its request was in the node's queue; nothing was sent to a form server.
             assert self._session is not None
             self._node.attempt_ended(self._session, placement, AttemptOutcome.NOT_SENT)
 
     def cancel_attempt(self, attempt: int) -> None:
-        """Cancels the attempt of that number if it is under way."""
-        if self._attempt is not None and self._attempt[0] == attempt:
-            self._attempt[1].cancel()
+        """Cancels the attempt with this number if it is under way."""
+        if self._current_attempt is not None and self._current_attempt[0] == attempt:
+            self._current_attempt[1].cancel()
 
     def reject(self, retry_after_us: int) -> None:
         """Answers `BUSY`, with Retry-After in whole milliseconds if there is one."""
@@ -173,241 +188,251 @@
         self._answer("failed", b"ERR\r\n")
 
     def _answer(self, reason: str, line: bytes) -> None:
-        if self._attempt is not None:
-            self._attempt[1].cancel()
-        with contextlib.suppress(anyio.ClosedResourceError, anyio.BrokenResourceError):  # it has left
-            self._orders.send_nowait(line)
+        if self._current_attempt is not None:
+            self._current_attempt[1].cancel()
+        with contextlib.suppress(anyio.ClosedResourceError, anyio.BrokenResourceError):  # the client has left
+            self._command_sender.send_nowait(line)
             self._reason = reason
 
     def move(self) -> None:
-        """Has the client come again elsewhere: `MOVE` between two lines."""
+        """Asks the client to reconnect elsewhere: sends `MOVE` between two lines."""
         if not self._moving_since_us:
             self._moving_since_us = self._node.clock.now_us()
-            if self._reading is not None:
-                self._reading.cancel()
+            if self._wait_scope is not None:
+                self._wait_scope.cancel()
 
     def transfer(self, send: SendTransfer) -> None:
-        """Hands the session over to the successor once it is at rest."""
+        """Transfers the session to the successor once no input is being forwarded."""
         if self._form_server is not None and not self._moving_since_us:
             self._send_transfer = send
-            for scope in (self._listening, self._reading):
+            for scope in (self._client_read_scope, self._wait_scope):
                 if scope is not None:
                     scope.cancel()
 
     def standing(self) -> Iterable[Callable[[], None]]:
-        """What moves the client, if its session is established and it is not being moved."""
+        """A callback that moves the client, if its session is established and it is not being moved."""
         return [self.move] if self._form_server is not None and not self._moving_since_us else []
 
-    # ------------------------------------------------------------------ the life of the connection
+    # ------------------------------------------------------------------ serving the connection
 
     async def run(self) -> None:
         """Serves the connection until it ends."""
         began_us = self._node.clock.now_us()
         try:
-            if self._placement is not None or await self._opened(began_us + FIRST_LINE_US):
+            if self._placement is not None or await self._receive_request(began_us + FIRST_LINE_TIMEOUT_US):
                 async with anyio.create_task_group() as self._group:
-                    self._group.start_soon(self._hear_client)
+                    self._group.start_soon(self._read_client)
                     if self._placement is not None:
-                        await self._go_on(self._placement)
+                        await self._continue_session(self._placement)
                     else:
-                        await self._follow_orders()
+                        await self._run_commands()
                     self._group.cancel_scope.cancel()
-                self._forget()
-                if self._spoke_too_soon:
-                    await self._turn_away("spoke-too-soon")
+                self._release()
+                if self._sent_too_early:
+                    await self._reject_input("spoke-too-soon")
                 elif self._reason != "handed-over":
-                    await self._part_in_order()
+                    await self._close_gracefully()
         except* OverlongLineError:
             self._reason = "line-too-long"
         except* OSError:
             self._reason, self._broken = "household-broke", True
         finally:
             if self._session is not None:
-                self._forget()
+                self._release()
                 if not self._answered and not self._client.ended:
-                    # Its address is given up under it: it is owed an answer all the same.
+                    # The listening address was removed while the request was pending; the client still gets
+                    # its final answer.
                     with contextlib.suppress(OSError):
                         self._client.sock.send(b"ERR\r\n")
             self._client.close(abruptly=self._broken)
             if self._form_server is not None:
                 self._form_server.close(abruptly=self._broken)
-            self._orders.close()
-            self._inbox.close()
-            if self._reason != "ping":  # the front's own check of a node is no client
+            self._command_sender.close()
+            self._command_receiver.close()
+            if self._reason != "ping":  # a health check, not a client
                 log(
                     "ended",
                     reason=self._reason,
-                    id=self._opening.id if self._opening else None,
-                    cls=self._opening.request_class if self._opening else None,
-                    server=self._at,
+                    id=self._request.id if self._request else None,
+                    cls=self._request.request_class if self._request else None,
+                    server=self._server_name,
                     attempts=self._session.attempts if self._session else None,
                     ms=(self._node.clock.now_us() - began_us) // 1000,
                     moved_for=self._session.move_reason_text if self._session else None,
                     why=self._session.denial_reason_text if self._session else None,
                 )
 
-    def _forget(self) -> None:
-        """Nothing is asked for here any more; whatever is still read says nothing."""
+    def _release(self) -> None:
+        """Releases the id and tells the node that the client has left."""
         if self._id is not None and self._session is not None:
-            self._front.ids.discard(self._id)
+            self._front.ids_in_use.discard(self._id)
             self._id = None
             self._node.client_left(self._session)
 
-    async def _opened(self, deadline_us: int) -> bool:
-        """Reads the first line and asks the core for a form session; False if there is none to ask for."""
+    async def _receive_request(self, deadline_us: int) -> bool:
+        """Reads the first line and requests a form session from the node; returns False if there is no valid
+        request.
+        """
         line = await self._first_line(deadline_us)
         if line is None:
             return False
         now_us = self._node.clock.now_us()
         try:
-            opening = self._opening = parse_opening(line, self._front.classes)
+            request = self._request = parse_open_request(line, self._front.classes)
         except InvalidLineError as error:
-            await self._turn_away(f"bad-first-line:{error}")
+            await self._reject_input(f"bad-first-line:{error}")
             return False
-        if opening.id in self._front.ids:
-            await self._turn_away("id-in-use")
+        if request.id in self._front.ids_in_use:
+            await self._reject_input("id-in-use")
             return False
         if self._client.held():
-            await self._turn_away("spoke-too-soon")
+            await self._reject_input("spoke-too-soon")
             return False
-        self._take_id(opening.id)
-        # Unique here even if a client repeats its id.
-        self._session = self._form_session(opening, f"{opening.id}.{now_us}", now_us + opening.wait_ms * 1000)
+        self._take_id(request.id)
+        # The session id is unique in this process even if a client uses its id again.
+        self._session = self._make_session(request, f"{request.id}.{now_us}", now_us + request.wait_ms * 1000)
         self._reason = "unknown"
         self._node.request_session(self._session)
         return True
 
     def _take_id(self, id_: str) -> None:
-        self._front.ids.add(id_)
+        self._front.ids_in_use.add(id_)
         self._id = id_
 
-    def _form_session(self, opening: Opening, id_: str, deadline_us: int) -> FormSession:
+    def _make_session(self, request: OpenRequest, id_: str, deadline_us: int) -> FormSession:
         return FormSession(
             id=id_,
-            request_class=opening.request_class,
+            request_class=request.request_class,
             deadline_us=deadline_us,
             client=self,
-            key=opening.key,
-            group=opening.group if self._front.groups else None,
-            load_hint=opening.load_hint,
-            is_retry=opening.repeat,
-            is_returning=opening.returning,
-            resumed_at=opening.resumed_at,
+            key=request.key,
+            group=request.group if self._front.groups else None,
+            load_hint=request.load_hint,
+            is_retry=request.is_retry,
+            is_returning=request.is_returning,
+            resumed_at=request.resumed_at,
         )
 
     async def _first_line(self, deadline_us: int) -> bytes | None:
-        """The line that asks for something; before it, PING is answered. None if there is none in time."""
+        """Reads the client's request line, and answers PING before it; None if no request arrives in time."""
         self._reason = "no-first-line"
         scope = anyio.CancelScope(deadline=self._node.clock.moment(deadline_us))
         self._front.waiting.enter(scope)
         try:
             with scope:
-                for _ in range(MOST_CHECKS):
+                for _ in range(MAX_PINGS):
                     line = await self._client.line()
                     if line is None or line.strip() != b"PING":
                         return line
                     await self._client.write(b"PONG\r\n" if self._node.is_accepting else b"NO\r\n")
                     self._reason = "ping"
-                await self._turn_away("too-many-checks")
+                await self._reject_input("too-many-checks")
             if scope.cancelled_caught:
-                # Its request may be coming in just now: this is its answer then.
-                crowded = self._node.clock.now_us() < deadline_us
-                await self._turn_away("crowded-out" if crowded else "no-first-line", b"BUSY\r\n")
+                # The client's request may be arriving at this moment; BUSY is then its final answer.
+                is_crowded_out = self._node.clock.now_us() < deadline_us
+                await self._reject_input("crowded-out" if is_crowded_out else "no-first-line", b"BUSY\r\n")
         except OverlongLineError:
-            await self._turn_away("line-too-long")
+            await self._reject_input("line-too-long")
         finally:
             self._front.waiting.leave(scope)
         return None
 
-    async def _turn_away(self, reason: str, answer: bytes = b"ERR\r\n") -> None:
-        """Answers what is no request, and what no form server may get to see."""
+    async def _reject_input(self, reason: str, answer: bytes = b"ERR\r\n") -> None:
+        """Answers input that is not a valid request and must not reach a form server, then closes the
+        connection.
+        """
         self._reason = reason
-        await self._part_in_order(answer)
+        await self._close_gracefully(answer)
 
-    async def _part_in_order(self, last_words: bytes = b"") -> None:
-        """Ends sending on both sides, and reads on until they have ended too, for a bounded time."""
+    async def _close_gracefully(self, last_line: bytes = b"") -> None:
+        """Closes both connections gracefully: ends sending, then reads until the other side has ended too,
+        for at most `LAST_WORDS_US`.
+        """
         scope = anyio.CancelScope(deadline=self._node.clock.moment(self._node.clock.now_us() + LAST_WORDS_US))
-        self._front.waiting.part(scope)  # it still holds descriptors, and must not hold out others
+        self._front.waiting.part(scope)  # it still uses file descriptors, and must not keep others out
         try:
             with scope:
                 async with anyio.create_task_group() as group:
                     if self._form_server is not None and not self._form_server.closed:
-                        group.start_soon(self._see_out, self._form_server)
+                        group.start_soon(self._finish_and_close, self._form_server)
                     if not self._broken:
-                        await self._see_out(self._client, last_words)
+                        await self._finish_and_close(self._client, last_line)
         finally:
             self._front.waiting.leave(scope)
 
-    async def _see_out(self, other: Connection, last_words: bytes = b"") -> None:
-        with contextlib.suppress(OSError):  # it did not wait for the answer
-            await other.write(last_words)
-            await other.finish_sending()
-        other.close()
+    async def _finish_and_close(self, connection: Connection, last_line: bytes = b"") -> None:
+        with contextlib.suppress(OSError):  # the other side did not wait for the answer
+            await connection.write(last_line)
+            await connection.finish_sending()
+        connection.close()
 
-    async def _hear_client(self) -> None:
-        """Passes on what the client sends, and notices that it leaves."""
+    async def _read_client(self) -> None:
+        """Forwards input from the client, and detects that the client leaves."""
         assert self._session is not None
         try:
-            while await self._listen():
+            while await self._receive_input():
                 if self._form_server is not None:
-                    await self._pass_to_form_server()
+                    await self._forward_to_form_server()
                 elif not self._answered:
-                    # A client waits for its answer. Passing this on, or keeping it for a form server,
-                    # would be a second command on one connection.
-                    self._spoke_too_soon = True
+                    # A client has to wait for its answer. Forwarding or buffering this input for a form
+                    # server would be a second command on one connection.
+                    self._sent_too_early = True
                     break
-            if not self._client.ended and not self._spoke_too_soon:  # only told to stop listening
-                self._deaf.set()
+            if not self._client.ended and not self._sent_too_early:  # reading stopped for a transfer
+                self._client_reader_stopped.set()
                 return
             reason = "household-left"
         except OverlongLineError:
             reason = "line-too-long"
         except OSError:
             reason, self._broken = "household-broke", True
-        self._deaf.set()
-        if self._reason == "unknown" or self._form_server is not None or self._attempt is not None:
+        self._client_reader_stopped.set()
+        if self._reason == "unknown" or self._form_server is not None or self._current_attempt is not None:
             self._reason = reason
         self._node.client_left(self._session)
-        if self._attempt is not None:
-            self._attempt[1].cancel()
-        if self._reading is not None:
-            self._reading.cancel()
+        if self._current_attempt is not None:
+            self._current_attempt[1].cancel()
+        if self._wait_scope is not None:
+            self._wait_scope.cancel()
         self._client.ended = True
-        self._orders.close()
+        self._command_sender.close()
 
-    async def _listen(self) -> bool:
-        """Waits for the client to say more; False once it has ended, or the session is handed over."""
-        more = False
+    async def _receive_input(self) -> bool:
+        """Waits for more input from the client; False once the client has ended, or if a transfer of the
+        session stops the reading.
+        """
+        has_input = False
         if self._send_transfer is None:
-            with anyio.CancelScope() as self._listening:
-                more = await self._client.fill()
-            self._listening = None
-        return more
+            with anyio.CancelScope() as self._client_read_scope:
+                has_input = await self._client.fill()
+            self._client_read_scope = None
+        return has_input
 
-    async def _pass_to_form_server(self) -> None:
+    async def _forward_to_form_server(self) -> None:
         assert self._session is not None and self._form_server is not None
         data = self._client.take()
-        for _ in range(min(data.count(b"\n"), MOST_TIMED - len(self._session.unanswered_since_us))):
+        for _ in range(min(data.count(b"\n"), MAX_TIMED_LINES - len(self._session.unanswered_since_us))):
             self._node.line_forwarded(self._session)
-        with contextlib.suppress(OSError):  # it broke: whoever reads from it says so
+        with contextlib.suppress(OSError):  # the task that reads from the form server reports this
             await self._form_server.write(data)
 
-    async def _follow_orders(self) -> None:
-        async for order in self._inbox:
-            if isinstance(order, bytes):
+    async def _run_commands(self) -> None:
+        async for command in self._command_receiver:
+            if isinstance(command, bytes):
                 self._answered = True
-                await self._client.write(order)
+                await self._client.write(command)
                 return
-            await self._try(order)
+            await self._run_attempt(command)
             if self._form_server is not None:
                 return
 
-    async def _try(self, placement: Placement) -> None:
-        """One attempt, and the form session if it stands. Its connection is closed before the core hears of
-        its end, so that no two are ever out; and the core hears of it whatever happens.
+    async def _run_attempt(self, placement: Placement) -> None:
+        """Runs one attempt, and the form session if the attempt succeeds. The connection is closed before the
+        node is notified of the end, so that there are never two at a time. The node is notified in every
+        case.
         """
         assert self._session is not None
-        outcome = AttemptOutcome.CANCELLED  # if this task is ended from here, no form server is to blame
+        outcome = AttemptOutcome.CANCELLED  # if this task is cancelled, no form server is at fault
         try:
             outcome = await self._attempt_session(placement)
         finally:
@@ -415,84 +440,86 @@
 
     async def _attempt_session(self, placement: Placement) -> AttemptOutcome:
         assert self._session is not None
-        self._at = placement.form_server.name
+        self._server_name = placement.form_server.name
         server: Connection | None = None
         outcome = AttemptOutcome.TIMED_OUT
         sent_us = self._node.clock.now_us()
         with anyio.CancelScope(deadline=self._node.clock.moment(placement.until_us)) as scope:
-            self._attempt = (placement.attempt, scope)
+            self._current_attempt = (placement.attempt, scope)
             try:
                 server, outcome = await self._set_up(placement, sent_us)
             finally:
-                self._attempt = None
+                self._current_attempt = None
         if self._client.ended or (scope.cancelled_caught and self._node.clock.now_us() < placement.until_us):
             outcome = AttemptOutcome.CANCELLED
             if server is not None:
                 server.close()
                 server = None
         if server is not None:
-            took_us = self._node.clock.now_us() - sent_us
+            latency_us = self._node.clock.now_us() - sent_us
             self._form_server, self._placement = server, placement
             self._reason = "unknown"
-            self._node.connection_opened(self._session, placement, took_us)
-            outcome = await self._stand_to_the_end(server)
+            self._node.connection_opened(self._session, placement, latency_us)
+            outcome = await self._run_session_to_end(server)
         return outcome
 
-    async def _go_on(self, placement: Placement) -> None:
-        """A session that stood with the predecessor."""
+    async def _continue_session(self, placement: Placement) -> None:
+        """Continues a session that the predecessor had established."""
         assert self._session is not None and self._form_server is not None
         self._node.adopt_session(self._session, placement)
-        log("adopted", id=self._opening.id if self._opening else None, server=self._at)
+        log("adopted", id=self._request.id if self._request else None, server=self._server_name)
         if self._load is not None:
             self._node.report_load(self._session, self._load)
         outcome = AttemptOutcome.CANCELLED
         try:
-            outcome = await self._stand_to_the_end(self._form_server)
+            outcome = await self._run_session_to_end(self._form_server)
         finally:
             self._node.attempt_ended(self._session, placement, outcome)
 
-    async def _stand_to_the_end(self, server: Connection) -> AttemptOutcome:
+    async def _run_session_to_end(self, server: Connection) -> AttemptOutcome:
         try:
-            outcome = await self._stand(server)
+            outcome = await self._run_session(server)
         except OSError:
-            # The client broke while a line was on its way to it. The core must hear of the end all
-            # the same, or it would count the session as standing for ever.
+            # The client's connection broke while a line was written to it. The node must still be notified of
+            # the end, or it would count the session as established forever.
             self._reason, self._broken = "household-broke", True
             outcome = AttemptOutcome.CANCELLED
         if self._broken or server.ended or self._reason == "handed-over":
             server.close(abruptly=self._broken)
         else:
-            server.stop_sending()  # and is read to its end when the client has parted
+            server.stop_sending()  # it is read to its end once the client's connection is closed
         return outcome
 
-    async def _handed_over(self, server: Connection, send: SendTransfer) -> bool:
-        """Whether the successor has the session now. Meanwhile nothing is read here; what was, is told."""
-        # A move, or the client's end, does not wait for a line that can't go out.
-        with anyio.CancelScope() as self._reading:
-            await self._deaf.wait()
-        self._reading = None
-        if self._moving_since_us or self._client.ended or not self._deaf.is_set():
+    async def _transfer_session(self, server: Connection, send: SendTransfer) -> bool:
+        """Transfers the session to the successor; returns whether the successor has accepted it. No input is
+        read meanwhile; input that was already read is part of the transfer.
+        """
+        # A move or the end of the client does not wait for a line that cannot be written.
+        with anyio.CancelScope() as self._wait_scope:
+            await self._client_reader_stopped.wait()
+        self._wait_scope = None
+        if self._moving_since_us or self._client.ended or not self._client_reader_stopped.is_set():
             self._send_transfer = None
-            if self._deaf.is_set() and not self._client.ended:
-                self._hear_again()
+            if self._client_reader_stopped.is_set() and not self._client.ended:
+                self._resume_reading()
             return False
-        transfer = self._transfer(server)
+        transfer = self._make_transfer(server)
         send(transfer)
         await transfer.settled.wait()
         self._send_transfer = None
         if not transfer.is_accepted:
-            self._hear_again()
+            self._resume_reading()
         return transfer.is_accepted
 
-    def _hear_again(self) -> None:
-        self._deaf = anyio.Event()
-        self._group.start_soon(self._hear_client)
+    def _resume_reading(self) -> None:
+        self._client_reader_stopped = anyio.Event()
+        self._group.start_soon(self._read_client)
 
     async def _set_up(self, placement: Placement, sent_us: int) -> tuple[Connection | None, AttemptOutcome]:
-        """Opens a connection to the form server and asks for the session. Every way out but a form server
-        that answers UP leaves the connection closed.
+        """Opens a connection to the form server and requests the session. Unless the form server answers UP,
+        the connection is closed on return.
         """
-        assert self._opening is not None and self._session is not None
+        assert self._request is not None and self._session is not None
         connect_by_us = min(placement.until_us, sent_us + self._node.settings.connect_timeout_us)
         server: Connection | None = None
         sent = False
@@ -501,32 +528,32 @@
                 server = await connect(placement.form_server.address)
             if server is None:
                 return None, AttemptOutcome.CONNECT_FAILED
-            if self._client.stirs():  # it has left, and nobody waits for the answer
+            if self._client.stirs():  # it has left, and nobody awaits the answer
                 return None, AttemptOutcome.CANCELLED
             if not self._node.may_begin(self._session, placement):
                 return None, AttemptOutcome.NOT_SENT
             wait_ms = max(1, (placement.until_us - self._node.clock.now_us()) // 1000)
-            await server.write(self._opening.for_form_server(wait_ms))
+            await server.write(self._request.for_form_server(wait_ms))
             sent = True
             self._node.request_written()
             line = await server.line()
             if line is None:
                 server.close()
                 return None, AttemptOutcome.RESET
-            outcome = ANSWERS.get(word_of(line), AttemptOutcome.ERROR)
-            up = word_of(line) == b"UP"
-            if up or outcome is AttemptOutcome.OK:
+            outcome = ANSWER_OUTCOMES.get(first_word(line), AttemptOutcome.ERROR)
+            is_up = first_word(line) == b"UP"
+            if is_up or outcome is AttemptOutcome.OK:
                 self._answered = True
                 try:
                     await self._client.write(line)
                 except OSError:
-                    # The client broke, not the form server, which must not be blamed for it.
+                    # The client's connection broke; this must not count as a fault of the form server.
                     self._reason, self._broken = "household-broke", True
                     return None, AttemptOutcome.CANCELLED
                 self._reason = "served"
-            if up:
-                kept, server = server, None
-                return kept, AttemptOutcome.OK
+            if is_up:
+                established, server = server, None
+                return established, AttemptOutcome.OK
             return None, outcome
         except OutOfDescriptorsError:
             log("out-of-descriptors", doing="connect")
@@ -540,34 +567,36 @@
             if server is not None:
                 server.close()
 
-    async def _stand(self, server: Connection) -> AttemptOutcome:
-        """Passes on what the form server sends, line or not, at once; returns how the session ended."""
+    async def _run_session(self, server: Connection) -> AttemptOutcome:
+        """Forwards input from the form server at once, whether complete lines or not; returns how the session
+        ended.
+        """
         assert self._session is not None
         if self._client.held():
-            await self._pass_to_form_server()
+            await self._forward_to_form_server()
         ending = AttemptOutcome.RESET
         if server.held():
-            ending = await self._pass_to_client(server, ending)
+            ending = await self._forward_to_client(server, ending)
         while True:
-            half_said_us = self._moving_since_us + HALF_LINE_US
-            between = not server.held() or self._node.clock.now_us() >= half_said_us
-            if self._moving_since_us and between:
+            partial_line_until_us = self._moving_since_us + PARTIAL_LINE_TIMEOUT_US
+            is_between_lines = not server.held() or self._node.clock.now_us() >= partial_line_until_us
+            if self._moving_since_us and is_between_lines:
                 self._reason = "moved"
                 await self._client.write(b"MOVE\r\n")
                 return AttemptOutcome.CANCELLED
             if self._client.ended:
                 return AttemptOutcome.CANCELLED
-            if (send := self._send_transfer) is not None and await self._handed_over(server, send):
+            if (send := self._send_transfer) is not None and await self._transfer_session(server, send):
                 self._reason = "handed-over"
                 return AttemptOutcome.CANCELLED
             scope = anyio.CancelScope()
             if self._moving_since_us:
-                scope.deadline = self._node.clock.moment(half_said_us)
-            alive = None
+                scope.deadline = self._node.clock.moment(partial_line_until_us)
+            has_input = None
             try:
                 with scope:
-                    self._reading = scope
-                    alive = await server.fill()
+                    self._wait_scope = scope
+                    has_input = await server.fill()
             except OSError:
                 self._reason, self._broken = "form-server-broke", True
                 return ending
@@ -575,45 +604,47 @@
                 self._reason, self._broken = "form-server-line-too-long", True
                 return AttemptOutcome.ERROR
             finally:
-                self._reading = None
-            if alive:
-                ending = await self._pass_to_client(server, ending)
-            elif alive is not None:
+                self._wait_scope = None
+            if has_input:
+                ending = await self._forward_to_client(server, ending)
+            elif has_input is not None:
                 self._reason = _REASONS.get(ending, "form-server-ended")
                 return ending
 
-    async def _pass_to_client(self, server: Connection, ending: AttemptOutcome) -> AttemptOutcome:
-        """Passes on what has come in, then reads its lines; the start of one stays in the buffer."""
+    async def _forward_to_client(self, server: Connection, ending: AttemptOutcome) -> AttemptOutcome:
+        """Forwards the received bytes, then evaluates the complete lines; the start of an incomplete line
+        stays in the buffer.
+        """
         assert self._session is not None
         await self._client.write(server.fresh())
         self._node.bytes_received(self._session)
         while (line := server.take_line()) is not None:
-            ending = ENDINGS.get(word_of(line), AttemptOutcome.RESET)
-            load = load_told(line)
+            ending = END_OUTCOMES.get(first_word(line), AttemptOutcome.RESET)
+            load = parse_load(line)
             if load is not None:
-                self._tell(load)
+                self._report_load_line(load)
             elif ending is AttemptOutcome.RESET:
                 self._node.line_answered(self._session)
         return ending
 
-    def _tell(self, value: float) -> None:
-        """Hands on a LOAD line's figure, as what it is."""
-        assert self._session is not None and self._at is not None
+    def _report_load_line(self, value: float) -> None:
+        """Reports the value of a LOAD line to the node, as a load or a delay."""
+        assert self._session is not None and self._server_name is not None
         front = self._front
-        figures = front.figures.get(self._at)
-        if figures is None:
-            figures = front.figures[self._at] = Figures(front.least_ms)
-        told = figures.read(self._node.clock.now_us(), value, self)
-        if isinstance(told, Load):
-            self._load_before, self._load = self._load, value
+        classifier = front.load_classifiers.get(self._server_name)
+        if classifier is None:
+            classifier = front.load_classifiers[self._server_name] = LoadLineClassifier(front.min_delay_ms)
+        report = classifier.classify(self._node.clock.now_us(), value, self)
+        if isinstance(report, Load):
+            self._previous_load, self._load = self._load, value
             self._node.report_load(self._session, value)
             return
-        self._node.report_delay(self._session, told.value)
-        if told.mistaken is not None:
-            told.mistaken.restore_load()
+        self._node.report_delay(self._session, report.value)
+        if report.misclassified_source is not None:
+            report.misclassified_source.restore_load()
 
     def restore_load(self) -> None:
-        """The last figure was none of this connection's load: the one before it holds."""
-        if self._session is not None and self._load_before is not None:
-            self._load = self._load_before
+        """Reports the load before the last one again, because the last value was a delay and not a load."""
+        if self._session is not None and self._previous_load is not None:
+            self._load = self._previous_load
             self._node.report_load(self._session, self._load)
--- a/sailrun/text_protocol/figures.py
+++ b/sailrun/text_protocol/figures.py
@@ -1,13 +1,14 @@
-"""Tells apart the two figures that form servers state in the same line.
+"""Distinguishes the load reports and the delay reports of form servers, which use the same line.
 
-A form server says `LOAD X` when the load of a connection changes. The platform's form servers also say in
-that line what a message takes with them, in milliseconds, where the settings promise it (`tellsDelay`): once
-a second while it is over a third of the shortest message aim, and once more when it is back under, on one
-connection of each node. Counted over forty nodes, the same figure then arrives at all of them in the same
-instant, and again one second later. Read as a load it is next to nothing, so that the form server which is
-worst off looks emptiest.
+A form server sends `LOAD X` when the load of a connection changes. If the settings state it (`tellsDelay`),
+the platform's form servers use the same line to report their message latency in milliseconds: once a second
+while the latency is over a third of the shortest message objective, and once more when it is back under that,
+on one connection of each node. All nodes receive the same value at the same moment, and the next one a second
+later. Read as a load, such a value is close to zero, so that the most overloaded form server would appear to
+be the least loaded.
 
-One node sees one such line at a time. What gives it away is the beat: exactly a second after the last.
+A single node receives one such line at a time, and recognizes it by its interval: it arrives exactly one
+second after the previous one.
 """
 
 from __future__ import annotations
@@ -16,56 +17,67 @@
 from typing import Generic, TypeVar
 
 SECOND = 1_000_000
-# How far from a second two lines of the beat may be apart: what the network and this node's loop add.
-SLACK_US = 30_000
-# No message takes so many milliseconds and is still told of; few loads, in us of work a second, are under it.
-LONGEST_MS = 5_000.0
-# A load under this is no client's: less than one message in ten minutes. Taken for a time at once.
-LEAST_LOAD = 100.0
+# How much the interval between two delay reports may differ from a second, because of delays in the network
+# and in this node's event loop.
+INTERVAL_TOLERANCE_US = 30_000
+# Form servers do not report delays from this value on, in milliseconds; few loads, in microseconds of work a
+# second, are below it.
+MAX_DELAY_MS = 5_000.0
+# A load below this, less than one message in ten minutes, cannot be a client's; the value is classified as a
+# delay at once.
+MIN_LOAD = 100.0
 
-Whose = TypeVar("Whose")
+SourceT = TypeVar("SourceT")
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A connection's load, in us of work a second."""
+    """A connection's load, in microseconds of work a second."""
 
     value: float
 
 
 @dataclass(frozen=True, slots=True)
-class Delay(Generic[Whose]):
-    """What a message takes at the form server, in milliseconds."""
+class Delay(Generic[SourceT]):
+    """The message latency at the form server, in milliseconds."""
 
     value: float
-    mistaken: Whose | None  # whose load was given as the same kind of figure, a second ago
+    # The connection whose delay report, a second ago, was classified as a load by mistake.
+    misclassified_source: SourceT | None
 
 
-class Figures(Generic[Whose]):
-    """The figures of one form server, through this node. Pure: the time comes with each line."""
+class LoadLineClassifier(Generic[SourceT]):
+    """Classifies the reports of one form server to this node. Free of I/O: callers pass the time in."""
 
-    __slots__ = ("_beat_us", "_least_ms", "_small")
+    __slots__ = ("_candidates", "_last_delay_us", "_min_delay_ms")
 
-    def __init__(self, least_ms: float) -> None:
-        """`least_ms`: from what time on messages are told of at all; 0: never."""
-        self._least_ms = least_ms
-        self._beat_us = -2 * SECOND  # when a time was last told
-        self._small: list[tuple[int, Whose]] = []  # lines of the last second that may have been one
+    def __init__(self, min_delay_ms: float) -> None:
+        """`min_delay_ms`: form servers report delays from this value on; 0: they never report delays."""
+        self._min_delay_ms = min_delay_ms
+        self._last_delay_us = -2 * SECOND  # the time of the last delay report
+        self._candidates: list[tuple[int, SourceT]] = []  # recent loads that may be delays
 
-    def read(self, now_us: int, value: float, whose: Whose) -> Load | Delay[Whose]:
-        """Tells a load from a delay. `value`: as stated; `whose`: the session that stated it."""
-        if self._least_ms <= 0 or not 0 < value < LONGEST_MS:
+    def classify(self, now_us: int, value: float, source: SourceT) -> Load | Delay[SourceT]:
+        """Classifies a value as a load or a delay; `source`: the connection on which it was reported."""
+        if self._min_delay_ms <= 0 or not 0 < value < MAX_DELAY_MS:
             return Load(value)
-        self._small = [(at, who) for at, who in self._small if now_us - at <= SECOND + SLACK_US]
-        if abs(now_us - self._beat_us - SECOND) <= SLACK_US or self._least_ms <= value < LEAST_LOAD:
-            self._beat_us = now_us
+        self._candidates = [
+            (received_us, candidate)
+            for received_us, candidate in self._candidates
+            if now_us - received_us <= SECOND + INTERVAL_TOLERANCE_US
+        ]
+        if (
+            abs(now_us - self._last_delay_us - SECOND) <= INTERVAL_TOLERANCE_US
+            or self._min_delay_ms <= value < MIN_LOAD
+        ):
+            self._last_delay_us = now_us
             return Delay(value, None)
-        if now_us - self._beat_us < SECOND - SLACK_US:
-            return Load(value)  # within the beat: this one is not of it
-        for n, (at, who) in enumerate(self._small):
-            if abs(now_us - at - SECOND) <= SLACK_US:
-                del self._small[n]
-                self._beat_us = now_us
-                return Delay(value, who)
-        self._small.append((now_us, whose))
+        if now_us - self._last_delay_us < SECOND - INTERVAL_TOLERANCE_US:
+            return Load(value)  # too early to be the next delay report
+        for index, (received_us, candidate) in enumerate(self._candidates):
+            if abs(now_us - received_us - SECOND) <= INTERVAL_TOLERANCE_US:
+                del self._candidates[index]
+                self._last_delay_us = now_us
+                return Delay(value, candidate)
+        self._candidates.append((now_us, source))
         return Load(value)
--- a/sailrun/text_protocol/lines.py
+++ b/sailrun/text_protocol/lines.py
@@ -1,4 +1,4 @@
-"""The text of the platform's protocol: what a first line says, and what a form server's line means."""
+"""The lines of the platform's text protocol: parses a client's first line and the lines of form servers."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 _WORD = re.compile(r"[\x21-\x7e]{1,128}")
 _DEADLINE = re.compile(rb"(?<=[ ,])d=\d+")
-# A time past this is past all reason.
-LONGEST_WAIT_MS = 600_000
+# The longest deadline that a client may state for a new session.
+MAX_WAIT_MS = 600_000
 
 
 class InvalidLineError(SailrunError, ValueError):
-    """No first line in the protocol's form."""
+    """A client's first line is not valid in the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
+class OpenRequest:
     """A client's first line."""
 
     line: bytes
@@ -30,75 +30,77 @@
     request_class: str
     wait_ms: int
     group: str | None
-    repeat: bool
-    returning: bool
+    is_retry: bool
+    is_returning: bool
     resumed_at: str | None
     load_hint: float | None
 
     def for_form_server(self, wait_ms: int) -> bytes:
-        """The same line, telling how long the node will wait."""
+        """The same line with the time that the node will wait for the answer."""
         return _DEADLINE.sub(b"d=%d" % wait_ms, self.line, count=1)
 
 
-def parse_opening(line: bytes, classes: Container[str]) -> Opening:
-    """Reads a first line. Raises InvalidLineError for whatever is not in the protocol's form, or names a
-    class that the settings do not have: a form server would reject it, and be taken for an outlier.
+def parse_open_request(line: bytes, classes: Container[str]) -> OpenRequest:
+    """Parses a client's first line. Raises InvalidLineError if it is not valid in the protocol, or if it
+    names a class that the settings do not have: form servers would reject it, and would be taken for
+    outliers.
     """
     try:
         words = line.decode("ascii").rstrip("\r\n").split(" ")
     except UnicodeDecodeError:
-        raise InvalidLineError("not text") from None
+        raise InvalidLineError("expected ASCII text, found other bytes") from None
     if len(words) != 4 or words[0] != "OPEN" or not all(_WORD.fullmatch(w) for w in words[1:]):
-        raise InvalidLineError("not OPEN, an id, a key and a list")
-    facts: dict[str, str] = {}
+        raise InvalidLineError("expected 'OPEN', an id, a key and a list of name=value pairs")
+    fields: dict[str, str] = {}
     for part in words[3].split(","):
-        name, sep, value = part.partition("=")
-        if not sep or not name or name in facts:
-            raise InvalidLineError(f"'{part}' is no name=value, or comes twice")
-        facts[name] = value
-    if not facts.get("c"):
-        raise InvalidLineError("no class")
-    if facts["c"] not in classes:
-        raise InvalidLineError("a class that does not exist")
-    wait = facts.get("d", "")
-    # A session from before the run waits for as long as its client likes; a new one is bound by reason.
-    if not wait.isdigit() or len(wait) > 12 or not (0 < int(wait) <= LONGEST_WAIT_MS or facts.get("at")):
-        raise InvalidLineError("no time to wait")
+        name, separator, value = part.partition("=")
+        if not separator or not name or name in fields:
+            raise InvalidLineError(f"expected name=value with a name not used before, found '{part}'")
+        fields[name] = value
+    if not fields.get("c"):
+        raise InvalidLineError("'c' is missing or empty, expected a request class")
+    if fields["c"] not in classes:
+        raise InvalidLineError("the request class in 'c' does not exist in the settings")
+    wait = fields.get("d", "")
+    # For a new session the time is limited. A client that resumes a session from before this node started may
+    # state any time, which is reduced to the maximum below.
+    if not wait.isdigit() or len(wait) > 12 or not (0 < int(wait) <= MAX_WAIT_MS or fields.get("at")):
+        raise InvalidLineError("'d' is missing or not a whole number of milliseconds from 1 to 600000")
     hint = None
-    if "h" in facts:
+    if "h" in fields:
         try:
-            hint = float(facts["h"])
+            hint = float(fields["h"])
         except ValueError:
             hint = math.nan
         if not math.isfinite(hint) or hint < 0:
-            raise InvalidLineError("an estimate that is no number")
-    return Opening(
+            raise InvalidLineError("'h' is not a finite number of at least 0")
+    return OpenRequest(
         line,
         words[1],
         words[2],
-        facts["c"],
-        min(int(wait), LONGEST_WAIT_MS),
-        facts.get("g"),
-        facts.get("r") == "1",
-        facts.get("again") == "1",
-        facts.get("at"),
+        fields["c"],
+        min(int(wait), MAX_WAIT_MS),
+        fields.get("g"),
+        fields.get("r") == "1",
+        fields.get("again") == "1",
+        fields.get("at"),
         hint,
     )
 
 
-def word_of(line: bytes) -> bytes:
-    """The first word of a line; empty for an empty line."""
+def first_word(line: bytes) -> bytes:
+    """The first word of a line; empty for a blank line."""
     return line.split(None, 1)[0] if line.strip() else b""
 
 
-# What the line before the end of a form server's connection says of the end.
-ENDINGS = {b"BYE": AttemptOutcome.OK, b"MOVE": AttemptOutcome.CANCELLED}
-# What a form server's first line says where it is not UP.
-ANSWERS = {**ENDINGS, b"BUSY": AttemptOutcome.REJECTED}
+# The outcome of a session by the last line that the form server sent before it ended the connection.
+END_OUTCOMES = {b"BYE": AttemptOutcome.OK, b"MOVE": AttemptOutcome.CANCELLED}
+# The outcome of an attempt by the form server's first line if that is not UP.
+ANSWER_OUTCOMES = {**END_OUTCOMES, b"BUSY": AttemptOutcome.REJECTED}
 
 
-def load_told(line: bytes) -> float | None:
-    """The figure of a LOAD line; None for any other line."""
+def parse_load(line: bytes) -> float | None:
+    """The value of a LOAD line; None for any other line."""
     words = line.split()
     if len(words) != 2 or words[0] != b"LOAD":
         return None
--- a/sailrun/text_protocol/neighbours.py
+++ b/sailrun/text_protocol/neighbours.py
@@ -1,4 +1,4 @@
-"""Datagrams between the nodes of the tier, and probes of form servers."""
+"""Datagrams between the nodes of the fleet, and health checks of form servers."""
 
 from __future__ import annotations
 
@@ -13,30 +13,32 @@
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer
 
-LONGEST_DATAGRAM = 256
+MAX_DATAGRAM_BYTES = 256
 
 Address = tuple[str, int]
 
 
 class Datagrams:
-    """The core's `PeerTransport`."""
+    """The node's `PeerTransport`: sends and receives datagrams over UDP."""
 
     def __init__(
         self,
         node: Node,
         listen: Address,
         peers: list[Address],
-        everyone: Address | None,
+        broadcast_address: Address | None,
         shared: bool = False,
         inherited: socket.socket | None = None,
     ) -> None:
-        """Shared: a successor that cannot be handed the socket may listen beside this process."""
+        """`peers`: the addresses of the nodes by index. `broadcast_address`: the address that reaches all of
+        them. `shared`: a successor to which the socket cannot be passed may listen at the same address.
+        """
         self._node = node
         self._peers = peers
-        self._everyone = everyone
-        self._reads = anyio.Event()  # set while datagrams are this process's to read
-        self._reads.set()
-        self._reading = anyio.CancelScope()
+        self._broadcast_address = broadcast_address
+        self._reading_allowed = anyio.Event()  # set while this process reads the datagrams
+        self._reading_allowed.set()
+        self._read_scope = anyio.CancelScope()
         if inherited is not None:
             self.socket = inherited
             return
@@ -46,41 +48,43 @@
         self.socket.bind(listen)
 
     def pause(self) -> None:
-        """Leaves datagrams to the process that shares the socket, until `resume`."""
-        self._reads = anyio.Event()
-        self._reading.cancel()
+        """Stops receiving until `resume`; the process that shares the socket receives the datagrams
+        meanwhile.
+        """
+        self._reading_allowed = anyio.Event()
+        self._read_scope.cancel()
 
     def resume(self) -> None:
-        """Receives again after a pause."""
-        self._reads.set()
+        """Resumes receiving after `pause`."""
+        self._reading_allowed.set()
 
-    def send(self, neighbour: int | None, content: bytes) -> None:
-        """Sends a datagram to one node, or to all (`neighbour` None)."""
-        if len(content) > LONGEST_DATAGRAM:
+    def send(self, peer: int | None, content: bytes) -> None:
+        """Sends a datagram to one node, or to all others if `peer` is None."""
+        if len(content) > MAX_DATAGRAM_BYTES:
             log("neighbour-message-too-long", bytes=len(content))
             return
-        if neighbour is None:
-            to = self._everyone
+        if peer is None:
+            address = self._broadcast_address
         else:
-            to = self._peers[neighbour] if 0 <= neighbour < len(self._peers) else None
-        if to is not None:
+            address = self._peers[peer] if 0 <= peer < len(self._peers) else None
+        if address is not None:
             try:
-                self.socket.sendto(content, to)
+                self.socket.sendto(content, address)
             except OSError as error:
-                log("neighbour-unreached", neighbour=neighbour, error=str(error))
+                log("neighbour-unreached", neighbour=peer, error=str(error))
 
     async def run(self) -> None:
         """Receives datagrams until the task is cancelled."""
         while True:
-            await self._reads.wait()
-            with anyio.CancelScope() as self._reading:
-                await self._read()
+            await self._reading_allowed.wait()
+            with anyio.CancelScope() as self._read_scope:
+                await self._receive()
 
-    async def _read(self) -> None:
+    async def _receive(self) -> None:
         while True:
             await anyio.wait_readable(self.socket)
             try:
-                content, sender = self.socket.recvfrom(LONGEST_DATAGRAM + 1)
+                content, sender = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 continue
             if sender in self._peers:
@@ -88,13 +92,13 @@
 
 
 class Probes:
-    """The core's `HealthChecker`: asks a form server PING on a connection of its own."""
+    """The node's `HealthChecker`: sends PING to a form server on a separate connection."""
 
     def __init__(self, node: Node, group: TaskGroup) -> None:
         self._node, self._group = node, group
 
     def probe(self, form_server: FormServer, until_us: int) -> None:
-        """Starts a health check, given up at `until_us`."""
+        """Starts a health check that times out at `until_us`."""
         self._group.start_soon(self._probe, form_server, until_us)
 
     async def _probe(self, form_server: FormServer, until_us: int) -> None:
