--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,6 @@
-"""Small stand-ins for what surrounds a node, from the protocol: form servers, the roster, households."""
+"""Small stand-ins for the surroundings of a node, written from the protocol: form servers, the roster,
+clients.
+"""
 
 from __future__ import annotations
 
@@ -18,9 +20,9 @@
 
 import tomli_w
 
-# Only a test that fails waits so long.
+# Only a failing test waits this long.
 PATIENCE_S = 20.0
-# Wide enough that a busy machine running the tests is not taken for a crowded form server.
+# Long enough that a busy test machine is not mistaken for an overloaded form server.
 CLASSES = {"page-load": 8_000_000, "answer-save": 8_000_000}
 
 SETTINGS: dict[str, Any] = {
@@ -75,11 +77,11 @@
         self.sock.sendall(line.encode() + b"\r\n")
 
     def hear(self) -> str:
-        """The next line; empty once the other side has ended."""
+        """Returns the next line; empty once the other side has ended."""
         return self.file.readline().decode().rstrip("\r\n")
 
     def end(self) -> None:
-        """Ends the connection also while another thread reads, which holds the file's lock."""
+        """Ends the connection even while another thread reads from it and holds the file's lock."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.close()
@@ -90,7 +92,7 @@
 
 
 class Listener:
-    """Accepts connections and hands each to `serve` on a thread of its own."""
+    """Accepts connections and calls `serve` for each on a separate thread."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -101,9 +103,9 @@
         with suppress(OSError):
             while True:
                 sock, _ = self._listener.accept()
-                threading.Thread(target=self._one, args=(Peer(sock),), daemon=True).start()
+                threading.Thread(target=self._serve, args=(Peer(sock),), daemon=True).start()
 
-    def _one(self, peer: Peer) -> None:
+    def _serve(self, peer: Peer) -> None:
         with suppress(OSError, ValueError):
             self.serve(peer)
 
@@ -128,12 +130,14 @@
 
 
 class FormServer(Listener):
-    """Answers first lines as told; one that is placed returns every line."""
+    """A form server that answers each first line with `answer`; once a session is established it echoes every
+    line. If `answer` is None, it never answers.
+    """
 
     def __init__(self, name: str, answer: str | None = "UP r1") -> None:
         self.name, self.answer = name, answer
         self.openings: queue.Queue[str] = queue.Queue()
-        self.ends: queue.Queue[str] = queue.Queue()  # how each connection was ended by the node
+        self.ends: queue.Queue[str] = queue.Queue()  # how the node ended each connection: "ended" or "broken"
         self.peers: list[Peer] = []
         super().__init__()
 
@@ -159,12 +163,14 @@
 
 
 class Roster(Listener):
-    """Answers the whole list at once and holds a watch until there is something to tell."""
+    """A registry of form servers. Answers each request, whether a watch or a fetch, with the next body from
+    `answers`, and waits until there is one.
+    """
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.revision, self.members = 41, members
         self.asked: queue.Queue[tuple[float, str]] = queue.Queue()
-        self.answers: queue.Queue[bytes] = queue.Queue()  # raw bodies for the watches
+        self.answers: queue.Queue[bytes] = queue.Queue()  # raw response bodies
         super().__init__()
 
     def known(self) -> dict[str, Any]:
@@ -172,8 +178,8 @@
 
     def tell(self, *members: dict[str, Any]) -> None:
         self.revision += 1
-        news = {"revision": self.revision, "complete": False, "members": members}
-        self.answers.put(json.dumps(news).encode())
+        update = {"revision": self.revision, "complete": False, "members": members}
+        self.answers.put(json.dumps(update).encode())
 
     def serve(self, peer: Peer) -> None:
         while request := peer.hear():
@@ -190,30 +196,30 @@
         self.process, self.listen = process, listen
         self.amqp = self.control = ""
         self.lines: list[str] = []
-        self._news = threading.Condition()
+        self._lines_changed = threading.Condition()
         self._reader = threading.Thread(target=self._read, daemon=True)
         self._reader.start()
 
-    def read_to_the_end(self) -> None:
-        """Once the process has ended: all that it has logged."""
+    def read_all_lines(self) -> None:
+        """Waits until all log lines of the ended process were read."""
         self._reader.join(PATIENCE_S)
 
     def _read(self) -> None:
         assert self.process.stderr is not None
-        with suppress(ValueError):  # the test is over, and the pipe closed under this thread
+        with suppress(ValueError):  # the test is over and has closed the pipe that this thread reads
             for line in self.process.stderr:
-                with self._news:
+                with self._lines_changed:
                     self.lines.append(line.rstrip("\n"))
-                    self._news.notify_all()
+                    self._lines_changed.notify_all()
 
     def logged(self, *words: str) -> str:
-        """Waits for a log line with all these words."""
+        """Waits for a log line that contains all these words, and returns it."""
 
         def found() -> str | None:
             return next((line for line in self.lines if all(w in line for w in words)), None)
 
-        with self._news:
-            line = self._news.wait_for(found, PATIENCE_S)
+        with self._lines_changed:
+            line = self._lines_changed.wait_for(found, PATIENCE_S)
         assert line, f"no line with {words} in {self.lines}"
         return line
 
@@ -227,17 +233,17 @@
         more: str = "",
         group: str = "5c0f6e1a2b3d4c59",
     ) -> Peer:
-        """A household that has sent its first line."""
-        household = self.connect()
-        household.say(f"OPEN {id_} 7f3a9c21e0b4d655 c=page-load,d={wait_ms},g={group}{more}")
-        return household
+        """Connects a client and sends its first line."""
+        client = self.connect()
+        client.say(f"OPEN {id_} 7f3a9c21e0b4d655 c=page-load,d={wait_ms},g={group}{more}")
+        return client
 
     def call(self, line: str) -> str:
-        """The second address's answer to a call."""
-        caller = Peer(connect(self.control))
-        caller.say(line)
-        answer = caller.file.read().decode().replace("\r\n", "\n").rstrip("\n")
-        caller.close()
+        """Sends a command to the control address and returns the answer."""
+        connection = Peer(connect(self.control))
+        connection.say(line)
+        answer = connection.file.read().decode().replace("\r\n", "\n").rstrip("\n")
+        connection.close()
         return answer
 
     def figures(self) -> dict[str, int]:
@@ -247,7 +253,7 @@
         return {name.removeprefix("svc."): int(value) for name, _, value in pairs}
 
     def until(self, name: str, value: int) -> dict[str, int]:
-        """Reads the figures until one has a value."""
+        """Reads the metrics until the named one has this value, and returns them."""
         until = time.monotonic() + PATIENCE_S
         while (figures := self.figures())[name] != value:
             assert time.monotonic() < until, figures
@@ -265,7 +271,9 @@
     operator: Path | None = None,
     **changes: Any,
 ) -> Iterator[RunningNode]:
-    """A node as the platform starts it; processes that share the folder may succeed one another."""
+    """Runs a node as the platform starts it. A process that is started with the folder of another can become
+    its successor.
+    """
     listen = changes.get("listen") or f"127.0.0.1:{free_port()}"
     config = {
         "name": "n1",
@@ -290,7 +298,7 @@
 def sidecar(
     folder: Path, roster: dict[str, str], idle_ms: int = 60_000, operator: Path | None = None
 ) -> Iterator[RunningNode]:
-    """A node as an office starts it, with both fronts on one core."""
+    """Runs a node as a sidecar, with both fronts on one node."""
     listen, amqp, control = (f"127.0.0.1:{free_port()}" for _ in range(3))
     path = folder / "sidecar.toml"
     document = {
@@ -328,5 +336,5 @@
         finally:
             process.kill()
             process.wait()
-        running.read_to_the_end()
+        running.read_all_lines()
         assert not [line for line in running.lines if " fault " in line], running.lines
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -1,4 +1,6 @@
-"""Clients that send what can't be read, or nothing: an error or a close in time, and never a session."""
+"""Clients that send invalid input or nothing get an error or are disconnected in time, and never get a
+session.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,7 @@
 
 from tests.stand_ins import FormServer, Peer, Roster, RunningNode, node
 
-IN_TIME_S = 3.0
+TIME_LIMIT_S = 3.0
 
 
 @pytest.fixture
@@ -32,14 +34,14 @@
         assert not any("fault" in line or "Traceback" in line for line in running.lines)
 
 
-def last_words(client: Peer) -> str:
-    """All that the node still says before the connection ends, one way or the other."""
-    said = b""
-    client.sock.settimeout(IN_TIME_S)
+def read_to_end(client: Peer) -> str:
+    """Returns everything that the node still sends until the connection ends or breaks."""
+    received = b""
+    client.sock.settimeout(TIME_LIMIT_S)
     with contextlib.suppress(ConnectionError):
         while data := client.sock.recv(4096):
-            said += data
-    return said.decode()
+            received += data
+    return received.decode()
 
 
 OPENING = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 "
@@ -60,14 +62,14 @@
     ],
     ids=["class", "negative", "zero", "huge", "no-number", "no-id", "hundreds", "checks", "noise"],
 )
-def test_what_is_no_request_gets_an_error_and_reaches_no_form_server(
+def test_an_invalid_request_gets_an_error_and_reaches_no_form_server(
     running: RunningNode, form_server: FormServer, sent: str
 ) -> None:
-    # Unknown classes were once placed as if they were the first one, and what form servers turned away
-    # for it counted against them.
+    # A request of an unknown class was once placed as if it were of the first class. Form servers rejected
+    # it, and the rejections counted against them in outlier detection.
     client = running.connect()
     client.sock.sendall(sent.encode("latin-1"))
-    assert last_words(client).removeprefix("PONG\r\n" * 16) == "ERR\r\n"
+    assert read_to_end(client).removeprefix("PONG\r\n" * 16) == "ERR\r\n"
     assert form_server.openings.empty()
     assert running.ask().hear() == "UP r1"
 
@@ -77,18 +79,18 @@
 ) -> None:
     form_server.answer = None
     client = running.ask()
-    form_server.openings.get(timeout=IN_TIME_S)
+    form_server.openings.get(timeout=TIME_LIMIT_S)
     client.say(OPENING + "c=page-load,d=2000")
-    assert last_words(client) == "ERR\r\n"
-    assert form_server.ends.get(timeout=IN_TIME_S)
+    assert read_to_end(client) == "ERR\r\n"
+    assert form_server.ends.get(timeout=TIME_LIMIT_S)
     running.logged("ended", "reason=spoke-too-soon")
 
 
-def test_the_id_of_an_open_request_is_not_taken_twice(running: RunningNode, form_server: FormServer) -> None:
-    # Passed on, it would be a second copy of the other household's request.
+def test_an_id_in_use_is_not_accepted_twice(running: RunningNode, form_server: FormServer) -> None:
+    # If it were forwarded, it would duplicate the other client's request.
     first = running.ask()
     assert first.hear() == "UP r1"
-    assert last_words(running.ask()) == "ERR\r\n"
+    assert read_to_end(running.ask()) == "ERR\r\n"
     assert form_server.openings.qsize() == 1
     first.say("page 3")
     assert first.hear() == "page 3"
@@ -105,42 +107,43 @@
         client.sock.sendall(OPENING.encode() + b"c=page-load,d=")
         for _ in range(60):
             client.sock.sendall(chunk)
-    assert last_words(client) in ("ERR\r\n", "")
+    assert read_to_end(client) in ("ERR\r\n", "")
     assert time.monotonic() - began < 6
     status = Path(f"/proc/{running.process.pid}/status").read_text()
     (peak,) = (int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
     assert peak < 64 * 1024
 
 
-def test_silent_connections_are_closed_in_time_and_keep_nobody_out(tmp_path: Path) -> None:
-    def few() -> None:
+def test_silent_connections_are_closed_in_time_and_do_not_block_clients(tmp_path: Path) -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
     server = FormServer("s-5be2a07c")
-    with node(tmp_path, Roster([server.entry()]), prepare=few) as running:
+    with node(tmp_path, Roster([server.entry()]), prepare=limit_descriptors) as running:
         silent = [running.connect() for _ in range(300)]
         began = time.monotonic()
-        household = running.ask()
-        assert household.hear() == "UP r1"
-        # Their requests may be coming in just then: they are told that nothing came of them.
-        assert [last_words(client) for client in silent] == ["BUSY\r\n"] * len(silent)
-        assert time.monotonic() - began < IN_TIME_S
+        late_client = running.ask()
+        assert late_client.hear() == "UP r1"
+        # Their requests may be arriving at that moment, so they get an answer that nothing was executed.
+        assert [read_to_end(client) for client in silent] == ["BUSY\r\n"] * len(silent)
+        assert time.monotonic() - began < TIME_LIMIT_S
         running.logged("ended", "reason=crowded-out")
-        household.say("page 3")
-        assert household.hear() == "page 3"
+        late_client.say("page 3")
+        assert late_client.hear() == "page 3"
 
 
-def test_a_household_that_breaks_off_at_once_does_not_end_the_node(
+def test_a_client_that_disconnects_at_once_does_not_end_the_node(
     running: RunningNode, form_server: FormServer
 ) -> None:
-    # Its request lay in the core's queue when it left; the order to place it then ended the node.
-    def rush() -> None:
+    # The client's request was still in the node's queue when it left; the command to place it then ended the
+    # node.
+    def connect_and_break() -> None:
         for n in range(100):
             client = running.ask(f"{threading.get_ident():x}.{n}")
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
 
-    threads = [threading.Thread(target=rush) for _ in range(4)]
+    threads = [threading.Thread(target=connect_and_break) for _ in range(4)]
     for thread in threads:
         thread.start()
     for thread in threads:
--- a/tests/test_both_fronts.py
+++ b/tests/test_both_fronts.py
@@ -1,4 +1,4 @@
-"""Households of both fronts on one core: the same decisions, the same score, the same rules."""
+"""Clients of both fronts on one node: the same decisions, the same results, the same rules."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.amqp_stand_ins import AmqpEnd, AmqpFormServer, send
 from tests.stand_ins import PATIENCE_S, Peer, Roster, RunningNode, connect, sidecar
 
-HOUSEHOLDS = 24
+CLIENT_COUNT = 24
 
 
 class FormServerOfBoth(AmqpFormServer):
-    """Speaks whichever protocol its visitor does, and notes who asked, when, and how many at one time."""
+    """Uses the protocol of the connecting node, and records the time and the key of each request."""
 
     def __init__(self, name: str, full: bool = False) -> None:
         super().__init__(name, refuse="amqp:resource-limit-exceeded" if full else None)
@@ -43,52 +43,52 @@
         super()._attach(event)
 
 
-def text_household(running: RunningNode, key: str) -> tuple[str, Callable[[], str]]:
-    """Asks, sends one answer; returns how it was served and a call that waits for the end."""
-    household = running.connect()
-    household.say(f"OPEN {secrets.token_hex(8)} {key} c=page-load,d=8000")
-    answer = household.hear()
+def run_text_client(running: RunningNode, key: str) -> tuple[str, Callable[[], str]]:
+    """Requests a session and sends one line; returns the outcome and a function that waits for the end."""
+    client = running.connect()
+    client.say(f"OPEN {secrets.token_hex(8)} {key} c=page-load,d=8000")
+    answer = client.hear()
     if not answer.startswith("UP"):
         return ("refused" if answer.startswith("BUSY ") else "failed"), lambda: ""
-    household.say("answer")
-    assert household.hear() == "answer"
-    return "served", lambda: {"MOVE": "moved"}.get(household.hear(), "ended")
+    client.say("answer")
+    assert client.hear() == "answer"
+    return "served", lambda: {"MOVE": "moved"}.get(client.hear(), "ended")
 
 
-def amqp_household(running: RunningNode, key: str) -> tuple[str, Callable[[], str]]:
-    household = AmqpEnd(connect(running.amqp))
-    facts = {"sailrun:key": key, "sailrun:class": "page-load", "sailrun:time-left-ms": 8000}
-    link = household.open_link(facts)
+def run_amqp_client(running: RunningNode, key: str) -> tuple[str, Callable[[], str]]:
+    client = AmqpEnd(connect(running.amqp))
+    properties = {"sailrun:key": key, "sailrun:class": "page-load", "sailrun:time-left-ms": 8000}
+    link = client.open_link(properties)
 
     def condition() -> str:
-        name = household.condition(link).name
+        name = client.condition(link).name
         return {"amqp:link:detach-forced": "moved", "amqp:resource-limit-exceeded": "refused"}.get(
             name, "failed"
         )
 
     closed = proton.Endpoint.REMOTE_CLOSED
-    household.until(lambda: link.credit or link.state & closed)
+    client.until(lambda: link.credit or link.state & closed)
     if link.state & closed:
         return condition(), lambda: ""
     delivery = send(link, b"answer")
-    household.until(lambda: delivery.remote_state)
+    client.until(lambda: delivery.remote_state)
     assert delivery.remote_state == proton.Delivery.ACCEPTED
     return "served", condition
 
 
-FRONTS = {"text": text_household, "amqp": amqp_household}
+FRONTS = {"text": run_text_client, "amqp": run_amqp_client}
 
 
-@pytest.mark.parametrize("full", [False, True], ids=["room for all", "one has no room"])
-def test_both_fronts_keep_the_same_score_and_rules(tmp_path: Path, full: bool) -> None:
+@pytest.mark.parametrize("full", [False, True], ids=["all with capacity", "one without capacity"])
+def test_both_fronts_give_the_same_results_and_follow_the_same_rules(tmp_path: Path, full: bool) -> None:
     servers = [FormServerOfBoth(f"s-0000000{n}", full and n == 1) for n in range(1, 5)]
     roster = Roster([])
     roster.tell(*(s.entry() for s in servers))
-    keys = [f"{n:016x}" for n in range(HOUSEHOLDS)]
-    results: dict[str, list[Any]] = {name: [None] * HOUSEHOLDS for name in FRONTS}
+    keys = [f"{n:016x}" for n in range(CLIENT_COUNT)]
+    results: dict[str, list[Any]] = {name: [None] * CLIENT_COUNT for name in FRONTS}
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as running:
         running.logged("roster", "form_servers=4")
-        # Both at one time: each key comes once through each front.
+        # Both fronts at the same time: each key is requested once through each front.
         threads = [
             threading.Thread(target=lambda f=f, n=n, k=k: results[f].__setitem__(n, FRONTS[f](running, k)))
             for n, k in enumerate(keys)
@@ -98,26 +98,29 @@
             thread.start()
         for thread in threads:
             thread.join(PATIENCE_S)
-        score = {
-            front: [how for how, _ in done].count("served") / HOUSEHOLDS for front, done in results.items()
+        success_rates = {
+            front: [outcome for outcome, _ in outcomes].count("served") / CLIENT_COUNT
+            for front, outcomes in results.items()
         }
-        assert score == {"text": 1.0, "amqp": 1.0}
-        tries = [key for s in servers for _, key in s.asked]
-        # One attempt where there is room; after a refusal, which never ran, one more.
-        assert len(tries) == 2 * HOUSEHOLDS + (len(servers[0].asked) if full else 0)
+        assert success_rates == {"text": 1.0, "amqp": 1.0}
+        attempts = [key for s in servers for _, key in s.asked]
+        # One attempt if the form server has capacity; one more after each rejection, which had no effect.
+        assert len(attempts) == 2 * CLIENT_COUNT + (len(servers[0].asked) if full else 0)
         roster.asked.get(timeout=PATIENCE_S)
         roster.asked.get(timeout=PATIENCE_S)
-        leaving = servers[1]
-        roster.tell(leaving.entry("DRAINING"))
+        draining = servers[1]
+        roster.tell(draining.entry("DRAINING"))
         running.logged("roster", "revision=43")
-        before = len(leaving.asked)
+        before = len(draining.asked)
         for key in keys:
             for front in FRONTS.values():
                 assert front(running, key)[0] == "served"
-        assert len(leaving.asked) == before, "something new went to a form server that drains"
+        assert len(draining.asked) == before, "a new session was placed on a draining form server"
         running.terminate()
-        ends = {front: {end() for _, end in done} for front, done in results.items()}
-        assert ends == {"text": {"moved"}, "amqp": {"moved"}}
+        endings = {
+            front: {wait_for_end() for _, wait_for_end in outcomes} for front, outcomes in results.items()
+        }
+        assert endings == {"text": {"moved"}, "amqp": {"moved"}}
         assert running.process.wait(PATIENCE_S) == 0
-        # One final line for each connection or link, each with its reason.
-        assert sum(" ended " in line for line in running.lines) == 4 * HOUSEHOLDS
+        # The log has exactly one final line for each connection or link.
+        assert sum(" ended " in line for line in running.lines) == 4 * CLIENT_COUNT
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""The node's counters, over any order of the calls that fronts may make."""
+"""The node's counters, for any order of the calls that fronts may make."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Front:
-    """One household, which records the answers that it receives."""
+    """The front of one client, which records the answers that it receives."""
 
     def __init__(self, name: str) -> None:
         self.session = FormSession(name, "page-load", BEGIN_US + 60_000_000, self, key=name)
@@ -41,7 +41,10 @@
 
 
 STEPS = st.lists(
-    st.tuples(st.sampled_from(["ask", "up", "left", "out", "back", *AttemptOutcome]), st.integers(0, 9)),
+    st.tuples(
+        st.sampled_from(["request", "establish", "leave", "exclude", "restore", *AttemptOutcome]),
+        st.integers(0, 9),
+    ),
     max_size=60,
 )
 
@@ -51,27 +54,27 @@
     steps: list[tuple[str | AttemptOutcome, int]],
 ) -> None:
     time = Scheduler()
-    known = ServerListUpdate(ListKind.CACHED, 1, SERVERS)
-    node = Node(read_settings(SETTINGS), 1, VirtualClock(time), known, lambda what, /, **facts: None)
+    initial_list = ServerListUpdate(ListKind.CACHED, 1, SERVERS)
+    node = Node(read_settings(SETTINGS), 1, VirtualClock(time), initial_list, lambda event, /, **fields: None)
     node.start()
     fronts: list[Front] = []
-    left = 0
-    for count, (step, which) in enumerate(steps):
-        if step == "ask":
+    left_count = 0
+    for count, (step, index) in enumerate(steps):
+        if step == "request":
             fronts.append(Front(f"r{count}"))
             node.request_session(fronts[-1].session)
-        elif step in ("out", "back"):  # with none left to take it, whoever asks is refused
+        elif step in ("exclude", "restore"):  # if all are excluded, requests are rejected
             for server in SERVERS:
-                node.set_operator_override(server.name, step == "out", lambda known: None)
+                node.set_operator_override(server.name, step == "exclude", lambda is_known: None)
         elif fronts:
-            front = fronts[which % len(fronts)]
+            front = fronts[index % len(fronts)]
             placement, session = front.placement, front.session
-            if step == "left" and not front.ended and not session.is_answered:
-                left, front.ended = left + 1, True
+            if step == "leave" and not front.ended and not session.is_answered:
+                left_count, front.ended = left_count + 1, True
                 node.client_left(session)
                 if placement is not None:
                     node.attempt_ended(session, placement, AttemptOutcome.CANCELLED)
-            elif step == "up" and placement is not None and not session.is_answered:
+            elif step == "establish" and placement is not None and not session.is_answered:
                 front.answers.append("success")
                 node.connection_opened(session, placement, 1000)
             elif (
@@ -93,7 +96,7 @@
     assert all(len(front.answers) <= 1 for front in fronts)
     for name in ("success", "busy", "failure"):
         assert getattr(counted, name) == answers.count(name)
-    waiting = sum(not front.answers and not front.ended for front in fronts)
-    standing = sum(front.session.is_established for front in fronts)
-    assert snapshots[0].inflight == waiting + standing
-    assert len(answers) + left + waiting == len(fronts)
+    pending = sum(not front.answers and not front.ended for front in fronts)
+    established = sum(front.session.is_established for front in fronts)
+    assert snapshots[0].inflight == pending + established
+    assert len(answers) + left_count + pending == len(fronts)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The real program as a process, between stand-in households, form servers and a roster."""
+"""The real program as a process, with stand-in clients, form servers and a roster."""
 
 from __future__ import annotations
 
@@ -29,28 +29,29 @@
     roster.stop()
 
 
-def test_a_session_is_placed_and_its_lines_pass_unchanged(
+def test_a_session_is_placed_and_its_lines_are_forwarded_unchanged(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
         check = running.connect()
         check.say("PING")
         assert check.hear() == "PONG"
-        household = running.ask(more=",x=1")
-        assert household.hear() == "UP r1"
+        client = running.ask(more=",x=1")
+        assert client.hear() == "UP r1"
         opening = form_server.openings.get(timeout=PATIENCE_S)
         head, _, facts = opening.rpartition(" ")
         assert head == "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655"
-        before, waiting, *after = facts.split(",")
-        # Only `d` is rewritten: this attempt is given up after the class's objective, not the client's 8 s.
+        before, deadline, *after = facts.split(",")
+        # Only `d` is rewritten: this attempt times out after the objective of the class, not the client's 8
+        # s.
         assert (before, *after) == ("c=page-load", "g=5c0f6e1a2b3d4c59", "x=1")
-        assert 0 < int(waiting.removeprefix("d=")) <= 2000
+        assert 0 < int(deadline.removeprefix("d=")) <= 2000
         for line in ("page 3", "answer 4"):
-            household.say(line)
-            assert household.hear() == line
+            client.say(line)
+            assert client.hear() == line
         form_server.peers[0].say("LOAD 812.5")
-        assert household.hear() == "LOAD 812.5"
-        household.close()
+        assert client.hear() == "LOAD 812.5"
+        client.close()
         assert form_server.ends.get(timeout=PATIENCE_S) == "ended"
         running.logged("ended", "reason=household-left", "server=s-5be2a07c")
 
@@ -58,37 +59,39 @@
 def test_message_latency_is_reported_in_the_same_line_as_a_load(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
-    told = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], "tellsDelay": True}}
-    told["familyInfo"]["messageAimUs"] = [50_000.0, 50_000.0]
-    with node(tmp_path, roster, settings=told) as running:
-        household = running.ask()
-        assert household.hear() == "UP r1"
+    changed = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], "tellsDelay": True}}
+    changed["familyInfo"]["messageAimUs"] = [50_000.0, 50_000.0]
+    with node(tmp_path, roster, settings=changed) as running:
+        client = running.ask()
+        assert client.hear() == "UP r1"
         for line in ("LOAD 42000.0", "LOAD 29.1"):
             form_server.peers[0].say(line)
-            assert household.hear() == line  # passed on unchanged, whatever it says
+            assert client.hear() == line  # forwarded unchanged, whether a load or a latency
         running.logged("slow", "server=s-5be2a07c", "ms=29.1")
-        household.close()
+        client.close()
 
 
-def test_a_form_server_that_ends_the_session_ends_the_household_too(
+def test_when_a_form_server_ends_the_session_the_client_connection_ends_too(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        household = running.ask()
-        assert household.hear() == "UP r1"
+        client = running.ask()
+        assert client.hear() == "UP r1"
         form_server.peers[0].say("BYE")
         form_server.peers[0].end()
-        assert household.hear() == "BYE"
-        assert household.hear() == ""
+        assert client.hear() == "BYE"
+        assert client.hear() == ""
         running.logged("ended", "reason=served")
 
 
 @pytest.mark.parametrize("line", ["HELLO", "OPEN a b", "OPEN a b c=page-load", "OPEN a b c=x,d=no", "\x00"])
-def test_a_bad_first_line_gets_the_protocols_error(tmp_path: Path, roster: Roster, line: str) -> None:
+def test_an_invalid_first_line_is_answered_with_the_error_of_the_protocol(
+    tmp_path: Path, roster: Roster, line: str
+) -> None:
     with node(tmp_path, roster) as running:
-        household = running.connect()
-        household.say(line)
-        assert household.hear() == "ERR"
+        client = running.connect()
+        client.say(line)
+        assert client.hear() == "ERR"
         running.logged("ended", "bad-first-line")
         assert not any("Traceback" in text for text in running.lines)
 
@@ -98,38 +101,38 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         assert "after=41&wait_ms=" in roster.asked.get(timeout=PATIENCE_S)[1]
-        told = time.monotonic()
+        published_at = time.monotonic()
         roster.tell(form_server.entry())
-        asked, path = roster.asked.get(timeout=PATIENCE_S)
+        requested_at, path = roster.asked.get(timeout=PATIENCE_S)
         assert "after=42&" in path
-        assert asked - told < 0.2
+        assert requested_at - published_at < 0.2
         roster.answers.put(b'{"revision":43,"complete":true,"members":[{"id":"s-1"}]}')
         running.logged("roster-failed", "phase")
-        household = running.ask()
-        assert household.hear() == "UP r1"
+        client = running.ask()
+        assert client.hear() == "UP r1"
 
 
-def test_households_are_moved_before_the_node_shuts_down(
+def test_clients_are_moved_before_the_node_shuts_down(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        standing = [running.ask(f"{n:016x}") for n in range(3)]
-        assert [h.hear() for h in standing] == ["UP r1"] * 3
-        left = time.monotonic()
+        established = [running.ask(f"{n:016x}") for n in range(3)]
+        assert [h.hear() for h in established] == ["UP r1"] * 3
+        terminated_at = time.monotonic()
         running.terminate()
         running.logged("leaving")
-        late = running.ask("late")  # households still come for a moment, and are still served
+        late = running.ask("late")  # clients still arrive for a short time, and are still served
         assert late.hear() == "UP r1"
-        for household in (*standing, late):
-            assert household.hear() == "MOVE"
-            # Moved any earlier they would come back here, as newcomers still do, and be moved again.
-            assert time.monotonic() - left > 0.4
-            assert household.hear() == ""
+        for client in (*established, late):
+            assert client.hear() == "MOVE"
+            # A client moved earlier would come back here, as new clients still do, and be moved again.
+            assert time.monotonic() - terminated_at > 0.4
+            assert client.hear() == ""
         assert running.process.wait(PATIENCE_S) == 0
         assert sum("reason=moved" in line and "moved_for=leaving" in line for line in running.lines) == 4
 
 
-def test_newcomers_are_answered_after_sigterm_however_short_the_deadlines(
+def test_new_clients_are_answered_after_sigterm_even_with_short_deadlines(
     tmp_path: Path, roster: Roster
 ) -> None:
     services = [{**service, "deadlineUs": 1_200_000} for service in SETTINGS["services"]]
@@ -137,20 +140,21 @@
         running.terminate()
         began = time.monotonic()
         running.logged("leaving")
-        # They come for up to 0.4 s; with nobody standing the node once left before the first of them.
+        # New clients arrive for up to 0.4 s. Without established sessions, the node once exited before the
+        # first of them arrived.
         assert running.process.wait(PATIENCE_S) == 0
         assert time.monotonic() - began > 0.4
 
 
 def test_the_node_survives_running_out_of_descriptors(tmp_path: Path, roster: Roster) -> None:
-    def few() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (32, 32))
 
-    with node(tmp_path, roster, prepare=few) as running:
-        households = [running.ask(f"{n:016x}") for n in range(40)]
+    with node(tmp_path, roster, prepare=limit_descriptors) as running:
+        clients = [running.ask(f"{n:016x}") for n in range(40)]
         running.logged("out-of-descriptors", "doing=accept")
-        for household in households:
-            household.close()
+        for client in clients:
+            client.close()
         for n in range(10):
             running.logged("ended", f"id={n:016x}")
         assert running.ask("late").hear() == "UP r1"
@@ -160,22 +164,22 @@
     busy, other = FormServer("s-00000001", "BUSY"), FormServer("s-00000002", "BUSY")
     roster = Roster([busy.entry(), other.entry()])
     with node(tmp_path, roster) as running:
-        asked = time.monotonic()
+        requested_at = time.monotonic()
         answer, _, wait_ms = running.ask().hear().partition(" ")
-        # Every one was tried: given up, so answered at once and with the time to come back.
+        # Every form server has rejected it, so the request is answered at once, with a retry time.
         assert answer == "BUSY" and 0 < int(wait_ms) <= 2000
-        assert time.monotonic() - asked < 4.0
+        assert time.monotonic() - requested_at < 4.0
         assert busy.openings.qsize() == other.openings.qsize() == 1
         running.logged("ended", "reason=refused", "attempts=2")
 
 
-@pytest.mark.parametrize(("answer", "said"), [("ERR", "ERR"), (None, "ERR")], ids=["error", "silence"])
-def test_a_request_that_may_have_run_is_failed_and_never_rejected(
-    tmp_path: Path, answer: str | None, said: str
+@pytest.mark.parametrize(("answer", "expected"), [("ERR", "ERR"), (None, "ERR")], ids=["error", "silence"])
+def test_a_request_that_may_have_had_an_effect_is_failed_and_never_rejected(
+    tmp_path: Path, answer: str | None, expected: str
 ) -> None:
     server = FormServer("s-00000001", answer)
     with node(tmp_path, Roster([server.entry()])) as running:
-        assert running.ask(wait_ms=700).hear() == said
+        assert running.ask(wait_ms=700).hear() == expected
         assert server.openings.qsize() == 1
 
 
@@ -187,58 +191,56 @@
         assert running.ask("4", 40_000, ",at=s-00000009").hear() == "ERR"
 
 
-def test_households_of_an_unresponsive_form_server_are_moved(
+def test_clients_of_an_unresponsive_form_server_are_moved(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        households = [running.ask(f"{n:016x}") for n in range(10)]
-        assert [h.hear() for h in households] == ["UP r1"] * 10
-        form_server.answer = None  # from here on it returns nothing, and its connections stay open
+        clients = [running.ask(f"{n:016x}") for n in range(10)]
+        assert [h.hear() for h in clients] == ["UP r1"] * 10
+        form_server.answer = None  # from now on it returns nothing, but its connections stay open
         began = time.monotonic()
-        for household in households:
-            household.say("page 3")
-        assert [h.hear() for h in households] == ["MOVE"] * 10
+        for client in clients:
+            client.say("page 3")
+        assert [h.hear() for h in clients] == ["MOVE"] * 10
         assert time.monotonic() - began < 7
         running.logged("silent", "server=s-5be2a07c", "moved=10")
         assert form_server.ends.get(timeout=PATIENCE_S)
 
 
-def test_a_household_is_moved_between_two_lines(
-    tmp_path: Path, form_server: FormServer, roster: Roster
-) -> None:
+def test_a_client_is_moved_between_two_lines(tmp_path: Path, form_server: FormServer, roster: Roster) -> None:
     with node(tmp_path, roster) as running:
-        household = running.ask()
-        assert household.hear() == "UP r1"
-        form_server.peers[0].sock.sendall(b"page ")  # half a line is passed on at once
-        assert household.file.read(5) == b"page "
+        client = running.ask()
+        assert client.hear() == "UP r1"
+        form_server.peers[0].sock.sendall(b"page ")  # an incomplete line is forwarded at once
+        assert client.file.read(5) == b"page "
         running.terminate()
         running.logged("leaving")
         form_server.peers[0].sock.sendall(b"7\r\n")
-        assert [household.hear(), household.hear(), household.hear()] == ["7", "MOVE", ""]
+        assert [client.hear(), client.hear(), client.hear()] == ["7", "MOVE", ""]
 
 
-def test_households_are_moved_off_a_draining_form_server(
+def test_clients_are_moved_off_a_draining_form_server(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
         roster.asked.get(timeout=PATIENCE_S)
-        household = running.ask()
-        assert household.hear() == "UP r1"
+        client = running.ask()
+        assert client.hear() == "UP r1"
         roster.tell(form_server.entry("DRAINING"))
-        assert household.hear() == "MOVE"
-        assert running.ask().hear().startswith("BUSY")  # and nothing new goes there
+        assert client.hear() == "MOVE"
+        assert running.ask().hear().startswith("BUSY")  # no new session is placed there
         assert form_server.openings.qsize() == 1
 
 
-def test_a_household_that_breaks_off_under_way_is_forgotten(
+def test_a_client_whose_connection_breaks_during_a_session_is_released(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
         for reply in (None, b"page 3\r\n"):
-            household = running.ask()
-            assert household.hear() == "UP r1"
-            household.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            household.close()
+            client = running.ask()
+            assert client.hear() == "UP r1"
+            client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            client.close()
             with contextlib.suppress(OSError):
                 form_server.peers[-1].sock.sendall(reply or b"")
             assert form_server.ends.get(timeout=PATIENCE_S) in ("ended", "broken")
@@ -248,11 +250,11 @@
         assert sum("reason=household-broke" in line for line in running.lines) == 2
 
 
-def test_a_line_longer_than_the_protocol_allows_is_no_fault(tmp_path: Path, roster: Roster) -> None:
+def test_a_line_longer_than_the_protocol_allows_causes_no_fault(tmp_path: Path, roster: Roster) -> None:
     with node(tmp_path, roster) as running:
-        household = running.connect()
-        household.sock.sendall(b"OPEN " + b"a" * 9000)
-        assert household.hear() == "ERR"
-        household.close()
+        client = running.connect()
+        client.sock.sendall(b"OPEN " + b"a" * 9000)
+        assert client.hear() == "ERR"
+        client.close()
         running.logged("ended", "reason=line-too-long")
         assert not any("fault" in line for line in running.lines)
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the node that need no other: command queue, timers, message latency, failure detector."""
+"""The parts of the node that depend on no other: command queue, timers, message latency, failure detector."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 THRESHOLD_US = 20_000.0
 
 
-def waiting_session(name: str, since_us: int) -> FormSession:
+def make_waiting_session(name: str, since_us: int) -> FormSession:
     session = FormSession(name, "page-load", 0, None)  # type: ignore[arg-type]
     session.unanswered_since_us.append(since_us)
     return session
 
 
-def test_commands_run_in_order_with_those_posted_meanwhile() -> None:
-    queue, made = CommandQueue(), list[str]()
-    queue.post(made.append, "first")
-    queue.post(lambda: queue.post(made.append, "third"))
-    queue.post(made.append, "second")
+def test_commands_run_in_order_including_those_posted_meanwhile() -> None:
+    queue, results = CommandQueue(), list[str]()
+    queue.post(results.append, "first")
+    queue.post(lambda: queue.post(results.append, "third"))
+    queue.post(results.append, "second")
     queue.run()
-    assert made == ["first", "second", "third"] and not queue
+    assert results == ["first", "second", "third"] and not queue
 
 
-def test_only_a_command_posted_to_the_empty_queue_wakes() -> None:
+def test_only_a_command_posted_to_the_empty_queue_calls_wake() -> None:
     queue, woken = CommandQueue(), list[bool]()
     queue.wake = lambda: woken.append(True)
     queue.post(list[int]().append, 1)
@@ -37,7 +37,7 @@
     assert len(woken) == 2
 
 
-def test_timers_fire_by_time_and_not_before_it() -> None:
+def test_timers_fire_in_order_of_time_and_not_early() -> None:
     timers = TimerQueue()
     assert timers.due_us() is None
     timers.set(30, 1)
@@ -47,7 +47,7 @@
     assert timers.pop_due(30) == 1 and timers.due_us() is None
 
 
-def test_a_waiting_line_counts_once_it_has_waited_longer_than_the_median() -> None:
+def test_a_pending_line_counts_once_it_has_waited_longer_than_the_median() -> None:
     latency, now_us = MessageLatency(), 10_000_000
     assert latency.median_us(now_us, []) is None
     latency.record(now_us, 4_000)
@@ -67,25 +67,25 @@
     assert latency.poll_report(now_us, THRESHOLD_US, []) is None
 
 
-def test_a_latency_reported_by_the_form_server_delays_reports_of_those_timed_here() -> None:
+def test_a_latency_reported_by_the_form_server_delays_reports_of_those_measured_here() -> None:
     latency, now_us = MessageLatency(), 10_000_000
     assert latency.on_reported(now_us, True) and not latency.on_reported(now_us, True)
     assert not latency.is_report_due(now_us + 2 * REPORT_INTERVAL_US, THRESHOLD_US)
     assert latency.is_report_due(now_us + 3 * REPORT_INTERVAL_US, THRESHOLD_US)
 
 
-def test_several_waiting_sessions_show_an_unresponsive_form_server_sooner_than_one() -> None:
+def test_several_waiting_sessions_reveal_an_unresponsive_form_server_sooner_than_one() -> None:
     detector, idle = FailureDetector(), FormSession("idle", "page-load", 0, None)  # type: ignore[arg-type]
     began_us = 1_000_000
-    one = [waiting_session("one", began_us), idle]
+    one = [make_waiting_session("one", began_us), idle]
     assert detector.find_unresponsive(began_us + UNRESPONSIVE_US - 1, one) == []
     assert detector.find_unresponsive(began_us + UNRESPONSIVE_US, one) == one
-    three = [waiting_session(name, began_us) for name in ("one", "two", "three")]
+    three = [make_waiting_session(name, began_us) for name in ("one", "two", "three")]
     assert detector.find_unresponsive(began_us + SEVERAL_UNRESPONSIVE_US - 1, three) == []
     assert detector.find_unresponsive(began_us + SEVERAL_UNRESPONSIVE_US, [*three, idle]) == [*three, idle]
 
 
-def test_a_form_server_that_answered_anyone_since_is_responsive() -> None:
-    detector, session = FailureDetector(), waiting_session("one", 1_000_000)
+def test_a_form_server_that_has_sent_anything_since_is_responsive() -> None:
+    detector, session = FailureDetector(), make_waiting_session("one", 1_000_000)
     detector.last_received_us = 1_000_001
     assert detector.find_unresponsive(1_000_000 + UNRESPONSIVE_US, [session]) == []
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the new file is taken over under load, and one that is not usable changes nothing."""
+"""SIGHUP: a new configuration file is applied during operation, and an unusable one changes nothing."""
 
 from __future__ import annotations
 
@@ -21,42 +21,42 @@
     server.stop()
 
 
-def hang_up(running: RunningNode, path: Path, text: str) -> None:
+def write_and_send_sighup(running: RunningNode, path: Path, text: str) -> None:
     path.write_text(text)
     running.process.send_signal(signal.SIGHUP)
 
 
-def test_a_new_roster_address_is_asked_at_once_and_the_old_one_no_more(
+def test_a_new_roster_address_is_requested_at_once_and_the_old_one_no_longer(
     tmp_path: Path, form_server: FormServer
 ) -> None:
     old, new = Roster([form_server.entry()]), Roster([form_server.entry()])
     path = tmp_path / "config.json"
     with node(tmp_path, old) as running:
         old.asked.get(timeout=PATIENCE_S)
-        household = running.ask()
-        assert household.hear() == "UP r1"
+        client = running.ask()
+        assert client.hear() == "UP r1"
         config = json.loads(path.read_text())
         began = time.monotonic()
-        hang_up(running, path, json.dumps({**config, "discovery": new.address}))
-        # The versions of one roster say nothing to another: first the whole list.
+        write_and_send_sighup(running, path, json.dumps({**config, "discovery": new.address}))
+        # The revisions of one roster mean nothing to another, so the complete list is requested first.
         assert new.asked.get(timeout=PATIENCE_S)[1] == "/registry/instances"
         assert time.monotonic() - began < 2
         running.logged("reloaded", "changed=roster")
         new.answers.put(json.dumps(new.known()).encode())
         assert "after=41&" in new.asked.get(timeout=PATIENCE_S)[1]
         new.tell(form_server.entry("DRAINING"))
-        assert household.hear() == "MOVE"
+        assert client.hear() == "MOVE"
         assert old.asked.empty()
 
 
-def test_an_unusable_file_leaves_the_old_one_in_force(tmp_path: Path, form_server: FormServer) -> None:
+def test_an_unusable_file_leaves_the_old_one_in_use(tmp_path: Path, form_server: FormServer) -> None:
     path = tmp_path / "config.json"
     with node(tmp_path, Roster([form_server.entry()])) as running:
         good = path.read_text()
         bad = ["{", "[]", "[" * 100_000, good.replace('"discovery": "', '"discovery": "nowhere'), ""]
         bad.append(good.replace('"settings": {', '"settings": [], "x": {'))
         for n, text in enumerate(bad, 1):
-            hang_up(running, path, text)
+            write_and_send_sighup(running, path, text)
             while sum("reload-refused" in line for line in running.lines) < n:
                 running.logged("reload-refused")
                 time.sleep(0.005)
@@ -68,56 +68,56 @@
         assert not any("Traceback" in line for line in running.lines)
 
 
-def test_a_new_listening_address_takes_newcomers_and_the_old_ones_households_are_moved(
+def test_a_new_listening_address_accepts_clients_and_those_of_the_old_one_are_moved(
     tmp_path: Path, form_server: FormServer
 ) -> None:
     path = tmp_path / "config.json"
     with node(tmp_path, Roster([form_server.entry()])) as running:
-        standing, silent = running.ask(), running.connect()
-        assert standing.hear() == "UP r1"
+        established, silent = running.ask(), running.connect()
+        assert established.hear() == "UP r1"
         form_server.answer = None
-        asking = running.ask("asking")
+        pending = running.ask("asking")
         form_server.openings.get(timeout=PATIENCE_S)
         form_server.openings.get(timeout=PATIENCE_S)
         form_server.answer = "UP r1"
         address = f"127.0.0.1:{free_port()}"
         config = json.loads(path.read_text())
         began = time.monotonic()
-        hang_up(running, path, json.dumps({**config, "listen": address}))
+        write_and_send_sighup(running, path, json.dumps({**config, "listen": address}))
         running.logged("reloaded", "changed=listen")
-        # The line is written a turn of the loop before the listener is closed, which resets a connection that
-        # it had not accepted yet; from then on every one is refused.
+        # The line is logged one event loop iteration before the listener is closed. Closing it resets
+        # connections that were not accepted yet; every later connection is refused.
         with pytest.raises(ConnectionRefusedError):
             while time.monotonic() - began < PATIENCE_S:
                 with contextlib.suppress(ConnectionResetError):
                     running.connect().close()
-        assert [standing.hear(), standing.hear()] == ["MOVE", ""]
-        assert [asking.hear(), asking.hear(), silent.hear()] == ["ERR", "", ""]
+        assert [established.hear(), established.hear()] == ["MOVE", ""]
+        assert [pending.hear(), pending.hear(), silent.hear()] == ["ERR", "", ""]
         assert time.monotonic() - began < 3
         running.listen = address
         assert running.ask().hear() == "UP r1"
 
 
-def test_a_restart_amid_a_reload_moves_everybody(tmp_path: Path, form_server: FormServer) -> None:
+def test_a_restart_during_a_reload_moves_all_clients(tmp_path: Path, form_server: FormServer) -> None:
     path = tmp_path / "config.json"
     with node(tmp_path, Roster([form_server.entry()])) as running:
-        household = running.ask()
-        assert household.hear() == "UP r1"
+        client = running.ask()
+        assert client.hear() == "UP r1"
         config = json.loads(path.read_text())
         running.terminate()
-        hang_up(running, path, json.dumps({**config, "discovery": Roster([]).address}))
-        assert [household.hear(), household.hear()] == ["MOVE", ""]
+        write_and_send_sighup(running, path, json.dumps({**config, "discovery": Roster([]).address}))
+        assert [client.hear(), client.hear()] == ["MOVE", ""]
         assert running.process.wait(PATIENCE_S) == 0
 
 
-def test_a_sidecar_takes_its_new_file_over_too(tmp_path: Path, form_server: FormServer) -> None:
+def test_a_sidecar_applies_its_new_file_too(tmp_path: Path, form_server: FormServer) -> None:
     old, new = Roster([form_server.entry()]), Roster([form_server.entry()])
     path = tmp_path / "sidecar.toml"
     with sidecar(tmp_path, {"source": "http", "address": old.address}) as running:
         text = path.read_text()
-        hang_up(running, path, text.replace("[roster]", "[rooster]"))
+        write_and_send_sighup(running, path, text.replace("[roster]", "[rooster]"))
         running.logged("reload-refused", "rooster")
-        hang_up(running, path, text.replace(old.address, new.address))
+        write_and_send_sighup(running, path, text.replace(old.address, new.address))
         running.logged("reloaded", "changed=roster")
         assert new.asked.get(timeout=PATIENCE_S)[1] == "/registry/instances"
         new.answers.put(json.dumps(new.known()).encode())
