--- a/sailrun/lab/seeing.py
+++ b/sailrun/lab/seeing.py
@@ -98,7 +98,7 @@
     def due_us(self) -> int:
         return self._day.time.now_us + SECOND // 10
 
-    def turn(self, now_us: int) -> None:
+    def run_once(self, now_us: int) -> None:
         seen = self._eyes.seen
         for session in self._standing.values():
             number = session.placement.form_server.number if session.placement is not None else -1
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -444,7 +444,7 @@
         if node is None or token != slot.token:
             return
         slot.turn_us = None
-        node.turn(self.time.now_us)
+        node.run_once(self.time.now_us)
         if node.stopped:
             self.gone(slot)
         else:
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -52,7 +52,7 @@
 
 class Node:
     """One node. `run` drives it in real time. A caller that controls the time itself calls `start` once, and
-    then `turn` whenever `due_us` is reached, or one tick after `wake` was called.
+    then `run_once` whenever `due_us` is reached, or one tick after `wake` was called.
     """
 
     def __init__(
@@ -150,7 +150,7 @@
                 # Collects the commands of one tick, so that related ones are processed together: for example,
                 # when a form server's process dies, all its connections break at once.
                 await anyio.sleep_until(self.clock.moment(self.clock.now_us() + self.settings.tick_us))
-            self.turn(self.clock.now_us())
+            self.run_once(self.clock.now_us())
 
     def start(self) -> None:
         """Applies the initial list of form servers and the state of a predecessor; called once, before the
@@ -174,7 +174,7 @@
             due_us if due_us is not None else self._sweep_us,
         )
 
-    def turn(self, now_us: int) -> None:
+    def run_once(self, now_us: int) -> None:
         """Runs one iteration: executes all posted commands and everything that is due."""
         self._loop_time.now_us = now_us
         self._queue.run()
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -87,10 +87,10 @@
                     front.answers.append("success")
                 node.attempt_ended(session, placement, step)
         time.run(time.now_us + 10_000)
-        node.turn(time.now_us)
+        node.run_once(time.now_us)
     snapshots: list[MetricsSnapshot] = []
     node.read_metrics(snapshots.append)
-    node.turn(time.now_us)
+    node.run_once(time.now_us)
     counted = snapshots[0].classes["page-load"]
     answers = [answer for front in fronts for answer in front.answers]
     assert all(len(front.answers) <= 1 for front in fronts)
