--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -203,7 +203,7 @@
     async def _move(self) -> None:
         """Lets the transfers under way finish, then sends the client away."""
         clock = self._node.clock
-        with anyio.CancelScope(deadline=clock.moment(clock.now_us() + LAST_TRANSFERS_US)):
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + LAST_TRANSFERS_US)):
             while self._form_server is not None and not all(
                 p.between_transfers for p in self._form_server.relays
             ):
@@ -290,7 +290,7 @@
         sent_us = clock.now_us()
         server: FormServerLink | None = None
         outcome = AttemptOutcome.TIMED_OUT
-        with anyio.CancelScope(deadline=clock.moment(placement.until_us)) as scope:
+        with anyio.CancelScope(deadline=clock.to_deadline(placement.until_us)) as scope:
             self._scope = scope
             try:
                 server, outcome = await self._set_up(placement, sent_us)
@@ -308,7 +308,7 @@
             outcome = AttemptOutcome.CANCELLED if self._ended else server.outcome
             self._end_with(outcome)
             self._form_server = None
-            await server.say_goodbye(clock.moment)
+            await server.say_goodbye(clock.to_deadline)
         return outcome
 
     async def _set_up(
@@ -320,7 +320,7 @@
         connection: Connection | None = None
         server: FormServerLink | None = None
         try:
-            with anyio.CancelScope(deadline=clock.moment(connect_by_us)):
+            with anyio.CancelScope(deadline=clock.to_deadline(connect_by_us)):
                 connection = await connect(placement.form_server.address)
             if connection is None:
                 return None, AttemptOutcome.CONNECT_FAILED
@@ -425,7 +425,7 @@
         return [link.move for link in self._links.values() if link.stands()]
 
     async def _expect_open(self, deadline_us: int) -> None:
-        scope = anyio.CancelScope(deadline=self.node.clock.moment(deadline_us))
+        scope = anyio.CancelScope(deadline=self.node.clock.to_deadline(deadline_us))
         self._waiting.enter(scope)
         try:
             with scope:
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -125,7 +125,7 @@
 
     async def _serve(self, caller: Connection) -> None:
         clock = self._node.clock
-        call_by = anyio.CancelScope(deadline=clock.moment(clock.now_us() + CALL_BY_US))
+        call_by = anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + CALL_BY_US))
         self._silent[call_by] = None
         try:
             line = None
@@ -138,7 +138,7 @@
             if line is not None:
                 answer = await self._answer(line)
                 with (
-                    anyio.CancelScope(deadline=clock.moment(clock.now_us() + LAST_WORDS_US)),
+                    anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + LAST_WORDS_US)),
                     contextlib.suppress(OSError),  # he did not wait for it
                 ):
                     await caller.write(answer)
@@ -156,7 +156,7 @@
             return fail(str(error))
         answer = fail("busy: try again")
         clock = self._node.clock
-        with anyio.CancelScope(deadline=clock.moment(clock.now_us() + ANSWER_BY_US)):
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + ANSWER_BY_US)):
             answer = await self._do(call)
         return answer
 
@@ -208,7 +208,7 @@
             return fail(why_not)
         made: MarkOutcome | None = None
         clock = self._node.clock
-        with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + PERMIT_BY_US)):
             made = await send_query(lambda reply: _put(copies, kind, subject, on, reply))
         if made is None or made.state == "unknown":
             return fail("no majority has answered so far: it may come into force yet")
@@ -259,7 +259,7 @@
         def ask(reply: Callable[[MarkOutcome], None]) -> None:
             ids.append(copies.set_mark(kind, subject, on, reply, wait, who, why))
 
-        with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + PERMIT_BY_US)):
             made = await send_query(ask)
         return answer(_shown(ids[0], made))
 
@@ -275,7 +275,7 @@
             return OK if known else fail(f"no form server '{subject[:80]}'")
         why: str | None = None
         clock = self._node.clock
-        with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + PERMIT_BY_US)):
             why = await send_query(partial(fleet.ask_permit, kind, subject))
         if why is None:
             return fail(fleet.describe_pending_permit(kind, subject))
--- a/sailrun/discovery.py
+++ b/sailrun/discovery.py
@@ -139,7 +139,7 @@
             waits = not self._watching and not self._fetching
             if waits or clock.now_us() < self._call_at_us:
                 self._wanted = anyio.Event()
-                until = math.inf if waits else clock.moment(self._call_at_us)
+                until = math.inf if waits else clock.to_deadline(self._call_at_us)
                 with anyio.CancelScope(deadline=until):
                     await self._wanted.wait()
                 continue
--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -220,7 +220,7 @@
     async def _meet(self, sock: socket.socket) -> None:
         link, clock = Link(sock), self._node.clock
         asked = False
-        with anyio.CancelScope(deadline=clock.moment(clock.now_us() + KNOCK_US)):
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + KNOCK_US)):
             try:
                 line = await _line(link) if is_ours(sock) else None
                 asked = line is not None and unpack(line)[0] == "succeed"
@@ -262,7 +262,7 @@
             descriptors = len(os.listdir("/proc/self/fd"))
             talk.say("held", write_held(replace(held, descriptors=descriptors)))
             next_us += TELL_US
-            await anyio.sleep_until(clock.moment(next_us))
+            await anyio.sleep_until(clock.to_deadline(next_us))
 
 
 class _Talk:
--- a/sailrun/http_calls.py
+++ b/sailrun/http_calls.py
@@ -49,7 +49,7 @@
         """The answer's body. Whatever else comes back, or nothing by the deadline, is CallFailedError."""
         answer: bytes | None = None
         try:
-            with anyio.CancelScope(deadline=self._clock.moment(deadline_us)):
+            with anyio.CancelScope(deadline=self._clock.to_deadline(deadline_us)):
                 answer = await self._call(method, target, body)
         except (OSError, h11.RemoteProtocolError, OverlongLineError) as error:
             self.drop()
--- a/sailrun/node/clock.py
+++ b/sailrun/node/clock.py
@@ -22,7 +22,7 @@
         """The current time in Unix microseconds."""
         return time.monotonic_ns() // 1000 + self._offset_us
 
-    def moment(self, at_us: int) -> float:
+    def to_deadline(self, at_us: int) -> float:
         """Converts Unix microseconds to seconds of the async event loop's clock, as used by the deadlines of
         cancel scopes.
         """
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -144,12 +144,12 @@
         while not self.stopped:
             woken = anyio.Event()
             self.wake = woken.set
-            with anyio.CancelScope(deadline=self.clock.moment(self.due_us())):
+            with anyio.CancelScope(deadline=self.clock.to_deadline(self.due_us())):
                 if not self._queue:
                     await woken.wait()
                 # Collects the commands of one tick, so that related ones are processed together: for example,
                 # when a form server's process dies, all its connections break at once.
-                await anyio.sleep_until(self.clock.moment(self.clock.now_us() + self.settings.tick_us))
+                await anyio.sleep_until(self.clock.to_deadline(self.clock.now_us() + self.settings.tick_us))
             self.run_once(self.clock.now_us())
 
     def start(self) -> None:
--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -316,7 +316,7 @@
     async def _first_line(self, deadline_us: int) -> bytes | None:
         """Reads the client's request line, and answers PING before it; None if no request arrives in time."""
         self._reason = "no-first-line"
-        scope = anyio.CancelScope(deadline=self._node.clock.moment(deadline_us))
+        scope = anyio.CancelScope(deadline=self._node.clock.to_deadline(deadline_us))
         self._front.waiting.enter(scope)
         try:
             with scope:
@@ -348,7 +348,9 @@
         """Closes both connections gracefully: ends sending, then reads until the other side has ended too,
         for at most `LAST_WORDS_US`.
         """
-        scope = anyio.CancelScope(deadline=self._node.clock.moment(self._node.clock.now_us() + LAST_WORDS_US))
+        scope = anyio.CancelScope(
+            deadline=self._node.clock.to_deadline(self._node.clock.now_us() + LAST_WORDS_US)
+        )
         self._front.waiting.part(scope)  # it still uses file descriptors, and must not keep others out
         try:
             with scope:
@@ -444,7 +446,7 @@
         server: Connection | None = None
         outcome = AttemptOutcome.TIMED_OUT
         sent_us = self._node.clock.now_us()
-        with anyio.CancelScope(deadline=self._node.clock.moment(placement.until_us)) as scope:
+        with anyio.CancelScope(deadline=self._node.clock.to_deadline(placement.until_us)) as scope:
             self._current_attempt = (placement.attempt, scope)
             try:
                 server, outcome = await self._set_up(placement, sent_us)
@@ -524,7 +526,7 @@
         server: Connection | None = None
         sent = False
         try:
-            with anyio.CancelScope(deadline=self._node.clock.moment(connect_by_us)):
+            with anyio.CancelScope(deadline=self._node.clock.to_deadline(connect_by_us)):
                 server = await connect(placement.form_server.address)
             if server is None:
                 return None, AttemptOutcome.CONNECT_FAILED
@@ -591,7 +593,7 @@
                 return AttemptOutcome.CANCELLED
             scope = anyio.CancelScope()
             if self._moving_since_us:
-                scope.deadline = self._node.clock.moment(partial_line_until_us)
+                scope.deadline = self._node.clock.to_deadline(partial_line_until_us)
             has_input = None
             try:
                 with scope:
--- a/sailrun/text_protocol/neighbours.py
+++ b/sailrun/text_protocol/neighbours.py
@@ -105,7 +105,7 @@
         began_us = self._node.clock.now_us()
         outcome, connection = AttemptOutcome.TIMED_OUT, None
         try:
-            with anyio.CancelScope(deadline=self._node.clock.moment(until_us)):
+            with anyio.CancelScope(deadline=self._node.clock.to_deadline(until_us)):
                 connection = await connect(form_server.address)
                 await connection.write(b"PING\r\n")
                 line = await connection.line()
--- a/sailrun/xds/discovery.py
+++ b/sailrun/xds/discovery.py
@@ -72,7 +72,7 @@
             except (OSError, CallFailedError) as error:
                 self._unreached(error)
             clock = self._node.clock
-            await anyio.sleep_until(clock.moment(clock.now_us() + LOOK_US))
+            await anyio.sleep_until(clock.to_deadline(clock.now_us() + LOOK_US))
 
     @abstractmethod
     async def _look(self) -> None: ...
