--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -258,7 +258,7 @@
         clock = self._node.clock
         next_us = clock.now_us()
         while True:
-            held = await send_query(self._node.report_held_load)
+            held = await send_query(self._node.report_local_load)
             descriptors = len(os.listdir("/proc/self/fd"))
             talk.say("held", write_held(replace(held, descriptors=descriptors)))
             next_us += TELL_US
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -645,7 +645,7 @@
             slot.node.update_predecessor_load(None)
             return
         new = slot.node
-        old.report_held_load(new.update_predecessor_load)
+        old.report_local_load(new.update_predecessor_load)
         self.time.after(TELL_US, self._tell_held, before)
 
     def _predecessor_gone(self, before: VirtualSlot) -> None:
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -348,7 +348,7 @@
         """Replies with the state for a successor, and transfers the slow-start allowance to it."""
         self._queue.post(lambda: reply(self._snapshot_state()))
 
-    def report_held_load(self, reply: Reply[ProcessLoad]) -> None:
+    def report_local_load(self, reply: Reply[ProcessLoad]) -> None:
         """Replies with the load of the sessions established here."""
         self._queue.post(lambda: reply(self._fleet_load.local_load()))
 
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -18,7 +18,7 @@
 from sailrun.front import FrontDoor, descriptors_allowed
 from sailrun.node.clock import Clock, log
 from sailrun.node.core import Node
-from sailrun.text_protocol.clients import LAST_WORDS_US, ClientFront
+from sailrun.text_protocol.clients import LINGER_US, ClientFront
 from sailrun.text_protocol.neighbours import Datagrams, Probes
 
 if TYPE_CHECKING:
@@ -268,7 +268,7 @@
 
     async def see_out(self) -> None:
         """Everybody who asked has been answered: whoever only rests here is told so, and read to the end."""
-        await self._client_front.waiting.empty(anyio.current_time() + LAST_WORDS_US / 1e6)
+        await self._client_front.waiting.empty(anyio.current_time() + LINGER_US / 1e6)
 
     def reload(self) -> None:
         """Takes over the file as it is now. One that is not usable changes nothing and is logged once."""
--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -40,7 +40,7 @@
 PARTIAL_LINE_TIMEOUT_US = SECOND // 2
 # After the last answer, input from the other side is read and discarded for this long: closing a socket with
 # unread input would reset the connection, and the other side could lose the answer.
-LAST_WORDS_US = SECOND // 4
+LINGER_US = SECOND // 4
 # The number of a client's unanswered lines whose send times are recorded; bounds the memory for a client that
 # sends thousands of lines.
 MAX_TIMED_LINES = 64
@@ -346,10 +346,10 @@
 
     async def _close_gracefully(self, last_line: bytes = b"") -> None:
         """Closes both connections gracefully: ends sending, then reads until the other side has ended too,
-        for at most `LAST_WORDS_US`.
+        for at most `LINGER_US`.
         """
         scope = anyio.CancelScope(
-            deadline=self._node.clock.to_deadline(self._node.clock.now_us() + LAST_WORDS_US)
+            deadline=self._node.clock.to_deadline(self._node.clock.now_us() + LINGER_US)
         )
         self._front.waiting.part(scope)  # it still uses file descriptors, and must not keep others out
         try:
