--- a/tests/test_both_fronts.py
+++ b/tests/test_both_fronts.py
@@ -18,13 +18,13 @@
 CLIENT_COUNT = 24
 
 
-class FormServerOfBoth(AmqpFormServer):
+class DualProtocolFormServer(AmqpFormServer):
     """Uses the protocol of the connecting node, and records the time and the key of each request."""
 
     def __init__(self, name: str, full: bool = False) -> None:
         super().__init__(name, refuse="amqp:resource-limit-exceeded" if full else None)
         self.full = full
-        self.asked: list[tuple[float, str]] = []  # when, and for which key
+        self.requests: list[tuple[float, str]] = []  # when, and for which key
 
     def serve(self, peer: Peer) -> None:
         peer.sock.settimeout(PATIENCE_S)
@@ -32,14 +32,14 @@
             super().serve(peer)
             return
         key = peer.hear().split()[2]
-        self.asked.append((time.monotonic(), key))
+        self.requests.append((time.monotonic(), key))
         peer.say("BUSY" if self.full else "UP r1")
         while not self.full and (line := peer.hear()):
             peer.say(line)
         peer.close()
 
     def _attach(self, event: Any) -> None:
-        self.asked.append((time.monotonic(), dict(event.link.remote_properties)["sailrun:key"]))
+        self.requests.append((time.monotonic(), dict(event.link.remote_properties)["sailrun:key"]))
         super()._attach(event)
 
 
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("full", [False, True], ids=["all with capacity", "one without capacity"])
 def test_both_fronts_give_the_same_results_and_follow_the_same_rules(tmp_path: Path, full: bool) -> None:
-    servers = [FormServerOfBoth(f"s-0000000{n}", full and n == 1) for n in range(1, 5)]
+    servers = [DualProtocolFormServer(f"s-0000000{n}", full and n == 1) for n in range(1, 5)]
     roster = Roster([])
     roster.tell(*(s.entry() for s in servers))
     keys = [f"{n:016x}" for n in range(CLIENT_COUNT)]
@@ -103,19 +103,19 @@
             for front, outcomes in results.items()
         }
         assert success_rates == {"text": 1.0, "amqp": 1.0}
-        attempts = [key for s in servers for _, key in s.asked]
+        attempts = [key for s in servers for _, key in s.requests]
         # One attempt if the form server has capacity; one more after each rejection, which had no effect.
-        assert len(attempts) == 2 * CLIENT_COUNT + (len(servers[0].asked) if full else 0)
+        assert len(attempts) == 2 * CLIENT_COUNT + (len(servers[0].requests) if full else 0)
         roster.asked.get(timeout=PATIENCE_S)
         roster.asked.get(timeout=PATIENCE_S)
         draining = servers[1]
         roster.tell(draining.entry("DRAINING"))
         running.logged("roster", "revision=43")
-        before = len(draining.asked)
+        before = len(draining.requests)
         for key in keys:
             for front in FRONTS.values():
                 assert front(running, key)[0] == "served"
-        assert len(draining.asked) == before, "a new session was placed on a draining form server"
+        assert len(draining.requests) == before, "a new session was placed on a draining form server"
         running.terminate()
         endings = {
             front: {wait_for_end() for _, wait_for_end in outcomes} for front, outcomes in results.items()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -14,16 +14,16 @@
 from sailrun.operator_settings import Operator, read_operator, schema
 from sailrun.rebalance.settings import RebalanceSettings
 from tests.stand_ins import PATIENCE_S, Roster, RunningNode, sidecar
-from tests.test_both_fronts import FRONTS, FormServerOfBoth
+from tests.test_both_fronts import FRONTS, DualProtocolFormServer
 
 # Quick enough for a test: nothing else changes.
 QUICK = "[rebalance]\nenabled = true\npatience_s = 0.2\nfirst_per_s = 20.0\nmost_per_s = 20.0\n"
 HOUSEHOLDS = 10
 
 
-def skew(running: RunningNode, roster: Roster) -> list[FormServerOfBoth]:
+def skew(running: RunningNode, roster: Roster) -> list[DualProtocolFormServer]:
     """More form servers turn up beside the one that holds everybody."""
-    others = [FormServerOfBoth(f"s-0000000{n}") for n in range(2, 5)]
+    others = [DualProtocolFormServer(f"s-0000000{n}") for n in range(2, 5)]
     roster.tell(*(server.entry() for server in others))
     running.logged("roster", "revision=43")
     return others
@@ -32,7 +32,7 @@
 def test_households_of_both_fronts_are_moved_to_form_servers_that_hold_few(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(QUICK)
-    only = FormServerOfBoth("s-00000001")
+    only = DualProtocolFormServer("s-00000001")
     roster = Roster([])
     roster.tell(only.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}, operator=path) as running:
@@ -55,7 +55,7 @@
 def test_it_is_switched_on_and_off_by_sighup_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("")
-    only = FormServerOfBoth("s-00000001")
+    only = DualProtocolFormServer("s-00000001")
     roster = Roster([])
     roster.tell(only.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}, operator=path) as running:
