--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -71,8 +71,8 @@
             count += 1
             try:
                 peer = Peer(connect(listen))
-                peer.say(f"OPEN {number:04x}{count:012x} 7f3a9c c=page-load,d=8000,g={count:x}")
-                met[peer.hear().split(" ")[0] or "ended"] += 1
+                peer.send_line(f"OPEN {number:04x}{count:012x} 7f3a9c c=page-load,d=8000,g={count:x}")
+                met[peer.read_line().split(" ")[0] or "ended"] += 1
                 peer.close()
             except OSError as error:
                 met[type(error).__name__] += 1
--- a/tests/amqp_stand_ins.py
+++ b/tests/amqp_stand_ins.py
@@ -9,7 +9,7 @@
 
 import proton
 
-from tests.stand_ins import PATIENCE_S, Listener, Peer, roster_entry
+from tests.stand_ins import TIMEOUT_S, Listener, Peer, roster_entry
 
 REQUEST: dict[str, Any] = {
     "sailrun:key": "7f3a9c21e0b4d655",
@@ -70,7 +70,7 @@
         self.flush()
 
     def until(self, happened: Callable[[], Any]) -> None:
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TIMEOUT_S
         self.flush()
         while not happened():
             assert time.monotonic() < end, "it never happened"
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -21,7 +21,7 @@
 import tomli_w
 
 # Only a failing test waits this long.
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 # Long enough that a busy test machine is not mistaken for an overloaded form server.
 CLASSES = {"page-load": 8_000_000, "answer-save": 8_000_000}
 
@@ -63,20 +63,20 @@
 
 def connect(address: str) -> socket.socket:
     host, port = address.split(":")
-    return socket.create_connection((host, int(port)), PATIENCE_S)
+    return socket.create_connection((host, int(port)), TIMEOUT_S)
 
 
 class Peer:
     """One end of a TCP connection, read line by line."""
 
     def __init__(self, sock: socket.socket) -> None:
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(TIMEOUT_S)
         self.sock, self.file = sock, sock.makefile("rb")
 
-    def say(self, line: str) -> None:
+    def send_line(self, line: str) -> None:
         self.sock.sendall(line.encode() + b"\r\n")
 
-    def hear(self) -> str:
+    def read_line(self) -> str:
         """Returns the next line; empty once the other side has ended."""
         return self.file.readline().decode().rstrip("\r\n")
 
@@ -142,18 +142,18 @@
         super().__init__()
 
     def serve(self, peer: Peer) -> None:
-        first = peer.hear()
+        first = peer.read_line()
         self.openings.put(first)
         self.peers.append(peer)
         if self.answer is not None:
-            peer.say(self.answer)
+            peer.send_line(self.answer)
             if not self.answer.startswith("UP"):
                 peer.close()
                 return
         try:
-            while line := peer.hear():
+            while line := peer.read_line():
                 if self.answer is not None:
-                    peer.say(line)
+                    peer.send_line(line)
             self.ends.put("ended")
         except ConnectionError:
             self.ends.put("broken")
@@ -182,8 +182,8 @@
         self.answers.put(json.dumps(update).encode())
 
     def serve(self, peer: Peer) -> None:
-        while request := peer.hear():
-            while peer.hear():
+        while request := peer.read_line():
+            while peer.read_line():
                 pass
             self.asked.put((time.monotonic(), request.split()[1]))
             body = self.answers.get()
@@ -202,7 +202,7 @@
 
     def read_all_lines(self) -> None:
         """Waits until all log lines of the ended process were read."""
-        self._reader.join(PATIENCE_S)
+        self._reader.join(TIMEOUT_S)
 
     def _read(self) -> None:
         assert self.process.stderr is not None
@@ -219,7 +219,7 @@
             return next((line for line in self.lines if all(w in line for w in words)), None)
 
         with self._lines_changed:
-            line = self._lines_changed.wait_for(found, PATIENCE_S)
+            line = self._lines_changed.wait_for(found, TIMEOUT_S)
         assert line, f"no line with {words} in {self.lines}"
         return line
 
@@ -235,13 +235,13 @@
     ) -> Peer:
         """Connects a client and sends its first line."""
         client = self.connect()
-        client.say(f"OPEN {id_} 7f3a9c21e0b4d655 c=page-load,d={wait_ms},g={group}{more}")
+        client.send_line(f"OPEN {id_} 7f3a9c21e0b4d655 c=page-load,d={wait_ms},g={group}{more}")
         return client
 
     def call(self, line: str) -> str:
         """Sends a command to the control address and returns the answer."""
         connection = Peer(connect(self.control))
-        connection.say(line)
+        connection.send_line(line)
         answer = connection.file.read().decode().replace("\r\n", "\n").rstrip("\n")
         connection.close()
         return answer
@@ -254,7 +254,7 @@
 
     def until(self, name: str, value: int) -> dict[str, int]:
         """Reads the metrics until the named one has this value, and returns them."""
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + TIMEOUT_S
         while (figures := self.figures())[name] != value:
             assert time.monotonic() < until, figures
         return figures
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.amqp_stand_ins import REQUEST, AmqpEnd, AmqpFormServer, send
-from tests.stand_ins import PATIENCE_S, FormServer, Roster, RunningNode, connect, sidecar
+from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, connect, sidecar
 
 BIG = bytes(200_000)  # many frames of the 4,096 bytes that the node states
 
@@ -35,8 +35,8 @@
     roster = Roster([])
     roster.tell(server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as running:
-        roster.asked.get(timeout=PATIENCE_S)
-        roster.asked.get(timeout=PATIENCE_S)  # the next watch: the list has arrived
+        roster.asked.get(timeout=TIMEOUT_S)
+        roster.asked.get(timeout=TIMEOUT_S)  # the next watch: the list has arrived
         yield Office(running, server, roster)
 
 
@@ -125,7 +125,7 @@
     link = office.placed()
     office.node.terminate()
     assert office.household.condition(link).name == "amqp:link:detach-forced"
-    assert office.node.process.wait(PATIENCE_S) == 0
+    assert office.node.process.wait(TIMEOUT_S) == 0
 
 
 def test_staff_take_a_form_server_out_and_drain_the_node_of_links_too(office: Office) -> None:
@@ -186,7 +186,7 @@
 )
 def test_what_is_no_amqp_ends_the_connection_with_its_error(office: Office, said: bytes, reason: str) -> None:
     with connect(office.node.amqp) as sock:
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(TIMEOUT_S)
         sock.sendall(said)
         answer = b""
         while data := sock.recv(4096):
@@ -213,10 +213,10 @@
     roster.tell(text.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as running:
         for _ in range(2):
-            roster.asked.get(timeout=PATIENCE_S)
-        assert running.ask().hear() == "UP r1"
+            roster.asked.get(timeout=TIMEOUT_S)
+        assert running.ask().read_line() == "UP r1"
         roster.tell(text.entry("DRAINING"), amqp.entry())
-        roster.asked.get(timeout=PATIENCE_S)
+        roster.asked.get(timeout=TIMEOUT_S)
         household = AmqpEnd(connect(running.amqp))
         link = household.open_link()
         household.until(lambda: link.state & proton.Endpoint.REMOTE_ACTIVE)
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -71,7 +71,7 @@
     client.sock.sendall(sent.encode("latin-1"))
     assert read_to_end(client).removeprefix("PONG\r\n" * 16) == "ERR\r\n"
     assert form_server.openings.empty()
-    assert running.ask().hear() == "UP r1"
+    assert running.ask().read_line() == "UP r1"
 
 
 def test_a_second_command_before_the_answer_is_an_error(
@@ -80,7 +80,7 @@
     form_server.answer = None
     client = running.ask()
     form_server.openings.get(timeout=TIME_LIMIT_S)
-    client.say(OPENING + "c=page-load,d=2000")
+    client.send_line(OPENING + "c=page-load,d=2000")
     assert read_to_end(client) == "ERR\r\n"
     assert form_server.ends.get(timeout=TIME_LIMIT_S)
     running.logged("ended", "reason=spoke-too-soon")
@@ -89,14 +89,14 @@
 def test_an_id_in_use_is_not_accepted_twice(running: RunningNode, form_server: FormServer) -> None:
     # If it were forwarded, it would duplicate the other client's request.
     first = running.ask()
-    assert first.hear() == "UP r1"
+    assert first.read_line() == "UP r1"
     assert read_to_end(running.ask()) == "ERR\r\n"
     assert form_server.openings.qsize() == 1
-    first.say("page 3")
-    assert first.hear() == "page 3"
+    first.send_line("page 3")
+    assert first.read_line() == "page 3"
     first.close()
     running.logged("ended", "reason=household-left")
-    assert running.ask().hear() == "UP r1"
+    assert running.ask().read_line() == "UP r1"
 
 
 def test_a_huge_value_is_cut_off_in_bounded_memory(running: RunningNode) -> None:
@@ -123,13 +123,13 @@
         silent = [running.connect() for _ in range(300)]
         began = time.monotonic()
         late_client = running.ask()
-        assert late_client.hear() == "UP r1"
+        assert late_client.read_line() == "UP r1"
         # Their requests may be arriving at that moment, so they get an answer that nothing was executed.
         assert [read_to_end(client) for client in silent] == ["BUSY\r\n"] * len(silent)
         assert time.monotonic() - began < TIME_LIMIT_S
         running.logged("ended", "reason=crowded-out")
-        late_client.say("page 3")
-        assert late_client.hear() == "page 3"
+        late_client.send_line("page 3")
+        assert late_client.read_line() == "page 3"
 
 
 def test_a_client_that_disconnects_at_once_does_not_end_the_node(
@@ -148,5 +148,5 @@
         thread.start()
     for thread in threads:
         thread.join()
-    assert running.ask().hear() == "UP r1"
+    assert running.ask().read_line() == "UP r1"
     assert running.process.poll() is None
--- a/tests/test_both_fronts.py
+++ b/tests/test_both_fronts.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.amqp_stand_ins import AmqpEnd, AmqpFormServer, send
-from tests.stand_ins import PATIENCE_S, Peer, Roster, RunningNode, connect, sidecar
+from tests.stand_ins import TIMEOUT_S, Peer, Roster, RunningNode, connect, sidecar
 
 CLIENT_COUNT = 24
 
@@ -27,15 +27,15 @@
         self.requests: list[tuple[float, str]] = []  # when, and for which key
 
     def serve(self, peer: Peer) -> None:
-        peer.sock.settimeout(PATIENCE_S)
+        peer.sock.settimeout(TIMEOUT_S)
         if peer.sock.recv(4, 2) == b"AMQP":  # MSG_PEEK
             super().serve(peer)
             return
-        key = peer.hear().split()[2]
+        key = peer.read_line().split()[2]
         self.requests.append((time.monotonic(), key))
-        peer.say("BUSY" if self.full else "UP r1")
-        while not self.full and (line := peer.hear()):
-            peer.say(line)
+        peer.send_line("BUSY" if self.full else "UP r1")
+        while not self.full and (line := peer.read_line()):
+            peer.send_line(line)
         peer.close()
 
     def _attach(self, event: Any) -> None:
@@ -46,13 +46,13 @@
 def run_text_client(running: RunningNode, key: str) -> tuple[str, Callable[[], str]]:
     """Requests a session and sends one line; returns the outcome and a function that waits for the end."""
     client = running.connect()
-    client.say(f"OPEN {secrets.token_hex(8)} {key} c=page-load,d=8000")
-    answer = client.hear()
+    client.send_line(f"OPEN {secrets.token_hex(8)} {key} c=page-load,d=8000")
+    answer = client.read_line()
     if not answer.startswith("UP"):
         return ("refused" if answer.startswith("BUSY ") else "failed"), lambda: ""
-    client.say("answer")
-    assert client.hear() == "answer"
-    return "served", lambda: {"MOVE": "moved"}.get(client.hear(), "ended")
+    client.send_line("answer")
+    assert client.read_line() == "answer"
+    return "served", lambda: {"MOVE": "moved"}.get(client.read_line(), "ended")
 
 
 def run_amqp_client(running: RunningNode, key: str) -> tuple[str, Callable[[], str]]:
@@ -97,7 +97,7 @@
         for thread in threads:
             thread.start()
         for thread in threads:
-            thread.join(PATIENCE_S)
+            thread.join(TIMEOUT_S)
         success_rates = {
             front: [outcome for outcome, _ in outcomes].count("served") / CLIENT_COUNT
             for front, outcomes in results.items()
@@ -106,8 +106,8 @@
         attempts = [key for s in servers for _, key in s.requests]
         # One attempt if the form server has capacity; one more after each rejection, which had no effect.
         assert len(attempts) == 2 * CLIENT_COUNT + (len(servers[0].requests) if full else 0)
-        roster.asked.get(timeout=PATIENCE_S)
-        roster.asked.get(timeout=PATIENCE_S)
+        roster.asked.get(timeout=TIMEOUT_S)
+        roster.asked.get(timeout=TIMEOUT_S)
         draining = servers[1]
         roster.tell(draining.entry("DRAINING"))
         running.logged("roster", "revision=43")
@@ -121,6 +121,6 @@
             front: {wait_for_end() for _, wait_for_end in outcomes} for front, outcomes in results.items()
         }
         assert endings == {"text": {"moved"}, "amqp": {"moved"}}
-        assert running.process.wait(PATIENCE_S) == 0
+        assert running.process.wait(TIMEOUT_S) == 0
         # The log has exactly one final line for each connection or link.
         assert sum(" ended " in line for line in running.lines) == 4 * CLIENT_COUNT
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,7 +18,7 @@
 
 from sailrun.control.calls import InvalidCallError, parse_call
 from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
-from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, connect, free_port, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, connect, free_port, node
 
 SECOND = 1_000_000
 
@@ -32,7 +32,7 @@
 
 def placed(running: RunningNode, n: int) -> Peer:
     household = running.ask(f"{n:016x}", group=f"{n:016x}")
-    assert household.hear() == "UP r1"
+    assert household.read_line() == "UP r1"
     return household
 
 
@@ -60,11 +60,11 @@
     for server in servers:
         server.answer = "ERR"
     failed = running.ask("e" * 16, wait_ms=700)
-    assert failed.hear() == "ERR"
+    assert failed.read_line() == "ERR"
     for server in servers:
         server.answer = "BUSY"
     refused = running.ask("f" * 16, wait_ms=700)
-    assert refused.hear().startswith("BUSY")
+    assert refused.read_line().startswith("BUSY")
     households.pop().close()
     figures = running.until("inflight", 4)
     attempts = sum(s.openings.qsize() for s in servers)
@@ -103,12 +103,12 @@
             placed(running, n)
         assert out.openings.qsize() == held
         for _ in range(held):
-            assert out.ends.get(timeout=PATIENCE_S) == "ended"
+            assert out.ends.get(timeout=TIMEOUT_S) == "ended"
         moved = [h for h in households if running_moved(h)]
         assert len(moved) == held
         assert running.call(f"set-up {out.name}") == "ok"
         assert running.figures()["hosts_down"] == 0
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + TIMEOUT_S
         n = 24
         while out.openings.qsize() == held:
             assert time.monotonic() < until
@@ -118,15 +118,15 @@
 
 def running_moved(household: Peer) -> bool:
     """Whether the node has sent it away; one that was not still has its line returned."""
-    household.say("page 3")
-    return household.hear() == "MOVE"
+    household.send_line("page 3")
+    return household.read_line() == "MOVE"
 
 
 def test_all_out_by_hand_is_refused_at_once(running: RunningNode, servers: list[FormServer]) -> None:
     for server in servers:
         assert running.call(f"set-down {server.name}") == "ok"
     began = time.monotonic()
-    refusal = running.ask().hear()
+    refusal = running.ask().read_line()
     assert time.monotonic() - began < 1
     word, _, when = refusal.partition(" ")
     assert word == "BUSY" and int(when) > 0
@@ -139,15 +139,15 @@
     assert pinged(running) != "PONG"
     assert running.call("check").startswith("fail")
     households.append(placed(running, 7))  # whoever still comes has an honest answer
-    assert [h.hear() for h in households] == ["MOVE"] * 7
+    assert [h.read_line() for h in households] == ["MOVE"] * 7
     running.until("inflight", 0)
     assert running.call("drain-off") == "ok"
     assert running.call("drain-off") == "ok"
     assert pinged(running) == "PONG"
     assert running.call("check") == "ok"
     stays = placed(running, 8)
-    stays.say("page 3")
-    assert stays.hear() == "page 3"
+    stays.send_line("page 3")
+    assert stays.read_line() == "page 3"
 
 
 def test_a_drain_called_off_early_moves_nobody_more(running: RunningNode) -> None:
@@ -155,14 +155,14 @@
     assert running.call("drain-on") == "ok"
     assert running.call("drain-off") == "ok"
     running.logged("drain-over", "sessions=1")
-    household.say("page 3")
-    assert household.hear() == "page 3"
+    household.send_line("page 3")
+    assert household.read_line() == "page 3"
 
 
 def pinged(running: RunningNode) -> str:
     check = running.connect()
-    check.say("PING")
-    answer = check.hear()
+    check.send_line("PING")
+    answer = check.read_line()
     check.close()
     return answer
 
@@ -182,7 +182,7 @@
     caller = Peer(connect(running.control))
     for byte in b"check\r\n":
         caller.sock.sendall(bytes([byte]))
-    assert caller.hear() == "ok"
+    assert caller.read_line() == "ok"
 
 
 def test_a_node_that_may_open_no_more_still_answers(tmp_path: Path, servers: list[FormServer]) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,8 +25,8 @@
 from sailrun.node.form_server_monitor import FormServerMonitor
 from sailrun.node.session import FormSession, server_number
 from tests.stand_ins import (
-    PATIENCE_S,
     SETTINGS,
+    TIMEOUT_S,
     FormServer,
     Peer,
     Roster,
@@ -64,7 +64,7 @@
 
     def wait_for_connection_attempt(self, process: int) -> None:
         """Waits until a connection from this process to here is in progress."""
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + TIMEOUT_S
         pending_entry = f"0100007F:{self.port:04X} {SYN_SENT}"
         own_ports = {sock.getsockname()[1] for sock in self._fill}
         while True:
@@ -81,7 +81,7 @@
         for sock in self._fill:
             sock.close()
         self._listener.listen(16)
-        self._listener.settimeout(PATIENCE_S)
+        self._listener.settimeout(TIMEOUT_S)
         while True:
             sock, address = self._listener.accept()
             if address in own_ports:
@@ -137,9 +137,9 @@
         roster.tell(unreachable.entry(phase))
         running.logged("roster", "kind=delta")
         assert (
-            next(unreachable.accept_connections()).hear() == ""
+            next(unreachable.accept_connections()).read_line() == ""
         )  # connected, and closed without sending a byte
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         assert form_server.openings.qsize() == 1
     roster.stop()
 
@@ -153,11 +153,11 @@
     roster = Roster([unreachable.entry(), form_server.entry()])
     with node(tmp_path, roster, settings={**LONG_TIMEOUT_SETTINGS, "services": services}) as running:
         client = running.ask(group=find_group_that_prefers(form_server.name, unreachable.name))
-        form_server.openings.get(timeout=PATIENCE_S)
+        form_server.openings.get(timeout=TIMEOUT_S)
         unreachable.wait_for_connection_attempt(running.process.pid)
         # The dropped packet is sent again after a second, which is after the time limit for a retry.
-        assert next(unreachable.accept_connections()).hear() == ""
-        assert client.hear() == "ERR"
+        assert next(unreachable.accept_connections()).read_line() == ""
+        assert client.read_line() == "ERR"
     roster.stop()
 
 
@@ -171,7 +171,7 @@
         with process_stopped(running):
             peer = next(unreachable.accept_connections())
             client.end()
-        assert peer.hear() == ""
+        assert peer.read_line() == ""
         running.logged("ended", "id=9b1f03aa5c7e2d41")  # logged as left, or as failed if the node was faster
         assert form_server.openings.empty()
     roster.stop()
@@ -183,16 +183,16 @@
     roster = Roster([form_server.entry()])
     with node(tmp_path, roster) as running:
         client = running.ask()
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         roster.tell(form_server.entry("DRAINING"))
-        assert client.hear() == "MOVE"
-        assert client.hear() == ""
-        client.say("page 3")
+        assert client.read_line() == "MOVE"
+        assert client.read_line() == ""
+        client.send_line("page 3")
         # Over loopback a reset would have arrived by now; a client that had not read so far would lose the
         # rest.
         assert client.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_CLOSE_WAIT
         client.end()
-        assert form_server.ends.get(timeout=PATIENCE_S) == "ended"
+        assert form_server.ends.get(timeout=TIMEOUT_S) == "ended"
     roster.stop()
 
 
@@ -200,17 +200,17 @@
     roster = Roster([form_server.entry()])
     with node(tmp_path, roster) as running:
         client = running.ask()
-        assert client.hear() == "UP r1"
-        form_server.peers[0].say("BYE")
+        assert client.read_line() == "UP r1"
+        form_server.peers[0].send_line("BYE")
         form_server.peers[0].end()
-        assert client.hear() == "BYE"
-        assert client.hear() == ""
-        client.say("page 3")
+        assert client.read_line() == "BYE"
+        assert client.read_line() == ""
+        client.send_line("page 3")
         assert client.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_CLOSE_WAIT
         client.close()
         running.logged("ended", "reason=served")
         running.terminate()  # a fault of the client's task would be logged by the time the process has exited
-        assert running.process.wait(PATIENCE_S) == 0
+        assert running.process.wait(TIMEOUT_S) == 0
     roster.stop()
 
 
@@ -224,13 +224,13 @@
         running.logged("leaving")
         idle_clients = [running.connect() for _ in range(3)]
         for client in idle_clients:
-            client.say("PING")
-            assert client.hear() == "PONG"
-        assert [client.hear() for client in idle_clients] == ["BUSY"] * 3
-        idle_clients[0].say("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page-load,d=800")
-        assert [client.hear() for client in idle_clients] == [""] * 3
+            client.send_line("PING")
+            assert client.read_line() == "PONG"
+        assert [client.read_line() for client in idle_clients] == ["BUSY"] * 3
+        idle_clients[0].send_line("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page-load,d=800")
+        assert [client.read_line() for client in idle_clients] == [""] * 3
         assert form_server.openings.empty()
-        assert running.process.wait(PATIENCE_S) == 0
+        assert running.process.wait(TIMEOUT_S) == 0
     roster.stop()
 
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.stand_ins import PATIENCE_S, SETTINGS, FormServer, Roster, node
+from tests.stand_ins import SETTINGS, TIMEOUT_S, FormServer, Roster, node
 
 ROOT = Path(__file__).parent.parent
 SITES = [tomllib.loads(path.read_text()) for path in sorted((ROOT / "deploy" / "sites").glob("*.toml"))]
@@ -60,28 +60,28 @@
         for n in range(4 * len(classes)):
             cls = list(classes)[n % len(classes)]
             household = running.connect()
-            household.say(f"OPEN {n:016x} {n:016x} c={cls},d={classes[cls] // 1000},g={n:016x}")
-            assert household.hear() == "UP r1"
+            household.send_line(f"OPEN {n:016x} {n:016x} c={cls},d={classes[cls] // 1000},g={n:016x}")
+            assert household.read_line() == "UP r1"
             households.append(household)
         elsewhere = next(cls["name"] for site in SITES for cls in site["class"] if cls["name"] not in classes)
         stranger = running.connect()
-        stranger.say(f"OPEN a 7f3a9c21e0b4d655 c={elsewhere},d=900")
-        assert stranger.hear() == "ERR"
+        stranger.send_line(f"OPEN a 7f3a9c21e0b4d655 c={elsewhere},d=900")
+        assert stranger.read_line() == "ERR"
         on_drains = drains.openings.qsize()
         assert on_drains and stays.openings.qsize()
         told = time.monotonic()
         roster.tell(drains.entry("DRAINING"))
         for _ in range(on_drains):
-            assert drains.ends.get(timeout=PATIENCE_S) == "ended"
+            assert drains.ends.get(timeout=TIMEOUT_S) == "ended"
         grace_s = settings["obligations"]["drainGraceUs"] / 1e6
         assert time.monotonic() - told < grace_s + 1.0
         assert drains.openings.qsize() == on_drains
         began = time.monotonic()
         running.terminate()
-        assert running.process.wait(PATIENCE_S) == 0
+        assert running.process.wait(TIMEOUT_S) == 0
         # The kill comes 0.7 s after the longest deadline.
         assert time.monotonic() - began < min(3.0, max(classes.values()) / 1e6) + 0.7
-        assert [household.hear() for household in households] == ["MOVE"] * len(households)
+        assert [household.read_line() for household in households] == ["MOVE"] * len(households)
     for server in (stays, drains):
         server.stop()
     roster.stop()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -20,7 +20,7 @@
 
 from sailrun.lab.faults.play import FaultDay, Played, play_real
 from sailrun.lab.faults.rig import free_address
-from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
 
 
 def free() -> str:
@@ -31,8 +31,8 @@
     """Answers what it has; a watch waits for a newer list, for a second at most."""
 
     def serve(self, peer: Peer) -> None:
-        while request := peer.hear():
-            while peer.hear():
+        while request := peer.read_line():
+            while peer.read_line():
                 pass
             self.asked.put((time.monotonic(), request))
             until = time.monotonic() + (1.0 if "wait_ms" in request else 0.0)
@@ -108,7 +108,7 @@
         return None
 
     def until(self, true: Callable[[], object]) -> None:
-        by = time.monotonic() + PATIENCE_S
+        by = time.monotonic() + TIMEOUT_S
         while not true():
             assert time.monotonic() < by, {name: n.lines[-5:] for name, n in self.nodes.items()}
             time.sleep(0.05)
@@ -197,7 +197,7 @@
         [sys.executable, "-m", "sailrun", *command], stdout=subprocess.PIPE, text=True, bufsize=1
     )
     assert walk.stdout is not None
-    too_long = threading.Timer(2 * PATIENCE_S, walk.kill)
+    too_long = threading.Timer(2 * TIMEOUT_S, walk.kill)
     too_long.start()
     try:
         lines: list[str] = []
@@ -207,7 +207,7 @@
                 break
         fleet.nodes[str(owner)].process.send_signal(signal.SIGKILL)
         lines += walk.stdout.readlines()
-        assert walk.wait(PATIENCE_S) == 0, lines
+        assert walk.wait(TIMEOUT_S) == 0, lines
     finally:
         too_long.cancel()
         walk.kill()
@@ -256,7 +256,7 @@
     command = [sys.executable, "-m", "sailrun", "fleet", *words]
     if words[0] != "diff":
         command += ["--at", fleet.nodes[name].control]
-    return subprocess.run(command, capture_output=True, text=True, timeout=PATIENCE_S)
+    return subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S)
 
 
 def test_a_form_server_taken_out_at_one_node_is_out_at_all_and_after_a_restart(
@@ -272,7 +272,7 @@
         staff(copies, "n1", "set-down", "s-ffffffff").stderr.strip().endswith("no form server 's-ffffffff'")
     )
     copies.nodes["n1"].process.send_signal(signal.SIGKILL)
-    copies.nodes["n1"].process.wait(PATIENCE_S)
+    copies.nodes["n1"].process.wait(TIMEOUT_S)
     copies.start("n1")
     copies.nodes["n1"].logged("by-hand", f"server={one}", "out=True")
     states = [json.loads(staff(copies, n, "state", "--json").stdout) for n in ("n2", "n3")]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.stand_ins import PATIENCE_S, SETTINGS, FormServer, Roster, node
+from tests.stand_ins import SETTINGS, TIMEOUT_S, FormServer, Roster, node
 
 
 @pytest.fixture
@@ -34,11 +34,11 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         check = running.connect()
-        check.say("PING")
-        assert check.hear() == "PONG"
+        check.send_line("PING")
+        assert check.read_line() == "PONG"
         client = running.ask(more=",x=1")
-        assert client.hear() == "UP r1"
-        opening = form_server.openings.get(timeout=PATIENCE_S)
+        assert client.read_line() == "UP r1"
+        opening = form_server.openings.get(timeout=TIMEOUT_S)
         head, _, facts = opening.rpartition(" ")
         assert head == "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655"
         before, deadline, *after = facts.split(",")
@@ -47,12 +47,12 @@
         assert (before, *after) == ("c=page-load", "g=5c0f6e1a2b3d4c59", "x=1")
         assert 0 < int(deadline.removeprefix("d=")) <= 2000
         for line in ("page 3", "answer 4"):
-            client.say(line)
-            assert client.hear() == line
-        form_server.peers[0].say("LOAD 812.5")
-        assert client.hear() == "LOAD 812.5"
+            client.send_line(line)
+            assert client.read_line() == line
+        form_server.peers[0].send_line("LOAD 812.5")
+        assert client.read_line() == "LOAD 812.5"
         client.close()
-        assert form_server.ends.get(timeout=PATIENCE_S) == "ended"
+        assert form_server.ends.get(timeout=TIMEOUT_S) == "ended"
         running.logged("ended", "reason=household-left", "server=s-5be2a07c")
 
 
@@ -63,10 +63,10 @@
     changed["familyInfo"]["messageAimUs"] = [50_000.0, 50_000.0]
     with node(tmp_path, roster, settings=changed) as running:
         client = running.ask()
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         for line in ("LOAD 42000.0", "LOAD 29.1"):
-            form_server.peers[0].say(line)
-            assert client.hear() == line  # forwarded unchanged, whether a load or a latency
+            form_server.peers[0].send_line(line)
+            assert client.read_line() == line  # forwarded unchanged, whether a load or a latency
         running.logged("slow", "server=s-5be2a07c", "ms=29.1")
         client.close()
 
@@ -76,11 +76,11 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         client = running.ask()
-        assert client.hear() == "UP r1"
-        form_server.peers[0].say("BYE")
+        assert client.read_line() == "UP r1"
+        form_server.peers[0].send_line("BYE")
         form_server.peers[0].end()
-        assert client.hear() == "BYE"
-        assert client.hear() == ""
+        assert client.read_line() == "BYE"
+        assert client.read_line() == ""
         running.logged("ended", "reason=served")
 
 
@@ -90,8 +90,8 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         client = running.connect()
-        client.say(line)
-        assert client.hear() == "ERR"
+        client.send_line(line)
+        assert client.read_line() == "ERR"
         running.logged("ended", "bad-first-line")
         assert not any("Traceback" in text for text in running.lines)
 
@@ -100,16 +100,16 @@
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        assert "after=41&wait_ms=" in roster.asked.get(timeout=PATIENCE_S)[1]
+        assert "after=41&wait_ms=" in roster.asked.get(timeout=TIMEOUT_S)[1]
         published_at = time.monotonic()
         roster.tell(form_server.entry())
-        requested_at, path = roster.asked.get(timeout=PATIENCE_S)
+        requested_at, path = roster.asked.get(timeout=TIMEOUT_S)
         assert "after=42&" in path
         assert requested_at - published_at < 0.2
         roster.answers.put(b'{"revision":43,"complete":true,"members":[{"id":"s-1"}]}')
         running.logged("roster-failed", "phase")
         client = running.ask()
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
 
 
 def test_clients_are_moved_before_the_node_shuts_down(
@@ -117,18 +117,18 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         established = [running.ask(f"{n:016x}") for n in range(3)]
-        assert [h.hear() for h in established] == ["UP r1"] * 3
+        assert [h.read_line() for h in established] == ["UP r1"] * 3
         terminated_at = time.monotonic()
         running.terminate()
         running.logged("leaving")
         late = running.ask("late")  # clients still arrive for a short time, and are still served
-        assert late.hear() == "UP r1"
+        assert late.read_line() == "UP r1"
         for client in (*established, late):
-            assert client.hear() == "MOVE"
+            assert client.read_line() == "MOVE"
             # A client moved earlier would come back here, as new clients still do, and be moved again.
             assert time.monotonic() - terminated_at > 0.4
-            assert client.hear() == ""
-        assert running.process.wait(PATIENCE_S) == 0
+            assert client.read_line() == ""
+        assert running.process.wait(TIMEOUT_S) == 0
         assert sum("reason=moved" in line and "moved_for=leaving" in line for line in running.lines) == 4
 
 
@@ -142,7 +142,7 @@
         running.logged("leaving")
         # New clients arrive for up to 0.4 s. Without established sessions, the node once exited before the
         # first of them arrived.
-        assert running.process.wait(PATIENCE_S) == 0
+        assert running.process.wait(TIMEOUT_S) == 0
         assert time.monotonic() - began > 0.4
 
 
@@ -157,7 +157,7 @@
             client.close()
         for n in range(10):
             running.logged("ended", f"id={n:016x}")
-        assert running.ask("late").hear() == "UP r1"
+        assert running.ask("late").read_line() == "UP r1"
 
 
 def test_a_rejection_by_a_full_form_server_is_retried_at_the_next_one(tmp_path: Path) -> None:
@@ -165,7 +165,7 @@
     roster = Roster([busy.entry(), other.entry()])
     with node(tmp_path, roster) as running:
         requested_at = time.monotonic()
-        answer, _, wait_ms = running.ask().hear().partition(" ")
+        answer, _, wait_ms = running.ask().read_line().partition(" ")
         # Every form server has rejected it, so the request is answered at once, with a retry time.
         assert answer == "BUSY" and 0 < int(wait_ms) <= 2000
         assert time.monotonic() - requested_at < 4.0
@@ -179,7 +179,7 @@
 ) -> None:
     server = FormServer("s-00000001", answer)
     with node(tmp_path, Roster([server.entry()])) as running:
-        assert running.ask(wait_ms=700).hear() == expected
+        assert running.ask(wait_ms=700).read_line() == expected
         assert server.openings.qsize() == 1
 
 
@@ -187,8 +187,8 @@
     servers = [FormServer(f"s-0000000{n}", f"UP r{n}") for n in range(1, 4)]
     with node(tmp_path, Roster([s.entry() for s in servers])) as running:
         for n in range(1, 4):
-            assert running.ask(f"{n:016x}", 999_999_999, f",at=s-0000000{n}").hear() == f"UP r{n}"
-        assert running.ask("4", 40_000, ",at=s-00000009").hear() == "ERR"
+            assert running.ask(f"{n:016x}", 999_999_999, f",at=s-0000000{n}").read_line() == f"UP r{n}"
+        assert running.ask("4", 40_000, ",at=s-00000009").read_line() == "ERR"
 
 
 def test_clients_of_an_unresponsive_form_server_are_moved(
@@ -196,39 +196,39 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         clients = [running.ask(f"{n:016x}") for n in range(10)]
-        assert [h.hear() for h in clients] == ["UP r1"] * 10
+        assert [h.read_line() for h in clients] == ["UP r1"] * 10
         form_server.answer = None  # from now on it returns nothing, but its connections stay open
         began = time.monotonic()
         for client in clients:
-            client.say("page 3")
-        assert [h.hear() for h in clients] == ["MOVE"] * 10
+            client.send_line("page 3")
+        assert [h.read_line() for h in clients] == ["MOVE"] * 10
         assert time.monotonic() - began < 7
         running.logged("silent", "server=s-5be2a07c", "moved=10")
-        assert form_server.ends.get(timeout=PATIENCE_S)
+        assert form_server.ends.get(timeout=TIMEOUT_S)
 
 
 def test_a_client_is_moved_between_two_lines(tmp_path: Path, form_server: FormServer, roster: Roster) -> None:
     with node(tmp_path, roster) as running:
         client = running.ask()
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         form_server.peers[0].sock.sendall(b"page ")  # an incomplete line is forwarded at once
         assert client.file.read(5) == b"page "
         running.terminate()
         running.logged("leaving")
         form_server.peers[0].sock.sendall(b"7\r\n")
-        assert [client.hear(), client.hear(), client.hear()] == ["7", "MOVE", ""]
+        assert [client.read_line(), client.read_line(), client.read_line()] == ["7", "MOVE", ""]
 
 
 def test_clients_are_moved_off_a_draining_form_server(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        roster.asked.get(timeout=PATIENCE_S)
+        roster.asked.get(timeout=TIMEOUT_S)
         client = running.ask()
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         roster.tell(form_server.entry("DRAINING"))
-        assert client.hear() == "MOVE"
-        assert running.ask().hear().startswith("BUSY")  # no new session is placed there
+        assert client.read_line() == "MOVE"
+        assert running.ask().read_line().startswith("BUSY")  # no new session is placed there
         assert form_server.openings.qsize() == 1
 
 
@@ -238,12 +238,12 @@
     with node(tmp_path, roster) as running:
         for reply in (None, b"page 3\r\n"):
             client = running.ask()
-            assert client.hear() == "UP r1"
+            assert client.read_line() == "UP r1"
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
             with contextlib.suppress(OSError):
                 form_server.peers[-1].sock.sendall(reply or b"")
-            assert form_server.ends.get(timeout=PATIENCE_S) in ("ended", "broken")
+            assert form_server.ends.get(timeout=TIMEOUT_S) in ("ended", "broken")
         running.terminate()
         running.logged("leaving", "sessions=0")
         assert not any("fault" in line for line in running.lines)
@@ -254,7 +254,7 @@
     with node(tmp_path, roster) as running:
         client = running.connect()
         client.sock.sendall(b"OPEN " + b"a" * 9000)
-        assert client.hear() == "ERR"
+        assert client.read_line() == "ERR"
         client.close()
         running.logged("ended", "reason=line-too-long")
         assert not any("fault" in line for line in running.lines)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -13,7 +13,7 @@
 
 from sailrun.operator_settings import Operator, read_operator, schema
 from sailrun.rebalance.settings import RebalanceSettings
-from tests.stand_ins import PATIENCE_S, Roster, RunningNode, sidecar
+from tests.stand_ins import TIMEOUT_S, Roster, RunningNode, sidecar
 from tests.test_both_fronts import FRONTS, DualProtocolFormServer
 
 # Quick enough for a test: nothing else changes.
@@ -47,7 +47,7 @@
         running.logged("ended", "reason=moved", " id=")
         running.logged("ended", "reason=moved", " link=")
         running.terminate()
-        assert running.process.wait(PATIENCE_S) == 0
+        assert running.process.wait(TIMEOUT_S) == 0
         assert {end() for done in ends.values() for _, end in done} == {"moved"}
         assert not any("fault" in line for line in running.lines)
 
@@ -73,7 +73,7 @@
         path.write_text("")
         running.process.send_signal(signal.SIGHUP)
         running.process.send_signal(signal.SIGTERM)
-        assert running.process.wait(PATIENCE_S) == 0
+        assert running.process.wait(TIMEOUT_S) == 0
         assert [end() for end in ends] == ["moved"] * HOUSEHOLDS
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.stand_ins import PATIENCE_S, FormServer, Roster, RunningNode, free_port, node, sidecar
+from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, free_port, node, sidecar
 
 
 @pytest.fixture
@@ -32,20 +32,20 @@
     old, new = Roster([form_server.entry()]), Roster([form_server.entry()])
     path = tmp_path / "config.json"
     with node(tmp_path, old) as running:
-        old.asked.get(timeout=PATIENCE_S)
+        old.asked.get(timeout=TIMEOUT_S)
         client = running.ask()
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         config = json.loads(path.read_text())
         began = time.monotonic()
         write_and_send_sighup(running, path, json.dumps({**config, "discovery": new.address}))
         # The revisions of one roster mean nothing to another, so the complete list is requested first.
-        assert new.asked.get(timeout=PATIENCE_S)[1] == "/registry/instances"
+        assert new.asked.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
         assert time.monotonic() - began < 2
         running.logged("reloaded", "changed=roster")
         new.answers.put(json.dumps(new.known()).encode())
-        assert "after=41&" in new.asked.get(timeout=PATIENCE_S)[1]
+        assert "after=41&" in new.asked.get(timeout=TIMEOUT_S)[1]
         new.tell(form_server.entry("DRAINING"))
-        assert client.hear() == "MOVE"
+        assert client.read_line() == "MOVE"
         assert old.asked.empty()
 
 
@@ -63,7 +63,7 @@
         path.unlink()
         running.process.send_signal(signal.SIGHUP)
         running.logged("reload-refused", "No such file")
-        assert running.ask().hear() == "UP r1"
+        assert running.ask().read_line() == "UP r1"
         assert sum("reload-refused" in line for line in running.lines) == len(bad) + 1
         assert not any("Traceback" in line for line in running.lines)
 
@@ -74,11 +74,11 @@
     path = tmp_path / "config.json"
     with node(tmp_path, Roster([form_server.entry()])) as running:
         established, silent = running.ask(), running.connect()
-        assert established.hear() == "UP r1"
+        assert established.read_line() == "UP r1"
         form_server.answer = None
         pending = running.ask("asking")
-        form_server.openings.get(timeout=PATIENCE_S)
-        form_server.openings.get(timeout=PATIENCE_S)
+        form_server.openings.get(timeout=TIMEOUT_S)
+        form_server.openings.get(timeout=TIMEOUT_S)
         form_server.answer = "UP r1"
         address = f"127.0.0.1:{free_port()}"
         config = json.loads(path.read_text())
@@ -88,26 +88,26 @@
         # The line is logged one event loop iteration before the listener is closed. Closing it resets
         # connections that were not accepted yet; every later connection is refused.
         with pytest.raises(ConnectionRefusedError):
-            while time.monotonic() - began < PATIENCE_S:
+            while time.monotonic() - began < TIMEOUT_S:
                 with contextlib.suppress(ConnectionResetError):
                     running.connect().close()
-        assert [established.hear(), established.hear()] == ["MOVE", ""]
-        assert [pending.hear(), pending.hear(), silent.hear()] == ["ERR", "", ""]
+        assert [established.read_line(), established.read_line()] == ["MOVE", ""]
+        assert [pending.read_line(), pending.read_line(), silent.read_line()] == ["ERR", "", ""]
         assert time.monotonic() - began < 3
         running.listen = address
-        assert running.ask().hear() == "UP r1"
+        assert running.ask().read_line() == "UP r1"
 
 
 def test_a_restart_during_a_reload_moves_all_clients(tmp_path: Path, form_server: FormServer) -> None:
     path = tmp_path / "config.json"
     with node(tmp_path, Roster([form_server.entry()])) as running:
         client = running.ask()
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         config = json.loads(path.read_text())
         running.terminate()
         write_and_send_sighup(running, path, json.dumps({**config, "discovery": Roster([]).address}))
-        assert [client.hear(), client.hear()] == ["MOVE", ""]
-        assert running.process.wait(PATIENCE_S) == 0
+        assert [client.read_line(), client.read_line()] == ["MOVE", ""]
+        assert running.process.wait(TIMEOUT_S) == 0
 
 
 def test_a_sidecar_applies_its_new_file_too(tmp_path: Path, form_server: FormServer) -> None:
@@ -119,7 +119,7 @@
         running.logged("reload-refused", "rooster")
         write_and_send_sighup(running, path, text.replace(old.address, new.address))
         running.logged("reloaded", "changed=roster")
-        assert new.asked.get(timeout=PATIENCE_S)[1] == "/registry/instances"
+        assert new.asked.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
         new.answers.put(json.dumps(new.known()).encode())
         running.logged("roster", "kind=full")
-        assert running.ask().hear() == "UP r1"
+        assert running.ask().read_line() == "UP r1"
--- a/tests/test_sharding_processes.py
+++ b/tests/test_sharding_processes.py
@@ -16,7 +16,7 @@
 import tomli_w
 
 from sailrun.lab.faults.rig import free_address
-from tests.stand_ins import PATIENCE_S, FormServer, Roster, RunningNode, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, node
 
 CONTROL, NODES = ("c1", "c2", "c3"), ("n1", "n2", "n3")
 SHARDS = 24
@@ -87,7 +87,7 @@
         return self.running[name].process.poll() is None
 
     def until(self, true: Callable[[], object]) -> None:
-        by = time.monotonic() + PATIENCE_S
+        by = time.monotonic() + TIMEOUT_S
         while not true():
             assert time.monotonic() < by, {name: n.lines[-5:] for name, n in self.running.items()}
             time.sleep(0.05)
@@ -146,7 +146,7 @@
     region.until(lambda: region.owned_by(*NODES))
     assert {name: region.usable(name) for name in NODES} == kept
     region.running["n3"].process.send_signal(signal.SIGTERM)
-    assert region.running["n3"].process.wait(PATIENCE_S) == 0
+    assert region.running["n3"].process.wait(TIMEOUT_S) == 0
     region.until(lambda: region.owned_by("n1", "n2"))
     # Well before its lease would have ended it was taken out: it had said that it uses it no more.
     assert any("why=released" in line for line in region.running["n3"].lines)
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -68,7 +68,7 @@
         households: list[Peer] = []
         for n, one in enumerate(running):
             households += opened(one, WARM * SESSIONS_EACH // nodes, 10_000 * n)
-        assert all(household.hear() == "UP r1" for household in households)
+        assert all(household.read_line() == "UP r1" for household in households)
         started = time.time()
         for roster in rosters:
             roster.tell({**young.entry(), "up_since_ms": int(started * 1000)})
@@ -77,7 +77,7 @@
         time.sleep(QUIET_S)  # the fault needs a quiet time before the rush
         rush = [opened(one, RUSH_EACH, 10_000 * n + 5_000) for n, one in enumerate(running)]
         for household in (one for asked in rush for one in asked):
-            assert household.hear().startswith(("UP", "BUSY"))
+            assert household.read_line().startswith(("UP", "BUSY"))
         for one in running:
             sends = [line for line in one.lines if "slow-start-send" in line]
             arrivals += [float(line.split()[0]) for line in sends]
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -19,7 +19,7 @@
 from sailrun.lab.faults.play import FaultDay, Played, play_real
 from sailrun.storage.files import OsFiles
 from sailrun.storage.folder_reader import FolderIntegrity, read_folder
-from tests.stand_ins import PATIENCE_S, FormServer, Roster, free_port, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Roster, free_port, node
 from tests.test_fleet_processes import Fleet, free, staff
 
 
@@ -52,7 +52,7 @@
     for running in fleet.nodes.values():
         running.process.send_signal(signal.SIGKILL)
     for running in fleet.nodes.values():
-        running.process.wait(PATIENCE_S)
+        running.process.wait(TIMEOUT_S)
     for name in fleet.listens:
         fleet.start(name)
     fleet.until(lambda: fleet.owner("marks"))
@@ -75,7 +75,7 @@
     process = fleet.nodes["n3"].process
     process.send_signal(signal.SIGTERM)
     began = time.monotonic()
-    assert process.wait(PATIENCE_S) == 0 and time.monotonic() - began < 5.0
+    assert process.wait(TIMEOUT_S) == 0 and time.monotonic() - began < 5.0
     found = read_folder(OsFiles(fleet.folder_of("n3")))
     assert (
         found.integrity is FolderIntegrity.INTACT and found.state.was_clean_shutdown and found.torn_bytes == 0
@@ -108,16 +108,16 @@
 
         until(written)
         running.process.send_signal(signal.SIGKILL)
-        running.process.wait(PATIENCE_S)
+        running.process.wait(TIMEOUT_S)
     with node(tmp_path, roster, operator=operator, control=free()) as running:
         running.logged("by-hand", f"server={name}", "out=True")
         household = running.ask()
-        household.hear()
+        household.read_line()
         assert servers[0].openings.empty()
 
 
 def until(true: Any) -> None:
-    by = time.monotonic() + PATIENCE_S
+    by = time.monotonic() + TIMEOUT_S
     while not true():
         assert time.monotonic() < by
         time.sleep(0.05)
@@ -132,7 +132,7 @@
     config.write_text(json.dumps(document))
     operator = operator_of(tmp_path, kept)
     command = [sys.executable, "-m", "sailrun", "serve", "--config", str(config), "--operator", str(operator)]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=PATIENCE_S)
+    done = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S)
     assert done.returncode == 2, done
     return done.stderr.strip().splitlines()[-1]
 
@@ -159,9 +159,9 @@
     operator = operator_of(tmp_path, tmp_path / "kept")
     with node(tmp_path, Roster([s.entry() for s in servers]), operator=operator) as running:
         running.logged("lasting-failed", "Is a directory")
-        assert running.ask().hear()
+        assert running.ask().read_line()
         running.process.send_signal(signal.SIGTERM)
-        assert running.process.wait(PATIENCE_S) == 0
+        assert running.process.wait(TIMEOUT_S) == 0
 
 
 def test_a_process_that_is_replaced_transfers_its_folder(fleet: Fleet, servers: list[FormServer]) -> None:
@@ -172,7 +172,7 @@
     new = fleet.nodes["n1"]
     new.logged("lasting-trusted", "life=2")
     old.process.send_signal(signal.SIGTERM)
-    old.process.wait(PATIENCE_S)
+    old.process.wait(TIMEOUT_S)
     fleet.until(lambda: staff(fleet, "n1", "state", "--behind").returncode == 0)
     assert staff(fleet, "n1", "set-up", one, "--wait", "all").stdout.startswith("done 3 of 3")
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -39,7 +39,7 @@
 from sailrun.node.restart_state import NodeSnapshot, ProcessLoad
 from sailrun.node.session import FormServer as Entry
 from sailrun.node.session import ServerListUpdate
-from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, free_port, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, free_port, node
 
 
 class Tier:
@@ -69,11 +69,11 @@
     host, port = listen.split(":")
     for n in range(count):
         try:
-            peer = Peer(socket.create_connection((host, int(port)), PATIENCE_S))
-            peer.say(
+            peer = Peer(socket.create_connection((host, int(port)), TIMEOUT_S))
+            peer.send_line(
                 f"OPEN {n:08x}{threading.get_ident() % 2**32:08x} 7f3a9c21e0b4d655 c=page-load,d=8000,g=1"
             )
-            answers.append(peer.hear())
+            answers.append(peer.read_line())
             peer.close()
         except OSError as error:
             answers.append(repr(error))
@@ -89,7 +89,7 @@
         second = tier.start()
         assert second.call("check") == "ok"
         first.terminate()
-        assert first.process.wait(PATIENCE_S) == 0
+        assert first.process.wait(TIMEOUT_S) == 0
         first = second
     for stream in streams:
         stream.join()
@@ -102,7 +102,7 @@
     households = []
     for n in range(60):
         household = first.ask(f"{n:016x}", group=f"{n:016x}")
-        assert household.hear() == "UP r1"
+        assert household.read_line() == "UP r1"
         households.append(household)
     households[0].sock.sendall(b"half a ")  # one is in the middle of its line, one of its form server's
     at, peer = next((s, s.peers[0]) for s in servers if s.peers)
@@ -111,16 +111,16 @@
     for n in range(60):
         second.logged("adopted", f"id={n:016x}")
     first.terminate()
-    assert first.process.wait(PATIENCE_S) == 0
+    assert first.process.wait(TIMEOUT_S) == 0
     peer.sock.sendall(b"2.5\r\n")
     households[0].sock.sendall(b"page\r\n")
     told = 0
     for n, household in enumerate(households):
         if n:
-            household.say(f"page {n}")
-        heard = household.hear()
+            household.send_line(f"page {n}")
+        heard = household.read_line()
         if heard == "LOAD 812.5":
-            told, heard = told + 1, household.hear()
+            told, heard = told + 1, household.read_line()
         assert heard == (f"page {n}" if n else "half a page")
     assert told == 1 and at.ends.empty()
     figures = second.figures()
@@ -136,7 +136,7 @@
     households = []
     for n in range(30):
         households.append(first.ask(f"{n:016x}", group=f"{n:016x}"))
-        assert households[-1].hear() == "UP r1"
+        assert households[-1].read_line() == "UP r1"
     second = tier.start()
     second.logged("adopted")
     second.process.kill()
@@ -144,8 +144,8 @@
     alive = 0
     for household in households:
         try:
-            household.say("page 3")
-            alive += household.hear() == "page 3"
+            household.send_line("page 3")
+            alive += household.read_line() == "page 3"
         except OSError:
             pass  # it was the successor's by then
     assert alive == int(first.until("inflight", alive)["inflight"])
@@ -173,18 +173,18 @@
 def test_a_successor_that_dies_leaves_the_node_to_its_predecessor(tier: Tier) -> None:
     first = tier.start()
     household = first.ask("1" * 16)
-    assert household.hear() == "UP r1"
+    assert household.read_line() == "UP r1"
     second = tier.start()
     first.logged("leaving", "reason=succeeded")
     second.process.kill()
     first.logged("successor-lost")
     household = first.ask()
-    assert household.hear() == "UP r1"
+    assert household.read_line() == "UP r1"
     assert first.call("check") == "ok"
     third = tier.start()
     assert third.call("check") == "ok"
     first.terminate()
-    assert first.process.wait(PATIENCE_S) == 0
+    assert first.process.wait(TIMEOUT_S) == 0
 
 
 def test_a_successor_that_cannot_start_changes_nothing(tier: Tier) -> None:
@@ -194,14 +194,14 @@
     done = subprocess.run([sys.executable, "-m", "sailrun"], env=environment, capture_output=True, text=True)
     assert done.returncode == 2 and done.stderr.count("\n") == 1
     household = first.ask()
-    assert household.hear() == "UP r1"
+    assert household.read_line() == "UP r1"
     assert first.call("check") == "ok"
 
 
 def test_a_socket_file_that_nobody_answers_is_replaced(tier: Tier) -> None:
     first = tier.start()
     first.process.kill()
-    first.process.wait(PATIENCE_S)
+    first.process.wait(TIMEOUT_S)
     second = tier.start()
     assert second.call("check") == "ok"
     third = tier.start()
@@ -216,7 +216,7 @@
     shutil.copy(tmp_path / ("long" * 30) / "config.json", other)
     with node(other, tier.roster, listen=tier.listen, control=f"127.0.0.1:{free_port()}") as second:
         assert second.call("check") == "ok" and first.call("check") == "ok"
-        assert second.ask().hear() == "UP r1"
+        assert second.ask().read_line() == "UP r1"
 
 
 # ---------------------------------------------------------------------- what passes over
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -11,7 +11,7 @@
 
 from sailrun.decisions.events import BackendState
 from sailrun.xds.mapping import CLUSTER, ENDPOINTS, InvalidUpdateError, form_servers, read_response
-from tests.stand_ins import PATIENCE_S, FormServer, Listener, Peer, RunningNode, sidecar
+from tests.stand_ins import TIMEOUT_S, FormServer, Listener, Peer, RunningNode, sidecar
 
 
 def response(type_url: str, *resources: dict[str, Any], version: str = "1") -> str:
@@ -83,7 +83,7 @@
 
 def place(running: RunningNode, server: FormServer) -> None:
     household = running.ask()
-    assert household.hear() == f"UP {server.name}"
+    assert household.read_line() == f"UP {server.name}"
     household.close()
 
 
@@ -104,7 +104,7 @@
         place(running, new)
         replace(clusters, response(CLUSTER))  # the cluster is removed, and its form servers with it
         running.logged("roster", "revision=3", "form_servers=0")
-        assert running.ask().hear().startswith("BUSY")
+        assert running.ask().read_line().startswith("BUSY")
 
 
 class ControlPlane(Listener):
@@ -116,9 +116,9 @@
         super().__init__()
 
     def serve(self, peer: Peer) -> None:
-        while request := peer.hear():
+        while request := peer.read_line():
             length = 0
-            while header := peer.hear():
+            while header := peer.read_line():
                 if header.lower().startswith("content-length:"):
                     length = int(header.split(":")[1])
             self.requests.put(json.loads(peer.file.read(length)))
@@ -128,7 +128,7 @@
     def asked(self, type_url: str, name: str) -> Any:
         """The next request of the type that has the named field."""
         while True:
-            request = self.requests.get(timeout=PATIENCE_S)
+            request = self.requests.get(timeout=TIMEOUT_S)
             if request["typeUrl"] == type_url and name in request:
                 return request[name]
 
