--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -35,7 +35,7 @@
     roster = Roster([server.entry()])
     with node(folder, roster, _few, control=control, limits=limits) as running, ExitStack() as stack:
         for n in range(DESCRIPTORS):
-            stack.callback(running.ask(f"{n:016x}").close)
+            stack.callback(running.request_session(f"{n:016x}").close)
         running.logged("out-of-descriptors")
         times = []
         for n in range(CALLS):
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -226,7 +226,7 @@
     def connect(self) -> Peer:
         return Peer(connect(self.listen))
 
-    def ask(
+    def request_session(
         self,
         id_: str = "9b1f03aa5c7e2d41",
         wait_ms: int = 8000,
@@ -246,18 +246,18 @@
         connection.close()
         return answer
 
-    def figures(self) -> dict[str, int]:
+    def read_metrics(self) -> dict[str, int]:
         ok, *lines, eof = self.call("vars").split("\n")
         assert (ok, eof) == ("ok", "eof")
         pairs = [line.rpartition("|")[0].rpartition(":") for line in lines]
         return {name.removeprefix("svc."): int(value) for name, _, value in pairs}
 
-    def until(self, name: str, value: int) -> dict[str, int]:
+    def wait_for_metric(self, name: str, value: int) -> dict[str, int]:
         """Reads the metrics until the named one has this value, and returns them."""
-        until = time.monotonic() + TIMEOUT_S
-        while (figures := self.figures())[name] != value:
-            assert time.monotonic() < until, figures
-        return figures
+        deadline = time.monotonic() + TIMEOUT_S
+        while (metrics := self.read_metrics())[name] != value:
+            assert time.monotonic() < deadline, metrics
+        return metrics
 
     def terminate(self) -> None:
         self.process.send_signal(signal.SIGTERM)
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -130,11 +130,11 @@
 
 def test_staff_take_a_form_server_out_and_drain_the_node_of_links_too(office: Office) -> None:
     link = office.placed()
-    figures = office.node.figures()
+    figures = office.node.read_metrics()
     assert figures["calls.page-load.success"] == figures["backend_calls"] == figures["inflight"] == 1
     assert office.node.call("drain-on") == "ok"
     assert office.household.condition(link).name == "amqp:link:detach-forced"
-    office.node.until("inflight", 0)
+    office.node.wait_for_metric("inflight", 0)
     assert office.node.call("drain-off") == office.node.call("check") == "ok"
     link = office.placed()
     assert office.node.call("set-down s-5be2a07c") == "ok"
@@ -143,7 +143,7 @@
     refused = office.household.open_link()
     assert office.household.condition(refused).name == "amqp:resource-limit-exceeded"
     assert len(office.server.attached) == asked
-    assert office.node.figures()["calls.page-load.busy"] == 1
+    assert office.node.read_metrics()["calls.page-load.busy"] == 1
     assert office.node.call("set-up s-5be2a07c") == "ok"
     office.placed()  # it is the only one, and cold: its first slot is there at once
 
@@ -214,7 +214,7 @@
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as running:
         for _ in range(2):
             roster.asked.get(timeout=TIMEOUT_S)
-        assert running.ask().read_line() == "UP r1"
+        assert running.request_session().read_line() == "UP r1"
         roster.tell(text.entry("DRAINING"), amqp.entry())
         roster.asked.get(timeout=TIMEOUT_S)
         household = AmqpEnd(connect(running.amqp))
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -71,14 +71,14 @@
     client.sock.sendall(sent.encode("latin-1"))
     assert read_to_end(client).removeprefix("PONG\r\n" * 16) == "ERR\r\n"
     assert form_server.openings.empty()
-    assert running.ask().read_line() == "UP r1"
+    assert running.request_session().read_line() == "UP r1"
 
 
 def test_a_second_command_before_the_answer_is_an_error(
     running: RunningNode, form_server: FormServer
 ) -> None:
     form_server.answer = None
-    client = running.ask()
+    client = running.request_session()
     form_server.openings.get(timeout=TIME_LIMIT_S)
     client.send_line(OPENING + "c=page-load,d=2000")
     assert read_to_end(client) == "ERR\r\n"
@@ -88,15 +88,15 @@
 
 def test_an_id_in_use_is_not_accepted_twice(running: RunningNode, form_server: FormServer) -> None:
     # If it were forwarded, it would duplicate the other client's request.
-    first = running.ask()
+    first = running.request_session()
     assert first.read_line() == "UP r1"
-    assert read_to_end(running.ask()) == "ERR\r\n"
+    assert read_to_end(running.request_session()) == "ERR\r\n"
     assert form_server.openings.qsize() == 1
     first.send_line("page 3")
     assert first.read_line() == "page 3"
     first.close()
     running.logged("ended", "reason=household-left")
-    assert running.ask().read_line() == "UP r1"
+    assert running.request_session().read_line() == "UP r1"
 
 
 def test_a_huge_value_is_cut_off_in_bounded_memory(running: RunningNode) -> None:
@@ -122,7 +122,7 @@
     with node(tmp_path, Roster([server.entry()]), prepare=limit_descriptors) as running:
         silent = [running.connect() for _ in range(300)]
         began = time.monotonic()
-        late_client = running.ask()
+        late_client = running.request_session()
         assert late_client.read_line() == "UP r1"
         # Their requests may be arriving at that moment, so they get an answer that nothing was executed.
         assert [read_to_end(client) for client in silent] == ["BUSY\r\n"] * len(silent)
@@ -139,7 +139,7 @@
     # node.
     def connect_and_break() -> None:
         for n in range(100):
-            client = running.ask(f"{threading.get_ident():x}.{n}")
+            client = running.request_session(f"{threading.get_ident():x}.{n}")
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
 
@@ -148,5 +148,5 @@
         thread.start()
     for thread in threads:
         thread.join()
-    assert running.ask().read_line() == "UP r1"
+    assert running.request_session().read_line() == "UP r1"
     assert running.process.poll() is None
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -31,7 +31,7 @@
 
 
 def placed(running: RunningNode, n: int) -> Peer:
-    household = running.ask(f"{n:016x}", group=f"{n:016x}")
+    household = running.request_session(f"{n:016x}", group=f"{n:016x}")
     assert household.read_line() == "UP r1"
     return household
 
@@ -55,18 +55,18 @@
 
 
 def test_figures_are_what_the_households_saw(running: RunningNode, servers: list[FormServer]) -> None:
-    assert set(running.figures().values()) == {0, 2}
+    assert set(running.read_metrics().values()) == {0, 2}
     households = [placed(running, n) for n in range(5)]
     for server in servers:
         server.answer = "ERR"
-    failed = running.ask("e" * 16, wait_ms=700)
+    failed = running.request_session("e" * 16, wait_ms=700)
     assert failed.read_line() == "ERR"
     for server in servers:
         server.answer = "BUSY"
-    refused = running.ask("f" * 16, wait_ms=700)
+    refused = running.request_session("f" * 16, wait_ms=700)
     assert refused.read_line().startswith("BUSY")
     households.pop().close()
-    figures = running.until("inflight", 4)
+    figures = running.wait_for_metric("inflight", 4)
     attempts = sum(s.openings.qsize() for s in servers)
     assert figures == {
         "calls.page-load.success": 5,
@@ -94,7 +94,7 @@
         held = out.openings.qsize()
         assert running.call(f"set-down {out.name}") == "ok"
         assert running.call(f"set-down {out.name}") == "ok"
-        assert running.figures()["hosts_down"] == 1
+        assert running.read_metrics()["hosts_down"] == 1
         # The roster drops it, and lists it again as a form server that takes sessions.
         for phase in ("DELETED", "SERVING"):
             roster.tell(out.entry(phase))
@@ -107,7 +107,7 @@
         moved = [h for h in households if running_moved(h)]
         assert len(moved) == held
         assert running.call(f"set-up {out.name}") == "ok"
-        assert running.figures()["hosts_down"] == 0
+        assert running.read_metrics()["hosts_down"] == 0
         until = time.monotonic() + TIMEOUT_S
         n = 24
         while out.openings.qsize() == held:
@@ -126,7 +126,7 @@
     for server in servers:
         assert running.call(f"set-down {server.name}") == "ok"
     began = time.monotonic()
-    refusal = running.ask().read_line()
+    refusal = running.request_session().read_line()
     assert time.monotonic() - began < 1
     word, _, when = refusal.partition(" ")
     assert word == "BUSY" and int(when) > 0
@@ -140,7 +140,7 @@
     assert running.call("check").startswith("fail")
     households.append(placed(running, 7))  # whoever still comes has an honest answer
     assert [h.read_line() for h in households] == ["MOVE"] * 7
-    running.until("inflight", 0)
+    running.wait_for_metric("inflight", 0)
     assert running.call("drain-off") == "ok"
     assert running.call("drain-off") == "ok"
     assert pinged(running) == "PONG"
@@ -196,7 +196,7 @@
         ExitStack() as stack,
     ):
         for n in range(40):
-            stack.callback(running.ask(f"{n:016x}").close)
+            stack.callback(running.request_session(f"{n:016x}").close)
         running.logged("out-of-descriptors")
         for _ in range(20):
             began = time.monotonic()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -132,7 +132,7 @@
 ) -> None:
     roster = Roster([unreachable.entry(), form_server.entry()])
     with node(tmp_path, roster, settings=LONG_TIMEOUT_SETTINGS) as running:
-        client = running.ask(group=find_group_that_prefers(unreachable.name, form_server.name))
+        client = running.request_session(group=find_group_that_prefers(unreachable.name, form_server.name))
         unreachable.wait_for_connection_attempt(running.process.pid)
         roster.tell(unreachable.entry(phase))
         running.logged("roster", "kind=delta")
@@ -152,7 +152,7 @@
     services = [{**service, **effect} for service in LONG_TIMEOUT_SETTINGS["services"]]
     roster = Roster([unreachable.entry(), form_server.entry()])
     with node(tmp_path, roster, settings={**LONG_TIMEOUT_SETTINGS, "services": services}) as running:
-        client = running.ask(group=find_group_that_prefers(form_server.name, unreachable.name))
+        client = running.request_session(group=find_group_that_prefers(form_server.name, unreachable.name))
         form_server.openings.get(timeout=TIMEOUT_S)
         unreachable.wait_for_connection_attempt(running.process.pid)
         # The dropped packet is sent again after a second, which is after the time limit for a retry.
@@ -166,7 +166,7 @@
 ) -> None:
     roster = Roster([unreachable.entry(), form_server.entry()])
     with node(tmp_path, roster, settings=LONG_TIMEOUT_SETTINGS) as running:
-        client = running.ask(group=find_group_that_prefers(unreachable.name, form_server.name))
+        client = running.request_session(group=find_group_that_prefers(unreachable.name, form_server.name))
         unreachable.wait_for_connection_attempt(running.process.pid)
         with process_stopped(running):
             peer = next(unreachable.accept_connections())
@@ -182,7 +182,7 @@
 ) -> None:
     roster = Roster([form_server.entry()])
     with node(tmp_path, roster) as running:
-        client = running.ask()
+        client = running.request_session()
         assert client.read_line() == "UP r1"
         roster.tell(form_server.entry("DRAINING"))
         assert client.read_line() == "MOVE"
@@ -199,7 +199,7 @@
 def test_nothing_is_read_from_a_form_server_after_its_end(tmp_path: Path, form_server: FormServer) -> None:
     roster = Roster([form_server.entry()])
     with node(tmp_path, roster) as running:
-        client = running.ask()
+        client = running.request_session()
         assert client.read_line() == "UP r1"
         form_server.peers[0].send_line("BYE")
         form_server.peers[0].end()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -237,13 +237,13 @@
         roster.members = [*roster.members, servers[1].entry()]
         roster.revision += 1
         for running in fleet.nodes.values():
-            fleet.until(lambda running=running: running.figures()["hosts_listed"] == 62)  # type: ignore[misc]
+            fleet.until(lambda running=running: running.read_metrics()["hosts_listed"] == 62)  # type: ignore[misc]
         fleet.nodes[reader].process.send_signal(signal.SIGKILL)
         roster.members = roster.members[1:]
         roster.revision += 1
         for name, running in fleet.nodes.items():
             if name != reader:
-                fleet.until(lambda running=running: running.figures()["hosts_listed"] == 61)  # type: ignore[misc]
+                fleet.until(lambda running=running: running.read_metrics()["hosts_listed"] == 61)  # type: ignore[misc]
 
 
 @pytest.fixture
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -111,7 +111,7 @@
         roster.steps.put(respond(list_changes(42, draining.entry("DRAINING")), indent=1))
         running.logged("roster", "kind=delta", "revision=42")
         for n, group in enumerate(GROUPS):
-            assert running.ask(id_=f"{n:016x}", group=group).read_line() == "UP r1"
+            assert running.request_session(id_=f"{n:016x}", group=group).read_line() == "UP r1"
         assert serving.openings.qsize() == len(GROUPS) and draining.openings.empty()
     roster.stop()
 
@@ -131,12 +131,12 @@
         roster.steps.put(respond(complete_list(43, serving.entry(), draining.entry())))
         assert roster.next_call()[1] == "/registry/instances"
         for n, group in enumerate(GROUPS):
-            assert running.ask(id_=f"{n:016x}", group=group).read_line() == "UP r1"
+            assert running.request_session(id_=f"{n:016x}", group=group).read_line() == "UP r1"
         assert draining.openings.empty()
         # A second complete list with the lower revision shows that the roster has restarted its numbering.
         roster.steps.put(respond(complete_list(43, draining.entry())))
         assert "after=43" in roster.next_call()[1]
-        assert running.ask(id_="f" * 16).read_line() == "UP r1"
+        assert running.request_session(id_="f" * 16).read_line() == "UP r1"
         assert draining.openings.qsize() == 1
     roster.stop()
 
@@ -162,7 +162,7 @@
         # The old roster's answer, delayed until now, is not applied: its connection has been closed.
         old.steps.put(respond(list_changes(99, serving.entry("DRAINING"), draining.entry())))
         for n, group in enumerate(GROUPS):
-            assert running.ask(id_=f"{n:016x}", group=group).read_line() == "UP r1"
+            assert running.request_session(id_=f"{n:016x}", group=group).read_line() == "UP r1"
         assert serving.openings.qsize() == len(GROUPS) and not any("revision=99" in x for x in running.lines)
     old.stop()
     new.stop()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -36,7 +36,7 @@
         check = running.connect()
         check.send_line("PING")
         assert check.read_line() == "PONG"
-        client = running.ask(more=",x=1")
+        client = running.request_session(more=",x=1")
         assert client.read_line() == "UP r1"
         opening = form_server.openings.get(timeout=TIMEOUT_S)
         head, _, facts = opening.rpartition(" ")
@@ -62,7 +62,7 @@
     changed = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], "tellsDelay": True}}
     changed["familyInfo"]["messageAimUs"] = [50_000.0, 50_000.0]
     with node(tmp_path, roster, settings=changed) as running:
-        client = running.ask()
+        client = running.request_session()
         assert client.read_line() == "UP r1"
         for line in ("LOAD 42000.0", "LOAD 29.1"):
             form_server.peers[0].send_line(line)
@@ -75,7 +75,7 @@
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        client = running.ask()
+        client = running.request_session()
         assert client.read_line() == "UP r1"
         form_server.peers[0].send_line("BYE")
         form_server.peers[0].end()
@@ -108,7 +108,7 @@
         assert requested_at - published_at < 0.2
         roster.answers.put(b'{"revision":43,"complete":true,"members":[{"id":"s-1"}]}')
         running.logged("roster-failed", "phase")
-        client = running.ask()
+        client = running.request_session()
         assert client.read_line() == "UP r1"
 
 
@@ -116,12 +116,12 @@
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        established = [running.ask(f"{n:016x}") for n in range(3)]
+        established = [running.request_session(f"{n:016x}") for n in range(3)]
         assert [h.read_line() for h in established] == ["UP r1"] * 3
         terminated_at = time.monotonic()
         running.terminate()
         running.logged("leaving")
-        late = running.ask("late")  # clients still arrive for a short time, and are still served
+        late = running.request_session("late")  # clients still arrive for a short time, and are still served
         assert late.read_line() == "UP r1"
         for client in (*established, late):
             assert client.read_line() == "MOVE"
@@ -151,13 +151,13 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (32, 32))
 
     with node(tmp_path, roster, prepare=limit_descriptors) as running:
-        clients = [running.ask(f"{n:016x}") for n in range(40)]
+        clients = [running.request_session(f"{n:016x}") for n in range(40)]
         running.logged("out-of-descriptors", "doing=accept")
         for client in clients:
             client.close()
         for n in range(10):
             running.logged("ended", f"id={n:016x}")
-        assert running.ask("late").read_line() == "UP r1"
+        assert running.request_session("late").read_line() == "UP r1"
 
 
 def test_a_rejection_by_a_full_form_server_is_retried_at_the_next_one(tmp_path: Path) -> None:
@@ -165,7 +165,7 @@
     roster = Roster([busy.entry(), other.entry()])
     with node(tmp_path, roster) as running:
         requested_at = time.monotonic()
-        answer, _, wait_ms = running.ask().read_line().partition(" ")
+        answer, _, wait_ms = running.request_session().read_line().partition(" ")
         # Every form server has rejected it, so the request is answered at once, with a retry time.
         assert answer == "BUSY" and 0 < int(wait_ms) <= 2000
         assert time.monotonic() - requested_at < 4.0
@@ -179,7 +179,7 @@
 ) -> None:
     server = FormServer("s-00000001", answer)
     with node(tmp_path, Roster([server.entry()])) as running:
-        assert running.ask(wait_ms=700).read_line() == expected
+        assert running.request_session(wait_ms=700).read_line() == expected
         assert server.openings.qsize() == 1
 
 
@@ -187,15 +187,18 @@
     servers = [FormServer(f"s-0000000{n}", f"UP r{n}") for n in range(1, 4)]
     with node(tmp_path, Roster([s.entry() for s in servers])) as running:
         for n in range(1, 4):
-            assert running.ask(f"{n:016x}", 999_999_999, f",at=s-0000000{n}").read_line() == f"UP r{n}"
-        assert running.ask("4", 40_000, ",at=s-00000009").read_line() == "ERR"
+            assert (
+                running.request_session(f"{n:016x}", 999_999_999, f",at=s-0000000{n}").read_line()
+                == f"UP r{n}"
+            )
+        assert running.request_session("4", 40_000, ",at=s-00000009").read_line() == "ERR"
 
 
 def test_clients_of_an_unresponsive_form_server_are_moved(
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        clients = [running.ask(f"{n:016x}") for n in range(10)]
+        clients = [running.request_session(f"{n:016x}") for n in range(10)]
         assert [h.read_line() for h in clients] == ["UP r1"] * 10
         form_server.answer = None  # from now on it returns nothing, but its connections stay open
         began = time.monotonic()
@@ -209,7 +212,7 @@
 
 def test_a_client_is_moved_between_two_lines(tmp_path: Path, form_server: FormServer, roster: Roster) -> None:
     with node(tmp_path, roster) as running:
-        client = running.ask()
+        client = running.request_session()
         assert client.read_line() == "UP r1"
         form_server.peers[0].sock.sendall(b"page ")  # an incomplete line is forwarded at once
         assert client.file.read(5) == b"page "
@@ -224,11 +227,11 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         roster.asked.get(timeout=TIMEOUT_S)
-        client = running.ask()
+        client = running.request_session()
         assert client.read_line() == "UP r1"
         roster.tell(form_server.entry("DRAINING"))
         assert client.read_line() == "MOVE"
-        assert running.ask().read_line().startswith("BUSY")  # no new session is placed there
+        assert running.request_session().read_line().startswith("BUSY")  # no new session is placed there
         assert form_server.openings.qsize() == 1
 
 
@@ -237,7 +240,7 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         for reply in (None, b"page 3\r\n"):
-            client = running.ask()
+            client = running.request_session()
             assert client.read_line() == "UP r1"
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -33,7 +33,7 @@
     path = tmp_path / "config.json"
     with node(tmp_path, old) as running:
         old.asked.get(timeout=TIMEOUT_S)
-        client = running.ask()
+        client = running.request_session()
         assert client.read_line() == "UP r1"
         config = json.loads(path.read_text())
         began = time.monotonic()
@@ -63,7 +63,7 @@
         path.unlink()
         running.process.send_signal(signal.SIGHUP)
         running.logged("reload-refused", "No such file")
-        assert running.ask().read_line() == "UP r1"
+        assert running.request_session().read_line() == "UP r1"
         assert sum("reload-refused" in line for line in running.lines) == len(bad) + 1
         assert not any("Traceback" in line for line in running.lines)
 
@@ -73,10 +73,10 @@
 ) -> None:
     path = tmp_path / "config.json"
     with node(tmp_path, Roster([form_server.entry()])) as running:
-        established, silent = running.ask(), running.connect()
+        established, silent = running.request_session(), running.connect()
         assert established.read_line() == "UP r1"
         form_server.answer = None
-        pending = running.ask("asking")
+        pending = running.request_session("asking")
         form_server.openings.get(timeout=TIMEOUT_S)
         form_server.openings.get(timeout=TIMEOUT_S)
         form_server.answer = "UP r1"
@@ -95,13 +95,13 @@
         assert [pending.read_line(), pending.read_line(), silent.read_line()] == ["ERR", "", ""]
         assert time.monotonic() - began < 3
         running.listen = address
-        assert running.ask().read_line() == "UP r1"
+        assert running.request_session().read_line() == "UP r1"
 
 
 def test_a_restart_during_a_reload_moves_all_clients(tmp_path: Path, form_server: FormServer) -> None:
     path = tmp_path / "config.json"
     with node(tmp_path, Roster([form_server.entry()])) as running:
-        client = running.ask()
+        client = running.request_session()
         assert client.read_line() == "UP r1"
         config = json.loads(path.read_text())
         running.terminate()
@@ -122,4 +122,4 @@
         assert new.asked.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
         new.answers.put(json.dumps(new.known()).encode())
         running.logged("roster", "kind=full")
-        assert running.ask().read_line() == "UP r1"
+        assert running.request_session().read_line() == "UP r1"
--- a/tests/test_slow_start_log.py
+++ b/tests/test_slow_start_log.py
@@ -12,7 +12,7 @@
     warm, young = FormServer("s-5be2a07c"), FormServer("s-00000002")
     roster = Roster([warm.entry()])
     with node(tmp_path, roster) as running:
-        households = [running.ask(f"{n:016x}", group=f"{n:016x}") for n in range(16)]
+        households = [running.request_session(f"{n:016x}", group=f"{n:016x}") for n in range(16)]
         assert all(household.read_line() == "UP r1" for household in households)
         roster.tell()  # from its first answer on, what is listed is news
         running.logged("roster", "form_servers=0")
@@ -23,7 +23,7 @@
         asked = 16
         while not young.openings.qsize():
             assert time.monotonic() < until
-            households.append(running.ask(f"{asked:016x}", group=f"{asked:016x}"))
+            households.append(running.request_session(f"{asked:016x}", group=f"{asked:016x}"))
             asked += 1
             assert households[-1].read_line().startswith(("UP", "BUSY"))
         opening = young.openings.get().split()[1]
@@ -34,7 +34,7 @@
 def test_a_refusal_says_why_and_each_failed_attempt_how(tmp_path: Path) -> None:
     full = FormServer("s-5be2a07c", answer="BUSY")
     with node(tmp_path, Roster([full.entry()])) as running:
-        assert running.ask().read_line().startswith("BUSY")
+        assert running.request_session().read_line().startswith("BUSY")
         failed = running.logged("attempt-failed", "server=s-5be2a07c")
         assert "id=9b1f03aa5c7e2d41." in failed and "attempt=0" in failed and "outcome=rejected" in failed
         assert "why=nowhere" in running.logged("ended", "reason=refused")
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -44,7 +44,7 @@
 
 def opened(running: RunningNode, count: int, first: int) -> list[Peer]:
     """So many households that have asked this node, each of a group of its own."""
-    return [running.ask(f"{n:016x}", group=f"{n:016x}") for n in range(first, first + count)]
+    return [running.request_session(f"{n:016x}", group=f"{n:016x}") for n in range(first, first + count)]
 
 
 @pytest.mark.parametrize("nodes", [1, 6])
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -111,7 +111,7 @@
         running.process.wait(TIMEOUT_S)
     with node(tmp_path, roster, operator=operator, control=free()) as running:
         running.logged("by-hand", f"server={name}", "out=True")
-        household = running.ask()
+        household = running.request_session()
         household.read_line()
         assert servers[0].openings.empty()
 
@@ -159,7 +159,7 @@
     operator = operator_of(tmp_path, tmp_path / "kept")
     with node(tmp_path, Roster([s.entry() for s in servers]), operator=operator) as running:
         running.logged("lasting-failed", "Is a directory")
-        assert running.ask().read_line()
+        assert running.request_session().read_line()
         running.process.send_signal(signal.SIGTERM)
         assert running.process.wait(TIMEOUT_S) == 0
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -94,14 +94,14 @@
     for stream in streams:
         stream.join()
     assert answers == ["UP r1"] * 2000
-    assert first.figures()["calls.page-load.failure"] == 0
+    assert first.read_metrics()["calls.page-load.failure"] == 0
 
 
 def test_standing_sessions_go_on_as_they_are(tier: Tier, servers: list[FormServer]) -> None:
     first = tier.start()
     households = []
     for n in range(60):
-        household = first.ask(f"{n:016x}", group=f"{n:016x}")
+        household = first.request_session(f"{n:016x}", group=f"{n:016x}")
         assert household.read_line() == "UP r1"
         households.append(household)
     households[0].sock.sendall(b"half a ")  # one is in the middle of its line, one of its form server's
@@ -123,11 +123,11 @@
             told, heard = told + 1, household.read_line()
         assert heard == (f"page {n}" if n else "half a page")
     assert told == 1 and at.ends.empty()
-    figures = second.figures()
+    figures = second.read_metrics()
     assert figures["inflight"] == 60 and figures["calls.page-load.success"] == 0
     for household in households:
         household.close()
-    second.until("inflight", 0)
+    second.wait_for_metric("inflight", 0)
     assert "moved" not in "".join(first.lines + second.lines)
 
 
@@ -135,7 +135,7 @@
     first = tier.start()
     households = []
     for n in range(30):
-        households.append(first.ask(f"{n:016x}", group=f"{n:016x}"))
+        households.append(first.request_session(f"{n:016x}", group=f"{n:016x}"))
         assert households[-1].read_line() == "UP r1"
     second = tier.start()
     second.logged("adopted")
@@ -148,17 +148,17 @@
             alive += household.read_line() == "page 3"
         except OSError:
             pass  # it was the successor's by then
-    assert alive == int(first.until("inflight", alive)["inflight"])
+    assert alive == int(first.wait_for_metric("inflight", alive)["inflight"])
 
 
 def test_what_one_process_knows_the_next_one_knows(tier: Tier, servers: list[FormServer]) -> None:
     first = tier.start()
     assert first.call(f"set-down {servers[0].name}") == "ok"
     tier.roster.tell(FormServer("s-00000003").entry())
-    first.until("hosts_listed", 3)
+    first.wait_for_metric("hosts_listed", 3)
     assert first.call("drain-on") == "ok"
     second = tier.start()
-    figures = second.figures()
+    figures = second.read_metrics()
     assert figures["hosts_listed"] == 3 and figures["hosts_down"] == 1
     assert figures["calls.page-load.success"] == 0
     assert second.call("check").startswith("fail")  # the node still drains
@@ -167,18 +167,18 @@
     while second.call("check") != "ok":
         pass
     assert second.call(f"set-up {servers[0].name}") == "ok"
-    assert second.figures()["hosts_down"] == 0
+    assert second.read_metrics()["hosts_down"] == 0
 
 
 def test_a_successor_that_dies_leaves_the_node_to_its_predecessor(tier: Tier) -> None:
     first = tier.start()
-    household = first.ask("1" * 16)
+    household = first.request_session("1" * 16)
     assert household.read_line() == "UP r1"
     second = tier.start()
     first.logged("leaving", "reason=succeeded")
     second.process.kill()
     first.logged("successor-lost")
-    household = first.ask()
+    household = first.request_session()
     assert household.read_line() == "UP r1"
     assert first.call("check") == "ok"
     third = tier.start()
@@ -193,7 +193,7 @@
     environment = {**os.environ, "RELAY_CONFIG": str(tier.folder / "config.json"), "TMPDIR": str(tier.folder)}
     done = subprocess.run([sys.executable, "-m", "sailrun"], env=environment, capture_output=True, text=True)
     assert done.returncode == 2 and done.stderr.count("\n") == 1
-    household = first.ask()
+    household = first.request_session()
     assert household.read_line() == "UP r1"
     assert first.call("check") == "ok"
 
@@ -216,7 +216,7 @@
     shutil.copy(tmp_path / ("long" * 30) / "config.json", other)
     with node(other, tier.roster, listen=tier.listen, control=f"127.0.0.1:{free_port()}") as second:
         assert second.call("check") == "ok" and first.call("check") == "ok"
-        assert second.ask().read_line() == "UP r1"
+        assert second.request_session().read_line() == "UP r1"
 
 
 # ---------------------------------------------------------------------- what passes over
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -82,7 +82,7 @@
 
 
 def place(running: RunningNode, server: FormServer) -> None:
-    household = running.ask()
+    household = running.request_session()
     assert household.read_line() == f"UP {server.name}"
     household.close()
 
@@ -104,7 +104,7 @@
         place(running, new)
         replace(clusters, response(CLUSTER))  # the cluster is removed, and its form servers with it
         running.logged("roster", "revision=3", "form_servers=0")
-        assert running.ask().read_line().startswith("BUSY")
+        assert running.request_session().read_line().startswith("BUSY")
 
 
 class ControlPlane(Listener):
