--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -136,14 +136,14 @@
 
     def __init__(self, name: str, answer: str | None = "UP r1") -> None:
         self.name, self.answer = name, answer
-        self.openings: queue.Queue[str] = queue.Queue()
+        self.first_lines: queue.Queue[str] = queue.Queue()
         self.ends: queue.Queue[str] = queue.Queue()  # how the node ended each connection: "ended" or "broken"
         self.peers: list[Peer] = []
         super().__init__()
 
     def serve(self, peer: Peer) -> None:
         first = peer.read_line()
-        self.openings.put(first)
+        self.first_lines.put(first)
         self.peers.append(peer)
         if self.answer is not None:
             peer.send_line(self.answer)
@@ -169,14 +169,14 @@
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.revision, self.members = 41, members
-        self.asked: queue.Queue[tuple[float, str]] = queue.Queue()
+        self.requests: queue.Queue[tuple[float, str]] = queue.Queue()
         self.answers: queue.Queue[bytes] = queue.Queue()  # raw response bodies
         super().__init__()
 
     def known(self) -> dict[str, Any]:
         return {"revision": self.revision, "complete": True, "members": self.members}
 
-    def tell(self, *members: dict[str, Any]) -> None:
+    def publish(self, *members: dict[str, Any]) -> None:
         self.revision += 1
         update = {"revision": self.revision, "complete": False, "members": members}
         self.answers.put(json.dumps(update).encode())
@@ -185,7 +185,7 @@
         while request := peer.read_line():
             while peer.read_line():
                 pass
-            self.asked.put((time.monotonic(), request.split()[1]))
+            self.requests.put((time.monotonic(), request.split()[1]))
             body = self.answers.get()
             head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
             peer.sock.sendall(head.encode() + body)
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -33,10 +33,10 @@
 def office(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[Office]:
     server = AmqpFormServer("s-5be2a07c", **getattr(request, "param", {}))
     roster = Roster([])
-    roster.tell(server.entry())
+    roster.publish(server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as running:
-        roster.asked.get(timeout=TIMEOUT_S)
-        roster.asked.get(timeout=TIMEOUT_S)  # the next watch: the list has arrived
+        roster.requests.get(timeout=TIMEOUT_S)
+        roster.requests.get(timeout=TIMEOUT_S)  # the next watch: the list has arrived
         yield Office(running, server, roster)
 
 
@@ -210,14 +210,14 @@
 def test_both_fronts_share_one_core(tmp_path: Path) -> None:
     text, amqp = FormServer("s-00000001"), AmqpFormServer("s-00000002")
     roster = Roster([])
-    roster.tell(text.entry())
+    roster.publish(text.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as running:
         for _ in range(2):
-            roster.asked.get(timeout=TIMEOUT_S)
+            roster.requests.get(timeout=TIMEOUT_S)
         assert running.request_session().read_line() == "UP r1"
-        roster.tell(text.entry("DRAINING"), amqp.entry())
-        roster.asked.get(timeout=TIMEOUT_S)
+        roster.publish(text.entry("DRAINING"), amqp.entry())
+        roster.requests.get(timeout=TIMEOUT_S)
         household = AmqpEnd(connect(running.amqp))
         link = household.open_link()
         household.until(lambda: link.state & proton.Endpoint.REMOTE_ACTIVE)
-        assert len(amqp.attached) == 1 and text.openings.qsize() == 1  # nothing new to the draining one
+        assert len(amqp.attached) == 1 and text.first_lines.qsize() == 1  # nothing new to the draining one
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -70,7 +70,7 @@
     client = running.connect()
     client.sock.sendall(sent.encode("latin-1"))
     assert read_to_end(client).removeprefix("PONG\r\n" * 16) == "ERR\r\n"
-    assert form_server.openings.empty()
+    assert form_server.first_lines.empty()
     assert running.request_session().read_line() == "UP r1"
 
 
@@ -79,7 +79,7 @@
 ) -> None:
     form_server.answer = None
     client = running.request_session()
-    form_server.openings.get(timeout=TIME_LIMIT_S)
+    form_server.first_lines.get(timeout=TIME_LIMIT_S)
     client.send_line(OPENING + "c=page-load,d=2000")
     assert read_to_end(client) == "ERR\r\n"
     assert form_server.ends.get(timeout=TIME_LIMIT_S)
@@ -91,7 +91,7 @@
     first = running.request_session()
     assert first.read_line() == "UP r1"
     assert read_to_end(running.request_session()) == "ERR\r\n"
-    assert form_server.openings.qsize() == 1
+    assert form_server.first_lines.qsize() == 1
     first.send_line("page 3")
     assert first.read_line() == "page 3"
     first.close()
--- a/tests/test_both_fronts.py
+++ b/tests/test_both_fronts.py
@@ -83,7 +83,7 @@
 def test_both_fronts_give_the_same_results_and_follow_the_same_rules(tmp_path: Path, full: bool) -> None:
     servers = [DualProtocolFormServer(f"s-0000000{n}", full and n == 1) for n in range(1, 5)]
     roster = Roster([])
-    roster.tell(*(s.entry() for s in servers))
+    roster.publish(*(s.entry() for s in servers))
     keys = [f"{n:016x}" for n in range(CLIENT_COUNT)]
     results: dict[str, list[Any]] = {name: [None] * CLIENT_COUNT for name in FRONTS}
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as running:
@@ -106,10 +106,10 @@
         attempts = [key for s in servers for _, key in s.requests]
         # One attempt if the form server has capacity; one more after each rejection, which had no effect.
         assert len(attempts) == 2 * CLIENT_COUNT + (len(servers[0].requests) if full else 0)
-        roster.asked.get(timeout=TIMEOUT_S)
-        roster.asked.get(timeout=TIMEOUT_S)
+        roster.requests.get(timeout=TIMEOUT_S)
+        roster.requests.get(timeout=TIMEOUT_S)
         draining = servers[1]
-        roster.tell(draining.entry("DRAINING"))
+        roster.publish(draining.entry("DRAINING"))
         running.logged("roster", "revision=43")
         before = len(draining.requests)
         for key in keys:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -67,7 +67,7 @@
     assert refused.read_line().startswith("BUSY")
     households.pop().close()
     figures = running.wait_for_metric("inflight", 4)
-    attempts = sum(s.openings.qsize() for s in servers)
+    attempts = sum(s.first_lines.qsize() for s in servers)
     assert figures == {
         "calls.page-load.success": 5,
         "calls.page-load.busy": 1,
@@ -90,18 +90,18 @@
     roster = Roster([s.entry() for s in servers])
     with node(tmp_path, roster, control=f"127.0.0.1:{free_port()}") as running:
         households = [placed(running, n) for n in range(12)]
-        out = next(s for s in servers if s.openings.qsize())
-        held = out.openings.qsize()
+        out = next(s for s in servers if s.first_lines.qsize())
+        held = out.first_lines.qsize()
         assert running.call(f"set-down {out.name}") == "ok"
         assert running.call(f"set-down {out.name}") == "ok"
         assert running.read_metrics()["hosts_down"] == 1
         # The roster drops it, and lists it again as a form server that takes sessions.
         for phase in ("DELETED", "SERVING"):
-            roster.tell(out.entry(phase))
+            roster.publish(out.entry(phase))
             running.logged("roster", f"revision={roster.revision}")
         for n in range(12, 24):
             placed(running, n)
-        assert out.openings.qsize() == held
+        assert out.first_lines.qsize() == held
         for _ in range(held):
             assert out.ends.get(timeout=TIMEOUT_S) == "ended"
         moved = [h for h in households if running_moved(h)]
@@ -110,7 +110,7 @@
         assert running.read_metrics()["hosts_down"] == 0
         until = time.monotonic() + TIMEOUT_S
         n = 24
-        while out.openings.qsize() == held:
+        while out.first_lines.qsize() == held:
             assert time.monotonic() < until
             placed(running, n).close()
             n += 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -134,13 +134,13 @@
     with node(tmp_path, roster, settings=LONG_TIMEOUT_SETTINGS) as running:
         client = running.request_session(group=find_group_that_prefers(unreachable.name, form_server.name))
         unreachable.wait_for_connection_attempt(running.process.pid)
-        roster.tell(unreachable.entry(phase))
+        roster.publish(unreachable.entry(phase))
         running.logged("roster", "kind=delta")
         assert (
             next(unreachable.accept_connections()).read_line() == ""
         )  # connected, and closed without sending a byte
         assert client.read_line() == "UP r1"
-        assert form_server.openings.qsize() == 1
+        assert form_server.first_lines.qsize() == 1
     roster.stop()
 
 
@@ -153,7 +153,7 @@
     roster = Roster([unreachable.entry(), form_server.entry()])
     with node(tmp_path, roster, settings={**LONG_TIMEOUT_SETTINGS, "services": services}) as running:
         client = running.request_session(group=find_group_that_prefers(form_server.name, unreachable.name))
-        form_server.openings.get(timeout=TIMEOUT_S)
+        form_server.first_lines.get(timeout=TIMEOUT_S)
         unreachable.wait_for_connection_attempt(running.process.pid)
         # The dropped packet is sent again after a second, which is after the time limit for a retry.
         assert next(unreachable.accept_connections()).read_line() == ""
@@ -173,7 +173,7 @@
             client.end()
         assert peer.read_line() == ""
         running.logged("ended", "id=9b1f03aa5c7e2d41")  # logged as left, or as failed if the node was faster
-        assert form_server.openings.empty()
+        assert form_server.first_lines.empty()
     roster.stop()
 
 
@@ -184,7 +184,7 @@
     with node(tmp_path, roster) as running:
         client = running.request_session()
         assert client.read_line() == "UP r1"
-        roster.tell(form_server.entry("DRAINING"))
+        roster.publish(form_server.entry("DRAINING"))
         assert client.read_line() == "MOVE"
         assert client.read_line() == ""
         client.send_line("page 3")
@@ -229,7 +229,7 @@
         assert [client.read_line() for client in idle_clients] == ["BUSY"] * 3
         idle_clients[0].send_line("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page-load,d=800")
         assert [client.read_line() for client in idle_clients] == [""] * 3
-        assert form_server.openings.empty()
+        assert form_server.first_lines.empty()
         assert running.process.wait(TIMEOUT_S) == 0
     roster.stop()
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -67,15 +67,15 @@
         stranger = running.connect()
         stranger.send_line(f"OPEN a 7f3a9c21e0b4d655 c={elsewhere},d=900")
         assert stranger.read_line() == "ERR"
-        on_drains = drains.openings.qsize()
-        assert on_drains and stays.openings.qsize()
+        on_drains = drains.first_lines.qsize()
+        assert on_drains and stays.first_lines.qsize()
         told = time.monotonic()
-        roster.tell(drains.entry("DRAINING"))
+        roster.publish(drains.entry("DRAINING"))
         for _ in range(on_drains):
             assert drains.ends.get(timeout=TIMEOUT_S) == "ended"
         grace_s = settings["obligations"]["drainGraceUs"] / 1e6
         assert time.monotonic() - told < grace_s + 1.0
-        assert drains.openings.qsize() == on_drains
+        assert drains.first_lines.qsize() == on_drains
         began = time.monotonic()
         running.terminate()
         assert running.process.wait(TIMEOUT_S) == 0
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -34,7 +34,7 @@
         while request := peer.read_line():
             while peer.read_line():
                 pass
-            self.asked.put((time.monotonic(), request))
+            self.requests.put((time.monotonic(), request))
             until = time.monotonic() + (1.0 if "wait_ms" in request else 0.0)
             while f"after={self.revision}&" in request and time.monotonic() < until:
                 time.sleep(0.02)
@@ -230,10 +230,10 @@
             lambda: sum("roster-reader reads=False" in x for n in fleet.nodes.values() for x in n.lines) >= 2
         )
         time.sleep(1.2)  # watches that were under way have ended
-        while not roster.asked.empty():
-            roster.asked.get()
+        while not roster.requests.empty():
+            roster.requests.get()
         time.sleep(2.0)
-        assert 1 <= roster.asked.qsize() <= 4, list(roster.asked.queue)
+        assert 1 <= roster.requests.qsize() <= 4, list(roster.requests.queue)
         roster.members = [*roster.members, servers[1].entry()]
         roster.revision += 1
         for running in fleet.nodes.values():
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -112,7 +112,7 @@
         running.logged("roster", "kind=delta", "revision=42")
         for n, group in enumerate(GROUPS):
             assert running.request_session(id_=f"{n:016x}", group=group).read_line() == "UP r1"
-        assert serving.openings.qsize() == len(GROUPS) and draining.openings.empty()
+        assert serving.first_lines.qsize() == len(GROUPS) and draining.first_lines.empty()
     roster.stop()
 
 
@@ -132,12 +132,12 @@
         assert roster.next_call()[1] == "/registry/instances"
         for n, group in enumerate(GROUPS):
             assert running.request_session(id_=f"{n:016x}", group=group).read_line() == "UP r1"
-        assert draining.openings.empty()
+        assert draining.first_lines.empty()
         # A second complete list with the lower revision shows that the roster has restarted its numbering.
         roster.steps.put(respond(complete_list(43, draining.entry())))
         assert "after=43" in roster.next_call()[1]
         assert running.request_session(id_="f" * 16).read_line() == "UP r1"
-        assert draining.openings.qsize() == 1
+        assert draining.first_lines.qsize() == 1
     roster.stop()
 
 
@@ -163,7 +163,9 @@
         old.steps.put(respond(list_changes(99, serving.entry("DRAINING"), draining.entry())))
         for n, group in enumerate(GROUPS):
             assert running.request_session(id_=f"{n:016x}", group=group).read_line() == "UP r1"
-        assert serving.openings.qsize() == len(GROUPS) and not any("revision=99" in x for x in running.lines)
+        assert serving.first_lines.qsize() == len(GROUPS) and not any(
+            "revision=99" in x for x in running.lines
+        )
     old.stop()
     new.stop()
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -38,7 +38,7 @@
         assert check.read_line() == "PONG"
         client = running.request_session(more=",x=1")
         assert client.read_line() == "UP r1"
-        opening = form_server.openings.get(timeout=TIMEOUT_S)
+        opening = form_server.first_lines.get(timeout=TIMEOUT_S)
         head, _, facts = opening.rpartition(" ")
         assert head == "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655"
         before, deadline, *after = facts.split(",")
@@ -100,10 +100,10 @@
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        assert "after=41&wait_ms=" in roster.asked.get(timeout=TIMEOUT_S)[1]
+        assert "after=41&wait_ms=" in roster.requests.get(timeout=TIMEOUT_S)[1]
         published_at = time.monotonic()
-        roster.tell(form_server.entry())
-        requested_at, path = roster.asked.get(timeout=TIMEOUT_S)
+        roster.publish(form_server.entry())
+        requested_at, path = roster.requests.get(timeout=TIMEOUT_S)
         assert "after=42&" in path
         assert requested_at - published_at < 0.2
         roster.answers.put(b'{"revision":43,"complete":true,"members":[{"id":"s-1"}]}')
@@ -169,7 +169,7 @@
         # Every form server has rejected it, so the request is answered at once, with a retry time.
         assert answer == "BUSY" and 0 < int(wait_ms) <= 2000
         assert time.monotonic() - requested_at < 4.0
-        assert busy.openings.qsize() == other.openings.qsize() == 1
+        assert busy.first_lines.qsize() == other.first_lines.qsize() == 1
         running.logged("ended", "reason=refused", "attempts=2")
 
 
@@ -180,7 +180,7 @@
     server = FormServer("s-00000001", answer)
     with node(tmp_path, Roster([server.entry()])) as running:
         assert running.request_session(wait_ms=700).read_line() == expected
-        assert server.openings.qsize() == 1
+        assert server.first_lines.qsize() == 1
 
 
 def test_a_session_from_before_the_start_is_resumed_at_its_form_server(tmp_path: Path) -> None:
@@ -226,13 +226,13 @@
     tmp_path: Path, form_server: FormServer, roster: Roster
 ) -> None:
     with node(tmp_path, roster) as running:
-        roster.asked.get(timeout=TIMEOUT_S)
+        roster.requests.get(timeout=TIMEOUT_S)
         client = running.request_session()
         assert client.read_line() == "UP r1"
-        roster.tell(form_server.entry("DRAINING"))
+        roster.publish(form_server.entry("DRAINING"))
         assert client.read_line() == "MOVE"
         assert running.request_session().read_line().startswith("BUSY")  # no new session is placed there
-        assert form_server.openings.qsize() == 1
+        assert form_server.first_lines.qsize() == 1
 
 
 def test_a_client_whose_connection_breaks_during_a_session_is_released(
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -24,7 +24,7 @@
 def skew(running: RunningNode, roster: Roster) -> list[DualProtocolFormServer]:
     """More form servers turn up beside the one that holds everybody."""
     others = [DualProtocolFormServer(f"s-0000000{n}") for n in range(2, 5)]
-    roster.tell(*(server.entry() for server in others))
+    roster.publish(*(server.entry() for server in others))
     running.logged("roster", "revision=43")
     return others
 
@@ -34,7 +34,7 @@
     path.write_text(QUICK)
     only = DualProtocolFormServer("s-00000001")
     roster = Roster([])
-    roster.tell(only.entry())
+    roster.publish(only.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}, operator=path) as running:
         running.logged("roster", "form_servers=1")
         ends = {
@@ -57,7 +57,7 @@
     path.write_text("")
     only = DualProtocolFormServer("s-00000001")
     roster = Roster([])
-    roster.tell(only.entry())
+    roster.publish(only.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}, operator=path) as running:
         running.logged("roster", "form_servers=1")
         ends = [FRONTS["text"](running, f"{n:016x}")[1] for n in range(HOUSEHOLDS)]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -32,21 +32,21 @@
     old, new = Roster([form_server.entry()]), Roster([form_server.entry()])
     path = tmp_path / "config.json"
     with node(tmp_path, old) as running:
-        old.asked.get(timeout=TIMEOUT_S)
+        old.requests.get(timeout=TIMEOUT_S)
         client = running.request_session()
         assert client.read_line() == "UP r1"
         config = json.loads(path.read_text())
         began = time.monotonic()
         write_and_send_sighup(running, path, json.dumps({**config, "discovery": new.address}))
         # The revisions of one roster mean nothing to another, so the complete list is requested first.
-        assert new.asked.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
+        assert new.requests.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
         assert time.monotonic() - began < 2
         running.logged("reloaded", "changed=roster")
         new.answers.put(json.dumps(new.known()).encode())
-        assert "after=41&" in new.asked.get(timeout=TIMEOUT_S)[1]
-        new.tell(form_server.entry("DRAINING"))
+        assert "after=41&" in new.requests.get(timeout=TIMEOUT_S)[1]
+        new.publish(form_server.entry("DRAINING"))
         assert client.read_line() == "MOVE"
-        assert old.asked.empty()
+        assert old.requests.empty()
 
 
 def test_an_unusable_file_leaves_the_old_one_in_use(tmp_path: Path, form_server: FormServer) -> None:
@@ -77,8 +77,8 @@
         assert established.read_line() == "UP r1"
         form_server.answer = None
         pending = running.request_session("asking")
-        form_server.openings.get(timeout=TIMEOUT_S)
-        form_server.openings.get(timeout=TIMEOUT_S)
+        form_server.first_lines.get(timeout=TIMEOUT_S)
+        form_server.first_lines.get(timeout=TIMEOUT_S)
         form_server.answer = "UP r1"
         address = f"127.0.0.1:{free_port()}"
         config = json.loads(path.read_text())
@@ -119,7 +119,7 @@
         running.logged("reload-refused", "rooster")
         write_and_send_sighup(running, path, text.replace(old.address, new.address))
         running.logged("reloaded", "changed=roster")
-        assert new.asked.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
+        assert new.requests.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
         new.answers.put(json.dumps(new.known()).encode())
         running.logged("roster", "kind=full")
         assert running.request_session().read_line() == "UP r1"
--- a/tests/test_slow_start_log.py
+++ b/tests/test_slow_start_log.py
@@ -14,19 +14,19 @@
     with node(tmp_path, roster) as running:
         households = [running.request_session(f"{n:016x}", group=f"{n:016x}") for n in range(16)]
         assert all(household.read_line() == "UP r1" for household in households)
-        roster.tell()  # from its first answer on, what is listed is news
+        roster.publish()  # from its first answer on, what is listed is news
         running.logged("roster", "form_servers=0")
-        roster.tell({**young.entry(), "up_since_ms": int(time.time() * 1000)})
+        roster.publish({**young.entry(), "up_since_ms": int(time.time() * 1000)})
         began = running.logged("slow-start ", "server=s-00000002", "cause=listed")
         assert "age_ms=" in began
         until = time.monotonic() + TIMEOUT_S
         asked = 16
-        while not young.openings.qsize():
+        while not young.first_lines.qsize():
             assert time.monotonic() < until
             households.append(running.request_session(f"{asked:016x}", group=f"{asked:016x}"))
             asked += 1
             assert households[-1].read_line().startswith(("UP", "BUSY"))
-        opening = young.openings.get().split()[1]
+        opening = young.first_lines.get().split()[1]
         sent = running.logged("slow-start-send", "server=s-00000002")
         assert f"id={opening}." in sent and "sent=1" in sent and "part=" in sent and "share=0.1" in sent
 
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -71,7 +71,7 @@
         assert all(household.read_line() == "UP r1" for household in households)
         started = time.time()
         for roster in rosters:
-            roster.tell({**young.entry(), "up_since_ms": int(started * 1000)})
+            roster.publish({**young.entry(), "up_since_ms": int(started * 1000)})
         for one in running:
             one.logged("slow-start ", "server=s-5be2a07c")
         time.sleep(QUIET_S)  # the fault needs a quiet time before the rush
@@ -81,7 +81,7 @@
         for one in running:
             sends = [line for line in one.lines if "slow-start-send" in line]
             arrivals += [float(line.split()[0]) for line in sends]
-        assert len(arrivals) == young.openings.qsize()
+        assert len(arrivals) == young.first_lines.qsize()
         for household in (*households, *(one for asked in rush for one in asked)):
             household.close()
     worst = max(sum(at - WINDOW_S < other <= at for other in arrivals) for at in arrivals or [0.0])
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -113,7 +113,7 @@
         running.logged("by-hand", f"server={name}", "out=True")
         household = running.request_session()
         household.read_line()
-        assert servers[0].openings.empty()
+        assert servers[0].first_lines.empty()
 
 
 def until(true: Any) -> None:
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -154,7 +154,7 @@
 def test_what_one_process_knows_the_next_one_knows(tier: Tier, servers: list[FormServer]) -> None:
     first = tier.start()
     assert first.call(f"set-down {servers[0].name}") == "ok"
-    tier.roster.tell(FormServer("s-00000003").entry())
+    tier.roster.publish(FormServer("s-00000003").entry())
     first.wait_for_metric("hosts_listed", 3)
     assert first.call("drain-on") == "ok"
     second = tier.start()
