--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -52,7 +52,7 @@
 
     def __init__(self, node: Node, groups: bool, descriptors: int) -> None:
         self.node = node
-        self.groups = groups  # whether `g` names a group; otherwise it only repeats the client
+        self.groups = groups  # whether `g` names a group; otherwise it only identifies the client
         self.classes = frozenset(c.name for c in node.settings.classes)
         self.waiting = WaitingRoom(descriptors)
         # The lowest delay that form servers report, and the classifiers of their LOAD lines, by name.
@@ -75,8 +75,8 @@
 
 
 class ClientConnection:
-    """One client's connection, the node's `SessionClient`. The node's calls only post commands, which the
-    tasks of this connection execute.
+    """One client's connection, the node's `SessionClient`. The node's calls do not block: they post commands
+    or cancel scopes, and the tasks of this connection do the work.
     """
 
     _group: TaskGroup
@@ -263,7 +263,7 @@
                 )
 
     def _release(self) -> None:
-        """Releases the id and tells the node that the client has left."""
+        """Releases the id and notifies the node that the client has left."""
         if self._id is not None and self._session is not None:
             self._front.ids_in_use.discard(self._id)
             self._id = None
@@ -314,7 +314,7 @@
         )
 
     async def _first_line(self, deadline_us: int) -> bytes | None:
-        """Reads the client's request line, and answers PING before it; None if no request arrives in time."""
+        """Answers PING, and returns the first other line; None if no such line arrives in time."""
         self._reason = "no-first-line"
         scope = anyio.CancelScope(deadline=self._node.clock.to_deadline(deadline_us))
         self._front.waiting.enter(scope)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -24,9 +24,8 @@
     classifier = LoadLineClassifier[str](MIN_DELAY_MS)
     assert classifier.classify(0, 761.0, "a") == Load(761.0)
     assert classifier.classify(200_000, 42_000.0, "b") == Load(42_000.0)
-    assert classifier.classify(SECOND, 1_011.0, "a") == Delay(
-        1_011.0, "a"
-    )  # the first one was a delay as well
+    # The value before it was a delay as well.
+    assert classifier.classify(SECOND, 1_011.0, "a") == Delay(1_011.0, "a")
     assert classifier.classify(2 * SECOND, 1_526.0, "a") == Delay(1_526.0, None)
 
 
