--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -35,7 +35,7 @@
     roster = Roster([server.entry()])
     with node(folder, roster, _few, control=control, limits=limits) as running, ExitStack() as stack:
         for n in range(DESCRIPTORS):
-            stack.callback(running.ask(f"{n:016x}").close)
+            stack.callback(running.request_session(f"{n:016x}").close)
         running.logged("out-of-descriptors")
         times = []
         for n in range(CALLS):
@@ -71,8 +71,8 @@
             count += 1
             try:
                 peer = Peer(connect(listen))
-                peer.say(f"OPEN {number:04x}{count:012x} 7f3a9c c=page-load,d=8000,g={count:x}")
-                met[peer.hear().split(" ")[0] or "ended"] += 1
+                peer.send_line(f"OPEN {number:04x}{count:012x} 7f3a9c c=page-load,d=8000,g={count:x}")
+                met[peer.read_line().split(" ")[0] or "ended"] += 1
                 peer.close()
             except OSError as error:
                 met[type(error).__name__] += 1
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.amqp_stand_ins import REQUEST, AmqpEnd, AmqpFormServer, send
-from tests.stand_ins import PATIENCE_S, FormServer, Roster, RunningNode, connect, sidecar
+from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, connect, sidecar
 
 BIG = bytes(200_000)  # many frames of the 4,096 bytes that the node states
 
@@ -33,10 +33,10 @@
 def office(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[Office]:
     server = AmqpFormServer("s-5be2a07c", **getattr(request, "param", {}))
     roster = Roster([])
-    roster.tell(server.entry())
+    roster.publish(server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as running:
-        roster.asked.get(timeout=PATIENCE_S)
-        roster.asked.get(timeout=PATIENCE_S)  # the next watch: the list has arrived
+        roster.requests.get(timeout=TIMEOUT_S)
+        roster.requests.get(timeout=TIMEOUT_S)  # the next watch: the list has arrived
         yield Office(running, server, roster)
 
 
@@ -125,16 +125,16 @@
     link = office.placed()
     office.node.terminate()
     assert office.household.condition(link).name == "amqp:link:detach-forced"
-    assert office.node.process.wait(PATIENCE_S) == 0
+    assert office.node.process.wait(TIMEOUT_S) == 0
 
 
 def test_staff_take_a_form_server_out_and_drain_the_node_of_links_too(office: Office) -> None:
     link = office.placed()
-    figures = office.node.figures()
+    figures = office.node.read_metrics()
     assert figures["calls.page-load.success"] == figures["backend_calls"] == figures["inflight"] == 1
     assert office.node.call("drain-on") == "ok"
     assert office.household.condition(link).name == "amqp:link:detach-forced"
-    office.node.until("inflight", 0)
+    office.node.wait_for_metric("inflight", 0)
     assert office.node.call("drain-off") == office.node.call("check") == "ok"
     link = office.placed()
     assert office.node.call("set-down s-5be2a07c") == "ok"
@@ -143,7 +143,7 @@
     refused = office.household.open_link()
     assert office.household.condition(refused).name == "amqp:resource-limit-exceeded"
     assert len(office.server.attached) == asked
-    assert office.node.figures()["calls.page-load.busy"] == 1
+    assert office.node.read_metrics()["calls.page-load.busy"] == 1
     assert office.node.call("set-up s-5be2a07c") == "ok"
     office.placed()  # it is the only one, and cold: its first slot is there at once
 
@@ -186,7 +186,7 @@
 )
 def test_what_is_no_amqp_ends_the_connection_with_its_error(office: Office, said: bytes, reason: str) -> None:
     with connect(office.node.amqp) as sock:
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(TIMEOUT_S)
         sock.sendall(said)
         answer = b""
         while data := sock.recv(4096):
@@ -210,14 +210,14 @@
 def test_both_fronts_share_one_core(tmp_path: Path) -> None:
     text, amqp = FormServer("s-00000001"), AmqpFormServer("s-00000002")
     roster = Roster([])
-    roster.tell(text.entry())
+    roster.publish(text.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as running:
         for _ in range(2):
-            roster.asked.get(timeout=PATIENCE_S)
-        assert running.ask().hear() == "UP r1"
-        roster.tell(text.entry("DRAINING"), amqp.entry())
-        roster.asked.get(timeout=PATIENCE_S)
+            roster.requests.get(timeout=TIMEOUT_S)
+        assert running.request_session().read_line() == "UP r1"
+        roster.publish(text.entry("DRAINING"), amqp.entry())
+        roster.requests.get(timeout=TIMEOUT_S)
         household = AmqpEnd(connect(running.amqp))
         link = household.open_link()
         household.until(lambda: link.state & proton.Endpoint.REMOTE_ACTIVE)
-        assert len(amqp.attached) == 1 and text.openings.qsize() == 1  # nothing new to the draining one
+        assert len(amqp.attached) == 1 and text.first_lines.qsize() == 1  # nothing new to the draining one
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -44,7 +44,7 @@
 
 def opened(running: RunningNode, count: int, first: int) -> list[Peer]:
     """So many households that have asked this node, each of a group of its own."""
-    return [running.ask(f"{n:016x}", group=f"{n:016x}") for n in range(first, first + count)]
+    return [running.request_session(f"{n:016x}", group=f"{n:016x}") for n in range(first, first + count)]
 
 
 @pytest.mark.parametrize("nodes", [1, 6])
@@ -68,20 +68,20 @@
         households: list[Peer] = []
         for n, one in enumerate(running):
             households += opened(one, WARM * SESSIONS_EACH // nodes, 10_000 * n)
-        assert all(household.hear() == "UP r1" for household in households)
+        assert all(household.read_line() == "UP r1" for household in households)
         started = time.time()
         for roster in rosters:
-            roster.tell({**young.entry(), "up_since_ms": int(started * 1000)})
+            roster.publish({**young.entry(), "up_since_ms": int(started * 1000)})
         for one in running:
             one.logged("slow-start ", "server=s-5be2a07c")
         time.sleep(QUIET_S)  # the fault needs a quiet time before the rush
         rush = [opened(one, RUSH_EACH, 10_000 * n + 5_000) for n, one in enumerate(running)]
         for household in (one for asked in rush for one in asked):
-            assert household.hear().startswith(("UP", "BUSY"))
+            assert household.read_line().startswith(("UP", "BUSY"))
         for one in running:
             sends = [line for line in one.lines if "slow-start-send" in line]
             arrivals += [float(line.split()[0]) for line in sends]
-        assert len(arrivals) == young.openings.qsize()
+        assert len(arrivals) == young.first_lines.qsize()
         for household in (*households, *(one for asked in rush for one in asked)):
             household.close()
     worst = max(sum(at - WINDOW_S < other <= at for other in arrivals) for at in arrivals or [0.0])
