--- a/sailrun/storage/__init__.py
+++ b/sailrun/storage/__init__.py
@@ -1,3 +1,5 @@
-"""What outlasts a process: a node's own folder, with what its vote may never forget and what it would like to
-remember.
+"""Persistent state of a node: a storage folder with a write-ahead log and snapshots.
+
+It has the state that the node's vote depends on after a restart, and learned state that is only an
+optimisation.
 """
--- a/sailrun/storage/cli.py
+++ b/sailrun/storage/cli.py
@@ -1,4 +1,4 @@
-"""`sailrun lasting`: looks at a node's folder, and empties it, without a node."""
+"""`sailrun lasting`: inspects or empties a storage folder without a running node."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 
 from sailrun.start import complain
 
-# What reads a folder is imported in the functions: every command of `sailrun` imports this module.
+# The modules that read a folder are imported in the functions, because every command of `sailrun` imports
+# this module.
 if TYPE_CHECKING:
     from sailrun.replication.operator_marks import MarkStatus
     from sailrun.storage.entries import Entry
     from sailrun.storage.folder_reader import FolderContents
 
-app = typer.Typer(help="Look at the folder in which a node keeps what it has to know after a restart.")
+app = typer.Typer(help="Inspect or empty the folder in which a node stores its persistent state.")
 
-FolderArgument = Annotated[Path, typer.Argument(help="The folder that [lasting] names.")]
-JsonOption = Annotated[bool, typer.Option("--json", help="As JSON.")]
+FolderArgument = Annotated[Path, typer.Argument(help="The folder that is set in [lasting].")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 HalfLifeOption = Annotated[
-    float, typer.Option("--half-life", min=1.0, help="Seconds; as `lasting.half_life_s` has it.")
+    float, typer.Option("--half-life", min=1.0, help="Half-life in seconds, as in `lasting.half_life_s`.")
 ]
-# Keys and values as they are printed.
-Facts = dict[str, Any]
+# Printed keys and values.
+Fields = dict[str, Any]
 
 
 def _read(folder: Path) -> FolderContents:
@@ -41,7 +42,7 @@
         complain(f"{folder}: {error.strerror or error}")
 
 
-def _describe_contents(contents: FolderContents) -> Facts:
+def _describe_contents(contents: FolderContents) -> Fields:
     state = contents.state
     return {
         "sound": contents.integrity.value,
@@ -61,8 +62,8 @@
     }
 
 
-def _describe_start(contents: FolderContents, half_life_s: float, now_s: float) -> Facts:
-    """What a node would start with now."""
+def _describe_start(contents: FolderContents, half_life_s: float, now_s: float) -> Fields:
+    """Returns the state with which a node would start now."""
     from sailrun.replication.operator_marks import MARK_KINDS, resolve_mark
     from sailrun.storage.folder_reader import FolderIntegrity
 
@@ -82,12 +83,12 @@
     }
 
 
-def _describe_mark(mark: MarkStatus) -> Facts:
-    words = [{"id": m.id, "who": m.author, "why": m.reason, "gone": gone} for m, gone in mark.versions]
-    return {"kind": mark.kind, "subject": mark.subject, "on": mark.active, "words": words}
+def _describe_mark(mark: MarkStatus) -> Fields:
+    versions = [{"id": m.id, "who": m.author, "why": m.reason, "gone": gone} for m, gone in mark.versions]
+    return {"kind": mark.kind, "subject": mark.subject, "on": mark.active, "words": versions}
 
 
-def _describe_learned(contents: FolderContents, half_life_s: float, now_s: float) -> Facts:
+def _describe_learned(contents: FolderContents, half_life_s: float, now_s: float) -> Fields:
     from sailrun.storage.decision_snapshot import SECOND_US, remaining_ejections_us, remaining_weight
 
     snapshot = contents.state.decision_snapshot
@@ -104,21 +105,25 @@
     }
 
 
-def _print(facts: Facts) -> None:
-    for name, value in facts.items():
+def _print(fields: Fields) -> None:
+    for name, value in fields.items():
         if isinstance(value, list) and value and isinstance(value[0], dict):
             print(f"{name}:")
             for mark in value:
-                words = "; ".join(f"{w['who']}: {w['why'] or '-'}" for w in mark["words"] if not w["gone"])
+                versions = "; ".join(
+                    f"{version['who']}: {version['why'] or '-'}"
+                    for version in mark["words"]
+                    if not version["gone"]
+                )
                 state = "out" if mark["on"] else "back"
-                print(f"  {mark['kind']} {mark['subject']} {state} {words}".rstrip())
+                print(f"  {mark['kind']} {mark['subject']} {state} {versions}".rstrip())
         else:
             print(f"{name}: {_format(value)}")
 
 
 def _format(value: Any) -> str:
     if isinstance(value, dict):
-        value = ", ".join(f"{key or 'least'} {one}" for key, one in value.items())
+        value = ", ".join(f"{key or 'least'} {item}" for key, item in value.items())
     elif isinstance(value, list):
         value = ", ".join(map(str, value))
     elif isinstance(value, bool):
@@ -128,25 +133,25 @@
 
 @app.command()
 def show(folder: FolderArgument, half_life: HalfLifeOption = 120.0, as_json: JsonOption = False) -> None:
-    """What a node would go by if it started now."""
+    """Show the state with which a node would start now."""
     contents = _read(folder)
-    facts = _describe_contents(contents) | _describe_start(contents, half_life, time.time())
+    fields = _describe_contents(contents) | _describe_start(contents, half_life, time.time())
     if as_json:
-        print(json.dumps(facts, indent=1))
+        print(json.dumps(fields, indent=1))
     else:
-        _print(facts)
+        _print(fields)
 
 
 @app.command()
 def check(folder: FolderArgument, as_json: JsonOption = False) -> None:
-    """Whether a folder is sound. Exit 0: it is, or is empty; 1: something is missing or damaged."""
+    """Check a folder. Exit status 0: the folder is sound or empty; 1: files are missing or damaged."""
     from sailrun.storage.folder_reader import FolderIntegrity
 
     contents = _read(folder)
     if as_json:
         print(json.dumps(_describe_contents(contents), indent=1))
     elif contents.integrity is FolderIntegrity.EMPTY:
-        print(f"{folder}: nothing was kept there yet")
+        print(f"{folder}: the folder is empty")
     else:
         torn = f", {contents.torn_bytes} bytes torn at the end" if contents.torn_bytes else ""
         reason = f": {contents.reason}" if contents.reason else ""
@@ -157,30 +162,30 @@
 
 @app.command()
 def export(folder: FolderArgument) -> None:
-    """Everything that a folder comes to, one JSON object a line."""
+    """Print the state stored in a folder as log entries, one JSON object per line."""
     for entry in _read(folder).state.iter_entries():
         print(json.dumps(_describe_entry(entry)))
 
 
-def _describe_entry(entry: Entry) -> Facts:
+def _describe_entry(entry: Entry) -> Fields:
     """The entry's tag and its fields, by their stored names."""
     import msgspec
 
     from sailrun.storage.entries import DecisionSnapshot
 
     names = ("entry", *entry.__struct_encode_fields__)
-    facts = dict(zip(names, msgspec.to_builtins(entry), strict=True))
+    fields = dict(zip(names, msgspec.to_builtins(entry), strict=True))
     if isinstance(entry, DecisionSnapshot):
-        facts["content"] = msgspec.msgpack.decode(entry.content)
-    return facts
+        fields["content"] = msgspec.msgpack.decode(entry.content)
+    return fields
 
 
 @app.command()
 def forget(
     folder: FolderArgument,
-    yes: Annotated[bool, typer.Option("--yes", help="Do it: nothing of it can be had again.")] = False,
+    yes: Annotated[bool, typer.Option("--yes", help="Remove the files. This cannot be undone.")] = False,
 ) -> None:
-    """Empty a folder whose node is not running. That node's vote is then learned from the other voters."""
+    """Empty the folder of a stopped node. The node then recovers its vote from the other voters."""
     from sailrun.storage.files import OsFiles
     from sailrun.storage.folder_layout import is_storage_file
 
@@ -188,9 +193,9 @@
     try:
         names = [name for name in files.names() if is_storage_file(name)]
         if not yes:
-            complain(f"{folder}: {len(names)} files would be removed; say --yes")
+            complain(f"{folder}: {len(names)} files would be removed; pass --yes to remove them")
         if not files.lock():
-            complain(f"{folder}: is in use by a running node")
+            complain(f"{folder}: the folder is in use by a running node")
         for name in names:
             files.remove(name)
         files.sync_folder()
--- a/sailrun/storage/decision_snapshot.py
+++ b/sailrun/storage/decision_snapshot.py
@@ -1,8 +1,8 @@
-"""Encodes what a node's decisions had learned of form servers, and ages it when it is read. Pure.
+"""Encodes the state that a node's decisions had learned about form servers, and ages it on decoding. Pure.
 
-What was learned counts half after each `half_life_s`: ejections end sooner, load limits widen, counts become
-smaller, and after some half-lives nothing is left. The age is by the wall clock; where that was set back
-since, the age is unknown and nothing is used.
+The weight of learned state halves with each `half_life_s`: ejections end sooner, load limits widen, counts
+decrease, and after some half-lives nothing is left. The age is measured by the wall clock; if the clock was
+set back since, the age is unknown and nothing is used.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 )
 
 SECOND_US = 1_000_000
-# Below this weight nothing is used any more.
+# Learned state with a lower weight is not used.
 MIN_WEIGHT = 1 / 16
 
 # Fields of a BackendSnapshot in the order of BACKEND_SNAPSHOT_FIELDS.
@@ -30,8 +30,8 @@
 
 
 class PackedSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """A snapshot as it is stored. `taken_us` is when it was taken, on the clock of all its times; `backends`
-    is by name, `setup_rate` in the order of SETUP_RATE_FIELDS.
+    """A snapshot in its stored form. `taken_us` is the time of the snapshot, on the same clock as all other
+    times in it; `backends` is keyed by name, `setup_rate` is in the order of SETUP_RATE_FIELDS.
     """
 
     taken_us: int
@@ -41,8 +41,8 @@
 
 
 def encode_snapshot(now_us: int, snapshot: StateSnapshot, names: Mapping[int, str]) -> bytes:
-    """The bytes of a snapshot. `names`: of the form servers that are listed, by number; only those are
-    encoded, and of them only those that something is known against.
+    """Encodes a snapshot. `names` are the names of the listed form servers, by number. Only listed form
+    servers are encoded, and of these only the ones with adverse state such as an ejection or a load limit.
     """
     backends: dict[str, BackendValues] = {
         names[backend.id]: [getattr(backend, name) for name in BACKEND_SNAPSHOT_FIELDS]
@@ -64,7 +64,7 @@
 
 
 def remaining_weight(age_s: float, half_life_s: float) -> float:
-    """The weight of something learned that long ago, 0 to 1."""
+    """The weight of state that was learned `age_s` seconds ago, 0 to 1."""
     if age_s < 0:
         return 0.0
     weight = math.exp2(-age_s / half_life_s)
@@ -74,8 +74,9 @@
 def decode_snapshot(
     content: bytes, now_us: int, half_life_s: float, listed: Mapping[str, tuple[int, int]]
 ) -> StateSnapshot | None:
-    """What still counts at `now_us` of the form servers in `listed`: by name, the number and since when (us)
-    it runs. None: nothing, or the content is not of this version.
+    """Decodes a snapshot and ages it to `now_us`. `listed` has the number and the start time (us) of each
+    listed form server by name; the state of others is dropped. None if the snapshot is too old or does not
+    have the format of this version.
     """
     try:
         packed = msgspec.msgpack.decode(content, type=PackedSnapshot)
@@ -108,7 +109,7 @@
 
 
 def _age_class_load(class_load: dict[str, tuple[float, int]], weight: float) -> dict[str, tuple[float, int]]:
-    """By request class, the mean reported load and the number of reports it rests on."""
+    """Ages the load by request class: the mean reported load and the number of reports behind it."""
     aged = {name: (mean, math.floor(count * weight)) for name, (mean, count) in class_load.items()}
     return {name: (mean, count) for name, (mean, count) in aged.items() if count > 0 and math.isfinite(mean)}
 
@@ -136,7 +137,7 @@
 
 
 def remaining_ejections_us(content: bytes, now_us: int, half_life_s: float) -> dict[str, int]:
-    """By name, for how much longer (us) a node that starts now keeps away from which form servers."""
+    """The remaining ejection time (us) of each form server by name, for a node that starts now."""
     try:
         packed = msgspec.msgpack.decode(content, type=PackedSnapshot)
     except msgspec.MsgspecError:
--- a/sailrun/storage/entries.py
+++ b/sailrun/storage/entries.py
@@ -1,12 +1,12 @@
-"""The entries of the write-ahead log, and their bytes. Pure.
+"""The entries of the write-ahead log and their encoding. Pure.
 
-An entry states how something is from then on, never a difference: applying one twice, or only the later of
-two about the same thing, has the same result. On the disk an entry is a MessagePack array that begins with
-its tag. Fields are read by position; a newer version of the program may add some at the end, with a default,
-and an older file is read with those defaults. Another kind of entry, or another meaning, is another schema
-(`frames.SCHEMA`).
+An entry states an absolute value, never a difference: applying it twice, or applying only the later of two
+entries about the same subject, has the same result. On disk an entry is a MessagePack array that begins with
+its tag. Fields are read by position; a newer version of the program may append fields that have a default,
+and an older file is read with those defaults. A new kind of entry, or a changed meaning, requires a new
+schema (`frames.SCHEMA`).
 
-The names given by `tag=` and `name=` are those on the disk and in what `sailrun lasting export` prints.
+The names given by `tag=` and `name=` are those on disk and in the output of `sailrun lasting export`.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 
 class ProcessStarted(msgspec.Struct, array_like=True, frozen=True, tag="begun"):
-    """A process has taken the folder over; `incarnation` counts them. `wall_s` is for people to read."""
+    """A process has taken over the folder; `incarnation` counts such processes. `wall_s` is informational."""
 
     incarnation: int = msgspec.field(name="life")
     wall_s: float
 
 
 class CleanShutdown(msgspec.Struct, array_like=True, frozen=True, tag="ended"):
-    """The process has ended in good order, with nothing left to write."""
+    """The process has shut down in an orderly way, with no entries left to write."""
 
     wall_s: float
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="slot"):
-    """A voter's grant of a task's lease: to which member in which of its incarnations, under which term, and
-    the highest term it ever granted for the task. Renewals change nothing of this.
+    """A voter's grant of a task's lease: the member and its incarnation, the term, and the highest term that
+    the voter ever granted for the task. A renewal changes none of these.
     """
 
     task: str
@@ -44,23 +44,23 @@
 
 
 class TermFloor(msgspec.Struct, array_like=True, frozen=True, tag="floor"):
-    """A term that is known of a task; with an empty task, the term below which none is granted for any."""
+    """A term that is known for a task; if `task` is empty, no lower term is granted for any task."""
 
     task: str
     term: int
 
 
 class VoterState(msgspec.Struct, array_like=True, frozen=True, tag="votes"):
-    """Whether the voter knows of every lease that it may ever have granted. One that is still recovering
-    them from the other voters does not, however intact its folder is.
+    """Whether the voter knows every lease that it may ever have granted. A voter that is still recovering
+    them from the other voters does not, even if its folder is intact.
     """
 
     is_complete: bool = msgspec.field(name="remembers")
 
 
 class AcceptorState(msgspec.Struct, array_like=True, frozen=True, tag="keeps"):
-    """What a voter has promised as an acceptor of operator marks, in which of its incarnations, the
-    incarnations of others that it knows, and whether it knows all its promises.
+    """A voter's state as an acceptor of operator marks: its incarnation, the promised term, the incarnations
+    of its peers that it knows, and whether it knows all its promises.
     """
 
     incarnation: int = msgspec.field(name="life")
@@ -70,8 +70,8 @@
 
 
 class StoredRecord(msgspec.Struct, array_like=True, frozen=True, tag="held"):
-    """A record of the replicated state. `digest` is the hash that was taken when the record was received
-    (0: unknown), so that bytes spoilt in memory are noticed after a restart as well.
+    """A record of the replicated state. `digest` is the hash that was computed when the record was received
+    (0: unknown), so that memory corruption is detected after a restart as well.
     """
 
     record: Record
@@ -85,8 +85,8 @@
 
 
 class ReplicaStatus(msgspec.Struct, array_like=True, frozen=True, tag="copy"):
-    """The replica as a whole: its epoch, and whether it has every record. `was_cleared`: all records were
-    removed.
+    """The state of the replica as a whole: its epoch and whether it has every record. If `was_cleared` is
+    set, all records were removed.
     """
 
     epoch: int
@@ -95,8 +95,8 @@
 
 
 class PeerFolderVersion(msgspec.Struct, array_like=True, frozen=True, tag="noted"):
-    """The newest version of another voter's folder that it has reported; `identity` is empty for a voter
-    without a folder. `process_number` distinguishes two processes that both took this incarnation.
+    """The newest version of its folder that another voter has reported; `identity` is empty for a voter
+    without a folder. `process_number` distinguishes two processes that both use this incarnation.
     """
 
     voter: str
@@ -107,29 +107,31 @@
 
 
 class DecisionSnapshot(msgspec.Struct, array_like=True, frozen=True, tag="learned"):
-    """What this node's decisions had learned of form servers, encoded by `decision_snapshot.py`."""
+    """The state that this node's decisions had learned about form servers, encoded by
+    `decision_snapshot.py`.
+    """
 
     wall_s: float
     content: bytes
 
 
 class OperatorOverrides(msgspec.Struct, array_like=True, frozen=True, tag="hand"):
-    """Form servers that operators have taken out of service at this node, of a node without a fleet: there
-    is no replicated state that would have it.
+    """Form servers that operators have taken out of service at this node. Only a node without a fleet writes
+    it, because it has no replicated state.
     """
 
     out_of_service: list[str] = msgspec.field(name="out")
 
 
 class DrainCompleted(msgspec.Struct, array_like=True, frozen=True, tag="walked"):
-    """The rolling drain of that name has drained this node, and is not to drain it again."""
+    """The rolling drain of that name has drained this node and must not drain it again."""
 
     drain: str = msgspec.field(name="walk")
 
 
 class DrainPlan(msgspec.Struct, array_like=True, frozen=True, tag="planned"):
-    """A rolling drain that was begun at this node and is to be continued after a restart: the nodes that are
-    left, each drained for `for_us` microseconds. It is over once there are none.
+    """A rolling drain that was started at this node and is continued after a restart: the remaining nodes,
+    each drained for `for_us` microseconds. The drain is complete when `nodes` is empty.
     """
 
     drain: str = msgspec.field(name="walk")
@@ -159,26 +161,26 @@
 
 
 def encode_entry(entry: Entry) -> bytes:
-    """The bytes of one entry."""
+    """Encodes one entry."""
     return _encoder.encode(entry)
 
 
 def encode_entries(entries: list[Entry]) -> bytes:
-    """The bytes of several entries, as one array."""
+    """Encodes several entries as one array."""
     return _encoder.encode(entries)
 
 
 def decode_entries(data: bytes) -> list[Entry]:
-    """Raises InvalidEntryError."""
+    """Decodes an array of entries. Raises InvalidEntryError."""
     try:
         return _list_decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise InvalidEntryError(f"no entries: {error}") from None
+        raise InvalidEntryError(f"invalid array of log entries: {error}") from None
 
 
 def decode_entry(data: bytes) -> Entry:
-    """Raises InvalidEntryError."""
+    """Decodes one entry. Raises InvalidEntryError."""
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise InvalidEntryError(f"no entry: {error}") from None
+        raise InvalidEntryError(f"invalid log entry: {error}") from None
--- a/sailrun/storage/errors.py
+++ b/sailrun/storage/errors.py
@@ -1,6 +1,6 @@
-"""Errors of stored data, in one tree.
+"""The exception classes for invalid stored data.
 
-Failures of the disk itself are `OSError` and are passed on as they are.
+Failures of the disk itself are `OSError` and are propagated unchanged.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class StorageError(SailrunError, ValueError):
-    """A file of a node's folder does not hold what this version can use."""
+    """A file of a storage folder has contents that this version cannot use."""
 
 
 class CorruptFileError(StorageError):
@@ -17,7 +17,7 @@
 
 
 class InvalidEntryError(StorageError):
-    """Bytes that are no log entry of this schema."""
+    """The bytes are not a log entry of this schema."""
 
 
 class NewerSchemaError(StorageError):
@@ -25,9 +25,9 @@
 
     def __init__(self, found: int, supported: int, file: str = "") -> None:
         prefix = f"{file}: " if file else ""
-        super().__init__(f"{prefix}of schema {found}; this version reads up to {supported}")
+        super().__init__(f"{prefix}written with schema {found}; this version reads up to {supported}")
         self.found, self.supported = found, supported
 
     def in_file(self, file: str) -> NewerSchemaError:
-        """The same error, naming the file."""
+        """Returns the same error with the file name in its message."""
         return NewerSchemaError(self.found, self.supported, file)
--- a/sailrun/storage/files.py
+++ b/sailrun/storage/files.py
@@ -1,5 +1,5 @@
-"""File operations on a node's folder. The laboratory has a folder of its own that loses what was not synced;
-the rest of this package knows neither.
+"""File operations on a storage folder. The laboratory has its own implementation, which loses unsynced data;
+the rest of this package depends only on the protocols.
 """
 
 from __future__ import annotations
@@ -12,22 +12,20 @@
 
 
 class AppendHandle(Protocol):
-    """A file that is open for writing at its end. Each call but `close` raises OSError where it fails."""
+    """A file that is open for appending. Each call except `close` raises OSError on failure."""
 
     def write(self, data: bytes) -> None:
-        """Appends the bytes, all of them; they are not on the disk before `sync`."""
+        """Appends all bytes; they are durable only after `sync`."""
 
     def sync(self) -> None:
-        """Everything that was written is on the disk when this returns."""
+        """Syncs all written bytes to disk."""
 
     def close(self) -> None:
-        """Closes the file, without a sync. Closing it again does nothing."""
+        """Closes the file without a sync. Closing it again does nothing."""
 
 
 class FolderFiles(Protocol):
-    """The files of one folder, by name and without folders below it. Each call raises OSError where it
-    fails.
-    """
+    """The files of one folder by name, without subfolders. Each call raises OSError on failure."""
 
     def names(self) -> list[str]:
         """The names of all files."""
@@ -35,35 +33,37 @@
     def size(self, name: str) -> int:
         """The file's size in bytes."""
 
-    def read(self, name: str, offset: int, most: int) -> bytes:
-        """At most `most` bytes from `offset` on; empty at the end of the file."""
+    def read(self, name: str, offset: int, max_bytes: int) -> bytes:
+        """Reads at most `max_bytes` bytes from `offset` on; empty at the end of the file."""
 
     def create(self, name: str) -> AppendHandle:
-        """Opens a new file; one of that name is emptied."""
+        """Creates a file, or truncates an existing one of that name, and opens it."""
 
     def append(self, name: str) -> AppendHandle:
         """Opens an existing file at its end."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts the file to that size, and syncs it."""
+        """Truncates the file to that size and syncs it."""
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file, in place of one that has the new name."""
+        """Renames a file; an existing file with the new name is replaced."""
 
     def remove(self, name: str) -> None:
         """Removes a file."""
 
     def sync_folder(self) -> None:
-        """Names that were made, changed or removed are so on the disk when this returns."""
+        """Syncs the folder: created, renamed and removed file names are durable when this returns."""
 
     def inode(self, name: str) -> int:
-        """The number of the file that has this name: a rename keeps it, a copy has another."""
+        """The inode number of the file: a rename preserves it, a copy has a different one."""
 
     def lock(self) -> bool:
-        """Whether the folder is this process's alone now; it is so until `unlock`, or the process's end."""
+        """Locks the folder until `unlock` or the end of the process; False if another process has locked
+        it.
+        """
 
     def unlock(self) -> None:
-        """Releases the folder, if this process had it."""
+        """Releases the lock, if this process has it."""
 
 
 class _OsHandle:
@@ -76,7 +76,7 @@
             view = view[os.write(self._fd, view) :]
 
     def sync(self) -> None:
-        os.fdatasync(self._fd)  # a longer file's length is data
+        os.fdatasync(self._fd)  # fdatasync also writes a changed file size
 
     def close(self) -> None:
         if self._fd >= 0:
@@ -85,7 +85,7 @@
 
 
 class OsFiles:
-    """A folder of the operating system, readable by its owner alone; the methods are those of FolderFiles."""
+    """A folder in the file system, readable by its owner only. Implements FolderFiles."""
 
     LOCK_FILE = "lock"
 
@@ -94,7 +94,7 @@
         self._lock_fd = -1
 
     def make(self) -> None:
-        """Makes the folder where there is none; its parent has to be there."""
+        """Creates the folder if it does not exist; its parent must exist."""
         if not self.folder.is_dir():
             self.folder.mkdir(mode=0o700)
 
@@ -106,16 +106,16 @@
         """The file's size in bytes."""
         return os.stat(self.folder / name).st_size
 
-    def read(self, name: str, offset: int, most: int) -> bytes:
-        """At most `most` bytes from `offset` on."""
+    def read(self, name: str, offset: int, max_bytes: int) -> bytes:
+        """Reads at most `max_bytes` bytes from `offset` on."""
         fd = os.open(self.folder / name, os.O_RDONLY)
         try:
-            return os.pread(fd, most, offset)
+            return os.pread(fd, max_bytes, offset)
         finally:
             os.close(fd)
 
     def create(self, name: str) -> AppendHandle:
-        """Opens a new file; one of that name is emptied."""
+        """Creates a file, or truncates an existing one of that name, and opens it."""
         return _OsHandle(os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600))
 
     def append(self, name: str) -> AppendHandle:
@@ -123,7 +123,7 @@
         return _OsHandle(os.open(self.folder / name, os.O_WRONLY | os.O_APPEND))
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts the file to that size, and syncs it."""
+        """Truncates the file to that size and syncs it."""
         fd = os.open(self.folder / name, os.O_WRONLY)
         try:
             os.ftruncate(fd, size)
@@ -132,7 +132,7 @@
             os.close(fd)
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file, in place of one that has the new name."""
+        """Renames a file; an existing file with the new name is replaced."""
         os.rename(self.folder / old, self.folder / new)
 
     def remove(self, name: str) -> None:
@@ -140,7 +140,7 @@
         os.remove(self.folder / name)
 
     def sync_folder(self) -> None:
-        """Syncs the names of the files."""
+        """Syncs the folder, and with it the names of its files."""
         fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -148,11 +148,13 @@
             os.close(fd)
 
     def inode(self, name: str) -> int:
-        """The number of the file that has this name."""
+        """The inode number of the file."""
         return os.stat(self.folder / name).st_ino
 
     def lock(self) -> bool:
-        """Whether the folder is this process's alone now; it is so until `unlock`, or the process's end."""
+        """Locks the folder until `unlock` or the end of the process; False if another process has locked
+        it.
+        """
         if self._lock_fd >= 0:
             return True
         fd = os.open(self.folder / self.LOCK_FILE, os.O_WRONLY | os.O_CREAT, 0o600)
@@ -161,14 +163,14 @@
         except BlockingIOError:
             os.close(fd)
             return False
-        except BaseException:  # whatever it was, the file is not left open
+        except BaseException:  # the file must not stay open after any other exception
             os.close(fd)
             raise
         self._lock_fd = fd
         return True
 
     def unlock(self) -> None:
-        """Releases the folder, if this process had it."""
+        """Releases the lock, if this process has it."""
         if self._lock_fd >= 0:
             with contextlib.suppress(OSError):
                 os.close(self._lock_fd)
--- a/sailrun/storage/folder_identity.py
+++ b/sailrun/storage/folder_identity.py
@@ -1,4 +1,4 @@
-"""The file `identity`: which node and fleet a folder belongs to, and the key of its checksums."""
+"""The file `identity`: the node and fleet that a folder belongs to, and the key of its checksums."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FolderIdentity:
-    """Whose folder it is. `was_copied`: the file is not the one that was written here, so that the folder was
-    copied or restored from a backup.
+    """The node and fleet that a folder belongs to, and its identity. `was_copied`: the file does not have the
+    inode that it was written with, so the folder was copied or restored from a backup.
     """
 
     node: str
@@ -33,8 +33,11 @@
 
 
 def read_identity(files: FolderFiles) -> FolderIdentity:
-    """Raises CorruptFileError, NewerSchemaError or OSError."""
-    malformed = CorruptFileError(f"{IDENTITY_FILE}: not in its form")
+    """Reads the file. Raises CorruptFileError, NewerSchemaError or OSError."""
+    malformed = CorruptFileError(
+        f"{IDENTITY_FILE}: malformed, expected a JSON object with schema, node, fleet, "
+        "identity (32 hexadecimal digits) and inode"
+    )
     try:
         fields = json.loads(files.read(IDENTITY_FILE, 0, MAX_IDENTITY_FILE_BYTES))
         node, fleet = str(fields["node"]), str(fields["fleet"])
@@ -50,10 +53,10 @@
 
 
 def write_identity(files: FolderFiles, identity: FolderIdentity) -> None:
-    """Writes the file and gives it its name; the caller syncs the folder."""
+    """Writes a temporary file and renames it; the caller syncs the folder."""
     temporary = IDENTITY_FILE + TEMPORARY_SUFFIX
     handle = files.create(temporary)
-    # A file keeps its inode when it is renamed, and gets another where it is copied.
+    # A rename preserves the inode, a copy does not.
     fields = {
         "schema": SCHEMA,
         "node": identity.node,
--- a/sailrun/storage/folder_layout.py
+++ b/sailrun/storage/folder_layout.py
@@ -1,8 +1,9 @@
-"""The names of the files in a node's folder.
+"""The names of the files in a storage folder.
 
-`identity` says whose folder it is. `journal.N` holds log entries in the order they were made, `snapshot.N`
-the whole state as it was when journal N began; N is a generation. A file that is still being written ends in
-`.new`, and what was set aside when a folder was created anew begins with `old-`.
+`identity` names the node and the fleet that the folder belongs to. `journal.N` contains log entries in the
+order in which they were appended, `snapshot.N` the whole state at the beginning of journal N; N is a
+generation. The name of a file that is still being written ends in `.new`. The names of files that were set
+aside when a new folder was created begin with `old-`.
 """
 
 from __future__ import annotations
@@ -11,27 +12,27 @@
 TEMPORARY_SUFFIX = ".new"
 SET_ASIDE_PREFIX = "old-"
 _JOURNAL, _SNAPSHOT = "journal.", "snapshot."
-# A generation of more digits would not fit the 8 bytes that a file's header has for it.
+# So many digits always fit the 8 bytes that the file header reserves for a generation.
 _MAX_GENERATION_DIGITS = 18
 
 
 def name_journal(generation: int) -> str:
-    """The journal's file name."""
+    """The file name of a journal."""
     return f"{_JOURNAL}{generation}"
 
 
 def name_snapshot(generation: int) -> str:
-    """The snapshot's file name."""
+    """The file name of a snapshot."""
     return f"{_SNAPSHOT}{generation}"
 
 
 def list_journals(names: list[str]) -> list[int]:
-    """The generations of the journals among file names, in order."""
+    """The generations of the journals among file names, ascending."""
     return _list_generations(names, _JOURNAL)
 
 
 def list_snapshots(names: list[str]) -> list[int]:
-    """The generations of the finished snapshots among file names, in order."""
+    """The generations of the finished snapshots among file names, ascending."""
     return _list_generations(names, _SNAPSHOT)
 
 
@@ -41,10 +42,10 @@
 
 
 def is_data_file(name: str) -> bool:
-    """Whether the file is part of the folder's present contents, a half-written snapshot included."""
+    """Whether the file is part of the folder's present contents, including a snapshot still being written."""
     return name == IDENTITY_FILE or name.startswith((_JOURNAL, _SNAPSHOT))
 
 
 def is_storage_file(name: str) -> bool:
-    """Whether this program wrote the file: a data file, a half-written one, or one that was set aside."""
+    """Whether this program wrote the file: a data file, one still being written, or one set aside."""
     return name.removeprefix(SET_ASIDE_PREFIX).startswith((IDENTITY_FILE, _JOURNAL, _SNAPSHOT))
--- a/sailrun/storage/folder_reader.py
+++ b/sailrun/storage/folder_reader.py
@@ -1,8 +1,8 @@
-"""Reads a node's folder: the newest complete snapshot, then every journal from its generation on.
+"""Reads a storage folder: the newest complete snapshot, then every journal from its generation on.
 
-A folder is intact if positions follow one another without a gap, every journal but the last says that another
-follows, and no frame after a damaged one shows that the damaged one had been synced. Otherwise it is
-untrusted: its contents may be looked at, but no vote may rest on them.
+A folder is intact if the positions have no gap, every journal but the last is closed by a frame that
+announces the next one, and no frame after a damaged one proves that the damaged one had been synced.
+Otherwise it is untrusted: its contents may be displayed, but no vote may be based on them.
 """
 
 from __future__ import annotations
@@ -36,25 +36,25 @@
 )
 from sailrun.storage.persisted_state import PersistedState
 
-# A larger folder is not read.
+# A larger folder is treated as untrusted and is not read.
 MAX_FOLDER_BYTES = 4 * 1024**3
-# How often the folder is read in all while its files are renamed by the process that writes to it.
+# Total attempts to read the folder if its files are renamed meanwhile by the process that writes to it.
 READ_ATTEMPTS = 5
 
 
 class FolderIntegrity(Enum):
-    """How far the contents of a folder can be relied on, as far as the folder itself can tell. The values are
-    printed and logged.
+    """How far the contents of a folder can be relied on, judged by the folder alone. The values are printed
+    and logged.
     """
 
     EMPTY = "new"  # nothing was ever written
-    INTACT = "sound"  # everything that was ever synced is there
-    UNTRUSTED = "doubtful"  # something is missing, damaged or copied from elsewhere
+    INTACT = "sound"  # every entry that was ever synced is present
+    UNTRUSTED = "doubtful"  # files are missing, damaged or copied from elsewhere
 
 
 @dataclass(slots=True)
 class FolderContents:
-    """What was read from a folder. `reason` says why it is untrusted."""
+    """The contents of a folder as read. `reason` is why it is untrusted."""
 
     integrity: FolderIntegrity
     reason: str = ""
@@ -65,16 +65,16 @@
     position: int = 0  # of the last entry
     journal_generation: int = 0  # of the last journal; 0: there is none
     highest_generation: int = 0  # of any journal or snapshot
-    journal_end: int = 0  # offset in the last journal at which its last good frame ends
+    journal_end: int = 0  # offset in the last journal at which its last valid frame ends
     torn_bytes: int = 0  # bytes after that offset
-    is_journal_closed: bool = False  # the last journal says that another follows
+    is_journal_closed: bool = False  # the last journal ends with a frame that announces the next one
     entry_count: int = 0
 
 
 @contextmanager
 def paused_garbage_collection() -> Iterator[None]:
-    """No garbage collection within: where very many objects are made that all stay, repeated collections
-    would take as long as making the objects.
+    """Disables garbage collection inside the context: if very many objects are created that all stay alive,
+    repeated collections take as long as creating the objects.
     """
     was_enabled = gc.isenabled()
     gc.disable()
@@ -86,15 +86,15 @@
 
 
 def read_folder(files: FolderFiles) -> FolderContents:
-    """Reads the whole folder and writes nothing; another process may write to it meanwhile. Damage raises
-    nothing and makes the folder untrusted. Raises NewerSchemaError, or OSError where the folder cannot be
-    read.
+    """Reads the whole folder without writing; another process may write to it meanwhile. Damage does not
+    raise an exception but makes the folder untrusted. Raises NewerSchemaError, or OSError if the folder
+    cannot be read.
     """
     for _ in range(READ_ATTEMPTS - 1):
         try:
             return _read_once(files)
         except FileNotFoundError:
-            continue  # one generation replaced another after the file names were listed
+            continue  # a listed file was renamed or removed when a new generation replaced an older one
     return _read_once(files)
 
 
@@ -115,14 +115,14 @@
     )
     try:
         if sum(files.size(name) for name in names) > MAX_FOLDER_BYTES:
-            raise CorruptFileError(f"over {MAX_FOLDER_BYTES} bytes")
+            raise CorruptFileError(f"folder is too large: expected at most {MAX_FOLDER_BYTES} bytes")
         with paused_garbage_collection():
             _GenerationReader(files, contents, journals, snapshots).read()
     except CorruptFileError as error:
         contents.integrity, contents.reason = FolderIntegrity.UNTRUSTED, str(error)
     if owner.was_copied and contents.integrity is FolderIntegrity.INTACT:
         contents.integrity = FolderIntegrity.UNTRUSTED
-        contents.reason = "copied or restored from elsewhere"
+        contents.reason = "the folder was copied or restored: the inode of its identity file differs"
     return contents
 
 
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _JournalEnd:
-    """How a journal ended. `damage`: what is wrong there; empty: nothing."""
+    """How a journal ended. `damage` describes the damage at its end; empty if there is none."""
 
     is_closed: bool = False
     damage: str = ""
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Snapshot:
-    """A complete snapshot: the state as it was after the entry at `position`."""
+    """A complete snapshot: the state after the entry at `position`."""
 
     position: int
     entry_count: int
@@ -148,8 +148,8 @@
 
 
 class _GenerationReader:
-    """Reads snapshots and journals into `contents`, which holds what was read so far where it raises
-    CorruptFileError.
+    """Reads snapshots and journals into `contents`. If it raises CorruptFileError, `contents` has everything
+    that was read before the error.
     """
 
     def __init__(
@@ -159,7 +159,9 @@
         self._journals, self._snapshots = journals, snapshots
 
     def read(self) -> None:
-        """Raises CorruptFileError, NewerSchemaError or OSError."""
+        """Reads the newest snapshot and the journals that follow it. Raises CorruptFileError,
+        NewerSchemaError or OSError.
+        """
         contents = self._contents
         base = self._load_newest_snapshot()
         first = base or min(self._journals, default=0)
@@ -167,20 +169,22 @@
         if not generations:
             if base:
                 raise CorruptFileError(f"{name_journal(base)} is missing")
-            return  # the process ended before it made the very first journal
+            return  # the process ended before it created the very first journal
         first = generations[0]
         if (base and first != base) or generations != list(range(first, first + len(generations))):
-            raise CorruptFileError("a journal is missing")
+            raise CorruptFileError(
+                "a journal is missing: expected consecutive generations from the snapshot on"
+            )
         contents.is_journal_closed = self._read_journals(generations, base)
         if base == 0 and first != 1:
-            raise CorruptFileError("the snapshot is missing or damaged")
+            raise CorruptFileError("the snapshot of the first journal's generation is missing or damaged")
 
     def _load_newest_snapshot(self) -> int:
         """Returns the generation of the newest complete snapshot, or 0."""
         contents = self._contents
         for generation in reversed(self._snapshots):
             snapshot = self._read_snapshot(generation)
-            # A damaged one holds nothing that the one before it and its journals do not.
+            # A damaged snapshot is skipped: the previous one and its journals contain the same state.
             if snapshot is not None:
                 contents.state, contents.position = snapshot.state, snapshot.position
                 contents.entry_count = snapshot.entry_count
@@ -188,7 +192,7 @@
         return 0
 
     def _read_snapshot(self, generation: int) -> _Snapshot | None:
-        """None: it is incomplete or damaged."""
+        """Reads one snapshot; None if it is incomplete or damaged."""
         name = name_snapshot(generation)
         state, count = PersistedState(), 0
         try:
@@ -210,7 +214,7 @@
         return None
 
     def _read_journals(self, generations: list[int], base: int) -> bool:
-        """Applies the journals in order; returns whether the last one says that another follows."""
+        """Applies the journals in order; returns whether the last one is closed."""
         contents, end = self._contents, _JournalEnd()
         for generation in generations:
             name = name_journal(generation)
@@ -220,19 +224,21 @@
             if header.kind is FileKind.STANDALONE_JOURNAL and generation != base:
                 if self._was_used(generation):
                     raise CorruptFileError(f"{name}: its snapshot is missing or damaged")
-                continue  # begun after a failure of the disk, and given up before it was used
+                continue  # begun after a failure of the disk and abandoned before it was used
             if generation != generations[0] and not end.is_closed:
-                reason = end.damage or "does not say that it goes on"
+                reason = end.damage or "not closed, although another journal follows"
                 raise CorruptFileError(f"{name_journal(generation - 1)}: {reason}")
             if not base and generation == generations[0]:
                 contents.position = header.position
             if header.position != contents.position:
-                raise CorruptFileError(f"{name}: begins at {header.position}, not at {contents.position}")
+                raise CorruptFileError(
+                    f"{name}: the header has position {header.position}, expected {contents.position}"
+                )
             end = self._read_journal(name, header)
         return end.is_closed
 
     def _read_journal_header(self, generation: int, is_last: bool) -> FileHeader | None:
-        """None: the last journal was never used, and not even its header had come to the disk."""
+        """Reads a journal's header; None if it is damaged and this is the last journal and was never used."""
         try:
             return self._read_header(
                 name_journal(generation), generation, FileKind.JOURNAL, FileKind.STANDALONE_JOURNAL
@@ -243,8 +249,8 @@
             raise
 
     def _was_used(self, generation: int) -> bool:
-        """Whether anything may have been promised by this journal: a snapshot's own was synced before the
-        snapshot was finished.
+        """Whether a promise may depend on this journal: it has entries, or it has a finished snapshot, before
+        which the journal was synced.
         """
         return generation in self._snapshots or self._files.size(name_journal(generation)) > HEADER_BYTES
 
@@ -262,12 +268,18 @@
             ):
                 is_closed = True
             else:
-                raise CorruptFileError(f"{name}: an entry out of its turn after {contents.position}")
+                raise CorruptFileError(
+                    f"{name}: unexpected {frame.kind.name} frame at position {frame.position} "
+                    f"after position {contents.position}"
+                )
         if frames.synced_after_damage > contents.position:
-            raise CorruptFileError(f"{name}: spoilt after {contents.position}: what followed was on the disk")
+            raise CorruptFileError(
+                f"{name}: damaged after position {contents.position}, "
+                f"although entries up to {frames.synced_after_damage} were synced"
+            )
         contents.journal_generation, contents.journal_end = header.generation, frames.end_offset
         contents.torn_bytes = self._files.size(name) - frames.end_offset if frames.has_torn_tail else 0
-        return _JournalEnd(is_closed, "spoilt at its end" if frames.has_torn_tail else "")
+        return _JournalEnd(is_closed, "damaged at its end" if frames.has_torn_tail else "")
 
     def _apply(self, name: str, frame: Frame) -> None:
         try:
@@ -285,10 +297,16 @@
         except CorruptFileError as error:
             raise CorruptFileError(f"{name}: {error}") from None
         if (header.identity, header.generation) != (self._contents.identity, generation):
-            raise CorruptFileError(f"{name}: of another folder or generation")
+            raise CorruptFileError(
+                f"{name}: the header has generation {header.generation} of folder {header.identity.hex()}, "
+                f"expected generation {generation} of folder {self._contents.identity.hex()}"
+            )
         if header.kind not in kinds:
-            raise CorruptFileError(f"{name}: of another folder or generation")
+            raise CorruptFileError(
+                f"{name}: the header has kind {header.kind.name}, "
+                f"expected {' or '.join(kind.name for kind in kinds)}"
+            )
         return header
 
     def _reader_of(self, name: str) -> ReadAt:
-        return lambda offset, most: self._files.read(name, offset, most)
+        return lambda offset, max_bytes: self._files.read(name, offset, max_bytes)
--- a/sailrun/storage/folder_writer.py
+++ b/sailrun/storage/folder_writer.py
@@ -1,7 +1,8 @@
-"""Writes a node's folder so that a reader finds either the state before a step or the one after it.
+"""Writes a storage folder so that a reader finds the state either before or after each step.
 
-A new generation begins with its journal; its snapshot is written aside, synced and renamed. Until that is
-done, the older snapshot with both journals holds the same state. The last two generations are retained.
+A new generation begins with its journal; its snapshot is written to a temporary file, synced and renamed.
+Until then, the previous snapshot and both journals contain the same state. The last two generations are
+retained.
 
 Not thread-safe: one thread owns the writer.
 """
@@ -28,17 +29,19 @@
 
 
 class FolderWriter:
-    """Appends entries to a folder that was read, or creates a new one in its place. Every method that writes
-    raises OSError where the disk fails; what is on the disk after that is unknown.
+    """Appends entries to a folder that was read, or replaces it by a new one. Every method that writes raises
+    OSError if the disk fails; the state on disk is unknown after that.
 
-    `position` is that of the last entry written, `synced_position` that of the last one known to be on the
-    disk; `written_bytes` and `sync_count` count since the start.
+    `position` is that of the last entry written, `synced_position` that of the last entry known to be synced;
+    `written_bytes` and `sync_count` count since the start.
     """
 
     def __init__(
         self, files: FolderFiles, contents: FolderContents, disabled_rules: frozenset[str] = frozenset()
     ) -> None:
-        """`disabled_rules`: safety rules that the laboratory switches off, to see that its checks notice."""
+        """`disabled_rules` are safety rules that the laboratory switches off to verify that its checks detect
+        the resulting faults.
+        """
         self._files, self._disabled_rules = files, disabled_rules
         self._contents = contents
         self.identity = contents.identity
@@ -54,7 +57,7 @@
     # ------------------------------------------------------------------ opening
 
     def resume(self) -> None:
-        """Continues the journal that was read, without what was torn at its end. For an intact folder."""
+        """Continues the journal of an intact folder; truncates a torn write at its end."""
         contents = self._contents
         if not contents.journal_generation:
             self._begin_journal(1, FileKind.JOURNAL)
@@ -69,12 +72,12 @@
         for generation in list_journals(self._files.names()):
             if generation > contents.journal_generation:  # never used
                 self._files.remove(name_journal(generation))
-        # What was read may be in the page cache alone, and is about to be relied on.
+        # The entries that were read may be in the page cache only, and promises will depend on them.
         self._sync_journal()
 
     def create(self, node: str, fleet: str, identity: bytes, position: int = 0) -> None:
-        """Creates a folder of this identity whose first entry follows `position`. What was there is set
-        aside under `old-…`, and what had been set aside before is removed.
+        """Creates a folder of this identity whose first entry follows `position`. Existing files are set
+        aside as `old-…`; files that were set aside earlier are removed.
         """
         self._acquire_lock()
         names = self._files.names()
@@ -100,7 +103,7 @@
             handle.write(header)
             handle.sync()
             self._sync_folder()
-        except BaseException:  # the laboratory's power cut is none of Exception
+        except BaseException:  # the laboratory's power cut is not derived from Exception
             handle.close()
             raise
         self._journal, self._journal_bytes = handle, len(header)
@@ -108,16 +111,18 @@
         self.written_bytes += len(header)
 
     def _acquire_lock(self) -> None:
-        """A folder that could not be had at the start may be another process's by now."""
+        """Acquires the folder's lock. If locking failed at the start, another process may have locked the
+        folder since.
+        """
         self.close()
         if not self._files.lock():
-            raise OSError(errno.EBUSY, "in use by another process")
+            raise OSError(errno.EBUSY, "the folder is in use by another process")
 
     # ------------------------------------------------------------------ the journal
 
     @property
     def journal_bytes(self) -> int:
-        """The size of the journal that is written to."""
+        """The size of the current journal in bytes."""
         return self._journal_bytes
 
     def append(self, entries: list[Entry]) -> None:
@@ -133,7 +138,7 @@
         self.written_bytes += len(data)
 
     def sync(self) -> None:
-        """Everything that was appended is on the disk when this returns."""
+        """Syncs all appended entries to disk."""
         self._sync_journal()
         self.synced_position = self.position
 
@@ -163,12 +168,12 @@
         return self._snapshot is not None
 
     def begin_generation(self, entries: Iterable[Entry]) -> None:
-        """Closes the journal and begins the next. `entries` are the whole state at this position; they
-        become its snapshot by calls of `write_snapshot_chunk`.
+        """Closes the journal and begins the next one. `entries` are the whole state at this position; calls
+        of `write_snapshot_chunk` write them as its snapshot.
         """
         journal = self._open_journal()
         if self._snapshot is not None:
-            raise RuntimeError("the snapshot of the last generation is not finished")
+            raise RuntimeError("the snapshot of the previous generation is not finished")
         journal.write(self._encode_frame(FrameKind.JOURNAL_CLOSED))
         self.sync()
         self._begin_journal(self._highest_generation + 1, FileKind.JOURNAL)
@@ -180,7 +185,7 @@
         self.written_bytes += self._snapshot.header_bytes
 
     def write_snapshot_chunk(self) -> bool:
-        """Writes a part of the snapshot; returns whether the snapshot is finished."""
+        """Writes the next chunk of the snapshot; returns whether the snapshot is finished."""
         snapshot = self._snapshot
         if snapshot is None:
             raise RuntimeError("no snapshot is being written")
@@ -196,7 +201,7 @@
         return True
 
     def _remove_older_generations(self, generation: int) -> None:
-        """All before the one before this."""
+        """Removes all generations older than the one that precedes `generation`."""
         names = self._files.names()
         snapshots, journals = list_snapshots(names), list_journals(names)
         previous = max([n for n in snapshots if n < generation], default=1)
@@ -206,8 +211,8 @@
             self._files.remove(name)
 
     def write_standalone_generation(self, entries: Iterable[Entry], position: int) -> None:
-        """Writes the whole state as a generation that needs no older file, and reads it back. After a failed
-        sync: nothing that was not synced before is known to be there.
+        """Writes the whole state as a generation that depends on no older file, and reads it back to verify
+        it. Needed after a failed sync, when the state on disk of entries not synced before is unknown.
         """
         self._acquire_lock()
         self.position = position
@@ -227,11 +232,14 @@
             or read_back.journal_generation != self.generation
         ):
             raise OSError(
-                None, f"what was written is not what is read: {read_back.reason or 'another state'}"
+                None,
+                f"verification failed: wrote generation {self.generation} up to position {position}, "
+                f"read back generation {read_back.journal_generation} up to position {read_back.position}, "
+                f"integrity {read_back.integrity.value}, reason '{read_back.reason}'",
             )
 
     def close(self) -> None:
-        """Closes the files; a snapshot that is not finished is given up."""
+        """Closes the files; a snapshot that is not finished is abandoned."""
         snapshot, self._snapshot = self._snapshot, None
         journal, self._journal = self._journal, None
         if snapshot is not None:
--- a/sailrun/storage/frames.py
+++ b/sailrun/storage/frames.py
@@ -1,30 +1,30 @@
-"""The bytes of a folder's files. Pure.
+"""The binary format of the files in a storage folder. Pure.
 
 A file is a header and frames; numbers are little-endian. The header, 52 bytes:
 
     0   8  magic, "sailrun" and a zero byte
     8   2  schema
-    10  2  kind: 1 a journal that continues the one before, 2 a snapshot, 3 a journal that needs its own
-           snapshot alone
+    10  2  kind: 1 a journal that continues the previous one, 2 a snapshot, 3 a standalone journal, which
+           depends on its own snapshot only
     12  8  generation
     20  16 identity of the folder
-    36  8  position: the last one before this journal, or that of the snapshot's state
-    44  8  checksum of the 44 bytes before
+    36  8  position: of the last entry before this journal, or of the snapshot's state
+    44  8  checksum of the preceding 44 bytes
 
 A frame, 40 bytes and its payload:
 
     0   4  length of the payload
-    4   4  kind: 0 an entry, 1 "the next generation follows", 2 the end of a snapshot, 3 entries of a
-           snapshot, as an array
+    4   4  kind: 0 an entry, 1 the journal is closed and the next generation follows, 2 the end of a
+           snapshot, 3 entries of a snapshot, as an array
     8   8  generation
-    16  8  position; in a snapshot, how many entries there were up to the frame's end
-    24  8  synced position: up to which everything was known to be on the disk when this was written
-    32  8  checksum of the 32 bytes before and the payload
+    16  8  position; in a snapshot, the count of entries up to the frame's end
+    24  8  synced position: every entry up to it was known to be synced when the frame was written
+    32  8  checksum of the preceding 32 bytes and the payload
     40  -  payload
 
-Checksums are BLAKE2b of 64 bits with the folder's identity as key, so that a frame of another folder is not
-accepted here. The generation is in each frame, so that what an older file left in the same blocks is not
-accepted either.
+Checksums are BLAKE2b of 64 bits with the folder's identity as key, so that a frame of another folder is
+rejected. Each frame contains the generation, so that remains of an older file in the same disk blocks are
+rejected as well.
 """
 
 from __future__ import annotations
@@ -43,20 +43,20 @@
 CHECKSUM_BYTES = 8
 HEADER_BYTES = _HEADER.size + CHECKSUM_BYTES
 FRAME_HEADER_BYTES = _FRAME_HEADER.size + CHECKSUM_BYTES
-# The largest record and what goes with it: a frame that claims a longer payload is damaged.
+# Enough for the largest record with its metadata: a frame with a longer payload is damaged.
 MAX_PAYLOAD_BYTES = 4 * 1024 * 1024
-# How much is read at a time.
+# Size of one read.
 READ_CHUNK_BYTES = 1024 * 1024
-# How far a file is scanned for good frames after a damaged one.
+# How far a file is scanned for valid frames after a damaged one.
 SCAN_BYTES = 256 * 1024
 
-# Reads from a file: offset and the most bytes wanted; empty at the end of the file.
+# Reads from a file; the arguments are the offset and the maximum length. Empty at the end of the file.
 ReadAt = Callable[[int, int], bytes]
 
 
 class FileKind(IntEnum):
     """The kind in a file's header. A standalone journal was begun after a failure of the disk: it does not
-    continue the journal before it, and is of no use without its own snapshot.
+    continue the previous journal and cannot be used without its own snapshot.
     """
 
     JOURNAL = 1
@@ -67,8 +67,8 @@
 class FrameKind(IntEnum):
     """The kind of a frame's payload."""
 
-    ENTRY = 0  # in a journal: one entry
-    JOURNAL_CLOSED = 1  # at a journal's end: the next generation follows
+    ENTRY = 0  # one entry of a journal
+    JOURNAL_CLOSED = 1  # the end of a journal: the next generation follows
     SNAPSHOT_END = 2
     SNAPSHOT_ENTRIES = 3
 
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileHeader:
-    """The header of a file. `position`: the last entry before a journal, or that of a snapshot's state."""
+    """The header of a file. `position`: of the last entry before a journal, or of a snapshot's state."""
 
     kind: FileKind
     generation: int
@@ -88,8 +88,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A frame. `position`: that of its entry; in a snapshot, the count of entries up to the frame's end.
-    `synced_position`: the last entry known to be on the disk when the frame was written.
+    """A frame. `position` is that of its entry; in a snapshot, the count of entries up to the frame's end.
+    `synced_position` is that of the last entry known to be synced when the frame was written.
     """
 
     kind: FrameKind
@@ -100,8 +100,8 @@
 
 @dataclass(slots=True)
 class _Located:
-    """A frame in a buffer and the offset at which it ends; without a frame, the buffer has to reach that
-    offset before anything can be said.
+    """A frame in a buffer and the offset at which it ends. If `frame` is None, the buffer has to be filled up
+    to that offset before the frame can be decoded.
     """
 
     frame: Frame | None
@@ -113,31 +113,31 @@
 
 
 def encode_header(header: FileHeader) -> bytes:
-    """The header's bytes, HEADER_BYTES of them."""
+    """Encodes the header as HEADER_BYTES bytes."""
     data = _HEADER.pack(MAGIC, SCHEMA, header.kind, header.generation, header.identity, header.position)
     return data + _checksum(data, header.identity)
 
 
 def read_header(read_at: ReadAt) -> FileHeader:
-    """Raises CorruptFileError or NewerSchemaError."""
+    """Reads and checks the header. Raises CorruptFileError or NewerSchemaError."""
     data = read_at(0, HEADER_BYTES)
     if len(data) < HEADER_BYTES:
-        raise CorruptFileError("no whole head")
+        raise CorruptFileError("the header is truncated: the file is shorter than its header")
     magic, schema, kind, generation, identity, position = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise CorruptFileError("not a file of sailrun's")
+        raise CorruptFileError("not a sailrun file: the header has unexpected magic bytes")
     if data[_HEADER.size :] != _checksum(data[: _HEADER.size], identity):
-        raise CorruptFileError("a damaged head")
+        raise CorruptFileError("the header is damaged: its checksum does not match")
     if schema > SCHEMA:
         raise NewerSchemaError(schema, SCHEMA)
     try:
         return FileHeader(FileKind(kind), generation, identity, position)
     except ValueError:
-        raise CorruptFileError(f"of kind {kind}") from None
+        raise CorruptFileError(f"unknown file kind {kind} in the header: expected 1 to 3") from None
 
 
 def encode_frame(identity: bytes, generation: int, frame: Frame) -> bytes:
-    """The bytes of a frame in a file of that folder and generation."""
+    """Encodes a frame for a file of that folder and generation."""
     header = _FRAME_HEADER.pack(
         len(frame.payload), frame.kind, generation, frame.position, frame.synced_position
     )
@@ -145,7 +145,9 @@
 
 
 def _decode_frame_at(data: bytes | bytearray, offset: int, file: FileHeader) -> _Located | None:
-    """The frame at that offset of the buffer; None: there is none, however much more is read."""
+    """Decodes the frame at that offset of the buffer; None if the bytes are not a valid frame, regardless of
+    what follows.
+    """
     payload_at = offset + FRAME_HEADER_BYTES
     if len(data) < payload_at:
         return _Located(None, payload_at)
@@ -164,18 +166,18 @@
 
 @dataclass(slots=True)
 class FrameReader:
-    """Iterates over a file's frames up to the first that is damaged; the other fields are right once it has
-    ended. Uses the memory of one chunk and one frame.
+    """Iterates over a file's frames up to the first damaged one. The fields after `header` are final once the
+    iteration has ended. Uses the memory of one chunk and one frame.
     """
 
     read_at: ReadAt
     header: FileHeader
-    end_offset: int = HEADER_BYTES  # where the last good frame ended
-    has_torn_tail: bool = False  # there are bytes after it
-    synced_after_damage: int = 0  # the highest `synced_position` of good frames after the first damaged one
+    end_offset: int = HEADER_BYTES  # the end of the last valid frame
+    has_torn_tail: bool = False  # there are bytes after `end_offset`
+    synced_after_damage: int = 0  # the highest `synced_position` of valid frames after the first damaged one
 
     def __iter__(self) -> Iterator[Frame]:
-        """Yields the frames in the file's order."""
+        """Yields the frames in file order."""
         data, offset = bytearray(), 0  # `data` begins at `end_offset - offset` of the file
         while True:
             located = _decode_frame_at(data, offset, self.header)
@@ -197,8 +199,9 @@
             self._scan_after_damage()
 
     def _scan_after_damage(self) -> None:
-        """Frames after the first damaged one are not used; but one that was written when the damaged one was
-        known to be synced shows that it was spoilt on the disk, and not torn while it was written.
+        """Sets `synced_after_damage`. Frames after the first damaged one are not used, but a frame that was
+        written when the damaged one was known to be synced proves that the damage happened on disk and is
+        not a torn write.
         """
         data = self.read_at(self.end_offset + 1, SCAN_BYTES)
         generation = self.header.generation.to_bytes(8, "little")
--- a/sailrun/storage/freshness.py
+++ b/sailrun/storage/freshness.py
@@ -1,16 +1,17 @@
-"""Whether a voter's folder is the newest there is of it. Pure.
+"""Checks whether a voter's folder is the newest version of it. Pure.
 
-A folder restored from a backup, copied, or short of its last generation looks intact. So a voter has the
-others note how far its folder has come, in their own folders, and promises nothing before a majority has. A
-voter that starts asks them first:
+A folder that was restored from a backup, was copied, or lacks its last generation looks intact. Therefore the
+other voters store the position of a voter's folder in their own folders, and a voter makes no promise before
+a majority has acknowledged its position. A voter that starts queries the others first:
 
-- one that relies on its folder (`QUERYING`) votes once a majority, itself among it, has replied, the other
-  voters that are alive were waited for a moment, and none knew a newer incarnation or a later position of it;
-- one without a folder to rely on (`REJOINING`) takes an incarnation above all that a majority knows, has a
-  majority note it, and recovers everything else from the others: from then on no older folder under its name
+- a voter that relies on its folder (`QUERYING`) votes once a majority including itself has replied, the grace
+  period for the other living voters is over, and no reply has a newer incarnation or a later position;
+- a voter without a reliable folder (`REJOINING`) takes an incarnation above all that a majority knows, has a
+  majority store it, and recovers everything else from the others. From then on no older folder under its name
   is relied on.
 
-One case is missed: an older folder is started while no voter that noted the newer one can be reached.
+One case is not detected: an older folder is started while no voter that stored the newer version can be
+reached.
 """
 
 from __future__ import annotations
@@ -32,25 +33,25 @@
 
 QUERY_INTERVAL_US = 250_000
 REPORT_INTERVAL_US = 250_000
-# Once a majority has replied, the other voters that are alive are waited for this long: one of them may know
-# more.
+# How long to wait for the other living voters once a majority has replied: one of them may know a newer
+# version.
 REPLY_GRACE_US = 1_000_000
-# Reports whose reply is awaited; the oldest make room.
+# Reports without a reply; beyond this the oldest are dropped.
 MAX_REPORTS_IN_FLIGHT = 64
 
 
 class FreshnessState(Enum):
     """How far the other voters have confirmed this voter's folder."""
 
-    QUERYING = "asks"  # relies on its folder unless a reply contradicts
-    CONFIRMED = "trusted"  # the folder is the newest
-    REJOINING = "learns"  # has no folder to rely on; its incarnation is not yet noted by a majority
-    REJOINED = "learned"  # its new incarnation is noted by a majority
-    STALE = "old"  # a newer folder is known; until the voter rejoins with a new one
+    QUERYING = "asks"  # relies on its folder unless a reply contradicts it
+    CONFIRMED = "trusted"  # the folder is the newest version
+    REJOINING = "learns"  # has no reliable folder; no majority has stored its incarnation yet
+    REJOINED = "learned"  # a majority has stored its new incarnation
+    STALE = "old"  # a newer version is known; the state lasts until the voter rejoins with a new folder
 
 
 class Outgoing(NamedTuple):
-    """A message and the voter that it is for."""
+    """A message and the voter that it is addressed to."""
 
     voter: str
     message: StorageMessage
@@ -59,7 +60,7 @@
 @dataclass(slots=True)
 class OwnFolder:
     """This voter's own folder. `incarnation` is that of this process, `loaded_position` the position that was
-    read at its start, `synced_position` what is on the disk by now.
+    read when it started, `synced_position` the position that is synced now.
     """
 
     identity: str
@@ -78,7 +79,7 @@
 
 
 class FolderFreshness:
-    """The state machine of one voter. `peers` has what this voter notes of the others."""
+    """The state machine of one voter. `peers` stores the versions that the other voters report."""
 
     def __init__(
         self,
@@ -90,27 +91,28 @@
         is_alive: Callable[[str], bool],
         disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        """`first_number`: the numbers of this process's queries follow it. `is_alive`: whether membership
-        knows a voter as alive. `disabled_rules`: safety rules that the laboratory switches off.
+        """The numbers of this process's queries begin after `first_number`. `is_alive` returns whether a
+        voter is alive according to membership. `disabled_rules` are safety rules that the laboratory
+        switches off.
         """
         self._name, self._list_voters, self._is_majority = name, list_voters, is_majority
         self._last_number, self._is_alive, self._disabled_rules = first_number, is_alive, disabled_rules
         self.peers = PeerFolderRegistry(persist_version)
         self.own: OwnFolder | None = None
         self.state = FreshnessState.REJOINING
-        self.newest_known: PeerFolderVersion | None = None  # where it is newer than this voter's folder
+        self.newest_known: PeerFolderVersion | None = None  # set if it is newer than this voter's folder
         self.stale_reason = ""
         self._replies: dict[str, PeerFolderVersion] = {}  # to the query, by voter
         self._query_number = 0  # 0: the next query takes a new one
         self._next_query_us = 0
         self._has_majority_reply = False
-        self._grace_until_us = 0  # until when the other voters are waited for; 0: not yet
+        self._grace_until_us = 0  # the end of the grace period; 0: it has not begun
         self._last_report_us = 0
         self._reports_in_flight: dict[int, _Report] = {}  # by number
-        self._noted_positions: dict[str, int] = {}  # by voter, the position that it has noted
+        self._acknowledged_positions: dict[str, int] = {}  # by voter, the position that it has acknowledged
 
     def start(self, own: OwnFolder, is_intact: bool, peer_versions: dict[str, PeerFolderVersion]) -> None:
-        """Starts with a folder that was opened; `is_intact` as far as the folder itself can tell."""
+        """Starts with a folder that was opened; `is_intact` is judged by the folder alone."""
         self.own = own
         self.peers.restore(peer_versions)
         if not is_intact:
@@ -121,24 +123,26 @@
             self.state = FreshnessState.QUERYING
 
     def restart_with_new_folder(self, identity: str) -> None:
-        """Rejoins with a new folder of that identity, as a voter that has none to rely on."""
+        """Rejoins with a new folder of that identity, as a voter without a reliable folder."""
         if self.own is None:
-            raise RuntimeError("no folder was opened that a new one could replace")
+            raise RuntimeError("cannot restart with a new folder before `start` has set the present one")
         known = [self.own.incarnation, *(reply.incarnation for reply in self._replies.values())]
         self.own = OwnFolder(identity, self.own.process_number, max(known) + 1, 0, 0)
         self.state = FreshnessState.REJOINING
         self._restart_query()
 
-    # ------------------------------------------------------------------ what is known
+    # ------------------------------------------------------------------ queries
 
     @property
     def is_established(self) -> bool:
-        """Whether no older folder of this voter can be relied on any more."""
+        """Whether no older folder of this voter can be relied on any more. True without a folder."""
         return self.own is None or self.state in (FreshnessState.CONFIRMED, FreshnessState.REJOINED)
 
     @property
     def is_querying(self) -> bool:
-        """Whether this voter asks the others about its folder; not before it has an incarnation to report."""
+        """Whether this voter queries the others about its folder. False before it has an incarnation to
+        report.
+        """
         return (
             self.own is not None
             and self.state in (FreshnessState.QUERYING, FreshnessState.REJOINING)
@@ -146,29 +150,33 @@
         )
 
     def is_position_noted(self, position: int) -> bool:
-        """Whether a majority has noted that this folder has reached `position`. What was read at the start
-        was compared with what the others know.
+        """Whether a majority has acknowledged that this folder has reached `position`. Positions that a
+        confirmed folder had at the start count as acknowledged: the queries have compared them.
         """
         own = self.own
         if own is not None and self.state is FreshnessState.CONFIRMED and position <= own.loaded_position:
             return True
-        noted_by = {voter for voter, noted in self._noted_positions.items() if noted >= position}
-        return self._is_majority({self._name, *noted_by})
+        acknowledged_by = {
+            voter for voter, acknowledged in self._acknowledged_positions.items() if acknowledged >= position
+        }
+        return self._is_majority({self._name, *acknowledged_by})
 
     def _list_others(self) -> list[str]:
         return [voter for voter in self._list_voters() if voter != self._name]
 
     def _list_unreported(self) -> list[str]:
-        """The voters that have not noted this folder's position yet."""
+        """The voters that have not acknowledged this folder's position yet."""
         own = self.own
         if own is None or self.state not in (FreshnessState.CONFIRMED, FreshnessState.REJOINED):
             return []
-        return [v for v in self._list_others() if self._noted_positions.get(v, -1) < own.synced_position]
+        return [
+            v for v in self._list_others() if self._acknowledged_positions.get(v, -1) < own.synced_position
+        ]
 
     # ------------------------------------------------------------------ replies
 
     def on_reply(self, sender: str, reply: FreshnessReply) -> None:
-        """Takes another voter's reply to a report or to the query."""
+        """Processes another voter's reply to a report or to the query."""
         own = self.own
         report = self._reports_in_flight.pop(reply.number, None)
         known = PeerFolderVersion(
@@ -178,19 +186,19 @@
             if own is not None and _is_newer_process(known, own):
                 self._on_newer_process(own, known)
             else:
-                noted = self._noted_positions.get(sender, 0)
-                self._noted_positions[sender] = max(report.position, noted)
+                acknowledged = self._acknowledged_positions.get(sender, 0)
+                self._acknowledged_positions[sender] = max(report.position, acknowledged)
         elif own is not None and reply.number == self._query_number and sender in self._list_voters():
             self._replies[sender] = known
             self._on_query_reply(own, known)
 
     def _on_newer_process(self, own: OwnFolder, known: PeerFolderVersion) -> None:
-        """A voter that could not be reached when this one asked knows of a newer process."""
+        """Handles a newer process that is known to a voter which was unreachable during the query."""
         if self.state is FreshnessState.REJOINED:
             own.incarnation, self.state = known.incarnation + 1, FreshnessState.REJOINING
             self._restart_query()
         elif self.state is FreshnessState.CONFIRMED:
-            self._set_stale(known, "a later life is known")
+            self._set_stale(known, "a newer incarnation is known")
 
     def _on_query_reply(self, own: OwnFolder, known: PeerFolderVersion) -> None:
         has_majority = self._is_majority({*self._replies, self._name})
@@ -203,7 +211,9 @@
             self._settle_incarnation(own)
 
     def _settle_incarnation(self, own: OwnFolder) -> None:
-        """Rejoined once all that replied have noted this incarnation; otherwise takes a higher one."""
+        """Sets the state to REJOINED if all voters that replied have stored this incarnation; otherwise
+        repeats the query, with a higher incarnation if this one is taken.
+        """
         version = self._version_of(own)
         if all(is_same_process(version, reply) for reply in self._replies.values()):
             self.state = FreshnessState.REJOINED
@@ -228,13 +238,13 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self) -> int | None:
-        """When `turn` is to be called next; None: not before something happens."""
+        """When `turn` has to be called next; None: only after another call changes the state."""
         if self.is_querying:
             return self._next_query_us
         return self._last_report_us + REPORT_INTERVAL_US if self._list_unreported() else None
 
     def turn(self, now_us: int) -> list[Outgoing]:
-        """The queries or reports that are due."""
+        """Returns the queries or reports that are due; ends the grace period when its time has come."""
         own = self.own
         if own is None:
             return []
@@ -248,7 +258,9 @@
         return []
 
     def _is_grace_over(self, now_us: int) -> bool:
-        """Whether a majority has replied, and the other voters that are alive have or were waited for."""
+        """Whether a majority has replied, and either all other living voters have replied as well or the
+        grace period has passed.
+        """
         if self.state is not FreshnessState.QUERYING or not self._has_majority_reply:
             return False
         self._grace_until_us = self._grace_until_us or now_us + REPLY_GRACE_US
@@ -275,8 +287,8 @@
         return [Outgoing(voter, query) for voter in others]
 
     def report_position(self, now_us: int) -> list[Outgoing]:
-        """Reports how far this folder has come to the voters that have not noted it yet; called as well
-        whenever something was promised.
+        """Reports this folder's position to the voters that have not acknowledged it yet. Also called
+        directly when a reply is waiting for the acknowledgement.
         """
         own = self.own
         if own is None:
--- a/sailrun/storage/messages.py
+++ b/sailrun/storage/messages.py
@@ -1,25 +1,24 @@
-"""The messages by which voters compare the versions of their folders; `leadership/envelope.py` carries them.
+"""The messages by which voters compare the versions of their folders, sent in `leadership/envelope.py`.
 
-On the wire a message is a MessagePack array that begins with its tag, its fields in the order given here.
+On the wire a message is a MessagePack array: its tag, then its fields in the order of declaration.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# What `FreshnessQuery.startup` says.
+# Values of `FreshnessQuery.startup`.
 REPORTS_PROGRESS = 0
 STARTS_FROM_FOLDER = 1
 STARTS_WITHOUT_FOLDER = 2
 
 
 class FreshnessQuery(msgspec.Struct, array_like=True, frozen=True, tag="stand"):
-    """The sender's folder has this identity and is in this incarnation, and everything up to `position` is
-    on its disk. `process_number` is that of the sender's process, `number` that of the query.
+    """Reports the version of the sender's folder: its identity, its incarnation and the position up to which
+    every entry is synced. `process_number` is that of the sender's process, `number` that of the query.
 
     `startup`: the sender reports its progress (0), has just started and relies on this folder unless the
-    receiver knows of a newer one (1), or has just started without a folder to rely on and begins this one
-    (2).
+    receiver knows a newer version (1), or has just started without a reliable folder and begins this one (2).
     """
 
     number: int
@@ -31,8 +30,8 @@
 
 
 class FreshnessReply(msgspec.Struct, array_like=True, frozen=True, tag="stood"):
-    """The newest version of the querying voter's folder that the sender knew before the query of that number;
-    `identity` is empty for a voter without a folder.
+    """The newest version of the querying voter's folder that the sender knew before the query with that
+    number; `identity` is empty for a voter without a folder.
     """
 
     number: int
--- a/sailrun/storage/opening.py
+++ b/sailrun/storage/opening.py
@@ -1,4 +1,4 @@
-"""Opens a folder at the start of a process; the same for a running node and in the laboratory."""
+"""Opens a folder at the start of a process. Used by a running node and by the laboratory."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 @dataclass(slots=True)
 class OpenedFolder:
-    """A folder that was opened. `identity` is that of the folder from now on: a new one, unless the folder
-    was intact and this node's.
+    """A folder that was opened. `identity` is its identity from now on: a new one, unless the folder was
+    intact and belongs to this node.
     """
 
     contents: FolderContents
@@ -35,8 +35,9 @@
     now_us: int,
     disabled_rules: frozenset[str] = frozenset(),
 ) -> OpenedFolder:
-    """Reads the folder and continues it if it is intact and this node's; otherwise the first batch begins a
-    new one. A failing disk costs the vote until it recovers, and nothing else. Raises NewerSchemaError.
+    """Reads the folder and continues it if it is intact and belongs to this node; otherwise the first batch
+    begins a new one. If the disk fails, the node cannot vote until the disk recovers; nothing else is
+    affected. Raises NewerSchemaError.
     """
     contents = _read(files, node, fleet)
     wal = WriteAheadLog(settings, slow_us, contents.position, disabled_rules)
@@ -54,12 +55,17 @@
 
 
 def _read(files: FolderFiles, node: str, fleet: str) -> FolderContents:
-    """The contents; untrusted where they cannot be read or are another node's."""
+    """Reads the contents; untrusted if they cannot be read or belong to another node."""
     try:
         contents = read_folder(files)
     except OSError as error:
-        return FolderContents(FolderIntegrity.UNTRUSTED, f"cannot be read: {error.strerror or error}")
+        return FolderContents(
+            FolderIntegrity.UNTRUSTED, f"the folder cannot be read: {error.strerror or error}"
+        )
     is_own = (contents.node, contents.fleet) == (node, fleet)
     if contents.integrity is FolderIntegrity.INTACT and not is_own:
-        return FolderContents(FolderIntegrity.UNTRUSTED, f"of node {contents.node} of fleet {contents.fleet}")
+        return FolderContents(
+            FolderIntegrity.UNTRUSTED,
+            f"the folder belongs to another node: {contents.node} of fleet {contents.fleet}",
+        )
     return contents
--- a/sailrun/storage/persisted_state.py
+++ b/sailrun/storage/persisted_state.py
@@ -1,4 +1,4 @@
-"""The state that the entries of a log add up to. Pure."""
+"""The state that results from applying the entries of a log. Pure."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 T = TypeVar("T")
 
-# Rolling drains that are retained; the oldest make room.
+# Limit for completed rolling drains and for drain plans; beyond it the oldest are dropped.
 MAX_DRAINS = 256
 
 
 @dataclass(slots=True)
 class PersistedState:
-    """What is known after applying entries in their order. Each field is the last entry of its kind, or the
-    last for each key.
+    """The state after applying entries in their order. Each field is taken from the last entry of its kind,
+    or from the last one for each key.
     """
 
-    incarnation: int = 0  # how many processes have had the folder
-    was_clean_shutdown: bool = False  # the last process ended in good order
+    incarnation: int = 0  # the number of processes that have taken over the folder
+    was_clean_shutdown: bool = False  # the last process shut down in an orderly way
     started_wall_s: float = 0.0  # when the last process started, by its wall clock
     grants: dict[str, LeaseGrant] = field(default_factory=dict)  # by task
     term_floors: dict[str, int] = field(default_factory=dict)  # by task
@@ -55,8 +55,8 @@
     drain_plans: dict[str, DrainPlan] = field(default_factory=dict)  # by drain
 
     def apply(self, entry: Entry) -> None:  # noqa: C901, PLR0912 - a case for each entry
-        """Brings the state up to date with one more entry."""
-        if isinstance(entry, StoredRecord):  # most are
+        """Updates the state with the next entry."""
+        if isinstance(entry, StoredRecord):  # the most frequent kind
             key = entry.record.key
             self.records[key], self.record_digests[key] = entry.record, entry.digest
             return
@@ -104,7 +104,7 @@
         _drop_oldest(self.drain_plans)
 
     def iter_entries(self) -> Iterator[Entry]:
-        """Entries that make an empty state equal to this one."""
+        """Yields entries that, applied to an empty state, reproduce this one."""
         if self.incarnation:
             yield ProcessStarted(self.incarnation, self.started_wall_s)
         if self.was_clean_shutdown:
@@ -126,8 +126,8 @@
         yield from self.drain_plans.values()
 
     def highest_terms(self) -> dict[str, int]:
-        """By task, the highest term that was granted or is known of; for the empty task, the term below which
-        none may be granted.
+        """The highest granted or known term by task; for the empty task, the term below which none may be
+        granted.
         """
         terms = dict(self.term_floors)
         for task, grant in self.grants.items():
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -1,4 +1,4 @@
-"""A running node's folder: opened at the start, written by a thread of its own, closed at the end."""
+"""The storage folder of a running node: opened at the start, written by its own thread, closed at the end."""
 
 from __future__ import annotations
 
@@ -40,24 +40,24 @@
     from sailrun.node.core import Node
 
 SECOND_US = 1_000_000
-# What the decisions have learned is stored this often.
+# How often the learned state of the decisions is stored.
 SNAPSHOT_INTERVAL_US = 5 * SECOND_US
-# A node without a fleet looks this often whether operators have taken anything out of service.
+# How often a node without a fleet checks for changed operator overrides.
 OVERRIDE_POLL_US = SECOND_US
-# How long a successor waits for its predecessor to release the folder, and how often it looks.
+# How long a successor waits for its predecessor to release the folder, and how often it checks.
 LOCK_TIMEOUT_US = 10 * SECOND_US
 LOCK_POLL_S = 0.05
-# How long a node that ends waits for its disk, and how often it looks.
+# How long a node that shuts down waits for its disk, and how often it checks.
 SHUTDOWN_TIMEOUT_US = SECOND_US // 2
 SHUTDOWN_POLL_S = 0.005
-# The event loop sleeps at least this long between two turns.
+# The minimum wait between two iterations of the loop in `run`.
 MIN_WAIT_US = 1_000
 
 
 class StorageService:
-    """One node's folder. `contents` is what it held at the start; `on_result` is called in the event loop
-    with the result of each batch; `starts_draining` says that the node starts with a drain that an operator
-    mark has asked for.
+    """One node's storage folder. `contents` are its contents at the start. `on_result` is called in the event
+    loop with the result of each batch. `starts_draining` is set if an operator mark requires the node to
+    start with a drain.
     """
 
     def __init__(
@@ -69,9 +69,10 @@
         waits_for_predecessor: bool,
         clock_us: Callable[[], int],
     ) -> None:
-        """`slow_us`: how long a batch may take, where the settings do not say it. `waits_for_predecessor`: a
-        predecessor may still have the folder, and `acquire` has to be called. `clock_us` is the clock that
-        leases are counted by. Raises ConfigError for a folder that cannot be used.
+        """`slow_us` is the time that a batch may take, unless the settings specify it. If
+        `waits_for_predecessor` is set, a predecessor may still have locked the folder and `acquire` has to be
+        called. `clock_us` is the clock that measures leases. Raises ConfigError for a folder that cannot be
+        used.
         """
         self.settings, self._name, self._fleet, self._clock_us = settings, name, fleet, clock_us
         self._files = OsFiles(Path(settings.folder))
@@ -103,12 +104,12 @@
         except (FileNotFoundError, NotADirectoryError) as error:
             raise ConfigError(self._files.folder, "lasting.folder", error.strerror or str(error)) from None
         except OSError as error:
-            # The node serves without it. Whatever writes there later has to lock it first.
+            # The node serves without the folder. FolderWriter locks it before it writes to it later.
             log("lasting-failed", why=error.strerror or str(error))
             return True
 
     def _open_folder(self) -> None:
-        """Reads the folder, and continues it if it is intact."""
+        """Reads the folder and continues it if it is intact."""
         try:
             opened = open_folder(
                 self._files,
@@ -141,7 +142,7 @@
         )
 
     async def acquire(self) -> bool:
-        """Waits until a predecessor has released the folder, and opens it; False where it does not."""
+        """Waits until a predecessor has released the folder, then opens it. Returns False on a timeout."""
         until_us = self._clock_us() + LOCK_TIMEOUT_US
         while not self.is_open:
             if self._try_lock():
@@ -153,12 +154,12 @@
                 await anyio.sleep_until(anyio.current_time() + LOCK_POLL_S)
         return True
 
-    # ------------------------------------------------------------------ what a node starts with
+    # ------------------------------------------------------------------ start of the node
 
     def restore_state(self, server_list: ServerListUpdate, now_us: int, may_drain: bool) -> NodeSnapshot:
-        """The state that a node starts with, in the form that a predecessor would hand over: what operators
-        have taken out of service, and what was learned of the form servers in `server_list`, aged.
-        `may_drain`: whether the node drains where an operator mark said so.
+        """Returns the state that the node starts with, in the form of a handover by a predecessor: the form
+        servers that operators have taken out of service, and the aged learned state of the form servers in
+        `server_list`. `may_drain`: whether the node drains if an operator mark requires it.
         """
         state = self.contents.state
         out_of_service = {
@@ -178,7 +179,7 @@
         return NodeSnapshot(server_list, frozenset(out_of_service), self.starts_draining, learned)
 
     def start_without_fleet(self) -> None:
-        """Begins to write for a node without a fleet, which has no member to do so."""
+        """Starts the log of a node without a fleet, where no member writes to it."""
         started = ProcessStarted(self.contents.state.incarnation + 1, time.time())
         self._overrides = self.contents.state.operator_overrides
 
@@ -193,11 +194,11 @@
     # ------------------------------------------------------------------ running
 
     async def run(self, node: Node) -> None:
-        """Writes until cancelled; then writes what is left, for as long as that may take."""
+        """Writes until cancelled; then writes the remaining entries, within the shutdown timeout."""
         token = current_token()
 
         def post_result(result: WriteResult) -> None:
-            with contextlib.suppress(RuntimeError, anyio.RunFinishedError):  # the loop may be over
+            with contextlib.suppress(RuntimeError, anyio.RunFinishedError):  # the event loop may have ended
                 from_thread.run_sync(self._on_batch_result, result, token=token)
 
         self._thread = WriterThread(self._writer, post_result)
@@ -217,7 +218,7 @@
                 await self._stop()
 
     async def run_without_fleet(self, node: Node, scope: anyio.CancelScope) -> None:
-        """For a node without a fleet: opens the folder and writes until the scope is cancelled."""
+        """Opens the folder of a node without a fleet and writes to it until the scope is cancelled."""
         with scope:
             if await self.acquire():
                 self._is_without_fleet = True
@@ -225,7 +226,7 @@
                 await self.run(node)
 
     def _observe(self, node: Node, now_us: int) -> None:
-        """Asks the node for what is stored from time to time."""
+        """Requests from the node the state that is stored periodically."""
         if now_us >= self._next_snapshot_us:
             self._next_snapshot_us = now_us + SNAPSHOT_INTERVAL_US
             node.snapshot_state(lambda state: self._save_snapshot(state, node.clock.now_us()))
@@ -238,7 +239,7 @@
         return min(due_us, now_us + OVERRIDE_POLL_US) if self._is_without_fleet else due_us
 
     def turn(self) -> None:
-        """Submits the next batch if one is due. To be called after entries were appended."""
+        """Submits the next batch if one is due and writes log events. Has to be called after each append."""
         if not self.is_open:
             return
         if self._thread is not None:
@@ -256,10 +257,10 @@
     def _complete_batch(self, result: WriteResult) -> None:
         self.write_ahead_log.complete_batch(self._clock_us(), result)
 
-    # ------------------------------------------------------------------ ending
+    # ------------------------------------------------------------------ shutdown
 
     async def _stop(self) -> None:
-        """Writes what is left, unless the disk takes too long, and releases the folder."""
+        """Writes the remaining entries, unless the disk takes too long, and releases the folder."""
         until_us = self._clock_us() + SHUTDOWN_TIMEOUT_US
         self.on_result = self._complete_batch
         self.write_ahead_log.append(CleanShutdown(time.time()))
@@ -272,7 +273,7 @@
             await anyio.sleep_until(anyio.current_time() + SHUTDOWN_POLL_S)
         if thread is None or not thread.is_alive:
             self._writer.close()
-            self._files.unlock()  # else the folder is this process's until that has ended
+            self._files.unlock()  # otherwise the folder stays locked until the process ends
 
     async def _flush(self, thread: WriterThread, until_us: int) -> None:
         wal = self.write_ahead_log
@@ -284,10 +285,10 @@
                 return
             await anyio.sleep_until(anyio.current_time() + SHUTDOWN_POLL_S)
 
-    # ------------------------------------------------------------------ what is stored beside member state
+    # ------------------------------------------------------------------ state of the node itself
 
     def list_auxiliary_entries(self) -> list[Entry]:
-        """What is stored of the node itself, besides what members write."""
+        """Returns the entries about the node itself, in addition to those that the member writes."""
         snapshot = self._snapshot or self.contents.state.decision_snapshot
         return [snapshot] if snapshot is not None else []
 
--- a/sailrun/storage/settings.py
+++ b/sailrun/storage/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets of a node's own folder: the table `[lasting]` of the operator's file."""
+"""Settings of a node's storage folder: the table `[lasting]` of the operator's file."""
 
 from __future__ import annotations
 
--- a/sailrun/storage/snapshot_writer.py
+++ b/sailrun/storage/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writes a snapshot aside, a chunk at a time, and gives it its name once it is synced."""
+"""Writes a snapshot to a temporary file, one chunk at a time, and renames it once it is synced."""
 
 from __future__ import annotations
 
@@ -11,14 +11,13 @@
 from sailrun.storage.folder_layout import TEMPORARY_SUFFIX, name_snapshot
 from sailrun.storage.frames import FileHeader, Frame, FrameKind, encode_frame, encode_header
 
-# A frame holds at most so many entries, or records of so many bytes; other work gets its turn between two
-# frames.
+# Limits of a frame: entries, and bytes of records. The writer can do other work between two frames.
 SNAPSHOT_FRAME_ENTRIES = 500
 SNAPSHOT_FRAME_BYTES = 256 * 1024
 
 
 class SnapshotWriter:
-    """One snapshot that is being written. Every method raises OSError where the disk fails."""
+    """One snapshot that is being written. Every method raises OSError if the disk fails."""
 
     def __init__(self, files: FolderFiles, header: FileHeader, entries: Iterable[Entry]) -> None:
         self.generation = header.generation
@@ -33,7 +32,9 @@
         self.header_bytes = len(data)
 
     def write_chunk(self, synced_position: int) -> int:
-        """Writes the next frame: some entries, or the end mark after the last of them. Returns its bytes."""
+        """Writes the next frame: some entries, or the end mark after the last entry. Returns the number of
+        bytes written.
+        """
         entries = list(islice(self._entries, SNAPSHOT_FRAME_ENTRIES))
         if not entries:
             written = self._write_frame(FrameKind.SNAPSHOT_END, [], synced_position)
@@ -53,16 +54,16 @@
         return len(data)
 
     def sync(self) -> None:
-        """Everything that was written is on the disk when this returns; nothing more can be written."""
+        """Syncs the file to disk and closes it; nothing more can be written."""
         self._handle.sync()
         self._handle.close()
 
     def publish(self) -> None:
-        """Gives the snapshot its name; the caller syncs the folder."""
+        """Renames the file to its final name; the caller syncs the folder."""
         self._files.rename(self._name + TEMPORARY_SUFFIX, self._name)
 
     def close(self) -> None:
-        """Closes the file without giving it its name."""
+        """Closes the file without renaming it."""
         self._handle.close()
 
 
--- a/sailrun/storage/write_ahead_log.py
+++ b/sailrun/storage/write_ahead_log.py
@@ -1,12 +1,12 @@
-"""A write-ahead log with group commit: entries not yet written, how far the disk is, and deferred replies.
+"""A write-ahead log with group commit: pending entries, the synced position and deferred replies.
 
-Entries are numbered as they are appended; the number is their position. One batch is with the disk at a time;
-what is appended meanwhile goes with the next, so that many writes share a sync. A reply that promises
-something is deferred until everything it rests on is on the disk. Where the disk fails or takes too long the
-reply is dropped, as if the network had lost it.
+Entries are numbered as they are appended; the number is their position. One batch is in flight at a time;
+entries that are appended meanwhile go into the next batch, so that many writes share a sync. A reply that
+makes a promise is deferred until every entry that it depends on is synced to disk. If the disk fails or takes
+too long, the reply is dropped, as if the network had lost it.
 
-Pure: entries, results of the disk and the time (microseconds) come in; batches for the disk (see `writer.py`)
-and replies come out.
+Pure: the input is entries, write results and the time (microseconds); the output is batches to write (see
+`writer.py`) and replies to send.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 from sailrun.storage.settings import MEGABYTE, StorageSettings
 
 SECOND_US = 1_000_000
-# A disk that has failed is tried again after this.
+# Delay before writing is retried after a failure of the disk.
 DISK_RETRY_US = SECOND_US
-# The oldest make room for further ones.
+# Beyond this the oldest deferred replies are dropped.
 MAX_DEFERRED_REPLIES = 10_000
-# What an entry other than a record is counted as.
+# Size that is assumed for an entry that is not a record.
 TYPICAL_ENTRY_BYTES = 120
 
-# Whatever the caller sends once it is safe to: this module never looks into it.
+# Opaque to this module; the caller sends it once it is released.
 Reply = Any
 
 
 class DiskState(Enum):
-    """How the disk does. The values are part of the names of log events."""
+    """The state of the disk. The values are part of the names of log events."""
 
     AVAILABLE = "able"
-    SLOW = "slow"  # the batch in flight takes longer than it may
+    SLOW = "slow"  # the batch in flight takes longer than allowed
     FAILED = "failed"  # the last batch failed
 
 
 class LogEvent(NamedTuple):
-    """An event for the operators' log, and its fields."""
+    """The name and the fields of an event for the operators' log."""
 
     name: str
     fields: dict[str, object]
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteBatch:
-    """Work for the disk: append `entries` and sync, so that all up to `position` is on the disk.
+    """Entries to append and sync, after which every entry up to `position` is durable.
 
-    `state_entries`: the whole state at `position`, for a new generation. With `is_standalone` that generation
-    must not rest on anything written before; with `new_identity` it belongs to a new folder.
+    `state_entries` is the whole state at `position`, for a new generation. If `is_standalone` is set, that
+    generation must not depend on anything written before; if `new_identity` is set, it begins a new folder.
     """
 
     position: int
@@ -64,8 +64,8 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """The result of a batch: everything up to `position` is on the disk, or `error` says why it failed and
-    nothing is known of what was not synced before.
+    """The result of a batch: either every entry up to `position` is synced, or `error` is the reason of the
+    failure and the state on disk of all entries that were not synced before is unknown.
     """
 
     position: int
@@ -75,23 +75,23 @@
 
 @dataclass(frozen=True, slots=True)
 class _DeferredReply:
-    position: int  # what has to be on the disk before
+    position: int  # every entry up to this one has to be synced first
     reply: Reply
 
 
 class WriteAheadLog:
-    """The log of one folder. `position` is that of the last entry, `synced_position` that of the last one
-    known to be on the disk.
+    """The log of one folder. `position` is that of the last entry, `synced_position` that of the last entry
+    known to be synced.
 
     The caller may set `list_state_entries`, which lists the whole state for a new generation, and
-    `on_reply_dropped`, and empties `log_events`.
+    `on_reply_dropped`. The caller has to empty `log_events`.
     """
 
     def __init__(
         self, settings: StorageSettings, slow_us: int, position: int, disabled_rules: frozenset[str]
     ) -> None:
-        """`slow_us`: a batch that takes longer costs the deferred replies. `disabled_rules`: safety rules
-        that the laboratory switches off.
+        """If a batch takes longer than `slow_us`, the deferred replies are dropped. `disabled_rules` are
+        safety rules that the laboratory switches off.
         """
         self.settings, self._slow_us, self._disabled_rules = settings, slow_us, disabled_rules
         self.position = self.synced_position = position
@@ -102,7 +102,7 @@
         self.on_reply_dropped: Callable[[Reply], None] = lambda reply: None
         self._pending: list[Entry] = []
         self._pending_bytes = 0
-        self._oldest_pending_us = -1  # when the first of them was appended; -1: there is none
+        self._oldest_pending_us = -1  # when the first pending entry was appended; -1: there is none
         self._deferred: dict[Hashable, _DeferredReply] = {}
         self._in_flight: WriteBatch | None = None
         self._in_flight_since_us = 0
@@ -118,7 +118,7 @@
         """Adds the entry to the next batch; returns its position."""
         self.position += 1
         if self._needs_standalone:
-            return self.position  # the next batch has the whole state
+            return self.position  # the next batch contains the whole state, with this entry
         if self._oldest_pending_us < 0:
             self._oldest_pending_us = self._now_us
         self._pending.append(entry)
@@ -135,12 +135,14 @@
         self._pending, self._pending_bytes, self._oldest_pending_us = [], 0, -1
 
     def _require_standalone(self) -> None:
-        """Drops the pending entries: the next batch has the whole state instead."""
+        """Drops the pending entries: the next batch contains the whole state instead."""
         self._clear_pending()
         self._needs_standalone = True
 
     def begin_new_folder(self, identity: bytes) -> None:
-        """The folder cannot be relied on: the next batch begins another one, of this identity."""
+        """Makes the next batch begin a new folder of this identity, because the present one cannot be
+        relied on.
+        """
         self._require_standalone()
         self._drop_replies()
         self._new_identity = identity
@@ -149,12 +151,12 @@
     # ------------------------------------------------------------------ replies
 
     def is_synced(self, position: int) -> bool:
-        """Whether everything up to `position` is on the disk."""
+        """Whether every entry up to `position` is synced."""
         return position <= self.synced_position or "sync" in self._disabled_rules
 
     def defer_reply(self, now_us: int, position: int, key: Hashable, reply: Reply) -> None:
-        """Holds the reply back until everything up to `position` is on the disk. A later reply of the same
-        key takes its place.
+        """Defers the reply until every entry up to `position` is synced. A later reply with the same key
+        replaces it.
         """
         self._now_us = now_us
         self._deferred.pop(key, None)
@@ -166,18 +168,18 @@
     def _drop_replies(self) -> None:
         deferred, self._deferred = self._deferred, {}
         self.dropped_replies += len(deferred)
-        for one in deferred.values():
-            self.on_reply_dropped(one.reply)
+        for item in deferred.values():
+            self.on_reply_dropped(item.reply)
 
-    # ------------------------------------------------------------------ the disk
+    # ------------------------------------------------------------------ batches
 
     @property
     def is_disk_available(self) -> bool:
-        """Whether the disk is quick enough to promise anything."""
+        """Whether the disk is neither failed nor slow, so that promises can be made."""
         return self.disk_state is DiskState.AVAILABLE
 
     def due_us(self, now_us: int) -> int | None:
-        """When `turn` is to be called next; None: not before something happens."""
+        """When `turn` has to be called next; None: only after another call changes the state."""
         if self._in_flight is not None:
             is_watched = self.is_disk_available and self._deferred
             return self._in_flight_since_us + self._slow_us if is_watched else None
@@ -194,7 +196,7 @@
         return self._journal_bytes > self.settings.generation_mb * MEGABYTE
 
     def turn(self, now_us: int) -> WriteBatch | None:
-        """The next batch for the disk, if one is due and none is in flight."""
+        """Returns the next batch to write, if one is due and none is in flight."""
         self._now_us = now_us
         if self._in_flight is not None:
             self._check_latency(now_us)
@@ -209,8 +211,8 @@
             self._drop_replies()
 
     def start_batch(self, now_us: int) -> WriteBatch | None:
-        """Everything that there is to write, whether it is due or not; None: there is nothing, or a batch is
-        in flight.
+        """Returns a batch of everything that is pending, due or not; None if nothing is pending or a batch
+        is in flight.
         """
         if self._in_flight is not None:
             return None
@@ -233,7 +235,7 @@
         return None
 
     def complete_batch(self, now_us: int, result: WriteResult) -> list[Reply]:
-        """Takes the result of the batch in flight; returns the replies that may be sent."""
+        """Processes the result of the batch in flight; returns the replies that may be sent now."""
         self._now_us = now_us
         batch, self._in_flight = self._in_flight, None
         if result.error:
@@ -245,7 +247,7 @@
             self._set_disk_state(DiskState.AVAILABLE)
         self.synced_position = max(self.synced_position, result.position)
         self._journal_bytes = result.journal_bytes
-        ready = [key for key, one in self._deferred.items() if one.position <= self.synced_position]
+        ready = [key for key, item in self._deferred.items() if item.position <= self.synced_position]
         return [self._deferred.pop(key).reply for key in ready]
 
     def _on_failure(self, now_us: int, error: str) -> None:
--- a/sailrun/storage/writer.py
+++ b/sailrun/storage/writer.py
@@ -1,4 +1,4 @@
-"""Carries out the write-ahead log's batches on a folder."""
+"""Writes the batches of the write-ahead log to a folder."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 
 
 class BatchWriter:
-    """Writes one batch at a time. A running node has a thread for it, see `writer_thread.py`."""
+    """Writes one batch at a time. A running node does so in a separate thread, see `writer_thread.py`."""
 
     def __init__(self, folder: FolderWriter, node: str, fleet: str) -> None:
-        """`node` and `fleet` are written to a new folder."""
+        """`node` and `fleet` are written to the identity file of a new folder."""
         self._folder, self._node, self._fleet = folder, node, fleet
-        # Nothing is known of what was not synced before: only a standalone generation helps.
+        # After a failure the state on disk of unsynced entries is unknown: only a standalone generation is
+        # reliable then.
         self._has_failed = False
 
     @property
     def folder(self) -> FolderWriter:
-        """The folder that is written to."""
+        """The writer of the folder."""
         return self._folder
 
     def write(self, batch: WriteBatch) -> WriteResult:
-        """Writes and syncs the batch. A failure of the disk is a result, not an exception."""
+        """Writes and syncs the batch. A failure of the disk is returned as a result, not raised."""
         try:
             if batch.new_identity:
                 self._write_new_folder(batch)
@@ -43,7 +44,7 @@
 
     def _write_standalone(self, batch: WriteBatch) -> None:
         if batch.state_entries is None:
-            raise OSError(errno.EIO, "waits to be written as a whole")
+            raise OSError(errno.EIO, "the disk has failed and the batch has no whole state to write")
         self._folder.write_standalone_generation(batch.state_entries, batch.position)
 
     def _append(self, batch: WriteBatch) -> None:
@@ -56,8 +57,8 @@
         self._folder.begin_generation(batch.state_entries)
 
     def continue_snapshot(self) -> bool:
-        """Writes a part of the snapshot, if one is being written; returns whether there is more of it. A
-        failure of the disk shows at the next batch.
+        """Writes the next chunk of the snapshot, if one is being written; returns whether more chunks remain.
+        A failure of the disk is reported with the next batch.
         """
         if not self._folder.is_writing_snapshot:
             return False
--- a/sailrun/storage/writer_thread.py
+++ b/sailrun/storage/writer_thread.py
@@ -12,8 +12,8 @@
 
 
 class WriterThread:
-    """Writes one batch at a time, and a part of a snapshot when there is none. `on_result` is called in the
-    thread.
+    """Writes one batch at a time, and chunks of a snapshot while no batch is waiting. `on_result` is called
+    in the thread.
     """
 
     def __init__(self, writer: BatchWriter, on_result: Callable[[WriteResult], None]) -> None:
@@ -28,20 +28,20 @@
         self._thread.start()
 
     def submit(self, batch: WriteBatch) -> None:
-        """Hands the next batch over; the one before has to have its result."""
+        """Submits the next batch. The result of the previous batch must have been reported."""
         with self._changed:
             self._batch = batch
             self._changed.notify()
 
     def request_stop(self) -> None:
-        """The thread ends after the batch that it has; a snapshot that is not finished is given up."""
+        """Makes the thread end after its current batch; a snapshot that is not finished is abandoned."""
         with self._changed:
             self._is_stopping = True
             self._changed.notify()
 
     @property
     def is_alive(self) -> bool:
-        """Whether the thread still uses the folder."""
+        """Whether the thread still runs and may use the folder."""
         return self._thread.is_alive()
 
     def _run(self) -> None:
@@ -56,13 +56,13 @@
             has_more = self._write(batch)
 
     def _write(self, batch: WriteBatch | None) -> bool:
-        """Returns whether there is more of a snapshot to write."""
+        """Writes the batch and a chunk of the snapshot; returns whether more chunks remain."""
         try:
             if batch is not None:
                 self._on_result(self._writer.write(batch))
             return self._writer.continue_snapshot()
-        except Exception:  # a fault of this program costs the vote, as a failing disk does, and nothing else
+        except Exception:  # like a failure of the disk, a program error must cost the vote and nothing else
             log("fault", where="lasting", trace=traceback.format_exc())
             if batch is not None:
-                self._on_result(WriteResult(0, 0, "a fault of this program"))
+                self._on_result(WriteResult(0, 0, "internal error, see the log event `fault`"))
             return False
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -503,7 +503,7 @@
     assert damaged.returncode == 1 and "doubtful" in damaged.stdout, damaged
     assert run_cli("forget", str(folder)).returncode == 2
     assert run_cli("forget", str(folder), "--yes").returncode == 0
-    assert run_cli("check", str(folder)).stdout.strip().endswith("nothing was kept there yet")
+    assert run_cli("check", str(folder)).stdout.strip().endswith("the folder is empty")
     missing = run_cli("show", str(tmp_path / "none"))
     assert missing.returncode == 2 and missing.stderr.count("\n") == 1
 
@@ -664,7 +664,7 @@
     assert older.state is FreshnessState.CONFIRMED and older.own is not None
     older.own.synced_position = 25
     exchange_queries(older, others, 9 * SECOND)
-    assert not older.is_established and older.stale_reason == "a later life is known"
+    assert not older.is_established and older.stale_reason == "a newer incarnation is known"
 
 
 def test_a_standalone_generation_is_not_passed_over_where_its_snapshot_is_damaged() -> None:
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -149,7 +149,9 @@
     files.unlock()
     told = {"schema": 2, "node": "n1", "fleet": "", "identity": "00" * 16, "inode": 1}
     (kept / "identity").write_text(json.dumps(told))
-    assert refused(tmp_path, roster, kept).endswith("lasting.folder: of schema 2; this version reads up to 1")
+    assert refused(tmp_path, roster, kept).endswith(
+        "lasting.folder: written with schema 2; this version reads up to 1"
+    )
 
 
 def test_a_folder_that_cannot_be_written_costs_nothing_but_what_it_would_retain(
