--- a/sailrun/sharding/act_exerciser.py
+++ b/sailrun/sharding/act_exerciser.py
@@ -1,7 +1,7 @@
-"""For the laboratory: a node acts for the shards it owns, again and again, so that the checks have occasions.
+"""For the laboratory: sends acts for a node's shards periodically, so that the checks have cases to examine.
 
 Half of the acts for a shard go to one control member, which owns no shards: its fence receives the acts of
-every owner there is. The others go to the best placed member other than the owner itself. Pure.
+all owners of the shard. The others go to the best placed member other than the sender itself. Pure.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ActExerciser:
-    """Sends acts for some of a node's shards at intervals."""
+    """Sends acts for a random sample of a node's shards at fixed intervals."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         interval_us: int = ACT_INTERVAL_US,
         shards_per_interval: int = SHARDS_PER_INTERVAL,
     ) -> None:
-        """Acts for the shards of the member called `name`."""
+        """Sends acts for the shards of the member `name`, whose agent is `agent`."""
         self._agent = agent
         self._members = members
         self._name = name
@@ -42,7 +42,7 @@
         self._next_us = 0
 
     def tick(self, now_us: int) -> list[PeerMessage]:
-        """The acts that are due, where this member may act."""
+        """Returns the acts that are due, for shards that this member may use."""
         session = self._agent.session
         if session is None or now_us < self._next_us:
             return []
--- a/sailrun/sharding/agent.py
+++ b/sailrun/sharding/agent.py
@@ -1,7 +1,7 @@
-"""A member's whole part in the ownership of shards: as a node, as a voter, as the assigner. Pure.
+"""All sharding roles of one member: node, voter and assigner. Pure.
 
-`leadership/agent.py` drives it and carries its messages. Each region is independent: its voters are its own,
-and no message of another region changes anything here.
+`leadership/agent.py` drives it and transports its messages. Each region is independent: it has its own
+voters, and messages of other regions are ignored.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 from sailrun.sharding.table_replication import TableAcceptor, TableWriter
 
 SECOND = 1_000_000
-# After more unanswered heartbeats than this another member is asked for the assigner.
+# After more unanswered heartbeats than this, heartbeats go to the voters in turn to find the assigner.
 MAX_UNANSWERED_HEARTBEATS = 2
 
 
 class ShardingAgent:
-    """Ties together the election of the assigner, the assigner, the voter's table and the node's session.
+    """Combines the election of the assigner, the assigner, the voter's table and the node's session.
 
-    `notes` are events for the log; the driver empties them.
+    `notes` are events for the log; the driver has to empty them.
     """
 
     def __init__(
@@ -57,20 +57,21 @@
         off: frozenset[str] = frozenset(),
         record: Callable[..., None] = lambda kind, **facts: None,
     ) -> None:
-        """`draw` returns that many random bits; `founding` a number above all that were ever granted, as
-        far as chance and a clock can. `off` names safety rules that the laboratory switches off. Raises
-        ValueError where the settings have no such region.
+        """`random_bits` returns a number of as many random bits as its argument says. `new_initial_term`
+        returns a number that is above all terms and generations ever used, as far as randomness and a clock
+        can ensure that; a region without any memory begins with it. `disabled_rules` are safety rules that
+        the laboratory switches off. Raises ValueError if the region is not in the settings.
         """
         region = settings.region(me.region)
         if region is None:
-            raise ValueError(f"no region '{me.region}'")
+            raise ValueError(f"region '{me.region}' of member '{me.name}' is not in the settings")
         self.name = me.name
         self.region = region
         self.settings = settings
         self.notes: list[Note] = []
-        self.settings_mismatch_count = 0  # messages of members with other settings
+        self.settings_mismatch_count = 0  # messages from members with different settings
         self.assigner: Assigner | None = None
-        self.assigner_name = ""  # the member that answered a heartbeat last
+        self.assigner_name = ""  # the member that answered a heartbeat last; empty: the assigner is unknown
         self._life = me.life
         self._members = members
         self._founding = founding
@@ -85,7 +86,7 @@
         if me.role != CONTROL:
             self.session = NodeSession(region, settings, draw(SEED_BITS), now_us, off, record)
         self.acts = ShardActs(region, off, record)
-        self._next_voter = draw(SEED_BITS)  # which voter is asked where the assigner is not known
+        self._next_voter = draw(SEED_BITS)  # the voter that gets the heartbeat while the assigner is unknown
 
     @property
     def task(self) -> str:
@@ -97,13 +98,13 @@
         return self.election.is_assigner(now_us)
 
     def is_still_wanted(self, message: ElectionMessage) -> bool:
-        """False for a request to a voter that this member's own vote has denied meanwhile."""
+        """False for a lease request that is obsolete because this member's own vote has denied it since."""
         return self.election.is_still_wanted(message)
 
     # ------------------------------------------------------------------ messages
 
     def receive(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[PeerMessage]:
-        """Takes in a message of the process `life` of a member, and returns what to send."""
+        """Processes a message from the member's process with the number `life`; returns messages to send."""
         if body.region != self.region.name:
             return []
         settings_digest = getattr(body, "digest", self._settings_digest)
@@ -113,7 +114,7 @@
         return messages + self._follow_election(now_us)
 
     def _reject_settings(self, sender: str, body: ShardBody) -> list[PeerMessage]:
-        """From a member with other settings: it is notified, and nothing else is done."""
+        """Counts a message from a member with different settings; only a heartbeat gets a rejection."""
         self.settings_mismatch_count += 1
         if self.settings_mismatch_count == 1:
             self.notes.append(("shards-settings-differ", {"name": sender}))
@@ -173,7 +174,9 @@
     def _follow_referral(
         self, now_us: int, session: NodeSession, sender: str, answer: RenewalRejected
     ) -> None:
-        """The sender is not the assigner: the member that it names is asked next."""
+        """Handles an answer of a member that is not the assigner: the next heartbeat goes to the assigner
+        that it names, if that member is alive.
+        """
         named = answer.assigner_name
         if named == sender or not self._members.is_living(named):
             named = ""
@@ -184,14 +187,14 @@
             self.assigner_name = ""
 
     def send_act(self, now_us: int, shard: int, recipient: str) -> list[PeerMessage]:
-        """Requests work of another member on a shard's behalf; nothing where this node may not act for it."""
+        """Returns a request to another member to act for a shard; empty if this node may not use it."""
         token = self.session.issue_token(shard, now_us) if self.session is not None else None
         return [self.acts.send(now_us, shard, token, recipient)] if token is not None else []
 
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """When `tick` has to be called next."""
+        """The time at which `tick` has to be called next."""
         due = [self.election.due_us(now_us)]
         if self.assigner is not None:
             due.append(self.assigner.due_us(now_us))
@@ -200,7 +203,7 @@
         return min(due)
 
     def tick(self, now_us: int) -> list[PeerMessage]:
-        """Does what is due by the clock, and returns what to send."""
+        """Performs the work that is due; returns messages to send."""
         messages = self.election.tick_leases(now_us)
         messages += self.election.tick_voter(now_us)
         messages += self._follow_election(now_us)
@@ -210,7 +213,7 @@
         return messages
 
     def _send_heartbeat(self, now_us: int, session: NodeSession) -> list[PeerMessage]:
-        """The heartbeat that is due, to the assigner; where none is known, to one voter after another."""
+        """Sends the heartbeat that is due to the assigner or, while it is unknown, to the voters in turn."""
         heartbeat = session.tick(now_us)
         if heartbeat is None:
             return []
@@ -224,7 +227,7 @@
         return [PeerMessage(recipient, heartbeat)]
 
     def leave(self, now_us: int) -> list[PeerMessage]:
-        """The process ends in an orderly way: its session and its lease are released at once."""
+        """Releases the session and the lease at once, for an orderly shutdown of the process."""
         messages: list[PeerMessage] = []
         if self.session is not None:
             self.session.is_leaving = True
@@ -236,14 +239,14 @@
         return messages
 
     def set_leaving(self, now_us: int, is_leaving: bool) -> None:
-        """A planned stop: the node's shards move once the assigner permits."""
+        """Starts or cancels a planned stop: the node's shards move once the assigner permits it."""
         if self.session is not None:
             self.session.set_leaving(now_us, is_leaving)
 
     # ------------------------------------------------------------------ the assigner
 
     def _follow_election(self, now_us: int) -> list[PeerMessage]:
-        """Becomes the assigner, or ceases to be, as the lease says; and does an assigner's work."""
+        """Starts or stops being the assigner according to the lease, and performs the assigner's work."""
         for change in self.election.take_changes():
             self._on_election_change(now_us, change)
         self.election.record_lease()
--- a/sailrun/sharding/assigner.py
+++ b/sailrun/sharding/assigner.py
@@ -1,9 +1,9 @@
-"""The assigner of one region: who has a session, and from which generation on. Pure; made anew at each term.
+"""The assigner of one region: manages the sessions of nodes by generation. Pure; created anew for each term.
 
-It extends the sessions of nodes whose heartbeats arrive, ends the others, adds newcomers together, and lets a
+It renews the sessions of nodes whose heartbeats arrive, ends the others, adds newcomers in groups, and lets a
 limited number of nodes hand over at a time for a planned stop. It sends no table of shards: each node
-computes the placement from the sessions of a generation. Whatever it answers stays true, so that an answer
-may arrive at any time.
+computes the placement from the sessions of a generation. Its answers remain valid, so that they may arrive
+arbitrarily late.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 SECOND = 1_000_000
 # Sessions in one page of a complete table, so that the page fits a datagram.
 SESSIONS_PER_PAGE = 24
-# Sessions are checked for their end so often in the time of a lease.
+# Number of checks for ended sessions during one lease.
 CHECKS_PER_LEASE = 32
 
 
 @dataclass(slots=True)
 class ActiveSession:
-    """A session in force, as the assigner tracks it."""
+    """The assigner's state of a session in force."""
 
     session: Session
     last_contact_us: int
-    applied_generation: int = 0  # that its node applies
+    applied_generation: int = 0  # the generation that the node applies
     wants_handover: bool = False
     may_hand_over: bool = False
-    is_released: bool = False  # its node uses it no more
+    is_released: bool = False  # the node no longer uses the session
 
     def belongs_to(self, name: str, nonce: int) -> bool:
-        """Whether it is the session that this process of the node requested."""
+        """Whether the session was requested by this node with this nonce."""
         return (self.session.name, self.session.nonce) == (name, nonce)
 
 
@@ -56,8 +56,8 @@
 
 
 class Assigner:
-    """`committed_changes` are for the log; the driver empties them. `writer` has the voters store each table
-    before any node receives it.
+    """Answers heartbeats and changes the table of sessions. `writer` has the voters store each table before
+    any node receives it. `committed_changes` are for the log; the driver has to empty them.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         now_us: int,
         off: frozenset[str] = frozenset(),
     ) -> None:
-        """`off` names safety rules that the laboratory switches off."""
+        """`off` are safety rules that the laboratory switches off."""
         self.writer = writer
         self.term = writer.term
         self.settled_generation = 0  # every session in force applies this generation or a later one
@@ -85,7 +85,7 @@
 
     @property
     def generation(self) -> int:
-        """The latest generation; 0 before the table was read."""
+        """The latest generation; 0 until the table has been read."""
         return self._state.generation if self._state is not None else 0
 
     @property
@@ -98,7 +98,7 @@
     def answer_heartbeat(
         self, now_us: int, sender: str, heartbeat: RenewSession
     ) -> SessionRenewed | RenewalRejected | None:
-        """Extends the sender's session, or notes its request for one; None: there is no answer."""
+        """Renews the sender's session or records its request for one; None if no answer is to be sent."""
         self.writer.observe_generation(max(heartbeat.applied_generation, heartbeat.highest_generation))
         state = self._state
         if state is None:
@@ -154,7 +154,7 @@
         )
 
     def _build_page(self, heartbeat: RenewSession, state: TableState, session_number: int) -> SessionRenewed:
-        """One page of the complete table; the first one again where it has changed meanwhile."""
+        """Returns the next page of the complete table, or the first one if the table has changed since."""
         is_same_table = heartbeat.fetched_generation == state.generation
         offset = heartbeat.fetched_count if is_same_table else 0
         page = state.sessions[offset : offset + SESSIONS_PER_PAGE]
@@ -179,7 +179,7 @@
             self.settled_generation = max(self.settled_generation, min(applied))
 
     def _permit_handovers(self) -> None:
-        """Permits planned stops: so many at a time, and only while nothing else is moving."""
+        """Permits a limited number of planned stops, and only while the latest generation is settled."""
         if self.settled_generation < self.generation:
             return
         permitted = sum(active.may_hand_over for active in self._active.values())
@@ -191,10 +191,11 @@
                 permitted += 1
 
     def _ended_sessions(self, now_us: int) -> list[int]:
-        """Numbers of sessions that nobody uses any more: released, or without contact for a whole lease.
+        """The numbers of sessions that no node uses any more: released, or without contact for a whole lease.
 
-        A node counts its lease from when it sent the heartbeat, less what two clocks may differ; what an
-        earlier assigner extended is counted from when this one began.
+        A node measures its lease from the sending of the heartbeat and subtracts the maximum drift of two
+        clocks, so its lease has ended by then. The contact with sessions that an earlier assigner renewed
+        is counted from the start of this one.
         """
         return [
             number
@@ -203,7 +204,9 @@
         ]
 
     def _ready_newcomers(self, now_us: int) -> list[str]:
-        """Newcomers whose former session has ended, once one has waited long enough for others."""
+        """The newcomers whose former session has ended, once one of them has waited for `gather_s`. Removes
+        newcomers without contact for a whole lease.
+        """
         for name, newcomer in list(self._newcomers.items()):
             if now_us - newcomer.last_contact_us >= self._lease_us:
                 del self._newcomers[name]
@@ -217,12 +220,12 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """When `tick` has to be called next."""
+        """The time at which `tick` has to be called next."""
         due_us = self.writer.due_us(now_us)
         return min(due_us, self._next_check_us) if self.writer.is_idle else due_us
 
     def tick(self, now_us: int) -> list[PeerMessage]:
-        """Writes the next generation where one is due, and notifies nodes of one that a majority stores."""
+        """Writes the next generation if one is due; notifies nodes of a generation that a majority stores."""
         messages: list[PeerMessage] = []
         state = self.writer.state
         if state is not None and state is not self._state:
@@ -233,7 +236,7 @@
         return messages + self.writer.tick(now_us)
 
     def _propose(self, now_us: int, state: TableState) -> None:
-        """Writes the next table, if any session has to be added or removed."""
+        """Writes the next table if any session has to be added or removed."""
         left = self._ended_sessions(now_us)[:MAX_CHANGED_SESSIONS]
         capacity = MAX_CHANGED_SESSIONS - len(left)
         names = self._ready_newcomers(now_us)[:capacity] if capacity else []
@@ -247,7 +250,7 @@
         self.writer.write(next_state(state, self.term, joined, left))
 
     def _commit(self, now_us: int, state: TableState) -> list[PeerMessage]:
-        """A majority stores the next table: from now on nodes receive it."""
+        """Publishes a table that a majority stores; returns notices of its change for the nodes."""
         before, self._state = self._state, state
         if before is None:
             contact_us = now_us - self._lease_us if "rest" in self._off else self._began_us
@@ -259,14 +262,14 @@
         for session in change.joined:
             self._active[session.number] = ActiveSession(session, now_us)
         self.committed_changes.append(change)
-        self._next_check_us = now_us  # for the sessions that did not fit
+        self._next_check_us = now_us  # sessions that did not fit in this change are due at once
         self._update_settled()
         notice = SessionRenewed(self._region, 0, 0, state.generation, self.settled_generation, [change])
         return [PeerMessage(active.session.name, notice) for active in self._active.values()]
 
 
 def _changes_after(state: TableState, generation: int) -> list[GenerationChange] | None:
-    """The changes that follow on that generation, as many as fit; None: they are not stored any more."""
+    """The changes after that generation, as many as fit a datagram; None if they are not all stored."""
     if generation == state.generation:
         return []
     following = [change for change in state.changes if change.generation > generation]
@@ -276,7 +279,7 @@
 
 
 def _take_fitting(changes: list[GenerationChange]) -> list[GenerationChange]:
-    """The first changes, as many as fit a datagram; at least one."""
+    """The first changes, as many as fit a datagram, but at least one."""
     capacity = MAX_CHANGED_SESSIONS
     fitting: list[GenerationChange] = []
     for change in changes:
--- a/sailrun/sharding/assigner_election.py
+++ b/sailrun/sharding/assigner_election.py
@@ -1,4 +1,4 @@
-"""The lease on being a region's assigner: candidates, votes and the outcome, by the region's own voters."""
+"""The election of a region's assigner: candidates, votes and the lease, granted by the region's voters."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class MembershipView(Protocol):
-    """What sharding uses of the membership."""
+    """The part of the membership interface that sharding uses."""
 
     @property
     def living_version(self) -> int:
-        """Grows whenever the set of living members changes."""
+        """A version that increases whenever the set of living members changes."""
         ...
 
     def living_records(self) -> list[MemberRecord]:
@@ -38,16 +38,16 @@
         ...
 
     def find_record(self, name: str) -> MemberRecord | None:
-        """The record of a member; None where the name is not known."""
+        """The record of a member; None if the name is unknown."""
         ...
 
     def is_living(self, name: str) -> bool:
-        """Whether the member is known and lives."""
+        """Whether the member is known and alive."""
         ...
 
 
 class AssignerElection:
-    """One member's part: it votes if it is one of the region's voters, and stands if it is eligible."""
+    """One member's roles in the election: voter, if it is one of the region's, and candidate, if eligible."""
 
     def __init__(
         self,
@@ -75,14 +75,16 @@
         if name in region.voters:
             self._voter = Voter(name, self.voters, leadership, now_us, founding, off)
         self._candidates: list[str] = []
-        self._candidates_version = -1  # of the membership, that the candidates were computed for
+        self._candidates_version = -1  # the membership version for which the candidates were computed
         self._recorded_until_us = 0
-        self._reaches_majority = True  # as last reported
+        self._reaches_majority = True  # the value last returned by `take_majority_change`
 
     # ------------------------------------------------------------------ queries
 
     def candidates(self) -> dict[str, list[str]]:
-        """By task, the best placed of the region's living control members; of all its members without any."""
+        """The best placed candidates by task: the region's living control members or, if it has none, all its
+        living members.
+        """
         if self._members.living_version != self._candidates_version:
             self._candidates_version = self._members.living_version
             living = [r for r in self._members.living_records() if r.region == self._region.name]
@@ -94,7 +96,7 @@
         return bool(self._leases.held_term(self.task, now_us))
 
     def known_assigner(self, now_us: int) -> str:
-        """The assigner, as far as this member knows; empty: none is known."""
+        """The assigner that this member knows; empty if it knows none."""
         if self._voter is not None:
             held = self._voter.active_holders(now_us).get(self.task)
             if held is not None:
@@ -102,13 +104,13 @@
         return self._leases.lease_of(self.task).holder
 
     def is_still_wanted(self, message: ElectionMessage) -> bool:
-        """False for a request to a voter that this member's own vote has denied meanwhile."""
+        """False for a lease request that is obsolete because this member's own vote has denied it since."""
         return not isinstance(message.body, LeaseRequest) or self._leases.is_requested(message.body)
 
     # ------------------------------------------------------------------ messages
 
     def receive(self, now_us: int, sender: str, life: int, message: ElectionMessage) -> list[PeerMessage]:
-        """Takes in a vote or a request for one."""
+        """Processes an election message; returns messages to send."""
         match message.body:
             case LeaseGrant() as grant:
                 self._leases.on_grant(now_us, sender, grant)
@@ -138,7 +140,7 @@
         return []
 
     def observe_term(self, now_us: int, term: int) -> None:
-        """A voter has promised that term: a lease under a lower one is over, the next one is above it."""
+        """Ends a lease with a lower term, because a voter has promised this one. The next term is higher."""
         self._leases.observe_term(self.task, term, "", now_us)
 
     def _wrap(self, messages: Iterable[tuple[str, Any]]) -> list[PeerMessage]:
@@ -150,40 +152,42 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """When `tick_leases` and `tick_voter` have to be called next."""
+        """The time at which `tick_leases` and `tick_voter` have to be called next."""
         due_us = self._leases.due_us(now_us, self.candidates())
         voter_due_us = self._voter.due_us() if self._voter is not None else None
         return min(due_us, voter_due_us or due_us)
 
     def tick_leases(self, now_us: int) -> list[PeerMessage]:
-        """Requests or renews the lease, where that is due."""
+        """Requests or renews the lease if that is due."""
         return self._wrap(self._leases.turn(now_us, self.candidates()))
 
     def tick_voter(self, now_us: int) -> list[PeerMessage]:
-        """Does what is due of the voter."""
+        """Performs the voter's work that is due."""
         return self._wrap(self._voter.turn(now_us)) if self._voter is not None else []
 
     def leave(self, now_us: int) -> list[PeerMessage]:
-        """Releases the lease, for the next candidate."""
+        """Releases the lease so that the next candidate can take it."""
         return self._wrap(self._leases.leave(now_us, self.candidates()))
 
-    # ------------------------------------------------------------------ outcome
+    # ------------------------------------------------------------------ changes
 
     def take_changes(self) -> list[LeadershipChange]:
-        """The changes of the lease since the last call."""
+        """Returns the changes of the lease since the last call."""
         changes = self._leases.changes[:]
         self._leases.changes.clear()
         return changes
 
     def record_lease(self) -> None:
-        """Records until when the lease is held, where that has changed."""
+        """Records the expiry of the lease if it has changed."""
         lease = self._leases.lease_of(self.task)
         if lease.expires_us and lease.expires_us != self._recorded_until_us:
             self._recorded_until_us = lease.expires_us
             self._record("hold", task=self.task, term=lease.term, until_us=lease.expires_us)
 
     def take_majority_change(self, now_us: int) -> bool | None:
-        """Whether a voter reaches a majority of the voters, where that has changed since the last call."""
+        """Returns whether this voter reaches a majority of the voters; None if that has not changed since the
+        last call, or if this member is not a voter.
+        """
         if self._voter is None or self._reaches_majority is self._leases.reaches_majority(now_us):
             return None
         self._reaches_majority = not self._reaches_majority
--- a/sailrun/sharding/log_events.py
+++ b/sailrun/sharding/log_events.py
@@ -1,4 +1,4 @@
-"""Log events of the ownership of shards: the name of each and its fields, in order."""
+"""Log events about the ownership of shards: their names and their fields in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SessionEventKind(StrEnum):
-    """What happened to a node's session; the values are what the log shows."""
+    """The kind of a change of a node's session. The values are logged."""
 
     BEGAN = "began"
     LOST = "lost"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionEvent:
-    """A change of a node's own session; `shards`: how many it may use."""
+    """A change of a node's own session; `shards` is the number of shards that it may use."""
 
     kind: SessionEventKind
     generation: int
@@ -31,7 +31,7 @@
 
 
 def generation_note(region: str, change: GenerationChange, nodes: int) -> Note:
-    """A new generation, at the assigner; `nodes`: how many have a session now."""
+    """Returns the event for a new generation, logged at the assigner; `nodes` is the number of sessions."""
     facts: dict[str, object] = {
         "region": region,
         "generation": change.generation,
@@ -43,7 +43,7 @@
 
 
 def session_note(event: SessionEvent) -> Note:
-    """A change of a node's own session."""
+    """Returns the event for a change of a node's own session."""
     facts: dict[str, object] = {
         "what": event.kind.value,
         "generation": event.generation,
--- a/sailrun/sharding/messages.py
+++ b/sailrun/sharding/messages.py
@@ -1,7 +1,8 @@
-"""The messages between nodes, assigner and voters of a region; `leadership/envelope.py` carries them.
+"""The messages between nodes, assigner and voters of a region, sent in `leadership/envelope.py`.
 
-Every message names its region; some have the digest of the settings that must be the same there. On the
-wire they are MessagePack arrays: tags, the order of fields and their types are fixed.
+Every message contains the name of its region; some contain the digest of the settings that must be the same
+on all nodes of the region. On the wire they are MessagePack arrays: the tags and the order and types of the
+fields must not change.
 """
 
 from __future__ import annotations
@@ -21,24 +22,27 @@
     TermReport,
 )
 
-# Sessions that one generation may add or remove, so that a change fits a datagram.
+# The number of sessions that one generation may add or remove, so that a change fits a datagram.
 MAX_CHANGED_SESSIONS = 24
 
-# What is counted in 64 bits: a message with another number is none. Each generation has so many sessions.
+# Counters are signed 64-bit integers; a message with a number out of range is invalid. Generations have a
+# lower limit, because session numbers are up to MAX_CHANGED_SESSIONS times as high.
 Number = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 Generation = Annotated[int, Meta(ge=0, le=2**57)]
 
 
 class Session(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A node's lease on whatever shards are placed on it. Numbers are given once, and grow."""
+    """A node's lease on the shards that are placed on it. Session numbers are unique and increase."""
 
     name: str
     number: Number
-    nonce: int  # the node's own, so that it recognises the session it asked for
+    nonce: int  # chosen by the node, so that it recognises the session that it requested
 
 
 class GenerationChange(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """From generation `generation - 1` to this one. Who left had released, or its lease had ended."""
+    """The change from generation `generation - 1` to `generation`. The sessions in `left` had been released
+    or their leases had ended.
+    """
 
     generation: Generation
     joined: list[Session]
@@ -46,16 +50,16 @@
 
 
 class FencingToken(msgspec.Struct, array_like=True, frozen=True, order=True, gc=False):
-    """Accompanies every act on a shard's behalf; the receiver rejects one below the highest it has seen."""
+    """Accompanies every act for a shard; a receiver rejects a token below the highest one it has seen."""
 
     generation: Generation
     session_number: Number
 
 
 class TableState(msgspec.Struct, array_like=True, frozen=True):
-    """A region's table as its voters store it: all sessions, and the latest changes."""
+    """A region's table that its voters store: all sessions and the latest changes."""
 
-    term: int  # of the assigner that wrote it
+    term: int  # the term of the assigner that wrote the table
     generation: Generation
     sessions: list[Session]
     changes: list[GenerationChange]
@@ -65,10 +69,11 @@
 
 
 class RenewSession(msgspec.Struct, array_like=True, frozen=True, tag="shard-renew"):
-    """A node's heartbeat to its region's assigner: renews its session, and polls for changes.
+    """A node's heartbeat to its region's assigner: renews its session and polls for changes.
 
-    `session_number` 0 requests one. `applied_generation`: the node has stopped whatever is not its own under
-    it. `fetched_count`: how many sessions of the table of `fetched_generation` it has already.
+    `session_number` 0 requests a session. `applied_generation`: the node applies this generation and has
+    stopped using shards that are not placed on it there. `fetched_count` is the number of sessions that the
+    node has already fetched of the table of `fetched_generation`.
     """
 
     region: str
@@ -77,25 +82,25 @@
     session_number: Number
     nonce: int
     applied_generation: Generation
-    fetched_generation: Generation = 0  # the generation of which a whole table is being fetched
+    fetched_generation: Generation = 0  # the generation of the complete table that is being fetched
     fetched_count: Number = 0
-    is_leaving: bool = False  # a planned stop: asks for leave to hand over
-    is_released: bool = False  # owns nothing any more under this session, and never will
+    is_leaving: bool = False  # a planned stop: requests permission to hand over
+    is_released: bool = False  # the node owns nothing under this session any more and never will again
     highest_generation: Generation = (
-        0  # the highest generation the node ever went by: a table begun anew has to be above it
+        0  # the highest generation that the node ever applied: a new table must be above it
     )
 
 
 class SessionRenewed(msgspec.Struct, array_like=True, frozen=True, tag="shard-renewed"):
-    """The assigner's answer. Facts only: each stays true however late it arrives."""
+    """The assigner's answer. All statements in it remain true, however late it arrives."""
 
     region: str
     sequence: Number
-    session_number: Number  # 0: none yet
-    generation: Generation  # the latest
-    settled_generation: Generation  # every session in force goes by this generation or a later one
-    changes: list[GenerationChange]  # from `applied` on, as many as fit
-    page_generation: Generation = 0  # sessions are of the whole table of this generation
+    session_number: Number  # 0: no session yet
+    generation: Generation  # the latest one
+    settled_generation: Generation  # every session in force applies this generation or a later one
+    changes: list[GenerationChange]  # those after `applied_generation`, as many as fit
+    page_generation: Generation = 0  # `sessions` are a page of the complete table of this generation
     page_offset: Number = 0
     has_more: bool = False
     sessions: list[Session] = []
@@ -103,8 +108,8 @@
 
 
 class RenewalRejected(msgspec.Struct, array_like=True, frozen=True, tag="shard-refused"):
-    """`reason`: `over` (no such session), `settings` (another digest), `elsewhere` (`assigner_name` is to be
-    asked).
+    """Rejects a heartbeat. `reason`: `over` (there is no such session), `settings` (the digest differs) or
+    `elsewhere` (the sender is not the assigner; `assigner_name` is, if it is not empty).
     """
 
     region: str
@@ -117,7 +122,7 @@
 
 
 class ReadTable(msgspec.Struct, array_like=True, frozen=True, tag="shard-read"):
-    """To a voter: promise to accept nothing of a lower term, and return the table that you have."""
+    """Requests a voter's promise to accept nothing with a lower term, and the table that it stores."""
 
     region: str
     digest: int
@@ -126,7 +131,9 @@
 
 
 class TableRead(msgspec.Struct, array_like=True, frozen=True, tag="shard-kept"):
-    """`has_memory`: the voter has all that it ever accepted; False: it was restarted since."""
+    """Answers a `ReadTable`. `has_memory`: the voter has everything that it ever accepted; False after a
+    restart, until an assigner has written to the new process.
+    """
 
     region: str
     term: int
@@ -137,7 +144,9 @@
 
 
 class WriteTable(msgspec.Struct, array_like=True, frozen=True, tag="shard-write"):
-    """To one process of a voter: accept this table, unless you promised a higher term."""
+    """Requests the voter's process with the number `life` to store a table, unless it has promised a higher
+    term.
+    """
 
     region: str
     digest: int
@@ -147,7 +156,7 @@
 
 
 class TableWritten(msgspec.Struct, array_like=True, frozen=True, tag="shard-written"):
-    """Answers a `WriteTable`: the voter retains that table."""
+    """Answers a `WriteTable`: the voter stores the table."""
 
     region: str
     term: int
@@ -156,8 +165,8 @@
 
 
 class TableRejected(msgspec.Struct, array_like=True, frozen=True, tag="shard-no"):
-    """`promised_term`: a higher term that the voter has promised; 0: the write was for another process than
-    `life`.
+    """Rejects a `ReadTable` or `WriteTable`. `promised_term` is the higher term that the voter has promised;
+    0: the write was addressed to another process than `life`.
     """
 
     region: str
@@ -171,7 +180,7 @@
 
 
 class ShardAct(msgspec.Struct, array_like=True, frozen=True, tag="shard-act"):
-    """Work that a shard's owner requests of another member, with its fencing token."""
+    """A request of a shard's owner to another member, with its fencing token."""
 
     region: str
     shard: Number
@@ -180,7 +189,7 @@
 
 
 class ShardActRejected(msgspec.Struct, array_like=True, frozen=True, tag="shard-act-refused"):
-    """A higher token was seen for that shard."""
+    """Rejects an act, because the receiver has seen a higher token for the shard."""
 
     region: str
     shard: Number
@@ -188,11 +197,11 @@
     highest_token: FencingToken
 
 
-# ---------------------------------------------------------------------- the lease on being the assigner
+# ---------------------------------------------------------------------- the election of the assigner
 
 
 class ElectionMessage(msgspec.Struct, array_like=True, frozen=True, tag="shard-ballot"):
-    """A message about the lease on being the assigner, between candidates and voters of the region."""
+    """A message between candidates and voters of the region about the assigner's lease."""
 
     region: str
     digest: int
@@ -215,7 +224,7 @@
 
 
 class PeerMessage(NamedTuple):
-    """A message for a member by name."""
+    """A message and the name of the member that it is addressed to."""
 
     recipient: str
     body: ShardBody
--- a/sailrun/sharding/placement.py
+++ b/sailrun/sharding/placement.py
@@ -1,8 +1,8 @@
-"""Which session each shard of a region is placed on, by rendezvous hashing of all shards at once.
+"""The placement of a region's shards on sessions, by rendezvous hashing of all shards at once.
 
-The score of a shard and a node is the product of two MurmurHash3 values, modulo 2^32; the highest wins, ties
-go to the lower name. Beside each shard's owner stands the generation that has to be settled before the owner
-may begin (`wait`). Arrays of numpy; needs the packages of `requirements-operator.txt`.
+The score of a shard and a node is the product of two MurmurHash3 values, modulo 2^32; the highest score wins,
+ties go to the lower name. In addition to its owner, each shard has the generation that must be settled before
+the owner may use it (`wait`). Uses numpy; needs the packages of `requirements-operator.txt`.
 """
 
 from __future__ import annotations
@@ -16,52 +16,54 @@
 from sailrun.decisions.placement import key_hash, server_hash
 from sailrun.sharding.messages import GenerationChange, Session
 
-# Products are formed for so many at a time, to bound the memory of a placement from nothing.
+# Number of scores computed at a time, to bound the memory that placing all shards takes.
 MAX_SCORES_AT_ONCE = 400_000
 NOBODY = -1
 
 
 def shard_key(region: str, shard: int) -> str:
-    """A shard's name in the whole fleet."""
+    """The name of a shard, unique in the fleet."""
     return f"{region}/{shard}"
 
 
 @lru_cache(maxsize=16)
 def shard_hashes(region: str, shards: int) -> npt.NDArray[np.uint32]:
-    """The hashes of a region's shards, by number; one array for all callers in a process."""
+    """The hashes of a region's shards, by shard number. All callers in a process share one array."""
     hashes = np.fromiter((key_hash(shard_key(region, shard)) for shard in range(shards)), np.uint32, shards)
     hashes.setflags(write=False)
     return hashes
 
 
 class Placement:
-    """The shards of one region and the sessions they are placed on, by generation."""
+    """The placement of one region's shards on sessions in the present generation."""
 
     def __init__(self, region: str, shards: int) -> None:
         self._keys = shard_hashes(region, shards)
         self.generation = 0
         self.sessions: dict[int, Session] = {}
-        # By shard: the number of the session it is placed on, and what has to be settled first.
+        # By shard: the number of the session that it is placed on, and the generation to be settled first.
         self.owner: npt.NDArray[np.int64] = np.full(shards, NOBODY, np.int64)
         self.wait: npt.NDArray[np.int64] = np.zeros(shards, np.int64)
 
     @property
     def memory_bytes(self) -> int:
-        """Memory of the arrays, in bytes."""
+        """The memory of the arrays, in bytes."""
         return self._keys.nbytes + self.owner.nbytes + self.wait.nbytes
 
     def place_all(self, generation: int, sessions: list[Session]) -> None:
-        """Places all shards anew: whatever was owned under an earlier table has to be settled first."""
+        """Places all shards. They can be used only once this generation is settled, because sessions may own
+        them under an earlier table.
+        """
         self.generation = generation
         self.sessions = {session.number: session for session in sessions}
         self.owner = self._find_best(np.arange(len(self._keys)))
         self.wait = np.full(len(self._keys), generation, np.int64)
 
     def apply_change(self, change: GenerationChange) -> npt.NDArray[np.int64]:
-        """Applies the next generation; returns the shards that were placed elsewhere.
+        """Applies the next generation; returns the shards whose placement was computed again.
 
-        A shard of a session that left may be taken up at once: nobody uses that session any more. One that
-        a living session loses waits until this generation is settled.
+        A shard of a session that left can be used at once by its new owner, because no node uses that session
+        any more. A shard that a living session loses can be used only once this generation is settled.
         """
         self.generation = change.generation
         left = [number for number in change.left if number in self.sessions]
@@ -80,13 +82,15 @@
         return np.concatenate([orphaned, moved])
 
     def _has_orphans(self, left: list[int]) -> bool:
-        """Whether a shard may be without an owner."""
+        """Whether any shard may be without an owner."""
         return bool(left) or bool((self.owner == NOBODY).any())
 
     def _move_to_joined(
         self, joined: list[Session], orphaned: npt.NDArray[np.int64]
     ) -> npt.NDArray[np.int64]:
-        """Moves the shards for which those that joined score highest, away from living sessions."""
+        """Moves shards from living sessions to joined sessions that have a higher score for them; returns
+        these shards.
+        """
         if not joined:
             return np.empty(0, np.int64)
         kept = np.ones(len(self._keys), bool)
@@ -102,7 +106,9 @@
     def _outscores(
         self, shards: npt.NDArray[np.int64], rivals: npt.NDArray[np.int64]
     ) -> npt.NDArray[np.bool_]:
-        """Where a rival's score is above that of the present owner, or as high with a lower name."""
+        """For each shard, whether its rival has a higher score than its present owner, or the same score and
+        a lower name.
+        """
         numbers = np.array(sorted(self.sessions), np.int64)
         ranks = {s.number: rank for rank, s in enumerate(self._sort_by_name(list(self.sessions.values())))}
         rank = np.array([ranks[number] for number in numbers.tolist()], np.int64)
@@ -131,23 +137,25 @@
         step = max(1, MAX_SCORES_AT_ONCE // len(ranked))
         for begin in range(0, len(shards), step):
             keys = self._keys[shards[begin : begin + step]]
-            scores = keys[:, None] * hashes[None, :]  # of 32 bits: what is above is cut off
+            scores = keys[:, None] * hashes[None, :]  # uint32: the product is modulo 2^32
             best[begin : begin + step] = numbers[scores.argmax(axis=1)]
         return best
 
     def shards_placed_on(self, session: int) -> npt.NDArray[np.int64]:
-        """The shards placed on a session, whether it may use them yet or not."""
+        """The shards placed on a session, including those that it may not use yet."""
         return np.flatnonzero(self.owner == session)
 
     def usable_shards(self, session: int, settled: int) -> npt.NDArray[np.int64]:
-        """The shards that a session may use, all sessions in force going by `settled` or later."""
+        """The shards that a session may use if the generation `settled` is settled."""
         return np.flatnonzero((self.owner == session) & (self.wait <= settled))
 
     def may_use(self, shard: int, session: int, settled: int) -> bool:
-        """The same for one shard."""
+        """Whether a session may use a shard if the generation `settled` is settled."""
         return bool(self.owner[shard] == session and self.wait[shard] <= settled)
 
 
 def node_hash(name: str) -> int:
-    """The hash of a node, as for every other task of the fleet: its name stands for a server's id."""
+    """The hash of a node: that of a form server, with a hash of the node's name as its id. The placement of
+    the fleet's other tasks uses the same hash.
+    """
     return server_hash(mmh3.hash(name, signed=False))
--- a/sailrun/sharding/placement_replica.py
+++ b/sailrun/sharding/placement_replica.py
@@ -1,4 +1,4 @@
-"""A node's copy of its region's placement, kept up to date by the answers to its heartbeats. Pure."""
+"""A node's replica of its region's placement, updated by the answers to its heartbeats. Pure."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 
 @dataclass(slots=True)
 class TableFetch:
-    """A complete table of sessions that arrives in pages."""
+    """A complete table of sessions that is being fetched in pages."""
 
     generation: int
     sessions: list[Session] = field(default_factory=list)
 
 
 class PlacementReplica:
-    """The placement of the generation that a node applies. `on_generation` is called after each new one."""
+    """The placement of the generation that a node applies. `on_generation` is called after each change of
+    the generation.
+    """
 
     def __init__(self, region: RegionSettings, on_generation: Callable[[], None]) -> None:
         self._region = region
@@ -28,10 +30,10 @@
         self._is_complete = False  # a complete table was fetched
         self._fetch: TableFetch | None = None
         self._usable: frozenset[int] = frozenset()
-        self._usable_of = (0, 0)  # the generations, own and settled, that it was computed for
+        self._usable_of = (0, 0)  # the own and the settled generation that `_usable` was computed for
 
     def reset(self) -> None:
-        """Drops what is known: the next table is fetched from its first page."""
+        """Discards the replica: the next table is fetched from its first page."""
         self._is_complete = False
         self._fetch = None
         self._usable = frozenset()
@@ -45,7 +47,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether a complete table was fetched."""
+        """Whether a complete table has been fetched."""
         return self._complete_placement is not None
 
     @property
@@ -61,7 +63,7 @@
 
     @property
     def usable(self) -> frozenset[int]:
-        """The shards that `compute_usable` found last."""
+        """The last result of `compute_usable`."""
         return self._usable
 
     def sessions(self) -> list[Session]:
@@ -70,19 +72,19 @@
         return list(placement.sessions.values()) if placement is not None else []
 
     def shards_of_session(self, session_number: int) -> list[int]:
-        """The shards placed on a session, whether it may use them yet or not."""
+        """The shards placed on a session, including those that it may not use yet."""
         placement = self._complete_placement
         if placement is None:
             return []
         return [int(shard) for shard in placement.shards_placed_on(session_number)]
 
     def shards_of_node(self, node: str) -> list[int]:
-        """The shards placed on the session of that node; none where it has no session."""
+        """The shards placed on the session of that node; empty if it has no session."""
         number = next((session.number for session in self.sessions() if session.name == node), None)
         return self.shards_of_session(number) if number is not None else []
 
     def find_owner(self, shard: int) -> str:
-        """The node that a shard is placed on; empty where none is known."""
+        """The node that a shard is placed on; empty if it is unknown."""
         placement = self._complete_placement
         if placement is None or not 0 <= shard < self._region.shards:
             return ""
@@ -90,7 +92,7 @@
         return session.name if session is not None else ""
 
     def compute_usable(self, session_number: int, settled_generation: int) -> frozenset[int]:
-        """The shards that the session may use, all sessions in force applying at least the settled
+        """The shards that the session may use if all sessions in force apply at least the settled
         generation.
         """
         placement = self._complete_placement
@@ -102,7 +104,7 @@
     # ------------------------------------------------------------------ updates
 
     def update(self, renewed: SessionRenewed) -> None:
-        """Applies the changes that follow on the present generation, or one page of a newer table."""
+        """Applies the changes that directly follow the present generation, and a page of a newer table."""
         for change in renewed.changes:
             if self.generation and change.generation == self.generation + 1:
                 self._apply(change)
--- a/sailrun/sharding/record_formats.py
+++ b/sailrun/sharding/record_formats.py
@@ -1,15 +1,15 @@
-"""Values of the laboratory's records as text, formatted only where a record is written."""
+"""Text formats for values in the laboratory's records, computed only when a record is written."""
 
 from __future__ import annotations
 
 from sailrun.sharding.messages import Session
 
-# Of more shards only the number is written.
+# A longer list is written as its length only.
 MAX_LISTED_SHARDS = 1_000
 
 
 class ShardList:
-    """Shards as text: `0,3,7`, or `-` for none."""
+    """Formats shards as `0,3,7`, or `-` for none."""
 
     def __init__(self, shards: frozenset[int]) -> None:
         self._shards = shards
@@ -21,7 +21,7 @@
 
 
 class SessionList:
-    """Sessions as text: `NAME:NUMBER,...` by number, or `-` for none."""
+    """Formats sessions as `NAME:NUMBER,...` sorted by number, or `-` for none."""
 
     def __init__(self, sessions: list[Session]) -> None:
         self._sessions = sessions
--- a/sailrun/sharding/session.py
+++ b/sailrun/sharding/session.py
@@ -1,8 +1,8 @@
-"""One node's session: its heartbeats to the region's assigner, and the shards it may use by them. Pure.
+"""A node's session: its heartbeats to the region's assigner, and the shards that it may use. Pure.
 
-The node counts its lease on its own clock from when it sent the heartbeat that was answered, and uses nothing
-after its end. A shard is used only while it is placed on this session in every generation between the settled
-one and the latest that this node knows, sessions that have ended aside.
+The node measures its lease on its own clock from the sending of the heartbeat that was answered, and uses no
+shard after the lease has ended. It uses a shard only while the shard is placed on this session in every
+generation from the settled one to the latest that this node knows, not counting sessions that have ended.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 from sailrun.sharding.settings import RENEWALS_PER_LEASE, RegionSettings, ShardingSettings
 
 SECOND = 1_000_000
-# Heartbeats whose answer is accepted yet.
+# Heartbeats whose answer is still accepted; an answer to an older one is ignored.
 MAX_PENDING_HEARTBEATS = 16
-# The interval of heartbeats while the node waits for something that others have to apply first.
+# The heartbeat interval while the node waits for other nodes to apply a generation, or for an answer.
 WAITING_INTERVAL_US = 250_000
-# A new generation is acknowledged within this time, at a random moment, so that not all nodes do so at once.
+# A new generation is acknowledged after a random delay below this, so that nodes do not all do so at once.
 ACKNOWLEDGE_SPREAD_US = 150_000
 NONCE_BITS = 62
 
 
 class NodeSession:
-    """The session of this process, from one to the next. `events`: for the log; the driver empties them."""
+    """The successive sessions of this process. `events` are for the log; the driver has to empty them."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
         off: frozenset[str] = frozenset(),
         record: Callable[..., None] = lambda kind, **facts: None,
     ) -> None:
-        """`record` receives what is used until when, for the laboratory's checks; `off` names safety rules
-        that the laboratory switches off.
+        """`record` receives the shards in use and the end of the lease, for the laboratory's checks. `off`
+        are safety rules that the laboratory switches off.
         """
         self.events: list[SessionEvent] = []
-        self.is_leaving = False  # a planned stop: requests a handover, and no new session
+        self.is_leaving = False  # a planned stop: requests a handover and no new session
         self._region = region
         self._off = off
         self._record = record
@@ -59,7 +59,7 @@
         self._replica = PlacementReplica(region, self._on_generation)
         self._sequence = 0
         self._next_heartbeat_us = now_us
-        self._highest_generation = 0  # that this process ever applied, under any session
+        self._highest_generation = 0  # the highest that this process ever applied, under any session
         self._reset()
 
     def _reset(self) -> None:
@@ -69,7 +69,7 @@
         self.unanswered_heartbeats = 0  # since the last answer
         self._nonce = self._random.getrandbits(NONCE_BITS)
         self._sent_us: dict[int, int] = {}  # by sequence number of the heartbeat
-        self._released_session = 0  # one that was released and has to be removed from the table
+        self._released_session = 0  # a released session that the assigner has not confirmed yet; 0: none
         self._replica.reset()
 
     # ------------------------------------------------------------------ queries
@@ -84,7 +84,7 @@
         return self._replica.generation
 
     def issue_token(self, shard: int, now_us: int) -> FencingToken | None:
-        """The token for acts of this node on the shard's behalf now; None: it may not act."""
+        """The token for acts of this node for the shard now; None if it may not act."""
         if not self.is_valid(now_us) or shard not in self._replica.usable:
             return None
         return FencingToken(self.generation, self.session_number)
@@ -94,7 +94,7 @@
         return self._replica.usable if self.is_valid(now_us) else frozenset()
 
     def placed_shards(self) -> list[int]:
-        """The shards placed on this node, those included that it may not use yet."""
+        """The shards placed on this node, including those that it may not use yet."""
         return self._replica.shards_of_session(self.session_number)
 
     def known_sessions(self) -> list[Session]:
@@ -102,17 +102,17 @@
         return self._replica.sessions()
 
     def shards_placed_on(self, node: str) -> list[int]:
-        """The shards placed on another node, as far as this one knows."""
+        """The shards placed on a node in the generation that this node applies."""
         return self._replica.shards_of_node(node)
 
     def find_owner(self, shard: int) -> str:
-        """The node that a shard is placed on, as far as known; empty where none is."""
+        """The node that a shard is placed on; empty if it is unknown."""
         return self._replica.find_owner(shard)
 
     # ------------------------------------------------------------------ answers
 
     def on_renewed(self, now_us: int, answer: SessionRenewed) -> None:
-        """An answer to a heartbeat, or notice of a new generation (sequence number 0)."""
+        """Processes the answer to a heartbeat, or a notice of a new generation (sequence number 0)."""
         sent_us = self._sent_us.pop(answer.sequence, None)
         if answer.sequence and sent_us is None:
             return
@@ -139,10 +139,12 @@
         return any(session.nonce == self._nonce for change in answer.changes for session in change.joined)
 
     def _extend(self, now_us: int, sent_us: int, answer: SessionRenewed) -> bool:
-        """Extends the session, counted from when the heartbeat was sent. False: the answer is of no use."""
+        """Renews the lease, counted from the sending of the heartbeat. False if the answer has to be
+        ignored.
+        """
         self.unanswered_heartbeats = 0
         if not answer.session_number:
-            return True  # the request has arrived, and the session is still to be added
+            return True  # the assigner has received the request but has not added the session yet
         expires_us = sent_us + int(self._lease_us * (1 - 2 * DRIFT))
         if not self.session_number:
             if now_us >= expires_us:
@@ -158,7 +160,7 @@
         return True
 
     def on_rejected(self, now_us: int, answer: RenewalRejected) -> None:
-        """The assigner knows no such session: nothing is used under it any more."""
+        """Ends the session that the assigner does not know, or completes the release of one."""
         if self._sent_us.pop(answer.sequence, None) is None or answer.reason != "over":
             return
         self.unanswered_heartbeats = 0
@@ -183,7 +185,7 @@
         )
 
     def _update_usable(self) -> None:
-        """Computes what may be used, and records it."""
+        """Computes the shards that may be used, and records them."""
         if not self._replica.is_complete:
             return
         usable_before = self._replica.usable
@@ -205,14 +207,14 @@
         self.events.append(SessionEvent(kind, self.generation, self.session_number, shard_count, reason))
 
     def end_session(self, now_us: int, reason: str) -> None:
-        """Uses nothing any more, and requests a new session."""
+        """Ends the session: no shard is used any more, and a new session is requested."""
         self._record("shards-lost", region=self._region.name, session=self.session_number, why=reason)
         self._add_event(SessionEventKind.LOST, reason)
         self._reset()
         self._schedule(now_us, 0)
 
     def release(self, now_us: int) -> None:
-        """Releases the session: the assigner may place its shards on others at once."""
+        """Releases the session, so that the assigner can end it at once and its shards move to others."""
         session_number, nonce = self.session_number, self._nonce
         if not session_number:
             return
@@ -221,12 +223,14 @@
         self._nonce = nonce
 
     def set_leaving(self, now_us: int, is_leaving: bool) -> None:
-        """A planned stop: hands over when the assigner permits, and stays without shards until unset."""
+        """Starts or cancels a planned stop: the node hands over when the assigner permits it, and has no
+        shards until the stop is cancelled.
+        """
         self.is_leaving = is_leaving
         self._schedule(now_us, 0)
 
     def retry_now(self, now_us: int) -> None:
-        """The heartbeat went to a member that is not the assigner: the next one is due at once."""
+        """Makes the next heartbeat due at once, because the last one did not go to the assigner."""
         self._schedule(now_us, 0)
 
     # ------------------------------------------------------------------ time
@@ -239,18 +243,18 @@
 
     @property
     def _is_waiting(self) -> bool:
-        """Whether a shard is placed on this node that it may not use yet."""
+        """Whether the session has no complete table yet, or shards that it may not use yet."""
         if not self.session_number or not self._replica.is_complete:
             return bool(self.session_number)
         return len(self._replica.usable) < len(self.placed_shards())
 
     @property
     def _has_stopped(self) -> bool:
-        """Whether a planned stop is complete: no heartbeat is needed."""
+        """Whether a planned stop is complete, so that no heartbeat is needed."""
         return self.is_leaving and not self.session_number and not self._released_session
 
     def due_us(self, now_us: int) -> int:
-        """When `tick` has to be called next."""
+        """The time at which `tick` has to be called next."""
         if self._has_stopped:
             return now_us + self._lease_us
         if self.session_number and self.expires_us:
@@ -258,7 +262,7 @@
         return self._next_heartbeat_us
 
     def tick(self, now_us: int) -> RenewSession | None:
-        """Ends a session that has expired; returns the next heartbeat, where one is due."""
+        """Ends a session that has expired; returns the next heartbeat if one is due."""
         if self.session_number and self.expires_us and not self.is_valid(now_us):
             self.end_session(now_us, "lapsed")
         if now_us < self._next_heartbeat_us or self._has_stopped:
--- a/sailrun/sharding/settings.py
+++ b/sailrun/sharding/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the ownership of shards: the table `[shards]` of the deploy file."""
+"""Settings of the ownership of shards: the table `[shards]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
 MOST_SHARDS = 1_000_000
-# Times a lease is renewed while it lasts.
+# Number of renewals during one lease.
 RENEWALS_PER_LEASE = 4
-# The part of a lease that is left, by a node's own clock, when its next heartbeat is due.
+# The share of a lease that remains, by the node's own clock, when its next heartbeat is due.
 REMAINING_LEASE_SHARE = 1 - 2 * DRIFT - 1 / RENEWALS_PER_LEASE
 
 
@@ -53,7 +53,7 @@
     regions: Annotated[tuple[RegionSettings, ...], Meta(description="Every region, with its shards.")] = ()
 
     def region(self, name: str) -> RegionSettings | None:
-        """The region of that name."""
+        """The region of that name; None if it is not in the settings."""
         return next((region for region in self.regions if region.name == name), None)
 
     def digest(self, region: str) -> int:
@@ -63,7 +63,7 @@
 
 
 def region_owners(region: RegionSettings, owners: LeadershipSettings) -> LeadershipSettings:
-    """The settings of the lease on the region's assigner: the fleet's, with the region's own voters."""
+    """The settings of the region's election of an assigner: those of the fleet, with the region's voters."""
     return LeadershipSettings(
         enabled=True,
         voters=region.voters,
@@ -76,21 +76,24 @@
 def shard_faults(
     shards: ShardingSettings, members_region: str, owners: LeadershipSettings
 ) -> Iterator[tuple[str, str]]:
-    """The faults of the table, given the node's own region: pairs of key and fault."""
+    """Yields the faults of the table as pairs of key and fault; `members_region` is the node's own region."""
     if not shards.regions:
         yield "shards.regions", "is missing: at least one region is needed"
     names = [region.name for region in shards.regions]
     for n, region in enumerate(shards.regions):
         if names.index(region.name) != n:
-            yield f"shards.regions[{n}].name", f"'{region.name}' comes twice"
+            yield f"shards.regions[{n}].name", f"'{region.name}' is the name of an earlier region"
         what = check_voters(region.voters)
         if what is not None:
             yield f"shards.regions[{n}].voters", what
     if names and members_region not in names:
-        yield "members.region", f"'{members_region}' is none of {', '.join(names)}"
+        yield (
+            "members.region",
+            f"'{members_region}' is not a configured region: expected one of {', '.join(names)}",
+        )
     change_s = 2 * (owners.lease_s + owners.order_s)
     least_s = change_s / REMAINING_LEASE_SHARE
     if shards.lease_s < least_s:
-        # Else a change of assigner would end leases of nodes whose heartbeat was just due.
-        of_what = f"{change_s:g} of a change of assigner, and a heartbeat"
-        yield "shards.lease_s", f"is {shards.lease_s:g}, under {least_s:.2f}: {of_what}"
+        # With a shorter lease, a change of the assigner ends leases of nodes whose heartbeat was just due.
+        of_what = f"{change_s:g} s for a change of the assigner plus the time since the last heartbeat"
+        yield "shards.lease_s", f"is {shards.lease_s:g}, expected at least {least_s:.2f}: {of_what}"
--- a/sailrun/sharding/shard_acts.py
+++ b/sailrun/sharding/shard_acts.py
@@ -1,4 +1,4 @@
-"""Acts on a shard's behalf: sent by its owner with a fencing token, which the receiver checks."""
+"""Acts for a shard: requests that its owner sends with a fencing token, which the receiver checks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ShardActs:
-    """One member's acts and its fence. `record` receives every act, for the laboratory's checks."""
+    """Sends and receives the acts of one member. `record` receives every act, for the laboratory's checks."""
 
     def __init__(self, region: RegionSettings, off: frozenset[str], record: Callable[..., None]) -> None:
         self.fence = TokenFence(off=off)
@@ -22,7 +22,7 @@
         self._sequence = 0
 
     def send(self, now_us: int, shard: int, token: FencingToken, recipient: str) -> PeerMessage:
-        """Requests work of another member on the shard's behalf."""
+        """Returns a request to another member to act for the shard."""
         self._sequence += 1
         self._record(
             "shard-act",
@@ -35,7 +35,7 @@
         return PeerMessage(recipient, ShardAct(self._region.name, shard, token, self._sequence))
 
     def receive(self, sender: str, act: ShardAct) -> list[PeerMessage]:
-        """Accepts an act, or rejects it where a higher token was seen for its shard."""
+        """Accepts an act, or rejects it if a higher token was seen for its shard."""
         if act.shard >= self._region.shards:
             self.unknown_shard_count += 1
             return []
--- a/sailrun/sharding/status.py
+++ b/sailrun/sharding/status.py
@@ -1,4 +1,4 @@
-"""The status of shards as JSON. The names of the fields are an interface to scripts."""
+"""The sharding status for output as JSON. Scripts depend on the names of the fields."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def shards_status(agent: ShardingAgent, now_us: int, node: str = "") -> dict[str, Any]:
-    """A member's region and its assigner; its own shards, or those placed on another `node`."""
+    """The status of a member: its region, the assigner, and its own shards or those placed on `node`."""
     assigns = agent.is_assigner(now_us)
     shown: dict[str, Any] = {
         "region": agent.region.name,
--- a/sailrun/sharding/table_replication.py
+++ b/sailrun/sharding/table_replication.py
@@ -1,9 +1,9 @@
-"""A region's table of sessions, stored by a majority of its voters in memory. Pure.
+"""The replication of a region's table of sessions in the memory of a majority of its voters. Pure.
 
 There is one writer at a time: the assigner, which holds the region's lease. It reads a majority of voters
 with memory, writes the newest table found there under its own term, and then one generation after another, as
-in Paxos. A voter that was restarted has no memory; it counts again once an assigner has written to that very
-process. Why nothing that a majority stores is lost by this: `docs/design/shards.md`.
+in Paxos. A voter that was restarted has no memory; it counts again once an assigner has written to its new
+process. `docs/design/shards.md` explains why no table that a majority stores is lost.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 )
 
 SECOND = 1_000_000
-# A request without an answer is sent again after the first time, then later and later up to the second.
+# The first delay before an unanswered request is repeated, and the limit to which the delay doubles.
 MIN_RETRY_US = 100_000
 MAX_RETRY_US = 5 * SECOND
-# So many of the latest changes are stored, for nodes that are behind.
+# Number of the latest changes that the table contains, for nodes that lag behind.
 STORED_CHANGES = 64
 
 
 def next_state(state: TableState, term: int, joined: list[Session], left: list[int]) -> TableState:
-    """The table after one more change; `left` are numbers of sessions."""
+    """The table after one more change; `left` are numbers of sessions to remove."""
     generation = state.generation + 1
     change = GenerationChange(generation, joined, left)
     removed = set(left)
@@ -44,10 +44,10 @@
 
 
 class TableAcceptor:
-    """One voter's copy of the table. `life`: this process's number; a write for another one is rejected."""
+    """One voter's replica of the table. `life` is this process's number; writes for another are rejected."""
 
     def __init__(self, region: str, life: int, off: frozenset[str] = frozenset()) -> None:
-        """`off` names safety rules that the laboratory switches off."""
+        """`off` are safety rules that the laboratory switches off."""
         self.promised_term = 0
         self.state: TableState | None = None
         self.has_memory = "remember" in off
@@ -55,7 +55,7 @@
         self._life = life
 
     def promise(self, request: ReadTable) -> TableRead | TableRejected:
-        """Promises to accept nothing of a lower term, and returns the table."""
+        """Promises to accept nothing with a lower term, and returns the table."""
         if request.term < self.promised_term:
             return self._reject(request.term, request.sequence)
         self.promised_term = request.term
@@ -64,7 +64,7 @@
         )
 
     def accept(self, request: WriteTable) -> TableWritten | TableRejected:
-        """Stores the table, unless a higher term was promised or another process is meant."""
+        """Stores the table, unless a higher term was promised or the write is for another process."""
         term = request.state.term
         if request.life != self._life:
             return TableRejected(self._region, term, request.sequence, self._life, 0)
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class _Retry:
-    """When a voter is sent the present request again."""
+    """When the present request is sent again to a voter."""
 
     next_us: int = 0
     wait_us: int = MIN_RETRY_US
@@ -106,7 +106,7 @@
 
 
 class TableWriter:
-    """The assigner's side, made anew at each term. Driven only while the lease is held."""
+    """The assigner's side of the replication, created for each term and used only while the lease is held."""
 
     def __init__(
         self,
@@ -120,14 +120,14 @@
         now_us: int,
         off: frozenset[str] = frozenset(),
     ) -> None:
-        """`life_of` returns a living voter's process number, as far as known. After `patience_us` without a
-        majority that has memory an empty table is begun, above `founding`: by then the lease of every node
-        has ended. `off` names safety rules that the laboratory switches off.
+        """`life_of` returns the process number of a living voter, None if it is unknown. If no majority with
+        memory is found within `patience_us`, an empty table with a generation above `founding` is created: by
+        then the lease of every node has ended. `off` are safety rules that the laboratory switches off.
         """
         self.term = term
-        self.state: TableState | None = None  # the latest that a majority stores
-        self.is_new_table = False  # no majority had memory: the table was begun empty
-        self.higher_term = 0  # one that a voter has promised above this one
+        self.state: TableState | None = None  # the latest table that a majority stores
+        self.is_new_table = False  # no majority had memory, so an empty table was created
+        self.higher_term = 0  # a term above this one that a voter has promised; 0: none
         self._region = region
         self._settings_digest = digest
         self._voters = voters
@@ -142,7 +142,7 @@
         self._observed_generation = 0
 
     def _next_sequence(self) -> int:
-        """The number of a new request; the retries of the previous one end."""
+        """Returns the number of a new request and ends the retries of the previous one."""
         self._sequence += 1
         self._retries = {}
         return self._sequence
@@ -154,17 +154,17 @@
         return self._reading is None and self.state is not None and is_written
 
     def observe_generation(self, generation: int) -> None:
-        """A node applies that generation: a table that is begun empty has to be above it."""
+        """Notes a generation that a node applies or a voter stores: a new table has to be above it."""
         self._observed_generation = max(self._observed_generation, generation)
 
     def write(self, state: TableState) -> None:
-        """Has the voters store the next table; `state` shows it once a majority does."""
+        """Has the voters store the next table; it becomes `state` once a majority has stored it."""
         self._writing = _Writing(self._next_sequence(), state)
 
     # ------------------------------------------------------------------ answers
 
     def receive(self, now_us: int, sender: str, body: TableRead | TableWritten | TableRejected) -> None:
-        """Takes in a voter's answer. To be called only while the lease is held: later it has no value."""
+        """Processes a voter's answer. Must be called only while the lease is held; it is invalid later."""
         if body.term != self.term or sender not in self._voters.names():
             return
         match body:
@@ -185,7 +185,7 @@
         self._complete_reading(now_us, reading)
 
     def _complete_reading(self, now_us: int, reading: _Reading) -> None:
-        """Writes the newest table found, or an empty one, as soon as the answers permit."""
+        """Writes the newest table found, or an empty one, as soon as the answers allow it."""
         with_memory = {name for name, answer in reading.answers.items() if answer.has_memory}
         newest: TableState | None = None
         if self._voters.is_majority(with_memory) or (with_memory and "register" in self._off):
@@ -198,7 +198,7 @@
             generation = max(self._founding(), self._observed_generation) + 1
             newest = TableState(self.term, generation, [], [])
         self._reading = None
-        # A majority has to store it under this term before any node receives it.
+        # A majority has to store the table under this term before any node receives it.
         self.write(msgspec.structs.replace(newest, term=self.term))
 
     def _on_written(self, sender: str, answer: TableWritten) -> None:
@@ -212,7 +212,7 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """When `tick` has to be called next."""
+        """The time at which `tick` has to be called next."""
         due = [self._retries.get(name, _Retry()).next_us for name in self._pending_voters()]
         return min(due, default=now_us + MAX_RETRY_US)
 
@@ -229,7 +229,7 @@
         ]
 
     def tick(self, now_us: int) -> list[PeerMessage]:
-        """The requests to voters that are due."""
+        """Returns the requests to voters that are due."""
         if self._reading is not None and now_us >= self._new_table_us:
             self._complete_reading(now_us, self._reading)
         messages: list[PeerMessage] = []
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -511,15 +511,19 @@
         ("regions = []", "shards.regions: is missing: at least one region is needed"),
         ('regions = [{ name = "e", shards = 4, voters = ["a", "b"] }]', "shards.regions[0].voters: names 2"),
         ('regions = [{ name = "e", shards = 0, voters = [] }]', "shards.regions[0].shards: "),
-        ('regions = [{ name = "w", shards = 4, voters = ["a", "b", "c"] }]', "region: 'e' is none of w"),
+        (
+            'regions = [{ name = "w", shards = 4, voters = ["a", "b", "c"] }]',
+            "region: 'e' is not a configured region: expected one of w",
+        ),
         (
             'lease_s = 5.0\nregions = [{ name = "e", shards = 4, voters = ["a", "b", "c"] }]',
-            "shards.lease_s: is 5, under 8.22: 6 of a change of assigner, and a heartbeat",
+            "shards.lease_s: is 5, expected at least 8.22:"
+            " 6 s for a change of the assigner plus the time since the last heartbeat",
         ),
         (
             'regions = [{ name = "e", shards = 4, voters = ["a", "b", "c"] },'
             ' { name = "e", shards = 4, voters = ["a", "b", "c"] }]',
-            "shards.regions[1].name: 'e' comes twice",
+            "shards.regions[1].name: 'e' is the name of an earlier region",
         ),
         ("shards = 4", "shards: object contains unknown field `shards`"),
     ],
