--- a/sailrun/sharding/act_exerciser.py
+++ b/sailrun/sharding/act_exerciser.py
@@ -14,8 +14,8 @@
 from sailrun.sharding.assigner_election import MembershipView
 from sailrun.sharding.messages import PeerMessage
 
-SECOND = 1_000_000
-ACT_INTERVAL_US = SECOND // 4
+SECOND_US = 1_000_000
+ACT_INTERVAL_US = SECOND_US // 4
 SHARDS_PER_INTERVAL = 4
 CONTROL_SHARE = 0.5
 
--- a/sailrun/sharding/agent.py
+++ b/sailrun/sharding/agent.py
@@ -13,7 +13,7 @@
 from sailrun.membership.messages import CONTROL, MemberRecord
 from sailrun.sharding.assigner import Assigner
 from sailrun.sharding.assigner_election import SEED_BITS, AssignerElection, MembershipView
-from sailrun.sharding.log_events import Note, generation_note, session_note
+from sailrun.sharding.log_events import LogEvent, generation_event, session_event
 from sailrun.sharding.messages import (
     ElectionMessage,
     PeerMessage,
@@ -34,7 +34,7 @@
 from sailrun.sharding.shard_acts import ShardActs
 from sailrun.sharding.table_replication import TableAcceptor, TableWriter
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 # After more unanswered heartbeats than this, heartbeats go to the voters in turn to find the assigner.
 MAX_UNANSWERED_HEARTBEATS = 2
 
@@ -47,46 +47,64 @@
 
     def __init__(
         self,
-        me: MemberRecord,
+        own_record: MemberRecord,
         settings: ShardingSettings,
-        owners: LeadershipSettings,
+        leadership: LeadershipSettings,
         members: MembershipView,
-        draw: Callable[[int], int],
+        random_bits: Callable[[int], int],
         now_us: int,
-        founding: Callable[[], int],
-        off: frozenset[str] = frozenset(),
-        record: Callable[..., None] = lambda kind, **facts: None,
+        new_initial_term: Callable[[], int],
+        disabled_rules: frozenset[str] = frozenset(),
+        record: Callable[..., None] = lambda kind, **fields: None,
     ) -> None:
         """`random_bits` returns a number of as many random bits as its argument says. `new_initial_term`
         returns a number that is above all terms and generations ever used, as far as randomness and a clock
         can ensure that; a region without any memory begins with it. `disabled_rules` are safety rules that
         the laboratory switches off. Raises ValueError if the region is not in the settings.
         """
-        region = settings.region(me.region)
+        region = settings.region(own_record.region)
         if region is None:
-            raise ValueError(f"region '{me.region}' of member '{me.name}' is not in the settings")
-        self.name = me.name
+            raise ValueError(
+                f"region '{own_record.region}' of member '{own_record.name}' is not in the settings"
+            )
+        self.name = own_record.name
         self.region = region
         self.settings = settings
-        self.notes: list[Note] = []
+        self.notes: list[LogEvent] = []
         self.settings_mismatch_count = 0  # messages from members with different settings
         self.assigner: Assigner | None = None
         self.assigner_name = ""  # the member that answered a heartbeat last; empty: the assigner is unknown
-        self._life = me.life
+        self._process_number = own_record.life
         self._members = members
-        self._founding = founding
-        self._off = off
+        self._new_initial_term = new_initial_term
+        self._disabled_rules = disabled_rules
         self._record = record
         self._settings_digest = settings.digest(region.name)
         self.election = AssignerElection(
-            me.name, region, self._settings_digest, owners, members, draw, now_us, founding, off, record
+            own_record.name,
+            region,
+            self._settings_digest,
+            leadership,
+            members,
+            random_bits,
+            now_us,
+            new_initial_term,
+            disabled_rules,
+            record,
+        )
+        self.acceptor = (
+            TableAcceptor(region.name, own_record.life, disabled_rules)
+            if own_record.name in region.voters
+            else None
         )
-        self.acceptor = TableAcceptor(region.name, me.life, off) if me.name in region.voters else None
         self.session: NodeSession | None = None
-        if me.role != CONTROL:
-            self.session = NodeSession(region, settings, draw(SEED_BITS), now_us, off, record)
-        self.acts = ShardActs(region, off, record)
-        self._next_voter = draw(SEED_BITS)  # the voter that gets the heartbeat while the assigner is unknown
+        if own_record.role != CONTROL:
+            self.session = NodeSession(
+                region, settings, random_bits(SEED_BITS), now_us, disabled_rules, record
+            )
+        self.acts = ShardActs(region, disabled_rules, record)
+        # The voter that gets the heartbeat while the assigner is unknown.
+        self._next_voter = random_bits(SEED_BITS)
 
     @property
     def task(self) -> str:
@@ -103,14 +121,14 @@
 
     # ------------------------------------------------------------------ messages
 
-    def receive(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[PeerMessage]:
-        """Processes a message from the member's process with the number `life`; returns messages to send."""
+    def receive(self, now_us: int, sender: str, process_number: int, body: ShardBody) -> list[PeerMessage]:
+        """Processes a message from the process `process_number` of a member; returns messages to send."""
         if body.region != self.region.name:
             return []
         settings_digest = getattr(body, "digest", self._settings_digest)
         if settings_digest != self._settings_digest:
             return self._reject_settings(sender, body)
-        messages = self._dispatch(now_us, sender, life, body)
+        messages = self._dispatch(now_us, sender, process_number, body)
         return messages + self._follow_election(now_us)
 
     def _reject_settings(self, sender: str, body: ShardBody) -> list[PeerMessage]:
@@ -123,10 +141,10 @@
             return [PeerMessage(sender, rejection)]
         return []
 
-    def _dispatch(self, now_us: int, sender: str, life: int, body: ShardBody) -> list[PeerMessage]:
+    def _dispatch(self, now_us: int, sender: str, process_number: int, body: ShardBody) -> list[PeerMessage]:
         match body:
             case ElectionMessage():
-                return self.election.receive(now_us, sender, life, body)
+                return self.election.receive(now_us, sender, process_number, body)
             case RenewSession():
                 return self._answer_heartbeat(now_us, sender, body)
             case SessionRenewed():
@@ -209,7 +227,7 @@
         messages += self._follow_election(now_us)
         if self.session is not None:
             messages += self._send_heartbeat(now_us, self.session)
-        self._add_notes(now_us)
+        self._add_log_events(now_us)
         return messages
 
     def _send_heartbeat(self, now_us: int, session: NodeSession) -> list[PeerMessage]:
@@ -217,8 +235,8 @@
         heartbeat = session.tick(now_us)
         if heartbeat is None:
             return []
-        is_silent = session.unanswered_heartbeats > MAX_UNANSWERED_HEARTBEATS
-        if is_silent or not self._members.is_living(self.assigner_name):
+        is_unresponsive = session.unanswered_heartbeats > MAX_UNANSWERED_HEARTBEATS
+        if is_unresponsive or not self._members.is_living(self.assigner_name):
             self.assigner_name = ""
         recipient = self.assigner_name
         if not recipient:
@@ -235,7 +253,7 @@
             messages += self._send_heartbeat(now_us, self.session)
         messages += self.election.leave(now_us)
         self._follow_election(now_us)
-        self._add_notes(now_us)
+        self._add_log_events(now_us)
         return messages
 
     def set_leaving(self, now_us: int, is_leaving: bool) -> None:
@@ -261,49 +279,49 @@
 
     def _on_election_change(self, now_us: int, change: LeadershipChange) -> None:
         self.assigner = self._new_assigner(change.term, now_us) if change.is_leader else None
-        facts: dict[str, object] = {
+        fields: dict[str, object] = {
             "region": self.region.name,
             "term": change.term,
             "mine": change.is_leader,
             "why": change.reason,
         }
-        self.notes.append(("shards-assigner", facts))
+        self.notes.append(("shards-assigner", fields))
         if not change.is_leader:
             self._record("lost", task=self.task, term=change.term, why=change.reason)
 
     def _new_assigner(self, term: int, now_us: int) -> Assigner:
-        patience_us = int(self.settings.lease_s * SECOND * (1 + DRIFT))
+        recovery_timeout_us = int(self.settings.lease_s * SECOND_US * (1 + DRIFT))
         writer = TableWriter(
             self.region.name,
             self._settings_digest,
             term,
             self.election.voters,
-            self._life_of,
-            self._founding,
-            patience_us,
+            self._process_number_of,
+            self._new_initial_term,
+            recovery_timeout_us,
             now_us,
-            self._off,
+            self._disabled_rules,
         )
-        return Assigner(self.region.name, self.settings, writer, now_us, self._off)
+        return Assigner(self.region.name, self.settings, writer, now_us, self._disabled_rules)
 
-    def _life_of(self, name: str) -> int | None:
+    def _process_number_of(self, name: str) -> int | None:
         if name == self.name:
-            return self._life
+            return self._process_number
         record = self._members.find_record(name)
         return record.life if record is not None and self._members.is_living(name) else None
 
     # ------------------------------------------------------------------ log
 
-    def _add_notes(self, now_us: int) -> None:
+    def _add_log_events(self, now_us: int) -> None:
         if self.assigner is not None:
             node_count = len(self.assigner.sessions)
             for change in self.assigner.committed_changes:
-                self.notes.append(generation_note(self.region.name, change, node_count))
+                self.notes.append(generation_event(self.region.name, change, node_count))
             self.assigner.committed_changes.clear()
         if self.session is not None:
-            self.notes += [session_note(event) for event in self.session.events]
+            self.notes += [session_event(event) for event in self.session.events]
             self.session.events.clear()
         reaches_majority = self.election.take_majority_change(now_us)
         if reaches_majority is not None:
-            what = "shards-in-touch" if reaches_majority else "shards-rest"
-            self.notes.append((what, {"region": self.region.name, "voters": len(self.region.voters)}))
+            event_name = "shards-in-touch" if reaches_majority else "shards-rest"
+            self.notes.append((event_name, {"region": self.region.name, "voters": len(self.region.voters)}))
--- a/sailrun/sharding/assigner.py
+++ b/sailrun/sharding/assigner.py
@@ -23,7 +23,7 @@
 from sailrun.sharding.settings import ShardingSettings
 from sailrun.sharding.table_replication import TableWriter, next_state
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 # Sessions in one page of a complete table, so that the page fits a datagram.
 SESSIONS_PER_PAGE = 24
 # Number of checks for ended sessions during one lease.
@@ -66,18 +66,18 @@
         settings: ShardingSettings,
         writer: TableWriter,
         now_us: int,
-        off: frozenset[str] = frozenset(),
+        disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        """`off` are safety rules that the laboratory switches off."""
+        """`disabled_rules` are safety rules that the laboratory switches off."""
         self.writer = writer
         self.term = writer.term
         self.settled_generation = 0  # every session in force applies this generation or a later one
         self.committed_changes: list[GenerationChange] = []
         self._region = region
         self._settings = settings
-        self._off = off
-        self._lease_us = int(settings.lease_s * SECOND)
-        self._began_us = now_us
+        self._disabled_rules = disabled_rules
+        self._lease_us = int(settings.lease_s * SECOND_US)
+        self._start_us = now_us
         self._next_check_us = now_us
         self._state: TableState | None = None  # the table that nodes receive
         self._active: dict[int, ActiveSession] = {}  # by number
@@ -130,8 +130,8 @@
             if active.belongs_to(sender, heartbeat.nonce) and not active.is_released:
                 active.last_contact_us = now_us
                 return self._build_answer(heartbeat, state, active.session.number, False)
-        known = self._newcomers.get(sender)
-        since_us = known.since_us if known is not None else now_us
+        previous = self._newcomers.get(sender)
+        since_us = previous.since_us if previous is not None else now_us
         self._newcomers[sender] = Newcomer(heartbeat.nonce, since_us, now_us)
         return self._build_answer(heartbeat, state, 0, False)
 
@@ -211,11 +211,11 @@
             if now_us - newcomer.last_contact_us >= self._lease_us:
                 del self._newcomers[name]
         active_names = {active.session.name for active in self._active.values()}
-        free = [name for name in self._newcomers if name not in active_names]
-        gather_us = int(self._settings.gather_s * SECOND)
-        if not any(now_us - self._newcomers[name].since_us >= gather_us for name in free):
+        eligible = [name for name in self._newcomers if name not in active_names]
+        gather_us = int(self._settings.gather_s * SECOND_US)
+        if not any(now_us - self._newcomers[name].since_us >= gather_us for name in eligible):
             return []
-        return sorted(free, key=lambda name: self._newcomers[name].since_us)
+        return sorted(eligible, key=lambda name: self._newcomers[name].since_us)
 
     # ------------------------------------------------------------------ time
 
@@ -253,7 +253,7 @@
         """Publishes a table that a majority stores; returns notices of its change for the nodes."""
         before, self._state = self._state, state
         if before is None:
-            contact_us = now_us - self._lease_us if "rest" in self._off else self._began_us
+            contact_us = now_us - self._lease_us if "rest" in self._disabled_rules else self._start_us
             self._active = {s.number: ActiveSession(s, contact_us) for s in state.sessions}
             return []
         change = state.changes[-1]
--- a/sailrun/sharding/assigner_election.py
+++ b/sailrun/sharding/assigner_election.py
@@ -20,7 +20,7 @@
 from sailrun.leadership.voter import Voter
 from sailrun.membership.messages import MemberRecord, list_eligible_names
 from sailrun.sharding.messages import ElectionMessage, PeerMessage
-from sailrun.sharding.settings import RegionSettings, region_owners
+from sailrun.sharding.settings import RegionSettings, region_leadership_settings
 
 SEED_BITS = 32
 
@@ -54,12 +54,12 @@
         name: str,
         region: RegionSettings,
         settings_digest: int,
-        owners: LeadershipSettings,
+        fleet_leadership: LeadershipSettings,
         members: MembershipView,
-        draw: Callable[[int], int],
+        random_bits: Callable[[int], int],
         now_us: int,
-        founding: Callable[[], int],
-        off: frozenset[str],
+        new_initial_term: Callable[[], int],
+        disabled_rules: frozenset[str],
         record: Callable[..., None],
     ) -> None:
         """The parameters are those of `ShardingAgent`."""
@@ -68,12 +68,12 @@
         self._settings_digest = settings_digest
         self._members = members
         self._record = record
-        leadership = region_owners(region, owners)
-        self.voters = Voters(leadership, off)
-        self._leases = Leases(name, self.voters, leadership, draw(SEED_BITS), now_us, off)
+        leadership = region_leadership_settings(region, fleet_leadership)
+        self.voters = Voters(leadership, disabled_rules)
+        self._leases = Leases(name, self.voters, leadership, random_bits(SEED_BITS), now_us, disabled_rules)
         self._voter: Voter | None = None
         if name in region.voters:
-            self._voter = Voter(name, self.voters, leadership, now_us, founding, off)
+            self._voter = Voter(name, self.voters, leadership, now_us, new_initial_term, disabled_rules)
         self._candidates: list[str] = []
         self._candidates_version = -1  # the membership version for which the candidates were computed
         self._recorded_until_us = 0
@@ -98,9 +98,9 @@
     def known_assigner(self, now_us: int) -> str:
         """The assigner that this member knows; empty if it knows none."""
         if self._voter is not None:
-            held = self._voter.active_holders(now_us).get(self.task)
-            if held is not None:
-                return held[0]
+            active_lease = self._voter.active_holders(now_us).get(self.task)
+            if active_lease is not None:
+                return active_lease[0]
         return self._leases.lease_of(self.task).holder
 
     def is_still_wanted(self, message: ElectionMessage) -> bool:
@@ -109,7 +109,9 @@
 
     # ------------------------------------------------------------------ messages
 
-    def receive(self, now_us: int, sender: str, life: int, message: ElectionMessage) -> list[PeerMessage]:
+    def receive(
+        self, now_us: int, sender: str, process_number: int, message: ElectionMessage
+    ) -> list[PeerMessage]:
         """Processes an election message; returns messages to send."""
         match message.body:
             case LeaseGrant() as grant:
@@ -120,19 +122,23 @@
                 self._leases.on_handover(now_us, handover)
                 return self.tick_leases(now_us)
             case body:
-                return self._wrap(self._vote(now_us, sender, life, body))
+                return self._wrap(self._vote(now_us, sender, process_number, body))
         return []
 
     def _vote(
-        self, now_us: int, sender: str, life: int, body: LeaseRequest | LeaseRelease | TermQuery | TermReport
+        self,
+        now_us: int,
+        sender: str,
+        process_number: int,
+        body: LeaseRequest | LeaseRelease | TermQuery | TermReport,
     ) -> list[tuple[str, Any]]:
         if self._voter is None:
             return []
         match body:
             case LeaseRequest():
-                return [(sender, self._voter.on_lease_request(now_us, sender, life, body))]
+                return [(sender, self._voter.on_lease_request(now_us, sender, process_number, body))]
             case LeaseRelease():
-                self._voter.on_release(sender, life, body)
+                self._voter.on_release(sender, process_number, body)
             case TermQuery():
                 return [(sender, self._voter.report_terms(body))]
             case TermReport():
--- a/sailrun/sharding/log_events.py
+++ b/sailrun/sharding/log_events.py
@@ -7,7 +7,7 @@
 
 from sailrun.sharding.messages import GenerationChange
 
-Note = tuple[str, dict[str, object]]
+LogEvent = tuple[str, dict[str, object]]
 
 
 class SessionEventKind(StrEnum):
@@ -30,24 +30,24 @@
     reason: str = ""
 
 
-def generation_note(region: str, change: GenerationChange, nodes: int) -> Note:
+def generation_event(region: str, change: GenerationChange, nodes: int) -> LogEvent:
     """Returns the event for a new generation, logged at the assigner; `nodes` is the number of sessions."""
-    facts: dict[str, object] = {
+    fields: dict[str, object] = {
         "region": region,
         "generation": change.generation,
         "nodes": nodes,
         "joined": ",".join(session.name for session in change.joined) or None,
         "left": len(change.left) or None,
     }
-    return "shards-generation", facts
+    return "shards-generation", fields
 
 
-def session_note(event: SessionEvent) -> Note:
+def session_event(event: SessionEvent) -> LogEvent:
     """Returns the event for a change of a node's own session."""
-    facts: dict[str, object] = {
+    fields: dict[str, object] = {
         "what": event.kind.value,
         "generation": event.generation,
         "shards": event.shards,
         "why": event.reason or None,
     }
-    return "shards", facts
+    return "shards", fields
--- a/sailrun/sharding/placement.py
+++ b/sailrun/sharding/placement.py
@@ -2,7 +2,7 @@
 
 The score of a shard and a node is the product of two MurmurHash3 values, modulo 2^32; the highest score wins,
 ties go to the lower name. In addition to its owner, each shard has the generation that must be settled before
-the owner may use it (`wait`). Uses numpy; needs the packages of `requirements-operator.txt`.
+the owner may use it (`required_generation`). Uses numpy; needs the packages of `requirements-operator.txt`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 # Number of scores computed at a time, to bound the memory that placing all shards takes.
 MAX_SCORES_AT_ONCE = 400_000
-NOBODY = -1
+NO_SESSION = -1
 
 
 def shard_key(region: str, shard: int) -> str:
@@ -42,13 +42,13 @@
         self.generation = 0
         self.sessions: dict[int, Session] = {}
         # By shard: the number of the session that it is placed on, and the generation to be settled first.
-        self.owner: npt.NDArray[np.int64] = np.full(shards, NOBODY, np.int64)
-        self.wait: npt.NDArray[np.int64] = np.zeros(shards, np.int64)
+        self.owner: npt.NDArray[np.int64] = np.full(shards, NO_SESSION, np.int64)
+        self.required_generation: npt.NDArray[np.int64] = np.zeros(shards, np.int64)
 
     @property
     def memory_bytes(self) -> int:
         """The memory of the arrays, in bytes."""
-        return self._keys.nbytes + self.owner.nbytes + self.wait.nbytes
+        return self._keys.nbytes + self.owner.nbytes + self.required_generation.nbytes
 
     def place_all(self, generation: int, sessions: list[Session]) -> None:
         """Places all shards. They can be used only once this generation is settled, because sessions may own
@@ -57,7 +57,7 @@
         self.generation = generation
         self.sessions = {session.number: session for session in sessions}
         self.owner = self._find_best(np.arange(len(self._keys)))
-        self.wait = np.full(len(self._keys), generation, np.int64)
+        self.required_generation = np.full(len(self._keys), generation, np.int64)
 
     def apply_change(self, change: GenerationChange) -> npt.NDArray[np.int64]:
         """Applies the next generation; returns the shards whose placement was computed again.
@@ -70,7 +70,7 @@
         for number in left:
             del self.sessions[number]
         orphaned = (
-            np.flatnonzero(np.isin(self.owner, left) | (self.owner == NOBODY))
+            np.flatnonzero(np.isin(self.owner, left) | (self.owner == NO_SESSION))
             if self._has_orphans(left)
             else np.empty(0, np.int64)
         )
@@ -78,12 +78,12 @@
             self.sessions[session.number] = session
         moved = self._move_to_joined(change.joined, orphaned)
         self.owner[orphaned] = self._find_best(orphaned)
-        self.wait[moved] = change.generation
+        self.required_generation[moved] = change.generation
         return np.concatenate([orphaned, moved])
 
     def _has_orphans(self, left: list[int]) -> bool:
         """Whether any shard may be without an owner."""
-        return bool(left) or bool((self.owner == NOBODY).any())
+        return bool(left) or bool((self.owner == NO_SESSION).any())
 
     def _move_to_joined(
         self, joined: list[Session], orphaned: npt.NDArray[np.int64]
@@ -93,15 +93,15 @@
         """
         if not joined:
             return np.empty(0, np.int64)
-        kept = np.ones(len(self._keys), bool)
-        kept[orphaned] = False
-        shards = np.flatnonzero(kept)
+        has_living_owner = np.ones(len(self._keys), bool)
+        has_living_owner[orphaned] = False
+        shards = np.flatnonzero(has_living_owner)
         if not len(shards):
             return shards
-        new = self._find_best(shards, self._sort_by_name(joined))
-        moves = self._outscores(shards, new)
-        self.owner[shards[moves]] = new[moves]
-        return shards[moves]
+        best = self._find_best(shards, self._sort_by_name(joined))
+        is_better = self._outscores(shards, best)
+        self.owner[shards[is_better]] = best[is_better]
+        return shards[is_better]
 
     def _outscores(
         self, shards: npt.NDArray[np.int64], rivals: npt.NDArray[np.int64]
@@ -113,11 +113,13 @@
         ranks = {s.number: rank for rank, s in enumerate(self._sort_by_name(list(self.sessions.values())))}
         rank = np.array([ranks[number] for number in numbers.tolist()], np.int64)
         hashes = np.array([node_hash(self.sessions[n].name) for n in numbers.tolist()], np.uint32)
-        mine = np.searchsorted(numbers, self.owner[shards])
-        its = np.searchsorted(numbers, rivals)
+        owner_index = np.searchsorted(numbers, self.owner[shards])
+        rival_index = np.searchsorted(numbers, rivals)
         keys = self._keys[shards]
-        now, then = keys * hashes[mine], keys * hashes[its]
-        better: npt.NDArray[np.bool_] = (then > now) | ((then == now) & (rank[its] < rank[mine]))
+        owner_scores, rival_scores = keys * hashes[owner_index], keys * hashes[rival_index]
+        better: npt.NDArray[np.bool_] = (rival_scores > owner_scores) | (
+            (rival_scores == owner_scores) & (rank[rival_index] < rank[owner_index])
+        )
         return better
 
     @staticmethod
@@ -129,7 +131,7 @@
     ) -> npt.NDArray[np.int64]:
         """The number of the session that scores highest, for each of the shards."""
         ranked = self._sort_by_name(list(self.sessions.values())) if sessions is None else sessions
-        best = np.full(len(shards), NOBODY, np.int64)
+        best = np.full(len(shards), NO_SESSION, np.int64)
         if not ranked or not len(shards):
             return best
         hashes = np.array([node_hash(session.name) for session in ranked], np.uint32)
@@ -145,13 +147,13 @@
         """The shards placed on a session, including those that it may not use yet."""
         return np.flatnonzero(self.owner == session)
 
-    def usable_shards(self, session: int, settled: int) -> npt.NDArray[np.int64]:
-        """The shards that a session may use if the generation `settled` is settled."""
-        return np.flatnonzero((self.owner == session) & (self.wait <= settled))
+    def usable_shards(self, session: int, settled_generation: int) -> npt.NDArray[np.int64]:
+        """The shards that a session may use if the generation `settled_generation` is settled."""
+        return np.flatnonzero((self.owner == session) & (self.required_generation <= settled_generation))
 
-    def may_use(self, shard: int, session: int, settled: int) -> bool:
-        """Whether a session may use a shard if the generation `settled` is settled."""
-        return bool(self.owner[shard] == session and self.wait[shard] <= settled)
+    def may_use(self, shard: int, session: int, settled_generation: int) -> bool:
+        """Whether a session may use a shard if the generation `settled_generation` is settled."""
+        return bool(self.owner[shard] == session and self.required_generation[shard] <= settled_generation)
 
 
 def node_hash(name: str) -> int:
--- a/sailrun/sharding/session.py
+++ b/sailrun/sharding/session.py
@@ -23,7 +23,7 @@
 from sailrun.sharding.record_formats import SessionList, ShardList
 from sailrun.sharding.settings import RENEWALS_PER_LEASE, RegionSettings, ShardingSettings
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 # Heartbeats whose answer is still accepted; an answer to an older one is ignored.
 MAX_PENDING_HEARTBEATS = 16
 # The heartbeat interval while the node waits for other nodes to apply a generation, or for an answer.
@@ -42,20 +42,20 @@
         settings: ShardingSettings,
         seed: int,
         now_us: int,
-        off: frozenset[str] = frozenset(),
-        record: Callable[..., None] = lambda kind, **facts: None,
+        disabled_rules: frozenset[str] = frozenset(),
+        record: Callable[..., None] = lambda kind, **fields: None,
     ) -> None:
-        """`record` receives the shards in use and the end of the lease, for the laboratory's checks. `off`
-        are safety rules that the laboratory switches off.
+        """`record` receives the shards in use and the end of the lease, for the laboratory's checks.
+        `disabled_rules` are safety rules that the laboratory switches off.
         """
         self.events: list[SessionEvent] = []
         self.is_leaving = False  # a planned stop: requests a handover and no new session
         self._region = region
-        self._off = off
+        self._disabled_rules = disabled_rules
         self._record = record
         self._settings_digest = settings.digest(region.name)
         self._random = random.Random(seed)
-        self._lease_us = int(settings.lease_s * SECOND)
+        self._lease_us = int(settings.lease_s * SECOND_US)
         self._replica = PlacementReplica(region, self._on_generation)
         self._sequence = 0
         self._next_heartbeat_us = now_us
@@ -76,7 +76,7 @@
 
     def is_valid(self, now_us: int) -> bool:
         """Whether the session is in force by this node's own clock."""
-        return bool(self.session_number) and (now_us < self.expires_us or "session" in self._off)
+        return bool(self.session_number) and (now_us < self.expires_us or "session" in self._disabled_rules)
 
     @property
     def generation(self) -> int:
@@ -189,7 +189,7 @@
         if not self._replica.is_complete:
             return
         usable_before = self._replica.usable
-        settled = self.generation if "settle" in self._off else self.settled_generation
+        settled = self.generation if "settle" in self._disabled_rules else self.settled_generation
         usable = self._replica.compute_usable(self.session_number, settled)
         if usable != usable_before:
             self._add_event(SessionEventKind.USABLE)
--- a/sailrun/sharding/settings.py
+++ b/sailrun/sharding/settings.py
@@ -12,7 +12,7 @@
 from sailrun.leadership.quorum import check_voters
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
-MOST_SHARDS = 1_000_000
+MAX_SHARDS = 1_000_000
 # Number of renewals during one lease.
 RENEWALS_PER_LEASE = 4
 # The share of a lease that remains, by the node's own clock, when its next heartbeat is due.
@@ -24,7 +24,7 @@
 
     name: Annotated[str, Meta(min_length=1, max_length=32, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
     shards: Annotated[
-        int, Meta(ge=1, le=MOST_SHARDS, description="Shards whose home is this region, numbered from 0.")
+        int, Meta(ge=1, le=MAX_SHARDS, description="Shards whose home is this region, numbered from 0.")
     ]
     voters: Annotated[
         tuple[str, ...],
@@ -58,23 +58,25 @@
 
     def digest(self, region: str) -> int:
         """A digest of the settings that must be the same at all nodes of a region."""
-        told = self.region(region)
-        return zlib.crc32(msgspec.msgpack.encode([self.lease_s, told]))
+        region_settings = self.region(region)
+        return zlib.crc32(msgspec.msgpack.encode([self.lease_s, region_settings]))
 
 
-def region_owners(region: RegionSettings, owners: LeadershipSettings) -> LeadershipSettings:
+def region_leadership_settings(
+    region: RegionSettings, fleet_leadership: LeadershipSettings
+) -> LeadershipSettings:
     """The settings of the region's election of an assigner: those of the fleet, with the region's voters."""
     return LeadershipSettings(
         enabled=True,
         voters=region.voters,
-        lease_s=owners.lease_s,
-        order_s=owners.order_s,
-        give_back_s=owners.give_back_s,
+        lease_s=fleet_leadership.lease_s,
+        order_s=fleet_leadership.order_s,
+        give_back_s=fleet_leadership.give_back_s,
     )
 
 
 def shard_faults(
-    shards: ShardingSettings, members_region: str, owners: LeadershipSettings
+    shards: ShardingSettings, members_region: str, fleet_leadership: LeadershipSettings
 ) -> Iterator[tuple[str, str]]:
     """Yields the faults of the table as pairs of key and fault; `members_region` is the node's own region."""
     if not shards.regions:
@@ -83,17 +85,19 @@
     for n, region in enumerate(shards.regions):
         if names.index(region.name) != n:
             yield f"shards.regions[{n}].name", f"'{region.name}' is the name of an earlier region"
-        what = check_voters(region.voters)
-        if what is not None:
-            yield f"shards.regions[{n}].voters", what
+        fault = check_voters(region.voters)
+        if fault is not None:
+            yield f"shards.regions[{n}].voters", fault
     if names and members_region not in names:
         yield (
             "members.region",
             f"'{members_region}' is not a configured region: expected one of {', '.join(names)}",
         )
-    change_s = 2 * (owners.lease_s + owners.order_s)
-    least_s = change_s / REMAINING_LEASE_SHARE
-    if shards.lease_s < least_s:
+    assigner_change_s = 2 * (fleet_leadership.lease_s + fleet_leadership.order_s)
+    minimum_s = assigner_change_s / REMAINING_LEASE_SHARE
+    if shards.lease_s < minimum_s:
         # With a shorter lease, a change of the assigner ends leases of nodes whose heartbeat was just due.
-        of_what = f"{change_s:g} s for a change of the assigner plus the time since the last heartbeat"
-        yield "shards.lease_s", f"is {shards.lease_s:g}, expected at least {least_s:.2f}: {of_what}"
+        detail = (
+            f"{assigner_change_s:g} s for a change of the assigner plus the time since the last heartbeat"
+        )
+        yield "shards.lease_s", f"is {shards.lease_s:g}, expected at least {minimum_s:.2f}: {detail}"
--- a/sailrun/sharding/shard_acts.py
+++ b/sailrun/sharding/shard_acts.py
@@ -12,8 +12,10 @@
 class ShardActs:
     """Sends and receives the acts of one member. `record` receives every act, for the laboratory's checks."""
 
-    def __init__(self, region: RegionSettings, off: frozenset[str], record: Callable[..., None]) -> None:
-        self.fence = TokenFence(off=off)
+    def __init__(
+        self, region: RegionSettings, disabled_rules: frozenset[str], record: Callable[..., None]
+    ) -> None:
+        self.fence = TokenFence(disabled_rules=disabled_rules)
         self.accepted_count = 0  # received acts
         self.rejected_count = 0  # sent acts that their receiver rejected
         self.unknown_shard_count = 0  # received acts for a shard that the region does not have
--- a/sailrun/sharding/table_replication.py
+++ b/sailrun/sharding/table_replication.py
@@ -26,10 +26,10 @@
     WriteTable,
 )
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 # The first delay before an unanswered request is repeated, and the limit to which the delay doubles.
 MIN_RETRY_US = 100_000
-MAX_RETRY_US = 5 * SECOND
+MAX_RETRY_US = 5 * SECOND_US
 # Number of the latest changes that the table contains, for nodes that lag behind.
 STORED_CHANGES = 64
 
@@ -44,15 +44,17 @@
 
 
 class TableAcceptor:
-    """One voter's replica of the table. `life` is this process's number; writes for another are rejected."""
+    """One voter's replica of the table. Writes that are addressed to another process are rejected."""
 
-    def __init__(self, region: str, life: int, off: frozenset[str] = frozenset()) -> None:
-        """`off` are safety rules that the laboratory switches off."""
+    def __init__(
+        self, region: str, process_number: int, disabled_rules: frozenset[str] = frozenset()
+    ) -> None:
+        """`disabled_rules` are safety rules that the laboratory switches off."""
         self.promised_term = 0
         self.state: TableState | None = None
-        self.has_memory = "remember" in off
+        self.has_memory = "remember" in disabled_rules
         self._region = region
-        self._life = life
+        self._process_number = process_number
 
     def promise(self, request: ReadTable) -> TableRead | TableRejected:
         """Promises to accept nothing with a lower term, and returns the table."""
@@ -60,24 +62,24 @@
             return self._reject(request.term, request.sequence)
         self.promised_term = request.term
         return TableRead(
-            self._region, request.term, request.sequence, self._life, self.has_memory, self.state
+            self._region, request.term, request.sequence, self._process_number, self.has_memory, self.state
         )
 
     def accept(self, request: WriteTable) -> TableWritten | TableRejected:
         """Stores the table, unless a higher term was promised or the write is for another process."""
         term = request.state.term
-        if request.life != self._life:
-            return TableRejected(self._region, term, request.sequence, self._life, 0)
+        if request.life != self._process_number:
+            return TableRejected(self._region, term, request.sequence, self._process_number, 0)
         if term < self.promised_term:
             return self._reject(term, request.sequence)
         self.promised_term = term
         self.has_memory = True
         if self.state is None or _version(request.state) > _version(self.state):
             self.state = request.state
-        return TableWritten(self._region, term, request.sequence, self._life)
+        return TableWritten(self._region, term, request.sequence, self._process_number)
 
     def _reject(self, term: int, sequence: int) -> TableRejected:
-        return TableRejected(self._region, term, sequence, self._life, self.promised_term)
+        return TableRejected(self._region, term, sequence, self._process_number, self.promised_term)
 
 
 def _version(state: TableState) -> tuple[int, int]:
@@ -114,15 +116,16 @@
         digest: int,
         term: int,
         voters: Voters,
-        life_of: Callable[[str], int | None],
-        founding: Callable[[], int],
-        patience_us: int,
+        process_number_of: Callable[[str], int | None],
+        new_initial_term: Callable[[], int],
+        recovery_timeout_us: int,
         now_us: int,
-        off: frozenset[str] = frozenset(),
+        disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        """`life_of` returns the process number of a living voter, None if it is unknown. If no majority with
-        memory is found within `patience_us`, an empty table with a generation above `founding` is created: by
-        then the lease of every node has ended. `off` are safety rules that the laboratory switches off.
+        """`process_number_of` returns the process number of a living voter, None if it is unknown. If no
+        majority with memory is found within `recovery_timeout_us`, an empty table is created whose generation
+        is above the result of `new_initial_term`: by then the lease of every node has ended. `disabled_rules`
+        are safety rules that the laboratory switches off.
         """
         self.term = term
         self.state: TableState | None = None  # the latest table that a majority stores
@@ -131,10 +134,10 @@
         self._region = region
         self._settings_digest = digest
         self._voters = voters
-        self._life_of = life_of
-        self._founding = founding
-        self._off = off
-        self._new_table_us = now_us + patience_us
+        self._process_number_of = process_number_of
+        self._new_initial_term = new_initial_term
+        self._disabled_rules = disabled_rules
+        self._new_table_us = now_us + recovery_timeout_us
         self._sequence = 0
         self._retries: dict[str, _Retry] = {}  # of the present request, by voter
         self._reading: _Reading | None = _Reading(self._next_sequence())
@@ -188,14 +191,14 @@
         """Writes the newest table found, or an empty one, as soon as the answers allow it."""
         with_memory = {name for name, answer in reading.answers.items() if answer.has_memory}
         newest: TableState | None = None
-        if self._voters.is_majority(with_memory) or (with_memory and "register" in self._off):
+        if self._voters.is_majority(with_memory) or (with_memory and "register" in self._disabled_rules):
             states = [reading.answers[name].state for name in with_memory]
             newest = max((state for state in states if state is not None), key=_version, default=None)
         elif now_us < self._new_table_us or not self._voters.is_majority(reading.answers.keys()):
             return
         if newest is None:
             self.is_new_table = True
-            generation = max(self._founding(), self._observed_generation) + 1
+            generation = max(self._new_initial_term(), self._observed_generation) + 1
             newest = TableState(self.term, generation, [], [])
         self._reading = None
         # A majority has to store the table under this term before any node receives it.
@@ -223,9 +226,11 @@
         if self._writing is None:
             return []
         acknowledged_by = self._writing.acknowledged_by
-        lives = {name: self._life_of(name) for name in self._voters.names()}
+        process_numbers = {name: self._process_number_of(name) for name in self._voters.names()}
         return [
-            name for name, life in lives.items() if life is not None and acknowledged_by.get(name) != life
+            name
+            for name, process_number in process_numbers.items()
+            if process_number is not None and acknowledged_by.get(name) != process_number
         ]
 
     def tick(self, now_us: int) -> list[PeerMessage]:
@@ -247,8 +252,10 @@
     def _build_request(self, name: str) -> ReadTable | WriteTable | None:
         if self._reading is not None:
             return ReadTable(self._region, self._settings_digest, self.term, self._reading.sequence)
-        life = self._life_of(name)
-        if self._writing is None or life is None:
+        process_number = self._process_number_of(name)
+        if self._writing is None or process_number is None:
             return None
         writing = self._writing
-        return WriteTable(self._region, self._settings_digest, writing.sequence, life, writing.state)
+        return WriteTable(
+            self._region, self._settings_digest, writing.sequence, process_number, writing.state
+        )
--- a/sailrun/sharding/token_fence.py
+++ b/sailrun/sharding/token_fence.py
@@ -10,10 +10,14 @@
 class TokenFence:
     """The highest tokens that one receiver has seen. At capacity the least recently used shard is removed."""
 
-    def __init__(self, capacity: int = MAX_REMEMBERED_SHARDS, off: frozenset[str] = frozenset()) -> None:
-        """`capacity` is a number of shards; `off` are safety rules that the laboratory switches off."""
+    def __init__(
+        self, capacity: int = MAX_REMEMBERED_SHARDS, disabled_rules: frozenset[str] = frozenset()
+    ) -> None:
+        """`capacity` is a number of shards. `disabled_rules` are safety rules that the laboratory switches
+        off.
+        """
         self._capacity = capacity
-        self._off = off
+        self._disabled_rules = disabled_rules
         self._highest: dict[tuple[str, int], FencingToken] = {}  # by region and shard
 
     def highest_token(self, region: str, shard: int) -> FencingToken | None:
@@ -27,4 +31,4 @@
         self._highest[key] = max(highest, token)
         if len(self._highest) > self._capacity:
             del self._highest[next(iter(self._highest))]
-        return token >= highest or "token" in self._off
+        return token >= highest or "token" in self._disabled_rules
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -59,7 +59,7 @@
     placement = Placement("east", 300)
     placement.place_all(5, sessions)
     assert placement.owner.tolist() == [best_of(shard, sessions) for shard in range(300)]
-    assert set(placement.wait.tolist()) == {5}
+    assert set(placement.required_generation.tolist()) == {5}
 
 
 NAMES = st.lists(st.integers(0, 30), unique=True, max_size=8)
@@ -78,18 +78,18 @@
         left = [there.pop(f"n{n}").number for n in leaves if f"n{n}" in there]
         joined = [Session(f"n{n}", next(numbers), 1) for n in joins if f"n{n}" not in there]
         there |= {s.name: s for s in joined}
-        before, waited = placement.owner.tolist(), placement.wait.tolist()
+        before, waited = placement.owner.tolist(), placement.required_generation.tolist()
         moved = set(placement.apply_change(GenerationChange(generation, joined, left)).tolist())
         for shard in range(shards):
             now = int(placement.owner[shard])
             assert now == best_of(shard, list(there.values()))
             if now == before[shard]:
-                assert placement.wait[shard] == waited[shard]
+                assert placement.required_generation[shard] == waited[shard]
                 continue
             assert shard in moved
             # What a living session loses waits for it; what an ended one had does not.
             living = before[shard] != -1 and before[shard] not in left
-            assert placement.wait[shard] == (generation if living else waited[shard])
+            assert placement.required_generation[shard] == (generation if living else waited[shard])
             assert not living or now in {s.number for s in joined}
 
 
@@ -100,7 +100,7 @@
     assert set(placement.owner.tolist()) == {-1}
     placement.apply_change(GenerationChange(3, [session("b", 2)], []))
     assert set(placement.owner.tolist()) == {2}
-    assert set(placement.wait.tolist()) == {1}  # `a` had ended: nothing more to wait for
+    assert set(placement.required_generation.tolist()) == {1}  # `a` had ended: nothing more to wait for
 
 
 # ---------------------------------------------------------------------- the voters' table
