--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -1,4 +1,4 @@
-"""Real processes with folders of their own: restarts of one and of all, and a process that is replaced."""
+"""Real processes with storage folders: restarts of one node and of all nodes, and a hot restart."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 @pytest.fixture(scope="module", autouse=True)
-def days() -> Iterator[list[Future[Played]]]:
-    """Days on real processes, played beside the other tests of this module, most of which wait."""
+def fault_runs() -> Iterator[list[Future[Played]]]:
+    """Fault runs on real processes, in parallel to the other tests of this module, which mostly wait."""
     with ThreadPoolExecutor(2) as pool:
         yield [pool.submit(play_real, FaultDay(kind, 5, seconds=36.0)) for kind in ("lasting", "lasting-all")]
 
@@ -37,17 +37,17 @@
 
 
 def term_of(fleet: Fleet, task: str) -> int:
-    owner = fleet.owner(task)
-    return int(next(row["term"] for row in fleet.ask(str(owner), "owners") if row["task"] == task))
+    leader = fleet.owner(task)
+    return int(next(row["term"] for row in fleet.ask(str(leader), "owners") if row["task"] == task))
 
 
-def test_what_was_marked_is_out_again_before_anybody_is_placed_after_all_were_killed(
+def test_operator_marks_are_restored_before_clients_are_placed_after_all_nodes_were_killed(
     fleet: Fleet, servers: list[FormServer]
 ) -> None:
-    one, other = (s.name for s in servers[:2])
-    assert staff(fleet, "n1", "set-down", one, "--why", "a new disk").returncode == 0
-    assert staff(fleet, "n2", "set-down", other).returncode == 0
-    assert staff(fleet, "n2", "set-up", other).returncode == 0
+    down_server, restored_server = (s.name for s in servers[:2])
+    assert staff(fleet, "n1", "set-down", down_server, "--why", "a new disk").returncode == 0
+    assert staff(fleet, "n2", "set-down", restored_server).returncode == 0
+    assert staff(fleet, "n2", "set-up", restored_server).returncode == 0
     term = term_of(fleet, "marks")
     for running in fleet.nodes.values():
         running.process.send_signal(signal.SIGKILL)
@@ -58,14 +58,16 @@
     fleet.until(lambda: fleet.owner("marks"))
     for running in fleet.nodes.values():
         running.logged("serving")
-        running.logged("by-hand", f"server={one}", "out=True")
+        running.logged("by-hand", f"server={down_server}", "out=True")
         running.logged("lasting-trusted", "life=2")
-        assert not [x for x in running.lines if "marks-founded" in x or f"server={other}" in x], running.lines
+        assert not [
+            line for line in running.lines if "marks-founded" in line or f"server={restored_server}" in line
+        ], running.lines
     assert term_of(fleet, "marks") > term
     fleet.until(lambda: staff(fleet, "n3", "state", "--behind").returncode == 0)
-    assert staff(fleet, "n3", "set-up", one).stdout.startswith("done")
+    assert staff(fleet, "n3", "set-up", down_server).stdout.startswith("done")
     for running in fleet.nodes.values():
-        running.logged("by-hand", f"server={one}", "out=False")
+        running.logged("by-hand", f"server={down_server}", "out=False")
 
 
 def test_a_planned_restart_leaves_a_folder_with_a_clean_shutdown(
@@ -74,20 +76,22 @@
     assert staff(fleet, "n1", "set-down", servers[0].name).returncode == 0
     process = fleet.nodes["n3"].process
     process.send_signal(signal.SIGTERM)
-    began = time.monotonic()
-    assert process.wait(PATIENCE_S) == 0 and time.monotonic() - began < 5.0
-    found = read_folder(OsFiles(fleet.folder_of("n3")))
+    start_s = time.monotonic()
+    assert process.wait(PATIENCE_S) == 0 and time.monotonic() - start_s < 5.0
+    contents = read_folder(OsFiles(fleet.folder_of("n3")))
     assert (
-        found.integrity is FolderIntegrity.INTACT and found.state.was_clean_shutdown and found.torn_bytes == 0
+        contents.integrity is FolderIntegrity.INTACT
+        and contents.state.was_clean_shutdown
+        and contents.torn_bytes == 0
     )
     fleet.start("n3")
     fleet.nodes["n3"].logged("lasting", "clean=True")
     fleet.nodes["n3"].logged("lasting-trusted")
 
 
-def operator_of(folder: Path, kept: Path, **more: Any) -> Path:
+def write_operator_file(folder: Path, storage_folder: Path, **other_tables: Any) -> Path:
     path = folder / "operator.toml"
-    path.write_text(tomli_w.dumps({"lasting": {"folder": str(kept)}, **more}))
+    path.write_text(tomli_w.dumps({"lasting": {"folder": str(storage_folder)}, **other_tables}))
     return path
 
 
@@ -95,70 +99,72 @@
     tmp_path: Path, servers: list[FormServer]
 ) -> None:
     roster = Roster([s.entry() for s in servers])
-    operator = operator_of(tmp_path, tmp_path / "kept")
+    operator = write_operator_file(tmp_path, tmp_path / "kept")
     control = free()
     name = servers[0].name
     with node(tmp_path, roster, operator=operator, control=control) as running:
         assert running.call(f"set-down {name}") == "ok"
         running.logged("by-hand", f"server={name}")
 
-        def written() -> bool:
-            hand = read_folder(OsFiles(tmp_path / "kept")).state.operator_overrides
-            return hand is not None and hand.out_of_service == [name]
+        def is_written() -> bool:
+            overrides = read_folder(OsFiles(tmp_path / "kept")).state.operator_overrides
+            return overrides is not None and overrides.out_of_service == [name]
 
-        until(written)
+        until(is_written)
         running.process.send_signal(signal.SIGKILL)
         running.process.wait(PATIENCE_S)
     with node(tmp_path, roster, operator=operator, control=free()) as running:
         running.logged("by-hand", f"server={name}", "out=True")
-        household = running.ask()
-        household.hear()
+        client = running.ask()
+        client.hear()
         assert servers[0].openings.empty()
 
 
-def until(true: Any) -> None:
-    by = time.monotonic() + PATIENCE_S
-    while not true():
-        assert time.monotonic() < by
+def until(condition: Any) -> None:
+    deadline_s = time.monotonic() + PATIENCE_S
+    while not condition():
+        assert time.monotonic() < deadline_s
         time.sleep(0.05)
 
 
-def refused(tmp_path: Path, roster: Roster, kept: Path) -> str:
+def serve_error(tmp_path: Path, roster: Roster, storage_folder: Path) -> str:
     config = tmp_path / "config.json"
-    with node(tmp_path, roster) as running:  # writes the file
+    with node(tmp_path, roster) as running:  # writes the config file
         listen = running.listen
     document = json.loads(config.read_text()) | {"listen": f"127.0.0.1:{free_port()}"}
     assert listen
     config.write_text(json.dumps(document))
-    operator = operator_of(tmp_path, kept)
+    operator = write_operator_file(tmp_path, storage_folder)
     command = [sys.executable, "-m", "sailrun", "serve", "--config", str(config), "--operator", str(operator)]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=PATIENCE_S)
-    assert done.returncode == 2, done
-    return done.stderr.strip().splitlines()[-1]
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=PATIENCE_S)
+    assert completed.returncode == 2, completed
+    return completed.stderr.strip().splitlines()[-1]
 
 
-def test_a_folder_that_is_not_to_be_used_is_one_line(tmp_path: Path, servers: list[FormServer]) -> None:
+def test_an_unusable_folder_is_reported_in_one_line(tmp_path: Path, servers: list[FormServer]) -> None:
     roster = Roster([s.entry() for s in servers])
-    missing = refused(tmp_path, roster, tmp_path / "none" / "kept")
-    assert missing.endswith("lasting.folder: No such file or directory")
-    kept = tmp_path / "kept"
-    files = OsFiles(kept)
+    error = serve_error(tmp_path, roster, tmp_path / "none" / "kept")
+    assert error.endswith("lasting.folder: No such file or directory")
+    storage_folder = tmp_path / "kept"
+    files = OsFiles(storage_folder)
     files.make()
     assert files.lock()
-    assert refused(tmp_path, roster, kept).endswith("lasting.folder: is in use by another process")
+    assert serve_error(tmp_path, roster, storage_folder).endswith(
+        "lasting.folder: is in use by another process"
+    )
     files.unlock()
-    told = {"schema": 2, "node": "n1", "fleet": "", "identity": "00" * 16, "inode": 1}
-    (kept / "identity").write_text(json.dumps(told))
-    assert refused(tmp_path, roster, kept).endswith(
+    identity = {"schema": 2, "node": "n1", "fleet": "", "identity": "00" * 16, "inode": 1}
+    (storage_folder / "identity").write_text(json.dumps(identity))
+    assert serve_error(tmp_path, roster, storage_folder).endswith(
         "lasting.folder: written with schema 2; this version reads up to 1"
     )
 
 
-def test_a_folder_that_cannot_be_written_costs_nothing_but_what_it_would_retain(
+def test_a_node_serves_without_a_folder_that_cannot_be_written(
     tmp_path: Path, servers: list[FormServer]
 ) -> None:
-    (tmp_path / "kept" / "lock").mkdir(parents=True)  # the lock cannot be had, whoever the user is
-    operator = operator_of(tmp_path, tmp_path / "kept")
+    (tmp_path / "kept" / "lock").mkdir(parents=True)  # locking fails for every user, including root
+    operator = write_operator_file(tmp_path, tmp_path / "kept")
     with node(tmp_path, Roster([s.entry() for s in servers]), operator=operator) as running:
         running.logged("lasting-failed", "Is a directory")
         assert running.ask().hear()
@@ -166,24 +172,24 @@
         assert running.process.wait(PATIENCE_S) == 0
 
 
-def test_a_process_that_is_replaced_transfers_its_folder(fleet: Fleet, servers: list[FormServer]) -> None:
-    one = servers[0].name
-    assert staff(fleet, "n2", "set-down", one, "--wait", "all").returncode == 0
-    old = fleet.nodes["n1"]
+def test_a_hot_restart_transfers_the_folder(fleet: Fleet, servers: list[FormServer]) -> None:
+    down_server = servers[0].name
+    assert staff(fleet, "n2", "set-down", down_server, "--wait", "all").returncode == 0
+    predecessor = fleet.nodes["n1"]
     fleet.replace("n1")
-    new = fleet.nodes["n1"]
-    new.logged("lasting-trusted", "life=2")
-    old.process.send_signal(signal.SIGTERM)
-    old.process.wait(PATIENCE_S)
+    successor = fleet.nodes["n1"]
+    successor.logged("lasting-trusted", "life=2")
+    predecessor.process.send_signal(signal.SIGTERM)
+    predecessor.process.wait(PATIENCE_S)
     fleet.until(lambda: staff(fleet, "n1", "state", "--behind").returncode == 0)
-    assert staff(fleet, "n1", "set-up", one, "--wait", "all").stdout.startswith("done 3 of 3")
+    assert staff(fleet, "n1", "set-up", down_server, "--wait", "all").stdout.startswith("done 3 of 3")
 
 
-def test_days_of_restarts_on_real_processes(days: list[Future[Played]]) -> None:
-    for day in days:
-        played = day.result()
-        broken = [(c.name, c.faults) for c in played.checks if c.value > c.limit]
-        assert not broken
-        found = [r for r in played.rows if r["kind"] == "folder" and r["what"] == "trusted"]
-        assert found
-        assert not [r for r in played.rows if r["kind"] == "log" and "fault" in r["text"]]
+def test_fault_runs_with_restarts_on_real_processes(fault_runs: list[Future[Played]]) -> None:
+    for fault_run in fault_runs:
+        result = fault_run.result()
+        failed_checks = [(c.name, c.faults) for c in result.checks if c.value > c.limit]
+        assert not failed_checks
+        trusted_folders = [r for r in result.rows if r["kind"] == "folder" and r["what"] == "trusted"]
+        assert trusted_folders
+        assert not [r for r in result.rows if r["kind"] == "log" and "fault" in r["text"]]
