--- a/tests/test_sharding_days.py
+++ b/tests/test_sharding_days.py
@@ -1,4 +1,4 @@
-"""Days of shards: nothing is broken, a safety rule that is off is missed, and the judge finds each breach."""
+"""Fault runs of sharding: all checks hold, detect disabled safety rules, and find each kind of violation."""
 
 from __future__ import annotations
 
@@ -18,44 +18,44 @@
 from sailrun.sharding.messages import Session
 from sailrun.sharding.placement import Placement
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 @pytest.fixture(scope="module", autouse=True)
-def real_day() -> Iterator[Future[Played]]:
-    """A day on real processes, played beside the other tests of this module, from a process of its own: its
-    relays would wait for those tests in this one.
+def real_run() -> Iterator[Future[Played]]:
+    """A run on real processes, in parallel to the other tests of this module. It has a process of its own, so
+    that its relays are not delayed by those tests.
     """
     with ProcessPoolExecutor(1, get_context("spawn")) as pool:
         yield pool.submit(play_shards_real, FaultDay("shards-short", 5, NODES))
 
 
-def broken(played: Played) -> list[tuple[str, int | None, list[str]]]:
-    return [(c.name, c.occasions, c.faults) for c in played.checks if not c.holds]
+def failed_checks(result: Played) -> list[tuple[str, int | None, list[str]]]:
+    return [(check.name, check.occasions, check.faults) for check in result.checks if not check.holds]
 
 
-# ---------------------------------------------------------------------- days in virtual time
+# ---------------------------------------------------------------------- runs in virtual time
 
 
 @pytest.mark.parametrize("plan", SHARD_PLANS)
 @pytest.mark.parametrize("seed", [1, 31_337])
-def test_nothing_is_broken(plan: str, seed: int) -> None:
-    assert broken(play_shards_virtual(FaultDay(plan, seed, NODES))) == []
+def test_all_checks_hold(plan: str, seed: int) -> None:
+    assert failed_checks(play_shards_virtual(FaultDay(plan, seed, NODES))) == []
 
 
-def test_nothing_is_broken_among_twenty() -> None:
-    assert broken(play_shards_virtual(FaultDay("shards", 3, 20))) == []
+def test_all_checks_hold_with_twenty_nodes() -> None:
+    assert failed_checks(play_shards_virtual(FaultDay("shards", 3, 20))) == []
 
 
-def test_one_seed_gives_one_history() -> None:
+def test_a_seed_determines_the_history() -> None:
     rows = [play_shards_virtual(FaultDay("shards-short", 4, NODES)).rows for _ in range(2)]
     assert [{k: str(v) for k, v in row.items()} for row in rows[0]] == [
         {k: str(v) for k, v in row.items()} for row in rows[1]
     ]
 
 
-# By rule: a day that misses it, and the first seed of those that are looked through.
-BITES = {
+# By rule: a run whose checks fail without the rule, and the first of the seeds that are tried.
+DETECTING_RUNS = {
     "session": ("shards-stopped", 1),
     "settle": ("shards-restart", 3),
     "rest": ("shards-cut", 3),
@@ -68,54 +68,54 @@
 }
 
 
-@pytest.mark.parametrize("rule", BITES)
-def test_a_rule_that_is_off_is_found_out(rule: str) -> None:
-    plan, first = BITES[rule]
-    days = (FaultDay(plan, seed, NODES, off=frozenset({rule})) for seed in range(first, first + 12))
-    assert any(check.value > check.limit for day in days for check in play_shards_virtual(day).checks)
+@pytest.mark.parametrize("rule", DETECTING_RUNS)
+def test_the_checks_detect_each_disabled_rule(rule: str) -> None:
+    plan, first_seed = DETECTING_RUNS[rule]
+    runs = (FaultDay(plan, seed, NODES, off=frozenset({rule})) for seed in range(first_seed, first_seed + 12))
+    assert any(check.value > check.limit for run in runs for check in play_shards_virtual(run).checks)
 
 
-def test_too_few_nodes_for_two_regions_are_refused() -> None:
+def test_too_few_nodes_for_two_regions_are_rejected() -> None:
     with pytest.raises(ValueError, match="fewer than 10"):
         play_shards_virtual(FaultDay("shards", 1, 9))
     with pytest.raises(ValueError, match="virtual time only"):
         play_shards_real(FaultDay("shards", 1, NODES, off=frozenset({"token"})))
 
 
-# ---------------------------------------------------------------------- what the judge reads
+# ---------------------------------------------------------------------- records that the checks read
 
 # n6, n8 and n10 own shards in region r0; n0, n2 and n4 vote there.
 ONE, OTHER = "n6", "n8"
 SESSIONS = "n6:1,n8:2"
 
 
-def row(kind: str, node: str, at_us: int, **facts: object) -> Row:
-    return {"kind": kind, "node": node, "at_us": at_us, **facts}
+def row(kind: str, node: str, at_us: int, **fields: object) -> Row:
+    return {"kind": kind, "node": node, "at_us": at_us, **fields}
 
 
 def uses(node: str, session: int, at_us: int, until_us: int, shards: object, generation: int = 1) -> Row:
-    facts = {"generation": generation, "session": session, "until_us": until_us, "shards": shards}
-    return row("shards", node, at_us, region="r0", **facts)
+    fields = {"generation": generation, "session": session, "until_us": until_us, "shards": shards}
+    return row("shards", node, at_us, region="r0", **fields)
 
 
-def goes_by(node: str, session: int, at_us: int, generation: int, sessions: str) -> Row:
-    facts = {"generation": generation, "session": session, "sessions": sessions}
-    return row("shards-generation", node, at_us, region="r0", **facts)
+def applies(node: str, session: int, at_us: int, generation: int, sessions: str) -> Row:
+    fields = {"generation": generation, "session": session, "sessions": sessions}
+    return row("shards-generation", node, at_us, region="r0", **fields)
 
 
 def act(kind: str, node: str, at_us: int, token: tuple[int, int], shard: int = 3) -> Row:
     return row(kind, node, at_us, shard=shard, generation=token[0], session=token[1])
 
 
-def judge(*rows: Row, end_us: int = 100 * SECOND, expected: Expected | None = None) -> ShardJudge:
+def judge(*rows: Row, end_us: int = 100 * SECOND_US, expected: Expected | None = None) -> ShardJudge:
     return ShardJudge(list(rows), 0, end_us, expected or Expected())
 
 
-def seen(check: object) -> tuple[float, int | None]:
+def outcome(check: object) -> tuple[float, int | None]:
     return check.value, check.occasions  # type: ignore[attr-defined]
 
 
-def test_a_row_replaces_the_one_before_and_an_end_ends_all() -> None:
+def test_a_row_replaces_the_previous_one_and_the_end_of_a_session_ends_all_its_spans() -> None:
     history = ShardHistory(
         [
             uses(ONE, 1, 0, 100, "3,4"),
@@ -131,13 +131,13 @@
     assert history.sessions["r0", 1].end_us == 120 and history.sessions["r0", 3].end_us == 40
 
 
-def test_what_is_said_after_a_lease_has_ended_uses_nothing() -> None:
+def test_a_row_after_the_end_of_its_lease_uses_no_shards() -> None:
     history = ShardHistory([uses(ONE, 1, 0, 100, "3"), uses(ONE, 1, 200, 100, "3,4")])
     assert [(s.begin_us, s.end_us) for s in history.owned["r0", 3]] == [(0, 100)]
     assert ("r0", 4) not in history.owned
 
 
-def test_shards_in_use_are_those_said_last() -> None:
+def test_shards_in_use_are_those_of_the_last_row() -> None:
     rows = [uses(ONE, 1, 0, 100, "3,4"), uses(OTHER, 2, 0, 100, "5"), uses(ONE, 1, 5, 100, "-")]
     assert shards_in_use(rows) == 1 and shards_of(rows[0]) == {3, 4}
 
@@ -151,57 +151,64 @@
     assert placed("r0", 0, "-") == 0
 
 
-def test_the_world_has_both_regions_and_their_control_members() -> None:
+def test_the_scenario_has_both_regions_and_their_control_members() -> None:
     assert control_of("r0") == ("n0", "n2", "n4") and control_of("r1") == ("n1", "n3", "n5")
     assert {place_of(n).region for n in range(2)} == {"r0", "r1"} and place_of(6).role == ""
 
 
-# ---------------------------------------------------------------------- what the judge finds
+# ---------------------------------------------------------------------- violations that the checks find
 
 
-def test_two_owners_are_found_and_one_after_the_other_are_not() -> None:
-    after = [uses(ONE, 1, 0, 10, "3"), uses(OTHER, 2, 10, 20, "3")]
-    assert seen(judge(*after).one_owner()) == (0, 1)
-    assert seen(judge(uses(ONE, 1, 0, 11, "3"), after[1]).one_owner()) == (1, 1)
-    # Also where one ended between: the longest lasting one is looked at.
+def test_two_simultaneous_owners_are_found_and_successive_owners_are_not() -> None:
+    successive = [uses(ONE, 1, 0, 10, "3"), uses(OTHER, 2, 10, 20, "3")]
+    assert outcome(judge(*successive).one_owner()) == (0, 1)
+    assert outcome(judge(uses(ONE, 1, 0, 11, "3"), successive[1]).one_owner()) == (1, 1)
+    # Also if another span ended in between: the check compares with the span that lasts longest.
     third = uses("n10", 3, 30, 40, "3")
-    assert seen(judge(uses(ONE, 1, 0, 35, "3"), after[1], third).one_owner()) == (2, 2)
+    assert outcome(judge(uses(ONE, 1, 0, 35, "3"), successive[1], third).one_owner()) == (2, 2)
 
 
 def test_an_act_outside_its_lease_or_without_the_shard_is_found() -> None:
     lease = uses(ONE, 1, 0, 10, "3")
-    assert seen(judge(lease, act("shard-act", ONE, 10, (1, 1))).acts_only_while_owner()) == (0, 1)
-    assert seen(judge(lease, act("shard-act", ONE, 11, (1, 1))).acts_only_while_owner()) == (1, 1)
-    assert seen(judge(lease, act("shard-act", ONE, 5, (1, 1), 4)).acts_only_while_owner()) == (1, 1)
-    assert seen(judge(lease, act("shard-act", ONE, 5, (1, 9))).acts_only_while_owner()) == (1, 1)
+    assert outcome(judge(lease, act("shard-act", ONE, 10, (1, 1))).acts_only_while_owner()) == (0, 1)
+    assert outcome(judge(lease, act("shard-act", ONE, 11, (1, 1))).acts_only_while_owner()) == (1, 1)
+    assert outcome(judge(lease, act("shard-act", ONE, 5, (1, 1), 4)).acts_only_while_owner()) == (1, 1)
+    assert outcome(judge(lease, act("shard-act", ONE, 5, (1, 9))).acts_only_while_owner()) == (1, 1)
 
 
 def test_a_shard_used_where_it_is_not_placed_is_found() -> None:
     owner = placed("r0", 3, SESSIONS)
-    name, wrong = (ONE, OTHER) if owner == 1 else (OTHER, ONE)
-    known = goes_by(name, owner, 0, 1, SESSIONS)
-    assert seen(judge(known, uses(name, owner, 1, 9, "3")).used_only_where_placed()) == (0, 1)
-    assert seen(judge(known, uses(wrong, 3 - owner, 1, 9, "3")).used_only_where_placed()) == (1, 1)
-    assert seen(judge(uses(name, owner, 1, 9, "3")).used_only_where_placed()) == (1, 1)
-
-
-def test_a_shard_that_nobody_uses_long_after_the_last_fault_is_found() -> None:
-    whole = ",".join(map(str, range(SHARDS_OF_A_REGION)))
-    end_us, expected = 30 * SECOND, Expected(owned_within_s=10.0)
-    fault = row("fault", "", 5 * SECOND, what="heal")
-    second = {**uses("n7", 2, 0, 40 * SECOND, whole), "region": "r1"}
-
-    def found(*rows: Row) -> tuple[float, int | None]:
-        return seen(judge(fault, second, *rows, end_us=end_us, expected=expected).owned_after_the_faults())
-
-    assert found(uses(ONE, 1, 14 * SECOND, 31 * SECOND, whole)) == (0, 2 * SHARDS_OF_A_REGION)
-    assert found(uses(ONE, 1, 16 * SECOND, 31 * SECOND, whole))[0] == SHARDS_OF_A_REGION
-    assert found(uses(ONE, 1, 14 * SECOND, 29 * SECOND, whole))[0] == SHARDS_OF_A_REGION
-    assert found(uses(ONE, 1, 14 * SECOND, 31 * SECOND, "3"))[0] == SHARDS_OF_A_REGION - 1
-    gap = [uses(ONE, 1, 14 * SECOND, 20 * SECOND, whole), uses(ONE, 3, 21 * SECOND, 31 * SECOND, whole)]
-    assert found(*gap)[0] == SHARDS_OF_A_REGION
-    # A day that ends before anything is owed has no occasion, and so does not hold.
-    check = judge(fault, end_us=12 * SECOND, expected=expected).owned_after_the_faults()
+    name, other_name = (ONE, OTHER) if owner == 1 else (OTHER, ONE)
+    generation_row = applies(name, owner, 0, 1, SESSIONS)
+    assert outcome(judge(generation_row, uses(name, owner, 1, 9, "3")).used_only_where_placed()) == (0, 1)
+    assert outcome(
+        judge(generation_row, uses(other_name, 3 - owner, 1, 9, "3")).used_only_where_placed()
+    ) == (1, 1)
+    assert outcome(judge(uses(name, owner, 1, 9, "3")).used_only_where_placed()) == (1, 1)
+
+
+def test_a_shard_without_an_owner_long_after_the_last_fault_is_found() -> None:
+    all_shards = ",".join(map(str, range(SHARDS_OF_A_REGION)))
+    end_us, expected = 30 * SECOND_US, Expected(owned_within_s=10.0)
+    fault = row("fault", "", 5 * SECOND_US, what="heal")
+    other_region = {**uses("n7", 2, 0, 40 * SECOND_US, all_shards), "region": "r1"}
+
+    def outcome_of(*rows: Row) -> tuple[float, int | None]:
+        return outcome(
+            judge(fault, other_region, *rows, end_us=end_us, expected=expected).owned_after_the_faults()
+        )
+
+    assert outcome_of(uses(ONE, 1, 14 * SECOND_US, 31 * SECOND_US, all_shards)) == (0, 2 * SHARDS_OF_A_REGION)
+    assert outcome_of(uses(ONE, 1, 16 * SECOND_US, 31 * SECOND_US, all_shards))[0] == SHARDS_OF_A_REGION
+    assert outcome_of(uses(ONE, 1, 14 * SECOND_US, 29 * SECOND_US, all_shards))[0] == SHARDS_OF_A_REGION
+    assert outcome_of(uses(ONE, 1, 14 * SECOND_US, 31 * SECOND_US, "3"))[0] == SHARDS_OF_A_REGION - 1
+    gap = [
+        uses(ONE, 1, 14 * SECOND_US, 20 * SECOND_US, all_shards),
+        uses(ONE, 3, 21 * SECOND_US, 31 * SECOND_US, all_shards),
+    ]
+    assert outcome_of(*gap)[0] == SHARDS_OF_A_REGION
+    # A run that ends before the check applies has no occasion, so the check does not hold.
+    check = judge(fault, end_us=12 * SECOND_US, expected=expected).owned_after_the_faults()
     assert check.occasions == 0 and not check.holds
 
 
@@ -209,111 +216,117 @@
     first = placed("r0", 3, SESSIONS)
     winner, loser = (ONE, OTHER) if first == 1 else (OTHER, ONE)
 
-    def moved(one: str, other: str, before: str, after: str) -> tuple[float, int | None]:
+    def outcome_of_move(from_node: str, to_node: str, before: str, after: str) -> tuple[float, int | None]:
         numbers = {ONE: 1, OTHER: 2}
         rows = [
-            goes_by(one, numbers[one], 0, 1, before),
-            uses(one, numbers[one], 1, 9, "3", 1),
-            goes_by(other, numbers[other], 10, 2, after),
-            uses(other, numbers[other], 11, 20, "3", 2),
+            applies(from_node, numbers[from_node], 0, 1, before),
+            uses(from_node, numbers[from_node], 1, 9, "3", 1),
+            applies(to_node, numbers[to_node], 10, 2, after),
+            uses(to_node, numbers[to_node], 11, 20, "3", 2),
         ]
-        return seen(judge(*rows).moves_with_cause())
+        return outcome(judge(*rows).moves_with_cause())
 
-    alone = {ONE: "n6:1", OTHER: "n8:2"}
-    assert moved(loser, winner, alone[loser], SESSIONS) == (0, 1)  # a better one joined
-    assert moved(winner, loser, SESSIONS, alone[loser]) == (0, 1)  # its session ended
-    assert moved(winner, loser, alone[winner], SESSIONS) == (1, 1)  # a worse one joined
-    assert moved(loser, winner, SESSIONS, SESSIONS) == (1, 1)  # nobody came or went
+    single = {ONE: "n6:1", OTHER: "n8:2"}
+    # A session with a higher score joined; then the owner's session ended.
+    assert outcome_of_move(loser, winner, single[loser], SESSIONS) == (0, 1)
+    assert outcome_of_move(winner, loser, SESSIONS, single[loser]) == (0, 1)
+    # A session with a lower score joined; then no session joined or ended.
+    assert outcome_of_move(winner, loser, single[winner], SESSIONS) == (1, 1)
+    assert outcome_of_move(loser, winner, SESSIONS, SESSIONS) == (1, 1)
 
 
-def test_a_session_that_is_out_while_in_use_is_found() -> None:
-    rows = [goes_by(OTHER, 2, 0, 1, SESSIONS), uses(ONE, 1, 0, 10, "3")]
-    assert seen(judge(*rows, goes_by(OTHER, 2, 10, 2, "n8:2")).sessions_end_unused()) == (0, 1)
-    assert seen(judge(*rows, goes_by(OTHER, 2, 9, 2, "n8:2")).sessions_end_unused()) == (1, 1)
+def test_a_session_that_is_removed_while_in_use_is_found() -> None:
+    rows = [applies(OTHER, 2, 0, 1, SESSIONS), uses(ONE, 1, 0, 10, "3")]
+    assert outcome(judge(*rows, applies(OTHER, 2, 10, 2, "n8:2")).sessions_end_unused()) == (0, 1)
+    assert outcome(judge(*rows, applies(OTHER, 2, 9, 2, "n8:2")).sessions_end_unused()) == (1, 1)
     lost = row("shards-lost", ONE, 5, region="r0", session=1, why="released")
-    assert seen(judge(*rows, lost, goes_by(OTHER, 2, 9, 2, "n8:2")).sessions_end_unused()) == (0, 1)
+    assert outcome(judge(*rows, lost, applies(OTHER, 2, 9, 2, "n8:2")).sessions_end_unused()) == (0, 1)
 
 
-def test_a_generation_that_follows_where_nothing_may_move_is_found() -> None:
+def test_a_new_generation_while_nothing_may_move_is_found() -> None:
     cut = row("fault", "", 5, what="cut")
-    early = goes_by(ONE, 1, 1, 1, SESSIONS)
-    assert seen(judge(early, cut, goes_by(OTHER, 2, 9, 1, SESSIONS)).nothing_moved()) == (0, 1)
-    assert seen(judge(early, cut, goes_by(OTHER, 2, 9, 2, SESSIONS)).nothing_moved()) == (1, 1)
+    early = applies(ONE, 1, 1, 1, SESSIONS)
+    assert outcome(judge(early, cut, applies(OTHER, 2, 9, 1, SESSIONS)).nothing_moved()) == (0, 1)
+    assert outcome(judge(early, cut, applies(OTHER, 2, 9, 2, SESSIONS)).nothing_moved()) == (1, 1)
     assert not judge(early).nothing_moved().holds
 
 
 def test_a_generation_with_two_contents_is_found() -> None:
-    rows = [goes_by(ONE, 1, 0, 1, SESSIONS)]
-    assert seen(judge(*rows, goes_by(OTHER, 2, 1, 1, SESSIONS)).one_content()) == (0, 1)
-    assert seen(judge(*rows, goes_by(OTHER, 2, 1, 1, "n8:2")).one_content()) == (1, 1)
+    rows = [applies(ONE, 1, 0, 1, SESSIONS)]
+    assert outcome(judge(*rows, applies(OTHER, 2, 1, 1, SESSIONS)).one_content()) == (0, 1)
+    assert outcome(judge(*rows, applies(OTHER, 2, 1, 1, "n8:2")).one_content()) == (1, 1)
 
 
-def test_a_generation_that_goes_down_within_a_session_is_found() -> None:
-    def stepped(*steps: tuple[int, int]) -> tuple[float, int | None]:
-        rows = [goes_by(ONE, session, n, generation, "-") for n, (session, generation) in enumerate(steps)]
-        return seen(judge(*rows).generations_grow_at_a_node())
+def test_a_generation_that_decreases_within_a_session_is_found() -> None:
+    def outcome_of_steps(*steps: tuple[int, int]) -> tuple[float, int | None]:
+        rows = [applies(ONE, session, n, generation, "-") for n, (session, generation) in enumerate(steps)]
+        return outcome(judge(*rows).generations_grow_at_a_node())
 
-    assert stepped((1, 5), (1, 6)) == (0, 1)
-    assert stepped((1, 6), (1, 5)) == (1, 1)
-    assert stepped((1, 6), (1, 6)) == (1, 1)
-    assert stepped((1, 6), (2, 5)) == (0, 0)
+    assert outcome_of_steps((1, 5), (1, 6)) == (0, 1)
+    assert outcome_of_steps((1, 6), (1, 5)) == (1, 1)
+    assert outcome_of_steps((1, 6), (1, 6)) == (1, 1)
+    assert outcome_of_steps((1, 6), (2, 5)) == (0, 0)
 
 
-def test_a_lower_token_at_a_receiver_is_found_and_a_new_process_may_take_it() -> None:
+def test_a_lower_token_at_a_receiver_is_found_unless_its_process_is_new() -> None:
     high, low = act("shard-take", "n0", 1, (2, 9)), act("shard-take", "n0", 5, (1, 4))
-    assert seen(judge(low, {**high, "at_us": 6}).no_lower_token_at_a_receiver()) == (0, 1)
-    assert seen(judge(high, low).no_lower_token_at_a_receiver()) == (1, 1)
-    assert seen(judge(high, row("died", "n0", 3), low).no_lower_token_at_a_receiver()) == (0, 0)
+    assert outcome(judge(low, {**high, "at_us": 6}).no_lower_token_at_a_receiver()) == (0, 1)
+    assert outcome(judge(high, low).no_lower_token_at_a_receiver()) == (1, 1)
+    assert outcome(judge(high, row("died", "n0", 3), low).no_lower_token_at_a_receiver()) == (0, 0)
     elsewhere = judge(high, {**low, "node": "n2"})
-    assert seen(elsewhere.no_lower_token_at_a_receiver()) == (0, 0)
+    assert outcome(elsewhere.no_lower_token_at_a_receiver()) == (0, 0)
     assert elsewhere.figures()["acts_taken_after_a_higher_elsewhere"] == 1
 
 
-def test_a_refusal_of_what_is_not_past_is_found() -> None:
+def test_a_rejection_of_a_token_that_is_not_outdated_is_found() -> None:
     taken = act("shard-take", "n0", 1, (2, 9))
-    assert seen(judge(taken, act("shard-refuse", "n0", 2, (1, 4))).only_the_past_is_refused()) == (0, 1)
-    assert seen(judge(taken, act("shard-refuse", "n0", 2, (2, 9))).only_the_past_is_refused()) == (1, 1)
-    assert seen(judge(act("shard-refuse", "n0", 2, (1, 4))).only_the_past_is_refused()) == (1, 1)
+    assert outcome(judge(taken, act("shard-refuse", "n0", 2, (1, 4))).only_the_past_is_refused()) == (0, 1)
+    assert outcome(judge(taken, act("shard-refuse", "n0", 2, (2, 9))).only_the_past_is_refused()) == (1, 1)
+    assert outcome(judge(act("shard-refuse", "n0", 2, (1, 4))).only_the_past_is_refused()) == (1, 1)
 
 
-def test_tokens_that_go_down_from_owner_to_owner_are_found() -> None:
-    def made(*tokens: tuple[int, int]) -> tuple[float, int | None]:
+def test_tokens_that_decrease_from_owner_to_owner_are_found() -> None:
+    def outcome_of_tokens(*tokens: tuple[int, int]) -> tuple[float, int | None]:
         rows = [act("shard-act", (ONE, OTHER)[n % 2], n, token) for n, token in enumerate(tokens)]
-        return seen(judge(*rows).tokens_grow())
+        return outcome(judge(*rows).tokens_grow())
 
-    assert made((1, 1), (1, 1), (2, 2)) == (0, 1)
-    assert made((2, 1), (1, 2)) == (1, 1)
-    assert made((2, 5), (2, 4)) == (1, 1)
+    assert outcome_of_tokens((1, 1), (1, 1), (2, 2)) == (0, 1)
+    assert outcome_of_tokens((2, 1), (1, 2)) == (1, 1)
+    assert outcome_of_tokens((2, 5), (2, 4)) == (1, 1)
 
 
-def test_two_assigners_at_an_instant_are_found() -> None:
+def test_two_simultaneous_assigners_are_found() -> None:
     def hold(node: str, at_us: int, until_us: int, term: int) -> Row:
         return row("hold", node, at_us, task="shards/r0", until_us=until_us, term=term)
 
     for until_us, breaches in ((10, 0), (11, 1)):
         rows = (hold("n0", 0, until_us, 1), hold("n2", 10, 20, 2))
         checks = {check.name: check for check in judge(*rows).checks()}
-        assert seen(checks["one-owner-at-a-time"]) == (breaches, 1)
+        assert outcome(checks["one-owner-at-a-time"]) == (breaches, 1)
 
 
 def test_a_check_without_an_occasion_does_not_hold() -> None:
     assert not any(check.holds for check in judge().checks())
 
 
-# ---------------------------------------------------------------------- a day on real processes
+# ---------------------------------------------------------------------- a run on real processes
 
 
-def test_a_day_on_real_processes(real_day: Future[Played]) -> None:
-    """A stop over a lease, a cut, and the assigner killed: each has happened, and shards moved."""
-    played = real_day.result()
-    assert broken(played) == []
-    struck = [row["what"] for row in played.rows if row["kind"] == "fault"]
-    assert {"stop", "go-on", "cut", "heal"} <= set(struck)
-    assert [r for r in played.rows if r["kind"] == "log" and "Traceback" in r["text"]] == []
-    assert played.figures["changes_of_owner"] > 0 and played.figures["acts_taken"] > 100
-    holds = [r for r in played.rows if r["kind"] == "hold"]
-    died = [r for r in played.rows if r["kind"] == "died"]
+def test_a_run_on_real_processes(real_run: Future[Played]) -> None:
+    """The run has a stop longer than a lease, a network partition and a killed assigner, and shards move."""
+    result = real_run.result()
+    assert failed_checks(result) == []
+    faults = [row["what"] for row in result.rows if row["kind"] == "fault"]
+    assert {"stop", "go-on", "cut", "heal"} <= set(faults)
+    assert [
+        record for record in result.rows if record["kind"] == "log" and "Traceback" in record["text"]
+    ] == []
+    assert result.figures["changes_of_owner"] > 0 and result.figures["acts_taken"] > 100
+    leases = [record for record in result.rows if record["kind"] == "hold"]
+    deaths = [record for record in result.rows if record["kind"] == "died"]
     assert any(
-        h["node"] == d["node"] and h["at_us"] < d["at_us"] < h["until_us"] for h in holds for d in died
+        lease["node"] == death["node"] and lease["at_us"] < death["at_us"] < lease["until_us"]
+        for lease in leases
+        for death in deaths
     )
-    assert played.figures["changes_of_assigner"] > 0
+    assert result.figures["changes_of_assigner"] > 0
--- a/tests/test_sharding_wire.py
+++ b/tests/test_sharding_wire.py
@@ -1,4 +1,4 @@
-"""Bad input about shards: whatever arrives, nothing is raised, and what a node owns stays as it was."""
+"""Invalid sharding messages: no input raises an exception or changes the shards that a node owns."""
 
 from __future__ import annotations
 
@@ -56,8 +56,8 @@
 ]
 
 
-class Running:
-    """Two regions in virtual time in which every shard is owned."""
+class RunningFleet:
+    """Two regions in virtual time, run until every shard is owned."""
 
     def __init__(self) -> None:
         self.begin()
@@ -75,10 +75,10 @@
         assert agent is not None
         return agent
 
-    def part(self, name: str) -> ShardingAgent:
-        part = self.agent(name).shards
-        assert part is not None
-        return part
+    def sharding_agent(self, name: str) -> ShardingAgent:
+        sharding_agent = self.agent(name).shards
+        assert sharding_agent is not None
+        return sharding_agent
 
     def assigner(self) -> str:
         name = self.fleet.owner(f"shards/{REGION}")
@@ -88,7 +88,7 @@
     def owned(self) -> dict[str, frozenset[int]]:
         """The shards that each node may use now."""
         nodes = [node for node in self.fleet.nodes.values() if node.agent is not None]
-        sessions = {node.name: self.part(node.name).session for node in nodes}
+        sessions = {node.name: self.sharding_agent(node.name).session for node in nodes}
         return {
             name: session.usable_shards(self.fleet.clock_us(self.node(name)))
             for name, session in sessions.items()
@@ -99,28 +99,28 @@
         agent = self.agent(sender)
         return Envelope("lab", sender, agent.life, agent.members.own_record.incarnation, body)
 
-    def hear(self, name: str, sender: str, body: Body) -> list[OutgoingEnvelope]:
-        """What a node answers to a message of another member."""
+    def deliver(self, name: str, sender: str, body: Body) -> list[OutgoingEnvelope]:
+        """Delivers a message from another member to a node; returns the node's answers."""
         node = self.node(name)
         envelope = decode_envelope(encode_envelope(self.envelope(sender, body)))
         return self.agent(name).on_envelope(self.fleet.clock_us(node), self.node(sender).address, envelope)
 
     def answers(self, name: str, sender: str, body: Body) -> list[Body]:
-        return [out.envelope.body for out in self.hear(name, sender, body)]
+        return [out.envelope.body for out in self.deliver(name, sender, body)]
 
 
 @pytest.fixture
-def running() -> Running:
-    return Running()
+def running() -> RunningFleet:
+    return RunningFleet()
 
 
 @pytest.fixture(scope="module")
-def stormed() -> Iterator[Running]:
-    """One that has heard whatever came before; it is not looked at for what it owns."""
-    yield Running()
+def shared_fleet() -> Iterator[RunningFleet]:
+    """A fleet that all examples share; its shards are not checked."""
+    yield RunningFleet()
 
 
-# ---------------------------------------------------------------------- what cannot be read
+# ---------------------------------------------------------------------- messages that cannot be decoded
 
 
 def _envelope(body: Body) -> Envelope:
@@ -135,7 +135,7 @@
     assert decode_envelope(msgspec.msgpack.encode(fields)).body == body
 
 
-def test_a_heartbeat_of_an_older_version_is_read_without_what_came_later() -> None:
+def test_a_heartbeat_of_an_older_version_is_read_without_later_fields() -> None:
     body = RenewSession(REGION, DIGEST, 1, 48, 5, 2)
     fields = msgspec.to_builtins(_envelope(body))
     fields[4] = fields[4][:7]
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
-def test_an_unknown_kind_of_message_is_dropped(body: ShardBody) -> None:
+def test_an_unknown_kind_of_message_is_rejected(body: ShardBody) -> None:
     fields = msgspec.to_builtins(_envelope(body))
     fields[4][0] = "shard-unheard-of"
     with pytest.raises(InvalidEnvelopeError):
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
-def test_a_message_cut_short_anywhere_is_none(body: ShardBody) -> None:
+def test_a_truncated_message_is_rejected(body: ShardBody) -> None:
     data = encode_envelope(_envelope(body))
     for length in range(len(data)):
         with pytest.raises(InvalidEnvelopeError):
@@ -175,28 +175,28 @@
     ],
     ids=lambda value: str(value) if isinstance(value, int) else type(value).__name__,
 )
-def test_a_number_that_is_none_of_this_program_s_is_refused(body: ShardBody, number: int) -> None:
-    """Generations, sessions and shards are counted in 64 bits: a number beyond them would end the agent."""
-    fields = _replaced(msgspec.to_builtins(_envelope(body)), 991, number)
+def test_a_number_out_of_range_is_rejected(body: ShardBody, number: int) -> None:
+    """Generations, sessions and shards are 64-bit numbers: a number out of range would crash the agent."""
+    fields = _replace(msgspec.to_builtins(_envelope(body)), 991, number)
     with pytest.raises(InvalidEnvelopeError):
         decode_envelope(msgspec.msgpack.encode(fields))
 
 
-def _replaced(value: Any, old: int, new: int) -> Any:
+def _replace(value: Any, old: int, new: int) -> Any:
     if isinstance(value, list):
-        return [_replaced(part, old, new) for part in value]
+        return [_replace(element, old, new) for element in value]
     return new if value == old else value
 
 
-# ---------------------------------------------------------------------- whatever is read
+# ---------------------------------------------------------------------- arbitrary valid messages
 
 
-def _places(value: list[Any], path: tuple[int, ...] = ()) -> Iterator[tuple[int, ...]]:
-    """Where in a message something can be put in the place of what is there."""
-    for n, part in enumerate(value):
-        yield (*path, n)
-        if isinstance(part, list):
-            yield from _places(part, (*path, n))
+def _element_paths(value: list[Any], path: tuple[int, ...] = ()) -> Iterator[tuple[int, ...]]:
+    """Yields the path of every element of a message that can be replaced."""
+    for index, element in enumerate(value):
+        yield (*path, index)
+        if isinstance(element, list):
+            yield from _element_paths(element, (*path, index))
 
 
 NUMBERS = st.sampled_from([0, 1, 2, 3, 24, 47, 48, 49, 2**31, 2**53, 2**62, 2**63 - 1, -1, 2**64 - 1])
@@ -212,85 +212,98 @@
 @settings(max_examples=300, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(
     body=st.sampled_from(BODIES),
-    to=st.sampled_from(["n0", "n2", "n4", NODE]),
+    recipient=st.sampled_from(["n0", "n2", "n4", NODE]),
     sender=st.sampled_from(["n0", "n2", "n4", NODE, OTHER, "n1"]),
-    spots=st.lists(st.tuples(st.integers(0, 40), VALUES), min_size=1, max_size=3),
-    live=st.booleans(),
+    replacements=st.lists(st.tuples(st.integers(0, 40), VALUES), min_size=1, max_size=3),
+    uses_valid_references=st.booleans(),
 )
-def test_whatever_is_read_raises_nothing(
-    stormed: Running, body: ShardBody, to: str, sender: str, spots: list[tuple[int, Any]], live: bool
+def test_no_decoded_message_raises(
+    shared_fleet: RunningFleet,
+    body: ShardBody,
+    recipient: str,
+    sender: str,
+    replacements: list[tuple[int, Any]],
+    uses_valid_references: bool,
 ) -> None:
-    """Well formed messages with any content, to members in any part; half of them name what is there."""
-    fields = msgspec.to_builtins(stormed.envelope(sender, _lively(stormed, to, body) if live else body))
-    for spot, value in spots:
-        places = list(_places(fields[4]))[1:]  # not its tag
-        path = places[spot % len(places)]
-        inside = fields[4]
-        for step in path[:-1]:
-            inside = inside[step]
-        inside[path[-1]] = copy.deepcopy(value)
+    """Well-formed messages with arbitrary content, to members in any role; half of them refer to existing
+    sessions and terms.
+    """
+    fields = msgspec.to_builtins(
+        shared_fleet.envelope(
+            sender, _with_valid_references(shared_fleet, recipient, body) if uses_valid_references else body
+        )
+    )
+    for index, value in replacements:
+        paths = list(_element_paths(fields[4]))[1:]  # without the tag
+        path = paths[index % len(paths)]
+        parent = fields[4]
+        for position in path[:-1]:
+            parent = parent[position]
+        parent[path[-1]] = copy.deepcopy(value)
     try:
         envelope = decode_envelope(msgspec.msgpack.encode(fields))
     except InvalidEnvelopeError:
         return
-    session = stormed.part(NODE).session
+    session = shared_fleet.sharding_agent(NODE).session
     if session is None or not session.generation:
-        stormed.begin()  # one that owns nothing any more has little to be wrong about
-    node, agent = stormed.node(to), stormed.agent(to)
-    now_us = stormed.fleet.clock_us(node)
-    outs = agent.on_envelope(now_us, stormed.node(sender).address, envelope)
-    outs += agent.turn(now_us)
-    for out in outs:
-        decode_envelope(encode_envelope(out.envelope))
-
-
-def _lively(running: Running, to: str, body: ShardBody) -> ShardBody:
-    """The same with numbers that the receiver takes for an answer, or for its own."""
-    part = running.part(to)
-    session = part.session
+        shared_fleet.begin()  # a node without shards reaches few code paths
+    node, agent = shared_fleet.node(recipient), shared_fleet.agent(recipient)
+    now_us = shared_fleet.fleet.clock_us(node)
+    outgoing = agent.on_envelope(now_us, shared_fleet.node(sender).address, envelope)
+    outgoing += agent.turn(now_us)
+    for message in outgoing:
+        decode_envelope(encode_envelope(message.envelope))
+
+
+def _with_valid_references(running: RunningFleet, recipient: str, body: ShardBody) -> ShardBody:
+    """The same message with numbers that the receiver accepts as an answer or as its own."""
+    sharding_agent = running.sharding_agent(recipient)
+    session = sharding_agent.session
     if isinstance(body, SessionRenewed) and session is not None:
         change = GenerationChange(session.generation + 1, [SESSION], [])
         return msgspec.structs.replace(
             body, sequence=0, session_number=session.session_number, changes=[change]
         )
-    if isinstance(body, (RenewSession,)) and part.assigner is not None:
-        known = part.assigner.sessions
-        number = known[0].number if known else 0
+    if isinstance(body, (RenewSession,)) and sharding_agent.assigner is not None:
+        sessions = sharding_agent.assigner.sessions
+        number = sessions[0].number if sessions else 0
         return msgspec.structs.replace(
-            body, session_number=number, applied_generation=part.assigner.generation
+            body, session_number=number, applied_generation=sharding_agent.assigner.generation
         )
-    if isinstance(body, (TableRead, TableWritten, TableRejected)) and part.assigner is not None:
-        return msgspec.structs.replace(body, term=part.assigner.term)
+    if isinstance(body, (TableRead, TableWritten, TableRejected)) and sharding_agent.assigner is not None:
+        return msgspec.structs.replace(body, term=sharding_agent.assigner.term)
     return body
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=60), st.sampled_from(BODIES), st.integers(0, 200))
-def test_bytes_of_chance_are_no_message_or_a_message(data: bytes, body: ShardBody, at: int) -> None:
-    whole = bytearray(encode_envelope(Envelope("lab", OTHER, 1, 1, body)))
-    spot = at % len(whole)
-    whole[spot : spot + len(data)] = data
-    for text in (data, bytes(whole)):
+def test_random_bytes_are_rejected_or_decode_to_a_message_that_encodes_again(
+    data: bytes, body: ShardBody, position: int
+) -> None:
+    message = bytearray(encode_envelope(Envelope("lab", OTHER, 1, 1, body)))
+    offset = position % len(message)
+    message[offset : offset + len(data)] = data
+    for candidate in (data, bytes(message)):
         try:
-            envelope = decode_envelope(text)
+            envelope = decode_envelope(candidate)
         except InvalidEnvelopeError:
             continue
         assert decode_envelope(encode_envelope(envelope)) == envelope
 
 
-# ---------------------------------------------------------------------- what is read, and wrong
+# ---------------------------------------------------------------------- valid messages with wrong content
 
 
-def test_a_member_with_other_settings_is_notified_and_changes_nothing(running: Running) -> None:
+def test_a_member_with_different_settings_is_notified_and_changes_nothing(running: RunningFleet) -> None:
     assigner = running.assigner()
-    part, before = running.part(assigner), running.owned()
-    generation = part.assigner.generation if part.assigner is not None else 0
+    sharding_agent, before = running.sharding_agent(assigner), running.owned()
+    generation = sharding_agent.assigner.generation if sharding_agent.assigner is not None else 0
     running.agent(assigner).log_events.clear()
-    promised = [running.part(name).acceptor for name in ("n0", "n2", "n4")]
+    promised = [running.sharding_agent(name).acceptor for name in ("n0", "n2", "n4")]
     terms = [acceptor.promised_term for acceptor in promised if acceptor is not None]
-    told: list[Body] = []
+    answers: list[Body] = []
     for _ in range(3):
-        told += running.answers(assigner, OTHER, RenewSession(REGION, DIGEST ^ 1, 9, 0, 5, 0))
+        answers += running.answers(assigner, OTHER, RenewSession(REGION, DIGEST ^ 1, 9, 0, 5, 0))
         assert running.answers("n0", "n2", ReadTable(REGION, DIGEST ^ 1, 2**40, 9)) == []
         assert (
             running.answers("n0", "n2", WriteTable(REGION, DIGEST ^ 1, 9, running.agent("n0").life, STATE))
@@ -302,28 +315,32 @@
             )
             == []
         )
-    assert told == [RenewalRejected(REGION, 9, "settings")] * 3
-    notes = [facts for what, facts in running.agent(assigner).log_events if what == "shards-settings-differ"]
-    assert notes == [{"name": OTHER}]  # one line, however many there are
-    assert part.settings_mismatch_count >= 3
-    assert part.assigner is not None and part.assigner.generation == generation
+    assert answers == [RenewalRejected(REGION, 9, "settings")] * 3
+    mismatch_events = [
+        event_fields
+        for event_name, event_fields in running.agent(assigner).log_events
+        if event_name == "shards-settings-differ"
+    ]
+    assert mismatch_events == [{"name": OTHER}]  # one log line for any number of messages
+    assert sharding_agent.settings_mismatch_count >= 3
+    assert sharding_agent.assigner is not None and sharding_agent.assigner.generation == generation
     assert terms == [acceptor.promised_term for acceptor in promised if acceptor is not None]
     running.fleet.run(26.0)
     assert running.owned() == before
 
 
-def test_a_rejection_for_settings_does_not_end_a_session(running: Running) -> None:
+def test_a_rejection_for_settings_does_not_end_a_session(running: RunningFleet) -> None:
     before = running.owned()
-    session = running.part(NODE).session
+    session = running.sharding_agent(NODE).session
     assert session is not None and before[NODE]
     for number in range(1, 100):
-        running.hear(NODE, running.assigner(), RenewalRejected(REGION, number, "settings"))
-        running.hear(NODE, running.assigner(), RenewalRejected(REGION, number, "a reason of later"))
+        running.deliver(NODE, running.assigner(), RenewalRejected(REGION, number, "settings"))
+        running.deliver(NODE, running.assigner(), RenewalRejected(REGION, number, "a reason of later"))
     assert running.owned() == before
 
 
-def test_another_region_s_messages_change_nothing(running: Running) -> None:
-    before, fence = running.owned(), running.part(NODE).acts.fence
+def test_another_region_s_messages_change_nothing(running: RunningFleet) -> None:
+    before, fence = running.owned(), running.sharding_agent(NODE).acts.fence
     act = ShardAct("r1", 5, FencingToken(2**50, 48), 1)
     for body in (*BODIES, act):
         foreign = msgspec.structs.replace(body, region="r1")
@@ -333,65 +350,67 @@
     assert running.owned() == before
 
 
-def test_a_change_that_does_not_follow_is_not_applied(running: Running) -> None:
-    session = running.part(NODE).session
+def test_a_change_that_does_not_follow_the_present_generation_is_not_applied(running: RunningFleet) -> None:
+    session = running.sharding_agent(NODE).session
     assert session is not None
     generation, before = session.generation, running.owned()
-    gone = [s.number for s in session.known_sessions() if s.name != NODE]
-    for wrong in (0, generation - 1, generation, generation + 2, generation + 1_000):
-        told = SessionRenewed(REGION, 0, 0, wrong, 0, [GenerationChange(wrong, [], gone)])
-        running.hear(NODE, running.assigner(), told)
+    other_sessions = [s.number for s in session.known_sessions() if s.name != NODE]
+    for wrong_generation in (0, generation - 1, generation, generation + 2, generation + 1_000):
+        notice = SessionRenewed(
+            REGION, 0, 0, wrong_generation, 0, [GenerationChange(wrong_generation, [], other_sessions)]
+        )
+        running.deliver(NODE, running.assigner(), notice)
         assert session.generation == generation
     assert running.owned() == before
 
 
-def test_a_page_of_an_older_table_or_out_of_order_is_not_applied(running: Running) -> None:
-    session = running.part(NODE).session
+def test_a_page_of_an_older_table_or_out_of_order_is_not_applied(running: RunningFleet) -> None:
+    session = running.sharding_agent(NODE).session
     assert session is not None
     generation, before = session.generation, running.owned()
-    alone = [Session(NODE, session.session_number, 1)]
-    for table, offset, more in (
+    own_session_only = [Session(NODE, session.session_number, 1)]
+    for table, offset, has_more in (
         (generation - 1, 0, False),
         (generation, 0, False),
         (generation + 5, 24, False),
     ):
-        told = SessionRenewed(REGION, 0, 0, generation, 0, [], table, offset, more, alone)
-        running.hear(NODE, running.assigner(), told)
+        page = SessionRenewed(REGION, 0, 0, generation, 0, [], table, offset, has_more, own_session_only)
+        running.deliver(NODE, running.assigner(), page)
         assert session.generation == generation
     assert running.owned() == before
 
 
-def test_an_answer_to_no_heartbeat_extends_nothing(running: Running) -> None:
-    session = running.part(NODE).session
+def test_an_answer_without_a_pending_heartbeat_renews_nothing(running: RunningFleet) -> None:
+    session = running.sharding_agent(NODE).session
     assert session is not None
     until_us = session.expires_us
     for number in (10_000, 2**62):
-        running.hear(
+        running.deliver(
             NODE, OTHER, SessionRenewed(REGION, number, session.session_number, session.generation, 0, [])
         )
-    running.hear(NODE, OTHER, SessionRenewed(REGION, 0, session.session_number, session.generation, 0, []))
+    running.deliver(NODE, OTHER, SessionRenewed(REGION, 0, session.session_number, session.generation, 0, []))
     assert session.expires_us == until_us
 
 
-def test_voters_answers_of_no_voter_or_of_another_term_count_nothing(running: Running) -> None:
+def test_table_answers_of_other_members_or_of_another_term_are_ignored(running: RunningFleet) -> None:
     name = running.assigner()
-    assigner = running.part(name).assigner
+    assigner = running.sharding_agent(name).assigner
     assert assigner is not None
     before, state = running.owned(), assigner.writer.state
     empty = TableState(2**40, 2**40, [], [])
     for sender, term in ((OTHER, assigner.term), ("n2" if name != "n2" else "n4", assigner.term + 1)):
-        running.hear(name, sender, TableRead(REGION, term, 1, 7, True, empty))
-        running.hear(name, sender, TableWritten(REGION, term, 2, 7))
-        running.hear(name, sender, TableRejected(REGION, term, 2, 7, 2**40))
+        running.deliver(name, sender, TableRead(REGION, term, 1, 7, True, empty))
+        running.deliver(name, sender, TableWritten(REGION, term, 2, 7))
+        running.deliver(name, sender, TableRejected(REGION, term, 2, 7, 2**40))
     assert assigner.writer.state is state and assigner.writer.higher_term == 0
     running.fleet.run(26.0)
     assert running.owned() == before
 
 
-def test_an_act_for_a_shard_that_is_none_is_counted_and_not_remembered(running: Running) -> None:
-    part = running.part("n0")
-    taken = part.acts.accepted_count
+def test_an_act_for_an_unknown_shard_is_counted_and_not_stored(running: RunningFleet) -> None:
+    sharding_agent = running.sharding_agent("n0")
+    taken = sharding_agent.acts.accepted_count
     for shard in (SHARDS_OF_A_REGION, 2**40):
         assert running.answers("n0", NODE, ShardAct(REGION, shard, FencingToken(5, 5), 1)) == []
-        assert part.acts.fence.highest_token(REGION, shard) is None
-    assert part.acts.accepted_count == taken and part.acts.unknown_shard_count == 2
+        assert sharding_agent.acts.fence.highest_token(REGION, shard) is None
+    assert sharding_agent.acts.accepted_count == taken and sharding_agent.acts.unknown_shard_count == 2
