--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -405,7 +405,7 @@
         self._change_log.record_held_leases(self.leases)
         self._change_log.move_from(self.durable_state.log_events)
         if self.shards is not None:
-            self._change_log.move_from(self.shards.notes)
+            self._change_log.move_from(self.shards.log_events)
         for permit_change in _emptied(self.permit_holder.changes) if self.permit_holder is not None else ():
             self._change_log.log_permit(permit_change)
             self.rolling_drains.on_permit_change(permit_change)
@@ -444,7 +444,7 @@
         if isinstance(body, LeaseRequest):
             return self.leases.is_requested(body)
         return (
-            not isinstance(body, ElectionMessage) or self.shards is None or self.shards.is_still_wanted(body)
+            not isinstance(body, ElectionMessage) or self.shards is None or self.shards.is_still_needed(body)
         )
 
     def _post(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
--- a/sailrun/leadership/response_gate.py
+++ b/sailrun/leadership/response_gate.py
@@ -88,7 +88,7 @@
             and self._voter() is not None
             and not self._disabled_rules & {"generation", "sync"}
         )
-        if not needs_majority or own is None or self._freshness.is_position_noted(position):
+        if not needs_majority or own is None or self._freshness.is_position_acknowledged(position):
             return False
         own.synced_position = log.synced_position  # reported to the other voters at the next turn
         self._hold(position, recipient, body)
@@ -137,7 +137,7 @@
         noted = {
             held.position
             for held in self._awaiting_majority
-            if self._freshness.is_position_noted(held.position)
+            if self._freshness.is_position_acknowledged(held.position)
         }
         if not noted:
             return Released()
--- a/sailrun/sharding/agent.py
+++ b/sailrun/sharding/agent.py
@@ -42,7 +42,7 @@
 class ShardingAgent:
     """Combines the election of the assigner, the assigner, the voter's table and the node's session.
 
-    `notes` are events for the log; the driver has to empty them.
+    `log_events` are events for the log; the driver has to empty them.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self.name = own_record.name
         self.region = region
         self.settings = settings
-        self.notes: list[LogEvent] = []
+        self.log_events: list[LogEvent] = []
         self.settings_mismatch_count = 0  # messages from members with different settings
         self.assigner: Assigner | None = None
         self.assigner_name = ""  # the member that answered a heartbeat last; empty: the assigner is unknown
@@ -115,9 +115,9 @@
         """Whether this member may act as its region's assigner now."""
         return self.election.is_assigner(now_us)
 
-    def is_still_wanted(self, message: ElectionMessage) -> bool:
+    def is_still_needed(self, message: ElectionMessage) -> bool:
         """False for a lease request that is obsolete because this member's own vote has denied it since."""
-        return self.election.is_still_wanted(message)
+        return self.election.is_still_needed(message)
 
     # ------------------------------------------------------------------ messages
 
@@ -135,7 +135,7 @@
         """Counts a message from a member with different settings; only a heartbeat gets a rejection."""
         self.settings_mismatch_count += 1
         if self.settings_mismatch_count == 1:
-            self.notes.append(("shards-settings-differ", {"name": sender}))
+            self.log_events.append(("shards-settings-differ", {"name": sender}))
         if isinstance(body, RenewSession):
             rejection = RenewalRejected(self.region.name, body.sequence, "settings")
             return [PeerMessage(sender, rejection)]
@@ -285,7 +285,7 @@
             "mine": change.is_leader,
             "why": change.reason,
         }
-        self.notes.append(("shards-assigner", fields))
+        self.log_events.append(("shards-assigner", fields))
         if not change.is_leader:
             self._record("lost", task=self.task, term=change.term, why=change.reason)
 
@@ -316,12 +316,14 @@
         if self.assigner is not None:
             node_count = len(self.assigner.sessions)
             for change in self.assigner.committed_changes:
-                self.notes.append(generation_event(self.region.name, change, node_count))
+                self.log_events.append(generation_event(self.region.name, change, node_count))
             self.assigner.committed_changes.clear()
         if self.session is not None:
-            self.notes += [session_event(event) for event in self.session.events]
+            self.log_events += [session_event(event) for event in self.session.events]
             self.session.events.clear()
         reaches_majority = self.election.take_majority_change(now_us)
         if reaches_majority is not None:
             event_name = "shards-in-touch" if reaches_majority else "shards-rest"
-            self.notes.append((event_name, {"region": self.region.name, "voters": len(self.region.voters)}))
+            self.log_events.append(
+                (event_name, {"region": self.region.name, "voters": len(self.region.voters)})
+            )
--- a/sailrun/sharding/assigner_election.py
+++ b/sailrun/sharding/assigner_election.py
@@ -103,7 +103,7 @@
                 return active_lease[0]
         return self._leases.lease_of(self.task).holder
 
-    def is_still_wanted(self, message: ElectionMessage) -> bool:
+    def is_still_needed(self, message: ElectionMessage) -> bool:
         """False for a lease request that is obsolete because this member's own vote has denied it since."""
         return not isinstance(message.body, LeaseRequest) or self._leases.is_requested(message.body)
 
--- a/sailrun/storage/freshness.py
+++ b/sailrun/storage/freshness.py
@@ -149,7 +149,7 @@
             and bool(self.own.incarnation)
         )
 
-    def is_position_noted(self, position: int) -> bool:
+    def is_position_acknowledged(self, position: int) -> bool:
         """Whether a majority has acknowledged that this folder has reached `position`. Positions that a
         confirmed folder had at the start count as acknowledged: the queries have compared them.
         """
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -376,7 +376,7 @@
     assert first.own is not None
     first.own.synced_position = 50
     exchange_queries(first, others, 2 * SECOND_US)
-    assert first.is_position_noted(50) and not first.is_position_noted(51)
+    assert first.is_position_acknowledged(50) and not first.is_position_acknowledged(51)
 
     restarted = create_freshness("n1")
     restarted.start(OwnFolder("aa", 2, 2, 50, 50), True, {})
