--- a/sailrun/sharding/agent.py
+++ b/sailrun/sharding/agent.py
@@ -73,7 +73,7 @@
         self.log_events: list[LogEvent] = []
         self.settings_mismatch_count = 0  # messages from members with different settings
         self.assigner: Assigner | None = None
-        self.assigner_name = ""  # the member that answered a heartbeat last; empty: the assigner is unknown
+        self.assigner_name = ""  # the member that heartbeats are sent to; empty: the assigner is unknown
         self._process_number = own_record.life
         self._members = members
         self._new_initial_term = new_initial_term
--- a/sailrun/sharding/settings.py
+++ b/sailrun/sharding/settings.py
@@ -20,37 +20,48 @@
 
 
 class RegionSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One region: the shards whose home it is, and the members that decide there."""
+    """One region: its shards and its voters."""
 
     name: Annotated[str, Meta(min_length=1, max_length=32, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
     shards: Annotated[
-        int, Meta(ge=1, le=MAX_SHARDS, description="Shards whose home is this region, numbered from 0.")
+        int,
+        Meta(ge=1, le=MAX_SHARDS, description="Number of shards of this region; they are numbered from 0."),
     ]
     voters: Annotated[
         tuple[str, ...],
         Meta(
-            description="Names of the 3, 5 or 7 members of the region that grant leases and keep its table."
+            description="Names of the 3, 5 or 7 members of the region that grant leases and store its table."
         ),
     ]
 
 
 class ShardingSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Who owns shards, and for how long without word. The same on every node of a region."""
+    """Sharding settings: regions and leases. All nodes of a region need the same `lease_s` and region."""
 
-    enabled: Annotated[bool, Meta(description="Whether this node takes part in the ownership of shards.")] = (
-        False
-    )
+    enabled: Annotated[bool, Meta(description="Whether sharding is enabled at this node.")] = False
     lease_s: Annotated[
-        float, Meta(ge=1.0, le=120.0, description="A node keeps its shards without word for so long.")
+        float,
+        Meta(
+            ge=1.0,
+            le=120.0,
+            description="How long a node may use its shards without a renewal of its session.",
+        ),
     ] = 10.0
     gather_s: Annotated[
-        float, Meta(ge=0.05, le=60.0, description="Nodes that arrive within this are added together.")
+        float,
+        Meta(
+            ge=0.05, le=60.0, description="Nodes that request a session within this time are added together."
+        ),
     ] = 1.0
     leaving: Annotated[
         int,
-        Meta(ge=1, le=1000, description="Nodes of a region that hand over for a planned stop at a time."),
+        Meta(
+            ge=1,
+            le=1000,
+            description="How many nodes of a region may hand over for a planned stop at the same time.",
+        ),
     ] = 2
-    regions: Annotated[tuple[RegionSettings, ...], Meta(description="Every region, with its shards.")] = ()
+    regions: Annotated[tuple[RegionSettings, ...], Meta(description="All regions with their shards.")] = ()
 
     def region(self, name: str) -> RegionSettings | None:
         """The region of that name; None if it is not in the settings."""
--- a/sailrun/storage/settings.py
+++ b/sailrun/storage/settings.py
@@ -10,21 +10,25 @@
 
 
 class StorageSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Where a node keeps what it has to know after a restart. Off without a folder."""
+    """Where and how a node stores its persistent state. Storage is disabled if no folder is set."""
 
     folder: Annotated[
-        str, Meta(description="This node's own folder, on a disk that lasts; empty: nothing is kept.")
+        str, Meta(description="This node's own folder, on a persistent disk; empty: nothing is stored.")
     ] = ""
     generation_mb: Annotated[
         float,
-        Meta(ge=0.01, le=4096.0, description="A journal of this size is followed by a snapshot and another."),
+        Meta(
+            ge=0.01,
+            le=4096.0,
+            description="Size at which a journal is followed by a snapshot and a new journal.",
+        ),
     ] = 8.0
     queue_mb: Annotated[
         float,
         Meta(
             ge=0.1,
             le=1024.0,
-            description="More than this waits for a slow disk no more: it is written anew as a whole.",
+            description="Limit for entries that wait for a slow disk; above it the whole state is written.",
         ),
     ] = 8.0
     slow_s: Annotated[
@@ -32,19 +36,23 @@
         Meta(
             ge=0.0,
             le=60.0,
-            description="A voter whose disk takes longer than this steps back; 0: half of owners.lease_s.",
+            description="A voter with a slower disk denies lease requests; 0: half of owners.lease_s.",
         ),
     ] = 0.0
     idle_sync_s: Annotated[
         float,
-        Meta(ge=0.05, le=600.0, description="What nobody waits for is safe on the disk after about this."),
+        Meta(
+            ge=0.05,
+            le=600.0,
+            description="Approximate time after which entries that no reply waits for are synced to disk.",
+        ),
     ] = 2.0
     half_life_s: Annotated[
         float,
         Meta(
             ge=1.0,
             le=604_800.0,
-            description="What was learned of form servers counts half after so long without this node.",
+            description="Time without this node after which the weight of learned form server state halves.",
         ),
     ] = 120.0
 
