--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -1,10 +1,11 @@
 """One node's leases on the fleet's tasks: candidacy, renewal, handover and expiry.
 
-A lease is granted by a majority of the voters. Its holder counts the end of the lease from when it sent the
-request that the majority granted, and subtracts what two clocks may drift apart meanwhile. So the holder
-stops to act as the owner before any of these voters may grant the task to another node.
+A majority of the voters grants a lease. Its holder computes the expiry from the time at which it sent the
+request that the majority granted, minus the maximum drift between two clocks. The holder therefore stops
+acting as the leader before any of these voters may grant the task to another node.
 
-Pure: messages and the time (microseconds of one monotonic clock) come in, messages go out.
+This module does no I/O: it takes messages and the time (microseconds of one monotonic clock) and returns
+messages.
 """
 
 from __future__ import annotations
@@ -29,19 +30,21 @@
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
 SECOND = 1_000_000
-# So many of the best placed members try for a task; each waits so much longer than the one before it.
+# This many of the best-placed members are candidates for a task; each waits one stagger longer than the
+# previous one.
 MAX_CANDIDATES, CANDIDATE_STAGGER_US = 3, 150_000
-# A lease is renewed so often while it lasts; an ask is given up after this part of it.
+# Renewals per lease period; the part of a lease period after which an unanswered request is abandoned.
 RENEWALS_PER_LEASE, REQUEST_TIMEOUT_LEASES = 8, 0.5
-# After a task was yielded to a node, it asks so often for so long.
+# After a leader has handed a task over to this node, the node requests the lease at this interval during this
+# period.
 HANDOVER_RETRY_US, HANDOVER_RETRY_PERIOD_US = 40_000, SECOND
-# Of the tasks that a better placed node should have, one is failed back within this.
+# At most one task is failed back to a better-placed node per interval.
 FAIL_BACK_INTERVAL_US = 10 * SECOND
 Message = tuple[str, LeaseRequest | LeaseRelease | LeaseHandover]
 
 
 def best_placed(task: str, names: list[str]) -> list[str]:
-    """The candidates for a task among the names, by rendezvous hashing: the highest score first."""
+    """Returns the candidates for a task among `names` by rendezvous hashing, the highest score first."""
     return heapq.nsmallest(MAX_CANDIDATES, names, key=lambda name: (-_score(task, name), name))
 
 
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipChange:
-    """This node became a task's leader, or is none any more.
+    """This node became the leader of a task, or stopped being its leader.
 
     `reason`: `granted`, `lapsed`, `released` or `outvoted`.
     """
@@ -65,33 +68,33 @@
 
 @dataclass(slots=True)
 class TaskLease:
-    """What this node knows of the lease of one task, whether it holds it or not."""
+    """This node's state of one task's lease, whether the node holds the lease or not."""
 
     task: str
-    term: int = 0  # requested or held
-    expires_us: int = 0  # held until then; 0: not held
+    term: int = 0  # the term that is requested or held
+    expires_us: int = 0  # when the held lease expires; 0: not held
     acquired_us: int = 0
     requesting_since_us: int = 0  # 0: not requesting
-    request_times_us: dict[int, int] = field(default_factory=dict)  # by the request's number
-    # By voter, when the latest request that it granted was sent.
+    request_times_us: dict[int, int] = field(default_factory=dict)  # by request number, when it was sent
+    # By voter, when the latest request that the voter granted was sent.
     granted_request_us: dict[str, int] = field(default_factory=dict)
     next_attempt_us: int = 0
-    handover_until_us: int = 0  # until then it is requested often: its leader has yielded it to this node
-    highest_seen_term: int = 0  # the highest that anybody has requested, as far as known
-    # The highest that a majority granted to somebody; responses of lower terms are rejected.
+    handover_until_us: int = 0  # the leader handed the task over to this node, which retries often until then
+    highest_seen_term: int = 0  # the highest term requested by any node, as far as known here
+    # The highest term that a majority granted to any node; responses of lower terms are rejected.
     highest_granted_term: int = 0
-    holder: str = ""  # from gossip: who leads the task
+    holder: str = ""  # the leader of the task, according to gossip
     last_request_us: int = 0
-    better_candidate_since_us: int = 0  # since when a better placed member lives
-    rank: int = 0  # of this node among the candidates
+    better_candidate_since_us: int = 0  # since when a better-placed member has been alive
+    rank: int = 0  # the rank of this node among the candidates
     denied_by: set[str] = field(default_factory=set)  # the voters that denied the current request
-    rejected_responses: int = 0  # responses of this node that were rejected for their term
+    rejected_responses: int = 0  # responses of this node that were rejected because of their term
 
 
 class Leases:
-    """The leases of all tasks, as one node holds them, requests them or knows of them by gossip.
+    """Holds the state of all tasks' leases at one node: those it holds, requests or has learned of by gossip.
 
-    `disabled_rules` names safety rules that the laboratory switches off.
+    `disabled_rules` contains the safety rules that the laboratory switches off.
     """
 
     def __init__(
@@ -107,49 +110,54 @@
         self._random = random.Random(seed)
         self._number = self._random.getrandbits(30) << 20
         self.by_task: dict[str, TaskLease] = {}
-        self.changes: list[LeadershipChange] = []  # the driver reads and empties it
-        self.hint_sends: dict[str, int] = {}  # tasks whose owner is to be told, and how often that was done
-        self.last_contact_us: dict[str, int] = {}  # by voter, when it last answered
+        self.changes: list[LeadershipChange] = []  # the driver reads and clears it
+        # The tasks whose leader is being gossiped, and how often each hint was sent.
+        self.hint_sends: dict[str, int] = {}
+        self.last_contact_us: dict[str, int] = {}  # by voter, the time of its last answer
         self._lease_us = int(settings.lease_s * SECOND)
         self._last_fail_back_us = now_us
         self._started_us = now_us
         self.leaving = False
 
     def update_settings(self, voters: Voters, settings: LeadershipSettings) -> None:
-        """From now on these voters count, also for what is held: a renewal of before is none any more."""
+        """Replaces the voters, also for held leases: requests and grants made under the old voters are
+        discarded.
+        """
         self.voters, self._settings, self._lease_us = voters, settings, int(settings.lease_s * SECOND)
         for lease in self.by_task.values():
             lease.request_times_us.clear()
             lease.granted_request_us.clear()
 
     def lease_of(self, task: str) -> TaskLease:
-        """What is known of a task's lease; begun empty at the first call."""
+        """Returns the state of a task's lease; the first call creates an empty one."""
         lease = self.by_task.get(task)
         if lease is None:
             lease = self.by_task[task] = TaskLease(task)
         return lease
 
-    # ------------------------------------------------------------------ what holds
+    # ------------------------------------------------------------------ queries and gossip
 
     def held_term(self, task: str, now_us: int) -> int:
-        """The term under which this node holds the task now; 0: it does not."""
+        """Returns the term under which this node holds the lease of the task now; 0: it does not."""
         lease = self.by_task.get(task)
         if lease is None or not lease.expires_us:
             return 0
         return lease.term if now_us < lease.expires_us or "clock" in self._disabled_rules else 0
 
     def expiry_us(self, task: str) -> int:
-        """Until when this node holds the task; 0: it does not."""
+        """Returns when the lease that this node holds expires; 0: it holds none."""
         lease = self.by_task.get(task)
         return lease.expires_us if lease is not None else 0
 
     def reaches_majority(self, now_us: int) -> bool:
-        """Whether a majority of the voters has answered of late, or there was no time for it yet."""
+        """Whether a majority of the voters has answered within two lease periods, or this node started less
+        than two lease periods ago.
+        """
         recent = {n for n, at in self.last_contact_us.items() if now_us - at < 2 * self._lease_us}
         return self.voters.is_majority(recent) or now_us - self._started_us < 2 * self._lease_us
 
     def observe_term(self, task: str, term: int, holder: str, now_us: int) -> None:
-        """By gossip: a term that was granted, and to whom."""
+        """Takes in gossip about a granted term and its holder; an empty `holder` means that it is unknown."""
         lease = self.lease_of(task)
         lease.highest_seen_term = max(lease.highest_seen_term, term)
         if term > lease.highest_granted_term or (term == lease.highest_granted_term and not lease.holder):
@@ -159,18 +167,20 @@
             self._end_lease(lease, "outvoted", now_us)
 
     def next_leader_hints(self, max_count: int, max_sends: int) -> list[LeaderHint]:
-        """Gossip to ride along: what was sent least often; each hint `max_sends` times."""
-        handover = []
+        """Returns the hints to piggyback on the next message, those sent least often first; each hint is sent
+        `max_sends` times.
+        """
+        hints = []
         for task in sorted(self.hint_sends, key=self.hint_sends.__getitem__)[:max_count]:
             self.hint_sends[task] += 1
             if self.hint_sends[task] >= max_sends:
                 del self.hint_sends[task]
             lease = self.by_task[task]
-            handover.append(LeaderHint(task, lease.highest_granted_term, lease.holder))
-        return handover
+            hints.append(LeaderHint(task, lease.highest_granted_term, lease.holder))
+        return hints
 
     def latest_leader_hints(self, max_count: int) -> list[LeaderHint]:
-        """The highest terms known, the latest changes of leader first."""
+        """Returns hints of up to `max_count` tasks, the highest granted terms first."""
         leases = sorted(self.by_task.values(), key=lambda t: (-t.highest_granted_term, t.task))
         return [
             LeaderHint(t.task, t.highest_granted_term, t.holder)
@@ -181,7 +191,7 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int, tasks: dict[str, list[str]]) -> int:
-        """When `turn` wants to be called next."""
+        """Returns when `turn` has to be called next."""
         due_us = now_us + self._lease_us
         for task, names in tasks.items():
             lease = self.lease_of(task)
@@ -194,7 +204,10 @@
         return due_us
 
     def turn(self, now_us: int, tasks: dict[str, list[str]]) -> list[Message]:
-        """`tasks`: by name, the living members that may own it, best placed first."""
+        """Ends expired leases, and returns the lease requests and releases that are due.
+
+        `tasks` maps each task to the living members that may lead it, the best placed first.
+        """
         messages: list[Message] = []
         for lease in list(self.by_task.values()):
             if lease.expires_us and now_us >= lease.expires_us and "clock" not in self._disabled_rules:
@@ -231,19 +244,21 @@
         request = LeaseRequest(
             lease.task, lease.term, self._number, self.voters.stage, bool(lease.expires_us)
         )
-        # Its own voter first: where that one denies, nobody else is asked.
+        # This node's own voter comes first: if it denies the lease, the other requests are not sent.
         return [
             (voter, request) for voter in sorted(self.voters.names(), key=lambda name: name != self._name)
         ]
 
     def is_requested(self, request: LeaseRequest) -> bool:
-        """Whether the lease is still requested: this node's own voter may have denied it meanwhile."""
+        """Whether the lease is still requested or held; this node's own voter may have denied the request in
+        the meantime.
+        """
         lease = self.lease_of(request.task)
         return lease.term == request.term and bool(lease.requesting_since_us or lease.expires_us)
 
     def _abandon_request(self, now_us: int, lease: TaskLease) -> list[Message]:
-        """No majority in time: those that granted are freed at once, and the next try is at another
-        moment.
+        """Abandons a request that found no majority: releases the voters that granted it at once, and
+        schedules the next attempt after a random delay.
         """
         messages: list[Message] = [(v, LeaseRelease(lease.task, lease.term)) for v in self.voters.names()]
         lease.highest_seen_term = max(lease.highest_seen_term, lease.term)
@@ -252,14 +267,16 @@
         return messages
 
     def _fail_back(self, now_us: int, lease: TaskLease, names: list[str]) -> list[Message]:
-        """A better placed member that has been there for long gets the task, one task at a time."""
+        """Hands the task over to a better-placed member that has been alive for `give_back_s`, at most one
+        task per FAIL_BACK_INTERVAL_US.
+        """
         if not names or names[0] == self._name:
             lease.better_candidate_since_us = 0
             return []
         lease.better_candidate_since_us = lease.better_candidate_since_us or now_us
-        wait_us = int(self._settings.give_back_s * SECOND)
+        min_alive_us = int(self._settings.give_back_s * SECOND)
         if (
-            now_us - lease.better_candidate_since_us < wait_us
+            now_us - lease.better_candidate_since_us < min_alive_us
             or now_us - self._last_fail_back_us < FAIL_BACK_INTERVAL_US
         ):
             return []
@@ -267,7 +284,7 @@
         return self.release(now_us, lease.task, names[0])
 
     def release(self, now_us: int, task: str, to: str | None) -> list[Message]:
-        """Gives a task up, in good order: the voters are freed, and the next leader is notified."""
+        """Releases the lease of a task at all voters, and notifies `to`, the next leader, if there is one."""
         lease = self.lease_of(task)
         if not lease.expires_us:
             return []
@@ -280,7 +297,7 @@
         return messages
 
     def leave(self, now_us: int, tasks: dict[str, list[str]]) -> list[Message]:
-        """This node ends: what it leads is handed over at once, what it requests is abandoned."""
+        """Shuts down: hands over the tasks that this node leads at once, and abandons pending requests."""
         self.leaving = True
         messages: list[Message] = []
         for task, lease in self.by_task.items():
@@ -291,36 +308,38 @@
                 messages += self._abandon_request(now_us, lease)
         return messages
 
-    # ------------------------------------------------------------------ what voters say
+    # ------------------------------------------------------------------ answers of voters
 
     def on_grant(self, now_us: int, voter: str, grant: LeaseGrant) -> None:
-        """A voter granted or renewed the lease. It is held once a majority has, counted from the request."""
+        """Handles a voter's grant or renewal. The lease is held once a majority has granted it, and its
+        duration is counted from the request.
+        """
         self.last_contact_us[voter] = now_us
         lease = self.lease_of(grant.task)
         sent_us = lease.request_times_us.get(grant.number)
         if sent_us is None or grant.term != lease.term or not (lease.requesting_since_us or lease.expires_us):
             return
         if lease.expires_us and now_us >= lease.expires_us and "clock" not in self._disabled_rules:
-            # It had ended before this came: what was owned under the term is over.
+            # The lease expired before this grant arrived, so this node stops leading under the term.
             self._end_lease(lease, "lapsed", now_us)
             return
         lease.granted_request_us[voter] = max(sent_us, lease.granted_request_us.get(voter, 0))
-        end_us = self.voters.majority_time_us(lease.granted_request_us)
-        if not end_us:
+        majority_sent_us = self.voters.majority_time_us(lease.granted_request_us)
+        if not majority_sent_us:
             return
-        until_us = end_us + int(self._lease_us * (1 - 2 * DRIFT))
+        expires_us = majority_sent_us + int(self._lease_us * (1 - 2 * DRIFT))
         if lease.requesting_since_us:
-            if now_us >= until_us:
+            if now_us >= expires_us:
                 return
             lease.requesting_since_us, lease.acquired_us, lease.better_candidate_since_us = 0, now_us, 0
             lease.highest_seen_term = lease.highest_granted_term = lease.term
-            lease.holder, lease.expires_us = self._name, until_us
+            lease.holder, lease.expires_us = self._name, expires_us
             self.hint_sends[lease.task] = 0
             self.changes.append(LeadershipChange(lease.task, lease.term, True, "granted"))
-        lease.expires_us = max(lease.expires_us, until_us)
+        lease.expires_us = max(lease.expires_us, expires_us)
 
     def on_denial(self, now_us: int, voter: str, denial: LeaseDenial) -> list[Message]:
-        """A voter denied the lease; returns releases where the request is abandoned for it."""
+        """Handles a voter's denial; returns releases if the request is abandoned because of it."""
         self.last_contact_us[voter] = now_us
         lease = self.lease_of(denial.task)
         if denial.number not in lease.request_times_us:
@@ -330,15 +349,18 @@
             lease.holder = denial.holder
         if lease.requesting_since_us:
             lease.denied_by.add(voter)
-            # One whose lease ends in a moment is waited for. Otherwise nothing that was granted is kept:
-            # it would be in the way of whoever owns the task, or of a candidate that has more.
-            short = denial.reason == "held" and denial.retry_after_us < self._lease_us // RENEWALS_PER_LEASE
-            enough = self.voters.is_majority(set(self.voters.names()) - lease.denied_by)
-            if not enough or (not short and denial.reason in ("held", "term")):
+            # If the current lease expires within one renewal interval, the request stays pending. Otherwise
+            # the grants received so far are released: they would block the current leader of the task, or a
+            # candidate with more grants.
+            expires_soon = (
+                denial.reason == "held" and denial.retry_after_us < self._lease_us // RENEWALS_PER_LEASE
+            )
+            majority_possible = self.voters.is_majority(set(self.voters.names()) - lease.denied_by)
+            if not majority_possible or (not expires_soon and denial.reason in ("held", "term")):
                 messages = self._abandon_request(now_us, lease)
                 lease.next_attempt_us = now_us + self._retry_delay_us(now_us, lease, denial)
                 return messages
-        # A voter that denies a renewal takes away its own grant, no more: the others' may be a majority.
+        # The denial of a renewal withdraws this voter's grant only; the other grants may still be a majority.
         return []
 
     def _retry_delay_us(self, now_us: int, lease: TaskLease, denial: LeaseDenial) -> int:
@@ -350,14 +372,14 @@
         return min(max(denial.retry_after_us, HANDOVER_RETRY_US), 2 * self._lease_us) + jitter_us
 
     def on_handover(self, now_us: int, handover: LeaseHandover) -> None:
-        """The leader has given the task up, for this node to take over."""
+        """Handles a handover: the leader has released the task for this node to take over."""
         lease = self.lease_of(handover.task)
         lease.highest_seen_term = max(lease.highest_seen_term, handover.term)
         if not self.leaving:
             lease.next_attempt_us, lease.handover_until_us = now_us, now_us + HANDOVER_RETRY_PERIOD_US
 
-    def _end_lease(self, lease: TaskLease, why: str, now_us: int) -> None:
+    def _end_lease(self, lease: TaskLease, reason: str, now_us: int) -> None:
         lease.expires_us = lease.requesting_since_us = 0
         lease.highest_seen_term = max(lease.highest_seen_term, lease.term)
         lease.next_attempt_us = now_us + int((0.2 + 0.6 * self._random.random()) * self._lease_us)
-        self.changes.append(LeadershipChange(lease.task, lease.term, False, why))
+        self.changes.append(LeadershipChange(lease.task, lease.term, False, reason))
--- a/sailrun/leadership/permit_role.py
+++ b/sailrun/leadership/permit_role.py
@@ -1,4 +1,4 @@
-"""Both sides of permits at one node: what it requests as a client, and what it grants as the leader."""
+"""Both sides of permits at one node: its requests as a client, and its grants as the leader."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class PermitRole:
-    """`disabled_rules` names safety rules that the laboratory switches off."""
+    """Owns a node's permit holder, and the coordinator while the node leads the task.
+
+    `disabled_rules` contains the safety rules that the laboratory switches off.
+    """
 
     def __init__(
         self, settings: PermitSettings, change_log: ChangeLog, disabled_rules: frozenset[str]
@@ -25,22 +28,26 @@
         self.coordinator: PermitCoordinator | None = None
 
     def update_settings(self, settings: PermitSettings) -> None:
-        """Takes over an operator's file that was read again."""
+        """Applies reloaded operator settings."""
         self._settings = settings
         if self.coordinator is not None:
             self.coordinator.update_settings(settings)
 
-    # ------------------------------------------------------------------ as the owner
+    # ------------------------------------------------------------------ as the leader
 
     def on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
-        """This node leads the permits from now on, with a coordinator begun anew, or does not any more."""
+        """Creates a new coordinator when this node becomes the leader, and drops it when it stops being
+        one.
+        """
         self.coordinator = self._new_coordinator(now_us, change.term) if change.is_leader else None
 
     def _new_coordinator(self, now_us: int, term: int) -> PermitCoordinator:
         return PermitCoordinator(self._settings, term, now_us, self._disabled_rules)
 
-    def answer_request(self, now_us: int, term: int, sender: str, life: int, content: Any) -> Any:
-        """The answer to a `PermitRequest` as it came in, under this node's term; None: it is none."""
+    def answer_request(self, now_us: int, term: int, sender: str, process_number: int, content: Any) -> Any:
+        """Returns the response to an undecoded `PermitRequest` under this node's term; None: it is
+        malformed.
+        """
         try:
             request = msgspec.convert(content, PermitRequest)
         except msgspec.ValidationError:
@@ -48,17 +55,17 @@
             return None
         if self.coordinator is None or self.coordinator.term != term:
             self.coordinator = self._new_coordinator(now_us, term)
-        return msgspec.to_builtins(self.coordinator.on_request(now_us, sender, life, request))
+        return msgspec.to_builtins(self.coordinator.on_request(now_us, sender, process_number, request))
 
     # ------------------------------------------------------------------ as a client
 
     def due_requests(self, now_us: int) -> list[tuple[Any, OnResponse]]:
-        """The requests that are due now, each with the handler of its response."""
+        """Returns the requests that are due now, each with the handler of its response."""
         requests = self.holder.turn(now_us) if self.holder is not None else []
         return [(msgspec.to_builtins(request), self._response_handler(request)) for request in requests]
 
     def _response_handler(self, request: PermitRequest) -> OnResponse:
-        def answered(now_us: int, sent_us: int, content: Any) -> None:
+        def handle_response(now_us: int, sent_us: int, content: Any) -> None:
             try:
                 response = msgspec.convert(content, PermitResponse)
             except msgspec.ValidationError:
@@ -66,7 +73,7 @@
                 return
             self._on_response(now_us, sent_us, request, response)
 
-        return answered
+        return handle_response
 
     def _on_response(
         self, now_us: int, sent_us: int, request: PermitRequest, response: PermitResponse
--- a/sailrun/leadership/permits.py
+++ b/sailrun/leadership/permits.py
@@ -1,11 +1,13 @@
-"""Permits limit how much may be out of service at a time: nodes that drain, form servers taken out by staff.
+"""Permits limit how much may be out of service at a time: draining nodes, and form servers taken out of
+service by operators.
 
 The leader of the task `permits` is their coordinator. Each permit is a lease of its own, which its holder
-renews. Nothing is stored: holders and those that wait repeat their requests. A new coordinator therefore only
-listens at first, for as long as a permit of its predecessor may last; what nobody claims by then is in use by
-nobody, since its holder's own clock has ended it before.
+renews. The coordinator stores nothing on disk: holders and waiting nodes repeat their requests. A new
+coordinator therefore grants nothing new for as long as a permit of its predecessor may last. A permit that no
+node claims by then is not in use, since it has expired by its holder's own clock.
 
-Pure: requests and the time (microseconds of one monotonic clock) come in, answers go out.
+This module does no I/O: it takes requests and the time (microseconds of one monotonic clock) and returns
+responses.
 """
 
 from __future__ import annotations
@@ -18,21 +20,23 @@
 SECOND = 1_000_000
 PERMITS_TASK = "permits"
 DRAIN, OUT_OF_SERVICE = "drain", "out"
-# A holder, or one that waits, says so this many times within a permit's lease, and at least once a second.
+# A holder or a waiting node repeats its request this many times within a permit's lease, and at least once a
+# second.
 RENEWALS_PER_LEASE = 6
 MAX_QUEUE_ENTRIES = 10_000
-# More questions at once than this are left for the next turn.
+# Requests in excess of this number are left for the next turn.
 MAX_REQUESTS_PER_TURN = 64
 Key = tuple[str, str]
 
 
 @dataclass(slots=True)
 class _GrantedPermit:
-    """A permit in use; several nodes may hold the one for a form server, each having it out."""
+    """A permit in use. Several nodes may hold the permit for one form server, each of which has taken it out
+    of service.
+    """
 
-    expiry_by_holder: dict[str, tuple[int, int]] = field(
-        default_factory=dict
-    )  # by name: its life, and until when
+    # By name of the holder: its process number, and the expiry.
+    expiry_by_holder: dict[str, tuple[int, int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -42,7 +46,9 @@
 
 
 class PermitCoordinator:
-    """The leader's side: limits, grants and the queue. Made anew at each term; closed until `opens_us`."""
+    """The leader's side: limits, grants and the queue. Each term has a new instance, which makes no new
+    grants until `opens_us`.
+    """
 
     def __init__(
         self, settings: PermitSettings, term: int, now_us: int, disabled_rules: frozenset[str] = frozenset()
@@ -51,19 +57,21 @@
         self._lease_us = int(settings.lease_s * SECOND)
         self.opens_us = now_us + (0 if "grace" in disabled_rules else int(self._lease_us * (1 + 3 * DRIFT)))
         self._in_use: dict[Key, _GrantedPermit] = {}
-        self._queue: dict[tuple[Key, str], _QueueEntry] = {}  # by what, and who
+        self._queue: dict[tuple[Key, str], _QueueEntry] = {}  # by permit and requester
         self._count = 0
 
     def update_settings(self, settings: PermitSettings) -> None:
-        """Other limits from now on; what is in use above them stays until it is given back."""
+        """Applies new limits; permits in use above them stay valid until they are released."""
         self._settings = settings
 
     def limit_of(self, kind: str) -> int:
-        """How many permits of a kind may be in use at a time; 0: there is no such kind."""
+        """Returns how many permits of a kind may be in use at a time; 0: there is no such kind."""
         return {DRAIN: self._settings.drains, OUT_OF_SERVICE: self._settings.out}.get(kind, 0)
 
-    def on_request(self, now_us: int, sender: str, life: int, request: PermitRequest) -> PermitResponse:
-        """Answers one question; the same question again gets the same answer."""
+    def on_request(
+        self, now_us: int, sender: str, process_number: int, request: PermitRequest
+    ) -> PermitResponse:
+        """Answers a request; a repeated request gets the same answer as long as nothing has changed."""
         key = (request.kind, request.subject)
         self._drop_expired(now_us)
         if request.state == "back":
@@ -80,46 +88,52 @@
         held = (
             granted is not None
             and sender in granted.expiry_by_holder
-            and granted.expiry_by_holder[sender][0] == life
+            and granted.expiry_by_holder[sender][0] == process_number
         )
         claims = request.state == "held"
         if claims and not held and now_us < self.opens_us:
-            held = True  # given by the owner before: it is in use, however many there are
-        place = self._enqueue(now_us, key, sender, request.queue_position)
-        if place is None:
+            held = True  # granted by the previous leader: it is in use even above the limit
+        position = self._enqueue(now_us, key, sender, request.queue_position)
+        if position is None:
             return PermitResponse(*key, False, (0, 0), 0, f"{MAX_QUEUE_ENTRIES} wait already")
-        ahead = self._count_ahead(key, place)
+        ahead = self._count_ahead(key, position)
         free = granted is not None or (
             now_us >= self.opens_us and self.count_in_use(request.kind) + ahead < self.limit_of(request.kind)
         )
         if not held and not free:
-            why = self._denial_reason(now_us, request.kind)
-            return PermitResponse(*key, False, place, ahead, why)
+            reason = self._denial_reason(now_us, request.kind)
+            return PermitResponse(*key, False, position, ahead, reason)
         self._queue.pop((key, sender), None)
         granted = self._in_use.setdefault(key, _GrantedPermit())
-        # A life that came back has the permit of the one before: they are not two.
-        granted.expiry_by_holder[sender] = (life, now_us + self._lease_us)
-        return PermitResponse(*key, True, place, 0)
-
-    def _enqueue(self, now_us: int, key: Key, sender: str, place: tuple[int, int]) -> tuple[int, int] | None:
-        """The position in the queue: one that a former leader gave still counts, before all later ones."""
+        # A restarted process takes over the permit of the previous one: they count as one holder.
+        granted.expiry_by_holder[sender] = (process_number, now_us + self._lease_us)
+        return PermitResponse(*key, True, position, 0)
+
+    def _enqueue(
+        self, now_us: int, key: Key, sender: str, position: tuple[int, int]
+    ) -> tuple[int, int] | None:
+        """Queues a request, and returns its position; None: the queue is full. A position that a previous
+        leader assigned stays valid and precedes all later ones.
+        """
         waiting = self._queue.get((key, sender))
         if waiting is None:
             if len(self._queue) >= MAX_QUEUE_ENTRIES:
                 return None
-            if place == (0, 0):
+            if position == (0, 0):
                 self._count += 1
-                place = (self.term, self._count)
-            waiting = self._queue[(key, sender)] = _QueueEntry(place, 0)
+                position = (self.term, self._count)
+            waiting = self._queue[(key, sender)] = _QueueEntry(position, 0)
         waiting.expires_us = now_us + self._lease_us
         return waiting.position
 
-    def _count_ahead(self, key: Key, place: tuple[int, int]) -> int:
-        """Other things of the kind that wait with an earlier place."""
-        before = {
-            k for (k, _), w in self._queue.items() if k[0] == key[0] and k != key and w.position < place
+    def _count_ahead(self, key: Key, position: tuple[int, int]) -> int:
+        """Counts the other permits of the kind that wait at an earlier position."""
+        earlier = {
+            permit_key
+            for (permit_key, _), entry in self._queue.items()
+            if permit_key[0] == key[0] and permit_key != key and entry.position < position
         }
-        return len(before - self._in_use.keys())
+        return len(earlier - self._in_use.keys())
 
     def _denial_reason(self, now_us: int, kind: str) -> str:
         if now_us < self.opens_us:
@@ -128,7 +142,7 @@
         return f"{len(used)} of {self.limit_of(kind)} in use: {', '.join(used[:5])}"
 
     def count_in_use(self, kind: str) -> int:
-        """How many permits of a kind are in use."""
+        """Returns how many permits of a kind are in use."""
         return sum(1 for k, _ in self._in_use if k == kind)
 
     def _drop_expired(self, now_us: int) -> None:
@@ -143,7 +157,7 @@
                 del self._queue[key_and_name]
 
     def rows(self, now_us: int) -> list[dict[str, object]]:
-        """Who holds what and who waits, for operators."""
+        """Returns the held and the waiting permits as rows for operators."""
         self._drop_expired(now_us)
         rows: list[dict[str, object]] = [
             {
@@ -151,7 +165,7 @@
                 "subject": subject,
                 "holder": name,
                 "state": "held",
-                "ends_in_s": _s(until - now_us),
+                "ends_in_s": _seconds(until - now_us),
             }
             for (kind, subject), granted in sorted(self._in_use.items())
             for name, (_, until) in sorted(granted.expiry_by_holder.items())
@@ -163,7 +177,7 @@
         ]
 
 
-def _s(us: int) -> float:
+def _seconds(us: int) -> float:
     return round(us / SECOND, 3)
 
 
@@ -175,16 +189,16 @@
     subject: str
     state: str = "want"  # want, held, back
     queue_position: tuple[int, int] = (0, 0)
-    expires_us: int = 0  # held until then
-    next_request_us: int = 0  # when to ask again
+    expires_us: int = 0  # when the held permit expires
+    next_request_us: int = 0  # when to send the next request
     reason: str = "not asked yet"
     requests_ahead: int = 0
-    release_until_us: int = 0  # a permit given back is said so until answered, or until it has ended anyway
+    release_until_us: int = 0  # a release is repeated until it is answered, or the permit expires here
 
 
 @dataclass(frozen=True, slots=True)
 class PermitChange:
-    """A permit is this node's, or is not any more."""
+    """This node acquired or lost a permit."""
 
     kind: str
     subject: str
@@ -193,21 +207,21 @@
 
 
 class PermitHolder:
-    """The client's side: what this node requests and holds, and until when by its own clock."""
+    """The client's side: the permits that this node requests and holds, and their expiry by its own clock."""
 
     def __init__(self, settings: PermitSettings) -> None:
         self._settings = settings
         self._lease_us = int(settings.lease_s * SECOND)
         self.permits: dict[Key, PermitState] = {}
-        self.changes: list[PermitChange] = []  # the driver reads and empties it
+        self.changes: list[PermitChange] = []  # the driver reads and clears it
 
     @property
     def request_interval_us(self) -> int:
-        """How often a permit is requested, or renewed."""
+        """The interval at which a permit is requested or renewed."""
         return min(SECOND, self._lease_us // RENEWALS_PER_LEASE)
 
     def request(self, kind: str, subject: str) -> PermitState:
-        """Begins to request a permit, unless it is requested or held already."""
+        """Starts requesting a permit, unless it is already requested or held."""
         key = (kind, subject)
         permit = self.permits.get(key)
         if permit is None or permit.state == "back":
@@ -215,7 +229,7 @@
         return permit
 
     def release(self, now_us: int, kind: str, subject: str) -> None:
-        """Gives a permit up, or stops requesting it; the leader is notified."""
+        """Releases a permit, or stops requesting it; the leader is notified."""
         permit = self.permits.get((kind, subject))
         if permit is None or permit.state == "back":
             return
@@ -230,18 +244,18 @@
         return permit is not None and permit.state == "held" and now_us < permit.expires_us
 
     def due_us(self, now_us: int) -> int:
-        """When `turn` wants to be called next."""
+        """Returns when `turn` has to be called next."""
         due_us = now_us + SECOND
         for permit in self.permits.values():
             due_us = min(due_us, permit.next_request_us, permit.expires_us or due_us)
         return due_us
 
     def turn(self, now_us: int) -> list[PermitRequest]:
-        """The requests that are due to the leader now."""
+        """Ends expired permits, and returns the requests to the leader that are due now."""
         requests: list[PermitRequest] = []
         for key, permit in list(self.permits.items()):
             if permit.state == "held" and now_us >= permit.expires_us:
-                # The coordinator counts it as free from now on: it is used no longer, and asked for anew.
+                # The coordinator may grant it to another node from now on, so it is requested again.
                 permit.state, permit.expires_us = "want", 0
                 self.changes.append(PermitChange(*key, False, "lapsed: its owner was not heard of in time"))
             if permit.state == "back" and now_us >= permit.release_until_us:
@@ -255,7 +269,7 @@
     def on_response(
         self, now_us: int, sent_us: int, request: PermitRequest, response: PermitResponse
     ) -> None:
-        """The leader's response to a request sent at `sent_us`."""
+        """Handles the leader's response to a request sent at `sent_us`."""
         key = (response.kind, response.subject)
         permit = self.permits.get(key)
         if permit is None or (request.kind, request.subject) != key:
@@ -277,6 +291,6 @@
                 self.changes.append(PermitChange(*key, True))
             permit.state, permit.expires_us = "held", max(permit.expires_us, until_us)
         elif not response.is_granted and permit.state == "held" and request.state == "held":
-            # Its owner knows nothing of it: it has ended there.
+            # The leader does not know the permit: it has expired there.
             permit.state, permit.expires_us = "want", 0
             self.changes.append(PermitChange(*key, False, response.reason or "not known to its owner"))
--- a/sailrun/leadership/quorum.py
+++ b/sailrun/leadership/quorum.py
@@ -1,4 +1,4 @@
-"""Whose votes count: the voters, and while one of them is exchanged, the voters before as well."""
+"""Determines majorities of the voters; while a voter is being replaced, also of the previous voters."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class Voters:
-    """A majority is one of the voters, and of those before where they are named: any two of two neighbouring
-    stages have a voter in common.
+    """Computes majorities. If `voters_before` is set, a majority needs a majority of the voters and of the
+    previous voters, so that majorities of two adjacent stages always have a voter in common.
     """
 
     def __init__(self, settings: LeadershipSettings, disabled_rules: frozenset[str] = frozenset()) -> None:
@@ -18,35 +18,35 @@
         self._disabled_rules = disabled_rules
 
     def names(self) -> list[str]:
-        """Every voter's name, by name."""
+        """Returns the names of all voters, sorted."""
         return sorted({name for names in self._voter_sets for name in names})
 
     def is_majority(self, names: Collection[str]) -> bool:
-        """Whether these names are a majority of every set of voters that counts."""
+        """Whether the names include a majority of every current set of voters."""
         if "majority" in self._disabled_rules:
             return bool(names)
         return all(2 * sum(1 for n in voters if n in names) > len(voters) for voters in self._voter_sets)
 
     def accepts_stage(self, stage: int) -> bool:
-        """Whether a voter may grant to one that counts the voters of another stage: the next one, never an
-        older one, nor any further off, whose majorities might have nobody in common with these.
+        """Whether a voter may grant a lease to a candidate at `stage`: the same stage or the next one. It may
+        not at an older or a later stage, whose majorities might have no voter in common with this one's.
         """
         return self.stage <= stage <= self.stage + 1
 
-    def majority_time_us(self, until: dict[str, int]) -> int:
-        """When the latest time has come that a majority stands for; 0: no majority."""
-        ends = []
+    def majority_time_us(self, times_by_voter: dict[str, int]) -> int:
+        """Returns the latest time that a majority of the voters has reached in `until`; 0: no majority."""
+        majority_times = []
         for voters in self._voter_sets:
-            times = sorted((until[n] for n in voters if n in until), reverse=True)
+            times = sorted((times_by_voter[n] for n in voters if n in times_by_voter), reverse=True)
             needed = 1 if "majority" in self._disabled_rules else len(voters) // 2 + 1
             if len(times) < needed:
                 return 0
-            ends.append(times[needed - 1])
-        return min(ends)
+            majority_times.append(times[needed - 1])
+        return min(majority_times)
 
 
 def check_voters(voters: Iterable[str]) -> str | None:
-    """What is wrong with a set of voters; None: nothing."""
+    """Returns why a set of voters is invalid; None: it is valid."""
     names = list(voters)
     if len(set(names)) != len(names):
         return "names a voter twice"
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -1,4 +1,4 @@
-"""Which tasks of the fleet this node may lead, and whether it may act for one now."""
+"""Determines which tasks of the fleet this node may lead, and whether it may act for one now."""
 
 from __future__ import annotations
 
@@ -13,29 +13,31 @@
 from sailrun.replication.replica import MARKS_TASK
 
 SECOND = 1_000_000
-READER_TASK_PREFIX = "roster/"  # and the data centre
+READER_TASK_PREFIX = "roster/"  # followed by the zone
 MOVE_RATE_TASK = "pace"
 
 
 class TaskLeadership:
-    """Times are microseconds of the clock that leases are counted by."""
+    """Places tasks on members. Times are microseconds of the clock that leases are measured by."""
 
     def __init__(
         self, members: Membership, leases: Leases, zone: str, settings: AgentSettings, counters: AgentCounters
     ) -> None:
         self._members, self._leases, self._zone = members, leases, zone
         self._settings, self._counters = settings, counters
-        self._initial_rest_us = int(int(settings.leadership.order_s * SECOND) * (1 + 3 * DRIFT))
+        self._initial_wait_us = int(int(settings.leadership.order_s * SECOND) * (1 + 3 * DRIFT))
         self._candidate_tasks: dict[str, list[str]] = {}
-        self._members_version = -1  # the version of the members that they were made of
+        self._members_version = -1  # the version of the members that the placement is based on
 
     def update_settings(self, settings: AgentSettings) -> None:
-        """Takes over an operator's file that was read again."""
+        """Applies reloaded operator settings."""
         self._settings = settings
         self._members_version = -1
 
     def candidate_tasks(self) -> dict[str, list[str]]:
-        """The tasks this node may lead, with the best placed of the living members that may as well."""
+        """Returns the tasks this node may lead, each with its best-placed candidates among the living
+        members.
+        """
         if self._members.living_version != self._members_version:
             self._members_version = self._members.living_version
             self._candidate_tasks = self._place_tasks()
@@ -57,17 +59,17 @@
         return tasks
 
     def leading_term(self, task: str, now_us: int) -> int:
-        """The term under which this node may act for the task now; 0: it may not, or rests.
+        """Returns the term under which this node may act for the task now; 0: it may not.
 
-        A leader rests at first, until no response of its predecessor is accepted any more.
+        A new leader waits before it acts, until no response of its predecessor is accepted any more.
         """
         term = self._leases.held_term(task, now_us)
-        if not term or now_us - self._leases.lease_of(task).acquired_us < self._initial_rest_us:
+        if not term or now_us - self._leases.lease_of(task).acquired_us < self._initial_wait_us:
             return 0
         return term
 
     def may_send(self, guard: TermGuard, now_us: int) -> bool:
-        """Whether what was made under that term may still be sent."""
+        """Whether a message that was created under the guard's term may still be sent."""
         task, term = guard
         may_send = self._leases.held_term(task, now_us) == term
         if not may_send:
@@ -75,6 +77,6 @@
         return may_send
 
     def known_leader(self, task: str) -> str:
-        """By gossip: who leads the task; empty where none is known to live."""
+        """Returns the leader of the task according to gossip; empty if none is known to be alive."""
         holder = self._leases.lease_of(task).holder
         return holder if holder and self._members.is_living(holder) else ""
--- a/sailrun/leadership/voter_role.py
+++ b/sailrun/leadership/voter_role.py
@@ -1,4 +1,4 @@
-"""This node's part as a voter, for as long as it is listed as one."""
+"""Runs this node's voter while the settings list the node as one."""
 
 from __future__ import annotations
 
@@ -21,8 +21,10 @@
 
 
 class VoterRole:
-    """`new_initial_term` gives the term that a fleet without any memory begins with. `disabled_rules` names
-    safety rules that the laboratory switches off.
+    """Owns the voter and passes messages to it.
+
+    `new_initial_term` returns the term at which a fleet without any memory starts. `disabled_rules` contains
+    the safety rules that the laboratory switches off.
     """
 
     def __init__(
@@ -47,7 +49,7 @@
         return voter
 
     def update_settings(self, now_us: int, voters: Voters, settings: LeadershipSettings) -> None:
-        """From now on these are the voters; this node may have become one, or be none any more."""
+        """Replaces the voters; starts or drops this node's voter if the node was added or removed."""
         if self._name not in voters.names():
             self.voter = None
         elif self.voter is None:
@@ -57,25 +59,29 @@
         self._settings = settings
 
     def observe_term(self, task: str, term: int) -> None:
-        """Hearsay: a term of a task."""
+        """Takes in a gossiped term of a task."""
         if self.voter is not None:
             self.voter.observe_term(task, term)
 
     def on_message(
-        self, now_us: int, sender: str, life: int, body: LeaseRequest | LeaseRelease | TermQuery | TermReport
+        self,
+        now_us: int,
+        sender: str,
+        process_number: int,
+        body: LeaseRequest | LeaseRelease | TermQuery | TermReport,
     ) -> list[Message]:
-        """What candidates, and voters that have started, ask or tell a voter."""
+        """Handles a message of a candidate or of a voter that has started; returns messages by recipient."""
         voter = self.voter
         if voter is None:
             return []
         match body:
             case LeaseRequest():
-                return [(sender, voter.on_lease_request(now_us, sender, life, body))]
+                return [(sender, voter.on_lease_request(now_us, sender, process_number, body))]
             case LeaseRelease():
-                voter.on_release(sender, life, body)
+                voter.on_release(sender, process_number, body)
             case TermQuery():
                 if not body.has_durable_state:
-                    self._durable_state.freshness.peers.on_peer_without_folder(sender, life)
+                    self._durable_state.freshness.peers.on_peer_without_folder(sender, process_number)
                 return [(sender, voter.report_terms(body))]
             case TermReport():
                 voter.on_term_report(now_us, sender, body)
