--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -1,11 +1,11 @@
-"""One member of the fleet as a whole: its view of the others, its vote, the tasks it leads, and what it
-requests of other leaders.
+"""The agent of one fleet member: membership, voter, the tasks that it leads, and its requests to other
+leaders.
 
-Pure: envelopes and the time come in, envelopes go out. `transport.py` drives it by sockets, the laboratory in
-virtual time. The time is one clock of this process that goes on while the machine sleeps and is never set, in
-microseconds.
+The agent does no I/O: it takes envelopes and the time, and returns envelopes. `transport.py` drives it with
+sockets, and the laboratory drives it in virtual time. The time is in microseconds of one clock of this
+process that continues while the machine is suspended and is never set.
 
-The agent joins its parts and passes messages to them; each part has a module of its own.
+The agent connects its parts and dispatches messages to them; each part has a module of its own.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 from sailrun.membership.messages import MemberBody, MemberRecord, MemberState
 from sailrun.replication.replica import MARKS_TASK, Replica
 from sailrun.sharding.messages import ElectionMessage, ShardBody
-from sailrun.sharding.messages import PeerMessage as ShardPost
+from sailrun.sharding.messages import PeerMessage as ShardPeerMessage
 from sailrun.storage.messages import FreshnessQuery, FreshnessReply
 from sailrun.storage.write_ahead_log import WriteResult
 
@@ -66,10 +66,10 @@
 
 
 class Agent:
-    """Joins the parts of a member. Times are microseconds.
+    """Connects the parts of a member. Times are microseconds.
 
-    `new_initial_term` gives the term that a fleet without any memory begins with. `disabled_rules` names
-    safety rules that the laboratory switches off. `record` is called with every act, for the laboratory's
+    `new_initial_term` returns the term at which a fleet without any memory starts. `disabled_rules` contains
+    the safety rules that the laboratory switches off. `record` is called with every act, for the laboratory's
     checks.
     """
 
@@ -86,11 +86,11 @@
         self.settings, self._disabled_rules, self._record = settings, disabled_rules, record
         self._now_us = now_us
         self.name, self.life, self.zone = me.name, me.life, me.zone
-        # By task, who answers its requests: called with the time, the sender and the content.
+        # By task, the handler of its requests: called with the time, the sender and the content.
         self.request_handlers: dict[str, Callable[[int, str, Any], Any]] = {}
         self.on_leadership_change: Callable[[int, LeadershipChange], None] = lambda now_us, change: None
-        self.on_permit_change: Callable[[PermitChange], None] = lambda use: None
-        random_source = random.Random(seed)  # each part has its own number, always in this order
+        self.on_permit_change: Callable[[PermitChange], None] = lambda change: None
+        random_source = random.Random(seed)  # seeds each part, always in this order
         self.voters = Voters(settings.leadership, disabled_rules)
         self.members = Membership(me, settings.membership, random_source.getrandbits(32), now_us)
         self.leases = Leases(
@@ -160,13 +160,13 @@
         # Loaded only where it is switched on: it needs numpy.
         from sailrun.sharding.agent import ShardingAgent
 
-        settings, draw = self.settings, random_source.getrandbits
+        settings, draw_bits = self.settings, random_source.getrandbits
         return ShardingAgent(
             me,
             settings.sharding,
             settings.leadership,
             self.members,
-            draw,
+            draw_bits,
             now_us,
             new_initial_term,
             self._disabled_rules,
@@ -175,12 +175,12 @@
 
     @property
     def log_events(self) -> list[LogEvent]:
-        """Events for the log; the driver empties them."""
+        """Events for the log; the driver clears them."""
         return self._change_log.events
 
     @property
     def voter(self) -> Voter | None:
-        """None: this node does not vote."""
+        """This node's voter; None: the node is not a voter."""
         return self._voter_role.voter
 
     @property
@@ -190,82 +190,84 @@
 
     @property
     def permit_coordinator(self) -> PermitCoordinator | None:
-        """The fleet's permits, while this node leads that task."""
+        """The coordinator of the fleet's permits; None: this node does not lead that task."""
         return self._permit_role.coordinator
 
-    # ------------------------------------------------------------------ what outlasts the process
+    # ------------------------------------------------------------------ durable state
 
     def restore(self, now_us: int, folder: MemberFolder) -> None:
-        """Goes by a folder, as far as that can be: before the first turn."""
+        """Restores the state from a storage folder as far as it is valid; called before the first turn."""
         self.durable_state.restore(now_us, folder)
 
-    def on_written(self, now_us: int, done: WriteResult) -> list[OutgoingEnvelope]:
-        """What became of the work of the disk; the answers that waited for it may go out."""
+    def on_written(self, now_us: int, result: WriteResult) -> list[OutgoingEnvelope]:
+        """Handles the result of a disk write; returns the messages that were withheld until then."""
         self._now_us = now_us
-        envelopes = self._send_released(self.durable_state.on_written(now_us, done))
+        envelopes = self._send_released(self.durable_state.on_written(now_us, result))
         return envelopes + self._publish_changes(now_us)
 
     def _send_released(self, released: Released) -> list[OutgoingEnvelope]:
-        """Responses were withheld as long as they had to be, other messages may have to be yet."""
+        """Sends released messages: responses directly, other messages subject to being withheld
+        themselves.
+        """
         delivered = [out for name, body in released.responses for out in self._deliver(name, body)]
         return delivered + self._post_all(released.messages)
 
-    # ------------------------------------------------------------------ who may lead what
+    # ------------------------------------------------------------------ leadership of tasks
 
     def candidate_tasks(self) -> dict[str, list[str]]:
-        """The tasks this node may lead, with the best placed of the living members that may as well."""
+        """See `TaskLeadership.candidate_tasks`."""
         return self._leadership.candidate_tasks()
 
     def leading_term(self, task: str, now_us: int) -> int:
-        """The term under which this node may act for the task now; 0: it may not, or rests at first."""
+        """See `TaskLeadership.leading_term`."""
         return self._leadership.leading_term(task, now_us)
 
     def may_send(self, guard: TermGuard, now_us: int) -> bool:
-        """Whether what was made under that term may still be sent."""
+        """See `TaskLeadership.may_send`."""
         return self._leadership.may_send(guard, now_us)
 
     def known_leader(self, task: str) -> str:
-        """By gossip: who leads the task; empty where none is known to live."""
+        """See `TaskLeadership.known_leader`."""
         return self._leadership.known_leader(task)
 
-    # ------------------------------------------------------------------ what comes in
+    # ------------------------------------------------------------------ incoming messages
 
     def on_envelope(self, now_us: int, address: str, envelope: Envelope) -> list[OutgoingEnvelope]:
-        """An envelope came in from `address`; returns what is to be sent in consequence."""
+        """Handles an envelope received from `address`; returns the envelopes to send."""
         self._now_us = now_us
         if envelope.fleet != self.settings.membership.fleet:
             self.counters.foreign_messages += 1
             return []
-        body, name, life = envelope.body, envelope.sender, envelope.life
+        body, name, process_number = envelope.body, envelope.sender, envelope.life
         if name != self.name:
-            self.members.observe_contact(now_us, name, life, envelope.incarnation)
+            self.members.observe_contact(now_us, name, process_number, envelope.incarnation)
         envelopes: list[OutgoingEnvelope] = []
         if isinstance(body, MemberBody):
-            sender = MemberRecord(name, life, envelope.incarnation, MemberState.ALIVE, address)
+            sender = MemberRecord(name, process_number, envelope.incarnation, MemberState.ALIVE, address)
             envelopes = self._envelopes.address_letters(self.members.receive(now_us, sender, body))
-        elif not self.members.accept_sender(name, life):
+        elif not self.members.accept_sender(name, process_number):
             return []
-        if self.members.is_current_process(name, life):
+        if self.members.is_current_process(name, process_number):
             self.members.merge_records(now_us, envelope.member_updates, name)
-            for claim in envelope.leader_hints:
-                self._observe_term(now_us, claim.task, claim.term, claim.holder)
+            for hint in envelope.leader_hints:
+                self._observe_term(now_us, hint.task, hint.term, hint.holder)
             if not isinstance(body, MemberBody):
-                envelopes += self._dispatch(now_us, name, life, body)
+                envelopes += self._dispatch(now_us, name, process_number, body)
         return envelopes + self._publish_changes(now_us)
 
     def _observe_term(self, now_us: int, task: str, term: int, holder: str) -> None:
-        """By gossip: a term of a task, and who led it then, if that is known."""
+        """Takes in a gossiped term of a task and its leader; an empty `holder` means that it is unknown."""
         self.leases.observe_term(task, term, holder, now_us)
         self._voter_role.observe_term(task, term)
 
     def _dispatch(  # noqa: C901, PLR0911, PLR0912 - a case for each message
-        self, now_us: int, sender: str, life: int, body: Body
+        self, now_us: int, sender: str, process_number: int, body: Body
     ) -> list[OutgoingEnvelope]:
         match body:
             case LeaseRequest() | LeaseRelease() | TermQuery() | TermReport():
-                # One that was refused its name is no voter.
+                # A process whose name was rejected is not a voter.
                 if self.members.has_joined:
-                    return self._post_all(self._voter_role.on_message(now_us, sender, life, body))
+                    return self._post_all(self._voter_role.on_message(now_us, sender, process_number, body))
             case LeaseGrant():
                 self.leases.on_grant(now_us, sender, body)
             case LeaseDenial():
@@ -274,7 +276,9 @@
                 self.leases.on_handover(now_us, body)
                 return self._turn_leases(now_us)
             case LeaderRequest():
-                return self._post_addressed(self._requests.on_request(now_us, Requester(sender, life), body))
+                return self._post_addressed(
+                    self._requests.on_request(now_us, Requester(sender, process_number), body)
+                )
             case LeaderResponse():
                 return self._post_addressed(self._requests.on_response(now_us, sender, body))
             case ResponseRejection():
@@ -287,7 +291,7 @@
                 self.rolling_drains.on_status(now_us, sender, body)
             case _ if isinstance(body, ShardBody):
                 if self.shards is not None and self.members.has_joined:
-                    return self._post_all(self.shards.receive(now_us, sender, life, body))
+                    return self._post_all(self.shards.receive(now_us, sender, process_number, body))
             case FreshnessQuery() | FreshnessReply():
                 if sender in self.voters.names():
                     return self._send_released(self.durable_state.on_freshness_message(now_us, sender, body))
@@ -298,23 +302,25 @@
 
     # ------------------------------------------------------------------ requests and responses
 
-    def request(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[OutgoingEnvelope]:
-        """A request to a task's leader, whoever that is; see `PendingRequests.request`."""
-        return self._post_addressed(self._requests.request(now_us, task, content, done))
+    def request(
+        self, now_us: int, task: str, content: Any, on_response: OnResponse
+    ) -> list[OutgoingEnvelope]:
+        """Sends a request to the leader of a task; see `PendingRequests.request`."""
+        return self._post_addressed(self._requests.request(now_us, task, content, on_response))
 
-    def _handle_request(self, now_us: int, task: str, term: int, asker: Requester, content: Any) -> Any:
-        """As the owner of the task, under its term; None: there is no answer."""
+    def _handle_request(self, now_us: int, task: str, term: int, requester: Requester, content: Any) -> Any:
+        """Returns the response that this node gives as the leader of the task; None: it sends no response."""
         if task == PERMITS_TASK:
-            return self._permit_role.answer_request(now_us, term, asker.name, asker.life, content)
+            return self._permit_role.answer_request(now_us, term, requester.name, requester.life, content)
         if task == MARKS_TASK:
             return self.replica.answer_request(now_us, content) if self.replica is not None else None
-        answer = self.request_handlers.get(task)
-        return answer(now_us, asker.name, content) if answer is not None else None
+        handler = self.request_handlers.get(task)
+        return handler(now_us, requester.name, content) if handler is not None else None
 
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """When `turn` wants to be called next, should nothing come in."""
+        """Returns when `turn` has to be called next if no message arrives before."""
         due_us = self.members.due_us(now_us)
         if not self.members.has_joined:
             return due_us
@@ -327,11 +333,11 @@
             due_us = min(due_us, self.replica.due_us(now_us))
         if self.shards is not None:
             due_us = min(due_us, self.shards.due_us(now_us))
-        backing_us = self.durable_state.due_us()
-        return due_us if backing_us is None else min(due_us, backing_us)
+        durable_state_due_us = self.durable_state.due_us()
+        return due_us if durable_state_due_us is None else min(due_us, durable_state_due_us)
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
-        """Does what is due by the clock; returns what is to be sent."""
+        """Runs everything that is due by the clock; returns the envelopes to send."""
         self._now_us = now_us
         envelopes = self._envelopes.address_letters(self.members.tick(now_us))
         if self.voter is not None and self.members.has_joined:
@@ -352,26 +358,28 @@
         return self._post_all(self.leases.turn(now_us, self.candidate_tasks()))
 
     def _turn_permits(self, now_us: int) -> list[OutgoingEnvelope]:
-        questions = self._permit_role.due_requests(now_us)
+        requests = self._permit_role.due_requests(now_us)
         return [
-            out for content, done in questions for out in self.request(now_us, PERMITS_TASK, content, done)
+            out
+            for content, on_response in requests
+            for out in self.request(now_us, PERMITS_TASK, content, on_response)
         ]
 
     def _turn_replica(self, now_us: int, replica: Replica) -> list[OutgoingEnvelope]:
         coordinator = replica.coordinator
         if coordinator is not None and coordinator.superseding_term > coordinator.term:
-            # A voter has promised a higher term: this one is over, and the next is above that.
+            # A voter has promised a higher term, so this term ends and the next one will be above it.
             self.leases.observe_term(MARKS_TASK, coordinator.superseding_term, "", now_us)
             self._publish_changes(now_us)
         envelopes = self._post_all(replica.turn(now_us, self.known_leader(MARKS_TASK)))
-        for op, done in _emptied(replica.leader_requests):
-            envelopes += self.request(now_us, MARKS_TASK, msgspec.to_builtins(op), done)
+        for operation, on_response in _take_all(replica.leader_requests):
+            envelopes += self.request(now_us, MARKS_TASK, msgspec.to_builtins(operation), on_response)
         self._change_log.move_from(replica.anti_entropy.log_events)
         return envelopes
 
     def leave(self, now_us: int) -> list[OutgoingEnvelope]:
-        """In good order: what this node owns is handed over, permits are given back, and it is a member no
-        more.
+        """Leaves the fleet gracefully: hands over tasks and shards, releases permits and leaves
+        membership.
         """
         self._now_us = now_us
         envelopes = self._post_all(self.leases.leave(now_us, self.candidate_tasks()))
@@ -383,7 +391,7 @@
         return envelopes + self._publish_changes(now_us)
 
     def update_settings(self, now_us: int, settings: AgentSettings) -> None:
-        """Takes over an operator's file that was read again."""
+        """Applies reloaded operator settings."""
         if settings.leadership != self.settings.leadership:
             self.voters = Voters(settings.leadership, self._disabled_rules)
             self.leases.update_settings(self.voters, settings.leadership)
@@ -394,19 +402,21 @@
         self._leadership.update_settings(settings)
         self.settings = settings
 
-    # ------------------------------------------------------------------ what has changed
+    # ------------------------------------------------------------------ changes
 
     def _publish_changes(self, now_us: int) -> list[OutgoingEnvelope]:
-        """Tells the log and the work what has changed."""
-        for member_change in _emptied(self.members.changes):
+        """Logs changes and passes them to the parts and callbacks that depend on them; returns no
+        envelopes.
+        """
+        for member_change in _take_all(self.members.changes):
             self._change_log.log_member(member_change)
-        for leadership_change in _emptied(self.leases.changes):
+        for leadership_change in _take_all(self.leases.changes):
             self._on_leadership_change(now_us, leadership_change)
         self._change_log.record_held_leases(self.leases)
         self._change_log.move_from(self.durable_state.log_events)
         if self.shards is not None:
             self._change_log.move_from(self.shards.notes)
-        for permit_change in _emptied(self.permit_holder.changes) if self.permit_holder is not None else ():
+        for permit_change in _take_all(self.permit_holder.changes) if self.permit_holder is not None else ():
             self._change_log.log_permit(permit_change)
             self.rolling_drains.on_permit_change(permit_change)
             self.on_permit_change(permit_change)
@@ -422,25 +432,27 @@
             self._change_log.forget_recorded_expiry(change.task)
         self.on_leadership_change(now_us, change)
 
-    # ------------------------------------------------------------------ what goes out
+    # ------------------------------------------------------------------ outgoing messages
 
-    def send_shard_messages(self, now_us: int, messages: list[ShardPost]) -> list[OutgoingEnvelope]:
-        """What the part of shards has to say outside of a turn, as acts on a shard's behalf."""
+    def send_shard_messages(self, now_us: int, messages: list[ShardPeerMessage]) -> list[OutgoingEnvelope]:
+        """Sends messages of sharding outside of a turn, such as acts on behalf of a shard."""
         self._now_us = now_us
         return self._post_all(messages) if self.members.has_joined else []
 
     def _post_addressed(self, messages: list[AddressedMessage]) -> list[OutgoingEnvelope]:
-        return [out for one in messages for out in self._post(one.name, one.body, one.guard)]
+        return [out for message in messages for out in self._post(message.name, message.body, message.guard)]
 
     def _post_all(self, messages: Messages) -> list[OutgoingEnvelope]:
         envelopes: list[OutgoingEnvelope] = []
         for name, body in messages:
-            if self._still_wanted(body):
+            if self._is_still_needed(body):
                 envelopes += self._post(name, body)
         return envelopes
 
-    def _still_wanted(self, body: Any) -> bool:
-        """A lease that this node's own vote has denied is not asked for any more."""
+    def _is_still_needed(self, body: Any) -> bool:
+        """Whether a message is still needed: a lease request is dropped once this node's own voter
+        denied it.
+        """
         if isinstance(body, LeaseRequest):
             return self.leases.is_requested(body)
         return (
@@ -448,20 +460,22 @@
         )
 
     def _post(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
-        """To a member by name; a promise is held until the disk has what it rests on."""
+        """Sends to a member by name; a durable response is withheld until the entry it depends on is
+        synced.
+        """
         if self.durable_state.hold_if_not_durable(self._now_us, name, body):
             return []
         return self._deliver(name, body, guard)
 
     def _deliver(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
-        """To this node itself, at once."""
+        """Dispatches a message to this node itself at once, or addresses it to another member."""
         if name == self.name:
             return self._dispatch(self._now_us, name, self.life, body)
         return self._envelopes.address_member(name, body, guard)
 
 
-def _emptied(queue: list[Item]) -> list[Item]:
-    """What the queue held; it is empty then."""
+def _take_all(queue: list[Item]) -> list[Item]:
+    """Returns the items of the queue and clears it."""
     items = queue[:]
     queue.clear()
     return items
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -1,8 +1,9 @@
-"""What of a member outlasts its process: it is journalled, and restored at a start; a voter relies on its
-folder once the other voters know of no newer one.
+"""Journals the state of a member that must survive a restart, and restores it at the start. A voter relies on
+its storage folder once no other voter knows a newer one.
 
-Pure. The write-ahead log knows what is on the disk (`storage/write_ahead_log.py`), the folder's
-freshness what other voters know of this folder and of theirs (`storage/freshness.py`).
+This module does no I/O. The write-ahead log tracks which entries are on the disk
+(`storage/write_ahead_log.py`), and the folder's freshness tracks which versions of the folders the voters
+know (`storage/freshness.py`).
 """
 
 from __future__ import annotations
@@ -32,33 +33,34 @@
 
 
 class DurableState:
-    """Journals what a member must know after a restart, and restores it.
+    """Journals the state that a member needs after a restart, and restores it.
 
-    `run` is the id of this process. `record` is called with every act, for the laboratory's checks.
+    `process_number` is the random number of this process. `is_living` tells whether a member is alive.
+    `record` is called with every act, for the laboratory's checks.
     """
 
     def __init__(
         self,
         name: str,
-        run: int,
+        process_number: int,
         voters: Callable[[], Voters],
-        lives: Callable[[str], bool],
+        is_living: Callable[[str], bool],
         record: Callable[..., None],
         disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        self._run, self._record, self._disabled_rules = run, record, disabled_rules
+        self._process_number, self._record, self._disabled_rules = process_number, record, disabled_rules
         self.journal = MemberJournal()
-        # For the log: each with its name and its fields; emptied by whoever drives this.
+        # Events for the log, each with its name and fields; the driver clears them.
         self.log_events: list[tuple[str, dict[str, object]]] = []
-        # What else is to be known after a restart, as whoever drives this has it.
+        # Returns further entries that are needed after a restart; the driver replaces it.
         self.extra_entries: Callable[[], list[e.Entry]] = list
         self.freshness = FolderFreshness(
             name,
             lambda: voters().names(),
             lambda names: voters().is_majority(names),
-            self.journal.noted,
-            (run & 0xFFFFFFFF) << 20,
-            lives,
+            self.journal.record_peer_version,
+            (process_number & 0xFFFFFFFF) << 20,
+            is_living,
             disabled_rules,
         )
         self._folder: MemberFolder | None = None
@@ -66,89 +68,107 @@
         self._replica: Replica | None = None
         self._rolling_drains: RollingDrains | None = None
         self._gate = ResponseGate(self.freshness, lambda: self._voter(), record, disabled_rules)
-        self._life_position = 0  # the entry that says in which life of the folder this process is
-        self._last_trust = FreshnessState.REJOINING
+        # The position of the entry that states this process's incarnation of the folder.
+        self._incarnation_position = 0
+        self._last_freshness = FreshnessState.REJOINING
 
-    # ------------------------------------------------------------------ whom it is for
+    # ------------------------------------------------------------------ attached parts
 
     def attach_parts(
         self, voter: Callable[[], Voter | None], replica: Replica | None, rolling_drains: RollingDrains
     ) -> None:
-        """The parts whose state outlasts the process; who votes may change."""
+        """Attaches the parts whose state must survive a restart. `voter` is a function because this node may
+        become a voter or stop being one.
+        """
         self._voter, self._replica, self._rolling_drains = voter, replica, rolling_drains
         rolling_drains.persist_completion, rolling_drains.persist_plan = (
-            self.journal.drained,
-            self.journal.planned,
+            self.journal.record_drain_completed,
+            self.journal.record_drain_plan,
         )
         rolling_drains.on_done = lambda name: self._record("walked", walk=name)
         rolling_drains.is_durable = self.is_durable
 
     def attach_voter(self, voter: Voter) -> None:
-        """A voter that has just been made writes down what it promises."""
-        voter.persist_grant, voter.persist_observed_term = self.journal.slot, self.journal.floor
-        voter.persist_memory_state = self.journal.votes
+        """Makes a new voter journal its grants and terms here."""
+        voter.persist_grant, voter.persist_observed_term = (
+            self.journal.record_grant,
+            self.journal.record_observed_term,
+        )
+        voter.persist_memory_state = self.journal.record_voter_state
         voter.on_new_terms = lambda: self._record("founded", what="terms")
         voter.on_memory_complete = lambda: self._record("remembered", what="terms")
         voter.is_registered = lambda: self.freshness.is_established
         voter.can_persist = lambda: self._folder is None or self._folder.write_ahead_log.is_disk_available
-        # What a folder has of another time as a voter may not be all: `restore` comes after.
-        self.freshness.state = self._last_trust = FreshnessState.REJOINING
+        # Grants that the folder has from an earlier time as a voter may be incomplete. At a start, `restore`
+        # is called after this and sets the state again.
+        self.freshness.state = self._last_freshness = FreshnessState.REJOINING
 
     def is_durable(self, position: int) -> bool:
-        """Whether everything up to that entry is on the disk, if there is any."""
+        """Whether all entries up to that position are on the disk; always true without a folder."""
         return self._folder is None or self._folder.write_ahead_log.is_synced(position)
 
-    # ------------------------------------------------------------------ beginning
+    # ------------------------------------------------------------------ restoring
 
     def restore(self, now_us: int, folder: MemberFolder) -> None:
-        """Goes by a folder, as far as that can be: before the first turn. Who votes asks the other voters
-        whether they know of a newer one, and grants nothing before.
+        """Restores the state from a folder as far as it is valid; called before the first turn. A voter asks
+        the other voters whether they know a newer version of the folder, and grants nothing before they have
+        answered.
         """
-        self._folder, memory, sound = folder, folder.memory, folder.is_sound
-        log = self.journal.write_ahead_log = self._gate.write_ahead_log = folder.write_ahead_log
-        log.list_state_entries = self.snapshot_entries
-        log.on_reply_dropped = lambda answer: answer(False) if callable(answer) else None
+        self._folder, state, is_intact = folder, folder.state, folder.is_intact
+        write_ahead_log = self.journal.write_ahead_log = self._gate.write_ahead_log = folder.write_ahead_log
+        write_ahead_log.list_state_entries = self.snapshot_entries
+        write_ahead_log.on_reply_dropped = lambda answer: answer(False) if callable(answer) else None
         own = OwnFolder(
-            folder.identity, self._run, memory.incarnation + 1, folder.found_position, log.synced_position
+            folder.identity,
+            self._process_number,
+            state.incarnation + 1,
+            folder.found_position,
+            write_ahead_log.synced_position,
         )
-        self.freshness.start(own, sound, memory.peer_folders)
-        self._last_trust = self.freshness.state
-        self._life_position = self.journal.begun(own.incarnation, folder.wall_s)
+        self.freshness.start(own, is_intact, state.peer_folders)
+        self._last_freshness = self.freshness.state
+        self._incarnation_position = self.journal.record_process_start(own.incarnation, folder.wall_s)
         voter = self._voter()
         if voter is not None:
             voter.has_durable_state = True
-        if voter is not None and sound and memory.is_voter_complete:
-            voter.restore(now_us, restore_granted_leases(memory), memory.term_floors)
+        if voter is not None and is_intact and state.is_voter_complete:
+            voter.restore(now_us, restore_granted_leases(state), state.term_floors)
         elif voter is not None:
-            # As far as it goes: terms only rise by it, and the others are asked for the rest.
-            for task, term in memory.highest_terms().items():
+            # The incomplete state only serves as lower bounds of terms; the voter asks the others for the
+            # rest.
+            for task, term in state.highest_terms().items():
                 voter.observe_term(task, term)
             self._record("folder", what="learning", of="terms")
-        if sound and self._rolling_drains is not None:
-            plans = [(p.drain, p.for_us, p.nodes) for p in memory.drain_plans.values()]
-            self._rolling_drains.restore(now_us, memory.completed_drains, plans)
-        if sound and self._replica is not None:
-            self._restore_replica(now_us, self._replica, memory)
+        if is_intact and self._rolling_drains is not None:
+            plans = [(p.drain, p.for_us, p.nodes) for p in state.drain_plans.values()]
+            self._rolling_drains.restore(now_us, state.completed_drains, plans)
+        if is_intact and self._replica is not None:
+            self._restore_replica(now_us, self._replica, state)
         if self.freshness.state is FreshnessState.CONFIRMED:
             self._confirm_folder()
 
-    def _restore_replica(self, now_us: int, replica: Replica, memory: PersistedState) -> None:
-        if memory.is_replica_complete:
-            held = ((r, memory.record_digests[key]) for key, r in memory.records.items())
+    def _restore_replica(self, now_us: int, replica: Replica, state: PersistedState) -> None:
+        if state.is_replica_complete:
+            records = ((r, state.record_digests[key]) for key, r in state.records.items())
             with paused_garbage_collection():
-                left = replica.restore(now_us, held, memory.epoch)
-            facts: dict[str, object] = {"records": len(replica.store), "epoch": memory.epoch}
-            self.log_events.append(("copy-found", {**facts, "left": left or None}))
-        keeps = memory.acceptor
-        if replica.acceptor is not None and keeps is not None:
+                dropped_records = replica.restore(now_us, records, state.epoch)
+            fields: dict[str, object] = {"records": len(replica.store), "epoch": state.epoch}
+            self.log_events.append(("copy-found", {**fields, "left": dropped_records or None}))
+        acceptor_state = state.acceptor
+        if replica.acceptor is not None and acceptor_state is not None:
             replica.acceptor.restore(
-                keeps.incarnation, keeps.promised_term, keeps.peer_incarnations, keeps.is_complete
+                acceptor_state.incarnation,
+                acceptor_state.promised_term,
+                acceptor_state.peer_incarnations,
+                acceptor_state.is_complete,
             )
-            if not keeps.is_complete:
+            if not acceptor_state.is_complete:
                 self._record("folder", what="learning", of="marks")
 
     def snapshot_entries(self) -> Iterable[e.Entry]:
-        """All that is to be known after a restart, as it is now: to be gone through once, wherever."""
+        """Returns the current state that is needed after a restart as entries; they can be iterated once, on
+        any thread.
+        """
         own, voter, entries = self.freshness.own, self._voter(), list[e.Entry]()
         if own is not None and self._folder is not None:
             entries.append(e.ProcessStarted(own.incarnation, self._folder.wall_s))
@@ -158,8 +178,8 @@
         if self._rolling_drains is not None:
             entries += (e.DrainCompleted(name) for name in self._rolling_drains.completed_names())
             entries += (e.DrainPlan(*plan) for plan in self._rolling_drains.unfinished_plans())
-        copied = replica_entries(self._replica) if self._replica is not None else []
-        return chain(entries, self.extra_entries(), copied)
+        replica_state = replica_entries(self._replica) if self._replica is not None else []
+        return chain(entries, self.extra_entries(), replica_state)
 
     # ------------------------------------------------------------------ responses
 
@@ -167,7 +187,7 @@
         """See `ResponseGate.withhold`."""
         return self._gate.withhold(now_us, name, body)
 
-    def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
+    def call_when_durable(self, now_us: int, call: Callable[[bool], None]) -> None:
         """See `ResponseGate.call_when_durable`."""
         self._gate.call_when_durable(now_us, call)
 
@@ -175,57 +195,63 @@
         """See `ResponseGate.on_written`."""
         return self._gate.on_written(now_us, result)
 
-    # ------------------------------------------------------------------ whether the folder is the newest
+    # ------------------------------------------------------------------ freshness of the folder
 
     def on_freshness_message(
         self, now_us: int, sender: str, body: FreshnessQuery | FreshnessReply
     ) -> Released:
-        """Another voter queries how new this folder is, or answers such a query."""
+        """Handles another voter's query about its folder's version, or its reply to such a query."""
         if isinstance(body, FreshnessQuery):
             return Released(messages=[(sender, self.freshness.peers.on_query(sender, body))])
-        life = self.freshness.own.incarnation if self.freshness.own is not None else 0
+        incarnation = self.freshness.own.incarnation if self.freshness.own is not None else 0
         self.freshness.on_reply(sender, body)
-        self._apply_freshness(now_us, life)
+        self._apply_freshness(now_us, incarnation)
         return self._gate.release_noted()
 
-    def _may_query(self) -> bool:
-        """That this process has the folder is to be on the disk before anybody hears of it."""
-        return not self.freshness.is_querying or self.is_durable(self._life_position)
+    def _may_send_queries(self) -> bool:
+        """Whether queries may be sent: the entry that states this process's incarnation of the folder must be
+        on the disk before any other voter learns of it.
+        """
+        return not self.freshness.is_querying or self.is_durable(self._incarnation_position)
 
     def due_us(self) -> int | None:
-        """When `turn` wants to be called; None: not for itself."""
-        if self._folder is None or self._voter() is None or not self._may_query():
+        """Returns when `turn` has to be called next; None: no call is needed."""
+        if self._folder is None or self._voter() is None or not self._may_send_queries():
             return None
         return self.freshness.due_us()
 
     def turn(self, now_us: int) -> list[Message]:
-        """Queries the other voters about this folder, where that is due; returns messages by recipient."""
+        """Queries the other voters about this folder if that is due; returns messages by recipient."""
         own = self.freshness.own
-        if own is None or self._voter() is None or not self._may_query():
+        if own is None or self._voter() is None or not self._may_send_queries():
             return []
-        life = own.incarnation
+        incarnation = own.incarnation
         messages = list[Message](self.freshness.turn(now_us))
-        self._apply_freshness(now_us, life)
+        self._apply_freshness(now_us, incarnation)
         return messages
 
-    def _apply_freshness(self, now_us: int, life: int) -> None:
-        """Acts on what became of the comparison of folders."""
+    def _apply_freshness(self, now_us: int, known_incarnation: int) -> None:
+        """Acts on a change of the freshness state, and journals a new incarnation of the folder."""
         freshness, folder = self.freshness, self._folder
         if folder is None or freshness.own is None:
             return
-        if freshness.state is not self._last_trust:
-            self._last_trust = freshness.state
+        if freshness.state is not self._last_freshness:
+            self._last_freshness = freshness.state
             if freshness.state is FreshnessState.CONFIRMED:
                 self._confirm_folder()
             elif freshness.state is FreshnessState.STALE:
                 self._replace_folder(now_us, folder)
             elif freshness.state is FreshnessState.REJOINED:
                 self._record("folder", what="learned")
-        if freshness.own.incarnation != life:
-            self._life_position = self.journal.begun(freshness.own.incarnation, folder.wall_s)
+        if freshness.own.incarnation != known_incarnation:
+            self._incarnation_position = self.journal.record_process_start(
+                freshness.own.incarnation, folder.wall_s
+            )
 
     def _confirm_folder(self) -> None:
-        """Nobody knows of a newer folder: this voter has forgotten nothing of what that says it remembers."""
+        """Handles the confirmation that no voter knows a newer version of the folder: the restored state of
+        the voter and the acceptor is complete.
+        """
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
         if voter is not None and voter.may_remember:
             voter.confirm_restored()
@@ -236,14 +262,14 @@
         self.log_events.append(("lasting-trusted", {"life": own.incarnation if own is not None else None}))
 
     def _replace_folder(self, now_us: int, folder: MemberFolder) -> None:
-        """The folder is older than what the fleet knows: another is begun, and this voter learns from the
-        others what it may have promised.
+        """Starts a new folder, since this one is older than the version that the fleet knows. The voter
+        learns from the other voters what it may have granted or promised.
         """
         freshness = self.freshness
-        known = freshness.newest_known
+        newest = freshness.newest_known
         folder.identity = folder.generate_identity()
         freshness.restart_with_new_folder(folder.identity)
-        self._last_trust = freshness.state
+        self._last_freshness = freshness.state
         self._gate.discard()
         folder.write_ahead_log.begin_new_folder(bytes.fromhex(folder.identity))
         voter, acceptor = self._voter(), self._replica.acceptor if self._replica is not None else None
@@ -251,8 +277,8 @@
             voter.discard_memory(now_us)
         if acceptor is not None:
             acceptor.distrust_folder(now_us)
-        facts: dict[str, object] = {"why": freshness.stale_reason, "loaded": folder.found_position}
-        if known is not None:
-            facts |= {"known_life": known.incarnation, "known_position": known.position}
+        fields: dict[str, object] = {"why": freshness.stale_reason, "loaded": folder.found_position}
+        if newest is not None:
+            fields |= {"known_life": newest.incarnation, "known_position": newest.position}
         self._record("folder", what="old", why=freshness.stale_reason)
-        self.log_events.append(("lasting-old", facts))
+        self.log_events.append(("lasting-old", fields))
--- a/sailrun/leadership/member_journal.py
+++ b/sailrun/leadership/member_journal.py
@@ -1,6 +1,7 @@
-"""A member's durable state: what of it is journalled, and what is taken up again at a start.
+"""Converts a member's durable state to journal entries, and back at a start.
 
-Pure. The write-ahead log knows what is on the disk; the standing, whether the folder is the newest there is.
+This module does no I/O. The write-ahead log tracks which entries are on the disk; `storage/freshness.py`
+determines whether the folder is the newest version.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 
 @dataclass(slots=True)
 class MemberFolder:
-    """A folder that was opened: what it held, and what is written to it from now on. `sound`: as far as the
-    folder itself can tell, it holds all that was ever promised from it.
+    """An opened storage folder: the state that was read, and the log that is written from now on.
+    `is_intact`: as far as the folder itself can tell, it has everything that was ever synced to it.
     """
 
     write_ahead_log: WriteAheadLog
     identity: str
-    memory: PersistedState
-    is_sound: bool
-    found_position: int  # the position that was found
+    state: PersistedState
+    is_intact: bool
+    found_position: int  # the position that was read
     wall_s: float
     generate_identity: Callable[[], str]
 
 
 class MemberJournal(ReplicaJournal):
-    """Records the changes of all parts of a member; nothing is recorded until there is a log."""
+    """Journals the changes of all parts of a member; discards them until a write-ahead log is set."""
 
     def __init__(self) -> None:
         self.write_ahead_log: WriteAheadLog | None = None
@@ -43,75 +44,88 @@
         return self.write_ahead_log.append(entry) if self.write_ahead_log is not None else 0
 
     def write_record(self, record: Record, record_hash: int) -> None:
-        """A record of the replica was stored, with its digest."""
+        """Journals a stored record of the replica with its hash."""
         self._add(e.StoredRecord(record, record_hash))
 
     def write_forgotten(self, key: Key) -> None:
-        """A record of the replica was deleted."""
+        """Journals the deletion of a record of the replica."""
         self._add(e.DeletedRecord(key))
 
     def write_copy_state(self, epoch: int, is_complete: bool, cleared: bool = False) -> None:
-        """The replica's epoch, whether it is complete, and whether it was cleared."""
+        """Journals the replica's epoch, whether it is complete, and whether it was cleared."""
         self._add(e.ReplicaStatus(epoch, is_complete, cleared))
 
     def write_acceptor_state(
         self, incarnation: int, promised_term: int, crash_vector: dict[str, int], is_recovered: bool
     ) -> None:
-        """The state of the replica's acceptor."""
+        """Journals the state of the replica's acceptor."""
         self._add(e.AcceptorState(incarnation, promised_term, crash_vector, is_recovered))
 
-    def slot(self, task: str, slot: GrantedLease) -> int:
-        """A lease this voter granted; returns the entry's position."""
-        return self._add(granted_lease_entry(task, slot))
+    def record_grant(self, task: str, grant: GrantedLease) -> int:
+        """Journals a lease that this voter granted; returns the entry's position."""
+        return self._add(granted_lease_entry(task, grant))
 
-    def floor(self, task: str, term: int) -> int:
-        """A term below which this voter grants none; returns the entry's position."""
+    def record_observed_term(self, task: str, term: int) -> int:
+        """Journals a term of a task that this voter observed; returns the entry's position."""
         return self._add(e.TermFloor(task, term))
 
-    def votes(self, remembers: bool) -> int:
-        """Whether the folder has all that this voter ever granted; returns the entry's position."""
+    def record_voter_state(self, remembers: bool) -> int:
+        """Journals whether the folder has every grant of this voter; returns the entry's position."""
         return self._add(e.VoterState(remembers))
 
-    def noted(self, noted: e.PeerFolderVersion) -> None:
-        """How far the folder of another voter has come."""
-        self._add(noted)
+    def record_peer_version(self, version: e.PeerFolderVersion) -> None:
+        """Journals the position that another voter's folder has reached."""
+        self._add(version)
 
-    def begun(self, life: int, wall_s: float) -> int:
-        """A process began with this folder, at that Unix time in seconds; returns the entry's position."""
-        return self._add(e.ProcessStarted(life, wall_s))
+    def record_process_start(self, incarnation: int, wall_s: float) -> int:
+        """Journals the start of a process with this folder, at a Unix time in seconds; returns the entry's
+        position.
+        """
+        return self._add(e.ProcessStarted(incarnation, wall_s))
 
-    def drained(self, name: str) -> int:
-        """This node's part in a rolling drain is complete; returns the entry's position."""
+    def record_drain_completed(self, name: str) -> int:
+        """Journals that this node completed its part in a rolling drain; returns the entry's position."""
         return self._add(e.DrainCompleted(name))
 
-    def planned(self, name: str, for_us: int, nodes: list[str]) -> None:
-        """A rolling drain was begun here; without nodes: it is over."""
+    def record_drain_plan(self, name: str, for_us: int, nodes: list[str]) -> None:
+        """Journals a rolling drain that was started here; an empty `nodes` states that it is over."""
         self._add(e.DrainPlan(name, for_us, nodes))
 
 
-def granted_lease_entry(task: str, slot: GrantedLease) -> e.LeaseGrant:
-    """A voter's grant as an entry of the folder."""
-    return e.LeaseGrant(task, slot.term, slot.holder, slot.life, slot.highest_term, slot.is_released)
+def granted_lease_entry(task: str, grant: GrantedLease) -> e.LeaseGrant:
+    """Returns a voter's grant as a journal entry."""
+    return e.LeaseGrant(task, grant.term, grant.holder, grant.life, grant.highest_term, grant.is_released)
 
 
-def restore_granted_leases(memory: PersistedState) -> dict[str, GrantedLease]:
-    """A voter's grants, as its memory has them."""
+def restore_granted_leases(state: PersistedState) -> dict[str, GrantedLease]:
+    """Returns the voter's grants from the persisted state, with their expiry unset."""
     return {
-        task: GrantedLease(s.term, s.holder, s.incarnation, 0, s.is_released, max(s.highest_term, s.term))
-        for task, s in memory.grants.items()
+        task: GrantedLease(
+            grant.term,
+            grant.holder,
+            grant.incarnation,
+            0,
+            grant.is_released,
+            max(grant.highest_term, grant.term),
+        )
+        for task, grant in state.grants.items()
     }
 
 
 def voter_entries(voter: Voter) -> Iterator[e.Entry]:
-    """Everything a voter must know after a restart."""
+    """Yields the entries that a voter needs after a restart."""
     yield e.VoterState(voter.remembers or voter.may_remember)
-    yield from (granted_lease_entry(task, slot) for task, slot in voter.granted_leases().items())
+    yield from (granted_lease_entry(task, grant) for task, grant in voter.granted_leases().items())
     yield from (e.TermFloor(task, term) for task, term in voter.observed_terms().items())
 
 
 def replica_entries(replica: Replica) -> Iterable[e.Entry]:
-    """As they are now; gone through later, and by another thread."""
-    state = [e.ReplicaStatus(replica.anti_entropy.copy.epoch, replica.anti_entropy.copy.is_complete)]
-    keeps = [e.AcceptorState(*replica.acceptor.get_durable_state())] if replica.acceptor is not None else []
-    held = replica.store.list_firm_records()
-    return chain(state, keeps, (e.StoredRecord(record, mark) for record, mark in held))
+    """Returns the entries of the replica's current state; they may be iterated later on another thread."""
+    status = [e.ReplicaStatus(replica.anti_entropy.copy.epoch, replica.anti_entropy.copy.is_complete)]
+    acceptor_state = (
+        [e.AcceptorState(*replica.acceptor.get_durable_state())] if replica.acceptor is not None else []
+    )
+    records = replica.store.list_firm_records()
+    return chain(
+        status, acceptor_state, (e.StoredRecord(record, record_hash) for record, record_hash in records)
+    )
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -1,7 +1,7 @@
-"""A running node's part in its fleet: its agent, the agent's transport, and what leaders let the node do.
+"""Connects a running node to its fleet: the agent, its transport, and the services that depend on leaders.
 
-Nothing here is on a client's path: the core is notified of what it may do, and carries on as it is where
-nobody notifies it.
+Nothing here is on the request path of clients: the core is notified of permissions and changes, and continues
+unchanged without notifications.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
     from sailrun.sharding.agent import ShardingAgent
     from sailrun.storage.service import StorageService
 
-# While this node drains for a rolling drain, its sessions are counted this often.
+# The interval at which sessions are counted while this node drains for a rolling drain.
 SESSION_COUNT_INTERVAL_US = 200_000
-PROCESS_ID_BITS, SEED_BITS, INITIAL_TERM_BITS = 62, 32, 12
+PROCESS_NUMBER_BITS, SEED_BITS, INITIAL_TERM_BITS = 62, 32, 12
 
 
 def agent_settings(operator: Operator) -> AgentSettings:
-    """The agent's part of an operator's file."""
+    """Returns the agent's settings from the operator settings."""
     shares_move_rate = operator.rebalance.enabled and operator.owners.enabled
     return AgentSettings(
         operator.members,
@@ -62,19 +62,19 @@
 
 
 class FleetService:
-    """Joins the agent of one node with its transport, the core, the replica and the node's folder.
+    """Connects the agent of one node with its transport, the core, the replica and the storage folder.
 
-    All calls but `run` return at once; the agent's own task does the work.
+    All calls except `run` return at once; the agent's own task does the work.
     """
 
     def __init__(
         self, node: Node, config: NodeConfig, waits_for_address: bool, storage: StorageService | None = None
     ) -> None:
-        """Raises OSError for an address that cannot be bound, unless `waits_for_address`: then a predecessor
-        is about to release it. Raises ValueError without an operator's file.
+        """Raises OSError if the address cannot be bound, unless `waits_for_address` is true and the address
+        is in use by a predecessor that is about to release it. Raises ValueError without operator settings.
         """
         if config.operator is None:
-            raise ValueError("a node without an operator's file is in no fleet")
+            raise ValueError("cannot start the fleet service: no operator settings are configured")
         settings = agent_settings(config.operator)
         self._node = node
         self.agent = Agent(
@@ -87,13 +87,13 @@
         )
         self.transport = Transport(self.agent, split_address(settings.membership.listen), waits_for_address)
         self.transport.after_turn = self._after_turn
-        self._shared: SharedDiscovery | None = None
+        self._shared_discovery: SharedDiscovery | None = None
         self._operator_permits = OperatorPermits(node, self.agent, self.transport)
         self.agent.on_permit_change = self._operator_permits.on_permit_change
         self._move_rate = MoveRateService(node, self.agent, grants_shares=settings.shares_move_rate)
         self.agent.on_leadership_change = self._move_rate.on_leadership_change
         self._next_session_count_us = 0
-        self._core_drains = False
+        self._is_core_draining = False
         self.replication = self._new_replication()
         self._exerciser = self._new_exerciser() if settings.leadership.record else None
         self._storage = storage
@@ -106,7 +106,7 @@
         return ReplicationService(self._node, self.agent.replica, self)
 
     def _new_exerciser(self) -> ActExerciser | None:
-        """For the laboratory's checks, which need acts on behalf of shards."""
+        """Creates the exerciser for the laboratory's checks, which need acts on behalf of shards."""
         if self.agent.shards is None:
             return None
         from sailrun.sharding.act_exerciser import ActExerciser
@@ -117,62 +117,63 @@
 
     def _attach_storage(self, storage: StorageService) -> None:
         self.agent.durable_state.extra_entries = storage.list_auxiliary_entries
-        storage.on_result = lambda done: self.transport.post(
-            lambda now_us: self.agent.on_written(now_us, done)
+        storage.on_result = lambda result: self.transport.post(
+            lambda now_us: self.agent.on_written(now_us, result)
         )
 
     def new_discovery(self, source: RegistryService, revision: int) -> SharedDiscovery | None:
-        """The service discovery of the core for a registry; None: the core is to use the registry itself."""
+        """Creates the core's service discovery for a registry; None: the core reads the registry directly."""
         if not self.agent.settings.list_reader.enabled:
             return None
-        self._shared = SharedDiscovery(self._node, source, revision, self.agent, self.transport)
-        return self._shared
+        self._shared_discovery = SharedDiscovery(self._node, source, revision, self.agent, self.transport)
+        return self._shared_discovery
 
-    # ------------------------------------------------------------------ from start to end
+    # ------------------------------------------------------------------ lifecycle
 
     async def run(self) -> None:
-        """Runs until cancelled, or until the address is released. A fault in here leaves the node as it would
-        be without a fleet.
+        """Runs until cancelled, or until the address is released. After a fault the node continues as it
+        would without a fleet.
         """
         try:
             async with anyio.create_task_group() as group:
                 if self._storage is not None and await self._storage.acquire():
-                    # Nothing else knows the agent yet, and a large replica takes its time.
+                    # Runs on a thread because a large replica takes long; nothing else uses the agent yet.
                     await to_thread.run_sync(self._restore, self._storage)
                     group.start_soon(self._storage.run, self._node)
                 await self.transport.run()
                 group.cancel_scope.cancel()
         except Exception:
-            # Broad, because clients are served without a fleet too: no fault of it may end the node.
+            # Catches every exception: clients are served without a fleet too, so no fault of it may end the
+            # node.
             log("fault", where="fleet", trace=traceback.format_exc())
             self._read_registry_directly()
 
     def _restore(self, storage: StorageService) -> None:
-        found = storage.contents
+        contents = storage.contents
         folder = MemberFolder(
             storage.write_ahead_log,
             storage.identity,
-            found.state,
-            found.integrity is FolderIntegrity.INTACT,
-            found.position,
+            contents.state,
+            contents.integrity is FolderIntegrity.INTACT,
+            contents.position,
             time.time(),
             generate_identity,
         )
         self.agent.restore(boot_us(), folder)
-        found.state.records, found.state.record_digests = {}, {}  # the replica has them now
+        contents.state.records, contents.state.record_digests = {}, {}  # the replica has taken them over
         if self.replication is not None:
             self.replication.restore_draining(storage.starts_draining)
 
     def _read_registry_directly(self) -> None:
-        if self._shared is not None:
-            self._shared.read_directly()
+        if self._shared_discovery is not None:
+            self._shared_discovery.read_directly()
 
     def leave(self) -> None:
-        """The process ends: the tasks it leads are handed over at once."""
+        """Leaves the fleet because the process ends; the tasks it leads are handed over at once."""
         self.transport.post(self.agent.leave)
 
     def release_address(self) -> None:
-        """A successor takes the name and the address over."""
+        """Leaves the fleet and closes the sockets, so that a successor can take over the name and address."""
         self.transport.post(self._release_address)
 
     def _release_address(self, now_us: int) -> list[OutgoingEnvelope]:
@@ -181,38 +182,38 @@
         return self.agent.leave(now_us)
 
     def update_settings(self, settings: AgentSettings) -> None:
-        """Takes over an operator's file that was read again."""
+        """Applies reloaded operator settings."""
         self.call_soon(lambda now_us: self.agent.update_settings(now_us, settings))
 
-    # ------------------------------------------------------------------ for the replica
+    # ------------------------------------------------------------------ services for the replica
 
     def call_soon(self, call: Callable[[int], None]) -> None:
-        """Has the agent's task call this with the time (microseconds)."""
+        """Schedules `call` on the agent's task, with the time in microseconds."""
 
-        def called(now_us: int) -> list[OutgoingEnvelope]:
+        def call_and_send_nothing(now_us: int) -> list[OutgoingEnvelope]:
             call(now_us)
             return []
 
-        self.transport.post(called)
+        self.transport.post(call_and_send_nothing)
 
     def living(self) -> set[str]:
-        """The names of the members that live, as far as is known."""
+        """Returns the names of the members that are alive, as far as is known."""
         return set(self.agent.members.living_names)
 
     def highest_term(self, task: str) -> int:
-        """The highest term under which anybody is known to have led the task."""
+        """Returns the highest term under which any node is known to have led the task."""
         return self.agent.leases.lease_of(task).highest_granted_term
 
     def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
-        """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
-        self.agent.durable_state.when_kept(now_us, call)
+        """See `DurableState.call_when_durable`."""
+        self.agent.durable_state.call_when_durable(now_us, call)
 
     # ------------------------------------------------------------------ after each turn of the agent
 
     def _after_turn(self, now_us: int) -> list[OutgoingEnvelope]:
         envelopes: list[OutgoingEnvelope] = []
-        if self._shared is not None:
-            envelopes += self._shared.turn(now_us)
+        if self._shared_discovery is not None:
+            envelopes += self._shared_discovery.turn(now_us)
         self._turn_rolling_drain(now_us)
         if self.agent.shards is not None:
             self._follow_core_drain(now_us, self.agent.shards)
@@ -239,11 +240,13 @@
         self.call_soon(lambda now_us: self.agent.rolling_drains.on_session_count(now_us, sessions))
 
     def _follow_core_drain(self, now_us: int, shards: ShardingAgent) -> None:
-        """A draining node hands its shards over too, in its turn, and is given some again afterwards."""
-        drains = ShutdownReason.DRAIN in self._node.shutdown
-        if drains is not self._core_drains:
-            self._core_drains = drains
-            shards.set_leaving(now_us, drains)
+        """Notifies sharding when the core starts or stops draining, so that the node's shards are handed over
+        and assigned again afterwards.
+        """
+        is_draining = ShutdownReason.DRAIN in self._node.shutdown
+        if is_draining is not self._is_core_draining:
+            self._is_core_draining = is_draining
+            shards.set_leaving(now_us, is_draining)
 
     # ------------------------------------------------------------------ permits of operators
 
@@ -270,37 +273,38 @@
         """See `OperatorPermits.begin_rolling_drain`."""
         self._operator_permits.begin_rolling_drain(name, nodes, stay_empty_us, reply)
 
-    # ------------------------------------------------------------------ what operators are shown
+    # ------------------------------------------------------------------ status for operators
 
-    def show(self, what: str, reply: Callable[[Any], None]) -> None:
-        """Replies with values that JSON can have: `members`, `owners`, `permits`, `counts`, `shards [NODE]`,
-        `state...` and `ranges...` of the replica, or `walk NAME` for a rolling drain.
+    def show(self, query: str, reply: Callable[[Any], None]) -> None:
+        """Replies to a status query with values that JSON can represent. Queries are `members`, `owners`,
+        `permits`, `counts`, `shards [NODE]`, `state...` and `ranges...` for the replica, and `walk NAME` for
+        a rolling drain.
         """
-        self.call_soon(lambda now_us: reply(self._shown(now_us, what)))
+        self.call_soon(lambda now_us: reply(self._build_status(now_us, query)))
 
-    def _shown(self, now_us: int, what: str) -> Any:
+    def _build_status(self, now_us: int, query: str) -> Any:
         tables = {
             "members": status.member_rows,
             "owners": status.lease_rows,
             "permits": status.permit_rows,
         }
-        if what in tables:
-            return tables[what](self.agent, now_us)
-        if what.startswith(("state", "ranges")):
-            return self.replication.describe(now_us, what) if self.replication is not None else None
-        if what == "counts":
+        if query in tables:
+            return tables[query](self.agent, now_us)
+        if query.startswith(("state", "ranges")):
+            return self.replication.describe(now_us, query) if self.replication is not None else None
+        if query == "counts":
             return status.counters(self.agent, self.transport.traffic, boot_us())
-        if what.startswith("shards"):
-            return status.shard_status(self.agent, now_us, what.removeprefix("shards").strip())
-        return status.rolling_drain_rows(self.agent, what.removeprefix("walk "))
+        if query.startswith("shards"):
+            return status.shard_status(self.agent, now_us, query.removeprefix("shards").strip())
+        return status.rolling_drain_rows(self.agent, query.removeprefix("walk "))
 
 
 def _own_record(settings: AgentSettings, zone: str) -> MemberRecord:
-    """This process as a member, with an id of its own."""
+    """Returns the member record of this process, with a new process number."""
     membership = settings.membership
     return MemberRecord(
         membership.name,
-        secrets.randbits(PROCESS_ID_BITS),
+        secrets.randbits(PROCESS_NUMBER_BITS),
         1,
         MemberState.ALIVE,
         membership.advertise or membership.listen,
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -1,8 +1,8 @@
-"""Drives one agent by real sockets: datagrams for what is small, one framed link to a member for the rest.
+"""Drives one agent with real sockets: datagrams for small messages, one framed TCP link per member for
+others.
 
-One task owns the agent; readers, links and the core only put calls into its queue. Whatever is made under
-a term
-is checked against the clock again right before its system call, after whatever wait came between.
+One task owns the agent; readers, links and the core only put calls into its queue. A message that was created
+under a term is checked against the clock again right before its system call, after any wait in between.
 """
 
 from __future__ import annotations
@@ -41,33 +41,34 @@
 from sailrun.node.clock import log
 
 SECOND = 1_000_000
-# Frames that wait for one link, and links that are open, each way.
+# The queued frames per link, and the open links in each direction.
 MAX_QUEUED_FRAMES, MAX_LINKS = 4, 64
-# A link that is not set up, or has carried nothing, within this is ended.
+# A link is closed if connecting or writing a frame takes longer than the first, or if it is idle for the
+# second.
 LINK_TIMEOUT_S, LINK_IDLE_TIMEOUT_S = 2.0, 30.0
-# Datagrams read in one go before others get their turn.
+# Datagrams read in a row before other tasks may run.
 MAX_DATAGRAMS_PER_READ = 64
 _FRAME_HEADER_BYTES = 4
 
 
 class Transport:
-    """The sockets of one member."""
+    """Owns the sockets of one member."""
 
     def __init__(self, agent: Agent, address: tuple[str, int], waits_for_address: bool) -> None:
-        """Patient: where the address is taken by a predecessor that is about to end, it is tried for again;
-        otherwise that raises OSError.
+        """Raises OSError if the address cannot be bound. With `waits_for_address`, an address that is in use
+        is retried in `run` until the predecessor has released it.
         """
         self.agent = agent
         self._address, self._waits_for_address = address, waits_for_address
         self._calls: deque[Callable[[], list[OutgoingEnvelope]]] = deque()
-        self._called = anyio.Event()
+        self._call_posted = anyio.Event()
         self._links: dict[str, _OutgoingLink] = {}
         self._accepted_links = 0
         self.traffic = TrafficCounters()
         self.bad_frames = 0
         self._sockets: tuple[socket.socket, socket.socket] | None = None
-        self.closes_after_send = False  # after what is to be sent now, the address is given up
-        # After each turn of the agent: what has changed is acted on.
+        self.closes_after_send = False  # whether to close the sockets after the next calls were sent
+        # Called after each turn of the agent, to act on changes; returns envelopes to send.
         self.after_turn: Callable[[int], list[OutgoingEnvelope]] = lambda now_us: []
         try:
             self._sockets = self._bind()
@@ -85,9 +86,9 @@
             raise
 
     def post(self, call: Callable[[int], list[OutgoingEnvelope]]) -> None:
-        """Has the agent's task call this with the time, and send what it returns."""
+        """Schedules `call` on the agent's task, with the time; the envelopes that it returns are sent."""
         self._calls.append(lambda: call(boot_us()))
-        self._called.set()
+        self._call_posted.set()
 
     def close(self) -> None:
         """Closes the sockets; safe to call more than once."""
@@ -121,8 +122,8 @@
             now_us = boot_us()
             due_us = self.agent.due_us(now_us)
             with anyio.CancelScope(deadline=anyio.current_time() + max(1_000, due_us - now_us) / SECOND):
-                await self._called.wait()
-            self._called = anyio.Event()
+                await self._call_posted.wait()
+            self._call_posted = anyio.Event()
             while self._calls:
                 self._send(datagrams, self._calls.popleft()())
             if self.closes_after_send:
@@ -130,8 +131,8 @@
             now_us = boot_us()
             self._send(datagrams, self.agent.turn(now_us))
             self._send(datagrams, self.after_turn(now_us))
-            for note in self.agent.log_events:
-                log(note.name, **note.fields)
+            for event in self.agent.log_events:
+                log(event.name, **event.fields)
             self.agent.log_events.clear()
 
     def _send(self, datagrams: socket.socket, envelopes: list[OutgoingEnvelope]) -> None:
@@ -140,7 +141,7 @@
             if len(data) > MAX_DATAGRAM_BYTES:
                 self._queue_frame(outgoing, data)
                 continue
-            # The clock is looked at last of all.
+            # The guard is checked last, so that no delay follows the reading of the clock.
             if outgoing.guard is not None and not self.agent.may_send(outgoing.guard, boot_us()):
                 continue
             self._send_datagram(datagrams, data, outgoing.address)
@@ -149,10 +150,10 @@
         try:
             datagrams.sendto(data, split_address(address))
         except (OSError, ValueError):
-            return  # as if it were lost
+            return  # treated like a lost datagram
         self.traffic.sent(len(data))
 
-    # ------------------------------------------------------------------ what comes in
+    # ------------------------------------------------------------------ incoming messages
 
     async def _read(self, datagrams: socket.socket) -> None:
         while True:
@@ -186,7 +187,9 @@
             try:
                 sock = await accept(listener)
             except OSError:
-                await anyio.sleep_until(anyio.current_time() + 0.1)  # no descriptors: others go first
+                await anyio.sleep_until(
+                    anyio.current_time() + 0.1
+                )  # probably out of file descriptors: retried after a pause
                 continue
             if self._accepted_links >= MAX_LINKS:
                 sock.close()
@@ -195,7 +198,7 @@
             group.start_soon(self._serve_link, Connection(sock, MAX_FRAME_BYTES + _FRAME_HEADER_BYTES))
 
     async def _serve_link(self, link: Connection) -> None:
-        """Reads frames until one is none, the other side ends, or nothing comes for long."""
+        """Reads frames until one is malformed, the peer closes the link, or the link is idle for too long."""
         try:
             with contextlib.suppress(OSError, OverlongLineError):
                 while True:
@@ -218,12 +221,12 @@
         link = self._links.get(outgoing.address)
         if link is None:
             if len(self._links) >= MAX_LINKS:
-                return  # asked for again
+                return  # dropped; requests are retried
             link = self._links[outgoing.address] = _OutgoingLink()
             self._group.start_soon(self._run_link, outgoing.address, link)
         if len(link.queue) < MAX_QUEUED_FRAMES:
             link.queue.append((data, outgoing.guard))
-            link.filled.set()
+            link.frame_queued.set()
 
     async def _run_link(self, address: str, link: _OutgoingLink) -> None:
         connection: Connection | None = None
@@ -233,8 +236,8 @@
             while connection is not None:
                 with anyio.CancelScope(deadline=anyio.current_time() + LINK_IDLE_TIMEOUT_S) as idle:
                     while not link.queue:
-                        link.filled = anyio.Event()
-                        await link.filled.wait()
+                        link.frame_queued = anyio.Event()
+                        await link.frame_queued.wait()
                 if idle.cancelled_caught:
                     return
                 data, guard = link.queue.popleft()
@@ -243,10 +246,10 @@
                 with anyio.CancelScope(deadline=anyio.current_time() + LINK_TIMEOUT_S) as writing:
                     await connection.write(len(data).to_bytes(_FRAME_HEADER_BYTES, "big") + data)
                 if writing.cancelled_caught:
-                    return  # half a frame may be out
+                    return  # a part of the frame may have been sent
                 self.traffic.sent(len(data) + _FRAME_HEADER_BYTES)
         except (OSError, ValueError):
-            pass  # what waits is dropped, and asked for again
+            pass  # queued frames are dropped; requests are retried
         finally:
             self._links.pop(address, None)
             if connection is not None:
@@ -254,21 +257,23 @@
 
 
 class _OutgoingLink:
-    """What waits to go out to one member."""
+    """The frames that are queued for one member."""
 
     def __init__(self) -> None:
         self.queue: deque[tuple[bytes, tuple[str, int] | None]] = deque()
-        self.filled: Any = anyio.Event()
+        self.frame_queued: Any = anyio.Event()
 
 
 async def _read_frame(link: Connection) -> bytes | None:
-    """The next frame's content; None where the other side has ended. Raises OverlongLineError."""
+    """Returns the content of the next frame; None: the peer closed the link. Raises OverlongLineError for a
+    frame that is too large.
+    """
     while link.held() < _FRAME_HEADER_BYTES:
         if not await link.fill():
             return None
     length = int.from_bytes(link.peek(_FRAME_HEADER_BYTES), "big")
     if length > MAX_FRAME_BYTES:
-        raise OverlongLineError(f"a frame of {length} bytes")
+        raise OverlongLineError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")
     while link.held() < _FRAME_HEADER_BYTES + length:
         if not await link.fill():
             return None
--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -86,7 +86,8 @@
         self.may_remember = False
         # Whether this voter has a storage folder.
         self.has_durable_state = False
-        # Whether the other voters know the folder, so that this voter may relearn the terms from them.
+        # Whether the current folder is established at the other voters, so that this voter may relearn the
+        # terms from them; always true without a folder.
         self.is_registered: Callable[[], bool] = lambda: True
         # Whether the disk accepts writes.
         self.can_persist: Callable[[], bool] = lambda: True
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -572,14 +572,14 @@
     assert agent is not None and node.write_ahead_log is not None
     told: list[bool] = []
     fleet.mark_here("n4", "s-00000002", True)
-    agent.durable_state.when_kept(fleet.clock_us(node), told.append)
+    agent.durable_state.call_when_durable(fleet.clock_us(node), told.append)
     assert not told
     fleet._soon(node)
     fleet.run(now_s(fleet) + 0.1)
     assert told == [True]
     fleet.fill(["n4"], 60 * SECOND)
     fleet.mark_here("n4", "s-00000003", True)
-    agent.durable_state.when_kept(fleet.clock_us(node), told.append)
+    agent.durable_state.call_when_durable(fleet.clock_us(node), told.append)
     fleet._soon(node)
     fleet.run(now_s(fleet) + 0.1)
     assert told == [True, False]
