--- a/sailrun/leadership/__init__.py
+++ b/sailrun/leadership/__init__.py
@@ -1,5 +1,6 @@
-"""Named tasks with at most one leader each, by leases that a majority of voters grants.
+"""Elects at most one leader for each named task, by leases that a majority of voters grants.
 
-Pure but for `service.py`, `transport.py`, `shared_discovery.py` and the modules that these make: messages and
-the time come in, messages go out. The rules and why they are safe: docs/design/owners.md.
+Except for `service.py`, `transport.py`, `shared_discovery.py` and the modules that these create, the modules
+do no I/O: they take messages and the time, and return messages. docs/design/owners.md has the rules and
+explains why they are safe.
 """
--- a/sailrun/leadership/act_log.py
+++ b/sailrun/leadership/act_log.py
@@ -1,4 +1,4 @@
-"""Log lines for every act of an agent, from which the laboratory's checks reconstruct what happened."""
+"""Logs every act of an agent, so that the laboratory's checks can reconstruct the history of a run."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from sailrun.leadership.clock import boot_us
 from sailrun.node.clock import log
 
-# Two clocks are read within this time of each other, or once more.
+# The two clocks have to be read within this time of each other; otherwise both are read again.
 MAX_CLOCK_READ_GAP_US = 500
 MAX_CLOCK_READS = 10
 
 
 def log_act(kind: str, **facts: Any) -> None:
-    """Logs an act with the time that all processes of a machine share (`at_us`). Times of this node's own
-    clock are logged as what was left until then (`left_us`) or has passed since (`ago_us`).
+    """Logs an act with a time that is common to all processes of a machine (`at_us`). Times of this node's
+    own clock are logged as the time left until then (`left_us`) or the time passed since then (`ago_us`).
     """
     for _ in range(MAX_CLOCK_READS):
         at_us, own_us = time.monotonic_ns() // 1000, boot_us()
         if time.monotonic_ns() // 1000 - at_us < MAX_CLOCK_READ_GAP_US:
-            break  # else this process was stopped between its reads of the clocks
+            break  # otherwise this process was paused between reading the two clocks
     if "until_us" in facts:
         facts["left_us"] = facts.pop("until_us") - own_us
     if "made_us" in facts:
@@ -29,4 +29,4 @@
 
 
 def ignore_act(kind: str, **facts: Any) -> None:
-    """Where no checks are run: acts are not logged."""
+    """Ignores an act; used when the laboratory's checks are off."""
--- a/sailrun/leadership/agent_settings.py
+++ b/sailrun/leadership/agent_settings.py
@@ -1,4 +1,4 @@
-"""An agent's part of an operator's file."""
+"""The part of the operator settings that an agent uses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
-    """`pace`: whether the pace of moves for balance is shared out by an owner."""
+    """Settings of an agent. `shares_move_rate`: whether a leader distributes the fleet's move rate."""
 
     membership: MembershipSettings
     leadership: LeadershipSettings
@@ -24,5 +24,5 @@
     sharding: ShardingSettings = field(default_factory=ShardingSettings)
 
     def max_marks(self, kind: str) -> int | None:
-        """How many marks of that kind may be in force at a time; None: any number."""
+        """Returns how many marks of that kind may be in force at a time; None: unlimited."""
         return self.permits.out if self.permits.enabled and kind == OUT_OF_SERVICE else None
--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -1,4 +1,4 @@
-"""What changed at one agent: events for the operator's log, and acts for the laboratory's checks."""
+"""Records changes at one agent: events for the operator's log, and acts for the laboratory's checks."""
 
 from __future__ import annotations
 
@@ -12,33 +12,35 @@
 
 
 class LogEvent(NamedTuple):
-    """An event for the log: its name, and its fields."""
+    """An event for the log."""
 
     name: str
     fields: dict[str, object]
 
 
 class ChangeLog:
-    """`record` is called with the kind of every act and its facts. The driver logs and empties `events`."""
+    """Collects log events and passes acts on. `record` is called with the kind and fields of every act; the
+    driver logs and clears `events`.
+    """
 
-    def __init__(self, act: Callable[..., None]) -> None:
-        self.record = act
+    def __init__(self, record: Callable[..., None]) -> None:
+        self.record = record
         self.counters = AgentCounters()
         self.events: list[LogEvent] = []
         self._reached_majority = True
-        self._recorded_expiry_us: dict[str, int] = {}  # until when a task was held, as last recorded
+        self._recorded_expiry_us: dict[str, int] = {}  # by task, the last recorded expiry of the lease
 
-    def add(self, what: str, /, **facts: object) -> None:
-        """Adds an event; `what` is its name in the log."""
-        self.events.append(LogEvent(what, facts))
+    def add(self, event: str, /, **fields: object) -> None:
+        """Adds an event of that name."""
+        self.events.append(LogEvent(event, fields))
 
-    def move_from(self, notes: list[tuple[str, dict[str, object]]]) -> None:
-        """Takes over the lines of a part, which has none then."""
-        self.events += [LogEvent(*note) for note in notes]
-        notes.clear()
+    def move_from(self, events: list[tuple[str, dict[str, object]]]) -> None:
+        """Moves the events of a part to this log and clears them there."""
+        self.events += [LogEvent(*event) for event in events]
+        events.clear()
 
     def log_member(self, change: MembershipChange) -> None:
-        """Records that a member joined, was suspected, left or is gone."""
+        """Records a change of a member, such as that it joined, was suspected, left or is dead."""
         record = change.record
         self.add(
             "member",
@@ -51,7 +53,7 @@
         self.record("member", what=change.kind, name=record.name, life=record.life)
 
     def log_leadership(self, change: LeadershipChange) -> None:
-        """Records that this node became a task's leader, or is none any more."""
+        """Records that this node became a task's leader, or stopped being its leader."""
         if not change.is_leader:
             self.record("lost", task=change.task, term=change.term, why=change.reason)
         self.counters.leadership_changes[change.reason] = (
@@ -59,25 +61,27 @@
         )
         self.add("owner", task=change.task, term=change.term, mine=change.is_leader, why=change.reason)
 
-    def log_permit(self, use: PermitChange) -> None:
-        """Records that a permit was granted to this node, or has ended."""
-        if not use.is_held:
-            self.record("unuse", subject=f"{use.kind}/{use.subject}")
-        self.add("permit", kind=use.kind, subject=use.subject, yes=use.is_held, why=use.reason or None)
+    def log_permit(self, change: PermitChange) -> None:
+        """Records that this node acquired or lost a permit."""
+        if not change.is_held:
+            self.record("unuse", subject=f"{change.kind}/{change.subject}")
+        self.add(
+            "permit", kind=change.kind, subject=change.subject, yes=change.is_held, why=change.reason or None
+        )
 
     def record_held_leases(self, leases: Leases) -> None:
-        """Records until when this node owns its tasks, where that has changed."""
+        """Records the expiry of each lease that this node holds, if it has changed since the last record."""
         for task, lease in leases.by_task.items():
             if lease.expires_us and self._recorded_expiry_us.get(task) != lease.expires_us:
                 self._recorded_expiry_us[task] = lease.expires_us
                 self.record("hold", task=task, term=lease.term, until_us=lease.expires_us)
 
     def forget_recorded_expiry(self, task: str) -> None:
-        """The next `record_held_leases` records when the lease ends, whether that has changed or not."""
+        """Makes the next `record_held_leases` record the lease's expiry even if it has not changed."""
         self._recorded_expiry_us.pop(task, None)
 
-    def log_majority_contact(self, in_touch: bool, voters: int) -> None:
-        """Whether a majority of that many voters answers."""
-        if self._reached_majority is not in_touch:
-            self._reached_majority = in_touch
-            self.add("owners-in-touch" if in_touch else "owners-rest", voters=voters)
+    def log_majority_contact(self, reaches_majority: bool, voters: int) -> None:
+        """Logs a change of whether a majority of the voters answers; `voters` is their number."""
+        if self._reached_majority is not reaches_majority:
+            self._reached_majority = reaches_majority
+            self.add("owners-in-touch" if reaches_majority else "owners-rest", voters=voters)
--- a/sailrun/leadership/clock.py
+++ b/sailrun/leadership/clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases are counted by."""
+"""The clock that leases are measured by."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 def boot_us() -> int:
-    """Microseconds since this machine started, the time in which it was suspended among them. Never set: a
-    step
-    of the wall clock moves nothing, and a lease does not outlast a machine's sleep.
+    """Returns the microseconds since this machine started, including the time for which it was suspended. The
+    clock is never set: a step of the wall clock does not change it, and leases expire while the machine is
+    suspended.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -1,8 +1,8 @@
-"""How everything between members is written: MessagePack arrays, one envelope a datagram or frame.
+"""Encodes the messages between members as MessagePack arrays, one envelope per datagram or frame.
 
-The fields of an array are read by place: a newer version may add fields at the end, which an older one skips,
-and a kind of body that is not known is dropped whole. Nothing here is trusted for its size: a datagram is at
-most `LONGEST_DATAGRAM` bytes, a frame `LONGEST_FRAME`.
+The fields of an array are positional: a newer version may add fields at the end, which an older one skips. An
+envelope whose body is of an unknown kind is rejected. Sizes are limited: a datagram has at most
+`MAX_DATAGRAM_BYTES`, and a frame at most `MAX_FRAME_BYTES`.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 MAX_DATAGRAM_BYTES = 1200
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-# What rides along, so that a datagram stays below its limit whatever the names are.
+# Limits of the piggybacked gossip, so that a datagram stays within its limit whatever the names are.
 MAX_MEMBER_UPDATES, MAX_LEADER_HINTS = 4, 3
 
 Body = MemberBody | LeadershipBody | ReplicationBody | StorageMessage | ShardBody
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """`life` and `incarnation` are the sender's own; `member_updates` and `leader_hints` are gossip that
-    rides along.
+    """A message with its sender. `life` is the process number of the sender and `incarnation` its own
+    incarnation; `member_updates` and `leader_hints` are piggybacked gossip.
     """
 
     fleet: str
@@ -39,7 +39,7 @@
 
 
 class InvalidEnvelopeError(SailrunError, ValueError):
-    """No envelope of this program."""
+    """Data could not be decoded as an envelope."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -47,12 +47,12 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """The envelope as MessagePack."""
+    """Returns the envelope as MessagePack."""
     return _encoder.encode(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Raises BadMessage for whatever is none."""
+    """Decodes an envelope; raises InvalidEnvelopeError for malformed data."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError, RecursionError) as error:
--- a/sailrun/leadership/list_reader.py
+++ b/sailrun/leadership/list_reader.py
@@ -1,10 +1,9 @@
-"""One node of a data centre reads the registry, and the others there have the list from it.
+"""One node of each zone reads the registry, and the other nodes of the zone get the endpoint list from it.
 
-Pure. The owner of the task answers with what it knows; a node asks again and again, takes a list that is
-newer
-than its own, and reads the registry itself as soon as the reader was not heard of for some time. An older
-list is
-never taken, whoever tells it; only the registry itself may go back.
+This module does no I/O. The leader of the task, called the reader, answers queries with its list. The other
+nodes query it periodically, accept a list that is newer than their own, and read the registry themselves once
+the reader has not answered for some time. A node never accepts an older list from the reader; only the
+registry itself may go back to an older revision.
 """
 
 from __future__ import annotations
@@ -19,15 +18,15 @@
 
 
 class ListQuery(msgspec.Struct, array_like=True, frozen=True):
-    """A request's content: which list its sender has, of which source. A revision of -1: none."""
+    """The content of a request: the source and the revision of the requester's list; -1: it has none."""
 
     source: str
     revision: int
 
 
 class ListReply(msgspec.Struct, array_like=True, frozen=True):
-    """The reader's response. `entries`: the whole list in the registry's form, where the requester's is
-    older.
+    """The reader's response. `entries` has the complete list in the registry's format if the requester's list
+    is older.
     """
 
     source: str
@@ -36,15 +35,15 @@
 
 
 class SharedList:
-    """One node's part: what it knows of the registry, and from whom."""
+    """One node's endpoint list, which comes from the registry or from the reader."""
 
     def __init__(self, source: str, settings: ListReaderSettings, now_us: int) -> None:
         self.source, self._settings = source, settings
         self.revision = -1
         self.entries: list[dict[str, Any]] = []
-        self.is_leader = False  # this node reads for the others
+        self.is_leader = False  # this node reads the registry for the others
         self.lists_accepted = 0
-        self.lists_rejected = 0  # lists that were older, or of another source
+        self.lists_rejected = 0  # replies that were malformed, older, or of another source
         self._last_contact_us = now_us
         self._next_query_us = now_us
 
@@ -53,18 +52,18 @@
         return self.is_leader or now_us - self._last_contact_us >= self._settings.silence_s * SECOND
 
     def on_registry_list(self, revision: int, members: list[dict[str, Any]]) -> None:
-        """The registry itself sent a list: it holds, whatever was known."""
+        """Takes over a list from the registry itself, whatever its revision is."""
         self.revision, self.entries = revision, members
 
     def next_query(self, now_us: int) -> ListQuery | None:
-        """The question for the reader, if it is time for one."""
+        """Returns the query to the reader if one is due."""
         if self.is_leader or now_us < self._next_query_us:
             return None
         self._next_query_us = now_us + int(self._settings.ask_s * SECOND)
         return ListQuery(self.source, self.revision)
 
     def answer_query(self, content: Any) -> Any:
-        """The response of the reader; None where there is none."""
+        """Returns the reader's response to a query; None: there is none."""
         try:
             query = msgspec.convert(content, ListQuery)
         except msgspec.ValidationError:
@@ -75,14 +74,14 @@
         return msgspec.to_builtins(ListReply(self.source, self.revision, members))
 
     def on_reply(self, now_us: int, content: Any) -> list[dict[str, Any]] | None:
-        """The reader's answer; returns the list where it is newer than what is known here."""
+        """Handles the reader's response; returns the list if it is newer than the one known here."""
         try:
             reply = msgspec.convert(content, ListReply)
         except msgspec.ValidationError:
             self.lists_rejected += 1
             return None
         if reply.source != self.source or reply.revision < self.revision:
-            self.lists_rejected += 1  # and it counts as silence: this node will ask the registry itself
+            self.lists_rejected += 1  # not counted as contact, so this node will read the registry itself
             return None
         self._last_contact_us = now_us
         if reply.entries is None or reply.revision == self.revision:
--- a/sailrun/leadership/messages.py
+++ b/sailrun/leadership/messages.py
@@ -1,7 +1,7 @@
-"""The messages of leases, orders, permits and rolling drains; `envelope.py` has what they travel in.
+"""The messages of leases, leader requests, permits and rolling drains; `envelope.py` has their envelope.
 
-Tags and the order of fields are the wire format, which nodes of other versions read as well: a name in this
-program may change, a tag never (`DrainRequest` is `walk` on the wire, `DrainStatus` is `walking`).
+Tags and the order of fields are the wire format, which nodes of other versions read as well: names in the
+code may change, but tags must not (`DrainRequest` is `walk` on the wire, `DrainStatus` is `walking`).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class LeaderHint(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Gossip: who led a task, under which term. It decides nothing; it saves requests."""
+    """Gossip about the leader of a task and its term. It only saves requests; no decision depends on it."""
 
     task: str
     term: int
@@ -20,19 +20,19 @@
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """A candidate's request for a lease of the task, or for its renewal. `number` is the candidate's own: it
-    matches answers to requests.
+    """A candidate's request for a task's lease, or for its renewal. The candidate chooses `number` to match
+    answers to requests.
     """
 
     task: str
     term: int
     number: int
-    stage: int  # which voters the asker counts
-    is_renewal: bool = False  # the asker has owned it under this term without a gap
+    stage: int  # identifies the set of voters that the requester uses
+    is_renewal: bool = False  # the requester has held the lease under this term without a gap
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="grant"):
-    """A voter's answer to a request for a lease: granted, or renewed."""
+    """A voter's answer to a lease request: granted or renewed."""
 
     task: str
     term: int
@@ -40,13 +40,14 @@
 
 
 class LeaseDenial(msgspec.Struct, array_like=True, frozen=True, tag="deny"):
-    """A voter's refusal. `retry_after_us`: when to request again.
+    """A voter's denial. `retry_after_us`: the time after which to request again.
 
-    `reason`: `held`, `term` (too low), `abstains`, `stage`, `disk` (too slow, or failed).
+    `reason`: `held` (by `holder`), `term` (too low), `abstains`, `stage` (not accepted), or `disk` (too slow
+    or failed).
     """
 
     task: str
-    term: int  # the highest the voter knows
+    term: int  # the highest term that the voter knows
     number: int
     reason: str
     retry_after_us: int
@@ -54,22 +55,22 @@
 
 
 class LeaseRelease(msgspec.Struct, array_like=True, frozen=True, tag="release"):
-    """To a voter: its holder uses the lease no longer."""
+    """To a voter: the holder no longer uses the lease."""
 
     task: str
     term: int
 
 
 class LeaseHandover(msgspec.Struct, array_like=True, frozen=True, tag="yield"):
-    """To the next leader: the task is free."""
+    """To the next leader: the task was released."""
 
     task: str
     term: int
 
 
 class TermQuery(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
-    """A voter that has started requests the terms that it may have forgotten. `has_durable_state`: its folder
-    reports how far it has come; else whatever folder it had is older than what it does from now on.
+    """A voter that has started requests the terms that it may have forgotten. `has_durable_state`: it has a
+    storage folder, which reports its own position; without one, any folder that this voter had is outdated.
     """
 
     number: int
@@ -77,18 +78,19 @@
 
 
 class TermReport(msgspec.Struct, array_like=True, frozen=True, tag="recalled"):
-    """The answer to a `TermQuery`: the highest term of each task; of no task: the least of any."""
+    """The answer to a `TermQuery`: the highest term of each task; the empty task has the minimum of all."""
 
     number: int
-    remembers: bool  # whether the sender has been a voter without a gap
+    remembers: bool  # whether the sender knows all terms that it has granted
     terms: dict[str, int]
-    may_remember: bool = False  # its folder is being compared: it will know in a moment
+    may_remember: bool = False  # the sender's folder is being compared, after which it may remember
 
 
 class LeaderRequest(msgspec.Struct, array_like=True, frozen=True, tag="question"):
     """A request to the leader of a task.
 
-    `term`: the highest that the sender knows; a leader of a lower one is none any more.
+    `term`: the highest term that the sender knows; a node that leads under a lower term is no longer the
+    leader.
     """
 
     task: str
@@ -98,8 +100,8 @@
 
 
 class LeaderResponse(msgspec.Struct, array_like=True, frozen=True, tag="order"):
-    """The leader's response: what the sender of the request is to do, or may. A leader sends nothing but
-    responses, so that the receiver's own clock measures how old they are.
+    """The leader's response: an instruction or a permission for the requester. A leader sends nothing but
+    responses, so that the requester's own clock measures their age.
     """
 
     task: str
@@ -109,16 +111,16 @@
 
 
 class ResponseRejection(msgspec.Struct, array_like=True, frozen=True, tag="refusal"):
-    """A response was not accepted: a higher term is known, or it came too late."""
+    """A response was not accepted because a higher term is known or it arrived too late."""
 
     task: str
-    term: int  # the highest known here
+    term: int  # the highest term known to the sender
     number: int
     is_late: bool
 
 
 class NotLeader(msgspec.Struct, array_like=True, frozen=True, tag="not-mine"):
-    """The request came to a member that does not lead the task."""
+    """The receiver of a request does not lead the task; `holder` is the leader that it knows."""
 
     task: str
     term: int
@@ -127,8 +129,8 @@
 
 
 class DrainRequest(msgspec.Struct, array_like=True, frozen=True, tag="walk"):
-    """Drain yourself once a permit is yours, and stay empty for so long. `name` is the rolling drain's; the
-    same one again is not drained for again.
+    """Asks a node to drain once it has a permit, and to stay empty for `stay_empty_us`. `name` is the name of
+    the rolling drain; a node drains only once per name.
     """
 
     name: str
@@ -136,7 +138,7 @@
 
 
 class DrainStatus(msgspec.Struct, array_like=True, frozen=True, tag="walking"):
-    """How far a node is with its drain: `asked`, `queued`, `draining`, `empty`, `done` or `refused`."""
+    """The state of a node's drain: `asked`, `queued`, `draining`, `empty`, `done` or `refused`."""
 
     name: str
     state: str
@@ -147,7 +149,7 @@
     """The content of a `LeaderRequest` about a permit.
 
     `state`: `want` (requested), `held` or `back` (released).
-    `queue_position` is what a leader gave when it queued this, and `(0, 0)` before that.
+    `queue_position` is the position that a leader assigned when it queued the request, `(0, 0)` before that.
     """
 
     kind: str
@@ -157,13 +159,15 @@
 
 
 class PermitResponse(msgspec.Struct, array_like=True, frozen=True):
-    """The response: `is_granted` lasts for a permit's lease from when the request was sent."""
+    """The response to a `PermitRequest`. A grant is valid for a permit's lease from when the request was
+    sent.
+    """
 
     kind: str
     subject: str
     is_granted: bool
     queue_position: tuple[int, int]
-    requests_ahead: int  # who waits before it
+    requests_ahead: int  # the number of permits that wait before this one
     reason: str = ""
 
 
--- a/sailrun/leadership/move_rate.py
+++ b/sailrun/leadership/move_rate.py
@@ -1,7 +1,7 @@
-"""The fleet's rate of moving clients for balance, shared out among the nodes by one leader.
+"""Distributes the fleet's rate of moving clients for balance among the nodes; one leader grants the shares.
 
-Shares are granted for a short time and never add up to more than the whole. A grant counts until it has
-ended, and a new leader grants nothing until all that its predecessor may have granted has ended.
+Shares are granted for a short time and never add up to more than 1. A grant counts until it expires, and a
+new leader grants nothing until every grant that its predecessor may have made has expired.
 """
 
 from __future__ import annotations
@@ -13,35 +13,39 @@
 from sailrun.leadership.settings import DRIFT
 
 SECOND = 1_000_000
-# A share lasts for so long from when it was asked for; it is asked for this often while clients are moved.
+# A grant is valid for the first time from when it was requested; while clients are being moved, requests are
+# repeated at the second interval.
 RATE_GRANT_US, REQUEST_INTERVAL_US = 2 * SECOND, 500_000
 
 
 class RateGrant(msgspec.Struct, array_like=True, frozen=True):
-    """The answer: this part of the whole pace, 0 to 1."""
+    """The response: the granted share of the fleet's move rate, from 0 to 1."""
 
     share: float
 
 
 class MoveRateCoordinator:
-    """The leader's side: grants shares. Made anew at each term."""
+    """The leader's side: grants shares. Each term has a new instance."""
 
     def __init__(self, term: int, now_us: int) -> None:
         self.term = term
         self._opens_us = now_us + int(RATE_GRANT_US * (1 + 3 * DRIFT))
-        self._grants: dict[str, list[tuple[float, int]]] = {}  # by node: shares it may use, and until when
+        self._grants: dict[str, list[tuple[float, int]]] = {}  # by node: shares and their expiry
 
     def grant_share(self, now_us: int, sender: str) -> Any:
-        """Grants an even share, as far as there is any left."""
-        for name, grant in list(self._grants.items()):
-            self._grants[name] = [one for one in grant if one[1] > now_us]
+        """Grants an even share, limited to the part that is not granted to other nodes."""
+        for name, grants in list(self._grants.items()):
+            self._grants[name] = [
+                share_and_expiry for share_and_expiry in grants if share_and_expiry[1] > now_us
+            ]
             if not self._grants[name] and name != sender:
                 del self._grants[name]
         if now_us < self._opens_us:
             return msgspec.to_builtins(RateGrant(0.0))
-        # The answer may be lost, and what was lent before used to its end: the largest counts.
+        # The response may be lost, and the node may then use an earlier grant until it expires. Therefore
+        # each other node counts with the largest of its unexpired grants.
         others = sum(
-            max(share for share, _ in grant) for name, grant in self._grants.items() if name != sender
+            max(share for share, _ in grants) for name, grants in self._grants.items() if name != sender
         )
         share = max(0.0, min(1.0 / len(self._grants.keys() | {sender}), 1.0 - others))
         self._grants.setdefault(sender, []).append((share, now_us + RATE_GRANT_US))
@@ -49,20 +53,20 @@
 
 
 class MoveRateShare:
-    """The client's side: what this node was granted, and until when."""
+    """The client's side: the share that was granted to this node, and its expiry."""
 
     def __init__(self) -> None:
         self._share, self._expires_us, self._next_request_us = 0.0, 0, 0
 
     def take_due_request(self, now_us: int) -> bool:
-        """Whether a request is due now; the next one is due an interval later."""
+        """Returns whether a request is due now; if so, the next one is due an interval later."""
         if now_us < self._next_request_us:
             return False
         self._next_request_us = now_us + REQUEST_INTERVAL_US
         return True
 
     def on_grant(self, sent_us: int, content: Any) -> None:
-        """The leader's answer to a request sent at `sent_us`; one that is malformed is ignored."""
+        """Handles the leader's response to a request sent at `sent_us`; ignores a malformed one."""
         try:
             grant = msgspec.convert(content, RateGrant)
         except msgspec.ValidationError:
@@ -70,5 +74,5 @@
         self._share, self._expires_us = grant.share, sent_us + int(RATE_GRANT_US * (1 - 2 * DRIFT))
 
     def current_share(self, now_us: int) -> float:
-        """This node's share, 0 to 1; 0 where none was granted, or the grant has ended."""
+        """Returns this node's share, from 0 to 1; 0 if none was granted or the grant has expired."""
         return self._share if now_us < self._expires_us else 0.0
--- a/sailrun/leadership/move_rate_service.py
+++ b/sailrun/leadership/move_rate_service.py
@@ -1,4 +1,4 @@
-"""This node's part in sharing out the fleet's rate of moves: granted as the leader, used by the core."""
+"""Connects the core to the fleet's move rate: requests shares for the core, and grants them as the leader."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class MoveRateService:
-    """Tells the core which share of the fleet's rate of moves it may use, and requests that share.
+    """Requests this node's share of the fleet's move rate and passes it to the core.
 
-    `grants_shares`: whether this node answers the requests of others while it leads the task.
+    `grants_shares`: whether this node answers requests while it leads the task.
     """
 
     def __init__(self, node: Node, agent: Agent, grants_shares: bool) -> None:
@@ -34,7 +34,7 @@
             agent.request_handlers[MOVE_RATE_TASK] = self._grant_share
 
     def on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
-        """This node became the leader that grants shares, or is none any more."""
+        """Creates a new coordinator when this node becomes the leader, and drops it afterwards."""
         if change.task == MOVE_RATE_TASK:
             self._coordinator = MoveRateCoordinator(change.term, now_us) if change.is_leader else None
 
@@ -44,11 +44,11 @@
         return self._coordinator.grant_share(now_us, sender)
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
-        """Passes the share of now to the core, and requests one from the leader where the core needs any."""
+        """Passes the current share to the core, and requests one from the leader if the core needs it."""
         share = self._granted.current_share(now_us)
         if not self._granted.take_due_request(now_us):
             return []
-        # The core says whether it needs a share; its answer counts from the next time on.
+        # The core replies whether it needs a share; the reply takes effect at the next request.
         self._node.set_move_rate_share(share, self._on_wanted)
         if (share > 0) is not (self._logged_share > 0) or self._logged_share < 0:
             log("pace", share=round(share, SHOWN_DIGITS))
@@ -60,5 +60,5 @@
     def _on_response(self, now_us: int, sent_us: int, content: Any) -> None:
         self._granted.on_grant(sent_us, content)
 
-    def _on_wanted(self, wanted: bool) -> None:
-        self._is_wanted = wanted
+    def _on_wanted(self, is_wanted: bool) -> None:
+        self._is_wanted = is_wanted
--- a/sailrun/leadership/operator_permits.py
+++ b/sailrun/leadership/operator_permits.py
@@ -1,4 +1,6 @@
-"""Permits that operators ask for at one node: the core carries them out, and each caller is answered."""
+"""Requests permits on behalf of operators at one node; the core acts on them, and each caller gets a
+reply.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,7 @@
     from sailrun.leadership.transport import Transport
     from sailrun.node.core import Node
 
-# Called with "" for success, or with the reason of a failure.
+# Called with "" for success, or with the reason for a failure.
 Reply = Callable[[str], None]
 MAX_SHOWN_NAME_CHARACTERS = 80
 MAX_SHOWN_NAMES = 5
@@ -28,13 +30,13 @@
 
     def __init__(self, node: Node, agent: Agent, transport: Transport) -> None:
         self._node, self._agent, self._transport = node, agent, transport
-        self._overrides: dict[str, bool] = {}  # by requested form server: whether its permit is in use
+        self._overrides: dict[str, bool] = {}  # by requested form server: whether its permit is held
         self._drain_requested = False
         self._pending_replies: dict[tuple[str, str], list[Reply]] = {}
 
     def request(self, kind: str, subject: str, reply: Reply) -> None:
         """Requests a permit. `reply` is called with "" once the permit is in use, or with the reason why it
-        is not; it may never be called.
+        is not. It may never be called.
         """
         self._transport.post(lambda now_us: self._request(now_us, kind, subject, reply))
 
@@ -55,7 +57,7 @@
         return []
 
     def describe_pending(self, kind: str, subject: str) -> str:
-        """Why a requested permit has not been granted yet, in words for an operator."""
+        """Returns a text for operators on why a requested permit has not been granted yet."""
         holder = self._agent.permit_holder
         permit = holder.permits.get((kind, subject)) if holder is not None else None
         if permit is None:
@@ -63,7 +65,7 @@
         return f"queued with {permit.requests_ahead} before it, and carried out in its turn: {permit.reason}"
 
     def release(self, kind: str, subject: str) -> None:
-        """Gives a permit up, or withdraws the request for it."""
+        """Releases a permit, or withdraws the request for it."""
         self._transport.post(lambda now_us: self._release(now_us, kind, subject))
 
     def _release(self, now_us: int, kind: str, subject: str) -> list[OutgoingEnvelope]:
@@ -95,10 +97,12 @@
 
         self._transport.post(begin)
 
-    # ------------------------------------------------------------------ what the agent reports
+    # ------------------------------------------------------------------ changes reported by the agent
 
     def on_permit_change(self, change: PermitChange) -> None:
-        """A permit was granted or has ended: the core is notified, then whoever waits for a reply."""
+        """Handles a permit that was acquired or lost: notifies the core, then the callers that wait for
+        it.
+        """
         if change.kind == OUT_OF_SERVICE and change.subject in self._overrides:
             self._overrides[change.subject] = change.is_held
             self._node.set_operator_override(
@@ -108,12 +112,14 @@
             reason = "" if change.is_held else change.reason
             self._node.set_draining(change.is_held, lambda done: self._answer(DRAIN, change.subject, reason))
 
-    def _on_override_set(self, change: PermitChange, known: bool) -> None:
-        """The core has applied an override; `known`: whether it has a form server of that name."""
+    def _on_override_set(self, change: PermitChange, is_known: bool) -> None:
+        """Replies after the core applied an override. `known`: whether the core has a form server of
+        that name.
+        """
         if not change.is_held:
             self._answer(OUT_OF_SERVICE, change.subject, change.reason)
             return
-        if known:
+        if is_known:
             self._answer(OUT_OF_SERVICE, change.subject, "")
             return
         self._transport.post(lambda now_us: self._drop(now_us, OUT_OF_SERVICE, change.subject))
--- a/sailrun/leadership/requests.py
+++ b/sailrun/leadership/requests.py
@@ -1,10 +1,10 @@
 """Requests to the leaders of tasks, and their responses.
 
-A leader sends nothing but responses, so that the requester's own clock measures how old a response is. One
-is accepted if it answers a request that is pending here, came in time, and is of no lower term than was
-observed. A leader responds only while it may act under its term.
+A leader sends nothing but responses, so that the requester's own clock measures the age of a response. A
+response is accepted if it answers a pending request, arrives in time, and its term is not below the highest
+granted term that is known here. A leader responds only while it may act under its term.
 
-Pure: messages and the time (microseconds) come in, messages for members go out.
+This module does no I/O: it takes messages and the time (microseconds) and returns messages for members.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from sailrun.leadership.task_leadership import TaskLeadership
 
 SECOND = 1_000_000
-# The oldest requests make room for newer ones.
+# When this limit is reached, the oldest requests are dropped.
 MAX_PENDING_REQUESTS = 4096
-# Called with the time, when the request was sent, and the content of the response.
+# Called with the time, the time at which the request was sent, and the content of the response.
 OnResponse = Callable[[int, int, Any], None]
 
 
 @dataclass(frozen=True, slots=True)
 class AddressedMessage:
-    """A message for a member by name; for `guard` see `OutgoingEnvelope`."""
+    """A message for the member of that name; for `guard` see `OutgoingEnvelope`."""
 
     name: str
     body: LeaderRequest | NotLeader | LeaderResponse | ResponseRejection
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Requester:
-    """Who sent a request: a member's name, and the id of its process."""
+    """The sender of a request: a member's name and its process number."""
 
     name: str
     life: int
@@ -55,14 +55,14 @@
 class PendingRequests:
     """Both sides at one node: its requests to leaders, and its responses as a leader.
 
-    `handle_request` gives the content of a response (called with now, the task, the term, the requester and
-    the content of the request); None: there is no response. `observe_term` is called with every term that
-    comes in. This node's requests are numbered from `number` on.
+    `handle_request` returns the content of a response (called with the time, the task, the term, the
+    requester and the content of the request); None: there is no response. `observe_term` is called with every
+    received term. The numbers of this node's requests follow `number`.
     """
 
     def __init__(
         self,
-        me: Requester,
+        own_identity: Requester,
         leases: Leases,
         leadership: TaskLeadership,
         handle_request: Callable[[int, str, int, Requester, Any], Any],
@@ -72,7 +72,7 @@
         number: int,
         disabled_rules: frozenset[str],
     ) -> None:
-        self._me, self._leases, self._leadership = me, leases, leadership
+        self._own_identity, self._leases, self._leadership = own_identity, leases, leadership
         self._handle_request, self._observe_term = handle_request, observe_term
         self._change_log, self._counters = change_log, change_log.counters
         self._response_timeout_us, self._number, self._disabled_rules = (
@@ -84,14 +84,17 @@
 
     # ------------------------------------------------------------------ as the requester
 
-    def request(self, now_us: int, task: str, content: Any, done: OnResponse) -> list[AddressedMessage]:
-        """Sends a request to a task's leader, whoever that is. `done` is called with the response, if one
-        comes in time and of no lower term than was observed; else it never is, and the caller retries.
+    def request(
+        self, now_us: int, task: str, content: Any, on_response: OnResponse
+    ) -> list[AddressedMessage]:
+        """Sends a request to the leader of a task, or to a candidate if the leader is not known.
+        `on_response` is called if a response is accepted; otherwise it is never called, and the caller has to
+        retry.
         """
         self._number += 1
         while len(self._pending) >= MAX_PENDING_REQUESTS:
             del self._pending[next(iter(self._pending))]
-        pending = self._pending[self._number] = _PendingRequest(task, content, now_us, done)
+        pending = self._pending[self._number] = _PendingRequest(task, content, now_us, on_response)
         return self._send(now_us, self._number, pending)
 
     def _send(self, now_us: int, number: int, pending: _PendingRequest) -> list[AddressedMessage]:
@@ -100,18 +103,18 @@
             task, self._leases.lease_of(task).highest_granted_term, number, pending.content
         )
         holder = self._leadership.known_leader(task)
-        if holder == self._me.name or (not holder and self._leases.held_term(task, now_us)):
-            return self.on_request(now_us, self._me, request)
+        if holder == self._own_identity.name or (not holder and self._leases.held_term(task, now_us)):
+            return self.on_request(now_us, self._own_identity, request)
         if not holder:
             living = self._leadership.candidate_tasks().get(task, ())[:MAX_CANDIDATES]
-            candidates = [name for name in living if name != self._me.name]
+            candidates = [name for name in living if name != self._own_identity.name]
             if not candidates:
                 return []
             holder = candidates[(number + pending.attempts) % len(candidates)]
         return [AddressedMessage(holder, request)]
 
     def on_response(self, now_us: int, sender: str, response: LeaderResponse) -> list[AddressedMessage]:
-        """A response came in: it is accepted, or its sender is notified that it is not."""
+        """Accepts a response, or returns a rejection for its sender."""
         pending = self._pending.pop(response.number, None)
         highest_term = self._leases.lease_of(response.task).highest_granted_term
         is_late = (
@@ -144,10 +147,12 @@
         self._change_log.record(
             "refuse", task=response.task, term=response.term, number=response.number, late=rejection.is_late
         )
-        return [AddressedMessage(sender, rejection)] if sender != self._me.name else []
+        return [AddressedMessage(sender, rejection)] if sender != self._own_identity.name else []
 
     def on_not_leader(self, now_us: int, sender: str, redirect: NotLeader) -> list[AddressedMessage]:
-        """The receiver does not lead the task: retried at the leader it names, or at another candidate."""
+        """Retries a request whose receiver does not lead the task, at the leader it names or at another
+        candidate.
+        """
         pending = self._pending.get(redirect.number)
         lease = self._leases.lease_of(redirect.task)
         self._observe_term(now_us, redirect.task, redirect.term, redirect.holder)
@@ -159,7 +164,7 @@
         return self._send(now_us, redirect.number, pending)
 
     def drop_expired(self, now_us: int) -> None:
-        """Drops requests for which no response would be in time."""
+        """Drops requests for which no response would arrive in time any more."""
         for number, pending in list(self._pending.items()):
             if now_us - pending.sent_us <= self._response_timeout_us:
                 break  # the others were sent later
@@ -168,7 +173,7 @@
     # ------------------------------------------------------------------ as the leader
 
     def on_request(self, now_us: int, requester: Requester, request: LeaderRequest) -> list[AddressedMessage]:
-        """A request came in: responded to under this node's term, or redirected."""
+        """Responds to a request under this node's term, or redirects the requester."""
         self._observe_term(now_us, request.task, request.term, "")
         term = self._leadership.leading_term(request.task, now_us)
         if not term:
@@ -181,12 +186,12 @@
             "act", task=response.task, term=term, number=response.number, to=requester.name, made_us=now_us
         )
         self._counters.responses_sent += 1
-        if requester.name == self._me.name:
-            return self.on_response(now_us, self._me.name, response)
+        if requester.name == self._own_identity.name:
+            return self.on_response(now_us, self._own_identity.name, response)
         return [AddressedMessage(requester.name, response, (request.task, term))]
 
     def _redirect(self, requester: Requester, request: LeaderRequest) -> list[AddressedMessage]:
-        if requester.name == self._me.name:
+        if requester.name == self._own_identity.name:
             return []
         lease = self._leases.lease_of(request.task)
         return [
@@ -197,7 +202,7 @@
         ]
 
     def on_rejection(self, now_us: int, rejection: ResponseRejection) -> None:
-        """A response of this node was not accepted."""
+        """Handles the rejection of a response of this node."""
         self._leases.lease_of(rejection.task).rejected_responses += 1
         self._change_log.add(
             "order-refused", task=rejection.task, term=rejection.term, late=rejection.is_late
--- a/sailrun/leadership/response_gate.py
+++ b/sailrun/leadership/response_gate.py
@@ -1,8 +1,9 @@
-"""Withholds a member's promises until its folder has what they rest on, and a majority of voters knows so.
+"""Withholds a voter's responses until the state they depend on is durable and a majority has noted the
+position.
 
-A voter that restarts is held to what it answered before. So an answer is sent once the write-ahead log has
-what it rests on; and of the answers for which an older copy of the folder would be too old, only once a
-majority of the voters has noted how far this folder has come.
+A voter is bound by its responses after a restart. Therefore a response is sent only after the write-ahead log
+has synced the entries that it depends on. A response that an older version of the folder would not contain is
+sent only after a majority of the voters has also noted the position that this folder has reached.
 """
 
 from __future__ import annotations
@@ -19,19 +20,21 @@
 from sailrun.storage.messages import FreshnessReply
 from sailrun.storage.write_ahead_log import WriteAheadLog, WriteResult
 
-# A message and the name of the member it is for.
+# The name of the recipient, and the message.
 Message = tuple[str, Body]
-# What a voter answers and is held to after a restart.
+# The responses that bind a voter after a restart.
 DURABLE_RESPONSES = (LeaseGrant, Promise, Accepted, RecoveryReply, TermReport, FreshnessReply)
-# Of these, what a folder without them would be too old for.
+# Those of them that make any folder without their entries outdated.
 MAJORITY_KNOWN_RESPONSES = (LeaseGrant, Promise, Accepted, RecoveryReply)
-# The oldest responses that wait for a majority make room for newer ones.
+# When more responses wait for a majority, the oldest are dropped.
 MAX_AWAITING_MAJORITY = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """`responses` need not be withheld any more; `messages` are others, withheld as they need to be."""
+    """Messages to send. `responses` were withheld and need no further check; `messages` are checked as
+    usual.
+    """
 
     responses: list[Message] = field(default_factory=list)
     messages: list[Message] = field(default_factory=list)
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _HeldResponse:
-    """On the disk up to `position`, which too few voters have noted."""
+    """A response whose entries are on the disk up to `position`, which no majority has noted yet."""
 
     position: int
     recipient: str
@@ -47,8 +50,8 @@
 
 
 class ResponseGate:
-    """`voter` gives this node's voter, if it is one. `record` is called with every act, for the laboratory's
-    checks. Without a write-ahead log nothing is withheld.
+    """Withholds and releases durable responses. `voter` returns this node's voter, or None. `record` is
+    called with every act, for the laboratory's checks. Nothing is withheld without a write-ahead log.
     """
 
     def __init__(
@@ -64,15 +67,15 @@
         self._awaiting_majority: list[_HeldResponse] = []
 
     def withhold(self, now_us: int, recipient: str, body: Any) -> bool:
-        """Whether a message is withheld until the disk has what it rests on; where the disk fails, it is
-        never sent.
+        """Withholds a message whose entries are not durable yet; returns whether it is withheld. If the disk
+        fails, the message is never sent.
         """
         log = self.write_ahead_log
         if log is None or not isinstance(body, DURABLE_RESPONSES):
             return False
         position, voter = log.position, self._voter()
         if isinstance(body, LeaseGrant) and voter is not None:
-            position = voter.log_position(body.task)  # a renewal rests on the grant alone
+            position = voter.log_position(body.task)  # a renewal depends on the entry of the grant only
         if log.is_synced(position):
             return self._withhold_for_majority(log, position, recipient, body)
         if log.is_disk_available:
@@ -81,7 +84,7 @@
         return True
 
     def _withhold_for_majority(self, log: WriteAheadLog, position: int, recipient: str, body: Any) -> bool:
-        """Whether what is on the disk is promised again, or renewed, before a majority has noted that."""
+        """Withholds a response that depends on synced entries whose position no majority has noted yet."""
         own = self._freshness.own
         needs_majority = (
             isinstance(body, MAJORITY_KNOWN_RESPONSES)
@@ -99,8 +102,8 @@
         self._awaiting_majority = [*latest, _HeldResponse(position, recipient, body)]
 
     def call_when_durable(self, now_us: int, call: Callable[[bool], None]) -> None:
-        """Calls with whether all that was written so far is on the disk: once it is, or at once where there
-        is no disk, or it fails.
+        """Calls `call` with whether all entries up to now are on the disk: once they are synced, or at once
+        if they already are, there is no write-ahead log, or the disk fails.
         """
         log = self.write_ahead_log
         if log is None or log.is_synced(log.position):
@@ -111,10 +114,10 @@
             log.defer_reply(now_us, log.position, call, call)
 
     def on_written(self, now_us: int, result: WriteResult) -> Released:
-        """A batch of the log was written, or failed; what waited for it alone is released."""
+        """Handles the result of writing a batch; releases the responses that waited only for that."""
         log, released = self.write_ahead_log, Released()
         if log is None:
-            raise ValueError("a result of a write, but no folder was opened")
+            raise ValueError("got the result of a disk write although no write-ahead log is attached")
         for reply in log.complete_batch(now_us, result):
             if callable(reply):
                 reply(True)
@@ -127,32 +130,40 @@
                 self._record("promised", position=log.synced_position)
             released.responses.append((recipient, body))
         if self._awaiting_majority and self._freshness.own is not None:
-            # Something is promised: a majority is to note how far the folder has come.
+            # Responses wait for a majority, so the new position is reported to the other voters.
             self._freshness.own.synced_position = log.synced_position
             released.messages.extend(self._freshness.report_position(now_us))
         return released
 
     def release_noted(self) -> Released:
-        """The responses of which a majority has noted that the folder has them."""
-        noted = {
-            held.position
-            for held in self._awaiting_majority
-            if self._freshness.is_position_noted(held.position)
+        """Releases the responses whose position a majority of the voters has noted."""
+        noted_positions = {
+            waiting.position
+            for waiting in self._awaiting_majority
+            if self._freshness.is_position_noted(waiting.position)
         }
-        if not noted:
+        if not noted_positions:
             return Released()
-        self._record("promised", position=max(noted))
-        responses = [(h.recipient, h.body) for h in self._awaiting_majority if h.position in noted]
-        self._awaiting_majority = [h for h in self._awaiting_majority if h.position not in noted]
+        self._record("promised", position=max(noted_positions))
+        responses = [
+            (waiting_response.recipient, waiting_response.body)
+            for waiting_response in self._awaiting_majority
+            if waiting_response.position in noted_positions
+        ]
+        self._awaiting_majority = [
+            waiting_response
+            for waiting_response in self._awaiting_majority
+            if waiting_response.position not in noted_positions
+        ]
         return Released(responses)
 
     def discard(self) -> None:
-        """Drops what is held: it was promised by a folder that counts no longer."""
+        """Drops the withheld responses; the folder that they depend on is no longer in use."""
         self._awaiting_majority.clear()
 
 
 def _request_number(body: Any) -> int:
-    """What a response answers: a lease's term, or the number of the request."""
+    """Returns the key of the request that a response answers: the lease's term or the request's number."""
     if isinstance(body, LeaseGrant):
         return body.term
     if isinstance(body, (Accepted, Promise, RecoveryReply)):
