--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -157,7 +157,7 @@
     def _new_shards(
         self, me: MemberRecord, random_source: random.Random, now_us: int, new_initial_term: Callable[[], int]
     ) -> ShardingAgent:
-        # Loaded only where it is switched on: it needs numpy.
+        # Imported only if sharding is switched on, because it needs numpy.
         from sailrun.sharding.agent import ShardingAgent
 
         settings, draw_bits = self.settings, random_source.getrandbits
--- a/sailrun/leadership/response_gate.py
+++ b/sailrun/leadership/response_gate.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _HeldResponse:
+class _WithheldResponse:
     """A response whose entries are on the disk up to `position`, which no majority has noted yet."""
 
     position: int
@@ -64,7 +64,7 @@
         self._freshness, self._voter = freshness, voter
         self._record, self._disabled_rules = record, disabled_rules
         self.write_ahead_log: WriteAheadLog | None = None
-        self._awaiting_majority: list[_HeldResponse] = []
+        self._awaiting_majority: list[_WithheldResponse] = []
 
     def withhold(self, now_us: int, recipient: str, body: Any) -> bool:
         """Withholds a message whose entries are not durable yet; returns whether it is withheld. If the disk
@@ -94,12 +94,12 @@
         if not needs_majority or own is None or self._freshness.is_position_noted(position):
             return False
         own.synced_position = log.synced_position  # reported to the other voters at the next turn
-        self._hold(position, recipient, body)
+        self._queue_for_majority(position, recipient, body)
         return True
 
-    def _hold(self, position: int, recipient: str, body: Any) -> None:
+    def _queue_for_majority(self, position: int, recipient: str, body: Any) -> None:
         latest = self._awaiting_majority[-MAX_AWAITING_MAJORITY:]
-        self._awaiting_majority = [*latest, _HeldResponse(position, recipient, body)]
+        self._awaiting_majority = [*latest, _WithheldResponse(position, recipient, body)]
 
     def call_when_durable(self, now_us: int, call: Callable[[bool], None]) -> None:
         """Calls `call` with whether all entries up to now are on the disk: once they are synced, or at once
@@ -125,7 +125,7 @@
             recipient, body = reply
             if isinstance(body, MAJORITY_KNOWN_RESPONSES) and self._voter() is not None:
                 if "generation" not in self._disabled_rules:
-                    self._hold(log.synced_position, recipient, body)
+                    self._queue_for_majority(log.synced_position, recipient, body)
                     continue
                 self._record("promised", position=log.synced_position)
             released.responses.append((recipient, body))
--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -1,13 +1,15 @@
-"""Rolling drains: a list of nodes drained one after another, as many at a time as permits allow.
+"""Rolling drains: the nodes of a list are drained one after another, as many at a time as permits allow.
 
-Nobody owns the list. Each node queues for its own permit, in the order of the list, and the order of that
-queue makes the drain a rolling one. So nothing is lost with a coordinator that dies half way, and a node that
-has done its part is not drained again.
+No coordinator owns the list. Each node queues for its own permit in the order of the list, and the order of
+that queue determines the order of the drains. Therefore no progress is lost if the permits' leader dies
+halfway, and a node that has completed its part is not drained again.
 
-On the wire (`walk`, `walking`), in the folder (`walked`), in the log and in the operator's calls a rolling
-drain is called a walk. These names are interfaces to older versions and to scripts, and stay.
+On the wire (`walk`, `walking`), in the storage folder (`walked`), in the log and in operators' commands a
+rolling drain is called a walk. These names are interfaces to older versions and to scripts and must not
+change.
 
-Pure: messages and the time (microseconds of one monotonic clock) come in, messages go out.
+This module does no I/O: it takes messages and the time (microseconds of one monotonic clock) and returns
+messages.
 """
 
 from __future__ import annotations
@@ -20,19 +22,19 @@
 
 SECOND = 1_000_000
 REQUEST_INTERVAL_US = 300_000
-# A node that has not answered for so long is passed over, so that the others get their turn.
-SILENCE_TIMEOUT_US = 10 * SECOND
-# What a node has done is on its disk within this, or said all the same.
+# A node that has not answered for this time is skipped, so that the other nodes can be drained.
+RESPONSE_TIMEOUT_US = 10 * SECOND
+# A node reports its part as done after this time even if the entry is not on its disk yet.
 WRITE_TIMEOUT_US = 5 * SECOND
-# So many rolling drains are remembered, here and where one was begun.
+# The limit of remembered rolling drains that were started here, and of remembered local parts.
 MAX_REMEMBERED_DRAINS = 64
-# The states in which nothing more is asked of a node.
+# The states in which a node gets no further requests.
 FINAL_STATES = ("done", "refused", "silent")
 
 
 @dataclass(slots=True)
 class NodeProgress:
-    """How far one node of the list is, as it last said."""
+    """The progress of one node of the list, as it last reported."""
 
     node: str
     state: str = "not asked"
@@ -43,7 +45,7 @@
 
 @dataclass(slots=True)
 class RollingDrain:
-    """One that was begun at this node; each node stays empty for `stay_empty_us`."""
+    """A rolling drain that was started at this node; each node stays empty for `stay_empty_us`."""
 
     name: str
     stay_empty_us: int
@@ -51,7 +53,7 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether no node of the list is requested to do anything more."""
+        """Whether every node of the list is in a final state."""
         return all(step.state in FINAL_STATES for step in self.steps)
 
 
@@ -64,49 +66,52 @@
     state: str = "asked"
     reason: str = ""
     empty_since_us: int = 0
-    completion_position: int = -1  # the entry that says that it ends
+    completion_position: int = -1  # of the journal entry that states its completion; -1: not written yet
     completion_written_us: int = 0
 
 
 class RollingDrains:
-    """Both sides: the rolling drains begun here, and this node's own part in any."""
+    """Both sides: the rolling drains that were started here, and this node's own part in rolling drains."""
 
     def __init__(self, name: str, holder: PermitHolder | None) -> None:
         self._name, self._permits = name, holder
         self.drains: dict[str, RollingDrain] = {}
         self._local_drains: dict[str, _LocalDrain] = {}
-        self.core_drain_change: bool | None = None  # what the core is to do; the driver reads and empties it
-        # Told what is to be known after a restart: that this node's own part ends, which is answered with the
-        # position of that entry, and is done once the position is `safe`; a rolling drain begun here, with
-        # how long each node stays empty, and without names once it is over.
+        self.core_drain_change: bool | None = (
+            None  # whether the core has to start or stop draining; the driver clears it
+        )
+        # Journals that this node's part is complete, and returns the position of the entry. The part is done
+        # once `is_durable` returns true for that position.
         self.persist_completion: Callable[[str], int] = lambda name: 0
         self.is_durable: Callable[[int], bool] = lambda entry: True
         self.on_done: Callable[[str], None] = lambda name: None
+        # Journals a rolling drain that was started here, with how long each node stays empty; the names are
+        # empty once it is over.
         self.persist_plan: Callable[[str, int, list[str]], None] = lambda name, stay_empty_us, names: None
 
     def restore(self, now_us: int, done: Iterable[str], plans: Iterable[tuple[str, int, list[str]]]) -> None:
-        """What a process before this one knew: parts that are done, rolling drains to go on with."""
+        """Restores the state of a previous process: completed parts, and rolling drains to continue."""
         for name in done:
             self._local_drains[name] = _LocalDrain(name, 0, "done")
         for name, stay_empty_us, nodes in plans:
             self._begin(now_us, name, nodes, stay_empty_us)
 
     def unfinished_plans(self) -> list[tuple[str, int, list[str]]]:
-        """Name, time to stay empty and nodes of each drain begun here that is not over."""
+        """Returns the name, the time to stay empty and the nodes of each unfinished drain started here."""
         return [
-            (b.name, b.stay_empty_us, [s.node for s in b.steps])
-            for b in self.drains.values()
-            if not b.is_over
+            (drain.name, drain.stay_empty_us, [step.node for step in drain.steps])
+            for drain in self.drains.values()
+            if not drain.is_over
         ]
 
     def completed_names(self) -> list[str]:
-        """The rolling drains in which this node has completed its part."""
+        """Returns the names of the rolling drains in which this node has completed its part."""
         return [local.name for local in self._local_drains.values() if local.state == "done"]
 
-    # ------------------------------------------------------------------ where it was begun
+    # ------------------------------------------------------------------ drains that were started here
 
     def begin(self, now_us: int, name: str, nodes: list[str], stay_empty_us: int) -> None:
-        """Drains the nodes in this order. The same name again changes nothing."""
+        """Starts a rolling drain of the nodes in this order; does nothing if one of that name is known."""
         if name not in self.drains:
             self._begin(now_us, name, nodes, stay_empty_us)
             self.persist_plan(name, stay_empty_us, nodes)
@@ -119,7 +124,9 @@
         )
 
     def turn(self, now_us: int) -> list[tuple[str, DrainRequest]]:
-        """Tells each node in turn: the next one once the one before has its place in the queue."""
+        """Returns the requests that are due. A node is requested to drain once the previous node of the list
+        is queued for its permit.
+        """
         requests: list[tuple[str, DrainRequest]] = []
         for drain in self.drains.values():
             for step in drain.steps:
@@ -127,11 +134,11 @@
                     continue
                 if step.last_request_us == 0:
                     step.last_contact_us = now_us
-                if now_us - step.last_contact_us > SILENCE_TIMEOUT_US and step.state in (
+                if now_us - step.last_contact_us > RESPONSE_TIMEOUT_US and step.state in (
                     "not asked",
                     "asked",
                 ):
-                    # Passed over; one that has its place and is silent may be restarting.
+                    # Skipped. A queued node that does not answer is not skipped, since it may be restarting.
                     step.state, step.reason = "silent", "not reached"
                     continue
                 if now_us - step.last_request_us >= REQUEST_INTERVAL_US:
@@ -143,7 +150,7 @@
         return requests
 
     def on_status(self, now_us: int, sender: str, status: DrainStatus) -> None:
-        """A node of a list reported how far it is."""
+        """Handles the progress report of a node."""
         drain = self.drains.get(status.name)
         for step in drain.steps if drain is not None else ():
             if step.node == sender and step.state != "done":
@@ -151,10 +158,10 @@
                 if drain is not None and drain.is_over:
                     self.persist_plan(drain.name, 0, [])
 
-    # ------------------------------------------------------------------ the node's own part
+    # ------------------------------------------------------------------ this node's own part
 
     def on_request(self, now_us: int, request: DrainRequest) -> DrainStatus:
-        """This node is to drain itself; the answer says how far that is."""
+        """Handles a request to drain this node; returns the state of that drain."""
         if self._permits is None:
             return DrainStatus(request.name, "refused", "permits are off here")
         local = self._local_drains.get(request.name)
@@ -165,21 +172,23 @@
         self._advance_local(now_us)
         return DrainStatus(local.name, local.state, local.reason)
 
-    def on_permit_change(self, use: PermitChange) -> None:
-        """A permit has come or gone: the drain begins, or is broken off and waits for the next permit."""
-        if (use.kind, use.subject) != (DRAIN, self._name):
+    def on_permit_change(self, change: PermitChange) -> None:
+        """Starts a drain when its permit was acquired, or interrupts it until the next permit when it
+        was lost.
+        """
+        if (change.kind, change.subject) != (DRAIN, self._name):
             return
         for local in self._local_drains.values():
-            if use.is_held and local.state in ("asked", "queued"):
+            if change.is_held and local.state in ("asked", "queued"):
                 local.state, local.reason, local.empty_since_us = "draining", "", 0
                 self.core_drain_change = True
                 return
-            if not use.is_held and local.state in ("draining", "empty"):
-                local.state, local.reason, self.core_drain_change = "queued", use.reason, False
+            if not change.is_held and local.state in ("draining", "empty"):
+                local.state, local.reason, self.core_drain_change = "queued", change.reason, False
                 return
 
     def on_session_count(self, now_us: int, sessions: int) -> None:
-        """How many sessions this node holds; asked only while it drains."""
+        """Handles the count of this node's sessions, which is only read while it drains."""
         for local in self._local_drains.values():
             if local.state == "draining" and not sessions:
                 local.state, local.empty_since_us = "empty", now_us
@@ -187,7 +196,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether this node drains, or stays empty, for a rolling drain."""
+        """Whether this node is draining or staying empty for a rolling drain."""
         return any(local.state in ("draining", "empty") for local in self._local_drains.values())
 
     def _advance_local(self, now_us: int) -> None:
@@ -201,7 +210,7 @@
                         self.persist_completion(local.name),
                         now_us,
                     )
-                # A disk that fails holds nobody up for longer than this.
+                # A failing disk delays the rolling drain by at most WRITE_TIMEOUT_US.
                 if (
                     not self.is_durable(local.completion_position)
                     and now_us - local.completion_written_us < WRITE_TIMEOUT_US
@@ -216,4 +225,4 @@
                 local.reason = permit.reason
                 if permit.queue_position != (0, 0):
                     local.state = "queued"
-                is_busy = True  # one part after another
+                is_busy = True  # the local parts run one after another
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -1,4 +1,4 @@
-"""The core's `ServiceDiscovery` where one node of a data centre reads for the others there."""
+"""The core's `ServiceDiscovery` if one node of each zone reads the registry for the others of the zone."""
 
 from __future__ import annotations
 
@@ -20,100 +20,102 @@
     from sailrun.node.core import Node
 
 SECOND = 1_000_000
-# The core hears that nothing has changed as often as it would of a watch.
+# The core is notified of an unchanged list as often as by a watch of the registry.
 UNCHANGED_INTERVAL_US = 5 * SECOND
 
 
 class SharedDiscovery:
-    """Passes the core's wishes to the registry while this node has to read it, and what the reader tells to
-    the core otherwise. In front of the core it looks like a discovery client, in front of the client like the
-    core.
+    """Passes the core's subscriptions to the registry while this node has to read it; otherwise passes the
+    reader's lists to the core. It has the interface of a discovery client towards the core, and the interface
+    of the core towards the discovery client.
     """
 
     def __init__(
         self, node: Node, source: RegistryService, revision: int, agent: Agent, transport: Transport
     ) -> None:
         self._node, self._agent, self._transport = node, agent, transport
-        self.clock, self.settings = node.clock, node.settings  # what a client asks of a node
+        self.clock, self.settings = node.clock, node.settings  # read by the discovery client
         self._client = DiscoveryClient(self, source.address, revision, node.settings.index)  # type: ignore[arg-type]
         self._shared_list = SharedList(show_address(source.address), agent.settings.list_reader, boot_us())
-        self._listed: dict[str, FormServer] = {}
+        self._form_servers: dict[str, FormServer] = {}
         self._watching = False
         self._reads_registry = True
         self._last_update_us = 0
         self._task = READER_TASK_PREFIX + agent.zone
-        self._subject = f"{show_address(source.address)} {agent.zone}"  # of the list in the fleet's copies
-        self._stored_revision = -1  # the revision of the list that this node put there last
+        self._subject = (
+            f"{show_address(source.address)} {agent.zone}"  # the key of the list in the replicated records
+        )
+        self._stored_revision = -1  # the revision of the list that this node last stored there
         self._handle_query = lambda now_us, sender, content: self._shared_list.answer_query(content)
         agent.request_handlers[self._task] = self._handle_query
 
-    # ------------------------------------------------------------------ what the core wants
+    # ------------------------------------------------------------------ calls of the core
 
     def watch(self, active: bool) -> None:
-        """The core subscribes to the list of its form servers, or unsubscribes."""
+        """Subscribes the core to the endpoint list, or unsubscribes it."""
         self._watching = active
         self._client.watch(active and self._reads_registry)
 
     def fetch(self) -> None:
-        """The core requests the whole list once more."""
+        """Requests the complete list for the core once more."""
         if self._reads_registry or self._shared_list.revision < 0:
             self._client.fetch()
         else:
-            servers = tuple(self._listed.values())
+            servers = tuple(self._form_servers.values())
             self._node.server_list_updated(
                 ServerListUpdate(ListKind.FULL, self._shared_list.revision, servers)
             )
 
     def drop(self) -> None:
-        """The core uses this discovery no longer."""
+        """Stops this discovery; the core no longer uses it."""
         self._client.drop()
         if self._agent.request_handlers.get(self._task) is self._handle_query:
             del self._agent.request_handlers[self._task]
 
     def read_directly(self) -> None:
-        """There is no fleet any more: this node reads for itself."""
+        """Makes this node read the registry itself, because there is no fleet any more."""
         self._reads_registry, self._shared_list.is_leader = True, False
         self._client.watch(self._watching)
         self._client.fetch()
 
     async def run(self) -> None:
-        """Runs the registry's client, until cancelled."""
+        """Runs the registry's client until cancelled."""
         await self._client.run()
 
-    # ------------------------------------------------------------------ what the registry tells
+    # ------------------------------------------------------------------ updates from the registry
 
     def server_list_updated(self, update: ServerListUpdate) -> None:
-        """The registry's client read a list, or an update of it."""
+        """Handles a list, or an update of it, that the registry's client read."""
         if update.kind is not ListKind.DELTA:
-            self._listed.clear()
+            self._form_servers.clear()
         for entry in update.form_servers:
-            self._listed[entry.name] = entry
+            self._form_servers[entry.name] = entry
         if update.kind is not ListKind.DELTA or update.form_servers or self._shared_list.revision < 0:
             self._shared_list.on_registry_list(
-                update.revision, [_as_json(entry) for entry in self._listed.values()]
+                update.revision, [_as_json(entry) for entry in self._form_servers.values()]
             )
         else:
             self._shared_list.revision = update.revision
         self._node.server_list_updated(update)
 
-    def discovery_failed(self, why: str) -> None:
-        """The registry's client could not read: without any list, the replica's last one is used."""
-        self._node.discovery_failed(why)
+    def discovery_failed(self, reason: str) -> None:
+        """Handles a failure of the registry's client; without any list, the last replicated one is used."""
+        self._node.discovery_failed(reason)
         replica = self._agent.replica
-        if self._listed or replica is None:
+        if self._form_servers or replica is None:
             return
-        # Nobody tells this node a list: the last that the fleet had is better than none.
-        kept = read_stored_server_list(replica, self._subject)
-        if kept is not None:
-            update, age_us = kept
+        # This node has no list, so the last one that the fleet stored is better than none.
+        stored_list = read_stored_server_list(replica, self._subject)
+        if stored_list is not None:
+            update, age_us = stored_list
             log("list-from-copies", revision=update.revision, age_s=round(age_us(boot_us()) / SECOND, 1))
-            self._listed = {entry.name: entry for entry in update.form_servers}
+            self._form_servers = {entry.name: entry for entry in update.form_servers}
             self._node.server_list_updated(update)
 
-    # ------------------------------------------------------------------ what the reader tells
+    # ------------------------------------------------------------------ updates from the reader
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
-        """Called by the agent's task."""
+        """Runs after each turn of the agent; returns the requests to send."""
         self._shared_list.is_leader = bool(self._agent.leases.held_term(self._task, now_us))
         replica, revision = self._agent.replica, self._shared_list.revision
         if (
@@ -124,22 +126,22 @@
         ):
             self._stored_revision = revision
             store_server_list(replica, now_us, self._subject, revision, self._shared_list.entries)
-        reads = self._shared_list.must_read_registry(now_us) or self._shared_list.revision < 0
-        if reads is not self._reads_registry:
-            self._reads_registry = reads
+        must_read = self._shared_list.must_read_registry(now_us) or self._shared_list.revision < 0
+        if must_read is not self._reads_registry:
+            self._reads_registry = must_read
             log(
                 "roster-reader",
-                reads=reads,
+                reads=must_read,
                 owner=self._shared_list.is_leader,
                 revision=self._shared_list.revision,
             )
-            self._client.watch(reads and self._watching)
-            if reads:
+            self._client.watch(must_read and self._watching)
+            if must_read:
                 self._client.fetch()
-        has = self._shared_list.next_query(now_us)
-        if has is None or not self._agent.members.has_joined:
+        query = self._shared_list.next_query(now_us)
+        if query is None or not self._agent.members.has_joined:
             return []
-        return self._agent.request(now_us, self._task, [has.source, has.revision], self._on_reply)
+        return self._agent.request(now_us, self._task, [query.source, query.revision], self._on_reply)
 
     def _on_reply(self, now_us: int, sent_us: int, content: Any) -> None:
         members = self._shared_list.on_reply(now_us, content)
@@ -156,15 +158,15 @@
             )
         except InvalidServerListError as error:
             log("reader-list-refused", why=str(error))
-            self._shared_list.revision = -1  # the registry itself is asked
+            self._shared_list.revision = -1  # makes this node read the registry itself
             return
         self._last_update_us = now_us
-        self._listed = {entry.name: entry for entry in update.form_servers}
+        self._form_servers = {entry.name: entry for entry in update.form_servers}
         self._node.server_list_updated(update)
 
 
 def _as_json(entry: FormServer) -> dict[str, Any]:
-    """In the registry's own form."""
+    """Returns a form server in the registry's format."""
     return {
         "id": entry.name,
         "host_port": show_address(entry.address),
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -1,6 +1,6 @@
-"""What operators are shown of one agent, as rows that JSON can have. Remaining times are in seconds.
+"""The status of one agent for operators, as rows that JSON can represent. Remaining times are in seconds.
 
-The names of the fields are an interface to scripts: they stay, whatever the attributes are called here.
+The names of the fields are an interface to scripts and must not change when attributes are renamed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def member_rows(agent: Agent, now_us: int) -> Rows:
-    """One row for each member that is known, living or not."""
+    """Returns one row for each known member, living or not."""
     voters = agent.voters.names()
     return [
         {
@@ -33,7 +33,7 @@
 
 
 def lease_rows(agent: Agent, now_us: int) -> Rows:
-    """One row for each task: its leader as far as is known, and whether this node is it."""
+    """Returns one row for each task: its leader as far as is known, and whether it is this node."""
     return [
         {
             "task": task,
@@ -48,28 +48,28 @@
 
 
 def permit_rows(agent: Agent, now_us: int) -> Rows:
-    """All permits of the fleet at their leader; elsewhere those that this node holds or requests."""
+    """Returns all permits of the fleet at their leader; elsewhere those that this node holds or requests."""
     holder, coordinator = agent.permit_holder, agent.permit_coordinator
     if coordinator is not None and agent.leading_term(PERMITS_TASK, now_us):
         return coordinator.rows(now_us)
     return [
         {
-            "kind": wanted.kind,
-            "subject": wanted.subject,
+            "kind": permit.kind,
+            "subject": permit.subject,
             "holder": agent.name,
-            "state": {"want": "waiting"}.get(wanted.state, wanted.state),
-            "ends_in_s": _seconds(wanted.expires_us - now_us) if wanted.expires_us else None,
+            "state": {"want": "waiting"}.get(permit.state, permit.state),
+            "ends_in_s": _seconds(permit.expires_us - now_us) if permit.expires_us else None,
         }
-        for wanted in (holder.permits.values() if holder is not None else ())
+        for permit in (holder.permits.values() if holder is not None else ())
     ]
 
 
 def rolling_drain_rows(agent: Agent, name: str) -> Rows | None:
-    """How far each node of a rolling drain is; None: none of that name was started here."""
-    begun = agent.rolling_drains.drains.get(name)
-    if begun is None:
+    """Returns the progress of each node of a rolling drain; None: none of that name was started here."""
+    drain = agent.rolling_drains.drains.get(name)
+    if drain is None:
         return None
-    return [{"name": step.node, "state": step.state, "why": step.reason} for step in begun.steps]
+    return [{"name": step.node, "state": step.state, "why": step.reason} for step in drain.steps]
 
 
 def _seconds(us: int) -> float:
@@ -77,26 +77,26 @@
 
 
 def shard_status(agent: Agent, now_us: int, node: str) -> dict[str, Any] | None:
-    """This node's shards, or those placed on another one; None: `[shards]` is off."""
+    """Returns the shards of this node, or those placed on another one; None: `[shards]` is off."""
     if agent.shards is None:
         return None
-    # Loaded only where it is switched on: it needs numpy.
+    # Imported only if sharding is switched on, because it needs numpy.
     from sailrun.sharding.status import shards_status
 
     return shards_status(agent.shards, now_us, node)
 
 
 def counters(agent: Agent, traffic: TrafficCounters, now_us: int) -> dict[str, Any]:
-    """Counts since the process started, and whether a majority of the voters answers."""
-    counted, members = agent.counters, agent.members
+    """Returns counts since the process started, and whether a majority of the voters answers."""
+    agent_counters, members = agent.counters, agent.members
     return {
-        "orders_sent": counted.responses_sent,
-        "orders_dropped": counted.responses_expired,
-        "orders_taken": counted.responses_accepted,
-        "orders_refused": counted.responses_of_lower_term,
-        "orders_late": counted.responses_too_late,
-        "bad_messages": counted.malformed_messages,
-        "wrong_fleet": counted.foreign_messages,
+        "orders_sent": agent_counters.responses_sent,
+        "orders_dropped": agent_counters.responses_expired,
+        "orders_taken": agent_counters.responses_accepted,
+        "orders_refused": agent_counters.responses_of_lower_term,
+        "orders_late": agent_counters.responses_too_late,
+        "bad_messages": agent_counters.malformed_messages,
+        "wrong_fleet": agent_counters.foreign_messages,
         "strangers": members.unknown_sender_count,
         "slowness": members.local_health_multiplier,
         "messages_in": traffic.messages_in,
--- a/sailrun/leadership/traffic.py
+++ b/sailrun/leadership/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what one member says to the others and hears of them."""
+"""Counts the messages that one member sends to and receives from the others."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     bytes_out: int = 0
 
     def received(self, size: int) -> None:
-        """Counts a message that came in, of `size` bytes."""
+        """Counts a received message of `size` bytes."""
         self.messages_in += 1
         self.bytes_in += size
 
     def sent(self, size: int) -> None:
-        """Counts a message that went out, of `size` bytes."""
+        """Counts a sent message of `size` bytes."""
         self.messages_out += 1
         self.bytes_out += size
--- a/sailrun/membership/__init__.py
+++ b/sailrun/membership/__init__.py
@@ -1,4 +1,5 @@
-"""The membership protocol: which members the fleet has and which of them live, by SWIM with Lifeguard.
+"""The membership protocol, SWIM with Lifeguard: it tracks the members of the fleet and which of them are
+alive.
 
-Pure: `leadership/carrier.py` sends and receives its messages.
+The package does no I/O: `leadership/transport.py` sends and receives its messages.
 """
--- a/sailrun/membership/anti_entropy.py
+++ b/sailrun/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy of membership tables: digests are compared with each probe, differing ranges are pulled."""
+"""Anti-entropy of membership tables: compares digests at each probe, and pulls the ranges that differ."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from sailrun.membership.table import MembershipTable, range_of
 
 SECOND = 1_000_000
-# A table is pulled after so many differing answers in a row, and at most so often.
+# A table is pulled after this many consecutive answers with another digest, and at most once per interval.
 MISMATCHES_BEFORE_PULL = 2
 MIN_PULL_INTERVAL_US = 2 * SECOND
-# Records in one page: it fits into a datagram.
+# Records in one page, so that it fits into a datagram.
 RECORDS_PER_PAGE = 10
 
 
@@ -30,18 +30,20 @@
             self._consecutive_mismatches += 1
 
     def is_pull_due(self, now_us: int) -> bool:
-        """Whether the tables have differed for long enough; dissemination usually levels them sooner."""
-        is_rested = now_us - self._pulled_us > MIN_PULL_INTERVAL_US
-        return self._consecutive_mismatches >= MISMATCHES_BEFORE_PULL and is_rested
+        """Whether the tables have differed long enough for a pull; dissemination usually equalizes them
+        sooner.
+        """
+        interval_passed = now_us - self._pulled_us > MIN_PULL_INTERVAL_US
+        return self._consecutive_mismatches >= MISMATCHES_BEFORE_PULL and interval_passed
 
     def request_pull(self, now_us: int, address: str, after_name: str = "") -> OutgoingMessage:
-        """Asks a member for the first page, or for the page that follows a name."""
+        """Returns a request to a member for the first page, or for the page that follows a name."""
         self._pulled_us = now_us
         self._consecutive_mismatches = 0
         return OutgoingMessage(address, PullRequest(after_name, self._table.range_digests))
 
     def build_page(self, request: PullRequest) -> TablePage:
-        """Answers another member's request."""
+        """Returns the page that another member requested."""
         digests = zip(request.range_digests, self._table.range_digests, strict=False)
         equal_ranges = {number for number, (theirs, ours) in enumerate(digests) if theirs == ours}
         names = [
--- a/sailrun/membership/dissemination.py
+++ b/sailrun/membership/dissemination.py
@@ -1,22 +1,24 @@
-"""Which records ride along with outgoing messages: SWIM's infection-style dissemination (section 4.1)."""
+"""Selects the records to piggyback on outgoing messages: SWIM's infection-style dissemination (section
+4.1).
+"""
 
 from __future__ import annotations
 
 import math
 from collections import OrderedDict
 
-# A record is transmitted at most so many times the decimal logarithm of the number of known members.
+# A record is transmitted at most this factor times the decimal logarithm of the number of known members.
 TRANSMISSIONS_PER_LOG_SIZE = 4
 
 
 class UpdateQueue:
-    """Names whose records still have to be transmitted; those transmitted least often come first."""
+    """Queues the names whose records still have to be transmitted, those transmitted least often first."""
 
     def __init__(self) -> None:
         self._transmissions: OrderedDict[str, int] = OrderedDict()
 
     def enqueue(self, name: str) -> None:
-        """Transmits the member's record from now on, before all others and as often as a new one."""
+        """Queues the member's record before all others, and resets its transmission count."""
         self._transmissions[name] = 0
         self._transmissions.move_to_end(name, last=False)
 
@@ -29,7 +31,7 @@
         self._transmissions.clear()
 
     def take(self, limit: int, member_count: int) -> list[str]:
-        """Up to `limit` names for the next message; counts it as one transmission of each."""
+        """Returns up to `limit` names for the next message, and counts one transmission of each."""
         transmission_limit = TRANSMISSIONS_PER_LOG_SIZE * math.ceil(math.log10(member_count + 1))
         names: list[str] = []
         for _ in range(min(limit, len(self._transmissions))):
--- a/sailrun/membership/failure_detector.py
+++ b/sailrun/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: each period one other member is probed, directly and through helpers."""
+"""SWIM's failure detector: probes one other member per period, directly and indirectly through helpers."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 from sailrun.membership.table import MemberEntry, MembershipTable
 
 SECOND = 1_000_000
-# When direct pings and requests for indirect ones are sent, as parts of a period.
+# When direct pings and requests for indirect pings are sent, as fractions of a period.
 DIRECT_PING_TIMES = (0.0, 0.3, 0.6)
 INDIRECT_PING_TIMES = (0.35, 0.65)
-# Members that are asked for an indirect ping each time.
+# The number of members that are asked for an indirect ping each time.
 HELPERS_PER_REQUEST = 3
-# A helper waits for the target for this part of its own period before it sends a nack.
+# A helper waits for the target's ack for this fraction of its own period before it sends a nack.
 RELAY_TIMEOUT_PERIODS = 0.3
-# A process whose turn comes late by this part of a period was stopped or starved.
+# A process whose tick is late by more than this fraction of a period was paused or starved of CPU time.
 PAUSE_PERIODS = 0.5
-# One pause degrades the local health by at most so many steps.
+# One pause degrades the local health by at most this many steps.
 MAX_PAUSE_STEPS = 4
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe under way."""
+    """The current probe."""
 
     target: str
     sequence: int
     began_us: int
     period_us: int
-    direct_sent: int = 0  # of DIRECT_PING_TIMES
-    indirect_sent: int = 0  # of INDIRECT_PING_TIMES
-    helpers_asked: int = 0
+    direct_sent: int = 0  # how many of DIRECT_PING_TIMES
+    indirect_sent: int = 0  # how many of INDIRECT_PING_TIMES
+    helpers_requested: int = 0
     nacks: int = 0
 
     def next_due_us(self) -> int:
-        """When the next ping is due, or the probe fails."""
+        """Returns when the next ping is due or the probe fails."""
         due = [1.0]
         due += DIRECT_PING_TIMES[self.direct_sent : self.direct_sent + 1]
         due += INDIRECT_PING_TIMES[self.indirect_sent : self.indirect_sent + 1]
@@ -58,7 +58,7 @@
 
 
 class FailureDetector:
-    """Probes the other members in a shuffled order that visits all, and suspects those that do not answer."""
+    """Probes all other members in shuffled rounds, and suspects those that do not answer."""
 
     def __init__(
         self,
@@ -66,14 +66,14 @@
         settings: MembershipSettings,
         health: LocalHealth,
         suspicions: SuspicionTimers,
-        chance: random.Random,
+        random_source: random.Random,
         now_us: int,
     ) -> None:
         self._table = table
         self._settings = settings
         self._health = health
         self._suspicions = suspicions
-        self._random = chance
+        self._random = random_source
         self._sequence = 0
         self._probe: Probe | None = None
         self._next_probe_us = now_us
@@ -82,15 +82,19 @@
 
     @property
     def period_us(self) -> int:
-        """The length of a period, stretched where this process is slow."""
+        """The length of a period, which is longer if this process is slow."""
         return int(self._settings.probe_s * SECOND) * self._health.multiplier
 
     def is_pause(self, late_us: int) -> bool:
-        """Whether a turn that comes so late means that this process was stopped or starved."""
+        """Whether a tick that is late by `late_us` means that this process was paused or starved of CPU
+        time.
+        """
         return late_us > self.period_us * PAUSE_PERIODS
 
     def recover_from_pause(self, now_us: int, gap_us: int) -> None:
-        """Nobody listened for that time: no probe has failed, and no suspicion may end by it."""
+        """Restarts probing after a pause of `gap_us`. No message was received in that time, so the current
+        probe does not fail and the suspicions are extended.
+        """
         self._health.degrade(max(1, min(MAX_PAUSE_STEPS, gap_us // self.period_us)))
         self._probe = None
         self._next_probe_us = now_us
@@ -98,14 +102,14 @@
         self._suspicions.postpone(gap_us)
 
     def due_us(self) -> int:
-        """When the detector has something to send or to end."""
+        """Returns when the detector next has something to send or to end."""
         due_us = self._next_probe_us if self._probe is None else self._probe.next_due_us()
         return min([due_us, *(relay.ends_us for relay in self._relayed.values())])
 
     # ------------------------------------------------------------------ messages
 
     def relay_ping(self, now_us: int, requester: str, request: PingRequest) -> list[OutgoingMessage]:
-        """Pings the target of another member's request; nothing where the target is not known."""
+        """Returns a ping to the target of another member's request; empty if the target is not known."""
         entry = self._table.find(request.target)
         if entry is None:
             return []
@@ -115,39 +119,39 @@
         return [_ping(entry, sequence)]
 
     def end_relay(self, sender: str, sequence: int) -> RelayedPing | None:
-        """The relayed ping that an ack from that sender answers; None where it answers none."""
+        """Ends and returns the relayed ping that an ack from `sender` answers; None: it answers none."""
         relay = self._relayed.pop(sequence, None)
         return relay if relay is not None and relay.target == sender else None
 
     def relay_ack(self, relay: RelayedPing) -> list[OutgoingMessage]:
-        """Tells the requester that the target has answered."""
+        """Returns an ack for the requester of a relayed ping."""
         requester = self._table.find_record(relay.requester)
         if requester is None:
             return []
         return [OutgoingMessage(requester.address, Ack(relay.requester_sequence, 0))]
 
     def is_probing(self, sequence: int) -> bool:
-        """Whether the sequence number is that of the probe under way."""
+        """Whether the sequence number is that of the current probe."""
         return self._probe is not None and self._probe.sequence == sequence
 
     def is_probe_target(self, name: str) -> bool:
-        """Whether the member is the one probed now."""
+        """Whether the member is the target of the current probe."""
         return self._probe is not None and self._probe.target == name
 
     def complete_probe(self) -> None:
-        """The probe under way was answered."""
+        """Ends the current probe successfully, which improves the local health."""
         self._probe = None
         self._health.recover()
 
     def count_nack(self, nack: Nack) -> None:
-        """A helper has answered that it does not reach the target."""
+        """Counts a helper's answer that the target did not answer it in time."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
             self._probe.nacks += 1
 
     # ------------------------------------------------------------------ time
 
     def expire_relays(self, now_us: int) -> list[OutgoingMessage]:
-        """Sends a nack for each relayed ping whose target has not answered in time."""
+        """Returns a nack for each relayed ping whose target has not answered in time."""
         messages: list[OutgoingMessage] = []
         for sequence, relay in list(self._relayed.items()):
             if now_us < relay.ends_us:
@@ -159,7 +163,7 @@
         return messages
 
     def tick(self, now_us: int) -> list[OutgoingMessage]:
-        """Continues the probe under way, and begins the next one when it is due."""
+        """Continues the current probe, and starts the next one when it is due."""
         messages: list[OutgoingMessage] = []
         if self._probe is not None:
             messages += self._continue_probe(now_us, self._probe)
@@ -189,7 +193,7 @@
 
     def _request_indirect_pings(self, probe: Probe) -> list[OutgoingMessage]:
         helpers = self._table.sample_peers(self._random, HELPERS_PER_REQUEST, probe.target)
-        probe.helpers_asked += len(helpers)
+        probe.helpers_requested += len(helpers)
         request = PingRequest(probe.sequence, probe.target)
         return [OutgoingMessage(helper.address, request) for helper in helpers]
 
@@ -203,7 +207,7 @@
         return [_ping(target, sequence)]
 
     def _next_target(self) -> MemberEntry | None:
-        """The next living member; None where this member is alone."""
+        """Returns the next living member to probe; None if there is no other one."""
         own_name = self._table.own_name
         while self._targets_left:
             name = self._targets_left.pop()
@@ -215,8 +219,8 @@
 
     def _fail_probe(self, now_us: int, probe: Probe, entry: MemberEntry) -> None:
         self._probe = None
-        # Helpers that sent not even a nack: it may be this process that is not reached.
-        if probe.helpers_asked and probe.nacks < probe.helpers_asked:
+        # Some helpers did not even send a nack, so this process may be the one that cannot be reached.
+        if probe.helpers_requested and probe.nacks < probe.helpers_requested:
             self._health.degrade(1)
         if entry.record.state is MemberState.ALIVE:
             suspect = self._table.store(now_us, entry.record.with_state(MemberState.SUSPECT))
--- a/sailrun/membership/identity.py
+++ b/sailrun/membership/identity.py
@@ -1,4 +1,4 @@
-"""This member's own record: joining, refutation, and names that two processes claim."""
+"""Maintains this member's own record: joining, refutation, and names that two processes claim."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from sailrun.membership.table import MembershipTable
 
 SECOND = 1_000_000
-# One whose name is another's asks to join again after this time.
+# A member whose name belongs to another process retries to join after this time.
 REJOIN_INTERVAL_US = 5 * SECOND
-# A claim of this member's name is reported at most so often.
+# A claim of this member's name by another process is reported at most once per interval.
 CLAIM_REPORT_INTERVAL_US = 10 * SECOND
 
 
 class OwnIdentity:
-    """What this process is in the fleet: its record, and whether the fleet has accepted it."""
+    """The identity of this process in the fleet: its record, and whether the fleet has accepted it."""
 
     def __init__(
         self,
@@ -29,19 +29,19 @@
         self.record = record
         self.has_joined = has_joined
         self.is_leaving = False
-        self.name_holder_address = ""  # of the process that has our name, where we were rejected
+        self.name_holder_address = ""  # of the process that has this name, if this process was rejected
         self.next_join_us = now_us
         self._table = table
         self._changes = changes
         self._claim_reported_us: int | None = None
 
     def update(self, now_us: int, incarnation: int, state: MemberState = MemberState.ALIVE) -> None:
-        """Takes a new incarnation or state, and disseminates it."""
+        """Sets a new incarnation or state, and disseminates the record."""
         self.record = replace(self.record, incarnation=incarnation, state=state)
         self._table.store(now_us, self.record)
 
     def accept(self, now_us: int, incarnation: int) -> None:
-        """A member has accepted this one, under that incarnation."""
+        """Handles the acceptance by another member, under that incarnation."""
         self.name_holder_address = ""
         if incarnation > self.record.incarnation:
             self.update(now_us, incarnation)
@@ -51,7 +51,9 @@
             self._table.updates.enqueue(self.record.name)
 
     def reject(self, now_us: int, holder_address: str) -> None:
-        """The name belongs to the process at that address: this one is no member, and asks again later."""
+        """Handles a rejection because the name belongs to the process at `holder_address`: this process is
+        not a member, and retries to join later.
+        """
         if holder_address == self.record.address:
             return
         if self.name_holder_address != holder_address:
@@ -62,20 +64,20 @@
         self.next_join_us = now_us + REJOIN_INTERVAL_US
 
     def report_claim(self, now_us: int, claimant: MemberRecord) -> None:
-        """Logs that another process asked for this one's name; not more often than the interval."""
+        """Reports that another process claimed this one's name, at most once per interval."""
         reported_us = self._claim_reported_us
         if reported_us is None or now_us - reported_us > CLAIM_REPORT_INTERVAL_US:
             self._claim_reported_us = now_us
             self._changes.append(MembershipChange(ChangeKind.NAME_CLAIMED, claimant, "name-claimed-twice"))
 
     def merge(self, now_us: int, record: MemberRecord) -> None:
-        """Takes in what another member has of this one: refutes a suspicion by a higher incarnation."""
+        """Merges another member's record of this one; refutes a suspicion with a higher incarnation."""
         own = self.record
         if record.incarnation < own.incarnation:
             return
         if record.life != own.life:
             if record.state is MemberState.ALIVE and self.has_joined:
-                # The name was given to another process while this one was taken for dead.
+                # The name was given to another process while this one was considered dead.
                 self.reject(now_us, record.address)
             else:
                 self.update(now_us, record.incarnation + 1)
--- a/sailrun/membership/joining.py
+++ b/sailrun/membership/joining.py
@@ -1,4 +1,4 @@
-"""Joining a fleet, accepting those that join, and finding members again that a partition has cut off."""
+"""Joins a fleet, accepts processes that join, and reconnects members after a partition."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from sailrun.membership.table import MembershipTable
 
 SECOND = 1_000_000
-# A process that has not joined asks all its seed addresses so often.
+# A process that has not joined sends requests to all its seed addresses at this interval.
 JOIN_RETRY_INTERVAL_US = SECOND // 2
-# One dead member and one unknown seed address are contacted so often.
+# One dead member and one unknown seed address are contacted at this interval.
 RECONNECT_INTERVAL_US = 2 * SECOND
 
 
 class Joining:
-    """Sends and answers requests to join. `seed_addresses`: of members to join by."""
+    """Sends and answers requests to join. `seed_addresses`: the addresses of members to join through."""
 
     def __init__(
         self,
@@ -36,30 +36,30 @@
         identity: OwnIdentity,
         merger: RecordMerger,
         seed_addresses: list[str],
-        chance: random.Random,
+        random_source: random.Random,
         now_us: int,
     ) -> None:
         self._table = table
         self._identity = identity
         self._merger = merger
         self._seed_addresses = seed_addresses
-        self._random = chance
+        self._random = random_source
         self._reconnected_us = now_us
 
     def request_join(self, now_us: int) -> list[OutgoingMessage]:
-        """Asks all seed addresses, where it is time to."""
+        """Returns requests to all seed addresses, if they are due."""
         if now_us < self._identity.next_join_us:
             return []
         self._identity.next_join_us = now_us + JOIN_RETRY_INTERVAL_US
         return [self.build_request(address) for address in self._seed_addresses]
 
     def build_request(self, address: str) -> OutgoingMessage:
-        """A request to join, for one address."""
+        """Returns a request to join, for one address."""
         return OutgoingMessage(address, Join(self._identity.record))
 
     def answer_join(self, now_us: int, record: MemberRecord, address: str) -> list[OutgoingMessage]:
-        """Accepts a newcomer under an incarnation above the last one of its name, or rejects it where its
-        name belongs to another process that is not known to have ended.
+        """Accepts a newcomer, or rejects it if its name belongs to another process that is not known to have
+        ended. A new process gets an incarnation above the last one of its name.
         """
         own = self._identity.record
         if record.name == own.name:
@@ -69,7 +69,7 @@
             return [OutgoingMessage(address, Rejected(REJECTED_NAME, own.address))]
         known = self._table.find_record(record.name)
         if known is not None and self._is_name_taken(known, record):
-            # The holder is informed; its answer shows whether it lives.
+            # The holder is notified of the claim; its answer shows whether it is alive.
             return [
                 OutgoingMessage(address, Rejected(REJECTED_NAME, known.address)),
                 OutgoingMessage(known.address, Join(record)),
@@ -88,8 +88,8 @@
         return known.address != record.address
 
     def reconnect(self, now_us: int) -> list[OutgoingMessage]:
-        """Contacts one dead member and one seed address of no known member, so that two sides of a partition
-        find each other again.
+        """Contacts one dead member and one seed address that no known member has, so that the two sides of a
+        partition reconnect after it has healed.
         """
         if now_us - self._reconnected_us < RECONNECT_INTERVAL_US:
             return []
@@ -107,7 +107,7 @@
 
 
 def _first_incarnation(known: MemberRecord | None, record: MemberRecord) -> int:
-    """The incarnation of a newcomer whose name is free."""
+    """Returns the incarnation of a newcomer whose name is free."""
     if known is None:
         return 1
     if known.life == record.life and known.state.is_living:
--- a/sailrun/membership/lifeguard.py
+++ b/sailrun/membership/lifeguard.py
@@ -1,5 +1,5 @@
-"""What Lifeguard adds to SWIM (Dadgar, Phillips, Currey 2018): local health, and suspicions that end sooner
-the more members confirm them.
+"""Lifeguard's extensions of SWIM (Dadgar, Phillips, Currey 2018): local health, and suspicions that end
+sooner the more members confirm them.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 from sailrun.membership.table import MemberEntry, MembershipTable, Suspicion
 
 SECOND = 1_000_000
-# Times are stretched by 1 to 9: Lifeguard's multiplier has this limit.
+# Lifeguard's limit of the health score; times are multiplied by 1 to 9.
 MAX_HEALTH_SCORE = 8
-# A suspicion that nobody confirms lasts so many times the least time.
+# A suspicion that no other member confirms lasts this many times the minimum time.
 UNCONFIRMED_FACTOR = 6.0
-# Confirmations after which a suspicion lasts the least time only.
+# The number of confirmations after which a suspicion lasts only the minimum time.
 CONFIRMATIONS_NEEDED = 3
 
 
 class LocalHealth:
-    """How well this process keeps up. One that finds itself slow probes slower and suspects later."""
+    """Tracks whether this process is slow. A slow process probes less often and suspects later."""
 
     def __init__(self) -> None:
         self._score = 0
 
     @property
     def multiplier(self) -> int:
-        """1: this process keeps up; up to 9: its times are stretched by so much."""
+        """The factor for this process's times: 1 if it is healthy, up to 9 if it is slow."""
         return 1 + self._score
 
     def degrade(self, steps: int) -> None:
-        """Counts signs that this process, not the one it probes, is slow."""
+        """Counts signs that this process is slow, and not the one that it probes."""
         self._score = min(MAX_HEALTH_SCORE, self._score + steps)
 
     def recover(self) -> None:
@@ -56,13 +56,15 @@
         self._changes = changes
 
     def start(self, now_us: int, entry: MemberEntry, accuser: str) -> None:
-        """Begins a suspicion of a member whose record says `suspect`."""
+        """Starts a suspicion of a member whose record has the state `suspect`."""
         entry.suspicion = Suspicion(now_us, {accuser})
         self._set_end(entry.suspicion)
         self._changes.append(MembershipChange(ChangeKind.SUSPECTED, entry.record, f"told by {accuser}"))
 
     def confirm(self, entry: MemberEntry, accuser: str) -> None:
-        """Counts one more member that suspects the same, once; the suspicion may end sooner by it."""
+        """Counts a further member that suspects the same one; each member counts once, and the suspicion may
+        end sooner.
+        """
         suspicion = entry.suspicion
         if suspicion is None or accuser in suspicion.accusers:
             return
@@ -73,13 +75,13 @@
         self._table.updates.enqueue(entry.record.name)
 
     def postpone(self, gap_us: int) -> None:
-        """Moves all suspicions by a time in which this process could not receive any refutation."""
+        """Postpones all suspicions by the time in which this process could not receive any refutation."""
         for suspicion in self._table.suspicions():
             suspicion.started_us += gap_us
             suspicion.ends_us += gap_us
 
     def declare_dead(self, now_us: int) -> None:
-        """Declares those members dead whose suspicion has ended."""
+        """Declares members dead whose suspicion has ended without a refutation."""
         for entry in self._table.suspects():
             suspicion = entry.suspicion
             if suspicion is None or now_us < suspicion.ends_us:
@@ -92,10 +94,10 @@
     def _set_end(self, suspicion: Suspicion) -> None:
         living_count = len(self._table.living_names)
         size_factor = max(1.0, math.log10(max(1, living_count)))
-        least_us = int(self._settings.suspect_s * SECOND * size_factor)
-        # A small fleet has fewer members that could confirm: fewer are needed.
-        needed = max(1, min(CONFIRMATIONS_NEEDED, living_count - 3))
+        minimum_us = int(self._settings.suspect_s * SECOND * size_factor)
+        # In a small fleet fewer members can confirm a suspicion, so fewer confirmations are needed.
+        confirmations_needed = max(1, min(CONFIRMATIONS_NEEDED, living_count - 3))
         confirmations = len(suspicion.accusers) - 1
-        confirmed_share = min(1.0, math.log(confirmations + 1) / math.log(needed + 1))
+        confirmed_share = min(1.0, math.log(confirmations + 1) / math.log(confirmations_needed + 1))
         factor = UNCONFIRMED_FACTOR - (UNCONFIRMED_FACTOR - 1.0) * confirmed_share
-        suspicion.ends_us = suspicion.started_us + int(least_us * factor) * self._health.multiplier
+        suspicion.ends_us = suspicion.started_us + int(minimum_us * factor) * self._health.multiplier
--- a/sailrun/membership/membership.py
+++ b/sailrun/membership/membership.py
@@ -1,7 +1,7 @@
-"""One member's view of its fleet, by SWIM (Das, Gupta, Motivala 2002) with Lifeguard (2018).
+"""One member's view of its fleet, maintained by SWIM (Das, Gupta, Motivala 2002) with Lifeguard (2018).
 
-Pure: messages and the time go in, messages come out. Times are microseconds of one clock that only this
-process reads.
+This module does no I/O: it takes messages and the time, and returns messages. Times are microseconds of one
+clock that only this process reads.
 """
 
 from __future__ import annotations
@@ -36,23 +36,23 @@
 from sailrun.membership.table import MembershipTable
 
 SECOND = 1_000_000
-# `tick` is asked for at least so often.
+# `tick` has to be called at least once per interval.
 MAX_TICK_INTERVAL_US = 250_000
-# Members that a leaving one notifies itself.
+# The number of members that a leaving member notifies itself.
 PEERS_NOTIFIED_OF_LEAVE = 8
 
 
 class Membership:
-    """Ties the parts of the protocol together: table, failure detector, joining, anti-entropy."""
+    """Connects the parts of the protocol: table, failure detector, joining, anti-entropy."""
 
     def __init__(
         self, own_record: MemberRecord, settings: MembershipSettings, seed: int, now_us: int
     ) -> None:
-        """`own_record`: incarnation 1, alive. Without any address to join by, this member is the first of its
-        fleet.
+        """`own_record` has incarnation 1 and the state alive. Without any address to join through, this
+        member is the first of its fleet.
         """
-        self.changes: list[MembershipChange] = []  # the driver empties it
-        self.unknown_sender_count = 0  # messages whose sender is no member
+        self.changes: list[MembershipChange] = []  # the driver clears it
+        self.unknown_sender_count = 0  # messages whose sender is not a member
         self._settings = settings
         self._random = random.Random(seed)
         seed_addresses = [address for address in settings.join if address != own_record.address]
@@ -89,7 +89,7 @@
 
     @property
     def living_version(self) -> int:
-        """Grows whenever the set of living members changes, or the zone, region or role of one."""
+        """Increases whenever the set of living members changes, or the zone, region or role of one."""
         return self._table.living_version
 
     @property
@@ -99,74 +99,76 @@
 
     @property
     def local_health_multiplier(self) -> int:
-        """1: this process keeps up; up to 9: its times are stretched by so much."""
+        """The factor for this process's times: 1 if it is healthy, up to 9 if it is slow."""
         return self._health.multiplier
 
     def find_record(self, name: str) -> MemberRecord | None:
-        """The record of a member; None where the name is not known."""
+        """Returns the record of a member; None: the name is not known."""
         return self._table.find_record(name)
 
     def records_with_age(self) -> list[tuple[MemberRecord, int]]:
-        """Every record, by name, with the time since which it has its state, in microseconds."""
+        """Returns every record, sorted by name, with the time at which it got its state, in microseconds."""
         return [(entry.record, entry.since_us) for entry in self._table.entries()]
 
     def living_records(self) -> list[MemberRecord]:
-        """The records of the living members, this one among them, sorted by name."""
+        """Returns the records of the living members, including this one, sorted by name."""
         return [self._table.record_of(name) for name in self._table.living_names]
 
     def is_living(self, name: str) -> bool:
         """Whether the member is known, is not dead and has not left."""
         return self._table.is_living(name)
 
-    def is_current_process(self, name: str, life: int) -> bool:
-        """Whether that process is, as far as known here, the other member of that name."""
+    def is_current_process(self, name: str, process_number: int) -> bool:
+        """Whether the process is, as far as is known here, the current one of another member of that name."""
         record = self._table.find_record(name)
-        return record is not None and record.life == life and name != self.own_record.name
+        return record is not None and record.life == process_number and name != self.own_record.name
 
     def compute_digest(self) -> int:
-        """A digest of the table: equal where two members know the same."""
+        """Returns a digest of the table, which is equal for equal tables."""
         return self._table.compute_digest()
 
     # ------------------------------------------------------------------ messages
 
     def take_updates(self, limit: int, first: MemberRecord | None = None) -> list[MemberRecord]:
-        """Up to `limit` records that ride along with the next message: `first`, then those transmitted least
-        often.
+        """Returns up to `limit` records to piggyback on the next message: `first`, then those transmitted
+        least often.
         """
         updates = [first] if first is not None else []
         names = self._table.updates.take(limit - len(updates), len(self._table))
         updates += [self._table.record_of(name) for name in names if first is None or name != first.name]
         return updates
 
-    def accept_sender(self, name: str, life: int) -> bool:
-        """Whether a message of this sender counts; one that does not is counted."""
-        if self.is_current_process(name, life):
+    def accept_sender(self, name: str, process_number: int) -> bool:
+        """Whether messages of this sender are accepted; counts a sender that is not a member."""
+        if self.is_current_process(name, process_number):
             return True
         self.unknown_sender_count += 1
         return False
 
-    def observe_contact(self, now_us: int, name: str, life: int, incarnation: int) -> None:
-        """A message of the member itself proves, more than any gossip, that it lives in that incarnation."""
+    def observe_contact(self, now_us: int, name: str, process_number: int, incarnation: int) -> None:
+        """Handles direct contact with a member, which proves that it is alive in that incarnation whatever
+        gossip states.
+        """
         record = self._table.find_record(name)
-        if record is not None and record.life == life and incarnation > record.incarnation:
+        if record is not None and record.life == process_number and incarnation > record.incarnation:
             alive = replace(record, incarnation=incarnation, state=MemberState.ALIVE)
             self._merger.merge(now_us, alive, name)
 
     def merge_records(self, now_us: int, records: list[MemberRecord], sender: str) -> None:
-        """Takes in records that the member called `sender` has sent."""
+        """Merges records that the member `sender` has sent."""
         for record in records:
             self._merger.merge(now_us, record, sender)
 
     def preload(self, now_us: int, records: list[MemberRecord]) -> None:
-        """Begins as a member that knows these records, and has disseminated them already."""
+        """Starts as a member that already knows these records and has disseminated them."""
         self.merge_records(now_us, records, self.own_record.name)
         self._identity.has_joined = True
         self._table.updates.clear()
         self.changes.clear()
 
     def receive(self, now_us: int, sender: MemberRecord, body: MemberBody) -> list[OutgoingMessage]:
-        """Takes in a message and returns what to send. `sender` has the name, life and incarnation that the
-        message states, and the address it came from.
+        """Handles a message and returns the messages to send. `sender` has the name, process number and
+        incarnation that the message states, and the address it came from.
         """
         match body:
             case Join(record):
@@ -178,7 +180,7 @@
             case Rejected():
                 return self._on_rejected(now_us, sender.address, body)
         if not self.accept_sender(sender.name, sender.life):
-            # The sender may have been forgotten here, or use a name that is another's.
+            # The sender may have been removed here, or use a name that belongs to another process.
             is_ping = isinstance(body, Ping)
             return [OutgoingMessage(sender.address, Rejected(REJECTED_UNKNOWN))] if is_ping else []
         return self._on_member_message(now_us, sender.name, body)
@@ -187,7 +189,7 @@
         if body.reason != REJECTED_UNKNOWN:
             self._identity.reject(now_us, body.name_holder_address)
             return []
-        # New there, or forgotten: this member introduces itself.
+        # The sender does not know this member, or has removed it, so this member sends its record.
         is_member = self.has_joined and not self.is_leaving
         return [self._joining.build_request(address)] if is_member else []
 
@@ -234,7 +236,7 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """When `tick` has to be called next."""
+        """Returns when `tick` has to be called next."""
         latest_us = now_us + MAX_TICK_INTERVAL_US
         if not self.has_joined:
             return min(latest_us, self._identity.next_join_us)
@@ -242,7 +244,7 @@
         return min([latest_us, self._detector.due_us(), *suspicion_ends])
 
     def tick(self, now_us: int) -> list[OutgoingMessage]:
-        """Does what is due by the clock, and returns what to send."""
+        """Runs everything that is due by the clock; returns the messages to send."""
         late_us = now_us - self._expected_tick_us
         if self._detector.is_pause(late_us):
             self._detector.recover_from_pause(now_us, late_us)
@@ -255,13 +257,13 @@
             return self._joining.request_join(now_us)
         messages = self._detector.expire_relays(now_us)
         self._suspicions.declare_dead(now_us)
-        self._forget_ended(now_us)
+        self._remove_ended(now_us)
         if not self.is_leaving:
             messages += self._detector.tick(now_us)
             messages += self._joining.reconnect(now_us)
         return messages
 
-    def _forget_ended(self, now_us: int) -> None:
+    def _remove_ended(self, now_us: int) -> None:
         retention_us = self._settings.forget_s * SECOND
         for entry in self._table.ended():
             name = entry.record.name
@@ -269,7 +271,7 @@
                 self._table.remove(name)
 
     def leave(self, now_us: int) -> list[OutgoingMessage]:
-        """Leaves the fleet in an orderly way: some members are notified at once, and notify the others."""
+        """Leaves the fleet gracefully: notifies some members at once, which disseminate it to the others."""
         if self.is_leaving:
             return []
         self._identity.is_leaving = True
--- a/sailrun/membership/messages.py
+++ b/sailrun/membership/messages.py
@@ -20,12 +20,12 @@
 
     @property
     def is_living(self) -> bool:
-        """Whether a member in this state takes part: a suspect does until it is declared dead."""
+        """Whether a member in this state counts as alive; a suspect does until it is declared dead."""
         return self in (MemberState.ALIVE, MemberState.SUSPECT)
 
     @property
     def has_ended(self) -> bool:
-        """Whether a member in this state takes no part any more."""
+        """Whether a member in this state is dead or has left."""
         return not self.is_living
 
     @property
@@ -39,10 +39,11 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One member as some member knows it.
+    """One member as it is known to another member.
 
-    `life` is a random number of the process. `incarnation` is SWIM's: a member increases its own to refute a
-    suspicion, and a returning name begins above the one it had. An older version ignores `region` and `role`.
+    `life` is the process number, a random number of the process. `incarnation` is SWIM's: a member increases
+    its own to refute a suspicion, and a new process of a known name starts above the previous one. Older
+    versions ignore `region` and `role`.
     """
 
     name: str
@@ -61,26 +62,28 @@
         return (self.incarnation, self.state, self.life) > (other.incarnation, other.state, other.life)
 
     def with_state(self, state: MemberState) -> MemberRecord:
-        """This record with another state."""
+        """Returns a copy of this record with another state."""
         return replace(self, state=state)
 
 
 def list_eligible_names(records: list[MemberRecord]) -> list[str]:
-    """The names of those members that may work on behalf of the fleet: the control members, or all members
-    where there are none.
+    """Returns the names of the members that may work on behalf of the fleet: the control members, or all
+    members if there are none.
     """
     control = [record for record in records if record.role == CONTROL]
     return [record.name for record in control or records]
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping"):
-    """Asks for an `Ack` with the same sequence number; 0: the answer is not waited for."""
+    """Requests an `Ack` with the same sequence number; 0: the sender does not wait for the answer."""
 
     sequence: int
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
-    """Answers a `Ping`; `table_digest` is of the sender's membership table, 0 in a relayed answer."""
+    """Answers a `Ping`; `table_digest` is the digest of the sender's membership table, 0 in a relayed
+    answer.
+    """
 
     sequence: int
     table_digest: int
@@ -102,7 +105,9 @@
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True, tag="join"):
-    """Asks to be accepted as a member. Sent to the holder of a name, it reports that another claims it."""
+    """Requests to be accepted as a member. Sent to the holder of a name, it reports that another process
+    claims the name.
+    """
 
     record: MemberRecord
 
@@ -115,22 +120,22 @@
 
 
 class Rejected(msgspec.Struct, array_like=True, frozen=True, tag="refused"):
-    """The sender of a message is no member here. `reason` is one of REJECTED_UNKNOWN, REJECTED_NAME."""
+    """The sender of a message is not a member here. `reason`: REJECTED_UNKNOWN or REJECTED_NAME."""
 
     reason: str
     name_holder_address: str = ""
 
 
-# The receiver does not know the sender: it has to join first.
+# The receiver does not know the sender, which has to join first.
 REJECTED_UNKNOWN = "unknown"
 # The name belongs to another process, which has `name_holder_address`.
 REJECTED_NAME = "name"
 
 
 class PullRequest(msgspec.Struct, array_like=True, frozen=True, tag="pull"):
-    """Anti-entropy: asks for the records after a name, of the ranges whose digests differ.
+    """Anti-entropy: requests the records after a name, of the ranges whose digests differ.
 
-    `range_digests` are the requester's, by range of names; empty: all ranges.
+    `range_digests` has the requester's digests by range of names; empty: requests all ranges.
     """
 
     after_name: str
--- a/sailrun/membership/outputs.py
+++ b/sailrun/membership/outputs.py
@@ -1,4 +1,4 @@
-"""What the protocol returns to its driver: messages to send, and changes of members for the log."""
+"""The outputs of the protocol to its driver: messages to send, and changes of members for the log."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """A body on its way to an address; `first_update` rides along before all other updates, so that a
-    suspected member learns of the suspicion and can refute it.
+    """A message for an address. `first_update` is piggybacked before all other updates, so that a suspected
+    member learns of the suspicion and can refute it.
     """
 
     address: str
@@ -20,16 +20,16 @@
 
 
 class ChangeKind(StrEnum):
-    """What happened to a member; the values are what the log shows."""
+    """The kind of a member's change; the values appear in the log."""
 
     JOINED = "joined"
     SUSPECTED = "suspect"
     DEAD = "gone"
     LEFT = "left"
     RETURNED = "back"
-    # This process may not use its name, which another one has.
+    # This process may not use its name, which belongs to another process.
     NAME_REFUSED = "refused"
-    # Another process asked for the name of this one.
+    # Another process claimed the name of this one.
     NAME_CLAIMED = "claimed"
 
 
--- a/sailrun/membership/record_merge.py
+++ b/sailrun/membership/record_merge.py
@@ -10,7 +10,7 @@
 
 
 class RecordMerger:
-    """Keeps the newer of two records of one member, and follows what that changes."""
+    """Stores the newer of two records of one member, and updates suspicions and reported changes."""
 
     def __init__(
         self,
@@ -25,13 +25,13 @@
         self._changes = changes
 
     def merge(self, now_us: int, record: MemberRecord, sender: str) -> None:
-        """Takes in one record that the member called `sender` has sent."""
+        """Merges one record that the member `sender` has sent."""
         if record.name == self._table.own_name:
             self._identity.merge(now_us, record)
             return
         entry = self._table.find(record.name)
         if entry is None and record.state.has_ended:
-            return  # this member never knew it, and need not remember it
+            return  # an unknown member that has ended need not be stored
         before = entry.record if entry is not None else None
         if entry is not None and not record.supersedes(entry.record):
             if record == entry.record and record.state is MemberState.SUSPECT:
--- a/sailrun/membership/settings.py
+++ b/sailrun/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the membership protocol: the table `[members]` of the deploy file."""
+"""Settings of the membership protocol: the table `[members]` of the operator settings."""
 
 from __future__ import annotations
 
@@ -11,45 +11,54 @@
 
 
 class MembershipSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Where this node meets the others, and how soon one that is silent is taken for gone."""
+    """The addresses of membership, and the times after which a member that does not answer is declared
+    dead.
+    """
 
     enabled: Annotated[bool, Meta(description="Whether this node joins a fleet.")] = False
-    fleet: Annotated[Name, Meta(description="The fleet's name: nodes of two fleets never mix.")] = "census"
+    fleet: Annotated[Name, Meta(description="The fleet's name; nodes ignore messages of other fleets.")] = (
+        "census"
+    )
     name: Annotated[
         str,
-        Meta(
-            max_length=64, description="This node's own name, the same after a restart; empty: it is missing."
-        ),
+        Meta(max_length=64, description="This node's own name, the same after a restart; required."),
     ] = ""
     listen: Annotated[
-        str, Meta(description="HOST:PORT for datagrams and links of the other members; empty: it is missing.")
+        str, Meta(description="HOST:PORT for datagrams and links of the other members; required.")
     ] = ""
     advertise: Annotated[
-        str, Meta(description="HOST:PORT at which the others reach this node; empty: the same as `listen`.")
+        str,
+        Meta(
+            description="HOST:PORT at which the other members reach this node; empty: the same as `listen`."
+        ),
     ] = ""
     join: Annotated[
-        tuple[str, ...], Meta(description="HOST:PORT of members to join by; one that lives is enough.")
+        tuple[str, ...],
+        Meta(description="HOST:PORT of members to join through; one that is alive is enough."),
     ] = ()
     region: Annotated[
-        str, Meta(max_length=32, description="The region this node is in; `[shards]` places by it.")
+        str, Meta(max_length=32, description="The region of this node; `[shards]` places shards by it.")
     ] = ""
     role: Annotated[
         str,
         Meta(
             pattern="^(|node|control)$",
-            description="`control`: set aside for work on behalf of the fleet, done by such members only.",
+            description="`control`: reserved for tasks on behalf of the fleet; others have no tasks then.",
         ),
     ] = ""
     probe_s: Annotated[
-        Seconds, Meta(description="One other member is probed so often; it is suspected at the end.")
+        Seconds,
+        Meta(
+            description="The period in which one other member is probed; without an answer it is suspected."
+        ),
     ] = 1.0
     suspect_s: Annotated[
         Seconds,
         Meta(
-            description="The least time a suspect has to refute; six times as much where one alone says so."
+            description="The minimum time a suspect has to refute; six times as long with one accuser only."
         ),
     ] = 2.0
     forget_s: Annotated[
         Annotated[float, Meta(ge=1.0, le=604_800.0)],
-        Meta(description="Members that are gone or have left are shown, and knocked at, for so long."),
+        Meta(description="How long dead members and members that left are shown; dead ones are contacted."),
     ] = 3600.0
--- a/sailrun/membership/table.py
+++ b/sailrun/membership/table.py
@@ -1,4 +1,4 @@
-"""The membership table: one record for each known member, and what is derived from the records."""
+"""The membership table: one record for each known member, and sets and digests derived from the records."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from sailrun.membership.dissemination import UpdateQueue
 from sailrun.membership.messages import MemberRecord, MemberState
 
-# Two tables are compared by digests of so many ranges of names.
+# Two tables are compared by the digests of this many ranges of names.
 RANGE_COUNT = 16
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """Why and until when a member is suspected; it is declared dead at `ends_us`."""
+    """The suspicion of a member: the members that suspect it, and when it is declared dead (`ends_us`)."""
 
     started_us: int
     accusers: set[str]
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class MemberEntry:
-    """A member's record, the time since which it has its state, and the latest suspicion."""
+    """A member's record, the time at which it got its state, and the latest suspicion."""
 
     record: MemberRecord
     since_us: int
@@ -34,23 +34,23 @@
 
     @property
     def record_to_refute(self) -> MemberRecord | None:
-        """What the member has to be sent so that it can refute it; None where it is known as alive."""
+        """The record to send to the member so that it can refute it; None: the member is known as alive."""
         return self.record if self.record.state is not MemberState.ALIVE else None
 
 
 class MembershipTable:
-    """Every known member by name. Each stored record is queued for dissemination in `updates`."""
+    """Stores every known member by name. Each stored record is queued for dissemination in `updates`."""
 
     def __init__(self, own_record: MemberRecord, now_us: int) -> None:
         self.own_name = own_record.name
         self.updates = UpdateQueue()
-        # Grows whenever the set of living members changes, or the zone, region or role of one.
+        # Increases whenever the set of living members changes, or the zone, region or role of one.
         self.living_version = 0
         self._entries = {own_record.name: MemberEntry(own_record, now_us)}
         self._living_names = [own_record.name]  # sorted
         self._suspect_names: set[str] = set()
         self._ended_names: set[str] = set()
-        # By range of names: the checksums of its records, combined by exclusive or.
+        # By range of names: the checksums of the range's records, combined by exclusive or.
         self._range_digests = [0] * RANGE_COUNT
         self._range_digests[range_of(own_record.name)] = _checksum(own_record)
 
@@ -60,16 +60,16 @@
     # ------------------------------------------------------------------ queries
 
     def find(self, name: str) -> MemberEntry | None:
-        """The member's entry; None where the name is not known."""
+        """Returns the member's entry; None: the name is not known."""
         return self._entries.get(name)
 
     def find_record(self, name: str) -> MemberRecord | None:
-        """The member's record; None where the name is not known."""
+        """Returns the member's record; None: the name is not known."""
         entry = self._entries.get(name)
         return entry.record if entry is not None else None
 
     def record_of(self, name: str) -> MemberRecord:
-        """The record of a member that is known; raises KeyError for any other name."""
+        """Returns the record of a known member; raises KeyError for any other name."""
         return self._entries[name].record
 
     def is_living(self, name: str) -> bool:
@@ -88,33 +88,33 @@
         return self._living_names
 
     def entries(self) -> list[MemberEntry]:
-        """All entries, sorted by name."""
+        """Returns all entries, sorted by name."""
         return [entry for _, entry in sorted(self._entries.items())]
 
     def suspects(self) -> list[MemberEntry]:
-        """The entries of suspected members, sorted by name."""
+        """Returns the entries of suspected members, sorted by name."""
         return [self._entries[name] for name in sorted(self._suspect_names)]
 
     def suspicions(self) -> Iterator[Suspicion]:
-        """The suspicions under way, in no particular order."""
+        """Yields the current suspicions, in no particular order."""
         for name in self._suspect_names:
             suspicion = self._entries[name].suspicion
             if suspicion is not None:
                 yield suspicion
 
     def ended(self) -> list[MemberEntry]:
-        """The entries of members that are dead or have left, sorted by name."""
+        """Returns the entries of members that are dead or have left, sorted by name."""
         return [self._entries[name] for name in sorted(self._ended_names)]
 
     def addresses(self) -> set[str]:
-        """The addresses of all known members."""
+        """Returns the addresses of all known members."""
         return {entry.record.address for entry in self._entries.values()}
 
-    def sample_peers(self, chance: random.Random, count: int, *excluded: str) -> list[MemberRecord]:
-        """Up to `count` living members other than this one and those excluded, chosen at random."""
+    def sample_peers(self, random_source: random.Random, count: int, *excluded: str) -> list[MemberRecord]:
+        """Returns up to `count` random living members, except this one and those excluded."""
         sample_size = min(count + 1 + len(excluded), len(self._living_names))
-        picked = chance.sample(self._living_names, sample_size)
-        names = [name for name in picked if name != self.own_name and name not in excluded]
+        sample = random_source.sample(self._living_names, sample_size)
+        names = [name for name in sample if name != self.own_name and name not in excluded]
         return [self._entries[name].record for name in names[:count]]
 
     # ------------------------------------------------------------------ digests
@@ -125,7 +125,7 @@
         return list(self._range_digests)
 
     def compute_digest(self) -> int:
-        """A digest of all records: equal where two members have the same table."""
+        """Returns a digest of all records, which is equal for equal tables."""
         return zlib.crc32(repr(self._range_digests).encode())
 
     # ------------------------------------------------------------------ changes
@@ -146,12 +146,12 @@
         return entry
 
     def remove(self, name: str) -> None:
-        """Forgets a member; raises KeyError where the name is not known."""
+        """Removes a member; raises KeyError if the name is not known."""
         self._update_derived(name, self._entries.pop(name).record, None)
         self.updates.discard(name)
 
     def _update_derived(self, name: str, before: MemberRecord | None, after: MemberRecord | None) -> None:
-        """Updates digests, sets of names and version for one record that was replaced."""
+        """Updates the digests, the sets of names and the version for one replaced record."""
         for record in (before, after):
             if record is not None:
                 self._range_digests[range_of(name)] ^= _checksum(record)
@@ -173,7 +173,7 @@
 
 
 def range_of(name: str) -> int:
-    """The range that a name belongs to, from 0 to RANGE_COUNT - 1."""
+    """Returns the range that a name belongs to, from 0 to RANGE_COUNT - 1."""
     return zlib.crc32(name.encode()) % RANGE_COUNT
 
 
@@ -182,5 +182,5 @@
 
 
 def _location(record: MemberRecord) -> tuple[str, str, str]:
-    """What decides which work a member may be given."""
+    """Returns the fields that determine the tasks and shards a member may be given."""
     return record.zone, record.region, record.role
