--- a/sailrun/leadership/act_log.py
+++ b/sailrun/leadership/act_log.py
@@ -13,7 +13,7 @@
 MAX_CLOCK_READS = 10
 
 
-def log_act(kind: str, **facts: Any) -> None:
+def log_act(kind: str, **fields: Any) -> None:
     """Logs an act with a time that is common to all processes of a machine (`at_us`). Times of this node's
     own clock are logged as the time left until then (`left_us`) or the time passed since then (`ago_us`).
     """
@@ -21,12 +21,12 @@
         at_us, own_us = time.monotonic_ns() // 1000, boot_us()
         if time.monotonic_ns() // 1000 - at_us < MAX_CLOCK_READ_GAP_US:
             break  # otherwise this process was paused between reading the two clocks
-    if "until_us" in facts:
-        facts["left_us"] = facts.pop("until_us") - own_us
-    if "made_us" in facts:
-        facts["ago_us"] = own_us - facts.pop("made_us")
-    log("act", kind=kind, at_us=at_us, **facts)
+    if "until_us" in fields:
+        fields["left_us"] = fields.pop("until_us") - own_us
+    if "made_us" in fields:
+        fields["ago_us"] = own_us - fields.pop("made_us")
+    log("act", kind=kind, at_us=at_us, **fields)
 
 
-def ignore_act(kind: str, **facts: Any) -> None:
+def ignore_act(kind: str, **fields: Any) -> None:
     """Ignores an act; used when the laboratory's checks are off."""
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -81,7 +81,7 @@
         now_us: int,
         new_initial_term: Callable[[], int],
         disabled_rules: frozenset[str] = frozenset(),
-        record: Callable[..., None] = lambda kind, **facts: None,
+        record: Callable[..., None] = lambda kind, **fields: None,
     ) -> None:
         self.settings, self._disabled_rules, self._record = settings, disabled_rules, record
         self._now_us = now_us
@@ -244,7 +244,7 @@
         envelopes: list[OutgoingEnvelope] = []
         if isinstance(body, MemberBody):
             sender = MemberRecord(name, process_number, envelope.incarnation, MemberState.ALIVE, address)
-            envelopes = self._envelopes.address_letters(self.members.receive(now_us, sender, body))
+            envelopes = self._envelopes.address_messages(self.members.receive(now_us, sender, body))
         elif not self.members.accept_sender(name, process_number):
             return []
         if self.members.is_current_process(name, process_number):
@@ -339,7 +339,7 @@
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         """Runs everything that is due by the clock; returns the envelopes to send."""
         self._now_us = now_us
-        envelopes = self._envelopes.address_letters(self.members.tick(now_us))
+        envelopes = self._envelopes.address_messages(self.members.tick(now_us))
         if self.voter is not None and self.members.has_joined:
             envelopes += self._post_all(self.voter.turn(now_us))
             envelopes += self._post_all(self.durable_state.turn(now_us))
@@ -387,7 +387,7 @@
         envelopes += self._turn_permits(now_us)
         if self.shards is not None:
             envelopes += self._post_all(self.shards.leave(now_us))
-        envelopes += self._envelopes.address_letters(self.members.leave(now_us))
+        envelopes += self._envelopes.address_messages(self.members.leave(now_us))
         return envelopes + self._publish_changes(now_us)
 
     def update_settings(self, now_us: int, settings: AgentSettings) -> None:
@@ -463,7 +463,7 @@
         """Sends to a member by name; a durable response is withheld until the entry it depends on is
         synced.
         """
-        if self.durable_state.hold_if_not_durable(self._now_us, name, body):
+        if self.durable_state.withhold_if_not_durable(self._now_us, name, body):
             return []
         return self._deliver(name, body, guard)
 
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -183,7 +183,7 @@
 
     # ------------------------------------------------------------------ responses
 
-    def hold_if_not_durable(self, now_us: int, name: str, body: Any) -> bool:
+    def withhold_if_not_durable(self, now_us: int, name: str, body: Any) -> bool:
         """See `ResponseGate.withhold`."""
         return self._gate.withhold(now_us, name, body)
 
--- a/sailrun/leadership/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -35,7 +35,7 @@
     def __init__(self, fleet_name: Callable[[], str], members: Membership, leases: Leases) -> None:
         self._fleet_name, self._members, self._leases = fleet_name, members, leases
 
-    def address_letters(self, messages: list[OutgoingMessage]) -> list[OutgoingEnvelope]:
+    def address_messages(self, messages: list[OutgoingMessage]) -> list[OutgoingEnvelope]:
         """Wraps messages of the membership protocol, which are sent by address."""
         return [
             OutgoingEnvelope(message.address, self._envelope(message.body, message.first_update))
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -42,9 +42,8 @@
         self._reads_registry = True
         self._last_update_us = 0
         self._task = READER_TASK_PREFIX + agent.zone
-        self._subject = (
-            f"{show_address(source.address)} {agent.zone}"  # the key of the list in the replicated records
-        )
+        # The key of the list in the replicated records.
+        self._subject = f"{show_address(source.address)} {agent.zone}"
         self._stored_revision = -1  # the revision of the list that this node last stored there
         self._handle_query = lambda now_us, sender, content: self._shared_list.answer_query(content)
         agent.request_handlers[self._task] = self._handle_query
--- a/sailrun/membership/lifeguard.py
+++ b/sailrun/membership/lifeguard.py
@@ -59,7 +59,7 @@
         """Starts a suspicion of a member whose record has the state `suspect`."""
         entry.suspicion = Suspicion(now_us, {accuser})
         self._set_end(entry.suspicion)
-        self._changes.append(MembershipChange(ChangeKind.SUSPECTED, entry.record, f"told by {accuser}"))
+        self._changes.append(MembershipChange(ChangeKind.SUSPECTED, entry.record, f"suspected by {accuser}"))
 
     def confirm(self, entry: MemberEntry, accuser: str) -> None:
         """Counts a further member that suspects the same one; each member counts once, and the suspicion may
@@ -88,7 +88,7 @@
                 continue
             before = entry.record
             self._table.store(now_us, before.with_state(MemberState.DEAD))
-            reason = f"silent, {len(suspicion.accusers)} said so"
+            reason = f"no answer, suspected by {len(suspicion.accusers)} members"
             self._changes.append(MembershipChange(ChangeKind.DEAD, before, reason))
 
     def _set_end(self, suspicion: Suspicion) -> None:
--- a/sailrun/membership/record_merge.py
+++ b/sailrun/membership/record_merge.py
@@ -51,6 +51,6 @@
                 elif before.state.has_ended:
                     self._changes.append(MembershipChange(ChangeKind.RETURNED, record))
             case MemberState.DEAD:
-                self._changes.append(MembershipChange(ChangeKind.DEAD, record, f"told by {sender}"))
+                self._changes.append(MembershipChange(ChangeKind.DEAD, record, f"reported by {sender}"))
             case MemberState.LEFT:
                 self._changes.append(MembershipChange(ChangeKind.LEFT, record))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -122,7 +122,7 @@
     agent = made.nodes["n0"].agent
     other = made.nodes["n1"].agent
     assert agent is not None and other is not None
-    (out, *_) = other._envelopes.address_letters(other.members.leave(made.clock_us(made.nodes["n1"])))
+    (out, *_) = other._envelopes.address_messages(other.members.leave(made.clock_us(made.nodes["n1"])))
     now_us = made.clock_us(made.nodes["n0"])
     foreign = msgspec.structs.replace(out.envelope, fleet="another")
     assert agent.on_envelope(now_us, "10.0.0.1:1", foreign) == [] and agent.counters.foreign_messages == 1
