--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -193,7 +193,7 @@
         nodes = [self.nodes[name] for name in sorted(self.names)]
         running = [node for node in nodes if node.agent is not None and not node.stopped]
         names = [node.name for node in running]
-        again = {n.name: self.agent(n.name).life for n in running if n.life > 1}
+        again = {n.name: self.agent(n.name).process_number for n in running if n.life > 1}
         return [node.name for node in running if not self._knows(node.name, names, again)]
 
     def _knows(self, name: str, names: list[str], lives: dict[str, int]) -> bool:
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -85,7 +85,7 @@
     ) -> None:
         self.settings, self._disabled_rules, self._record = settings, disabled_rules, record
         self._now_us = now_us
-        self.name, self.life, self.zone = me.name, me.life, me.zone
+        self.name, self.process_number, self.zone = me.name, me.life, me.zone
         # By task, the handler of its requests: called with the time, the sender and the content.
         self.request_handlers: dict[str, Callable[[int, str, Any], Any]] = {}
         self.on_leadership_change: Callable[[int, LeadershipChange], None] = lambda now_us, change: None
@@ -128,7 +128,7 @@
     def _new_replica(self, seed: int, now_us: int) -> Replica:
         return Replica(
             self.name,
-            self.life,
+            self.process_number,
             self.settings.replication,
             self.settings.membership.fleet,
             self.members,
@@ -143,7 +143,7 @@
 
     def _new_requests(self, number: int) -> PendingRequests:
         return PendingRequests(
-            Requester(self.name, self.life),
+            Requester(self.name, self.process_number),
             self.leases,
             self._leadership,
             self._handle_request,
@@ -311,7 +311,9 @@
     def _handle_request(self, now_us: int, task: str, term: int, requester: Requester, content: Any) -> Any:
         """Returns the response that this node gives as the leader of the task; None: it sends no response."""
         if task == PERMITS_TASK:
-            return self._permit_role.answer_request(now_us, term, requester.name, requester.life, content)
+            return self._permit_role.answer_request(
+                now_us, term, requester.name, requester.process_number, content
+            )
         if task == MARKS_TASK:
             return self.replica.answer_request(now_us, content) if self.replica is not None else None
         handler = self.request_handlers.get(task)
@@ -470,7 +472,7 @@
     def _deliver(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
         """Dispatches a message to this node itself at once, or addresses it to another member."""
         if name == self.name:
-            return self._dispatch(self._now_us, name, self.life, body)
+            return self._dispatch(self._now_us, name, self.process_number, body)
         return self._envelopes.address_member(name, body, guard)
 
 
--- a/sailrun/leadership/member_journal.py
+++ b/sailrun/leadership/member_journal.py
@@ -94,7 +94,9 @@
 
 def granted_lease_entry(task: str, grant: GrantedLease) -> e.LeaseGrant:
     """Returns a voter's grant as a journal entry."""
-    return e.LeaseGrant(task, grant.term, grant.holder, grant.life, grant.highest_term, grant.is_released)
+    return e.LeaseGrant(
+        task, grant.term, grant.holder, grant.process_number, grant.highest_term, grant.is_released
+    )
 
 
 def restore_granted_leases(state: PersistedState) -> dict[str, GrantedLease]:
--- a/sailrun/leadership/requests.py
+++ b/sailrun/leadership/requests.py
@@ -40,7 +40,7 @@
     """The sender of a request: a member's name and its process number."""
 
     name: str
-    life: int
+    process_number: int
 
 
 @dataclass(slots=True)
--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -45,7 +45,7 @@
 
     term: int
     holder: str
-    life: int
+    process_number: int
     expires_us: int
     is_released: bool = False
     highest_term: int = 0  # the highest term known of the task when this lease was granted
@@ -175,7 +175,7 @@
         if not self.remembers:
             return self._deny(request, "abstains", self._abstention_left_us(now_us))
         grant = self._grants.get(request.task)
-        if grant is not None and (grant.holder, grant.life, grant.term) == (
+        if grant is not None and (grant.holder, grant.process_number, grant.term) == (
             candidate,
             process_number,
             request.term,
@@ -224,7 +224,7 @@
         is_overtaken = (
             grant is not None
             and grant.term >= request.term
-            and (grant.holder, grant.life) == (candidate, process_number)
+            and (grant.holder, grant.process_number) == (candidate, process_number)
         )
         return not request.is_renewal or is_overtaken
 
@@ -240,7 +240,7 @@
         """Releases a lease; only its holder can do so. A late request for the released lease is denied."""
         self.observe_term(release.task, release.term)
         grant = self._grants.get(release.task)
-        if grant is not None and (grant.holder, grant.life, grant.term) == (
+        if grant is not None and (grant.holder, grant.process_number, grant.term) == (
             candidate,
             process_number,
             release.term,
--- a/tests/test_sharding_wire.py
+++ b/tests/test_sharding_wire.py
@@ -97,7 +97,7 @@
 
     def envelope(self, sender: str, body: Any) -> Envelope:
         agent = self.agent(sender)
-        return Envelope("lab", sender, agent.life, agent.members.own_record.incarnation, body)
+        return Envelope("lab", sender, agent.process_number, agent.members.own_record.incarnation, body)
 
     def hear(self, name: str, sender: str, body: Body) -> list[OutgoingEnvelope]:
         """What a node answers to a message of another member."""
@@ -293,7 +293,9 @@
         told += running.answers(assigner, OTHER, RenewSession(REGION, DIGEST ^ 1, 9, 0, 5, 0))
         assert running.answers("n0", "n2", ReadTable(REGION, DIGEST ^ 1, 2**40, 9)) == []
         assert (
-            running.answers("n0", "n2", WriteTable(REGION, DIGEST ^ 1, 9, running.agent("n0").life, STATE))
+            running.answers(
+                "n0", "n2", WriteTable(REGION, DIGEST ^ 1, 9, running.agent("n0").process_number, STATE)
+            )
             == []
         )
         assert (
