--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -23,7 +23,7 @@
 from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, node
 
 
-def free() -> str:
+def free_host_port() -> str:
     return "{}:{}".format(*free_address())
 
 
@@ -48,23 +48,28 @@
     """Three nodes that are all voters. Permits allow one form server out of service and one draining node."""
 
     def __init__(
-        self, folder: Path, roster: Roster, stack: ExitStack, copies: bool = False, lasting: bool = False
+        self,
+        folder: Path,
+        roster: Roster,
+        stack: ExitStack,
+        has_replica: bool = False,
+        has_storage_folder: bool = False,
     ) -> None:
-        """`copies`: replication is on and permits are off. `lasting`: each node has its own storage
-        folder.
+        """`has_replica`: replication is on and permits are off. `has_storage_folder`: each node has its own
+        storage folder.
         """
-        self._folder, self._roster, self._stack, self._copies = folder, roster, stack, copies
-        self._lasting = lasting
+        self._folder, self._roster, self._stack, self._has_replica = folder, roster, stack, has_replica
+        self._has_storage_folder = has_storage_folder
         self._places: dict[str, tuple[Path, str]] = {}
-        self.listens = {name: free() for name in ("n1", "n2", "n3")}
+        self.listens = {name: free_host_port() for name in ("n1", "n2", "n3")}
         self.nodes: dict[str, RunningNode] = {}
         self.operators: dict[str, Path] = {}
         for name in self.listens:
             self.start(name)
-        tasks = ("marks" if copies else "permits", "roster/daejeon-1")
-        self.until(lambda: all(self.owner(task) for task in tasks))
+        tasks = ("marks" if has_replica else "permits", "roster/daejeon-1")
+        self.until(lambda: all(self.leader_of(task) for task in tasks))
 
-    def folder_of(self, name: str) -> Path:
+    def storage_folder_of(self, name: str) -> Path:
         """Returns the storage folder of the node."""
         return self._folder / f"{name}-kept"
 
@@ -74,7 +79,10 @@
 
     def start(self, name: str, folder_and_address: tuple[Path, str] | None = None) -> None:
         if folder_and_address is None:
-            folder_and_address = self._folder / f"{name}-{len(self.nodes)}-{time.monotonic_ns()}", free()
+            folder_and_address = (
+                self._folder / f"{name}-{len(self.nodes)}-{time.monotonic_ns()}",
+                free_host_port(),
+            )
             folder_and_address[0].mkdir()
         self._places[name] = folder, listen = folder_and_address
         tables = {
@@ -85,24 +93,24 @@
                 "join": [a for n, a in self.listens.items() if n != name],
             },
             "owners": {"enabled": True, "voters": list(self.listens), "lease_s": 1.0, "order_s": 0.5},
-            "permits": {"enabled": not self._copies, "drains": 1, "out": 1, "lease_s": 3.0},
+            "permits": {"enabled": not self._has_replica, "drains": 1, "out": 1, "lease_s": 3.0},
             "reader": {"enabled": True},
-            "replica": {"enabled": self._copies, "sync_s": 0.2, "stale_s": 5.0},
+            "replica": {"enabled": self._has_replica, "sync_s": 0.2, "stale_s": 5.0},
         }
-        if self._lasting:
-            tables["lasting"] = {"folder": str(self.folder_of(name)), "idle_sync_s": 0.2}
+        if self._has_storage_folder:
+            tables["lasting"] = {"folder": str(self.storage_folder_of(name)), "idle_sync_s": 0.2}
         operator = self.operators[name] = folder / "operator.toml"
         operator.write_text(tomli_w.dumps(tables))
-        control = free()
+        control = free_host_port()
         running = node(folder, self._roster, operator=operator, name=name, listen=listen, control=control)
         self.nodes[name] = self._stack.enter_context(running)
 
-    def ask(self, name: str, what: str) -> Any:
+    def show(self, name: str, what: str) -> Any:
         """Returns the JSON output of `sailrun fleet WHAT` at the node."""
         command = [sys.executable, "-m", "sailrun", "fleet", what, "--at", self.nodes[name].control, "--json"]
         return json.loads(subprocess.run(command, capture_output=True, check=True).stdout)
 
-    def owner(self, task: str) -> str | None:
+    def leader_of(self, task: str) -> str | None:
         """Returns the first node that reports that it leads the task. The checks of the fault runs verify
         that no two nodes lead it at once.
         """
@@ -136,32 +144,34 @@
 
 
 def test_members_and_leaders_are_shown_and_a_killed_leader_is_succeeded(fleet: Fleet) -> None:
-    members = fleet.ask("n1", "members")
+    members = fleet.show("n1", "members")
     assert [(m["name"], m["state"], m["voter"]) for m in members] == [
         (name, "alive", True) for name in ("n1", "n2", "n3")
     ]
     assert {"incarnation", "since_s"} <= members[0].keys()
-    first = fleet.owner("permits")
+    first = fleet.leader_of("permits")
     assert first is not None
-    rows = {row["task"]: row for row in fleet.ask(first, "owners")}
+    rows = {row["task"]: row for row in fleet.show(first, "owners")}
     assert rows["permits"].keys() == {"task", "holder", "term", "held", "ends_in_s", "refused_orders"}
     term = rows["permits"]["term"]
     killed = fleet.nodes[first].process
     killed.send_signal(signal.SIGKILL)
     killed.wait()
-    fleet.until(lambda: fleet.owner("permits") not in (None, first))
-    second = fleet.owner("permits")
+    fleet.until(lambda: fleet.leader_of("permits") not in (None, first))
+    second = fleet.leader_of("permits")
     assert second is not None
-    assert next(r for r in fleet.ask(second, "owners") if r["task"] == "permits")["term"] > term
+    assert next(r for r in fleet.show(second, "owners") if r["task"] == "permits")["term"] > term
     fleet.nodes[second].logged("member", "what=gone", f"name={first}")
     fleet.start(first)
-    fleet.until(lambda: [m["incarnation"] for m in fleet.ask(second, "members") if m["name"] == first] == [2])
+    fleet.until(
+        lambda: [m["incarnation"] for m in fleet.show(second, "members") if m["name"] == first] == [2]
+    )
 
 
 def test_reloaded_settings_change_limits_and_change_voters_only_through_the_stage_between(
     fleet: Fleet, servers: list[FormServer]
 ) -> None:
-    leader = str(fleet.owner("permits"))
+    leader = str(fleet.leader_of("permits"))
     path, running = fleet.operators[leader], fleet.nodes[leader]
     tables = tomllib.loads(path.read_text())
     tables["owners"] |= {"voters": ["n1", "n2", "n4"], "revision": 2}
@@ -188,7 +198,7 @@
     assert fleet.nodes["n3"].call(f"set-up {one}") == "ok"
     fleet.nodes["n2"].logged("by-hand", f"server={other}", "out=True")
     assert fleet.nodes["n1"].call("set-down s-ffffffff").startswith("fail ")
-    permits = {(p["subject"], p["state"]) for p in fleet.ask(fleet.owner("permits") or "n1", "permits")}
+    permits = {(p["subject"], p["state"]) for p in fleet.show(fleet.leader_of("permits") or "n1", "permits")}
     assert (other, "held") in permits
     assert fleet.nodes["n1"].call(f"set-down {one}").startswith("fail queued")
     fleet.nodes["n2"].process.send_signal(signal.SIGKILL)
@@ -196,7 +206,7 @@
 
 
 def test_nodes_are_drained_one_after_another_and_the_drain_outlives_its_leader(fleet: Fleet) -> None:
-    leader = fleet.owner("permits")
+    leader = fleet.leader_of("permits")
     others = [name for name in fleet.nodes if name != leader]
     command = ["fleet", "drain", *others, "--for", "1", "--at", fleet.nodes[others[0]].control]
     drain_process = subprocess.Popen(
@@ -233,7 +243,7 @@
     roster = LiveRoster([servers[0].entry(), *others])
     with ExitStack() as stack:
         fleet = Fleet(tmp_path, roster, stack)
-        reader = str(fleet.owner("roster/daejeon-1"))
+        reader = str(fleet.leader_of("roster/daejeon-1"))
         fleet.until(
             lambda: sum("roster-reader reads=False" in x for n in fleet.nodes.values() for x in n.lines) >= 2
         )
@@ -257,10 +267,10 @@
 @pytest.fixture
 def replicated_fleet(tmp_path: Path, servers: list[FormServer]) -> Iterator[Fleet]:
     with ExitStack() as stack:
-        yield Fleet(tmp_path, Roster([s.entry() for s in servers]), stack, copies=True)
+        yield Fleet(tmp_path, Roster([s.entry() for s in servers]), stack, has_replica=True)
 
 
-def staff(fleet: Fleet, name: str, *words: str) -> subprocess.CompletedProcess[str]:
+def run_fleet_command(fleet: Fleet, name: str, *words: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "sailrun", "fleet", *words]
     if words[0] != "diff":
         command += ["--at", fleet.nodes[name].control]
@@ -271,13 +281,15 @@
     replicated_fleet: Fleet, servers: list[FormServer]
 ) -> None:
     one, other = (s.name for s in servers[:2])
-    result = staff(replicated_fleet, "n1", "set-down", one, "--wait", "all", "--why", "a new disk")
+    result = run_fleet_command(
+        replicated_fleet, "n1", "set-down", one, "--wait", "all", "--why", "a new disk"
+    )
     assert (result.returncode, result.stdout) == (0, "done 3 of 3 copies\n"), result
     for name in replicated_fleet.nodes:
         replicated_fleet.nodes[name].logged("by-hand", f"server={one}", "out=True")
     replicated_fleet.until(lambda: replicated_fleet.nodes["n2"].call(f"set-down {other}") == "ok")
     assert (
-        staff(replicated_fleet, "n1", "set-down", "s-ffffffff")
+        run_fleet_command(replicated_fleet, "n1", "set-down", "s-ffffffff")
         .stderr.strip()
         .endswith("no form server 's-ffffffff'")
     )
@@ -285,7 +297,9 @@
     replicated_fleet.nodes["n1"].process.wait(PATIENCE_S)
     replicated_fleet.start("n1")
     replicated_fleet.nodes["n1"].logged("by-hand", f"server={one}", "out=True")
-    states = [json.loads(staff(replicated_fleet, n, "state", "--json").stdout) for n in ("n2", "n3")]
+    states = [
+        json.loads(run_fleet_command(replicated_fleet, n, "state", "--json").stdout) for n in ("n2", "n3")
+    ]
     assert states[0]["digest"] == states[1]["digest"] and not states[0]["conflicts"]
     mark = next(r for r in states[0]["records"] if r["kind"] == "out" and r["subject"] == one)
     assert mark["on"] and mark["words"][0]["why"] == "a new disk"
@@ -298,17 +312,21 @@
     replicated_fleet: Fleet, servers: list[FormServer]
 ) -> None:
     one = servers[0].name
-    replicated_fleet.until(lambda: staff(replicated_fleet, "n3", "state", "--behind").returncode == 0)
+    replicated_fleet.until(
+        lambda: run_fleet_command(replicated_fleet, "n3", "state", "--behind").returncode == 0
+    )
     for name in ("n1", "n2"):
         replicated_fleet.nodes[name].process.send_signal(signal.SIGSTOP)
     try:
-        result = staff(replicated_fleet, "n3", "set-down", one)
+        result = run_fleet_command(replicated_fleet, "n3", "set-down", one)
         assert result.returncode == 1 and result.stdout.startswith("unknown"), result
-        result = staff(replicated_fleet, "n3", "set-down", one, "--wait", "none", "--why", "smoke")
+        result = run_fleet_command(
+            replicated_fleet, "n3", "set-down", one, "--wait", "none", "--why", "smoke"
+        )
         assert result.returncode == 0, result
         replicated_fleet.nodes["n3"].logged("by-hand", f"server={one}", "out=True")
         replicated_fleet.nodes["n3"].logged("marks-stale")
-        assert staff(replicated_fleet, "n3", "state", "--behind").returncode == 1
+        assert run_fleet_command(replicated_fleet, "n3", "state", "--behind").returncode == 1
     finally:
         for name in ("n1", "n2"):
             replicated_fleet.nodes[name].process.send_signal(signal.SIGCONT)
@@ -316,7 +334,7 @@
         replicated_fleet.nodes[name].logged("by-hand", f"server={one}", "out=True")
     replicated_fleet.until(
         lambda: (
-            staff(
+            run_fleet_command(
                 replicated_fleet, "", "diff", *(replicated_fleet.nodes[n].control for n in ("n1", "n3"))
             ).returncode
             == 0
@@ -325,8 +343,10 @@
 
 
 def test_a_node_is_drained_from_any_other(replicated_fleet: Fleet) -> None:
-    assert staff(replicated_fleet, "n1", "drain-on", "n9").stderr.strip().endswith("no member 'n9'")
-    assert staff(replicated_fleet, "n1", "drain-on", "n3", "--why", "kernel").returncode == 0
+    assert (
+        run_fleet_command(replicated_fleet, "n1", "drain-on", "n9").stderr.strip().endswith("no member 'n9'")
+    )
+    assert run_fleet_command(replicated_fleet, "n1", "drain-on", "n3", "--why", "kernel").returncode == 0
     replicated_fleet.nodes["n3"].logged("leaving", "reason=drain")
     assert replicated_fleet.nodes["n2"].call("fleet mark drain n3 off majority staff -").startswith("ok")
     replicated_fleet.nodes["n3"].logged("drain-over")
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -20,7 +20,7 @@
 from sailrun.storage.files import OsFiles
 from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 from tests.stand_ins import PATIENCE_S, FormServer, Roster, free_port, node
-from tests.test_fleet_processes import Fleet, free, staff
+from tests.test_fleet_processes import Fleet, free_host_port, run_fleet_command
 
 
 @pytest.fixture(scope="module", autouse=True)
@@ -33,21 +33,23 @@
 @pytest.fixture
 def fleet(tmp_path: Path, servers: list[FormServer]) -> Iterator[Fleet]:
     with ExitStack() as stack:
-        yield Fleet(tmp_path, Roster([s.entry() for s in servers]), stack, copies=True, lasting=True)
+        yield Fleet(
+            tmp_path, Roster([s.entry() for s in servers]), stack, has_replica=True, has_storage_folder=True
+        )
 
 
 def term_of(fleet: Fleet, task: str) -> int:
-    owner = fleet.owner(task)
-    return int(next(row["term"] for row in fleet.ask(str(owner), "owners") if row["task"] == task))
+    owner = fleet.leader_of(task)
+    return int(next(row["term"] for row in fleet.show(str(owner), "owners") if row["task"] == task))
 
 
 def test_what_was_marked_is_out_again_before_anybody_is_placed_after_all_were_killed(
     fleet: Fleet, servers: list[FormServer]
 ) -> None:
     one, other = (s.name for s in servers[:2])
-    assert staff(fleet, "n1", "set-down", one, "--why", "a new disk").returncode == 0
-    assert staff(fleet, "n2", "set-down", other).returncode == 0
-    assert staff(fleet, "n2", "set-up", other).returncode == 0
+    assert run_fleet_command(fleet, "n1", "set-down", one, "--why", "a new disk").returncode == 0
+    assert run_fleet_command(fleet, "n2", "set-down", other).returncode == 0
+    assert run_fleet_command(fleet, "n2", "set-up", other).returncode == 0
     term = term_of(fleet, "marks")
     for running in fleet.nodes.values():
         running.process.send_signal(signal.SIGKILL)
@@ -55,15 +57,15 @@
         running.process.wait(PATIENCE_S)
     for name in fleet.listens:
         fleet.start(name)
-    fleet.until(lambda: fleet.owner("marks"))
+    fleet.until(lambda: fleet.leader_of("marks"))
     for running in fleet.nodes.values():
         running.logged("serving")
         running.logged("by-hand", f"server={one}", "out=True")
         running.logged("lasting-trusted", "life=2")
         assert not [x for x in running.lines if "marks-founded" in x or f"server={other}" in x], running.lines
     assert term_of(fleet, "marks") > term
-    fleet.until(lambda: staff(fleet, "n3", "state", "--behind").returncode == 0)
-    assert staff(fleet, "n3", "set-up", one).stdout.startswith("done")
+    fleet.until(lambda: run_fleet_command(fleet, "n3", "state", "--behind").returncode == 0)
+    assert run_fleet_command(fleet, "n3", "set-up", one).stdout.startswith("done")
     for running in fleet.nodes.values():
         running.logged("by-hand", f"server={one}", "out=False")
 
@@ -71,12 +73,12 @@
 def test_a_planned_restart_leaves_a_folder_with_a_clean_shutdown(
     fleet: Fleet, servers: list[FormServer]
 ) -> None:
-    assert staff(fleet, "n1", "set-down", servers[0].name).returncode == 0
+    assert run_fleet_command(fleet, "n1", "set-down", servers[0].name).returncode == 0
     process = fleet.nodes["n3"].process
     process.send_signal(signal.SIGTERM)
     began = time.monotonic()
     assert process.wait(PATIENCE_S) == 0 and time.monotonic() - began < 5.0
-    found = read_folder(OsFiles(fleet.folder_of("n3")))
+    found = read_folder(OsFiles(fleet.storage_folder_of("n3")))
     assert (
         found.integrity is FolderIntegrity.INTACT and found.state.was_clean_shutdown and found.torn_bytes == 0
     )
@@ -96,7 +98,7 @@
 ) -> None:
     roster = Roster([s.entry() for s in servers])
     operator = operator_of(tmp_path, tmp_path / "kept")
-    control = free()
+    control = free_host_port()
     name = servers[0].name
     with node(tmp_path, roster, operator=operator, control=control) as running:
         assert running.call(f"set-down {name}") == "ok"
@@ -109,7 +111,7 @@
         until(written)
         running.process.send_signal(signal.SIGKILL)
         running.process.wait(PATIENCE_S)
-    with node(tmp_path, roster, operator=operator, control=free()) as running:
+    with node(tmp_path, roster, operator=operator, control=free_host_port()) as running:
         running.logged("by-hand", f"server={name}", "out=True")
         household = running.ask()
         household.hear()
@@ -166,15 +168,15 @@
 
 def test_a_process_that_is_replaced_transfers_its_folder(fleet: Fleet, servers: list[FormServer]) -> None:
     one = servers[0].name
-    assert staff(fleet, "n2", "set-down", one, "--wait", "all").returncode == 0
+    assert run_fleet_command(fleet, "n2", "set-down", one, "--wait", "all").returncode == 0
     old = fleet.nodes["n1"]
     fleet.replace("n1")
     new = fleet.nodes["n1"]
     new.logged("lasting-trusted", "life=2")
     old.process.send_signal(signal.SIGTERM)
     old.process.wait(PATIENCE_S)
-    fleet.until(lambda: staff(fleet, "n1", "state", "--behind").returncode == 0)
-    assert staff(fleet, "n1", "set-up", one, "--wait", "all").stdout.startswith("done 3 of 3")
+    fleet.until(lambda: run_fleet_command(fleet, "n1", "state", "--behind").returncode == 0)
+    assert run_fleet_command(fleet, "n1", "set-up", one, "--wait", "all").stdout.startswith("done 3 of 3")
 
 
 def test_days_of_restarts_on_real_processes(days: list[Future[Played]]) -> None:
