--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -1,5 +1,4 @@
-"""The agent of one fleet member: membership, voter, the tasks that it leads, and its requests to other
-leaders.
+"""The agent of one fleet member: membership, voter, tasks that it leads, and requests to other leaders.
 
 The agent does no I/O: it takes envelopes and the time, and returns envelopes. `transport.py` drives it with
 sockets, and the laboratory drives it in virtual time. The time is in microseconds of one clock of this
@@ -206,9 +205,7 @@
         return envelopes + self._publish_changes(now_us)
 
     def _send_released(self, released: Released) -> list[OutgoingEnvelope]:
-        """Sends released messages: responses directly, other messages subject to being withheld
-        themselves.
-        """
+        """Sends released responses directly; other messages may be withheld."""
         delivered = [out for name, body in released.responses for out in self._deliver(name, body)]
         return delivered + self._post_all(released.messages)
 
@@ -380,9 +377,7 @@
         return envelopes
 
     def leave(self, now_us: int) -> list[OutgoingEnvelope]:
-        """Leaves the fleet gracefully: hands over tasks and shards, releases permits and leaves
-        membership.
-        """
+        """Leaves the fleet: hands over tasks and shards, releases permits, and leaves membership."""
         self._now_us = now_us
         envelopes = self._post_all(self.leases.leave(now_us, self.candidate_tasks()))
         self._permit_role.release_all(now_us)
@@ -407,9 +402,7 @@
     # ------------------------------------------------------------------ changes
 
     def _publish_changes(self, now_us: int) -> list[OutgoingEnvelope]:
-        """Logs changes and passes them to the parts and callbacks that depend on them; returns no
-        envelopes.
-        """
+        """Logs changes and passes them to the dependent parts and callbacks; returns no envelopes."""
         for member_change in _take_all(self.members.changes):
             self._change_log.log_member(member_change)
         for leadership_change in _take_all(self.leases.changes):
@@ -452,9 +445,7 @@
         return envelopes
 
     def _is_still_needed(self, body: Any) -> bool:
-        """Whether a message is still needed: a lease request is dropped once this node's own voter
-        denied it.
-        """
+        """Whether a message is still needed; a lease request is not once this node's own voter denied it."""
         if isinstance(body, LeaseRequest):
             return self.leases.is_requested(body)
         return (
@@ -462,9 +453,7 @@
         )
 
     def _post(self, name: str, body: Body, guard: TermGuard | None = None) -> list[OutgoingEnvelope]:
-        """Sends to a member by name; a durable response is withheld until the entry it depends on is
-        synced.
-        """
+        """Sends to a member by name; withholds a durable response until its journal entry is synced."""
         if self.durable_state.withhold_if_not_durable(self._now_us, name, body):
             return []
         return self._deliver(name, body, guard)
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -134,8 +134,7 @@
         if voter is not None and is_intact and state.is_voter_complete:
             voter.restore(now_us, restore_granted_leases(state), state.term_floors)
         elif voter is not None:
-            # The incomplete state only serves as lower bounds of terms; the voter asks the others for the
-            # rest.
+            # The incomplete state only provides lower bounds of terms; the other voters provide the rest.
             for task, term in state.highest_terms().items():
                 voter.observe_term(task, term)
             self._record("folder", what="learning", of="terms")
--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -30,13 +30,11 @@
 from sailrun.leadership.settings import DRIFT, LeadershipSettings
 
 SECOND = 1_000_000
-# This many of the best-placed members are candidates for a task; each waits one stagger longer than the
-# previous one.
+# The number of candidates for a task; each waits one stagger longer than the better-placed one before it.
 MAX_CANDIDATES, CANDIDATE_STAGGER_US = 3, 150_000
 # Renewals per lease period; the part of a lease period after which an unanswered request is abandoned.
 RENEWALS_PER_LEASE, REQUEST_TIMEOUT_LEASES = 8, 0.5
-# After a leader has handed a task over to this node, the node requests the lease at this interval during this
-# period.
+# After a task was handed over to this node, it requests the lease at this interval for this period.
 HANDOVER_RETRY_US, HANDOVER_RETRY_PERIOD_US = 40_000, SECOND
 # At most one task is failed back to a better-placed node per interval.
 FAIL_BACK_INTERVAL_US = 10 * SECOND
--- a/sailrun/leadership/member_journal.py
+++ b/sailrun/leadership/member_journal.py
@@ -78,9 +78,7 @@
         self._add(version)
 
     def record_process_start(self, incarnation: int, wall_s: float) -> int:
-        """Journals the start of a process with this folder, at a Unix time in seconds; returns the entry's
-        position.
-        """
+        """Journals the start of a process at a Unix time in seconds; returns the entry's position."""
         return self._add(e.ProcessStarted(incarnation, wall_s))
 
     def record_drain_completed(self, name: str) -> int:
--- a/sailrun/leadership/messages.py
+++ b/sailrun/leadership/messages.py
@@ -159,8 +159,8 @@
 
 
 class PermitResponse(msgspec.Struct, array_like=True, frozen=True):
-    """The response to a `PermitRequest`. A grant is valid for a permit's lease from when the request was
-    sent.
+    """The response to a `PermitRequest`; a grant lasts for a permit's lease from the sending of the
+    request.
     """
 
     kind: str
--- a/sailrun/leadership/operator_permits.py
+++ b/sailrun/leadership/operator_permits.py
@@ -1,6 +1,4 @@
-"""Requests permits on behalf of operators at one node; the core acts on them, and each caller gets a
-reply.
-"""
+"""Requests permits on behalf of operators at one node; the core acts on them, and callers get replies."""
 
 from __future__ import annotations
 
@@ -100,9 +98,7 @@
     # ------------------------------------------------------------------ changes reported by the agent
 
     def on_permit_change(self, change: PermitChange) -> None:
-        """Handles a permit that was acquired or lost: notifies the core, then the callers that wait for
-        it.
-        """
+        """Handles an acquired or lost permit: notifies the core, then the callers that wait for it."""
         if change.kind == OUT_OF_SERVICE and change.subject in self._overrides:
             self._overrides[change.subject] = change.is_held
             self._node.set_operator_override(
@@ -113,9 +109,7 @@
             self._node.set_draining(change.is_held, lambda done: self._answer(DRAIN, change.subject, reason))
 
     def _on_override_set(self, change: PermitChange, is_known: bool) -> None:
-        """Replies after the core applied an override. `known`: whether the core has a form server of
-        that name.
-        """
+        """Replies once the core applied an override; `is_known`: whether it has that form server."""
         if not change.is_held:
             self._answer(OUT_OF_SERVICE, change.subject, change.reason)
             return
--- a/sailrun/leadership/permit_role.py
+++ b/sailrun/leadership/permit_role.py
@@ -36,18 +36,14 @@
     # ------------------------------------------------------------------ as the leader
 
     def on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
-        """Creates a new coordinator when this node becomes the leader, and drops it when it stops being
-        one.
-        """
+        """Creates a coordinator when this node becomes the leader, and drops it when it is no longer."""
         self.coordinator = self._new_coordinator(now_us, change.term) if change.is_leader else None
 
     def _new_coordinator(self, now_us: int, term: int) -> PermitCoordinator:
         return PermitCoordinator(self._settings, term, now_us, self._disabled_rules)
 
     def answer_request(self, now_us: int, term: int, sender: str, process_number: int, content: Any) -> Any:
-        """Returns the response to an undecoded `PermitRequest` under this node's term; None: it is
-        malformed.
-        """
+        """Returns the response to an undecoded `PermitRequest` under this node's term; None: malformed."""
         try:
             request = msgspec.convert(content, PermitRequest)
         except msgspec.ValidationError:
--- a/sailrun/leadership/permits.py
+++ b/sailrun/leadership/permits.py
@@ -1,5 +1,4 @@
-"""Permits limit how much may be out of service at a time: draining nodes, and form servers taken out of
-service by operators.
+"""Permits limit the draining nodes, and the form servers that operators took out of service, at a time.
 
 The leader of the task `permits` is their coordinator. Each permit is a lease of its own, which its holder
 renews. The coordinator stores nothing on disk: holders and waiting nodes repeat their requests. A new
@@ -20,8 +19,7 @@
 SECOND = 1_000_000
 PERMITS_TASK = "permits"
 DRAIN, OUT_OF_SERVICE = "drain", "out"
-# A holder or a waiting node repeats its request this many times within a permit's lease, and at least once a
-# second.
+# Requests are repeated this many times within a permit's lease, and at least once a second.
 RENEWALS_PER_LEASE = 6
 MAX_QUEUE_ENTRIES = 10_000
 # Requests in excess of this number are left for the next turn.
--- a/sailrun/leadership/requests.py
+++ b/sailrun/leadership/requests.py
@@ -150,9 +150,7 @@
         return [AddressedMessage(sender, rejection)] if sender != self._own_identity.name else []
 
     def on_not_leader(self, now_us: int, sender: str, redirect: NotLeader) -> list[AddressedMessage]:
-        """Retries a request whose receiver does not lead the task, at the leader it names or at another
-        candidate.
-        """
+        """Retries a redirected request at the leader that is named, or at another candidate."""
         pending = self._pending.get(redirect.number)
         lease = self._leases.lease_of(redirect.task)
         self._observe_term(now_us, redirect.task, redirect.term, redirect.holder)
--- a/sailrun/leadership/response_gate.py
+++ b/sailrun/leadership/response_gate.py
@@ -1,5 +1,4 @@
-"""Withholds a voter's responses until the state they depend on is durable and a majority has noted the
-position.
+"""Withholds a voter's responses until the state that they depend on is durable and known to a majority.
 
 A voter is bound by its responses after a restart. Therefore a response is sent only after the write-ahead log
 has synced the entries that it depends on. A response that an older version of the folder would not contain is
@@ -32,9 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """Messages to send. `responses` were withheld and need no further check; `messages` are checked as
-    usual.
-    """
+    """Messages to send. `responses` need no further check; `messages` may have to be withheld."""
 
     responses: list[Message] = field(default_factory=list)
     messages: list[Message] = field(default_factory=list)
--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -77,9 +77,8 @@
         self._name, self._permits = name, holder
         self.drains: dict[str, RollingDrain] = {}
         self._local_drains: dict[str, _LocalDrain] = {}
-        self.core_drain_change: bool | None = (
-            None  # whether the core has to start or stop draining; the driver clears it
-        )
+        # Whether the core has to start or stop draining; the driver clears it.
+        self.core_drain_change: bool | None = None
         # Journals that this node's part is complete, and returns the position of the entry. The part is done
         # once `is_durable` returns true for that position.
         self.persist_completion: Callable[[str], int] = lambda name: 0
@@ -173,9 +172,7 @@
         return DrainStatus(local.name, local.state, local.reason)
 
     def on_permit_change(self, change: PermitChange) -> None:
-        """Starts a drain when its permit was acquired, or interrupts it until the next permit when it
-        was lost.
-        """
+        """Starts a drain when its permit was acquired; interrupts it when the permit was lost."""
         if (change.kind, change.subject) != (DRAIN, self._name):
             return
         for local in self._local_drains.values():
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -143,8 +143,7 @@
                 await self.transport.run()
                 group.cancel_scope.cancel()
         except Exception:
-            # Catches every exception: clients are served without a fleet too, so no fault of it may end the
-            # node.
+            # Catches every exception: clients are served without a fleet too, so the node must continue.
             log("fault", where="fleet", trace=traceback.format_exc())
             self._read_registry_directly()
 
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -35,9 +35,7 @@
         self._members_version = -1
 
     def candidate_tasks(self) -> dict[str, list[str]]:
-        """Returns the tasks this node may lead, each with its best-placed candidates among the living
-        members.
-        """
+        """Returns the tasks this node may lead, each with its best-placed living candidates."""
         if self._members.living_version != self._members_version:
             self._members_version = self._members.living_version
             self._candidate_tasks = self._place_tasks()
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -1,5 +1,4 @@
-"""Drives one agent with real sockets: datagrams for small messages, one framed TCP link per member for
-others.
+"""Drives one agent with real sockets: datagrams for small messages, a framed TCP link per member for others.
 
 One task owns the agent; readers, links and the core only put calls into its queue. A message that was created
 under a term is checked against the clock again right before its system call, after any wait in between.
@@ -43,8 +42,7 @@
 SECOND = 1_000_000
 # The queued frames per link, and the open links in each direction.
 MAX_QUEUED_FRAMES, MAX_LINKS = 4, 64
-# A link is closed if connecting or writing a frame takes longer than the first, or if it is idle for the
-# second.
+# The limit for connecting or writing a frame, and the idle time after which a link is closed.
 LINK_TIMEOUT_S, LINK_IDLE_TIMEOUT_S = 2.0, 30.0
 # Datagrams read in a row before other tasks may run.
 MAX_DATAGRAMS_PER_READ = 64
@@ -187,9 +185,8 @@
             try:
                 sock = await accept(listener)
             except OSError:
-                await anyio.sleep_until(
-                    anyio.current_time() + 0.1
-                )  # probably out of file descriptors: retried after a pause
+                # Probably out of file descriptors: retried after a pause.
+                await anyio.sleep_until(anyio.current_time() + 0.1)
                 continue
             if self._accepted_links >= MAX_LINKS:
                 sock.close()
--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -142,9 +142,7 @@
         return self._grants
 
     def observed_terms(self) -> dict[str, int]:
-        """Returns the terms learned from others, by task; the empty task has the minimum term of all
-        tasks.
-        """
+        """Returns the terms learned from others by task; the empty task has the minimum of all tasks."""
         return (
             {**self._observed_terms, "": self._minimum_term} if self._minimum_term else self._observed_terms
         )
@@ -250,9 +248,7 @@
             self.persist_grant(release.task, grant)
 
     def active_holders(self, now_us: int) -> dict[str, tuple[str, int, int]]:
-        """Returns, by task, the holder, the term and the time until the lease expires here, in
-        microseconds.
-        """
+        """Returns by task the holder, the term and the microseconds until the lease expires here."""
         return {
             task: (grant.holder, grant.term, grant.expires_us - now_us)
             for task, grant in self._grants.items()
--- a/sailrun/membership/anti_entropy.py
+++ b/sailrun/membership/anti_entropy.py
@@ -30,9 +30,7 @@
             self._consecutive_mismatches += 1
 
     def is_pull_due(self, now_us: int) -> bool:
-        """Whether the tables have differed long enough for a pull; dissemination usually equalizes them
-        sooner.
-        """
+        """Whether the tables have differed long enough for a pull; dissemination is usually faster."""
         interval_passed = now_us - self._pulled_us > MIN_PULL_INTERVAL_US
         return self._consecutive_mismatches >= MISMATCHES_BEFORE_PULL and interval_passed
 
--- a/sailrun/membership/dissemination.py
+++ b/sailrun/membership/dissemination.py
@@ -1,6 +1,4 @@
-"""Selects the records to piggyback on outgoing messages: SWIM's infection-style dissemination (section
-4.1).
-"""
+"""Selects records to piggyback on messages: SWIM's infection-style dissemination (section 4.1)."""
 
 from __future__ import annotations
 
--- a/sailrun/membership/failure_detector.py
+++ b/sailrun/membership/failure_detector.py
@@ -86,9 +86,7 @@
         return int(self._settings.probe_s * SECOND) * self._health.multiplier
 
     def is_pause(self, late_us: int) -> bool:
-        """Whether a tick that is late by `late_us` means that this process was paused or starved of CPU
-        time.
-        """
+        """Whether a tick that is late by `late_us` means that this process was paused or starved of CPU."""
         return late_us > self.period_us * PAUSE_PERIODS
 
     def recover_from_pause(self, now_us: int, gap_us: int) -> None:
--- a/sailrun/membership/messages.py
+++ b/sailrun/membership/messages.py
@@ -81,9 +81,7 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
-    """Answers a `Ping`; `table_digest` is the digest of the sender's membership table, 0 in a relayed
-    answer.
-    """
+    """Answers a `Ping`; `table_digest` is that of the sender's membership table, 0 in a relayed answer."""
 
     sequence: int
     table_digest: int
--- a/sailrun/membership/settings.py
+++ b/sailrun/membership/settings.py
@@ -11,9 +11,7 @@
 
 
 class MembershipSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The addresses of membership, and the times after which a member that does not answer is declared
-    dead.
-    """
+    """The addresses of membership, and the times of failure detection."""
 
     enabled: Annotated[bool, Meta(description="Whether this node joins a fleet.")] = False
     fleet: Annotated[Name, Meta(description="The fleet's name; nodes ignore messages of other fleets.")] = (
