--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -172,7 +172,7 @@
         return DrainStatus(local.name, local.state, local.reason)
 
     def on_permit_change(self, change: PermitChange) -> None:
-        """Starts a drain when its permit was acquired; interrupts it when the permit was lost."""
+        """Starts a drain when its permit was acquired; interrupts it until the next one when it was lost."""
         if (change.kind, change.subject) != (DRAIN, self._name):
             return
         for local in self._local_drains.values():
