--- a/sailrun/membership/__init__.py
+++ b/sailrun/membership/__init__.py
@@ -1,4 +1,4 @@
-"""The membership protocol: which members the fleet has and which of them live, by SWIM with Lifeguard.
+"""The membership protocol, SWIM with Lifeguard: tracks the members of the fleet and their states.
 
-Pure: `leadership/carrier.py` sends and receives its messages.
+The package does no I/O: `leadership/transport.py` sends and receives its messages.
 """
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -579,14 +579,14 @@
     assert agent is not None and node.write_ahead_log is not None
     reports: list[bool] = []
     fleet.mark_here("n4", "s-00000002", True)
-    agent.durable_state.when_kept(fleet.clock_us(node), reports.append)
+    agent.durable_state.call_when_durable(fleet.clock_us(node), reports.append)
     assert not reports
     fleet._soon(node)
     fleet.run(elapsed_s(fleet) + 0.1)
     assert reports == [True]
     fleet.fill(["n4"], 60 * SECOND_US)
     fleet.mark_here("n4", "s-00000003", True)
-    agent.durable_state.when_kept(fleet.clock_us(node), reports.append)
+    agent.durable_state.call_when_durable(fleet.clock_us(node), reports.append)
     fleet._soon(node)
     fleet.run(elapsed_s(fleet) + 0.1)
     assert reports == [True, False]
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -20,7 +20,7 @@
 from sailrun.storage.files import OsFiles
 from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 from tests.stand_ins import TIMEOUT_S, FormServer, Roster, free_port, node
-from tests.test_fleet_processes import Fleet, free, staff
+from tests.test_fleet_processes import Fleet, free_host_port, run_fleet_command
 
 
 @pytest.fixture(scope="module", autouse=True)
@@ -33,21 +33,23 @@
 @pytest.fixture
 def fleet(tmp_path: Path, servers: list[FormServer]) -> Iterator[Fleet]:
     with ExitStack() as stack:
-        yield Fleet(tmp_path, Roster([s.entry() for s in servers]), stack, copies=True, lasting=True)
+        yield Fleet(
+            tmp_path, Roster([s.entry() for s in servers]), stack, has_replica=True, has_storage_folder=True
+        )
 
 
 def term_of(fleet: Fleet, task: str) -> int:
-    leader = fleet.owner(task)
-    return int(next(row["term"] for row in fleet.ask(str(leader), "owners") if row["task"] == task))
+    leader = fleet.leader_of(task)
+    return int(next(row["term"] for row in fleet.show(str(leader), "owners") if row["task"] == task))
 
 
 def test_operator_marks_are_restored_before_clients_are_placed_after_all_nodes_were_killed(
     fleet: Fleet, servers: list[FormServer]
 ) -> None:
     down_server, restored_server = (s.name for s in servers[:2])
-    assert staff(fleet, "n1", "set-down", down_server, "--why", "a new disk").returncode == 0
-    assert staff(fleet, "n2", "set-down", restored_server).returncode == 0
-    assert staff(fleet, "n2", "set-up", restored_server).returncode == 0
+    assert run_fleet_command(fleet, "n1", "set-down", down_server, "--why", "a new disk").returncode == 0
+    assert run_fleet_command(fleet, "n2", "set-down", restored_server).returncode == 0
+    assert run_fleet_command(fleet, "n2", "set-up", restored_server).returncode == 0
     term = term_of(fleet, "marks")
     for running in fleet.nodes.values():
         running.process.send_signal(signal.SIGKILL)
@@ -55,7 +57,7 @@
         running.process.wait(TIMEOUT_S)
     for name in fleet.listens:
         fleet.start(name)
-    fleet.until(lambda: fleet.owner("marks"))
+    fleet.until(lambda: fleet.leader_of("marks"))
     for running in fleet.nodes.values():
         running.logged("serving")
         running.logged("by-hand", f"server={down_server}", "out=True")
@@ -64,8 +66,8 @@
             line for line in running.lines if "marks-founded" in line or f"server={restored_server}" in line
         ], running.lines
     assert term_of(fleet, "marks") > term
-    fleet.until(lambda: staff(fleet, "n3", "state", "--behind").returncode == 0)
-    assert staff(fleet, "n3", "set-up", down_server).stdout.startswith("done")
+    fleet.until(lambda: run_fleet_command(fleet, "n3", "state", "--behind").returncode == 0)
+    assert run_fleet_command(fleet, "n3", "set-up", down_server).stdout.startswith("done")
     for running in fleet.nodes.values():
         running.logged("by-hand", f"server={down_server}", "out=False")
 
@@ -73,12 +75,12 @@
 def test_a_planned_restart_leaves_a_folder_with_a_clean_shutdown(
     fleet: Fleet, servers: list[FormServer]
 ) -> None:
-    assert staff(fleet, "n1", "set-down", servers[0].name).returncode == 0
+    assert run_fleet_command(fleet, "n1", "set-down", servers[0].name).returncode == 0
     process = fleet.nodes["n3"].process
     process.send_signal(signal.SIGTERM)
     start_s = time.monotonic()
     assert process.wait(TIMEOUT_S) == 0 and time.monotonic() - start_s < 5.0
-    contents = read_folder(OsFiles(fleet.folder_of("n3")))
+    contents = read_folder(OsFiles(fleet.storage_folder_of("n3")))
     assert (
         contents.integrity is FolderIntegrity.INTACT
         and contents.state.was_clean_shutdown
@@ -100,7 +102,7 @@
 ) -> None:
     roster = Roster([s.entry() for s in servers])
     operator = write_operator_file(tmp_path, tmp_path / "kept")
-    control = free()
+    control = free_host_port()
     name = servers[0].name
     with node(tmp_path, roster, operator=operator, control=control) as running:
         assert running.call(f"set-down {name}") == "ok"
@@ -113,7 +115,7 @@
         until(is_written)
         running.process.send_signal(signal.SIGKILL)
         running.process.wait(TIMEOUT_S)
-    with node(tmp_path, roster, operator=operator, control=free()) as running:
+    with node(tmp_path, roster, operator=operator, control=free_host_port()) as running:
         running.logged("by-hand", f"server={name}", "out=True")
         client = running.request_session()
         client.read_line()
@@ -174,15 +176,17 @@
 
 def test_a_hot_restart_transfers_the_folder(fleet: Fleet, servers: list[FormServer]) -> None:
     down_server = servers[0].name
-    assert staff(fleet, "n2", "set-down", down_server, "--wait", "all").returncode == 0
+    assert run_fleet_command(fleet, "n2", "set-down", down_server, "--wait", "all").returncode == 0
     predecessor = fleet.nodes["n1"]
     fleet.replace("n1")
     successor = fleet.nodes["n1"]
     successor.logged("lasting-trusted", "life=2")
     predecessor.process.send_signal(signal.SIGTERM)
     predecessor.process.wait(TIMEOUT_S)
-    fleet.until(lambda: staff(fleet, "n1", "state", "--behind").returncode == 0)
-    assert staff(fleet, "n1", "set-up", down_server, "--wait", "all").stdout.startswith("done 3 of 3")
+    fleet.until(lambda: run_fleet_command(fleet, "n1", "state", "--behind").returncode == 0)
+    assert run_fleet_command(fleet, "n1", "set-up", down_server, "--wait", "all").stdout.startswith(
+        "done 3 of 3"
+    )
 
 
 def test_fault_runs_with_restarts_on_real_processes(fault_runs: list[Future[Played]]) -> None:
