--- a/sailrun/__init__.py
+++ b/sailrun/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a balancer for long-lived connections: rendezvous hashing with named exceptions."""
+"""Placement of long-lived client sessions on servers by rendezvous hashing, with documented exceptions."""
 
 from sailrun.decisions.balancer import Balancer
 
--- a/sailrun/benchlink.py
+++ b/sailrun/benchlink.py
@@ -1,4 +1,7 @@
-"""Runs many instances of the decision module on the simulator's wire: standard input to standard output."""
+"""Runs instances of the decision module for the simulator, which sends lines on standard input.
+
+The replies are written to standard output.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,8 @@
 from sailrun.wire_fields import Fields, WireError, integer, split_fields
 
 
-class Link:
-    """The instances of one process and the lists that their events refer to."""
+class SimulatorLink:
+    """The instances that run in this process, and the backend lists that their events refer to."""
 
     def __init__(self, errors: TextIO) -> None:
         self._instances: dict[int, tuple[Balancer, tuple[str, ...]]] = {}
@@ -23,9 +26,9 @@
         self._reported: set[str] = set()
         self._errors = errors
 
-    def batch(self, lines: Iterator[str], first: str) -> list[str]:
-        """Reads one batch, whose clock line is `first`, and returns the lines of its reply."""
-        name, *parts = first.split("\t")
+    def answer_batch(self, lines: Iterator[str], clock_line: str) -> list[str]:
+        """Reads one batch, which begins with `clock_line`, and returns the lines of the reply."""
+        name, *parts = clock_line.split("\t")
         if name != "clock":
             raise WireError(name, "clock", "a 'clock' line at the start of a batch")
         now_us = integer("clock", split_fields("clock", parts), "simTimeUs")
@@ -44,14 +47,16 @@
                     print(f"unknown event '{name}' skipped", file=self._errors, flush=True)
                 continue
             fields = split_fields(name, parts)
-            who = integer(name, fields, "who")
+            instance_id = integer(name, fields, "who")
             if name in ("crash_now", "born"):
-                # what a killed instance still wanted to do must not reach its successor's world
-                reply = [entry for entry in reply if entry[0] != who]
-                self._instances.pop(who, None)
+                # pending actions of a killed instance must not affect its successor
+                reply = [entry for entry in reply if entry[0] != instance_id]
+                self._instances.pop(instance_id, None)
             if name == "crash_now":
                 continue
-            reply.extend((who, text) for text in self._act(now_us, name, who, fields))
+            reply.extend(
+                (instance_id, text) for text in self._handle_event(now_us, name, instance_id, fields)
+            )
         raise WireError("clock", "end", "an 'end' line at the end of a batch")
 
     def _read_list(self, fields: Fields, lines: Iterator[str]) -> None:
@@ -63,7 +68,7 @@
             entries.append(wire.backend(split_fields(name, parts)))
         self._lists[integer("list", fields, "setId")] = tuple(entries)
 
-    def _act(self, now_us: int, name: str, who: int, fields: Fields) -> list[str]:
+    def _handle_event(self, now_us: int, name: str, instance_id: int, fields: Fields) -> list[str]:
         if name == "born":
             settings = read_settings_fields(fields)
             seed = integer(name, fields, "initSeed")
@@ -71,29 +76,29 @@
                 instance = Balancer(settings, seed, now_us)
             except ValueError as error:
                 raise WireError(name, "params", f"usable settings: {error}") from error
-            self._instances[who] = (instance, wire.report_names(fields))
+            self._instances[instance_id] = (instance, wire.report_names(fields))
             return []
-        if who not in self._instances:
-            raise WireError(name, "who", f"an instance that has started, not '{who}'")
-        balancer, report = self._instances[who]
+        if instance_id not in self._instances:
+            raise WireError(name, "who", f"an instance that has started, not '{instance_id}'")
+        balancer, report = self._instances[instance_id]
         if name == "discovery":
             event = wire.list_update(fields, self._lists)
         else:
             event = wire.EVENTS[name](fields, report)  # type: ignore[assignment]
         try:
-            return [wire.action_line(who, action) for action in balancer.handle(now_us, event)]
+            return [wire.action_line(instance_id, action) for action in balancer.handle(now_us, event)]
         except Exception as error:
             traceback.print_exc(file=self._errors)
-            return [wire.fault_line(who, f"{type(error).__name__}: {error}")]
+            return [wire.fault_line(instance_id, f"{type(error).__name__}: {error}")]
 
 
 def run(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
     """Answers batches until the input ends; returns the exit code."""
-    link = Link(errors)
+    link = SimulatorLink(errors)
     try:
         lines = (raw.decode().rstrip("\n") for raw in source)
-        for first in lines:
-            reply = link.batch(lines, first)
+        for clock_line in lines:
+            reply = link.answer_batch(lines, clock_line)
             reply.append("end\n")
             sink.write("\n".join(reply).encode())
             sink.flush()
--- a/sailrun/decisions/__init__.py
+++ b/sailrun/decisions/__init__.py
@@ -1,1 +1,4 @@
-"""The pure decisions of a node: events in, actions out. No socket, no clock, no other package of sailrun."""
+"""The pure decision logic of a node: it takes events and returns actions.
+
+The package uses no sockets and no clock, and imports no other package of sailrun.
+"""
--- a/sailrun/decisions/actions.py
+++ b/sailrun/decisions/actions.py
@@ -1,6 +1,7 @@
-"""The actions that the decisions ask for, in the order in which they are to be carried out.
+"""The actions that the decision module returns, in the order in which they are to be carried out.
 
-Times are whole microseconds of the instance's own clock. The values of the enumerations stand in the log.
+Times are in whole microseconds of the instance's own clock. The values of the enumerations are written to the
+log.
 """
 
 from __future__ import annotations
@@ -11,47 +12,49 @@
 
 
 class MoveReason(Enum):
-    """What an open connection is migrated for."""
+    """Why an open connection is migrated."""
 
-    OVERLOADED = "crowded"  # its backend has more than it can do
-    DRAINING = "drains"  # its backend is to end
-    UNRESPONSIVE = "silent"  # nothing comes back from its backend
-    SHUTDOWN = "leaving"  # this instance is to end, or drains
-    REBALANCING = "balance"  # others have room, and nothing else is the matter
+    OVERLOADED = "crowded"  # its backend is overloaded
+    DRAINING = "drains"  # its backend is draining or gone
+    UNRESPONSIVE = "silent"  # its backend does not answer
+    SHUTDOWN = "leaving"  # this instance shuts down or is draining
+    REBALANCING = "balance"  # other backends have spare capacity; no other reason applies
 
 
 class SlowStartReason(Enum):
-    """Why a backend is taken to be in slow start, or no longer."""
+    """Why the slow start of a backend begins or ends."""
 
-    LISTED = "listed"  # the list states its start
+    LISTED = "listed"  # the list states a new start
     OPERATOR = "by-hand"  # an operator put it back
-    RECOVERED = "answers-again"  # it did not answer, and may have restarted before the list says so
-    ENDED = "warm"  # it is over
+    RECOVERED = "answers-again"  # it was ejected, has recovered, and may have restarted unlisted
+    ENDED = "warm"  # the slow start is over
 
 
 class DenialReason(Enum):
-    """Why a request was given its final answer without being brought up."""
+    """Why a request got a final answer without an established connection."""
 
-    OUT_OF_TIME = "out-of-time"  # its deadline is too near for an attempt
-    OUT_OF_ATTEMPTS = "out-of-attempts"  # no more are allowed, or no repeat
-    NO_BACKEND = "nowhere"  # no backend will admit it before its deadline
+    OUT_OF_TIME = "out-of-time"  # its deadline is too close for another attempt
+    OUT_OF_ATTEMPTS = "out-of-attempts"  # no further attempt or repeat is allowed
+    NO_BACKEND = "nowhere"  # no backend can admit it before its deadline
     CANCELLED = "given-up"  # its attempt was withdrawn
-    SHUTDOWN = "leaving"  # the instance ends
+    SHUTDOWN = "leaving"  # the instance shuts down
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartAllowance:
-    """What an instance knew of a backend in slow start when it sent a request there; for the log."""
+    """The state of a backend's slow start when this instance sent a request there; for the log."""
 
-    share: float  # of the backend's capacity that it surely has, 0 to 1
-    sent: int  # by this instance within the last `overload_window_us`, this request among them
-    part: float  # of what all instances may send within that time, this one's, in requests
+    share: float  # share of its capacity that the backend has at least, 0 to 1
+    sent: int  # requests sent by this instance within the last `overload_window_us`, including this one
+    part: float  # this instance's allowance for that time, in requests
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt; given up at `until_us`, and at the client's deadline at the latest. Where its first
-    byte has not left by `begin_by_us` it is not sent: as a repeat it might be taken for a new request.
+    """Start an attempt; it times out at `until_us`, which is the client's deadline at the latest.
+
+    If its first byte has not been sent by `begin_by_us`, the attempt is not sent: the backend might treat the
+    repeat as a new request.
     """
 
     request: str
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: rejected, a retry is harmless."""
+    """Final answer: rejected; a retry is harmless."""
 
     request: str
     retry_after_us: int = 0
@@ -88,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveConnection:
-    """End an open connection politely; its client comes again as a new request."""
+    """Ask the client of an open connection to reconnect; it sends a new request."""
 
     request: str
     reason: MoveReason = MoveReason.OVERLOADED
@@ -96,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Feed `TimerFired` with the token after the delay."""
+    """Deliver `TimerFired` with the token after the delay."""
 
     delay_us: int
     token: int
@@ -104,14 +107,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Open, or close, the subscription to the backend list."""
+    """Open or close the subscription to the backend list."""
 
     active: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask for the whole backend list once."""
+    """Fetch the whole backend list once."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send a datagram; `peer` None sends it to every peer."""
+    """Send a datagram to a peer, or to every peer if `peer` is None."""
 
     peer: int | None
     content: bytes
@@ -138,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartChanged:
-    """For the log: a backend is in slow start from now on, or no longer. `age_us`: since its begin."""
+    """Log that the slow start of a backend begins or ends. `age_us` is the time since the backend started."""
 
     backend: int
     reason: SlowStartReason
@@ -147,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/sailrun/decisions/backend_list.py
+++ b/sailrun/decisions/backend_list.py
@@ -1,4 +1,4 @@
-"""The backend list, and the operator's overrides of it: which backends there are, and in what state."""
+"""Applies the backend list and operator overrides: which backends exist, and in which state."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BackendList:
-    """Brings updates of the list and overrides into the table of backends."""
+    """Applies list updates and operator overrides to the endpoint table."""
 
     def __init__(
         self,
@@ -28,10 +28,10 @@
         self._start_times = start_times
         self._slow_start = slow_start
         self._draining = draining
-        self.alert_until_us = context.now_us  # until then a change of the list may upset the load
+        self.alert_until_us = context.now_us  # until then a list change may shift load
 
     def apply_update(self, update: BackendListUpdate) -> None:
-        """Takes over a list, or the changes of one; of any kind but FAILED."""
+        """Applies a full list or changes to it; the update must not be of kind FAILED."""
         listed = {entry.id for entry in update.backends}
         is_cached = update.kind is ListKind.CACHED
         if listed and not is_cached:
@@ -49,7 +49,7 @@
         self._table.refresh()
 
     def apply_entry(self, entry: Backend) -> None:
-        """Takes over one entry; a new start is a new process, of which nothing is known."""
+        """Applies one entry; a new start time means a new process without observations."""
         endpoint = self._table.endpoints.get(entry.id)
         if endpoint is None:
             endpoint = self._table.endpoints[entry.id] = Endpoint(entry)
@@ -67,9 +67,10 @@
         self._set_state(endpoint, entry.state)
 
     def apply_override(self, override: OperatorOverride) -> bool:
-        """Excludes a backend, or takes it back; returns whether it is known.
+        """Excludes a backend or puts it back; returns whether the backend is known.
 
-        By then it has restarted: until the list states its start, it counts as started when it was put back.
+        A backend that is put back has restarted. Unless the list has stated its new start time, it counts as
+        started at the time of the override.
         """
         table = self._table
         backend = frozenset({override.backend})
--- a/sailrun/decisions/balancer.py
+++ b/sailrun/decisions/balancer.py
@@ -1,10 +1,10 @@
-"""The decisions of a balancer for long-lived connections. Its interface: sailrun/decisions/events.py.
+"""Placement decisions for long-lived connections. The interface is defined in sailrun/decisions/events.py.
 
-Events go in, actions (`sailrun/decisions/actions.py`) come out; `sailrun/decisions/settings.py` has the
-settings. A request goes to the first backend in the order of its scores that admits it. A score is the
-product of two 32-bit MurmurHash3 values, one of the backend's id and one of the request's key, cut to 32
-bits; the higher score wins, ties go to the lower id. Every gate is a named exception to that, in a module of
-its own.
+The balancer takes events and returns actions (`sailrun/decisions/actions.py`); its settings are defined in
+`sailrun/decisions/settings.py`. A request is sent to the first backend, in descending order of score, that
+admits it. A score is the product of two 32-bit MurmurHash3 values, one of the backend's id and one of the
+request's key, truncated to 32 bits. The higher score wins; ties go to the lower id. Each rule that overrides
+this order has a module of its own.
 """
 
 from __future__ import annotations
@@ -62,14 +62,17 @@
 from sailrun.decisions.subscription import ListSubscription
 from sailrun.decisions.validation import check_settings
 
-OVER_US = -1  # the deadline of a request that is over
+CLIENT_LEFT_DEADLINE_US = -1  # marks a request whose client left while an attempt was under way
 
 
 class Balancer:
-    """One instance's decisions. Pure: time comes with each event, chance from the seed."""
+    """Makes the decisions of one instance.
+
+    It is deterministic: time is passed in with each event, and random numbers are derived from the seed.
+    """
 
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
-        """Raises ValueError naming the setting that is not usable."""
+        """Raises ValueError that names the setting if one is invalid."""
         check_settings(settings)
         context = self._context = DecisionContext(settings, seed, now_us)
         self._classes = {request_class.name: request_class for request_class in settings.classes}
@@ -103,7 +106,7 @@
         self._handlers = self._event_handlers()
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Takes one event; returns what to do, in order."""
+        """Handles one event and returns the actions to carry out, in order."""
         self._context.begin_event(now_us)
         if (handler := self._handlers.get(type(event))) is not None:
             handler(event)
@@ -124,34 +127,35 @@
             StateSnapshot: self._on_snapshot,
         }
 
-    # ------------------------------------------------------------------ questions
+    # ------------------------------------------------------------------ queries
 
     def choose_elsewhere(self, now_us: int, names: Sequence[str]) -> int | None:
-        """Where these established connections of one key and backend would go if they came now.
+        """Returns the backend that would get these established connections if they were placed now.
 
-        None if nowhere else, or if a backend in slow start is ahead: it may have room by the time they come.
+        All of them must have the same key and backend. Returns None if no other backend would get them, or if
+        a backend in slow start has a higher score: it may have spare capacity by the time they reconnect.
         """
         self._context.advance_clock(now_us)
         requests = [r for r in map(self._requests.get, names) if r is not None and r.is_established]
         requests = [request for request in requests if request.endpoint is not None]
-        if not requests or (holder := requests[0].endpoint) is None:
+        if not requests or (current := requests[0].endpoint) is None:
             return None
         first = requests[0]
-        newcomer = ClientRequest("", first.request_class, first.key_hash, 0)
-        newcomer.client_hash = first.client_hash
-        newcomer.load = sum(request.load for request in requests)
+        combined = ClientRequest("", first.request_class, first.key_hash, 0)
+        combined.client_hash = first.client_hash
+        combined.load = sum(request.load for request in requests)
         for request in requests:
-            self._loads.remove(request, holder)
-        chosen = self._selector.choose(newcomer, for_attempt=False)
+            self._loads.remove(request, current)
+        chosen = self._selector.choose(combined, for_attempt=False)
         for request in requests:
-            self._loads.add(request, holder)
-        ahead = self._selector.find_next_in_rank(newcomer.key_hash, chosen)
-        if chosen is holder or any(endpoint.is_in_slow_start() for endpoint in ahead):
+            self._loads.add(request, current)
+        higher_ranked = self._selector.find_next_in_rank(combined.key_hash, chosen)
+        if chosen is current or any(endpoint.is_in_slow_start() for endpoint in higher_ranked):
             return None
         return chosen.id if chosen is not None and not chosen.is_in_slow_start() else None
 
     def local_load(self) -> LocalLoad:
-        """What the other instances are to know of this one."""
+        """Returns the load state that this instance shares with the other instances."""
         overloaded = frozenset(
             endpoint.id
             for endpoint in self._table.ready
@@ -161,10 +165,10 @@
         )
         loads = {endpoint.id: endpoint.own_load for endpoint in self._table.ready}
         alert = bool(overloaded) or self._context.now_us < self._backend_list.alert_until_us
-        return LocalLoad(loads, self._loads.connections, self._loads.is_reported(), overloaded, alert)
+        return LocalLoad(loads, self._loads.connections, self._loads.has_reported_loads(), overloaded, alert)
 
     def avoided_backends(self, now_us: int) -> list[int]:
-        """The listed backends that nothing is sent to now: excluded by an operator, or ejected."""
+        """Returns the listed backends that get no requests now: excluded by an operator, or ejected."""
         return [
             endpoint.id
             for endpoint in self._table.endpoints.values()
@@ -173,12 +177,15 @@
         ]
 
     def snapshot(self) -> StateSnapshot:
-        """What a successor is to know, less the connections here and the list."""
+        """Returns the observed state for a successor, without the connections and the backend list."""
         backends = tuple(map(snapshot_backend, self._table.endpoints.values()))
         return StateSnapshot(backends, self._setup_rate.snapshot(), dict(self._loads.class_load))
 
     def forfeit_slow_start_allowance(self, now_us: int) -> None:
-        """Two processes are this instance for a while: neither counts on what the other may have used."""
+        """Gives up the slow start allowances of this window while two processes of this instance run.
+
+        Each of the two processes must assume that the other has used them up.
+        """
         self._slow_start_state.forfeit_allowances(now_us)
 
     # ------------------------------------------------------------------ the backend list
@@ -224,7 +231,7 @@
         if event.group_key:
             request.client_hash = key_hash(event.key or event.request)
         self._requests[request.request_id] = request
-        self._loads.expect(request, event.load_hint)
+        self._loads.set_expected_load(request, event.load_hint)
         return request
 
     def _on_request_arrived(self, event: RequestArrived) -> None:
@@ -236,7 +243,7 @@
     def _on_connection_resumed(self, event: ConnectionResumed) -> None:
         request = self._track(event, 0)
         endpoint = self._table.endpoints.get(event.backend)
-        if endpoint is None:  # not on any list yet: known by id alone, and not to be sent to
+        if endpoint is None:  # not listed yet: only its id is known, and it gets no requests
             endpoint = Endpoint(Backend(event.backend, BackendState.GONE))
             self._table.endpoints[event.backend] = endpoint
         request.attempts = 1
@@ -253,7 +260,7 @@
         if request.endpoint is None:
             del self._requests[request.request_id]
         else:
-            request.deadline_us = OVER_US
+            request.deadline_us = CLIENT_LEFT_DEADLINE_US
 
     # ------------------------------------------------------------------ attempts
 
@@ -292,7 +299,7 @@
     def _detach(self, request: ClientRequest, endpoint: Endpoint) -> None:
         if request.is_established:
             endpoint.connections.pop(request.request_id, None)
-            self._loads.note_ended(request, endpoint)
+            self._loads.record_ended(request, endpoint)
         else:
             endpoint.pending_attempts -= 1
         self._loads.remove(request, endpoint)
@@ -322,6 +329,6 @@
 
 
 def _shortest_objective_ms(settings: Settings) -> float:
-    """The shortest latency objective of messages; 0 if none is stated."""
+    """Returns the shortest latency objective of messages; 0 if none is stated."""
     objectives_us = [cls.message_objective_us for cls in settings.classes if cls.message_objective_us > 0]
     return min(objectives_us) / 1_000 if objectives_us else 0.0
--- a/sailrun/decisions/bounded_load.py
+++ b/sailrun/decisions/bounded_load.py
@@ -1,7 +1,8 @@
-"""Bounded loads: no backend gets far more than its fair share of the load known of.
+"""Bounded loads: no backend gets far more than its fair share of the known load.
 
-Source: "Consistent Hashing with Bounded Loads" (Mirrokni, Thorup, Zadimoghaddam), applied to loads by
-capacity, with room for chance where an instance sees only a few of a backend's connections.
+Source: "Consistent Hashing with Bounded Loads" (Mirrokni, Thorup, Zadimoghaddam), applied to loads in
+proportion to capacity, with a tolerance for random variation where an instance has only a few connections to
+a backend.
 """
 
 from __future__ import annotations
@@ -13,16 +14,17 @@
 from sailrun.decisions.load_accounting import LoadAccounting
 from sailrun.decisions.slow_start import SlowStart
 
-# A backend's bound: a multiple of the fair load, of its square root in mean loads, and mean loads.
+# A backend's bound is the sum of three terms: a multiple of the fair load, a multiple of its square root (in
+# units of the mean load), and a number of mean loads.
 FAIR_MULTIPLE = 1.15
 ROOT_MULTIPLE = 1.0
-MORE_CONNECTIONS = 1.0
-# Open capacity is divided by; never by less than this.
+EXTRA_CONNECTIONS = 1.0
+# Lower limit of the open capacity where it is a divisor.
 MIN_CAPACITY = 1e-9
 
 
 class BoundedLoad:
-    """Compares each backend's load with its fair share."""
+    """Compares a backend's load with its bound."""
 
     def __init__(self, context: DecisionContext, loads: LoadAccounting, slow_start: SlowStart) -> None:
         self._context = context
@@ -30,18 +32,20 @@
         self._slow_start = slow_start
 
     def is_within_bound(self, endpoint: Endpoint, load: float) -> bool:
-        """Whether a connection of this load keeps the backend within its bound."""
+        """Returns whether the backend stays within its bound with one more connection of this load."""
         loads = self._loads
         fair = loads.fair_load(endpoint)
         mean = loads.mean_load()
-        bound = FAIR_MULTIPLE * fair + ROOT_MULTIPLE * math.sqrt(fair * mean) + MORE_CONNECTIONS * mean
+        bound = FAIR_MULTIPLE * fair + ROOT_MULTIPLE * math.sqrt(fair * mean) + EXTRA_CONNECTIONS * mean
         return endpoint.known_load() + self._estimate_peer_load(endpoint) + load / 2 <= bound
 
     def _estimate_peer_load(self, endpoint: Endpoint) -> float:
-        """What other instances have placed there since the fleet's load was last known, if each has placed
-        as much as this one on those that are open: or all would fill the same few until the next update.
+        """Estimates the load that other instances have placed there since the last fleet load update.
+
+        It assumes that each instance has placed as much load on the open backends as this one. Without the
+        estimate, all instances would fill the same few backends until the next update.
         """
         loads = self._loads
         present = endpoint.capacity * self._slow_start.capacity_share(endpoint, self._context.now_us)
-        part = present / max(loads.open_capacity, MIN_CAPACITY)
-        return (loads.instances - 1) * max(0.0, loads.placed_since_update) * part
+        capacity_fraction = present / max(loads.open_capacity, MIN_CAPACITY)
+        return (loads.instances - 1) * max(0.0, loads.placed_since_update) * capacity_fraction
--- a/sailrun/decisions/context.py
+++ b/sailrun/decisions/context.py
@@ -1,4 +1,4 @@
-"""What all decisions of one instance share: settings, time, chance and the actions of the present event."""
+"""The state shared by all decisions of one instance: settings, time, random numbers and pending actions."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from sailrun.decisions.settings import Settings
 
 SECOND_US = 1_000_000
-# A fault of many backends has one reason: one line in this time.
+# A fault of many backends has one cause, so at most one line is logged per this interval.
 LOG_INTERVAL_US = SECOND_US
 
-# Tokens of the instance's timers; those from `FIRST_DRAIN_TIMER` on belong to single connections.
+# Tokens of the instance's timers; those from `FIRST_DRAIN_TIMER` on belong to individual connections.
 RETRY_TIMER = 1
 SUBSCRIBE_TIMER = 2
 FIRST_DRAIN_TIMER = 3
@@ -20,24 +20,24 @@
 class DecisionContext:
     """Settings, clock, random numbers and pending actions of one instance.
 
-    Time comes with each event and never goes back; `random` is the only source of chance.
+    The time is passed in with each event and never goes back; `random` is the only source of randomness.
     """
 
-    __slots__ = ("_logged_us", "actions", "now_us", "random", "settings")
+    __slots__ = ("_last_log_us", "actions", "now_us", "random", "settings")
 
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
         self.settings = settings
         self.random = Random(seed)
         self.now_us = now_us
         self.actions: list[Action] = []
-        self._logged_us = now_us - LOG_INTERVAL_US
+        self._last_log_us = now_us - LOG_INTERVAL_US
 
     def advance_clock(self, now_us: int) -> None:
-        """Sets the time, unless it lies behind what was set before."""
+        """Sets the time, unless it is before the time that was set last."""
         self.now_us = max(self.now_us, now_us)
 
     def begin_event(self, now_us: int) -> None:
-        """Sets the time of an event; its actions are gathered in a list of their own."""
+        """Sets the time of an event and starts an empty list for its actions."""
         self.advance_clock(now_us)
         self.actions = []
 
@@ -46,7 +46,7 @@
         self.actions.append(action)
 
     def log(self, text: str) -> None:
-        """Asks for a log line, unless there was one within `LOG_INTERVAL_US`."""
-        if self.now_us - self._logged_us >= LOG_INTERVAL_US:
+        """Emits a log line, unless one was emitted within the last `LOG_INTERVAL_US`."""
+        if self.now_us - self._last_log_us >= LOG_INTERVAL_US:
             self.emit(LogMessage(text))
-            self._logged_us = self.now_us
+            self._last_log_us = self.now_us
--- a/sailrun/decisions/draining.py
+++ b/sailrun/decisions/draining.py
@@ -1,6 +1,6 @@
-"""Draining: the connections of a backend that leaves are migrated one by one, spread over the drain grace.
+"""Draining: the connections of a leaving backend are migrated one by one, spread over the drain grace.
 
-All at once they would overload the others, before the backend that takes its place is listed.
+If all of them moved at once, they would overload the other backends before a replacement is listed.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class DrainSchedule:
-    """The connections to be migrated, by the token of their timer."""
+    """Schedules migrations; maps the token of each timer to the connection to be migrated."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -22,7 +22,7 @@
         self._requests: dict[int, str] = {}
 
     def schedule(self, endpoint: Endpoint) -> None:
-        """Sets a timer for each connection of a backend that drains or is gone."""
+        """Sets a timer for each connection of a backend that is draining or gone."""
         spread_us = GRACE_SHARE * self._context.settings.drain_grace_us
         for request in endpoint.connections:
             self._last_token += 1
@@ -31,5 +31,5 @@
             self._context.emit(SetTimer(1 + int(wait_us), self._last_token))
 
     def take_due(self, token: int) -> str | None:
-        """The request whose connection is to be migrated as this timer has fired; None: no such timer."""
+        """Returns the request whose connection this timer migrates; None for other timers."""
         return self._requests.pop(token, None)
--- a/sailrun/decisions/endpoint_table.py
+++ b/sailrun/decisions/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The backends that this instance knows, by id, and those that are ready."""
+"""The table of all backends known to this instance, and the ready ones among them."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class EndpointTable:
-    """All backends ever listed here, with the ready ones ranked for placement."""
+    """All backends known to this instance by id, with the ready ones ranked for placement."""
 
     def __init__(self) -> None:
         self.endpoints: dict[int, Endpoint] = {}
-        self.ready: list[Endpoint] = []  # by id
+        self.ready: list[Endpoint] = []  # sorted by id
         self.ranking: Ranking[Endpoint] = Ranking(self.ready)
-        self.ready_capacity = 0.0  # that the list states, whatever part of it is there yet
+        self.ready_capacity = 0.0  # as stated by the list; slow start is not taken into account
         self.excluded: frozenset[int] = frozenset()  # by an operator
 
     def refresh(self) -> None:
-        """Works out anew which backends are ready; called after states have changed."""
+        """Recomputes which backends are ready; must be called after states have changed."""
         by_id = sorted(self.endpoints.values(), key=lambda endpoint: endpoint.id)
         self.ready = [endpoint for endpoint in by_id if endpoint.state is BackendState.READY]
         self.ranking = Ranking(self.ready)
--- a/sailrun/decisions/endpoints.py
+++ b/sailrun/decisions/endpoints.py
@@ -1,6 +1,7 @@
-"""What an instance keeps of each backend and of each request. Nothing here decides anything.
+"""The state that an instance keeps for each backend and each request. This module makes no decisions.
 
-The state of a backend is kept by concern: the module that owns a concern writes it, all others read.
+The state of a backend is split by concern: the module that owns a concern writes its state, and all other
+modules only read it, except that `snapshot` restores it.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 from sailrun.decisions.placement import server_hash
 from sailrun.decisions.settings import RequestClass
 
-# A report of a backend's delay is believed for so long.
+# A delay report of a backend is valid for this long.
 DELAY_VALID_US = 2_500_000
-# A backend's load limit is cut at most once in this time.
+# A backend's load limit is cut at most once per this interval.
 LIMIT_CUT_INTERVAL_US = 900_000
 
-NOT_STARTING = -1  # `SlowStartState.began_us` of a backend that has all of its capacity
+NOT_STARTING = -1  # `SlowStartState.began_us` of a backend that is not in slow start
 
 
 class OutlierState:
-    """What was observed of a backend's failures; written by `outlier_detection`."""
+    """The observed failures of a backend; written by `outlier_detection`."""
 
     __slots__ = (
         "consecutive_errors",
@@ -36,18 +37,20 @@
 
     def __init__(self) -> None:
         self.ejected_until_us = 0
-        self.ejections = 0  # in a row
+        self.ejections = 0  # consecutive ones
         self.consecutive_timeouts = 0
         self.consecutive_errors = 0
-        self.half_open = False  # ejected before, and not yet seen to work again
-        self.recent_resets = 0  # that belong together
+        self.half_open = False  # was ejected and has not been observed to work since
+        self.recent_resets = 0  # resets of the same burst
         self.last_reset_us = -DELAY_VALID_US
         self.last_connect_failure_us = -DELAY_VALID_US
 
 
 class OverloadState:
-    """How long messages and set-ups take at a backend, and the limit learned from it; written by `overload`
-    and `migration`.
+    """The latency of messages and set-ups at a backend, and the load limit derived from it.
+
+    Written by `overload` and `migration`. In addition, `load_accounting` writes `reported_by_peers_until_us`
+    and `outlier_detection` resets the delay and the limit.
     """
 
     __slots__ = (
@@ -61,48 +64,48 @@
     )
 
     def __init__(self) -> None:
-        self.delay_ms = 0.0  # what a message takes
+        self.delay_ms = 0.0  # latency of a message
         self.delay_us = -DELAY_VALID_US  # when that was reported
-        self.reported_by_peers_until_us = 0  # other instances find it slow, until then
-        self.setup_excess_ms = 0.0  # by how much set-ups take longer here than usual
+        self.reported_by_peers_until_us = 0  # other instances report it as overloaded until then
+        self.setup_excess_ms = 0.0  # how much longer set-ups take here than usual
         self.setup_excess_us = 0  # when that was observed
         self.load_limit = math.inf
         self.load_limit_us = -LIMIT_CUT_INTERVAL_US  # when it was cut
 
 
 class SlowStartState:
-    """This instance's part in a backend's slow start; written by `slow_start`."""
+    """This instance's allowance for a backend in slow start; written by `slow_start`."""
 
     __slots__ = (
         "admission_probability",
+        "allowance",
         "began_us",
         "is_assumed",
         "is_counted",
         "max_sends",
-        "part",
         "sends_us",
         "tokens",
         "tokens_us",
     )
 
     def __init__(self) -> None:
-        self.sends_us: deque[int] = deque()  # the latest attempts of this instance there
+        self.sends_us: deque[int] = deque()  # start times of this instance's latest attempts there
         self.reset()
 
     def reset(self) -> None:
-        """Forgets all but the attempts made."""
+        """Resets everything except the recorded attempts."""
         self.began_us = NOT_STARTING
-        self.tokens = 0.0  # what is left of this instance's part of one window, 0 to 1
-        self.tokens_us = 0  # when that was so
-        self.part = 0.0  # this instance's part of one window, in requests
-        self.max_sends = 1  # that this instance starts there in one window
+        self.tokens = 0.0  # unused share of this instance's allowance per window, 0 to 1
+        self.tokens_us = 0  # when `tokens` was updated
+        self.allowance = 0.0  # of this instance for one window, in requests
+        self.max_sends = 1  # maximum number of attempts of this instance there within one window
         self.admission_probability = 0.0  # of the latest request
-        self.is_assumed = False  # nobody stated a start: it was ejected and answers again
-        self.is_counted = False  # the part is a request or more, so that counting sends bounds the sum
+        self.is_assumed = False  # no start was stated: the backend was ejected and has recovered
+        self.is_counted = False  # the allowance is a request or more, so that counting attempts is sufficient
 
 
 class Endpoint:
-    """A backend as this instance knows it."""
+    """A backend and the state that this instance keeps for it."""
 
     __slots__ = (
         "capacity",
@@ -135,25 +138,25 @@
         self.draining_notified_us = 0  # when it was notified that the backend drains or is gone
         self.listed_state = BackendState.GONE
         self.state = BackendState.GONE  # as listed, or draining where an operator has excluded it
-        self.connections: dict[str, ClientRequest] = {}  # established, in the order of their set-up
-        self.pending_attempts = 0  # under way
-        self.own_load = 0.0  # of both
+        self.connections: dict[str, ClientRequest] = {}  # established ones, in the order of their set-up
+        self.pending_attempts = 0  # attempts under way
+        self.own_load = 0.0  # of this instance's connections and pending attempts
         self.slow_start = SlowStartState()
         self.reset_observations()
 
     def reset_observations(self) -> None:
-        """A new process runs under this id: what was observed of the old one says nothing."""
+        """Discards the observations of a backend's old process when a new one runs under its id."""
         self.fleet_load = 0.0  # of the other instances
         self.outlier = OutlierState()
         self.overload = OverloadState()
         self.slow_start.reset()
 
     def known_load(self) -> float:
-        """This instance's load there and, while gossip tells of it, that of the others."""
+        """Returns this instance's load there plus that of the other instances, if known from gossip."""
         return self.own_load + self.fleet_load
 
     def is_in_slow_start(self) -> bool:
-        """Whether it has only a part of its capacity yet."""
+        """Returns whether the backend is in slow start."""
         return self.slow_start.began_us >= 0
 
 
@@ -182,14 +185,14 @@
     def __init__(self, request_id: str, request_class: RequestClass, key_hash: int, deadline_us: int) -> None:
         self.request_id = request_id
         self.request_class = request_class
-        self.key_hash = key_hash  # of the key that decides: the group's, or the client's own
-        self.deadline_us = deadline_us  # negative: it is over, and the end of its attempt is still to come
-        self.client_hash = 0  # of the client's own key where a group's key decides; 0: none
+        self.key_hash = key_hash  # of the key that determines the placement: the group's or the client's own
+        self.deadline_us = deadline_us  # negative: the client has left, but the attempt has not ended yet
+        self.client_hash = 0  # of the client's own key if a group's key determines the placement; 0: none
         self.load = 1.0
-        self.endpoint: Endpoint | None = None  # of its attempt under way, or its established connection
+        self.endpoint: Endpoint | None = None  # of the attempt under way or the established connection
         self.is_established = False
         self.is_mid_flow = False
-        self.is_returning = False  # after a break, a migration or a rejection, as many do at one time
+        self.is_returning = False  # after a reset, migration or rejection; many clients may return at once
         self.attempts = 0
         self.attempted_us = 0  # when the latest attempt began
         self.tried: tuple[Endpoint, ...] = ()
--- a/sailrun/decisions/events.py
+++ b/sailrun/decisions/events.py
@@ -1,7 +1,7 @@
-"""The events that the decisions take.
+"""The events that the decision module handles.
 
-Times are whole microseconds of the instance's own clock, loads are microseconds of work a second, unless a
-name says otherwise.
+Times are in whole microseconds of the instance's own clock and loads in microseconds of work per second,
+unless a name states another unit.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class BackendState(Enum):
-    """What the backend list says of a backend. The values are those of the simulator's wire."""
+    """The state of a backend in the backend list. The values are those of the simulator's protocol."""
 
     GONE = 0
     READY = 1
@@ -20,16 +20,16 @@
 
 
 class ListKind(Enum):
-    """What a call for the backend list, or its subscription, has brought."""
+    """The result of a call for the backend list or of its subscription."""
 
-    FAILED = 0  # nothing: it failed, and the old list stands
-    DELTA = 1  # changed entries only
-    CACHED = 2  # the whole list as this instance last had it, perhaps old
+    FAILED = 0  # the call failed; the old list stays valid
+    DELTA = 1  # only the changed entries
+    CACHED = 2  # the whole list as last stored by this instance; may be out of date
     FULL = 3  # the whole list
 
 
 class AttemptOutcome(Enum):
-    """How an attempt or a probe ended."""
+    """The outcome of an attempt or a probe."""
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
@@ -42,10 +42,10 @@
 
 
 class NoticeKind(Enum):
-    """What an `AttemptNotice` states."""
+    """The kind of value in an `AttemptNotice`."""
 
-    LOAD = 1  # the connection's load now, microseconds of work a second
-    DELAY = 2  # milliseconds a message takes at the backend now
+    LOAD = 1  # the connection's present load, in microseconds of work per second
+    DELAY = 2  # the present latency of a message at the backend, in milliseconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,12 +57,12 @@
     zone: str = ""
     cell: int = 0
     capacity: float = 1.0
-    started_us: int = 0  # 0: long ago
+    started_us: int = 0  # 0: not stated, the start was long ago
 
 
 @dataclass(frozen=True, slots=True)
 class BackendListUpdate:
-    """The backend list, or changes of it, or the news that it could not be had."""
+    """The backend list, changes to it, or a failed call for it."""
 
     kind: ListKind
     version: int = 0
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client asks for a connection; exactly one final answer is owed within `left_us`."""
+    """A client requests a connection; it must get exactly one final answer within `left_us`."""
 
     request: str
     request_class: str
@@ -81,13 +81,13 @@
     tenant: str | None = None
     load_hint: float | None = None
     repeat: bool = False  # the client has tried before
-    mid_flow: bool = False  # packets of an open connection
-    returning: bool = False  # back after a break or a migration
+    mid_flow: bool = False  # the request carries packets of an already open connection
+    returning: bool = False  # the client reconnects after a broken connection or a migration
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionResumed:
-    """A connection already open through this instance when it starts; attempt 0 counts as made."""
+    """A connection that is already open through this instance when it starts, established by attempt 0."""
 
     request: str
     request_class: str
@@ -100,14 +100,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """The client of a request has gone before its final answer."""
+    """The client of a request has left before its final answer."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionOpened:
-    """An attempt has succeeded: its connection stands."""
+    """An attempt has succeeded: its connection is established."""
 
     request: str
     attempt: int
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptNotice:
-    """What became known of an open connection or of its backend; units by `kind`."""
+    """A load or delay report about an open connection or its backend; `kind` determines the unit."""
 
     request: str
     attempt: int
@@ -128,13 +128,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt, or the connection that it opened, has ended."""
+    """An attempt, or the connection that it established, has ended."""
 
     request: str
     attempt: int
     backend: int
     outcome: AttemptOutcome
-    over: bool  # the request is over; no final answer is owed
+    over: bool  # the request has ended and needs no final answer
     latency_us: int = 0
     report: tuple[tuple[str, float], ...] = ()  # the backend's load report, by name
 
@@ -159,33 +159,34 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalLoad:
-    """What this instance holds itself, for the other instances to know."""
+    """This instance's own load, to be shared with the other instances."""
 
-    loads: Mapping[int, float]  # by backend, of all that are ready; 0 where nothing is open
+    loads: Mapping[int, float]  # by backend, for all ready backends; 0 without connections
     connections: int
-    loads_reported: bool  # loads are microseconds of work a second, not connections
-    overloaded: frozenset[int]  # backends that it finds slow or was cut off by
-    alert: bool  # something is going on: a slow start, a drain, an overload
+    loads_reported: bool  # loads are in microseconds of work per second, not in connections
+    overloaded: frozenset[int]  # backends that it ejected, found overloaded or got a reset from
+    alert: bool  # load may shift soon: a backend is overloaded, or the list has changed recently
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """What the other instances hold together at each backend, as gossip has it. Loads are in this instance's
-    unit: connections until the first load was reported here. It may warn of a backend and count its load; it
-    lists none.
+    """The total load of the other instances at each backend, as known from gossip.
+
+    Loads are in this instance's unit: connections until the first load was reported to it. Gossip can mark
+    backends as overloaded and add to their load, but cannot add backends to the list.
     """
 
     loads: dict[int, float]
     connections: int
-    loads_reported: bool  # loads are microseconds of work a second, not connections
-    instances: int  # that the gossip speaks for, this one among them
-    overloaded: frozenset[int]  # backends that others find slow
-    fresh_until_us: int  # from then on it may be a good deal different
+    loads_reported: bool  # loads are in microseconds of work per second, not in connections
+    instances: int  # number of instances that gossip covers, including this one
+    overloaded: frozenset[int]  # backends that other instances report as overloaded
+    fresh_until_us: int  # from then on the load may have changed considerably
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorOverride:
-    """An operator has excluded a backend, or put it back after it was restarted."""
+    """An operator has excluded a backend, or put it back after a restart."""
 
     backend: int
     excluded: bool
@@ -193,12 +194,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendSnapshot:
-    """What an instance has observed of one backend. The order of the fields is that of stored data and of the
-    state handed to a successor, where they stand without names.
+    """The state that an instance has observed of one backend.
+
+    Stored data and the state handed over to a successor contain the values without names, in the order of
+    these fields.
     """
 
     id: int
-    started_us: int  # of which process of it
+    started_us: int  # start time of the observed process
     draining_notified_us: int
     ejected_until_us: int
     ejections: int
@@ -219,13 +222,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupRateSnapshot:
-    """What an instance has observed of set-ups in general: the rate they are limited to, what they take and
-    how many succeed. The order of the fields is that of stored data, as with `BackendSnapshot`.
+    """The state that an instance has observed of set-ups: their rate limit, latency and success rate.
+
+    Stored data contains the values in the order of these fields, as with `BackendSnapshot`.
     """
 
     rate_per_s: float  # 0: not limited
     tokens: float
-    unlimited_from_per_s: float  # the rate from which on it is no longer limited
+    unlimited_from_per_s: float  # the rate above which the limit is lifted
     refilled_us: float
     cut_us: float
     mean_setup_us: float
@@ -239,16 +243,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSnapshot:
-    """What a predecessor on the same machine had learned; its times are of the same clock."""
+    """The observed state of a predecessor on the same machine; its times are from the same clock."""
 
     backends: tuple[BackendSnapshot, ...]
     setup_rate: SetupRateSnapshot | None
-    class_load: dict[str, tuple[float, int]]  # by class: mean reported load, and the reports it rests on
+    class_load: dict[str, tuple[float, int]]  # by class: mean reported load and number of reports
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that `SetTimer` asked for."""
+    """A timer that was set by `SetTimer` has fired."""
 
     token: int
 
--- a/sailrun/decisions/load_accounting.py
+++ b/sailrun/decisions/load_accounting.py
@@ -1,6 +1,6 @@
-"""The load that this instance knows of: its own, by backend and by key, and the rest of the fleet's.
+"""The load known to this instance: its own, by backend and by key, and that of the rest of the fleet.
 
-Loads are microseconds of work a second. Until the first one is reported, every connection counts 1.
+Loads are in microseconds of work per second. Until the first load is reported, every connection counts as 1.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 from sailrun.decisions.endpoints import ClientRequest, Endpoint
 from sailrun.decisions.events import BackendState, FleetLoad
 
-# A class's mean load rests on about so many of its latest reports.
+# A class's mean load is averaged over about this many of its latest reports.
 CLASS_REPORTS = 200
-# A group whose load is less than this share of one connection's holds nothing but rounding.
+# A group load below this share of one connection's load consists of rounding errors only.
 ROUNDING_SHARE = 1e-6
-# Loads are divided by the mean load; never by less than this.
+# Lower limit of the mean load where it is a divisor.
 MIN_MEAN_LOAD = 1e-9
 
 
 class LoadAccounting:
-    """Books loads as connections come and go, and as they are reported."""
+    """Accounts for loads when connections are added or removed, and when loads are reported."""
 
     def __init__(
         self,
@@ -31,71 +31,71 @@
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
-        self._groups: dict[int, float] = {}  # this instance's load by the hash of the key that decides
-        self.class_load: dict[str, tuple[float, int]] = {}  # by class: mean and the reports it rests on
+        self._groups: dict[int, float] = {}  # this instance's load by the hash of the placement key
+        self.class_load: dict[str, tuple[float, int]] = {}  # by class: mean load and number of reports
         self.own_load = 0.0
         self.connections = 0
         self.fleet_load = 0.0  # of the other instances
         self.fleet_connections = 0
-        self.instances = 1  # that the gossip speaks for, this one among them
-        self.fresh_until_us = context.now_us  # the fleet's load is a good deal different from then on
-        self.placed_since_update = 0.0  # this instance's load, net, since the fleet's was last known
-        # Present capacity of all backends that work, and of those that are open to any request; kept up to
-        # date by `CapacityEstimator`.
+        self.instances = 1  # number of instances that gossip covers, including this one
+        self.fresh_until_us = context.now_us  # from then on the fleet's load may have changed considerably
+        self.placed_since_update = 0.0  # net change of this instance's load since the last fleet load update
+        # Present capacity of all backends in service, and of the open ones, which are neither busy nor at
+        # their bound; updated by `CapacityEstimator`.
         self.capacity = 0.0
         self.open_capacity = 0.0
 
     # ------------------------------------------------------------------ sums
 
     def mean_load(self) -> float:
-        """Of one of the connections known of."""
+        """Returns the mean load of the known connections; 1 if there are none."""
         count = self.connections + self.fleet_connections
         return max(0.0, self.own_load + self.fleet_load) / count if count else 1.0
 
     def fair_load(self, endpoint: Endpoint) -> float:
-        """What a backend's share of the load known of is, by capacity, among those that work."""
+        """Returns a backend's share of the known load, by its capacity, among the backends in service."""
         load = max(0.0, self.own_load + self.fleet_load)
         return load * endpoint.capacity / self.capacity if self.capacity > 0 else 0.0
 
     def group_load(self, key_hash: int) -> float:
-        """This instance's load by a key."""
+        """Returns this instance's load of a key."""
         return self._groups.get(key_hash, 0.0)
 
-    def is_reported(self) -> bool:
-        """Whether any load was reported, so that loads are no longer counts of connections."""
+    def has_reported_loads(self) -> bool:
+        """Returns whether any load was reported, so that loads no longer count connections."""
         return bool(self.class_load)
 
     def is_fleet_load_fresh(self) -> bool:
-        """Whether the fleet's load is about what was last known."""
+        """Returns whether the last known load of the fleet is still accurate."""
         return self._context.now_us < self.fresh_until_us
 
-    # ------------------------------------------------------------------ booking
+    # ------------------------------------------------------------------ accounting
 
     def add(self, request: ClientRequest, endpoint: Endpoint) -> None:
-        """Books a connection's load at its backend."""
+        """Adds a connection's load to its backend."""
         self.connections += 1
         self.own_load = self.own_load + request.load
         endpoint.own_load = max(0.0, endpoint.own_load + request.load)
-        self._change_group(request, request.load)
+        self._change_group_load(request, request.load)
 
     def remove(self, request: ClientRequest, endpoint: Endpoint) -> None:
-        """Takes a connection's load off its backend."""
+        """Removes a connection's load from its backend."""
         self.connections -= 1
         self.own_load = self.own_load - request.load if self.connections else 0.0
         is_idle = not endpoint.connections and endpoint.pending_attempts <= 0
-        # An idle backend starts from exactly 0, free of rounding.
+        # The load of an idle backend is reset to exactly 0 to discard rounding errors.
         endpoint.own_load = 0.0 if is_idle else max(0.0, endpoint.own_load - request.load)
-        self._change_group(request, -request.load)
+        self._change_group_load(request, -request.load)
 
-    def _change_group(self, request: ClientRequest, change: float) -> None:
+    def _change_group_load(self, request: ClientRequest, change: float) -> None:
         load = self._groups.get(request.key_hash, 0.0) + change
         if load < ROUNDING_SHARE * request.load:
             self._groups.pop(request.key_hash, None)
         else:
             self._groups[request.key_hash] = load
 
-    def expect(self, request: ClientRequest, hint: float | None) -> None:
-        """Sets the load to count for a new connection: its hint, else the mean of its class."""
+    def set_expected_load(self, request: ClientRequest, hint: float | None) -> None:
+        """Sets the expected load of a new connection: its hint, or else the mean load of its class."""
         if hint is not None and hint > 0:
             self.report(request, hint)
         elif self.class_load:
@@ -103,9 +103,9 @@
             request.load = self.class_load.get(request.request_class.name, default)[0]
 
     def report(self, request: ClientRequest, load: float) -> None:
-        """A connection's load has been stated, by hint or by its backend."""
+        """Records a connection's load as stated by a hint or reported by its backend."""
         if not self.class_load:
-            self.scale(load)
+            self.convert_to_reported_loads(load)
         name = request.request_class.name
         mean, count = self.class_load.get(name, (0.0, 0))
         count = min(count + 1, CLASS_REPORTS)
@@ -118,28 +118,28 @@
             self.own_load += change
         request.load = load
 
-    def scale(self, unit: float) -> None:
-        """From now on loads are work, not connections: each connection counted so far is worth `unit`."""
-        self.class_load[""] = (unit, 0)
+    def convert_to_reported_loads(self, load_per_connection: float) -> None:
+        """Switches from connection counts to loads; each connection so far counts `load_per_connection`."""
+        self.class_load[""] = (load_per_connection, 0)
         for endpoint in self._endpoints.values():
-            endpoint.own_load *= unit
+            endpoint.own_load *= load_per_connection
         for request in self._requests.values():
-            request.load *= unit
-        self._groups = {key: load * unit for key, load in self._groups.items()}
-        self.own_load *= unit
+            request.load *= load_per_connection
+        self._groups = {key: load * load_per_connection for key, load in self._groups.items()}
+        self.own_load *= load_per_connection
 
     # ------------------------------------------------------------------ the fleet
 
     def update_fleet_load(self, event: FleetLoad) -> None:
-        """Takes over what the other instances hold, unless it is in another unit than the loads here."""
+        """Stores the load of the other instances, unless its unit differs from that of the loads here."""
         if event.loads_reported and not self.class_load and event.connections:
-            self.scale(sum(event.loads.values()) / event.connections)
+            self.convert_to_reported_loads(sum(event.loads.values()) / event.connections)
         if event.connections and event.loads_reported is not bool(self.class_load):
             return
         for endpoint in self._endpoints.values():
             endpoint.fleet_load = event.loads.get(endpoint.id, 0.0)
-            is_reported = endpoint.id in event.overloaded
-            endpoint.overload.reported_by_peers_until_us = event.fresh_until_us if is_reported else 0
+            is_overloaded = endpoint.id in event.overloaded
+            endpoint.overload.reported_by_peers_until_us = event.fresh_until_us if is_overloaded else 0
         self.fleet_load = sum(event.loads.values())
         self.fleet_connections = event.connections
         self.instances = event.instances
@@ -147,10 +147,13 @@
             self.fresh_until_us = event.fresh_until_us
             self.placed_since_update = 0.0
 
-    def note_placed(self, request: ClientRequest) -> None:
-        """An attempt of the request begins."""
+    def record_placed(self, request: ClientRequest) -> None:
+        """Records that an attempt of the request begins."""
         self.placed_since_update += request.load
 
-    def note_ended(self, request: ClientRequest, endpoint: Endpoint) -> None:
-        """An established connection has ended; at a backend that leaves, its load comes back elsewhere."""
+    def record_ended(self, request: ClientRequest, endpoint: Endpoint) -> None:
+        """Records the end of an established connection.
+
+        If its backend is not ready, the load is not subtracted: the client reconnects and adds it elsewhere.
+        """
         self.placed_since_update -= request.load * (endpoint.state is BackendState.READY)
--- a/sailrun/decisions/migration.py
+++ b/sailrun/decisions/migration.py
@@ -1,7 +1,7 @@
 """Migration of connections off overloaded backends.
 
-Set-ups queue behind the same work as messages: by what one takes longer than usual, a message is late too.
-Connections are moved only where that helps: those that would be placed elsewhere by now come first.
+Set-ups queue behind the same work as messages, so the extra latency of a set-up is also the extra latency of
+a message. Connections that would now be placed on another backend are moved first.
 """
 
 from __future__ import annotations
@@ -18,17 +18,19 @@
 from sailrun.decisions.overload import BUSY, OVERLOADED, OverloadDetector
 from sailrun.decisions.placement import MASK
 
-# What a set-up usually takes: the lower quarter of so many latest ones, once there are a few.
+# The usual set-up latency is the lower quartile of the latest SETUP_SAMPLES set-ups, once there are at least
+# MIN_SETUP_SAMPLES.
 SETUP_SAMPLES = 64
 MIN_SETUP_SAMPLES = 8
-# Without room elsewhere, a slow set-up makes a backend no worse than this share of the objective.
+# If no other backend has spare capacity, a slow set-up counts as a delay of this share of the objective at
+# most.
 MAX_SHARE_WITHOUT_ROOM = 0.9
-# The share of a backend's connections that each report moves at least.
-MOVED_SHARE = 0.2
+# The minimum share of this instance's load at a backend that each delay report moves.
+MIN_MOVED_SHARE = 0.2
 
 
 class OverloadMigration:
-    """Finds overloaded backends by their delays and moves connections off them."""
+    """Detects overloaded backends by their delays and moves connections off them."""
 
     def __init__(
         self,
@@ -48,7 +50,7 @@
         self._latest_setups_us: deque[int] = deque(maxlen=SETUP_SAMPLES)
 
     def record_delay(self, endpoint: Endpoint, delay_ms: float) -> None:
-        """The backend's messages take so long now."""
+        """Records how long the backend's messages take now; moves connections if it is overloaded."""
         self._overload.record_delay(endpoint, delay_ms)
         if self._overload.is_overloaded(endpoint, BUSY):
             self._overload.cut_limit(endpoint)
@@ -56,7 +58,7 @@
         self._move_excess(endpoint, has_room=has_room)
 
     def record_setup(self, endpoint: Endpoint, latency_us: int) -> None:
-        """A set-up there has taken so long."""
+        """Records how long a set-up took there; moves connections if the backend is overloaded."""
         excess_ms = self._average_excess_ms(endpoint, latency_us)
         now_us = self._context.now_us
         state = endpoint.overload
@@ -69,13 +71,13 @@
         has_room = self._has_room_elsewhere(endpoint)
         bounded_ms = min(excess_ms, MAX_SHARE_WITHOUT_ROOM * objective_ms)
         self._overload.record_delay(endpoint, excess_ms if has_room else bounded_ms)
-        # A limit for a passing burst, with no room elsewhere, would make everybody wait.
+        # With no spare capacity elsewhere, a limit set for a short burst would make all new requests wait.
         if has_room and self._overload.is_overloaded(endpoint, OVERLOADED):
             self._overload.cut_limit(endpoint)
             self._move_excess(endpoint, has_room=True)
 
     def _average_excess_ms(self, endpoint: Endpoint, latency_us: int) -> float:
-        """By how much set-ups take longer there than usual."""
+        """Returns by how much set-ups there take longer than usual, as a moving average."""
         samples = self._latest_setups_us
         samples.append(latency_us)
         usual_us = sorted(samples)[len(samples) // 4]
@@ -95,24 +97,27 @@
         )
 
     def _move_excess(self, endpoint: Endpoint, *, has_room: bool) -> None:
-        """Moves connections off a backend whose messages miss the objective: every instance the same share of
-        its own, or what is over its fair load there if there is room elsewhere; first those that score higher
-        elsewhere by now, the heaviest of them first. In a full fleet they are rejected until there is room.
+        """Moves connections off a backend whose messages miss the latency objective.
+
+        Each instance moves the same share of its own load there, or the excess over the fair load if that is
+        more and other backends have spare capacity. Connections that now score higher on another backend are
+        moved first, then the others; within each, the heaviest first. In a full fleet the clients are
+        rejected until there is spare capacity.
         """
         if not self._overload.is_overloaded(endpoint, OVERLOADED):
             return
         load = max(endpoint.known_load(), MIN_MEAN_LOAD)
         instances = 2 if self._loads.instances > 1 else 1
         over_share = (1.0 - self._loads.fair_load(endpoint) / load) / instances
-        excess = endpoint.own_load * max(MOVED_SHARE, over_share if has_room else 0.0)
+        excess = endpoint.own_load * max(MIN_MOVED_SHARE, over_share if has_room else 0.0)
         hashes = [e.hash for e in self._table.ready if not self._outliers.is_ejected(e)]
 
-        def preference(request: ClientRequest) -> tuple[bool, float]:
+        def move_order(request: ClientRequest) -> tuple[bool, float]:
             own_score = (endpoint.hash * request.key_hash) & MASK
             belongs_here = has_room and own_score >= max((h * request.key_hash) & MASK for h in hashes)
             return belongs_here, -request.load
 
-        for request in sorted(endpoint.connections.values(), key=preference):
+        for request in sorted(endpoint.connections.values(), key=move_order):
             if excess <= request.load * self._context.random.random():
                 break
             excess -= request.load
--- a/sailrun/decisions/request_lifecycle.py
+++ b/sailrun/decisions/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The way of a request to its final answer: attempts, retries, and the wait for a backend that admits it."""
+"""The lifecycle of a request up to its final answer: attempts, retries, and waiting for a backend."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 from sailrun.decisions.setup_rate import FAILURES, SetupRateLimiter
 from sailrun.decisions.slow_start_admission import SlowStartAdmission
 
-# Waiting requests are looked at again this often: well under any latency objective, well over a tick.
+# Interval at which waiting requests are retried: well below any latency objective, well above a tick.
 RETRY_INTERVAL_US = 50_000
-# After so many looks in vain the rest wait for the next round: in a full fleet looks cost and find nothing.
-MAX_VAIN_LOOKS = 4
-# The share of the longest Retry-After that a rejected client is told at least; the rest is chance.
+# After this many failed placements the other requests wait for the next round: in a full fleet, further tries
+# cost time and fail as well.
+MAX_FAILED_PLACEMENTS = 4
+# The minimum Retry-After, as a share of the maximum; the rest is random.
 MIN_RETRY_AFTER_SHARE = 0.25
 
 
 class RequestLifecycle:
-    """Attempts, holds back and answers requests; each gets one final answer."""
+    """Starts attempts, queues waiting requests and answers requests; each gets exactly one final answer."""
 
     def __init__(
         self,
@@ -36,7 +37,7 @@
         setup_rate: SetupRateLimiter,
         selector: EndpointSelector,
     ) -> None:
-        """`requests`: all that are tracked, by id; the ones that are answered are taken out."""
+        """`requests` contains all tracked requests by id; answered requests are removed."""
         self._context = context
         self._requests = requests
         self._table = table
@@ -48,7 +49,7 @@
         self._is_retry_scheduled = False
 
     def place(self, request: ClientRequest) -> None:
-        """Sends the request to the first backend that admits it, else has it wait or ends it."""
+        """Starts an attempt at the first backend that admits the request; otherwise queues or answers it."""
         settings = self._context.settings
         now_us = self._context.now_us
         if request.deadline_us - now_us <= settings.tick_us:
@@ -62,8 +63,8 @@
         if endpoint is not None:
             self._waiting.pop(request.request_id, None)
             self._start_attempt(request, endpoint)
-        elif self._selector.opens_us(request) > self._last_look_us(request):
-            # Answered at once, not when its time is nearly over.
+        elif self._selector.next_admission_us(request) > self._last_retry_us(request):
+            # Answers immediately instead of shortly before the deadline.
             self.finish(request, DenialReason.NO_BACKEND)
         elif request.request_id not in self._waiting:
             self._waiting[request.request_id] = request
@@ -77,30 +78,38 @@
         request.attempted_us = now_us
         request.tried += (endpoint,)
         self._setup_rate.record_attempt()
-        self._loads.note_placed(request)
+        self._loads.record_placed(request)
         self._loads.add(request, endpoint)
         endpoint.pending_attempts += 1
         slow_start = self._slow_start.record_attempt(endpoint)
         until_us = request.deadline_us
-        if request.attempts < settings.max_attempts:  # a silent backend must leave time for another attempt
+        if request.attempts < settings.max_attempts:  # leaves time for another attempt after a time-out
             until_us = min(until_us, now_us + self._setup_rate.attempt_timeout_us(request))
         begin_us = begin_by_us(request, settings)
         self._context.emit(StartAttempt(request.request_id, endpoint.id, until_us, begin_us, slow_start))
 
     def retry(self, request: ClientRequest, endpoint: Endpoint, outcome: AttemptOutcome) -> None:
-        """Another attempt follows. What a half-open backend answers says nothing of the others."""
+        """Retries a request after a failed attempt.
+
+        The outcome at a half-open backend says nothing about the other backends: it is not counted as a
+        failed set-up and causes no backoff.
+        """
         is_half_open = endpoint.outlier.half_open
         if outcome in FAILURES and not is_half_open:
             self._setup_rate.record_failure(request)
         others_fail = any(e.outlier.consecutive_errors for e in self._table.ready if e is not endpoint)
-        if outcome is AttemptOutcome.ERROR and not is_half_open and others_fail:  # of a store that all share?
+        # Errors at several backends may come from a store that they share.
+        if outcome is AttemptOutcome.ERROR and not is_half_open and others_fail:
             jitter = 0.5 + self._context.random.random()
             wait_us = int(backoff_us(request.attempts) * jitter)
             request.retry_not_before_us = self._context.now_us + wait_us
         self.place(request)
 
     def finish(self, request: ClientRequest, reason: DenialReason) -> None:
-        """The one final answer: a rejection only where a retry is known to be harmless."""
+        """Gives the final answer.
+
+        It is a rejection if no attempt can have run, so that a retry is harmless, and a failure otherwise.
+        """
         self._waiting.pop(request.request_id, None)
         del self._requests[request.request_id]
         settings = self._context.settings
@@ -114,11 +123,11 @@
     # ------------------------------------------------------------------ waiting
 
     def withdraw(self, request: ClientRequest) -> None:
-        """The client has gone: the request waits no longer."""
+        """Removes a request from the waiting ones because its client has left."""
         self._waiting.pop(request.request_id, None)
 
     def on_retry_timer(self) -> None:
-        """Looks at the waiting requests again, if that is due."""
+        """Retries the waiting requests if a retry is scheduled."""
         if self._is_retry_scheduled:
             self._is_retry_scheduled = False
             self.retry_waiting()
@@ -128,27 +137,33 @@
             self._is_retry_scheduled = True
             self._context.emit(SetTimer(RETRY_INTERVAL_US, RETRY_TIMER))
 
-    def _last_look_us(self, request: ClientRequest) -> int:
-        """When a waiting request is looked at for the last time: later, an answer would come too late."""
+    def _last_retry_us(self, request: ClientRequest) -> int:
+        """Returns when a waiting request is retried last; after that, an answer would be too late."""
         return request.deadline_us - RETRY_INTERVAL_US - 2 * self._context.settings.tick_us
 
     def retry_waiting(self) -> None:
-        """Looks at the waiting requests again, and answers those that wait in vain while that still counts.
-        Those for which there was no look are the first in the next round.
+        """Retries the waiting requests, and answers those that cannot be placed before their deadline.
+
+        Requests that were not tried come first in the next round.
         """
-        vain_looks = 0
+        failed_placements = 0
         ready = self._table.ready
-        opens_us = min((self._selector.endpoint_opens_us(e, 0.0) for e in ready), default=math.inf)
+        next_admission_us = min(
+            (self._selector.endpoint_admission_us(e, 0.0) for e in ready), default=math.inf
+        )
         for request in list(self._waiting.values()):
-            last_look_us = self._last_look_us(request)
-            if self._context.now_us >= last_look_us:
+            last_retry_us = self._last_retry_us(request)
+            if self._context.now_us >= last_retry_us:
                 self.finish(request, DenialReason.OUT_OF_TIME)
-            elif opens_us > last_look_us:
+            elif next_admission_us > last_retry_us:
                 self.finish(request, DenialReason.NO_BACKEND)
-            elif vain_looks < MAX_VAIN_LOOKS and request.retry_not_before_us <= self._context.now_us:
+            elif (
+                failed_placements < MAX_FAILED_PLACEMENTS
+                and request.retry_not_before_us <= self._context.now_us
+            ):
                 self.place(request)
                 if self._waiting.pop(request.request_id, None) is not None:
                     self._waiting[request.request_id] = request
-                    vain_looks += 1
+                    failed_placements += 1
         if self._waiting:
             self._schedule_retry()
--- a/sailrun/decisions/retry.py
+++ b/sailrun/decisions/retry.py
@@ -1,4 +1,7 @@
-"""Whether a request may be attempted again, where and until when, by the effect of a repeat."""
+"""Rules for retries: whether, where and until when a request may be attempted again.
+
+They depend on the effect that a repeated request would have.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +13,13 @@
 
 # Outcomes after which an attempt had no effect.
 NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
-# The first backoff after an error that all backends may share; it doubles at each further one.
+# The first backoff after an error that all backends may share; it doubles with each further error.
 BACKOFF_US = 200_000
 MAX_DOUBLINGS = 3
 
 
 def begin_by_us(request: ClientRequest, settings: Settings) -> float:
-    """By when the effect class allows another attempt to begin."""
+    """Returns the latest time at which the effect of a repeat allows another attempt to begin."""
     request_class = request.request_class
     if request.first_ran_at is None or request_class.effect is Effect.IDEMPOTENT:
         return math.inf
@@ -26,8 +29,9 @@
 
 
 def may_attempt_at(request: ClientRequest, endpoint: Endpoint) -> bool:
-    """Whether the request may go to this backend: no second time, and no repeat outside the scope that drops
-    repeats.
+    """Returns whether the request may be sent to this backend.
+
+    No backend gets the same request twice, and a repeat stays within its deduplication scope.
     """
     if endpoint in request.tried:
         return False
@@ -43,5 +47,5 @@
 
 
 def backoff_us(attempts: int) -> int:
-    """The mean backoff after so many attempts that were answered with errors."""
+    """Returns the mean backoff after this number of attempts that were answered with errors."""
     return BACKOFF_US << min(attempts - 1, MAX_DOUBLINGS)
--- a/sailrun/decisions/selection.py
+++ b/sailrun/decisions/selection.py
@@ -1,7 +1,7 @@
-"""Selection of a backend for a request: the first one in the order of its scores that admits it.
+"""Selects a backend for a request: the first one, in descending order of score, that admits it.
 
-Each gate on the way is a named exception to that order: retry rules, outlier detection, overload, bounded
-loads and slow start.
+The rules that can make a backend not admit a request are the retry rules, outlier detection, overload,
+bounded loads and slow start.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from sailrun.decisions.setup_rate import SetupRateLimiter
 from sailrun.decisions.slow_start_admission import SlowStartAdmission
 
-# How far down a key's order of scores is looked.
+# The number of backends that are considered for a request, in descending order of score.
 MAX_CANDIDATES = 24
-# A heavy group spreads so that each of its backends gets about so many fair loads of it.
+# A heavy group is spread so that each of its backends gets about this multiple of a fair load.
 GROUP_SPREAD = 0.7
 
 
 class EndpointSelector:
-    """Chooses backends, and tells when a waiting request may find one."""
+    """Chooses backends, and estimates when a waiting request can be admitted."""
 
     def __init__(
         self,
@@ -56,17 +56,20 @@
         self._setup_rate = setup_rate
 
     def choose(self, request: ClientRequest, *, for_attempt: bool = True) -> Endpoint | None:
-        """The best backend that admits the request; None: none does now.
+        """Returns the highest-scoring backend that admits the request, or None if none does now.
 
-        If no attempt is to begin there (`for_attempt`), no backend in slow start admits it.
+        Without one, the highest-scoring backend that is only busy or over its bound is returned. With
+        `for_attempt` False no attempt follows, and no backend in slow start admits the request.
         """
         self._capacity.recount_if_due()
         if for_attempt:
             self._slow_start.draw_allowance(request)
         if request.is_mid_flow and request.attempts == 0:
-            holder = self._find_holder(request)
-            if holder is None or self._slow_start.admits(holder, request, for_attempt=for_attempt):
-                return holder
+            mid_flow_backend = self._find_mid_flow_backend(request)
+            if mid_flow_backend is None or self._slow_start.admits(
+                mid_flow_backend, request, for_attempt=for_attempt
+            ):
+                return mid_flow_backend
         is_overloaded = self._overload.is_overloaded
         admits = self._slow_start.admits
         over_bound = ejected = None
@@ -88,12 +91,15 @@
                     over_bound = endpoint
         if over_bound is not None:
             return over_bound
-        # None works in reach: the best ejected one, after all.
+        # Without any serving capacity, the highest-scoring ejected backend is tried.
         return ejected if self._loads.capacity <= 0 else None
 
     def _candidates(self, request: ClientRequest) -> Iterator[Endpoint]:
-        """The best scores, highest first. A group whose load here makes up several fair loads is heavier
-        than a backend: its connections spread over as many of its best scores, each by its own client key.
+        """Yields the backends with the highest scores, highest first.
+
+        A group whose load at this instance amounts to several fair loads is too heavy for one backend. Its
+        connections are spread over that many of its highest-scoring backends, ordered by the client's own
+        key.
         """
         loads = self._loads
         spread = 1
@@ -106,21 +112,22 @@
         yield from sorted(islice(ranked, spread), key=lambda e: (-((e.hash * client_hash) & MASK), e.id))
         yield from ranked
 
-    def _find_holder(self, request: ClientRequest) -> Endpoint | None:
-        """Who holds a connection in mid-flow: the highest score over ready backends and those that drain
-        within the grace.
+    def _find_mid_flow_backend(self, request: ClientRequest) -> Endpoint | None:
+        """Returns the backend that has a mid-flow connection.
+
+        It is the one with the highest score among ready backends and those still within their drain grace.
         """
         now_us = self._context.now_us
         grace_us = self._context.settings.drain_grace_us - self._context.settings.tick_us
-        holders = list(self._table.ready)
+        possible_backends = list(self._table.ready)
         for endpoint in self._table.endpoints.values():
             is_draining = endpoint.state is BackendState.DRAINING
             if is_draining and now_us - endpoint.draining_notified_us < grace_us:
-                holders.append(endpoint)
-        return max(holders, key=lambda e: ((e.hash * request.key_hash) & MASK, -e.id), default=None)
+                possible_backends.append(endpoint)
+        return max(possible_backends, key=lambda e: ((e.hash * request.key_hash) & MASK, -e.id), default=None)
 
     def find_next_in_rank(self, key_hash: int, chosen: Endpoint | None) -> Iterator[Endpoint]:
-        """The backends that score higher for a key than the one chosen; all, if none was."""
+        """Yields the backends that score higher for a key than the chosen one; all if it is None."""
         for endpoint in self._table.ranking.highest_first(key_hash):
             if endpoint is chosen:
                 return
@@ -128,24 +135,28 @@
 
     # ------------------------------------------------------------------ waiting
 
-    def opens_us(self, request: ClientRequest) -> float:
-        """The earliest time at which a backend not tried yet may take the request, as things stand: what is
-        sure to keep every one shut for longer leaves nothing to wait for.
+    def next_admission_us(self, request: ClientRequest) -> float:
+        """Returns the earliest time at which a backend not tried yet may admit the request.
+
+        It counts only limits that are known to last until then. If it is too late for the request, waiting is
+        pointless.
         """
         now_us = self._context.now_us
         if request.is_mid_flow and request.attempts == 0:
-            return now_us  # its holder may be listed yet
+            return now_us  # the backend that has the connection may still be added to the list
         allowed = (e for e in self._table.ready if may_attempt_at(request, e))
-        opens_us = min((self.endpoint_opens_us(e, request.load) for e in allowed), default=math.inf)
-        return max(opens_us, self._setup_rate.opens_us(now_us), request.retry_not_before_us)
-
-    def endpoint_opens_us(self, endpoint: Endpoint, load: float) -> float:
-        """When the gates that time alone opens would let a connection of this load through."""
-        opens_us: float = max(self._context.now_us, endpoint.outlier.ejected_until_us)
+        next_admission_us = min(
+            (self.endpoint_admission_us(e, request.load) for e in allowed), default=math.inf
+        )
+        return max(next_admission_us, self._setup_rate.next_admission_us(now_us), request.retry_not_before_us)
+
+    def endpoint_admission_us(self, endpoint: Endpoint, load: float) -> float:
+        """Returns when the time-dependent rules would admit a connection of this load."""
+        next_admission_us: float = max(self._context.now_us, endpoint.outlier.ejected_until_us)
         if self._overload.is_overloaded(endpoint, OVERLOADED):
-            opens_us = max(opens_us, endpoint.overload.delay_us + DELAY_VALID_US)
+            next_admission_us = max(next_admission_us, endpoint.overload.delay_us + DELAY_VALID_US)
         if not self._overload.is_below_limit(endpoint, load):
-            opens_us = max(opens_us, self._overload.limit_opens_us(endpoint, load))
+            next_admission_us = max(next_admission_us, self._overload.limit_admission_us(endpoint, load))
         if endpoint.is_in_slow_start():
-            opens_us = self._slow_start.opens_us(endpoint, opens_us)
-        return opens_us
+            next_admission_us = self._slow_start.next_admission_us(endpoint, next_admission_us)
+        return next_admission_us
--- a/sailrun/decisions/settings.py
+++ b/sailrun/decisions/settings.py
@@ -1,7 +1,7 @@
-"""The settings of the decisions: what an operator states before an instance starts.
+"""The settings of the decision module, which an operator sets before an instance starts.
 
-Times are whole microseconds, loads are microseconds of work a second. The names of the platform's settings
-files are mapped to these fields in `sailrun/wire.py`.
+Times are in whole microseconds and loads in microseconds of work per second. The names in the platform's
+settings files are mapped to these fields in `sailrun/settings_codec.py`.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 class DiscoveryMode(Enum):
     """How the backend list reaches an instance."""
 
-    PUSH = "push"  # changes come by themselves
+    PUSH = "push"  # changes are delivered without a call
     ASK = "ask"  # only after `Subscribe` or `FetchList`
 
 
 class Effect(Enum):
-    """What a second run of a request would do."""
+    """The effect of running a request a second time."""
 
     IDEMPOTENT = "idempotent"  # harmless
     DEDUPLICATED = "deduplicated"  # harmless inside the deduplication scope and window
@@ -26,7 +26,7 @@
 
 
 class DedupScope(Enum):
-    """Which backends drop each other's repeats of a deduplicated request."""
+    """Which backends recognize repeats of a deduplicated request that ran at another one of them."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,7 +39,7 @@
 
     name: str
     objective_us: int  # latency objective of a set-up
-    deadline_us: int  # a client waits this long over all its attempts
+    deadline_us: int  # a client waits this long in total, over all attempts
     priority_weight: float = 1.0
     effect: Effect = Effect.IDEMPOTENT
     dedup_scope: DedupScope = DedupScope.ALL
@@ -53,38 +53,38 @@
 
     name: str
     share: float = 1.0  # of the service
-    quota_per_s: float = 0.0  # requests a second inside its share, all instances together; 0: none
-    quota_connections: float = 0.0  # open connections inside its share, likewise; 0: none
+    quota_per_s: float = 0.0  # requests per second within its share, over all instances; 0: no quota
+    quota_connections: float = 0.0  # open connections within its share, over all instances; 0: no quota
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an operator states at start. Drain grace and the figures of slow start have no defaults."""
+    """The settings of an instance. Drain grace and the slow start settings have no defaults."""
 
     zone: str
     classes: tuple[RequestClass, ...]
-    drain_grace_us: int  # sends to a draining or gone backend stop within this
-    initial_capacity_share: float  # a backend starts at this share of its capacity or above
-    slow_start_us: int  # and has all of it after this at most
-    overload_multiple: float  # sent more than this multiple of its present capacity
-    overload_window_us: int  # for this long, a backend in slow start is overloaded
-    answer_slack_us: int = 0  # a final answer still counts this long after the deadline
-    instances: int = 1  # of this tier
-    index: int = 0  # this one among them
+    drain_grace_us: int  # no request is sent to a draining or gone backend after this time
+    initial_capacity_share: float  # the minimum share of its capacity that a backend has at its start
+    slow_start_us: int  # a backend has its full capacity after this time at the latest
+    overload_multiple: float  # a backend in slow start is overloaded by more than this multiple
+    overload_window_us: int  # of its present capacity, counted over this time
+    answer_slack_us: int = 0  # a final answer still counts until this long after the deadline
+    instances: int = 1  # number of instances of this tier
+    index: int = 0  # of this instance within the tier
     tenants: tuple[Tenant, ...] = ()
-    over_quota_priority_weight: float = 1.0  # of traffic beyond a tenant's share
+    over_quota_priority_weight: float = 1.0  # of traffic that exceeds a tenant's share
     discovery: DiscoveryMode = DiscoveryMode.PUSH
-    poll_interval_us: int = 0  # ask mode: an unsubscribed instance must have asked within this
+    poll_interval_us: int = 0  # mode ASK: an unsubscribed instance must call at least once per this interval
     max_attempts: int = 3
     connect_timeout_us: int = 250_000
-    retry_after: bool = True  # clients are told how long to stay away
-    max_retry_after_us: int = 0  # the longest such time that they honour
+    retry_after: bool = True  # rejected clients are told how long to wait before a retry
+    max_retry_after_us: int = 0  # the longest such time that clients respect
     parallel_attempts: bool = False
     cancel: bool = False
     probes: bool = False
     peer_messages: bool = False
-    reports_delay: bool = False  # backends report what a message takes there
-    pass_through: bool = False  # connections survive a change of instance
-    park_us: int = 0  # how long a backend keeps a silent pass-through connection
-    capacity_hints: bool = False  # `Backend.capacity` compares backends
+    reports_delay: bool = False  # backends report the latency of messages
+    pass_through: bool = False  # connections continue when the client switches to another instance
+    park_us: int = 0  # how long a backend keeps an idle pass-through connection
+    capacity_hints: bool = False  # `Backend.capacity` states relative capacities
     tick_us: int = 1_000  # events are handled at most this often
--- a/sailrun/decisions/setup_rate.py
+++ b/sailrun/decisions/setup_rate.py
@@ -1,7 +1,8 @@
-"""Congestion control of set-ups: a limit on their rate, and what they take and how many succeed.
+"""Congestion control of set-ups: limits their rate, and tracks their latency and success rate.
 
-Acts after backends answer set-ups with errors, as before a shared store that is overloaded: attempts are then
-spaced at a rate that falls by a share and grows back with time, until it is far above what is needed.
+The limit applies after backends answer set-ups with errors, for instance because a store that they share is
+overloaded. Attempts are then limited to a rate that is cut by a factor on errors and grows back with time.
+The limit is lifted once it is far above the usual rate.
 """
 
 from __future__ import annotations
@@ -13,32 +14,35 @@
 from sailrun.decisions.endpoints import ClientRequest
 from sailrun.decisions.events import AttemptOutcome, SetupRateSnapshot
 
-# The limit is cut at most once in this time, to this share, and to no less than this.
+# The limit is cut at most once per interval, to this share of itself, and never below the minimum rate.
 CUT_INTERVAL_US = 250_000
 CUT_SHARE = 0.6
 MIN_RATE_PER_S = 1.0
-GROWTH_PER_S = 0.6  # of the limit, compounded
-MAX_GROWTH_S = 60.0  # counted at once: no overflow after a long lull
-# Attempts in about this time make up the usual rate; at this multiple of it the limit is lifted.
+GROWTH_PER_S = 0.6  # compound growth of the limit
+MAX_GROWTH_S = 60.0  # maximum growth period applied at once; prevents overflow after a long idle time
+# The usual rate is averaged over about this time; the limit is lifted once it exceeds this multiple of the
+# usual rate.
 USUAL_RATE_US = 10 * SECOND_US
 UNLIMITED_MULTIPLE = 20.0
-# The limit over this, in tokens, may be saved up; one always may.
+# The token bucket holds the limit (per second) divided by this, and at least one token.
 SAVED_TOKENS_DIVISOR = 10
-# Errors mean congestion while set-ups take this share of their latency objective, if less than the first
-# share of them succeeds; else if less than the second does.
+# Set-ups are slow if their mean latency exceeds SLOW_SETUP_SHARE of the latency objective. Errors indicate
+# congestion if the share of successful set-ups is below CONGESTED_SUCCESS_SHARE while set-ups are slow, or
+# below CONGESTED_SUCCESS_SHARE_IF_FAST otherwise.
 SLOW_SETUP_SHARE = 0.25
 CONGESTED_SUCCESS_SHARE = 0.7
 CONGESTED_SUCCESS_SHARE_IF_FAST = 0.3
-# Weight of the latest set-up in the moving means.
+# Weight of the latest set-up in the moving averages.
 LATEST_WEIGHT = 0.1
-# An attempt is given up after the latency objective, or this multiple of what set-ups take, if longer.
+# An attempt times out after the latency objective or this multiple of the mean set-up time, if that is
+# longer.
 TIMEOUT_MULTIPLE = 8.0
 
 FAILURES = (AttemptOutcome.ERROR, AttemptOutcome.TIMED_OUT, AttemptOutcome.REJECTED)
 
 
 class SetupRateLimiter:
-    """A token bucket whose rate follows errors; 0: not limited."""
+    """A token bucket whose rate is cut on errors and grows with time; a rate of 0 means no limit."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -48,12 +52,12 @@
         self._refilled_us: float = context.now_us
         self._cut_us: float = context.now_us
         self._mean_setup_us = 0.0
-        self.success_share = 1.0  # of set-ups, failed connections left out
-        self._recent_attempts = 0.0  # in about the last USUAL_RATE_US
+        self.success_share = 1.0  # of set-ups, without failed connects
+        self._recent_attempts = 0.0  # exponentially decaying count, over about USUAL_RATE_US
         self._last_attempt_us: float = context.now_us
 
     def admits(self) -> bool:
-        """Whether another attempt may begin now."""
+        """Returns whether another attempt may begin now."""
         if self._rate_per_s <= 0:
             return True
         now_us = self._context.now_us
@@ -68,14 +72,14 @@
         self._tokens = min(max(1.0, self._rate_per_s / SAVED_TOKENS_DIVISOR), self._tokens + gained)
         return self._tokens >= 1.0
 
-    def opens_us(self, now_us: float) -> float:
-        """When the next token is there."""
+    def next_admission_us(self, now_us: float) -> float:
+        """Returns when the next token is available."""
         if self._rate_per_s <= 0:
             return now_us
         return now_us + SECOND_US * (1.0 - self._tokens) / self._rate_per_s
 
     def record_attempt(self) -> None:
-        """An attempt begins."""
+        """Records that an attempt begins."""
         now_us = self._context.now_us
         decay = math.exp((self._last_attempt_us - now_us) / USUAL_RATE_US)
         self._recent_attempts = 1.0 + self._recent_attempts * decay
@@ -84,12 +88,12 @@
             self._tokens -= 1.0
 
     def record_success(self, latency_us: int) -> None:
-        """A connection is established."""
+        """Records that a connection was established."""
         self._mean_setup_us += LATEST_WEIGHT * (latency_us - self._mean_setup_us)
         self.success_share += LATEST_WEIGHT * (1.0 - self.success_share)
 
     def record_failure(self, request: ClientRequest) -> None:
-        """A backend has answered an attempt with an error, or not at all."""
+        """Records that a backend answered an attempt with an error or did not answer at all."""
         self.success_share *= 1.0 - LATEST_WEIGHT
         is_slow = self._mean_setup_us > SLOW_SETUP_SHARE * request.request_class.objective_us
         expected = CONGESTED_SUCCESS_SHARE if is_slow else CONGESTED_SUCCESS_SHARE_IF_FAST
@@ -97,7 +101,7 @@
             self._cut_rate()
 
     def attempt_timeout_us(self, request: ClientRequest) -> int:
-        """How long an attempt may take if another one is to follow."""
+        """Returns how long an attempt may take if time must remain for another one."""
         return max(request.request_class.objective_us, int(TIMEOUT_MULTIPLE * self._mean_setup_us))
 
     def _cut_rate(self) -> None:
@@ -116,7 +120,7 @@
     # ------------------------------------------------------------------ snapshot
 
     def snapshot(self) -> SetupRateSnapshot:
-        """What a successor is to go on with."""
+        """Returns the state for a successor."""
         return SetupRateSnapshot(
             self._rate_per_s,
             self._tokens,
@@ -130,7 +134,7 @@
         )
 
     def restore(self, snapshot: SetupRateSnapshot) -> None:
-        """Goes on with what a predecessor has learned."""
+        """Restores the state of a predecessor."""
         (
             self._rate_per_s,
             self._tokens,
--- a/sailrun/decisions/slow_start_admission.py
+++ b/sailrun/decisions/slow_start_admission.py
@@ -1,4 +1,4 @@
-"""Slow start of backends: when it begins, and what a backend in slow start is given."""
+"""Slow start of backends: when it begins, and which requests a backend in slow start admits."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from sailrun.decisions.slow_start import SlowStart
 from sailrun.decisions.start_times import StartTimes
 
-# The share of its capacity that a backend surely has is the least that it may have: many instances, of which
-# each sends little, let it hold so much more.
+# The computed capacity share is a lower bound. With at least MANY_INSTANCES instances, each of which sends
+# little, the load of a backend may be higher by this factor.
 MANY_INSTANCES = 16
 MANY_INSTANCES_MULTIPLE = 1.6
 
@@ -36,7 +36,7 @@
         self._capacity = capacity
 
     def begin(self, endpoint: Endpoint, since_us: int, reason: SlowStartReason) -> None:
-        """Takes the backend to have started at `since_us`, unless that is too long ago."""
+        """Begins the slow start of a backend that started at `since_us`, unless that is too long ago."""
         may_have_sent = reason is SlowStartReason.LISTED and not self._start_times.is_synchronized
         is_assumed = reason is SlowStartReason.RECOVERED and (
             endpoint.slow_start.is_assumed or not endpoint.is_in_slow_start()
@@ -46,29 +46,29 @@
             endpoint, since_us, now_us, may_have_sent=may_have_sent, is_assumed=is_assumed
         ):
             self._context.emit(SlowStartChanged(endpoint.id, reason, now_us - since_us))
-            self._capacity.request_recount()  # its part is worked out before anything is sent there
+            self._capacity.request_recount()  # computes the allowance before any request is sent there
 
     def restart(self, endpoint: Endpoint) -> None:
-        """Another process of the backend has taken the place of the one known: what was observed counts for
-        nothing.
-        """
+        """Resets the observations of a backend whose process was replaced by another one."""
         self._slow_start.end(endpoint)
         endpoint.reset_observations()
 
     def draw_allowance(self, request: ClientRequest) -> None:
-        """A request is about to be placed."""
+        """Draws the slow start allowance of a request that is about to be placed."""
         loads = self._loads
         mean_load = max(loads.mean_load(), MIN_MEAN_LOAD)
         key_load = loads.group_load(request.key_hash) / mean_load
         own_load = loads.own_load / mean_load
         self._slow_start.draw_allowance(
-            self._capacity.open_established, key_load, own_load, self._context.now_us
+            self._capacity.open_at_full_capacity, key_load, own_load, self._context.now_us
         )
 
     def admits(self, endpoint: Endpoint, request: ClientRequest, *, for_attempt: bool) -> bool:
-        """Whether the backend takes the request as far as slow start goes: its load stays under the fair load
-        times the share of its capacity that it surely has, and what is sent under what `SlowStart` allows.
-        A backend in slow start admits nothing that is not sent (`for_attempt`).
+        """Returns whether the slow start rules let the backend admit the request.
+
+        The load of a backend in slow start must not exceed the fair load times its capacity share, and the
+        requests sent there must stay within the allowance of `SlowStart`. Without `for_attempt`, a backend in
+        slow start admits nothing.
         """
         if endpoint.slow_start.began_us < 0:
             return True
@@ -82,14 +82,16 @@
         return self._slow_start.admits(endpoint, weight, request.is_returning, now_us)
 
     def record_attempt(self, endpoint: Endpoint) -> SlowStartAllowance | None:
-        """An attempt begins there; None if the backend is not in slow start."""
+        """Records that an attempt begins there; returns None if the backend is not in slow start."""
         if endpoint.slow_start.began_us < 0:
             return None
         return self._slow_start.record_attempt(endpoint, self._context.now_us)
 
-    def opens_us(self, endpoint: Endpoint, others_open_us: float) -> float:
-        """When a backend in slow start can be expected to take a waiting request, if all else lets it through
-        at `others_open_us`; at the end of the slow start at the latest.
+    def next_admission_us(self, endpoint: Endpoint, other_gates_admission_us: float) -> float:
+        """Estimates when a backend in slow start will admit a waiting request.
+
+        `other_gates_admission_us` is the time at which all other rules admit it. The result is no later than
+        the end of the slow start.
         """
         settings = self._context.settings
         now_us = self._context.now_us
@@ -102,7 +104,7 @@
         wait_us = max(0.0, missing) * settings.slow_start_us if known_load > 0 else 0.0
         next_us = self._slow_start.next_admission_us(endpoint, now_us)
         ends_us = max(now_us, endpoint.slow_start.began_us + settings.slow_start_us)
-        return min(max(others_open_us, now_us + wait_us, next_us), ends_us)
+        return min(max(other_gates_admission_us, now_us + wait_us, next_us), ends_us)
 
     def _multiple(self) -> float:
         is_among_many = self._loads.instances >= MANY_INSTANCES and self._loads.is_fleet_load_fresh()
--- a/sailrun/decisions/snapshot.py
+++ b/sailrun/decisions/snapshot.py
@@ -1,4 +1,4 @@
-"""What an instance has learned, copied out for a successor and back in."""
+"""Copies the observed state of backends into a snapshot for a successor, and back."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def snapshot_backend(endpoint: Endpoint) -> BackendSnapshot:
-    """What was observed of a backend, less its connections and what the list says."""
+    """Returns the observed state of a backend, without its connections and its list entry."""
     outlier = endpoint.outlier
     overload = endpoint.overload
     slow_start = endpoint.slow_start
@@ -31,7 +31,7 @@
 
 
 def restore_backend(endpoint: Endpoint, snapshot: BackendSnapshot) -> None:
-    """Takes over what was observed, of a backend that is still the same process."""
+    """Restores the observed state of a backend, which must still be the same process."""
     outlier = endpoint.outlier
     outlier.ejected_until_us = snapshot.ejected_until_us
     outlier.ejections = snapshot.ejections
--- a/sailrun/decisions/subscription.py
+++ b/sailrun/decisions/subscription.py
@@ -1,4 +1,4 @@
-"""Where the backend list has to be asked for: when this instance subscribes again after a failed call."""
+"""Schedules when this instance subscribes to the backend list, in discovery mode ASK."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from sailrun.decisions.events import ListKind
 from sailrun.decisions.settings import DiscoveryMode
 
-# Discovery gets one call of all instances in so long, less often after failures; an instance calls within
-# this share of the longest time that it may go without.
+# All instances together make one call to discovery per CALL_INTERVAL_US on average, and fewer after failures.
+# An instance calls within POLL_SHARE of its poll interval.
 CALL_INTERVAL_US = 100_000
 POLL_SHARE = 0.75
 MAX_DOUBLINGS = 10
@@ -17,8 +17,8 @@
 class ListSubscription:
     """Spreads the calls of all instances over a window that grows with failures (backoff).
 
-    Discovery takes calls in turn, also those that have been given up: with more calls than it takes, none is
-    answered in time any more.
+    Discovery handles calls in order, including those that have timed out at the caller. If more calls arrive
+    than it can handle, none is answered in time.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -27,12 +27,12 @@
         self._is_scheduled = False
 
     def record_update(self, kind: ListKind) -> None:
-        """A call or the subscription has brought this; a list from before this instance says nothing."""
+        """Counts consecutive failures; a cached list is not a result of a call and is ignored."""
         if kind is not ListKind.CACHED:
             self._failures = self._failures + 1 if kind is ListKind.FAILED else 0
 
     def schedule(self) -> None:
-        """Sets the timer for the next call, at a random time within the window."""
+        """Sets the timer for the next call to a random time within the window."""
         settings = self._context.settings
         if settings.discovery is not DiscoveryMode.ASK or self._is_scheduled:
             return
@@ -43,7 +43,7 @@
         self._context.emit(SetTimer(1 + int(self._context.random.random() * window_us), SUBSCRIBE_TIMER))
 
     def on_timer(self) -> None:
-        """Subscribes, if that is still to be done."""
+        """Subscribes if a call is scheduled."""
         if self._is_scheduled:
             self._is_scheduled = False
             self._context.emit(Subscribe())
--- a/sailrun/wire.py
+++ b/sailrun/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's line protocol: lines to events, actions to lines. No decisions."""
+"""The simulator's line protocol: converts lines to events and actions to lines. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -53,142 +53,142 @@
     "revoked": AttemptOutcome.CANCELLED,
     "unused": AttemptOutcome.NOT_SENT,
 }
-_HINT, _REPEAT, _MID_FLOW, _RETURNING = 1, 2, 8, 16  # bits of a request's marks
+_HINT, _REPEAT, _MID_FLOW, _RETURNING = 1, 2, 8, 16  # bits of the `marks` field of a request
 
 
 def report_names(fields: Fields) -> tuple[str, ...]:
-    """The order of the values in a load report."""
+    """Returns the names of the values in a load report, in their order."""
     return tuple(name for name in fields.get("telemetry.fields", "").split(",") if name)
 
 
 # --------------------------------------------------------------------------- events
 
 
-def backend(f: Fields) -> Backend:
-    """One entry of a list."""
+def backend(fields: Fields) -> Backend:
+    """Parses one entry of a backend list."""
     states = {str(s.value): s for s in BackendState}
     return Backend(
-        id=integer("m", f, "backend"),
-        state=choice("m", f, "lifecycle", states),
-        zone=f.get("az", ""),
-        cell=integer("m", f, "cohort", 0),
-        capacity=number("m", f, "capacityHint", 1.0),
-        started_us=integer("m", f, "bootTimeUs", 0),
+        id=integer("m", fields, "backend"),
+        state=choice("m", fields, "lifecycle", states),
+        zone=fields.get("az", ""),
+        cell=integer("m", fields, "cohort", 0),
+        capacity=number("m", fields, "capacityHint", 1.0),
+        started_us=integer("m", fields, "bootTimeUs", 0),
     )
 
 
-def list_update(f: Fields, lists: dict[int, tuple[Backend, ...]]) -> BackendListUpdate:
-    """A list or the news of a failed call, with the list that its `setId` names. Raises WireError."""
-    m = "discovery"
-    kind = choice(m, f, "kind", {str(k.value): k for k in ListKind})
+def list_update(fields: Fields, lists: dict[int, tuple[Backend, ...]]) -> BackendListUpdate:
+    """Parses a list update or a failed call; `setId` refers to one of `lists`. Raises WireError."""
+    message = "discovery"
+    kind = choice(message, fields, "kind", {str(k.value): k for k in ListKind})
     entries: tuple[Backend, ...] = ()
     if kind is not ListKind.FAILED:
-        number_of_list = integer(m, f, "setId")
-        if number_of_list not in lists:
-            raise WireError(m, "setId", f"the number of a list given before, not '{number_of_list}'")
-        entries = lists[number_of_list]
-    return BackendListUpdate(kind, integer(m, f, "index", 0), entries)
+        list_id = integer(message, fields, "setId")
+        if list_id not in lists:
+            raise WireError(message, "setId", f"the number of a list given before, not '{list_id}'")
+        entries = lists[list_id]
+    return BackendListUpdate(kind, integer(message, fields, "index", 0), entries)
 
 
-def _hint(m: str, f: Fields, marks: int) -> float | None:
-    return number(m, f, "workHintUs") if marks & _HINT and "workHintUs" in f else None
+def _hint(message: str, fields: Fields, marks: int) -> float | None:
+    return number(message, fields, "workHintUs") if marks & _HINT and "workHintUs" in fields else None
 
 
-def _tenant(f: Fields) -> str | None:
-    name = f.get("billing")
+def _tenant(fields: Fields) -> str | None:
+    name = fields.get("billing")
     return None if name in (None, "", "0") else name
 
 
-def _request(f: Fields, _: tuple[str, ...]) -> Event:
-    m = "request"
-    marks = integer(m, f, "marks", 0)
+def _request(fields: Fields, _: tuple[str, ...]) -> Event:
+    message = "request"
+    marks = integer(message, fields, "marks", 0)
     return RequestArrived(
-        request=text(m, f, "req"),
-        request_class=text(m, f, "tierClass"),
-        left_us=integer(m, f, "leftUs"),
-        key=f.get("resource") or None,
-        group_key=f.get("teamId") or None,
-        tenant=_tenant(f),
-        load_hint=_hint(m, f, marks),
+        request=text(message, fields, "req"),
+        request_class=text(message, fields, "tierClass"),
+        left_us=integer(message, fields, "leftUs"),
+        key=fields.get("resource") or None,
+        group_key=fields.get("teamId") or None,
+        tenant=_tenant(fields),
+        load_hint=_hint(message, fields, marks),
         repeat=bool(marks & _REPEAT),
         mid_flow=bool(marks & _MID_FLOW),
         returning=bool(marks & _RETURNING),
     )
 
 
-def _resumed(f: Fields, _: tuple[str, ...]) -> Event:
-    m = "resumed"
+def _resumed(fields: Fields, _: tuple[str, ...]) -> Event:
+    message = "resumed"
     return ConnectionResumed(
-        request=text(m, f, "req"),
-        request_class=text(m, f, "tierClass"),
-        backend=integer(m, f, "backend"),
-        key=f.get("resource") or None,
-        group_key=f.get("teamId") or None,
-        tenant=_tenant(f),
-        load_hint=_hint(m, f, integer(m, f, "marks", 0)),
+        request=text(message, fields, "req"),
+        request_class=text(message, fields, "tierClass"),
+        backend=integer(message, fields, "backend"),
+        key=fields.get("resource") or None,
+        group_key=fields.get("teamId") or None,
+        tenant=_tenant(fields),
+        load_hint=_hint(message, fields, integer(message, fields, "marks", 0)),
     )
 
 
-def _report(m: str, f: Fields, names: tuple[str, ...]) -> tuple[tuple[str, float], ...]:
-    row = f.get("healthInfo")
+def _report(message: str, fields: Fields, names: tuple[str, ...]) -> tuple[tuple[str, float], ...]:
+    row = fields.get("healthInfo")
     if not row:
         return ()
     values = row.split(",")
-    return tuple((n, number(m, {n: v}, n)) for n, v in zip(names, values, strict=False) if v)
+    return tuple((n, number(message, {n: v}, n)) for n, v in zip(names, values, strict=False) if v)
 
 
-def _reply(f: Fields, names: tuple[str, ...]) -> Event:
-    m = "reply"
+def _reply(fields: Fields, names: tuple[str, ...]) -> Event:
+    message = "reply"
     return AttemptEnded(
-        request=text(m, f, "req"),
-        attempt=integer(m, f, "copy"),
-        backend=integer(m, f, "backend"),
-        outcome=choice(m, f, "outcome", _OUTCOMES),
-        over=choice(m, {"over": "0", **f}, "over", FLAGS),
-        latency_us=integer(m, f, "latencyUs", 0),
-        report=_report(m, f, names),
+        request=text(message, fields, "req"),
+        attempt=integer(message, fields, "copy"),
+        backend=integer(message, fields, "backend"),
+        outcome=choice(message, fields, "outcome", _OUTCOMES),
+        over=choice(message, {"over": "0", **fields}, "over", FLAGS),
+        latency_us=integer(message, fields, "latencyUs", 0),
+        report=_report(message, fields, names),
     )
 
 
-def _probe_result(f: Fields, names: tuple[str, ...]) -> Event:
-    m = "probe_result"
+def _probe_result(fields: Fields, names: tuple[str, ...]) -> Event:
+    message = "probe_result"
     return ProbeEnded(
-        backend=integer(m, f, "backend"),
-        outcome=choice(m, f, "outcome", _OUTCOMES),
-        latency_us=integer(m, f, "latencyUs", 0),
-        report=_report(m, f, names),
+        backend=integer(message, fields, "backend"),
+        outcome=choice(message, fields, "outcome", _OUTCOMES),
+        latency_us=integer(message, fields, "latencyUs", 0),
+        report=_report(message, fields, names),
     )
 
 
-def _begun(f: Fields, _: tuple[str, ...]) -> Event:
-    m = "begun"
+def _begun(fields: Fields, _: tuple[str, ...]) -> Event:
+    message = "begun"
     return ConnectionOpened(
-        request=text(m, f, "req"),
-        attempt=integer(m, f, "copy"),
-        backend=integer(m, f, "backend"),
-        latency_us=integer(m, f, "latencyUs", 0),
+        request=text(message, fields, "req"),
+        attempt=integer(message, fields, "copy"),
+        backend=integer(message, fields, "backend"),
+        latency_us=integer(message, fields, "latencyUs", 0),
     )
 
 
-def _interim(f: Fields, _: tuple[str, ...]) -> Event:
-    m = "interim"
+def _interim(fields: Fields, _: tuple[str, ...]) -> Event:
+    message = "interim"
     return AttemptNotice(
-        request=text(m, f, "req"),
-        attempt=integer(m, f, "copy"),
-        backend=integer(m, f, "backend"),
-        kind=choice(m, f, "sort", {str(k.value): k for k in NoticeKind}),
-        value=number(m, f, "value"),
+        request=text(message, fields, "req"),
+        attempt=integer(message, fields, "copy"),
+        backend=integer(message, fields, "backend"),
+        kind=choice(message, fields, "sort", {str(k.value): k for k in NoticeKind}),
+        value=number(message, fields, "value"),
     )
 
 
-def _neighbour_says(f: Fields, _: tuple[str, ...]) -> Event:
-    m = "neighbour_says"
+def _neighbour_says(fields: Fields, _: tuple[str, ...]) -> Event:
+    message = "neighbour_says"
     try:
-        coded = text(m, f, "content")
-        content = b"" if coded == "-" else base64.b64decode(coded, validate=True)
+        encoded = text(message, fields, "content")
+        content = b"" if encoded == "-" else base64.b64decode(encoded, validate=True)
     except binascii.Error:
-        raise WireError(m, "content", "base64 with padding, or '-'") from None
-    return PeerMessage(sender=integer(m, f, "originPeer"), content=content)
+        raise WireError(message, "content", "base64 with padding, or '-'") from None
+    return PeerMessage(sender=integer(message, fields, "originPeer"), content=content)
 
 
 EVENTS: dict[str, Callable[[Fields, tuple[str, ...]], Event]] = {
@@ -199,8 +199,8 @@
     "interim": _interim,
     "probe_result": _probe_result,
     "neighbour_says": _neighbour_says,
-    "dropped": lambda f, _: ClientLeft(text("dropped", f, "req")),
-    "alarm": lambda f, _: TimerFired(integer("alarm", f, "ref")),
+    "dropped": lambda fields, _: ClientLeft(text("dropped", fields, "req")),
+    "alarm": lambda fields, _: TimerFired(integer("alarm", fields, "ref")),
 }
 
 # --------------------------------------------------------------------------- actions
@@ -210,9 +210,9 @@
     return " ".join(value.split())
 
 
-def _tell(who: int, a: SendToPeer) -> str:
+def _peer_message_line(instance_id: int, a: SendToPeer) -> str:
     content = base64.b64encode(a.content).decode() or "-"
-    return f"say\twho={who}\twhom={'*' if a.peer is None else a.peer}\tcontent={content}"
+    return f"say\twho={instance_id}\twhom={'*' if a.peer is None else a.peer}\tcontent={content}"
 
 
 _LINES: dict[type, Callable[[int, Any], str]] = {
@@ -228,17 +228,17 @@
     FetchList: lambda w, a: f"read_list\twho={w}",
     ProbeBackend: lambda w, a: f"test\twho={w}\tbackend={a.backend}",
     CloseIdle: lambda w, a: f"let_go\twho={w}\tbackend={a.backend}",
-    SendToPeer: _tell,
+    SendToPeer: _peer_message_line,
     SlowStartChanged: lambda w, a: f"remark\twho={w}\ttext=slow start of {a.backend}: {a.reason.value}",
     LogMessage: lambda w, a: f"remark\twho={w}\ttext={_one_line(a.text)}",
 }
 
 
-def action_line(who: int, action: Action) -> str:
-    """An action of instance `who` as a line."""
-    return _LINES[type(action)](who, action)
+def action_line(instance_id: int, action: Action) -> str:
+    """Encodes an action of an instance as a line."""
+    return _LINES[type(action)](instance_id, action)
 
 
-def fault_line(who: int, cause: str) -> str:
-    """The line that ends an instance after a fault of its own."""
-    return f"give_in\twho={who}\ttext={_one_line(cause)}"
+def fault_line(instance_id: int, cause: str) -> str:
+    """Returns the line that ends an instance after an internal error."""
+    return f"give_in\twho={instance_id}\ttext={_one_line(cause)}"
--- a/sailrun/wire_fields.py
+++ b/sailrun/wire_fields.py
@@ -1,4 +1,4 @@
-"""The fields of a line on the simulator's wire: name=value parts, and what their values may be."""
+"""Parses the name=value fields of a line of the simulator's protocol and validates their values."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class WireError(SailrunError, ValueError):
-    """A malformed line: names the message, the field and what was expected."""
+    """A malformed line; the text names the message, the field and the expected value."""
 
     def __init__(self, message: str, field: str, expected: str) -> None:
         super().__init__(f"malformed '{message}': field '{field}': expected {expected}")
@@ -22,7 +22,7 @@
 
 
 def split_fields(message: str, parts: list[str]) -> Fields:
-    """name=value parts as a dict. Raises WireError."""
+    """Splits name=value parts into a dict. Raises WireError."""
     fields: Fields = {}
     for part in parts:
         name, sep, value = part.partition("=")
@@ -33,7 +33,7 @@
 
 
 def text(message: str, fields: Fields, name: str) -> str:
-    """A field that must have a value. Raises WireError."""
+    """Returns a field that must have a value. Raises WireError."""
     value = fields.get(name)
     if not value:
         raise WireError(message, name, "a value")
@@ -41,7 +41,7 @@
 
 
 def integer(message: str, fields: Fields, name: str, default: int | None = None) -> int:
-    """A whole number; `default` where the field is missing. Raises WireError."""
+    """Returns a whole number, or `default` if the field is missing. Raises WireError."""
     value = fields.get(name)
     if value is None:
         if default is not None:
@@ -54,7 +54,7 @@
 
 
 def number(message: str, fields: Fields, name: str, default: float | None = None) -> float:
-    """A finite number; `default` where the field is missing. Raises WireError."""
+    """Returns a finite number, or `default` if the field is missing. Raises WireError."""
     value = fields.get(name)
     if value is None:
         if default is not None:
@@ -70,7 +70,7 @@
 
 
 def choice(message: str, fields: Fields, name: str, table: dict[str, E]) -> E:
-    """What a field's value stands for in the table. Raises WireError."""
+    """Returns the table entry for a field's value. Raises WireError."""
     value = fields.get(name, "")
     if value not in table:
         raise WireError(message, name, f"one of {', '.join(table)}, not '{value}'")
