--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -178,15 +178,15 @@
     """One of twenty form servers times every attempt out. A node finds out, restarts, and goes on for 10 s:
     its attempts there, households brought up at once, and attempts there had it not been restarted.
     """
-    from tests.support import Relay, full, ten_seconds
+    from tests.support import InstanceHarness, full, run_ten_seconds
 
     bad = 7
-    first = Relay(seed=3)
+    first = InstanceHarness(seed=3)
     first.feed(full(*range(1, 21)))
-    ten_seconds(first, bad)
+    run_ten_seconds(first, bad)
     names = {n: f"s-{n}" for n in range(1, 21)}
     content = decision_snapshot.encode_snapshot(first.now, first.balancer.snapshot(), names)
-    second = Relay(seed=4)
+    second = InstanceHarness(seed=4)
     second.advance(first.now + int(away_s * SECOND) - second.now)
     second.feed(full(*range(1, 21)))
     if kept:
@@ -195,12 +195,12 @@
         )
         assert isinstance(learned, StateSnapshot)
         second.feed(learned)
-    up = ten_seconds(second, bad)
+    up = run_ten_seconds(second, bad)
     second.finish()
-    sends = [backend for promise in second.promises.values() for backend, _ in promise.sends]
-    before = sum(backend == bad for p in first.promises.values() for backend, _ in p.sends)
-    ten_seconds(first, bad)
-    after = sum(backend == bad for p in first.promises.values() for backend, _ in p.sends)
+    sends = [backend for promise in second.expected_answers.values() for backend, _ in promise.sends]
+    before = sum(backend == bad for p in first.expected_answers.values() for backend, _ in p.sends)
+    run_ten_seconds(first, bad)
+    after = sum(backend == bad for p in first.expected_answers.values() for backend, _ in p.sends)
     return sends.count(bad), up, after - before
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -79,7 +79,7 @@
 
 
 @dataclass
-class Promise:
+class ExpectedAnswer:
     """The final answer that one request must get, and its attempts so far."""
 
     request_class: RequestClass
@@ -93,14 +93,14 @@
 NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
-class Relay:
+class InstanceHarness:
     """Feeds events to one instance, carries out its actions and asserts the rules for one instance."""
 
     def __init__(self, configured: Settings | None = None, seed: int = 1) -> None:
         self.settings = configured or settings()
         self.now = 1_000
         self.balancer = Balancer(self.settings, seed, self.now)
-        self.promises: dict[str, Promise] = {}
+        self.expected_answers: dict[str, ExpectedAnswer] = {}
         self.attempts: dict[str, Attempt] = {}  # under way or established, by request
         self.timers: list[tuple[int, int]] = []
         self.listed: dict[int, tuple[Backend, int]] = {}  # last listed entry, and the start of its state
@@ -141,7 +141,7 @@
         self._request_count += 1
         name = f"r{self._request_count}"
         declared = next(c for c in self.settings.classes if c.name == request_class)
-        self.promises[name] = Promise(declared, self.now + left_us, mid_flow=mid_flow)
+        self.expected_answers[name] = ExpectedAnswer(declared, self.now + left_us, mid_flow=mid_flow)
         self.feed(
             RequestArrived(name, request_class, left_us, key or name, group, None, hint, mid_flow=mid_flow)
         )
@@ -154,7 +154,7 @@
 
     def end(self, name: str, outcome: AttemptOutcome, forced_over: bool = False) -> list[Action]:
         attempt = self.attempts.pop(name)
-        expected = self.promises[name]
+        expected = self.expected_answers[name]
         if outcome not in NEVER_RAN:
             expected.maybe_ran.append(expected.sends[attempt.number])
         over = expected.over or attempt.is_established or outcome is AttemptOutcome.OK or forced_over
@@ -162,7 +162,7 @@
         return self.feed(AttemptEnded(name, attempt.number, attempt.backend, outcome, over))
 
     def leave(self, name: str) -> None:
-        self.promises[name].over = True
+        self.expected_answers[name].over = True
         self.feed(ClientLeft(name))
 
     def notice(self, name: str, kind: NoticeKind, value: float) -> list[Action]:
@@ -191,7 +191,7 @@
     # -------------------------------------------------------------- rules
 
     def check_answers(self) -> None:
-        for name, expected in self.promises.items():
+        for name, expected in self.expected_answers.items():
             is_late = self.now > expected.due_us + self.settings.answer_slack_us
             attempt = self.attempts.get(name)
             assert expected.over or not is_late or (attempt is not None and attempt.is_established), (
@@ -210,7 +210,7 @@
         elif isinstance(action, StartAttempt):
             self._check_send(action)
         elif isinstance(action, (RejectRequest, FailRequest)):
-            expected = self.promises[action.request]
+            expected = self.expected_answers[action.request]
             assert not expected.over, "a second final answer"
             assert self.now <= expected.due_us + self.settings.answer_slack_us, "answered late"
             assert action.request not in self.attempts, "answered during an attempt"
@@ -226,7 +226,7 @@
             assert attempt.is_established
 
     def _check_send(self, send: StartAttempt) -> None:
-        expected = self.promises[send.request]
+        expected = self.expected_answers[send.request]
         assert not expected.over, "sent after its final answer"
         assert send.request not in self.attempts, "two attempts at the same time"
         assert len(expected.sends) < self.settings.max_attempts
@@ -254,13 +254,15 @@
     # -------------------------------------------------------------- queries
 
     def sent_to(self, name: str) -> int:
-        return self.promises[name].sends[-1][0]
+        return self.expected_answers[name].sends[-1][0]
 
     def actions_of(self, kind: type) -> list[Action]:
         return [a for a in self.actions if isinstance(a, kind)]
 
 
-def ten_seconds(harness: Relay, silent: int, before: Callable[[int], None] = lambda n: None) -> int:
+def run_ten_seconds(
+    harness: InstanceHarness, silent: int, before: Callable[[int], None] = lambda n: None
+) -> int:
     """Sends 60 requests per second for 10 s; attempts at `silent` time out, all others succeed within 20 ms.
 
     `before` is called before each interval of 0.2 s. Returns how many requests were established within their
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -18,58 +18,58 @@
 from sailrun.decisions.placement import MASK, key_hash, server_hash
 from sailrun.decisions.selection import MAX_CANDIDATES
 from sailrun.decisions.settings import DedupScope, DiscoveryMode, Effect, RequestClass
-from tests.support import SECOND, Relay, backend, delta, full, settings
+from tests.support import SECOND, InstanceHarness, backend, delta, full, settings
 
 FLEET = tuple(range(1, 21))
 
 
-def harness_with_connections(connections: int, **changes: object) -> Relay:
-    harness = Relay(settings(**changes))
+def harness_with_connections(connections: int, **changes: object) -> InstanceHarness:
+    harness = InstanceHarness(settings(**changes))
     harness.feed(full(*FLEET))
     for n in range(connections):
         harness.establish(harness.send_request(key=f"base{n}"))
     return harness
 
 
-def busiest(harness: Relay) -> int:
+def busiest(harness: InstanceHarness) -> int:
     backends = [a.backend for a in harness.attempts.values()]
     return max(set(backends), key=backends.count)
 
 
 def test_a_waiting_request_with_a_short_deadline_is_answered_in_time() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     # The next retry of waiting requests would be after its deadline.
     name = harness.send_request(left_us=30_000)
     harness.finish()
-    assert harness.promises[name].over
+    assert harness.expected_answers[name].over
 
 
 def test_a_retry_goes_to_another_backend() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2, 3))
     name = harness.send_request()
     for _ in range(2):
         harness.end(name, AttemptOutcome.ERROR)
-        harness.advance(700_000 if len(harness.promises[name].sends) == 2 else 350_000)
-    sends = [b for b, _ in harness.promises[name].sends]
+        harness.advance(700_000 if len(harness.expected_answers[name].sends) == 2 else 350_000)
+    sends = [b for b, _ in harness.expected_answers[name].sends]
     assert len(sends) >= 2 and len(set(sends)) == len(sends)
-    single = Relay()
+    single = InstanceHarness()
     single.feed(full(1))
     name = single.send_request()
     single.end(name, AttemptOutcome.ERROR)
     single.finish()
-    assert len(single.promises[name].sends) == 1
+    assert len(single.expected_answers[name].sends) == 1
 
 
 def test_a_deduplicated_request_fails_after_its_deduplication_window() -> None:
     keyed = RequestClass("keyed", 300_000, 1_200_000, 1.0, Effect.DEDUPLICATED, DedupScope.ALL, 100_000)
     for waited, sends in ((50_000, 2), (150_000, 1)):
-        harness = Relay(settings(classes=(keyed,)))
+        harness = InstanceHarness(settings(classes=(keyed,)))
         harness.feed(full(1, 2, 3))
         name = harness.send_request("keyed")
         harness.advance(waited)
         harness.end(name, AttemptOutcome.RESET)
-        assert len(harness.promises[name].sends) == sends
+        assert len(harness.expected_answers[name].sends) == sends
         assert (FailRequest(name, DenialReason.OUT_OF_ATTEMPTS) in harness.actions) == (sends == 1)
 
 
@@ -90,7 +90,7 @@
     used = {
         a.backend
         for n, a in harness.attempts.items()
-        if harness.promises[n].request_class and int(n[1:]) > 200
+        if harness.expected_answers[n].request_class and int(n[1:]) > 200
     }
     assert used <= set(order[: len(used) + 3])
 
@@ -117,11 +117,11 @@
 
 
 def test_the_only_backend_is_tried_even_when_ejected() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1))
     harness.end(harness.send_request(key="a"), AttemptOutcome.CONNECT_FAILED)
     name = harness.send_request(key="b")
-    assert harness.promises[name].sends, "the only backend is tried although it was just ejected"
+    assert harness.expected_answers[name].sends, "the only backend is tried although it was just ejected"
 
 
 def test_a_half_open_backend_gets_one_attempt_at_a_time() -> None:
@@ -209,7 +209,7 @@
 
 
 def test_rounding_errors_cannot_make_a_load_negative() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(*FLEET))
     for n in range(50):
         harness.establish(harness.send_request(key=f"k{n}", hint=0.1 * (n + 1) / 3))
@@ -220,7 +220,7 @@
 
 
 def test_a_placement_considers_a_bounded_number_of_backends() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(*range(1, 501)))
     calls = 0
 
@@ -264,7 +264,7 @@
 
 
 def test_a_failed_subscription_is_retried_with_growing_jitter() -> None:
-    harness = Relay(settings(discovery=DiscoveryMode.ASK, poll_interval_us=10 * SECOND))
+    harness = InstanceHarness(settings(discovery=DiscoveryMode.ASK, poll_interval_us=10 * SECOND))
     harness.feed(BackendListUpdate(ListKind.CACHED, 1, (backend(1),)))
     waits = []
     for _ in range(8):
@@ -299,7 +299,7 @@
     assert sum(1 for n in names if n in harness.attempts and harness.sent_to(n) == recovered) == 0
 
 
-def overload_all_backends(harness: Relay) -> None:
+def overload_all_backends(harness: InstanceHarness) -> None:
     first: dict[int, str] = {}
     for name, attempt in harness.attempts.items():
         first.setdefault(attempt.backend, name)
@@ -336,7 +336,7 @@
     rejected_name = harness.send_request(key="k", left_us=SECOND)
     assert [a.request for a in harness.actions_of(RejectRequest)][-1:] == [rejected_name]  # type: ignore[union-attr]
     waiting_name = harness.send_request(key="k", left_us=5 * SECOND)
-    assert waiting_name not in harness.attempts and not harness.promises[waiting_name].over
+    assert waiting_name not in harness.attempts and not harness.expected_answers[waiting_name].over
     harness.advance(SECOND)
     overload_all_backends(harness)  # the fleet stays full beyond the deadline of this request
     harness.advance(SECOND)
@@ -344,7 +344,7 @@
     harness.advance(SECOND)
     overload_all_backends(harness)
     harness.advance(100_000)
-    assert harness.promises[waiting_name].over
+    assert harness.expected_answers[waiting_name].over
 
 
 def test_attempts_before_the_first_cut_do_not_count_against_the_setup_rate() -> None:
@@ -360,7 +360,7 @@
 
 
 def test_a_group_heavier_than_a_backend_spreads_before_any_backend_is_overloaded() -> None:
-    tier = [Relay(settings(instances=20, index=n), seed=n + 1) for n in range(20)]
+    tier = [InstanceHarness(settings(instances=20, index=n), seed=n + 1) for n in range(20)]
     fleet = tuple(range(1, 61))
     for harness in tier:
         harness.feed(full(*fleet))
@@ -433,7 +433,7 @@
         if name in harness.attempts:
             harness.establish(name)
     names = [harness.send_request(key=f"n{n}") for n in range(50)]
-    assert all(harness.promises[n].sends for n in names)
+    assert all(harness.expected_answers[n].sends for n in names)
 
 
 def test_a_backend_that_answers_with_errors_is_ejected_without_limiting_the_setup_rate() -> None:
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -19,11 +19,11 @@
     TimerFired,
 )
 from sailrun.decisions.settings import RequestClass
-from tests.support import SECOND, Relay, backend, delta, full, settings
+from tests.support import SECOND, InstanceHarness, backend, delta, full, settings
 
 
 def test_events_about_finished_or_unknown_requests_have_no_effect() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2))
     name = harness.send_request()
     harness.establish(name)
@@ -48,17 +48,17 @@
 
 
 def test_a_client_that_leaves_during_an_attempt_is_never_answered() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2))
     name = harness.send_request()
     harness.leave(name)
     harness.end(name, AttemptOutcome.CONNECT_FAILED)
     harness.finish()
-    assert len(harness.promises[name].sends) == 1
+    assert len(harness.expected_answers[name].sends) == 1
 
 
 def test_requests_are_rejected_at_once_without_any_backend() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     first_name = harness.send_request()
     harness.feed(full(1))
     assert harness.sent_to(harness.send_request()) == 1
@@ -68,7 +68,7 @@
 
 
 def test_an_unsafe_request_that_may_have_run_fails_when_all_backends_are_gone() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2))
     name = harness.send_request("unsafe")
     harness.feed(full())
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("left_us", [0, 1, 4_000])
 def test_a_request_without_time_left_is_rejected_at_once(left_us: int) -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1))
     harness.send_request(left_us=left_us)
     assert harness.actions_of(RejectRequest) and not harness.actions_of(StartAttempt)
@@ -87,7 +87,7 @@
 def test_repeated_lists_change_nothing() -> None:
     placed_on = []
     for repeats in (1, 5):
-        harness = Relay()
+        harness = InstanceHarness()
         for _ in range(repeats):
             harness.feed(full(1, 2, 3))
         placed_on.append([harness.sent_to(harness.send_request(key=f"k{n}")) for n in range(9)])
@@ -95,7 +95,7 @@
 
 
 def test_a_restart_under_the_same_id_begins_a_slow_start() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2))
     harness.end(harness.send_request(key="a"), AttemptOutcome.CONNECT_FAILED)
     harness.advance(60 * SECOND)
@@ -105,9 +105,9 @@
 
 
 def test_missing_keys_hints_classes_and_tenants() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2))
-    harness.promises["x"] = harness.promises[harness.send_request()].__class__(
+    harness.expected_answers["x"] = harness.expected_answers[harness.send_request()].__class__(
         harness.settings.classes[0], harness.now + 400_000
     )
     actions = harness.feed(RequestArrived("x", "unheard", 400_000))
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("capacity", [0.0, -3.0, 1e18, 1e-18])
 def test_extreme_capacity_hints(capacity: float) -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(backend(1, capacity=capacity), 2, 3))
     for n in range(60):
         harness.establish(harness.send_request(key=f"k{n}"))
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("value", [-1.0, 0.0, 1e300])
 def test_extreme_notices_and_load_hints(value: float) -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2, 3))
     names = [harness.send_request(key=f"k{n}", hint=value) for n in range(6)]
     for name in names:
@@ -138,7 +138,7 @@
 
 
 def test_a_clock_that_jumps_far_ahead_or_back() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2, backend(3, 1, 500)))
     harness.establish(harness.send_request(key="a"))
     harness.now += 10**15
@@ -148,7 +148,7 @@
 
 
 def test_resumed_connections_count_as_load_and_get_no_answer() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2))
     for n in range(40):
         harness.feed(ConnectionResumed(f"old{n}", "stream", 1 if n < 39 else 77, key=f"k{n}"))
@@ -183,5 +183,5 @@
 @pytest.mark.parametrize(("field", "operator_name", "value"), INVALID_SETTINGS)
 def test_errors_name_invalid_settings_and_their_value(field: str, operator_name: str, value: object) -> None:
     with pytest.raises(ValueError, match=rf"\b{operator_name}\b") as raised:
-        Relay(settings(**{field: value}))
+        InstanceHarness(settings(**{field: value}))
     assert repr(value) in str(raised.value) or field == "classes"
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -8,13 +8,13 @@
 import pytest
 
 from sailrun.decisions.events import AttemptOutcome, FleetLoad
-from tests.support import SECOND, Relay, backend, delta, full, settings
+from tests.support import SECOND, InstanceHarness, backend, delta, full, settings
 
 STABLE_IDS, STARTING_ID, STARTED_US = tuple(range(1, 9)), 99, 20 * SECOND
 STEP_US, STEPS, STEPS_PER_UPDATE = 150_000, 60, 14
 
 
-def share_fleet_loads(tier: list[Relay]) -> None:
+def share_fleet_loads(tier: list[InstanceHarness]) -> None:
     """Gives each instance the load of the others, as after a gossip round without lost datagrams."""
     own_backends = [[a.backend for a in harness.attempts.values()] for harness in tier]
     loads = {
@@ -37,7 +37,7 @@
     """Traffic is uneven, a third of the instances restart within the window, the backend starts twice."""
     random = Random(seed)
     tier = [
-        Relay(settings(instances=instance_count, index=n), seed=1000 * seed + n)
+        InstanceHarness(settings(instances=instance_count, index=n), seed=1000 * seed + n)
         for n in range(instance_count)
     ]
     instance_settings = tier[0].settings
@@ -64,7 +64,7 @@
             starts = [10**15]
         if step == 4:
             for n in range(0, instance_count, 3):
-                now, tier[n] = tier[n].now, Relay(tier[n].settings, seed=5000 + n)
+                now, tier[n] = tier[n].now, InstanceHarness(tier[n].settings, seed=5000 + n)
                 tier[n].now = now
                 tier[n].feed(full(*STABLE_IDS, backend(STARTING_ID, 1, STARTED_US)))
         for harness in tier:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -48,7 +48,7 @@
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.state_transfer import TransferSender
 from sailrun.replication.store import PutResult, RecordStore
-from tests.support import Relay, full, ten_seconds
+from tests.support import InstanceHarness, full, run_ten_seconds
 
 SECOND = 1_000_000
 KEY = ("out", "s-00000001", "")
@@ -651,7 +651,7 @@
     """A node just started, twenty form servers, one of which times every attempt out; sixty households a
     second for 10 s. Returns attempts there and how many households were brought up at once.
     """
-    relay = Relay(seed=3)
+    relay = InstanceHarness(seed=3)
     relay.feed(full(*range(1, 21)))
     bad = 7
     peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
@@ -662,9 +662,9 @@
             if event is not None:
                 relay.feed(event)
 
-    brought_up = ten_seconds(relay, bad, receive_reports)
+    brought_up = run_ten_seconds(relay, bad, receive_reports)
     relay.finish()
-    sends = [backend for promise in relay.promises.values() for backend, _ in promise.sends]
+    sends = [backend for promise in relay.expected_answers.values() for backend, _ in promise.sends]
     return sends.count(bad), brought_up
 
 
@@ -676,7 +676,7 @@
 
 
 def test_gossiped_reports_never_eject_many_nor_for_long_nor_a_form_server_that_answered_here() -> None:
-    relay = Relay(seed=3)
+    relay = InstanceHarness(seed=3)
     relay.feed(full(*range(1, 10)))
     peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
     event = peers.merge_reports(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND), {1}, 0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
 from sailrun.decisions.events import AttemptOutcome, BackendListUpdate, ListKind, NoticeKind
 from sailrun.decisions.placement import MASK, key_hash, server_hash
 from sailrun.decisions.settings import DiscoveryMode
-from tests.support import SECOND, Relay, backend, delta, full, settings
+from tests.support import SECOND, InstanceHarness, backend, delta, full, settings
 
 STEP = st.one_of(
     st.tuples(st.just("ask"), st.sampled_from(["stream", "keyed", "unsafe"]), st.integers(0, 9)),
@@ -36,7 +36,7 @@
     return names[n % len(names)] if names else None
 
 
-def _apply_step(harness: Relay, step: tuple[str, object, object]) -> None:
+def _apply_step(harness: InstanceHarness, step: tuple[str, object, object]) -> None:
     kind, a, b = step
     unestablished = [n for n, t in harness.attempts.items() if not t.is_established]
     if kind == "ask":
@@ -65,7 +65,8 @@
         name = _pick(unestablished if kind == "open" else list(harness.attempts), a)
         if kind == "leave":
             name = _pick(
-                [n for n, p in harness.promises.items() if not p.over and n not in harness.attempts], a
+                [n for n, p in harness.expected_answers.items() if not p.over and n not in harness.attempts],
+                a,
             )
         if name is None:
             return
@@ -85,7 +86,9 @@
 @given(st.lists(STEP, max_size=60), st.sampled_from([DiscoveryMode.PUSH, DiscoveryMode.ASK]), st.booleans())
 @profile(derandomize=True, deadline=None, max_examples=300)
 def test_rules_hold_over_any_sequence(steps: list, discovery: DiscoveryMode, passing: bool) -> None:  # type: ignore[type-arg]
-    harness = Relay(settings(discovery=discovery, poll_interval_us=10 * SECOND, pass_through=passing))
+    harness = InstanceHarness(
+        settings(discovery=discovery, poll_interval_us=10 * SECOND, pass_through=passing)
+    )
     harness.feed(replace(full(1, 2, 3, 4, 5), kind=ListKind.CACHED))
     for step in steps:
         _apply_step(harness, step)
@@ -98,7 +101,7 @@
 def test_the_same_events_lead_to_the_same_actions(steps: list, seed: int) -> None:  # type: ignore[type-arg]
     action_logs = []
     for _ in range(2):
-        harness = Relay(seed=seed)
+        harness = InstanceHarness(seed=seed)
         harness.feed(full(1, 2, 3, 4, 5))
         for step in steps:
             _apply_step(harness, step)
@@ -114,7 +117,10 @@
 
     Restarted instances have no connections.
     """
-    tier = [Relay(settings(instances=instance_count, index=n), seed=n + 1) for n in range(instance_count)]
+    tier = [
+        InstanceHarness(settings(instances=instance_count, index=n), seed=n + 1)
+        for n in range(instance_count)
+    ]
     stable_ids, starting_id, started = list(range(1, 9)), 99, 20 * SECOND
     weight = [1 + n % 3 for n in range(instance_count)]
     per_backend = 100
@@ -129,7 +135,7 @@
     for index, harness in enumerate(tier):
         harness.now = started + 200_000
         if index < restarted_count:
-            restarted_harness = tier[index] = Relay(harness.settings, seed=500 + index)
+            restarted_harness = tier[index] = InstanceHarness(harness.settings, seed=500 + index)
             restarted_harness.now = harness.now
             restarted_harness.feed(full(*stable_ids, backend(starting_id, 1, started)))
         else:
@@ -161,7 +167,7 @@
 
 
 def test_a_draining_backend_gets_no_requests_after_the_event() -> None:
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(1, 2))
     placed_on = {harness.sent_to(harness.send_request(key=f"k{n}")) for n in range(6)}
     assert placed_on == {1, 2}
@@ -171,7 +177,7 @@
 
 def test_mid_flow_requests_reach_a_draining_backend_only_within_the_grace() -> None:
     for waited_us, expected in ((100_000, {1}), (600_000, {2})):
-        harness = Relay(settings(pass_through=True))
+        harness = InstanceHarness(settings(pass_through=True))
         harness.feed(full(1, 2))
         score = {(b, k): (server_hash(b) * key_hash(k)) & MASK for b in (1, 2) for k in map(str, range(20))}
         keys = [k for k in map(str, range(20)) if score[1, k] > score[2, k]]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -14,7 +14,7 @@
 from sailrun.decisions.actions import StartAttempt
 from sailrun.decisions.events import AttemptOutcome, ListKind, OperatorOverride, RequestArrived
 from sailrun.decisions.slow_start import SAFETY_DEVIATIONS, max_tolerated_requests, safe_mean_requests
-from tests.support import SECOND, Relay, backend, delta, full, settings
+from tests.support import SECOND, InstanceHarness, backend, delta, full, settings
 from tests.test_ramp import share_fleet_loads
 
 STABLE_IDS, STARTING_ID, CRASHED = tuple(range(1, 9)), 99, 1
@@ -22,9 +22,9 @@
 BEGIN_US = 2 * HOUR_US
 
 
-def harness_among(nodes: int = 1, connections: int = 40, seed: int = 1, index: int = 0) -> Relay:
+def harness_among(nodes: int = 1, connections: int = 40, seed: int = 1, index: int = 0) -> InstanceHarness:
     """Returns an instance of a tier with connections to eight backends with full capacity, 2 hours old."""
-    harness = Relay(settings(instances=nodes, index=index), seed)
+    harness = InstanceHarness(settings(instances=nodes, index=index), seed)
     harness.feed(full(*STABLE_IDS))
     for n in range(connections):
         harness.establish(harness.send_request(key=f"old{seed}-{n}"))
@@ -32,14 +32,14 @@
     return harness
 
 
-def count_sends_to_starting(harness: Relay, request_count: int = 200) -> int:
+def count_sends_to_starting(harness: InstanceHarness, request_count: int = 200) -> int:
     """Returns how many of `request_count` simultaneous requests are sent to the backend in slow start."""
     own = f"{harness.settings.index}-{harness.now}"
     names = [harness.send_request(key=f"new{own}-{n}") for n in range(request_count)]
     return sum(name in harness.attempts and harness.sent_to(name) == STARTING_ID for name in names)
 
 
-def max_tolerated(harness: Relay, connections: float, share: float = 0.2) -> float:
+def max_tolerated(harness: InstanceHarness, connections: float, share: float = 0.2) -> float:
     instance_settings = harness.settings
     return max_tolerated_requests(
         instance_settings.overload_multiple
@@ -93,7 +93,7 @@
     random = Random(seed)
     tier = [harness_among(nodes, 0, seed=1000 * seed + n, index=n) for n in range(nodes)]
     groups = [f"group{seed}-{n}" for n in range(10)]
-    established: list[tuple[Relay, str, str]] = []
+    established: list[tuple[InstanceHarness, str, str]] = []
     for n in range(160):
         harness, group = random.choice(tier), random.choices(groups, [1 / (k + 1) for k in range(10)])[0]
         name = harness.send_request(key=f"client{n}", group=group)
@@ -134,7 +134,7 @@
         count_sends_to_starting(harness, 20)  # to the first process of the backend
         harness.feed(delta(backend(STARTING_ID, 1, BEGIN_US + 300_000)))
         sent += count_sends_to_starting(harness, 20)
-        restarted = Relay(harness.settings, seed=900 + n)
+        restarted = InstanceHarness(harness.settings, seed=900 + n)
         restarted.now = harness.now
         restarted.feed(
             replace(full(*STABLE_IDS, backend(STARTING_ID, 1, BEGIN_US + 300_000)), kind=ListKind.CACHED)
@@ -145,7 +145,7 @@
 
 def test_the_fallback_to_an_ejected_backend_respects_slow_start() -> None:
     """The only backend restarts and refuses its connections."""
-    harness = Relay()
+    harness = InstanceHarness()
     harness.feed(full(STARTING_ID))
     for n in range(40):
         harness.establish(harness.send_request(key=f"old{n}"))
@@ -191,7 +191,7 @@
 @pytest.mark.parametrize("off_us", [-HOUR_US, HOUR_US])
 def test_a_wrong_clock_at_node_start_does_not_skip_the_slow_start_of_the_newest_backend(off_us: int) -> None:
     """A node starts when one of the backends has just started; its clock is wrong by an hour."""
-    harness = Relay(settings(), 1)
+    harness = InstanceHarness(settings(), 1)
     harness.now = BEGIN_US + HOUR_US
     known = [backend(n, 1, BEGIN_US - HOUR_US) for n in STABLE_IDS]
     harness.feed(
@@ -206,7 +206,7 @@
     harness.advance(SECOND)
     snapshot = harness.balancer.snapshot()
     harness.balancer.forfeit_slow_start_allowance(harness.now)
-    successor = Relay(harness.settings, 2)
+    successor = InstanceHarness(harness.settings, 2)
     successor.now = harness.now
     successor.feed(full(*STABLE_IDS, backend(STARTING_ID, 1, BEGIN_US)))
     successor.feed(snapshot)
