--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -72,7 +72,7 @@
         wholes.append((time.perf_counter_ns() - began) / BATCH / 1000)
         began = time.perf_counter_ns()
         for name, _ in standing[:BATCH]:
-            node.choose_elsewhere(now_us, [name])
+            node.choose_other_backend(now_us, [name])
         questions.append((time.perf_counter_ns() - began) / min(BATCH, len(standing)) / 1000)
     return statistics.median(arrivals), statistics.median(wholes), statistics.median(questions)
 
--- a/sailrun/decisions/balancer.py
+++ b/sailrun/decisions/balancer.py
@@ -129,7 +129,7 @@
 
     # ------------------------------------------------------------------ queries
 
-    def choose_elsewhere(self, now_us: int, names: Sequence[str]) -> int | None:
+    def choose_other_backend(self, now_us: int, names: Sequence[str]) -> int | None:
         """Returns the backend that would get these established connections if they were placed now.
 
         All of them must have the same key and backend. Returns None if no other backend would get them, or if
--- a/sailrun/decisions/endpoints.py
+++ b/sailrun/decisions/endpoints.py
@@ -10,7 +10,7 @@
 from collections import deque
 
 from sailrun.decisions.events import Backend, BackendState
-from sailrun.decisions.placement import server_hash
+from sailrun.decisions.placement import backend_hash
 from sailrun.decisions.settings import RequestClass
 
 # A delay report of a backend is valid for this long.
@@ -129,7 +129,7 @@
 
     def __init__(self, entry: Backend) -> None:
         self.id = entry.id
-        self.hash = server_hash(entry.id)
+        self.hash = backend_hash(entry.id)
         self.zone = entry.zone
         self.cell = entry.cell
         self.capacity = entry.capacity
--- a/sailrun/decisions/placement.py
+++ b/sailrun/decisions/placement.py
@@ -13,16 +13,16 @@
 
 import mmh3
 
-SERVER_SEED = 165233
+BACKEND_SEED = 165233
 KEY_SEED = 845219
 MASK = 0xFFFFFFFF
 LANE_BYTES = 8  # width of one product when the products of all backends are packed into one integer
 TOP_BYTE = 3  # offset of the most significant byte of a 32-bit product within its lane
 
 
-def server_hash(backend_id: int) -> int:
+def backend_hash(backend_id: int) -> int:
     """Returns the MurmurHash3 of a backend's id, written in decimal."""
-    return mmh3.hash(str(backend_id), SERVER_SEED, signed=False)
+    return mmh3.hash(str(backend_id), BACKEND_SEED, signed=False)
 
 
 def key_hash(key: str) -> int:
@@ -30,13 +30,13 @@
     return mmh3.hash(key, KEY_SEED, signed=False)
 
 
-def score(backend_hash: int, hashed_key: int) -> int:
+def score(hashed_backend: int, hashed_key: int) -> int:
     """Returns the score by which backends are ranked for a key."""
-    return (backend_hash * hashed_key) & MASK
+    return (hashed_backend * hashed_key) & MASK
 
 
 class Hashed(Protocol):
-    """A backend with its `server_hash`."""
+    """A backend with its `backend_hash`."""
 
     @property
     def hash(self) -> int:
--- a/sailrun/lab/world.py
+++ b/sailrun/lab/world.py
@@ -8,7 +8,7 @@
 from typing import Any, Generic, Protocol, TypeVar
 
 from sailrun.decisions.events import BackendState
-from sailrun.decisions.placement import key_hash, server_hash
+from sailrun.decisions.placement import backend_hash, key_hash
 from sailrun.lab.chance import Stream
 from sailrun.lab.checks import Check, RuleBook
 from sailrun.lab.clients import Client, Population
@@ -182,7 +182,7 @@
     def populate(self) -> None:
         """Those who stand when the day begins, each where its score would have it, none filled far over."""
         holders = list(self._holders(list(self.servers.values())))
-        hashes = [server_hash(s.number) for s in holders]
+        hashes = [backend_hash(s.number) for s in holders]
         total = sum(s.capacity for s in holders)
         cost = self.terms.household_cost * self.terms.unit
         expected = self.terms.households * cost + self.terms.connections * self.terms.unit
--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -16,7 +16,7 @@
 
 import mmh3
 
-from sailrun.decisions.placement import MASK, key_hash, server_hash
+from sailrun.decisions.placement import MASK, backend_hash, key_hash
 from sailrun.leadership.messages import (
     LeaderHint,
     LeaseDenial,
@@ -47,7 +47,7 @@
 
 @lru_cache(maxsize=16_384)
 def _score(task: str, name: str) -> int:
-    return (server_hash(mmh3.hash(name, signed=False)) * key_hash(task)) & MASK
+    return (backend_hash(mmh3.hash(name, signed=False)) * key_hash(task)) & MASK
 
 
 @dataclass(frozen=True, slots=True)
--- a/sailrun/node/rebalancer_port.py
+++ b/sailrun/node/rebalancer_port.py
@@ -129,7 +129,7 @@
         now_us = self._turn.now_us
         if not rebalancer.due(now_us):
             return
-        orders = rebalancer.look(now_us, lambda names: balancer.choose_elsewhere(now_us, names))
+        orders = rebalancer.look(now_us, lambda names: balancer.choose_other_backend(now_us, names))
         for note in orders.notes:
             self._log("rebalance", **note)
         for request in orders.moves:
--- a/sailrun/sharding/placement.py
+++ b/sailrun/sharding/placement.py
@@ -13,7 +13,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from sailrun.decisions.placement import key_hash, server_hash
+from sailrun.decisions.placement import backend_hash, key_hash
 from sailrun.sharding.messages import GenerationChange, Session
 
 # Products are formed for so many at a time, to bound the memory of a placement from nothing.
@@ -150,4 +150,4 @@
 
 def node_hash(name: str) -> int:
     """The hash of a node, as for every other task of the fleet: its name stands for a server's id."""
-    return server_hash(mmh3.hash(name, signed=False))
+    return backend_hash(mmh3.hash(name, signed=False))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 
 from sailrun.connection import Connection
 from sailrun.decisions.actions import MoveReason
-from sailrun.decisions.placement import MASK, key_hash, server_hash
+from sailrun.decisions.placement import MASK, backend_hash, key_hash
 from sailrun.http_calls import HttpCalls
 from sailrun.node.clock import Clock
 from sailrun.node.form_server_monitor import FormServerMonitor
@@ -104,7 +104,7 @@
 
 
 def group_that_prefers(first: str, second: str) -> str:
-    one, other = (server_hash(server_number(name)) for name in (first, second))
+    one, other = (backend_hash(server_number(name)) for name in (first, second))
     groups = (f"{n:016x}" for n in range(1000))
     return next(g for g in groups if (one * key_hash(g)) & MASK > (other * key_hash(g)) & MASK)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -15,7 +15,7 @@
 from sailrun.decisions.endpoints import ClientRequest, Endpoint
 from sailrun.decisions.events import AttemptOutcome, BackendListUpdate, ConnectionOpened, ListKind, NoticeKind
 from sailrun.decisions.outlier_detection import MAX_CONSECUTIVE_ERRORS
-from sailrun.decisions.placement import MASK, key_hash, server_hash
+from sailrun.decisions.placement import MASK, backend_hash, key_hash
 from sailrun.decisions.selection import MAX_CANDIDATES
 from sailrun.decisions.settings import DedupScope, DiscoveryMode, Effect, RequestClass
 from tests.support import SECOND, InstanceHarness, backend, delta, full, settings
@@ -84,7 +84,7 @@
 
 def test_a_heavy_group_spreads_in_the_order_of_scores() -> None:
     harness = harness_with_connections(200)
-    order = sorted(FLEET, key=lambda b: -((server_hash(b) * key_hash("g")) & MASK))
+    order = sorted(FLEET, key=lambda b: -((backend_hash(b) * key_hash("g")) & MASK))
     for n in range(40):
         harness.establish(harness.send_request(key=f"client{n}", group="g"))
     used = {
@@ -470,4 +470,4 @@
 
 
 def highest_scoring(key: str) -> int:
-    return max(FLEET, key=lambda b: (server_hash(b) * key_hash(key)) & MASK)
+    return max(FLEET, key=lambda b: (backend_hash(b) * key_hash(key)) & MASK)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -9,7 +9,7 @@
 from sailrun.decisions.actions import StartAttempt
 from sailrun.decisions.balancer import Balancer
 from sailrun.decisions.events import RequestArrived
-from sailrun.decisions.placement import KEY_SEED, MASK, SERVER_SEED, key_hash, server_hash
+from sailrun.decisions.placement import BACKEND_SEED, KEY_SEED, MASK, backend_hash, key_hash
 from tests.support import full, settings
 
 
@@ -25,8 +25,8 @@
     # reference values of MurmurHash3_x86_32
     assert mmh3.hash("", 1, signed=False) == 0x514E28B7
     assert mmh3.hash("test", 0, signed=False) == 0xBA6BD213
-    assert (SERVER_SEED, KEY_SEED) == (165233, 845219)
-    assert server_hash(51530247) == 3605899580
+    assert (BACKEND_SEED, KEY_SEED) == (165233, 845219)
+    assert backend_hash(51530247) == 3605899580
     assert key_hash("91f03b7c55d20a64") == 2812954092
     assert (3605899580 * 2812954092) & MASK == 3079483216
 
@@ -35,12 +35,12 @@
     ids = tuple(range(100, 140))
     for n in range(200):
         key = f"key{n}"
-        best = max(ids, key=lambda b: ((server_hash(b) * key_hash(key)) & 0xFFFFFFFF, -b))
+        best = max(ids, key=lambda b: ((backend_hash(b) * key_hash(key)) & 0xFFFFFFFF, -b))
         assert place(ids, key) == best
 
 
 def test_ties_go_to_the_lower_id(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoints, "server_hash", lambda n: 7 if n in (12, 15) else 1)
+    monkeypatch.setattr(endpoints, "backend_hash", lambda n: 7 if n in (12, 15) else 1)
     monkeypatch.setattr(balancer, "key_hash", lambda key: 3)
     assert place((15, 11, 12, 14), "any") == 12
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from sailrun.decisions.events import AttemptOutcome, BackendListUpdate, ListKind, NoticeKind
-from sailrun.decisions.placement import MASK, key_hash, server_hash
+from sailrun.decisions.placement import MASK, backend_hash, key_hash
 from sailrun.decisions.settings import DiscoveryMode
 from tests.support import SECOND, InstanceHarness, backend, delta, full, settings
 
@@ -179,7 +179,7 @@
     for waited_us, expected in ((100_000, {1}), (600_000, {2})):
         harness = InstanceHarness(settings(pass_through=True))
         harness.feed(full(1, 2))
-        score = {(b, k): (server_hash(b) * key_hash(k)) & MASK for b in (1, 2) for k in map(str, range(20))}
+        score = {(b, k): (backend_hash(b) * key_hash(k)) & MASK for b in (1, 2) for k in map(str, range(20))}
         keys = [k for k in map(str, range(20)) if score[1, k] > score[2, k]]
         harness.feed(delta(backend(1, 2)))
         harness.advance(waited_us)
