--- a/sailrun/sharding/placement.py
+++ b/sailrun/sharding/placement.py
@@ -13,7 +13,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from sailrun.decisions.placement import key_hash, server_hash
+from sailrun.decisions.placement import backend_hash, key_hash
 from sailrun.sharding.messages import GenerationChange, Session
 
 # Number of scores computed at a time, to bound the memory that placing all shards takes.
@@ -160,4 +160,4 @@
     """The hash of a node: that of a form server, with a hash of the node's name as its id. The placement of
     the fleet's other tasks uses the same hash.
     """
-    return server_hash(mmh3.hash(name, signed=False))
+    return backend_hash(mmh3.hash(name, signed=False))
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -50,7 +50,7 @@
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.state_transfer import TransferSender
 from sailrun.replication.store import PutResult, RecordStore
-from tests.support import Relay, full, ten_seconds
+from tests.support import InstanceHarness, full, run_ten_seconds
 
 SECOND_US = 1_000_000
 KEY = ("out", "s-00000001", "")
@@ -661,7 +661,7 @@
     out, and sixty households per second for 10 s. Returns the number of attempts at that form server, and how
     many households were connected immediately.
     """
-    relay = Relay(seed=3)
+    relay = InstanceHarness(seed=3)
     relay.feed(full(*range(1, 21)))
     failing = 7
     peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
@@ -672,9 +672,9 @@
             if event is not None:
                 relay.feed(event)
 
-    connected = ten_seconds(relay, failing, receive_reports)
+    connected = run_ten_seconds(relay, failing, receive_reports)
     relay.finish()
-    sends = [backend for promise in relay.promises.values() for backend, _ in promise.sends]
+    sends = [backend for promise in relay.expected_answers.values() for backend, _ in promise.sends]
     return sends.count(failing), connected
 
 
@@ -686,7 +686,7 @@
 
 
 def test_gossiped_reports_eject_few_form_servers_briefly_and_none_that_answered_here() -> None:
-    relay = Relay(seed=3)
+    relay = InstanceHarness(seed=3)
     relay.feed(full(*range(1, 10)))
     peers = OutlierGossip(relay.balancer, lambda *a, **k: None)
     event = peers.merge_reports(relay.now, dict.fromkeys(range(1, 10), 60 * SECOND_US), {1}, 0)
