--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -276,7 +276,7 @@
         why: str | None = None
         clock = self._node.clock
         with anyio.CancelScope(deadline=clock.moment(clock.now_us() + PERMIT_BY_US)):
-            why = await send_query(partial(fleet.ask_permit, kind, subject))
+            why = await send_query(partial(fleet.request_permit, kind, subject))
         if why is None:
             return fail(fleet.describe_pending_permit(kind, subject))
         return fail(why) if why else OK
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -252,7 +252,7 @@
         """Whether drains, and form servers out of service, need a permit."""
         return self.agent.permit_holder is not None
 
-    def ask_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
+    def request_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
         """See `OperatorPermits.request`."""
         self._operator_permits.request(kind, subject, reply)
 
--- a/sailrun/replication/fleet_services.py
+++ b/sailrun/replication/fleet_services.py
@@ -13,7 +13,7 @@
     def permits(self) -> bool:
         """Whether drains need permits."""
 
-    def ask_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
+    def request_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
         """Requests a permit. `reply` is called with "" once the permit is in use, or with the
         reason why not.
         """
--- a/sailrun/replication/mark_applier.py
+++ b/sailrun/replication/mark_applier.py
@@ -88,6 +88,6 @@
             self._fleet.give_back(DRAIN, self._replica.name)
             self._node.set_draining(False, _ignore_result)
         elif self._fleet.permits:
-            self._fleet.ask_permit(DRAIN, self._replica.name, _ignore_rejection)
+            self._fleet.request_permit(DRAIN, self._replica.name, _ignore_rejection)
         else:
             self._node.set_draining(True, _ignore_result)
