--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -267,7 +267,7 @@
         """What takes something out of service waits for a permit, and is carried out in its turn."""
         kind, subject = (OUT, call.form_server) if call.form_server else (DRAIN, fleet.agent.name)
         if call.verb in (Verb.SET_UP, Verb.DRAIN_OFF):
-            fleet.give_back(kind, subject)
+            fleet.release_permit(kind, subject)
             if kind == DRAIN:
                 await send_query(partial(self._node.set_draining, False))
                 return OK
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -260,7 +260,7 @@
         """See `OperatorPermits.describe_pending`."""
         return self._operator_permits.describe_pending(kind, subject)
 
-    def give_back(self, kind: str, subject: str) -> None:
+    def release_permit(self, kind: str, subject: str) -> None:
         """See `OperatorPermits.release`."""
         self._operator_permits.release(kind, subject)
 
--- a/sailrun/replication/fleet_services.py
+++ b/sailrun/replication/fleet_services.py
@@ -18,7 +18,7 @@
         reason why not.
         """
 
-    def give_back(self, kind: str, subject: str) -> None:
+    def release_permit(self, kind: str, subject: str) -> None:
         """Releases a permit."""
 
     def call_soon(self, call: Callable[[int], None]) -> None:
--- a/sailrun/replication/mark_applier.py
+++ b/sailrun/replication/mark_applier.py
@@ -85,7 +85,7 @@
             return
         self._is_draining = is_draining
         if not is_draining:
-            self._fleet.give_back(DRAIN, self._replica.name)
+            self._fleet.release_permit(DRAIN, self._replica.name)
             self._node.set_draining(False, _ignore_result)
         elif self._fleet.permits:
             self._fleet.request_permit(DRAIN, self._replica.name, _ignore_rejection)
