--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -195,7 +195,7 @@
 
         self.transport.post(called)
 
-    def living(self) -> set[str]:
+    def living_members(self) -> set[str]:
         """The names of the members that live, as far as is known."""
         return set(self.agent.members.living_names)
 
--- a/sailrun/replication/fleet_services.py
+++ b/sailrun/replication/fleet_services.py
@@ -24,7 +24,7 @@
     def call_soon(self, call: Callable[[int], None]) -> None:
         """Schedules the call in the agent's task, with the time (microseconds) as its argument."""
 
-    def living(self) -> set[str]:
+    def living_members(self) -> set[str]:
         """Returns the names of the members that are not known to be dead or to have left."""
 
     def highest_term(self, task: str) -> int:
--- a/sailrun/replication/outlier_exchange.py
+++ b/sailrun/replication/outlier_exchange.py
@@ -40,7 +40,7 @@
         store, settings = self._replica.store, self._replica.settings
         reports = ((r, store.age_us(now_us, r.key)) for r in store.iterate_records(OUTLIER_REPORT))
         outliers = combine_outlier_reports(
-            reports, self._fleet.living(), self._replica.name, settings.min_reporters
+            reports, self._fleet.living_members(), self._replica.name, settings.min_reporters
         )
         if outliers.ejected_us or outliers.setup_us:
             self._node.receive_peer_outliers(outliers.ejected_us, outliers.setup_us)
