--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -203,7 +203,7 @@
         """The highest term under which anybody is known to have led the task."""
         return self.agent.leases.lease_of(task).highest_granted_term
 
-    def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
+    def call_when_durable(self, now_us: int, call: Callable[[bool], None]) -> None:
         """Calls with whether all that was written so far is on this node's disk, if it has a folder."""
         self.agent.durable_state.when_kept(now_us, call)
 
--- a/sailrun/replication/fleet_services.py
+++ b/sailrun/replication/fleet_services.py
@@ -30,7 +30,7 @@
     def highest_term(self, task: str) -> int:
         """Returns the highest known term of a leader of the task."""
 
-    def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
+    def call_when_durable(self, now_us: int, call: Callable[[bool], None]) -> None:
         """Calls back once the writes so far are on this node's disk, if it has a folder, with whether they
         are.
         """
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -106,7 +106,7 @@
             if is_local:
                 outcome = self._replica.write_mark_locally(now_us, request)
                 # At a node with a folder, the outcome is reported after the write of the mark to disk.
-                self._fleet.when_kept(
+                self._fleet.call_when_durable(
                     now_us, lambda is_durable: finish(outcome if is_durable else _make_undurable(outcome))
                 )
             else:
