--- a/sailrun/load_gossip/aggregation_rounds.py
+++ b/sailrun/load_gossip/aggregation_rounds.py
@@ -43,7 +43,7 @@
 # A node that has received no summary requests one at this interval, at most MAX_REQUESTS times.
 REQUEST_INTERVAL_US = 400_000
 MAX_REQUESTS = 5
-# The estimate decreases as its summary ages, so it is passed on again at this interval.
+# The estimate decreases as its summary ages, so it is passed to the core again at this interval.
 RESTATE_INTERVAL_US = 1 * SECOND_US
 # Own reports are retained for this many rounds, to be subtracted from the summary.
 RETAINED_REPORTS = 3
@@ -64,7 +64,7 @@
 
 
 class AggregationRounds:
-    """One node's schedule of reports and summaries. Times are in microseconds since the epoch."""
+    """One node's schedule of reports and summaries. Times are in microseconds since the Unix epoch."""
 
     def __init__(self, index: int, nodes: int, seed: int, now_us: int) -> None:
         """`index` is this node's index, below `nodes`."""
--- a/sailrun/load_gossip/datagram.py
+++ b/sailrun/load_gossip/datagram.py
@@ -44,7 +44,7 @@
 
 
 class _Flag(IntFlag):
-    SUMMARY = 1  # else a report
+    SUMMARY = 1  # without this flag and REQUEST, the datagram is a report
     LOADS_REPORTED = 2
     ALERT = 4
     REQUEST = 8
--- a/sailrun/load_gossip/load_estimate.py
+++ b/sailrun/load_gossip/load_estimate.py
@@ -22,7 +22,7 @@
 MISSED_WEIGHTS = (1.0, 1.0, 0.5)
 # A summary has full weight for FRESH_ROUNDS; then its weight decreases linearly to zero at STALE_ROUNDS.
 FRESH_ROUNDS, STALE_ROUNDS = 2.0, 8.0
-# Backends count as overloaded for this many rounds after the summary that reported it.
+# Backends count as overloaded for this many rounds after the round of the summary that reported them so.
 OVERLOAD_VALID_ROUNDS = 3
 
 
--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -35,9 +35,9 @@
 
 
 def find_consistent_voters(replies: Mapping[str, tuple[int, CrashVector]]) -> set[str]:
-    """Returns the voters whose replies count. Each reply comes with the voter's incarnation and crash vector
-    at that time. A reply of an incarnation that has ended, according to another of these voters, does not
-    count.
+    """Returns the voters whose replies count. `replies` has the incarnation and the crash vector that each
+    voter had when it replied. A reply does not count if another of these voters knows a later incarnation of
+    the replying voter.
     """
     return {
         name
@@ -80,8 +80,9 @@
     def restore(
         self, incarnation: int, promised_term: int, crash_vector: CrashVector, is_recovered: bool
     ) -> None:
-        """Restores the state that a former process stored in the folder. `is_recovered`: by the folder, this
-        state is complete; `trust_folder` or `distrust_folder` decides that later.
+        """Restores the state that a former process stored in the folder. `is_recovered`: the folder marks
+        this state as complete. `trust_folder` or `distrust_folder` later decides whether it is accepted as
+        such.
         """
         state = self.state
         state.incarnation = max(incarnation, state.incarnation)
@@ -91,11 +92,11 @@
 
     @property
     def is_verifying_folder(self) -> bool:
-        """Whether the folder's state is still being compared with the other voters' records of it."""
+        """Whether this voter is still checking with the other voters whether its folder is up to date."""
         return self.state.is_verifying_folder
 
     def trust_folder(self) -> None:
-        """Marks the voter as recovered: its folder has the latest state."""
+        """Marks the voter as recovered if its replica is complete; its folder has the latest state."""
         self.state.is_verifying_folder = False
         self.state.is_recovered = self._anti_entropy.copy.is_complete
 
@@ -184,8 +185,8 @@
         return [OutgoingMessage(sender, self._make_accepted(request))]
 
     def _on_catch_up(self, now_us: int, sender: str, request: CatchUp) -> list[OutgoingMessage]:
-        """Fetches the leader's records that this voter lacks; accepts a later request once it has
-        them all.
+        """Fetches the leader's records that this voter lacks. The leader repeats its request, and the voter
+        accepts the request once it has all these records.
         """
         if not self._may_answer(request.epoch):
             return []
--- a/sailrun/replication/acceptor_recovery.py
+++ b/sailrun/replication/acceptor_recovery.py
@@ -1,11 +1,12 @@
 """Recovery of a voter that lost its state at a restart.
 
 An acceptor with a durable folder has lost nothing and continues its former incarnation. An acceptor without
-one recovers from the other voters, since every majority contains a voter that still has its state. It numbers
-its new incarnation (one more than the highest number that any voter knows), has a majority of recovered
-voters store that number, and then fetches their records. Replies from its earlier incarnations are invalid
-from then on: a leader that counts the voters' replies also has a reply of a voter that knows the later
-incarnation, and ignores the older reply (crash-consistent quorums: Michael, Ports, Sharma, Szekeres 2017).
+one recovers from the other voters, since every majority contains a voter that has not lost its state. The
+recovering voter numbers its new incarnation (one more than the highest number that any voter knows), has a
+majority of recovered voters store that number, and then fetches their records. Replies from its earlier
+incarnations are invalid from then on: a leader that counts a majority of replies also receives a reply from a
+voter that knows the later incarnation, and ignores the older reply (crash-consistent quorums: Michael, Ports,
+Sharma, Szekeres 2017).
 """
 
 from __future__ import annotations
@@ -29,8 +30,8 @@
 SECOND_US = 1_000_000
 # Requests to the other voters are repeated this often.
 RETRY_INTERVAL_US = SECOND_US // 4
-# When too many voters have lost their state for a majority to have it, the voter waits this long for the
-# remaining voters before it bootstraps.
+# If so many voters have lost their state that the others are no majority, a recovering voter waits this long
+# for replies of all voters before it bootstraps.
 BOOTSTRAP_WAIT_US = 8 * SECOND_US
 
 
@@ -130,7 +131,7 @@
         lost_state.add(self._name)
         unanswered = set(voters.names()) - replies.keys() - {self._name}
         if voters.is_majority(set(voters.names()) - lost_state):
-            return  # a majority may still have its state, which must not be skipped
+            return  # a majority may still have its state; bootstrapping would bypass it
         if unanswered and now_us - attempt.began_us < BOOTSTRAP_WAIT_US:
             return
         state.incarnation = self._next_incarnation(replies)
--- a/sailrun/replication/acceptor_state.py
+++ b/sailrun/replication/acceptor_state.py
@@ -1,4 +1,4 @@
-"""A voter's promises and its knowledge of the other voters, and how both are written to the journal."""
+"""A voter's promised term, crash vector and recovery status, and how they are written to the journal."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.crash_vector: CrashVector = {}
         self.promised_term = 0
         self.is_recovered = is_recovered  # the state has everything that the voter promised or accepted
-        self.is_verifying_folder = False  # its folder is being compared with the other voters' records of it
+        self.is_verifying_folder = False  # checks with the other voters whether the folder is up to date
 
     def get_durable_state(self) -> DurableAcceptorState:
         """Returns the state to restore after a restart."""
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -61,8 +61,8 @@
         disabled_rules: frozenset[str] = frozenset(),
         journal: ReplicaJournal | None = None,
     ) -> None:
-        """`is_majority` tests a set of voters. `disabled_rules` are the safety rules that the laboratory
-        switches off.
+        """`is_majority` returns whether a set of voters is a majority. `disabled_rules` are the safety rules
+        that the laboratory switches off.
         """
         self._name, self.store, self.settings, self._members = name, store, settings, members
         self._journal = journal or ReplicaJournal()
@@ -73,8 +73,8 @@
         self.copy = CopyState()
         # Events for the operator's log, each with its fields; the caller writes them and empties the list.
         self.log_events: list[tuple[str, dict[str, object]]] = []
-        # Called when the replica or a record of it was discarded, with the time and whether other members
-        # counted on the discarded records.
+        # Called when the replica or a record of it was discarded, with the time and whether a majority may
+        # have counted this replica as having the discarded records.
         self.on_discarded: Callable[[int, bool], None] = lambda now_us, was_counted: None
         # Called for a corrupted record that no member has sent again in time.
         self.on_lost: Callable[[Key], None] = lambda key: None
@@ -361,8 +361,8 @@
         if not self._gossip:
             return []
         names = self._sample_members(FANOUT)
-        # Ages are computed for the next gossip time, so that with the delay a record may appear older than it
-        # is but not younger.
+        # Ages are computed as of the next gossip time, which allows for the network delay: at the receiver a
+        # record may appear older than it is, but not younger.
         records = self._gossip.take_batch(self._gossip_at_us, len(names))
         if not records or not names:
             return []
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -99,7 +99,7 @@
         self._housekeeping_at_us = now_us + HOUSEKEEPING_INTERVAL_US
         # `discard_count` when the term was prepared; after a change the coordinator prepares the term again.
         self._discard_count = -1
-        self._is_ending_epoch = False  # meanwhile no marks are written
+        self._is_ending_epoch = False  # no marks are written while this is set
         self._survey: DeletionSurvey | None = None
 
     # ------------------------------------------------------------------ start of a term
@@ -331,7 +331,7 @@
         return messages
 
     def _activate_waiting(self, now_us: int) -> None:
-        """Activates waiting marks in the order of their writes, as far as there is capacity."""
+        """Activates waiting marks in the order of their writes until the limit of their kind is reached."""
         for kind in MARK_KINDS:
             waiting = [
                 (version.count, record.key, mark)
@@ -371,7 +371,7 @@
             if not old or self._writes.count_open():
                 return []
             if not self._removes_deletions:
-                return []  # each node removes deletions on its own
+                return []  # without this rule, each node removes deletions on its own
             self._survey = DeletionSurvey(self._name, self._anti_entropy.make_request_id(), old)
         survey = self._survey
         awaited = list_awaited_members(self._members, now_us, int(settings.absent_member_wait_s * SECOND_US))
--- a/sailrun/replication/copy_lag.py
+++ b/sailrun/replication/copy_lag.py
@@ -30,8 +30,8 @@
     ) -> None:
         self._name, self._anti_entropy, self._members, self._send = name, anti_entropy, members, send
         self._in_sync_us = -1  # when this replica was last known to be in sync with the leader's; -1: never
-        self.missing_records = 0  # how many records this replica may lack, by the leader's reply
-        self._is_transfer_due = False  # by the leader's reply, this replica lacks records
+        self.missing_records = 0  # how many records this replica may lack, according to the leader
+        self._is_transfer_due = False  # according to the leader, this replica lacks records
         self._compare_at_us = now_us
         self._was_stale = False
 
--- a/sailrun/replication/copy_state.py
+++ b/sailrun/replication/copy_state.py
@@ -1,4 +1,4 @@
-"""The state of this node's replica as a whole, one object that `AntiEntropy` creates and its parts share."""
+"""The state of this node's replica as a whole. `AntiEntropy` creates the object and shares it."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
     """
 
     epoch: int = 0
-    is_complete: bool = False  # it has everything that the replicas had from which it was transferred
-    begun_us: int = -1  # when the state transfer under way began; -1: the time is not known yet
+    is_complete: bool = False  # it has all records of the replicas from which it was transferred
+    # When this replica was begun, at the start or after a discard; -1: before the first `tick`.
+    begun_us: int = -1
     discard_count: int = 0  # how often the replica was discarded since the process started
     # Records in ranges not transferred yet, as reported by a sender; 0 once complete.
     missing_records: int = 0
--- a/sailrun/replication/copy_transfer.py
+++ b/sailrun/replication/copy_transfer.py
@@ -52,7 +52,7 @@
         self._rng, self._on_complete = rng, on_complete
         self._missing = set(range(RANGE_COUNT))
         self._assigned: dict[int, str] = {}  # the sender of each range under transfer
-        self._resume_after: dict[int, Key] = {}  # the last key received of each range with a broken transfer
+        self._resume_after: dict[int, Key] = {}  # the last key received of each interrupted range
         self._incomplete_since_us: dict[str, int] = {}  # when each member last reported an incomplete replica
         self._request_not_before_us: dict[str, int] = {}  # by sender
         self._local_writes: list[Record] = []  # local writes of discarded replicas
@@ -109,9 +109,9 @@
         return chosen
 
     def _complete_if_no_member_is(self, now_us: int) -> None:
-        """Declares this replica complete if no member has a complete one. Voters determine this from each
-        other's replies, since they are few. Other members wait for a voter, and continue with their own
-        records if no transfer completes in time.
+        """Declares this replica complete if no member seems to have a complete one. Voters determine this
+        from each other's replies, since they are few. Other members wait for a voter. Any member continues
+        with the records that it has if its replica is not complete within MEMBERS_WAIT_US.
         """
         waited_us = now_us - self._copy.begun_us
         if waited_us >= MEMBERS_WAIT_US:
--- a/sailrun/replication/deletion_survey.py
+++ b/sailrun/replication/deletion_survey.py
@@ -41,7 +41,7 @@
 
 
 class DeletionSurvey:
-    """A query to all members whether they have the deletions of all these versions."""
+    """Queries all members whether they have certain deletions, and collects their replies."""
 
     def __init__(self, name: str, request_id: int, deleted_versions: DeletedVersions) -> None:
         """`name` is the querying member; it counts as having the deletions."""
--- a/sailrun/replication/epochs.py
+++ b/sailrun/replication/epochs.py
@@ -1,4 +1,4 @@
-"""Epochs: the whole fleet removes deleted records in the same step, so that none of them can return.
+"""Epochs: numbered steps in which the whole fleet removes deleted records, so that none of them can return.
 
 The record of the latest epoch lists the versions that were removed with it. A replica advances to an epoch
 only if it has the deletions of all these versions. A replica that lacks one of them may have missed other
@@ -17,7 +17,7 @@
 from sailrun.replication.store import RecordStore
 
 EPOCH_RECORD_KEY: Key = ("fleet", "forgotten", "")
-DeletedVersions = list[tuple[Key, str, Count]]
+DeletedVersions = list[tuple[Key, str, Count]]  # key, actor and count of each version
 # How many removed local writes an epoch record lists at most.
 MAX_LOCAL_WRITES = 5000
 
@@ -79,7 +79,7 @@
 
     def advance(self, now_us: int, record: Record) -> bool:
         """Advances to the next epoch if this replica has all deletions that the epoch removes. Returns
-        whether the replica is of the record's epoch after that. The record must be decided, which a leader
+        whether the replica then has the record's epoch. The record must be decided, which a leader
         learns from a majority and other members learn from any member that has advanced; holding the record
         is not enough.
         """
--- a/sailrun/replication/fleet_services.py
+++ b/sailrun/replication/fleet_services.py
@@ -14,8 +14,8 @@
         """Whether drains need permits."""
 
     def request_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
-        """Requests a permit. `reply` is called with "" once the permit is in use, or with the
-        reason why not.
+        """Requests a permit. `reply` is called with "" once the permit is in use, or with the reason if it is
+        not granted.
         """
 
     def release_permit(self, kind: str, subject: str) -> None:
@@ -31,6 +31,6 @@
         """Returns the highest known term of a leader of the task."""
 
     def call_when_durable(self, now_us: int, call: Callable[[bool], None]) -> None:
-        """Calls back once the writes so far are on this node's disk, if it has a folder, with whether they
-        are.
+        """Calls `call` with True once all writes so far are on this node's disk, or with False if the disk
+        has failed. At a node without a folder, calls it with True immediately.
         """
--- a/sailrun/replication/gossip.py
+++ b/sailrun/replication/gossip.py
@@ -9,7 +9,7 @@
 
 # How often each node sends a change in total, and to how many nodes at a time.
 MAX_SENDS, FANOUT = 4, 2
-# The size of one rumor; longer records spread by comparison of replicas only.
+# The maximum size of the records of one rumor; longer records spread by comparison of replicas only.
 MAX_RUMOR_BYTES = 900
 
 
--- a/sailrun/replication/mark_client.py
+++ b/sailrun/replication/mark_client.py
@@ -18,6 +18,7 @@
 RETRY_INTERVAL_US = SECOND_US // 10
 # How long a request is repeated unless the caller sets a timeout.
 DEFAULT_TIMEOUT_US = 6 * SECOND_US
+# How many writes of this node may be pending at a time.
 MAX_OPEN_WRITES = 1000
 
 # Called with the time, the time when the request was sent, and the undecoded reply.
@@ -34,8 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class MarkOutcome:
-    """The outcome of a write. `state` is done, waiting, rejected or unknown; after unknown, the mark may
-    still become active.
+    """The outcome of a write. `state` is `MarkState` DONE, WAITING, REJECTED or UNKNOWN; after UNKNOWN, the
+    mark may still become active.
 
     `copies` out of `replicas` members are known to have the mark; `term` is the leader's term.
     """
--- a/sailrun/replication/mark_writes.py
+++ b/sailrun/replication/mark_writes.py
@@ -41,7 +41,7 @@
         self._writes[request_id] = write
 
     def count_open(self) -> int:
-        """How many writes have no majority yet."""
+        """Returns how many writes have no majority yet."""
         return sum(not write.round.has_majority for write in self._writes.values())
 
     def is_open(self, key: Key) -> bool:
--- a/sailrun/replication/messages.py
+++ b/sailrun/replication/messages.py
@@ -74,7 +74,7 @@
 
 
 class RecordRequest(msgspec.Struct, array_like=True, frozen=True, tag="fetch"):
-    """Requests a voter's state of a record whose versions contradict each other at two replicas."""
+    """Requests a voter's state of a record whose states at two replicas contradict each other."""
 
     request_id: int
     key: Key
@@ -278,7 +278,7 @@
     author: str = ""
     reason: str = ""
     written_at_s: float = 0.0  # the writer's wall clock, for display only
-    all_members: bool = False  # also wait for members that are not voters
+    all_members: bool = False  # also send the mark to members that are not voters, and wait for them
     group_digests: list[int] = []  # for COMPARE: the digests of the client's replica
 
 
--- a/sailrun/replication/operator_marks.py
+++ b/sailrun/replication/operator_marks.py
@@ -1,5 +1,5 @@
-"""Operator marks: an operator's settings for a form server or node, and how concurrent versions of a mark are
-resolved.
+"""Operator marks, which take a form server or a node out of service: their content, and how concurrent
+versions of a mark are resolved.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from sailrun.replication.store import RecordStore
 
 OUT, DRAIN = "out", "drain"
-# The kinds of marks. If versions differ, one that takes the subject out of service wins.
+# The kinds of marks: `OUT` ejects a form server, `DRAIN` drains a node. If versions differ, one that takes
+# the subject out of service wins.
 MARK_KINDS = (OUT, DRAIN)
 MAX_REQUEST_IDS = 16  # ids of the latest writes that a mark lists, so that no write is executed twice
 MAX_KIND_CHARACTERS = 40  # of an unknown kind that is quoted in a reply
@@ -111,7 +112,7 @@
 
 
 def list_request_ids(record: Record | None) -> list[str]:
-    """Returns the ids of the requests that wrote the record's versions, without duplicates."""
+    """Returns the request ids of the latest writes that the record's versions list, without duplicates."""
     ids: list[str] = []
     for version in record.versions if record is not None else ():
         mark = decode_mark(version)
--- a/sailrun/replication/outlier_exchange.py
+++ b/sailrun/replication/outlier_exchange.py
@@ -15,8 +15,8 @@
 
 
 class OutlierExchange:
-    """Publishes this node's outlier reports, and passes outliers that enough other nodes report
-    to the core.
+    """Publishes this node's outlier reports, and passes to the core the outliers that enough other nodes
+    report.
     """
 
     def __init__(self, node: Node, replica: Replica, fleet: FleetServices) -> None:
--- a/sailrun/replication/outlier_reports.py
+++ b/sailrun/replication/outlier_reports.py
@@ -14,7 +14,7 @@
 
 US_PER_MS = 1000
 SECOND_US = 1_000_000
-# The limit of form servers in one report; those with the longest remaining ejection are reported.
+# The maximum number of form servers in one report; those with the longest remaining ejection are reported.
 MAX_OUTLIERS = 64
 # A set-up time that has changed by no more than this share is not reported early.
 MIN_SETUP_CHANGE = 0.25
--- a/sailrun/replication/records.py
+++ b/sailrun/replication/records.py
@@ -1,7 +1,7 @@
 """Records, their versions, and the rule by which the states of a record at two replicas are merged.
 
-A record is a set of concurrent versions with their joint causal context: for each actor, the highest count of
-that actor whose versions of this record have been seen. If one state's context covers a version of the other
+A record is a set of concurrent versions with their joint causal context: for each actor, the count up to
+which the actor's versions of this record have been seen. If one state's context covers a version of the other
 state and the first state does not contain that version, the version has been superseded there. This is the
 rule of dotted version vectors (Preguiça, Baquero and others 2010) on the optimized set without tombstones
 (Bieniusa and others 2012). The merge is commutative, associative and idempotent for all records.
--- a/sailrun/replication/repair.py
+++ b/sailrun/replication/repair.py
@@ -20,7 +20,8 @@
 MAX_POLLS, POLL_US = 3, SECOND_US
 # With more corrupted records than this at a time, the whole replica is discarded.
 MAX_CORRUPTED = 16
-# A corrupted record that no member has sent again within this time counts as lost.
+# A corrupted record that no member has sent again within this time counts as lost, since no other member has
+# it.
 LOST_AFTER_US = 10 * SECOND_US
 
 
@@ -82,7 +83,7 @@
         """
         corrupted, self._store.corrupted = self._store.corrupted, []
         if len(corrupted) > MAX_CORRUPTED:
-            self._discard_copy(now_us, f"{len(corrupted)} records are spoilt")
+            self._discard_copy(now_us, f"{len(corrupted)} records are corrupted")
             return []
         for key in corrupted:
             self._log_event("copy-spoilt", kind=key[0], subject=key[1], observer=key[2] or None)
@@ -108,8 +109,8 @@
     # ------------------------------------------------------------------ contradicting records
 
     def dispute(self, key: Key) -> None:
-        """Begins a poll of the voters, after another replica sent the same version with a
-        different content.
+        """Begins a poll of the voters, after another replica sent the same version with a different content.
+        A soft record is removed instead.
         """
         record = self._store.get(key)
         if not self._is_enabled or key in self._polls or record is None:
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -323,7 +323,7 @@
         self._put_own(now_us, apply_write(None, key, True, self.name, count, content))
 
     def store_server_list(self, now_us: int, source: str, revision: int, content: bytes) -> None:
-        """Stores the list of a source unless its revision is not newer than that of the stored list."""
+        """Stores the list of a source if its revision is newer than that of the stored list."""
         key = (SERVER_LIST, source, "")
         previous = self.store.get(key)
         if previous is not None and previous.context.get(source, (0, -1)) >= (0, revision):
@@ -338,8 +338,8 @@
 
     @property
     def missing_records(self) -> int:
-        """How many records this replica may lack, by the leader's last reply or by the state transfer under
-        way.
+        """How many records this replica may lack, according to the leader's last reply or to the state
+        transfer under way.
         """
         copy = self.anti_entropy.copy
         missing = self._lag.missing_records
--- a/sailrun/replication/rounds.py
+++ b/sailrun/replication/rounds.py
@@ -13,7 +13,8 @@
 SECOND_US = 1_000_000
 # Unanswered messages are repeated after the minimum, then with exponential backoff up to the maximum.
 MIN_RETRY_US, MAX_RETRY_US, BACKOFF_FACTOR = 100_000, SECOND_US, 1.5
-# A round with a majority ends this long after its start; anti-entropy then updates the remaining voters.
+# A round with a majority ends at the latest this long after its start; anti-entropy then updates the
+# remaining voters.
 STRAGGLER_US = 10 * SECOND_US
 
 
--- a/sailrun/replication/server_lists.py
+++ b/sailrun/replication/server_lists.py
@@ -14,8 +14,8 @@
 
 
 class StoredServerList(NamedTuple):
-    """A stored list as a cached update. `age_us` returns how long it has been stored here (us) at a time
-    (us).
+    """A stored list as a cached update. `age_us` takes the current time and returns how long the list has
+    been stored here (both in us).
     """
 
     update: ServerListUpdate
--- a/sailrun/replication/settings.py
+++ b/sailrun/replication/settings.py
@@ -34,7 +34,7 @@
     ] = field(default=1.0, name="sync_s")
     stale_after_s: Annotated[
         Seconds,
-        Meta(description="Marks and lists are stale if not in sync with the leader's for this time."),
+        Meta(description="Time without sync with the leader after which marks and lists count as stale."),
     ] = field(default=30.0, name="stale_s")
     deletion_retention_s: Annotated[
         Seconds, Meta(description="Minimum time for which a deleted mark is retained as deleted.")
@@ -77,7 +77,8 @@
         Meta(
             ge=1,
             le=1000,
-            description="Maximum number of nodes served at a time; others wait or ask another node.",
+            description="Maximum number of concurrent receivers of state transfers; "
+            "others retry or use another node.",
         ),
     ] = field(default=8, name="takers")
     scrub_interval_s: Annotated[
--- a/sailrun/replication/state_transfer.py
+++ b/sailrun/replication/state_transfer.py
@@ -22,7 +22,7 @@
 PAGE_TIMEOUT_US, MAX_ATTEMPTS = SECOND_US, 3
 # A receiver counts against `max_receivers` for this long after its latest request.
 RECEIVER_ACTIVE_US = 2 * SECOND_US
-# A sender may exceed its rate by the amount of data for this time.
+# A sender may send ahead of its rate limit by the amount of data that the limit allows in this time.
 BURST_US = SECOND_US // 4
 # The least time after which a receiver may retry, and the additional time if `max_receivers` is reached.
 MIN_RETRY_US, NO_SLOT_RETRY_US = SECOND_US // 4, SECOND_US // 2
--- a/sailrun/replication/store.py
+++ b/sailrun/replication/store.py
@@ -102,7 +102,7 @@
         return entry.record
 
     def intact_records(self) -> Iterator[Record]:
-        """All records whose bytes match their hashes."""
+        """Iterates over all records whose bytes match their hashes."""
         return (r for key in list(self._entries) if (r := self.get_intact(key)) is not None)
 
     def iterate_records(self, kind: str = "") -> Iterator[Record]:
@@ -277,7 +277,7 @@
             self.remove(key)
 
     def scrub(self, share: float) -> None:
-        """Checks the next records, `share` of all of them, against their stored hashes."""
+        """Checks the next records against their stored hashes; `share` is the part of them to check."""
         range_keys = self._by_range
         for _ in range(min(len(range_keys), 1 + int(len(range_keys) * share))):
             self._scrub_index = (self._scrub_index + 1) % len(range_keys)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -621,8 +621,8 @@
 
 @pytest.mark.parametrize("kind", [k for k, plan in PLANS.items() if plan.copies])
 def test_runs_with_replication_faults_pass_every_check(kind: str) -> None:
-    # These seeds found an empty replica that counted as complete, and a version whose context was lost with
-    # its discarded replica. With 17 nodes, a record had more concurrent versions than its bound allowed.
+    # The last seeds found an empty replica that counted as complete, and a version whose context was lost
+    # with its discarded replica. With 17 nodes, a record had more concurrent versions than its bound allowed.
     for seed, nodes in ((7001, 5), (1059, 5), (1033, 5), (6, 17)):
         run = play_virtual(FaultDay(kind, seed, nodes=nodes))
         assert not [(c.name, c.faults) for c in run.checks if c.value > c.limit]
@@ -641,7 +641,7 @@
         run = play_virtual(FaultDay(kind, seed, off=frozenset((rule,))))
         if any(c.name == check and c.value for c in run.checks):
             return
-    raise AssertionError(f"{rule} off: {check} found nothing in 29 days")
+    raise AssertionError(f"check {check} did not fail in 29 runs with the rule {rule} disabled")
 
 
 def test_no_order_of_messages_restarts_and_leaders_loses_an_acknowledged_mark() -> None:
