--- a/sailrun/load_gossip/aggregation_rounds.py
+++ b/sailrun/load_gossip/aggregation_rounds.py
@@ -78,13 +78,13 @@
         self._alert_until_us = now_us
         self._round = now_us // self._round_us  # the current round
         self._own_reports: dict[int, LoadDatagram] = {}  # by round
-        self._collecting: dict[int, LoadDatagram] = {}  # reports of `_collected_round`, by node
+        self._collected_reports: dict[int, LoadDatagram] = {}  # reports of `_collected_round`, by node
         self._collected_round = 0
-        self._collect_us: int | None = None  # when this node sums the reports; None: it is not collecting
-        self._report_us = self._next_report_us()
-        self._request_us = now_us + self._random_us(REQUEST_INTERVAL_US // 4)
+        self._sum_at_us: int | None = None  # when this node sums the reports; None: it is not collecting
+        self._report_at_us = self._next_report_us()
+        self._request_at_us = now_us + self._random_us(REQUEST_INTERVAL_US // 4)
         self._requests_sent = 0
-        self._restate_us = now_us + RESTATE_INTERVAL_US
+        self._restate_at_us = now_us + RESTATE_INTERVAL_US
         self._latest_summary: LoadDatagram | None = None
 
     def collector_of(self, round_number: int) -> int:
@@ -95,11 +95,11 @@
 
     def due_us(self) -> int:
         """Returns when `tick` has to be called next."""
-        due = [self._report_us, self._restate_us]
-        if self._collect_us is not None:
-            due.append(self._collect_us)
+        due = [self._report_at_us, self._restate_at_us]
+        if self._sum_at_us is not None:
+            due.append(self._sum_at_us)
         if self._needs_summary:
-            due.append(self._request_us)
+            due.append(self._request_at_us)
         return min(due)
 
     def tick(self, now_us: int, local: LocalLoad) -> RoundOutput:
@@ -108,17 +108,17 @@
             self._alert_until_us = now_us + ALERT_US
         datagrams: list[OutgoingDatagram] = []
         has_changed = False
-        if self._needs_summary and now_us >= self._request_us:
+        if self._needs_summary and now_us >= self._request_at_us:
             datagrams.append(self._request_summary(now_us, local))
-        if self._collect_us is not None and now_us >= self._collect_us:
-            self._collect_us = None
+        if self._sum_at_us is not None and now_us >= self._sum_at_us:
+            self._sum_at_us = None
             summary = self._sum_reports(local)
             datagrams.append(OutgoingDatagram(None, self._encode(summary)))
             has_changed = self._merge_summary(summary)
-        if now_us >= self._report_us:
+        if now_us >= self._report_at_us:
             datagrams += self._begin_round(now_us, local)
-        if now_us >= self._restate_us:
-            self._restate_us = now_us + RESTATE_INTERVAL_US
+        if now_us >= self._restate_at_us:
+            self._restate_at_us = now_us + RESTATE_INTERVAL_US
             has_changed = has_changed or self._estimate.summary_round >= 0
         return RoundOutput(datagrams, self._fleet_load(now_us, local) if has_changed else None)
 
@@ -127,7 +127,7 @@
         datagrams: list[OutgoingDatagram] = []
         if now_us < self._alert_until_us or self._round % QUIET_ROUND_INTERVAL == 0:
             datagrams = self._report(now_us, local)
-        self._report_us = self._next_report_us()
+        self._report_at_us = self._next_report_us()
         return datagrams
 
     def _report(self, now_us: int, local: LocalLoad) -> list[OutgoingDatagram]:
@@ -137,7 +137,7 @@
         self._own_reports[self._round] = report
         collector = self.collector_of(self._round)
         if collector == self._index:
-            self._collect(self._round)
+            self._begin_collection(self._round)
             return []
         parts = split_report(report, self._capacity)
         return [OutgoingDatagram(collector, self._encode(part)) for part in parts]
@@ -149,7 +149,7 @@
 
     def _request_summary(self, now_us: int, local: LocalLoad) -> OutgoingDatagram:
         self._requests_sent += 1
-        self._request_us = now_us + REQUEST_INTERVAL_US
+        self._request_at_us = now_us + REQUEST_INTERVAL_US
         request = LoadDatagram(now_us // self._round_us, {}, 0, local.loads_reported, is_request=True)
         other = (self._index + 1 + self._random.randrange(self._nodes - 1)) % self._nodes
         return OutgoingDatagram(other, self._encode(request))
@@ -188,8 +188,8 @@
         if not is_collector or is_late or not round_number <= report.round_number <= round_number + 1:
             self.rejected_count += 1
             return
-        self._collect(report.round_number)
-        self._collecting[sender] = merge_parts(self._collecting.get(sender), report)
+        self._begin_collection(report.round_number)
+        self._collected_reports[sender] = merge_parts(self._collected_reports.get(sender), report)
 
     def _receive_summary(
         self, now_us: int, sender: int, summary: LoadDatagram, local: LocalLoad
@@ -220,19 +220,19 @@
 
     # ------------------------------------------------------------------ summaries
 
-    def _collect(self, round_number: int) -> None:
+    def _begin_collection(self, round_number: int) -> None:
         """Begins to collect the reports of this round, which are summed COLLECT_US after its start."""
         if self._collected_round != round_number:
-            self._collecting = {}
+            self._collected_reports = {}
         self._collected_round = round_number
-        self._collect_us = round_number * self._round_us + COLLECT_US
+        self._sum_at_us = round_number * self._round_us + COLLECT_US
 
     def _sum_reports(self, local: LocalLoad) -> LoadDatagram:
         round_number = self._collected_round
         own = self._own_reports.get(round_number)
         if own is None:
             own = self._own_reports[round_number] = build_report(self._round, local, has_alert=False)
-        reports = {**self._collecting, self._index: own}
+        reports = {**self._collected_reports, self._index: own}
         return sum_reports(round_number, reports, local, self._estimate, self._capacity)
 
     def _merge_summary(self, summary: LoadDatagram) -> bool:
--- a/sailrun/load_gossip/datagram.py
+++ b/sailrun/load_gossip/datagram.py
@@ -31,7 +31,7 @@
 NAME_BITS = 16
 LOAD_BITS = 7
 ENTRY_BITS = LOAD_BITS + 1  # the load, and whether the backend is overloaded
-NAMES = 1 << NAME_BITS
+NAME_COUNT = 1 << NAME_BITS
 MAX_LOAD_STEP = (1 << LOAD_BITS) - 1
 # The ratio of consecutive steps of the logarithmic scale; the encoding error of a load is at most 5%.
 LOAD_STEP_RATIO = 1.09
@@ -107,7 +107,7 @@
     """
     free_bits = 8 * (MAX_DATAGRAM_BYTES - _HEADER.size - _contributor_bytes(nodes))
     count = 1
-    while count < MAX_BACKENDS and max_bits(count + 1, NAMES, ENTRY_BITS) <= free_bits:
+    while count < MAX_BACKENDS and max_bits(count + 1, NAME_COUNT, ENTRY_BITS) <= free_bits:
         count += 1
     return count
 
@@ -124,7 +124,7 @@
         raise ValueError(
             f"datagram names {len(names)} form servers, expected at most {datagram_capacity(nodes)}"
         )
-    parameter = choose_parameter(len(names), NAMES)
+    parameter = choose_parameter(len(names), NAME_COUNT)
     writer = BitWriter()
     previous = -1
     for name in names:
@@ -214,11 +214,11 @@
     loads: dict[int, float] = {}
     overloaded: set[int] = set()
     reader = BitReader(content[start:])
-    parameter, name = choose_parameter(count, NAMES), -1
+    parameter, name = choose_parameter(count, NAME_COUNT), -1
     try:
         for _ in range(count):
             name += 1 + reader.read_rice(parameter)
-            if name >= NAMES:
+            if name >= NAME_COUNT:
                 raise InvalidDatagramError("short name exceeds NAME_BITS")
             entry = reader.read(ENTRY_BITS)
             loads[name] = _step_to_load(entry >> 1, loads_reported)
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -151,7 +151,7 @@
                 if sends < MAX_SENDS and known is not None:
                     self._gossip.add(known, sends)
             elif result is PutResult.CONTRADICTS:
-                self._repair.dispute(record.key)
+                self._repair.resolve_contradiction(record.key)
             elif result is PutResult.FULL and not self._is_full_logged:
                 self._is_full_logged = True
                 self.log_event("replica-full", records=len(self.store), bytes=self.store.size_bytes)
@@ -328,7 +328,7 @@
         messages: list[OutgoingMessage] = []
         if now_us >= self._gossip_at_us:
             self._gossip_at_us = now_us + GOSSIP_INTERVAL_US
-            messages += self._gossip_or_copy(now_us)
+            messages += self._gossip_or_transfer(now_us)
             messages += self._repair.poll_voters(now_us)
         if now_us >= self._compare_at_us:
             jitter = 1 - COMPARE_JITTER + 2 * COMPARE_JITTER * self._rng.random()
@@ -344,7 +344,7 @@
         messages += self.receiver.tick(now_us, self.copy.epoch)
         return messages
 
-    def _gossip_or_copy(self, now_us: int) -> list[OutgoingMessage]:
+    def _gossip_or_transfer(self, now_us: int) -> list[OutgoingMessage]:
         messages: list[OutgoingMessage] = []
         if not self.copy.is_complete:
             for name in self._copy_transfer.choose_senders(now_us):
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -379,7 +379,7 @@
         if not self._anti_entropy.epochs.has_deletions(survey.deleted_versions):
             self._survey = None
             return []
-        if survey.is_known_to(awaited):
+        if survey.is_confirmed_by(awaited):
             self._end_epoch(now_us, survey.deleted_versions)
             return []
         return survey.make_queries(self.term, self._epoch)
--- a/sailrun/replication/copy_transfer.py
+++ b/sailrun/replication/copy_transfer.py
@@ -53,7 +53,8 @@
         self._missing = set(range(RANGE_COUNT))
         self._assigned: dict[int, str] = {}  # the sender of each range under transfer
         self._resume_after: dict[int, Key] = {}  # the last key received of each interrupted range
-        self._incomplete_since_us: dict[str, int] = {}  # when each member last reported an incomplete replica
+        # When each member last reported an incomplete replica.
+        self._reported_incomplete_us: dict[str, int] = {}
         self._request_not_before_us: dict[str, int] = {}  # by sender
         self._local_writes: list[Record] = []  # local writes of discarded replicas
 
@@ -66,7 +67,7 @@
         self._local_writes = [record for record in extracted if record is not None]
         self._missing = set(range(RANGE_COUNT))
         self._assigned, self._resume_after = {}, {}
-        self._incomplete_since_us.clear()
+        self._reported_incomplete_us.clear()
 
     def take_local_writes(self) -> list[Record]:
         """Returns the saved local writes and removes them here."""
@@ -126,7 +127,7 @@
         incomplete = {
             name
             for name in present
-            if now_us - self._incomplete_since_us.get(name, -REPLY_VALID_US) < REPLY_VALID_US
+            if now_us - self._reported_incomplete_us.get(name, -REPLY_VALID_US) < REPLY_VALID_US
         }
         if present <= incomplete | {self._name}:
             self._on_complete(now_us)
@@ -136,13 +137,13 @@
     def on_digest_reply(self, now_us: int, sender: str, reply: DigestReply, differing: list[int]) -> None:
         """Begins to fetch ranges from a member whose replica differs in the ranges `differing`."""
         if not reply.complete:
-            self._incomplete_since_us[sender] = now_us
+            self._reported_incomplete_us[sender] = now_us
             if differing and not self._receiver.find_background_transfer(sender):
                 # If no member has a complete replica, the records of all members together become the complete
                 # one.
                 self._receiver.begin(now_us, sender, differing, ignore_end, urgent=True)
             return
-        self._incomplete_since_us.pop(sender, None)
+        self._reported_incomplete_us.pop(sender, None)
         self._copy.missing_records = reply.record_count
         self._missing -= set(range(RANGE_COUNT)) - set(differing) - self._assigned.keys()
         if not self._missing:
@@ -165,9 +166,9 @@
         ranges = share[:1] if after is not None else sorted(share)
         for range_number in ranges:
             self._assigned[range_number] = sender
-        self._take(now_us, sender, ranges, after)
+        self._begin_transfer(now_us, sender, ranges, after)
 
-    def _take(self, now_us: int, sender: str, ranges: list[int], after: Key | None) -> None:
+    def _begin_transfer(self, now_us: int, sender: str, ranges: list[int], after: Key | None) -> None:
         def on_end(now_us: int, complete: bool) -> None:
             if self._copy.is_complete:
                 return
--- a/sailrun/replication/deletion_survey.py
+++ b/sailrun/replication/deletion_survey.py
@@ -59,7 +59,7 @@
         if reply.request_id == self._request_id and sender in self._has_deletions:
             self._has_deletions[sender] = self._has_deletions[sender] or reply.knows_all
 
-    def is_known_to(self, names: list[str]) -> bool:
+    def is_confirmed_by(self, names: list[str]) -> bool:
         """Whether all of these members have replied that they have the deletions."""
         return all(self._has_deletions.get(name) for name in names)
 
--- a/sailrun/replication/mark_writes.py
+++ b/sailrun/replication/mark_writes.py
@@ -59,6 +59,8 @@
         state = MarkState.PENDING
         if round_.has_majority:
             state = MarkState.WAITING if write.is_waiting else MarkState.DONE
-        living = {name for name in round_.observers if self._members.is_living(name)}
-        all_members = bool(round_.observers) and living <= round_.observer_acks | round_.votes.keys()
+        living_observers = {name for name in round_.observers if self._members.is_living(name)}
+        all_members = (
+            bool(round_.observers) and living_observers <= round_.observer_acks | round_.votes.keys()
+        )
         return MarkReply(request.id, state, self._term, copies, replicas, all_members)
--- a/sailrun/replication/outlier_reports.py
+++ b/sailrun/replication/outlier_reports.py
@@ -70,7 +70,7 @@
 
 
 def combine_outlier_reports(
-    records: Iterable[tuple[Record, int]], living: set[str], name: str, min_reporters: int
+    records: Iterable[tuple[Record, int]], living_members: set[str], name: str, min_reporters: int
 ) -> PeerOutliers:
     """Returns the outliers that the node `name` may act on: form servers that at least `min_reporters` other
     living nodes report, for the longest time that so many reports cover, and the median of the set-up times.
@@ -79,7 +79,7 @@
     remaining_us: dict[str, list[int]] = {}
     setups_us: list[int] = []
     for record, age_us in records:
-        if record.subject == name or record.subject not in living or not record.versions:
+        if record.subject == name or record.subject not in living_members or not record.versions:
             continue
         try:
             report = msgspec.msgpack.decode(record.versions[-1].content, type=OutlierReport)
--- a/sailrun/replication/repair.py
+++ b/sailrun/replication/repair.py
@@ -32,7 +32,7 @@
     key: Key
     request_id: int
     deadline_us: int = 0  # for the replies; 0: no request sent yet
-    copies: dict[str, Record | None] = field(default_factory=dict)  # the voters' records, by voter
+    records_by_voter: dict[str, Record | None] = field(default_factory=dict)
     attempts: int = 1
 
 
@@ -108,7 +108,7 @@
 
     # ------------------------------------------------------------------ contradicting records
 
-    def dispute(self, key: Key) -> None:
+    def resolve_contradiction(self, key: Key) -> None:
         """Begins a poll of the voters, after another replica sent the same version with a different content.
         A soft record is removed instead.
         """
@@ -135,9 +135,9 @@
                 return []
             poll.attempts += poll.deadline_us > 0
             poll.deadline_us = now_us + POLL_US
-            poll.copies.clear()
+            poll.records_by_voter.clear()
             if self._name in self._voters():
-                poll.copies[self._name] = self._store.get(poll.key)
+                poll.records_by_voter[self._name] = self._store.get(poll.key)
             request = RecordRequest(poll.request_id, poll.key)
             messages += [OutgoingMessage(name, request) for name in voters]
         return messages
@@ -147,18 +147,18 @@
         poll = self._polls.get(reply.key)
         if poll is None or poll.request_id != reply.request_id or sender not in self._voters():
             return
-        poll.copies[sender] = reply.record
+        poll.records_by_voter[sender] = reply.record
         voters_by_hash: dict[int, list[str]] = {}
-        for name, record in poll.copies.items():
+        for name, record in poll.records_by_voter.items():
             if record is not None:
                 voters_by_hash.setdefault(hash_record(record, b""), []).append(name)
         for hash_, names in voters_by_hash.items():
             if self._is_majority(set(names)):
-                self._settle(now_us, poll, hash_, names)
+                self._finish_poll(now_us, poll, hash_, names)
                 return
 
-    def _settle(self, now_us: int, poll: _Poll, correct_hash: int, names: list[str]) -> None:
-        correct = poll.copies[names[0]]
+    def _finish_poll(self, now_us: int, poll: _Poll, correct_hash: int, names: list[str]) -> None:
+        correct = poll.records_by_voter[names[0]]
         own = self._store.get(poll.key)
         if correct is not None and (own is None or hash_record(own, b"") != correct_hash):
             self._store.replace(now_us, correct)
--- a/sailrun/replication/service.py
+++ b/sailrun/replication/service.py
@@ -142,9 +142,9 @@
 
         self._fleet.call_soon(read)
 
-    def describe(self, now_us: int, what: str) -> dict[str, Any]:
+    def describe(self, now_us: int, query: str) -> dict[str, Any]:
         """Returns the description for `state`, `state KIND` or `ranges` as plain objects."""
-        arguments = what.split()
+        arguments = query.split()
         if arguments[0] == "ranges":
             return describe_ranges(self._replica)
         return describe_state(self._replica, now_us, arguments[1] if len(arguments) > 1 else "")
--- a/tests/test_load_gossip.py
+++ b/tests/test_load_gossip.py
@@ -20,7 +20,7 @@
     OutgoingDatagram,
 )
 from sailrun.load_gossip.datagram import (
-    NAMES,
+    NAME_COUNT,
     InvalidDatagramError,
     LoadDatagram,
     datagram_capacity,
@@ -56,16 +56,16 @@
         self.sent = self.bytes = 0
         self.order, self.events = count(), list[tuple[int, int, int, int, bytes]]()
         self.alive = [k for k in range(node_count) if k not in down]
-        self.armed: dict[int, int] = {}
+        self.scheduled_us: dict[int, int] = {}
         for k in self.alive:
-            self._arm(k, self.nodes[k].due_us())
+            self._schedule(k, self.nodes[k].due_us())
 
     def play(self, until_us: int) -> None:
         """Advances the clock to `until_us` after the start."""
         while self.events[0][0] < START_US + until_us:
             now, _, k, sender, content = heapq.heappop(self.events)
             if not content:
-                self.armed.pop(k, None)
+                self.scheduled_us.pop(k, None)
             node, own = self.nodes[k], self.local_loads[k]
             out, fleet_load = list[OutgoingDatagram](), None
             if content:
@@ -76,16 +76,16 @@
                 for other in self.alive if to is None else [to]:
                     if other != k:
                         self._send(now, k, other, datagram)
-            self._arm(k, max(now + 1, node.due_us()))
+            self._schedule(k, max(now + 1, node.due_us()))
             if fleet_load is not None:
                 self.estimates[k] = fleet_load
 
-    def _arm(self, k: int, when_us: int) -> None:
+    def _schedule(self, k: int, when_us: int) -> None:
         """Schedules the node's next tick unless one is scheduled by then; a received datagram may make it
         earlier.
         """
-        if not START_US <= self.armed.get(k, 0) <= when_us:
-            self.armed[k] = when_us
+        if not START_US <= self.scheduled_us.get(k, 0) <= when_us:
+            self.scheduled_us[k] = when_us
             heapq.heappush(self.events, (when_us, next(self.order), k, -1, b""))
 
     def _send(self, now: int, sender: int, to: int, content: bytes) -> None:
@@ -96,7 +96,7 @@
             heapq.heappush(self.events, (arrival_us, next(self.order), to, sender, content))
 
 
-def spread(nodes: int, seed: int) -> list[LocalLoad]:
+def make_random_loads(nodes: int, seed: int) -> list[LocalLoad]:
     random = Random(seed)
     return [
         local_load({s: random.choice([0.0, 0.0, 5_000.0, 40_000.0]) for s in range(60)}) for _ in range(nodes)
@@ -108,7 +108,7 @@
 def test_after_a_round_every_node_has_the_load_of_all_with_two_datagrams_per_node(
     nodes: int, seed: int
 ) -> None:
-    fleet = SimulatedFleet(spread(nodes, seed), seed)
+    fleet = SimulatedFleet(make_random_loads(nodes, seed), seed)
     fleet.play(3 * max(MIN_ROUND_US, ROUND_US_PER_NODE * nodes) + SECOND_US)
     for k, others in fleet.estimates.items():
         other_loads = [local for n, local in enumerate(fleet.local_loads) if n != k]
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_with_most_nodes_down_and_datagrams_lost_the_rest_still_receive_summaries(seed: int) -> None:
     down = frozenset(Random(seed).sample(range(40), 28))
-    fleet = SimulatedFleet(spread(40, seed), seed, loss_rate=0.1, down=down)
+    fleet = SimulatedFleet(make_random_loads(40, seed), seed, loss_rate=0.1, down=down)
     fleet.play(40 * SECOND_US)
     assert len(fleet.estimates) == 12
     assert all(2 <= others.instances <= 12 for others in fleet.estimates.values())
@@ -144,7 +144,7 @@
 
 
 def test_four_hundred_nodes_send_no_more_than_two_hundred_do() -> None:
-    few, many = (SimulatedFleet(spread(nodes, 1), 1) for nodes in (200, 400))
+    few, many = (SimulatedFleet(make_random_loads(nodes, 1), 1) for nodes in (200, 400))
     for fleet in (few, many):
         fleet.play(12 * SECOND_US)
         assert len(fleet.estimates) == len(fleet.nodes)
@@ -185,7 +185,7 @@
 
 
 @given(
-    st.dictionaries(st.integers(0, NAMES - 1), st.floats(0, 4e6), max_size=90),
+    st.dictionaries(st.integers(0, NAME_COUNT - 1), st.floats(0, 4e6), max_size=90),
     st.integers(0, 70_000),
     st.booleans(),
     st.sets(st.integers(0, 39)),
@@ -237,7 +237,7 @@
     )
 
 
-def at(round_number: int) -> int:
+def time_in_round(round_number: int) -> int:
     """Returns a time shortly after the summary of the round was received."""
     return round_number * MIN_ROUND_US + 400_000
 
@@ -247,11 +247,11 @@
     assert estimate.merge_summary(
         summary(5, {1: 40_000.0, 2: 60_000.0}, range(1, 9), is_complete=False), None
     )
-    loads = estimate.estimate_fleet_load(at(5), [1, 2, 3]).loads
+    loads = estimate.estimate_fleet_load(time_in_round(5), [1, 2, 3]).loads
     assert loads[3] == pytest.approx(50_000.0)
     assert estimate.merge_summary(summary(6, {1: 40_000.0, 2: 60_000.0}, range(1, 9)), None)
     assert (
-        estimate.estimate_fleet_load(at(6), [1, 2, 3]).loads[3] == 0.0
+        estimate.estimate_fleet_load(time_in_round(6), [1, 2, 3]).loads[3] == 0.0
     )  # this summary names all backends with load
 
 
@@ -259,7 +259,7 @@
     same_name = next(n for n in range(1, 100_000) if short_name(n) == short_name(0))
     estimate = LoadEstimate(0, MIN_ROUND_US)
     estimate.merge_summary(summary(5, {0: 90_000.0, 2: 10_000.0, 3: 30_000.0}, range(1, 9)), None)
-    loads = estimate.estimate_fleet_load(at(5), [0, same_name, 2, 3]).loads
+    loads = estimate.estimate_fleet_load(time_in_round(5), [0, same_name, 2, 3]).loads
     assert loads[0] == loads[same_name] == pytest.approx(20_000.0)
 
 
@@ -268,7 +268,7 @@
     estimate, loads = LoadEstimate(0, MIN_ROUND_US), list[float]()
     for number, contributors in enumerate([range(1, 9)] * 3 + [range(1, 5)] * 3 + [range(1, 9)] * 2, 5):
         assert estimate.merge_summary(summary(number, {1: 10_000.0 * len(contributors)}, contributors), None)
-        loads.append(estimate.estimate_fleet_load(at(number), [1]).loads[1])
+        loads.append(estimate.estimate_fleet_load(time_in_round(number), [1]).loads[1])
     assert loads[:4] == [pytest.approx(80_000.0)] * 4  # missing once: the report was lost
     assert all(40_000.0 <= load <= 80_000.0 for load in loads)
     # By the third summary without them, the missing nodes no longer count.
@@ -289,7 +289,7 @@
 
 
 def test_a_new_node_requests_and_gets_the_load_of_the_others_within_half_a_second() -> None:
-    fleet = SimulatedFleet(spread(40, 3), 3)
+    fleet = SimulatedFleet(make_random_loads(40, 3), 3)
     fleet.play(3 * MIN_ROUND_US)
     begin = START_US + 3 * MIN_ROUND_US + 600_000  # its next round is 1.4 s away
     new_node = AggregationRounds(0, 40, 99, begin)
@@ -307,7 +307,10 @@
 def test_an_estimate_decreases_gradually_with_age() -> None:
     estimate = LoadEstimate(0, MIN_ROUND_US)
     estimate.merge_summary(summary(5, {1: 40_000.0}, range(1, 9)), None)
-    loads = [estimate.estimate_fleet_load(at(5) + n * MIN_ROUND_US // 4, [1]).loads[1] for n in range(40)]
+    loads = [
+        estimate.estimate_fleet_load(time_in_round(5) + n * MIN_ROUND_US // 4, [1]).loads[1]
+        for n in range(40)
+    ]
     assert loads[0] == pytest.approx(40_000.0) and loads[-1] == 0.0
     assert all(0 <= before - after <= 4_000.0 for before, after in pairwise(loads))
 
@@ -325,7 +328,7 @@
         assert estimate.merge_summary(total, None) is (number > latest_round and bool(contributors))
         latest_round = estimate.summary_round
         assert not estimate.merge_summary(total, None)  # duplicate
-        assert estimate.estimate_fleet_load(at(number), [1]).loads[1] <= 70_000.0 * 1.0001
+        assert estimate.estimate_fleet_load(time_in_round(number), [1]).loads[1] <= 70_000.0 * 1.0001
 
 
 def test_backends_beyond_one_datagram_are_reported_in_parts_and_named_in_rotation() -> None:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -158,7 +158,7 @@
         )
 
 
-def test_a_list_of_an_older_revision_never_replaces_a_newer() -> None:
+def test_a_list_of_an_older_revision_never_replaces_a_newer_one() -> None:
     store = make_store()
     for revision in (5, 9, 7):
         store.put(0, apply_write(None, ("list", "r", ""), False, "r", (0, revision), b"%d" % revision))
@@ -580,11 +580,11 @@
         (make_report_record("n2", {"s-1": 9000, "s-2": 9000}, 40), SECOND_US),
         (make_report_record("n3", {"s-1": 5000}, 60), SECOND_US),
     ]
-    living = {"n1", "n2", "n3"}
-    assert combine_outlier_reports(reports, living, "n1", 2) == ({"s-1": 4 * SECOND_US}, 50_000)
+    living_members = {"n1", "n2", "n3"}
+    assert combine_outlier_reports(reports, living_members, "n1", 2) == ({"s-1": 4 * SECOND_US}, 50_000)
     assert combine_outlier_reports(reports, {"n1", "n2"}, "n1", 2)[0] == {}
-    assert combine_outlier_reports(reports, living, "n3", 2)[0] == {}
-    assert combine_outlier_reports([(r, 6 * SECOND_US) for r, _ in reports], living, "n1", 2)[0] == {}
+    assert combine_outlier_reports(reports, living_members, "n3", 2)[0] == {}
+    assert combine_outlier_reports([(r, 6 * SECOND_US) for r, _ in reports], living_members, "n1", 2)[0] == {}
 
 
 def test_an_outlier_report_is_sent_when_it_changes_and_again_before_it_expires() -> None:
@@ -656,7 +656,7 @@
     assert found.fault
 
 
-def bad_attempts(report_interval_us: int | None) -> tuple[int, int]:
+def simulate_new_node(report_interval_us: int | None) -> tuple[int, int]:
     """Simulates a node that has just started, with twenty form servers, one of which lets every attempt time
     out, and sixty households per second for 10 s. Returns the number of attempts at that form server, and how
     many households were connected immediately.
@@ -678,9 +678,9 @@
     return sends.count(failing), connected
 
 
-def test_a_node_just_started_avoids_the_form_server_that_others_reported() -> None:
-    attempts_without, connected_without = bad_attempts(None)
-    attempts_with, connected_with = bad_attempts(SECOND_US)
+def test_a_new_node_avoids_the_form_server_that_others_reported() -> None:
+    attempts_without, connected_without = simulate_new_node(None)
+    attempts_with, connected_with = simulate_new_node(SECOND_US)
     assert attempts_without >= 3 and 5 * attempts_with <= attempts_without, (attempts_without, attempts_with)
     assert connected_with > connected_without >= 500
 
