--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -194,7 +194,7 @@
             return rejection
         key = (sender, request.request_id)
         digests = request.group_digests
-        if self._store.digests.list_groups()[: len(digests)] == digests:
+        if self._store.digests.list_group_digests()[: len(digests)] == digests:
             self._caught_up[key] = True
         if self._caught_up.get(key):
             return [OutgoingMessage(sender, self._make_accepted(request))]
--- a/sailrun/replication/acceptor_recovery.py
+++ b/sailrun/replication/acceptor_recovery.py
@@ -96,7 +96,7 @@
                 return []
             incarnation_request = IncarnationRequest(attempt.request_id)
             return [OutgoingMessage(name, incarnation_request) for name in others]
-        digests = self._store.digests.list_groups()[:FIRM_GROUP_COUNT]
+        digests = self._store.digests.list_group_digests()[:FIRM_GROUP_COUNT]
         epoch = self._anti_entropy.copy.epoch
         recovery_request = RecoveryRequest(attempt.request_id, attempt.incarnation, epoch, digests)
         remaining = [n for n in others if n not in attempt.recovered_from and n not in attempt.transferring]
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -191,7 +191,7 @@
         self._digest_requests[request_id] = name
         while len(self._digest_requests) > MAX_OPEN_REQUESTS:
             del self._digest_requests[next(iter(self._digest_requests))]
-        digests = self.store.digests.list_groups()
+        digests = self.store.digests.list_group_digests()
         request = DigestRequest(request_id, self.copy.epoch, digests, self.copy.is_complete)
         return [OutgoingMessage(name, request)]
 
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -128,7 +128,7 @@
         )
 
     def _digest_groups(self) -> list[int]:
-        return self._store.digests.list_groups()[:FIRM_GROUP_COUNT]
+        return self._store.digests.list_group_digests()[:FIRM_GROUP_COUNT]
 
     def _on_prepared(self, now_us: int) -> None:
         if not self._catches_up:
--- a/sailrun/replication/copy_lag.py
+++ b/sailrun/replication/copy_lag.py
@@ -71,7 +71,7 @@
         if not copy.is_complete:
             self.missing_records = copy.missing_records
             return []
-        digests = self._anti_entropy.store.digests.list_groups()[:FIRM_GROUP_COUNT]
+        digests = self._anti_entropy.store.digests.list_group_digests()[:FIRM_GROUP_COUNT]
         request = MarkRequest(MarkOperation.COMPARE, group_digests=digests)
         self._send(LeaderRequest(request, self._on_reply))
         messages: list[OutgoingMessage] = []
--- a/sailrun/replication/inspection.py
+++ b/sailrun/replication/inspection.py
@@ -110,7 +110,9 @@
 def describe_ranges(replica: Replica) -> dict[str, Any]:
     """Describes the digest of each range of firm records, by which two replicas can be compared."""
     digests = [
-        digest for group in range(FIRM_GROUP_COUNT) for digest in replica.store.digests.list_ranges(group)
+        digest
+        for group in range(FIRM_GROUP_COUNT)
+        for digest in replica.store.digests.list_range_digests(group)
     ]
     return {
         "epoch": replica.anti_entropy.copy.epoch,
--- a/sailrun/replication/range_digests.py
+++ b/sailrun/replication/range_digests.py
@@ -51,14 +51,14 @@
         self._digests[number] = (self._digests[number] - record_hash) & _64_BITS
         self._counts[number] -= 1
 
-    def list_groups(self) -> list[int]:
+    def list_group_digests(self) -> list[int]:
         """Returns the digest of each group."""
         return [
             sum(self._digests[first : first + RANGES_PER_GROUP]) & _64_BITS
             for first in range(0, RANGE_COUNT, RANGES_PER_GROUP)
         ]
 
-    def list_ranges(self, group: int) -> list[int]:
+    def list_range_digests(self, group: int) -> list[int]:
         """Returns the digest of each range of a group."""
         return self._digests[group * RANGES_PER_GROUP : (group + 1) * RANGES_PER_GROUP]
 
@@ -66,8 +66,8 @@
         """Returns the groups in which this replica differs from another one, with this replica's digests of
         their ranges. Compares only as many groups as `group_digests` has.
         """
-        pairs = enumerate(zip(self.list_groups(), group_digests, strict=False))
-        return {group: self.list_ranges(group) for group, (own, other) in pairs if own != other}
+        pairs = enumerate(zip(self.list_group_digests(), group_digests, strict=False))
+        return {group: self.list_range_digests(group) for group, (own, other) in pairs if own != other}
 
     def find_differing_ranges(self, range_digests: dict[int, list[int]]) -> list[int]:
         """Returns the ranges in which this replica differs from another one with these digests by group."""
@@ -75,7 +75,7 @@
             group * RANGES_PER_GROUP + offset
             for group, digests in range_digests.items()
             if 0 <= group < GROUP_COUNT
-            for offset, (own, other) in enumerate(zip(self.list_ranges(group), digests, strict=False))
+            for offset, (own, other) in enumerate(zip(self.list_range_digests(group), digests, strict=False))
             if own != other
         ]
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -229,9 +229,9 @@
         if after is None:
             break
         ranges = ranges[ranges.index(find_range(after, False)) :]
-    assert (other.digests.get_firm_digest(), other.digests.list_groups(), len(other)) == (
+    assert (other.digests.get_firm_digest(), other.digests.list_group_digests(), len(other)) == (
         store.digests.get_firm_digest(),
-        store.digests.list_groups(),
+        store.digests.list_group_digests(),
         len(store),
     )
     assert pages >= len(store) // 3
