--- a/sailrun/load_gossip/load_estimate.py
+++ b/sailrun/load_gossip/load_estimate.py
@@ -3,7 +3,7 @@
 
 A summary covers the nodes whose reports reached its collector. If a node is missing from one summary, its
 report was most likely lost and the node still has its load. If it is missing from the following summaries
-too, the node is most likely gone. Therefore a missing node counts with an average share of the previous
+too, the node is most likely down. Therefore a missing node counts with an average share of the previous
 estimate, and its weight decreases with each summary that lacks it. A partition of a few seconds or the loss
 of a third of the datagrams leaves no gap in the estimate, and the load of a killed node disappears within
 three summaries.
@@ -55,7 +55,8 @@
 
     def merge_summary(self, summary: LoadDatagram, own: LoadDatagram | None) -> bool:
         """Merges a summary; `own` is this node's report in it, or None. Returns False for a summary that is
-        not newer than the latest one or has no contributors, because the estimate never goes back in time.
+        not newer than the latest one or has no contributors, because the estimate must not return to an older
+        round.
         """
         contributors = summary.contributors or frozenset()
         if summary.round_number <= self.summary_round or not contributors:
@@ -104,9 +105,9 @@
 
     def _remove_stale_loads(self) -> None:
         self._loads = {
-            name: known
-            for name, known in self._loads.items()
-            if self.summary_round - known.round_number < STALE_ROUNDS
+            name: backend_load
+            for name, backend_load in self._loads.items()
+            if self.summary_round - backend_load.round_number < STALE_ROUNDS
         }
 
     # ------------------------------------------------------------------ queries
@@ -134,13 +135,13 @@
         unknown: list[int] = []
         for number in numbers:
             name = short_name(number)
-            known = self._loads.get(name)
-            if name in ambiguous or (known is None and not self._is_complete):
+            backend_load = self._loads.get(name)
+            if name in ambiguous or (backend_load is None and not self._is_complete):
                 unknown.append(number)
-            elif known is None:
+            elif backend_load is None:
                 loads[number] = 0.0
             else:
-                loads[number] = known.load * self._freshness(now_us, known.round_number)
+                loads[number] = backend_load.load * self._freshness(now_us, backend_load.round_number)
         average = sum(loads.values()) / len(loads) if loads else 0.0
         return loads | dict.fromkeys(unknown, average)
 
--- a/sailrun/replication/acceptor.py
+++ b/sailrun/replication/acceptor.py
@@ -220,8 +220,8 @@
 
     def _get_crash_vector(self) -> CrashVector:
         """Returns the crash vector with this voter's own incarnation."""
-        known = self.state.crash_vector.get(self._name, 0)
-        return {**self.state.crash_vector, self._name: max(self.state.incarnation, known)}
+        known_incarnation = self.state.crash_vector.get(self._name, 0)
+        return {**self.state.crash_vector, self._name: max(self.state.incarnation, known_incarnation)}
 
     def _describe_incarnations(self, request_id: int) -> IncarnationReply:
         state = self.state
--- a/sailrun/replication/acceptor_recovery.py
+++ b/sailrun/replication/acceptor_recovery.py
@@ -113,13 +113,13 @@
             return
         attempt.incarnation_replies[sender] = reply
         replies = attempt.incarnation_replies
-        if voters.is_majority({name for name, known in replies.items() if known.recovered}):
+        if voters.is_majority({name for name, voter_reply in replies.items() if voter_reply.recovered}):
             attempt.incarnation = self._next_incarnation(replies)
             self._request_at_us = now_us
 
     def _next_incarnation(self, replies: dict[str, IncarnationReply]) -> int:
-        known = [reply.crash_vector.get(self._name, 0) for reply in replies.values()]
-        return 1 + max([self._state.incarnation, *known])
+        known_incarnations = [reply.crash_vector.get(self._name, 0) for reply in replies.values()]
+        return 1 + max([self._state.incarnation, *known_incarnations])
 
     def _bootstrap_if_state_lost(self, now_us: int) -> None:
         """Recovers without a majority if too many voters have lost their state, as at the fleet's first
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -147,9 +147,9 @@
                 return False
             if result is PutResult.NEW:
                 self._repair.on_received(record)
-                known = self.store.get(record.key)
-                if sends < MAX_SENDS and known is not None:
-                    self._gossip.add(known, sends)
+                merged = self.store.get(record.key)
+                if sends < MAX_SENDS and merged is not None:
+                    self._gossip.add(merged, sends)
             elif result is PutResult.CONTRADICTS:
                 self._repair.resolve_contradiction(record.key)
             elif result is PutResult.FULL and not self._is_full_logged:
--- a/sailrun/replication/deletion_survey.py
+++ b/sailrun/replication/deletion_survey.py
@@ -19,13 +19,13 @@
     """Returns marks that were deleted longer ago than `retention_us`, at most as many as one
     epoch removes.
     """
-    found: DeletedVersions = []
+    deletions: DeletedVersions = []
     for kind in MARK_KINDS:
         for record in store.iterate_records(kind):
             is_old = store.age_us(now_us, record.key) > retention_us
-            if record.is_deleted and is_old and len(record.versions) == 1 and len(found) < MAX_REMOVED:
-                found.append((record.key, *record.versions[0].dot))
-    return found
+            if record.is_deleted and is_old and len(record.versions) == 1 and len(deletions) < MAX_REMOVED:
+                deletions.append((record.key, *record.versions[0].dot))
+    return deletions
 
 
 def list_awaited_members(members: Membership, now_us: int, absent_us: int) -> list[str]:
--- a/sailrun/replication/epochs.py
+++ b/sailrun/replication/epochs.py
@@ -79,9 +79,9 @@
 
     def advance(self, now_us: int, record: Record) -> bool:
         """Advances to the next epoch if this replica has all deletions that the epoch removes. Returns
-        whether the replica then has the record's epoch. The record must be decided, which a leader
-        learns from a majority and other members learn from any member that has advanced; holding the record
-        is not enough.
+        whether the replica then has the record's epoch. The record must be decided: a leader determines that
+        from a majority, and other members from any member that has advanced. Holding the record is not
+        enough.
         """
         epoch_record = decode_epoch_record(record)
         if epoch_record.epoch <= self._copy.epoch:
--- a/sailrun/replication/journal.py
+++ b/sailrun/replication/journal.py
@@ -22,4 +22,4 @@
     def write_acceptor_state(
         self, incarnation: int, promised_term: int, crash_vector: dict[str, int], is_recovered: bool
     ) -> None:
-        """Stores the acceptor's promise and the voters' incarnations that it knows."""
+        """Stores the acceptor's state; see `DurableAcceptorState`."""
--- a/sailrun/replication/messages.py
+++ b/sailrun/replication/messages.py
@@ -175,7 +175,7 @@
 
 
 class IncarnationReply(msgspec.Struct, array_like=True, frozen=True, tag="known"):
-    """Returns the incarnations and the promised term that another voter knows."""
+    """Returns the crash vector, the promised term and the recovery status of another voter."""
 
     request_id: int
     recovered: bool  # the replying voter has all its promises
