--- a/sailrun/replication/state_transfer.py
+++ b/sailrun/replication/state_transfer.py
@@ -130,7 +130,7 @@
         transfer.on_end(now_us, complete)
 
     def end_all(self, now_us: int) -> None:
-        """Ends all transfers as incomplete."""
+        """Ends all transfers as incomplete, because the replica was discarded."""
         for transfer in list(self.transfers):
             self.end_transfer(now_us, transfer, False)
 
