--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -195,7 +195,7 @@
 
         self.transport.post(call_and_send_nothing)
 
-    def living(self) -> set[str]:
+    def living_members(self) -> set[str]:
         """Returns the names of the members that are alive, as far as is known."""
         return set(self.agent.members.living_names)
 
@@ -203,7 +203,7 @@
         """Returns the highest term under which any node is known to have led the task."""
         return self.agent.leases.lease_of(task).highest_granted_term
 
-    def when_kept(self, now_us: int, call: Callable[[bool], None]) -> None:
+    def call_when_durable(self, now_us: int, call: Callable[[bool], None]) -> None:
         """See `DurableState.call_when_durable`."""
         self.agent.durable_state.call_when_durable(now_us, call)
 
@@ -254,7 +254,7 @@
         """Whether drains, and form servers out of service, need a permit."""
         return self.agent.permit_holder is not None
 
-    def ask_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
+    def request_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
         """See `OperatorPermits.request`."""
         self._operator_permits.request(kind, subject, reply)
 
@@ -262,7 +262,7 @@
         """See `OperatorPermits.describe_pending`."""
         return self._operator_permits.describe_pending(kind, subject)
 
-    def give_back(self, kind: str, subject: str) -> None:
+    def release_permit(self, kind: str, subject: str) -> None:
         """See `OperatorPermits.release`."""
         self._operator_permits.release(kind, subject)
 
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -61,8 +61,8 @@
         disabled_rules: frozenset[str] = frozenset(),
         journal: ReplicaJournal | None = None,
     ) -> None:
-        """`is_majority` tests a set of voters. `disabled_rules` are the safety rules that the laboratory
-        switches off.
+        """`is_majority` returns whether a set of voters is a majority. `disabled_rules` are the safety rules
+        that the laboratory switches off.
         """
         self._name, self.store, self.settings, self._members = name, store, settings, members
         self._journal = journal or ReplicaJournal()
@@ -73,8 +73,8 @@
         self.copy = CopyState()
         # Events for the operator's log, each with its fields; the caller writes them and empties the list.
         self.log_events: list[tuple[str, dict[str, object]]] = []
-        # Called when the replica or a record of it was discarded, with the time and whether other members
-        # counted on the discarded records.
+        # Called when the replica or a record of it was discarded, with the time and whether a majority may
+        # have counted this replica as having the discarded records.
         self.on_discarded: Callable[[int, bool], None] = lambda now_us, was_counted: None
         # Called for a corrupted record that no member has sent again in time.
         self.on_lost: Callable[[Key], None] = lambda key: None
@@ -147,11 +147,11 @@
                 return False
             if result is PutResult.NEW:
                 self._repair.on_received(record)
-                known = self.store.get(record.key)
-                if sends < MAX_SENDS and known is not None:
-                    self._gossip.add(known, sends)
+                merged = self.store.get(record.key)
+                if sends < MAX_SENDS and merged is not None:
+                    self._gossip.add(merged, sends)
             elif result is PutResult.CONTRADICTS:
-                self._repair.dispute(record.key)
+                self._repair.resolve_contradiction(record.key)
             elif result is PutResult.FULL and not self._is_full_logged:
                 self._is_full_logged = True
                 self.log_event("replica-full", records=len(self.store), bytes=self.store.size_bytes)
@@ -191,7 +191,7 @@
         self._digest_requests[request_id] = name
         while len(self._digest_requests) > MAX_OPEN_REQUESTS:
             del self._digest_requests[next(iter(self._digest_requests))]
-        digests = self.store.digests.list_groups()
+        digests = self.store.digests.list_group_digests()
         request = DigestRequest(request_id, self.copy.epoch, digests, self.copy.is_complete)
         return [OutgoingMessage(name, request)]
 
@@ -328,7 +328,7 @@
         messages: list[OutgoingMessage] = []
         if now_us >= self._gossip_at_us:
             self._gossip_at_us = now_us + GOSSIP_INTERVAL_US
-            messages += self._gossip_or_copy(now_us)
+            messages += self._gossip_or_transfer(now_us)
             messages += self._repair.poll_voters(now_us)
         if now_us >= self._compare_at_us:
             jitter = 1 - COMPARE_JITTER + 2 * COMPARE_JITTER * self._rng.random()
@@ -344,7 +344,7 @@
         messages += self.receiver.tick(now_us, self.copy.epoch)
         return messages
 
-    def _gossip_or_copy(self, now_us: int) -> list[OutgoingMessage]:
+    def _gossip_or_transfer(self, now_us: int) -> list[OutgoingMessage]:
         messages: list[OutgoingMessage] = []
         if not self.copy.is_complete:
             for name in self._copy_transfer.choose_senders(now_us):
@@ -361,8 +361,8 @@
         if not self._gossip:
             return []
         names = self._sample_members(FANOUT)
-        # Ages are computed for the next gossip time, so that with the delay a record may appear older than it
-        # is but not younger.
+        # Ages are computed as of the next gossip time, which allows for the network delay: at the receiver a
+        # record may appear older than it is, but not younger.
         records = self._gossip.take_batch(self._gossip_at_us, len(names))
         if not records or not names:
             return []
--- a/sailrun/replication/copy_lag.py
+++ b/sailrun/replication/copy_lag.py
@@ -30,8 +30,8 @@
     ) -> None:
         self._name, self._anti_entropy, self._members, self._send = name, anti_entropy, members, send
         self._in_sync_us = -1  # when this replica was last known to be in sync with the leader's; -1: never
-        self.missing_records = 0  # how many records this replica may lack, by the leader's reply
-        self._is_transfer_due = False  # by the leader's reply, this replica lacks records
+        self.missing_records = 0  # how many records this replica may lack, according to the leader
+        self._is_transfer_due = False  # according to the leader, this replica lacks records
         self._compare_at_us = now_us
         self._was_stale = False
 
@@ -71,7 +71,7 @@
         if not copy.is_complete:
             self.missing_records = copy.missing_records
             return []
-        digests = self._anti_entropy.store.digests.list_groups()[:FIRM_GROUP_COUNT]
+        digests = self._anti_entropy.store.digests.list_group_digests()[:FIRM_GROUP_COUNT]
         request = MarkRequest(MarkOperation.COMPARE, group_digests=digests)
         self._send(LeaderRequest(request, self._on_reply))
         messages: list[OutgoingMessage] = []
--- a/sailrun/replication/deletion_survey.py
+++ b/sailrun/replication/deletion_survey.py
@@ -19,13 +19,13 @@
     """Returns marks that were deleted longer ago than `retention_us`, at most as many as one
     epoch removes.
     """
-    found: DeletedVersions = []
+    deletions: DeletedVersions = []
     for kind in MARK_KINDS:
         for record in store.iterate_records(kind):
             is_old = store.age_us(now_us, record.key) > retention_us
-            if record.is_deleted and is_old and len(record.versions) == 1 and len(found) < MAX_REMOVED:
-                found.append((record.key, *record.versions[0].dot))
-    return found
+            if record.is_deleted and is_old and len(record.versions) == 1 and len(deletions) < MAX_REMOVED:
+                deletions.append((record.key, *record.versions[0].dot))
+    return deletions
 
 
 def list_awaited_members(members: Membership, now_us: int, absent_us: int) -> list[str]:
@@ -41,7 +41,7 @@
 
 
 class DeletionSurvey:
-    """A query to all members whether they have the deletions of all these versions."""
+    """Queries all members whether they have certain deletions, and collects their replies."""
 
     def __init__(self, name: str, request_id: int, deleted_versions: DeletedVersions) -> None:
         """`name` is the querying member; it counts as having the deletions."""
@@ -59,7 +59,7 @@
         if reply.request_id == self._request_id and sender in self._has_deletions:
             self._has_deletions[sender] = self._has_deletions[sender] or reply.knows_all
 
-    def is_known_to(self, names: list[str]) -> bool:
+    def is_confirmed_by(self, names: list[str]) -> bool:
         """Whether all of these members have replied that they have the deletions."""
         return all(self._has_deletions.get(name) for name in names)
 
--- a/sailrun/replication/outlier_exchange.py
+++ b/sailrun/replication/outlier_exchange.py
@@ -15,8 +15,8 @@
 
 
 class OutlierExchange:
-    """Publishes this node's outlier reports, and passes outliers that enough other nodes report
-    to the core.
+    """Publishes this node's outlier reports, and passes to the core the outliers that enough other nodes
+    report.
     """
 
     def __init__(self, node: Node, replica: Replica, fleet: FleetServices) -> None:
@@ -40,7 +40,7 @@
         store, settings = self._replica.store, self._replica.settings
         reports = ((r, store.age_us(now_us, r.key)) for r in store.iterate_records(OUTLIER_REPORT))
         outliers = combine_outlier_reports(
-            reports, self._fleet.living(), self._replica.name, settings.min_reporters
+            reports, self._fleet.living_members(), self._replica.name, settings.min_reporters
         )
         if outliers.ejected_us or outliers.setup_us:
             self._node.receive_peer_outliers(outliers.ejected_us, outliers.setup_us)
