--- a/sailrun/node/backend_list.py
+++ b/sailrun/node/backend_list.py
@@ -1,4 +1,4 @@
-"""The list of form servers as discovery reports it, and the form servers that an operator has excluded."""
+"""The endpoint list, as discovery reports it, and the form servers that an operator has excluded."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 class BackendList:
-    """Every form server that was ever listed, by number. One that is removed from the list stays here with
-    the state GONE.
+    """Every form server that was ever listed, by number. One that is removed from the endpoint list stays
+    here with the state GONE.
 
     Each update is passed unchanged to the decision module; the rebalancer receives it with excluded form
     servers shown as draining.
@@ -32,7 +32,7 @@
     # ------------------------------------------------------------------ updates from discovery
 
     def update(self, update: ServerListUpdate) -> None:
-        """Applies a complete list, or changes to it."""
+        """Applies a complete endpoint list, or changes to it."""
         self._revision = update.revision
         if update.kind is not ListKind.CACHED:
             self._log(
@@ -57,7 +57,7 @@
                 self._form_servers[number] = replace(entry, state=BackendState.GONE)
 
     def on_discovery_failed(self, why: str) -> None:
-        """Discovery could not get the list; the last one remains in use."""
+        """Discovery could not get the endpoint list; the last one remains in use."""
         self._log("roster-failed", why=why)
         self._rebalancer.on_discovery_failed()
         self._decisions.feed(BackendListUpdate(ListKind.FAILED))
@@ -73,37 +73,37 @@
         return self._form_servers
 
     def get(self, number: int) -> FormServer | None:
-        """The form server with this number, whether listed or gone; None if it was never listed."""
+        """Returns the form server with this number, whether listed or gone; None if it was never listed."""
         return self._form_servers.get(number)
 
     def find(self, name: str) -> FormServer | None:
-        """The form server with this name. If two names have the same number, only the one listed last is
-        found.
+        """Returns the form server with this name. If two names have the same number, only the one listed last
+        is found.
         """
         form_server = self._form_servers.get(server_number(name))
         return form_server if form_server is not None and form_server.name == name else None
 
     def name_of(self, number: int) -> str:
-        """The form server's name for the log, or its number if it was never listed."""
+        """Returns the form server's name for the log, or its number if it was never listed."""
         form_server = self._form_servers.get(number)
         return form_server.name if form_server is not None else str(number)
 
     def list_present(self) -> tuple[FormServer, ...]:
-        """The form servers that are not gone."""
+        """Returns the form servers that are not gone."""
         return tuple(
             server for server in self._form_servers.values() if server.state is not BackendState.GONE
         )
 
     def snapshot(self) -> ServerListUpdate:
-        """The list for a successor, which uses it as its initial, cached list."""
+        """Returns the endpoint list for a successor, which uses it as its initial, cached list."""
         return ServerListUpdate(ListKind.CACHED, self._revision, self.list_present())
 
     def accepts_sessions(self, form_server: FormServer) -> bool:
-        """Whether the form server is ready and not excluded by an operator."""
+        """Returns whether the form server is ready and not excluded by an operator."""
         return form_server.state is BackendState.READY and form_server.name not in self._excluded
 
     def may_receive(self, form_server: FormServer) -> bool:
-        """Whether the form server is still listed at the same address and accepts sessions."""
+        """Returns whether the form server is still listed at the same address and accepts sessions."""
         current = self._form_servers.get(form_server.number)
         return (
             current is not None and current.address == form_server.address and self.accepts_sessions(current)
@@ -117,7 +117,7 @@
         return frozenset(self._excluded)
 
     def is_excluded(self, name: str) -> bool:
-        """Whether an operator has excluded the form server with this name."""
+        """Returns whether an operator has excluded the form server with this name."""
         return name in self._excluded
 
     def set_excluded(self, name: str, excluded: bool) -> None:
@@ -128,13 +128,13 @@
             self._excluded.discard(name)
 
     def effective_backend(self, form_server: FormServer) -> Backend:
-        """The entry for code that does not know about exclusion: an excluded form server is shown as
-        draining.
+        """Returns the entry for code that does not handle exclusion: a form server that is ready but excluded
+        is shown as draining.
         """
         excluded = form_server.state is BackendState.READY and form_server.name in self._excluded
         state = BackendState.DRAINING if excluded else form_server.state
         return replace(form_server, state=state).as_backend()
 
     def effective_backends(self) -> tuple[Backend, ...]:
-        """The effective entries of all form servers ever listed."""
+        """Returns the effective entries of all form servers ever listed."""
         return tuple(map(self.effective_backend, self._form_servers.values()))
--- a/sailrun/node/clock.py
+++ b/sailrun/node/clock.py
@@ -19,7 +19,7 @@
         self._offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def now_us(self) -> int:
-        """The current time in Unix microseconds."""
+        """Returns the current time in Unix microseconds."""
         return time.monotonic_ns() // 1000 + self._offset_us
 
     def to_deadline(self, at_us: int) -> float:
--- a/sailrun/node/command_queue.py
+++ b/sailrun/node/command_queue.py
@@ -13,7 +13,7 @@
     """Calls that the event loop makes in its next iteration, in the order in which they were posted."""
 
     def __init__(self) -> None:
-        # Handlers with their arguments; `post` has the type checker match the arguments to the handler.
+        # Handlers with their arguments; the signature of `post` makes the type checker match them.
         self._commands: deque[tuple[Callable[..., object], tuple[Any, ...]]] = deque()
         self.wake: Callable[[], None] = lambda: None  # called when the queue is no longer empty
 
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -64,8 +64,8 @@
         log: EventLog = log,
         predecessor: NodeSnapshot | None = None,
     ) -> None:
-        """`initial_list`: the list of form servers at the start. `predecessor`: the state of the process that
-        this one replaces.
+        """`initial_list`: the endpoint list at the start. `predecessor`: the state of the process that this
+        one replaces.
         """
         self.settings, self.clock = settings, clock
         self.discovery: ServiceDiscovery | None = None
@@ -77,7 +77,7 @@
         self._sweep_us = self._loop_time.now_us + SWEEP_INTERVAL_US
         objectives = [c.message_objective_us for c in settings.classes if c.message_objective_us > 0]
         self._latency_threshold_us = min(objectives) / 3 if objectives else 0.0
-        # The latency in milliseconds from which on form servers report it; 0: they never do.
+        # Form servers report their message latency from this value on, in milliseconds; 0: they never do.
         self.reported_delay_threshold_ms = (
             self._latency_threshold_us / 1000 if settings.reports_delay else 0.0
         )
@@ -153,8 +153,8 @@
             self.run_once(self.clock.now_us())
 
     def start(self) -> None:
-        """Applies the initial list of form servers and the state of a predecessor; called once, before the
-        first iteration.
+        """Applies the initial endpoint list and the state of a predecessor; called once, before the first
+        iteration.
         """
         self._backends.update(self._initial_list)
         if self._predecessor is not None:
@@ -166,7 +166,7 @@
                 self._operator.set_draining(True)
 
     def due_us(self) -> int:
-        """When the next iteration is due even if no command is posted, in Unix microseconds."""
+        """Returns when the next iteration is due even if no command is posted, in Unix microseconds."""
         due_us = self._timers.due_us()
         return min(
             self._sweep_us,
@@ -195,7 +195,7 @@
     # ------------------------------------------------------------------ calls of the fronts
 
     def request_session(self, session: FormSession) -> None:
-        """A client requests a form session; the node gives exactly one final answer by its deadline."""
+        """Requests a form session for a client; the node gives exactly one final answer by the deadline."""
         self._queue.post(self._sessions.on_request, session)
 
     def connection_opened(self, session: FormSession, placement: Placement, latency_us: int) -> None:
@@ -223,10 +223,10 @@
         self._queue.post(self._supervisor.on_latency_reported, session, latency_ms)
 
     def may_begin(self, session: FormSession, placement: Placement) -> bool:
-        """Whether an attempt may still begin, checked immediately before its first byte is sent.
+        """Returns whether an attempt may still begin, checked immediately before its first byte is sent.
 
         Since the decision, the form server may have begun to drain or have changed its address, or the time
-        for a retry may have expired.
+        for a retry may have expired. An attempt to resume a session may always begin.
         """
         if session.resumed_at is not None:
             return True
@@ -249,11 +249,11 @@
     # ------------------------------------------------------------------ calls of the outgoing ports
 
     def server_list_updated(self, update: ServerListUpdate) -> None:
-        """Discovery has delivered the list of form servers, or changes to it."""
+        """Discovery has delivered the endpoint list, or changes to it."""
         self._queue.post(self._backends.update, update)
 
     def discovery_failed(self, why: str) -> None:
-        """Discovery could not get the list of form servers."""
+        """Discovery could not get the endpoint list."""
         self._queue.post(self._backends.on_discovery_failed, why)
 
     def peer_message_received(self, peer: int, content: bytes) -> None:
@@ -285,13 +285,13 @@
         self._queue.post(lambda: reply(self._read_metrics()))
 
     def check_ready(self, reply: Reply[bool]) -> None:
-        """Replies whether this node accepts new clients: it is not shutting down and has a list of form
-        servers.
+        """Replies whether this node accepts new clients: it is not moving its clients away, and at least one
+        form server was ever listed.
         """
         self._queue.post(lambda: reply(not self.shutdown and len(self._backends) > 0))
 
     def set_operator_override(self, name: str, is_excluded: bool, reply: Reply[bool]) -> None:
-        """Excludes a form server or puts it back; replies False if no form server of that name is known."""
+        """Excludes a form server or puts it back; replies False if `has_form_server` would."""
         self._queue.post(lambda: reply(self._operator.set_override(name, is_excluded)))
 
     def list_operator_overrides(self, reply: Reply[frozenset[str]]) -> None:
@@ -308,7 +308,7 @@
         return ShutdownReason.DRAIN not in self.shutdown
 
     def set_draining(self, is_draining: bool, reply: Reply[bool]) -> None:
-        """Begins or ends a drain: all clients are moved away, and none is accepted until the drain ends.
+        """Begins or ends a drain: all clients are moved away, and `is_accepting` is False until it ends.
         Replies True.
         """
         self._queue.post(lambda: reply(self._operator.set_draining(is_draining)))
@@ -316,7 +316,7 @@
     # ------------------------------------------------------------------ calls for the nodes of a fleet
 
     def set_move_rate_share(self, share: float, reply: Reply[bool]) -> None:
-        """Sets this node's share of the fleet's move rate, 0 to 1; replies whether it moves clients."""
+        """Sets this node's share of the fleet's move rate, 0 to 1; replies whether a rebalancer is active."""
         self._queue.post(lambda: reply(self.rebalancer_port.set_rate_share(share)))
 
     def report_outliers(self, reply: Reply[OutlierReport]) -> None:
@@ -353,8 +353,8 @@
         self._queue.post(lambda: reply(self._fleet_load.local_load()))
 
     def set_successor(self, send: SendTransfer | None) -> None:
-        """From now on a successor accepts the clients, and `send` transfers established sessions to it. None:
-        the successor is gone, and this process serves the clients again.
+        """Begins the handover to a successor, which accepts the clients from now on; `send` transfers
+        established sessions to it. None: the successor is gone, and this process serves the clients again.
         """
         self._queue.post(self._successor.set_successor, send)
 
@@ -363,7 +363,7 @@
         self._queue.post(self._sessions.adopt, session, placement)
 
     def update_predecessor_load(self, load: ProcessLoad | None) -> None:
-        """The load of the sessions that the predecessor still serves; None: it has ended."""
+        """Sets the load of the sessions that the predecessor still serves; None: it has ended."""
         self._queue.post(self._fleet_load.set_predecessor_load, load)
 
     # ------------------------------------------------------------------ handlers that run in the event loop
@@ -397,8 +397,8 @@
 
     def _snapshot_state(self) -> NodeSnapshot:
         observed = self._balancer.snapshot()
-        # From now on the successor may also send to form servers in slow start, and neither process sees what
-        # the other sends.
+        # From now on the successor may also make attempts at form servers in slow start, and neither process
+        # counts the attempts of the other.
         self._balancer.forfeit_slow_start_allowance(self._loop_time.now_us)
         is_draining = ShutdownReason.DRAIN in self.shutdown
         return NodeSnapshot(self._backends.snapshot(), self._backends.excluded, is_draining, observed)
--- a/sailrun/node/counters.py
+++ b/sailrun/node/counters.py
@@ -39,24 +39,24 @@
     def __init__(self, classes: Iterable[str]) -> None:
         """`classes`: the names of all request classes."""
         self.classes = {name: ClassCounters() for name in classes}
-        self.moves = Counter[MoveReason]()  # clients moved to another node, by reason
+        self.moves = Counter[MoveReason]()  # clients asked to reconnect elsewhere, by reason
         self.backend_calls = 0
         self.reconfig_ok = 0
         self.reconfig_failed = 0
 
     def on_request_written(self) -> None:
-        """An attempt's request has been written completely."""
+        """Counts an attempt whose request has been written completely to its form server."""
         self.backend_calls += 1
 
     def on_configuration_reloaded(self, is_usable: bool) -> None:
-        """A new configuration was applied, or was not usable."""
+        """Counts a new configuration, which was applied or was not usable."""
         if is_usable:
             self.reconfig_ok += 1
         else:
             self.reconfig_failed += 1
 
     def snapshot(self, inflight: int, hosts_listed: int, hosts_down: int) -> MetricsSnapshot:
-        """The current counters, with the gauges that the caller has measured."""
+        """Returns the current counters, with the gauges that the caller has measured."""
         return MetricsSnapshot(
             self.classes,
             self.backend_calls,
--- a/sailrun/node/draining.py
+++ b/sailrun/node/draining.py
@@ -10,7 +10,7 @@
 
 
 class ShutdownController:
-    """Begins and ends the plans, logs this, and notifies the rebalancer."""
+    """Begins and ends the plans, logs each begin and end, and notifies the rebalancer."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
             self._log("leaving", reason=reason.value, sessions=self._count_unmoved())
 
     def end_drain(self) -> None:
-        """Ends a drain; clients are accepted again unless another plan is in force."""
+        """Ends a drain. For the rebalancer, the node still drains while another plan is in force."""
         if self._plans.cancel(ShutdownReason.DRAIN):
             self._log("drain-over", sessions=self._count_unmoved())
             if not self._plans:
--- a/sailrun/node/failure_detector.py
+++ b/sailrun/node/failure_detector.py
@@ -13,7 +13,7 @@
 SEVERAL_SESSIONS = 3
 # Applies to one connection that returns nothing while others to the same form server do. It has to be ended
 # within 7 s of the last line that it returned. The client's next line, which reveals the failure, comes up to
-# 2 s after that line.
+# 2 s after that line; the last 0.5 s are a margin.
 CONNECTION_UNRESPONSIVE_US = 7_000_000 - 2_000_000 - 500_000
 
 
@@ -26,7 +26,7 @@
         self.last_received_us = 0
 
     def find_unresponsive(self, now_us: int, sessions: Collection[FormSession]) -> list[FormSession]:
-        """Those of the form server's sessions to which it no longer responds.
+        """Returns those of the form server's sessions to which it no longer responds.
 
         If the form server as a whole is unresponsive, these are all its sessions. Sessions that are being
         moved are excluded.
@@ -43,8 +43,8 @@
 
 
 def _is_unresponsive(waited_us: list[int]) -> bool:
-    """Whether the waiting times of the sessions, during which nothing was received, show that the form server
-    is unresponsive.
+    """Returns whether the waiting times of the sessions, during which nothing was received, show that the
+    form server is unresponsive.
     """
     waited_us.sort(reverse=True)
     if waited_us[0] >= UNRESPONSIVE_US:
--- a/sailrun/node/fleet_load.py
+++ b/sailrun/node/fleet_load.py
@@ -50,8 +50,8 @@
         self._predecessor: ProcessLoad | None = None
 
     def due_us(self) -> int | None:
-        """When `run_round_if_due` has to run next; None: never. If two processes form a node, only the
-        successor gossips.
+        """Returns when `run_round_if_due` has to run next; None: never. If two processes form a node, only
+        the successor takes part in the gossip.
         """
         if self._rounds is None or ShutdownReason.SUCCEEDED in self._plans:
             return None
@@ -73,17 +73,17 @@
         return True
 
     def set_predecessor_load(self, load: ProcessLoad | None) -> None:
-        """The load of the sessions that the predecessor still serves; None: it has ended."""
+        """Sets the load of the sessions that the predecessor still serves; None: it has ended."""
         self._predecessor = load
         self._decisions.feed(self._others_load())
 
     def local_load(self) -> ProcessLoad:
-        """The load of the sessions established in this process, for the node's other process."""
+        """Returns the load of the sessions established in this process, for the node's other process."""
         own = self._balancer.local_load()
         return ProcessLoad(own.loads, own.connections, own.loads_reported)
 
     def describe(self) -> str | None:
-        """For the status line: the number of nodes that the last sum covered, and of rejected messages."""
+        """Returns NODES/REJECTED for the status line: nodes in the last sum, and rejected messages."""
         return f"{self._reporting_nodes}/{self._rounds.rejected_count}" if self._rounds is not None else None
 
     def _carry_out(self, output: RoundOutput) -> None:
@@ -99,7 +99,9 @@
             self._decisions.feed(self._others_load())
 
     def _node_load(self) -> LocalLoad:
-        """The load of this node, including the load of a predecessor if both state it in the same unit."""
+        """Returns the load of this node, including the load of a predecessor if both state it in the same
+        unit.
+        """
         own, predecessor = self._balancer.local_load(), self._predecessor
         if predecessor is None or predecessor.loads_reported is not own.loads_reported:
             return own
@@ -107,7 +109,9 @@
         return replace(own, loads=loads, connections=own.connections + predecessor.connections)
 
     def _others_load(self) -> FleetLoad:
-        """The load of the other nodes and of the predecessor."""
+        """Returns the load of the other nodes and of the predecessor. The predecessor's is omitted if the
+        other nodes have connections and state their load in another unit.
+        """
         others, predecessor = self._others, self._predecessor
         if others is None or self._loop_time.now_us >= self._others_until_us:
             reported = predecessor is not None and predecessor.loads_reported
--- a/sailrun/node/form_server_monitor.py
+++ b/sailrun/node/form_server_monitor.py
@@ -21,25 +21,25 @@
         self.failure_detector = FailureDetector()
 
     def pending_since_us(self) -> list[int]:
-        """The send time of the oldest unanswered line of each session that awaits an answer."""
+        """Returns the send time of the oldest unanswered line of each session that awaits an answer."""
         return [s.unanswered_since_us[0] for s in self.sessions.values() if s.unanswered_since_us]
 
     def latency_us(self, now_us: int) -> int | None:
-        """The current median message latency in microseconds; None if there are no observations."""
+        """Returns the current median message latency in microseconds; None if there are no observations."""
         return self.latency.median_us(now_us, self.pending_since_us())
 
     def poll_latency_report(self, now_us: int, threshold_us: float) -> float | None:
-        """The latency to report in milliseconds; None if no report is due or there is nothing to report."""
+        """Returns the latency to report in milliseconds; None if there is nothing to report now."""
         if not self.latency.is_report_due(now_us, threshold_us):
             return None
         return self.latency.poll_report(now_us, threshold_us, self.pending_since_us())
 
     def find_unresponsive_sessions(self, now_us: int) -> list[FormSession]:
-        """The sessions to which the form server no longer responds."""
+        """Returns the sessions to which the form server no longer responds."""
         return self.failure_detector.find_unresponsive(now_us, self.sessions.values())
 
     def is_idle(self) -> bool:
-        """Whether there is nothing to observe until a client sends another line."""
+        """Returns whether there is nothing to observe until a client sends another line."""
         return self.latency.is_idle and not any(s.unanswered_since_us for s in self.sessions.values())
 
 
@@ -80,7 +80,7 @@
     # ------------------------------------------------------------------ sessions
 
     def add_session(self, session: FormSession, number: int) -> FormServerMonitor:
-        """A session is established at a form server; returns that form server's monitor."""
+        """Adds a session that is established at a form server; returns that form server's monitor."""
         monitor = self._get_or_create(number)
         monitor.sessions[session.id] = session
         if session.unanswered_since_us:
@@ -94,35 +94,37 @@
         return monitor
 
     def remove_session(self, session: FormSession, number: int) -> None:
-        """An established session has ended."""
+        """Removes an established session that has ended."""
         self._monitors[number].sessions.pop(session.id, None)
 
     def count_sessions(self) -> int:
-        """The number of established sessions, including those that are being moved."""
+        """Returns the number of established sessions, including those that are being moved."""
         return sum(len(monitor.sessions) for monitor in self._monitors.values())
 
     def iterate_sessions(self) -> Iterator[tuple[int, FormSession]]:
-        """All established sessions, each with its form server's number."""
+        """Yields all established sessions, each with its form server's number."""
         for number, monitor in self._monitors.items():
             for session in monitor.sessions.values():
                 yield number, session
 
     def list_unmoved_sessions(self) -> list[FormSession]:
-        """The established sessions that are not being moved."""
+        """Returns the established sessions that are not being moved."""
         return [session for _, session in self.iterate_sessions() if session.move_reason is None]
 
     # ------------------------------------------------------------------ monitors
 
     def monitor_of(self, number: int) -> FormServerMonitor:
-        """The monitor of a form server that has or had a session here; raises KeyError for any other."""
+        """Returns the monitor of a form server that has or had a session here; KeyError for any other."""
         return self._monitors[number]
 
     def list_monitors(self) -> list[tuple[int, FormServerMonitor]]:
-        """All monitors with their form servers' numbers, in the order in which the monitors were created."""
+        """Returns all monitors with their form servers' numbers, in the order in which the monitors were
+        created.
+        """
         return list(self._monitors.items())
 
     def list_active(self) -> list[tuple[int, FormServerMonitor]]:
-        """The monitors that a sweep has to check, with their form servers' numbers."""
+        """Returns the monitors that a sweep has to check, with their form servers' numbers."""
         return list(self._active.items())
 
     def deactivate(self, number: int) -> None:
@@ -130,5 +132,5 @@
         del self._active[number]
 
     def list_responsive(self, since_us: int) -> list[int]:
-        """The numbers of the form servers from which anything was received after `since_us`."""
+        """Returns the numbers of the form servers from which anything was received after `since_us`."""
         return [n for n, m in self._monitors.items() if m.failure_detector.last_received_us > since_us]
--- a/sailrun/node/message_latency.py
+++ b/sailrun/node/message_latency.py
@@ -32,11 +32,11 @@
         return not (self._is_slow or self._samples)
 
     def record(self, now_us: int, latency_us: int) -> None:
-        """A message was answered after `latency_us`."""
+        """Records that a message was answered after `latency_us`."""
         self._samples.append((now_us, latency_us))
 
     def median_us(self, now_us: int, pending_since_us: Iterable[int]) -> int | None:
-        """The current median latency in microseconds; None if there are no observations.
+        """Returns the current median latency in microseconds; None if there are no observations.
 
         `pending_since_us`: for each connection that awaits an answer, the send time of its oldest unanswered
         line. Connections that have waited longer than the median of the samples count as further samples with
@@ -51,7 +51,8 @@
         return latencies[len(latencies) // 2] if latencies else None
 
     def on_reported(self, now_us: int, is_slow: bool) -> bool:
-        """The form server has reported a latency over the threshold or not; returns whether this has changed.
+        """Records that the form server has reported a latency, over the threshold or not; returns whether
+        this has changed.
 
         A report over the threshold takes precedence over latencies measured here until the next report should
         have arrived.
@@ -61,12 +62,12 @@
         return is_slow is not was_slow
 
     def is_report_due(self, now_us: int, threshold_us: float) -> bool:
-        """Whether the latency should be checked now for a report; with a threshold of 0 it never is."""
+        """Returns whether the latency should be checked for a report now; never with a threshold of 0."""
         return now_us - self._reported_us >= REPORT_INTERVAL_US and threshold_us > 0
 
     def poll_report(self, now_us: int, threshold_us: float, pending_since_us: Iterable[int]) -> float | None:
-        """The latency to report in milliseconds: once a second while it is over the threshold, and once more
-        when it is back under it.
+        """Returns the latency to report in milliseconds: once a second while it is over the threshold, and
+        once more when it is back under it.
 
         Called only if a report is due; `pending_since_us` as in `median_us`.
         """
--- a/sailrun/node/operator_commands.py
+++ b/sailrun/node/operator_commands.py
@@ -39,7 +39,7 @@
         self.mirror: Callable[[str, object], None] = lambda command, content: None
 
     def is_known(self, name: str) -> bool:
-        """Whether a form server of this name was ever listed here or is excluded."""
+        """Returns whether a form server of this name was ever listed here or is excluded."""
         return self._backends.is_excluded(name) or self._backends.find(name) is not None
 
     def set_override(self, name: str, is_excluded: bool) -> bool:
--- a/sailrun/node/outlier_gossip.py
+++ b/sailrun/node/outlier_gossip.py
@@ -15,11 +15,12 @@
 from sailrun.node.session import FormServer
 
 # Reports of other nodes eject a form server for no longer than this at a time, and never more than this share
-# of the list: if so many form servers are outliers to other nodes, the fault may lie with those nodes.
+# of the endpoint list: if so many form servers are outliers to other nodes, the fault may lie with those
+# nodes.
 MAX_EJECTION_US = 10_000_000
 MAX_EJECTED_SHARE = 1 / 3
-# After a form server was ejected because of other nodes' reports, only this node's own attempts decide about
-# it for at least this long.
+# For this long after the end of an ejection that other nodes' reports caused, only this node's own attempts
+# decide whether the form server is ejected again.
 OWN_ATTEMPTS_US = 20_000_000
 SECOND_US = 1_000_000
 
@@ -40,8 +41,8 @@
         self._ejected_until_us: dict[int, int] = {}  # by form server, ejected because of other nodes' reports
 
     def local_report(self, now_us: int, form_servers: Mapping[int, FormServer]) -> OutlierReport:
-        """The observations that this node has made itself. Reports of other nodes are not forwarded, because
-        they would return to their senders.
+        """Returns the observations that this node has made itself. Reports of other nodes are not forwarded,
+        because they would return to their senders.
         """
         observed = self._balancer.snapshot()
         ejected = {
@@ -58,8 +59,8 @@
     def merge_reports(
         self, now_us: int, ejected_for_us: Mapping[int, int], responsive: Collection[int], mean_setup_us: int
     ) -> StateSnapshot | None:
-        """The event that makes the decision module apply the reports of enough other nodes; None: there is
-        nothing new.
+        """Returns the event that makes the decision module apply the reports of enough other nodes; None:
+        there is nothing new.
 
         `ejected_for_us`: the remaining ejection time of form servers, by number. `responsive`: the form
         servers from which this node has recently received anything. `mean_setup_us`: the mean set-up time of
@@ -69,7 +70,8 @@
         changed = self._apply_ejections(now_us, observed.backends, ejected_for_us, responsive)
         rate = observed.setup_rate
         is_first = mean_setup_us > 0 and rate is not None and not rate.recent_attempts
-        if is_first and rate is not None:  # no session was set up here recently: uses the others' mean
+        # If no session was set up here recently, the mean of the other nodes applies.
+        if is_first and rate is not None:
             rate = replace(rate, mean_setup_us=mean_setup_us)
         if not changed and not is_first:
             return None
@@ -85,7 +87,7 @@
         ejected_for_us: Mapping[int, int],
         responsive: Collection[int],
     ) -> list[BackendSnapshot]:
-        """The form servers that are newly ejected, in their new state."""
+        """Records the new ejections that the reports cause; returns these form servers in their new state."""
         ejected = sum(1 for backend in backends if backend.ejected_until_us > now_us)
         changed: list[BackendSnapshot] = []
         for backend in backends:
@@ -95,7 +97,7 @@
                 remaining_us <= 0
                 or is_ejected
                 or backend.id in responsive
-                or self._is_judged_by_own_attempts(now_us, backend.id)
+                or self._is_decided_by_own_attempts(now_us, backend.id)
             ):
                 continue
             if ejected + len(changed) + 1 > MAX_EJECTED_SHARE * len(backends):
@@ -108,6 +110,6 @@
             )
         return changed
 
-    def _is_judged_by_own_attempts(self, now_us: int, number: int) -> bool:
-        """Whether only this node's own attempts decide about the form server now."""
+    def _is_decided_by_own_attempts(self, now_us: int, number: int) -> bool:
+        """Returns whether reports of other nodes about this form server are ignored now."""
         return now_us < self._ejected_until_us.get(number, -OWN_ATTEMPTS_US) + OWN_ATTEMPTS_US
--- a/sailrun/node/ports.py
+++ b/sailrun/node/ports.py
@@ -16,14 +16,14 @@
 
 
 class ServiceDiscovery(Protocol):
-    """The source of the list of form servers."""
+    """The source of the endpoint list."""
 
     def watch(self, active: bool) -> None:
-        """Subscribes to changes of the list, or ends the subscription."""
+        """Subscribes to changes of the endpoint list, or ends the subscription."""
         ...
 
     def fetch(self) -> None:
-        """Requests the complete list once."""
+        """Requests the complete endpoint list once."""
         ...
 
 
--- a/sailrun/node/rebalancer_port.py
+++ b/sailrun/node/rebalancer_port.py
@@ -79,7 +79,7 @@
             rebalancer.loaded(session.id, session.load_hint)
 
     def on_load_reported(self, session: FormSession, load: float) -> None:
-        """An established session's load, in microseconds of work a second."""
+        """A form server has reported an established session's load, in microseconds of work a second."""
         if self.rebalancer is not None:
             self._call(lambda rebalancer: rebalancer.loaded(session.id, load))
 
@@ -89,12 +89,12 @@
             self._call(lambda rebalancer: rebalancer.ended(self._loop_time.now_us, session.id, outcome))
 
     def on_list_update(self, kind: ListKind, backends: Iterable[Backend]) -> None:
-        """The list of form servers or changes to it have arrived, with excluded ones shown as draining."""
+        """The endpoint list or changes to it have arrived; excluded form servers are shown as draining."""
         if self.rebalancer is not None:
             self._call(lambda rebalancer: rebalancer.listed(self._loop_time.now_us, kind, backends))
 
     def on_discovery_failed(self) -> None:
-        """Discovery could not get the list of form servers."""
+        """Discovery could not get the endpoint list."""
         if self.rebalancer is not None:
             self._call(lambda rebalancer: rebalancer.discovery_lost(self._loop_time.now_us))
 
@@ -104,7 +104,7 @@
             self._call(lambda rebalancer: rebalancer.heard(self._loop_time.now_us, peer, content))
 
     def set_draining(self, is_draining: bool) -> None:
-        """Sets whether this node moves all its clients away for a reason of its own."""
+        """Sets whether this node moves all its clients away because of a shutdown plan."""
         if self.rebalancer is not None:
             self._call(lambda rebalancer: rebalancer.leave(is_draining))
 
@@ -116,7 +116,7 @@
     # ------------------------------------------------------------------ orders of the rebalancer
 
     def run(self, balancer: Balancer, move: Callable[[str, MoveReason], None], ports: OutgoingPorts) -> None:
-        """Makes the rebalancer look for imbalance if that is due, and executes its orders."""
+        """Runs the rebalancer's check for imbalance if it is due, and executes the resulting orders."""
         self._call(lambda rebalancer: self._carry_out_orders(rebalancer, balancer, move, ports))
 
     def _carry_out_orders(
@@ -148,8 +148,8 @@
     ) -> None:
         """Switches to another rebalancer or switches it off, and notifies a new one of the current state.
 
-        `sessions`: the established sessions, each with its form server's number. The new rebalancer cannot
-        know which of them the old one has moved, so all of them count as returned.
+        `sessions`: the established sessions, each with its form server's number. The new rebalancer has no
+        record of which clients the old one has moved, so all of them count as returned.
         """
         old, self.rebalancer = self.rebalancer, rebalancer
         self._call(lambda new: self._transfer_state(new, old, backends, sessions, is_draining))
--- a/sailrun/node/session.py
+++ b/sailrun/node/session.py
@@ -19,8 +19,8 @@
 
 @lru_cache(maxsize=8192)
 def server_number(name: str) -> int:
-    """The number that identifies a form server in the decision module: the eight hex digits of its name. A
-    name of another form is hashed. All nodes and the simulator compute the same number.
+    """Returns the number that identifies a form server in the decision module: the eight hex digits of its
+    name. A name of another form is hashed. All nodes and the simulator compute the same number.
     """
     prefix, _, digits = name.partition("-")
     if prefix == "s" and len(digits) == 8 and all(c in "0123456789abcdef" for c in digits):
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FormServer:
-    """One entry of the list of form servers."""
+    """One entry of the endpoint list."""
 
     name: str
     address: tuple[str, int]
@@ -42,17 +42,17 @@
 
     @property
     def number(self) -> int:
-        """The number that identifies it in the decision module."""
+        """The number that identifies the form server in the decision module."""
         return server_number(self.name)
 
     def as_backend(self) -> Backend:
-        """The entry as the decision module expects it."""
+        """Returns the entry as the decision module expects it."""
         return Backend(self.number, self.state, self.zone, self.cell, self.size, self.started_us)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerListUpdate:
-    """One update from discovery: the complete list of form servers or changes to it, depending on `kind`."""
+    """One update from discovery: the complete endpoint list or changes to it, depending on `kind`."""
 
     kind: ListKind
     revision: int
@@ -66,7 +66,7 @@
     form_server: FormServer
     attempt: int  # counted from 0 within the session
     until_us: int  # the attempt times out at this time
-    begin_by_us: float = math.inf  # if its first byte was not sent by then, the attempt is not made
+    begin_by_us: float = math.inf  # the attempt is not made if its first byte has not been sent by then
 
 
 class SessionClient(Protocol):
@@ -124,21 +124,21 @@
     is_retry: bool = False
     is_returning: bool = False  # the client returns after a broken connection or a move
     resumed_at: str | None = None  # name of the form server where it was established before this node started
-    placement: Placement | None = None  # the attempt under way, or the one that established it
+    placement: Placement | None = None  # the attempt under way, or the one that established the session
     attempts: int = 0
     may_have_run: bool = False  # an attempt may have had an effect
     is_established: bool = False
     is_answered: bool = False  # the client has its final answer or has left
-    move_reason: MoveReason | None = None  # None: it is not being moved
-    denial_reason: DenialReason | None = None  # the reason for its rejection or failure
+    move_reason: MoveReason | None = None  # None: the session is not being moved
+    denial_reason: DenialReason | None = None  # the reason for the rejection or failure
     unanswered_since_us: deque[int] = field(default_factory=deque)  # send times of the unanswered lines
 
     @property
     def move_reason_text(self) -> str | None:
-        """The reason for its move as text for the log."""
+        """The reason for the session's move, as text for the log."""
         return self.move_reason.value if self.move_reason is not None else None
 
     @property
     def denial_reason_text(self) -> str | None:
-        """The reason for its rejection or failure as text for the log."""
+        """The reason for the request's rejection or failure, as text for the log."""
         return self.denial_reason.value if self.denial_reason is not None else None
--- a/sailrun/node/sessions.py
+++ b/sailrun/node/sessions.py
@@ -34,8 +34,8 @@
 class SessionManager:
     """All sessions from their request to their end, by id.
 
-    A session that was established before this node started is resumed at the same form server without asking
-    the decision module, which is notified only once the session is established again.
+    A session that was established before this node started is resumed at the same form server without a
+    decision of the decision module, which is notified only once the session is established again.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         return len(self._sessions)
 
     def list_pending(self) -> list[FormSession]:
-        """The sessions whose request has no final answer yet."""
+        """Returns the sessions whose request has no final answer yet."""
         return [session for session in self._sessions.values() if not session.is_answered]
 
     # ------------------------------------------------------------------ requests
@@ -104,7 +104,7 @@
     # ------------------------------------------------------------------ attempts
 
     def start_attempt(self, action: StartAttempt) -> None:
-        """Makes the session's front begin an attempt, unless the request was answered meanwhile."""
+        """Begins an attempt through the session's front, unless the request was answered meanwhile."""
         session = self._sessions.get(action.request)
         if session is None or session.is_answered:
             return
@@ -146,7 +146,7 @@
         )
 
     def cancel_attempt(self, request: str, attempt: int) -> None:
-        """Makes the session's front cancel an attempt, unless the session is established."""
+        """Cancels an attempt through the session's front, unless the session is established."""
         session = self._sessions.get(request)
         if session is not None and not session.is_established:
             session.client.cancel_attempt(attempt)
@@ -251,13 +251,13 @@
         )
 
     def move(self, request: str, reason: MoveReason) -> None:
-        """Moves the client of an established session to another node, unless a move is already under way."""
+        """Asks the client of an established session to reconnect elsewhere, unless it was asked before."""
         session = self._sessions.get(request)
         if session is not None and session.is_established and session.move_reason is None:
             self.move_session(session, reason)
 
     def move_session(self, session: FormSession, reason: MoveReason) -> None:
-        """Moves the client of an established session to another node."""
+        """Asks the client of an established session to reconnect elsewhere, and counts the move."""
         session.move_reason = reason
         self._counters.moves[reason] += 1
         session.client.move()
@@ -280,14 +280,14 @@
             self._fail(session)
 
     def abandon_request(self, request: str) -> None:
-        """Fails a request after a fault of the decisions, unless its session is established."""
+        """Fails a request after an error in handling one of its events, unless its session is established."""
         session = self._sessions.get(request)
         if session is not None and not session.is_established:
             self._end(session)
             self._fail(session)
 
     def deny_for_shutdown(self, session: FormSession) -> None:
-        """Gives a pending request its final answer because the node shuts down."""
+        """Gives a pending request its final answer because a shutdown plan requires it."""
         self._end(session)
         self._decisions.feed(ClientLeft(session.id))
         session.denial_reason = DenialReason.SHUTDOWN
--- a/sailrun/node/shutdown.py
+++ b/sailrun/node/shutdown.py
@@ -11,11 +11,13 @@
 from typing import NamedTuple
 
 # After the termination signal the process is killed no earlier than the longest request deadline (counted as
-# at most 3 s) plus 0.7 s. A drain is checked after 4 s. New clients arrive for up to 0.4 s after the signal.
+# at most 3 s) plus 0.7 s. A drain is checked after 4 s. New clients arrive for up to 0.4 s after the signal,
+# for which `ACCEPT_US` leaves a margin.
 LONGEST_DEADLINE_US = 3_000_000
 ACCEPT_US = 1_000_000
 # The moves begin and end after these shares of the longest deadline. While new clients still arrive here, a
-# moved client would come straight back and would have to be moved again, so the moves begin after that time.
+# moved client would come straight back and would have to be moved again. With the longest deadline of 3 s the
+# moves therefore begin after that time.
 MOVES_BEGIN_SHARE = 0.15
 MOVES_END_SHARE = 0.7
 # Established sessions are transferred to a successor without interruption. Clients whose sessions were not
@@ -23,7 +25,7 @@
 # then on the plan for a restart applies as well.
 TRANSFER_US = 1_000_000
 SUCCEEDED_US = 5_000_000
-# How long the process waits for its last answers to be sent before it exits.
+# The time for sending the last answers before the process exits.
 LAST_ANSWERS_US = 200_000
 
 
@@ -46,8 +48,8 @@
 
 
 def plan_shutdown(reason: ShutdownReason, now_us: int, longest_deadline_us: int) -> ShutdownPlan:
-    """The plan for a reason that applies from now on; `longest_deadline_us`: the longest of all request
-    classes.
+    """Returns the plan for a reason that applies from now on; `longest_deadline_us`: the longest of all
+    request classes.
     """
     longest_us = min(LONGEST_DEADLINE_US, longest_deadline_us)
     accept_until_us = now_us + ACCEPT_US
@@ -90,7 +92,7 @@
         return self._plans.pop(reason, None) is not None
 
     def count_moves(self, now_us: int, sessions: int, step_us: int) -> int:
-        """How many of the given number of sessions to move in this step, with one step every `step_us`."""
+        """Returns how many of `sessions` sessions to move in this step, with one step every `step_us`."""
         most = 0
         for plan in self._plans.values():
             if now_us >= plan.moves_begin_us:
@@ -99,11 +101,11 @@
         return most
 
     def must_answer_pending(self, now_us: int) -> bool:
-        """Whether all pending requests have to be answered now."""
+        """Returns whether all pending requests have to be answered now."""
         return any(now_us >= plan.answer_by_us for plan in self._plans.values())
 
     def may_exit(self, now_us: int, sessions: int, pending: int) -> bool:
-        """Whether the process may exit, given the numbers of established sessions and pending requests."""
+        """Returns whether the process may exit with this many established sessions and pending requests."""
         for plan in self._plans.values():
             is_empty = now_us >= plan.accept_until_us and not sessions and not pending
             if not plan.keeps_running and (is_empty or now_us >= plan.answer_by_us + LAST_ANSWERS_US):
--- a/sailrun/node/successor_transfer.py
+++ b/sailrun/node/successor_transfer.py
@@ -25,8 +25,8 @@
         self._send: SendTransfer | None = None
 
     def set_successor(self, send: SendTransfer | None) -> None:
-        """From now on a successor accepts the clients, and `send` transfers established sessions to it. None:
-        the successor is gone, and this process serves the clients again.
+        """Begins the handover to a successor, which accepts the clients from now on; `send` transfers
+        established sessions to it. None: the successor is gone, and this process serves the clients again.
         """
         self._send = send
         if send is None:
--- a/sailrun/node/timers.py
+++ b/sailrun/node/timers.py
@@ -18,7 +18,7 @@
         heapq.heappush(self._timers, (at_us, token))
 
     def due_us(self) -> int | None:
-        """When the next timer fires, in Unix microseconds; None if there is none."""
+        """Returns when the next timer fires, in Unix microseconds; None if there is none."""
         return self._timers[0][0] if self._timers else None
 
     def pop_due(self, now_us: int) -> int | None:
--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -30,10 +30,11 @@
 )
 
 SECOND = 1_000_000
-# A connection that has not sent a request by then is closed, so that silent connections do not use up the
-# file descriptors.
+# A connection that has not sent a request within this time is closed, so that silent connections do not use
+# up the file descriptors.
 FIRST_LINE_TIMEOUT_US = 2 * SECOND
-# How often a client may check the connection with PING before its request.
+# A client may check the node with PING before its request. After this many PING lines the connection is
+# closed with an error.
 MAX_PINGS = 16
 # A client is moved between two lines. If the form server has not completed a line after this time, the line
 # is cut off.
@@ -44,7 +45,8 @@
 # The number of a client's unanswered lines whose send times are recorded; bounds the memory for a client that
 # sends thousands of lines.
 MAX_TIMED_LINES = 64
-_REASONS = {AttemptOutcome.OK: "served", AttemptOutcome.CANCELLED: "sent-away"}
+# The reason that is logged if the form server ends the connection, by the outcome of the session.
+_END_REASONS = {AttemptOutcome.OK: "served", AttemptOutcome.CANCELLED: "sent-away"}
 
 
 class ClientFront:
@@ -101,8 +103,8 @@
         self._answered = self._sent_too_early = False
         self._reason = "unknown"
         self._broken = False
-        # Only for established sessions: sends the session to a successor; the scope in which the client is
-        # read; set once the client is no longer read.
+        # Only for established sessions: the function that sends the session to a successor; the scope in
+        # which the client's input is read; the event that is set once that input is no longer read.
         self._send_transfer: SendTransfer | None = None
         self._client_read_scope: anyio.CancelScope | None = None
         self._client_reader_stopped = anyio.Event()
@@ -273,7 +275,7 @@
         """Reads the first line and requests a form session from the node; returns False if there is no valid
         request.
         """
-        line = await self._first_line(deadline_us)
+        line = await self._receive_first_line(deadline_us)
         if line is None:
             return False
         now_us = self._node.clock.now_us()
@@ -313,8 +315,8 @@
             resumed_at=request.resumed_at,
         )
 
-    async def _first_line(self, deadline_us: int) -> bytes | None:
-        """Answers PING, and returns the first other line; None if no such line arrives in time."""
+    async def _receive_first_line(self, deadline_us: int) -> bytes | None:
+        """Answers PING, and returns the first other line; None if there is no such line within the limits."""
         self._reason = "no-first-line"
         scope = anyio.CancelScope(deadline=self._node.clock.to_deadline(deadline_us))
         self._front.waiting.enter(scope)
@@ -489,14 +491,15 @@
         if self._broken or server.ended or self._reason == "handed-over":
             server.close(abruptly=self._broken)
         else:
-            server.stop_sending()  # it is read to its end once the client's connection is closed
+            server.stop_sending()  # `_close_gracefully` then reads the connection to its end
         return outcome
 
     async def _transfer_session(self, server: Connection, send: SendTransfer) -> bool:
         """Transfers the session to the successor; returns whether the successor has accepted it. No input is
         read meanwhile; input that was already read is part of the transfer.
         """
-        # A move or the end of the client does not wait for a line that cannot be written.
+        # The reader may be blocked on a line that the form server does not accept; a move or the client's end
+        # therefore cancels this wait.
         with anyio.CancelScope() as self._wait_scope:
             await self._client_reader_stopped.wait()
         self._wait_scope = None
@@ -610,7 +613,7 @@
             if has_input:
                 ending = await self._forward_to_client(server, ending)
             elif has_input is not None:
-                self._reason = _REASONS.get(ending, "form-server-ended")
+                self._reason = _END_REASONS.get(ending, "form-server-ended")
                 return ending
 
     async def _forward_to_client(self, server: Connection, ending: AttemptOutcome) -> AttemptOutcome:
--- a/sailrun/text_protocol/figures.py
+++ b/sailrun/text_protocol/figures.py
@@ -3,12 +3,12 @@
 A form server sends `LOAD X` when the load of a connection changes. If the settings state it (`tellsDelay`),
 the platform's form servers use the same line to report their message latency in milliseconds: once a second
 while the latency is over a third of the shortest message objective, and once more when it is back under that,
-on one connection of each node. All nodes receive the same value at the same moment, and the next one a second
-later. Read as a load, such a value is close to zero, so that the most overloaded form server would appear to
-be the least loaded.
+on one connection of each node. In a fleet of forty nodes, all of them receive the same value at the same
+moment, and the next one a second later. Read as a load, such a value is close to zero, so that the most
+overloaded form server would appear to be the least loaded.
 
-A single node receives one such line at a time, and recognizes it by its interval: it arrives exactly one
-second after the previous one.
+A single node receives one such line at a time, and recognizes it by its interval: it arrives one second after
+the previous one, within a tolerance.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 # How much the interval between two delay reports may differ from a second, because of delays in the network
 # and in this node's event loop.
 INTERVAL_TOLERANCE_US = 30_000
-# Form servers do not report delays from this value on, in milliseconds; few loads, in microseconds of work a
+# Form servers report only delays below this value, in milliseconds. Few loads, in microseconds of work a
 # second, are below it.
 MAX_DELAY_MS = 5_000.0
-# A load below this, less than one message in ten minutes, cannot be a client's; the value is classified as a
-# delay at once.
+# In microseconds of work a second. A load below this, less than one message in ten minutes, cannot be a
+# client's; the value is classified as a delay at once.
 MIN_LOAD = 100.0
 
 SourceT = TypeVar("SourceT")
--- a/sailrun/text_protocol/lines.py
+++ b/sailrun/text_protocol/lines.py
@@ -12,7 +12,7 @@
 
 _WORD = re.compile(r"[\x21-\x7e]{1,128}")
 _DEADLINE = re.compile(rb"(?<=[ ,])d=\d+")
-# The longest deadline that a client may state for a new session.
+# The longest deadline that a client may state for a new session, in milliseconds.
 MAX_WAIT_MS = 600_000
 
 
@@ -36,14 +36,13 @@
     load_hint: float | None
 
     def for_form_server(self, wait_ms: int) -> bytes:
-        """The same line with the time that the node will wait for the answer."""
+        """Returns the same line with the time that the node will wait for the answer."""
         return _DEADLINE.sub(b"d=%d" % wait_ms, self.line, count=1)
 
 
 def parse_open_request(line: bytes, classes: Container[str]) -> OpenRequest:
     """Parses a client's first line. Raises InvalidLineError if it is not valid in the protocol, or if it
-    names a class that the settings do not have: form servers would reject it, and would be taken for
-    outliers.
+    names a class that the settings do not have: form servers would reject it, and would count as outliers.
     """
     try:
         words = line.decode("ascii").rstrip("\r\n").split(" ")
@@ -89,7 +88,7 @@
 
 
 def first_word(line: bytes) -> bytes:
-    """The first word of a line; empty for a blank line."""
+    """Returns the first word of a line; empty for a blank line."""
     return line.split(None, 1)[0] if line.strip() else b""
 
 
@@ -100,7 +99,7 @@
 
 
 def parse_load(line: bytes) -> float | None:
-    """The value of a LOAD line; None for any other line."""
+    """Returns the value of a LOAD line; None for any other line."""
     words = line.split()
     if len(words) != 2 or words[0] != b"LOAD":
         return None
--- a/sailrun/text_protocol/neighbours.py
+++ b/sailrun/text_protocol/neighbours.py
@@ -92,7 +92,7 @@
 
 
 class Probes:
-    """The node's `HealthChecker`: sends PING to a form server on a separate connection."""
+    """The node's `HealthChecker`: sends PING to a form server on a separate connection, and expects PONG."""
 
     def __init__(self, node: Node, group: TaskGroup) -> None:
         self._node, self._group = node, group
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,5 +1,5 @@
-"""Small stand-ins for the surroundings of a node, written from the protocol: form servers, the roster,
-clients.
+"""Small stand-ins for the surroundings of a node, written from the protocol: form servers, their registry
+(the roster of the settings), and clients.
 """
 
 from __future__ import annotations
@@ -22,8 +22,9 @@
 
 # Only a failing test waits this long.
 TIMEOUT_S = 20.0
-# Long enough that a busy test machine is not mistaken for an overloaded form server.
-CLASSES = {"page-load": 8_000_000, "answer-save": 8_000_000}
+# The deadlines of the request classes in microseconds. They are long enough that a busy test machine is not
+# mistaken for an overloaded form server.
+DEADLINES_US = {"page-load": 8_000_000, "answer-save": 8_000_000}
 
 SETTINGS: dict[str, Any] = {
     "az": "daejeon-1",
@@ -33,7 +34,7 @@
     "tickUs": 5000,
     "services": [
         {"name": name, "objectiveUs": 2_000_000, "deadlineUs": us, "effect": "idempotent", "gain": 1.0}
-        for name, us in CLASSES.items()
+        for name, us in DEADLINES_US.items()
     ],
     "familyInfo": {"messageAimUs": [5_000_000.0, 5_000_000.0], "groups": True, "mode": "proxy"},
     "limits": {
@@ -130,8 +131,8 @@
 
 
 class FormServer(Listener):
-    """A form server that answers each first line with `answer`; once a session is established it echoes every
-    line. If `answer` is None, it never answers.
+    """A form server that answers each first line with `answer`, and then echoes every line of an established
+    session. If `answer` is None, it never answers.
     """
 
     def __init__(self, name: str, answer: str | None = "UP r1") -> None:
@@ -163,8 +164,8 @@
 
 
 class Roster(Listener):
-    """A registry of form servers. Answers each request, whether a watch or a fetch, with the next body from
-    `answers`, and waits until there is one.
+    """The registry of form servers, which the settings call the roster. Answers each request, whether a watch
+    or a fetch, with the next body from `answers`, and waits until there is one.
     """
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
@@ -192,6 +193,8 @@
 
 
 class RunningNode:
+    """A node in a separate process, with its listening addresses and the log lines that were read so far."""
+
     def __init__(self, process: subprocess.Popen[str], listen: str) -> None:
         self.process, self.listen = process, listen
         self.amqp = self.control = ""
@@ -272,7 +275,8 @@
     **changes: Any,
 ) -> Iterator[RunningNode]:
     """Runs a node as the platform starts it. A process that is started with the folder of another can become
-    its successor.
+    its successor. `prepare` runs in the new process before the program; `changes` replace entries of the
+    configuration.
     """
     listen = changes.get("listen") or f"127.0.0.1:{free_port()}"
     config = {
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -66,7 +66,7 @@
     running: RunningNode, form_server: FormServer, sent: str
 ) -> None:
     # A request of an unknown class was once placed as if it were of the first class. Form servers rejected
-    # it, and the rejections counted against them in outlier detection.
+    # it, and these rejections counted against them in outlier detection.
     client = running.connect()
     client.sock.sendall(sent.encode("latin-1"))
     assert read_to_end(client).removeprefix("PONG\r\n" * 16) == "ERR\r\n"
@@ -87,7 +87,7 @@
 
 
 def test_an_id_in_use_is_not_accepted_twice(running: RunningNode, form_server: FormServer) -> None:
-    # If it were forwarded, it would duplicate the other client's request.
+    # If the second request were forwarded, it would duplicate the first client's request.
     first = running.request_session()
     assert first.read_line() == "UP r1"
     assert read_to_end(running.request_session()) == "ERR\r\n"
@@ -124,7 +124,7 @@
         began = time.monotonic()
         late_client = running.request_session()
         assert late_client.read_line() == "UP r1"
-        # Their requests may be arriving at that moment, so they get an answer that nothing was executed.
+        # Their requests may be arriving at that moment, so the answer states that nothing was executed.
         assert [read_to_end(client) for client in silent] == ["BUSY\r\n"] * len(silent)
         assert time.monotonic() - began < TIME_LIMIT_S
         running.logged("ended", "reason=crowded-out")
@@ -135,8 +135,8 @@
 def test_a_client_that_disconnects_at_once_does_not_end_the_node(
     running: RunningNode, form_server: FormServer
 ) -> None:
-    # The client's request was still in the node's queue when it left; the command to place it then ended the
-    # node.
+    # A client may leave while its request is still in the node's queue. The command to place that request
+    # once ended the node.
     def connect_and_break() -> None:
         for n in range(100):
             client = running.request_session(f"{threading.get_ident():x}.{n}")
--- a/tests/test_both_fronts.py
+++ b/tests/test_both_fronts.py
@@ -1,4 +1,4 @@
-"""Clients of both fronts on one node: the same decisions, the same results, the same rules."""
+"""Clients of both fronts on one node get the same decisions and the same results under the same rules."""
 
 from __future__ import annotations
 
@@ -104,7 +104,7 @@
         }
         assert success_rates == {"text": 1.0, "amqp": 1.0}
         attempts = [key for s in servers for _, key in s.requests]
-        # One attempt if the form server has capacity; one more after each rejection, which had no effect.
+        # Each request takes one attempt, and one more after each rejection, which had no effect.
         assert len(attempts) == 2 * CLIENT_COUNT + (len(servers[0].requests) if full else 0)
         roster.requests.get(timeout=TIMEOUT_S)
         roster.requests.get(timeout=TIMEOUT_S)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -68,7 +68,7 @@
         pending_entry = f"0100007F:{self.port:04X} {SYN_SENT}"
         own_ports = {sock.getsockname()[1] for sock in self._fill}
         while True:
-            assert time.monotonic() < until, "nothing was dialled"
+            assert time.monotonic() < until, "no connection from the process is in progress"
             for line in Path(f"/proc/{process}/net/tcp").read_text().splitlines():
                 local, remote = line.split()[1:2], " ".join(line.split()[2:4])
                 if remote == pending_entry and int(local[0].rpartition(":")[2], 16) not in own_ports:
@@ -95,7 +95,7 @@
 
 @contextmanager
 def process_stopped(running: RunningNode) -> Iterator[None]:
-    """Stops the process. Everything that arrives meanwhile is present when it continues."""
+    """Stops the process. Everything that arrives meanwhile is ready to be read when the process continues."""
     os.kill(running.process.pid, signal.SIGSTOP)
     state = Path(f"/proc/{running.process.pid}/stat")
     try:
@@ -155,7 +155,7 @@
         client = running.request_session(group=find_group_that_prefers(form_server.name, unreachable.name))
         form_server.first_lines.get(timeout=TIMEOUT_S)
         unreachable.wait_for_connection_attempt(running.process.pid)
-        # The dropped packet is sent again after a second, which is after the time limit for a retry.
+        # The dropped packet is sent again after a second, which is after the idempotency window of 0.9 s.
         assert next(unreachable.accept_connections()).read_line() == ""
         assert client.read_line() == "ERR"
     roster.stop()
@@ -188,8 +188,7 @@
         assert client.read_line() == "MOVE"
         assert client.read_line() == ""
         client.send_line("page 3")
-        # Over loopback a reset would have arrived by now; a client that had not read so far would lose the
-        # rest.
+        # Over loopback a reset would have arrived by now; a client with unread input would lose that input.
         assert client.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_CLOSE_WAIT
         client.end()
         assert form_server.ends.get(timeout=TIMEOUT_S) == "ended"
@@ -235,7 +234,9 @@
 
 
 def connect_without_free_descriptors() -> None:
-    """Runs in a separate process, where nothing else opens or closes descriptors."""
+    """Checks that `HttpCalls` releases its reserved descriptor when it ends, and can connect while no other
+    descriptor is free. Runs in a separate process, where nothing else opens or closes descriptors.
+    """
     listener = socket.create_server(("127.0.0.1", 0))
 
     async def connect_twice() -> None:
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -14,8 +14,8 @@
 def test_a_value_too_small_for_a_load_is_a_delay_at_once() -> None:
     classifier = LoadLineClassifier[str](MIN_DELAY_MS)
     assert classifier.classify(0, 29.1, "a") == Delay(29.1, None)
-    # A value that arrives a second later is a delay too, however large, and so is the last one, which is back
-    # under the threshold.
+    # A large value that arrives a second later is a delay too, and so is the last value, which is back under
+    # the threshold.
     assert classifier.classify(SECOND + 4_000, 818.0, "a") == Delay(818.0, None)
     assert classifier.classify(2 * SECOND, 14.5, "b") == Delay(14.5, None)
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""The freshness of a node's list: whatever fails at the roster, a fresh answer arrives within 6 s."""
+"""The freshness of a node's endpoint list: a fresh answer arrives within 6 s, even if the roster fails."""
 
 from __future__ import annotations
 
@@ -64,7 +64,8 @@
 
 
 def reset_connection(peer: Peer) -> None:
-    peer.sock.setsockopt(1, 13, b"\1\0\0\0\0\0\0\0")  # SOL_SOCKET, SO_LINGER: close breaks it
+    # SOL_SOCKET and SO_LINGER with a time of 0 s: closing the socket resets the connection.
+    peer.sock.setsockopt(1, 13, b"\1\0\0\0\0\0\0\0")
     peer.close()
 
 
@@ -133,7 +134,7 @@
         for n, group in enumerate(GROUPS):
             assert running.request_session(id_=f"{n:016x}", group=group).read_line() == "UP r1"
         assert draining.first_lines.empty()
-        # A second complete list with the lower revision shows that the roster has restarted its numbering.
+        # A second complete list with the lower revision proves that the roster has restarted its numbering.
         roster.steps.put(respond(complete_list(43, draining.entry())))
         assert "after=43" in roster.next_call()[1]
         assert running.request_session(id_="f" * 16).read_line() == "UP r1"
@@ -177,7 +178,7 @@
     reported: list[Any] = []
 
     class Answered:
-        """A call that gets its answer at the moment at which the roster is dropped."""
+        """A call that gets its answer at the same moment at which the client stops using the roster."""
 
         def __init__(self, *_: Any) -> None: ...
 
@@ -225,13 +226,15 @@
                 else:
                     assert next_us + CALL_US <= FRESHNESS_LIMIT_US
             now = began + 10_000_000
-    assert nodes < 200 or latest > APART_US / 2, "nothing was spread"
+    assert nodes < 200 or latest > APART_US / 2, (
+        "the calls of 200 nodes were spread over at most half of APART_US"
+    )
     assert WAIT_US + LATE_US + SOON_US + CALL_US <= FRESHNESS_LIMIT_US
 
 
 def test_calls_to_a_local_agent_are_not_spread() -> None:
-    # The freshness of an agent's list is measured from the moment when the agent has it, so after any failure
-    # the next call begins at once.
+    # The freshness of an agent's list is measured from the time at which the agent received it, so after any
+    # failure the next call begins at once.
     clock = SimpleNamespace(now_us=lambda: 1_000_000_000)
     pushed = settings(instances=200, discovery=DiscoveryMode.PUSH)
     node_stub = SimpleNamespace(clock=clock, settings=pushed, discovery_failed=lambda why: None)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -38,12 +38,12 @@
         assert check.read_line() == "PONG"
         client = running.request_session(more=",x=1")
         assert client.read_line() == "UP r1"
-        opening = form_server.first_lines.get(timeout=TIMEOUT_S)
-        head, _, facts = opening.rpartition(" ")
+        first_line = form_server.first_lines.get(timeout=TIMEOUT_S)
+        head, _, fields = first_line.rpartition(" ")
         assert head == "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655"
-        before, deadline, *after = facts.split(",")
-        # Only `d` is rewritten: this attempt times out after the objective of the class, not the client's 8
-        # s.
+        before, deadline, *after = fields.split(",")
+        # Only `d` is rewritten: this attempt times out after the 2 s of the class's objective, not after the
+        # client's 8 s.
         assert (before, *after) == ("c=page-load", "g=5c0f6e1a2b3d4c59", "x=1")
         assert 0 < int(deadline.removeprefix("d=")) <= 2000
         for line in ("page 3", "answer 4"):
@@ -117,7 +117,7 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         established = [running.request_session(f"{n:016x}") for n in range(3)]
-        assert [h.read_line() for h in established] == ["UP r1"] * 3
+        assert [c.read_line() for c in established] == ["UP r1"] * 3
         terminated_at = time.monotonic()
         running.terminate()
         running.logged("leaving")
@@ -140,8 +140,8 @@
         running.terminate()
         began = time.monotonic()
         running.logged("leaving")
-        # New clients arrive for up to 0.4 s. Without established sessions, the node once exited before the
-        # first of them arrived.
+        # New clients arrive for up to 0.4 s after the signal. Without established sessions, the node once
+        # exited before the first of them arrived.
         assert running.process.wait(TIMEOUT_S) == 0
         assert time.monotonic() - began > 0.4
 
@@ -199,12 +199,12 @@
 ) -> None:
     with node(tmp_path, roster) as running:
         clients = [running.request_session(f"{n:016x}") for n in range(10)]
-        assert [h.read_line() for h in clients] == ["UP r1"] * 10
+        assert [c.read_line() for c in clients] == ["UP r1"] * 10
         form_server.answer = None  # from now on it returns nothing, but its connections stay open
         began = time.monotonic()
         for client in clients:
             client.send_line("page 3")
-        assert [h.read_line() for h in clients] == ["MOVE"] * 10
+        assert [c.read_line() for c in clients] == ["MOVE"] * 10
         assert time.monotonic() - began < 7
         running.logged("silent", "server=s-5be2a07c", "moved=10")
         assert form_server.ends.get(timeout=TIMEOUT_S)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -38,7 +38,7 @@
         config = json.loads(path.read_text())
         began = time.monotonic()
         write_and_send_sighup(running, path, json.dumps({**config, "discovery": new.address}))
-        # The revisions of one roster mean nothing to another, so the complete list is requested first.
+        # The revisions of two rosters are unrelated, so the complete list is requested first.
         assert new.requests.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
         assert time.monotonic() - began < 2
         running.logged("reloaded", "changed=roster")
