--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -174,7 +174,7 @@
         self.answers: queue.Queue[bytes] = queue.Queue()  # raw response bodies
         super().__init__()
 
-    def known(self) -> dict[str, Any]:
+    def complete_list(self) -> dict[str, Any]:
         return {"revision": self.revision, "complete": True, "members": self.members}
 
     def publish(self, *members: dict[str, Any]) -> None:
@@ -285,7 +285,7 @@
         "discovery": roster.address,
         "seed": "8c1f30d27a5be964",
         "peers": [],
-        "known": roster.known(),
+        "known": roster.complete_list(),
         "settings": SETTINGS,
         **changes,
     }
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -38,7 +38,7 @@
             until = time.monotonic() + (1.0 if "wait_ms" in request else 0.0)
             while f"after={self.revision}&" in request and time.monotonic() < until:
                 time.sleep(0.02)
-            body = json.dumps(self.known()).encode()
+            body = json.dumps(self.complete_list()).encode()
             peer.sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -36,7 +36,7 @@
         self.steps: queue.Queue[Step] = queue.Queue()
         super().__init__()
 
-    def known(self) -> dict[str, Any]:
+    def complete_list(self) -> dict[str, Any]:
         return {"revision": self.revision, "complete": True, "members": self.members}
 
     def serve(self, peer: Peer) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -42,7 +42,7 @@
         assert new.requests.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
         assert time.monotonic() - began < 2
         running.logged("reloaded", "changed=roster")
-        new.answers.put(json.dumps(new.known()).encode())
+        new.answers.put(json.dumps(new.complete_list()).encode())
         assert "after=41&" in new.requests.get(timeout=TIMEOUT_S)[1]
         new.publish(form_server.entry("DRAINING"))
         assert client.read_line() == "MOVE"
@@ -120,6 +120,6 @@
         write_and_send_sighup(running, path, text.replace(old.address, new.address))
         running.logged("reloaded", "changed=roster")
         assert new.requests.get(timeout=TIMEOUT_S)[1] == "/registry/instances"
-        new.answers.put(json.dumps(new.known()).encode())
+        new.answers.put(json.dumps(new.complete_list()).encode())
         running.logged("roster", "kind=full")
         assert running.request_session().read_line() == "UP r1"
