--- a/sailrun/sharding/act_exerciser.py
+++ b/sailrun/sharding/act_exerciser.py
@@ -1,7 +1,7 @@
 """For the laboratory: sends acts for a node's shards periodically, so that the checks have cases to examine.
 
-Half of the acts for a shard go to one control member, which owns no shards: its fence receives the acts of
-all owners of the shard. The others go to the best placed member other than the sender itself. Pure.
+About half of the acts for a shard go to one control member, which owns no shards: its fence checks the acts
+of all successive owners of the shard. The others go to the best placed member other than the sender. Pure.
 """
 
 from __future__ import annotations
--- a/sailrun/sharding/agent.py
+++ b/sailrun/sharding/agent.py
@@ -57,9 +57,9 @@
         disabled_rules: frozenset[str] = frozenset(),
         record: Callable[..., None] = lambda kind, **fields: None,
     ) -> None:
-        """`random_bits` returns a number of as many random bits as its argument says. `new_initial_term`
-        returns a number that is above all terms and generations ever used, as far as randomness and a clock
-        can ensure that; a region without any memory begins with it. `disabled_rules` are safety rules that
+        """`random_bits` returns a random number of the given number of bits. `new_initial_term` returns a
+        number that is above all terms and generations ever used, as far as randomness and a clock can ensure
+        that; a region whose voters have no memory begins with it. `disabled_rules` are safety rules that
         the laboratory switches off. Raises ValueError if the region is not in the settings.
         """
         region = settings.region(own_record.region)
--- a/sailrun/sharding/messages.py
+++ b/sailrun/sharding/messages.py
@@ -1,4 +1,4 @@
-"""The messages between nodes, assigner and voters of a region, sent in `leadership/envelope.py`.
+"""The messages between nodes, assigner and voters of a region; `leadership/envelope.py` has their envelope.
 
 Every message contains the name of its region; some contain the digest of the settings that must be the same
 on all nodes of the region. On the wire they are MessagePack arrays: the tags and the order and types of the
@@ -57,7 +57,7 @@
 
 
 class TableState(msgspec.Struct, array_like=True, frozen=True):
-    """A region's table that its voters store: all sessions and the latest changes."""
+    """The table of a region that its voters store: all sessions and the latest changes."""
 
     term: int  # the term of the assigner that wrote the table
     generation: Generation
--- a/sailrun/sharding/placement.py
+++ b/sailrun/sharding/placement.py
@@ -60,10 +60,12 @@
         self.required_generation = np.full(len(self._keys), generation, np.int64)
 
     def apply_change(self, change: GenerationChange) -> npt.NDArray[np.int64]:
-        """Applies the next generation; returns the shards whose placement was computed again.
+        """Applies the next generation; returns the shards that were without an owner or moved to a joined
+        session.
 
-        A shard of a session that left can be used at once by its new owner, because no node uses that session
-        any more. A shard that a living session loses can be used only once this generation is settled.
+        A shard of a session that left keeps its required generation, because no node uses that session any
+        more: the new owner need not wait for this generation. A shard that a living session loses can be used
+        only once this generation is settled.
         """
         self.generation = change.generation
         left = [number for number in change.left if number in self.sessions]
--- a/sailrun/sharding/placement_replica.py
+++ b/sailrun/sharding/placement_replica.py
@@ -30,14 +30,15 @@
         self._is_complete = False  # a complete table was fetched
         self._fetch: TableFetch | None = None
         self._usable: frozenset[int] = frozenset()
-        self._usable_of = (0, 0)  # the own and the settled generation that `_usable` was computed for
+        # The placement's generation and the settled generation for which `_usable` was computed.
+        self._usable_generations = (0, 0)
 
     def reset(self) -> None:
         """Discards the replica: the next table is fetched from its first page."""
         self._is_complete = False
         self._fetch = None
         self._usable = frozenset()
-        self._usable_of = (0, 0)
+        self._usable_generations = (0, 0)
 
     # ------------------------------------------------------------------ queries
 
@@ -96,8 +97,8 @@
         generation.
         """
         placement = self._complete_placement
-        if placement is not None and self._usable_of != (placement.generation, settled_generation):
-            self._usable_of = placement.generation, settled_generation
+        if placement is not None and self._usable_generations != (placement.generation, settled_generation):
+            self._usable_generations = placement.generation, settled_generation
             self._usable = frozenset(placement.usable_shards(session_number, settled_generation).tolist())
         return self._usable
 
--- a/sailrun/sharding/session.py
+++ b/sailrun/sharding/session.py
@@ -24,7 +24,7 @@
 from sailrun.sharding.settings import RENEWALS_PER_LEASE, RegionSettings, ShardingSettings
 
 SECOND_US = 1_000_000
-# Heartbeats whose answer is still accepted; an answer to an older one is ignored.
+# Number of the latest heartbeats whose answers are accepted; answers to older ones are ignored.
 MAX_PENDING_HEARTBEATS = 16
 # The heartbeat interval while the node waits for other nodes to apply a generation, or for an answer.
 WAITING_INTERVAL_US = 250_000
@@ -116,7 +116,7 @@
         sent_us = self._sent_us.pop(answer.sequence, None)
         if answer.sequence and sent_us is None:
             return
-        if sent_us is not None and not self._extend(now_us, sent_us, answer):
+        if sent_us is not None and not self._renew_lease(now_us, sent_us, answer):
             return
         if not self.session_number:
             if self._is_added_by(answer):
@@ -138,7 +138,7 @@
         """Whether a change adds the session that this node has requested."""
         return any(session.nonce == self._nonce for change in answer.changes for session in change.joined)
 
-    def _extend(self, now_us: int, sent_us: int, answer: SessionRenewed) -> bool:
+    def _renew_lease(self, now_us: int, sent_us: int, answer: SessionRenewed) -> bool:
         """Renews the lease, counted from the sending of the heartbeat. False if the answer has to be
         ignored.
         """
--- a/sailrun/sharding/settings.py
+++ b/sailrun/sharding/settings.py
@@ -36,7 +36,7 @@
 
 
 class ShardingSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Sharding settings: regions and leases. All nodes of a region need the same `lease_s` and region."""
+    """Settings of sharding. All nodes of a region need the same `lease_s` and the same entry of `regions`."""
 
     enabled: Annotated[bool, Meta(description="Whether sharding is enabled at this node.")] = False
     lease_s: Annotated[
--- a/sailrun/sharding/table_replication.py
+++ b/sailrun/sharding/table_replication.py
@@ -157,7 +157,7 @@
         return self._reading is None and self.state is not None and is_written
 
     def observe_generation(self, generation: int) -> None:
-        """Notes a generation that a node applies or a voter stores: a new table has to be above it."""
+        """Records a generation that a node applies or a voter stores: a new table has to be above it."""
         self._observed_generation = max(self._observed_generation, generation)
 
     def write(self, state: TableState) -> None:
--- a/sailrun/storage/__init__.py
+++ b/sailrun/storage/__init__.py
@@ -1,5 +1,5 @@
 """Persistent state of a node: a storage folder with a write-ahead log and snapshots.
 
-It has the state that the node's vote depends on after a restart, and learned state that is only an
-optimisation.
+The folder contains the state that the node needs to vote safely after a restart, and learned state about form
+servers, which is only an optimisation.
 """
--- a/sailrun/storage/cli.py
+++ b/sailrun/storage/cli.py
@@ -144,7 +144,7 @@
 
 @app.command()
 def check(folder: FolderArgument, as_json: JsonOption = False) -> None:
-    """Check a folder. Exit status 0: the folder is sound or empty; 1: files are missing or damaged."""
+    """Check a folder. Exit status 0: it is sound or empty; 1: files are missing, damaged or copied."""
     from sailrun.storage.folder_reader import FolderIntegrity
 
     contents = _read(folder)
--- a/sailrun/storage/decision_snapshot.py
+++ b/sailrun/storage/decision_snapshot.py
@@ -47,14 +47,14 @@
     backends: dict[str, BackendValues] = {
         names[backend.id]: [getattr(backend, name) for name in BACKEND_SNAPSHOT_FIELDS]
         for backend in snapshot.backends
-        if backend.id in names and _is_worth_saving(now_us, backend)
+        if backend.id in names and _has_adverse_state(now_us, backend)
     }
     setup_rate = list(astuple(snapshot.setup_rate)) if snapshot.setup_rate is not None else []
     packed = PackedSnapshot(now_us, backends, setup_rate, dict(snapshot.class_load))
     return msgspec.msgpack.encode(packed)
 
 
-def _is_worth_saving(now_us: int, backend: BackendSnapshot) -> bool:
+def _has_adverse_state(now_us: int, backend: BackendSnapshot) -> bool:
     return (
         backend.ejected_until_us > now_us
         or bool(backend.ejections or backend.consecutive_timeouts)
--- a/sailrun/storage/entries.py
+++ b/sailrun/storage/entries.py
@@ -18,14 +18,18 @@
 
 
 class ProcessStarted(msgspec.Struct, array_like=True, frozen=True, tag="begun"):
-    """A process has taken over the folder; `incarnation` counts such processes. `wall_s` is informational."""
+    """A process has taken over the folder; `incarnation` counts such processes. `wall_s` is the wall-clock
+    time of the start and is only informational.
+    """
 
     incarnation: int = msgspec.field(name="life")
     wall_s: float
 
 
 class CleanShutdown(msgspec.Struct, array_like=True, frozen=True, tag="ended"):
-    """The process has shut down in an orderly way, with no entries left to write."""
+    """The process has shut down in an orderly way, with no entries left to write. `wall_s` is only
+    informational.
+    """
 
     wall_s: float
 
@@ -108,7 +112,7 @@
 
 class DecisionSnapshot(msgspec.Struct, array_like=True, frozen=True, tag="learned"):
     """The state that this node's decisions had learned about form servers, encoded by
-    `decision_snapshot.py`.
+    `decision_snapshot.py`. `wall_s` is the wall-clock time of the snapshot.
     """
 
     wall_s: float
@@ -116,8 +120,8 @@
 
 
 class OperatorOverrides(msgspec.Struct, array_like=True, frozen=True, tag="hand"):
-    """Form servers that operators have taken out of service at this node. Only a node without a fleet writes
-    it, because it has no replicated state.
+    """Form servers that operators have taken out of service at this node. Only a node without a fleet, which
+    has no replicated state, writes this entry.
     """
 
     out_of_service: list[str] = msgspec.field(name="out")
--- a/sailrun/storage/folder_identity.py
+++ b/sailrun/storage/folder_identity.py
@@ -17,8 +17,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FolderIdentity:
-    """The node and fleet that a folder belongs to, and its identity. `was_copied`: the file does not have the
-    inode that it was written with, so the folder was copied or restored from a backup.
+    """The contents of the identity file. `was_copied`: the file does not have the inode that it was written
+    with, so the folder was copied or restored from a backup.
     """
 
     node: str
@@ -33,7 +33,7 @@
 
 
 def read_identity(files: FolderFiles) -> FolderIdentity:
-    """Reads the file. Raises CorruptFileError, NewerSchemaError or OSError."""
+    """Reads and checks the identity file. Raises CorruptFileError, NewerSchemaError or OSError."""
     malformed = CorruptFileError(
         f"{IDENTITY_FILE}: malformed, expected a JSON object with schema, node, fleet, "
         "identity (32 hexadecimal digits) and inode"
@@ -53,7 +53,7 @@
 
 
 def write_identity(files: FolderFiles, identity: FolderIdentity) -> None:
-    """Writes a temporary file and renames it; the caller syncs the folder."""
+    """Writes the identity file as a temporary file and renames it; the caller has to sync the folder."""
     temporary = IDENTITY_FILE + TEMPORARY_SUFFIX
     handle = files.create(temporary)
     # A rename preserves the inode, a copy does not.
--- a/sailrun/storage/folder_layout.py
+++ b/sailrun/storage/folder_layout.py
@@ -12,7 +12,7 @@
 TEMPORARY_SUFFIX = ".new"
 SET_ASIDE_PREFIX = "old-"
 _JOURNAL, _SNAPSHOT = "journal.", "snapshot."
-# So many digits always fit the 8 bytes that the file header reserves for a generation.
+# A number of this many digits always fits the 8 bytes that the file header reserves for a generation.
 _MAX_GENERATION_DIGITS = 18
 
 
--- a/sailrun/storage/folder_reader.py
+++ b/sailrun/storage/folder_reader.py
@@ -43,9 +43,7 @@
 
 
 class FolderIntegrity(Enum):
-    """How far the contents of a folder can be relied on, judged by the folder alone. The values are printed
-    and logged.
-    """
+    """The reliability of a folder, judged by its files alone. The values are printed and logged."""
 
     EMPTY = "new"  # nothing was ever written
     INTACT = "sound"  # every entry that was ever synced is present
@@ -54,7 +52,7 @@
 
 @dataclass(slots=True)
 class FolderContents:
-    """The contents of a folder as read. `reason` is why it is untrusted."""
+    """The result of reading a folder. `reason` states why the folder is untrusted."""
 
     integrity: FolderIntegrity
     reason: str = ""
@@ -132,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _JournalEnd:
-    """How a journal ended. `damage` describes the damage at its end; empty if there is none."""
+    """The end of a journal. `damage` describes the damage found there; empty if there is none."""
 
     is_closed: bool = False
     damage: str = ""
@@ -249,8 +247,8 @@
             raise
 
     def _was_used(self, generation: int) -> bool:
-        """Whether a promise may depend on this journal: it has entries, or it has a finished snapshot, before
-        which the journal was synced.
+        """Whether a promise may depend on this journal: it has entries, or the snapshot of its generation is
+        finished, which happens only after the journal was synced.
         """
         return generation in self._snapshots or self._files.size(name_journal(generation)) > HEADER_BYTES
 
--- a/sailrun/storage/folder_writer.py
+++ b/sailrun/storage/folder_writer.py
@@ -70,9 +70,9 @@
             self._files.truncate(name, contents.journal_end)
         self._journal, self._journal_bytes = self._files.append(name), contents.journal_end
         for generation in list_journals(self._files.names()):
-            if generation > contents.journal_generation:  # never used
+            if generation > contents.journal_generation:  # begun but never used
                 self._files.remove(name_journal(generation))
-        # The entries that were read may be in the page cache only, and promises will depend on them.
+        # The entries that were read may be only in the page cache, and promises will depend on them.
         self._sync_journal()
 
     def create(self, node: str, fleet: str, identity: bytes, position: int = 0) -> None:
--- a/sailrun/storage/frames.py
+++ b/sailrun/storage/frames.py
@@ -45,9 +45,8 @@
 FRAME_HEADER_BYTES = _FRAME_HEADER.size + CHECKSUM_BYTES
 # Enough for the largest record with its metadata: a frame with a longer payload is damaged.
 MAX_PAYLOAD_BYTES = 4 * 1024 * 1024
-# Size of one read.
 READ_CHUNK_BYTES = 1024 * 1024
-# How far a file is scanned for valid frames after a damaged one.
+# Number of bytes after a damaged frame that are scanned for valid frames.
 SCAN_BYTES = 256 * 1024
 
 # Reads from a file; the arguments are the offset and the maximum length. Empty at the end of the file.
@@ -99,7 +98,7 @@
 
 
 @dataclass(slots=True)
-class _Located:
+class _LocatedFrame:
     """A frame in a buffer and the offset at which it ends. If `frame` is None, the buffer has to be filled up
     to that offset before the frame can be decoded.
     """
@@ -144,24 +143,24 @@
     return header + _checksum(header + frame.payload, identity) + frame.payload
 
 
-def _decode_frame_at(data: bytes | bytearray, offset: int, file: FileHeader) -> _Located | None:
+def _decode_frame_at(data: bytes | bytearray, offset: int, file: FileHeader) -> _LocatedFrame | None:
     """Decodes the frame at that offset of the buffer; None if the bytes are not a valid frame, regardless of
     what follows.
     """
     payload_at = offset + FRAME_HEADER_BYTES
     if len(data) < payload_at:
-        return _Located(None, payload_at)
+        return _LocatedFrame(None, payload_at)
     length, kind, generation, position, synced_position = _FRAME_HEADER.unpack_from(data, offset)
     if length > MAX_PAYLOAD_BYTES or generation != file.generation or kind not in _FRAME_KINDS:
         return None
     end = payload_at + length
     if len(data) < end:
-        return _Located(None, end)
+        return _LocatedFrame(None, end)
     checksum_at = offset + _FRAME_HEADER.size
     header, payload = bytes(data[offset:checksum_at]), bytes(data[payload_at:end])
     if data[checksum_at:payload_at] != _checksum(header + payload, file.identity):
         return None
-    return _Located(Frame(FrameKind(kind), position, synced_position, payload), end)
+    return _LocatedFrame(Frame(FrameKind(kind), position, synced_position, payload), end)
 
 
 @dataclass(slots=True)
--- a/sailrun/storage/freshness.py
+++ b/sailrun/storage/freshness.py
@@ -33,15 +33,14 @@
 
 QUERY_INTERVAL_US = 250_000
 REPORT_INTERVAL_US = 250_000
-# How long to wait for the other living voters once a majority has replied: one of them may know a newer
-# version.
+# Maximum wait for the other living voters once a majority has replied: one of them may know a newer version.
 REPLY_GRACE_US = 1_000_000
-# Reports without a reply; beyond this the oldest are dropped.
+# Maximum number of reports without a reply; beyond it the oldest are dropped.
 MAX_REPORTS_IN_FLIGHT = 64
 
 
 class FreshnessState(Enum):
-    """How far the other voters have confirmed this voter's folder."""
+    """The state of the comparison of this voter's folder with the versions that the other voters know."""
 
     QUERYING = "asks"  # relies on its folder unless a reply contradicts it
     CONFIRMED = "trusted"  # the folder is the newest version
@@ -135,7 +134,9 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether no older folder of this voter can be relied on any more. True without a folder."""
+        """Whether a majority of the voters has stored this incarnation, so that no older folder of this voter
+        can be confirmed any more. True without a folder.
+        """
         return self.own is None or self.state in (FreshnessState.CONFIRMED, FreshnessState.REJOINED)
 
     @property
@@ -193,7 +194,9 @@
             self._on_query_reply(own, known)
 
     def _on_newer_process(self, own: OwnFolder, known: PeerFolderVersion) -> None:
-        """Handles a newer process that is known to a voter which was unreachable during the query."""
+        """Handles a reply to a report that names a newer process of this voter. The replying voter was
+        unreachable during the query.
+        """
         if self.state is FreshnessState.REJOINED:
             own.incarnation, self.state = known.incarnation + 1, FreshnessState.REJOINING
             self._restart_query()
--- a/sailrun/storage/messages.py
+++ b/sailrun/storage/messages.py
@@ -1,4 +1,5 @@
-"""The messages by which voters compare the versions of their folders, sent in `leadership/envelope.py`.
+"""The messages by which voters compare the versions of their folders; `leadership/envelope.py` has their
+envelope.
 
 On the wire a message is a MessagePack array: its tag, then its fields in the order of declaration.
 """
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -40,14 +40,14 @@
     from sailrun.node.core import Node
 
 SECOND_US = 1_000_000
-# How often the learned state of the decisions is stored.
+# Interval at which the learned state of the decisions is stored.
 SNAPSHOT_INTERVAL_US = 5 * SECOND_US
-# How often a node without a fleet checks for changed operator overrides.
+# Interval at which a node without a fleet checks for changed operator overrides.
 OVERRIDE_POLL_US = SECOND_US
-# How long a successor waits for its predecessor to release the folder, and how often it checks.
+# Maximum time that a successor waits for its predecessor to release the folder, and the interval of checks.
 LOCK_TIMEOUT_US = 10 * SECOND_US
 LOCK_POLL_S = 0.05
-# How long a node that shuts down waits for its disk, and how often it checks.
+# Maximum time that a node waits for its disk when it shuts down, and the interval of its checks.
 SHUTDOWN_TIMEOUT_US = SECOND_US // 2
 SHUTDOWN_POLL_S = 0.005
 # The minimum wait between two iterations of the loop in `run`.
@@ -104,7 +104,7 @@
         except (FileNotFoundError, NotADirectoryError) as error:
             raise ConfigError(self._files.folder, "lasting.folder", error.strerror or str(error)) from None
         except OSError as error:
-            # The node serves without the folder. FolderWriter locks it before it writes to it later.
+            # The node serves without the folder. FolderWriter locks the folder before a later write.
             log("lasting-failed", why=error.strerror or str(error))
             return True
 
@@ -179,7 +179,7 @@
         return NodeSnapshot(server_list, frozenset(out_of_service), self.starts_draining, learned)
 
     def start_without_fleet(self) -> None:
-        """Starts the log of a node without a fleet, where no member writes to it."""
+        """Starts the log of a node without a fleet, which has no member that writes to the log."""
         started = ProcessStarted(self.contents.state.incarnation + 1, time.time())
         self._overrides = self.contents.state.operator_overrides
 
@@ -207,7 +207,7 @@
             while True:
                 self.turn()
                 now_us = self._clock_us()
-                self._observe(node, now_us)
+                self._request_state(node, now_us)
                 due_us = self._due_us(now_us)
                 self._wakeup = anyio.Event()
                 wait_s = max(MIN_WAIT_US, due_us - now_us) / SECOND_US
@@ -225,8 +225,8 @@
                 self.start_without_fleet()
                 await self.run(node)
 
-    def _observe(self, node: Node, now_us: int) -> None:
-        """Requests from the node the state that is stored periodically."""
+    def _request_state(self, node: Node, now_us: int) -> None:
+        """Requests the state that is stored periodically from the node."""
         if now_us >= self._next_snapshot_us:
             self._next_snapshot_us = now_us + SNAPSHOT_INTERVAL_US
             node.snapshot_state(lambda state: self._save_snapshot(state, node.clock.now_us()))
--- a/sailrun/storage/settings.py
+++ b/sailrun/storage/settings.py
@@ -10,7 +10,7 @@
 
 
 class StorageSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Where and how a node stores its persistent state. Storage is disabled if no folder is set."""
+    """Settings of a node's persistent state. Storage is disabled if `folder` is empty."""
 
     folder: Annotated[
         str, Meta(description="This node's own folder, on a persistent disk; empty: nothing is stored.")
@@ -20,7 +20,7 @@
         Meta(
             ge=0.01,
             le=4096.0,
-            description="Size at which a journal is followed by a snapshot and a new journal.",
+            description="Size of a journal, in megabytes, above which a snapshot and a new journal follow.",
         ),
     ] = 8.0
     queue_mb: Annotated[
@@ -28,7 +28,7 @@
         Meta(
             ge=0.1,
             le=1024.0,
-            description="Limit for entries that wait for a slow disk; above it the whole state is written.",
+            description="Megabytes of entries that may be pending; above it the whole state is written.",
         ),
     ] = 8.0
     slow_s: Annotated[
@@ -36,7 +36,7 @@
         Meta(
             ge=0.0,
             le=60.0,
-            description="A voter with a slower disk denies lease requests; 0: half of owners.lease_s.",
+            description="A voter whose disk takes longer denies lease requests; 0: half of owners.lease_s.",
         ),
     ] = 0.0
     idle_sync_s: Annotated[
@@ -52,7 +52,7 @@
         Meta(
             ge=1.0,
             le=604_800.0,
-            description="Time without this node after which the weight of learned form server state halves.",
+            description="Age at which stored learned state about form servers has half of its weight.",
         ),
     ] = 120.0
 
--- a/sailrun/storage/snapshot_writer.py
+++ b/sailrun/storage/snapshot_writer.py
@@ -11,7 +11,8 @@
 from sailrun.storage.folder_layout import TEMPORARY_SUFFIX, name_snapshot
 from sailrun.storage.frames import FileHeader, Frame, FrameKind, encode_frame, encode_header
 
-# Limits of a frame: entries, and bytes of records. The writer can do other work between two frames.
+# Limits of a frame: the number of entries and the estimated bytes of their records. Above the limit of bytes,
+# each frame has one entry. The writer can do other work between two frames.
 SNAPSHOT_FRAME_ENTRIES = 500
 SNAPSHOT_FRAME_BYTES = 256 * 1024
 
--- a/sailrun/storage/write_ahead_log.py
+++ b/sailrun/storage/write_ahead_log.py
@@ -175,7 +175,7 @@
 
     @property
     def is_disk_available(self) -> bool:
-        """Whether the disk is neither failed nor slow, so that promises can be made."""
+        """Whether the disk has neither failed nor become slow, so that promises can be made."""
         return self.disk_state is DiskState.AVAILABLE
 
     def due_us(self, now_us: int) -> int | None:
--- a/sailrun/storage/writer_thread.py
+++ b/sailrun/storage/writer_thread.py
@@ -61,7 +61,7 @@
             if batch is not None:
                 self._on_result(self._writer.write(batch))
             return self._writer.continue_snapshot()
-        except Exception:  # like a failure of the disk, a program error must cost the vote and nothing else
+        except Exception:  # like a failure of the disk, a program error must only stop the voting
             log("fault", where="lasting", trace=traceback.format_exc())
             if batch is not None:
                 self._on_result(WriteResult(0, 0, "internal error, see the log event `fault`"))
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -130,7 +130,7 @@
 
 
 class Region:
-    """Three voters' acceptors and a writer, whose messages the test delivers explicitly."""
+    """The acceptors of three voters. Tests create writers and deliver their messages explicitly."""
 
     def __init__(self) -> None:
         self.process_numbers = dict.fromkeys(VOTERS, 1)
@@ -215,7 +215,7 @@
     late = next(body for name, body in first.tick(20 * SECOND_US) if name == "c1")
     region.deliver(first, 21 * SECOND_US)
     assert first.state.generation == 1002
-    region.restart("c1")  # c1 stored the change, as c2 does; c3 never received it
+    region.restart("c1")  # c1 had stored the change, as c2 has; c3 never received it
     assert isinstance(late, WriteTable)
     assert isinstance(region.acceptors["c1"].accept(late), TableRejected)  # it is for the former process
     region.reachable = {"c1", "c3"}
@@ -292,7 +292,7 @@
     names = [f"n{n:03}" for n in range(MAX_CHANGED_SESSIONS + 3)]
     numbers = harness.join(*names)
     assert len(set(numbers)) == len(names)
-    assert harness.assigner.generation == 1001 + 2  # more than fit one generation
+    assert harness.assigner.generation == 1001 + 2  # more newcomers than one generation can add
     first = harness.renew(names[0], 0)
     assert isinstance(first, SessionRenewed) and first.session_number == numbers[0] and first.has_more
     heartbeat = RenewSession("east", 0, 2, numbers[0], 1, 0, first.page_generation, len(first.sessions))
--- a/tests/test_sharding_processes.py
+++ b/tests/test_sharding_processes.py
@@ -1,4 +1,4 @@
-"""Several real processes that own shards: the operators' commands, and nodes that fail."""
+"""Real processes that own shards: the operators' commands, and nodes that fail."""
 
 from __future__ import annotations
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -76,8 +76,8 @@
 
 @pytest.mark.parametrize("renames", [1, 4])
 def test_a_folder_is_read_while_another_process_writes_to_it(renames: int) -> None:
-    """Guards against a failure of readers during a rename by a running node: `No such file or directory:
-    '.../kept/snapshot.2.new'`. The file was listed but no longer existed when its size was read.
+    """A reader failed with `No such file or directory: '.../kept/snapshot.2.new'` when a running node renamed
+    the file: it was listed, but no longer existed when its size was read.
     """
     files = RenamingFiles()
     write(files, random.Random(1), lambda number: None, 60, frozenset())
@@ -204,7 +204,7 @@
         assert 0 <= last_of(contents.state) <= last
 
 
-def test_a_missing_journal_or_a_damaged_snapshot() -> None:
+def test_a_missing_journal_is_detected_and_a_damaged_snapshot_costs_no_entry() -> None:
     files = create_test_folder(400)
     contents = read_folder(files)
     assert contents.journal_generation > 2
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -128,6 +128,7 @@
 
 
 def serve_error(tmp_path: Path, roster: Roster, storage_folder: Path) -> str:
+    """Runs `sailrun serve` with an unusable folder; returns the last line of its error output."""
     config = tmp_path / "config.json"
     with node(tmp_path, roster) as running:  # writes the config file
         listen = running.listen
