--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -61,7 +61,7 @@
     )
     wal.begin_new_folder(os.urandom(16))
     writer = BatchWriter(FolderWriter(files, FolderContents(FolderIntegrity.EMPTY)), "n1", "fleet")
-    work = wal.turn(0)
+    work = wal.tick(0)
     assert work is not None
     wal.complete_batch(0, writer.write(work))
     return wal, writer
@@ -78,7 +78,7 @@
         for client in waiting:
             number += 1
             wal.defer_reply(0, wal.append(a_mark(number)), client, client)
-        work = wal.turn(0)
+        work = wal.tick(0)
         assert work is not None
         waiting = wal.complete_batch(0, writer.write(work))
         done += len(waiting)
@@ -162,7 +162,7 @@
         while count < due:
             wal.append(marks[count % len(marks)])
             count += 1
-        work = wal.turn(int(now * SECOND))
+        work = wal.tick(int(now * SECOND))
         if work is not None:
             wal.complete_batch(int(now * SECOND), writer.write(work))
             while writer.continue_snapshot():
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -280,7 +280,7 @@
         wal = node.write_ahead_log
         if wal is None or node.stopped:
             return
-        work = wal.turn(self.clock_us(node))
+        work = wal.tick(self.clock_us(node))
         if wal.log_events:
             for what, facts in wal.log_events:
                 self.row("folder", node.name, what=what, facts=str(facts))
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -204,7 +204,7 @@
         if own is None or self._voter() is None or not self._may_query():
             return []
         life = own.incarnation
-        messages = list[Message](self.freshness.turn(now_us))
+        messages = list[Message](self.freshness.tick(now_us))
         self._apply_freshness(now_us, life)
         return messages
 
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -223,7 +223,7 @@
         if self._exerciser is not None:
             envelopes += self.agent.send_shard_messages(now_us, self._exerciser.tick(now_us))
         if self._storage is not None:
-            self._storage.turn()
+            self._storage.tick()
         return envelopes
 
     def _turn_rolling_drain(self, now_us: int) -> None:
--- a/sailrun/storage/freshness.py
+++ b/sailrun/storage/freshness.py
@@ -241,12 +241,12 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self) -> int | None:
-        """When `turn` has to be called next; None: only after another call changes the state."""
+        """The time at which `tick` has to be called next; None: only after another call changes the state."""
         if self.is_querying:
             return self._next_query_us
         return self._last_report_us + REPORT_INTERVAL_US if self._list_unreported() else None
 
-    def turn(self, now_us: int) -> list[Outgoing]:
+    def tick(self, now_us: int) -> list[Outgoing]:
         """Returns the queries or reports that are due; ends the grace period when its time has come."""
         own = self.own
         if own is None:
--- a/sailrun/storage/service.py
+++ b/sailrun/storage/service.py
@@ -205,7 +205,7 @@
         self._thread.start()
         try:
             while True:
-                self.turn()
+                self.tick()
                 now_us = self._clock_us()
                 self._request_state(node, now_us)
                 due_us = self._due_us(now_us)
@@ -238,12 +238,12 @@
         due_us = min(due_us, self._next_snapshot_us)
         return min(due_us, now_us + OVERRIDE_POLL_US) if self._is_without_fleet else due_us
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Submits the next batch if one is due and writes log events. Has to be called after each append."""
         if not self.is_open:
             return
         if self._thread is not None:
-            batch = self.write_ahead_log.turn(self._clock_us())
+            batch = self.write_ahead_log.tick(self._clock_us())
             if batch is not None:
                 self._thread.submit(batch)
         for event in self.write_ahead_log.log_events:
@@ -299,7 +299,7 @@
         content = encode_snapshot(now_us, state.decisions, names)
         self._snapshot = DecisionSnapshot(now_us / SECOND_US, content)
         self.write_ahead_log.append(self._snapshot)
-        self.turn()
+        self.tick()
 
     def _save_overrides(self, out_of_service: frozenset[str]) -> None:
         saved = frozenset(self._overrides.out_of_service if self._overrides is not None else ())
--- a/sailrun/storage/write_ahead_log.py
+++ b/sailrun/storage/write_ahead_log.py
@@ -179,7 +179,7 @@
         return self.disk_state is DiskState.AVAILABLE
 
     def due_us(self, now_us: int) -> int | None:
-        """When `turn` has to be called next; None: only after another call changes the state."""
+        """The time at which `tick` has to be called next; None: only after another call changes the state."""
         if self._in_flight is not None:
             is_watched = self.is_disk_available and self._deferred
             return self._in_flight_since_us + self._slow_us if is_watched else None
@@ -195,7 +195,7 @@
     def _needs_generation(self) -> bool:
         return self._journal_bytes > self.settings.generation_mb * MEGABYTE
 
-    def turn(self, now_us: int) -> WriteBatch | None:
+    def tick(self, now_us: int) -> WriteBatch | None:
         """Returns the next batch to write, if one is due and none is in flight."""
         self._now_us = now_us
         if self._in_flight is not None:
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -284,7 +284,7 @@
 
 
 def write_next_batch(wal: WriteAheadLog, writer: BatchWriter, now_us: int) -> list[Any]:
-    batch = wal.turn(now_us)
+    batch = wal.tick(now_us)
     return wal.complete_batch(now_us, writer.write(batch)) if batch is not None else []
 
 
@@ -294,8 +294,8 @@
     for n in range(10):
         wal.defer_reply(0, wal.append(entry_of(n + 1)), n, n)
     sync_count_before = writer.folder.sync_count
-    batch = wal.turn(0)
-    assert batch is not None and wal.turn(0) is None
+    batch = wal.tick(0)
+    assert batch is not None and wal.tick(0) is None
     wal.defer_reply(0, wal.append(entry_of(11)), "late", "late")
     assert wal.complete_batch(1000, writer.write(batch)) == list(range(10))
     assert writer.folder.sync_count == sync_count_before + 1
@@ -308,9 +308,9 @@
     write_next_batch(wal, writer, 0)
     wal.list_state_entries = lambda: list(everything(3))
     wal.defer_reply(0, wal.append(entry_of(1)), "a", "a")
-    batch = wal.turn(0)
+    batch = wal.tick(0)
     assert batch is not None
-    assert wal.turn(SECOND_US + 1) is None and not wal.is_disk_available
+    assert wal.tick(SECOND_US + 1) is None and not wal.is_disk_available
     assert wal.complete_batch(2 * SECOND_US, writer.write(batch)) == []  # the reply was dropped
     assert wal.is_disk_available and wal.dropped_replies == 1
 
@@ -322,7 +322,7 @@
     wal.defer_reply(0, wal.append(entry_of(2)), "b", "b")
     assert write_next_batch(wal, writer, 3 * SECOND_US) == [] and not wal.is_disk_available
     position = wal.append(entry_of(3))
-    assert not wal.is_synced(position) and wal.turn(3 * SECOND_US + 1) is None  # not retried at once
+    assert not wal.is_synced(position) and wal.tick(3 * SECOND_US + 1) is None  # not retried at once
     write_next_batch(wal, writer, 5 * SECOND_US)
     assert wal.disk_state is DiskState.FAILED
     files.fault = lambda operation, name: None
@@ -361,7 +361,7 @@
 
 
 def exchange_queries(voter: FolderFreshness, others: dict[str, FolderFreshness], now_us: int) -> None:
-    for name, body in voter.turn(now_us):
+    for name, body in voter.tick(now_us):
         if name in others and isinstance(body, FreshnessQuery):
             voter.on_reply(name, others[name].peers.on_query("n1", body))
 
@@ -381,10 +381,10 @@
     restarted = create_freshness("n1")
     restarted.start(OwnFolder("aa", 2, 2, 50, 50), True, {})
     exchange_queries(restarted, {"n2": others["n2"]}, 3 * SECOND_US)
-    restarted.turn(3 * SECOND_US + 1)
+    restarted.tick(3 * SECOND_US + 1)
     assert not restarted.is_established  # n3 is alive and may know a newer version
-    restarted.turn(4 * SECOND_US)
-    restarted.turn(5 * SECOND_US + REPLY_GRACE_US)
+    restarted.tick(4 * SECOND_US)
+    restarted.tick(5 * SECOND_US + REPLY_GRACE_US)
     assert restarted.state is FreshnessState.CONFIRMED
 
     older = create_freshness("n1")
@@ -406,7 +406,7 @@
     older = create_freshness("n1")
     older.start(OwnFolder("aa", 2, 6, 40, 40), True, {})
     for now_us in (0, SECOND_US):
-        query = older.turn(now_us)[0][1]
+        query = older.tick(now_us)[0][1]
         assert isinstance(query, FreshnessQuery)
         reply = other.peers.on_query("n1", query)
         assert reply.position == 80
@@ -666,8 +666,8 @@
     older = create_freshness("n1")
     older.start(OwnFolder("aa", 2, 3, 20, 20), True, {})
     exchange_queries(older, {"n2": others["n2"]}, 0)
-    older.turn(0)
-    older.turn(REPLY_GRACE_US + SECOND_US)
+    older.tick(0)
+    older.tick(REPLY_GRACE_US + SECOND_US)
     assert older.state is FreshnessState.CONFIRMED and older.own is not None
     older.own.synced_position = 25
     exchange_queries(older, others, 9 * SECOND_US)
