--- a/sailrun/sharding/agent.py
+++ b/sailrun/sharding/agent.py
@@ -264,7 +264,7 @@
     # ------------------------------------------------------------------ the assigner
 
     def _follow_election(self, now_us: int) -> list[PeerMessage]:
-        """Starts or stops being the assigner according to the lease, and performs the assigner's work."""
+        """Creates or removes the assigner according to the lease, and performs its work; returns messages."""
         for change in self.election.take_changes():
             self._on_election_change(now_us, change)
         self.election.record_lease()
--- a/sailrun/sharding/log_events.py
+++ b/sailrun/sharding/log_events.py
@@ -21,21 +21,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionEvent:
-    """A change of a node's own session; `shards` is the number of shards that it may use."""
+    """A change of a node's own session; `shard_count` is the number of shards that it may use."""
 
     kind: SessionEventKind
     generation: int
     session_number: int
-    shards: int
+    shard_count: int
     reason: str = ""
 
 
-def generation_event(region: str, change: GenerationChange, nodes: int) -> LogEvent:
-    """Returns the event for a new generation, logged at the assigner; `nodes` is the number of sessions."""
+def generation_event(region: str, change: GenerationChange, node_count: int) -> LogEvent:
+    """Returns the event for a new generation, logged at the assigner; `node_count` counts its sessions."""
     fields: dict[str, object] = {
         "region": region,
         "generation": change.generation,
-        "nodes": nodes,
+        "nodes": node_count,
         "joined": ",".join(session.name for session in change.joined) or None,
         "left": len(change.left) or None,
     }
@@ -47,7 +47,7 @@
     fields: dict[str, object] = {
         "what": event.kind.value,
         "generation": event.generation,
-        "shards": event.shards,
+        "shards": event.shard_count,
         "why": event.reason or None,
     }
     return "shards", fields
--- a/sailrun/sharding/placement.py
+++ b/sailrun/sharding/placement.py
@@ -27,9 +27,11 @@
 
 
 @lru_cache(maxsize=16)
-def shard_hashes(region: str, shards: int) -> npt.NDArray[np.uint32]:
+def shard_hashes(region: str, shard_count: int) -> npt.NDArray[np.uint32]:
     """The hashes of a region's shards, by shard number. All callers in a process share one array."""
-    hashes = np.fromiter((key_hash(shard_key(region, shard)) for shard in range(shards)), np.uint32, shards)
+    hashes = np.fromiter(
+        (key_hash(shard_key(region, shard)) for shard in range(shard_count)), np.uint32, shard_count
+    )
     hashes.setflags(write=False)
     return hashes
 
@@ -37,13 +39,13 @@
 class Placement:
     """The placement of one region's shards on sessions in the present generation."""
 
-    def __init__(self, region: str, shards: int) -> None:
-        self._keys = shard_hashes(region, shards)
+    def __init__(self, region: str, shard_count: int) -> None:
+        self._keys = shard_hashes(region, shard_count)
         self.generation = 0
         self.sessions: dict[int, Session] = {}
         # By shard: the number of the session that it is placed on, and the generation to be settled first.
-        self.owner: npt.NDArray[np.int64] = np.full(shards, NO_SESSION, np.int64)
-        self.required_generation: npt.NDArray[np.int64] = np.zeros(shards, np.int64)
+        self.owner: npt.NDArray[np.int64] = np.full(shard_count, NO_SESSION, np.int64)
+        self.required_generation: npt.NDArray[np.int64] = np.zeros(shard_count, np.int64)
 
     @property
     def memory_bytes(self) -> int:
--- a/sailrun/storage/frames.py
+++ b/sailrun/storage/frames.py
@@ -147,18 +147,18 @@
     """Decodes the frame at that offset of the buffer; None if the bytes are not a valid frame, regardless of
     what follows.
     """
-    payload_at = offset + FRAME_HEADER_BYTES
-    if len(data) < payload_at:
-        return _LocatedFrame(None, payload_at)
+    payload_offset = offset + FRAME_HEADER_BYTES
+    if len(data) < payload_offset:
+        return _LocatedFrame(None, payload_offset)
     length, kind, generation, position, synced_position = _FRAME_HEADER.unpack_from(data, offset)
     if length > MAX_PAYLOAD_BYTES or generation != file.generation or kind not in _FRAME_KINDS:
         return None
-    end = payload_at + length
+    end = payload_offset + length
     if len(data) < end:
         return _LocatedFrame(None, end)
-    checksum_at = offset + _FRAME_HEADER.size
-    header, payload = bytes(data[offset:checksum_at]), bytes(data[payload_at:end])
-    if data[checksum_at:payload_at] != _checksum(header + payload, file.identity):
+    checksum_offset = offset + _FRAME_HEADER.size
+    header, payload = bytes(data[offset:checksum_offset]), bytes(data[payload_offset:end])
+    if data[checksum_offset:payload_offset] != _checksum(header + payload, file.identity):
         return None
     return _LocatedFrame(Frame(FrameKind(kind), position, synced_position, payload), end)
 
@@ -204,10 +204,10 @@
         """
         data = self.read_at(self.end_offset + 1, SCAN_BYTES)
         generation = self.header.generation.to_bytes(8, "little")
-        at = 0
-        while (at := data.find(generation, at)) >= 0:
+        found_at = 0
+        while (found_at := data.find(generation, found_at)) >= 0:
             # The generation is 8 bytes into a frame.
-            located = _decode_frame_at(data, at - 8, self.header) if at >= 8 else None
+            located = _decode_frame_at(data, found_at - 8, self.header) if found_at >= 8 else None
             if located is not None and located.frame is not None:
                 self.synced_after_damage = max(self.synced_after_damage, located.frame.synced_position)
-            at += 1
+            found_at += 1
--- a/sailrun/storage/freshness.py
+++ b/sailrun/storage/freshness.py
@@ -6,9 +6,9 @@
 
 - a voter that relies on its folder (`QUERYING`) votes once a majority including itself has replied, the grace
   period for the other living voters is over, and no reply has a newer incarnation or a later position;
-- a voter without a reliable folder (`REJOINING`) takes an incarnation above all that a majority knows, has a
-  majority store it, and recovers everything else from the others. From then on no older folder under its name
-  is relied on.
+- a voter without a reliable folder (`REJOINING`) chooses an incarnation above all that a majority knows, has
+  a majority store it, and recovers everything else from the others. From then on no older folder under its
+  name is relied on.
 
 One case is not detected: an older folder is started while no voter that stored the newer version can be
 reached.
@@ -86,16 +86,16 @@
         list_voters: Callable[[], list[str]],
         is_majority: Callable[[set[str]], bool],
         persist_version: Callable[[PeerFolderVersion], None],
-        first_number: int,
+        initial_number: int,
         is_alive: Callable[[str], bool],
         disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        """The numbers of this process's queries begin after `first_number`. `is_alive` returns whether a
+        """The numbers of this process's queries begin after `initial_number`. `is_alive` returns whether a
         voter is alive according to membership. `disabled_rules` are safety rules that the laboratory
         switches off.
         """
         self._name, self._list_voters, self._is_majority = name, list_voters, is_majority
-        self._last_number, self._is_alive, self._disabled_rules = first_number, is_alive, disabled_rules
+        self._last_number, self._is_alive, self._disabled_rules = initial_number, is_alive, disabled_rules
         self.peers = PeerFolderRegistry(persist_version)
         self.own: OwnFolder | None = None
         self.state = FreshnessState.REJOINING
--- a/sailrun/storage/write_ahead_log.py
+++ b/sailrun/storage/write_ahead_log.py
@@ -52,7 +52,8 @@
     """Entries to append and sync, after which every entry up to `position` is durable.
 
     `state_entries` is the whole state at `position`, for a new generation. If `is_standalone` is set, that
-    generation must not depend on anything written before; if `new_identity` is set, it begins a new folder.
+    generation must not depend on anything written before; if `new_identity` is set, the batch begins a new
+    folder.
     """
 
     position: int
