--- a/sailrun/storage/freshness.py
+++ b/sailrun/storage/freshness.py
@@ -6,9 +6,9 @@
 
 - a voter that relies on its folder (`QUERYING`) votes once a majority including itself has replied, the grace
   period for the other living voters is over, and no reply has a newer incarnation or a later position;
-- a voter without a reliable folder (`REJOINING`) takes an incarnation above all that a majority knows, has a
-  majority store it, and recovers everything else from the others. From then on no older folder under its name
-  is relied on.
+- a voter without a reliable folder (`REJOINING`) chooses an incarnation above all that a majority knows, has
+  a majority store it, and recovers everything else from the others. From then on no older folder under its
+  name is relied on.
 
 One case is not detected: an older folder is started while no voter that stored the newer version can be
 reached.
@@ -33,15 +33,14 @@
 
 QUERY_INTERVAL_US = 250_000
 REPORT_INTERVAL_US = 250_000
-# How long to wait for the other living voters once a majority has replied: one of them may know a newer
-# version.
+# Maximum wait for the other living voters once a majority has replied: one of them may know a newer version.
 REPLY_GRACE_US = 1_000_000
-# Reports without a reply; beyond this the oldest are dropped.
+# Maximum number of reports without a reply; beyond it the oldest are dropped.
 MAX_REPORTS_IN_FLIGHT = 64
 
 
 class FreshnessState(Enum):
-    """How far the other voters have confirmed this voter's folder."""
+    """The state of the comparison of this voter's folder with the versions that the other voters know."""
 
     QUERYING = "asks"  # relies on its folder unless a reply contradicts it
     CONFIRMED = "trusted"  # the folder is the newest version
@@ -87,16 +86,16 @@
         list_voters: Callable[[], list[str]],
         is_majority: Callable[[set[str]], bool],
         persist_version: Callable[[PeerFolderVersion], None],
-        first_number: int,
+        initial_number: int,
         is_alive: Callable[[str], bool],
         disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        """The numbers of this process's queries begin after `first_number`. `is_alive` returns whether a
+        """The numbers of this process's queries begin after `initial_number`. `is_alive` returns whether a
         voter is alive according to membership. `disabled_rules` are safety rules that the laboratory
         switches off.
         """
         self._name, self._list_voters, self._is_majority = name, list_voters, is_majority
-        self._last_number, self._is_alive, self._disabled_rules = first_number, is_alive, disabled_rules
+        self._last_number, self._is_alive, self._disabled_rules = initial_number, is_alive, disabled_rules
         self.peers = PeerFolderRegistry(persist_version)
         self.own: OwnFolder | None = None
         self.state = FreshnessState.REJOINING
@@ -135,7 +134,9 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether no older folder of this voter can be relied on any more. True without a folder."""
+        """Whether a majority of the voters has stored this incarnation, so that no older folder of this voter
+        can be confirmed any more. True without a folder.
+        """
         return self.own is None or self.state in (FreshnessState.CONFIRMED, FreshnessState.REJOINED)
 
     @property
@@ -193,7 +194,9 @@
             self._on_query_reply(own, known)
 
     def _on_newer_process(self, own: OwnFolder, known: PeerFolderVersion) -> None:
-        """Handles a newer process that is known to a voter which was unreachable during the query."""
+        """Handles a reply to a report that names a newer process of this voter. The replying voter was
+        unreachable during the query.
+        """
         if self.state is FreshnessState.REJOINED:
             own.incarnation, self.state = known.incarnation + 1, FreshnessState.REJOINING
             self._restart_query()
@@ -238,12 +241,12 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self) -> int | None:
-        """When `turn` has to be called next; None: only after another call changes the state."""
+        """The time at which `tick` has to be called next; None: only after another call changes the state."""
         if self.is_querying:
             return self._next_query_us
         return self._last_report_us + REPORT_INTERVAL_US if self._list_unreported() else None
 
-    def turn(self, now_us: int) -> list[Outgoing]:
+    def tick(self, now_us: int) -> list[Outgoing]:
         """Returns the queries or reports that are due; ends the grace period when its time has come."""
         own = self.own
         if own is None:
