--- a/sailrun/hot_restart/__init__.py
+++ b/sailrun/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Replacing the process: what passes from a predecessor to its successor."""
+"""Hot restart: a predecessor process hands its listeners, state and sessions over to its successor."""
--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -1,4 +1,4 @@
-"""One process's part in being replaced: as the successor, and as whoever may be succeeded."""
+"""The hot restart as seen by one process: as the successor and as the predecessor."""
 
 from __future__ import annotations
 
@@ -15,15 +15,23 @@
 from anyio.abc import TaskGroup
 
 from sailrun.connection import OverlongLineError, show_address
-from sailrun.hot_restart.link import MOST_SOCKETS, Doorstep, Link, hand, is_ours, knock, receive
+from sailrun.hot_restart.link import (
+    MAX_SOCKETS,
+    HandoverListener,
+    Link,
+    connect_to_predecessor,
+    is_same_user,
+    receive_with_sockets,
+    send_with_sockets,
+)
 from sailrun.hot_restart.rules import Succession
 from sailrun.hot_restart.state import (
     InvalidHandoverError,
     pack,
-    read_held,
+    read_process_load,
     read_state,
     unpack,
-    write_held,
+    write_process_load,
     write_state,
 )
 from sailrun.node.clock import log
@@ -34,29 +42,30 @@
 from sailrun.node.shutdown import ShutdownReason
 
 SECOND = 1_000_000
-# A predecessor is busy serving: so long a successor waits for its answer, and asks again meanwhile where it
-# was told to, every so often.
-ASK_S, AGAIN_S = 3.0, 0.05
-# A predecessor tells so often what it still holds.
+# The time that a successor waits for the answer of its predecessor, which is busy serving, and the interval
+# between its requests if the connection is closed meanwhile.
+TAKEOVER_TIMEOUT_S, RETRY_INTERVAL_S = 3.0, 0.05
+# The interval at which a predecessor reports the load that it still serves.
 TELL_US = SECOND // 4
-# Whoever knocks and does not say what it wants has so long.
-KNOCK_US = 2 * SECOND
-# So many sessions at once are on their way to the successor: until it has them, both have their descriptors.
-WINDOW = 8
-# A successor keeps at least so many descriptors, whatever its predecessor has open.
-LEAST_DESCRIPTORS = 64
+# A connection without a request is closed after this time.
+REQUEST_TIMEOUT_US = 2 * SECOND
+# The number of sessions that are transferred to the successor at once. Until it has accepted a session, both
+# processes hold the session's descriptors.
+MAX_TRANSFERS_IN_FLIGHT = 8
+# The least number of descriptors that a successor may open, however many its predecessor has open.
+MIN_DESCRIPTORS = 64
 
 
 @dataclass(slots=True)
 class Inherited:
-    """What a predecessor handed over."""
+    """The state and the sockets that a predecessor handed over, and the connection to it."""
 
     link: Link
-    state: NodeSnapshot | None  # None: what came was not usable
+    state: NodeSnapshot | None  # None: the received state was not usable
     sockets: dict[str, socket.socket] = field(default_factory=dict)
 
     def socket_for(self, key: str, address: tuple[str, int]) -> socket.socket | None:
-        """The socket under this key, if it is at the address; it is the caller's from then on."""
+        """Returns the socket with this key if it is bound to the address; the caller then owns it."""
         sock = self.sockets.pop(key, None)
         if sock is not None and sock.getsockname()[:2] != address:
             sock.close()
@@ -64,43 +73,43 @@
         return sock
 
     def close(self) -> None:
-        """Nothing was made of it."""
+        """Closes the remaining sockets and the connection."""
         for sock in self.sockets.values():
             sock.close()
         self.link.close()
 
 
 def inherit(name: str) -> Inherited | None:
-    """Asks the process that has this name now for what it has; None where there is none. Blocks: this process
-    has nothing else to do yet.
+    """Requests the state and the sockets of the process that serves under this name; returns None if there is
+    none. Blocks: this process has nothing else to do yet.
     """
-    deadline = time.monotonic() + ASK_S
-    while (sock := knock(name)) is not None:
+    deadline = time.monotonic() + TAKEOVER_TIMEOUT_S
+    while (sock := connect_to_predecessor(name)) is not None:
         try:
             sock.sendall(pack("succeed", None))
-            line, sockets = receive(sock, deadline)
+            line, sockets = receive_with_sockets(sock, deadline)
         except OSError as error:
             sock.close()
-            if time.monotonic() + AGAIN_S < deadline and isinstance(error, ConnectionError):
-                time.sleep(AGAIN_S)  # it hands over to another one, or has just ended
+            if time.monotonic() + RETRY_INTERVAL_S < deadline and isinstance(error, ConnectionError):
+                time.sleep(RETRY_INTERVAL_S)  # it is handing over to another process, or has just ended
                 continue
             log("predecessor-silent", error=str(error))
             return None
-        named, state = list[str](), None
+        keys, state = list[str](), None
         try:
             _, content = unpack(line)
-            named = [str(key) for key in content["sockets"]]
+            keys = [str(key) for key in content["sockets"]]
             state = read_state(content["state"])
         except (InvalidHandoverError, KeyError, TypeError) as error:
             log("passage-dropped", why=str(error))
-        if len(named) != len(sockets):
-            named = [f"unknown {n}" for n in range(len(sockets))]
-        return Inherited(Link(sock), state, dict(zip(named, sockets, strict=True)))
+        if len(keys) != len(sockets):
+            keys = [f"unknown {n}" for n in range(len(sockets))]
+        return Inherited(Link(sock), state, dict(zip(keys, sockets, strict=True)))
     return None
 
 
 class Handover:
-    """Answers at the doorstep, and keeps the line to the other process where there is one."""
+    """Listens for a successor, and communicates with the predecessor and the successor if they exist."""
 
     def __init__(
         self,
@@ -112,214 +121,223 @@
         inherited: Inherited | None,
         adopt: Callable[[Any, Sequence[socket.socket]], None],
     ) -> None:
-        """`name`: what the node keeps when its process is replaced; `sockets`: those that a successor is
-        handed, by key; `pause`: leaves what comes in at them to it, or takes it again;
-        `adopt`: goes on with a standing session, or raises ValueError.
+        """`name`: the identity that the node keeps when its process is replaced. `descriptors`: the node's
+        limit of open descriptors. `sockets`: returns the sockets that are passed to a successor, by key.
+        `pause`: stops accepting at these sockets, so that only the successor does, or resumes it. `adopt`:
+        takes over an established session, or raises ValueError.
         """
         self._node, self._name, self._descriptors = node, name, descriptors
         self._sockets, self._pause, self._inherited, self._adopt = sockets, pause, inherited, adopt
-        self._rules = Succession()
-        self._talks: dict[Link, _Talk] = {}
-        self._theirs = 0  # descriptors that the predecessor has open, as far as told
-        node.on_operator_command = self._staff_said
+        self._succession = Succession()
+        self._channels: dict[Link, _Channel] = {}
+        self._predecessor_descriptors = 0  # descriptors that the predecessor has open, as last reported
+        node.on_operator_command = self._forward_operator_command
 
     async def run(self) -> None:
-        """Until cancelled. A successor is announced first, so that its predecessor takes no more."""
+        """Runs until cancelled. A successor first notifies its predecessor, which then stops accepting."""
         async with anyio.create_task_group() as group:
             if self._inherited is not None:
-                group.start_soon(self._follow, self._inherited)
+                group.start_soon(self._run_as_successor, self._inherited)
             try:
-                doorstep = Doorstep(self._name)
+                handover_listener = HandoverListener(self._name)
             except OSError as error:
                 log("no-doorstep", error=str(error))
                 return
             try:
                 while True:
-                    await anyio.wait_readable(doorstep.listener)
+                    await anyio.wait_readable(handover_listener.listener)
                     try:
-                        sock = doorstep.listener.accept()[0]
-                    except OSError:  # gone again, or no descriptor: it knocks once more
+                        sock = handover_listener.listener.accept()[0]
+                    except OSError:  # it has disconnected, or no descriptor is free: it tries again
                         await anyio.sleep_until(anyio.current_time() + 0.05)
                         continue
-                    group.start_soon(self._meet, sock)
+                    group.start_soon(self._serve_successor, sock)
             finally:
-                anyio.notify_closing(doorstep.listener)
-                doorstep.close()
+                anyio.notify_closing(handover_listener.listener)
+                handover_listener.close()
 
-    # ------------------------------------------------------------------ lines between the two
+    # ------------------------------------------------------------------ messages between the two processes
 
-    def _staff_said(self, kind: str, content: Any) -> None:
-        for talk in self._talks.values():
-            talk.say(kind, content)
+    def _forward_operator_command(self, kind: str, content: Any) -> None:
+        for channel in self._channels.values():
+            channel.send_message(kind, content)
 
-    async def _converse(self, link: Link, hear: Callable[[_Talk, str, Any, TaskGroup], None]) -> None:
-        """Writes what there is to say and hears the other process, until it has ended."""
-        talk = self._talks[link] = _Talk(link)
+    async def _run_channel(
+        self, link: Link, handle_message: Callable[[_Channel, str, Any, TaskGroup], None]
+    ) -> None:
+        """Sends and receives messages until the other process closes the connection."""
+        channel = self._channels[link] = _Channel(link)
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(talk.write)
-                while (line := await _line(link)) is not None:
+                group.start_soon(channel.write)
+                while (line := await _read_line(link)) is not None:
                     kind, content = unpack(line)
-                    hear(talk, kind, content, group)
+                    handle_message(channel, kind, content, group)
                 group.cancel_scope.cancel()
         except* (OSError, OverlongLineError):
-            pass  # it has ended
+            pass  # the other process has ended
         except* InvalidHandoverError as broken:
             log("passage-dropped", why=str(broken.exceptions[0]))
         finally:
-            del self._talks[link]
-            talk.close()
+            del self._channels[link]
+            channel.close()
 
     # ------------------------------------------------------------------ as the successor
 
-    async def _follow(self, inherited: Inherited) -> None:
-        def hear(talk: _Talk, kind: str, content: Any, _group: TaskGroup) -> None:
+    async def _run_as_successor(self, inherited: Inherited) -> None:
+        def handle_message(channel: _Channel, kind: str, content: Any, _group: TaskGroup) -> None:
             if kind == "held":
-                held = read_held(content)
-                self._leave_descriptors(held.descriptors)
-                self._node.update_predecessor_load(held)
+                load = read_process_load(content)
+                self._limit_descriptors(load.descriptors)
+                self._node.update_predecessor_load(load)
             elif kind == "session":
-                self._receive(talk, content)
+                self._receive_session(channel, content)
             else:
                 self._node.mirror_operator_command(kind, content)
 
         try:
             await inherited.link.write(pack("took", None))
-            await self._converse(inherited.link, hear)
+            await self._run_channel(inherited.link, handle_message)
         except OSError:
-            inherited.link.close()  # it ended while this process started
+            inherited.link.close()  # the predecessor ended while this process started
         finally:
-            self._leave_descriptors(0)
+            self._limit_descriptors(0)
             self._node.update_predecessor_load(None)
         log("predecessor-ended")
 
-    def _receive(self, talk: _Talk, content: Any) -> None:
-        """A standing session: it is this process's once it is said to be."""
-        sockets = talk.link.take_sockets()
+    def _receive_session(self, channel: _Channel, content: Any) -> None:
+        """Takes over an established session; this process owns it once `adopted` is sent."""
+        sockets = channel.link.take_sockets()
         try:
             self._adopt(content["session"], sockets)
         except (ValueError, KeyError, TypeError) as error:
             for sock in sockets:
                 sock.close()
             log("session-not-taken", why=str(error))
-            talk.say("refused", content["number"])
+            channel.send_message("refused", content["number"])
             return
-        self._leave_descriptors(self._theirs - len(sockets))
-        talk.say("adopted", content["number"])
-
-    def _leave_descriptors(self, count: int) -> None:
-        """Together the two hold no more than one node may, but for the sessions on their way."""
-        self._theirs = max(0, count)
-        most = self._descriptors - self._theirs + (3 * WINDOW if self._theirs else 0)
-        hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        allowed = min(self._descriptors, max(LEAST_DESCRIPTORS, most))
-        resource.setrlimit(resource.RLIMIT_NOFILE, (allowed, hard))
+        self._limit_descriptors(self._predecessor_descriptors - len(sockets))
+        channel.send_message("adopted", content["number"])
 
-    # ------------------------------------------------------------------ as who is succeeded
-
-    async def _meet(self, sock: socket.socket) -> None:
+    def _limit_descriptors(self, count: int) -> None:
+        """Sets the limit of this process so that both processes together stay within the limit of one node,
+        except for the sessions that are being transferred.
+        """
+        self._predecessor_descriptors = max(0, count)
+        limit = (
+            self._descriptors
+            - self._predecessor_descriptors
+            + (3 * MAX_TRANSFERS_IN_FLIGHT if self._predecessor_descriptors else 0)
+        )
+        hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+        soft_limit = min(self._descriptors, max(MIN_DESCRIPTORS, limit))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (soft_limit, hard_limit))
+
+    # ------------------------------------------------------------------ as the predecessor
+
+    async def _serve_successor(self, sock: socket.socket) -> None:
         link, clock = Link(sock), self._node.clock
-        asked = False
-        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + KNOCK_US)):
+        is_request = False
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + REQUEST_TIMEOUT_US)):
             try:
-                line = await _line(link) if is_ours(sock) else None
-                asked = line is not None and unpack(line)[0] == "succeed"
+                line = await _read_line(link) if is_same_user(sock) else None
+                is_request = line is not None and unpack(line)[0] == "succeed"
             except (OSError, OverlongLineError, InvalidHandoverError) as error:
                 log("passage-dropped", why=str(error))
-        if not asked or not self._rules.asked():
+        if not is_request or not self._succession.on_request():
             link.close()
             return
         try:
             state = await send_query(self._node.snapshot_state)
-            sockets = dict(list(self._sockets().items())[:MOST_SOCKETS])
+            sockets = dict(list(self._sockets().items())[:MAX_SOCKETS])
             content = {"sockets": list(sockets), "state": write_state(state)}
-            await hand(link, pack("state", content), list(sockets.values()))
-            log("handed-over", sockets=",".join(f"{k}={_shown(s)}" for k, s in sockets.items()))
-            await self._converse(link, self._hear_successor)
+            await send_with_sockets(link, pack("state", content), list(sockets.values()))
+            log("handed-over", sockets=",".join(f"{k}={_format_address(s)}" for k, s in sockets.items()))
+            await self._run_channel(link, self._handle_successor_message)
         except OSError as error:
             log("successor-unreached", error=str(error))
             link.close()
         finally:
-            if self._rules.lost(ShutdownReason.RESTART in self._node.shutdown):
+            if self._succession.on_disconnected(ShutdownReason.RESTART in self._node.shutdown):
                 self._node.set_successor(None)
                 self._pause(False)
 
-    def _hear_successor(self, talk: _Talk, kind: str, content: Any, group: TaskGroup) -> None:
+    def _handle_successor_message(self, channel: _Channel, kind: str, content: Any, group: TaskGroup) -> None:
         if kind in ("adopted", "refused"):
-            talk.settle(content, kind == "adopted")
+            channel.settle(content, kind == "adopted")
         elif kind != "took":
             self._node.mirror_operator_command(kind, content)
-        elif self._rules.took():
+        elif self._succession.on_accepted():
             self._pause(True)
-            self._node.set_successor(talk.send)
-            group.start_soon(self._tell, talk)
+            self._node.set_successor(channel.send_session)
+            group.start_soon(self._report_load, channel)
 
-    async def _tell(self, talk: _Talk) -> None:
+    async def _report_load(self, channel: _Channel) -> None:
         clock = self._node.clock
         next_us = clock.now_us()
         while True:
-            held = await send_query(self._node.report_local_load)
+            load = await send_query(self._node.report_local_load)
             descriptors = len(os.listdir("/proc/self/fd"))
-            talk.say("held", write_held(replace(held, descriptors=descriptors)))
+            channel.send_message("held", write_process_load(replace(load, descriptors=descriptors)))
             next_us += TELL_US
             await anyio.sleep_until(clock.to_deadline(next_us))
 
 
-class _Talk:
-    """What is to be said to the other process, and the sessions on their way to it."""
+class _Channel:
+    """The connection to the other process, with the messages and the sessions that are queued for it."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
         self._lines: list[bytes] = []
         self._transfers: deque[SessionTransfer] = deque()
-        self._under_way: dict[int, SessionTransfer] = {}
-        self._number = 0
-        self._news = anyio.Event()
-        self._over = False
+        self._in_flight: dict[int, SessionTransfer] = {}
+        self._last_number = 0
+        self._wake_up = anyio.Event()
+        self._is_closed = False
 
-    def say(self, kind: str, content: Any) -> None:
+    def send_message(self, kind: str, content: Any) -> None:
         self._lines.append(pack(kind, content))
-        self._news.set()
+        self._wake_up.set()
 
-    def send(self, transfer: SessionTransfer) -> None:
-        """A session; it is settled once the other process has said whether it took it, or has ended."""
-        if self._over:
+    def send_session(self, transfer: SessionTransfer) -> None:
+        """Queues a session; it is settled when the other process has accepted or refused it, or has ended."""
+        if self._is_closed:
             transfer.settle(False)
             return
         self._transfers.append(transfer)
-        self._news.set()
+        self._wake_up.set()
 
-    def settle(self, number: Any, gone: bool) -> None:
-        transfer = self._under_way.pop(number, None) if isinstance(number, int) else None
+    def settle(self, number: Any, is_accepted: bool) -> None:
+        transfer = self._in_flight.pop(number, None) if isinstance(number, int) else None
         if transfer is not None:
-            transfer.settle(gone)
-            self._news.set()
+            transfer.settle(is_accepted)
+            self._wake_up.set()
 
     async def write(self) -> None:
         while True:
-            await self._news.wait()
-            self._news = anyio.Event()
+            await self._wake_up.wait()
+            self._wake_up = anyio.Event()
             lines, self._lines = self._lines, []
             await self.link.write(b"".join(lines))
-            while self._transfers and len(self._under_way) < WINDOW:
+            while self._transfers and len(self._in_flight) < MAX_TRANSFERS_IN_FLIGHT:
                 transfer = self._transfers.popleft()
-                self._number += 1
-                self._under_way[self._number] = transfer
-                line = pack("session", {"number": self._number, "session": transfer.content})
-                await hand(self.link, line, transfer.sockets)
+                self._last_number += 1
+                self._in_flight[self._last_number] = transfer
+                line = pack("session", {"number": self._last_number, "session": transfer.content})
+                await send_with_sockets(self.link, line, transfer.sockets)
 
     def close(self) -> None:
-        self._over = True
-        for transfer in (*self._under_way.values(), *self._transfers):
+        self._is_closed = True
+        for transfer in (*self._in_flight.values(), *self._transfers):
             transfer.settle(False)
         self.link.close()
 
 
-def _shown(sock: socket.socket) -> str:
+def _format_address(sock: socket.socket) -> str:
     return show_address(sock.getsockname()[:2])
 
 
-async def _line(link: Link) -> bytes | None:
+async def _read_line(link: Link) -> bytes | None:
     while (line := link.take_line()) is None:
         if not await link.fill():
             return None
--- a/sailrun/hot_restart/link.py
+++ b/sailrun/hot_restart/link.py
@@ -1,7 +1,7 @@
-"""The Unix socket between a predecessor and its successor: finding one another, lines, and sockets.
+"""The Unix socket between a predecessor and its successor: connects them and passes lines and sockets.
 
-It lies in the folder that both processes share. Its path may be longer than a Unix address allows: it is
-reached through the folder's descriptor.
+The socket file is in the folder for temporary files, which both processes share. Its path may be longer than
+a Unix socket address allows, so it is addressed through the folder's descriptor.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 import mmh3
 
 from sailrun.connection import Connection
-from sailrun.hot_restart.state import LONGEST
+from sailrun.hot_restart.state import MAX_LINE_BYTES
 
-# A listener for clients, one for AMQP, one for datagrams.
-MOST_SOCKETS = 8
-ROOM = socket.CMSG_SPACE(MOST_SOCKETS * array.array("i").itemsize)
+# At present up to 3 are sent: the listeners for clients and for AMQP, and the datagram socket.
+MAX_SOCKETS = 8
+ANCILLARY_BYTES = socket.CMSG_SPACE(MAX_SOCKETS * array.array("i").itemsize)
 
 
-def place(name: str) -> tuple[str, str]:
-    """The folder and the file name at which a node of this name is reached."""
+def socket_location(name: str) -> tuple[str, str]:
+    """Returns the folder and the name of the socket file of a node."""
     return tempfile.gettempdir(), f"sailrun-{mmh3.hash(name, signed=False):08x}.sock"
 
 
 @contextlib.contextmanager
-def _within(folder: str) -> Iterator[tuple[int, str]]:
-    """The folder's descriptor, and a short path to it."""
+def _open_folder(folder: str) -> Iterator[tuple[int, str]]:
+    """Opens a folder; yields its descriptor and a short path to it."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield descriptor, f"/proc/self/fd/{descriptor}"
@@ -42,45 +42,45 @@
         os.close(descriptor)
 
 
-class Doorstep:
-    """Where a successor knocks."""
+class HandoverListener:
+    """Listens for a successor."""
 
     def __init__(self, name: str) -> None:
-        """Raises OSError where there can be none."""
-        folder, file = place(name)
+        """Raises OSError if the socket cannot be created."""
+        folder, file = socket_location(name)
         self._folder, self._file = folder, file
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
-            with _within(folder) as (descriptor, path):
-                # Under a name of its own first: whoever looks finds the old socket or this one, never none.
-                fresh = f"{file}.{os.getpid()}"
+            with _open_folder(folder) as (descriptor, path):
+                # Renames a bound temporary file, so that a client always finds the old socket or this one.
+                temporary_file = f"{file}.{os.getpid()}"
                 with contextlib.suppress(FileNotFoundError):
-                    os.unlink(fresh, dir_fd=descriptor)
-                self.listener.bind(f"{path}/{fresh}")
+                    os.unlink(temporary_file, dir_fd=descriptor)
+                self.listener.bind(f"{path}/{temporary_file}")
                 self.listener.listen(4)
-                os.chmod(fresh, 0o600, dir_fd=descriptor)
-                self._inode = os.stat(fresh, dir_fd=descriptor).st_ino
-                os.rename(fresh, file, src_dir_fd=descriptor, dst_dir_fd=descriptor)
+                os.chmod(temporary_file, 0o600, dir_fd=descriptor)
+                self._inode = os.stat(temporary_file, dir_fd=descriptor).st_ino
+                os.rename(temporary_file, file, src_dir_fd=descriptor, dst_dir_fd=descriptor)
         except BaseException:
             self.listener.close()
             raise
 
     def close(self) -> None:
-        """Takes the file away unless it is another process's by now."""
+        """Stops listening, and removes the socket file unless another process has replaced it."""
         self.listener.close()
-        with contextlib.suppress(OSError), _within(self._folder) as (descriptor, _):
+        with contextlib.suppress(OSError), _open_folder(self._folder) as (descriptor, _):
             if os.stat(self._file, dir_fd=descriptor).st_ino == self._inode:
                 os.unlink(self._file, dir_fd=descriptor)
 
 
-def knock(name: str) -> socket.socket | None:
-    """A connection to the process that has the name now; None where there is none of this user's."""
-    folder, file = place(name)
+def connect_to_predecessor(name: str) -> socket.socket | None:
+    """Connects to the process that serves under this name; returns None if there is none of the same user."""
+    folder, file = socket_location(name)
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
-        with _within(folder) as (_, path):
+        with _open_folder(folder) as (_, path):
             sock.connect(f"{path}/{file}")
-        if _user_of(sock) == os.getuid():
+        if _peer_user(sock) == os.getuid():
             return sock
     except OSError:
         pass
@@ -88,46 +88,46 @@
     return None
 
 
-def _user_of(sock: socket.socket) -> int:
-    told = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-    return int(struct.unpack("3i", told)[1])
+def _peer_user(sock: socket.socket) -> int:
+    credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
+    return int(struct.unpack("3i", credentials)[1])
 
 
-def is_ours(sock: socket.socket) -> bool:
-    """Whether the other process is this user's."""
-    return _user_of(sock) == os.getuid()
+def is_same_user(sock: socket.socket) -> bool:
+    """Returns whether the other process belongs to the same user."""
+    return _peer_user(sock) == os.getuid()
 
 
 class Link(Connection):
-    """The connection between the two, with the sockets that came along."""
+    """The connection between the two processes, with the sockets that were received on it."""
 
-    __slots__ = ("_sets",)
+    __slots__ = ("_socket_sets",)
 
     def __init__(self, sock: socket.socket) -> None:
-        super().__init__(sock, LONGEST)
-        # One set for each message that brought sockets, in their order; short if there was no room for all.
-        self._sets: deque[list[socket.socket]] = deque()
+        super().__init__(sock, MAX_LINE_BYTES)
+        # One list for each message with sockets, in their order; incomplete if a message was truncated.
+        self._socket_sets: deque[list[socket.socket]] = deque()
 
-    def _receive(self, room: memoryview) -> int:
-        count, rights, flags, _ = self.sock.recvmsg_into([room], ROOM)
+    def _receive(self, buffer: memoryview) -> int:
+        count, rights, flags, _ = self.sock.recvmsg_into([buffer], ANCILLARY_BYTES)
         if rights or flags & socket.MSG_CTRUNC:
-            self._sets.append(_received(rights))
+            self._socket_sets.append(_received_sockets(rights))
         return count
 
     def take_sockets(self) -> list[socket.socket]:
-        """Those that came with the oldest line that brought any."""
-        return self._sets.popleft() if self._sets else []
+        """Removes and returns the sockets of the oldest message that had any."""
+        return self._socket_sets.popleft() if self._socket_sets else []
 
     def close(self, abruptly: bool = False) -> None:
-        """Ends the line, and closes sockets that were received with it and not taken."""
-        while self._sets:
-            for sock in self._sets.popleft():
+        """Closes the connection and the received sockets that were not taken."""
+        while self._socket_sets:
+            for sock in self._socket_sets.popleft():
                 sock.close()
         super().close(abruptly)
 
 
-async def hand(link: Link, line: bytes, sockets: Sequence[socket.socket]) -> None:
-    """Sends a line, and with its first byte the sockets."""
+async def send_with_sockets(link: Link, line: bytes, sockets: Sequence[socket.socket]) -> None:
+    """Sends a line, with the sockets attached to its first byte."""
     rights = array.array("i", [s.fileno() for s in sockets])
     while True:
         try:
@@ -138,27 +138,26 @@
     await link.write(line[1:])
 
 
-def receive(sock: socket.socket, deadline: float) -> tuple[bytes, list[socket.socket]]:
-    """The first line and the sockets that came with it; blocks, for there is nothing else to do yet. Nothing
-    may follow the line until it is answered.
+def receive_with_sockets(sock: socket.socket, deadline: float) -> tuple[bytes, list[socket.socket]]:
+    """Receives the first line and its sockets. The other process must not send more until it has an answer.
 
-    `deadline` is of the monotonic clock. Raises OSError where nothing whole came by then; the sockets that
-    had come are closed.
+    Blocks: the process has nothing else to do yet. `deadline` is a time of the monotonic clock. Raises
+    OSError if no complete line has arrived by then, and closes the sockets that were received.
     """
     line, sockets = bytearray(), list[socket.socket]()
     try:
         while not line.endswith(b"\n"):
-            left = deadline - time.monotonic()
-            if left <= 0 or len(line) > LONGEST:
-                raise TimeoutError("nothing whole came in time")
-            sock.settimeout(left)
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0 or len(line) > MAX_LINE_BYTES:
+                raise TimeoutError("no complete line before the deadline, or the line is too long")
+            sock.settimeout(remaining_s)
             if line:
                 data = sock.recv(65536)
             else:
-                data, rights, _, _ = sock.recvmsg(1, ROOM)
-                sockets = _received(rights)
+                data, rights, _, _ = sock.recvmsg(1, ANCILLARY_BYTES)
+                sockets = _received_sockets(rights)
             if not data:
-                raise ConnectionResetError("ended")
+                raise ConnectionResetError("connection closed before the end of the line")
             line += data
     except BaseException:
         for received in sockets:
@@ -167,7 +166,7 @@
     return bytes(line), sockets
 
 
-def _received(rights: Sequence[tuple[int, int, bytes]]) -> list[socket.socket]:
+def _received_sockets(rights: Sequence[tuple[int, int, bytes]]) -> list[socket.socket]:
     sockets = []
     for level, kind, data in rights:
         if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
--- a/sailrun/hot_restart/rules.py
+++ b/sailrun/hot_restart/rules.py
@@ -1,4 +1,7 @@
-"""Who of two processes takes clients, as one of them sees it. Pure: events in, the new state out."""
+"""Decides which of two processes accepts clients, from the predecessor's point of view.
+
+Pure: takes events and returns what they change.
+"""
 
 from __future__ import annotations
 
@@ -6,38 +9,41 @@
 
 
 class Role(Enum):
-    """Which part a process has in a replacement."""
+    """The role of a process in a hot restart."""
 
-    ALONE = "alone"  # serves, and nobody has asked to succeed it
-    HANDING = "handing"  # a successor was handed the listeners and has not said yes
-    SUCCEEDED = "succeeded"  # a successor takes the clients
+    ALONE = "alone"  # serves, and no successor has sent a request
+    HANDING_OVER = "handing"  # a successor was sent the listeners and has not accepted them yet
+    SUCCEEDED = "succeeded"  # a successor accepts the clients
 
 
 class Succession:
-    """A process that may be succeeded. One successor at a time: whoever asks meanwhile is told to ask again,
-    and by then finds the successor itself.
+    """The state of a process that a successor may replace.
+
+    There is one successor at a time. The connection of a second one is closed, so that it tries again; by
+    then it reaches the first successor.
     """
 
     def __init__(self) -> None:
         self.role = Role.ALONE
 
-    def asked(self) -> bool:
-        """A process asks to succeed this one; whether it is handed what it needs."""
+    def on_request(self) -> bool:
+        """A process requests to succeed this one. Returns whether it is sent the listeners and the state."""
         if self.role is not Role.ALONE:
             return False
-        self.role = Role.HANDING
+        self.role = Role.HANDING_OVER
         return True
 
-    def took(self) -> bool:
-        """The successor takes clients; whether this is news."""
-        if self.role is not Role.HANDING:
+    def on_accepted(self) -> bool:
+        """The successor has accepted the listeners. Returns whether this is a change."""
+        if self.role is not Role.HANDING_OVER:
             return False
         self.role = Role.SUCCEEDED
         return True
 
-    def lost(self, ending: bool) -> bool:
-        """The successor is gone; whether this process has to take clients again. One that was asked to
-        end does not: it would only be cut off with them.
+    def on_disconnected(self, is_shutting_down: bool) -> bool:
+        """The connection to the successor is closed. Returns whether this process accepts clients again.
+
+        A process that is shutting down does not: its exit would cut off the new sessions.
         """
-        was, self.role = self.role, Role.ALONE if not ending else self.role
-        return was is Role.SUCCEEDED and not ending
+        previous_role, self.role = self.role, Role.ALONE if not is_shutting_down else self.role
+        return previous_role is Role.SUCCEEDED and not is_shutting_down
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -1,4 +1,4 @@
-"""Replacing the process: two real programs in turn, and what passes between them."""
+"""Hot restart: real processes that replace each other, and the messages between them."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 from sailrun.hot_restart.state import (
     InvalidHandoverError,
     pack,
-    read_held,
+    read_process_load,
     read_state,
     unpack,
-    write_held,
+    write_process_load,
     write_state,
 )
 from sailrun.node.restart_state import NodeSnapshot, ProcessLoad
-from sailrun.node.session import FormServer as Entry
+from sailrun.node.session import FormServer as ListedFormServer
 from sailrun.node.session import ServerListUpdate
 from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, free_port, node
 
 
-class Tier:
-    """Processes of one node, one after another, in one folder."""
+class SuccessiveProcesses:
+    """Starts processes of one node, one after another, in one folder."""
 
     def __init__(self, folder: Path, servers: list[FormServer], stack: ExitStack) -> None:
         self.folder, self._stack = folder, stack
@@ -51,21 +51,21 @@
         self.listen = f"127.0.0.1:{free_port()}"
 
     def start(self, **changes: Any) -> RunningNode:
-        told = {"listen": self.listen, "control": f"127.0.0.1:{free_port()}", **changes}
-        return self._stack.enter_context(node(self.folder, self.roster, **told))
+        settings = {"listen": self.listen, "control": f"127.0.0.1:{free_port()}", **changes}
+        return self._stack.enter_context(node(self.folder, self.roster, **settings))
 
 
 @pytest.fixture
-def tier(tmp_path: Path, servers: list[FormServer]) -> Iterator[Tier]:
-    # Longer than the address of a Unix socket may be.
+def processes(tmp_path: Path, servers: list[FormServer]) -> Iterator[SuccessiveProcesses]:
+    # Longer than the address of a Unix socket is allowed to be.
     folder = tmp_path / ("long" * 30)
     folder.mkdir()
     with ExitStack() as stack:
-        yield Tier(folder, servers, stack)
+        yield SuccessiveProcesses(folder, servers, stack)
 
 
-def knocks(listen: str, count: int, answers: list[str]) -> None:
-    """So many households, one after another as fast as they are answered; what each heard or met."""
+def request_sessions(listen: str, count: int, answers: list[str]) -> None:
+    """Requests `count` sessions one after another, and appends each answer or error to `answers`."""
     host, port = listen.split(":")
     for n in range(count):
         try:
@@ -79,50 +79,54 @@
             answers.append(repr(error))
 
 
-def test_no_newcomer_meets_a_closed_door(tier: Tier) -> None:
-    first = tier.start()
+def test_hot_restart_refuses_no_new_client(processes: SuccessiveProcesses) -> None:
+    first = processes.start()
     answers: list[str] = []
-    streams = [threading.Thread(target=knocks, args=(tier.listen, 500, answers)) for _ in range(4)]
-    for stream in streams:
-        stream.start()
+    threads = [
+        threading.Thread(target=request_sessions, args=(processes.listen, 500, answers)) for _ in range(4)
+    ]
+    for thread in threads:
+        thread.start()
     for _ in range(2):
-        second = tier.start()
+        second = processes.start()
         assert second.call("check") == "ok"
         first.terminate()
         assert first.process.wait(TIMEOUT_S) == 0
         first = second
-    for stream in streams:
-        stream.join()
+    for thread in threads:
+        thread.join()
     assert answers == ["UP r1"] * 2000
     assert first.read_metrics()["calls.page-load.failure"] == 0
 
 
-def test_standing_sessions_go_on_as_they_are(tier: Tier, servers: list[FormServer]) -> None:
-    first = tier.start()
+def test_established_sessions_are_transferred_with_partial_lines(
+    processes: SuccessiveProcesses, servers: list[FormServer]
+) -> None:
+    first = processes.start()
     households = []
     for n in range(60):
         household = first.request_session(f"{n:016x}", group=f"{n:016x}")
         assert household.read_line() == "UP r1"
         households.append(household)
-    households[0].sock.sendall(b"half a ")  # one is in the middle of its line, one of its form server's
-    at, peer = next((s, s.peers[0]) for s in servers if s.peers)
+    households[0].sock.sendall(b"half a ")  # one client and one form server have each sent half a line
+    form_server, peer = next((s, s.peers[0]) for s in servers if s.peers)
     peer.sock.sendall(b"LOAD 81")
-    second = tier.start()
+    second = processes.start()
     for n in range(60):
         second.logged("adopted", f"id={n:016x}")
     first.terminate()
     assert first.process.wait(TIMEOUT_S) == 0
     peer.sock.sendall(b"2.5\r\n")
     households[0].sock.sendall(b"page\r\n")
-    told = 0
+    load_reports = 0
     for n, household in enumerate(households):
         if n:
             household.send_line(f"page {n}")
-        heard = household.read_line()
-        if heard == "LOAD 812.5":
-            told, heard = told + 1, household.read_line()
-        assert heard == (f"page {n}" if n else "half a page")
-    assert told == 1 and at.ends.empty()
+        line = household.read_line()
+        if line == "LOAD 812.5":
+            load_reports, line = load_reports + 1, household.read_line()
+        assert line == (f"page {n}" if n else "half a page")
+    assert load_reports == 1 and form_server.ends.empty()
     figures = second.read_metrics()
     assert figures["inflight"] == 60 and figures["calls.page-load.success"] == 0
     for household in households:
@@ -131,13 +135,15 @@
     assert "moved" not in "".join(first.lines + second.lines)
 
 
-def test_a_successor_that_dies_with_sessions_leaves_those_it_has_not(tier: Tier) -> None:
-    first = tier.start()
+def test_predecessor_keeps_sessions_that_a_killed_successor_had_not_accepted(
+    processes: SuccessiveProcesses,
+) -> None:
+    first = processes.start()
     households = []
     for n in range(30):
         households.append(first.request_session(f"{n:016x}", group=f"{n:016x}"))
         assert households[-1].read_line() == "UP r1"
-    second = tier.start()
+    second = processes.start()
     second.logged("adopted")
     second.process.kill()
     first.logged("successor-lost")
@@ -147,22 +153,24 @@
             household.send_line("page 3")
             alive += household.read_line() == "page 3"
         except OSError:
-            pass  # it was the successor's by then
+            pass  # the successor owned it when it was killed
     assert alive == int(first.wait_for_metric("inflight", alive)["inflight"])
 
 
-def test_what_one_process_knows_the_next_one_knows(tier: Tier, servers: list[FormServer]) -> None:
-    first = tier.start()
+def test_successor_has_the_state_of_its_predecessor(
+    processes: SuccessiveProcesses, servers: list[FormServer]
+) -> None:
+    first = processes.start()
     assert first.call(f"set-down {servers[0].name}") == "ok"
-    tier.roster.publish(FormServer("s-00000003").entry())
+    processes.roster.publish(FormServer("s-00000003").entry())
     first.wait_for_metric("hosts_listed", 3)
     assert first.call("drain-on") == "ok"
-    second = tier.start()
+    second = processes.start()
     figures = second.read_metrics()
     assert figures["hosts_listed"] == 3 and figures["hosts_down"] == 1
     assert figures["calls.page-load.success"] == 0
-    assert second.call("check").startswith("fail")  # the node still drains
-    # Staff may say it to either of the two.
+    assert second.call("check").startswith("fail")  # the node is still draining
+    # An operator may send a command to either of the two processes.
     assert first.call("drain-off") == "ok"
     while second.call("check") != "ok":
         pass
@@ -170,78 +178,94 @@
     assert second.read_metrics()["hosts_down"] == 0
 
 
-def test_a_successor_that_dies_leaves_the_node_to_its_predecessor(tier: Tier) -> None:
-    first = tier.start()
+def test_predecessor_accepts_clients_again_after_its_successor_was_killed(
+    processes: SuccessiveProcesses,
+) -> None:
+    first = processes.start()
     household = first.request_session("1" * 16)
     assert household.read_line() == "UP r1"
-    second = tier.start()
+    second = processes.start()
     first.logged("leaving", "reason=succeeded")
     second.process.kill()
     first.logged("successor-lost")
     household = first.request_session()
     assert household.read_line() == "UP r1"
     assert first.call("check") == "ok"
-    third = tier.start()
+    third = processes.start()
     assert third.call("check") == "ok"
     first.terminate()
     assert first.process.wait(TIMEOUT_S) == 0
 
 
-def test_a_successor_that_cannot_start_changes_nothing(tier: Tier) -> None:
-    first = tier.start()
-    # The second address is in use: it ends before it takes anything.
-    environment = {**os.environ, "RELAY_CONFIG": str(tier.folder / "config.json"), "TMPDIR": str(tier.folder)}
-    done = subprocess.run([sys.executable, "-m", "sailrun"], env=environment, capture_output=True, text=True)
-    assert done.returncode == 2 and done.stderr.count("\n") == 1
+def test_successor_that_fails_to_start_has_no_effect(processes: SuccessiveProcesses) -> None:
+    first = processes.start()
+    # The control address is in use: the process exits before it takes anything over.
+    environment = {
+        **os.environ,
+        "RELAY_CONFIG": str(processes.folder / "config.json"),
+        "TMPDIR": str(processes.folder),
+    }
+    finished = subprocess.run(
+        [sys.executable, "-m", "sailrun"], env=environment, capture_output=True, text=True
+    )
+    assert finished.returncode == 2 and finished.stderr.count("\n") == 1
     household = first.request_session()
     assert household.read_line() == "UP r1"
     assert first.call("check") == "ok"
 
 
-def test_a_socket_file_that_nobody_answers_is_replaced(tier: Tier) -> None:
-    first = tier.start()
+def test_stale_socket_file_is_replaced(processes: SuccessiveProcesses) -> None:
+    first = processes.start()
     first.process.kill()
     first.process.wait(TIMEOUT_S)
-    second = tier.start()
+    second = processes.start()
     assert second.call("check") == "ok"
-    third = tier.start()
+    third = processes.start()
     second.logged("handed-over")
     assert third.call("check") == "ok"
 
 
-def test_without_the_folder_both_listen_and_both_are_answered(tier: Tier, tmp_path: Path) -> None:
-    first = tier.start()
+def test_two_processes_without_a_shared_folder_both_listen(
+    processes: SuccessiveProcesses, tmp_path: Path
+) -> None:
+    first = processes.start()
     other = tmp_path / "other"
     other.mkdir()
     shutil.copy(tmp_path / ("long" * 30) / "config.json", other)
-    with node(other, tier.roster, listen=tier.listen, control=f"127.0.0.1:{free_port()}") as second:
+    with node(other, processes.roster, listen=processes.listen, control=f"127.0.0.1:{free_port()}") as second:
         assert second.call("check") == "ok" and first.call("check") == "ok"
         assert second.request_session().read_line() == "UP r1"
 
 
-# ---------------------------------------------------------------------- what passes over
+# ---------------------------------------------------------------------- messages between the two
 
-SINCE = 1_700_000_000_000_000
-ENTRY = Entry("s-5be2a07c", ("127.0.0.1", 5000), BackendState.READY, "daejeon-1", 3, 1.5, SINCE)
-LEARNED = BackendSnapshot(ENTRY.number, SINCE, 0, 5, 1, 0, 2, True, 3.5, 7, math.inf, 8, -1, 0.25, SINCE + 1)
+STARTED_US = 1_700_000_000_000_000
+FORM_SERVER = ListedFormServer(
+    "s-5be2a07c", ("127.0.0.1", 5000), BackendState.READY, "daejeon-1", 3, 1.5, STARTED_US
+)
+BACKEND_SNAPSHOT = BackendSnapshot(
+    FORM_SERVER.number, STARTED_US, 0, 5, 1, 0, 2, True, 3.5, 7, math.inf, 8, -1, 0.25, STARTED_US + 1
+)
 STATE = NodeSnapshot(
-    ServerListUpdate(ListKind.CACHED, 41, (ENTRY,)),
+    ServerListUpdate(ListKind.CACHED, 41, (FORM_SERVER,)),
     frozenset({"s-5be2a07c", "s-gone"}),
     True,
     StateSnapshot(
-        (LEARNED,), SetupRateSnapshot(*map(float, range(len(SETUP_RATE_FIELDS)))), {"page-load": (812.5, 17)}
+        (BACKEND_SNAPSHOT,),
+        SetupRateSnapshot(*map(float, range(len(SETUP_RATE_FIELDS)))),
+        {"page-load": (812.5, 17)},
     ),
 )
 
 
-def test_a_state_comes_over_whole() -> None:
+def test_state_and_load_survive_encoding() -> None:
     kind, content = unpack(pack("state", write_state(STATE)))
     assert kind == "state" and read_state(content) == STATE
-    held = ProcessLoad({ENTRY.number: 812.5}, 3, True, 40)
-    assert read_held(unpack(pack("held", write_held(held)))[1]) == held
+    load = ProcessLoad({FORM_SERVER.number: 812.5}, 3, True, 40)
+    assert read_process_load(unpack(pack("held", write_process_load(load)))[1]) == load
 
 
-def test_a_state_torn_or_changed_at_any_byte_is_dropped() -> None:
+def test_truncated_or_corrupted_line_is_rejected() -> None:
     line = pack("state", write_state(STATE))
     for n in range(len(line)):
         with pytest.raises(InvalidHandoverError):
@@ -252,16 +276,16 @@
 
 
 @given(st.recursive(st.none() | st.booleans() | st.integers() | st.text(), st.lists, max_leaves=5), st.data())
-def test_content_of_another_form_is_dropped(other: Any, data: st.DataObject) -> None:
+def test_malformed_state_is_rejected(other: Any, data: st.DataObject) -> None:
     content = write_state(STATE)
     key = data.draw(st.sampled_from(sorted(content)))
     try:
         read_state({**content, key: other})
-        taken = True
+        is_accepted = True
     except InvalidHandoverError:
-        taken = False
-    # What is of the right form is another state, and no fault.
-    assert taken is (
+        is_accepted = False
+    # Well-formed content is accepted: it is another state.
+    assert is_accepted is (
         (key == "learned" and other == [])
         or (key == "out_by_hand" and isinstance(other, list) and all(isinstance(o, str) for o in other))
         or (key == "draining" and isinstance(other, bool))
@@ -272,23 +296,25 @@
         read_state(other)
 
 
-@given(st.lists(st.sampled_from(["asked", "took", "lost", "lost-ending"])))
-def test_one_of_two_processes_takes_households_whatever_happens(events: list[str]) -> None:
-    rules = Succession()
-    handed = taken = False  # as the successor sees it
+@given(st.lists(st.sampled_from(["request", "accepted", "disconnected", "disconnected-in-shutdown"])))
+def test_one_of_two_processes_accepts_clients_after_any_events(events: list[str]) -> None:
+    succession = Succession()
+    is_handed_over = is_accepted = False  # from the successor's point of view
     for event in events:
         match event:
-            case "asked":
-                granted = rules.asked()
-                assert granted is not (handed or (rules.role is Role.SUCCEEDED and not taken))
-                handed = handed or granted
-            case "took" if handed:
-                assert rules.took() is not taken
-                taken = True
-            case "lost" if handed:
-                assert rules.lost(False) is taken
-                handed = taken = False
-            case "lost-ending" if handed:
-                assert rules.lost(True) is False
-                return  # it ends without its successor
-        assert (rules.role is Role.SUCCEEDED) is taken
+            case "request":
+                is_granted = succession.on_request()
+                assert is_granted is not (
+                    is_handed_over or (succession.role is Role.SUCCEEDED and not is_accepted)
+                )
+                is_handed_over = is_handed_over or is_granted
+            case "accepted" if is_handed_over:
+                assert succession.on_accepted() is not is_accepted
+                is_accepted = True
+            case "disconnected" if is_handed_over:
+                assert succession.on_disconnected(False) is is_accepted
+                is_handed_over = is_accepted = False
+            case "disconnected-in-shutdown" if is_handed_over:
+                assert succession.on_disconnected(True) is False
+                return  # the predecessor shuts down without a successor
+        assert (succession.role is Role.SUCCEEDED) is is_accepted
