--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -46,7 +46,7 @@
 # between its requests if the connection is closed meanwhile.
 TAKEOVER_TIMEOUT_S, RETRY_INTERVAL_S = 3.0, 0.05
 # The interval at which a predecessor reports the load that it still serves.
-TELL_US = SECOND // 4
+LOAD_REPORT_INTERVAL_US = SECOND // 4
 # A connection without a request is closed after this time.
 REQUEST_TIMEOUT_US = 2 * SECOND
 # The number of sessions that are transferred to the successor at once. Until it has accepted a session, both
@@ -279,7 +279,7 @@
             load = await send_query(self._node.report_local_load)
             descriptors = len(os.listdir("/proc/self/fd"))
             channel.send_message("held", write_process_load(replace(load, descriptors=descriptors)))
-            next_us += TELL_US
+            next_us += LOAD_REPORT_INTERVAL_US
             await anyio.sleep_until(clock.to_deadline(next_us))
 
 
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -14,7 +14,7 @@
 from sailrun.config import read_settings
 from sailrun.decisions.events import AttemptOutcome, ListKind
 from sailrun.decisions.settings import Settings
-from sailrun.hot_restart.handover import TELL_US
+from sailrun.hot_restart.handover import LOAD_REPORT_INTERVAL_US
 from sailrun.lab.checks import Check
 from sailrun.lab.clients import Client
 from sailrun.lab.form_servers import FormServerModel, Held, Phase
@@ -646,7 +646,7 @@
             return
         new = slot.node
         old.report_local_load(new.update_predecessor_load)
-        self.time.after(TELL_US, self._tell_held, before)
+        self.time.after(LOAD_REPORT_INTERVAL_US, self._tell_held, before)
 
     def _predecessor_gone(self, before: VirtualSlot) -> None:
         before.node, before.watching = None, False
