--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -26,7 +26,7 @@
 from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import FormSession, Placement, ServerListUpdate
 from sailrun.node.session_transfer import SendTransfer
-from sailrun.rebalance.balance import Elsewhere, Orders, Rebalancer
+from sailrun.rebalance.balance import ChooseElsewhere, Orders, Rebalancer
 from sailrun.rebalance.settings import RebalanceSettings
 
 ADMITTED_US = (300_000, 900_000)
@@ -42,8 +42,8 @@
 
     moved: dict[str, int]
 
-    def look(self, now_us: int, elsewhere: Elsewhere) -> Orders:
-        orders = super().look(now_us, elsewhere)
+    def plan_moves(self, now_us: int, choose_elsewhere: ChooseElsewhere) -> Orders:
+        orders = super().plan_moves(now_us, choose_elsewhere)
         for name in orders.moves:
             self.moved[name] = now_us
         return orders
--- a/sailrun/node/rebalancer_port.py
+++ b/sailrun/node/rebalancer_port.py
@@ -42,17 +42,17 @@
     def on_request(self, is_returning: bool) -> None:
         """A client has requested a session."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.arrived(self._loop_time.now_us, is_returning))
+            self._call(lambda rebalancer: rebalancer.on_request(self._loop_time.now_us, is_returning))
 
     def on_rejected(self) -> None:
         """This node has rejected a request."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.refused(self._loop_time.now_us))
+            self._call(lambda rebalancer: rebalancer.on_rejected(self._loop_time.now_us))
 
     def on_attempt_rejected(self, number: int) -> None:
         """A form server has rejected an attempt."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.turned_away(self._loop_time.now_us, number))
+            self._call(lambda rebalancer: rebalancer.on_attempt_rejected(self._loop_time.now_us, number))
 
     def on_established(
         self, session: FormSession, number: int, has_returned: bool, latency_us: int | None
@@ -72,46 +72,46 @@
         latency_us: int | None,
     ) -> None:
         group = session.group or session.key or session.id
-        rebalancer.stands(
+        rebalancer.on_established(
             self._loop_time.now_us, session.id, number, group, session.request_class, has_returned, latency_us
         )
         if session.load_hint:
-            rebalancer.loaded(session.id, session.load_hint)
+            rebalancer.on_load_reported(session.id, session.load_hint)
 
     def on_load_reported(self, session: FormSession, load: float) -> None:
         """An established session's load, in microseconds of work a second."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.loaded(session.id, load))
+            self._call(lambda rebalancer: rebalancer.on_load_reported(session.id, load))
 
     def on_ended(self, session: FormSession, outcome: AttemptOutcome) -> None:
         """An established session has ended."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.ended(self._loop_time.now_us, session.id, outcome))
+            self._call(lambda rebalancer: rebalancer.on_ended(self._loop_time.now_us, session.id, outcome))
 
     def on_list_update(self, kind: ListKind, backends: Iterable[Backend]) -> None:
         """The list of form servers or changes to it have arrived, with excluded ones shown as draining."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.listed(self._loop_time.now_us, kind, backends))
+            self._call(lambda rebalancer: rebalancer.on_list_update(self._loop_time.now_us, kind, backends))
 
     def on_discovery_failed(self) -> None:
         """Discovery could not get the list of form servers."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.discovery_lost(self._loop_time.now_us))
+            self._call(lambda rebalancer: rebalancer.on_discovery_failed(self._loop_time.now_us))
 
     def on_peer_message(self, peer: int, content: bytes) -> None:
         """A datagram was received from another node that is not part of the load gossip."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.heard(self._loop_time.now_us, peer, content))
+            self._call(lambda rebalancer: rebalancer.on_peer_message(self._loop_time.now_us, peer, content))
 
     def set_draining(self, is_draining: bool) -> None:
         """Sets whether this node moves all its clients away for a reason of its own."""
         if self.rebalancer is not None:
-            self._call(lambda rebalancer: rebalancer.leave(is_draining))
+            self._call(lambda rebalancer: rebalancer.set_draining(is_draining))
 
     def set_rate_share(self, share: float) -> bool:
         """Sets this node's share of the fleet's move rate, 0 to 1; returns whether a rebalancer is active."""
-        self._call(lambda rebalancer: rebalancer.lent(share))
-        return self.rebalancer is not None and self.rebalancer.active
+        self._call(lambda rebalancer: rebalancer.set_rate_share(share))
+        return self.rebalancer is not None and self.rebalancer.is_active
 
     # ------------------------------------------------------------------ orders of the rebalancer
 
@@ -127,15 +127,15 @@
         ports: OutgoingPorts,
     ) -> None:
         now_us = self._loop_time.now_us
-        if not rebalancer.due(now_us):
+        if not rebalancer.is_due(now_us):
             return
-        orders = rebalancer.look(now_us, lambda names: balancer.choose_elsewhere(now_us, names))
-        for note in orders.notes:
-            self._log("rebalance", **note)
+        orders = rebalancer.plan_moves(now_us, lambda names: balancer.choose_elsewhere(now_us, names))
+        for entry in orders.log_entries:
+            self._log("rebalance", **entry)
         for request in orders.moves:
             move(request, MoveReason.REBALANCING)
-        if orders.tell is not None and ports.peer_transport is not None:
-            ports.peer_transport.send(None, orders.tell)
+        if orders.datagram is not None and ports.peer_transport is not None:
+            ports.peer_transport.send(None, orders.datagram)
 
     # ------------------------------------------------------------------ switching it on and off
 
@@ -162,11 +162,11 @@
         sessions: Iterable[tuple[int, FormSession]],
         is_draining: bool,
     ) -> None:
-        new.listed(self._loop_time.now_us, ListKind.FULL, backends)
+        new.on_list_update(self._loop_time.now_us, ListKind.FULL, backends)
         for number, session in sessions:
             self._add_session(new, session, number, True, None)
-            connection = old.connections.standing.get(session.id) if old is not None else None
+            connection = old.connections.by_id.get(session.id) if old is not None else None
             if connection is not None and connection.load is not None:
-                new.loaded(session.id, connection.load)
+                new.on_load_reported(session.id, connection.load)
         if is_draining:
-            new.leave()
+            new.set_draining()
--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -52,7 +52,7 @@
 SLOW_SHARE, SLOW_MANY, SLOW_US = 0.5, 2, 2 * SECOND
 
 # Where the decision module would place these connections if they came now: a form server, or None to stay.
-Elsewhere = Callable[[Sequence[str]], int | None]
+ChooseElsewhere = Callable[[Sequence[str]], int | None]
 
 
 @dataclass(slots=True)
@@ -60,8 +60,8 @@
     """What a look has come to."""
 
     moves: list[str] = field(default_factory=list)  # the connections to move
-    tell: bytes | None = None  # a datagram for all neighbours
-    notes: list[dict[str, object]] = field(default_factory=list)  # facts for log lines
+    datagram: bytes | None = None  # a datagram for all neighbours
+    log_entries: list[dict[str, object]] = field(default_factory=list)  # facts for log lines
 
 
 @dataclass(slots=True)
@@ -135,7 +135,7 @@
 
     # ------------------------------------------------------------------ what has happened
 
-    def listed(self, now_us: int, kind: ListKind, entries: Iterable[Backend]) -> None:
+    def on_list_update(self, now_us: int, kind: ListKind, entries: Iterable[Backend]) -> None:
         """News of the registry."""
         self._discovery_lost = self._discovery_lost and kind is ListKind.CACHED
         named = {entry.id: entry for entry in entries}
@@ -150,23 +150,23 @@
             self._trouble(now_us, "gone")
         self._servers = named
 
-    def discovery_lost(self, now_us: int) -> None:
+    def on_discovery_failed(self, now_us: int) -> None:
         """Until it tells something again nobody is moved: who drains or is gone is not known."""
         self._discovery_lost = True
         self._trouble(now_us, "roster-lost")
 
-    def arrived(self, now_us: int, returning: bool) -> None:
+    def on_request(self, now_us: int, returning: bool) -> None:
         """A client asks for a session."""
         if not returning:
             return
         self._returns_us.append(now_us)
         _forget(self._returns_us, now_us - STORM_US)
         _forget(self._moved_us, now_us - STORM_US - RETURN_US)
-        usual = STORM_FEW + 2 * len(self._moved_us) + STORM_SHARE * len(self.connections.standing)
+        usual = STORM_FEW + 2 * len(self._moved_us) + STORM_SHARE * len(self.connections.by_id)
         if len(self._returns_us) > usual:
             self._trouble(now_us, "returns")
 
-    def stands(
+    def on_established(
         self,
         now_us: int,
         name: str,
@@ -194,26 +194,26 @@
             if len(late) >= SLOW_MANY and self._has_room(server):
                 self._trouble(now_us, "slow-set-ups")
 
-    def loaded(self, name: str, load: float) -> None:
+    def on_load_reported(self, name: str, load: float) -> None:
         """The load of an established session was reported."""
         self.connections.loaded(name, load)
 
-    def ended(self, now_us: int, name: str, outcome: AttemptOutcome) -> None:
+    def on_ended(self, now_us: int, name: str, outcome: AttemptOutcome) -> None:
         """A session that stood has ended here. One that did not end well comes back."""
         one = self.connections.ended(name)
         if one is not None and outcome is not AttemptOutcome.OK:
             self._unsettled[one.group] = now_us + RETURN_US
 
-    def turned_away(self, now_us: int, server: int) -> None:
+    def on_attempt_rejected(self, now_us: int, server: int) -> None:
         """A form server refused a set-up."""
         if self._has_room(server):
             self._trouble(now_us, "turned-away")
 
-    def refused(self, now_us: int) -> None:
+    def on_rejected(self, now_us: int) -> None:
         """A client was refused: there is no place for those who come by themselves."""
         self._trouble(now_us, "refusals")
 
-    def heard(self, now_us: int, sender: int, content: bytes) -> None:
+    def on_peer_message(self, now_us: int, sender: int, content: bytes) -> None:
         """A neighbour's datagram. One that is none of ours is noted, and changes nothing."""
         try:
             report = read(content)
@@ -232,16 +232,16 @@
                 if group in self._named:
                     self._followed[group] = now_us + FOLLOW_US
 
-    def leave(self, on: bool = True) -> None:
+    def set_draining(self, on: bool = True) -> None:
         """This node sends its clients away by another rule from now on; or does no more."""
         self._leaving = on
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether groups are being moved."""
         return self._active
 
-    def lent(self, share: float) -> None:
+    def set_rate_share(self, share: float) -> None:
         """This part of the fleet's pace is this node's now, 0 to 1; what it took for its own is none any
         more.
         """
@@ -253,11 +253,11 @@
 
     # ------------------------------------------------------------------ looks
 
-    def due(self, now_us: int) -> bool:
+    def is_due(self, now_us: int) -> bool:
         """Whether it is time to call `look`."""
         return now_us >= self._look_us
 
-    def look(self, now_us: int, elsewhere: Elsewhere) -> Orders:
+    def plan_moves(self, now_us: int, choose_elsewhere: ChooseElsewhere) -> Orders:
         """What is to be done now; to be called when `due`."""
         self._look_us = now_us + LOOK_US
         if now_us >= self._recount_us:
@@ -278,12 +278,12 @@
         active = self._judge(now_us, view)
         if self._reporter is not None:
             own = {n: held.load for n, held in self.connections.held.items()}
-            orders.tell = self._reporter.due(
+            orders.datagram = self._reporter.due(
                 now_us, self.connections.told, own, active or self._alarm_us is not None
             )
         if active or self._followed:
-            self._choose(now_us, view, elsewhere, orders, active)
-        orders.notes, self._notes = self._notes, []
+            self._choose(now_us, view, choose_elsewhere, orders, active)
+        orders.log_entries, self._notes = self._notes, []
         return orders
 
     def warm(self, now_us: int) -> dict[int, Backend]:
@@ -358,7 +358,9 @@
         """What a form server holds beyond what is left in peace, in the whole fleet."""
         return view.loads[number] - max(self._terms.stop_at * view.shares[number], view.spared[number])
 
-    def _choose(self, now_us: int, view: View, elsewhere: Elsewhere, orders: Orders, active: bool) -> None:
+    def _choose(
+        self, now_us: int, view: View, choose_elsewhere: ChooseElsewhere, orders: Orders, active: bool
+    ) -> None:
         """Heaviest first, so that few are moved, and groups that stand whole before scattered ones."""
         reserved: dict[int, float] = {}
         for one in self._reserved:
@@ -371,7 +373,7 @@
         allowed = self._pace.allowance(now_us, view.imbalance, targets)
         if allowed <= 0:
             return
-        allowed -= self._follow(now_us, room, elsewhere, orders)
+        allowed -= self._follow(now_us, room, choose_elsewhere, orders)
         questions = QUESTIONS if active else 0
         over = [n for n in view.shares if self._excess(view, n) > 0]
         for number in sorted(over, key=lambda n: (-self._excess(view, n), n)):
@@ -393,7 +395,7 @@
                 if lot > excess:
                     continue
                 questions -= 1
-                target = elsewhere(list(members))
+                target = choose_elsewhere(list(members))
                 free = room.get(target, 0.0) if target is not None else 0.0
                 if target is None or weight > free or lot > free * max(1.0 / self._nodes, view.known):
                     self._asked[group] = now_us + ASK_AGAIN_US
@@ -403,7 +405,9 @@
                 excess -= weight
                 allowed -= len(members)
 
-    def _follow(self, now_us: int, room: dict[int, float], elsewhere: Elsewhere, orders: Orders) -> int:
+    def _follow(
+        self, now_us: int, room: dict[int, float], choose_elsewhere: ChooseElsewhere, orders: Orders
+    ) -> int:
         """Moves what is left here of groups that neighbours have begun to move; returns how many."""
         moved = 0
         followed, self._followed = self._followed, {}
@@ -415,7 +419,7 @@
                 if room.get(number, 0.0) > 0:
                     continue  # not where the neighbour has moved it from: this one takes others in
                 members = self.connections.movable(number, group, now_us - self._rest_us)
-                target = elsewhere(list(members)) if members else None
+                target = choose_elsewhere(list(members)) if members else None
                 if target is not None and room.get(target, 0.0) > 0:
                     weight = self.connections.weight(members)
                     self._move(now_us, group, members, target, weight, orders)
--- a/sailrun/rebalance/connection_table.py
+++ b/sailrun/rebalance/connection_table.py
@@ -44,7 +44,7 @@
     """
 
     def __init__(self) -> None:
-        self.standing: dict[str, Standing] = {}
+        self.by_id: dict[str, Standing] = {}
         self.held: dict[int, Held] = {}
         self._spread: dict[Key, dict[int, int]] = {}  # a group's connections by form server
         self._means: dict[str, tuple[float, int]] = {}
@@ -56,7 +56,7 @@
 
     def stands(self, one: Standing) -> None:
         """A session is established."""
-        self.standing[one.id] = one
+        self.by_id[one.id] = one
         held = self.held.setdefault(one.server, Held())
         members = held.groups.setdefault(one.group, {})
         if not members:
@@ -69,7 +69,7 @@
 
     def ended(self, name: str) -> Standing | None:
         """A session has ended; returns it if it was known."""
-        one = self.standing.pop(name, None)
+        one = self.by_id.pop(name, None)
         if one is None:
             return None
         held = self.held[one.server]
@@ -92,7 +92,7 @@
 
     def loaded(self, name: str, load: float) -> None:
         """A connection's load as its form server told it, in us of work a second."""
-        one = self.standing.get(name)
+        one = self.by_id.get(name)
         if one is None:
             return
         mean, notes = self._means.get(one.request_class, (0.0, 0))
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -63,7 +63,7 @@
 
     def __post_init__(self) -> None:
         self.it = Rebalancer(RebalanceSettings(enabled=True), settings(self.nodes), self.now_us)
-        self.it.listed(self.now_us, ListKind.FULL, servers(self.count))
+        self.it.on_list_update(self.now_us, ListKind.FULL, servers(self.count))
 
     def held(self) -> dict[int, int]:
         held = self.it.connections.held
@@ -73,7 +73,7 @@
         return min(self.held().items(), key=lambda item: (item[1], item[0]))[0]
 
     def stand(self, name: str, server: int, household: str | None = None, returned: bool = False) -> None:
-        self.it.stands(
+        self.it.on_established(
             self.now_us,
             name,
             server,
@@ -93,14 +93,14 @@
         end_us = self.now_us + int(seconds * SECOND)
         while self.now_us < end_us:
             self.now_us += SECOND // 10
-            if self.it.due(self.now_us):
-                orders = self.it.look(self.now_us, lambda names: self.place or self.emptiest())
+            if self.it.is_due(self.now_us):
+                orders = self.it.plan_moves(self.now_us, lambda names: self.place or self.emptiest())
                 for name in orders.moves:
                     self.moved.append(name)
-                    household = self.it.connections.standing[name].group
-                    self.it.ended(self.now_us, name, AttemptOutcome.CANCELLED)
+                    household = self.it.connections.by_id[name].group
+                    self.it.on_ended(self.now_us, name, AttemptOutcome.CANCELLED)
                     self.stand(f"{name}+", self.place or self.emptiest(), household, returned=True)
-                self.notes += orders.notes
+                self.notes += orders.log_entries
                 found.append(orders)
         return found
 
@@ -125,7 +125,7 @@
 def test_nobody_is_moved_onto_a_form_server_that_is_cold_or_draining_or_full() -> None:
     for state, started_us in ((BackendState.READY, START - SECOND), (BackendState.DRAINING, 0)):
         bench = Bench(place=4)
-        bench.it.listed(START, ListKind.DELTA, [Backend(4, state, started_us=started_us)])
+        bench.it.on_list_update(START, ListKind.DELTA, [Backend(4, state, started_us=started_us)])
         bench.crowd(1, 40)
         bench.look(20)
         assert not bench.moved
@@ -138,22 +138,22 @@
 
 def test_trouble_closes_the_pace_at_once_and_for_a_while() -> None:
     def drained(bench: Bench) -> None:
-        bench.it.listed(bench.now_us, ListKind.DELTA, [Backend(3, BackendState.DRAINING)])
+        bench.it.on_list_update(bench.now_us, ListKind.DELTA, [Backend(3, BackendState.DRAINING)])
 
     def storm(bench: Bench) -> None:
         for _ in range(40):
-            bench.it.arrived(bench.now_us, returning=True)
+            bench.it.on_request(bench.now_us, returning=True)
 
     def slow(bench: Bench) -> None:
         for n in range(2):
-            bench.it.stands(bench.now_us, f"slow{n}", 4, f"slow{n}", "page-load", False, 400_000)
+            bench.it.on_established(bench.now_us, f"slow{n}", 4, f"slow{n}", "page-load", False, 400_000)
 
     troubles = (
         drained,
         storm,
         slow,
-        lambda bench: bench.it.refused(bench.now_us),
-        lambda bench: bench.it.turned_away(bench.now_us, 4),
+        lambda bench: bench.it.on_rejected(bench.now_us),
+        lambda bench: bench.it.on_attempt_rejected(bench.now_us, 4),
     )
     for trouble in troubles:
         bench = Bench()
@@ -174,10 +174,10 @@
     bench.crowd(1, 60)
     bench.look(4)
     before = len(bench.moved)
-    bench.it.discovery_lost(bench.now_us)
+    bench.it.on_discovery_failed(bench.now_us)
     bench.look(20)
     assert len(bench.moved) == before
-    bench.it.listed(bench.now_us, ListKind.DELTA, [])
+    bench.it.on_list_update(bench.now_us, ListKind.DELTA, [])
     bench.look(5)
     assert len(bench.moved) > before
 
@@ -185,7 +185,7 @@
 def test_a_neighbour_of_another_version_is_told_of_once() -> None:
     bench = Bench(nodes=2)
     for _ in range(1000):
-        bench.it.heard(bench.now_us, 1, b"\x07" * 40)
+        bench.it.on_peer_message(bench.now_us, 1, b"\x07" * 40)
     bench.look(1)
     assert bench.notes == [{"state": "datagram-rejected", "neighbour": 1, "why": "another version"}]
 
@@ -202,7 +202,7 @@
     report = LoadReport(
         1, 1, False, 41.0, {1: 11.0, 2: 10.0, 3: 10.0, 4: 10.0}, (mmh3.hash("home", signed=False),)
     )
-    bench.it.heard(bench.now_us, 1, write(report))
+    bench.it.on_peer_message(bench.now_us, 1, write(report))
     bench.look(3)
     assert bench.moved == ["mine"]
 
@@ -213,7 +213,7 @@
     bench.crowd(1, 40)
     bench.stand("a", 1, "home")
     bench.stand("b", 1, "home")
-    bench.it.ended(bench.now_us, "a", AttemptOutcome.RESET)
+    bench.it.on_ended(bench.now_us, "a", AttemptOutcome.RESET)
     bench.look(2.9)
     assert "b" not in bench.moved
 
@@ -234,9 +234,9 @@
         bench.stand(f"other{n}", 2, f"split{n}")
         bench.stand(f"whole{n}", 1)
     for n in range(12):
-        bench.it.loaded(f"scattered{n}", 100.0)
-        bench.it.loaded(f"other{n}", 1.0)
-        bench.it.loaded(f"whole{n}", 90.0 if n == 7 else 50.0)
+        bench.it.on_load_reported(f"scattered{n}", 100.0)
+        bench.it.on_load_reported(f"other{n}", 1.0)
+        bench.it.on_load_reported(f"whole{n}", 90.0 if n == 7 else 50.0)
     bench.look(6)
     assert bench.moved[0] == "whole7"
     assert all(name.startswith("whole") for name in bench.moved[:6])
@@ -245,7 +245,7 @@
 def test_after_sigterm_it_moves_nobody() -> None:
     bench = Bench()
     bench.crowd(1, 40)
-    bench.it.leave()
+    bench.it.set_draining()
     bench.look(20)
     assert not bench.moved
 
@@ -331,7 +331,7 @@
 def test_the_connection_table_adds_up_whatever_comes_and_goes(events: list[tuple[int, int, float]]) -> None:
     connections = ConnectionTable()
     for n, (what, server, load) in enumerate(events):
-        names = list(connections.standing)
+        names = list(connections.by_id)
         if what <= 2 or not names:
             connections.stands(Standing(f"c{n}", f"h{n % 7}", "page-load", server, 0, False))
         elif what == 3:
@@ -344,7 +344,7 @@
         assert held.count == sum(len(members) for members in held.groups.values())
         if not connections.told:
             assert abs(held.load - told[number]) < 1e-6 * max(1.0, held.load)
-    assert sum(held.count for held in connections.held.values()) == len(connections.standing)
+    assert sum(held.count for held in connections.held.values()) == len(connections.by_id)
 
 
 @given(
@@ -388,10 +388,12 @@
     for load, moves in ((10_000.0, False), (60_000.0, True)):
         bench = Bench()
         bench.it = Rebalancer(RebalanceSettings(enabled=True, cores=2.0), settings(), bench.now_us)
-        bench.it.listed(bench.now_us, ListKind.FULL, servers(bench.count))
+        bench.it.on_list_update(bench.now_us, ListKind.FULL, servers(bench.count))
         bench.crowd(1, 40)
-        for name in list(bench.it.connections.standing):
-            bench.it.loaded(name, load)  # 40 of these with their households: half, or three times, of 2 cores
+        for name in list(bench.it.connections.by_id):
+            bench.it.on_load_reported(
+                name, load
+            )  # 40 of these with their households: half, or three times, of 2 cores
         bench.look(20)
         assert bool(bench.moved) is moves
 
@@ -404,9 +406,9 @@
     told = []
     for sequence in range(1, 1200):
         orders = bench.look(0.25)
-        told.append(sum(order.tell is not None for order in orders))
+        told.append(sum(order.datagram is not None for order in orders))
         if told[-1]:
             other = LoadReport(1, sequence, False, 200.0, {1: 17.5, 2: 50.0, 3: 52.5, 4: 80.0})
-            bench.it.heard(bench.now_us, 1, write(other))
+            bench.it.on_peer_message(bench.now_us, 1, write(other))
     assert not bench.moved
     assert 0 < sum(told) < 60
