--- a/sailrun/rebalance/__init__.py
+++ b/sailrun/rebalance/__init__.py
@@ -1,3 +1,4 @@
-"""Moves standing clients towards balance, at a pace the fleet can bear. No I/O: events and the time in,
-moves and datagrams out (docs/design/rebalancing.md).
+"""Moves established clients to balance the load, at a rate that the fleet can handle.
+
+No I/O: takes events and the time, returns moves and datagrams (docs/design/rebalancing.md).
 """
--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -1,8 +1,9 @@
-"""Who is moved, and when. A pure state machine: what has happened and the time in, moves and datagrams out.
+"""Decides which clients are moved to balance the load, and when.
 
-A node acts on its own share of the load: of what a form server holds too much, it sheds as much as it holds
-of it itself. So nodes that hear nothing of each other still do not overshoot together. Which place a
-group would get is asked of the decision module every time; here it is only decided whether to move it.
+A pure state machine: takes events and the time, returns moves and datagrams. A node moves a part of a form
+server's excess load that is proportional to its own part of the form server's load, so that nodes that
+receive no reports of each other do not overshoot together either. The decision module chooses the new place
+of a group; this module only decides whether to move it.
 """
 
 from __future__ import annotations
@@ -16,474 +17,551 @@
 
 from sailrun.decisions.events import AttemptOutcome, Backend, BackendState, ListKind
 from sailrun.decisions.settings import Settings
-from sailrun.rebalance.connection_table import ConnectionTable, Key, Standing
-from sailrun.rebalance.gossip import InvalidGossipError, LoadReporter, NeighbourLoads, read
-from sailrun.rebalance.pace import Pace
+from sailrun.rebalance.connection_table import ConnectionTable, GroupKey, TrackedConnection
+from sailrun.rebalance.gossip import InvalidGossipError, LoadReporter, NeighbourLoads, decode_report
+from sailrun.rebalance.pace import MoveRate
 from sailrun.rebalance.settings import RebalanceSettings
 
 SECOND = 1_000_000
-LOOK_US = SECOND // 4
-# Sums are made anew this often; every second while most loads are not told yet.
-RECOUNT_US, YOUNG_US = 5 * SECOND, 15 * SECOND
-# A moved group is back, or will not come, after this; so long its place is spoken for.
+CHECK_INTERVAL_US = SECOND // 4
+# The interval at which sums are recalculated. For a time after the start, while most loads are not reported
+# yet, it is a second.
+RECOUNT_INTERVAL_US, STARTUP_US = 5 * SECOND, 15 * SECOND
+# The time in which a moved group returns, if at all. Its place is reserved for as long.
 RETURN_US = 3 * SECOND
-# What a neighbour has begun to move is followed within this.
+# The time in which a node moves its connections of a group that another node has begun to move.
 FOLLOW_US = 3 * SECOND
-# So many groups are asked for in a look, and one that has to stay is asked for again only after this.
-QUESTIONS, ASK_AGAIN_US = 24, 4 * SECOND
-# Without a move for so long there is nothing to be done: what is over is too heavy, or has nowhere to go.
-GIVE_UP_US, PAUSE_US, LONGEST_PAUSE_US = 15 * SECOND, 10 * SECOND, 640 * SECOND
-# Of what chance would explain of the spread, so much is taken off while groups are moved. All of it, as
-# before, is the best estimate of every single load, but leaves the busiest where it is: four nodes that hear
-# nothing came to 1.3 only.
-CHANCE = 0.2
-# After the alarm neighbours have so long to be heard before the first move.
-HEAR_US = 1 * SECOND
-# Of the patience, so much must be spent before a node tells its neighbours of what it sees.
-ALERT_AT = 0.5
-# An alarm that the neighbours' word shows to be chance: the next one is kept back for so long, twice as long
-# after each further one. What is bad enough to begin at once does not wait.
-QUIET_US, LONGEST_QUIET_US, MOST_KNOWN = 30 * SECOND, 480 * SECOND, 0.8
-# An excess that has gone is forgotten at this rate: a spell of it does not begin what a later one would not.
-FORGIVING = 0.05
-# Returns that this node did not bring about: so many, and this share of what stands, in so long are a storm.
-STORM_US, STORM_FEW, STORM_SHARE = 2 * SECOND, 4, 0.05
-# Set-ups that took this share of the wanted time, so many in so long, where there seemed to be room.
-SLOW_SHARE, SLOW_MANY, SLOW_US = 0.5, 2, 2 * SECOND
-
-# Where the decision module would place these connections if they came now: a form server, or None to stay.
+# The number of groups for which a check queries the decision module, and the time until the next query for a
+# group that has to stay.
+MAX_PLACEMENT_QUERIES, QUERY_RETRY_US = 24, 4 * SECOND
+# Moving ends after the first time without a move: the excess is too heavy to move, or has no place to go. It
+# does not begin again for a pause, which doubles up to the maximum each time that this happens.
+GIVE_UP_US, PAUSE_US, MAX_PAUSE_US = 15 * SECOND, 10 * SECOND, 640 * SECOND
+# The share of the spread explained by chance that is subtracted while groups are moved. Before that all of it
+# is, which gives the best estimate of each single load but leaves the busiest form server as it is: with it,
+# four nodes without reports of each other only reached an imbalance of 1.3.
+ACTIVE_NOISE_SHARE = 0.2
+# After its alert a node waits this long for the reports of the other nodes before its first move.
+ALERT_WAIT_US = 1 * SECOND
+# The share of `patience_s` that the excess must reach before a node sends an alert to the other nodes.
+ALERT_EXCESS_SHARE = 0.5
+# After an alert that the reports of the other nodes refute, further alerts are blocked for this time, which
+# doubles each time. An excess that is high enough to begin moving is not blocked. Reports refute an alert if
+# the estimate rests on at least this share of the nodes.
+ALERT_BLOCK_US, MAX_ALERT_BLOCK_US, SUFFICIENT_KNOWN_SHARE = 30 * SECOND, 480 * SECOND, 0.8
+# The rate at which the integrated excess decays without an excess, so that separate short excesses do not add
+# up until moving begins.
+EXCESS_DECAY_PER_S = 0.05
+# Returns not caused by this node's moves are a storm if within this time there are more than this number plus
+# this share of the established connections.
+STORM_WINDOW_US, STORM_MIN_RETURNS, STORM_SHARE = 2 * SECOND, 4, 0.05
+# Slow set-ups on a form server that seemed to have free capacity are a sign of trouble: set-ups that take at
+# least this share of the objective, at least this number of them within this time.
+SLOW_SETUP_SHARE, SLOW_SETUP_COUNT, SLOW_SETUP_WINDOW_US = 0.5, 2, 2 * SECOND
+
+# Returns the form server on which the decision module would place these connections now; None: they stay.
 ChooseElsewhere = Callable[[Sequence[str]], int | None]
 
 
 @dataclass(slots=True)
 class Orders:
-    """What a look has come to."""
+    """The result of a check."""
 
     moves: list[str] = field(default_factory=list)  # the connections to move
-    datagram: bytes | None = None  # a datagram for all neighbours
-    log_entries: list[dict[str, object]] = field(default_factory=list)  # facts for log lines
+    datagram: bytes | None = None  # a datagram for all other nodes
+    log_entries: list[dict[str, object]] = field(default_factory=list)  # fields of log lines
 
 
 @dataclass(slots=True)
-class _Reserved:
-    group: Key
+class _Reservation:
+    group: GroupKey
     server: int
     weight: float
     until_us: int
 
 
 @dataclass(slots=True)
-class View:
-    """The warm fleet as this node sees it; loads are of the whole fleet, estimated from what is known."""
+class LoadEstimate:
+    """The estimated loads, over all nodes, of the form servers that are out of slow start."""
 
     loads: dict[int, float]
     shares: dict[int, float]  # each form server's share of the load, by its capacity
-    known: float  # the share of the nodes that the loads rest on, 0 to 1
-    spared: dict[int, float]  # loads up to which a form server serves well, where that is known
+    known_share: float  # the share of the nodes whose loads are included, 0 to 1
+    acceptable_loads: dict[int, float]  # loads up to which a form server is not relieved; 0: unknown
 
     @property
     def imbalance(self) -> float:
-        """The load over its share of the busiest form server that is not spared; 0 where there is none."""
-        over = (self.loads[n] / s for n, s in self.shares.items() if s > 0 and self.loads[n] > self.spared[n])
-        return max(over, default=0.0)
+        """The highest ratio of load to share of the form servers over their acceptable load, or 0."""
+        ratios = (
+            self.loads[n] / s
+            for n, s in self.shares.items()
+            if s > 0 and self.loads[n] > self.acceptable_loads[n]
+        )
+        return max(ratios, default=0.0)
 
 
 class Rebalancer:
-    """Decides which clients are moved for balance. Pure: time comes with each call."""
+    """Decides which clients are moved to balance the load. Pure: each call passes the time."""
 
-    def __init__(self, terms: RebalanceSettings, settings: Settings, now_us: int) -> None:
-        self._terms = terms
+    def __init__(self, rebalance_settings: RebalanceSettings, settings: Settings, now_us: int) -> None:
+        self._settings = rebalance_settings
         self._nodes = settings.instances
-        self._cold_us = settings.slow_start_us
-        self._objectives = {c.name: c.objective_us for c in settings.classes}
-        self._rest_us = int(terms.rest_s * SECOND)
+        self._slow_start_us = settings.slow_start_us
+        self._objectives_us = {c.name: c.objective_us for c in settings.classes}
+        self._rest_us = int(rebalance_settings.rest_s * SECOND)
         self._servers: dict[int, Backend] = {}
         self.connections = ConnectionTable()
-        self._neighbour_loads = NeighbourLoads(int(terms.tell_s * SECOND), self._nodes)
-        talks = terms.neighbours and settings.peer_messages and self._nodes > 1
+        self._neighbour_loads = NeighbourLoads(int(rebalance_settings.tell_s * SECOND), self._nodes)
+        sends_datagrams = rebalance_settings.neighbours and settings.peer_messages and self._nodes > 1
         self._reporter = (
-            LoadReporter(now_us // 1000, int(terms.tell_s * SECOND), self._nodes) if talks else None
+            LoadReporter(now_us // 1000, int(rebalance_settings.tell_s * SECOND), self._nodes)
+            if sends_datagrams
+            else None
         )
-        self._pace = Pace(
-            terms.first_per_s / self._nodes,
-            terms.most_per_s / self._nodes,
-            terms.widening,
-            int(terms.hold_s * SECOND),
+        self._move_rate = MoveRate(
+            rebalance_settings.first_per_s / self._nodes,
+            rebalance_settings.most_per_s / self._nodes,
+            rebalance_settings.widening,
+            int(rebalance_settings.hold_s * SECOND),
             now_us,
         )
-        self._seen = View({}, {}, 1.0, {})  # at the last look
-        self._reserved: list[_Reserved] = []
-        self._unsettled: dict[Key, int] = {}  # groups with a connection on its way back, until when
-        self._asked: dict[Key, int] = {}  # groups that had to stay, and when to ask again
-        self._named: dict[int, Key] = {}  # the groups that stand here, by their hash
-        self._followed: dict[int, int] = {}  # those that neighbours have begun to move, until when
-        self._moved_us: deque[int] = deque()
-        self._returns_us: deque[int] = deque()
-        self._slow_us: dict[int, deque[int]] = {}
-        self._look_us = now_us + LOOK_US
-        self._began_us, self._recount_us = now_us, now_us + SECOND
-        self._excess_s = 0.0  # what was over the start, times its seconds
-        self._active = False
-        self._alarm_us: int | None = None  # since when this node tells that the fleet is not even
-        self._quiet_until_us, self._quiet_us = 0, QUIET_US
-        self._useful_us = now_us  # the last move, or the begin
+        self._last_estimate = LoadEstimate({}, {}, 1.0, {})  # at the last check
+        self._reservations: list[_Reservation] = []
+        self._returning_until_us: dict[GroupKey, int] = {}  # groups with a connection that is reconnecting
+        self._query_retry_at_us: dict[GroupKey, int] = {}  # groups that had to stay
+        self._groups_by_hash: dict[int, GroupKey] = {}  # the groups of this node
+        self._moved_elsewhere_until_us: dict[int, int] = {}  # by hash: groups that other nodes move
+        self._move_times_us: deque[int] = deque()
+        self._return_times_us: deque[int] = deque()
+        self._slow_setup_times_us: dict[int, deque[int]] = {}
+        self._next_check_us = now_us + CHECK_INTERVAL_US
+        self._started_us, self._next_recount_us = now_us, now_us + SECOND
+        self._excess_s = 0.0  # the excess over `start_at`, integrated over seconds
+        self._is_active = False
+        self._alert_since_us: int | None = None  # since when this node sends alerts
+        self._alerts_blocked_until_us, self._alert_block_us = 0, ALERT_BLOCK_US
+        self._last_useful_us = now_us  # the last move, the begin, or a suspension
         self._paused_until_us, self._pause_us = 0, PAUSE_US
-        self._moved = 0
-        self._leaving = self._discovery_lost = False
-        self._unread: set[int] = set()  # neighbours whose last datagram could not be read
-        self._notes: list[dict[str, object]] = []
+        self._moved_count = 0
+        self._is_draining = self._discovery_failed = False
+        self._unreadable_neighbours: set[int] = set()  # nodes whose last datagram was invalid
+        self._log_entries: list[dict[str, object]] = []
 
-    # ------------------------------------------------------------------ what has happened
+    # ------------------------------------------------------------------ events
 
     def on_list_update(self, now_us: int, kind: ListKind, entries: Iterable[Backend]) -> None:
-        """News of the registry."""
-        self._discovery_lost = self._discovery_lost and kind is ListKind.CACHED
-        named = {entry.id: entry for entry in entries}
-        for number, entry in named.items():
+        """The list of form servers or changes to it have arrived."""
+        self._discovery_failed = self._discovery_failed and kind is ListKind.CACHED
+        servers_by_number = {entry.id: entry for entry in entries}
+        for number, entry in servers_by_number.items():
             old = self._servers.get(number)
             if old is not None and old.state is BackendState.READY and entry.state is not BackendState.READY:
-                self._trouble(now_us, "drain")
+                self._suspend(now_us, "drain")
         if kind is ListKind.DELTA:
-            self._servers.update(named)
+            self._servers.update(servers_by_number)
             return
-        if any(s.state is BackendState.READY and n not in named for n, s in self._servers.items()):
-            self._trouble(now_us, "gone")
-        self._servers = named
+        if any(
+            s.state is BackendState.READY and n not in servers_by_number for n, s in self._servers.items()
+        ):
+            self._suspend(now_us, "gone")
+        self._servers = servers_by_number
 
     def on_discovery_failed(self, now_us: int) -> None:
-        """Until it tells something again nobody is moved: who drains or is gone is not known."""
-        self._discovery_lost = True
-        self._trouble(now_us, "roster-lost")
+        """Discovery has failed. No client is moved until it recovers: form servers may be draining."""
+        self._discovery_failed = True
+        self._suspend(now_us, "roster-lost")
 
-    def on_request(self, now_us: int, returning: bool) -> None:
-        """A client asks for a session."""
-        if not returning:
+    def on_request(self, now_us: int, is_returning: bool) -> None:
+        """A client has requested a session."""
+        if not is_returning:
             return
-        self._returns_us.append(now_us)
-        _forget(self._returns_us, now_us - STORM_US)
-        _forget(self._moved_us, now_us - STORM_US - RETURN_US)
-        usual = STORM_FEW + 2 * len(self._moved_us) + STORM_SHARE * len(self.connections.by_id)
-        if len(self._returns_us) > usual:
-            self._trouble(now_us, "returns")
+        self._return_times_us.append(now_us)
+        _drop_before(self._return_times_us, now_us - STORM_WINDOW_US)
+        _drop_before(self._move_times_us, now_us - STORM_WINDOW_US - RETURN_US)
+        limit = STORM_MIN_RETURNS + 2 * len(self._move_times_us) + STORM_SHARE * len(self.connections.by_id)
+        if len(self._return_times_us) > limit:
+            self._suspend(now_us, "returns")
 
     def on_established(
         self,
         now_us: int,
-        name: str,
+        connection_id: str,
         server: int,
-        group: Key,
+        group: GroupKey,
         request_class: str,
-        returned: bool,
-        took_us: int | None,
+        has_returned: bool,
+        latency_us: int | None,
     ) -> None:
-        """A session stands; `returned`: back from a break or a move. `took_us` is None where it stood before
-        this node started.
+        """A session is established. `has_returned`: the client reconnected after a failure or a move.
+        `latency_us`: the set-up time; None: it was established before this node started.
         """
-        self.connections.stands(Standing(name, group, request_class, server, now_us, returned))
-        self._unsettled.pop(group, None)
+        self.connections.add(
+            TrackedConnection(connection_id, group, request_class, server, now_us, has_returned)
+        )
+        self._returning_until_us.pop(group, None)
         if self._reporter is not None:
-            self._named[_hash(group)] = group
-        for n, reserved in enumerate(self._reserved):
-            if reserved.group == group:
-                del self._reserved[n]
+            self._groups_by_hash[_hash(group)] = group
+        for n, reservation in enumerate(self._reservations):
+            if reservation.group == group:
+                del self._reservations[n]
                 break
-        if took_us is not None and took_us >= SLOW_SHARE * self._objectives.get(request_class, math.inf):
-            late = self._slow_us.setdefault(server, deque())
-            late.append(now_us)
-            _forget(late, now_us - SLOW_US)
-            if len(late) >= SLOW_MANY and self._has_room(server):
-                self._trouble(now_us, "slow-set-ups")
-
-    def on_load_reported(self, name: str, load: float) -> None:
+        if latency_us is not None and latency_us >= SLOW_SETUP_SHARE * self._objectives_us.get(
+            request_class, math.inf
+        ):
+            slow_times_us = self._slow_setup_times_us.setdefault(server, deque())
+            slow_times_us.append(now_us)
+            _drop_before(slow_times_us, now_us - SLOW_SETUP_WINDOW_US)
+            if len(slow_times_us) >= SLOW_SETUP_COUNT and self._has_free_load(server):
+                self._suspend(now_us, "slow-set-ups")
+
+    def on_load_reported(self, connection_id: str, load: float) -> None:
         """The load of an established session was reported."""
-        self.connections.loaded(name, load)
+        self.connections.set_load(connection_id, load)
 
-    def on_ended(self, now_us: int, name: str, outcome: AttemptOutcome) -> None:
-        """A session that stood has ended here. One that did not end well comes back."""
-        one = self.connections.ended(name)
-        if one is not None and outcome is not AttemptOutcome.OK:
-            self._unsettled[one.group] = now_us + RETURN_US
+    def on_ended(self, now_us: int, connection_id: str, outcome: AttemptOutcome) -> None:
+        """An established session has ended. If it was not closed normally, its client will reconnect."""
+        connection = self.connections.remove(connection_id)
+        if connection is not None and outcome is not AttemptOutcome.OK:
+            self._returning_until_us[connection.group] = now_us + RETURN_US
 
     def on_attempt_rejected(self, now_us: int, server: int) -> None:
-        """A form server refused a set-up."""
-        if self._has_room(server):
-            self._trouble(now_us, "turned-away")
+        """A form server has rejected an attempt."""
+        if self._has_free_load(server):
+            self._suspend(now_us, "turned-away")
 
     def on_rejected(self, now_us: int) -> None:
-        """A client was refused: there is no place for those who come by themselves."""
-        self._trouble(now_us, "refusals")
+        """This node has rejected a request: there is not even capacity for new clients."""
+        self._suspend(now_us, "refusals")
 
     def on_peer_message(self, now_us: int, sender: int, content: bytes) -> None:
-        """A neighbour's datagram. One that is none of ours is noted, and changes nothing."""
+        """A datagram was received from another node. An invalid one is only logged, once in a row."""
         try:
-            report = read(content)
+            report = decode_report(content)
         except InvalidGossipError as error:
-            if sender not in self._unread:
-                self._unread.add(sender)
-                self._notes.append({"state": "datagram-rejected", "neighbour": sender, "why": str(error)})
+            if sender not in self._unreadable_neighbours:
+                self._unreadable_neighbours.add(sender)
+                self._log_entries.append(
+                    {"state": "datagram-rejected", "neighbour": sender, "why": str(error)}
+                )
             return
-        self._unread.discard(sender)
+        self._unreadable_neighbours.discard(sender)
         if self._reporter is not None:
-            self._reporter.answered()
-        if self._neighbour_loads.heard(now_us, sender, report):
+            self._reporter.on_datagram()
+        if self._neighbour_loads.update(now_us, sender, report):
             if report.alert and self._reporter is not None:
-                self._reporter.heard_alert()
-            for group in report.moved:
-                if group in self._named:
-                    self._followed[group] = now_us + FOLLOW_US
+                self._reporter.on_alert()
+            for group in report.moved_groups:
+                if group in self._groups_by_hash:
+                    self._moved_elsewhere_until_us[group] = now_us + FOLLOW_US
 
-    def set_draining(self, on: bool = True) -> None:
-        """This node sends its clients away by another rule from now on; or does no more."""
-        self._leaving = on
+    def set_draining(self, is_draining: bool = True) -> None:
+        """Sets whether this node moves its clients away for another reason; moves for balance then stop."""
+        self._is_draining = is_draining
 
     @property
     def is_active(self) -> bool:
-        """Whether groups are being moved."""
-        return self._active
+        """Returns whether groups are being moved."""
+        return self._is_active
 
     def set_rate_share(self, share: float) -> None:
-        """This part of the fleet's pace is this node's now, 0 to 1; what it took for its own is none any
-        more.
-        """
-        self._pace.parts = share * self._nodes
+        """Sets this node's share of the fleet's move rate, 0 to 1, which replaces the equal share."""
+        self._move_rate.node_shares = share * self._nodes
 
-    def _trouble(self, now_us: int, why: str) -> None:
-        if self._pace.close(now_us) and self._active:
-            self._notes.append({"state": "held", "why": why, "moved": self._moved})
+    def _suspend(self, now_us: int, why: str) -> None:
+        if self._move_rate.suspend(now_us) and self._is_active:
+            self._log_entries.append({"state": "held", "why": why, "moved": self._moved_count})
 
-    # ------------------------------------------------------------------ looks
+    # ------------------------------------------------------------------ checks
 
     def is_due(self, now_us: int) -> bool:
-        """Whether it is time to call `look`."""
-        return now_us >= self._look_us
+        """Returns whether it is time to call `plan_moves`."""
+        return now_us >= self._next_check_us
 
     def plan_moves(self, now_us: int, choose_elsewhere: ChooseElsewhere) -> Orders:
-        """What is to be done now; to be called when `due`."""
-        self._look_us = now_us + LOOK_US
-        if now_us >= self._recount_us:
-            young = now_us - self._began_us < YOUNG_US
-            self._recount_us = now_us + (SECOND if young else RECOUNT_US)
+        """Checks the balance and returns the orders; to be called when `is_due`."""
+        self._next_check_us = now_us + CHECK_INTERVAL_US
+        if now_us >= self._next_recount_us:
+            is_starting = now_us - self._started_us < STARTUP_US
+            self._next_recount_us = now_us + (SECOND if is_starting else RECOUNT_INTERVAL_US)
             self.connections.recount()
-            self._unsettled = {k: until for k, until in self._unsettled.items() if until > now_us}
-            self._asked = {k: until for k, until in self._asked.items() if until > now_us}
-            self._named = {h: k for h, k in self._named.items() if self.connections.where(k)}
-        self._reserved = [r for r in self._reserved if r.until_us > now_us]
-        self._followed = {h: until for h, until in self._followed.items() if until > now_us}
+            self._returning_until_us = {
+                k: until for k, until in self._returning_until_us.items() if until > now_us
+            }
+            self._query_retry_at_us = {
+                k: until for k, until in self._query_retry_at_us.items() if until > now_us
+            }
+            self._groups_by_hash = {
+                h: k for h, k in self._groups_by_hash.items() if self.connections.servers_of(k)
+            }
+        self._reservations = [r for r in self._reservations if r.until_us > now_us]
+        self._moved_elsewhere_until_us = {
+            h: until for h, until in self._moved_elsewhere_until_us.items() if until > now_us
+        }
         orders = Orders()
-        if self._leaving:
+        if self._is_draining:
             return orders
-        if self._discovery_lost:
-            self._trouble(now_us, "roster-lost")
-        view = self._seen = self.view(now_us)
-        active = self._judge(now_us, view)
+        if self._discovery_failed:
+            self._suspend(now_us, "roster-lost")
+        estimate = self._last_estimate = self.estimate_loads(now_us)
+        is_active = self._update_is_active(now_us, estimate)
         if self._reporter is not None:
-            own = {n: held.load for n, held in self.connections.held.items()}
-            orders.datagram = self._reporter.due(
-                now_us, self.connections.told, own, active or self._alarm_us is not None
+            own = {n: server_connections.load for n, server_connections in self.connections.by_server.items()}
+            orders.datagram = self._reporter.next_datagram(
+                now_us, self.connections.loads_reported, own, is_active or self._alert_since_us is not None
             )
-        if active or self._followed:
-            self._choose(now_us, view, choose_elsewhere, orders, active)
-        orders.log_entries, self._notes = self._notes, []
+        if is_active or self._moved_elsewhere_until_us:
+            self._choose_moves(now_us, estimate, choose_elsewhere, orders, is_active)
+        orders.log_entries, self._log_entries = self._log_entries, []
         return orders
 
-    def warm(self, now_us: int) -> dict[int, Backend]:
-        """Ready backends that are out of slow start, by number."""
+    def servers_past_slow_start(self, now_us: int) -> dict[int, Backend]:
+        """Returns the ready form servers that are out of slow start, by number."""
         return {
             number: server
             for number, server in self._servers.items()
             if server.state is BackendState.READY
-            and (server.started_us <= 0 or now_us - server.started_us >= self._cold_us)
+            and (server.started_us <= 0 or now_us - server.started_us >= self._slow_start_us)
         }
 
-    def view(self, now_us: int) -> View:
-        """The load of this node and of those heard, by form server."""
-        warm = self.warm(now_us)
-        own = {n: held.load for n, held in self.connections.held.items() if n in warm}
-        heard, voices = self._neighbour_loads.loads(now_us, self.connections.told, warm)
-        known = min(1.0, (1.0 + voices) / self._nodes)
-        loads = {n: (own.get(n, 0.0) + heard.get(n, 0.0)) / known for n in warm}
-        capacity = sum(s.capacity for s in warm.values())
+    def estimate_loads(self, now_us: int) -> LoadEstimate:
+        """Estimates the loads of the fleet from those of this node and the reports of the others."""
+        servers_past_slow_start = self.servers_past_slow_start(now_us)
+        own = {
+            n: server_connections.load
+            for n, server_connections in self.connections.by_server.items()
+            if n in servers_past_slow_start
+        }
+        reported, counted_nodes = self._neighbour_loads.loads(
+            now_us, self.connections.loads_reported, servers_past_slow_start
+        )
+        known_share = min(1.0, (1.0 + counted_nodes) / self._nodes)
+        loads = {n: (own.get(n, 0.0) + reported.get(n, 0.0)) / known_share for n in servers_past_slow_start}
+        capacity = sum(s.capacity for s in servers_past_slow_start.values())
         total = sum(loads.values())
-        shares = {n: total * s.capacity / capacity for n, s in warm.items()} if capacity > 0 else {}
-        core = SECOND * self._terms.cores * self._terms.spare_below if self.connections.told else 0.0
-        noise = self.connections.unevenness() * (1.0 - known) / known * (CHANCE if self._active else 1.0)
-        spared = {n: core * s.capacity for n, s in warm.items()}
-        return View(_shrunk(loads, shares, noise), shares, known, spared)
-
-    def _has_room(self, server: int) -> bool:
-        view = self._seen
-        return server in view.shares and view.loads[server] < self._terms.fill_to * view.shares[server]
-
-    def _judge(self, now_us: int, view: View) -> bool:
-        """Whether groups are being moved at present. Begins late and ends early: in between, a fleet that
-        is neither is left alone.
+        shares = (
+            {n: total * s.capacity / capacity for n, s in servers_past_slow_start.items()}
+            if capacity > 0
+            else {}
+        )
+        acceptable_load = (
+            SECOND * self._settings.cores * self._settings.spare_below
+            if self.connections.loads_reported
+            else 0.0
+        )
+        noise = (
+            self.connections.mean_group_weight()
+            * (1.0 - known_share)
+            / known_share
+            * (ACTIVE_NOISE_SHARE if self._is_active else 1.0)
+        )
+        acceptable_loads = {n: acceptable_load * s.capacity for n, s in servers_past_slow_start.items()}
+        return LoadEstimate(_shrink_to_shares(loads, shares, noise), shares, known_share, acceptable_loads)
+
+    def _has_free_load(self, server: int) -> bool:
+        estimate = self._last_estimate
+        return (
+            server in estimate.shares
+            and estimate.loads[server] < self._settings.fill_to * estimate.shares[server]
+        )
+
+    def _update_is_active(self, now_us: int, estimate: LoadEstimate) -> bool:
+        """Begins or ends moving; returns whether groups are moved now.
+
+        Moving begins at a higher imbalance than that at which it ends.
         """
-        if not self._active:
-            over = view.imbalance - self._terms.start_at
-            self._excess_s += (over if over > 0 else -FORGIVING) * LOOK_US / SECOND
+        if not self._is_active:
+            excess_ratio = estimate.imbalance - self._settings.start_at
+            self._excess_s += (
+                (excess_ratio if excess_ratio > 0 else -EXCESS_DECAY_PER_S) * CHECK_INTERVAL_US / SECOND
+            )
             self._excess_s = max(0.0, self._excess_s)
-            if over <= 0 and view.known >= MOST_KNOWN and now_us >= self._quiet_until_us:
+            if (
+                excess_ratio <= 0
+                and estimate.known_share >= SUFFICIENT_KNOWN_SHARE
+                and now_us >= self._alerts_blocked_until_us
+            ):
                 self._excess_s = 0.0
-                self._quiet_until_us = now_us + self._quiet_us
-                self._quiet_us = min(2 * self._quiet_us, LONGEST_QUIET_US)
-            ready = over > 0 and self._excess_s >= self._terms.patience_s and now_us >= self._paused_until_us
-            warned = over > 0 and self._excess_s >= ALERT_AT * self._terms.patience_s
-            if not ready and not (warned and now_us >= self._quiet_until_us):
-                self._alarm_us = None
+                self._alerts_blocked_until_us = now_us + self._alert_block_us
+                self._alert_block_us = min(2 * self._alert_block_us, MAX_ALERT_BLOCK_US)
+            may_begin = (
+                excess_ratio > 0
+                and self._excess_s >= self._settings.patience_s
+                and now_us >= self._paused_until_us
+            )
+            may_alert = excess_ratio > 0 and self._excess_s >= ALERT_EXCESS_SHARE * self._settings.patience_s
+            if not may_begin and not (may_alert and now_us >= self._alerts_blocked_until_us):
+                self._alert_since_us = None
                 return False
-            self._alarm_us = self._alarm_us if self._alarm_us is not None else now_us
-            deaf = self._reporter is not None and view.known < MOST_KNOWN
-            if not ready or (deaf and now_us - self._alarm_us < HEAR_US):
+            self._alert_since_us = self._alert_since_us if self._alert_since_us is not None else now_us
+            waits_for_answers = self._reporter is not None and estimate.known_share < SUFFICIENT_KNOWN_SHARE
+            if not may_begin or (waits_for_answers and now_us - self._alert_since_us < ALERT_WAIT_US):
                 return False
-            self._alarm_us = None
-            self._active, self._moved, self._useful_us = True, 0, now_us
-            self._quiet_us = QUIET_US
-            self._asked.clear()
-            self._pace.begin(now_us)
-            self._notes.append({"state": "begun", "imbalance": round(view.imbalance, 2)})
+            self._alert_since_us = None
+            self._is_active, self._moved_count, self._last_useful_us = True, 0, now_us
+            self._alert_block_us = ALERT_BLOCK_US
+            self._query_retry_at_us.clear()
+            self._move_rate.restart(now_us)
+            self._log_entries.append({"state": "begun", "imbalance": round(estimate.imbalance, 2)})
             return True
-        done = all(self._excess(view, n) <= 0 for n in view.shares)
-        if self._pace.shut(now_us):
-            self._useful_us = now_us  # held, not in vain
-        if done or now_us - self._useful_us >= GIVE_UP_US:
-            self._active, self._excess_s = False, 0.0
+        is_balanced = all(self._excess(estimate, n) <= 0 for n in estimate.shares)
+        if self._move_rate.is_suspended(now_us):
+            self._last_useful_us = now_us  # a suspension does not count as time without a useful move
+        if is_balanced or now_us - self._last_useful_us >= GIVE_UP_US:
+            self._is_active, self._excess_s = False, 0.0
             self._paused_until_us = now_us + self._pause_us
-            self._pause_us = PAUSE_US if done else min(2 * self._pause_us, LONGEST_PAUSE_US)
-            state = "balanced" if done else "nothing-to-move"
-            self._notes.append({"state": state, "imbalance": round(view.imbalance, 2), "moved": self._moved})
+            self._pause_us = PAUSE_US if is_balanced else min(2 * self._pause_us, MAX_PAUSE_US)
+            state = "balanced" if is_balanced else "nothing-to-move"
+            self._log_entries.append(
+                {"state": state, "imbalance": round(estimate.imbalance, 2), "moved": self._moved_count}
+            )
             return False
         return True
 
-    def _excess(self, view: View, number: int) -> float:
-        """What a form server holds beyond what is left in peace, in the whole fleet."""
-        return view.loads[number] - max(self._terms.stop_at * view.shares[number], view.spared[number])
+    def _excess(self, estimate: LoadEstimate, number: int) -> float:
+        """Returns the load, over all nodes, by which a form server exceeds what it may keep."""
+        return estimate.loads[number] - max(
+            self._settings.stop_at * estimate.shares[number], estimate.acceptable_loads[number]
+        )
 
-    def _choose(
-        self, now_us: int, view: View, choose_elsewhere: ChooseElsewhere, orders: Orders, active: bool
+    def _choose_moves(
+        self,
+        now_us: int,
+        estimate: LoadEstimate,
+        choose_elsewhere: ChooseElsewhere,
+        orders: Orders,
+        is_active: bool,
     ) -> None:
-        """Heaviest first, so that few are moved, and groups that stand whole before scattered ones."""
-        reserved: dict[int, float] = {}
-        for one in self._reserved:
-            reserved[one.server] = reserved.get(one.server, 0.0) + one.weight
-        room = {
-            n: self._terms.fill_to * share - view.loads[n] - reserved.get(n, 0.0)
-            for n, share in view.shares.items()
+        """Moves groups on one form server before scattered ones, and heavy ones first, so that few move."""
+        reserved_loads: dict[int, float] = {}
+        for reservation in self._reservations:
+            reserved_loads[reservation.server] = (
+                reserved_loads.get(reservation.server, 0.0) + reservation.weight
+            )
+        free_loads = {
+            n: self._settings.fill_to * share - estimate.loads[n] - reserved_loads.get(n, 0.0)
+            for n, share in estimate.shares.items()
         }
-        targets = sum(1 for free in room.values() if free > 0)
-        allowed = self._pace.allowance(now_us, view.imbalance, targets)
-        if allowed <= 0:
+        targets = sum(1 for free_load in free_loads.values() if free_load > 0)
+        moves_left = self._move_rate.allowance(now_us, estimate.imbalance, targets)
+        if moves_left <= 0:
             return
-        allowed -= self._follow(now_us, room, choose_elsewhere, orders)
-        questions = QUESTIONS if active else 0
-        over = [n for n in view.shares if self._excess(view, n) > 0]
-        for number in sorted(over, key=lambda n: (-self._excess(view, n), n)):
-            held = self.connections.held.get(number)
-            if held is None:
+        moves_left -= self._move_rest_of_groups(now_us, free_loads, choose_elsewhere, orders)
+        queries_left = MAX_PLACEMENT_QUERIES if is_active else 0
+        overloaded = [n for n in estimate.shares if self._excess(estimate, n) > 0]
+        for number in sorted(overloaded, key=lambda n: (-self._excess(estimate, n), n)):
+            server_connections = self.connections.by_server.get(number)
+            if server_connections is None:
                 continue
-            # This node's part of what is too much there.
-            excess = self._excess(view, number) * held.load / view.loads[number]
-            for group, members in self._candidates(now_us, number):
-                if allowed <= 0 or questions <= 0:
+            # This node's part of the excess.
+            excess = self._excess(estimate, number) * server_connections.load / estimate.loads[number]
+            for group, connections in self._candidates(now_us, number):
+                if moves_left <= 0 or queries_left <= 0:
                     return
                 if excess <= 0:
                     break
-                weight = self.connections.weight(members)
-                # One heavier than what is to go, or than this node's part of the room, goes by lot: so all
-                # nodes together move about as much as they should. The lot is the group's own, the same
-                # at every node.
-                lot = weight * _hash(group) / 2**32
-                if lot > excess:
+                weight = self.connections.weight(connections)
+                # A group heavier than the excess, or than this node's part of the free load, is moved with a
+                # probability, so that all nodes together move about the right load. The hash of the group
+                # replaces a random number, so that every node decides the same.
+                drawn_weight = weight * _hash(group) / 2**32
+                if drawn_weight > excess:
                     continue
-                questions -= 1
-                target = choose_elsewhere(list(members))
-                free = room.get(target, 0.0) if target is not None else 0.0
-                if target is None or weight > free or lot > free * max(1.0 / self._nodes, view.known):
-                    self._asked[group] = now_us + ASK_AGAIN_US
+                queries_left -= 1
+                target = choose_elsewhere(list(connections))
+                free_load = free_loads.get(target, 0.0) if target is not None else 0.0
+                if (
+                    target is None
+                    or weight > free_load
+                    or drawn_weight > free_load * max(1.0 / self._nodes, estimate.known_share)
+                ):
+                    self._query_retry_at_us[group] = now_us + QUERY_RETRY_US
                     continue
-                self._move(now_us, group, members, target, weight, orders)
-                room[target] -= weight
+                self._move(now_us, group, connections, target, weight, orders)
+                free_loads[target] -= weight
                 excess -= weight
-                allowed -= len(members)
+                moves_left -= len(connections)
 
-    def _follow(
-        self, now_us: int, room: dict[int, float], choose_elsewhere: ChooseElsewhere, orders: Orders
+    def _move_rest_of_groups(
+        self, now_us: int, free_loads: dict[int, float], choose_elsewhere: ChooseElsewhere, orders: Orders
     ) -> int:
-        """Moves what is left here of groups that neighbours have begun to move; returns how many."""
+        """Moves the connections of groups that other nodes have begun to move; returns their number."""
         moved = 0
-        followed, self._followed = self._followed, {}
-        for hashed in followed:
-            group = self._named.get(hashed)
+        groups, self._moved_elsewhere_until_us = self._moved_elsewhere_until_us, {}
+        for group_hash in groups:
+            group = self._groups_by_hash.get(group_hash)
             if group is None:
                 continue
-            for number in self.connections.where(group):
-                if room.get(number, 0.0) > 0:
-                    continue  # not where the neighbour has moved it from: this one takes others in
-                members = self.connections.movable(number, group, now_us - self._rest_us)
-                target = choose_elsewhere(list(members)) if members else None
-                if target is not None and room.get(target, 0.0) > 0:
-                    weight = self.connections.weight(members)
-                    self._move(now_us, group, members, target, weight, orders)
-                    room[target] -= weight
-                    moved += len(members)
+            for number in self.connections.servers_of(group):
+                if free_loads.get(number, 0.0) > 0:
+                    continue  # has free load, so the other node did not move the group from here
+                connections = self.connections.movable_connections(number, group, now_us - self._rest_us)
+                target = choose_elsewhere(list(connections)) if connections else None
+                if target is not None and free_loads.get(target, 0.0) > 0:
+                    weight = self.connections.weight(connections)
+                    self._move(now_us, group, connections, target, weight, orders)
+                    free_loads[target] -= weight
+                    moved += len(connections)
         return moved
 
-    def _candidates(self, now_us: int, number: int) -> list[tuple[Key, dict[str, Standing]]]:
-        connections = self.connections
-        found = [
-            (group, members)
-            for group in connections.held[number].groups
-            if self._unsettled.get(group, 0) <= now_us
-            and self._asked.get(group, 0) <= now_us
-            and (members := connections.movable(number, group, now_us - self._rest_us))
+    def _candidates(self, now_us: int, number: int) -> list[tuple[GroupKey, dict[str, TrackedConnection]]]:
+        table = self.connections
+        candidates = [
+            (group, connections)
+            for group in table.by_server[number].groups
+            if self._returning_until_us.get(group, 0) <= now_us
+            and self._query_retry_at_us.get(group, 0) <= now_us
+            and (connections := table.movable_connections(number, group, now_us - self._rest_us))
         ]
 
-        def order(item: tuple[Key, dict[str, Standing]]) -> tuple[bool, float, Key]:
-            group, members = item
-            return not connections.whole(group), -connections.weight(members) / len(members), group
+        def sort_key(item: tuple[GroupKey, dict[str, TrackedConnection]]) -> tuple[bool, float, GroupKey]:
+            group, connections = item
+            return not table.is_on_one_server(group), -table.weight(connections) / len(connections), group
 
-        return sorted(found, key=order)
+        return sorted(candidates, key=sort_key)
 
     def _move(
         self,
         now_us: int,
-        group: Key,
-        members: dict[str, Standing],
+        group: GroupKey,
+        connections: dict[str, TrackedConnection],
         target: int,
         weight: float,
         orders: Orders,
     ) -> None:
-        for one in members.values():
-            one.leaving = True
-            orders.moves.append(one.id)
-            self._moved_us.append(now_us)
-        self._pace.spend(len(members))
-        self._reserved.append(_Reserved(group, target, weight, now_us + RETURN_US))
-        self._unsettled[group] = now_us + RETURN_US
+        for connection in connections.values():
+            connection.is_moving = True
+            orders.moves.append(connection.id)
+            self._move_times_us.append(now_us)
+        self._move_rate.spend(len(connections))
+        self._reservations.append(_Reservation(group, target, weight, now_us + RETURN_US))
+        self._returning_until_us[group] = now_us + RETURN_US
         if self._reporter is not None:
-            self._reporter.moved(_hash(group))
-        self._moved += len(members)
-        self._useful_us = now_us
+            self._reporter.add_moved_group(_hash(group))
+        self._moved_count += len(connections)
+        self._last_useful_us = now_us
 
 
-def _hash(group: Key) -> int:
-    """The same 32 bits at every node."""
+def _hash(group: GroupKey) -> int:
+    """Returns 32 bits that are the same at every node."""
     return mmh3.hash(group, signed=False)
 
 
-def _shrunk(loads: dict[int, float], shares: dict[int, float], noise: float) -> dict[int, float]:
-    """A node that knows only part of the load sees differences that are chance. What of the spread between
-    form servers chance explains is taken off every difference (the estimator of James and Stein): where it
-    explains all, as in a fleet in balance, none is left. `noise`: the variance of an estimate over its mean.
+def _shrink_to_shares(loads: dict[int, float], shares: dict[int, float], noise: float) -> dict[int, float]:
+    """Shrinks the estimated loads towards the shares of the form servers (the James-Stein estimator).
+
+    A node that knows only part of the load sees random differences between form servers. The part of the
+    spread that chance explains is subtracted from every difference. Where it explains all of the spread, as
+    in a balanced fleet, no difference is left. `noise`: the variance of an estimate divided by its mean.
     """
     ratios = {n: loads[n] / share for n, share in shares.items() if share > 0}
     if noise <= 0 or not ratios:
         return loads
-    seen = sum((ratio - 1.0) ** 2 for ratio in ratios.values())
-    chance = sum(noise / shares[n] for n in ratios)
-    real = max(0.0, 1.0 - chance / seen) if seen > 0 else 0.0
-    return {n: shares[n] * (1.0 + real * (ratios[n] - 1.0)) if n in ratios else loads[n] for n in loads}
+    observed = sum((ratio - 1.0) ** 2 for ratio in ratios.values())
+    expected = sum(noise / shares[n] for n in ratios)
+    real_share = max(0.0, 1.0 - expected / observed) if observed > 0 else 0.0
+    return {n: shares[n] * (1.0 + real_share * (ratios[n] - 1.0)) if n in ratios else loads[n] for n in loads}
 
 
-def _forget(times_us: deque[int], before_us: int) -> None:
+def _drop_before(times_us: deque[int], before_us: int) -> None:
     while times_us and times_us[0] < before_us:
         times_us.popleft()
--- a/sailrun/rebalance/connection_table.py
+++ b/sailrun/rebalance/connection_table.py
@@ -1,162 +1,171 @@
-"""The connections that stand through this node: where, with what load, in which group, and who has rested
-long enough to be moved.
-"""
+"""The established connections of this node: their form servers, loads and groups, and which may be moved."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-# Connections with one group key are one group; a connection without a group key is a group of its own.
-Key = str
+# Connections with the same group key form one group. A connection without a key is a group of its own.
+GroupKey = str
 
-# A class's mean load rests on about so many of its latest notes.
-CLASS_NOTES = 200
-# A form server pays so many mean connection loads for each group that it holds any of (the account).
+# The number of latest load reports over which a mean load is averaged.
+MEAN_REPORTS = 200
+# The load of a group on a form server beside that of its connections, in mean connection loads: each form
+# server with connections of a group keeps the group's account.
 GROUP_COST = 1.5
 
 
 @dataclass(slots=True)
-class Standing:
-    """One connection that stands. `load`, in us of work a second, is None until its form server tells it."""
+class TrackedConnection:
+    """An established connection. `load`: microseconds of work a second; None: not reported yet."""
 
     id: str
-    group: Key
+    group: GroupKey
     request_class: str
     server: int
-    since_us: int
-    returned: bool  # it came back from a break or a move, and is spared for a while
+    established_us: int
+    has_returned: bool  # reconnected after a failure or a move, and is not moved for a while
     load: float | None = None
-    leaving: bool = False  # its move has been ordered
+    is_moving: bool = False  # a move was ordered
 
 
 @dataclass(slots=True)
-class Held:
-    """What one form server holds through this node."""
+class ServerConnections:
+    """The connections of this node to one form server."""
 
     load: float = 0.0
-    groups: dict[Key, dict[str, Standing]] = field(default_factory=dict)
+    groups: dict[GroupKey, dict[str, TrackedConnection]] = field(default_factory=dict)
     count: int = 0
 
 
 class ConnectionTable:
-    """Connections and their loads by form server. One of unknown load counts its class's mean, or 1 before
-    any is known.
+    """The connections and their loads by form server.
+
+    A connection without a reported load counts as the mean of its class, or of all connections, or as 1
+    before any report.
     """
 
     def __init__(self) -> None:
-        self.by_id: dict[str, Standing] = {}
-        self.held: dict[int, Held] = {}
-        self._spread: dict[Key, dict[int, int]] = {}  # a group's connections by form server
+        self.by_id: dict[str, TrackedConnection] = {}
+        self.by_server: dict[int, ServerConnections] = {}
+        self._counts_by_group: dict[GroupKey, dict[int, int]] = {}  # by form server
         self._means: dict[str, tuple[float, int]] = {}
-        self._mean, self._notes = 0.0, 0
-        self._unevenness = 0.0
-        self.told = False  # whether loads are in us of work a second, not in connections
+        self._mean, self._report_count = 0.0, 0
+        self._mean_group_weight = 0.0
+        self.loads_reported = False  # whether loads are microseconds of work a second, not connections
 
     # ------------------------------------------------------------------ events
 
-    def stands(self, one: Standing) -> None:
-        """A session is established."""
-        self.by_id[one.id] = one
-        held = self.held.setdefault(one.server, Held())
-        members = held.groups.setdefault(one.group, {})
-        if not members:
-            held.load += self.group_cost()
-        members[one.id] = one
-        held.load += self.load_of(one)
-        held.count += 1
-        at = self._spread.setdefault(one.group, {})
-        at[one.server] = at.get(one.server, 0) + 1
-
-    def ended(self, name: str) -> Standing | None:
-        """A session has ended; returns it if it was known."""
-        one = self.by_id.pop(name, None)
-        if one is None:
+    def add(self, connection: TrackedConnection) -> None:
+        """Adds an established connection."""
+        self.by_id[connection.id] = connection
+        server_connections = self.by_server.setdefault(connection.server, ServerConnections())
+        connections = server_connections.groups.setdefault(connection.group, {})
+        if not connections:
+            server_connections.load += self.group_cost()
+        connections[connection.id] = connection
+        server_connections.load += self.load_of(connection)
+        server_connections.count += 1
+        counts = self._counts_by_group.setdefault(connection.group, {})
+        counts[connection.server] = counts.get(connection.server, 0) + 1
+
+    def remove(self, connection_id: str) -> TrackedConnection | None:
+        """Removes a connection that has ended; returns it, or None if it is unknown."""
+        connection = self.by_id.pop(connection_id, None)
+        if connection is None:
             return None
-        held = self.held[one.server]
-        members = held.groups[one.group]
-        del members[name]
-        held.load -= self.load_of(one)
-        held.count -= 1
-        if not members:
-            del held.groups[one.group]
-            held.load -= self.group_cost()
-        if not held.count:
-            del self.held[one.server]  # free of rounding
-        at = self._spread[one.group]
-        at[one.server] -= 1
-        if not at[one.server]:
-            del at[one.server]
-            if not at:
-                del self._spread[one.group]
-        return one
-
-    def loaded(self, name: str, load: float) -> None:
-        """A connection's load as its form server told it, in us of work a second."""
-        one = self.by_id.get(name)
-        if one is None:
+        server_connections = self.by_server[connection.server]
+        connections = server_connections.groups[connection.group]
+        del connections[connection_id]
+        server_connections.load -= self.load_of(connection)
+        server_connections.count -= 1
+        if not connections:
+            del server_connections.groups[connection.group]
+            server_connections.load -= self.group_cost()
+        if not server_connections.count:
+            del self.by_server[connection.server]  # a new entry begins without rounding errors
+        counts = self._counts_by_group[connection.group]
+        counts[connection.server] -= 1
+        if not counts[connection.server]:
+            del counts[connection.server]
+            if not counts:
+                del self._counts_by_group[connection.group]
+        return connection
+
+    def set_load(self, connection_id: str, load: float) -> None:
+        """Sets a connection's load as reported by its form server, in microseconds of work a second."""
+        connection = self.by_id.get(connection_id)
+        if connection is None:
             return
-        mean, notes = self._means.get(one.request_class, (0.0, 0))
-        notes = min(notes + 1, CLASS_NOTES)
-        self._means[one.request_class] = (mean + (load - mean) / notes, notes)
-        self._notes = min(self._notes + 1, CLASS_NOTES)
-        self._mean += (load - self._mean) / self._notes
-        if not self.told:
-            self.told = True
-            one.load = load
+        mean, count = self._means.get(connection.request_class, (0.0, 0))
+        count = min(count + 1, MEAN_REPORTS)
+        self._means[connection.request_class] = (mean + (load - mean) / count, count)
+        self._report_count = min(self._report_count + 1, MEAN_REPORTS)
+        self._mean += (load - self._mean) / self._report_count
+        if not self.loads_reported:
+            self.loads_reported = True
+            connection.load = load
             self.recount()
             return
-        self.held[one.server].load += load - self.load_of(one)
-        one.load = load
+        self.by_server[connection.server].load += load - self.load_of(connection)
+        connection.load = load
 
     def recount(self) -> None:
-        """Adds up anew: class means have moved on since the untold loads were counted."""
+        """Recalculates the sums: the class means that stand for unreported loads have changed since."""
         weights: list[float] = []
-        for held in self.held.values():
-            at = [self.weight(members) for members in held.groups.values()]
-            held.load = sum(at)
-            weights += at
+        for server_connections in self.by_server.values():
+            group_weights = [self.weight(connections) for connections in server_connections.groups.values()]
+            server_connections.load = sum(group_weights)
+            weights += group_weights
         total = sum(weights)
-        self._unevenness = sum(weight * weight for weight in weights) / total if total > 0 else 0.0
+        self._mean_group_weight = sum(weight * weight for weight in weights) / total if total > 0 else 0.0
+
+    # ------------------------------------------------------------------ queries
 
-    # ------------------------------------------------------------------ looks
+    def load_of(self, connection: TrackedConnection) -> float:
+        """Returns a connection's load: the reported one, or the mean of its class or of all connections."""
+        if connection.load is not None:
+            return connection.load
+        class_mean = self._means.get(connection.request_class)
+        return class_mean[0] if class_mean is not None else self.mean_load()
 
-    def load_of(self, one: Standing) -> float:
-        """The load of one session: reported, or the mean of its class."""
-        if one.load is not None:
-            return one.load
-        known = self._means.get(one.request_class)
-        return known[0] if known is not None else self.unit()
+    def mean_load(self) -> float:
+        """Returns the mean load of a connection; 1 before any report."""
+        return self._mean if self._report_count else 1.0
 
-    def unit(self) -> float:
-        """A connection's mean load."""
-        return self._mean if self._notes else 1.0
+    def mean_group_weight(self) -> float:
+        """Returns the mean weight of the groups, each weighted by its weight.
 
-    def unevenness(self) -> float:
-        """The mean weight of groups, by weight: the more, the more of a sample is chance."""
-        return self._unevenness or 2.0 * (self.unit() + self.group_cost())
+        The higher it is, the noisier is an estimate that is based on a sample of the groups.
+        """
+        return self._mean_group_weight or 2.0 * (self.mean_load() + self.group_cost())
 
     def group_cost(self) -> float:
-        """What a group costs a form server beside its sessions."""
-        return GROUP_COST * self.unit()
+        """Returns the load of a group on a form server beside that of its connections."""
+        return GROUP_COST * self.mean_load()
+
+    def weight(self, connections: dict[str, TrackedConnection]) -> float:
+        """Returns the load that a form server loses with these connections, with the group's own cost."""
+        return sum(map(self.load_of, connections.values())) + self.group_cost()
 
-    def weight(self, members: dict[str, Standing]) -> float:
-        """What a form server is relieved of when it loses all these, the group's cost with them."""
-        return sum(map(self.load_of, members.values())) + self.group_cost()
+    def is_on_one_server(self, group: GroupKey) -> bool:
+        """Returns whether the group's connections of this node are all on one form server."""
+        return len(self._counts_by_group.get(group, ())) <= 1
 
-    def whole(self, group: Key) -> bool:
-        """Whether all that stands of it here stands at one form server."""
-        return len(self._spread.get(group, ())) <= 1
+    def servers_of(self, group: GroupKey) -> list[int]:
+        """Returns the form servers with connections of the group."""
+        return list(self._counts_by_group.get(group, ()))
 
-    def where(self, group: Key) -> list[int]:
-        """The form servers that hold any of it."""
-        return list(self._spread.get(group, ()))
+    def movable_connections(
+        self, server: int, group: GroupKey, returned_before_us: int
+    ) -> dict[str, TrackedConnection]:
+        """Returns the group's connections on a form server if all of them may be moved, else an empty dict.
 
-    def movable(self, server: int, group: Key, settled_us: int) -> dict[str, Standing]:
-        """Its connections at a form server, if every one of them may be moved: none is leaving, and none of
-        those that returned from a break or a move came after `settled_us`. Empty if not.
+        None may be moving, or have reconnected after a failure or a move later than `returned_before_us`.
         """
-        members = self.held[server].groups[group]
-        for one in members.values():
-            if one.leaving or (one.returned and one.since_us > settled_us):
+        connections = self.by_server[server].groups[group]
+        for connection in connections.values():
+            if connection.is_moving or (
+                connection.has_returned and connection.established_us > returned_before_us
+            ):
                 return {}
-        return members
+        return connections
--- a/sailrun/rebalance/gossip.py
+++ b/sailrun/rebalance/gossip.py
@@ -1,11 +1,12 @@
-"""What the nodes tell each other of the load they hold, in datagrams that may be late, lost or out of order.
+"""Datagrams in which nodes report the load of their sessions to each other, and the groups that they move.
 
-They also tell whose connections they have just moved, so that a group's other connections, which may
-have come through other nodes, follow: a form server is relieved of a group only once all have left.
+A group's connections may come through several nodes, and a form server only loses the load of a group when
+all of them have left. The other nodes therefore move their connections of a group that one node has moved.
 
-A datagram is whole in itself and can be taken twice. Its sender's incarnation (its start) and sequence number
-say which of two is newer; what is older is passed over. A fleet that does not fit one datagram is told of in
-turns, the form servers that changed most first.
+Datagrams may be late, lost, duplicated or out of order. Each one is complete in itself and idempotent. The
+sender's incarnation (the time of its start) and the sequence number order them; an older one is ignored. If a
+datagram cannot hold the loads of all form servers, the ones that changed most come first, and the others
+rotate.
 """
 
 from __future__ import annotations
@@ -18,199 +19,230 @@
 
 from sailrun.errors import SailrunError
 
-# Version, flags, form servers in it, groups in it, sequence number, incarnation (ms of Unix time), the
-# sender's whole load.
+# Version, flags, number of form servers, number of groups, sequence number, incarnation (milliseconds of Unix
+# time), the sender's total load.
 _HEAD = struct.Struct("<BBBBIQf")
-_ENTRY = struct.Struct("<If")
-_MOVED = struct.Struct("<I")
+_LOAD = struct.Struct("<If")
+_GROUP = struct.Struct("<I")
 VERSION = 0xB1
-TOLD = 1  # flag: loads are in us of work a second, not in connections
-ALERT = 2  # flag: the sender sees a fleet that is not even, and would hear of the others
-LONGEST = 256
-MOVED = 16
-ENTRIES = (LONGEST - _HEAD.size - MOVED * _MOVED.size) // _ENTRY.size
-# Every datagram goes to every node: beyond so many nodes they are sent the more rarely, the more there are.
-FEW = 4
-# Who is not heard of for so many turns says nothing any more.
-TURNS = 4
-# After so many datagrams without one in return they are sent half as often, at each further one again.
-DEAF = 4
-# Of the form servers in a datagram, so many are told of though others have changed more.
-AGAIN = 4
-# While groups are moved, their names go out this often.
-SOON_US = 500_000
+LOADS_REPORTED = 1  # flag: loads are microseconds of work a second, not connections
+ALERT = 2  # flag: the sender sees an imbalance, and requests the loads of the other nodes
+MAX_DATAGRAM_BYTES = 256
+MAX_GROUPS = 16
+MAX_LOADS = (MAX_DATAGRAM_BYTES - _HEAD.size - MAX_GROUPS * _GROUP.size) // _LOAD.size
+# Every datagram goes to every node, so with more nodes than this the interval grows with their number.
+FULL_RATE_NODES = 4
+# The loads of a node expire after this many intervals without a datagram.
+EXPIRY_INTERVALS = 4
+# After this many datagrams without one in return, the interval doubles with each further one.
+MAX_UNANSWERED = 4
+# The number of form servers in a datagram that rotate, independent of how much their load changed.
+ROTATING_LOADS = 4
+# The interval of datagrams while groups are moved.
+GROUPS_INTERVAL_US = 500_000
 
 
 class InvalidGossipError(SailrunError, ValueError):
-    """No datagram of this kind; says why."""
+    """A datagram is invalid; the text states the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """One datagram's content: some form servers' loads as one node holds them."""
+    """The content of a datagram: one node's loads on some of the form servers."""
 
     incarnation: int
     sequence: int
-    told: bool
+    loads_reported: bool
     total: float
     loads: dict[int, float]
-    moved: tuple[int, ...] = ()  # hashes of the groups moved lately
+    moved_groups: tuple[int, ...] = ()  # hashes of the groups that were moved recently
     alert: bool = False
 
 
-def write(report: LoadReport) -> bytes:
-    """At most 256 bytes. Raises ValueError for more form servers or groups than that holds."""
-    if len(report.loads) > ENTRIES or len(report.moved) > MOVED:
-        raise ValueError(f"{len(report.loads)} form servers, {len(report.moved)} households")
+def encode_report(report: LoadReport) -> bytes:
+    """Encodes a report in at most 256 bytes. Raises ValueError if it has too many form servers or groups."""
+    if len(report.loads) > MAX_LOADS or len(report.moved_groups) > MAX_GROUPS:
+        raise ValueError(
+            f"a datagram cannot hold {len(report.loads)} form servers and {len(report.moved_groups)} groups"
+        )
     head = _HEAD.pack(
         VERSION,
-        (TOLD if report.told else 0) | (ALERT if report.alert else 0),
+        (LOADS_REPORTED if report.loads_reported else 0) | (ALERT if report.alert else 0),
         len(report.loads),
-        len(report.moved),
+        len(report.moved_groups),
         report.sequence,
         report.incarnation,
         report.total,
     )
-    loads = b"".join(_ENTRY.pack(number, load) for number, load in report.loads.items())
-    return head + loads + b"".join(map(_MOVED.pack, report.moved))
+    loads = b"".join(_LOAD.pack(number, load) for number, load in report.loads.items())
+    return head + loads + b"".join(map(_GROUP.pack, report.moved_groups))
 
 
-def read(content: bytes) -> LoadReport:
-    """Raises InvalidGossipError for whatever another node of this version would not have written."""
+def decode_report(content: bytes) -> LoadReport:
+    """Decodes a report. Raises InvalidGossipError for a datagram that no node of this version would send."""
     if len(content) < _HEAD.size or content[0] != VERSION:
-        raise InvalidGossipError("another version")
+        raise InvalidGossipError("datagram is too short or of another version")
     _, flags, count, groups, sequence, incarnation, total = _HEAD.unpack_from(content)
-    ends = _HEAD.size + count * _ENTRY.size
-    if len(content) != ends + groups * _MOVED.size:
-        raise InvalidGossipError(f"{len(content)} bytes for {count} form servers and {groups} households")
-    loads = dict(_ENTRY.iter_unpack(content[_HEAD.size : ends]))
-    moved = tuple(one for (one,) in _MOVED.iter_unpack(content[ends:]))
+    loads_end = _HEAD.size + count * _LOAD.size
+    if len(content) != loads_end + groups * _GROUP.size:
+        raise InvalidGossipError(
+            f"{len(content)} bytes do not match {count} form servers and {groups} groups"
+        )
+    loads = dict(_LOAD.iter_unpack(content[_HEAD.size : loads_end]))
+    moved_groups = tuple(group for (group,) in _GROUP.iter_unpack(content[loads_end:]))
     if not all(math.isfinite(load) and load >= 0 for load in (total, *loads.values())):
-        raise InvalidGossipError("a load that is none")
-    return LoadReport(incarnation, sequence, bool(flags & TOLD), total, loads, moved, bool(flags & ALERT))
+        raise InvalidGossipError("a load is negative or not finite")
+    return LoadReport(
+        incarnation, sequence, bool(flags & LOADS_REPORTED), total, loads, moved_groups, bool(flags & ALERT)
+    )
 
 
 @dataclass(slots=True)
 class _Neighbour:
     incarnation: int = -1
     sequence: int = -1
-    heard_us: int = 0
-    told: bool = False
-    rest: float = 0.0  # of its load, what stands on form servers that it has not told of
+    received_us: int = 0
+    loads_reported: bool = False
+    unlisted_load: float = 0.0  # its load on form servers that it has not listed yet
     loads: dict[int, float] = field(default_factory=dict)
 
 
 class NeighbourLoads:
-    """What the neighbours hold, as far as heard. Sums are kept, not made anew at every look."""
+    """The loads of the other nodes as last reported. The sums are updated with each datagram."""
 
-    def __init__(self, every_us: int, nodes: int) -> None:
-        self._forgotten_us = TURNS * apart_us(every_us, nodes) + SOON_US
+    def __init__(self, interval_us: int, nodes: int) -> None:
+        self._expiry_us = EXPIRY_INTERVALS * min_interval_us(interval_us, nodes) + GROUPS_INTERVAL_US
         self._neighbours: dict[int, _Neighbour] = {}
-        self._sums: dict[bool, dict[int, float]] = {False: {}, True: {}}  # by the unit that they count in
-
-    def heard(self, now_us: int, sender: int, report: LoadReport) -> bool:
-        """Takes it over, unless something newer of this sender is known."""
-        known = self._neighbours.setdefault(sender, _Neighbour())
-        if report.incarnation < known.incarnation:
+        self._sums: dict[bool, dict[int, float]] = {
+            False: {},
+            True: {},
+        }  # by unit: whether loads were reported
+
+    def update(self, now_us: int, sender: int, report: LoadReport) -> bool:
+        """Applies a report; returns False if one that is as new or newer was already applied."""
+        neighbour = self._neighbours.setdefault(sender, _Neighbour())
+        if report.incarnation < neighbour.incarnation:
             return False
-        if report.incarnation > known.incarnation or report.told != known.told:
-            # It has started anew, or counts otherwise: what it held before is void.
-            self._forget(known)
-            known.incarnation, known.told = report.incarnation, report.told
-        if report.sequence <= known.sequence:
+        if report.incarnation > neighbour.incarnation or report.loads_reported != neighbour.loads_reported:
+            # The node has restarted, or counts in another unit: its earlier loads are invalid.
+            self._clear(neighbour)
+            neighbour.incarnation, neighbour.loads_reported = report.incarnation, report.loads_reported
+        if report.sequence <= neighbour.sequence:
             return False
-        known.sequence, known.heard_us = report.sequence, now_us
-        sums = self._sums[known.told]
+        neighbour.sequence, neighbour.received_us = report.sequence, now_us
+        sums = self._sums[neighbour.loads_reported]
         for number, load in report.loads.items():
-            sums[number] = sums.get(number, 0.0) + load - known.loads.get(number, 0.0)
-            known.loads[number] = load
-        known.rest = max(0.0, report.total - sum(known.loads.values()))
+            sums[number] = sums.get(number, 0.0) + load - neighbour.loads.get(number, 0.0)
+            neighbour.loads[number] = load
+        neighbour.unlisted_load = max(0.0, report.total - sum(neighbour.loads.values()))
         return True
 
-    def loads(self, now_us: int, told: bool, servers: Mapping[int, object]) -> tuple[dict[int, float], int]:
-        """The neighbours' loads on these form servers, and how many neighbours that speaks for. One that
-        counts in other units, or was not heard of lately, says nothing.
+    def loads(
+        self, now_us: int, loads_reported: bool, servers: Mapping[int, object]
+    ) -> tuple[dict[int, float], int]:
+        """Returns the other nodes' loads on these form servers, and the number of nodes that are counted.
+
+        A node that counts in another unit or has sent nothing recently is not counted.
         """
-        for known in self._neighbours.values():
-            if known.loads and now_us - known.heard_us > self._forgotten_us:
-                self._forget(known)
-        voices = [known for known in self._neighbours.values() if known.told == told and known.loads]
-        sums = self._sums[told]
-        rest = sum(known.rest for known in voices) / len(servers) if servers else 0.0
-        return {n: max(0.0, sums.get(n, 0.0)) + rest for n in servers}, len(voices)
-
-    def _forget(self, known: _Neighbour) -> None:
-        sums = self._sums[known.told]
-        for number, load in known.loads.items():
+        for neighbour in self._neighbours.values():
+            if neighbour.loads and now_us - neighbour.received_us > self._expiry_us:
+                self._clear(neighbour)
+        counted = [
+            neighbour
+            for neighbour in self._neighbours.values()
+            if neighbour.loads_reported == loads_reported and neighbour.loads
+        ]
+        sums = self._sums[loads_reported]
+        unlisted_load = (
+            sum(neighbour.unlisted_load for neighbour in counted) / len(servers) if servers else 0.0
+        )
+        return {n: max(0.0, sums.get(n, 0.0)) + unlisted_load for n in servers}, len(counted)
+
+    def _clear(self, neighbour: _Neighbour) -> None:
+        sums = self._sums[neighbour.loads_reported]
+        for number, load in neighbour.loads.items():
             sums[number] = sums.get(number, 0.0) - load
             if sums[number] < 1e-6:
-                del sums[number]  # nobody holds anything there: free of rounding
-        known.loads.clear()
-        known.rest, known.sequence = 0.0, -1
+                del sums[number]  # no load is left there: a new entry begins without rounding errors
+        neighbour.loads.clear()
+        neighbour.unlisted_load, neighbour.sequence = 0.0, -1
 
 
-def apart_us(every_us: int, nodes: int) -> int:
-    """The least time between two datagrams of a node, in a tier of so many."""
-    return int(every_us * max(1.0, nodes / FEW))
+def min_interval_us(interval_us: int, nodes: int) -> int:
+    """Returns the minimum interval between two datagrams of a node, in a fleet of this many nodes."""
+    return int(interval_us * max(1.0, nodes / FULL_RATE_NODES))
 
 
 class LoadReporter:
-    """When a node tells what. Of an even fleet nothing: datagrams cost, and nobody would do anything. Once a
-    node sees from its own part that the fleet is not even, it tells, and all who hear of it tell too.
+    """Decides when this node sends a datagram, and with which loads.
+
+    In a balanced fleet none are sent, because they cost work and no node would act on them. A node that sees
+    an imbalance in its own loads sends reports with an alert, and the other nodes answer with their loads.
     """
 
-    def __init__(self, incarnation: int, every_us: int, nodes: int) -> None:
+    def __init__(self, incarnation: int, interval_us: int, nodes: int) -> None:
         self._incarnation = incarnation
-        self._every_us = apart_us(every_us, nodes)
-        self._soon_us = apart_us(min(SOON_US, every_us), nodes)
-        self._owed = False  # a neighbour has raised the alarm, and has no answer yet
-        self._unanswered = 0  # datagrams since a neighbour was heard
+        self._interval_us = min_interval_us(interval_us, nodes)
+        self._groups_interval_us = min_interval_us(min(GROUPS_INTERVAL_US, interval_us), nodes)
+        self._answer_due = False  # another node has sent an alert that is not answered yet
+        self._unanswered = 0  # datagrams sent since the last one was received
         self._sequence = 0
-        self._told_us = -(1 << 62)
-        self._loads: dict[int, float] = {}
-        self._moved: list[int] = []
-        self._again = -1  # the form server last told of though it had not changed most
+        self._sent_us = -(1 << 62)
+        self._sent_loads: dict[int, float] = {}
+        self._moved_groups: list[int] = []
+        self._last_rotated = -1  # the last form server that was sent by rotation
 
-    def moved(self, group: int) -> None:
-        """A group is being moved: neighbours are told soon."""
-        self._moved.append(group)
+    def add_moved_group(self, group: int) -> None:
+        """Adds a group that is being moved to the next datagram."""
+        self._moved_groups.append(group)
 
-    def answered(self) -> None:
-        """A neighbour was heard: datagrams get through."""
+    def on_datagram(self) -> None:
+        """A datagram of another node was received, so datagrams are delivered."""
         self._unanswered = 0
 
-    def heard_alert(self) -> None:
-        """A neighbour sees a fleet that is not even: it is told what stands here, once."""
-        self._owed = True
+    def on_alert(self) -> None:
+        """Another node has sent an alert: it is answered once with this node's loads."""
+        self._answer_due = True
 
-    def due(self, now_us: int, told: bool, loads: Mapping[int, float], alert: bool = False) -> bytes | None:
-        """The next datagram, if it is time for one. `alert`: this node sees a fleet that is not even."""
-        if not (alert or self._moved or self._owed):
+    def next_datagram(
+        self, now_us: int, loads_reported: bool, loads: Mapping[int, float], alert: bool = False
+    ) -> bytes | None:
+        """Returns the next datagram if one is due, else None. `alert`: this node sees an imbalance."""
+        if not (alert or self._moved_groups or self._answer_due):
             return None
-        apart_us = self._soon_us if self._moved else self._every_us
-        if now_us - self._told_us < apart_us << min(max(0, self._unanswered - DEAF), 10):
+        interval_us = self._groups_interval_us if self._moved_groups else self._interval_us
+        if now_us - self._sent_us < interval_us << min(max(0, self._unanswered - MAX_UNANSWERED), 10):
             return None
         changed = {
-            n: abs(loads.get(n, 0.0) - self._loads.get(n, 0.0)) for n in sorted({*loads, *self._loads})
+            n: abs(loads.get(n, 0.0) - self._sent_loads.get(n, 0.0))
+            for n in sorted({*loads, *self._sent_loads})
         }
         if not changed:
             return None
-        # What changed most, then some of the others in turn: a datagram that told of them may have been lost.
-        chosen = sorted(changed, key=lambda n: (-changed[n], n))[: ENTRIES - AGAIN]
+        # The loads that changed most, then some of the others in rotation: their datagram may have been lost.
+        chosen = sorted(changed, key=lambda n: (-changed[n], n))[: MAX_LOADS - ROTATING_LOADS]
         others = [n for n in changed if n not in chosen]
-        at = bisect.bisect_right(others, self._again)
-        for number in (others[at:] + others[:at])[:AGAIN]:
+        start = bisect.bisect_right(others, self._last_rotated)
+        for number in (others[start:] + others[:start])[:ROTATING_LOADS]:
             chosen.append(number)
-            self._again = number
-        told_of = {n: loads.get(n, 0.0) for n in chosen}
-        self._loads.update(told_of)
+            self._last_rotated = number
+        sent_loads = {n: loads.get(n, 0.0) for n in chosen}
+        self._sent_loads.update(sent_loads)
         for number in chosen:
             if number not in loads:
-                del self._loads[number]
+                del self._sent_loads[number]
         self._sequence += 1
-        self._told_us, self._owed = now_us, False
+        self._sent_us, self._answer_due = now_us, False
         self._unanswered += 1
-        groups, self._moved = tuple(self._moved[:MOVED]), self._moved[MOVED:]
-        return write(
-            LoadReport(self._incarnation, self._sequence, told, sum(loads.values()), told_of, groups, alert)
+        groups, self._moved_groups = tuple(self._moved_groups[:MAX_GROUPS]), self._moved_groups[MAX_GROUPS:]
+        return encode_report(
+            LoadReport(
+                self._incarnation,
+                self._sequence,
+                loads_reported,
+                sum(loads.values()),
+                sent_loads,
+                groups,
+                alert,
+            )
         )
--- a/sailrun/rebalance/pace.py
+++ b/sailrun/rebalance/pace.py
@@ -1,63 +1,73 @@
-"""How fast may be moved: a budget of connections a second, this node's share of the fleet's, that grows with
-the number of form servers that can take them.
+"""The move rate: this node's share of the connections that the fleet may move in a second.
 
-It widens while the balance becomes better, and closes at once at a sign of trouble; after that it begins
-anew, at the first pace. Bounded by what the form servers that are to take the moved can set up.
+The rate is proportional to the number of form servers with free capacity, because each of them can set up a
+limited number of sessions a second. It grows while the balance improves. A sign of trouble suspends moves at
+once, and resets the rate to the initial one.
 """
 
 from __future__ import annotations
 
 SECOND = 1_000_000
-# What was not used of the budget lapses after so long: no burst is saved up.
-SAVED_US = SECOND
+# The unused budget of at most this time is saved, so that no larger burst builds up.
+MAX_SAVED_US = SECOND
 
 
-class Pace:
-    """Rates are in connections a second to each form server that has room, of this node alone."""
+class MoveRate:
+    """A token bucket. Rates: connections a second of this node to each form server with free capacity."""
 
-    def __init__(self, first: float, most: float, widening: float, hold_us: int, now_us: int) -> None:
-        self._first, self._most, self._widening, self._hold_us = first, most, widening, hold_us
-        self.rate = first
+    def __init__(
+        self, initial_per_s: float, max_per_s: float, growth: float, suspension_us: int, now_us: int
+    ) -> None:
+        self._initial_per_s, self._max_per_s, self._growth, self._suspension_us = (
+            initial_per_s,
+            max_per_s,
+            growth,
+            suspension_us,
+        )
+        self.per_s = initial_per_s
         self._tokens = 0.0
-        self._at_us = self._widened_us = now_us
-        self._shut_until_us = now_us
-        self._best = 0.0  # the least imbalance since the pace was last set
-        # Of what all nodes may move, in even parts of the fleet: 1 is the share of one node among all.
-        self.parts = 1.0
-
-    def close(self, now_us: int) -> bool:
-        """Trouble; True if the pace was open until now."""
-        was_open = now_us >= self._shut_until_us
-        self._shut_until_us = now_us + self._hold_us
-        self.rate, self._tokens, self._best = self._first, 0.0, 0.0
-        return was_open
-
-    def shut(self, now_us: int) -> bool:
-        """Whether moving is suspended."""
-        return now_us < self._shut_until_us
-
-    def begin(self, now_us: int) -> None:
-        """Moving begins: slowly, whatever it had come to the last time."""
-        self.rate, self._tokens, self._best = self._first, 1.0, 0.0
-        self._at_us = self._widened_us = now_us
+        self._refilled_us = self._grown_us = now_us
+        self._suspended_until_us = now_us
+        self._best_imbalance = 0.0  # the least imbalance since the rate was last reset; 0: none yet
+        # This node's part of the fleet's rate, as a multiple of an equal part: 1 is one node's equal part.
+        self.node_shares = 1.0
+
+    def suspend(self, now_us: int) -> bool:
+        """Suspends moves after a sign of trouble. Returns True if they were allowed until now."""
+        was_allowed = now_us >= self._suspended_until_us
+        self._suspended_until_us = now_us + self._suspension_us
+        self.per_s, self._tokens, self._best_imbalance = self._initial_per_s, 0.0, 0.0
+        return was_allowed
+
+    def is_suspended(self, now_us: int) -> bool:
+        """Returns whether moves are suspended."""
+        return now_us < self._suspended_until_us
+
+    def restart(self, now_us: int) -> None:
+        """Resets the rate to the initial one when moving begins, whatever it was before."""
+        self.per_s, self._tokens, self._best_imbalance = self._initial_per_s, 1.0, 0.0
+        self._refilled_us = self._grown_us = now_us
 
     def allowance(self, now_us: int, imbalance: float, targets: int) -> int:
-        """How many connections may be moved now, with so many form servers to take them."""
-        if self.shut(now_us) or not targets or not self.parts:
-            self._at_us = now_us
+        """Returns how many connections may be moved now. `targets`: the form servers with free capacity."""
+        if self.is_suspended(now_us) or not targets or not self.node_shares:
+            self._refilled_us = now_us
             return 0
-        if now_us - self._widened_us >= SECOND:
-            self._widened_us = now_us
-            if not self._best or imbalance < self._best:
-                self.rate = min(self.rate * self._widening, max(self._most, self._first))
-                self._best = imbalance
-        seconds = min(now_us - self._at_us, SAVED_US) / SECOND
-        self._at_us = now_us
-        rate = self.rate * self.parts
-        saved = max(1.0, rate * targets * SAVED_US / SECOND)
-        self._tokens = min(self._tokens + rate * targets * seconds, saved)
+        if now_us - self._grown_us >= SECOND:
+            self._grown_us = now_us
+            if not self._best_imbalance or imbalance < self._best_imbalance:
+                self.per_s = min(self.per_s * self._growth, max(self._max_per_s, self._initial_per_s))
+                self._best_imbalance = imbalance
+        seconds = min(now_us - self._refilled_us, MAX_SAVED_US) / SECOND
+        self._refilled_us = now_us
+        per_s = self.per_s * self.node_shares
+        max_tokens = max(1.0, per_s * targets * MAX_SAVED_US / SECOND)
+        self._tokens = min(self._tokens + per_s * targets * seconds, max_tokens)
         return int(self._tokens)
 
     def spend(self, connections: int) -> None:
-        """Below 0 for a group larger than what was left: the next ones wait for longer."""
+        """Subtracts moved connections from the budget.
+
+        A group larger than the rest of the budget makes it negative, which delays the next moves.
+        """
         self._tokens -= connections
--- a/sailrun/rebalance/settings.py
+++ b/sailrun/rebalance/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets of the rebalancer: the table `[rebalance]` of the operator's file."""
+"""The operator's settings of the rebalancer: the table `[rebalance]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -12,44 +12,63 @@
 
 
 class RebalanceSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """How unequal load may be, and how fast it is evened out. Ratios are of a form server's load to its share
-    of the warm fleet's load.
+    """The imbalance that is allowed, and the rate of moves.
+
+    A ratio is a form server's load divided by its share of the load of all form servers that are out of slow
+    start.
     """
 
-    enabled: Annotated[bool, Meta(description="Whether households are moved at all.")] = False
-    start_at: Annotated[Ratio, Meta(description="What a form server holds over this is too much.")] = 1.25
-    stop_at: Annotated[Ratio, Meta(description="Moving ends where none holds more than this.")] = 1.16
-    fill_to: Annotated[Ratio, Meta(description="No form server is filled beyond this by moves.")] = 1.05
+    enabled: Annotated[bool, Meta(description="Whether clients are moved to balance the load.")] = False
+    start_at: Annotated[
+        Ratio, Meta(description="Moving begins when a form server's ratio is over this for long enough.")
+    ] = 1.25
+    stop_at: Annotated[Ratio, Meta(description="Moving ends when no form server's ratio is over this.")] = (
+        1.16
+    )
+    fill_to: Annotated[Ratio, Meta(description="Moves do not raise a form server's ratio over this.")] = 1.05
     cores: Annotated[
         float,
         Meta(
-            ge=0.0, le=1024.0, description="Cores of a form server of size 1; 0: not known, balance always."
+            ge=0.0,
+            le=1024.0,
+            description="Cores of a form server of size 1; 0: unknown, any imbalance counts.",
         ),
     ] = 0.0
     spare_below: Annotated[
         float,
         Meta(
-            gt=0.0, le=1.0, description="With cores: nobody is moved off a form server used less than this."
+            gt=0.0,
+            le=1.0,
+            description="With cores: no client is moved off a form server with a utilization below this.",
         ),
     ] = 0.7
     patience_s: Annotated[
         Seconds,
-        Meta(description="Moving begins once the excess over start_at, times its seconds, comes to this."),
+        Meta(
+            description="Moving begins when the excess over start_at, integrated over seconds, reaches this."
+        ),
     ] = 1.5
-    rest_s: Annotated[Seconds, Meta(description="Nobody is moved again within this time.")] = 60.0
+    rest_s: Annotated[
+        Seconds, Meta(description="A client that reconnected is not moved within this time.")
+    ] = 60.0
     first_per_s: Annotated[
-        Rate, Meta(description="Connections a second that all nodes together move to a form server at first.")
+        Rate,
+        Meta(
+            description="Initial rate: connections a second that all nodes together move to one form server."
+        ),
     ] = 0.8
     most_per_s: Annotated[
-        Rate, Meta(description="Connections a second that all nodes together move to a form server at most.")
+        Rate,
+        Meta(
+            description="Maximum rate: connections a second that all nodes together move to one form server."
+        ),
     ] = 2.0
     widening: Annotated[
-        Ratio, Meta(description="Growth of the pace in a second in which the balance became better.")
+        Ratio, Meta(description="Factor by which the rate grows in a second in which the balance improved.")
     ] = 1.5
-    hold_s: Annotated[Seconds, Meta(description="Nothing is moved for so long after a sign of trouble.")] = (
-        3.0
-    )
-    tell_s: Annotated[Seconds, Meta(description="The least time between two datagrams of a node.")] = 2.0
+    hold_s: Annotated[Seconds, Meta(description="Seconds without moves after a sign of trouble.")] = 3.0
+    tell_s: Annotated[Seconds, Meta(description="Minimum seconds between two datagrams of a node.")] = 2.0
     neighbours: Annotated[
-        bool, Meta(description="Whether nodes tell each other their loads, where the platform lets them.")
+        bool,
+        Meta(description="Whether nodes report their loads to each other, where the platform allows it."),
     ] = True
