--- a/sailrun/control/cli.py
+++ b/sailrun/control/cli.py
@@ -13,7 +13,7 @@
 At = Annotated[str, typer.Option("--at", envvar="RELAY_CONTROL", help="A node's second address, HOST:PORT.")]
 Json = Annotated[bool, typer.Option("--json", help="As JSON.")]
 # A call is answered within a second.
-ANSWER_S, LONGEST_ANSWER, POLL_S = 3.0, 4 * 1024 * 1024, 0.4
+ANSWER_TIMEOUT_S, LONGEST_ANSWER, POLL_S = 3.0, 4 * 1024 * 1024, 0.4
 ENDED = ("done", "refused", "silent")
 
 
@@ -28,7 +28,7 @@
 
     from sailrun.connection import split_address
 
-    with socket.create_connection(split_address(at), timeout=ANSWER_S) as sock:
+    with socket.create_connection(split_address(at), timeout=ANSWER_TIMEOUT_S) as sock:
         sock.sendall(f"{line}\r\n".encode())
         answer = b""
         while (part := sock.recv(65536)) and len(answer) < LONGEST_ANSWER:
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -29,7 +29,7 @@
 from anyio.abc import Process, SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from sailrun.control.cli import ANSWER_S
+from sailrun.control.cli import ANSWER_TIMEOUT_S
 from sailrun.lab.faults.copies import shown
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.relays import HOST, Address, Relays
@@ -453,7 +453,7 @@
 
     async def _asked(self, name: str, line: str) -> str | None:
         answer = b""
-        with anyio.move_on_after(ANSWER_S), suppress(*_BROKEN):
+        with anyio.move_on_after(ANSWER_TIMEOUT_S), suppress(*_BROKEN):
             async with await anyio.connect_tcp(*self.nodes[name].control) as stream:
                 await stream.send(f"{line}\r\n".encode())
                 while True:
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -20,7 +20,7 @@
 from anyio.abc import Process
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from sailrun.control.cli import ANSWER_S
+from sailrun.control.cli import ANSWER_TIMEOUT_S
 from sailrun.lab.faults.relays import Address
 from sailrun.lab.faults.rig import FORM_SERVERS, LONGEST_LINE, RigRoster, free_address
 from sailrun.lab.scale.hollow_host import rss_mb
@@ -149,7 +149,7 @@
     async def _asked(self, line: str) -> Any:
         """What the process answers to a call of staff, as JSON; None where it does not."""
         answer = b""
-        with anyio.move_on_after(ANSWER_S), suppress(*BROKEN):
+        with anyio.move_on_after(ANSWER_TIMEOUT_S), suppress(*BROKEN):
             async with await anyio.connect_tcp(*self.control) as stream:
                 await stream.send(f"{line}\r\n".encode())
                 while True:
