--- a/sailrun/control/__init__.py
+++ b/sailrun/control/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: staff's calls and the node's figures. Knows the core, and neither front."""
+"""The control address: operators' calls and the node's metrics. Depends on the core, but on no front."""
--- a/sailrun/control/calls.py
+++ b/sailrun/control/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the second address: what a line asks for, and how answers and figures are written. Pure."""
+"""The calls of the control address: parses lines, and formats answers and metrics. Pure."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from sailrun.errors import SailrunError
 from sailrun.node.counters import MetricsSnapshot
 
-LONGEST_CALL = 4096
+MAX_CALL_BYTES = 4096
 PREFIX = "svc"
 
 
 class Verb(Enum):
-    """The commands of the control protocol; the values are its words."""
+    """The commands of the control protocol, as they are written."""
 
     CHECK = "check"
     VARS = "vars"
@@ -26,12 +26,12 @@
     FLEET = "fleet"
 
 
-# The calls that name a form server; the others take no argument.
-NAMING = (Verb.SET_DOWN, Verb.SET_UP)
+# The commands that take the id of a form server; the others except `fleet` take no argument.
+FORM_SERVER_VERBS = (Verb.SET_DOWN, Verb.SET_UP)
 
 
-# What is asked of the fleet, with how many words the call has.
-_FLEET = (
+# The first word after `fleet`, and the number of words of the whole call.
+_FLEET_FORMS = (
     (["members"], 2),
     (["owners"], 2),
     (["permits"], 2),
@@ -47,27 +47,27 @@
     (["shards"], 2),
     (["shards"], 3),
 )
-_FLEET_CALLS = (
+_FLEET_USAGE = (
     "members, owners, permits, counts, walk NAME MS NODES, walked NAME, state, state KIND, ranges, "
     "mark KIND SUBJECT on|off majority|all|none WHO WHY, marked ID, look KIND SUBJECT, shards or shards NODE"
 )
 
 
 class InvalidCallError(SailrunError, ValueError):
-    """A line that is no call; says why."""
+    """A line is not a valid call; the text states the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One command with its arguments."""
+    """A command with its arguments."""
 
     verb: Verb
     form_server: str = ""
-    words: tuple[str, ...] = ()  # what is asked of the fleet
+    words: tuple[str, ...] = ()  # of `fleet`: the words after it
 
 
 def parse_call(line: bytes) -> Call:
-    """Reads one line; raises InvalidCallError for whatever is none of the calls in its right form."""
+    """Parses a line. Raises InvalidCallError if it is not a valid call."""
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
@@ -79,43 +79,43 @@
     except ValueError:
         raise InvalidCallError(f"no call '{words[0][:40]}'") from None
     if verb is Verb.FLEET:
-        if (words[1:2], len(words)) not in _FLEET:
-            raise InvalidCallError(f"'fleet' takes {_FLEET_CALLS}")
+        if (words[1:2], len(words)) not in _FLEET_FORMS:
+            raise InvalidCallError(f"'fleet' takes {_FLEET_USAGE}")
         return Call(verb, words=tuple(words[1:]))
-    wanted = 2 if verb in NAMING else 1
-    if len(words) != wanted:
-        argument = "the id of a form server" if verb in NAMING else "nothing more"
+    expected_words = 2 if verb in FORM_SERVER_VERBS else 1
+    if len(words) != expected_words:
+        argument = "the id of a form server" if verb in FORM_SERVER_VERBS else "nothing more"
         raise InvalidCallError(f"'{verb.value}' takes {argument}")
-    return Call(verb, words[1] if wanted == 2 else "")
+    return Call(verb, words[1] if expected_words == 2 else "")
 
 
 OK = b"ok\r\n"
 
 
-def fail(why: str) -> bytes:
-    """A failure's answer of one line, with the reason."""
-    return b"fail " + " ".join(why.split()).encode("ascii", "replace") + b"\r\n"
+def failure_answer(reason: str) -> bytes:
+    """Returns the answer to a failed call: one line with the reason."""
+    return b"fail " + " ".join(reason.split()).encode("ascii", "replace") + b"\r\n"
 
 
-def answer(content: object) -> bytes:
-    """An answer of one line of JSON."""
+def json_answer(content: object) -> bytes:
+    """Returns an answer that is one line of JSON."""
     return b"ok " + json.dumps(content).encode() + b"\r\n"
 
 
-def show(figures: MetricsSnapshot) -> bytes:
-    """The answer to `vars`: one figure a line, counts and gauges as the StatsD line protocol marks them."""
-    lines = ["ok", *_lines(figures), "eof"]
+def format_metrics(metrics: MetricsSnapshot) -> bytes:
+    """Returns the answer to `vars`: one metric a line, with the StatsD types of counters and gauges."""
+    lines = ["ok", *_metric_lines(metrics), "eof"]
     return "".join(f"{line}\r\n" for line in lines).encode()
 
 
-def _lines(figures: MetricsSnapshot) -> Iterable[str]:
-    for name, counted in figures.classes.items():
-        yield f"{PREFIX}.calls.{name}.success:{counted.success}|c"
-        yield f"{PREFIX}.calls.{name}.busy:{counted.busy}|c"
-        yield f"{PREFIX}.calls.{name}.failure:{counted.failure}|c"
-    yield f"{PREFIX}.backend_calls:{figures.backend_calls}|c"
-    yield f"{PREFIX}.reconfig_ok:{figures.reconfig_ok}|c"
-    yield f"{PREFIX}.reconfig_failed:{figures.reconfig_failed}|c"
-    yield f"{PREFIX}.inflight:{figures.inflight}|g"
-    yield f"{PREFIX}.hosts_listed:{figures.hosts_listed}|g"
-    yield f"{PREFIX}.hosts_down:{figures.hosts_down}|g"
+def _metric_lines(metrics: MetricsSnapshot) -> Iterable[str]:
+    for name, counters in metrics.classes.items():
+        yield f"{PREFIX}.calls.{name}.success:{counters.success}|c"
+        yield f"{PREFIX}.calls.{name}.busy:{counters.busy}|c"
+        yield f"{PREFIX}.calls.{name}.failure:{counters.failure}|c"
+    yield f"{PREFIX}.backend_calls:{metrics.backend_calls}|c"
+    yield f"{PREFIX}.reconfig_ok:{metrics.reconfig_ok}|c"
+    yield f"{PREFIX}.reconfig_failed:{metrics.reconfig_failed}|c"
+    yield f"{PREFIX}.inflight:{metrics.inflight}|g"
+    yield f"{PREFIX}.hosts_listed:{metrics.hosts_listed}|g"
+    yield f"{PREFIX}.hosts_down:{metrics.hosts_down}|g"
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -1,4 +1,4 @@
-"""The control server: one call a connection at the second address, also where nothing else gets a socket."""
+"""The control server: answers one call a connection, even if the process has no free descriptors left."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 from sailrun.connection import Connection, OverlongLineError
 from sailrun.control.calls import (
-    LONGEST_CALL,
+    MAX_CALL_BYTES,
     OK,
     Call,
     InvalidCallError,
     Verb,
-    answer,
-    fail,
+    failure_answer,
+    format_metrics,
+    json_answer,
     parse_call,
-    show,
 )
 from sailrun.node.core import Node
 from sailrun.node.queries import send_query
@@ -35,32 +35,44 @@
     from sailrun.replication.service import ReplicationService
 
 SECOND = 1_000_000
-# The kinds of permits, as the fleet names them.
+# The kinds of permits and marks of the fleet.
 OUT, DRAIN = "out", "drain"
-_PERMITTED = (Verb.SET_DOWN, Verb.SET_UP, Verb.DRAIN_ON, Verb.DRAIN_OFF)
-# A permit that is not there by then is waited for without the caller.
-PERMIT_BY_US = 700_000
-# So many callers at once. A descriptor for each is held open from the start: a node that may open no more
-# still has them. When all are taken, the oldest callers who have said nothing yet make room.
-CALLERS = 12
-# A caller who has not made his call by then is ended. The answer is owed within a second of the call: the
-# core is given nearly that long, and the caller's last words a little.
-CALL_BY_US, ANSWER_BY_US, LAST_WORDS_US = 6 * SECOND, 900_000, 250_000
-# How soon a place given up by its caller is looked for.
-PLACE_US = 2_000
+_PERMIT_VERBS = (Verb.SET_DOWN, Verb.SET_UP, Verb.DRAIN_ON, Verb.DRAIN_OFF)
+# A call waits this long for a permit. After that it is answered as queued, and executed later if the permit
+# is granted.
+PERMIT_WAIT_US = 700_000
+# The number of callers at once. A descriptor for each is reserved from the start, so that a node that has
+# reached its limit of descriptors still accepts them. When all are in use, the oldest callers that have not
+# sent their call yet are disconnected.
+MAX_CALLERS = 12
+# A caller that has not sent its call after the first time is disconnected. The answer is due within a second
+# of the call: the core has nearly all of it, and sending the answer may take the last of these times.
+CALL_TIMEOUT_US, ANSWER_TIMEOUT_US, SEND_TIMEOUT_US = 6 * SECOND, 900_000, 250_000
+# The interval between attempts to reserve a descriptor or to accept a caller.
+SLOT_RETRY_US = 2_000
 
 
-def _put(
-    copies: ReplicationService, kind: str, subject: str, on: bool, reply: Callable[[MarkOutcome], None]
+def _set_mark(
+    replication: ReplicationService,
+    kind: str,
+    subject: str,
+    is_active: bool,
+    reply: Callable[[MarkOutcome], None],
 ) -> None:
-    copies.set_mark(kind, subject, on, reply, author="control")
+    replication.set_mark(kind, subject, is_active, reply, author="control")
 
 
-def _shown(id_: str, made: MarkOutcome | None) -> dict[str, object]:
-    """What became of a mark, for whoever asks; None: nothing yet."""
-    if made is None:
-        return {"id": id_, "state": "pending", "copies": 0, "of": 0, "why": ""}
-    return {"id": id_, "state": made.state, "copies": made.copies, "of": made.replicas, "why": made.reason}
+def _mark_status(mark_id: str, outcome: MarkOutcome | None) -> dict[str, object]:
+    """Returns the status of a mark as it is reported to callers. `outcome` None: there is none yet."""
+    if outcome is None:
+        return {"id": mark_id, "state": "pending", "copies": 0, "of": 0, "why": ""}
+    return {
+        "id": mark_id,
+        "state": outcome.state,
+        "copies": outcome.copies,
+        "of": outcome.replicas,
+        "why": outcome.reason,
+    }
 
 
 class ControlServer:
@@ -70,213 +82,252 @@
         self, node: Node, listener: socket.socket, fleet: Callable[[], FleetService | None] = lambda: None
     ) -> None:
         self._node, self._listener, self._fleet = node, listener, fleet
-        self._spare: list[int] = []  # descriptors held for callers to come
-        self._callers = 0
-        self._silent: dict[anyio.CancelScope, None] = {}  # those who have not made their call, oldest first
-        self._open = anyio.CancelScope()
-        self._hold()
+        self._reserved_descriptors: list[int] = []  # kept open for future callers
+        self._caller_count = 0
+        self._idle_scopes: dict[anyio.CancelScope, None] = {}  # of callers without a call, oldest first
+        self._run_scope = anyio.CancelScope()
+        self._reserve_descriptors()
 
     def close(self) -> None:
-        """Gives the address up, before it was ever listened at or for good."""
-        self._open.cancel()
-        while self._spare:
-            os.close(self._spare.pop())
+        """Stops listening, also if `run` was never called."""
+        self._run_scope.cancel()
+        while self._reserved_descriptors:
+            os.close(self._reserved_descriptors.pop())
         self._listener.close()
 
     shut = close
 
     async def run(self) -> None:
         """Accepts callers until cancelled or closed."""
-        with self._open:
+        with self._run_scope:
             async with anyio.create_task_group() as group:
                 try:
-                    await self._keep_accepting(group)
+                    await self._accept_callers(group)
                 finally:
                     anyio.notify_closing(self._listener)
                     self.close()
 
-    def _hold(self) -> None:
-        """Holds a descriptor for every place that no caller has; one not to be had is tried for again."""
+    def _reserve_descriptors(self) -> None:
+        """Reserves the descriptors of unused places; one that is not available is tried again later."""
         with contextlib.suppress(OSError):
-            while self._listener.fileno() >= 0 and len(self._spare) + self._callers < CALLERS:
-                self._spare.append(os.dup(self._listener.fileno()))
+            while (
+                self._listener.fileno() >= 0
+                and len(self._reserved_descriptors) + self._caller_count < MAX_CALLERS
+            ):
+                self._reserved_descriptors.append(os.dup(self._listener.fileno()))
 
-    async def _keep_accepting(self, group: TaskGroup) -> None:
+    async def _accept_callers(self, group: TaskGroup) -> None:
         while True:
             await anyio.wait_readable(self._listener)
-            if self._spare:
-                # Nothing else runs between these two: what is closed here, the caller gets.
-                os.close(self._spare.pop())
+            if self._reserved_descriptors:
+                # No other task runs between closing and accepting, so the caller gets the closed descriptor.
+                os.close(self._reserved_descriptors.pop())
                 try:
                     sock = self._listener.accept()[0]
-                except OSError:  # he has gone again, or the kernel has no room at all
-                    self._hold()
+                except OSError:  # the caller has disconnected, or the system has no descriptors left
+                    self._reserve_descriptors()
                 else:
-                    self._callers += 1
-                    group.start_soon(self._serve, Connection(sock, LONGEST_CALL))
+                    self._caller_count += 1
+                    group.start_soon(self._serve, Connection(sock, MAX_CALL_BYTES))
                     continue
             else:
-                # Half of them at a time: one by one, a hundred silent ones would take a second.
-                for oldest in list(islice(self._silent, CALLERS // 2)):
-                    del self._silent[oldest]
-                    oldest.cancel()
-            await anyio.sleep_until(anyio.current_time() + PLACE_US / SECOND)
-            self._hold()
+                # Disconnects half of them at once: one by one, a hundred silent ones would take a second.
+                for scope in list(islice(self._idle_scopes, MAX_CALLERS // 2)):
+                    del self._idle_scopes[scope]
+                    scope.cancel()
+            await anyio.sleep_until(anyio.current_time() + SLOT_RETRY_US / SECOND)
+            self._reserve_descriptors()
 
     async def _serve(self, caller: Connection) -> None:
         clock = self._node.clock
-        call_by = anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + CALL_BY_US))
-        self._silent[call_by] = None
+        call_scope = anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + CALL_TIMEOUT_US))
+        self._idle_scopes[call_scope] = None
         try:
             line = None
-            with call_by, contextlib.suppress(OSError):
+            with call_scope, contextlib.suppress(OSError):
                 try:
                     line = await caller.line()
                 except OverlongLineError:
-                    line = b"\xff"  # no text, whatever it was
-            self._silent.pop(call_by, None)
+                    line = b"\xff"  # is rejected as not being text
+            self._idle_scopes.pop(call_scope, None)
             if line is not None:
                 answer = await self._answer(line)
                 with (
-                    anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + LAST_WORDS_US)),
-                    contextlib.suppress(OSError),  # he did not wait for it
+                    anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + SEND_TIMEOUT_US)),
+                    contextlib.suppress(OSError),  # the caller did not wait for the answer
                 ):
                     await caller.write(answer)
                     await caller.finish_sending()
         finally:
-            self._silent.pop(call_by, None)
+            self._idle_scopes.pop(call_scope, None)
             caller.close()
-            self._callers -= 1
-            self._hold()
+            self._caller_count -= 1
+            self._reserve_descriptors()
 
     async def _answer(self, line: bytes) -> bytes:
         try:
             call = parse_call(line)
         except InvalidCallError as error:
-            return fail(str(error))
-        answer = fail("busy: try again")
+            return failure_answer(str(error))
+        answer = failure_answer("busy: try again")
         clock = self._node.clock
-        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + ANSWER_BY_US)):
-            answer = await self._do(call)
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + ANSWER_TIMEOUT_US)):
+            answer = await self._execute(call)
         return answer
 
-    async def _do(self, call: Call) -> bytes:
+    async def _execute(self, call: Call) -> bytes:
         node, fleet = self._node, self._fleet()
         if call.verb is Verb.FLEET:
-            return await self._of_fleet(fleet, call.words) if fleet is not None else fail("no fleet here")
-        if fleet is not None and fleet.replication is not None and call.verb in _PERMITTED:
-            return await self._marked(fleet, fleet.replication, call)
-        if fleet is not None and fleet.permits and call.verb in _PERMITTED:
-            return await self._permitted(fleet, call)
+            return (
+                await self._execute_fleet_call(fleet, call.words)
+                if fleet is not None
+                else failure_answer("no fleet here")
+            )
+        if fleet is not None and fleet.replication is not None and call.verb in _PERMIT_VERBS:
+            return await self._execute_as_mark(fleet, fleet.replication, call)
+        if fleet is not None and fleet.permits and call.verb in _PERMIT_VERBS:
+            return await self._execute_with_permit(fleet, call)
         match call.verb:
             case Verb.VARS:
-                return show(await send_query(node.read_metrics))
+                return format_metrics(await send_query(node.read_metrics))
             case Verb.CHECK:
-                return OK if await send_query(node.check_ready) else fail("takes no households")
+                return OK if await send_query(node.check_ready) else failure_answer("takes no households")
             case Verb.SET_DOWN | Verb.SET_UP:
-                out = call.verb is Verb.SET_DOWN
-                known = await send_query(partial(node.set_operator_override, call.form_server, out))
-                return OK if known else fail(f"no form server '{call.form_server[:80]}'")
+                is_excluded = call.verb is Verb.SET_DOWN
+                is_known = await send_query(
+                    partial(node.set_operator_override, call.form_server, is_excluded)
+                )
+                return OK if is_known else failure_answer(f"no form server '{call.form_server[:80]}'")
             case Verb.DRAIN_ON | Verb.DRAIN_OFF:
                 await send_query(partial(node.set_draining, call.verb is Verb.DRAIN_ON))
                 return OK
 
-    async def _of_fleet(self, fleet: FleetService, words: tuple[str, ...]) -> bytes:
+    async def _execute_fleet_call(self, fleet: FleetService, words: tuple[str, ...]) -> bytes:
         match words:
-            case "walk", str(name), str(ms), str(nodes):
-                if not ms.isdigit():
-                    return fail(f"'{ms[:40]}' is no number of milliseconds")
+            case "walk", str(name), str(milliseconds), str(nodes):
+                if not milliseconds.isdigit():
+                    return failure_answer(f"'{milliseconds[:40]}' is no number of milliseconds")
                 names = nodes.split(",")
-                why = await send_query(partial(fleet.begin_rolling_drain, name, names, int(ms) * 1000))
-                return fail(why) if why else OK
+                reason = await send_query(
+                    partial(fleet.begin_rolling_drain, name, names, int(milliseconds) * 1000)
+                )
+                return failure_answer(reason) if reason else OK
             case "walked", str(name):
-                shown = await send_query(partial(fleet.show, f"walk {name}"))
-                return fail(f"no walk '{name[:80]}' was begun here") if shown is None else answer(shown)
+                status = await send_query(partial(fleet.show, f"walk {name}"))
+                return (
+                    failure_answer(f"no walk '{name[:80]}' was begun here")
+                    if status is None
+                    else json_answer(status)
+                )
             case (("mark" | "marked" | "look" | "state" | "ranges"), *_):
-                return await self._of_copies(fleet, words)
+                return await self._execute_replication_call(fleet, words)
             case "shards", *_:
-                shown = await send_query(partial(fleet.show, " ".join(words)))
-                return fail("[shards] is off here") if shown is None else answer(shown)
-        return answer(await send_query(partial(fleet.show, words[0])))
+                status = await send_query(partial(fleet.show, " ".join(words)))
+                return failure_answer("[shards] is off here") if status is None else json_answer(status)
+        return json_answer(await send_query(partial(fleet.show, words[0])))
 
-    async def _marked(self, fleet: FleetService, copies: ReplicationService, call: Call) -> bytes:
-        """What holds for the fleet wherever it is said."""
+    async def _execute_as_mark(
+        self, fleet: FleetService, replication: ReplicationService, call: Call
+    ) -> bytes:
+        """Executes a command for the whole fleet, as a replicated mark."""
         kind, subject = (OUT, call.form_server) if call.form_server else (DRAIN, fleet.agent.name)
-        on = call.verb in (Verb.SET_DOWN, Verb.DRAIN_ON)
-        why_not = await self._no_subject(fleet, kind, subject, on)
-        if why_not:
-            return fail(why_not)
-        made: MarkOutcome | None = None
+        is_active = call.verb in (Verb.SET_DOWN, Verb.DRAIN_ON)
+        problem = await self._describe_missing_subject(fleet, kind, subject, is_active)
+        if problem:
+            return failure_answer(problem)
+        outcome: MarkOutcome | None = None
         clock = self._node.clock
-        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + PERMIT_BY_US)):
-            made = await send_query(lambda reply: _put(copies, kind, subject, on, reply))
-        if made is None or made.state == "unknown":
-            return fail("no majority has answered so far: it may come into force yet")
-        if made.state == "waits":
-            return fail("queued: as many are out as permits allow, and carried out in its turn")
-        return OK if made.state == "done" else fail(made.reason or made.state)
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + PERMIT_WAIT_US)):
+            outcome = await send_query(lambda reply: _set_mark(replication, kind, subject, is_active, reply))
+        if outcome is None or outcome.state == "unknown":
+            return failure_answer("no majority has answered so far: it may come into force yet")
+        if outcome.state == "waits":
+            return failure_answer("queued: as many are out as permits allow, and carried out in its turn")
+        return OK if outcome.state == "done" else failure_answer(outcome.reason or outcome.state)
 
-    async def _of_copies(self, fleet: FleetService, words: tuple[str, ...]) -> bytes:
-        """The state that all nodes of the fleet keep copies of."""
-        copies = fleet.replication
-        if copies is None:
-            return fail("no copies here: [replica] is off")
+    async def _execute_replication_call(self, fleet: FleetService, words: tuple[str, ...]) -> bytes:
+        """Executes a call about the replicated state of the fleet."""
+        replication = fleet.replication
+        if replication is None:
+            return failure_answer("no copies here: [replica] is off")
         match words:
-            case "mark", str(kind), str(subject), ("on" | "off") as on, str(wait), str(who), str(why):
+            case "mark", str(kind), str(subject), ("on" | "off") as switch, str(wait), str(author), str(
+                reason
+            ):
                 if wait not in ("majority", "all", "none"):
-                    return fail(f"'{wait[:40]}' is none of majority, all and none")
-                why_not = await self._no_subject(fleet, kind, subject, on == "on")
-                if why_not:
-                    return fail(why_not)
-                return await self._mark(copies, kind, subject, on == "on", wait, unquote(who), unquote(why))
-            case "marked", str(id_):
-                if id_ not in copies.outcomes:
-                    return fail(f"no mark '{id_[:40]}' was made here")
-                return answer(_shown(id_, copies.outcomes[id_]))
+                    return failure_answer(f"'{wait[:40]}' is none of majority, all and none")
+                problem = await self._describe_missing_subject(fleet, kind, subject, switch == "on")
+                if problem:
+                    return failure_answer(problem)
+                return await self._mark(
+                    replication, kind, subject, switch == "on", wait, unquote(author), unquote(reason)
+                )
+            case "marked", str(mark_id):
+                if mark_id not in replication.outcomes:
+                    return failure_answer(f"no mark '{mark_id[:40]}' was made here")
+                return json_answer(_mark_status(mark_id, replication.outcomes[mark_id]))
             case "look", str(kind), str(subject):
-                words_ = await send_query(partial(copies.read_mark, kind, subject))
-                return fail("the owner of the marks was not heard") if words_ is None else answer(words_)
-        return answer(await send_query(partial(fleet.show, " ".join(words))))
+                mark = await send_query(partial(replication.read_mark, kind, subject))
+                return (
+                    failure_answer("the owner of the marks was not heard")
+                    if mark is None
+                    else json_answer(mark)
+                )
+        return json_answer(await send_query(partial(fleet.show, " ".join(words))))
+
+    async def _describe_missing_subject(
+        self, fleet: FleetService, kind: str, subject: str, is_active: bool
+    ) -> str:
+        """Returns why a mark cannot be set on this subject, or an empty string if it can.
 
-    async def _no_subject(self, fleet: FleetService, kind: str, subject: str, on: bool) -> str:
-        """Why nothing of that name can be marked; empty: it can. What is marked already can always be taken
-        back.
+        A mark can always be deleted.
         """
         if kind == DRAIN:
-            return "" if not on or fleet.agent.members.is_living(subject) else f"no member '{subject[:80]}'"
+            return (
+                ""
+                if not is_active or fleet.agent.members.is_living(subject)
+                else f"no member '{subject[:80]}'"
+            )
         if kind != OUT:
             return f"'{kind[:40]}' is none of out and drain"
-        listed = await send_query(partial(self._node.has_form_server, subject))
-        return "" if listed or not on else f"no form server '{subject[:80]}'"
+        is_listed = await send_query(partial(self._node.has_form_server, subject))
+        return "" if is_listed or not is_active else f"no form server '{subject[:80]}'"
 
     async def _mark(
-        self, copies: ReplicationService, kind: str, subject: str, on: bool, wait: str, who: str, why: str
+        self,
+        replication: ReplicationService,
+        kind: str,
+        subject: str,
+        is_active: bool,
+        wait: str,
+        author: str,
+        reason: str,
     ) -> bytes:
-        made: MarkOutcome | None = None
+        outcome: MarkOutcome | None = None
         ids: list[str] = []
         clock = self._node.clock
 
-        def ask(reply: Callable[[MarkOutcome], None]) -> None:
-            ids.append(copies.set_mark(kind, subject, on, reply, wait, who, why))
+        def set_mark(reply: Callable[[MarkOutcome], None]) -> None:
+            ids.append(replication.set_mark(kind, subject, is_active, reply, wait, author, reason))
 
-        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + PERMIT_BY_US)):
-            made = await send_query(ask)
-        return answer(_shown(ids[0], made))
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + PERMIT_WAIT_US)):
+            outcome = await send_query(set_mark)
+        return json_answer(_mark_status(ids[0], outcome))
 
-    async def _permitted(self, fleet: FleetService, call: Call) -> bytes:
-        """What takes something out of service waits for a permit, and is carried out in its turn."""
+    async def _execute_with_permit(self, fleet: FleetService, call: Call) -> bytes:
+        """Executes a command; one that takes something out of service is queued until it has a permit."""
         kind, subject = (OUT, call.form_server) if call.form_server else (DRAIN, fleet.agent.name)
         if call.verb in (Verb.SET_UP, Verb.DRAIN_OFF):
             fleet.give_back(kind, subject)
             if kind == DRAIN:
                 await send_query(partial(self._node.set_draining, False))
                 return OK
-            known = await send_query(partial(self._node.set_operator_override, subject, False))
-            return OK if known else fail(f"no form server '{subject[:80]}'")
-        why: str | None = None
+            is_known = await send_query(partial(self._node.set_operator_override, subject, False))
+            return OK if is_known else failure_answer(f"no form server '{subject[:80]}'")
+        reason: str | None = None
         clock = self._node.clock
-        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + PERMIT_BY_US)):
-            why = await send_query(partial(fleet.ask_permit, kind, subject))
-        if why is None:
-            return fail(fleet.describe_pending_permit(kind, subject))
-        return fail(why) if why else OK
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + PERMIT_WAIT_US)):
+            reason = await send_query(partial(fleet.ask_permit, kind, subject))
+        if reason is None:
+            return failure_answer(fleet.describe_pending_permit(kind, subject))
+        return failure_answer(reason) if reason else OK
--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -91,7 +91,7 @@
         except OSError as error:
             sock.close()
             if time.monotonic() + RETRY_INTERVAL_S < deadline and isinstance(error, ConnectionError):
-                time.sleep(RETRY_INTERVAL_S)  # it is handing over to another process, or has just ended
+                time.sleep(RETRY_INTERVAL_S)  # the predecessor serves another successor, or has just ended
                 continue
             log("predecessor-silent", error=str(error))
             return None
@@ -148,7 +148,7 @@
                     await anyio.wait_readable(handover_listener.listener)
                     try:
                         sock = handover_listener.listener.accept()[0]
-                    except OSError:  # it has disconnected, or no descriptor is free: it tries again
+                    except OSError:  # the successor has disconnected, or no descriptor is free
                         await anyio.sleep_until(anyio.current_time() + 0.05)
                         continue
                     group.start_soon(self._serve_successor, sock)
