--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -14,7 +14,7 @@
 from sailrun.config import read_settings
 from sailrun.decisions.events import AttemptOutcome, ListKind
 from sailrun.decisions.settings import Settings
-from sailrun.hot_restart.handover import TELL_US
+from sailrun.hot_restart.handover import LOAD_REPORT_INTERVAL_US
 from sailrun.lab.checks import Check
 from sailrun.lab.clients import Client
 from sailrun.lab.form_servers import FormServerModel, Held, Phase
@@ -26,7 +26,7 @@
 from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import FormSession, Placement, ServerListUpdate
 from sailrun.node.session_transfer import SendTransfer
-from sailrun.rebalance.balance import Elsewhere, Orders, Rebalancer
+from sailrun.rebalance.balance import ChooseElsewhere, Orders, Rebalancer
 from sailrun.rebalance.settings import RebalanceSettings
 
 ADMITTED_US = (300_000, 900_000)
@@ -42,8 +42,8 @@
 
     moved: dict[str, int]
 
-    def look(self, now_us: int, elsewhere: Elsewhere) -> Orders:
-        orders = super().look(now_us, elsewhere)
+    def plan_moves(self, now_us: int, choose_elsewhere: ChooseElsewhere) -> Orders:
+        orders = super().plan_moves(now_us, choose_elsewhere)
         for name in orders.moves:
             self.moved[name] = now_us
         return orders
@@ -646,7 +646,7 @@
             return
         new = slot.node
         old.report_local_load(new.update_predecessor_load)
-        self.time.after(TELL_US, self._tell_held, before)
+        self.time.after(LOAD_REPORT_INTERVAL_US, self._tell_held, before)
 
     def _predecessor_gone(self, before: VirtualSlot) -> None:
         before.node, before.watching = None, False
