--- a/sailrun/benchlink.py
+++ b/sailrun/benchlink.py
@@ -40,8 +40,8 @@
             if name == "list":
                 self._read_list(split_fields(name, parts), lines)
                 continue
-            event_known = name in wire.EVENTS or name in ("born", "discovery", "crash_now")
-            if not event_known:
+            is_known_event = name in wire.EVENTS or name in ("born", "discovery", "crash_now")
+            if not is_known_event:
                 if name not in self._reported:
                     self._reported.add(name)
                     print(f"unknown event '{name}' skipped", file=self._errors, flush=True)
@@ -49,7 +49,7 @@
             fields = split_fields(name, parts)
             instance_id = integer(name, fields, "who")
             if name in ("crash_now", "born"):
-                # pending actions of a killed instance must not affect its successor
+                # Pending actions of a killed instance must not affect its successor.
                 reply = [entry for entry in reply if entry[0] != instance_id]
                 self._instances.pop(instance_id, None)
             if name == "crash_now":
@@ -93,7 +93,7 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
-    """Answers batches until the input ends; returns the exit code."""
+    """Answers batches until the input ends; returns the exit code, 1 after a malformed line."""
     link = SimulatorLink(errors)
     try:
         lines = (raw.decode().rstrip("\n") for raw in source)
--- a/sailrun/decisions/actions.py
+++ b/sailrun/decisions/actions.py
@@ -25,8 +25,8 @@
     """Why the slow start of a backend begins or ends."""
 
     LISTED = "listed"  # the list states a new start
-    OPERATOR = "by-hand"  # an operator put it back
-    RECOVERED = "answers-again"  # it was ejected, has recovered, and may have restarted unlisted
+    OPERATOR = "by-hand"  # an operator put the backend back
+    RECOVERED = "answers-again"  # the backend was ejected and has recovered; it may have restarted unlisted
     ENDED = "warm"  # the slow start is over
 
 
@@ -36,25 +36,25 @@
     OUT_OF_TIME = "out-of-time"  # its deadline is too close for another attempt
     OUT_OF_ATTEMPTS = "out-of-attempts"  # no further attempt or repeat is allowed
     NO_BACKEND = "nowhere"  # no backend can admit it before its deadline
-    CANCELLED = "given-up"  # its attempt was withdrawn
+    CANCELLED = "given-up"  # its attempt was withdrawn, or ended after its connection was established
     SHUTDOWN = "leaving"  # the instance shuts down
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartAllowance:
-    """The state of a backend's slow start when this instance sent a request there; for the log."""
+    """The state of a backend's slow start when this instance sent a request there; it is logged."""
 
     share: float  # share of its capacity that the backend has at least, 0 to 1
     sent: int  # requests sent by this instance within the last `overload_window_us`, including this one
-    part: float  # this instance's allowance for that time, in requests
+    part: float  # this instance's allowance for `overload_window_us`, in requests
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
     """Start an attempt; it times out at `until_us`, which is the client's deadline at the latest.
 
-    If its first byte has not been sent by `begin_by_us`, the attempt is not sent: the backend might treat the
-    repeat as a new request.
+    If its first byte has not been sent by `begin_by_us`, the attempt must not be sent: the backend might
+    treat the repeat as a new request.
     """
 
     request: str
--- a/sailrun/decisions/backend_list.py
+++ b/sailrun/decisions/backend_list.py
@@ -37,8 +37,8 @@
         if listed and not is_cached:
             self.alert_until_us = self._context.now_us + self._context.settings.slow_start_us
         if not self._start_times.is_synchronized:
-            known = {e.id: max(0, e.started_us) for e in self._table.endpoints.values()}
-            self._start_times.observe_list(known, update.backends)
+            previous_starts = {e.id: max(0, e.started_us) for e in self._table.endpoints.values()}
+            self._start_times.observe_list(previous_starts, update.backends)
         for entry in update.backends:
             self.apply_entry(entry)
         self._start_times.is_synchronized = self._start_times.is_synchronized or not is_cached
@@ -57,7 +57,7 @@
         endpoint.cell = entry.cell
         endpoint.capacity = entry.capacity if entry.capacity > 0 else 1.0
         if entry.started_us != endpoint.started_us:
-            self._slow_start.restart(endpoint)
+            self._slow_start.record_restart(endpoint)
             endpoint.started_us = entry.started_us
             endpoint.start_notified_us = self._context.now_us
             if entry.started_us > 0:
@@ -79,7 +79,7 @@
         if endpoint is None:
             return False
         if not override.excluded:
-            self._slow_start.restart(endpoint)
+            self._slow_start.record_restart(endpoint)
             is_start_stated = endpoint.start_notified_us > endpoint.draining_notified_us
             since_us = endpoint.start_notified_us if is_start_stated else self._context.now_us
             self._slow_start.begin(endpoint, since_us, SlowStartReason.OPERATOR)
--- a/sailrun/decisions/balancer.py
+++ b/sailrun/decisions/balancer.py
@@ -79,16 +79,12 @@
         self._requests: dict[str, ClientRequest] = {}
         table = self._table = EndpointTable()
         loads = self._loads = LoadAccounting(context, table.endpoints, self._requests)
-        slow_start_state = self._slow_start_state = SlowStart(settings, context.random)
+        allowances = self._allowances = SlowStart(settings, context.random)
         start_times = StartTimes(settings.slow_start_us)
         overload = self._overload = OverloadDetector(context, loads, _shortest_objective_ms(settings))
-        bound = BoundedLoad(context, loads, slow_start_state)
-        capacity = self._capacity = CapacityEstimator(
-            context, table, loads, slow_start_state, overload, bound
-        )
-        slow_start = self._slow_start = SlowStartAdmission(
-            context, loads, slow_start_state, start_times, capacity
-        )
+        bound = BoundedLoad(context, loads, allowances)
+        capacity = self._capacity = CapacityEstimator(context, table, loads, allowances, overload, bound)
+        slow_start = self._slow_start = SlowStartAdmission(context, loads, allowances, start_times, capacity)
         setup_rate = self._setup_rate = SetupRateLimiter(context)
         outliers = self._outliers = OutlierDetector(
             context, table, overload, setup_rate, capacity, slow_start
@@ -129,14 +125,14 @@
 
     # ------------------------------------------------------------------ queries
 
-    def choose_other_backend(self, now_us: int, names: Sequence[str]) -> int | None:
+    def choose_other_backend(self, now_us: int, request_ids: Sequence[str]) -> int | None:
         """Returns the backend that would get these established connections if they were placed now.
 
         All of them must have the same key and backend. Returns None if no other backend would get them, or if
         a backend in slow start has a higher score: it may have spare capacity by the time they reconnect.
         """
         self._context.advance_clock(now_us)
-        requests = [r for r in map(self._requests.get, names) if r is not None and r.is_established]
+        requests = [r for r in map(self._requests.get, request_ids) if r is not None and r.is_established]
         requests = [request for request in requests if request.endpoint is not None]
         if not requests or (current := requests[0].endpoint) is None:
             return None
@@ -149,7 +145,7 @@
         chosen = self._selector.choose(combined, for_attempt=False)
         for request in requests:
             self._loads.add(request, current)
-        higher_ranked = self._selector.find_next_in_rank(combined.key_hash, chosen)
+        higher_ranked = self._selector.ranked_above(combined.key_hash, chosen)
         if chosen is current or any(endpoint.is_in_slow_start() for endpoint in higher_ranked):
             return None
         return chosen.id if chosen is not None and not chosen.is_in_slow_start() else None
@@ -186,7 +182,7 @@
 
         Each of the two processes must assume that the other has used them up.
         """
-        self._slow_start_state.forfeit_allowances(now_us)
+        self._allowances.forfeit_allowances(now_us)
 
     # ------------------------------------------------------------------ the backend list
 
@@ -217,7 +213,7 @@
         self._capacity.recount()
         for endpoint in self._table.endpoints.values():
             if endpoint.is_in_slow_start():
-                self._slow_start_state.resume(endpoint)
+                self._allowances.resume(endpoint)
         self._capacity.recount()
         self.forfeit_slow_start_allowance(self._context.now_us)
 
--- a/sailrun/decisions/bounded_load.py
+++ b/sailrun/decisions/bounded_load.py
@@ -32,7 +32,7 @@
         self._slow_start = slow_start
 
     def is_within_bound(self, endpoint: Endpoint, load: float) -> bool:
-        """Returns whether the backend stays within its bound with one more connection of this load."""
+        """Returns whether one more connection of this load exceeds the bound by at most half of that load."""
         loads = self._loads
         fair = loads.fair_load(endpoint)
         mean = loads.mean_load()
@@ -46,6 +46,6 @@
         estimate, all instances would fill the same few backends until the next update.
         """
         loads = self._loads
-        present = endpoint.capacity * self._slow_start.capacity_share(endpoint, self._context.now_us)
-        capacity_fraction = present / max(loads.open_capacity, MIN_CAPACITY)
+        present_capacity = endpoint.capacity * self._slow_start.capacity_share(endpoint, self._context.now_us)
+        capacity_fraction = present_capacity / max(loads.open_capacity, MIN_CAPACITY)
         return (loads.instances - 1) * max(0.0, loads.placed_since_update) * capacity_fraction
--- a/sailrun/decisions/capacity.py
+++ b/sailrun/decisions/capacity.py
@@ -39,7 +39,7 @@
         self._overload = overload
         self._bound = bound
         self._recount_due_us = context.now_us
-        self.open_at_full_capacity = 0  # open backends that are not in slow start
+        self.open_at_full_capacity = 0  # number of open backends that are not in slow start
 
     def recount_if_due(self) -> None:
         """Recomputes the capacity if the last result is out of date."""
--- a/sailrun/decisions/endpoints.py
+++ b/sailrun/decisions/endpoints.py
@@ -1,7 +1,7 @@
-"""The state that an instance keeps for each backend and each request. This module makes no decisions.
+"""The state that an instance keeps for each backend and each request. The module makes no decisions.
 
 The state of a backend is split by concern: the module that owns a concern writes its state, and all other
-modules only read it, except that `snapshot` restores it.
+modules only read it. The docstrings of the classes name the exceptions; `snapshot` restores all of it.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
         self.reported_by_peers_until_us = 0  # other instances report it as overloaded until then
         self.setup_excess_ms = 0.0  # how much longer set-ups take here than usual
         self.setup_excess_us = 0  # when that was observed
-        self.load_limit = math.inf
+        self.load_limit = math.inf  # infinite: not limited
         self.load_limit_us = -LIMIT_CUT_INTERVAL_US  # when it was cut
 
 
--- a/sailrun/decisions/load_accounting.py
+++ b/sailrun/decisions/load_accounting.py
@@ -31,7 +31,7 @@
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
-        self._groups: dict[int, float] = {}  # this instance's load by the hash of the placement key
+        self._group_loads: dict[int, float] = {}  # this instance's load by the hash of the placement key
         self.class_load: dict[str, tuple[float, int]] = {}  # by class: mean load and number of reports
         self.own_load = 0.0
         self.connections = 0
@@ -59,7 +59,7 @@
 
     def group_load(self, key_hash: int) -> float:
         """Returns this instance's load of a key."""
-        return self._groups.get(key_hash, 0.0)
+        return self._group_loads.get(key_hash, 0.0)
 
     def has_reported_loads(self) -> bool:
         """Returns whether any load was reported, so that loads no longer count connections."""
@@ -88,11 +88,11 @@
         self._change_group_load(request, -request.load)
 
     def _change_group_load(self, request: ClientRequest, change: float) -> None:
-        load = self._groups.get(request.key_hash, 0.0) + change
+        load = self._group_loads.get(request.key_hash, 0.0) + change
         if load < ROUNDING_SHARE * request.load:
-            self._groups.pop(request.key_hash, None)
+            self._group_loads.pop(request.key_hash, None)
         else:
-            self._groups[request.key_hash] = load
+            self._group_loads[request.key_hash] = load
 
     def set_expected_load(self, request: ClientRequest, hint: float | None) -> None:
         """Sets the expected load of a new connection: its hint, or else the mean load of its class."""
@@ -113,8 +113,8 @@
         if request.endpoint is not None:
             change = load - request.load
             request.endpoint.own_load += change
-            group_load = self._groups.get(request.key_hash, 0.0) + load - request.load
-            self._groups[request.key_hash] = max(0.0, group_load)
+            group_load = self._group_loads.get(request.key_hash, 0.0) + load - request.load
+            self._group_loads[request.key_hash] = max(0.0, group_load)
             self.own_load += change
         request.load = load
 
@@ -125,13 +125,17 @@
             endpoint.own_load *= load_per_connection
         for request in self._requests.values():
             request.load *= load_per_connection
-        self._groups = {key: load * load_per_connection for key, load in self._groups.items()}
+        self._group_loads = {key: load * load_per_connection for key, load in self._group_loads.items()}
         self.own_load *= load_per_connection
 
     # ------------------------------------------------------------------ the fleet
 
     def update_fleet_load(self, event: FleetLoad) -> None:
-        """Stores the load of the other instances, unless its unit differs from that of the loads here."""
+        """Stores the load of the other instances.
+
+        If they report loads and this instance counts connections, it converts its own loads first. An event
+        that counts connections is ignored if this instance has reported loads.
+        """
         if event.loads_reported and not self.class_load and event.connections:
             self.convert_to_reported_loads(sum(event.loads.values()) / event.connections)
         if event.connections and event.loads_reported is not bool(self.class_load):
--- a/sailrun/decisions/migration.py
+++ b/sailrun/decisions/migration.py
@@ -24,7 +24,7 @@
 MIN_SETUP_SAMPLES = 8
 # If no other backend has spare capacity, a slow set-up counts as a delay of this share of the objective at
 # most.
-MAX_SHARE_WITHOUT_ROOM = 0.9
+MAX_SHARE_WITHOUT_ALTERNATIVE = 0.9
 # The minimum share of this instance's load at a backend that each delay report moves.
 MIN_MOVED_SHARE = 0.2
 
@@ -54,11 +54,15 @@
         self._overload.record_delay(endpoint, delay_ms)
         if self._overload.is_overloaded(endpoint, BUSY):
             self._overload.cut_limit(endpoint)
-        has_room = self._loads.instances > 1 and self._has_room_elsewhere(endpoint)
-        self._move_excess(endpoint, has_room=has_room)
+        has_alternative = self._loads.instances > 1 and self._has_alternative(endpoint)
+        self._move_excess(endpoint, has_alternative=has_alternative)
 
     def record_setup(self, endpoint: Endpoint, latency_us: int) -> None:
-        """Records how long a set-up took there; moves connections if the backend is overloaded."""
+        """Records how long a set-up took there; moves connections if the backend is overloaded.
+
+        The set-up is not evidence of overload within a second of a delay report, or if the excess is no more
+        than half of the objective.
+        """
         excess_ms = self._average_excess_ms(endpoint, latency_us)
         now_us = self._context.now_us
         state = endpoint.overload
@@ -68,13 +72,13 @@
         objective_ms = self._overload.objective_ms
         if excess_ms <= objective_ms / 2:
             return
-        has_room = self._has_room_elsewhere(endpoint)
-        bounded_ms = min(excess_ms, MAX_SHARE_WITHOUT_ROOM * objective_ms)
-        self._overload.record_delay(endpoint, excess_ms if has_room else bounded_ms)
+        has_alternative = self._has_alternative(endpoint)
+        bounded_ms = min(excess_ms, MAX_SHARE_WITHOUT_ALTERNATIVE * objective_ms)
+        self._overload.record_delay(endpoint, excess_ms if has_alternative else bounded_ms)
         # With no spare capacity elsewhere, a limit set for a short burst would make all new requests wait.
-        if has_room and self._overload.is_overloaded(endpoint, OVERLOADED):
+        if has_alternative and self._overload.is_overloaded(endpoint, OVERLOADED):
             self._overload.cut_limit(endpoint)
-            self._move_excess(endpoint, has_room=True)
+            self._move_excess(endpoint, has_alternative=True)
 
     def _average_excess_ms(self, endpoint: Endpoint, latency_us: int) -> float:
         """Returns by how much set-ups there take longer than usual, as a moving average."""
@@ -89,32 +93,33 @@
         state.setup_excess_us = now_us
         return state.setup_excess_ms
 
-    def _has_room_elsewhere(self, endpoint: Endpoint) -> bool:
+    def _has_alternative(self, endpoint: Endpoint) -> bool:
         others = (e for e in self._table.ready if e is not endpoint and self._outliers.is_available(e))
         return any(
             not self._overload.is_overloaded(other, BUSY) and self._bound.is_within_bound(other, 0.0)
             for other in others
         )
 
-    def _move_excess(self, endpoint: Endpoint, *, has_room: bool) -> None:
+    def _move_excess(self, endpoint: Endpoint, *, has_alternative: bool) -> None:
         """Moves connections off a backend whose messages miss the latency objective.
 
-        Each instance moves the same share of its own load there, or the excess over the fair load if that is
-        more and other backends have spare capacity. Connections that now score higher on another backend are
-        moved first, then the others; within each, the heaviest first. In a full fleet the clients are
-        rejected until there is spare capacity.
+        Each instance moves the share `MIN_MOVED_SHARE` of its own load there. If other backends have spare
+        capacity, it moves more where necessary: the share of the known load that exceeds the fair load, or
+        half of this share among several instances. In that case connections that now score higher on another
+        backend are moved before the others; of both kinds the heaviest are moved first. In a full fleet the
+        clients are rejected until there is spare capacity.
         """
         if not self._overload.is_overloaded(endpoint, OVERLOADED):
             return
         load = max(endpoint.known_load(), MIN_MEAN_LOAD)
         instances = 2 if self._loads.instances > 1 else 1
         over_share = (1.0 - self._loads.fair_load(endpoint) / load) / instances
-        excess = endpoint.own_load * max(MIN_MOVED_SHARE, over_share if has_room else 0.0)
+        excess = endpoint.own_load * max(MIN_MOVED_SHARE, over_share if has_alternative else 0.0)
         hashes = [e.hash for e in self._table.ready if not self._outliers.is_ejected(e)]
 
         def move_order(request: ClientRequest) -> tuple[bool, float]:
             own_score = (endpoint.hash * request.key_hash) & MASK
-            belongs_here = has_room and own_score >= max((h * request.key_hash) & MASK for h in hashes)
+            belongs_here = has_alternative and own_score >= max((h * request.key_hash) & MASK for h in hashes)
             return belongs_here, -request.load
 
         for request in sorted(endpoint.connections.values(), key=move_order):
--- a/sailrun/decisions/outlier_detection.py
+++ b/sailrun/decisions/outlier_detection.py
@@ -27,6 +27,7 @@
 MAX_EJECTED_SHARE = 0.7
 # This many consecutive errors are attributed to the backend if no more than half of the backends have errors.
 MAX_CONSECUTIVE_ERRORS = 3
+# This many consecutive time-outs eject a backend.
 MAX_CONSECUTIVE_TIMEOUTS = 2
 # Time-outs are attributed to the backend only while the share of successful set-ups is above this.
 MIN_SUCCESS_SHARE = 0.5
@@ -144,7 +145,8 @@
             self._eject(endpoint, EjectionReason.RESET)
             endpoint.overload.load_limit = math.inf  # the load that overloaded it has gone with it
             endpoint.overload.delay_ms = 0.0
-        elif is_burst or self._overload.is_overloaded(endpoint, 0.0):  # a single reset is not evidence
+        elif is_burst or self._overload.is_overloaded(endpoint, 0.0):
+            # A single reset counts only if a delay or an overload was reported recently.
             self._overload.record_overload(endpoint)
 
     def _eject(self, endpoint: Endpoint, reason: EjectionReason) -> None:
--- a/sailrun/decisions/overload.py
+++ b/sailrun/decisions/overload.py
@@ -20,7 +20,8 @@
 # Delays are compared with the objective times this factor, to tolerate rounding.
 ROUNDING_TOLERANCE = 0.999
 MIN_OBJECTIVE_MS = 1.0
-# The share of the load that a cut leaves as the limit, and the growth of the limit per second.
+# The share of the load that a cut leaves as the limit, and the growth of the limit per second, as a
+# share of the limit.
 LIMIT_CUT_SHARE = 0.85
 LIMIT_GROWTH_PER_S = 0.1
 # The fair load divided by these is the lowest load that a cut starts from, and the lowest limit.
@@ -50,7 +51,10 @@
         return now_us < state.reported_by_peers_until_us and share < OVERLOADED
 
     def is_below_limit(self, endpoint: Endpoint, load: float) -> bool:
-        """Returns whether the backend stays within its load limit with one more connection of this load."""
+        """Returns whether the backend stays within its load limit, as grown by now.
+
+        One more connection of this load may exceed the limit by half of its load.
+        """
         state = endpoint.overload
         grown = 1.0 + LIMIT_GROWTH_PER_S * (self._context.now_us - state.load_limit_us) / SECOND_US
         limit = max(state.load_limit * grown, self._loads.fair_load(endpoint) / MIN_LIMIT_DIVISOR)
--- a/sailrun/decisions/retry.py
+++ b/sailrun/decisions/retry.py
@@ -19,7 +19,10 @@
 
 
 def begin_by_us(request: ClientRequest, settings: Settings) -> float:
-    """Returns the latest time at which the effect of a repeat allows another attempt to begin."""
+    """Returns the latest time at which the effect of a repeat allows another attempt to begin.
+
+    Infinity means at any time, and minus infinity never.
+    """
     request_class = request.request_class
     if request.first_ran_at is None or request_class.effect is Effect.IDEMPOTENT:
         return math.inf
--- a/sailrun/decisions/selection.py
+++ b/sailrun/decisions/selection.py
@@ -24,7 +24,7 @@
 from sailrun.decisions.setup_rate import SetupRateLimiter
 from sailrun.decisions.slow_start_admission import SlowStartAdmission
 
-# The number of backends that are considered for a request, in descending order of score.
+# The maximum number of backends that are considered for a request, in descending order of score.
 MAX_CANDIDATES = 24
 # A heavy group is spread so that each of its backends gets about this multiple of a fair load.
 GROUP_SPREAD = 0.7
@@ -56,10 +56,11 @@
         self._setup_rate = setup_rate
 
     def choose(self, request: ClientRequest, *, for_attempt: bool = True) -> Endpoint | None:
-        """Returns the highest-scoring backend that admits the request, or None if none does now.
+        """Returns the highest-scoring backend that admits the request.
 
-        Without one, the highest-scoring backend that is only busy or over its bound is returned. With
-        `for_attempt` False no attempt follows, and no backend in slow start admits the request.
+        If there is none, it returns the highest-scoring backend that is only busy or over its bound, or else
+        None. Without any capacity in service it returns the highest-scoring ejected backend. If `for_attempt`
+        is False, no attempt follows, and no backend in slow start admits the request.
         """
         self._capacity.recount_if_due()
         if for_attempt:
@@ -82,16 +83,16 @@
             elif not is_overloaded(endpoint, OVERLOADED) and self._overload.is_below_limit(
                 endpoint, request.load
             ):
-                has_room = not is_overloaded(endpoint, BUSY) and self._bound.is_within_bound(
+                is_open = not is_overloaded(endpoint, BUSY) and self._bound.is_within_bound(
                     endpoint, request.load
                 )
-                if has_room and admits(endpoint, request, for_attempt=for_attempt):
+                if is_open and admits(endpoint, request, for_attempt=for_attempt):
                     return endpoint
                 if over_bound is None and endpoint.slow_start.began_us < 0:
                     over_bound = endpoint
         if over_bound is not None:
             return over_bound
-        # Without any serving capacity, the highest-scoring ejected backend is tried.
+        # Without any capacity in service, the highest-scoring ejected backend is tried.
         return ejected if self._loads.capacity <= 0 else None
 
     def _candidates(self, request: ClientRequest) -> Iterator[Endpoint]:
@@ -113,7 +114,7 @@
         yield from ranked
 
     def _find_mid_flow_backend(self, request: ClientRequest) -> Endpoint | None:
-        """Returns the backend that has a mid-flow connection.
+        """Returns the backend to which the open connection of a mid-flow request belongs.
 
         It is the one with the highest score among ready backends and those still within their drain grace.
         """
@@ -126,7 +127,7 @@
                 possible_backends.append(endpoint)
         return max(possible_backends, key=lambda e: ((e.hash * request.key_hash) & MASK, -e.id), default=None)
 
-    def find_next_in_rank(self, key_hash: int, chosen: Endpoint | None) -> Iterator[Endpoint]:
+    def ranked_above(self, key_hash: int, chosen: Endpoint | None) -> Iterator[Endpoint]:
         """Yields the backends that score higher for a key than the chosen one; all if it is None."""
         for endpoint in self._table.ranking.highest_first(key_hash):
             if endpoint is chosen:
--- a/sailrun/decisions/settings.py
+++ b/sailrun/decisions/settings.py
@@ -52,7 +52,7 @@
     """A tenant of the service with its quota."""
 
     name: str
-    share: float = 1.0  # of the service
+    share: float = 1.0  # of the service, 0 to 1
     quota_per_s: float = 0.0  # requests per second within its share, over all instances; 0: no quota
     quota_connections: float = 0.0  # open connections within its share, over all instances; 0: no quota
 
@@ -63,21 +63,21 @@
 
     zone: str
     classes: tuple[RequestClass, ...]
-    drain_grace_us: int  # no request is sent to a draining or gone backend after this time
+    drain_grace_us: int  # no request is sent to a backend later than this after it drains or is gone
     initial_capacity_share: float  # the minimum share of its capacity that a backend has at its start
     slow_start_us: int  # a backend has its full capacity after this time at the latest
-    overload_multiple: float  # a backend in slow start is overloaded by more than this multiple
-    overload_window_us: int  # of its present capacity, counted over this time
+    overload_multiple: float  # this multiple of its present capacity, in requests, overloads a backend
+    overload_window_us: int  # the time over which these requests are counted; slow start only
     answer_slack_us: int = 0  # a final answer still counts until this long after the deadline
     instances: int = 1  # number of instances of this tier
     index: int = 0  # of this instance within the tier
     tenants: tuple[Tenant, ...] = ()
-    over_quota_priority_weight: float = 1.0  # of traffic that exceeds a tenant's share
+    over_quota_priority_weight: float = 1.0  # weight of traffic that exceeds a tenant's share
     discovery: DiscoveryMode = DiscoveryMode.PUSH
     poll_interval_us: int = 0  # mode ASK: an unsubscribed instance must call at least once per this interval
     max_attempts: int = 3
     connect_timeout_us: int = 250_000
-    retry_after: bool = True  # rejected clients are told how long to wait before a retry
+    retry_after: bool = True  # rejections state how long the client must wait before a retry
     max_retry_after_us: int = 0  # the longest such time that clients respect
     parallel_attempts: bool = False
     cancel: bool = False
@@ -87,4 +87,4 @@
     pass_through: bool = False  # connections continue when the client switches to another instance
     park_us: int = 0  # how long a backend keeps an idle pass-through connection
     capacity_hints: bool = False  # `Backend.capacity` states relative capacities
-    tick_us: int = 1_000  # events are handled at most this often
+    tick_us: int = 1_000  # the minimum interval at which events are handled
--- a/sailrun/decisions/setup_rate.py
+++ b/sailrun/decisions/setup_rate.py
@@ -1,7 +1,8 @@
 """Congestion control of set-ups: limits their rate, and tracks their latency and success rate.
 
-The limit applies after backends answer set-ups with errors, for instance because a store that they share is
-overloaded. Attempts are then limited to a rate that is cut by a factor on errors and grows back with time.
+The limit applies after set-ups fail with errors, time-outs or rejections, for instance because a store that
+all backends share is overloaded. Attempts are then limited to a rate that each cut multiplies by `CUT_SHARE`
+and that grows back with time.
 The limit is lifted once it is far above the usual rate.
 """
 
@@ -26,7 +27,7 @@
 UNLIMITED_MULTIPLE = 20.0
 # The token bucket holds the limit (per second) divided by this, and at least one token.
 SAVED_TOKENS_DIVISOR = 10
-# Set-ups are slow if their mean latency exceeds SLOW_SETUP_SHARE of the latency objective. Errors indicate
+# Set-ups are slow if their mean latency exceeds SLOW_SETUP_SHARE of the latency objective. Failures indicate
 # congestion if the share of successful set-ups is below CONGESTED_SUCCESS_SHARE while set-ups are slow, or
 # below CONGESTED_SUCCESS_SHARE_IF_FAST otherwise.
 SLOW_SETUP_SHARE = 0.25
@@ -42,7 +43,7 @@
 
 
 class SetupRateLimiter:
-    """A token bucket whose rate is cut on errors and grows with time; a rate of 0 means no limit."""
+    """A token bucket whose rate is cut on failures and grows with time; a rate of 0 means no limit."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -93,7 +94,7 @@
         self.success_share += LATEST_WEIGHT * (1.0 - self.success_share)
 
     def record_failure(self, request: ClientRequest) -> None:
-        """Records that a backend answered an attempt with an error or did not answer at all."""
+        """Records that a backend answered an attempt with an error or a rejection, or did not answer."""
         self.success_share *= 1.0 - LATEST_WEIGHT
         is_slow = self._mean_setup_us > SLOW_SETUP_SHARE * request.request_class.objective_us
         expected = CONGESTED_SUCCESS_SHARE if is_slow else CONGESTED_SUCCESS_SHARE_IF_FAST
--- a/sailrun/decisions/slow_start.py
+++ b/sailrun/decisions/slow_start.py
@@ -9,11 +9,12 @@
 - If the allowance of one instance is a request or more, the instance counts the requests that it sends and
   stops at the allowance.
 - Otherwise the mean for all instances is set 2.5 standard deviations below the limit and divided by the
-  number of instances, of which the configured one is the minimum. The allowance of one instance is then less
-  than a request and is spent as probabilities. Each request that the instance places deducts the probability
-  that it would have gone to this backend, whether it goes there or not, and is admitted only with the
-  probability that the allowance covers. At low request rates most such requests are admitted; in a burst at
-  all instances at once the sum of the probabilities stays near the mean for all instances.
+  number of instances: the configured number, or the known one if that is higher. The allowance of one
+  instance is then less than a request and is spent as probabilities. Each request that the instance places
+  deducts the probability that it would have gone to this backend, whether it goes there or not, and is
+  admitted only with the probability that the allowance covers. At low request rates most such requests are
+  admitted; in a burst at all instances at once the sum of the probabilities stays near the mean for all
+  instances.
 - The unused allowance of an idle time is limited to that of one window.
 - Whatever the probabilities are, an instance with an allowance below one request sends at most one request
   per window.
@@ -142,14 +143,14 @@
         capacity; `known_instances` is the number of instances known to run, including this one.
         """
         self._instances = max(self._settings.instances, known_instances)
-        in_window = connections * self._window_us / self._settings.slow_start_us
+        requests_per_window = connections * self._window_us / self._settings.slow_start_us
         share = self.capacity_share(endpoint, now_us)
-        limit = max_tolerated_requests(self._settings.overload_multiple * share * in_window)
+        limit = max_tolerated_requests(self._settings.overload_multiple * share * requests_per_window)
         mean = safe_mean_requests(limit)
         state = endpoint.slow_start
         state.allowance = mean / self._instances
-        # A backend whose start is only assumed most likely did not restart, so withholding requests would
-        # cost more.
+        # A backend whose start is only assumed most likely did not restart, so withholding requests from
+        # it would cost more than it gains.
         allowed_sends = mean if state.is_assumed else COUNTED_SHARE * limit / self._instances
         state.max_sends = max(1, int(allowed_sends))
         state.is_counted = allowed_sends >= 1
--- a/sailrun/decisions/slow_start_admission.py
+++ b/sailrun/decisions/slow_start_admission.py
@@ -13,7 +13,7 @@
 from sailrun.decisions.start_times import StartTimes
 
 # The computed capacity share is a lower bound. With at least MANY_INSTANCES instances, each of which sends
-# little, the load of a backend may be higher by this factor.
+# little, and with recent gossip, the load of a backend may be higher by the factor MANY_INSTANCES_MULTIPLE.
 MANY_INSTANCES = 16
 MANY_INSTANCES_MULTIPLE = 1.6
 
@@ -48,7 +48,7 @@
             self._context.emit(SlowStartChanged(endpoint.id, reason, now_us - since_us))
             self._capacity.request_recount()  # computes the allowance before any request is sent there
 
-    def restart(self, endpoint: Endpoint) -> None:
+    def record_restart(self, endpoint: Endpoint) -> None:
         """Resets the observations of a backend whose process was replaced by another one."""
         self._slow_start.end(endpoint)
         endpoint.reset_observations()
@@ -66,16 +66,16 @@
     def admits(self, endpoint: Endpoint, request: ClientRequest, *, for_attempt: bool) -> bool:
         """Returns whether the slow start rules let the backend admit the request.
 
-        The load of a backend in slow start must not exceed the fair load times its capacity share, and the
-        requests sent there must stay within the allowance of `SlowStart`. Without `for_attempt`, a backend in
-        slow start admits nothing.
+        The load of a backend in slow start must not exceed the fair load times its capacity share (higher by
+        `MANY_INSTANCES_MULTIPLE` among many instances), and the requests sent there must stay within the
+        allowance of `SlowStart`. Without `for_attempt`, a backend in slow start admits nothing.
         """
         if endpoint.slow_start.began_us < 0:
             return True
         if not for_attempt:
             return False
         now_us = self._context.now_us
-        share = self._multiple() * self._slow_start.capacity_share(endpoint, now_us)
+        share = self._load_multiple() * self._slow_start.capacity_share(endpoint, now_us)
         if endpoint.known_load() > share * self._loads.fair_load(endpoint):
             return False
         weight = request.load / max(self._loads.mean_load(), MIN_MEAN_LOAD)
@@ -87,25 +87,25 @@
             return None
         return self._slow_start.record_attempt(endpoint, self._context.now_us)
 
-    def next_admission_us(self, endpoint: Endpoint, other_gates_admission_us: float) -> float:
+    def next_admission_us(self, endpoint: Endpoint, other_rules_admission_us: float) -> float:
         """Estimates when a backend in slow start will admit a waiting request.
 
-        `other_gates_admission_us` is the time at which all other rules admit it. The result is no later than
+        `other_rules_admission_us` is the time at which all other rules admit it. The result is no later than
         the end of the slow start.
         """
         settings = self._context.settings
         now_us = self._context.now_us
         known_load = endpoint.known_load()
         fair = self._loads.fair_load(endpoint)
-        share = self._multiple() * self._slow_start.capacity_share(endpoint, now_us)
+        share = self._load_multiple() * self._slow_start.capacity_share(endpoint, now_us)
         missing = math.inf
         if fair > 0:
             missing = (known_load / fair - share) / (1 - settings.initial_capacity_share)
         wait_us = max(0.0, missing) * settings.slow_start_us if known_load > 0 else 0.0
         next_us = self._slow_start.next_admission_us(endpoint, now_us)
         ends_us = max(now_us, endpoint.slow_start.began_us + settings.slow_start_us)
-        return min(max(other_gates_admission_us, now_us + wait_us, next_us), ends_us)
+        return min(max(other_rules_admission_us, now_us + wait_us, next_us), ends_us)
 
-    def _multiple(self) -> float:
+    def _load_multiple(self) -> float:
         is_among_many = self._loads.instances >= MANY_INSTANCES and self._loads.is_fleet_load_fresh()
         return MANY_INSTANCES_MULTIPLE if is_among_many else 1.0
--- a/sailrun/decisions/start_times.py
+++ b/sailrun/decisions/start_times.py
@@ -12,11 +12,11 @@
 
 from sailrun.decisions.events import Backend
 
-# Maximum age of a start that has just been listed for the first time.
+# The maximum age that is assumed for a start that has just been listed for the first time.
 NEW_START_US = 2_000_000
 # A stated age above this, when a start is first listed, is attributed to a wrong clock.
 IMPLAUSIBLE_AGE_US = 30_000_000
-# An age below this cannot result from a clock that is wrong by an hour, but from one that is wrong by
+# An age below this cannot result from a clock that is wrong by an hour, but it can from one that is wrong by
 # seconds.
 TRUSTED_AGE_US = 1_800_000_000
 CLOCK_UNCERTAINTY_US = 3_000_000
@@ -33,9 +33,9 @@
         self._newest_us = 0  # newest listed start; 0: none, or most backends started around then
         self.is_synchronized = False  # whether a list other than the cached one has arrived
 
-    def observe_list(self, known: dict[int, int], entries: Iterable[Backend]) -> None:
-        """Records the start times of a list. `known` has the previously stated ones by backend."""
-        starts = known | {entry.id: entry.started_us for entry in entries}
+    def observe_list(self, previous_starts: dict[int, int], entries: Iterable[Backend]) -> None:
+        """Records the start times of a list. `previous_starts` are those stated before, by backend."""
+        starts = previous_starts | {entry.id: entry.started_us for entry in entries}
         newest_us = max(starts.values(), default=0)
         recent_starts = sum(newest_us - started_us < self._slow_start_us for started_us in starts.values())
         self._newest_us = newest_us if 2 * recent_starts <= len(starts) else 0
@@ -48,6 +48,6 @@
         # It was listed before this instance ran, so its age is known only by comparing the two clocks.
         if age_us < TRUSTED_AGE_US:
             return max(0, age_us - CLOCK_UNCERTAINTY_US)
-        # The start is long ago or a clock is wrong by an hour. The difference from the newest start does not
-        # depend on this instance's clock, so it limits the age.
+        # The start is long ago or a clock is wrong by an hour. The time from this start to the newest one
+        # does not depend on this instance's clock, and the backend is at least that old.
         return min(age_us, self._newest_us - started_us) if self._newest_us else age_us
--- a/sailrun/wire.py
+++ b/sailrun/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's line protocol: converts lines to events and actions to lines. Makes no decisions."""
+"""Converts lines of the simulator's protocol to events, and actions to lines; it makes no decisions."""
 
 from __future__ import annotations
 
--- a/sailrun/wire_fields.py
+++ b/sailrun/wire_fields.py
@@ -46,7 +46,7 @@
     if value is None:
         if default is not None:
             return default
-        raise WireError(message, name, "a whole number, not nothing")
+        raise WireError(message, name, "a whole number, but the field is missing")
     try:
         return int(value)
     except ValueError:
@@ -59,7 +59,7 @@
     if value is None:
         if default is not None:
             return default
-        raise WireError(message, name, "a number, not nothing")
+        raise WireError(message, name, "a number, but the field is missing")
     try:
         result = float(value)
     except ValueError:
--- a/tests/support.py
+++ b/tests/support.py
@@ -94,7 +94,11 @@
 
 
 class InstanceHarness:
-    """Feeds events to one instance, carries out its actions and asserts the rules for one instance."""
+    """Feeds events to one instance, carries out its actions and asserts the rules for one instance.
+
+    Each request gets one final answer in time, a rejection only if a retry is harmless, a repeat only as its
+    effect allows, and no attempt at a draining or gone backend, except mid-flow within the drain grace.
+    """
 
     def __init__(self, configured: Settings | None = None, seed: int = 1) -> None:
         self.settings = configured or settings()
@@ -261,12 +265,12 @@
 
 
 def run_ten_seconds(
-    harness: InstanceHarness, silent: int, before: Callable[[int], None] = lambda n: None
+    harness: InstanceHarness, unresponsive: int, before: Callable[[int], None] = lambda n: None
 ) -> int:
-    """Sends 60 requests per second for 10 s; attempts at `silent` time out, all others succeed within 20 ms.
+    """Sends 60 requests per second for 10 s.
 
-    `before` is called before each interval of 0.2 s. Returns how many requests were established within their
-    interval.
+    Attempts at the backend `unresponsive` time out, all others succeed within 20 ms. `before` is called
+    before each interval of 0.2 s. Returns how many requests were established within their interval.
     """
     established_count = 0
     for n in range(50):
@@ -274,7 +278,7 @@
         names = [harness.send_request(key=f"k{n % 7}-{m}", left_us=1_200_000) for m in range(12)]
         harness.advance(20_000)
         for name in names:
-            if name in harness.attempts and harness.attempts[name].backend != silent:
+            if name in harness.attempts and harness.attempts[name].backend != unresponsive:
                 harness.establish(name)
         harness.advance(180_000)
         established_count += sum(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Effects that are harmless with one node and harmful with forty, in virtual time and with several seeds."""
+"""Checks for effects that are harmless with one node and harmful with forty, in virtual time."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
     instances = [Balancer(instance_settings, seed * 1_000 + n, 0) for n in range(nodes)]
     events: list[tuple[int, int, int, Event]] = []
     order = count()
-    known = BackendListUpdate(ListKind.CACHED, 1, (backend(1),))
+    cached_list = BackendListUpdate(ListKind.CACHED, 1, (backend(1),))
     for n in range(nodes):
-        heapq.heappush(events, (n * 300_000 // nodes, next(order), n, known))
+        heapq.heappush(events, (n * 300_000 // nodes, next(order), n, cached_list))
     subscribed_us: dict[int, int] = {}
     calls: Counter[int] = Counter()
     registry_free_us = 0
@@ -82,7 +82,7 @@
 def fill_starting_backend(nodes: int, seed: int) -> tuple[list[int], float]:
     """Starts an eleventh backend when ten have about 20 connections each from all nodes.
 
-    All the time connections end and new ones are requested. Every 2 s each node gets the total load of the
+    Connections end and new ones are requested throughout. Every 2 s each node gets the total load of the
     other nodes. Returns the times of the requests sent to the new backend, from its start on, and the number
     of connections that it has at the end.
     """
@@ -121,10 +121,10 @@
                 other_connections = sum(h.connections for h in other_loads)
                 until = now + 7 * SECOND
                 instance.handle(now, FleetLoad(loads, other_connections, False, nodes, frozenset(), until))
-        n, name, server = connections.pop(random.randrange(len(connections)))
-        instances[n].handle(now, AttemptEnded(name, 0, server, AttemptOutcome.OK, True))
+        n, name, backend_id = connections.pop(random.randrange(len(connections)))
+        instances[n].handle(now, AttemptEnded(name, 0, backend_id, AttemptOutcome.OK, True))
         place_request(now, random.randrange(nodes))
-    return [at - began_us for at in sends_us], sum(server == 10 for _, _, server in connections)
+    return [at - began_us for at in sends_us], sum(backend_id == 10 for _, _, backend_id in connections)
 
 
 @pytest.mark.parametrize("nodes", [4, 40])
@@ -144,8 +144,8 @@
             share = 0.13 + 0.87 * start / (24 * SECOND)
             window = sum(start <= at < start + 3 * SECOND for at in sends_us)
             # Its capacity is at least the fair load, which fills it over the slow start at the earliest.
-            calls = 3 * share * fair * 3 / 24
-            assert window <= calls + 3 * math.sqrt(calls) + 3
+            expected = 3 * share * fair * 3 / 24
+            assert window <= expected + 3 * math.sqrt(expected) + 3
         assert final_load <= 1.3 * fair
     # How many of these connections remain at the end is random in one run, but at least half on average.
     assert sum(final_loads) / len(final_loads) >= 0.5 * fair
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: hash and score values, ties, agreement of instances, minimal remapping."""
+"""Checks rendezvous hashing: hash and score values, ties, agreement of instances, minimal remapping."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_known_hash_values() -> None:
-    # reference values of MurmurHash3_x86_32
+    # The first two are reference values of MurmurHash3_x86_32.
     assert mmh3.hash("", 1, signed=False) == 0x514E28B7
     assert mmh3.hash("test", 0, signed=False) == 0xBA6BD213
     assert (BACKEND_SEED, KEY_SEED) == (165233, 845219)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -1,4 +1,4 @@
-"""All nodes together keep the limit of a backend in slow start without communicating."""
+"""All instances together keep the limit of a backend in slow start, with and without gossip."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
         b: float(sum(backends.count(b) for backends in own_backends)) for b in (*STABLE_IDS, STARTING_ID)
     }
     for harness, backends in zip(tier, own_backends, strict=True):
-        others = {b: load - backends.count(b) for b, load in loads.items()}
-        until = harness.now + 16 * SECOND
-        connections = int(sum(others.values()))
-        harness.feed(FleetLoad(others, connections, False, len(tier), frozenset(), until))
+        other_loads = {b: load - backends.count(b) for b, load in loads.items()}
+        fresh_until_us = harness.now + 16 * SECOND
+        connections = int(sum(other_loads.values()))
+        harness.feed(FleetLoad(other_loads, connections, False, len(tier), frozenset(), fresh_until_us))
 
 
 @pytest.mark.parametrize("per_backend", [10, 20])
@@ -55,11 +55,11 @@
     sent_us: list[int] = []
     for step in range(STEPS):
         if tier[0].now >= starts[0]:
-            entry = delta(backend(STARTING_ID, 1, starts.pop(0)))
+            update = delta(backend(STARTING_ID, 1, starts.pop(0)))
             for harness in tier:
                 for name in [n for n, a in harness.attempts.items() if a.backend == STARTING_ID]:
                     harness.end(name, AttemptOutcome.RESET)
-                harness.feed(entry)
+                harness.feed(update)
         if not starts:
             starts = [10**15]
         if step == 4:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -129,8 +129,8 @@
     n = 0
     while sum(len(r.attempts) for r in tier) < per_backend * len(stable_ids):
         harness = tier[n % instance_count]
-        for _ in range(weight[n % instance_count]):
-            harness.establish(harness.send_request(key=f"old{n}-{_}"))
+        for k in range(weight[n % instance_count]):
+            harness.establish(harness.send_request(key=f"old{n}-{k}"))
         n += 1
     for index, harness in enumerate(tier):
         harness.now = started + 200_000
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,6 +1,6 @@
-"""Slow start: the limit over all nodes, and every way in which a node could exceed it.
+"""Checks the limit of slow start over all nodes, and every way in which a node could exceed it.
 
-The tests use the decision module only.
+The tests use the decision module only, where a node is an instance and a form server a backend.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 
 def count_sends_to_starting(harness: InstanceHarness, request_count: int = 200) -> int:
     """Returns how many of `request_count` simultaneous requests are sent to the backend in slow start."""
-    own = f"{harness.settings.index}-{harness.now}"
-    names = [harness.send_request(key=f"new{own}-{n}") for n in range(request_count)]
+    prefix = f"{harness.settings.index}-{harness.now}"
+    names = [harness.send_request(key=f"new{prefix}-{n}") for n in range(request_count)]
     return sum(name in harness.attempts and harness.sent_to(name) == STARTING_ID for name in names)
 
 
@@ -114,17 +114,17 @@
         for n, (_, _, group) in enumerate(lost[step::10]):
             harness = random.choice(tier)
             name = f"again{step}-{n}-{harness.now}"
-            before = harness.balancer.handle(
+            actions = harness.balancer.handle(
                 harness.now, RequestArrived(name, "stream", SECOND, name, group, returning=True)
             )
-            for action in before:
+            for action in actions:
                 if isinstance(action, StartAttempt) and action.backend in sent:
                     sent[action.backend] += 1
     assert max(sent.values()) <= max_tolerated(tier[0], 20, 0.2 + 0.8 * 3.5 / 10)
 
 
 @pytest.mark.parametrize("nodes", [1, 5, 40])
-def test_a_restart_of_a_node_or_a_form_server_gives_no_second_allowance(nodes: int) -> None:
+def test_a_restart_of_a_node_or_a_backend_gives_no_second_allowance(nodes: int) -> None:
     """The backend restarts shortly after its first start, and then every node restarts."""
     sent = 0
     for n in range(nodes):
@@ -174,12 +174,12 @@
     assert sent <= max_tolerated(tier[0], 25)
 
 
-@pytest.mark.parametrize("off_us", [-HOUR_US, -5 * SECOND, 5 * SECOND, HOUR_US])
-def test_a_wrong_clock_neither_ends_nor_prolongs_a_slow_start(off_us: int) -> None:
-    """The listed start time differs from this node's clock by seconds or an hour, in either direction."""
+@pytest.mark.parametrize("offset_us", [-HOUR_US, -5 * SECOND, 5 * SECOND, HOUR_US])
+def test_a_wrong_clock_neither_ends_nor_prolongs_a_slow_start(offset_us: int) -> None:
+    """The listed start time is wrong by seconds or an hour by this node's clock, in either direction."""
     harness = harness_among(connections=160)
     harness.feed(full(*STABLE_IDS))
-    harness.feed(delta(backend(STARTING_ID, 1, BEGIN_US + off_us)))
+    harness.feed(delta(backend(STARTING_ID, 1, BEGIN_US + offset_us)))
     assert count_sends_to_starting(harness) <= max_tolerated(harness, 20, 0.2 + 0.8 * 2 / 10)
     for name in list(harness.attempts):
         if not harness.attempts[name].is_established:
@@ -188,14 +188,16 @@
     assert count_sends_to_starting(harness) > max_tolerated(harness, 20, 0.2 + 0.8 * 2 / 10)
 
 
-@pytest.mark.parametrize("off_us", [-HOUR_US, HOUR_US])
-def test_a_wrong_clock_at_node_start_does_not_skip_the_slow_start_of_the_newest_backend(off_us: int) -> None:
+@pytest.mark.parametrize("offset_us", [-HOUR_US, HOUR_US])
+def test_a_wrong_clock_at_node_start_does_not_skip_the_slow_start_of_the_newest_backend(
+    offset_us: int,
+) -> None:
     """A node starts when one of the backends has just started; its clock is wrong by an hour."""
     harness = InstanceHarness(settings(), 1)
     harness.now = BEGIN_US + HOUR_US
     known = [backend(n, 1, BEGIN_US - HOUR_US) for n in STABLE_IDS]
     harness.feed(
-        replace(full(*known, backend(STARTING_ID, 1, BEGIN_US + HOUR_US + off_us)), kind=ListKind.CACHED)
+        replace(full(*known, backend(STARTING_ID, 1, BEGIN_US + HOUR_US + offset_us)), kind=ListKind.CACHED)
     )
     assert count_sends_to_starting(harness, 100) <= max_tolerated(harness, 20)
 
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -4,8 +4,9 @@
 own allowance. The allowance was computed as a share of the sessions that the form server may have in the end,
 not from the requests that it tolerates within the window of the rule. It also accumulated during idle times,
 and all nodes could spend theirs at the same moment. When the clients of a lost form server returned at once
-after an idle time, every node spent what it had accumulated. Six nodes with 32 sessions each overloaded in
-this way, within 69 ms, a form server that was 2.6 s old and tolerates 5.3 requests per second:
+after an idle time, every node spent what it had accumulated. In this way six nodes with 32 sessions each
+overloaded a form server within 69 ms, which was 2.6 s old and tolerates 5.3 requests per second. The log
+field `allowance` is named `part` now:
 
     1796261394.208 slow-start-send id=0000000000001389... share=0.168 sent=1 allowance=1.754
     1796261394.209 slow-start-send id=0000000000003a98... share=0.168 sent=1 allowance=1.702
@@ -15,7 +16,7 @@
     1796261394.260 slow-start-send id=000000000000afcb... share=0.168 sent=1 allowance=1.902
     1796261394.261 slow-start-send id=000000000000d6dd... share=0.168 sent=1 allowance=1.947
 
-A single node sent six, with an allowance of 8.7. Each line is within the allowance of its node.
+A node without others sent six, with an allowance of 8.7. Each line is within the allowance of its node.
 """
 
 from __future__ import annotations
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's protocol: parsing and encoding of lines, malformed and unknown lines, the real command."""
+"""Checks the simulator's protocol: valid, malformed and unknown lines, and the command that reads them."""
 
 from __future__ import annotations
 
@@ -222,7 +222,7 @@
         batch_lines(5, start_lines(0).replace("obligations.fallUs=1000000\t", "")),
         "born",
         "obligations.fallUs",
-        "not nothing",
+        "the field is missing",
     ),
     ("clock\tsimTimeUs=5\n", "clock", "end", "end"),
 ]
@@ -301,7 +301,7 @@
         )
         replies.append(completed.stdout.decode())
     assert replies[0] == replies[1] and replies[0].count("deliver") >= 10
-    # an instance acts the same alone in a process as together with others
+    # An instance acts the same alone in a process as together with others.
     single = "".join(
         line + "\n"
         for line in _event_lines().splitlines()
