--- a/tests/support.py
+++ b/tests/support.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 
 from sailrun.decisions.actions import (
     Action,
@@ -119,7 +119,7 @@
             if event.kind is not ListKind.DELTA:
                 for known, (old, _) in list(self.listed.items()):
                     if known not in listed_ids and old.state is not BackendState.GONE:
-                        self.listed[known] = (Backend(known, BackendState.GONE), self.now)
+                        self.listed[known] = (replace(old, state=BackendState.GONE), self.now)
             for entry in event.backends:
                 previous = self.listed.get(entry.id)
                 is_unchanged = previous is not None and previous[0].state is entry.state
