--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -14,7 +14,7 @@
 from sailrun.amqp.transfer_relay import TransferRelay
 from sailrun.connection import Connection, OutOfDescriptorsError, connect
 from sailrun.decisions.events import AttemptOutcome
-from sailrun.front import FrontDoor, WaitingRoom
+from sailrun.front import FrontAcceptor, PendingConnections
 from sailrun.node.clock import log
 from sailrun.node.core import Node
 from sailrun.node.session import FormSession, Placement
@@ -392,8 +392,10 @@
 
     group: TaskGroup
 
-    def __init__(self, node: Node, connection: Connection, terms: AmqpSettings, waiting: WaitingRoom) -> None:
-        self.node, self.terms, self._waiting = node, terms, waiting
+    def __init__(
+        self, node: Node, connection: Connection, terms: AmqpSettings, pending: PendingConnections
+    ) -> None:
+        self.node, self.terms, self._pending = node, terms, pending
         self.classes = {c.name for c in node.settings.classes}
         self.engine = Engine(connection, terms, self._handle, accepts=True)
         self._links: dict[Any, ClientLink] = {}
@@ -420,19 +422,19 @@
             ms=(self.node.clock.now_us() - began_us) // 1000,
         )
 
-    def standing(self) -> Iterable[Callable[[], None]]:
+    def session_moves(self) -> Iterable[Callable[[], None]]:
         """For each link whose session is established, what moves it."""
         return [link.move for link in self._links.values() if link.stands()]
 
     async def _expect_open(self, deadline_us: int) -> None:
         scope = anyio.CancelScope(deadline=self.node.clock.to_deadline(deadline_us))
-        self._waiting.enter(scope)
+        self._pending.add(scope)
         try:
             with scope:
                 await self._opened.wait()
                 return
         finally:
-            self._waiting.leave(scope)
+            self._pending.remove(scope)
         self._reason = "never-opened"
         self.engine.abandon()
 
@@ -480,11 +482,13 @@
         link.free()
 
 
-def amqp_door(node: Node, listener: socket.socket, terms: AmqpSettings, descriptors: int) -> FrontDoor:
+def amqp_acceptor(
+    node: Node, listener: socket.socket, terms: AmqpSettings, descriptors: int
+) -> FrontAcceptor:
     """A front that listens for AMQP clients. `descriptors`: how many the process may hold."""
-    waiting = WaitingRoom(descriptors)
+    pending = PendingConnections(descriptors)
 
-    def greet(sock: socket.socket) -> ClientConnection:
-        return ClientConnection(node, Connection(sock), terms, waiting)
+    def make_connection(sock: socket.socket) -> ClientConnection:
+        return ClientConnection(node, Connection(sock), terms, pending)
 
-    return FrontDoor(listener, "amqp", greet, waiting)
+    return FrontAcceptor(listener, "amqp", make_connection, pending)
--- a/sailrun/connection.py
+++ b/sailrun/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection with its one buffer. Every party spoken to over TCP is reached through this."""
+"""A TCP connection with a receive buffer, and functions to connect, listen and accept."""
 
 from __future__ import annotations
 
@@ -12,26 +12,27 @@
 
 from sailrun.errors import SailrunError
 
-FIRST_SIZE = 512
-# A line of the platform's protocol is at most so long; other users of the buffer state their own bound.
-LONGEST_LINE = 4096
-# So much of what comes after the last words is read and dropped.
-LAST_WORDS = 64 * 1024
-_NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+INITIAL_BUFFER_SIZE = 512
+# Maximum length in bytes of a line of the platform's protocol; other users of the buffer pass their own
+# limit.
+MAX_LINE_LENGTH = 4096
+# How many bytes are read and discarded after this side has ended its sending.
+MAX_DISCARDED_BYTES = 64 * 1024
+_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class OutOfDescriptorsError(SailrunError, OSError):
-    """This process may open no further socket: the other side had no part in the failure."""
+    """This process or the system has no resources for another socket; the other side did not cause this."""
 
     log_name = "OutOfDescriptors"
 
 
 class OverlongLineError(SailrunError, ValueError):
-    """The other side sent more than the buffer may hold without anything being taken from it."""
+    """The other side sent a line or message that is longer than its limit."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """'127.0.0.1:5000' as host and port; raises ValueError naming what is wrong."""
+    """Splits an address such as '127.0.0.1:5000' into host and port. Raises ValueError with the reason."""
     host, sep, port = address.rpartition(":")
     if not sep or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"'{address}' is no HOST:PORT address")
@@ -44,42 +45,46 @@
 
 
 def show_address(address: tuple[str, int]) -> str:
-    """The text form of an address, brackets around an IPv6 host."""
+    """Returns an address as HOST:PORT, with brackets around an IPv6 host."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 class Connection:
-    """A non-blocking socket and the bytes that came in and are not taken yet.
+    """A non-blocking socket and a buffer of the received bytes that have not been taken yet.
 
-    The buffer doubles when what is held fills it and is compacted in place when there is room in front.
+    When the buffer is full, it is compacted in place if bytes at its start have been taken, else doubled.
     """
 
-    __slots__ = ("_buffer", "_end", "_most", "_passed", "_start", "ended", "sock")
+    __slots__ = ("_buffer", "_end", "_max_buffered", "_peeked_end", "_start", "ended", "sock")
 
-    def __init__(self, sock: socket.socket, most: int = 2 * LONGEST_LINE) -> None:
+    def __init__(self, sock: socket.socket, max_buffered: int = 2 * MAX_LINE_LENGTH) -> None:
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock = sock
-        self._buffer = bytearray(FIRST_SIZE)
+        self._buffer = bytearray(INITIAL_BUFFER_SIZE)
         self._start = self._end = 0
-        self._passed = 0  # up to here `fresh` has shown what is held
-        self._most = most
-        self.ended = False  # the other side sends no more
+        self._peeked_end = 0  # `peek_new` has returned the bytes before this position
+        self._max_buffered = max_buffered
+        self.ended = False  # the other side has ended its sending
 
     async def fill(self) -> bool:
-        """Waits for more bytes; False once the other side has ended. A broken connection raises."""
+        """Waits for more bytes and buffers them; returns False once the other side has ended its sending.
+        Raises OSError if the connection breaks, OverlongLineError if the buffer is full.
+        """
         if self._start == self._end:
-            self._start = self._end = self._passed = 0
+            self._start = self._end = self._peeked_end = 0
         if self._end == len(self._buffer):
             if self._start:
-                held = self._end - self._start
-                self._buffer[:held] = self._buffer[self._start : self._end]
-                self._passed = max(0, self._passed - self._start)
-                self._start, self._end = 0, held
-            elif len(self._buffer) >= self._most:
-                raise OverlongLineError(f"over {self._most} bytes held")
+                buffered = self._end - self._start
+                self._buffer[:buffered] = self._buffer[self._start : self._end]
+                self._peeked_end = max(0, self._peeked_end - self._start)
+                self._start, self._end = 0, buffered
+            elif len(self._buffer) >= self._max_buffered:
+                raise OverlongLineError(
+                    f"received more than {self._max_buffered} bytes without a complete message"
+                )
             else:
                 self._buffer.extend(bytes(len(self._buffer)))
         while True:
@@ -96,46 +101,52 @@
     def _receive(self, room: memoryview) -> int:
         return self.sock.recv_into(room)
 
-    def restore(self, data: bytes, shown: bool) -> None:
-        """Holds these bytes again, which another process had read; `shown`: `fresh` has given them out."""
+    def restore(self, data: bytes, peeked: bool) -> None:
+        """Fills the buffer with bytes that another process has read; `peeked`: it has also forwarded them, so
+        `peek_new` does not return them again.
+        """
         while len(self._buffer) < len(data):
             self._buffer.extend(bytes(len(self._buffer)))
         self._buffer[: len(data)] = data
         self._start, self._end = 0, len(data)
-        self._passed = self._end if shown else 0
+        self._peeked_end = self._end if peeked else 0
 
     def peek(self, count: int | None = None) -> bytes:
-        """What is held, or its first bytes, left as it is."""
+        """Returns the first `count` buffered bytes, or all of them, without taking them."""
         stop = self._end if count is None else min(self._end, self._start + count)
         return bytes(self._buffer[self._start : stop])
 
-    def held(self) -> int:
-        """Bytes that have come in and were not taken yet."""
+    def buffered(self) -> int:
+        """Returns the number of bytes that were received and not taken yet."""
         return self._end - self._start
 
-    def fresh(self) -> bytes:
-        """What has come in since the last call; it stays held, so that its lines can still be taken."""
-        data = bytes(self._buffer[max(self._start, self._passed) : self._end])
-        self._passed = self._end
+    def peek_new(self) -> bytes:
+        """Returns the bytes received since the last call. They stay buffered, so that their lines can still
+        be taken.
+        """
+        data = bytes(self._buffer[max(self._start, self._peeked_end) : self._end])
+        self._peeked_end = self._end
         return data
 
     def take(self, count: int | None = None) -> bytes:
-        """Takes the first bytes held, all of them if no count is given."""
+        """Takes the first `count` buffered bytes, or all of them if no count is given."""
         stop = self._end if count is None else min(self._end, self._start + count)
         data = bytes(self._buffer[self._start : stop])
         self._start = stop
         return data
 
     def take_line(self) -> bytes | None:
-        """The next whole line with its end, if one is held."""
-        at = self._buffer.find(b"\n", self._start, self._end)
-        return None if at < 0 else self.take(at + 1 - self._start)
+        """Takes the next complete line with its newline; returns None if none is buffered."""
+        newline = self._buffer.find(b"\n", self._start, self._end)
+        return None if newline < 0 else self.take(newline + 1 - self._start)
 
     async def line(self) -> bytes | None:
-        """Waits for a whole line; None if the other side ends first."""
+        """Waits for a complete line and takes it; returns None if the other side ends its sending first.
+        Raises OverlongLineError if the line is longer than `MAX_LINE_LENGTH`.
+        """
         while (line := self.take_line()) is None:
-            if self.held() > LONGEST_LINE:
-                raise OverlongLineError(f"a line of over {LONGEST_LINE} bytes")
+            if self.buffered() > MAX_LINE_LENGTH:
+                raise OverlongLineError(f"received a line of more than {MAX_LINE_LENGTH} bytes")
             if not await self.fill():
                 return None
         return line
@@ -149,8 +160,10 @@
             except (BlockingIOError, InterruptedError):
                 await anyio.wait_writable(self.sock)
 
-    def stirs(self) -> bool:
-        """Whether anything has come in that nobody has read yet: bytes, the other side's end, or a break."""
+    def is_readable(self) -> bool:
+        """Whether a read of the socket would return at once: with bytes, the other side's end, or an error.
+        Bytes that are already in the buffer do not count.
+        """
         if self.ended:
             return True
         try:
@@ -162,19 +175,19 @@
         return True
 
     def stop_sending(self) -> None:
-        """The other side reads what it was sent, and then the end."""
-        with contextlib.suppress(OSError):  # it is gone already
+        """Ends this side's sending; the other side first receives everything that was sent before."""
+        with contextlib.suppress(OSError):  # the connection is already broken
             self.sock.shutdown(socket.SHUT_WR)
 
     async def finish_sending(self) -> None:
-        """Ends this side's sending and reads the other side to its end, so that bytes still under way do
-        not break the connection before the last words are read. The caller's cancel scope bounds it, and
-        so does the amount: one that sends without end is not read for long.
+        """Ends this side's sending, then reads and discards until the other side has ended too. Closing at
+        once while bytes are still arriving would reset the connection, and the other side could lose the last
+        bytes sent to it. The caller's cancel scope limits the time and `MAX_DISCARDED_BYTES` the amount.
         """
         self.stop_sending()
-        dropped = len(self.take())
-        while dropped < LAST_WORDS and await self.fill():
-            dropped += len(self.take())
+        discarded = len(self.take())
+        while discarded < MAX_DISCARDED_BYTES and await self.fill():
+            discarded += len(self.take())
 
     @property
     def closed(self) -> bool:
@@ -182,7 +195,7 @@
         return self.sock.fileno() < 0
 
     def close(self, abruptly: bool = False) -> None:
-        """Ends the connection; abruptly, the other side sees it broken."""
+        """Closes the connection; `abruptly`: with a reset, so that the other side sees an error."""
         if self.closed:
             return
         anyio.notify_closing(self.sock)
@@ -192,17 +205,17 @@
 
 
 def new_socket(host: str, kind: socket.SocketKind) -> socket.socket:
-    """A non-blocking socket of the host's address family. Raises OutOfDescriptorsError."""
+    """Creates a non-blocking socket of the host's address family. Raises OutOfDescriptorsError."""
     try:
         return socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, kind | socket.SOCK_NONBLOCK)
     except OSError as error:
-        if error.errno in _NO_ROOM:
+        if error.errno in _EXHAUSTION_ERRNOS:
             raise OutOfDescriptorsError(error.errno, os.strerror(error.errno)) from error
         raise
 
 
-async def connect(address: tuple[str, int], most: int = 2 * LONGEST_LINE) -> Connection:
-    """A connection to the address; the caller's cancel scope carries the deadline."""
+async def connect(address: tuple[str, int], max_buffered: int = 2 * MAX_LINE_LENGTH) -> Connection:
+    """Connects to the address; the caller's cancel scope limits the time. Raises OSError if it fails."""
     sock = new_socket(address[0], socket.SOCK_STREAM)
     try:
         code = sock.connect_ex(address)
@@ -211,7 +224,7 @@
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             raise OSError(code, os.strerror(code))
-        return Connection(sock, most)
+        return Connection(sock, max_buffered)
     except BaseException:
         anyio.notify_closing(sock)
         sock.close()
@@ -219,7 +232,7 @@
 
 
 def listen(address: tuple[str, int], shared: bool = False) -> socket.socket:
-    """A listener at the address; shared, other processes of this user may listen there as well."""
+    """Listens at the address; `shared`: other processes of the same user may listen there as well."""
     sock = new_socket(address[0], socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -234,7 +247,9 @@
 
 
 async def accept(listener: socket.socket) -> socket.socket:
-    """The next connection. Raises OutOfDescriptorsError where this process may hold no more."""
+    """Waits for the next connection and accepts it. Raises OutOfDescriptorsError if resources for another
+    socket are exhausted.
+    """
     while True:
         await anyio.wait_readable(listener)
         try:
@@ -242,6 +257,6 @@
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             continue
         except OSError as error:
-            if error.errno in _NO_ROOM:
+            if error.errno in _EXHAUSTION_ERRNOS:
                 raise OutOfDescriptorsError(error.errno, os.strerror(error.errno)) from error
             raise
--- a/sailrun/front.py
+++ b/sailrun/front.py
@@ -1,4 +1,4 @@
-"""What every front does alike: accept connections, and keep one connection's fault from the others."""
+"""The parts that all fronts share: accepting connections and isolating a fault of one from the others."""
 
 from __future__ import annotations
 
@@ -14,187 +14,207 @@
 from sailrun.connection import OutOfDescriptorsError, accept
 from sailrun.node.clock import log
 
-# Clients that have asked hold two descriptors each, and two thirds of all; of the last third so many
-# are left to the registry, the listeners, datagrams and probes.
-KEPT_BACK = 24
-FEWEST_WAITING, MOST_WAITING = 16, 192
+# Connections with a request use two descriptors each and may use two thirds of all descriptors. Of the
+# remaining third, this many are reserved for the registry, the listeners, datagrams and probes.
+RESERVED_DESCRIPTORS = 24
+MIN_PENDING, MAX_PENDING = 16, 192
 
-# A front door that is shut because a new configuration names another address: its connections have ended
-# by then, and what stands is moved in so many steps.
-LEAVE_BY_US, LEAVE_STEPS = 1_500_000, 15
-PARTING_LOOK_S = 0.02
+# When a new configuration changes the address of a front, the old acceptor moves its sessions in this number
+# of steps and ends all its connections within this time.
+CLOSE_WITHIN_US, MOVE_STEPS = 1_500_000, 15
+CLOSE_POLL_S = 0.02
 
 
-class WaitingRoom:
-    """The connections that have not asked for a form session yet, oldest first, and those that part.
+class PendingConnections:
+    """The connections that have not requested a form session yet and those that are closing, oldest first.
 
-    Only so many may wait. Whoever connects by the hundred and stays silent pushes out its like, not the
-    clients, which ask as soon as they are connected, nor the form servers and the registry.
+    Their number is limited. A peer that opens hundreds of connections without sending a request evicts other
+    idle connections. It does not take descriptors from clients, which send their request as soon as they are
+    connected, from form servers or from the registry.
     """
 
     def __init__(self, descriptors: int) -> None:
-        self._most = max(FEWEST_WAITING, min(MOST_WAITING, descriptors // 3 - KEPT_BACK))
-        self._waiting: dict[anyio.CancelScope, None] = {}
-        self._parting: dict[anyio.CancelScope, None] = {}  # answered, and read from to their end
+        self._limit = max(MIN_PENDING, min(MAX_PENDING, descriptors // 3 - RESERVED_DESCRIPTORS))
+        self._pending: dict[anyio.CancelScope, None] = {}
+        self._closing: dict[anyio.CancelScope, None] = {}  # answered, being read to their end
         self._shut = False
 
-    def enter(self, scope: anyio.CancelScope) -> None:
-        """The scope is cancelled if the connection has to go before it has asked."""
-        self._waiting[scope] = None
+    def add(self, scope: anyio.CancelScope) -> None:
+        """Adds a connection without a request; its scope is cancelled if it is evicted."""
+        self._pending[scope] = None
         if self._shut:
             scope.cancel()
-        self._bound()
-
-    def part(self, scope: anyio.CancelScope) -> None:
-        """The scope is cancelled if the connection has to go before the other side has ended it."""
-        self._parting[scope] = None
-        self._bound()
-
-    def leave(self, scope: anyio.CancelScope) -> None:
-        """The connection waits no longer: it has asked for something, or has ended."""
-        self._waiting.pop(scope, None)
-        self._parting.pop(scope, None)
-
-    def _bound(self) -> None:
-        if len(self._waiting) + len(self._parting) > self._most:
-            self.make_room()
-
-    def make_room(self) -> None:
-        """Whoever has had its answer goes first, or each that has to go would push out the next."""
-        for ones in (self._parting, self._waiting):
-            if ones:
-                oldest = next(iter(ones))
-                del ones[oldest]
+        self._enforce_limit()
+
+    def add_closing(self, scope: anyio.CancelScope) -> None:
+        """Adds a connection that waits for the other side's end; its scope is cancelled if it is evicted."""
+        self._closing[scope] = None
+        self._enforce_limit()
+
+    def remove(self, scope: anyio.CancelScope) -> None:
+        """Removes a connection that has sent its request or has ended."""
+        self._pending.pop(scope, None)
+        self._closing.pop(scope, None)
+
+    def _enforce_limit(self) -> None:
+        if len(self._pending) + len(self._closing) > self._limit:
+            self.evict_oldest()
+
+    def evict_oldest(self) -> None:
+        """Evicts the oldest closing connection, or the oldest pending one if none is closing.
+
+        An evicted pending connection can become a closing one, so evicting pending connections first would
+        make each eviction cause the next.
+        """
+        for scopes in (self._closing, self._pending):
+            if scopes:
+                oldest = next(iter(scopes))
+                del scopes[oldest]
                 oldest.cancel()
                 return
 
-    async def empty(self, deadline: float) -> None:
-        """The node ends: sends away whoever has not asked, and waits until all have gone, or the deadline."""
+    async def close_all(self, deadline: float) -> None:
+        """Cancels all connections without a request and waits until every connection has ended, at most until
+        the deadline. Called when the node shuts down.
+        """
         self._shut = True
-        for scope in list(self._waiting):
+        for scope in list(self._pending):
             scope.cancel()
         with anyio.CancelScope(deadline=deadline):
-            while self._waiting or self._parting:
-                await anyio.sleep_until(anyio.current_time() + PARTING_LOOK_S)
+            while self._pending or self._closing:
+                await anyio.sleep_until(anyio.current_time() + CLOSE_POLL_S)
 
 
-def descriptors_allowed(stated: int | None) -> int:
-    """How many descriptors this process may hold: the system's limit, or the platform's if that is less."""
-    soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    known = [n for n in (soft, stated) if n is not None and n != resource.RLIM_INFINITY]
-    return min(known, default=1024)
+def descriptors_allowed(platform_limit: int | None) -> int:
+    """Returns how many descriptors this process may open: the lower of the system's and the platform's limit,
+    or 1024 if neither is set.
+    """
+    soft_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    limits = [n for n in (soft_limit, platform_limit) if n is not None and n != resource.RLIM_INFINITY]
+    return min(limits, default=1024)
 
 
-class Guest(Protocol):
-    """One accepted connection, with whatever sessions came through it."""
+class AcceptedConnection(Protocol):
+    """One accepted connection with its sessions."""
 
     async def run(self) -> None:
         """Serves the connection until it ends."""
         ...
 
-    def standing(self) -> Iterable[Callable[[], None]]:
-        """For each session that stands and is not moving yet, what moves it."""
+    def session_moves(self) -> Iterable[Callable[[], None]]:
+        """Returns one function for each established session that is not being moved yet; it moves the
+        session.
+        """
         ...
 
 
-class FrontDoor:
-    """One listener and the connections that came through it."""
+class FrontAcceptor:
+    """One listening socket of a front and the connections accepted from it."""
 
     def __init__(
         self,
         listener: socket.socket,
-        who: str,
-        greet: Callable[[socket.socket], Guest],
-        waiting: WaitingRoom,
+        front: str,
+        make_connection: Callable[[socket.socket], AcceptedConnection],
+        pending: PendingConnections,
     ) -> None:
-        self._listener, self._who, self._greet, self._waiting = listener, who, greet, waiting
-        self._guests: set[Guest] = set()
-        self._accepting = anyio.CancelScope()
-        self._open = anyio.CancelScope()
+        self._listener, self._front, self._make_connection, self._pending = (
+            listener,
+            front,
+            make_connection,
+            pending,
+        )
+        self._connections: set[AcceptedConnection] = set()
+        self._accept_scope = anyio.CancelScope()
+        self._running_scope = anyio.CancelScope()
         self._group: TaskGroup | None = None
-        self._admitted: list[Guest] = []  # before the door was open
+        self._early_connections: list[AcceptedConnection] = []  # added before `run`
         self._shut = anyio.Event()
-        self._resumed: anyio.Event | None = None  # set again once clients are taken, if they are not now
+        self._resume_event: anyio.Event | None = None  # set by `resume`; None: not paused
 
     def close(self) -> None:
-        """Gives the listener up before it was ever run."""
+        """Closes the listener of an acceptor that was never run."""
         self._listener.close()
 
     @property
     def listener(self) -> socket.socket:
-        """For whoever shares it."""
+        """The listening socket, to be shared with a successor."""
         return self._listener
 
     def pause(self) -> None:
-        """Leaves new connections in the listener's queue, to the process that shares it, until `resume`."""
-        if self._resumed is None:
-            self._resumed = anyio.Event()
-            self._accepting.cancel()
+        """Accepts no connections until `resume`; they stay in the listener's queue for the process that
+        shares the listener.
+        """
+        if self._resume_event is None:
+            self._resume_event = anyio.Event()
+            self._accept_scope.cancel()
 
     def resume(self) -> None:
         """Accepts again after a pause."""
-        if self._resumed is not None:
-            self._resumed.set()
-            self._resumed = None
+        if self._resume_event is not None:
+            self._resume_event.set()
+            self._resume_event = None
 
     def shut(self) -> None:
-        """Takes no new connection from now on, and ends those there are within `LEAVE_BY_US`."""
+        """Accepts no more connections and ends the existing ones within `CLOSE_WITHIN_US`."""
         self._shut.set()
-        self._accepting.cancel()
+        self._accept_scope.cancel()
 
     async def run(self) -> None:
-        """Accepts connections until cancelled or shut, and has each served by a task of its own."""
-        with self._open:
+        """Accepts connections until cancelled or shut, and serves each in a task of its own."""
+        with self._running_scope:
             async with anyio.create_task_group() as group:
                 self._group = group
-                for guest in self._admitted:
-                    group.start_soon(self._serve, guest)
+                for connection in self._early_connections:
+                    group.start_soon(self._serve, connection)
                 try:
                     while not self._shut.is_set():
-                        with self._accepting:
-                            if self._resumed is not None:
-                                await self._resumed.wait()
-                            await self._keep_accepting(group)
+                        with self._accept_scope:
+                            if self._resume_event is not None:
+                                await self._resume_event.wait()
+                            await self._accept_connections(group)
                         if not self._shut.is_set():
-                            self._accepting = anyio.CancelScope()
+                            self._accept_scope = anyio.CancelScope()
                 finally:
                     anyio.notify_closing(self._listener)
                     self._listener.close()
-                await self._see_out()
-                self._open.cancel()
+                await self._move_sessions()
+                self._running_scope.cancel()
 
-    async def _keep_accepting(self, group: TaskGroup) -> None:
+    async def _accept_connections(self, group: TaskGroup) -> None:
         while True:
             try:
                 sock = await accept(self._listener)
-                group.start_soon(self._serve, self._greet(sock))
+                group.start_soon(self._serve, self._make_connection(sock))
             except OutOfDescriptorsError:
-                # Those who knock stay in the listener's queue until others have gone.
+                # New connections stay in the listener's queue until descriptors are free.
                 log("out-of-descriptors", doing="accept")
-                self._waiting.make_room()
+                self._pending.evict_oldest()
                 await anyio.sleep_until(anyio.current_time() + 0.05)
 
-    def admit(self, guest: Guest) -> None:
-        """Serves a guest who was let in elsewhere, from now on or once the door is open."""
+    def add_connection(self, connection: AcceptedConnection) -> None:
+        """Serves a connection that another process accepted, at once or as soon as `run` starts."""
         if self._group is None:
-            self._admitted.append(guest)
+            self._early_connections.append(connection)
         else:
-            self._group.start_soon(self._serve, guest)
+            self._group.start_soon(self._serve, connection)
 
-    async def _serve(self, guest: Guest) -> None:
-        self._guests.add(guest)
+    async def _serve(self, connection: AcceptedConnection) -> None:
+        self._connections.add(connection)
         try:
-            await guest.run()
+            await connection.run()
         except Exception as error:
-            log("fault", where=self._who, error=repr(error))
+            log("fault", where=self._front, error=repr(error))
         finally:
-            self._guests.discard(guest)
+            self._connections.discard(connection)
 
-    async def _see_out(self) -> None:
-        """Moves what stands, spread as at a planned restart; newcomers among them as soon as they stand."""
+    async def _move_sessions(self) -> None:
+        """Moves established sessions, spread over the first half of the steps as in a planned restart. A
+        session established later is moved in the step that follows.
+        """
         began = anyio.current_time()
-        for step in range(LEAVE_STEPS):
-            moves = [move for guest in self._guests for move in guest.standing()]
-            for move in moves[: math.ceil(len(moves) / max(1, LEAVE_STEPS // 2 - step))]:
+        for step in range(MOVE_STEPS):
+            moves = [move for connection in self._connections for move in connection.session_moves()]
+            for move in moves[: math.ceil(len(moves) / max(1, MOVE_STEPS // 2 - step))]:
                 move()
-            await anyio.sleep_until(began + (step + 1) * LEAVE_BY_US / LEAVE_STEPS / 1e6)
+            await anyio.sleep_until(began + (step + 1) * CLOSE_WITHIN_US / MOVE_STEPS / 1e6)
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -263,13 +263,13 @@
 
 async def _read_frame(link: Connection) -> bytes | None:
     """The next frame's content; None where the other side has ended. Raises OverlongLineError."""
-    while link.held() < _FRAME_HEADER_BYTES:
+    while link.buffered() < _FRAME_HEADER_BYTES:
         if not await link.fill():
             return None
     length = int.from_bytes(link.peek(_FRAME_HEADER_BYTES), "big")
     if length > MAX_FRAME_BYTES:
         raise OverlongLineError(f"a frame of {length} bytes")
-    while link.held() < _FRAME_HEADER_BYTES + length:
+    while link.buffered() < _FRAME_HEADER_BYTES + length:
         if not await link.fill():
             return None
     link.take(_FRAME_HEADER_BYTES)
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -1,4 +1,4 @@
-"""Puts the node together: the core, the fronts that are switched on, the registry, and the signals."""
+"""Builds and runs a node: its core, the enabled fronts, service discovery and signal handling."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from sailrun.connection import listen, show_address
 from sailrun.discovery import DiscoveryClient
 from sailrun.errors import ConfigError
-from sailrun.front import FrontDoor, descriptors_allowed
+from sailrun.front import FrontAcceptor, descriptors_allowed
 from sailrun.node.clock import Clock, log
 from sailrun.node.core import Node
 from sailrun.text_protocol.clients import LINGER_US, ClientFront
@@ -29,18 +29,18 @@
     from sailrun.storage.service import StorageService
     from sailrun.xds.discovery import EnvoyDiscovery
 
-# What a new file changes in a running node; the rest waits for its next start, but for what every
-# reading draws or finds anew.
-_DOORS = ("listen", "amqp", "control")
-_TAKEN_OVER = (*_DOORS, "roster", "operator")
-_ANEW = ("seed", "known")
+# Keys of which a reload applies changes to the running node. Changes of the other keys take effect at the
+# next start, except for the volatile keys, whose values can differ each time the file is read.
+_ACCEPTOR_KEYS = ("listen", "amqp", "control")
+_RELOADABLE_KEYS = (*_ACCEPTOR_KEYS, "roster", "operator")
+_VOLATILE_KEYS = ("seed", "known")
 
 
-class Door(Protocol):
-    """An address that is listened on, and whoever came to it."""
+class Acceptor(Protocol):
+    """A listening socket and the connections accepted from it."""
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Closes the socket of an acceptor that was never run."""
         ...
 
     def shut(self) -> None:
@@ -53,7 +53,7 @@
 
 
 def _identity(config: NodeConfig) -> str:
-    """What a node keeps when its process is replaced."""
+    """Returns the name and address by which a predecessor and its successor recognise each other."""
     listens = config.listen or (config.amqp.listen if config.amqp else None)
     return f"{config.name} {show_address(listens) if listens else ''}"
 
@@ -69,27 +69,33 @@
         self._read = read
         self._config = config
         self._inherited = inherited
-        self._lasting = self._open_lasting(config, inherited is not None)
-        passed = inherited.state if inherited is not None else None
+        self._storage = self._open_storage(config, inherited is not None)
+        restored = inherited.state if inherited is not None else None
         clock = Clock()
-        if passed is None and self._lasting is not None:
+        if restored is None and self._storage is not None:
             drains = config.operator is not None and not config.operator.permits.enabled
-            passed = self._lasting.restore_state(config.known, clock.now_us(), drains)
-        # A predecessor's list is newer than the platform's, and its watch can be gone on with.
-        known = passed.server_list if passed is not None and passed.server_list.form_servers else config.known
-        self.node = Node(config.settings, config.seed, clock, known, predecessor=passed)
-        self._revision = known.revision
+            restored = self._storage.restore_state(config.known, clock.now_us(), drains)
+        # A predecessor's endpoint list is newer than the platform's, and its watch can be continued from
+        # there.
+        initial_list = (
+            restored.server_list
+            if restored is not None and restored.server_list.form_servers
+            else config.known
+        )
+        self.node = Node(config.settings, config.seed, clock, initial_list, predecessor=restored)
+        self._revision = initial_list.revision
         descriptors = descriptors_allowed(config.descriptors)
         self._client_front = ClientFront(self.node, config.groups, descriptors)
         self._descriptors = descriptors
-        self._writing = anyio.CancelScope()
+        self._writing_scope = anyio.CancelScope()
         self._fleet = self._join_fleet(config, inherited is not None)
-        # Before any task: an address that is not to be had is the caller's fault, and ends in one line.
-        self._open_doors = self._doors(config, _DOORS)
-        self._discovery, self._asking = self._discovery_for(config), anyio.CancelScope()
+        # Listening starts before any task, so that an address that is not available is reported to the caller
+        # in one line.
+        self._acceptors = self._open_acceptors(config, _ACCEPTOR_KEYS)
+        self._discovery, self._discovery_scope = self._discovery_for(config), anyio.CancelScope()
         self.node.discovery = self._discovery
-        self._discovery.watch(True)  # whether lists are asked for or pushed: what can be read counts as told
-        self._switch(config)
+        self._discovery.watch(True)  # in push mode too: the list that the source holds is already in force
+        self._apply_rebalance(config)
         self._datagrams: Datagrams | None = None
         if config.settings.peer_messages and config.peer_listen is not None:
             self._datagrams = Datagrams(
@@ -98,111 +104,121 @@
                 config.peers,
                 config.peers_all,
                 config.control is not None,
-                self._handed("peer", config.peer_listen),
+                self._inherited_socket("peer", config.peer_listen),
             )
             self.node.peer_transport = self._datagrams
 
-    def _open_lasting(self, config: NodeConfig, patient: bool) -> StorageService | None:
+    def _open_storage(self, config: NodeConfig, wait_for_predecessor: bool) -> StorageService | None:
         if config.operator is None or not config.operator.lasting.enabled:
             return None
-        # Loaded only where it is switched on: the platform has no disk that lasts.
+        # Loaded only where it is enabled: the platform has no persistent disk.
         from sailrun.leadership.clock import boot_us
         from sailrun.storage.service import StorageService
 
         members, slow_us = config.operator.members, int(config.operator.owners.lease_s * 500_000)
         name, fleet = members.name or config.name, members.fleet if members.enabled else ""
-        return StorageService(config.operator.lasting, name, fleet, slow_us, patient, boot_us)
+        return StorageService(config.operator.lasting, name, fleet, slow_us, wait_for_predecessor, boot_us)
 
-    def _join_fleet(self, config: NodeConfig, patient: bool) -> FleetService | None:
+    def _join_fleet(self, config: NodeConfig, wait_for_predecessor: bool) -> FleetService | None:
         if config.operator is None or not config.operator.members.enabled:
             return None
-        # Loaded only where it is switched on: the platform's nodes have no path to each other but datagrams.
+        # Loaded only where it is enabled: the platform's nodes can reach each other by datagrams only.
         from sailrun.leadership.service import FleetService
 
-        return FleetService(self.node, config, patient, self._lasting)
+        return FleetService(self.node, config, wait_for_predecessor, self._storage)
 
-    def _switch(self, config: NodeConfig) -> None:
-        """Switches subsystems on or off, as the operator's file has them."""
+    def _apply_rebalance(self, config: NodeConfig) -> None:
+        """Enables or disables rebalancing according to the operator's file."""
         if config.operator is None or not config.operator.rebalance.enabled:
             self.node.set_rebalancer(None)
             return
-        # Loaded only where it is switched on.
+        # Loaded only where it is enabled.
         from sailrun.rebalance.balance import Rebalancer
 
-        terms, now_us = config.operator.rebalance, self.node.clock.now_us()
-        self.node.set_rebalancer(Rebalancer(terms, config.settings, now_us))
+        rebalance, now_us = config.operator.rebalance, self.node.clock.now_us()
+        self.node.set_rebalancer(Rebalancer(rebalance, config.settings, now_us))
 
-    def _doors(self, config: NodeConfig, keys: Iterable[str]) -> dict[str, Door]:
-        """The doors that a configuration names under these keys, listening but not open yet: all or none."""
-        doors: dict[str, Door] = {}
+    def _open_acceptors(self, config: NodeConfig, keys: Iterable[str]) -> dict[str, Acceptor]:
+        """Opens the listening sockets that a configuration names under these keys, all or none of them. The
+        acceptors returned do not accept connections yet.
+        """
+        acceptors: dict[str, Acceptor] = {}
         try:
             for key in keys:
-                door = self._door(config, key)
-                if door is not None:
-                    doors[key] = door
+                acceptor = self._open_acceptor(config, key)
+                if acceptor is not None:
+                    acceptors[key] = acceptor
         except BaseException:
-            for door in doors.values():
-                door.close()
+            for acceptor in acceptors.values():
+                acceptor.close()
             raise
-        return doors
+        return acceptors
 
-    def _door(self, config: NodeConfig, key: str) -> Door | None:
-        # A successor that cannot be handed the listeners may listen beside this process.
+    def _open_acceptor(self, config: NodeConfig, key: str) -> Acceptor | None:
+        # A successor that cannot inherit the listeners may listen at the same address beside this process.
         shared = config.control is not None
         if key == "listen" and config.listen is not None:
-            listener = self._handed(key, config.listen) or listen(config.listen, shared)
+            listener = self._inherited_socket(key, config.listen) or listen(config.listen, shared)
             return self._client_front.door(listener)
         if key == "amqp" and config.amqp is not None:
-            # Loaded only where it is switched on: the platform's nodes carry neither engine nor codec.
-            from sailrun.amqp.clients import amqp_door
+            # Loaded only where it is enabled: the platform's nodes have neither the engine nor the codec.
+            from sailrun.amqp.clients import amqp_acceptor
             from sailrun.amqp.engine import AmqpSettings
 
-            terms = AmqpSettings(config.name, config.amqp.max_frame_size, config.amqp.idle_time_out_ms)
-            listener = self._handed(key, config.amqp.listen) or listen(config.amqp.listen, shared)
-            return amqp_door(self.node, listener, terms, self._descriptors)
+            settings = AmqpSettings(config.name, config.amqp.max_frame_size, config.amqp.idle_time_out_ms)
+            listener = self._inherited_socket(key, config.amqp.listen) or listen(config.amqp.listen, shared)
+            return amqp_acceptor(self.node, listener, settings, self._descriptors)
         if key == "control" and config.control is not None:
             from sailrun.control.server import ControlServer
 
             return ControlServer(self.node, listen(config.control), lambda: self._fleet)
         return None
 
-    def _handed(self, key: str, address: Address) -> socket.socket | None:
-        """The predecessor's socket at the address, if it handed one over."""
+    def _inherited_socket(self, key: str, address: Address) -> socket.socket | None:
+        """Returns the predecessor's socket for the address; None if it handed none over."""
         return self._inherited.socket_for(key, address) if self._inherited is not None else None
 
-    def _shared(self) -> dict[str, socket.socket]:
-        """What a successor is handed."""
-        sockets = {key: door.listener for key, door in self._fronts()}
+    def _shared_sockets(self) -> dict[str, socket.socket]:
+        """Returns the sockets that a successor inherits."""
+        sockets = {key: acceptor.listener for key, acceptor in self._front_acceptors()}
         if self._datagrams is not None:
             sockets["peer"] = self._datagrams.socket
         return sockets
 
-    def _fronts(self) -> list[tuple[str, FrontDoor]]:
-        return [(key, door) for key, door in self._open_doors.items() if isinstance(door, FrontDoor)]
+    def _front_acceptors(self) -> list[tuple[str, FrontAcceptor]]:
+        return [
+            (key, acceptor)
+            for key, acceptor in self._acceptors.items()
+            if isinstance(acceptor, FrontAcceptor)
+        ]
 
     def _adopt(self, content: Any, sockets: Sequence[socket.socket]) -> None:
-        """Goes on with a session that stood with the predecessor; raises ValueError where that can't be."""
-        door = self._open_doors.get("listen")
-        if not isinstance(door, FrontDoor):
-            raise ValueError("households are not served here any more")
-        door.admit(self._client_front.adopt(content, sockets))
-
-    def _pause(self, yes: bool) -> None:
-        """Leaves newcomers and datagrams to the successor, which shares the sockets; or takes them again."""
-        for _, door in self._fronts():
-            door.pause() if yes else door.resume()
+        """Continues a session that was established at the predecessor. Raises ValueError if this process
+        cannot continue it.
+        """
+        acceptor = self._acceptors.get("listen")
+        if not isinstance(acceptor, FrontAcceptor):
+            raise ValueError("the text protocol is not served by this process")
+        acceptor.add_connection(self._client_front.adopt(content, sockets))
+
+    def _set_paused(self, paused: bool) -> None:
+        """Stops accepting connections and datagrams, which leaves them to the successor that shares the
+        sockets, or starts again.
+        """
+        for _, acceptor in self._front_acceptors():
+            acceptor.pause() if paused else acceptor.resume()
         if self._datagrams is not None:
-            self._datagrams.pause() if yes else self._datagrams.resume()
-        if yes and self._fleet is None:
-            self._writing.cancel()  # the folder is the successor's now
-        elif yes and self._fleet is not None:
-            # The name and the address are the successor's now, and the folder.
+            self._datagrams.pause() if paused else self._datagrams.resume()
+        if paused and self._fleet is None:
+            self._writing_scope.cancel()  # from now on the successor writes the storage folder
+        elif paused and self._fleet is not None:
+            # From now on the successor uses the name, the address and the storage folder.
             self._fleet.release_address()
         else:
-            self._lasting = self._open_lasting(self._config, patient=True)
-            self._fleet = self._join_fleet(self._config, patient=True)
+            self._storage = self._open_storage(self._config, wait_for_predecessor=True)
+            self._fleet = self._join_fleet(self._config, wait_for_predecessor=True)
             if self._fleet is None:
-                self._write_alone()
+                self._write_without_fleet()
             if self._fleet is not None:
                 self.group.start_soon(self._fleet.run)
 
@@ -225,11 +241,11 @@
                 return RestDiscovery(self.node, cluster, address)
 
     def open(self, group: TaskGroup) -> None:
-        """Starts discovery, the fronts and, if configured, the prober in the group."""
+        """Starts discovery, the fronts and all other configured services in the group."""
         self.group = group
         group.start_soon(self._run_discovery)
-        for door in self._open_doors.values():
-            group.start_soon(door.run)
+        for acceptor in self._acceptors.values():
+            group.start_soon(acceptor.run)
         if self._config.settings.probes:
             self.node.health_checker = Probes(self.node, group)
         if self._datagrams is not None:
@@ -237,7 +253,7 @@
         if self._fleet is not None:
             group.start_soon(self._fleet.run)
         else:
-            self._write_alone()
+            self._write_without_fleet()
         if self._config.control is not None:
             from sailrun.hot_restart.handover import Handover
 
@@ -245,78 +261,83 @@
                 self.node,
                 _identity(self._config),
                 self._descriptors,
-                self._shared,
-                self._pause,
+                self._shared_sockets,
+                self._set_paused,
                 self._inherited,
                 self._adopt,
             )
             group.start_soon(handover.run)
 
-    def _write_alone(self) -> None:
-        """A node without a fleet writes down what it has learned of form servers."""
-        if self._lasting is not None:
-            self._writing = anyio.CancelScope()
-            self.group.start_soon(self._lasting.run_without_fleet, self.node, self._writing)
+    def _write_without_fleet(self) -> None:
+        """Starts to store what this node, which is in no fleet, learns about form servers, if storage is
+        enabled.
+        """
+        if self._storage is not None:
+            self._writing_scope = anyio.CancelScope()
+            self.group.start_soon(self._storage.run_without_fleet, self.node, self._writing_scope)
 
     async def _run_discovery(self) -> None:
-        discovery, scope = self._discovery, self._asking
+        discovery, scope = self._discovery, self._discovery_scope
         with scope:
             try:
                 await discovery.run()
             finally:
-                discovery.drop()  # an old address keeps no connection
+                discovery.drop()  # closes the connection to a replaced address
 
-    async def see_out(self) -> None:
-        """Everybody who asked has been answered: whoever only rests here is told so, and read to the end."""
-        await self._client_front.waiting.empty(anyio.current_time() + LINGER_US / 1e6)
+    async def close_pending_connections(self) -> None:
+        """Closes the remaining text protocol connections, once every request has its final answer. Those
+        without a request are rejected, and all are read to their end for at most `LINGER_US`.
+        """
+        await self._client_front.waiting.close_all(anyio.current_time() + LINGER_US / 1e6)
 
     def reload(self) -> None:
-        """Takes over the file as it is now. One that is not usable changes nothing and is logged once."""
+        """Reads the configuration again and applies it. An invalid file changes nothing and is logged."""
         try:
             config = self._read()
             changed = [
                 f.name
                 for f in fields(config)
-                if f.name not in _ANEW and getattr(config, f.name) != getattr(self._config, f.name)
+                if f.name not in _VOLATILE_KEYS and getattr(config, f.name) != getattr(self._config, f.name)
             ]
-            self._take_over(config, changed)
-        except Exception as error:  # whatever is wrong with a file, the node goes on without it
+            self._apply(config, changed)
+        except Exception as error:  # an error in a file must not stop the node
             why = str(error) if isinstance(error, ConfigError | OSError | ValueError) else repr(error)
             log("reload-refused", why=why)
             self.node.configuration_reloaded(False)
             return
         log(
             "reloaded",
-            changed=",".join(n for n in changed if n in _TAKEN_OVER) or "nothing",
-            at_next_start=",".join(n for n in changed if n not in _TAKEN_OVER) or None,
+            changed=",".join(n for n in changed if n in _RELOADABLE_KEYS) or "nothing",
+            at_next_start=",".join(n for n in changed if n not in _RELOADABLE_KEYS) or None,
         )
         self._config = config
         self.node.configuration_reloaded(True)
 
-    def _take_over(self, config: NodeConfig, changed: list[str]) -> None:
-        fleet_terms = self._fleet_terms(config) if "operator" in changed else None
-        # First what can fail; from then on the new file is in force. The addresses that stay are not
-        # listened on twice.
-        doors = self._doors(config, [key for key in _DOORS if key in changed])
-        for key in _DOORS:
+    def _apply(self, config: NodeConfig, changed: list[str]) -> None:
+        fleet_settings = self._fleet_settings(config) if "operator" in changed else None
+        # The steps that can fail come first; after them the new file is in force. Only changed addresses are
+        # listened on, because the others are already in use by this process.
+        acceptors = self._open_acceptors(config, [key for key in _ACCEPTOR_KEYS if key in changed])
+        for key in _ACCEPTOR_KEYS:
             if key in changed:
-                self._exchange(key, doors.get(key))
+                self._replace_acceptor(key, acceptors.get(key))
         if "operator" in changed:
-            self._switch(config)
-        if fleet_terms is not None and self._fleet is not None:
-            self._fleet.update_settings(fleet_terms)
+            self._apply_rebalance(config)
+        if fleet_settings is not None and self._fleet is not None:
+            self._fleet.update_settings(fleet_settings)
         if "roster" in changed:
-            self._asking.cancel()
-            self._discovery, self._asking = self._discovery_for(config), anyio.CancelScope()
+            self._discovery_scope.cancel()
+            self._discovery, self._discovery_scope = self._discovery_for(config), anyio.CancelScope()
             self.node.discovery = self._discovery
-            # Nothing ties the new registry's versions to the old one's: the whole list first.
+            # Revisions of the new registry are unrelated to the old one's, so the full list is fetched first.
             self._discovery.fetch()
             self._discovery.watch(True)
             self.group.start_soon(self._run_discovery)
 
-    def _fleet_terms(self, config: NodeConfig) -> AgentSettings | None:
-        """What a new operator's file changes of the fleet; where this node listens waits for its next
-        start.
+    def _fleet_settings(self, config: NodeConfig) -> AgentSettings | None:
+        """Returns the settings of the fleet that a new operator's file changes; None without a fleet.
+        Settings that cannot change in a running node keep their values. Raises ValueError for an invalid
+        change.
         """
         before, after = self._config.operator, config.operator
         if self._fleet is None or before is None or after is None:
@@ -328,8 +349,8 @@
 
         if (why := voters_follow(before.owners, after.owners)) is not None:
             raise ValueError(why)
-        # Times that nodes promise each other by are of the whole fleet: they wait for its next start.
-        kept = msgspec.structs.replace(
+        # All nodes of a fleet must use the same lease and order times, so these change at the next start.
+        leadership = msgspec.structs.replace(
             after.owners, lease_s=before.owners.lease_s, order_s=before.owners.order_s
         )
         if after.shards != before.shards:
@@ -337,29 +358,29 @@
         permits = msgspec.structs.replace(
             after.permits, lease_s=before.permits.lease_s, enabled=before.permits.enabled
         )
-        terms = agent_settings(after)
-        kept_on = before.replica.enabled  # a copy is begun, or given up, at a start
+        settings = agent_settings(after)
+        replication_enabled = before.replica.enabled  # a replica is created or discarded at a start only
         return replace(
-            terms,
+            settings,
             membership=before.members,
-            leadership=kept,
+            leadership=leadership,
             permits=permits,
             list_reader=before.reader,
-            replication=msgspec.structs.replace(after.replica, enabled=kept_on),
+            replication=msgspec.structs.replace(after.replica, enabled=replication_enabled),
         )
 
-    def _exchange(self, key: str, new: Door | None) -> None:
-        old = self._open_doors.pop(key, None)
+    def _replace_acceptor(self, key: str, new: Acceptor | None) -> None:
+        old = self._acceptors.pop(key, None)
         if new is not None:
-            self._open_doors[key] = new
+            self._acceptors[key] = new
             self.group.start_soon(new.run)
         if old is not None:
             old.shut()
 
-    async def heed_signals(self, *, task_status: TaskStatus[None]) -> None:
+    async def handle_signals(self, *, task_status: TaskStatus[None]) -> None:
         """Reloads at SIGHUP and begins a graceful shutdown at SIGTERM and SIGINT."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-            task_status.started()  # nothing is served before this: a signal would kill outright
+            task_status.started()  # serving begins after this: until then a signal would kill the process
             async for number in signals:
                 if number == signal.SIGHUP:
                     self.reload()
@@ -370,17 +391,17 @@
 
 
 async def serve(read: Callable[[], NodeConfig]) -> None:
-    """Serves by the configuration that `read` returns, until the node has shut down. Raises ConfigError."""
+    """Runs a node with the configuration that `read` returns until it has shut down. Raises ConfigError."""
     config = read()
     inherited = None
     if config.control is not None:
-        # Loaded, and a predecessor asked for, only where staff run the node day by day.
+        # Loaded, and a predecessor looked for, only where operators can control the node.
         from sailrun.hot_restart.handover import inherit
 
         inherited = inherit(_identity(config))
     service = Service(read, config, inherited)
     async with anyio.create_task_group() as group:
-        await group.start(service.heed_signals)
+        await group.start(service.handle_signals)
         service.open(group)
         log(
             "serving",
@@ -390,11 +411,11 @@
             control=show_address(config.control) if config.control else None,
         )
         await service.node.run()
-        await service.see_out()
+        await service.close_pending_connections()
         group.cancel_scope.cancel()
     log("stopped", name=config.name)
 
 
 def run(read: Callable[[], NodeConfig]) -> None:
-    """Serves until told to stop; an address that cannot be listened on raises OSError."""
+    """Runs a node until it is signalled to stop. Raises OSError if it cannot listen on an address."""
     anyio.run(serve, read)
--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -13,7 +13,7 @@
 
 from sailrun.connection import Connection, OutOfDescriptorsError, OverlongLineError, connect
 from sailrun.decisions.events import AttemptOutcome, BackendState
-from sailrun.front import FrontDoor, WaitingRoom
+from sailrun.front import FrontAcceptor, PendingConnections
 from sailrun.node.clock import log
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer, FormSession, Placement
@@ -54,7 +54,7 @@
         self.node = node
         self.groups = groups  # whether `g` names a group; otherwise it only identifies the client
         self.classes = frozenset(c.name for c in node.settings.classes)
-        self.waiting = WaitingRoom(descriptors)
+        self.waiting = PendingConnections(descriptors)
         # The lowest delay that form servers report, and the classifiers of their LOAD lines, by name.
         self.min_delay_ms = node.reported_delay_threshold_ms
         self.load_classifiers: dict[str, LoadLineClassifier[ClientConnection]] = {}
@@ -65,13 +65,13 @@
         """Adopts a session that a predecessor transfers; raises ValueError if the content is not valid."""
         return ClientConnection.from_transfer(self, content, sockets)
 
-    def door(self, listener: socket.socket) -> FrontDoor:
+    def door(self, listener: socket.socket) -> FrontAcceptor:
         """Creates the front door that accepts clients of the text protocol."""
 
         def make_connection(sock: socket.socket) -> ClientConnection:
             return ClientConnection(self, Connection(sock))
 
-        return FrontDoor(listener, "household", make_connection, self.waiting)
+        return FrontAcceptor(listener, "household", make_connection, self.waiting)
 
 
 class ClientConnection:
@@ -132,9 +132,9 @@
             raise ValueError("the id of the transferred session is already in use")
         self = cls(front, Connection(client))
         self._take_id(request.id)
-        self._client.restore(client_buffer, shown=False)
+        self._client.restore(client_buffer, peeked=False)
         self._form_server = Connection(server)
-        self._form_server.restore(server_buffer, shown=True)
+        self._form_server.restore(server_buffer, peeked=True)
         self._request, self._server_name, self._load, self._answered = (
             request,
             placement.form_server.name,
@@ -209,7 +209,7 @@
                 if scope is not None:
                     scope.cancel()
 
-    def standing(self) -> Iterable[Callable[[], None]]:
+    def session_moves(self) -> Iterable[Callable[[], None]]:
         """A callback that moves the client, if its session is established and it is not being moved."""
         return [self.move] if self._form_server is not None and not self._moving_since_us else []
 
@@ -285,7 +285,7 @@
         if request.id in self._front.ids_in_use:
             await self._reject_input("id-in-use")
             return False
-        if self._client.held():
+        if self._client.buffered():
             await self._reject_input("spoke-too-soon")
             return False
         self._take_id(request.id)
@@ -317,7 +317,7 @@
         """Answers PING, and returns the first other line; None if no such line arrives in time."""
         self._reason = "no-first-line"
         scope = anyio.CancelScope(deadline=self._node.clock.to_deadline(deadline_us))
-        self._front.waiting.enter(scope)
+        self._front.waiting.add(scope)
         try:
             with scope:
                 for _ in range(MAX_PINGS):
@@ -334,7 +334,7 @@
         except OverlongLineError:
             await self._reject_input("line-too-long")
         finally:
-            self._front.waiting.leave(scope)
+            self._front.waiting.remove(scope)
         return None
 
     async def _reject_input(self, reason: str, answer: bytes = b"ERR\r\n") -> None:
@@ -351,7 +351,7 @@
         scope = anyio.CancelScope(
             deadline=self._node.clock.to_deadline(self._node.clock.now_us() + LINGER_US)
         )
-        self._front.waiting.part(scope)  # it still uses file descriptors, and must not keep others out
+        self._front.waiting.add_closing(scope)  # it still uses file descriptors, and must not keep others out
         try:
             with scope:
                 async with anyio.create_task_group() as group:
@@ -360,7 +360,7 @@
                     if not self._broken:
                         await self._finish_and_close(self._client, last_line)
         finally:
-            self._front.waiting.leave(scope)
+            self._front.waiting.remove(scope)
 
     async def _finish_and_close(self, connection: Connection, last_line: bytes = b"") -> None:
         with contextlib.suppress(OSError):  # the other side did not wait for the answer
@@ -530,7 +530,7 @@
                 server = await connect(placement.form_server.address)
             if server is None:
                 return None, AttemptOutcome.CONNECT_FAILED
-            if self._client.stirs():  # it has left, and nobody awaits the answer
+            if self._client.is_readable():  # it has left, and nobody awaits the answer
                 return None, AttemptOutcome.CANCELLED
             if not self._node.may_begin(self._session, placement):
                 return None, AttemptOutcome.NOT_SENT
@@ -559,7 +559,7 @@
             return None, outcome
         except OutOfDescriptorsError:
             log("out-of-descriptors", doing="connect")
-            self._front.waiting.make_room()
+            self._front.waiting.evict_oldest()
             return None, AttemptOutcome.NOT_SENT
         except OverlongLineError:
             return None, AttemptOutcome.ERROR
@@ -574,14 +574,14 @@
         ended.
         """
         assert self._session is not None
-        if self._client.held():
+        if self._client.buffered():
             await self._forward_to_form_server()
         ending = AttemptOutcome.RESET
-        if server.held():
+        if server.buffered():
             ending = await self._forward_to_client(server, ending)
         while True:
             partial_line_until_us = self._moving_since_us + PARTIAL_LINE_TIMEOUT_US
-            is_between_lines = not server.held() or self._node.clock.now_us() >= partial_line_until_us
+            is_between_lines = not server.buffered() or self._node.clock.now_us() >= partial_line_until_us
             if self._moving_since_us and is_between_lines:
                 self._reason = "moved"
                 await self._client.write(b"MOVE\r\n")
@@ -618,7 +618,7 @@
         stays in the buffer.
         """
         assert self._session is not None
-        await self._client.write(server.fresh())
+        await self._client.write(server.peek_new())
         self._node.bytes_received(self._session)
         while (line := server.take_line()) is not None:
             ending = END_OUTCOMES.get(first_word(line), AttemptOutcome.RESET)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -279,10 +279,10 @@
 def test_unread_input_is_detected_and_not_consumed() -> None:
     local, remote = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
     connection = Connection(local)
-    assert not connection.stirs()
+    assert not connection.is_readable()
     remote.sendall(b"more")
-    assert connection.stirs() and local.recv(10) == b"more"
-    assert not connection.stirs()
+    assert connection.is_readable() and local.recv(10) == b"more"
+    assert not connection.is_readable()
     remote.close()
-    assert connection.stirs()
+    assert connection.is_readable()
     local.close()
