--- a/sailrun/__main__.py
+++ b/sailrun/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m sailrun`: the platform's node without arguments, else the command line, see sailrun/cli.py."""
+"""`python -m sailrun`: without arguments a node as the platform starts it, else the command line (cli.py)."""
 
 import sys
 
 if __name__ == "__main__":
     if len(sys.argv) == 1:
-        # What reads arguments is a good part of what a start costs, and here there are none.
+        # Importing the argument parser takes a good part of the start-up time and is not needed here.
         from sailrun.start import by_environment, start
 
         start(*by_environment())
--- a/sailrun/config.py
+++ b/sailrun/config.py
@@ -1,4 +1,4 @@
-"""What a node is told: the platform's JSON. A fault is one line that names the file and the key."""
+"""Reads a node's configuration from the platform's JSON file. Each error names the file and the key."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 Address = tuple[str, int]
 
 
-# What the platform's variables say, where the file does not.
+# Environment variables of the platform that state a key where the file does not.
 _IN_ENVIRONMENT = {
     "name": "RELAY_NAME",
     "listen": "RELAY_LISTEN",
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryService:
-    """The service registry over HTTP: the platform's server roster."""
+    """The platform's registry of form servers over HTTP."""
 
     address: Address
 
 
 @dataclass(frozen=True, slots=True)
 class EnvoyFiles:
-    """Endpoints of a cluster from files in the form of Envoy's discovery."""
+    """Endpoints of a cluster from files in the format of Envoy's discovery service."""
 
     cluster: str
     clusters: Path
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AmqpConfig:
-    """Where clients and form servers speak AMQP 1.0, and the limits stated in its open frame."""
+    """The address at which AMQP 1.0 clients connect, and the limits stated in the open frame."""
 
     listen: Address
     max_frame_size: int
@@ -70,26 +70,29 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """What one node is started with; all names of files and of the environment are mapped here."""
+    """The configuration of one node, read from its files and environment.
+
+    Reload log lines show the names of these fields.
+    """
 
     name: str
-    listen: Address | None  # where clients that speak the platform's lines connect
-    roster: DiscoverySource  # named as in a sidecar's file and in the log
+    listen: Address | None  # where clients of the text protocol connect
+    roster: DiscoverySource  # the name that sidecar files and log lines use
     seed: int
     peer_listen: Address | None
     peers: list[Address]
     peers_all: Address | None
     known: ServerListUpdate
     settings: Settings
-    groups: bool  # whether `g` of a first line names a client's group
-    descriptors: int | None = None  # how many this process may hold, where the platform says so
-    amqp: AmqpConfig | None = None  # off on the platform
-    control: Address | None = None  # where staff call; None: nobody does
-    operator: Operator | None = None  # subsystems that the operator's own file switches on
+    groups: bool  # whether `g` in a client's first line states its group
+    descriptors: int | None = None  # how many this process may open; None: the platform states no limit
+    amqp: AmqpConfig | None = None  # None: AMQP is off, as on the platform
+    control: Address | None = None  # where the control interface listens; None: it is off
+    operator: Operator | None = None  # settings of the operator's file; None: no such file
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the path=value pairs of the simulator's first message, which has the same names."""
+    """Yields nested JSON as pairs of a path and a value. The simulator's first message has the same names."""
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from flatten(inner, f"{path}.{name}" if path else name)
@@ -98,60 +101,60 @@
         for n, item in enumerate(value):
             yield from flatten(item, f"{path}.{n}")
     elif isinstance(value, list):
-        yield path, ",".join(_plain(item) for item in value)
+        yield path, ",".join(_format_scalar(item) for item in value)
     else:
-        yield path, _plain(value)
+        yield path, _format_scalar(value)
 
 
-def _plain(value: Any) -> str:
+def _format_scalar(value: Any) -> str:
     if isinstance(value, str):
         return value.replace(" ", "_").replace(",", "_")
     return json.dumps(value)
 
 
 def read_settings(nested: Any) -> Settings:
-    """The settings of the platform's file. Raises ValueError naming the path that is not usable."""
+    """Reads the settings of the platform's file. Raises ValueError naming the invalid path."""
     if not isinstance(nested, dict):
-        raise ValueError("is no object")
+        raise ValueError("is not an object")
     settings = read_settings_fields(dict(flatten(nested)))
     check_settings(settings)
     return settings
 
 
 class _Document:
-    """The platform's JSON document, read key by key; each complaint names file and key."""
+    """The platform's JSON document, read key by key. Each error names the file and the key."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.values = _read_json_object(path)
 
-    def complain(self, key: str, reason: str) -> ConfigError:
-        """The error for a key that is not usable."""
-        return ConfigError(self.path, key, reason)
+    def complain(self, key: str, problem: str) -> ConfigError:
+        """Returns the error for an invalid value of a key."""
+        return ConfigError(self.path, key, problem)
 
     def find(self, key: str) -> Any:
-        """The file's value, else the environment's: the file is replaced under a running node, its
-        environment never is.
+        """Returns the value in the file, or else in the environment. The file comes first because it can be
+        replaced while a node runs, unlike the environment.
         """
         value = self.values.get(key)
         return (os.environ.get(_IN_ENVIRONMENT.get(key, "")) or None) if value is None else value
 
     def require(self, key: str) -> Any:
-        """The value of a key that must be there."""
+        """Returns the value of a key. Raises ConfigError if it is missing."""
         value = self.find(key)
         if value is None:
             raise self.complain(key, "is missing")
         return value
 
     def address(self, key: str, value: Any) -> Address:
-        """A value that must be an address."""
+        """Returns a key's value as an address. Raises ConfigError if it is not one."""
         try:
             return split_address(str(value))
         except ValueError as error:
             raise self.complain(key, str(error)) from None
 
     def optional_address(self, key: str, value: Any) -> Address | None:
-        """The same where there may be none."""
+        """Returns a key's value as an address, or None if the value is empty."""
         return self.address(key, value) if value else None
 
 
@@ -161,27 +164,27 @@
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(path, "", getattr(error, "strerror", None) or str(error)) from None
     except (json.JSONDecodeError, RecursionError) as error:
-        raise ConfigError(path, "", f"no JSON: {error}") from None
+        raise ConfigError(path, "", f"not valid JSON: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigError(path, "", "no object")
+        raise ConfigError(path, "", "expected a JSON object")
     return document
 
 
 def read_node_config(path: Path) -> NodeConfig:
-    """Reads the platform's file; keys that it adds for others are left alone. Raises ConfigError."""
+    """Reads the platform's file and ignores unknown keys, which are for other readers. Raises ConfigError."""
     document = _Document(path)
     seed = _read_seed(document)
     settings = _read_settings(document)
-    known = _read_known_list(document)
+    server_list = _read_known_list(document)
     peers = document.values.get("peers", [])
     if not isinstance(peers, list):
-        raise document.complain("peers", "is no list")
-    family = document.values["settings"].get("familyInfo")
+        raise document.complain("peers", "is not a list")
+    family_info = document.values["settings"].get("familyInfo")
     descriptors = _read_descriptors(document)
     listen = document.address("listen", document.require("listen"))
     control = document.optional_address("control", document.find("control"))
     if control == listen:
-        raise document.complain("control", "is the address where clients connect")
+        raise document.complain("control", "is the address of 'listen', at which clients connect")
     return NodeConfig(
         name=str(document.require("name")),
         listen=listen,
@@ -190,9 +193,9 @@
         peer_listen=document.optional_address("peer_listen", document.values.get("peer_listen")),
         peers=[document.address(f"peers[{n}]", peer) for n, peer in enumerate(peers)],
         peers_all=document.optional_address("peers_all", document.values.get("peers_all")),
-        known=known,
+        known=server_list,
         settings=settings,
-        groups=bool(family.get("groups", True)) if isinstance(family, dict) else True,
+        groups=bool(family_info.get("groups", True)) if isinstance(family_info, dict) else True,
         descriptors=descriptors,
         control=control,
     )
@@ -202,7 +205,9 @@
     try:
         return int(str(document.require("seed")), 16)
     except ValueError:
-        raise document.complain("seed", f"'{document.values['seed']}' is no hex number") from None
+        raise document.complain(
+            "seed", f"is '{document.values['seed']}', expected a hexadecimal number"
+        ) from None
 
 
 def _read_settings(document: _Document) -> Settings:
@@ -223,5 +228,5 @@
     limits = document.values.get("limits")
     descriptors = limits.get("sockets") if isinstance(limits, dict) else None
     if descriptors is not None and (not isinstance(descriptors, int) or descriptors < 1):
-        raise document.complain("limits.sockets", f"is {descriptors!r}, no number of descriptors")
+        raise document.complain("limits.sockets", f"is {descriptors!r}, expected a number of at least 1")
     return descriptors
--- a/sailrun/discovery.py
+++ b/sailrun/discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery from the server roster: the whole list, or a watch on its changes, over HTTP/1.1."""
+"""Service discovery from the registry over HTTP/1.1: the full list, or a watch on its changes."""
 
 from __future__ import annotations
 
@@ -18,17 +18,19 @@
 from sailrun.node.session import FormServer, ServerListUpdate
 
 SECOND = 1_000_000
-# From any moment on at which the registry can be reached, a fresh answer is here within the time after which
-# all that it has to tell counts as told: 6 s. That time is spent here, and nowhere else. In the worst case
-# - a call had begun just before and is refused: the next begins `APART_US` after it, takes `CALL_US`: 5.6 s;
-# - a watch falls silent as it begins: it is given up `WAIT_US` and `LATE_US` later, then the next call begins
-#   within `SOON_US` and takes `CALL_US`, 5.8 s.
-CALL_US = 2 * SECOND
-APART_US = 3_600_000
-WAIT_US, LATE_US, SOON_US = 2_500_000, SECOND // 2, 800_000
-# Calls of all nodes to one registry are spread so far apart, further by failures, as far as the above allows.
-# One that pushes is reached through an agent of this node's own, and what the agent has counts at once.
-ASK_US = SECOND // 10
+# Once the registry is reachable, a fresh answer has to arrive within 6 s, because after that time everything
+# that the registry states counts as announced to this node. Only this module uses up that time. Worst cases:
+# - A call began just before and is refused. The next one begins `MAX_CALL_SPACING_US` after it and takes
+#   `CALL_TIMEOUT_US`: 5.6 s in total.
+# - A watch gets no answer from its beginning. It is abandoned after `WATCH_WAIT_US` and `WATCH_GRACE_US`; the
+#   next call begins within `RETRY_WITHIN_US` and takes `CALL_TIMEOUT_US`: 5.8 s in total.
+CALL_TIMEOUT_US = 2 * SECOND
+MAX_CALL_SPACING_US = 3_600_000
+WATCH_WAIT_US, WATCH_GRACE_US, RETRY_WITHIN_US = 2_500_000, SECOND // 2, 800_000
+# Average time between the calls of all nodes to one registry. Failures double it, within the limits above. In
+# push mode each node has an agent of its own, which only this node calls; the agent's data counts as
+# announced at once.
+CALL_SPACING_US = SECOND // 10
 
 _STATES = {
     "SERVING": BackendState.READY,
@@ -38,12 +40,12 @@
 
 
 def phase_of(state: BackendState) -> str:
-    """The registry's word for a form server's state."""
-    return next(phase for phase, known in _STATES.items() if known is state)
+    """Returns the registry's name for a form server's state."""
+    return next(phase for phase, phase_state in _STATES.items() if phase_state is state)
 
 
 class InvalidServerListError(SailrunError, ValueError):
-    """An answer that is no list of form servers."""
+    """An answer that is not a valid list of form servers, or is outdated."""
 
     log_name = "BadRoster"
 
@@ -51,18 +53,18 @@
 def _get(entry: dict[str, Any], name: str, *types: type) -> Any:
     value = entry.get(name)
     if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
-        raise InvalidServerListError(f"'{name}' is {value!r}")
+        raise InvalidServerListError(f"'{name}' is {value!r}: missing or of the wrong type")
     if isinstance(value, float) and not math.isfinite(value):
-        raise InvalidServerListError(f"'{name}' is {value!r}")
+        raise InvalidServerListError(f"'{name}' is {value!r}, expected a finite number")
     return value
 
 
 def _form_server(entry: Any) -> FormServer:
     if not isinstance(entry, dict):
-        raise InvalidServerListError(f"{entry!r} is no entry")
+        raise InvalidServerListError(f"an entry of 'members' is {entry!r}, expected an object")
     phase = _get(entry, "phase", str)
     if phase not in _STATES:
-        raise InvalidServerListError(f"'phase' is {phase!r}")
+        raise InvalidServerListError(f"'phase' is {phase!r}, expected SERVING, DRAINING or DELETED")
     try:
         address = split_address(_get(entry, "host_port", str))
     except ValueError as error:
@@ -79,20 +81,19 @@
 
 
 def read_server_list(document: Any, cached: bool = False) -> ServerListUpdate:
-    """A list as the registry states it. One bad entry makes the whole answer bad: half a list would take
-    the other form servers for gone.
+    """Reads a list of form servers as the registry states it. One invalid entry makes the whole answer
+    invalid: with a partial list, the missing form servers would count as gone. Raises InvalidServerListError.
     """
     if not isinstance(document, dict):
-        raise InvalidServerListError("no object")
+        raise InvalidServerListError("the list is not an object")
     kind = ListKind.FULL if _get(document, "complete", bool) else ListKind.DELTA
     servers = tuple(_form_server(entry) for entry in _get(document, "members", list))
     return ServerListUpdate(ListKind.CACHED if cached else kind, _get(document, "revision", int), servers)
 
 
 class DiscoveryClient:
-    """The core's `ServiceDiscovery`, and the owner of how fresh the list is. One task makes the calls, one
-    after another, on one connection. Once asked to watch it keeps watching, whatever fails, by the times
-    above.
+    """The core's `ServiceDiscovery`, which keeps the endpoint list fresh. One task makes the calls one after
+    another on one connection. An opened watch is renewed after every failure, within the times above.
     """
 
     def __init__(self, node: Node, address: tuple[str, int], revision: int, seed: int) -> None:
@@ -101,105 +102,106 @@
         self._revision = revision
         self._random = Random(seed)
         settings = node.settings
-        # Without a watch a node is held to its list for so long, where it has to ask.
-        self._wait_us = min(settings.poll_interval_us or WAIT_US, WAIT_US)
-        self._shared = settings.discovery is DiscoveryMode.ASK
-        self._apart_us = ASK_US * (settings.instances if self._shared else 1)
+        # Without a watch, a node that has to poll may use its list for `poll_interval_us`.
+        self._wait_us = min(settings.poll_interval_us or WATCH_WAIT_US, WATCH_WAIT_US)
+        self._is_shared_registry = settings.discovery is DiscoveryMode.ASK
+        self._spacing_us = CALL_SPACING_US * (settings.instances if self._is_shared_registry else 1)
         self._failures = 0
-        self._call_at_us = 0  # not before: calls are spread at the start and after failures
-        self._took = -1  # the newest revision that an answer from this address brought
-        self._older = -1  # the revision of a whole list older than that, seen just before
+        self._call_at_us = 0  # earliest start; calls are spread at the start and after failures
+        self._accepted_revision = -1  # the newest revision accepted from this address
+        self._older_revision = -1  # the revision of an older full list in the last answer
         self._watching = self._fetching = False
         self._dropped = False
-        self._wanted = anyio.Event()
+        self._wake_event = anyio.Event()
 
     def watch(self, active: bool) -> None:
-        """Opens the watch, or ends it."""
-        if active and not self._watching and self._took < 0 and not self._fetching:
-            self._spread(self._node.clock.now_us())
+        """Opens or ends the watch."""
+        if active and not self._watching and self._accepted_revision < 0 and not self._fetching:
+            self._schedule_call(self._node.clock.now_us())
         self._watching = active
-        self._wanted.set()
+        self._wake_event.set()
 
     def fetch(self) -> None:
-        """The whole list, at once."""
+        """Requests the full list at once."""
         self._fetching = True
         self._call_at_us = 0
-        self._wanted.set()
+        self._wake_event.set()
 
     def drop(self) -> None:
-        """Another registry counts from now on: what may still be on its way from this one does not."""
+        """Stops using this registry, because another one replaces it; a pending answer is ignored."""
         self._dropped = True
-        self._wanted.set()
+        self._wake_event.set()
         self._http.end()
 
     async def run(self) -> None:
-        """Calls the registry, as a watch or for whole lists, until `drop`."""
+        """Calls the registry for watches and full lists until `drop`."""
         while not self._dropped:
             clock = self._node.clock
-            waits = not self._watching and not self._fetching
-            if waits or clock.now_us() < self._call_at_us:
-                self._wanted = anyio.Event()
-                until = math.inf if waits else clock.to_deadline(self._call_at_us)
-                with anyio.CancelScope(deadline=until):
-                    await self._wanted.wait()
+            idle = not self._watching and not self._fetching
+            if idle or clock.now_us() < self._call_at_us:
+                self._wake_event = anyio.Event()
+                deadline = math.inf if idle else clock.to_deadline(self._call_at_us)
+                with anyio.CancelScope(deadline=deadline):
+                    await self._wake_event.wait()
                 continue
-            began_us, whole = clock.now_us(), self._fetching
+            began_us, full = clock.now_us(), self._fetching
             self._fetching = False
             try:
-                told = await self._call(began_us, whole)
+                received = await self._call(began_us, full)
                 if self._dropped:
                     return
-                update = self._checked(told)
+                update = self._check_revision(received)
             except (CallFailedError, InvalidServerListError) as error:
-                self._fetching |= whole
+                self._fetching |= full
                 kind = name_in_log(error)
-                self._failed(began_us, f"{kind}: {error}")
+                self._record_failure(began_us, f"{kind}: {error}")
                 continue
             self._failures = 0
-            self._revision = self._took = update.revision
+            self._revision = self._accepted_revision = update.revision
             self._node.server_list_updated(update)
 
-    async def _call(self, began_us: int, whole: bool) -> ServerListUpdate:
-        path, deadline_us = "/registry/instances", began_us + CALL_US
-        if not whole:
-            # The next call of a watch goes out as soon as the last is answered: it must come within
-            # 200 ms, or a new watch begins and what changed in between is told late. If all waited as long,
-            # all would be renewed in step after a change.
+    async def _call(self, began_us: int, full: bool) -> ServerListUpdate:
+        path, deadline_us = "/registry/instances", began_us + CALL_TIMEOUT_US
+        if not full:
+            # The next call of a watch follows as soon as the previous one is answered. It must arrive within
+            # 200 ms, or the registry begins a new watch and reports changes in between late. The wait time is
+            # randomised, because otherwise all nodes would renew their watches simultaneously after a change.
             wait_us = int(self._wait_us * (0.8 + 0.2 * self._random.random()))
             path += f"?after={self._revision}&wait_ms={wait_us // 1000}"
-            deadline_us = began_us + wait_us + LATE_US
+            deadline_us = began_us + wait_us + WATCH_GRACE_US
         body = await self._http.call("GET", path, b"", deadline_us)
         try:
             return read_server_list(json.loads(body))
         except (UnicodeDecodeError, json.JSONDecodeError, RecursionError) as error:
-            raise InvalidServerListError(f"no JSON: {error}") from None
+            raise InvalidServerListError(f"the answer is not valid JSON: {error}") from None
 
-    def _checked(self, update: ServerListUpdate) -> ServerListUpdate:
-        """An answer older than one that was had before would put back what has changed since. A registry that
-        begins to count anew says so twice, with its whole list.
+    def _check_revision(self, update: ServerListUpdate) -> ServerListUpdate:
+        """Rejects an answer older than the accepted one, which would undo later changes. A registry that has
+        restarted its revisions is accepted once two full lists in a row are older than the accepted one.
         """
-        known = self._took if update.kind is ListKind.FULL else self._revision
-        if update.revision >= known:
-            self._older = -1
+        accepted = self._accepted_revision if update.kind is ListKind.FULL else self._revision
+        if update.revision >= accepted:
+            self._older_revision = -1
             return update
-        again = update.kind is ListKind.FULL and 0 <= self._older <= update.revision
-        self._older = update.revision if update.kind is ListKind.FULL else -1
-        if not again:
+        is_repeated = update.kind is ListKind.FULL and 0 <= self._older_revision <= update.revision
+        self._older_revision = update.revision if update.kind is ListKind.FULL else -1
+        if not is_repeated:
             self._fetching = True
-            raise InvalidServerListError(f"revision {update.revision} is older than {known}")
+            raise InvalidServerListError(f"revision {update.revision} is older than {accepted}")
         return update
 
-    def _failed(self, began_us: int, why: str) -> None:
-        self._spread(began_us)
+    def _record_failure(self, began_us: int, reason: str) -> None:
+        self._schedule_call(began_us)
         self._failures += 1
-        self._node.discovery_failed(why)
+        self._node.discovery_failed(reason)
 
-    def _spread(self, began_us: int) -> None:
-        """The next call begins some time before `APART_US` after the last one began, or soon if that is over:
-        the registry takes calls in turn, and more than it takes are all late.
+    def _schedule_call(self, began_us: int) -> None:
+        """Sets the next call to a random time, at most `MAX_CALL_SPACING_US` after the last one began, or at
+        most `RETRY_WITHIN_US` from now if that is later. Calls are spread because the registry handles them
+        one after another, and too many at once would delay all of them.
         """
         now_us = self._node.clock.now_us()
-        doublings = min(self._failures, 10) if self._shared else 0
-        window_us = min(APART_US, self._apart_us << doublings)
-        until_us = max(began_us + window_us, now_us + min(window_us, SOON_US))
+        doublings = min(self._failures, 10) if self._is_shared_registry else 0
+        window_us = min(MAX_CALL_SPACING_US, self._spacing_us << doublings)
+        until_us = max(began_us + window_us, now_us + min(window_us, RETRY_WITHIN_US))
         self._call_at_us = now_us + int(self._random.random() * (until_us - now_us))
--- a/sailrun/errors.py
+++ b/sailrun/errors.py
@@ -1,4 +1,4 @@
-"""The root of sailrun's own errors."""
+"""The base class of sailrun's own errors, and the error for configuration files."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class SailrunError(Exception):
-    """Something outside this program is not as it has to be; the text says what, with its file, key or peer.
+    """Something outside of this program is invalid or has failed. The text names the file, key or peer.
 
-    Each error is also a ValueError or an OSError, as its cause is.
+    A subclass is usually also a ValueError or an OSError, depending on its cause.
     """
 
-    log_name = ""  # what the log calls it, where that is not the name of the class
+    log_name = ""  # the name in log lines; empty: the name of the class
 
 
 def name_in_log(error: BaseException) -> str:
-    """What the log calls an error."""
+    """Returns the name of an error in log lines."""
     return (error.log_name if isinstance(error, SailrunError) else "") or type(error).__name__
 
 
 class ConfigError(SailrunError, ValueError):
-    """A file of an operator's or the platform's is not usable."""
+    """A configuration file is invalid or cannot be read."""
 
-    def __init__(self, path: Path, key: str, what: str) -> None:
-        """Names the file, the key (empty: the whole file) and what is wrong with it."""
-        super().__init__(f"{path}: {key}: {what}" if key else f"{path}: {what}")
+    def __init__(self, path: Path, key: str, problem: str) -> None:
+        """Takes the file, the key (empty: the whole file) and the problem."""
+        super().__init__(f"{path}: {key}: {problem}" if key else f"{path}: {problem}")
--- a/sailrun/http_calls.py
+++ b/sailrun/http_calls.py
@@ -13,68 +13,70 @@
 from sailrun.errors import SailrunError, name_in_log
 from sailrun.node.clock import Clock
 
-LONGEST_ANSWER = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 
 
 class CallFailedError(SailrunError):
-    """No usable answer came; the text says why."""
+    """A call brought no usable answer; the text says why."""
 
     log_name = "CallFailed"
 
 
 class HttpCalls:
-    """HTTP/1.1 calls to one address over one connection, which is kept between calls."""
+    """Makes HTTP/1.1 calls to one address over one connection, which stays open between calls."""
 
     def __init__(self, clock: Clock, address: tuple[str, int]) -> None:
         self._clock = clock
         self._address = address
         self._connection: Connection | None = None
         self._http = h11.Connection(h11.CLIENT)
-        self._spare: int | None = None
+        self._reserved_descriptor: int | None = None
 
     def drop(self) -> None:
-        """Closes the connection; the next call opens another."""
+        """Closes the connection; the next call opens a new one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
     def end(self) -> None:
-        """No more calls: nothing is held or kept back any more."""
+        """Closes the connection and the reserved descriptor. No calls may follow."""
         self.drop()
-        if self._spare is not None:
-            os.close(self._spare)
-            self._spare = None
+        if self._reserved_descriptor is not None:
+            os.close(self._reserved_descriptor)
+            self._reserved_descriptor = None
 
     async def call(self, method: str, target: str, body: bytes, deadline_us: int) -> bytes:
-        """The answer's body. Whatever else comes back, or nothing by the deadline, is CallFailedError."""
-        answer: bytes | None = None
+        """Makes a call and returns the response body. Raises CallFailedError if the response is not a valid
+        one with status 200, or does not arrive by the deadline.
+        """
+        response: bytes | None = None
         try:
             with anyio.CancelScope(deadline=self._clock.to_deadline(deadline_us)):
-                answer = await self._call(method, target, body)
+                response = await self._call(method, target, body)
         except (OSError, h11.RemoteProtocolError, OverlongLineError) as error:
             self.drop()
             raise CallFailedError(f"{name_in_log(error)}: {error}") from None
         except CallFailedError:
             self.drop()
             raise
-        if answer is None:
+        if response is None:
             self.drop()
-            raise CallFailedError("no answer in time")
-        return answer
+            raise CallFailedError("no answer before the deadline")
+        return response
 
     async def _connect(self) -> Connection:
-        """One descriptor is kept back for this: clients may hold all others when a list is wanted."""
-        if self._spare is None:
+        """Connects, with a descriptor reserved for this if necessary: clients can use all others."""
+        if self._reserved_descriptor is None:
             with contextlib.suppress(OSError):
-                self._spare = os.dup(sys.stderr.fileno())
+                self._reserved_descriptor = os.dup(sys.stderr.fileno())
         try:
-            return await connect(self._address, LONGEST_ANSWER)
+            return await connect(self._address, MAX_RESPONSE_BYTES)
         except OutOfDescriptorsError:
-            if self._spare is None:
+            if self._reserved_descriptor is None:
                 raise
-            os.close(self._spare)
-            self._spare = None
-            return await connect(self._address, LONGEST_ANSWER)
+            os.close(self._reserved_descriptor)
+            self._reserved_descriptor = None
+            return await connect(self._address, MAX_RESPONSE_BYTES)
 
     async def _call(self, method: str, target: str, body: bytes) -> bytes:
         if self._connection is None:
@@ -87,7 +89,7 @@
         request = http.send(h11.Request(method=method, target=target, headers=headers)) or b""
         request += (http.send(h11.Data(data=body)) or b"") if body else b""
         await connection.write(request + (http.send(h11.EndOfMessage()) or b""))
-        status, answer = 0, bytearray()
+        status, response = 0, bytearray()
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
@@ -95,17 +97,17 @@
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
-                answer += event.data
-                if len(answer) > LONGEST_ANSWER:
-                    raise OverlongLineError(f"an answer of over {LONGEST_ANSWER} bytes")
+                response += event.data
+                if len(response) > MAX_RESPONSE_BYTES:
+                    raise OverlongLineError(f"the answer is longer than {MAX_RESPONSE_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionResetError("ended before the answer")
+                raise ConnectionResetError("the connection was closed before the answer was complete")
         if status != 200:
-            raise CallFailedError(f"status {status}")
+            raise CallFailedError(f"status {status}, expected 200")
         if http.our_state is h11.DONE and http.their_state is h11.DONE:
             http.start_next_cycle()
         else:
             self.drop()
-        return bytes(answer)
+        return bytes(response)
--- a/sailrun/operator_settings.py
+++ b/sailrun/operator_settings.py
@@ -1,4 +1,4 @@
-"""The operator's own file: subsystems that are off unless it switches them on. TOML, checked as a whole."""
+"""The operator's TOML file, which enables optional subsystems. It is validated as a whole."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One table for each subsystem. What a table leaves out has its default."""
+    """One table for each subsystem. A key that a table leaves out has its default value."""
 
     rebalance: RebalanceSettings = RebalanceSettings()
     members: MembershipSettings = MembershipSettings()
@@ -43,73 +43,80 @@
     shards: ShardingSettings = ShardingSettings()
 
     def tables(self) -> Iterator[tuple[str, Table]]:
-        """Every subsystem's name and terms."""
+        """Yields the name and the settings of each subsystem."""
         for name in self.__struct_fields__:
             yield name, getattr(self, name)
 
 
 def read_operator(path: Path) -> Operator:
-    """Raises ConfigError, naming the file and the key."""
+    """Reads and validates an operator's file. Raises ConfigError naming the file and the key."""
     try:
-        told = msgspec.toml.decode(path.read_bytes(), type=Operator)
+        operator = msgspec.toml.decode(path.read_bytes(), type=Operator)
     except OSError as error:
         raise ConfigError(path, "", error.strerror or str(error)) from None
     except msgspec.ValidationError as error:
-        what, _, where = str(error).partition(" - at `$.")
-        raise ConfigError(path, where.rstrip("`"), what[:1].lower() + what[1:]) from None
+        problem, _, location = str(error).partition(" - at `$.")
+        raise ConfigError(path, location.rstrip("`"), problem[:1].lower() + problem[1:]) from None
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
-        raise ConfigError(path, "", f"no TOML: {error}") from None
-    terms = told.rebalance
-    if terms.stop_at > terms.start_at:
-        raise ConfigError(path, "rebalance.stop_at", f"is {terms.stop_at}, above start_at {terms.start_at}")
-    if terms.fill_to > terms.stop_at:
-        raise ConfigError(path, "rebalance.fill_to", f"is {terms.fill_to}, above stop_at {terms.stop_at}")
-    for key, what in _fleet_faults(told):
-        raise ConfigError(path, key, what)
-    return told
-
-
-def _fleet_faults(told: Operator) -> Iterator[tuple[str, str]]:
-    """What is wrong with the tables of the fleet taken together."""
-    members, owners = told.members, told.owners
+        raise ConfigError(path, "", f"not valid TOML: {error}") from None
+    rebalance = operator.rebalance
+    if rebalance.stop_at > rebalance.start_at:
+        raise ConfigError(
+            path, "rebalance.stop_at", f"is {rebalance.stop_at}, above start_at {rebalance.start_at}"
+        )
+    if rebalance.fill_to > rebalance.stop_at:
+        raise ConfigError(
+            path, "rebalance.fill_to", f"is {rebalance.fill_to}, above stop_at {rebalance.stop_at}"
+        )
+    for key, problem in _check_fleet_tables(operator):
+        raise ConfigError(path, key, problem)
+    return operator
+
+
+def _check_fleet_tables(operator: Operator) -> Iterator[tuple[str, str]]:
+    """Yields the key and the problem of each conflict within and between the tables of the fleet."""
+    members, owners = operator.members, operator.owners
     for name, table in (
         ("owners", owners),
-        ("permits", told.permits),
-        ("reader", told.reader),
-        ("replica", told.replica),
-        ("shards", told.shards),
+        ("permits", operator.permits),
+        ("reader", operator.reader),
+        ("replica", operator.replica),
+        ("shards", operator.shards),
     ):
-        needs, there = ("members", members) if name == "owners" else ("owners", owners)
-        if table.enabled and not there.enabled:
-            yield f"{name}.enabled", f"is true, but {needs}.enabled is not"
+        required, required_table = ("members", members) if name == "owners" else ("owners", owners)
+        if table.enabled and not required_table.enabled:
+            yield f"{name}.enabled", f"is true, but {required}.enabled is not"
     if members.enabled:
-        yield from _member_faults(members)
-    if told.shards.enabled:
-        yield from shard_faults(told.shards, members.region, owners)
-    replica = told.replica
+        yield from _check_members(members)
+    if operator.shards.enabled:
+        yield from shard_faults(operator.shards, members.region, owners)
+    replica = operator.replica
     if replica.enabled and replica.absent_member_wait_s < replica.deletion_retention_s:
-        # Else a node could be given up before what it has to know was kept for as long as stated.
+        # Otherwise a node could be given up before deletions unknown to it were retained for the stated time.
         yield (
             "replica.absent_s",
             f"is {replica.absent_member_wait_s:g}, under keep_s, which is {replica.deletion_retention_s:g}",
         )
     if owners.enabled:
-        yield from _owner_faults(owners)
-        change_s = 2 * (owners.lease_s + owners.order_s)
-        if told.permits.enabled and told.permits.lease_s < change_s:
-            # Else every change of owner would end the permits that are in use.
+        yield from _check_leadership(owners)
+        leader_change_s = 2 * (owners.lease_s + owners.order_s)
+        if operator.permits.enabled and operator.permits.lease_s < leader_change_s:
+            # Otherwise every change of leader would end the permits in use.
             yield (
                 "permits.lease_s",
-                f"is {told.permits.lease_s:g}, under the {change_s:g} of a change of owner",
+                f"is {operator.permits.lease_s:g}, under the {leader_change_s:g} s of a change of leader",
             )
 
 
-def _member_faults(members: MembershipSettings) -> Iterator[tuple[str, str]]:
+def _check_members(members: MembershipSettings) -> Iterator[tuple[str, str]]:
     for key in ("name", "listen"):
         if not getattr(members, key):
             yield f"members.{key}", "is missing"
     if any(not (c.isascii() and c.isalnum()) and c not in "._-" for c in members.name):
-        yield "members.name", f"'{members.name}' is not of letters, digits, dots, dashes and underscores"
+        yield (
+            "members.name",
+            f"is '{members.name}', expected only letters, digits, dots, dashes and underscores",
+        )
     addresses = {"listen": members.listen, "advertise": members.advertise or members.listen}
     addresses |= {f"join[{n}]": address for n, address in enumerate(members.join)}
     for key, address in addresses.items():
@@ -119,40 +126,40 @@
             yield f"members.{key}", str(error)
 
 
-def _owner_faults(owners: LeadershipSettings) -> Iterator[tuple[str, str]]:
+def _check_leadership(owners: LeadershipSettings) -> Iterator[tuple[str, str]]:
     for key, voters in (("voters", owners.voters), ("voters_before", owners.voters_before)):
-        what = check_voters(voters) if voters or key == "voters" else None
-        if what is not None:
-            yield f"owners.{key}", what
+        problem = check_voters(voters) if voters or key == "voters" else None
+        if problem is not None:
+            yield f"owners.{key}", problem
     if owners.voters_before:
         new, old = set(owners.voters), set(owners.voters_before)
         if max(len(new - old), len(old - new)) > (1 if len(new) == len(old) else 2) or new == old:
             yield (
                 "owners.voters_before",
-                "differs from owners.voters by more than one exchanged, or two added",
+                "differs from owners.voters by neither one exchanged nor one or two added or removed voters",
             )
     if owners.lease_s < 2 * owners.order_s:
         yield "owners.lease_s", f"is {owners.lease_s:g}, under twice order_s, which is {owners.order_s:g}"
 
 
-def voters_follow(before: LeadershipSettings, after: LeadershipSettings) -> str | None:
-    """What is wrong with a change of voters in a running node; None: nothing. A majority of the new voters
-    and
-    one of the old have a voter in common only by way of a stage in which both are asked.
+def check_voter_change(before: LeadershipSettings, after: LeadershipSettings) -> str | None:
+    """Returns the problem with a change of voters in a running node; None if the change is valid. Between the
+    old and the new voters there must be a stage in which both are asked, because otherwise a majority of the
+    old and a majority of the new voters need not have a voter in common.
     """
     if not (before.enabled and after.enabled) or (
         (before.voters, before.voters_before) == (after.voters, after.voters_before)
     ):
         return None
     if after.stage != before.stage + 1:
-        return "owners.revision: the voters change by one stage at a time; name the old ones in voters_before"
-    kept = before.voters if after.voters_before else after.voters
-    if kept != (after.voters_before or before.voters):
-        return "owners.voters: are not those that the stage before names"
+        return "owners.revision: voters change one stage at a time; state the old voters in voters_before"
+    required_voters = before.voters if after.voters_before else after.voters
+    if required_voters != (after.voters_before or before.voters):
+        return "owners.voters: are not the voters that the previous stage states"
     return None
 
 
 def schema() -> dict[str, Any]:
-    """The JSON schema of the file, for editors and other tools."""
+    """Returns the JSON schema of the file, for editors and other tools."""
     document: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(msgspec.json.schema(Operator)))
     return document
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -345,9 +345,9 @@
         import msgspec
 
         from sailrun.leadership.service import agent_settings
-        from sailrun.operator_settings import voters_follow
+        from sailrun.operator_settings import check_voter_change
 
-        if (why := voters_follow(before.owners, after.owners)) is not None:
+        if (why := check_voter_change(before.owners, after.owners)) is not None:
             raise ValueError(why)
         # All nodes of a fleet must use the same lease and order times, so these change at the next start.
         leadership = msgspec.structs.replace(
--- a/sailrun/sidecar.py
+++ b/sailrun/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar's own file: one for each application, written and checked by `sailrun config`."""
+"""The sidecar's configuration file, one for each application. `sailrun config` writes and checks it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from sailrun.node.session import ServerListUpdate
 from sailrun.settings_codec import is_setting, read_settings_fields
 
-# The keys of the file, by table; each with the types that it takes. `settings` has the platform's names.
+# The keys of the file by table, each with its type. The keys of `settings` are those of the platform.
 KEYS: dict[str, dict[str, type]] = {
     "": {"name": str, "settings": dict, "amqp": dict, "households": dict, "roster": dict, "control": dict},
     "amqp": {"listen": str, "max_frame_size": int, "idle_time_out_ms": int},
@@ -37,25 +37,27 @@
     "xds-files": ("cluster", "clusters", "endpoints"),
     "xds-rest": ("cluster", "address"),
 }
-SMALLEST_FRAME = 512  # of the AMQP specification
+MIN_MAX_FRAME_BYTES = 512  # lower limit of max-frame-size in the AMQP 1.0 specification
 
 
 class _Table:
-    """One table of the file; a fault names the file and the key."""
+    """One table of the file. Each error names the file and the key."""
 
     def __init__(self, path: Path, name: str, values: dict[str, Any]) -> None:
         self._path, self._name, self._values = path, name, values
         for key, value in values.items():
-            wanted = KEYS[name].get(key)
-            if wanted is None:
-                raise ConfigError(path, self._key(key), "is not known")
-            if not isinstance(value, wanted) or isinstance(value, bool):
-                raise ConfigError(path, self._key(key), f"is {value!r}, not a {wanted.__name__}")
+            expected = KEYS[name].get(key)
+            if expected is None:
+                raise ConfigError(path, self._key(key), "is an unknown key")
+            if not isinstance(value, expected) or isinstance(value, bool):
+                raise ConfigError(
+                    path, self._key(key), f"is {value!r}, expected a value of type {expected.__name__}"
+                )
 
     def _key(self, key: str) -> str:
         return f"{self._name}.{key}" if self._name else key
 
-    def need(self, key: str) -> Any:
+    def require(self, key: str) -> Any:
         if key not in self._values:
             raise ConfigError(self._path, self._key(key), "is missing")
         return self._values[key]
@@ -65,51 +67,55 @@
 
     def address(self, key: str) -> Address:
         try:
-            return split_address(self.need(key))
+            return split_address(self.require(key))
         except ValueError as error:
             raise ConfigError(self._path, self._key(key), str(error)) from None
 
-    def whole(self, key: str, default: int, least: int, most: int) -> int:
+    def integer_in_range(self, key: str, default: int, lowest: int, highest: int) -> int:
         value = self._values.get(key, default)
-        if not least <= value <= most:
-            raise ConfigError(self._path, self._key(key), f"is {value}, not from {least} to {most}")
+        if not lowest <= value <= highest:
+            raise ConfigError(
+                self._path, self._key(key), f"is {value}, expected a number from {lowest} to {highest}"
+            )
         return int(value)
 
     def file(self, key: str) -> Path:
-        """A path, relative to the folder of the file that names it."""
-        return self._path.parent / str(self.need(key))
+        """Returns a key's value as a path, relative to the folder of the configuration file."""
+        return self._path.parent / str(self.require(key))
 
 
 def read_sidecar(path: Path) -> NodeConfig:
-    """The settings of a sidecar from its TOML file. Raises ConfigError naming file and key."""
+    """Reads a sidecar's TOML file. Raises ConfigError naming the file and the key."""
     try:
         document = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(path, "", getattr(error, "strerror", None) or str(error)) from None
     except tomllib.TOMLDecodeError as error:
-        raise ConfigError(path, "", f"no TOML: {error}") from None
+        raise ConfigError(path, "", f"not valid TOML: {error}") from None
     top = _Table(path, "", document)
-    clients, amqp, control = top.table("households"), top.table("amqp"), top.table("control")
-    if clients is None and amqp is None:
-        raise ConfigError(path, "amqp", "is missing, and so is households: nothing would listen")
-    fields = dict(flatten(top.need("settings")))
+    text_clients, amqp, control = top.table("households"), top.table("amqp"), top.table("control")
+    if text_clients is None and amqp is None:
+        raise ConfigError(
+            path, "amqp", "is missing, and so is 'households'; at least one of the tables is required"
+        )
+    fields = dict(flatten(top.require("settings")))
     for name in fields:
         if not is_setting(name):
-            raise ConfigError(path, f"settings.{name}", "is not known")
+            raise ConfigError(path, f"settings.{name}", "is an unknown key")
     try:
         settings = read_settings_fields(fields)
         check_settings(settings)
     except ValueError as error:
         raise ConfigError(path, "settings", str(error)) from None
     groups = fields.get("familyInfo.groups", "true") != "false"
-    at = control.address("listen") if control is not None else None
-    for other in (clients, amqp):
-        if at is not None and other is not None and other.address("listen") == at:
-            raise ConfigError(path, "control.listen", "is an address where clients connect")
+    control_address = control.address("listen") if control is not None else None
+    for other in (text_clients, amqp):
+        if control_address is not None and other is not None and other.address("listen") == control_address:
+            raise ConfigError(path, "control.listen", "is also an address at which clients connect")
     return NodeConfig(
-        name=top.need("name"),
-        control=at,
-        listen=clients.address("listen") if clients is not None else None,
+        name=top.require("name"),
+        control=control_address,
+        listen=text_clients.address("listen") if text_clients is not None else None,
         roster=_discovery_source(path, top),
         seed=secrets.randbits(63),
         peer_listen=None,
@@ -122,28 +128,30 @@
         if amqp is None
         else AmqpConfig(
             amqp.address("listen"),
-            amqp.whole("max_frame_size", 64 * 1024, SMALLEST_FRAME, 2**20),
-            amqp.whole("idle_time_out_ms", 30_000, 1_000, 3_600_000),
+            amqp.integer_in_range("max_frame_size", 64 * 1024, MIN_MAX_FRAME_BYTES, 2**20),
+            amqp.integer_in_range("idle_time_out_ms", 30_000, 1_000, 3_600_000),
         ),
     )
 
 
 def _discovery_source(path: Path, top: _Table) -> DiscoverySource:
-    top.need("roster")
+    top.require("roster")
     table = top.table("roster")
     assert table is not None
-    source = table.need("source")
+    source = table.require("source")
     if source not in SOURCES:
-        raise ConfigError(path, "roster.source", f"is '{source}', not one of {', '.join(SOURCES)}")
+        raise ConfigError(path, "roster.source", f"is '{source}', expected one of {', '.join(SOURCES)}")
     if source == "http":
         return RegistryService(table.address("address"))
     if source == "xds-rest":
-        return EnvoyRest(table.need("cluster"), table.address("address"))
-    return EnvoyFiles(table.need("cluster"), table.file("clusters"), table.file("endpoints"))
+        return EnvoyRest(table.require("cluster"), table.address("address"))
+    return EnvoyFiles(table.require("cluster"), table.file("clusters"), table.file("endpoints"))
 
 
 def draft(name: str, amqp_listen: str, zone: str, classes: list[dict[str, Any]]) -> dict[str, Any]:
-    """A sidecar's file for one application, with the deployment's figures for the four rules."""
+    """Returns the content of a sidecar's file for one application, with the deployment's values for the four
+    rules of the platform (`obligations`).
+    """
     aims = [aim for c in classes for aim in [c.pop("messageAimUs")]]
     return {
         "name": name,
--- a/sailrun/start.py
+++ b/sailrun/start.py
@@ -1,4 +1,6 @@
-"""Starts a node by its files: as the platform does, without the command line's library, and for that one."""
+"""Starts a node from its configuration files, for the platform and for the command line. Does not import the
+command line's library.
+"""
 
 from __future__ import annotations
 
@@ -15,28 +17,28 @@
 
 
 def complain(error: object) -> NoReturn:
-    """A fault of the caller's: one plain line, and exit code 2."""
+    """Prints an error of the caller as one line and exits with code 2."""
     print(f"sailrun: {error}", file=sys.stderr)
     raise SystemExit(2)
 
 
 def by_environment() -> tuple[Path | None, Path | None]:
-    """The platform's file and the operator's, as the environment names them."""
+    """Returns the paths of the platform's and the operator's file that the environment states."""
     config, operator = (os.environ.get(name) for name in ("RELAY_CONFIG", "SAILRUN_OPERATOR"))
     return Path(config) if config else None, Path(operator) if operator else None
 
 
 def start(config: Path | None, operator: Path | None, sidecar: Path | None = None) -> None:
-    """Serves clients until told to stop; a file that is not usable ends it with one line."""
+    """Runs a node until it is signalled to stop. An unusable file ends the program with a one-line error."""
     from sailrun.serve import run
 
     def read() -> NodeConfig:
-        told = read_main()
+        node_config = read_main()
         if operator is None:
-            return told
+            return node_config
         from sailrun.operator_settings import read_operator
 
-        return replace(told, operator=read_operator(operator))
+        return replace(node_config, operator=read_operator(operator))
 
     def read_main() -> NodeConfig:
         if sidecar is not None:
@@ -45,8 +47,8 @@
             return read_sidecar(sidecar)
         if config is None:
             complain(
-                "RELAY_CONFIG: is not set, and neither --config nor --sidecar was given; to see nodes work "
-                "without a platform: sailrun lab run quickstart --out FOLDER"
+                "RELAY_CONFIG is not set, and neither --config nor --sidecar was given; to run nodes without "
+                "a platform, use: sailrun lab run quickstart --out FOLDER"
             )
         from sailrun.config import read_node_config
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -17,7 +17,15 @@
 
 from sailrun import discovery as discovery_module
 from sailrun.decisions.settings import DiscoveryMode
-from sailrun.discovery import APART_US, ASK_US, CALL_US, LATE_US, SOON_US, WAIT_US, DiscoveryClient
+from sailrun.discovery import (
+    CALL_SPACING_US,
+    CALL_TIMEOUT_US,
+    MAX_CALL_SPACING_US,
+    RETRY_WITHIN_US,
+    WATCH_GRACE_US,
+    WATCH_WAIT_US,
+    DiscoveryClient,
+)
 from sailrun.node.clock import Clock
 from tests.stand_ins import SETTINGS, TIMEOUT_S, FormServer, Listener, Peer, node
 from tests.support import settings
@@ -107,7 +115,7 @@
         next_requested_at, _ = roster.next_call()
         # A change right after the beginning of the watch arrives with the next answer, for which the time of
         # one call has to remain.
-        assert next_requested_at - requested_at <= (FRESHNESS_LIMIT_US - CALL_US) / 1e6
+        assert next_requested_at - requested_at <= (FRESHNESS_LIMIT_US - CALL_TIMEOUT_US) / 1e6
         roster.steps.put(respond(list_changes(42, draining.entry("DRAINING")), indent=1))
         running.logged("roster", "kind=delta", "revision=42")
         for n, group in enumerate(GROUPS):
@@ -210,23 +218,23 @@
         client = DiscoveryClient(node_stub, ("127.0.0.1", 1), 41, seed)  # type: ignore[arg-type]
         node_stub.discovery_failed = lambda why: None
         client.watch(True)
-        assert client._call_at_us - now <= APART_US
+        assert client._call_at_us - now <= MAX_CALL_SPACING_US
         for failures in range(12):
             client._failures = failures
             began = now
-            for took_us in (0, 1_000, CALL_US, WAIT_US + LATE_US):
+            for took_us in (0, 1_000, CALL_TIMEOUT_US, WATCH_WAIT_US + WATCH_GRACE_US):
                 now = began + took_us
-                client._spread(began)
+                client._schedule_call(began)
                 # A call that began before the roster was reachable again may be refused or time out.
                 next_us = client._call_at_us - began
                 latest = max(latest, next_us)
-                if took_us <= CALL_US:
-                    assert next_us + CALL_US <= FRESHNESS_LIMIT_US - 200_000
+                if took_us <= CALL_TIMEOUT_US:
+                    assert next_us + CALL_TIMEOUT_US <= FRESHNESS_LIMIT_US - 200_000
                 else:
-                    assert next_us + CALL_US <= FRESHNESS_LIMIT_US
+                    assert next_us + CALL_TIMEOUT_US <= FRESHNESS_LIMIT_US
             now = began + 10_000_000
-    assert nodes < 200 or latest > APART_US / 2, "nothing was spread"
-    assert WAIT_US + LATE_US + SOON_US + CALL_US <= FRESHNESS_LIMIT_US
+    assert nodes < 200 or latest > MAX_CALL_SPACING_US / 2, "nothing was spread"
+    assert WATCH_WAIT_US + WATCH_GRACE_US + RETRY_WITHIN_US + CALL_TIMEOUT_US <= FRESHNESS_LIMIT_US
 
 
 def test_calls_to_a_local_agent_are_not_spread() -> None:
@@ -238,5 +246,5 @@
     for seed in range(200):
         client = DiscoveryClient(node_stub, ("127.0.0.1", 1), 41, seed)  # type: ignore[arg-type]
         for _ in range(12):
-            client._failed(clock.now_us(), "refused")
-            assert client._call_at_us - clock.now_us() <= ASK_US
+            client._record_failure(clock.now_us(), "refused")
+            assert client._call_at_us - clock.now_us() <= CALL_SPACING_US
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -34,7 +34,7 @@
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
 from sailrun.leadership.voter import Voter, abstention_us
 from sailrun.membership.messages import MemberRecord, MemberState, list_eligible_names
-from sailrun.operator_settings import read_operator, voters_follow
+from sailrun.operator_settings import check_voter_change, read_operator
 from sailrun.storage import entries
 
 SECOND = 1_000_000
@@ -128,10 +128,10 @@
     assert Voters(both).is_majority({"a", "c", "d"})
     for one, other, allowed in ((before, both, True), (both, after, True), (before, after, False)):
         assert Voters(one).accepts_stage(other.stage) is allowed
-        assert (voters_follow(one, other) is None) is allowed
+        assert (check_voter_change(one, other) is None) is allowed
     assert not Voters(both).accepts_stage(before.stage)
     other = LeadershipSettings(enabled=True, voters=("a", "b", "e"), revision=2)
-    assert voters_follow(both, other) is not None
+    assert check_voter_change(both, other) is not None
 
 
 # ---------------------------------------------------------------------- leases
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize(
     "text, fault",
     [
-        ("[rebalance", "no TOML"),
+        ("[rebalance", "not valid TOML"),
         ("[rebalanse]\n", "unknown field `rebalanse`"),
         ("[rebalance]\nstrat_at = 1.2\n", "rebalance: object contains unknown field `strat_at`"),
         ("[rebalance]\nstart_at = 0.5\n", "rebalance.start_at: expected `float` >= 1.0"),
