--- a/sailrun/__main__.py
+++ b/sailrun/__main__.py
@@ -5,9 +5,9 @@
 if __name__ == "__main__":
     if len(sys.argv) == 1:
         # Importing the argument parser takes a good part of the start-up time and is not needed here.
-        from sailrun.start import by_environment, start
+        from sailrun.start import paths_from_environment, start
 
-        start(*by_environment())
+        start(*paths_from_environment())
     else:
         from sailrun.cli import command
 
--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -1,4 +1,4 @@
-"""Clients that speak AMQP 1.0, and the links to the form servers that hold their sessions."""
+"""AMQP 1.0 clients, and the links to the form servers that run their sessions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import proton
 from anyio.abc import TaskGroup
 
-from sailrun.amqp.engine import SESSION_BYTES, AmqpSettings, Engine
+from sailrun.amqp.engine import SESSION_WINDOW_BYTES, AmqpSettings, Engine
 from sailrun.amqp.transfer_relay import TransferRelay
 from sailrun.connection import Connection, OutOfDescriptorsError, connect
 from sailrun.decisions.events import AttemptOutcome
@@ -21,111 +21,114 @@
 from sailrun.node.session_transfer import SendTransfer
 
 SECOND = 1_000_000
-# The properties of an attach that make it a request.
+# The properties by which an attach frame states a request.
 KEY, GROUP, CLASS, TIME_LEFT = "sailrun:key", "sailrun:group", "sailrun:class", "sailrun:time-left-ms"
 RETRY_AFTER = "sailrun:retry-after-ms"
-# The conditions with which a link is detached; README and docs/on-call.md list them for the offices.
+# The error conditions with which a link is detached; README and docs/on-call.md list them.
 REFUSED = "amqp:resource-limit-exceeded"
 FAILED = "amqp:internal-error"
 MOVED = "amqp:link:detach-forced"
 BAD_REQUEST = "amqp:invalid-field"
-# A moved session may finish the transfers under way by then.
-LAST_TRANSFERS_US = SECOND // 2
-# A form server's connection that was closed in good order is dropped if it does not answer by then.
-GOODBYE_US = SECOND
-# A client that has not opened its connection by then is ended.
-OPEN_BY_US = 2 * SECOND
-LONGEST_WAIT_MS = 600_000
+# How long a session that is being moved may take to finish the transfers under way.
+MOVE_GRACE_US = SECOND // 2
+# How long a form server may take to answer a graceful close before its connection is dropped.
+DETACH_TIMEOUT_US = SECOND
+# How long a client may take to send its open frame before its connection is closed.
+OPEN_TIMEOUT_US = 2 * SECOND
+MAX_TIME_LEFT_MS = 600_000
 _NO_TERMINUS = proton.Terminus.UNSPECIFIED
 
 
 class FormServerLink:
-    """One attempt's own connection and link to a form server."""
+    """The connection and link to a form server that one attempt uses alone."""
 
-    def __init__(self, clock_us: Callable[[], int], terms: AmqpSettings, connection: Connection) -> None:
-        self._clock_us = clock_us
-        self.engine = Engine(connection, terms, self._handle, accepts=False)
+    def __init__(self, now_us: Callable[[], int], settings: AmqpSettings, connection: Connection) -> None:
+        self._now_us = now_us
+        self.engine = Engine(connection, settings, self._handle_event, is_server=False)
         self.link: Any = None
         self.answered = anyio.Event()  # attached, refused or broken
         self.ended = anyio.Event()
         self.outcome = AttemptOutcome.RESET
         self.relays: list[TransferRelay] = []
-        self._turned_away = False
+        self._is_refused = False
 
-    def attach(self, asked: Any, time_left_ms: int) -> None:
-        """Asks for the session: the client's own attach, but for the time left."""
-        self.engine.amqp.open()
-        session = self.engine.amqp.session()
-        session.incoming_capacity = SESSION_BYTES
+    def attach(self, client_link: Any, time_left_ms: int) -> None:
+        """Requests the session with the client's attach, in which only the time left is replaced."""
+        self.engine.amqp_connection.open()
+        session = self.engine.amqp_connection.session()
+        session.incoming_capacity = SESSION_WINDOW_BYTES
         session.open()
         # The client's sender is this node's receiver, so towards the form server it sends.
-        self.link = (session.sender if asked.is_receiver else session.receiver)(asked.name)
-        self.link.source.copy(asked.remote_source)
-        self.link.target.copy(asked.remote_target)
-        self.link.snd_settle_mode = asked.remote_snd_settle_mode
-        self.link.rcv_settle_mode = asked.remote_rcv_settle_mode
-        self.link.properties = {**(asked.remote_properties or {}), proton.symbol(TIME_LEFT): time_left_ms}
+        self.link = (session.sender if client_link.is_receiver else session.receiver)(client_link.name)
+        self.link.source.copy(client_link.remote_source)
+        self.link.target.copy(client_link.remote_target)
+        self.link.snd_settle_mode = client_link.remote_snd_settle_mode
+        self.link.rcv_settle_mode = client_link.remote_rcv_settle_mode
+        self.link.properties = {
+            **(client_link.remote_properties or {}),
+            proton.symbol(TIME_LEFT): time_left_ms,
+        }
         self.link.open()
-        self.engine.changed()
+        self.engine.dispatch_events()
 
     async def run(self) -> None:
         """Relays frames until the connection to the form server ends."""
         try:
             await self.engine.run()
         finally:
-            self._over(AttemptOutcome.RESET)
+            self._set_outcome(AttemptOutcome.RESET)
 
-    def _over(self, outcome: AttemptOutcome) -> None:
+    def _set_outcome(self, outcome: AttemptOutcome) -> None:
         if not self.ended.is_set():
             self.outcome = outcome
             self.ended.set()
             self.answered.set()
 
-    def _handle(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         kind = event.type
         if kind == proton.Event.LINK_REMOTE_OPEN and event.link == self.link:
             terminus = self.link.remote_target if self.link.is_sender else self.link.remote_source
-            # An attach without its terminus only opens the way for the detach that says why not.
-            self._turned_away = terminus.type == _NO_TERMINUS
-            if not self._turned_away:
+            # An attach without a terminus refuses the link; the detach that follows states the reason.
+            self._is_refused = terminus.type == _NO_TERMINUS
+            if not self._is_refused:
                 self.answered.set()
         elif kind in (proton.Event.LINK_REMOTE_CLOSE, proton.Event.LINK_REMOTE_DETACH):
             condition = event.link.remote_condition
             name = str(condition.name) if condition is not None else ""
             if name == REFUSED and not self.relays:
-                self._over(AttemptOutcome.REJECTED)
+                self._set_outcome(AttemptOutcome.REJECTED)
             elif name == MOVED:
-                self._over(AttemptOutcome.CANCELLED)
-            elif name or self._turned_away:
-                self._over(AttemptOutcome.ERROR)
+                self._set_outcome(AttemptOutcome.CANCELLED)
+            elif name or self._is_refused:
+                self._set_outcome(AttemptOutcome.ERROR)
             else:
-                self._over(AttemptOutcome.OK)
+                self._set_outcome(AttemptOutcome.OK)
         elif kind == proton.Event.CONNECTION_REMOTE_CLOSE:
-            self._over(AttemptOutcome.ERROR if not self.relays else AttemptOutcome.RESET)
+            self._set_outcome(AttemptOutcome.ERROR if not self.relays else AttemptOutcome.RESET)
         elif kind == proton.Event.LINK_FLOW:
             for relay in self.relays:
-                relay.grant()
+                relay.forward_credit()
         elif kind == proton.Event.DELIVERY:
-            _delivered(event.delivery, self.relays)
+            _dispatch_delivery(event.delivery, self.relays)
 
-    async def say_goodbye(self, clock_moment: Callable[[int], float]) -> None:
-        """Detaches in good order; a form server that does not answer is dropped."""
+    async def close_gracefully(self, to_deadline: Callable[[int], float]) -> None:
+        """Detaches gracefully; drops the connection of a form server that does not answer in time."""
         self.link.close()
-        self.engine.amqp.close()
-        self.engine.changed()
-        with anyio.CancelScope(deadline=clock_moment(self._clock_us() + GOODBYE_US)):
+        self.engine.amqp_connection.close()
+        self.engine.dispatch_events()
+        with anyio.CancelScope(deadline=to_deadline(self._now_us() + DETACH_TIMEOUT_US)):
             await self.ended.wait()
         self.engine.abandon()
 
 
-def _delivered(delivery: proton.Delivery, relays: list[TransferRelay]) -> None:
+def _dispatch_delivery(delivery: proton.Delivery, relays: list[TransferRelay]) -> None:
     for relay in relays:
         if delivery.link == relay.inbound:
             if delivery.updated and delivery.settled and not delivery.partial and not delivery.readable:
-                relay.forgotten(delivery)
-            relay.transfer()
+                relay.settled_by_sender(delivery)
+            relay.forward_transfers()
         elif delivery.link == relay.outbound and delivery.updated:
-            relay.settled(delivery)
+            relay.update_outcome(delivery)
 
 
 class ClientLink:
@@ -137,18 +140,18 @@
         self.link = link
         self._began_us = self._node.clock.now_us()
         self._session: FormSession | None = None
-        self._scope: anyio.CancelScope | None = None
+        self._attempt_scope: anyio.CancelScope | None = None
         self._form_server: FormServerLink | None = None
-        self._at: str | None = None
-        self._quiet = anyio.Event()
+        self._server_name: str | None = None
+        self._progress_event = anyio.Event()
         self._moving = False
         self._ended = False
 
-    def ask(self) -> None:
-        """Reads the request out of the attach; a bad one is detached with the reason."""
-        facts = {str(name): value for name, value in (self.link.remote_properties or {}).items()}
-        key, group, cls, left = (facts.get(name) for name in (KEY, GROUP, CLASS, TIME_LEFT))
-        for name, value, kind in ((KEY, key, str), (CLASS, cls, str), (TIME_LEFT, left, int)):
+    def request_session(self) -> None:
+        """Reads the request from the attach and places it; an invalid one is detached with the reason."""
+        properties = {str(name): value for name, value in (self.link.remote_properties or {}).items()}
+        key, group, cls, time_left_ms = (properties.get(name) for name in (KEY, GROUP, CLASS, TIME_LEFT))
+        for name, value, kind in ((KEY, key, str), (CLASS, cls, str), (TIME_LEFT, time_left_ms, int)):
             if not isinstance(value, kind) or isinstance(value, bool) or not value:
                 self._detach("bad-request", BAD_REQUEST, f"property '{name}' is {value!r}")
                 return
@@ -158,27 +161,27 @@
         if group is not None and not isinstance(group, str):
             self._detach("bad-request", BAD_REQUEST, f"property '{GROUP}' is {group!r}")
             return
-        assert isinstance(left, int)
+        assert isinstance(time_left_ms, int)
         self._session = FormSession(
             id=f"{self.link.name}.{self._began_us}.{id(self)}",
             request_class=str(cls),
-            deadline_us=self._began_us + max(0, min(left, LONGEST_WAIT_MS)) * 1000,
+            deadline_us=self._began_us + max(0, min(time_left_ms, MAX_TIME_LEFT_MS)) * 1000,
             client=self,
             key=str(key),
             group=str(group) if group else None,
         )
         self._node.request_session(self._session)
 
-    # ------------------------------------------------------------------ orders of the core
+    # ------------------------------------------------------------------ commands of the core
 
     def start_attempt(self, placement: Placement) -> None:
         """Starts an attempt; returns at once."""
-        self._front.group.start_soon(self._try, placement)
+        self._front.group.start_soon(self._run_attempt, placement)
 
     def cancel_attempt(self, attempt: int) -> None:
         """Cancels the attempt that is under way."""
-        if self._scope is not None:
-            self._scope.cancel()
+        if self._attempt_scope is not None:
+            self._attempt_scope.cancel()
 
     def reject(self, retry_after_us: int) -> None:
         """Answers the client that no form server takes the session now; Retry-After in whole milliseconds."""
@@ -196,34 +199,36 @@
             self._front.group.start_soon(self._move)
 
     def transfer(self, send: SendTransfer) -> None:
-        """Links can't: the engine's side of the connection is in this process. They are moved."""
+        """Does nothing: a link cannot be transferred, because proton's state of its connection is in this
+        process. Links are moved instead.
+        """
 
-    # ------------------------------------------------------------------ the life of the link
+    # ------------------------------------------------------------------ life cycle of the link
 
     async def _move(self) -> None:
-        """Lets the transfers under way finish, then sends the client away."""
+        """Waits for the transfers under way, at most `MOVE_GRACE_US`, then asks the client to reconnect."""
         clock = self._node.clock
-        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + LAST_TRANSFERS_US)):
+        with anyio.CancelScope(deadline=clock.to_deadline(clock.now_us() + MOVE_GRACE_US)):
             while self._form_server is not None and not all(
-                p.between_transfers for p in self._form_server.relays
+                relay.is_idle for relay in self._form_server.relays
             ):
-                self._quiet = anyio.Event()
-                await self._quiet.wait()
+                self._progress_event = anyio.Event()
+                await self._progress_event.wait()
         self._detach("moved", MOVED, "moved: attach again")
 
     def _detach(self, reason: str, condition: str = "", text: str = "", info: Any = None) -> None:
-        """Ends the link from this side; every transfer has its outcome before the detach goes out."""
+        """Detaches the link from this side, after every transfer has got its outcome."""
         if self._ended:
             return
         self._finish(reason)
         if self.link.state & proton.Endpoint.LOCAL_UNINIT:
-            # An attach with no terminus: the link is not taken, and the detach that follows says why.
+            # An attach without a terminus refuses the link; the detach that follows states the reason.
             (self.link.target if self.link.is_receiver else self.link.source).type = _NO_TERMINUS
             self.link.open()
         if condition:
             self.link.condition = proton.Condition(condition, text, info)
         self.link.close()
-        self._front.engine.changed()
+        self._front.engine.dispatch_events()
 
     def _finish(self, reason: str) -> None:
         self._ended = True
@@ -231,53 +236,53 @@
             for relay in self._form_server.relays:
                 relay.finish()
             self._form_server.ended.set()
-        if self._scope is not None:
-            self._scope.cancel()
+        if self._attempt_scope is not None:
+            self._attempt_scope.cancel()
         log(
             "ended",
             reason=reason,
             front="amqp",
             link=self.link.name,
             cls=self._session.request_class if self._session else None,
-            server=self._at,
+            server=self._server_name,
             attempts=self._session.attempts if self._session else None,
             ms=(self._node.clock.now_us() - self._began_us) // 1000,
             moved_for=self._session.move_reason_text if self._session else None,
             why=self._session.denial_reason_text if self._session else None,
         )
 
-    def left(self, reason: str) -> None:
-        """The client detached, or its connection is gone."""
+    def client_left(self, reason: str) -> None:
+        """Ends the link because the client has detached it or its connection has ended."""
         if self._ended:
             return
         self._finish(reason)
         if self._session is not None:
             self._node.client_left(self._session)
 
-    def stands(self) -> bool:
+    def is_established(self) -> bool:
         """Whether the session is established and is not being moved."""
         return self._form_server is not None and not self._moving and not self._ended
 
     def belongs_to(self, session: Any) -> bool:
-        """Whether the link is one of this AMQP session's."""
+        """Whether the link belongs to this AMQP session."""
         return bool(self.link.session == session)
 
-    def flow(self) -> None:
-        """Passes credit on that has come from either side."""
+    def forward_credit(self) -> None:
+        """Forwards the credit that either side has granted."""
         for relay in self._form_server.relays if self._form_server is not None else []:
-            relay.grant()
+            relay.forward_credit()
 
-    def delivered(self, delivery: proton.Delivery) -> None:
-        """A transfer's outcome has come from the client."""
+    def handle_delivery(self, delivery: proton.Delivery) -> None:
+        """Handles frames or an outcome of a transfer from the client."""
         if self._form_server is not None:
-            _delivered(delivery, self._form_server.relays)
+            _dispatch_delivery(delivery, self._form_server.relays)
 
-    async def _try(self, placement: Placement) -> None:
-        """One attempt, and the session if it stands. Its connection is closed before the core hears of
-        its end, so that no two are ever out; and the core hears of it whatever happens.
+    async def _run_attempt(self, placement: Placement) -> None:
+        """Runs one attempt and, if it succeeds, the session. Its end is always reported to the core, and only
+        after its connection is closed, so that a request never has two attempts at once.
         """
         assert self._session is not None
-        outcome = AttemptOutcome.CANCELLED  # if this task is ended from here, no form server is to blame
+        outcome = AttemptOutcome.CANCELLED  # if this node cancels the task, the form server is not at fault
         try:
             outcome = await self._attempt_session(placement)
         finally:
@@ -286,29 +291,29 @@
     async def _attempt_session(self, placement: Placement) -> AttemptOutcome:
         assert self._session is not None
         clock = self._node.clock
-        self._at = placement.form_server.name
+        self._server_name = placement.form_server.name
         sent_us = clock.now_us()
         server: FormServerLink | None = None
         outcome = AttemptOutcome.TIMED_OUT
         with anyio.CancelScope(deadline=clock.to_deadline(placement.until_us)) as scope:
-            self._scope = scope
+            self._attempt_scope = scope
             try:
                 server, outcome = await self._set_up(placement, sent_us)
             finally:
-                self._scope = None
+                self._attempt_scope = None
         if self._ended or (scope.cancelled_caught and clock.now_us() < placement.until_us):
             outcome = AttemptOutcome.CANCELLED
             if server is not None:
                 server.engine.abandon()
                 server = None
         if server is not None:
-            self._stand(server)
+            self._establish(server)
             self._node.connection_opened(self._session, placement, clock.now_us() - sent_us)
             await server.ended.wait()
             outcome = AttemptOutcome.CANCELLED if self._ended else server.outcome
-            self._end_with(outcome)
+            self._detach_with(outcome)
             self._form_server = None
-            await server.say_goodbye(clock.to_deadline)
+            await server.close_gracefully(clock.to_deadline)
         return outcome
 
     async def _set_up(
@@ -327,15 +332,15 @@
             if self._ended or not self._node.may_begin(self._session, placement):
                 connection.close()
                 return None, AttemptOutcome.CANCELLED if self._ended else AttemptOutcome.NOT_SENT
-            server = FormServerLink(clock.now_us, self._front.terms, connection)
+            server = FormServerLink(clock.now_us, self._front.settings, connection)
             server.attach(self.link, max(1, (placement.until_us - clock.now_us()) // 1000))
             self._front.group.start_soon(server.run)
             self._node.request_written()
             await server.answered.wait()
             if server.ended.is_set():
                 return None, server.outcome
-            kept, server = server, None
-            return kept, AttemptOutcome.OK
+            established, server = server, None
+            return established, AttemptOutcome.OK
         except OutOfDescriptorsError:
             log("out-of-descriptors", doing="connect")
             return None, AttemptOutcome.NOT_SENT
@@ -345,8 +350,8 @@
             if server is not None:
                 server.engine.abandon()
 
-    def _stand(self, server: FormServerLink) -> None:
-        """Answers the client's attach with the form server's, and joins the two links."""
+    def _establish(self, server: FormServerLink) -> None:
+        """Answers the client's attach with that of the form server and connects the two links."""
         assert self._session is not None
         session = self._session
         self._form_server = server
@@ -355,30 +360,34 @@
         if server.link.remote_properties:
             self.link.properties = dict(server.link.remote_properties)
         self.link.open()
-        near, far = self._front.engine, server.engine
+        client_engine, server_engine = self._front.engine, server.engine
 
-        def passed() -> None:
+        def on_forwarded() -> None:
             self._node.line_forwarded(session)
 
-        def outcome() -> None:
+        def on_outcome() -> None:
             self._node.bytes_received(session)
             self._node.line_answered(session)
-            self._quiet.set()
+            self._progress_event.set()
 
-        def nothing() -> None:
-            self._quiet.set()
+        def on_delivery() -> None:
+            self._progress_event.set()
 
         if self.link.is_receiver:
-            relay = TransferRelay(self.link, server.link, near, far, passed, outcome)
+            relay = TransferRelay(
+                self.link, server.link, client_engine, server_engine, on_forwarded, on_outcome
+            )
         else:
-            relay = TransferRelay(server.link, self.link, far, near, nothing, nothing)
+            relay = TransferRelay(
+                server.link, self.link, server_engine, client_engine, on_delivery, on_delivery
+            )
         server.relays.append(relay)
-        far.on_sent = relay.transfer
-        near.changed()
-        relay.transfer()
+        server_engine.on_sent = relay.forward_transfers
+        client_engine.dispatch_events()
+        relay.forward_transfers()
 
-    def _end_with(self, outcome: AttemptOutcome) -> None:
-        """The form server ended the session: the client's link ends the same way."""
+    def _detach_with(self, outcome: AttemptOutcome) -> None:
+        """Ends the client's link after the form server has ended the session."""
         if outcome is AttemptOutcome.OK:
             self._detach("served")
         elif outcome is AttemptOutcome.CANCELLED:
@@ -393,11 +402,11 @@
     group: TaskGroup
 
     def __init__(
-        self, node: Node, connection: Connection, terms: AmqpSettings, pending: PendingConnections
+        self, node: Node, connection: Connection, settings: AmqpSettings, pending: PendingConnections
     ) -> None:
-        self.node, self.terms, self._pending = node, terms, pending
+        self.node, self.settings, self._pending = node, settings, pending
         self.classes = {c.name for c in node.settings.classes}
-        self.engine = Engine(connection, terms, self._handle, accepts=True)
+        self.engine = Engine(connection, settings, self._handle_event, is_server=True)
         self._links: dict[Any, ClientLink] = {}
         self._reason = "connection-lost"
         self._opened = anyio.Event()
@@ -406,15 +415,15 @@
         """Serves the connection until it ends."""
         began_us = self.node.clock.now_us()
         async with anyio.create_task_group() as self.group:
-            self.group.start_soon(self._expect_open, began_us + OPEN_BY_US)
+            self.group.start_soon(self._expect_open, began_us + OPEN_TIMEOUT_US)
             try:
                 await self.engine.run()
             finally:
                 self._opened.set()
                 error = self.engine.error()
                 for link in list(self._links.values()):
-                    link.left(f"household-broke:{error}" if error else "household-left")
-            # The group ends once every attempt is closed and told of.
+                    link.client_left(f"household-broke:{error}" if error else "household-left")
+            # The group ends once every attempt is closed and reported to the core.
         log(
             "connection-ended",
             front="amqp",
@@ -423,8 +432,8 @@
         )
 
     def session_moves(self) -> Iterable[Callable[[], None]]:
-        """For each link whose session is established, what moves it."""
-        return [link.move for link in self._links.values() if link.stands()]
+        """Returns for each established session that is not being moved yet a function that moves it."""
+        return [link.move for link in self._links.values() if link.is_established()]
 
     async def _expect_open(self, deadline_us: int) -> None:
         scope = anyio.CancelScope(deadline=self.node.clock.to_deadline(deadline_us))
@@ -438,57 +447,57 @@
         self._reason = "never-opened"
         self.engine.abandon()
 
-    def _handle(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         kind = event.type
         if kind == proton.Event.CONNECTION_REMOTE_OPEN:
             self._opened.set()
-            self.engine.amqp.open()
+            self.engine.amqp_connection.open()
         elif kind == proton.Event.SESSION_REMOTE_OPEN:
-            event.session.incoming_capacity = SESSION_BYTES
+            event.session.incoming_capacity = SESSION_WINDOW_BYTES
             event.session.open()
         elif kind == proton.Event.LINK_REMOTE_OPEN:
             client_link = ClientLink(self, event.link)
             self._links[event.link.name, event.link.is_sender] = client_link
-            client_link.ask()
+            client_link.request_session()
         elif kind in (proton.Event.LINK_REMOTE_CLOSE, proton.Event.LINK_REMOTE_DETACH):
-            self._link_left(event.link)
+            self._remove_link(event.link)
         elif kind == proton.Event.SESSION_REMOTE_CLOSE:
-            # A session takes its links with it, detached or not.
-            for known in [k for k in self._links.values() if k.belongs_to(event.session)]:
-                self._link_left(known.link)
+            # The end of an AMQP session ends all its links, also those that are not detached.
+            for ended_link in [k for k in self._links.values() if k.belongs_to(event.session)]:
+                self._remove_link(ended_link.link)
             event.session.close()
             event.session.free()
         elif kind == proton.Event.CONNECTION_REMOTE_CLOSE:
             self._reason = "closed"
-            self.engine.amqp.close()
+            self.engine.amqp_connection.close()
         elif kind == proton.Event.LINK_FLOW:
-            if (flowing := self._of(event.link)) is not None:
-                flowing.flow()
-        elif kind == proton.Event.DELIVERY and (sending := self._of(event.link)) is not None:
-            sending.delivered(event.delivery)
+            if (credited_link := self._find_link(event.link)) is not None:
+                credited_link.forward_credit()
+        elif kind == proton.Event.DELIVERY and (delivery_link := self._find_link(event.link)) is not None:
+            delivery_link.handle_delivery(event.delivery)
 
-    def _of(self, link: Any) -> ClientLink | None:
+    def _find_link(self, link: Any) -> ClientLink | None:
         return self._links.get((link.name, link.is_sender))
 
-    def _link_left(self, link: Any) -> None:
-        known = self._links.pop((link.name, link.is_sender), None)
-        if known is not None:
-            known.left("household-left")
+    def _remove_link(self, link: Any) -> None:
+        ended_link = self._links.pop((link.name, link.is_sender), None)
+        if ended_link is not None:
+            ended_link.client_left("household-left")
         if not link.state & proton.Endpoint.LOCAL_CLOSED:
             if link.state & proton.Endpoint.LOCAL_UNINIT:
                 link.open()
             link.close()
-        # A broker's connection outlives any number of links: the engine must not keep them all.
+        # A broker's connection has many links one after another; proton must not keep the ended ones.
         link.free()
 
 
 def amqp_acceptor(
-    node: Node, listener: socket.socket, terms: AmqpSettings, descriptors: int
+    node: Node, listener: socket.socket, settings: AmqpSettings, descriptors: int
 ) -> FrontAcceptor:
-    """A front that listens for AMQP clients. `descriptors`: how many the process may hold."""
+    """Returns the acceptor of the AMQP front. `descriptors`: how many the process may open."""
     pending = PendingConnections(descriptors)
 
     def make_connection(sock: socket.socket) -> ClientConnection:
-        return ClientConnection(node, Connection(sock), terms, pending)
+        return ClientConnection(node, Connection(sock), settings, pending)
 
     return FrontAcceptor(listener, "amqp", make_connection, pending)
--- a/sailrun/amqp/engine.py
+++ b/sailrun/amqp/engine.py
@@ -1,4 +1,4 @@
-"""One AMQP 1.0 connection: proton's engine fed from, and drained into, a connection of the node's own."""
+"""One AMQP 1.0 connection: connects proton's protocol engine to a TCP connection of the node."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 from sailrun.connection import Connection
 
-# What may lie unread on one session before its sender has to wait.
-SESSION_BYTES = 1024 * 1024
-CHUNK = 64 * 1024
+# How many bytes one AMQP session may buffer unread before its sender has to wait.
+SESSION_WINDOW_BYTES = 1024 * 1024
+CHUNK_BYTES = 64 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class AmqpSettings:
-    """What this node states when a connection opens."""
+    """The values that this node states when it opens a connection."""
 
     container: str = "sailrun"
     max_frame_size: int = 64 * 1024
@@ -27,39 +27,40 @@
 
 
 class Engine:
-    """Bytes in, events out to `handler`; whoever changes something calls `changed`.
+    """Feeds received bytes to proton and passes its events to `handler`. Code that changes a proton object
+    has to call `dispatch_events` afterwards.
 
-    The engine knows the protocol: wrong headers, malformed frames, frames over the stated size and an
-    idle other side end the connection with the error that the specification names.
+    Proton implements the protocol: wrong headers, malformed frames, frames over the stated size and an idle
+    other side end the connection with the error that the specification defines.
     """
 
     def __init__(
         self,
         connection: Connection,
-        terms: AmqpSettings,
+        settings: AmqpSettings,
         handler: Callable[[Any], None],
-        accepts: bool,
+        is_server: bool,
     ) -> None:
         self._connection = connection
         self._handler = handler
-        self.transport = proton.Transport(proton.Transport.SERVER if accepts else proton.Transport.CLIENT)
-        self.transport.max_frame_size = terms.max_frame_size
-        self.transport.idle_timeout = terms.idle_time_out_ms / 1000
-        if accepts:
+        self.transport = proton.Transport(proton.Transport.SERVER if is_server else proton.Transport.CLIENT)
+        self.transport.max_frame_size = settings.max_frame_size
+        self.transport.idle_timeout = settings.idle_time_out_ms / 1000
+        if is_server:
             self.transport.sasl().allowed_mechs("ANONYMOUS")
-        self.amqp = proton.Connection()
-        self.amqp.container = terms.container
+        self.amqp_connection = proton.Connection()
+        self.amqp_connection.container = settings.container
         self._events = proton.Collector()
-        self.amqp.collect(self._events)
-        self.transport.bind(self.amqp)
-        self._changed = anyio.Event()
+        self.amqp_connection.collect(self._events)
+        self.transport.bind(self.amqp_connection)
+        self._output_event = anyio.Event()
         self._dispatching = False
         self.on_sent: Callable[[], None] | None = None  # called whenever output has gone out
-        self.over = False  # nothing more will be read
-        self.broke = False  # the other side broke the connection off
+        self.input_ended = False  # no more bytes will be read
+        self.broken = False  # the connection broke, or the other side reset it
 
-    def changed(self) -> None:
-        """Handles what the last change brought about and has its frames written."""
+    def dispatch_events(self) -> None:
+        """Passes the pending events to the handler and wakes the task that writes frames."""
         if not self._dispatching:
             self._dispatching = True
             try:
@@ -68,75 +69,75 @@
                     self._events.pop()
             finally:
                 self._dispatching = False
-        self._changed.set()
+        self._output_event.set()
 
     def error(self) -> str | None:
-        """The condition for which this connection ended, if it did for one."""
-        condition = self.transport.condition or self.amqp.remote_condition
+        """Returns the name of the error condition that ended this connection, if there is one."""
+        condition = self.transport.condition or self.amqp_connection.remote_condition
         return str(condition.name) if condition is not None else None
 
     async def run(self) -> None:
-        """Until both sides have said all, or the other side is gone."""
+        """Reads and writes until both sides have closed or the connection breaks."""
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._read)
-                group.start_soon(self._keep_time)
+                group.start_soon(self._run_idle_timer)
                 await self._write()
                 group.cancel_scope.cancel()
         except* (OSError, anyio.ClosedResourceError):
-            self.broke = True
+            self.broken = True
         finally:
-            self._connection.close(abruptly=self.broke)
+            self._connection.close(abruptly=self.broken)
 
     def abandon(self) -> None:
-        """Ends the connection at once, with no word of AMQP."""
+        """Closes the TCP connection at once, without AMQP's close."""
         self._connection.close()
 
     async def _read(self) -> None:
         while await self._connection.fill():
             data = self._connection.take()
             while data:
-                room = self.transport.capacity()
-                if room <= 0:
+                capacity = self.transport.capacity()
+                if capacity <= 0:
                     break
                 try:
-                    self.transport.push(data[:room])
+                    self.transport.push(data[:capacity])
                 except proton.TransportException:
-                    break  # malformed: the engine's own close says why
-                data = data[room:]
-                self.changed()
+                    break  # malformed: the close frame that proton writes states the error
+                data = data[capacity:]
+                self.dispatch_events()
             if self.transport.capacity() < 0 and self.transport.condition is None:
-                # A frame that does not decode makes the engine stop reading without a word: named here,
-                # or the other side would wait for an answer that never comes.
-                if not self.amqp.state & proton.Endpoint.REMOTE_CLOSED:
+                # After a frame that does not decode, proton stops reading without setting an error. It is set
+                # here, because the other side would otherwise wait forever for an answer.
+                if not self.amqp_connection.state & proton.Endpoint.REMOTE_CLOSED:
                     self.transport.condition = proton.Condition(
                         "amqp:decode-error", "a frame does not decode"
                     )
                 break
         self.transport.close_tail()
-        self.over = True
-        self.changed()
+        self.input_ended = True
+        self.dispatch_events()
 
     async def _write(self) -> None:
         while (pending := self.transport.pending()) >= 0:
-            if pending == 0 and self.over:
-                return  # all is said, and nothing more will come
+            if pending == 0 and self.input_ended:
+                return  # everything is written, and no more input can arrive
             if pending == 0:
-                self._changed = anyio.Event()
-                await self._changed.wait()
+                self._output_event = anyio.Event()
+                await self._output_event.wait()
                 continue
-            data = bytes(self.transport.peek(min(pending, CHUNK)) or b"")
+            data = bytes(self.transport.peek(min(pending, CHUNK_BYTES)) or b"")
             self.transport.pop(len(data))
             await self._connection.write(data)
-            self.changed()
+            self.dispatch_events()
             if self.on_sent is not None:
                 self.on_sent()
 
-    async def _keep_time(self) -> None:
-        """Sends empty frames before the other side's idle time-out and minds this node's own."""
+    async def _run_idle_timer(self) -> None:
+        """Sends empty frames before the other side's idle time-out ends, and enforces this node's own."""
         while True:
-            next_at = self.transport.tick(time.monotonic())
-            self.changed()
+            next_tick_at = self.transport.tick(time.monotonic())
+            self.dispatch_events()
             now = time.monotonic()
-            wake_at = min(next_at, now + 1.0) if next_at else now + 1.0
+            wake_at = min(next_tick_at, now + 1.0) if next_tick_at else now + 1.0
             await anyio.sleep_until(anyio.current_time() + max(0.01, wake_at - now))
--- a/sailrun/amqp/transfer_relay.py
+++ b/sailrun/amqp/transfer_relay.py
@@ -1,4 +1,4 @@
-"""Transfers of one direction of a placed link, with their credit and their outcomes."""
+"""Forwards the transfers of one direction of an established link, with their credit and outcomes."""
 
 from __future__ import annotations
 
@@ -6,79 +6,80 @@
 
 import proton
 
-from sailrun.amqp.engine import CHUNK, Engine
+from sailrun.amqp.engine import CHUNK_BYTES, Engine
 
-# Bytes that may wait to be written to the far side before the near side has to wait.
-HELD_BYTES = 256 * 1024
+# How many bytes may wait to be written to the receiving side before no more are read from the sending side.
+MAX_PENDING_BYTES = 256 * 1024
 
 
 class TransferRelay:
-    """Passes transfers from `inbound` to `outbound` frame by frame.
+    """Forwards transfers from `inbound` to `outbound` frame by frame.
 
-    Credit is only what the far side granted, so nothing waits here that the far side has no room for.
-    Each transfer gets one terminal outcome: the far side's, or at the end of the session `released` if
-    its last frame never went out, so that it cannot have run, and else `modified` with delivery-failed.
+    The sending side gets only the credit that the receiving side has granted, so every transfer that arrives
+    can be forwarded. Each transfer gets one terminal outcome: that of the receiving side, or at the end of
+    the session one that this node sets. It is `released` if the last frame was not forwarded, so that the
+    transfer cannot have been processed, and otherwise `modified` with delivery-failed.
     """
 
     def __init__(
         self,
         inbound: proton.Receiver,
         outbound: proton.Sender,
-        near: Engine,
-        far: Engine,
-        on_passed: Callable[[], None],
+        inbound_engine: Engine,
+        outbound_engine: Engine,
+        on_forwarded: Callable[[], None],
         on_outcome: Callable[[], None],
     ) -> None:
         self.inbound, self.outbound = inbound, outbound
-        self._near, self._far = near, far
-        self._on_passed, self._on_outcome = on_passed, on_outcome
-        self._count = 0
+        self._inbound_engine, self._outbound_engine = inbound_engine, outbound_engine
+        self._on_forwarded, self._on_outcome = on_forwarded, on_outcome
+        self._transfer_count = 0
         self._partial: tuple[proton.Delivery, proton.Delivery] | None = None
-        self._waiting: dict[str, tuple[proton.Delivery, proton.Delivery]] = {}
-        self._over = False
+        self._unsettled: dict[str, tuple[proton.Delivery, proton.Delivery]] = {}
+        self._finished = False
 
     @property
-    def between_transfers(self) -> bool:
-        """Whether no transfer is partway or waits for credit."""
-        return self._partial is None and not self._waiting
+    def is_idle(self) -> bool:
+        """Whether no transfer is incomplete or waits for its outcome."""
+        return self._partial is None and not self._unsettled
 
-    def grant(self) -> None:
-        """Hands the far side's credit on, and a drain with it."""
-        if self._over:
+    def forward_credit(self) -> None:
+        """Forwards the credit of the receiving side, and its drain request."""
+        if self._finished:
             return
-        more = self.outbound.credit - self.inbound.credit
+        additional_credit = self.outbound.credit - self.inbound.credit
         if self.outbound.drain_mode:
             if not self.inbound.drain_mode:
-                self.inbound.drain(max(0, more))
+                self.inbound.drain(max(0, additional_credit))
             elif not self.inbound.draining():
-                # The near side has sent what it had and given back the rest.
+                # The sending side has sent what it had and has returned the remaining credit.
                 self.outbound.drained()
-        elif more > 0 or self.inbound.drain_mode:
+        elif additional_credit > 0 or self.inbound.drain_mode:
             self.inbound.drain_mode = False
-            self.inbound.flow(max(0, more))
-        self._near.changed()
-        self._far.changed()
-
-    def transfer(self) -> None:
-        """Passes on what has come in, as far as the far side keeps up."""
-        while not self._over and (delivery := self.inbound.current) is not None:
-            if self.outbound.session.outgoing_bytes > HELD_BYTES:
-                break  # looked at again once the far side has taken some
+            self.inbound.flow(max(0, additional_credit))
+        self._inbound_engine.dispatch_events()
+        self._outbound_engine.dispatch_events()
+
+    def forward_transfers(self) -> None:
+        """Forwards the received frames until too many bytes wait to be written to the receiving side."""
+        while not self._finished and (delivery := self.inbound.current) is not None:
+            if self.outbound.session.outgoing_bytes > MAX_PENDING_BYTES:
+                break  # called again as soon as bytes have been written
             if delivery.partial and not delivery.readable and not delivery.aborted:
                 break
             if self._partial is None:
                 if delivery.aborted:
                     delivery.settle()
                     continue
-                self._count += 1
-                self._partial = (delivery, self.outbound.delivery(str(self._count)))
-            out = self._partial[1]
+                self._transfer_count += 1
+                self._partial = (delivery, self.outbound.delivery(str(self._transfer_count)))
+            forwarded = self._partial[1]
             if delivery.aborted:
                 self._partial = None
-                out.abort()
+                forwarded.abort()
                 delivery.settle()
                 continue
-            while data := self.inbound.recv(CHUNK):
+            while data := self.inbound.recv(CHUNK_BYTES):
                 self.outbound.stream(data)
             if delivery.partial:
                 break
@@ -86,76 +87,76 @@
             self.outbound.advance()
             self.inbound.advance()
             if delivery.settled:
-                out.settle()
+                forwarded.settle()
                 delivery.settle()
             else:
-                self._waiting[out.tag] = (delivery, out)
-                self._on_passed()
-        self._far.changed()
-        self.grant()
-
-    def settled(self, out: proton.Delivery) -> None:
-        """The far side has said something of a transfer."""
-        state = out.remote_state
+                self._unsettled[forwarded.tag] = (delivery, forwarded)
+                self._on_forwarded()
+        self._outbound_engine.dispatch_events()
+        self.forward_credit()
+
+    def update_outcome(self, forwarded: proton.Delivery) -> None:
+        """Handles a state that the receiving side has set for a transfer, and forwards a terminal outcome."""
+        state = forwarded.remote_state
         terminal = state in (
             proton.Delivery.ACCEPTED,
             proton.Delivery.REJECTED,
             proton.Delivery.RELEASED,
             proton.Delivery.MODIFIED,
         )
-        if not terminal and not out.settled:
-            return  # `received`: how far it has come, no outcome
-        known = self._waiting.pop(out.tag, None)
-        if known is None:
+        if not terminal and not forwarded.settled:
+            return  # `received` states the progress; it is not an outcome
+        deliveries = self._unsettled.pop(forwarded.tag, None)
+        if deliveries is None:
             return
-        delivery = known[0]
+        delivery = deliveries[0]
         self._on_outcome()
         if not terminal:
-            # Settled without an outcome: the far side had it whole, so it may have run.
-            self._give_up(delivery)
+            # Settled without an outcome: the receiving side has the whole transfer and may have processed it.
+            self._mark_possibly_processed(delivery)
         else:
             if state == proton.Delivery.MODIFIED:
-                delivery.local.failed = out.remote.failed
-                delivery.local.undeliverable = out.remote.undeliverable
-            elif state == proton.Delivery.REJECTED and out.remote.condition is not None:
-                delivery.local.condition = out.remote.condition
+                delivery.local.failed = forwarded.remote.failed
+                delivery.local.undeliverable = forwarded.remote.undeliverable
+            elif state == proton.Delivery.REJECTED and forwarded.remote.condition is not None:
+                delivery.local.condition = forwarded.remote.condition
             delivery.update(state)
             delivery.settle()
-        out.settle()
-        self._near.changed()
-        self._far.changed()
-
-    def forgotten(self, delivery: proton.Delivery) -> None:
-        """The near side has settled on its own: it wants no outcome any more."""
-        for tag, (known, out) in list(self._waiting.items()):
-            if known == delivery:
-                del self._waiting[tag]
-                out.settle()
-                known.settle()
-                self._far.changed()
+        forwarded.settle()
+        self._inbound_engine.dispatch_events()
+        self._outbound_engine.dispatch_events()
+
+    def settled_by_sender(self, delivery: proton.Delivery) -> None:
+        """Settles a transfer that the sending side has settled itself, so that it needs no outcome."""
+        for tag, (inbound_delivery, forwarded) in list(self._unsettled.items()):
+            if inbound_delivery == delivery:
+                del self._unsettled[tag]
+                forwarded.settle()
+                inbound_delivery.settle()
+                self._outbound_engine.dispatch_events()
 
     @staticmethod
-    def _give_up(delivery: proton.Delivery) -> None:
+    def _mark_possibly_processed(delivery: proton.Delivery) -> None:
         delivery.local.failed = True
         delivery.update(proton.Delivery.MODIFIED)
         delivery.settle()
 
     def finish(self) -> None:
-        """The session ends: every transfer without an outcome gets its one now."""
-        if self._over:
+        """Gives every transfer without an outcome its outcome, because the session ends."""
+        if self._finished:
             return
-        self._over = True
+        self._finished = True
         if self._partial is not None:
-            delivery, out = self._partial
-            out.abort()
+            delivery, forwarded = self._partial
+            forwarded.abort()
             delivery.update(proton.Delivery.RELEASED)
             delivery.settle()
             self._partial = None
-        for delivery, out in self._waiting.values():
-            self._give_up(delivery)
-            out.settle()
-        self._waiting.clear()
-        # What came in behind and was never passed on cannot have run.
+        for delivery, forwarded in self._unsettled.values():
+            self._mark_possibly_processed(delivery)
+            forwarded.settle()
+        self._unsettled.clear()
+        # Transfers that were received after these and not forwarded cannot have been processed.
         while (unread := self.inbound.current) is not None:
             unread.update(proton.Delivery.RELEASED)
             unread.settle()
--- a/sailrun/cli.py
+++ b/sailrun/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The `sailrun` command line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import typer
 
 from sailrun.errors import ConfigError
-from sailrun.start import by_environment, complain, start
+from sailrun.start import complain, paths_from_environment, start
 
 app = typer.Typer(
     help="A node that places census form sessions on form servers.",
@@ -21,51 +21,53 @@
 app.add_typer(config_app, name="config")
 
 ConfigPath = Annotated[
-    Path | None, typer.Option("--config", envvar="RELAY_CONFIG", help="The platform's JSON.")
+    Path | None, typer.Option("--config", envvar="RELAY_CONFIG", help="The platform's JSON file.")
 ]
 OperatorPath = Annotated[
     Path | None,
-    typer.Option("--operator", envvar="SAILRUN_OPERATOR", help="An operator's TOML: what is on."),
+    typer.Option(
+        "--operator", envvar="SAILRUN_OPERATOR", help="An operator's TOML file; enables optional subsystems."
+    ),
 ]
 SidecarPath = Annotated[
-    Path | None, typer.Option("--sidecar", help="A sidecar's TOML; then no platform is asked.")
+    Path | None, typer.Option("--sidecar", help="A sidecar's TOML file; replaces --config.")
 ]
-# Name, objective, deadline and message aim of a class, as in the brief.
+# Name, objective, deadline and message aim of a request class; the times are in milliseconds.
 DEFAULT_CLASS = "request:500:2000:50"
 
 
 @app.callback(invoke_without_command=True)
 def main(context: typer.Context) -> None:
-    """Starts a node by the environment where no command is given."""
+    """Starts a node with the files that the environment states if no command is given."""
     if context.invoked_subcommand is None:
-        start(*by_environment())
+        start(*paths_from_environment())
 
 
 @app.command()
 def serve(config: ConfigPath = None, sidecar: SidecarPath = None, operator: OperatorPath = None) -> None:
-    """Serve households until told to stop (also without any sub-command)."""
+    """Run a node that serves clients until it is stopped (also the default without a sub-command)."""
     start(config, operator, sidecar)
 
 
 @config_app.command("check")
 def check(
     path: Path,
-    operator: Annotated[bool, typer.Option("--operator", help="It is an operator's file.")] = False,
+    operator: Annotated[bool, typer.Option("--operator", help="Check an operator's file.")] = False,
 ) -> None:
-    """Check a sidecar's or an operator's file; a fault is one line that names the file and the key."""
+    """Check a sidecar's or an operator's file. An error is one line that names the file and the key."""
     from sailrun.sidecar import read_sidecar
 
     try:
         if operator:
             from sailrun.operator_settings import read_operator
 
-            enabled = [name for name, terms in read_operator(path).tables() if terms.enabled]
-            print(f"{path}: switches on {', '.join(enabled) or 'nothing'}")
+            enabled_tables = [name for name, table in read_operator(path).tables() if table.enabled]
+            print(f"{path}: switches on {', '.join(enabled_tables) or 'nothing'}")
             return
-        told = read_sidecar(path)
+        node_config = read_sidecar(path)
     except ConfigError as error:
         complain(error)
-    print(f"{path}: fit to serve '{told.name}'")
+    print(f"{path}: fit to serve '{node_config.name}'")
 
 
 @config_app.command("schema")
@@ -81,32 +83,36 @@
 @config_app.command("write")
 def write(
     application: str,
-    out: Annotated[Path, typer.Option(help="The file to write; one that exists is left alone.")],
-    amqp_listen: Annotated[str, typer.Option(help="Where AMQP 1.0 listens.")] = "127.0.0.1:5672",
+    out: Annotated[Path, typer.Option(help="The file to write; an existing file is not changed.")],
+    amqp_listen: Annotated[
+        str, typer.Option(help="The address at which AMQP 1.0 clients connect.")
+    ] = "127.0.0.1:5672",
     zone: Annotated[str, typer.Option(help="The data centre this sidecar runs in.")] = "zone-1",
     classes: Annotated[
         list[str] | None,
-        typer.Option("--class", help="NAME:OBJECTIVE_MS:DEADLINE_MS:MESSAGE_MS, once for each class."),
+        typer.Option("--class", help="NAME:OBJECTIVE_MS:DEADLINE_MS:MESSAGE_MS; repeat it for each class."),
     ] = None,
 ) -> None:
-    """Write a sidecar's file for one application, ready to be edited."""
+    """Write a sidecar's file for one application, as a template to edit."""
     import tomli_w
 
     from sailrun.sidecar import draft, read_sidecar
 
     services = []
-    for stated in classes or [DEFAULT_CLASS]:
-        name, *figures = stated.split(":")
-        if not name or len(figures) != 3 or not all(f.isdigit() and int(f) > 0 for f in figures):
-            complain(f"--class: '{stated}' is no NAME:OBJECTIVE_MS:DEADLINE_MS:MESSAGE_MS")
-        objective, deadline, aim = (int(f) * 1000 for f in figures)
+    for class_text in classes or [DEFAULT_CLASS]:
+        name, *numbers = class_text.split(":")
+        if not name or len(numbers) != 3 or not all(f.isdigit() and int(f) > 0 for f in numbers):
+            complain(
+                f"--class: '{class_text}' is not NAME:OBJECTIVE_MS:DEADLINE_MS:MESSAGE_MS with numbers > 0"
+            )
+        objective, deadline, message_aim = (int(f) * 1000 for f in numbers)
         services.append(
             {
                 "name": name,
                 "objectiveUs": objective,
                 "deadlineUs": deadline,
                 "effect": "idempotent",
-                "messageAimUs": float(aim),
+                "messageAimUs": float(message_aim),
             }
         )
     try:
@@ -135,13 +141,13 @@
 
 
 def command() -> None:
-    """The program. As the platform starts it, without arguments, it does not come here."""
+    """Runs the command line. A node that the platform starts, without arguments, does not call this."""
     if len(sys.argv) > 1:
         from sailrun.control.cli import app as fleet_app
         from sailrun.lab.cli import app as lab_app
-        from sailrun.storage.cli import app as lasting_app
+        from sailrun.storage.cli import app as storage_app
 
         app.add_typer(fleet_app, name="fleet")
         app.add_typer(lab_app, name="lab")
-        app.add_typer(lasting_app, name="lasting")
+        app.add_typer(storage_app, name="lasting")
     app(prog_name="sailrun")
--- a/sailrun/front.py
+++ b/sailrun/front.py
@@ -102,9 +102,7 @@
         ...
 
     def session_moves(self) -> Iterable[Callable[[], None]]:
-        """Returns one function for each established session that is not being moved yet; it moves the
-        session.
-        """
+        """Returns for each established session that is not being moved yet a function that moves it."""
         ...
 
 
--- a/sailrun/start.py
+++ b/sailrun/start.py
@@ -22,7 +22,7 @@
     raise SystemExit(2)
 
 
-def by_environment() -> tuple[Path | None, Path | None]:
+def paths_from_environment() -> tuple[Path | None, Path | None]:
     """Returns the paths of the platform's and the operator's file that the environment states."""
     config, operator = (os.environ.get(name) for name in ("RELAY_CONFIG", "SAILRUN_OPERATOR"))
     return Path(config) if config else None, Path(operator) if operator else None
--- a/sailrun/xds/__init__.py
+++ b/sailrun/xds/__init__.py
@@ -1,1 +1,1 @@
-"""Envoy's clusters and endpoints as a registry of form servers."""
+"""Service discovery from Envoy's xDS: the endpoints of a cluster are the form servers."""
--- a/sailrun/xds/discovery.py
+++ b/sailrun/xds/discovery.py
@@ -1,4 +1,4 @@
-"""The core's `ServiceDiscovery`, fed by xDS: from files that are replaced, or over REST."""
+"""Implementations of the core's `ServiceDiscovery` by xDS, from files or over REST."""
 
 from __future__ import annotations
 
@@ -28,84 +28,89 @@
 )
 
 SECOND = 1_000_000
-# How often the sources are looked at: well within the time in which a drain has to be honoured.
-LOOK_US = SECOND // 4
-ANSWER_US = 2 * SECOND
+# Time between two polls of the sources: well below the time within which a node has to react to a drain.
+POLL_INTERVAL_US = SECOND // 4
+CALL_TIMEOUT_US = 2 * SECOND
 PATHS = {CLUSTER: "/v3/discovery:clusters", ENDPOINTS: "/v3/discovery:endpoints"}
 
 
 class EnvoyDiscovery(ABC):
-    """Takes over an update only if it is valid as a whole; else the last good list stays."""
+    """Polls for updates and applies an update only if it is valid as a whole; otherwise the last valid
+    endpoint list stays in force.
+    """
 
     def __init__(self, node: Node, cluster: str) -> None:
         self._node = node
         self._cluster = cluster
         self._watching = False
-        self._wanted = anyio.Event()
+        self._wake_event = anyio.Event()
         self._revision = 0
         self._seen_us: dict[str, int] = {}
-        self._told: tuple[FormServer, ...] | None = None
+        self._last_list: tuple[FormServer, ...] | None = None
         self._rejected: dict[str, str] = {}
 
     def watch(self, active: bool) -> None:
-        """Opens the watch, or ends it."""
+        """Opens or ends the watch."""
         self._watching = active
-        self._wanted.set()
+        self._wake_event.set()
 
     def fetch(self) -> None:
-        """Asks for the whole list once."""
-        self._told = None  # told again at the next look, changed or not
-        self._wanted.set()
+        """Requests the full list once."""
+        self._last_list = None  # the next poll passes the list on, changed or not
+        self._wake_event.set()
 
     @abstractmethod
     def drop(self) -> None:
-        """Gives up whatever is held open of the source."""
+        """Closes what is open of the source."""
 
     async def run(self) -> None:
-        """Looks for changes until the task is cancelled."""
+        """Polls for changes until the task is cancelled."""
         while True:
-            if not self._watching and self._told is not None:
-                self._wanted = anyio.Event()
-                await self._wanted.wait()
+            if not self._watching and self._last_list is not None:
+                self._wake_event = anyio.Event()
+                await self._wake_event.wait()
             try:
-                await self._look()
+                await self._poll()
             except (OSError, CallFailedError) as error:
-                self._unreached(error)
+                self._report_unreachable(error)
             clock = self._node.clock
-            await anyio.sleep_until(clock.to_deadline(clock.now_us() + LOOK_US))
+            await anyio.sleep_until(clock.to_deadline(clock.now_us() + POLL_INTERVAL_US))
 
     @abstractmethod
-    async def _look(self) -> None: ...
+    async def _poll(self) -> None: ...
 
-    def _unreached(self, error: Exception) -> None:
-        self._reject("source", str(error) or name_in_log(error))
+    def _report_unreachable(self, error: Exception) -> None:
+        self._log_rejection("source", str(error) or name_in_log(error))
 
-    def _reject(self, what: str, why: str) -> None:
-        if self._rejected.get(what) != why:
-            self._rejected[what] = why
-            log("xds-rejected", update=what, why=why)
+    def _log_rejection(self, source: str, reason: str) -> None:
+        if self._rejected.get(source) != reason:
+            self._rejected[source] = reason
+            log("xds-rejected", update=source, why=reason)
 
-    def _accepted(self, what: str) -> None:
-        self._rejected.pop(what, None)
+    def _clear_rejection(self, source: str) -> None:
+        self._rejected.pop(source, None)
 
-    def _take(self, cluster: Any | None, assignment: Any | None) -> None:
-        """Passes the form servers on, if they changed. Raises InvalidUpdateError before that."""
+    def _publish(self, cluster: Any | None, assignment: Any | None) -> None:
+        """Passes the form servers on to the core if they have changed. Raises InvalidUpdateError, and changes
+        nothing, if the endpoints are invalid.
+        """
         now_us = self._node.clock.now_us()
         first = self._revision == 0
-        told: tuple[FormServer, ...] = ()
+        servers: tuple[FormServer, ...] = ()
         if cluster is not None and assignment is not None:
-            told = form_servers(assignment, self._seen_us, 0 if first else now_us)
-        if told == self._told:
+            servers = form_servers(assignment, self._seen_us, 0 if first else now_us)
+        if servers == self._last_list:
             return
-        # One that was away or unhealthy and comes back may be a new process: cold again.
-        self._seen_us = {s.name: s.started_us for s in told if s.state is not BackendState.GONE}
-        self._told = told
+        # A form server that was missing or unhealthy and returns may be a new process, so it gets a slow
+        # start.
+        self._seen_us = {s.name: s.started_us for s in servers if s.state is not BackendState.GONE}
+        self._last_list = servers
         self._revision += 1
-        self._node.server_list_updated(ServerListUpdate(ListKind.FULL, self._revision, told))
+        self._node.server_list_updated(ServerListUpdate(ListKind.FULL, self._revision, servers))
 
 
 class FileDiscovery(EnvoyDiscovery):
-    """CDS and EDS from two files, as Envoy's file-based dynamic configuration has them."""
+    """Reads CDS and EDS from two files, as Envoy's file-based dynamic configuration does."""
 
     def __init__(self, node: Node, cluster: str, clusters: Path, endpoints: Path) -> None:
         super().__init__(node, cluster)
@@ -114,13 +119,13 @@
         self._updates: dict[str, Update] = {}
 
     def drop(self) -> None:
-        """A file is never held open."""
+        """Does nothing, because files are not kept open."""
 
-    async def _look(self) -> None:
-        changed = self._told is None
+    async def _poll(self) -> None:
+        changed = self._last_list is None
         for type_url, path in self._paths.items():
-            state = path.stat()
-            stamp = (state.st_mtime_ns, state.st_size, state.st_ino)
+            status = path.stat()
+            stamp = (status.st_mtime_ns, status.st_size, status.st_ino)
             if self._stamps.get(type_url) == stamp:
                 continue
             self._stamps[type_url] = stamp
@@ -128,25 +133,25 @@
                 update = read_response(path.read_bytes(), type_url)
                 self._check({**self._updates, type_url: update})
             except InvalidUpdateError as error:
-                self._reject(path.name, str(error))
+                self._log_rejection(path.name, str(error))
                 continue
-            self._accepted(path.name)
+            self._clear_rejection(path.name)
             self._updates[type_url] = update
             changed = True
-        self._accepted("source")
+        self._clear_rejection("source")
         if changed and len(self._updates) == len(self._paths):
-            cluster, assignment = self._found(self._updates)
-            self._take(cluster, assignment)
+            cluster, assignment = self._select(self._updates)
+            self._publish(cluster, assignment)
 
     def _check(self, updates: dict[str, Update]) -> None:
-        """Whether the files together make a list; the one just read is rejected if they do not."""
-        _, assignment = self._found(updates)
+        """Raises InvalidUpdateError if the files do not fit together; the one just read is then rejected."""
+        _, assignment = self._select(updates)
         if assignment is not None:
             form_servers(assignment, {}, 0)
 
-    def _found(self, updates: dict[str, Update]) -> tuple[Any | None, Any | None]:
+    def _select(self, updates: dict[str, Update]) -> tuple[Any | None, Any | None]:
         if CLUSTER not in updates:
-            # The endpoints came first: nothing to check them against but themselves.
+            # Without the clusters, every resource of the endpoints is checked on its own.
             for assignment in updates[ENDPOINTS].resources:
                 form_servers(assignment, {}, 0)
             return None, None
@@ -162,7 +167,7 @@
 
 
 class RestDiscovery(EnvoyDiscovery):
-    """CDS and EDS over REST, v3: each call names the version that was last accepted."""
+    """Requests CDS and EDS over REST, v3. Each call states the version that was last accepted."""
 
     def __init__(self, node: Node, cluster: str, address: tuple[str, int]) -> None:
         super().__init__(node, cluster)
@@ -171,53 +176,55 @@
         self._errors: dict[str, str] = {}
 
     def drop(self) -> None:
-        """Ends the calls that are under way."""
+        """Closes the connection, which ends the call under way."""
         self._http.end()
 
-    def _unreached(self, error: Exception) -> None:
+    def _report_unreachable(self, error: Exception) -> None:
         self.drop()
-        super()._unreached(error)
+        super()._report_unreachable(error)
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         try:
-            clusters = await self._ask(CLUSTER, [self._cluster])
+            clusters = await self._request(CLUSTER, [self._cluster])
             cluster = find_cluster(clusters, self._cluster)
             name = endpoints_name(cluster) if cluster is not None else None
         except InvalidUpdateError as error:
-            self._refuse(CLUSTER, error)
+            self._reject(CLUSTER, error)
             return
-        self._accept(CLUSTER, clusters)
+        self._accept_version(CLUSTER, clusters)
         if cluster is None or name is None:
-            self._conclude(CLUSTER, cluster, cluster.load_assignment if cluster is not None else None)
+            self._publish_or_reject(
+                CLUSTER, cluster, cluster.load_assignment if cluster is not None else None
+            )
             return
         try:
-            endpoints = await self._ask(ENDPOINTS, [name])
+            endpoints = await self._request(ENDPOINTS, [name])
             assignment = find_endpoints(endpoints, name)
         except InvalidUpdateError as error:
-            self._refuse(ENDPOINTS, error)
+            self._reject(ENDPOINTS, error)
             return
-        if self._conclude(ENDPOINTS, cluster, assignment):
-            self._accept(ENDPOINTS, endpoints)
+        if self._publish_or_reject(ENDPOINTS, cluster, assignment):
+            self._accept_version(ENDPOINTS, endpoints)
 
-    def _conclude(self, type_url: str, cluster: Any | None, assignment: Any | None) -> bool:
+    def _publish_or_reject(self, type_url: str, cluster: Any | None, assignment: Any | None) -> bool:
         try:
-            self._take(cluster, assignment)
+            self._publish(cluster, assignment)
         except InvalidUpdateError as error:
-            self._refuse(type_url, error)
+            self._reject(type_url, error)
             return False
-        self._accepted("source")
+        self._clear_rejection("source")
         return True
 
-    def _accept(self, type_url: str, update: Update) -> None:
+    def _accept_version(self, type_url: str, update: Update) -> None:
         self._versions[type_url] = update.version
         self._errors.pop(type_url, None)
-        self._accepted(PATHS[type_url])
+        self._clear_rejection(PATHS[type_url])
 
-    def _refuse(self, type_url: str, error: InvalidUpdateError) -> None:
+    def _reject(self, type_url: str, error: InvalidUpdateError) -> None:
         self._errors[type_url] = str(error)
-        self._reject(PATHS[type_url], str(error))
+        self._log_rejection(PATHS[type_url], str(error))
 
-    async def _ask(self, type_url: str, names: list[str]) -> Update:
+    async def _request(self, type_url: str, names: list[str]) -> Update:
         request: dict[str, Any] = {
             "node": {"id": "sailrun", "cluster": self._cluster},
             "typeUrl": type_url,
@@ -231,6 +238,6 @@
             "POST",
             PATHS[type_url],
             json.dumps(request).encode(),
-            self._node.clock.now_us() + ANSWER_US,
+            self._node.clock.now_us() + CALL_TIMEOUT_US,
         )
         return read_response(body, type_url)
--- a/sailrun/xds/mapping.py
+++ b/sailrun/xds/mapping.py
@@ -1,4 +1,4 @@
-"""Reads CDS and EDS `DiscoveryResponse`s and turns one cluster's endpoints into form servers."""
+"""Reads CDS and EDS `DiscoveryResponse`s and converts the endpoints of one cluster into form servers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 ENDPOINTS = TYPE_PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
 _RESOURCES = {CLUSTER: cluster_pb2.Cluster, ENDPOINTS: endpoint_pb2.ClusterLoadAssignment}
 
-# A health status not named here (unhealthy, timeout) means that nothing may be sent there.
+# With any other health status (unhealthy, timeout) nothing may be sent to the endpoint.
 _STATES = {
     health_check_pb2.UNKNOWN: BackendState.READY,
     health_check_pb2.HEALTHY: BackendState.READY,
@@ -34,12 +34,12 @@
 
 
 class InvalidUpdateError(SailrunError, ValueError):
-    """An update that is not taken over, not even in part."""
+    """An update that is invalid and therefore rejected as a whole."""
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """One `DiscoveryResponse`, its resources unpacked."""
+    """One `DiscoveryResponse` with its unpacked resources."""
 
     version: str
     nonce: str
@@ -47,7 +47,7 @@
 
 
 def read_response(text: str | bytes, type_url: str) -> Update:
-    """A `DiscoveryResponse` in JSON form with resources of the one type."""
+    """Reads a `DiscoveryResponse` in JSON with resources of one type. Raises InvalidUpdateError."""
     response = discovery_pb2.DiscoveryResponse()
     try:
         document = json.loads(text)
@@ -71,15 +71,19 @@
 
 
 def find_cluster(update: Update, name: str) -> Any | None:
-    """The cluster of that name; None where the update no longer has it."""
-    found = [cluster for cluster in update.resources if cluster.name == name]
-    if len(found) > 1:
+    """Returns the cluster of this name, or None if the update does not contain it. Raises InvalidUpdateError
+    if it occurs twice.
+    """
+    matches = [cluster for cluster in update.resources if cluster.name == name]
+    if len(matches) > 1:
         raise InvalidUpdateError(f"cluster '{name}' comes twice")
-    return found[0] if found else None
+    return matches[0] if matches else None
 
 
 def endpoints_name(cluster: Any) -> str | None:
-    """The name under which EDS has the cluster's endpoints; None where the cluster states them itself."""
+    """Returns the name under which EDS lists the cluster's endpoints; None if the cluster contains them.
+    Raises InvalidUpdateError if neither is the case.
+    """
     if cluster.HasField("load_assignment"):
         return None
     if cluster.type != cluster_pb2.Cluster.EDS:
@@ -88,19 +92,21 @@
 
 
 def find_endpoints(update: Update, name: str) -> Any | None:
-    """The endpoints of a cluster, None if there are none. Raises InvalidUpdateError if they come twice."""
-    found = [resource for resource in update.resources if resource.cluster_name == name]
-    if len(found) > 1:
+    """Returns the endpoints of a cluster, or None if there are none. Raises InvalidUpdateError if they occur
+    twice.
+    """
+    matches = [resource for resource in update.resources if resource.cluster_name == name]
+    if len(matches) > 1:
         raise InvalidUpdateError(f"endpoints of '{name}' come twice")
-    return found[0] if found else None
+    return matches[0] if matches else None
 
 
 def form_servers(assignment: Any, seen_us: dict[str, int], now_us: int) -> tuple[FormServer, ...]:
-    """The endpoints as form servers.
+    """Converts endpoints into form servers. Raises InvalidUpdateError if one is invalid or occurs twice.
 
-    `seen_us` tells when each was first listed, 0 for those of the first list. xDS does not say when a
-    process started, so one that turns up later counts as started then, and is spared as a cold one.
-    Of several priorities, the first that has an endpoint ready is used, as Envoy does.
+    `seen_us` states when each endpoint was first listed, 0 for those of the first list. xDS does not state
+    when a process started, so an endpoint that is added later counts as started at that time and gets a slow
+    start. Of several priorities, the first one with a ready endpoint is used, as in Envoy.
     """
     by_priority: dict[int, list[FormServer]] = {}
     names: set[str] = set()
@@ -120,7 +126,7 @@
 
 
 def _with_draining(level: list[FormServer], levels: Iterable[list[FormServer]]) -> tuple[FormServer, ...]:
-    """A level, and what drains in the others: their clients are still to be moved."""
+    """Returns a level's form servers and the draining ones of the others, whose clients must be moved."""
     others = (s for other in levels if other is not level for s in other)
     return (*level, *(s for s in others if s.state is BackendState.DRAINING))
 
@@ -131,19 +137,19 @@
         "port_value"
     ):
         raise InvalidUpdateError("an endpoint without a socket address and a port")
-    written = show_address((socket.address, socket.port_value))
+    host_port = show_address((socket.address, socket.port_value))
     try:
-        address = split_address(written)
+        address = split_address(host_port)
     except ValueError as error:
         raise InvalidUpdateError(f"an endpoint: {error}") from None
     weight = endpoint.load_balancing_weight.value if endpoint.HasField("load_balancing_weight") else 1
     if weight < 1:
-        raise InvalidUpdateError(f"endpoint '{written}' has weight 0")
+        raise InvalidUpdateError(f"endpoint '{host_port}' has weight 0")
     return FormServer(
-        name=written,
+        name=host_port,
         address=address,
         state=_STATES.get(endpoint.health_status, BackendState.GONE),
         zone=zone,
         size=float(weight),
-        started_us=seen_us.get(written, now_us),
+        started_us=seen_us.get(host_port, now_us),
     )
