--- a/tests/amqp_stand_ins.py
+++ b/tests/amqp_stand_ins.py
@@ -1,4 +1,4 @@
-"""AMQP 1.0 stand-ins: one end of a connection on a plain blocking socket, driven by the client library."""
+"""AMQP 1.0 stand-ins for clients and form servers: proton on a plain blocking socket."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 }
 
 
-class AmqpEnd:
-    """One end of an AMQP connection. `until` drives it until something has happened."""
+class AmqpConnection:
+    """One end of an AMQP connection. `wait_until` reads and writes until a condition holds."""
 
     def __init__(
-        self, sock: socket.socket, accepts: bool = False, max_frame: int = 0, idle_s: float = 0
+        self, sock: socket.socket, is_server: bool = False, max_frame_size: int = 0, idle_timeout_s: float = 0
     ) -> None:
         self.sock = sock
-        self.transport = proton.Transport(proton.Transport.SERVER if accepts else proton.Transport.CLIENT)
-        if max_frame:
-            self.transport.max_frame_size = max_frame
-        if idle_s:
-            self.transport.idle_timeout = idle_s
-        self.amqp = proton.Connection()
-        self.amqp.container = "stand-in"
+        self.transport = proton.Transport(proton.Transport.SERVER if is_server else proton.Transport.CLIENT)
+        if max_frame_size:
+            self.transport.max_frame_size = max_frame_size
+        if idle_timeout_s:
+            self.transport.idle_timeout = idle_timeout_s
+        self.amqp_connection = proton.Connection()
+        self.amqp_connection.container = "stand-in"
         self.collector = proton.Collector()
-        self.amqp.collect(self.collector)
-        self.transport.bind(self.amqp)
-        self.on: dict[Any, Callable[[Any], None]] = {}
-        self.gone = False
-        self.frozen = False  # reads nothing and says nothing more
+        self.amqp_connection.collect(self.collector)
+        self.transport.bind(self.amqp_connection)
+        self.handlers: dict[Any, Callable[[Any], None]] = {}
+        self.closed = False
+        self.frozen = False  # reads and writes nothing more
 
     def flush(self) -> None:
         while (event := self.collector.peek()) is not None:
-            if event.type in self.on:
-                self.on[event.type](event)
+            if event.type in self.handlers:
+                self.handlers[event.type](event)
             self.collector.pop()
         while (pending := self.transport.pending()) > 0:
             data = bytes(self.transport.peek(pending) or b"")
@@ -61,26 +61,26 @@
         except OSError:
             data = b""
         if not data:
-            self.gone = True
+            self.closed = True
             return
-        while data and (room := self.transport.capacity()) > 0:
-            self.transport.push(data[:room])
-            data = data[room:]
+        while data and (capacity := self.transport.capacity()) > 0:
+            self.transport.push(data[:capacity])
+            data = data[capacity:]
             self.flush()
         self.flush()
 
-    def until(self, happened: Callable[[], Any]) -> None:
-        end = time.monotonic() + TIMEOUT_S
+    def wait_until(self, predicate: Callable[[], Any]) -> None:
+        deadline = time.monotonic() + TIMEOUT_S
         self.flush()
-        while not happened():
-            assert time.monotonic() < end, "it never happened"
-            assert not self.gone or happened(), "the connection has gone"
+        while not predicate():
+            assert time.monotonic() < deadline, "the condition did not hold before the deadline"
+            assert not self.closed or predicate(), "the connection was closed before the condition held"
             self.step()
 
     def open_link(self, properties: dict[str, Any] | None = None, name: str = "batch-1") -> Any:
-        """A household's sending link: the request."""
-        self.amqp.open()
-        session = self.amqp.session()
+        """Opens a client's sending link, whose attach is the request."""
+        self.amqp_connection.open()
+        session = self.amqp_connection.session()
         session.open()
         link = session.sender(name)
         link.target.address = "answers"
@@ -91,9 +91,9 @@
         self.flush()
         return link
 
-    def condition(self, link: Any) -> Any:
+    def wait_for_detach(self, link: Any) -> Any:
         """Waits for the link's detach and returns its condition."""
-        self.until(lambda: link.state & proton.Endpoint.REMOTE_CLOSED)
+        self.wait_until(lambda: link.state & proton.Endpoint.REMOTE_CLOSED)
         return link.remote_condition
 
 
@@ -105,28 +105,30 @@
 
 
 class AmqpFormServer(Listener):
-    """Takes sessions as links and accepts what is transferred, unless told otherwise."""
+    """Accepts links as sessions and accepts their transfers, unless its attributes say otherwise."""
 
-    def __init__(self, name: str, refuse: str | None = None, credit: int = 10, silent: bool = False) -> None:
-        self.name, self.refuse, self.credit, self.silent = name, refuse, credit, silent
+    def __init__(
+        self, name: str, refuse: str | None = None, credit: int = 10, unresponsive: bool = False
+    ) -> None:
+        self.name, self.refuse, self.credit, self.unresponsive = name, refuse, credit, unresponsive
         self.attached: list[dict[str, Any]] = []
         self.messages: list[bytes] = []
         self.aborted = 0
-        self.settle = True  # gives each transfer its outcome at once
+        self.settle = True  # settles each transfer at once
         self.outcome: Any = proton.Delivery.ACCEPTED
-        self.ends: list[AmqpEnd] = []
+        self.connections: list[AmqpConnection] = []
         self.links: list[Any] = []
-        self.open_now = 0
-        self.most_open = 0
-        self.orders: list[Callable[[], None]] = []  # carried out on the serving thread
+        self.open_count = 0
+        self.max_open = 0
+        self.commands: list[Callable[[], None]] = []  # executed on the serving thread
         super().__init__()
 
     def entry(self, phase: str = "SERVING") -> dict[str, Any]:
         return roster_entry(self.name, self.address, phase)
 
     def serve(self, peer: Peer) -> None:
-        end = AmqpEnd(peer.sock, accepts=True)
-        end.on = {
+        connection = AmqpConnection(peer.sock, is_server=True)
+        connection.handlers = {
             proton.Event.CONNECTION_REMOTE_OPEN: lambda e: e.connection.open(),
             proton.Event.SESSION_REMOTE_OPEN: lambda e: e.session.open(),
             proton.Event.LINK_REMOTE_OPEN: self._attach,
@@ -134,22 +136,22 @@
             proton.Event.CONNECTION_REMOTE_CLOSE: lambda e: e.connection.close(),
             proton.Event.DELIVERY: self._delivery,
         }
-        self.ends.append(end)
-        self.open_now += 1
-        self.most_open = max(self.most_open, self.open_now)
-        while not end.gone and not end.transport.closed:
-            end.step()
-            for order in self.orders[:]:
-                self.orders.remove(order)
-                order()
-                end.flush()
-        self.open_now -= 1
+        self.connections.append(connection)
+        self.open_count += 1
+        self.max_open = max(self.max_open, self.open_count)
+        while not connection.closed and not connection.transport.closed:
+            connection.step()
+            for command in self.commands[:]:
+                self.commands.remove(command)
+                command()
+                connection.flush()
+        self.open_count -= 1
         peer.close()
 
     def _attach(self, event: Any) -> None:
         link = event.link
         self.attached.append({str(k): v for k, v in (link.remote_properties or {}).items()})
-        if self.silent:
+        if self.unresponsive:
             return
         if self.refuse is not None:
             link.target.type = proton.Terminus.UNSPECIFIED
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What several test modules share."""
+"""Fixtures of several test modules."""
 
 from __future__ import annotations
 
--- a/tests/test_both_fronts.py
+++ b/tests/test_both_fronts.py
@@ -12,7 +12,7 @@
 import proton
 import pytest
 
-from tests.amqp_stand_ins import AmqpEnd, AmqpFormServer, send
+from tests.amqp_stand_ins import AmqpConnection, AmqpFormServer, send
 from tests.stand_ins import TIMEOUT_S, Peer, Roster, RunningNode, connect, sidecar
 
 CLIENT_COUNT = 24
@@ -56,22 +56,22 @@
 
 
 def run_amqp_client(running: RunningNode, key: str) -> tuple[str, Callable[[], str]]:
-    client = AmqpEnd(connect(running.amqp))
+    client = AmqpConnection(connect(running.amqp))
     properties = {"sailrun:key": key, "sailrun:class": "page-load", "sailrun:time-left-ms": 8000}
     link = client.open_link(properties)
 
     def condition() -> str:
-        name = client.condition(link).name
+        name = client.wait_for_detach(link).name
         return {"amqp:link:detach-forced": "moved", "amqp:resource-limit-exceeded": "refused"}.get(
             name, "failed"
         )
 
     closed = proton.Endpoint.REMOTE_CLOSED
-    client.until(lambda: link.credit or link.state & closed)
+    client.wait_until(lambda: link.credit or link.state & closed)
     if link.state & closed:
         return condition(), lambda: ""
     delivery = send(link, b"answer")
-    client.until(lambda: delivery.remote_state)
+    client.wait_until(lambda: delivery.remote_state)
     assert delivery.remote_state == proton.Delivery.ACCEPTED
     return "served", condition
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""One program for every customer: what differs between deployments comes from their settings alone."""
+"""The program is the same for every deployment; deployments differ in their settings only."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def settings_of(site: dict[str, Any]) -> dict[str, Any]:
-    """As the platform would state them in a node's configuration."""
+    """Returns the settings of a site as the platform states them in a node's configuration."""
     rules = {"drainGraceUs": 1000 * site["rules"]["drain_grace_ms"]}
     rules |= {"fallMultiple": site["rules"]["fall_multiple"], "fallUs": 1000 * site["rules"]["fall_ms"]}
     services = [
         {
             "name": cls["name"],
-            "objectiveUs": 1000 * cls["deadline_ms"],  # a busy machine is no slow form server
+            "objectiveUs": 1000 * cls["deadline_ms"],  # a busy machine must not look like a slow form server
             "deadlineUs": 1000 * cls["deadline_ms"],
             "effect": "idempotent",
             "gain": cls["worth"],
@@ -44,55 +44,55 @@
     }
 
 
-SHAPES = {"stand-ins": SETTINGS, **{site["name"]: settings_of(site) for site in SITES}}
+SETTINGS_BY_SITE = {"stand-ins": SETTINGS, **{site["name"]: settings_of(site) for site in SITES}}
 
 
-@pytest.mark.parametrize("name", SHAPES)
-def test_each_deployments_own_classes_are_served_and_moved_in_its_own_times(
-    tmp_path: Path, name: str
-) -> None:
-    settings = SHAPES[name]
+@pytest.mark.parametrize("name", SETTINGS_BY_SITE)
+def test_each_deployments_classes_are_served_and_moved_within_its_times(tmp_path: Path, name: str) -> None:
+    settings = SETTINGS_BY_SITE[name]
     classes = {service["name"]: service["deadlineUs"] for service in settings["services"]}
-    stays, drains = FormServer("s-5be2a07c"), FormServer("s-00000002")
-    roster = Roster([stays.entry(), drains.entry()])
+    serving_server, draining_server = FormServer("s-5be2a07c"), FormServer("s-00000002")
+    roster = Roster([serving_server.entry(), draining_server.entry()])
     with node(tmp_path, roster, settings=settings) as running:
-        households = []
+        clients = []
         for n in range(4 * len(classes)):
             cls = list(classes)[n % len(classes)]
-            household = running.connect()
-            household.send_line(f"OPEN {n:016x} {n:016x} c={cls},d={classes[cls] // 1000},g={n:016x}")
-            assert household.read_line() == "UP r1"
-            households.append(household)
-        elsewhere = next(cls["name"] for site in SITES for cls in site["class"] if cls["name"] not in classes)
-        stranger = running.connect()
-        stranger.send_line(f"OPEN a 7f3a9c21e0b4d655 c={elsewhere},d=900")
-        assert stranger.read_line() == "ERR"
-        on_drains = drains.first_lines.qsize()
-        assert on_drains and stays.first_lines.qsize()
-        told = time.monotonic()
-        roster.publish(drains.entry("DRAINING"))
-        for _ in range(on_drains):
-            assert drains.ends.get(timeout=TIMEOUT_S) == "ended"
+            client = running.connect()
+            client.send_line(f"OPEN {n:016x} {n:016x} c={cls},d={classes[cls] // 1000},g={n:016x}")
+            assert client.read_line() == "UP r1"
+            clients.append(client)
+        unknown_class = next(
+            cls["name"] for site in SITES for cls in site["class"] if cls["name"] not in classes
+        )
+        unknown_class_client = running.connect()
+        unknown_class_client.send_line(f"OPEN a 7f3a9c21e0b4d655 c={unknown_class},d=900")
+        assert unknown_class_client.read_line() == "ERR"
+        session_count = draining_server.first_lines.qsize()
+        assert session_count and serving_server.first_lines.qsize()
+        announced_at = time.monotonic()
+        roster.publish(draining_server.entry("DRAINING"))
+        for _ in range(session_count):
+            assert draining_server.ends.get(timeout=TIMEOUT_S) == "ended"
         grace_s = settings["obligations"]["drainGraceUs"] / 1e6
-        assert time.monotonic() - told < grace_s + 1.0
-        assert drains.first_lines.qsize() == on_drains
-        began = time.monotonic()
+        assert time.monotonic() - announced_at < grace_s + 1.0
+        assert draining_server.first_lines.qsize() == session_count
+        stopping_at = time.monotonic()
         running.terminate()
         assert running.process.wait(TIMEOUT_S) == 0
-        # The kill comes 0.7 s after the longest deadline.
-        assert time.monotonic() - began < min(3.0, max(classes.values()) / 1e6) + 0.7
-        assert [household.read_line() for household in households] == ["MOVE"] * len(households)
-    for server in (stays, drains):
+        # The platform kills a node 0.7 s after the longest deadline.
+        assert time.monotonic() - stopping_at < min(3.0, max(classes.values()) / 1e6) + 0.7
+        assert [client.read_line() for client in clients] == ["MOVE"] * len(clients)
+    for server in (serving_server, draining_server):
         server.stop()
     roster.stop()
 
 
-def test_the_program_names_no_deployments_classes_tenants_or_zones() -> None:
+def test_the_program_contains_no_classes_tenants_or_zones_of_deployments() -> None:
     names = {site["name"] for site in SITES} | {SIDECAR["az"]}
-    names |= {one["name"] for site in SITES for kind in ("class", "tenant") for one in site.get(kind, [])}
+    names |= {entry["name"] for site in SITES for kind in ("class", "tenant") for entry in site.get(kind, [])}
     names |= {zone for site in SITES for zone in site["net"]["zones"] if "-" in zone}
     names |= {service["name"] for service in SIDECAR["services"]}
-    # The laboratory is a world of its own, with names of its own; no node loads it.
+    # The laboratory has scenarios and names of its own; no node loads it.
     files = [p for p in (ROOT / "sailrun").rglob("*.py") if "lab" not in p.parts]
     assert len(files) > 50 and len(names) > 8
     pattern = re.compile("|".join(map(re.escape, sorted(names))))
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file: what it switches on in a running node, of either front, and what it refuses."""
+"""The operator's file: enabling subsystems in a running node with both fronts, and invalid files."""
 
 from __future__ import annotations
 
@@ -16,57 +16,57 @@
 from tests.stand_ins import TIMEOUT_S, Roster, RunningNode, sidecar
 from tests.test_both_fronts import FRONTS, DualProtocolFormServer
 
-# Quick enough for a test: nothing else changes.
-QUICK = "[rebalance]\nenabled = true\npatience_s = 0.2\nfirst_per_s = 20.0\nmost_per_s = 20.0\n"
-HOUSEHOLDS = 10
+# Short times for tests; all other settings have their defaults.
+FAST_REBALANCE = "[rebalance]\nenabled = true\npatience_s = 0.2\nfirst_per_s = 20.0\nmost_per_s = 20.0\n"
+CLIENT_COUNT = 10
 
 
-def skew(running: RunningNode, roster: Roster) -> list[DualProtocolFormServer]:
-    """More form servers turn up beside the one that holds everybody."""
-    others = [DualProtocolFormServer(f"s-0000000{n}") for n in range(2, 5)]
-    roster.publish(*(server.entry() for server in others))
+def add_form_servers(running: RunningNode, roster: Roster) -> list[DualProtocolFormServer]:
+    """Adds form servers beside the one that has all sessions."""
+    added = [DualProtocolFormServer(f"s-0000000{n}") for n in range(2, 5)]
+    roster.publish(*(server.entry() for server in added))
     running.logged("roster", "revision=43")
-    return others
+    return added
 
 
-def test_households_of_both_fronts_are_moved_to_form_servers_that_hold_few(tmp_path: Path) -> None:
+def test_clients_of_both_fronts_are_moved_to_form_servers_with_few_sessions(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
-    path.write_text(QUICK)
-    only = DualProtocolFormServer("s-00000001")
+    path.write_text(FAST_REBALANCE)
+    first_server = DualProtocolFormServer("s-00000001")
     roster = Roster([])
-    roster.publish(only.entry())
+    roster.publish(first_server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}, operator=path) as running:
         running.logged("roster", "form_servers=1")
-        ends = {
-            name: [front(running, f"{n:015x}{at}") for n in range(HOUSEHOLDS)]
-            for at, (name, front) in enumerate(FRONTS.items())
+        clients = {
+            name: [front(running, f"{n:015x}{front_index}") for n in range(CLIENT_COUNT)]
+            for front_index, (name, front) in enumerate(FRONTS.items())
         }
-        assert all(how == "served" for done in ends.values() for how, _ in done)
-        skew(running, roster)
+        assert all(outcome == "served" for results in clients.values() for outcome, _ in results)
+        add_form_servers(running, roster)
         running.logged("rebalance", "state=begun")
         running.logged("ended", "reason=moved", " id=")
         running.logged("ended", "reason=moved", " link=")
         running.terminate()
         assert running.process.wait(TIMEOUT_S) == 0
-        assert {end() for done in ends.values() for _, end in done} == {"moved"}
+        assert {wait_for_end() for results in clients.values() for _, wait_for_end in results} == {"moved"}
         assert not any("fault" in line for line in running.lines)
 
 
-def test_it_is_switched_on_and_off_by_sighup_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_enables_and_disables_rebalancing_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("")
-    only = DualProtocolFormServer("s-00000001")
+    first_server = DualProtocolFormServer("s-00000001")
     roster = Roster([])
-    roster.publish(only.entry())
+    roster.publish(first_server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}, operator=path) as running:
         running.logged("roster", "form_servers=1")
-        ends = [FRONTS["text"](running, f"{n:016x}")[1] for n in range(HOUSEHOLDS)]
-        skew(running, roster)
+        clients = [FRONTS["text"](running, f"{n:016x}")[1] for n in range(CLIENT_COUNT)]
+        add_form_servers(running, roster)
         path.write_text("[rebalance]\nenabled = 1\n")
         running.process.send_signal(signal.SIGHUP)
         assert "rebalance.enabled: expected" in running.logged("reload-refused")
         assert not any("rebalance state=" in line for line in running.lines)
-        path.write_text(QUICK + "rest_s = 0.1\n")
+        path.write_text(FAST_REBALANCE + "rest_s = 0.1\n")
         running.process.send_signal(signal.SIGHUP)
         running.logged("reloaded", "changed=operator")
         running.logged("ended", "reason=moved")
@@ -74,11 +74,11 @@
         running.process.send_signal(signal.SIGHUP)
         running.process.send_signal(signal.SIGTERM)
         assert running.process.wait(TIMEOUT_S) == 0
-        assert [end() for end in ends] == ["moved"] * HOUSEHOLDS
+        assert [wait_for_end() for wait_for_end in clients] == ["moved"] * CLIENT_COUNT
 
 
 @pytest.mark.parametrize(
-    "text, fault",
+    "text, problem",
     [
         ("[rebalance", "not valid TOML"),
         ("[rebalanse]\n", "unknown field `rebalanse`"),
@@ -89,20 +89,18 @@
         ("[rebalance]\nfill_to = 1.2\n", "rebalance.fill_to: is 1.2, above stop_at 1.16"),
     ],
 )
-def test_a_faulty_file_is_named_with_its_key_before_anything_starts(
-    tmp_path: Path, text: str, fault: str
-) -> None:
+def test_an_error_in_a_file_names_file_and_key(tmp_path: Path, text: str, problem: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
     command = [sys.executable, "-m", "sailrun", "config", "check", "--operator", str(path)]
-    done = subprocess.run(command, capture_output=True, text=True)
-    assert done.returncode == 2 and done.stderr.count("\n") == 1
-    assert f"{path}: " in done.stderr and fault in done.stderr
+    process = subprocess.run(command, capture_output=True, text=True)
+    assert process.returncode == 2 and process.stderr.count("\n") == 1
+    assert f"{path}: " in process.stderr and problem in process.stderr
 
 
-def test_the_files_under_deploy_say_what_the_program_does() -> None:
+def test_the_files_under_deploy_match_the_program() -> None:
     deploy = Path(__file__).parent.parent / "deploy"
     assert read_operator(deploy / "operator.toml") == Operator()
-    shown = tomllib.loads((deploy / "operator.toml").read_text())
-    assert set(shown["rebalance"]) == set(RebalanceSettings.__struct_fields__)
+    example = tomllib.loads((deploy / "operator.toml").read_text())
+    assert set(example["rebalance"]) == set(RebalanceSettings.__struct_fields__)
     assert json.loads((deploy / "operator.schema.json").read_text()) == schema()
