--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -184,12 +184,12 @@
             self._attempt_scope.cancel()
 
     def reject(self, retry_after_us: int) -> None:
-        """Answers the client that no form server takes the session now; Retry-After in whole milliseconds."""
+        """Rejects the request; the client may retry after a time stated in whole milliseconds, rounded up."""
         info = {proton.symbol(RETRY_AFTER): -(-retry_after_us // 1000)}
         self._detach("refused", REFUSED, "no form server can take the session now", info)
 
     def fail(self) -> None:
-        """Answers the client that the session could not be placed."""
+        """Fails the request, because the session could not be placed."""
         self._detach("failed", FAILED, "the session could not be placed")
 
     def move(self) -> None:
--- a/sailrun/discovery.py
+++ b/sailrun/discovery.py
@@ -27,9 +27,9 @@
 CALL_TIMEOUT_US = 2 * SECOND
 MAX_CALL_SPACING_US = 3_600_000
 WATCH_WAIT_US, WATCH_GRACE_US, RETRY_WITHIN_US = 2_500_000, SECOND // 2, 800_000
-# Average time between the calls of all nodes to one registry. Failures double it, within the limits above. In
-# push mode each node has an agent of its own, which only this node calls; the agent's data counts as
-# announced at once.
+# Average time between the calls of all nodes to one registry. Each failure doubles it, within the limits
+# above. In push mode each node calls an agent of its own, so neither other nodes nor failures change it; the
+# agent's data counts as announced at once.
 CALL_SPACING_US = SECOND // 10
 
 _STATES = {
@@ -102,7 +102,7 @@
         self._revision = revision
         self._random = Random(seed)
         settings = node.settings
-        # Without a watch, a node that has to poll may use its list for `poll_interval_us`.
+        # In poll mode, a node without a watch has to ask within this time; a watch is limited to it too.
         self._wait_us = min(settings.poll_interval_us or WATCH_WAIT_US, WATCH_WAIT_US)
         self._is_shared_registry = settings.discovery is DiscoveryMode.ASK
         self._spacing_us = CALL_SPACING_US * (settings.instances if self._is_shared_registry else 1)
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -301,8 +301,8 @@
             ]
             self._apply(config, changed)
         except Exception as error:  # an error in a file must not stop the node
-            why = str(error) if isinstance(error, ConfigError | OSError | ValueError) else repr(error)
-            log("reload-refused", why=why)
+            problem = str(error) if isinstance(error, ConfigError | OSError | ValueError) else repr(error)
+            log("reload-refused", why=problem)
             self.node.configuration_reloaded(False)
             return
         log(
@@ -347,8 +347,8 @@
         from sailrun.leadership.service import agent_settings
         from sailrun.operator_settings import check_voter_change
 
-        if (why := check_voter_change(before.owners, after.owners)) is not None:
-            raise ValueError(why)
+        if (problem := check_voter_change(before.owners, after.owners)) is not None:
+            raise ValueError(problem)
         # All nodes of a fleet must use the same lease and order times, so these change at the next start.
         leadership = msgspec.structs.replace(
             after.owners, lease_s=before.owners.lease_s, order_s=before.owners.order_s
