--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -265,13 +265,13 @@
     """Returns the content of the next frame; None: the peer closed the link. Raises OverlongLineError for a
     frame that is too large.
     """
-    while link.held() < _FRAME_HEADER_BYTES:
+    while link.buffered() < _FRAME_HEADER_BYTES:
         if not await link.fill():
             return None
     length = int.from_bytes(link.peek(_FRAME_HEADER_BYTES), "big")
     if length > MAX_FRAME_BYTES:
         raise OverlongLineError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")
-    while link.held() < _FRAME_HEADER_BYTES + length:
+    while link.buffered() < _FRAME_HEADER_BYTES + length:
         if not await link.fill():
             return None
     link.take(_FRAME_HEADER_BYTES)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -34,7 +34,7 @@
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
 from sailrun.leadership.voter import Voter, abstention_us
 from sailrun.membership.messages import MemberRecord, MemberState, list_eligible_names
-from sailrun.operator_settings import read_operator, voters_follow
+from sailrun.operator_settings import check_voter_change, read_operator
 from sailrun.storage import entries
 
 SECOND = 1_000_000
@@ -133,10 +133,10 @@
         (before, after, False),
     ):
         assert Voters(current).accepts_stage(next_settings.stage) is allowed
-        assert (voters_follow(current, next_settings) is None) is allowed
+        assert (check_voter_change(current, next_settings) is None) is allowed
     assert not Voters(both).accepts_stage(before.stage)
     next_settings = LeadershipSettings(enabled=True, voters=("a", "b", "e"), revision=2)
-    assert voters_follow(both, next_settings) is not None
+    assert check_voter_change(both, next_settings) is not None
 
 
 # ---------------------------------------------------------------------- leases
