--- a/sailrun/control/calls.py
+++ b/sailrun/control/calls.py
@@ -63,7 +63,7 @@
 
     verb: Verb
     form_server: str = ""
-    words: tuple[str, ...] = ()  # of `fleet`: the words after it
+    words: tuple[str, ...] = ()  # the words after `fleet`; empty for the other commands
 
 
 def parse_call(line: bytes) -> Call:
--- a/sailrun/control/cli.py
+++ b/sailrun/control/cli.py
@@ -39,7 +39,7 @@
 
 
 def _request_json(at: str, line: str) -> Any:
-    """Returns the decoded JSON of the answer; exits with a message of one line if the call fails."""
+    """Returns the decoded JSON of the answer; prints a message of one line and exits if the call fails."""
     try:
         answer = call(at, line)
     except (OSError, ValueError) as error:
@@ -179,7 +179,7 @@
 MARK_TIMEOUT_S = 8.0
 
 
-def _mark(at: str, kind: str, subject: str, on: bool, wait: str, why: str) -> None:
+def _mark(at: str, kind: str, subject: str, is_active: bool, wait: str, why: str) -> None:
     """Sets or deletes a mark and prints the outcome.
 
     Exits with 0 if it is done, and with 1 if it waits, is rejected, or its outcome is unknown.
@@ -199,7 +199,7 @@
     arguments = [
         kind,
         subject,
-        "on" if on else "off",
+        "on" if is_active else "off",
         wait,
         quote(author) or "staff",
         quote(why[:200]) or "-",
@@ -251,17 +251,19 @@
         typer.Option("--conflicts", help="Show only conflicting marks, which operators have to resolve."),
     ] = False,
 ) -> None:
-    """Show a node's replica of the fleet's state. Marks and lists are out of date if it says STALE."""
+    """Show a node's replica of the fleet's state. Marks and lists are out of date if it is marked STALE."""
     status = _request_json(at, f"fleet state {kind}" if kind else "fleet state")
     if as_json:
         print(json.dumps(status, indent=1))
         return
     lag = status["behind"]
     age = "never synchronized with the leader" if lag["s"] is None else f"synchronized {lag['s']:g} s ago"
-    stale = ", STALE" if lag["stale"] else ""
-    whole = "" if status["whole"] else ", catching up"
+    stale_note = ", STALE" if lag["stale"] else ""
+    catching_up_note = "" if status["whole"] else ", catching up"
     voter_note = ", a voter that has not recovered its state yet" if status["voter"] == "waits" else ""
-    print(f"{status['node']}: {age}, {lag['records']} records behind{whole}{stale}{voter_note}")
+    print(
+        f"{status['node']}: {age}, {lag['records']} records behind{catching_up_note}{stale_note}{voter_note}"
+    )
     if behind:
         raise typer.Exit(1 if lag["stale"] else 0)
     rows = status["conflicts"] if conflicts else status["records"]
@@ -317,9 +319,9 @@
         print(f"epoch {one_state['epoch']} and {other_state['epoch']}: one has not removed deleted marks yet")
     for status in (one_state, other_state):
         lag = status["behind"]
-        level = "never synchronized" if lag["s"] is None else f"synchronized {lag['s']:g} s ago"
+        age = "never synchronized" if lag["s"] is None else f"synchronized {lag['s']:g} s ago"
         if difference_count and (not status["whole"] or lag["records"]):
-            print(f"{status['node']} is behind: {lag['records']} records, {level}")
+            print(f"{status['node']} is behind: {lag['records']} records, {age}")
     if not difference_count:
         print("the same")
     raise typer.Exit(1 if difference_count else 0)
--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -1,4 +1,4 @@
-"""The control server: answers one call a connection, even if the process has no free descriptors left."""
+"""The control server: answers one call for each connection, even if no descriptors are free."""
 
 from __future__ import annotations
 
@@ -41,12 +41,13 @@
 # A call waits this long for a permit. After that it is answered as queued, and executed later if the permit
 # is granted.
 PERMIT_WAIT_US = 700_000
-# The number of callers at once. A descriptor for each is reserved from the start, so that a node that has
-# reached its limit of descriptors still accepts them. When all are in use, the oldest callers that have not
-# sent their call yet are disconnected.
+# The maximum number of callers at once. A descriptor for each is reserved from the start, so that a node that
+# has reached its limit of descriptors still accepts them. When all are in use, the oldest callers that have
+# not sent their call yet are disconnected.
 MAX_CALLERS = 12
-# A caller that has not sent its call after the first time is disconnected. The answer is due within a second
-# of the call: the core has nearly all of it, and sending the answer may take the last of these times.
+# A caller that has not sent its call after CALL_TIMEOUT_US is disconnected. If the core has not answered
+# after ANSWER_TIMEOUT_US, the answer is "busy", so that it is sent within a second of the call. Sending it
+# may take up to SEND_TIMEOUT_US.
 CALL_TIMEOUT_US, ANSWER_TIMEOUT_US, SEND_TIMEOUT_US = 6 * SECOND, 900_000, 250_000
 # The interval between attempts to reserve a descriptor or to accept a caller.
 SLOT_RETRY_US = 2_000
@@ -84,7 +85,8 @@
         self._node, self._listener, self._fleet = node, listener, fleet
         self._reserved_descriptors: list[int] = []  # kept open for future callers
         self._caller_count = 0
-        self._idle_scopes: dict[anyio.CancelScope, None] = {}  # of callers without a call, oldest first
+        # One for each caller that has not sent its call, oldest first.
+        self._idle_scopes: dict[anyio.CancelScope, None] = {}
         self._run_scope = anyio.CancelScope()
         self._reserve_descriptors()
 
@@ -108,7 +110,7 @@
                     self.close()
 
     def _reserve_descriptors(self) -> None:
-        """Reserves the descriptors of unused places; one that is not available is tried again later."""
+        """Reserves a descriptor for each caller that may still connect; tries again later if none is free."""
         with contextlib.suppress(OSError):
             while (
                 self._listener.fileno() >= 0
@@ -120,7 +122,7 @@
         while True:
             await anyio.wait_readable(self._listener)
             if self._reserved_descriptors:
-                # No other task runs between closing and accepting, so the caller gets the closed descriptor.
+                # No other task runs between closing and accepting, so the new socket gets this descriptor.
                 os.close(self._reserved_descriptors.pop())
                 try:
                     sock = self._listener.accept()[0]
@@ -131,7 +133,7 @@
                     group.start_soon(self._serve, Connection(sock, MAX_CALL_BYTES))
                     continue
             else:
-                # Disconnects half of them at once: one by one, a hundred silent ones would take a second.
+                # Disconnects many idle callers at once: one by one, a hundred of them would take a second.
                 for scope in list(islice(self._idle_scopes, MAX_CALLERS // 2)):
                     del self._idle_scopes[scope]
                     scope.cancel()
@@ -207,9 +209,9 @@
             case "walk", str(name), str(milliseconds), str(nodes):
                 if not milliseconds.isdigit():
                     return failure_answer(f"'{milliseconds[:40]}' is no number of milliseconds")
-                names = nodes.split(",")
+                node_names = nodes.split(",")
                 reason = await send_query(
-                    partial(fleet.begin_rolling_drain, name, names, int(milliseconds) * 1000)
+                    partial(fleet.begin_rolling_drain, name, node_names, int(milliseconds) * 1000)
                 )
                 return failure_answer(reason) if reason else OK
             case "walked", str(name):
--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -42,8 +42,8 @@
 from sailrun.node.shutdown import ShutdownReason
 
 SECOND = 1_000_000
-# The time that a successor waits for the answer of its predecessor, which is busy serving, and the interval
-# between its requests if the connection is closed meanwhile.
+# The time that a successor waits for the state of its predecessor, which still serves clients, and the
+# interval between its requests if the predecessor closes the connection.
 TAKEOVER_TIMEOUT_S, RETRY_INTERVAL_S = 3.0, 0.05
 # The interval at which a predecessor reports the load that it still serves.
 LOAD_REPORT_INTERVAL_US = SECOND // 4
@@ -91,7 +91,8 @@
         except OSError as error:
             sock.close()
             if time.monotonic() + RETRY_INTERVAL_S < deadline and isinstance(error, ConnectionError):
-                time.sleep(RETRY_INTERVAL_S)  # the predecessor serves another successor, or has just ended
+                # The predecessor is handing over to another successor, or has just ended.
+                time.sleep(RETRY_INTERVAL_S)
                 continue
             log("predecessor-silent", error=str(error))
             return None
@@ -115,26 +116,34 @@
         self,
         node: Node,
         name: str,
-        descriptors: int,
-        sockets: Callable[[], Mapping[str, socket.socket]],
-        pause: Callable[[bool], None],
+        max_descriptors: int,
+        get_sockets: Callable[[], Mapping[str, socket.socket]],
+        set_paused: Callable[[bool], None],
         inherited: Inherited | None,
         adopt: Callable[[Any, Sequence[socket.socket]], None],
     ) -> None:
         """`name`: the identity that the node keeps when its process is replaced. `descriptors`: the node's
-        limit of open descriptors. `sockets`: returns the sockets that are passed to a successor, by key.
-        `pause`: stops accepting at these sockets, so that only the successor does, or resumes it. `adopt`:
-        takes over an established session, or raises ValueError.
+        limit of open descriptors. `get_sockets`: returns the sockets that are passed to a successor, by key.
+        `set_paused`: True stops accepting at these sockets, so that only the successor accepts; False resumes
+        it. `adopt`: takes over an established session, or raises ValueError.
         """
-        self._node, self._name, self._descriptors = node, name, descriptors
-        self._sockets, self._pause, self._inherited, self._adopt = sockets, pause, inherited, adopt
+        self._node, self._name, self._max_descriptors = node, name, max_descriptors
+        self._get_sockets, self._set_paused, self._inherited, self._adopt = (
+            get_sockets,
+            set_paused,
+            inherited,
+            adopt,
+        )
         self._succession = Succession()
         self._channels: dict[Link, _Channel] = {}
         self._predecessor_descriptors = 0  # descriptors that the predecessor has open, as last reported
         node.on_operator_command = self._forward_operator_command
 
     async def run(self) -> None:
-        """Runs until cancelled. A successor first notifies its predecessor, which then stops accepting."""
+        """Runs until cancelled. A successor first notifies its predecessor, which then stops accepting.
+
+        If the socket for a successor cannot be created, it only runs until the predecessor has ended.
+        """
         async with anyio.create_task_group() as group:
             if self._inherited is not None:
                 group.start_soon(self._run_as_successor, self._inherited)
@@ -148,7 +157,7 @@
                     await anyio.wait_readable(handover_listener.listener)
                     try:
                         sock = handover_listener.listener.accept()[0]
-                    except OSError:  # the successor has disconnected, or no descriptor is free
+                    except OSError:  # the successor disconnected and connects again, or no descriptor is free
                         await anyio.sleep_until(anyio.current_time() + 0.05)
                         continue
                     group.start_soon(self._serve_successor, sock)
@@ -206,7 +215,7 @@
         log("predecessor-ended")
 
     def _receive_session(self, channel: _Channel, content: Any) -> None:
-        """Takes over an established session; this process owns it once `adopted` is sent."""
+        """Takes over an established session, which this process owns once it has sent `adopted`."""
         sockets = channel.link.take_sockets()
         try:
             self._adopt(content["session"], sockets)
@@ -219,18 +228,18 @@
         self._limit_descriptors(self._predecessor_descriptors - len(sockets))
         channel.send_message("adopted", content["number"])
 
-    def _limit_descriptors(self, count: int) -> None:
-        """Sets the limit of this process so that both processes together stay within the limit of one node,
-        except for the sessions that are being transferred.
+    def _limit_descriptors(self, predecessor_descriptors: int) -> None:
+        """Sets this process's limit of open descriptors, so that both processes together stay within the
+        limit of one node. 3 descriptors for each session that may be in transfer are allowed in addition.
         """
-        self._predecessor_descriptors = max(0, count)
+        self._predecessor_descriptors = max(0, predecessor_descriptors)
         limit = (
-            self._descriptors
+            self._max_descriptors
             - self._predecessor_descriptors
             + (3 * MAX_TRANSFERS_IN_FLIGHT if self._predecessor_descriptors else 0)
         )
         hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        soft_limit = min(self._descriptors, max(MIN_DESCRIPTORS, limit))
+        soft_limit = min(self._max_descriptors, max(MIN_DESCRIPTORS, limit))
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft_limit, hard_limit))
 
     # ------------------------------------------------------------------ as the predecessor
@@ -249,7 +258,7 @@
             return
         try:
             state = await send_query(self._node.snapshot_state)
-            sockets = dict(list(self._sockets().items())[:MAX_SOCKETS])
+            sockets = dict(list(self._get_sockets().items())[:MAX_SOCKETS])
             content = {"sockets": list(sockets), "state": write_state(state)}
             await send_with_sockets(link, pack("state", content), list(sockets.values()))
             log("handed-over", sockets=",".join(f"{k}={_format_address(s)}" for k, s in sockets.items()))
@@ -260,7 +269,7 @@
         finally:
             if self._succession.on_disconnected(ShutdownReason.RESTART in self._node.shutdown):
                 self._node.set_successor(None)
-                self._pause(False)
+                self._set_paused(False)
 
     def _handle_successor_message(self, channel: _Channel, kind: str, content: Any, group: TaskGroup) -> None:
         if kind in ("adopted", "refused"):
@@ -268,7 +277,7 @@
         elif kind != "took":
             self._node.mirror_operator_command(kind, content)
         elif self._succession.on_accepted():
-            self._pause(True)
+            self._set_paused(True)
             self._node.set_successor(channel.send_session)
             group.start_soon(self._report_load, channel)
 
@@ -288,23 +297,23 @@
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self._lines: list[bytes] = []
-        self._transfers: deque[SessionTransfer] = deque()
+        self._queued_lines: list[bytes] = []
+        self._queued_transfers: deque[SessionTransfer] = deque()
         self._in_flight: dict[int, SessionTransfer] = {}
         self._last_number = 0
         self._wake_up = anyio.Event()
         self._is_closed = False
 
     def send_message(self, kind: str, content: Any) -> None:
-        self._lines.append(pack(kind, content))
+        self._queued_lines.append(pack(kind, content))
         self._wake_up.set()
 
     def send_session(self, transfer: SessionTransfer) -> None:
-        """Queues a session; it is settled when the other process has accepted or refused it, or has ended."""
+        """Queues a transfer, which is settled when the other process accepts or refuses it, or has ended."""
         if self._is_closed:
             transfer.settle(False)
             return
-        self._transfers.append(transfer)
+        self._queued_transfers.append(transfer)
         self._wake_up.set()
 
     def settle(self, number: Any, is_accepted: bool) -> None:
@@ -317,10 +326,10 @@
         while True:
             await self._wake_up.wait()
             self._wake_up = anyio.Event()
-            lines, self._lines = self._lines, []
+            lines, self._queued_lines = self._queued_lines, []
             await self.link.write(b"".join(lines))
-            while self._transfers and len(self._in_flight) < MAX_TRANSFERS_IN_FLIGHT:
-                transfer = self._transfers.popleft()
+            while self._queued_transfers and len(self._in_flight) < MAX_TRANSFERS_IN_FLIGHT:
+                transfer = self._queued_transfers.popleft()
                 self._last_number += 1
                 self._in_flight[self._last_number] = transfer
                 line = pack("session", {"number": self._last_number, "session": transfer.content})
@@ -328,7 +337,7 @@
 
     def close(self) -> None:
         self._is_closed = True
-        for transfer in (*self._in_flight.values(), *self._transfers):
+        for transfer in (*self._in_flight.values(), *self._queued_transfers):
             transfer.settle(False)
         self.link.close()
 
--- a/sailrun/hot_restart/link.py
+++ b/sailrun/hot_restart/link.py
@@ -1,4 +1,4 @@
-"""The Unix socket between a predecessor and its successor: connects them and passes lines and sockets.
+"""Connects a predecessor and its successor through a Unix socket, which passes lines and sockets.
 
 The socket file is in the folder for temporary files, which both processes share. Its path may be longer than
 a Unix socket address allows, so it is addressed through the folder's descriptor.
@@ -22,7 +22,8 @@
 from sailrun.connection import Connection
 from sailrun.hot_restart.state import MAX_LINE_BYTES
 
-# At present up to 3 are sent: the listeners for clients and for AMQP, and the datagram socket.
+# The maximum number of sockets in a message. Up to 3 are sent at present: the listeners for clients and for
+# AMQP, and the datagram socket.
 MAX_SOCKETS = 8
 ANCILLARY_BYTES = socket.CMSG_SPACE(MAX_SOCKETS * array.array("i").itemsize)
 
@@ -52,7 +53,8 @@
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
             with _open_folder(folder) as (descriptor, path):
-                # Renames a bound temporary file, so that a client always finds the old socket or this one.
+                # Binds a temporary file and renames it, so that a successor always finds the old socket or
+                # this one.
                 temporary_file = f"{file}.{os.getpid()}"
                 with contextlib.suppress(FileNotFoundError):
                     os.unlink(temporary_file, dir_fd=descriptor)
@@ -105,7 +107,8 @@
 
     def __init__(self, sock: socket.socket) -> None:
         super().__init__(sock, MAX_LINE_BYTES)
-        # One list for each message with sockets, in their order; incomplete if a message was truncated.
+        # One list for each message with sockets, oldest first. A list is incomplete if the buffer for
+        # descriptors was too small for the message.
         self._socket_sets: deque[list[socket.socket]] = deque()
 
     def _receive(self, buffer: memoryview) -> int:
--- a/sailrun/hot_restart/rules.py
+++ b/sailrun/hot_restart/rules.py
@@ -19,8 +19,8 @@
 class Succession:
     """The state of a process that a successor may replace.
 
-    There is one successor at a time. The connection of a second one is closed, so that it tries again; by
-    then it reaches the first successor.
+    There is one successor at a time. The connection of a second one is closed, so that it connects again, and
+    by then it reaches the first successor.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
     def on_disconnected(self, is_shutting_down: bool) -> bool:
         """The connection to the successor is closed. Returns whether this process accepts clients again.
 
-        A process that is shutting down does not: its exit would cut off the new sessions.
+        A process that is shutting down does not accept clients: its exit would end their sessions.
         """
         previous_role, self.role = self.role, Role.ALONE if not is_shutting_down else self.role
         return previous_role is Role.SUCCEEDED and not is_shutting_down
--- a/sailrun/hot_restart/state.py
+++ b/sailrun/hot_restart/state.py
@@ -57,7 +57,7 @@
     except (ValueError, TypeError, RecursionError):
         raise InvalidHandoverError("line is not a JSON array of a kind and its content") from None
     if not isinstance(kind, str):
-        raise InvalidHandoverError("kind is not a string")
+        raise InvalidHandoverError("the kind in the line is not a string")
     return kind, content
 
 
--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -24,36 +24,39 @@
 
 SECOND = 1_000_000
 CHECK_INTERVAL_US = SECOND // 4
-# The interval at which sums are recalculated. For a time after the start, while most loads are not reported
-# yet, it is a second.
+# The interval at which sums are recalculated. For STARTUP_US after the start, while most loads are not
+# reported yet, it is a second.
 RECOUNT_INTERVAL_US, STARTUP_US = 5 * SECOND, 15 * SECOND
-# The time in which a moved group returns, if at all. Its place is reserved for as long.
+# The time in which the client of a moved group reconnects, if at all. Capacity is reserved for the group for
+# as long.
 RETURN_US = 3 * SECOND
 # The time in which a node moves its connections of a group that another node has begun to move.
 FOLLOW_US = 3 * SECOND
 # The number of groups for which a check queries the decision module, and the time until the next query for a
 # group that has to stay.
 MAX_PLACEMENT_QUERIES, QUERY_RETRY_US = 24, 4 * SECOND
-# Moving ends after the first time without a move: the excess is too heavy to move, or has no place to go. It
-# does not begin again for a pause, which doubles up to the maximum each time that this happens.
+# Moving ends after the first time without a move: the groups are too heavy, or no form server has capacity
+# for them. After every end, moving does not begin again for a pause. An end without balance doubles the pause
+# that follows the next end, up to the maximum; an end with balance resets it.
 GIVE_UP_US, PAUSE_US, MAX_PAUSE_US = 15 * SECOND, 10 * SECOND, 640 * SECOND
-# The share of the spread explained by chance that is subtracted while groups are moved. Before that all of it
-# is, which gives the best estimate of each single load but leaves the busiest form server as it is: with it,
-# four nodes without reports of each other only reached an imbalance of 1.3.
+# The share of the spread explained by chance that is subtracted while groups are moved. Before moving begins
+# all of it is subtracted, which gives the best estimate of each single load. While groups are moved that
+# would leave the busiest form server as it is: four nodes without reports of each other only reached an
+# imbalance of 1.3.
 ACTIVE_NOISE_SHARE = 0.2
 # After its alert a node waits this long for the reports of the other nodes before its first move.
 ALERT_WAIT_US = 1 * SECOND
 # The share of `patience_s` that the excess must reach before a node sends an alert to the other nodes.
 ALERT_EXCESS_SHARE = 0.5
-# After an alert that the reports of the other nodes refute, further alerts are blocked for this time, which
-# doubles each time. An excess that is high enough to begin moving is not blocked. Reports refute an alert if
-# the estimate rests on at least this share of the nodes.
+# An estimate that includes at least this share of the nodes and shows no excess refutes alerts: they are
+# blocked for this time, which doubles each time up to the maximum and is reset when moving begins. An excess
+# that is high enough to begin moving is not blocked.
 ALERT_BLOCK_US, MAX_ALERT_BLOCK_US, SUFFICIENT_KNOWN_SHARE = 30 * SECOND, 480 * SECOND, 0.8
-# The rate at which the integrated excess decays without an excess, so that separate short excesses do not add
-# up until moving begins.
+# The rate at which the integrated excess decays while there is no excess, so that separate short excesses do
+# not add up until moving begins.
 EXCESS_DECAY_PER_S = 0.05
-# Returns not caused by this node's moves are a storm if within this time there are more than this number plus
-# this share of the established connections.
+# Returning clients are a storm if within this time there are more than this number, plus this share of the
+# established connections, plus two for each recent move of this node, because moves cause returns.
 STORM_WINDOW_US, STORM_MIN_RETURNS, STORM_SHARE = 2 * SECOND, 4, 0.05
 # Slow set-ups on a form server that seemed to have free capacity are a sign of trouble: set-ups that take at
 # least this share of the objective, at least this number of them within this time.
@@ -91,7 +94,7 @@
 
     @property
     def imbalance(self) -> float:
-        """The highest ratio of load to share of the form servers over their acceptable load, or 0."""
+        """Returns the highest ratio of load to share of the form servers over their acceptable load, or 0."""
         ratios = (
             self.loads[n] / s
             for n, s in self.shares.items()
@@ -103,24 +106,28 @@
 class Rebalancer:
     """Decides which clients are moved to balance the load. Pure: each call passes the time."""
 
-    def __init__(self, rebalance_settings: RebalanceSettings, settings: Settings, now_us: int) -> None:
+    def __init__(
+        self, rebalance_settings: RebalanceSettings, decision_settings: Settings, now_us: int
+    ) -> None:
         self._settings = rebalance_settings
-        self._nodes = settings.instances
-        self._slow_start_us = settings.slow_start_us
-        self._objectives_us = {c.name: c.objective_us for c in settings.classes}
+        self._node_count = decision_settings.instances
+        self._slow_start_us = decision_settings.slow_start_us
+        self._objectives_us = {c.name: c.objective_us for c in decision_settings.classes}
         self._rest_us = int(rebalance_settings.rest_s * SECOND)
         self._servers: dict[int, Backend] = {}
         self.connections = ConnectionTable()
-        self._neighbour_loads = NeighbourLoads(int(rebalance_settings.tell_s * SECOND), self._nodes)
-        sends_datagrams = rebalance_settings.neighbours and settings.peer_messages and self._nodes > 1
+        self._neighbour_loads = NeighbourLoads(int(rebalance_settings.tell_s * SECOND), self._node_count)
+        sends_datagrams = (
+            rebalance_settings.neighbours and decision_settings.peer_messages and self._node_count > 1
+        )
         self._reporter = (
-            LoadReporter(now_us // 1000, int(rebalance_settings.tell_s * SECOND), self._nodes)
+            LoadReporter(now_us // 1000, int(rebalance_settings.tell_s * SECOND), self._node_count)
             if sends_datagrams
             else None
         )
         self._move_rate = MoveRate(
-            rebalance_settings.first_per_s / self._nodes,
-            rebalance_settings.most_per_s / self._nodes,
+            rebalance_settings.first_per_s / self._node_count,
+            rebalance_settings.most_per_s / self._node_count,
             rebalance_settings.widening,
             int(rebalance_settings.hold_s * SECOND),
             now_us,
@@ -140,7 +147,7 @@
         self._is_active = False
         self._alert_since_us: int | None = None  # since when this node sends alerts
         self._alerts_blocked_until_us, self._alert_block_us = 0, ALERT_BLOCK_US
-        self._last_useful_us = now_us  # the last move, the begin, or a suspension
+        self._last_useful_us = now_us  # the last move, the start of moving, or the last suspension
         self._paused_until_us, self._pause_us = 0, PAUSE_US
         self._moved_count = 0
         self._is_draining = self._discovery_failed = False
@@ -150,7 +157,7 @@
     # ------------------------------------------------------------------ events
 
     def on_list_update(self, now_us: int, kind: ListKind, entries: Iterable[Backend]) -> None:
-        """The list of form servers or changes to it have arrived."""
+        """The endpoint list or changes to it have arrived."""
         self._discovery_failed = self._discovery_failed and kind is ListKind.CACHED
         servers_by_number = {entry.id: entry for entry in entries}
         for number, entry in servers_by_number.items():
@@ -193,7 +200,7 @@
         latency_us: int | None,
     ) -> None:
         """A session is established. `has_returned`: the client reconnected after a failure or a move.
-        `latency_us`: the set-up time; None: it was established before this node started.
+        `latency_us`: the set-up time; None: the session was established before this node started.
         """
         self.connections.add(
             TrackedConnection(connection_id, group, request_class, server, now_us, has_returned)
@@ -211,7 +218,7 @@
             slow_times_us = self._slow_setup_times_us.setdefault(server, deque())
             slow_times_us.append(now_us)
             _drop_before(slow_times_us, now_us - SLOW_SETUP_WINDOW_US)
-            if len(slow_times_us) >= SLOW_SETUP_COUNT and self._has_free_load(server):
+            if len(slow_times_us) >= SLOW_SETUP_COUNT and self._has_free_capacity(server):
                 self._suspend(now_us, "slow-set-ups")
 
     def on_load_reported(self, connection_id: str, load: float) -> None:
@@ -226,7 +233,7 @@
 
     def on_attempt_rejected(self, now_us: int, server: int) -> None:
         """A form server has rejected an attempt."""
-        if self._has_free_load(server):
+        if self._has_free_capacity(server):
             self._suspend(now_us, "turned-away")
 
     def on_rejected(self, now_us: int) -> None:
@@ -234,7 +241,7 @@
         self._suspend(now_us, "refusals")
 
     def on_peer_message(self, now_us: int, sender: int, content: bytes) -> None:
-        """A datagram was received from another node. An invalid one is only logged, once in a row."""
+        """A datagram was received from another node. Of successive invalid ones only the first is logged."""
         try:
             report = decode_report(content)
         except InvalidGossipError as error:
@@ -255,7 +262,7 @@
                     self._moved_elsewhere_until_us[group] = now_us + FOLLOW_US
 
     def set_draining(self, is_draining: bool = True) -> None:
-        """Sets whether this node moves its clients away for another reason; moves for balance then stop."""
+        """Sets whether this node is draining. A draining node moves no clients to balance the load."""
         self._is_draining = is_draining
 
     @property
@@ -265,11 +272,11 @@
 
     def set_rate_share(self, share: float) -> None:
         """Sets this node's share of the fleet's move rate, 0 to 1, which replaces the equal share."""
-        self._move_rate.node_shares = share * self._nodes
+        self._move_rate.node_shares = share * self._node_count
 
-    def _suspend(self, now_us: int, why: str) -> None:
+    def _suspend(self, now_us: int, reason: str) -> None:
         if self._move_rate.suspend(now_us) and self._is_active:
-            self._log_entries.append({"state": "held", "why": why, "moved": self._moved_count})
+            self._log_entries.append({"state": "held", "why": reason, "moved": self._moved_count})
 
     # ------------------------------------------------------------------ checks
 
@@ -278,7 +285,7 @@
         return now_us >= self._next_check_us
 
     def plan_moves(self, now_us: int, choose_elsewhere: ChooseElsewhere) -> Orders:
-        """Checks the balance and returns the orders; to be called when `is_due`."""
+        """Checks the balance and returns the orders; to be called when `is_due` returns True."""
         self._next_check_us = now_us + CHECK_INTERVAL_US
         if now_us >= self._next_recount_us:
             is_starting = now_us - self._started_us < STARTUP_US
@@ -305,9 +312,14 @@
         estimate = self._last_estimate = self.estimate_loads(now_us)
         is_active = self._update_is_active(now_us, estimate)
         if self._reporter is not None:
-            own = {n: server_connections.load for n, server_connections in self.connections.by_server.items()}
+            own_loads = {
+                n: server_connections.load for n, server_connections in self.connections.by_server.items()
+            }
             orders.datagram = self._reporter.next_datagram(
-                now_us, self.connections.loads_reported, own, is_active or self._alert_since_us is not None
+                now_us,
+                self.connections.loads_reported,
+                own_loads,
+                is_active or self._alert_since_us is not None,
             )
         if is_active or self._moved_elsewhere_until_us:
             self._choose_moves(now_us, estimate, choose_elsewhere, orders, is_active)
@@ -326,20 +338,23 @@
     def estimate_loads(self, now_us: int) -> LoadEstimate:
         """Estimates the loads of the fleet from those of this node and the reports of the others."""
         servers_past_slow_start = self.servers_past_slow_start(now_us)
-        own = {
+        own_loads = {
             n: server_connections.load
             for n, server_connections in self.connections.by_server.items()
             if n in servers_past_slow_start
         }
-        reported, counted_nodes = self._neighbour_loads.loads(
+        reported_loads, counted_nodes = self._neighbour_loads.loads(
             now_us, self.connections.loads_reported, servers_past_slow_start
         )
-        known_share = min(1.0, (1.0 + counted_nodes) / self._nodes)
-        loads = {n: (own.get(n, 0.0) + reported.get(n, 0.0)) / known_share for n in servers_past_slow_start}
+        known_share = min(1.0, (1.0 + counted_nodes) / self._node_count)
+        loads = {
+            n: (own_loads.get(n, 0.0) + reported_loads.get(n, 0.0)) / known_share
+            for n in servers_past_slow_start
+        }
         capacity = sum(s.capacity for s in servers_past_slow_start.values())
-        total = sum(loads.values())
+        total_load = sum(loads.values())
         shares = (
-            {n: total * s.capacity / capacity for n, s in servers_past_slow_start.items()}
+            {n: total_load * s.capacity / capacity for n, s in servers_past_slow_start.items()}
             if capacity > 0
             else {}
         )
@@ -357,7 +372,7 @@
         acceptable_loads = {n: acceptable_load * s.capacity for n, s in servers_past_slow_start.items()}
         return LoadEstimate(_shrink_to_shares(loads, shares, noise), shares, known_share, acceptable_loads)
 
-    def _has_free_load(self, server: int) -> bool:
+    def _has_free_capacity(self, server: int) -> bool:
         estimate = self._last_estimate
         return (
             server in estimate.shares
@@ -367,7 +382,7 @@
     def _update_is_active(self, now_us: int, estimate: LoadEstimate) -> bool:
         """Begins or ends moving; returns whether groups are moved now.
 
-        Moving begins at a higher imbalance than that at which it ends.
+        Moving begins at a higher imbalance than that at which it ends. Between the two nothing changes.
         """
         if not self._is_active:
             excess_ratio = estimate.imbalance - self._settings.start_at
@@ -418,7 +433,7 @@
         return True
 
     def _excess(self, estimate: LoadEstimate, number: int) -> float:
-        """Returns the load, over all nodes, by which a form server exceeds what it may keep."""
+        """Returns the load, over all nodes, by which a form server exceeds its limit; negative below it."""
         return estimate.loads[number] - max(
             self._settings.stop_at * estimate.shares[number], estimate.acceptable_loads[number]
         )
@@ -431,28 +446,30 @@
         orders: Orders,
         is_active: bool,
     ) -> None:
-        """Moves groups on one form server before scattered ones, and heavy ones first, so that few move."""
+        """Moves groups on one form server before scattered ones, and those with the highest load for each
+        connection first, so that few connections are moved.
+        """
         reserved_loads: dict[int, float] = {}
         for reservation in self._reservations:
             reserved_loads[reservation.server] = (
                 reserved_loads.get(reservation.server, 0.0) + reservation.weight
             )
-        free_loads = {
+        free_capacities = {
             n: self._settings.fill_to * share - estimate.loads[n] - reserved_loads.get(n, 0.0)
             for n, share in estimate.shares.items()
         }
-        targets = sum(1 for free_load in free_loads.values() if free_load > 0)
-        moves_left = self._move_rate.allowance(now_us, estimate.imbalance, targets)
+        target_count = sum(1 for free_capacity in free_capacities.values() if free_capacity > 0)
+        moves_left = self._move_rate.allowance(now_us, estimate.imbalance, target_count)
         if moves_left <= 0:
             return
-        moves_left -= self._move_rest_of_groups(now_us, free_loads, choose_elsewhere, orders)
+        moves_left -= self._move_rest_of_groups(now_us, free_capacities, choose_elsewhere, orders)
         queries_left = MAX_PLACEMENT_QUERIES if is_active else 0
         overloaded = [n for n in estimate.shares if self._excess(estimate, n) > 0]
         for number in sorted(overloaded, key=lambda n: (-self._excess(estimate, n), n)):
             server_connections = self.connections.by_server.get(number)
             if server_connections is None:
                 continue
-            # This node's part of the excess.
+            # This node moves a part of the excess that is proportional to its part of the load.
             excess = self._excess(estimate, number) * server_connections.load / estimate.loads[number]
             for group, connections in self._candidates(now_us, number):
                 if moves_left <= 0 or queries_left <= 0:
@@ -460,29 +477,33 @@
                 if excess <= 0:
                     break
                 weight = self.connections.weight(connections)
-                # A group heavier than the excess, or than this node's part of the free load, is moved with a
-                # probability, so that all nodes together move about the right load. The hash of the group
-                # replaces a random number, so that every node decides the same.
+                # A group heavier than the excess, or than this node's part of the free capacity, is moved
+                # with a probability, so that all nodes together move about the right load. The hash of the
+                # group replaces a random number, so that every node decides the same.
                 drawn_weight = weight * _hash(group) / 2**32
                 if drawn_weight > excess:
                     continue
                 queries_left -= 1
                 target = choose_elsewhere(list(connections))
-                free_load = free_loads.get(target, 0.0) if target is not None else 0.0
+                free_capacity = free_capacities.get(target, 0.0) if target is not None else 0.0
                 if (
                     target is None
-                    or weight > free_load
-                    or drawn_weight > free_load * max(1.0 / self._nodes, estimate.known_share)
+                    or weight > free_capacity
+                    or drawn_weight > free_capacity * max(1.0 / self._node_count, estimate.known_share)
                 ):
                     self._query_retry_at_us[group] = now_us + QUERY_RETRY_US
                     continue
                 self._move(now_us, group, connections, target, weight, orders)
-                free_loads[target] -= weight
+                free_capacities[target] -= weight
                 excess -= weight
                 moves_left -= len(connections)
 
     def _move_rest_of_groups(
-        self, now_us: int, free_loads: dict[int, float], choose_elsewhere: ChooseElsewhere, orders: Orders
+        self,
+        now_us: int,
+        free_capacities: dict[int, float],
+        choose_elsewhere: ChooseElsewhere,
+        orders: Orders,
     ) -> int:
         """Moves the connections of groups that other nodes have begun to move; returns their number."""
         moved = 0
@@ -492,14 +513,14 @@
             if group is None:
                 continue
             for number in self.connections.servers_of(group):
-                if free_loads.get(number, 0.0) > 0:
-                    continue  # has free load, so the other node did not move the group from here
+                if free_capacities.get(number, 0.0) > 0:
+                    continue  # has free capacity, so the other node did not move the group from here
                 connections = self.connections.movable_connections(number, group, now_us - self._rest_us)
                 target = choose_elsewhere(list(connections)) if connections else None
-                if target is not None and free_loads.get(target, 0.0) > 0:
+                if target is not None and free_capacities.get(target, 0.0) > 0:
                     weight = self.connections.weight(connections)
                     self._move(now_us, group, connections, target, weight, orders)
-                    free_loads[target] -= weight
+                    free_capacities[target] -= weight
                     moved += len(connections)
         return moved
 
--- a/sailrun/rebalance/connection_table.py
+++ b/sailrun/rebalance/connection_table.py
@@ -7,7 +7,7 @@
 # Connections with the same group key form one group. A connection without a key is a group of its own.
 GroupKey = str
 
-# The number of latest load reports over which a mean load is averaged.
+# A mean load is a moving average over about this many of the latest load reports.
 MEAN_REPORTS = 200
 # The load of a group on a form server beside that of its connections, in mean connection loads: each form
 # server with connections of a group keeps the group's account.
@@ -82,7 +82,7 @@
             del server_connections.groups[connection.group]
             server_connections.load -= self.group_cost()
         if not server_connections.count:
-            del self.by_server[connection.server]  # a new entry begins without rounding errors
+            del self.by_server[connection.server]  # discards accumulated rounding errors
         counts = self._counts_by_group[connection.group]
         counts[connection.server] -= 1
         if not counts[connection.server]:
@@ -110,7 +110,7 @@
         connection.load = load
 
     def recount(self) -> None:
-        """Recalculates the sums: the class means that stand for unreported loads have changed since."""
+        """Recalculates the sums, because the class means that replace unreported loads have changed."""
         weights: list[float] = []
         for server_connections in self.by_server.values():
             group_weights = [self.weight(connections) for connections in server_connections.groups.values()]
@@ -133,9 +133,10 @@
         return self._mean if self._report_count else 1.0
 
     def mean_group_weight(self) -> float:
-        """Returns the mean weight of the groups, each weighted by its weight.
+        """Returns the weighted mean of the groups' weights, in which each group counts by its own weight.
 
-        The higher it is, the noisier is an estimate that is based on a sample of the groups.
+        Before the first recount it is twice the weight of a group with one connection of mean load. The
+        higher it is, the larger is the random error of an estimate from a sample of the groups.
         """
         return self._mean_group_weight or 2.0 * (self.mean_load() + self.group_cost())
 
--- a/sailrun/rebalance/gossip.py
+++ b/sailrun/rebalance/gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams in which nodes report the load of their sessions to each other, and the groups that they move.
+"""Encodes, applies and schedules the datagrams in which nodes report their loads and their moved groups.
 
 A group's connections may come through several nodes, and a form server only loses the load of a group when
 all of them have left. The other nodes therefore move their connections of a group that one node has moved.
@@ -21,24 +21,25 @@
 
 # Version, flags, number of form servers, number of groups, sequence number, incarnation (milliseconds of Unix
 # time), the sender's total load.
-_HEAD = struct.Struct("<BBBBIQf")
+_HEADER = struct.Struct("<BBBBIQf")
 _LOAD = struct.Struct("<If")
 _GROUP = struct.Struct("<I")
 VERSION = 0xB1
 LOADS_REPORTED = 1  # flag: loads are microseconds of work a second, not connections
-ALERT = 2  # flag: the sender sees an imbalance, and requests the loads of the other nodes
+ALERT = 2  # flag: the sender estimates an imbalance, and requests the loads of the other nodes
 MAX_DATAGRAM_BYTES = 256
 MAX_GROUPS = 16
-MAX_LOADS = (MAX_DATAGRAM_BYTES - _HEAD.size - MAX_GROUPS * _GROUP.size) // _LOAD.size
+MAX_LOADS = (MAX_DATAGRAM_BYTES - _HEADER.size - MAX_GROUPS * _GROUP.size) // _LOAD.size
 # Every datagram goes to every node, so with more nodes than this the interval grows with their number.
 FULL_RATE_NODES = 4
-# The loads of a node expire after this many intervals without a datagram.
+# The loads of a node expire after this many intervals, plus GROUPS_INTERVAL_US, without a datagram.
 EXPIRY_INTERVALS = 4
-# After this many datagrams without one in return, the interval doubles with each further one.
+# After this many datagrams without one in return, the interval doubles with each further one, up to 1024
+# times the interval.
 MAX_UNANSWERED = 4
 # The number of form servers in a datagram that rotate, independent of how much their load changed.
 ROTATING_LOADS = 4
-# The interval of datagrams while groups are moved.
+# The maximum interval of datagrams while groups are moved; it also grows with the number of nodes.
 GROUPS_INTERVAL_US = 500_000
 
 
@@ -65,7 +66,7 @@
         raise ValueError(
             f"a datagram cannot hold {len(report.loads)} form servers and {len(report.moved_groups)} groups"
         )
-    head = _HEAD.pack(
+    header = _HEADER.pack(
         VERSION,
         (LOADS_REPORTED if report.loads_reported else 0) | (ALERT if report.alert else 0),
         len(report.loads),
@@ -75,20 +76,20 @@
         report.total,
     )
     loads = b"".join(_LOAD.pack(number, load) for number, load in report.loads.items())
-    return head + loads + b"".join(map(_GROUP.pack, report.moved_groups))
+    return header + loads + b"".join(map(_GROUP.pack, report.moved_groups))
 
 
 def decode_report(content: bytes) -> LoadReport:
     """Decodes a report. Raises InvalidGossipError for a datagram that no node of this version would send."""
-    if len(content) < _HEAD.size or content[0] != VERSION:
+    if len(content) < _HEADER.size or content[0] != VERSION:
         raise InvalidGossipError("datagram is too short or of another version")
-    _, flags, count, groups, sequence, incarnation, total = _HEAD.unpack_from(content)
-    loads_end = _HEAD.size + count * _LOAD.size
-    if len(content) != loads_end + groups * _GROUP.size:
+    _, flags, server_count, group_count, sequence, incarnation, total = _HEADER.unpack_from(content)
+    loads_end = _HEADER.size + server_count * _LOAD.size
+    if len(content) != loads_end + group_count * _GROUP.size:
         raise InvalidGossipError(
-            f"{len(content)} bytes do not match {count} form servers and {groups} groups"
+            f"{len(content)} bytes do not match {server_count} form servers and {group_count} groups"
         )
-    loads = dict(_LOAD.iter_unpack(content[_HEAD.size : loads_end]))
+    loads = dict(_LOAD.iter_unpack(content[_HEADER.size : loads_end]))
     moved_groups = tuple(group for (group,) in _GROUP.iter_unpack(content[loads_end:]))
     if not all(math.isfinite(load) and load >= 0 for load in (total, *loads.values())):
         raise InvalidGossipError("a load is negative or not finite")
@@ -110,13 +111,11 @@
 class NeighbourLoads:
     """The loads of the other nodes as last reported. The sums are updated with each datagram."""
 
-    def __init__(self, interval_us: int, nodes: int) -> None:
-        self._expiry_us = EXPIRY_INTERVALS * min_interval_us(interval_us, nodes) + GROUPS_INTERVAL_US
+    def __init__(self, interval_us: int, node_count: int) -> None:
+        self._expiry_us = EXPIRY_INTERVALS * min_interval_us(interval_us, node_count) + GROUPS_INTERVAL_US
         self._neighbours: dict[int, _Neighbour] = {}
-        self._sums: dict[bool, dict[int, float]] = {
-            False: {},
-            True: {},
-        }  # by unit: whether loads were reported
+        # By `loads_reported`, which determines the unit.
+        self._sums: dict[bool, dict[int, float]] = {False: {}, True: {}}
 
     def update(self, now_us: int, sender: int, report: LoadReport) -> bool:
         """Applies a report; returns False if one that is as new or newer was already applied."""
@@ -163,27 +162,27 @@
         for number, load in neighbour.loads.items():
             sums[number] = sums.get(number, 0.0) - load
             if sums[number] < 1e-6:
-                del sums[number]  # no load is left there: a new entry begins without rounding errors
+                del sums[number]  # no load is left there; discards accumulated rounding errors
         neighbour.loads.clear()
         neighbour.unlisted_load, neighbour.sequence = 0.0, -1
 
 
-def min_interval_us(interval_us: int, nodes: int) -> int:
+def min_interval_us(interval_us: int, node_count: int) -> int:
     """Returns the minimum interval between two datagrams of a node, in a fleet of this many nodes."""
-    return int(interval_us * max(1.0, nodes / FULL_RATE_NODES))
+    return int(interval_us * max(1.0, node_count / FULL_RATE_NODES))
 
 
 class LoadReporter:
     """Decides when this node sends a datagram, and with which loads.
 
-    In a balanced fleet none are sent, because they cost work and no node would act on them. A node that sees
-    an imbalance in its own loads sends reports with an alert, and the other nodes answer with their loads.
+    In a balanced fleet no datagrams are sent, because they cost work and no node would act on them. A node
+    that estimates an imbalance sends its loads with an alert, and the other nodes answer with theirs.
     """
 
-    def __init__(self, incarnation: int, interval_us: int, nodes: int) -> None:
+    def __init__(self, incarnation: int, interval_us: int, node_count: int) -> None:
         self._incarnation = incarnation
-        self._interval_us = min_interval_us(interval_us, nodes)
-        self._groups_interval_us = min_interval_us(min(GROUPS_INTERVAL_US, interval_us), nodes)
+        self._interval_us = min_interval_us(interval_us, node_count)
+        self._groups_interval_us = min_interval_us(min(GROUPS_INTERVAL_US, interval_us), node_count)
         self._answer_due = False  # another node has sent an alert that is not answered yet
         self._unanswered = 0  # datagrams sent since the last one was received
         self._sequence = 0
@@ -201,13 +200,13 @@
         self._unanswered = 0
 
     def on_alert(self) -> None:
-        """Another node has sent an alert: it is answered once with this node's loads."""
+        """Another node has sent an alert, which is answered once with this node's loads."""
         self._answer_due = True
 
     def next_datagram(
         self, now_us: int, loads_reported: bool, loads: Mapping[int, float], alert: bool = False
     ) -> bytes | None:
-        """Returns the next datagram if one is due, else None. `alert`: this node sees an imbalance."""
+        """Returns the next datagram if one is due, else None. `alert`: this node estimates an imbalance."""
         if not (alert or self._moved_groups or self._answer_due):
             return None
         interval_us = self._groups_interval_us if self._moved_groups else self._interval_us
@@ -219,7 +218,8 @@
         }
         if not changed:
             return None
-        # The loads that changed most, then some of the others in rotation: their datagram may have been lost.
+        # The loads that changed most, then some of the others in rotation, because the datagram with their
+        # last change may have been lost.
         chosen = sorted(changed, key=lambda n: (-changed[n], n))[: MAX_LOADS - ROTATING_LOADS]
         others = [n for n in changed if n not in chosen]
         start = bisect.bisect_right(others, self._last_rotated)
@@ -234,7 +234,10 @@
         self._sequence += 1
         self._sent_us, self._answer_due = now_us, False
         self._unanswered += 1
-        groups, self._moved_groups = tuple(self._moved_groups[:MAX_GROUPS]), self._moved_groups[MAX_GROUPS:]
+        moved_groups, self._moved_groups = (
+            tuple(self._moved_groups[:MAX_GROUPS]),
+            self._moved_groups[MAX_GROUPS:],
+        )
         return encode_report(
             LoadReport(
                 self._incarnation,
@@ -242,7 +245,7 @@
                 loads_reported,
                 sum(loads.values()),
                 sent_loads,
-                groups,
+                moved_groups,
                 alert,
             )
         )
--- a/sailrun/rebalance/pace.py
+++ b/sailrun/rebalance/pace.py
@@ -8,12 +8,15 @@
 from __future__ import annotations
 
 SECOND = 1_000_000
-# The unused budget of at most this time is saved, so that no larger burst builds up.
+# At most the budget of this time is saved while it is not used, which limits bursts.
 MAX_SAVED_US = SECOND
 
 
 class MoveRate:
-    """A token bucket. Rates: connections a second of this node to each form server with free capacity."""
+    """A token bucket for the connections that this node moves.
+
+    Rates are in connections a second to each form server with free capacity.
+    """
 
     def __init__(
         self, initial_per_s: float, max_per_s: float, growth: float, suspension_us: int, now_us: int
@@ -28,8 +31,8 @@
         self._tokens = 0.0
         self._refilled_us = self._grown_us = now_us
         self._suspended_until_us = now_us
-        self._best_imbalance = 0.0  # the least imbalance since the rate was last reset; 0: none yet
-        # This node's part of the fleet's rate, as a multiple of an equal part: 1 is one node's equal part.
+        self._best_imbalance = 0.0  # the lowest imbalance since the rate was last reset; 0: none yet
+        # This node's share of the fleet's rate, as a multiple of the equal share; 1: the equal share.
         self.node_shares = 1.0
 
     def suspend(self, now_us: int) -> bool:
@@ -44,13 +47,16 @@
         return now_us < self._suspended_until_us
 
     def restart(self, now_us: int) -> None:
-        """Resets the rate to the initial one when moving begins, whatever it was before."""
+        """Resets the rate to the initial one when moving begins."""
         self.per_s, self._tokens, self._best_imbalance = self._initial_per_s, 1.0, 0.0
         self._refilled_us = self._grown_us = now_us
 
-    def allowance(self, now_us: int, imbalance: float, targets: int) -> int:
-        """Returns how many connections may be moved now. `targets`: the form servers with free capacity."""
-        if self.is_suspended(now_us) or not targets or not self.node_shares:
+    def allowance(self, now_us: int, imbalance: float, target_count: int) -> int:
+        """Returns how many connections may be moved now.
+
+        `target_count`: the number of form servers with free capacity.
+        """
+        if self.is_suspended(now_us) or not target_count or not self.node_shares:
             self._refilled_us = now_us
             return 0
         if now_us - self._grown_us >= SECOND:
@@ -61,13 +67,13 @@
         seconds = min(now_us - self._refilled_us, MAX_SAVED_US) / SECOND
         self._refilled_us = now_us
         per_s = self.per_s * self.node_shares
-        max_tokens = max(1.0, per_s * targets * MAX_SAVED_US / SECOND)
-        self._tokens = min(self._tokens + per_s * targets * seconds, max_tokens)
+        max_tokens = max(1.0, per_s * target_count * MAX_SAVED_US / SECOND)
+        self._tokens = min(self._tokens + per_s * target_count * seconds, max_tokens)
         return int(self._tokens)
 
-    def spend(self, connections: int) -> None:
-        """Subtracts moved connections from the budget.
+    def spend(self, connection_count: int) -> None:
+        """Subtracts the number of moved connections from the budget.
 
         A group larger than the rest of the budget makes it negative, which delays the next moves.
         """
-        self._tokens -= connections
+        self._tokens -= connection_count
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -31,9 +31,9 @@
 
 
 def establish(running: RunningNode, n: int) -> Peer:
-    household = running.request_session(f"{n:016x}", group=f"{n:016x}")
-    assert household.read_line() == "UP r1"
-    return household
+    client = running.request_session(f"{n:016x}", group=f"{n:016x}")
+    assert client.read_line() == "UP r1"
+    return client
 
 
 def test_invalid_calls_fail_and_valid_calls_are_answered(running: RunningNode) -> None:
@@ -58,7 +58,7 @@
     running: RunningNode, servers: list[FormServer]
 ) -> None:
     assert set(running.read_metrics().values()) == {0, 2}
-    households = [establish(running, n) for n in range(5)]
+    clients = [establish(running, n) for n in range(5)]
     for server in servers:
         server.answer = "ERR"
     failed = running.request_session("e" * 16, wait_ms=700)
@@ -67,7 +67,7 @@
         server.answer = "BUSY"
     rejected = running.request_session("f" * 16, wait_ms=700)
     assert rejected.read_line().startswith("BUSY")
-    households.pop().close()
+    clients.pop().close()
     metrics = running.wait_for_metric("inflight", 4)
     attempts = sum(s.first_lines.qsize() for s in servers)
     assert metrics == {
@@ -91,7 +91,7 @@
 ) -> None:
     roster = Roster([s.entry() for s in servers])
     with node(tmp_path, roster, control=f"127.0.0.1:{free_port()}") as running:
-        households = [establish(running, n) for n in range(12)]
+        clients = [establish(running, n) for n in range(12)]
         excluded = next(s for s in servers if s.first_lines.qsize())
         session_count = excluded.first_lines.qsize()
         assert running.call(f"set-down {excluded.name}") == "ok"
@@ -106,7 +106,7 @@
         assert excluded.first_lines.qsize() == session_count
         for _ in range(session_count):
             assert excluded.ends.get(timeout=TIMEOUT_S) == "ended"
-        moved = [h for h in households if is_moved(h)]
+        moved = [c for c in clients if is_moved(c)]
         assert len(moved) == session_count
         assert running.call(f"set-up {excluded.name}") == "ok"
         assert running.read_metrics()["hosts_down"] == 0
@@ -118,10 +118,10 @@
             n += 1
 
 
-def is_moved(household: Peer) -> bool:
+def is_moved(client: Peer) -> bool:
     """Returns whether the node has moved the client; if not, its line is echoed."""
-    household.send_line("page 3")
-    return household.read_line() == "MOVE"
+    client.send_line("page 3")
+    return client.read_line() == "MOVE"
 
 
 def test_request_is_rejected_at_once_if_all_form_servers_are_excluded(
@@ -137,37 +137,37 @@
 
 
 def test_draining_node_is_not_ready_and_moves_all_clients_until_the_drain_ends(running: RunningNode) -> None:
-    households = [establish(running, n) for n in range(6)]
+    clients = [establish(running, n) for n in range(6)]
     assert running.call("drain-on") == "ok"
     assert running.call("drain-on") == "ok"
     assert ping(running) != "PONG"
     assert running.call("check").startswith("fail")
-    households.append(establish(running, 7))  # a client that still requests a session is answered
-    assert [h.read_line() for h in households] == ["MOVE"] * 7
+    clients.append(establish(running, 7))  # a client that still requests a session is answered
+    assert [c.read_line() for c in clients] == ["MOVE"] * 7
     running.wait_for_metric("inflight", 0)
     assert running.call("drain-off") == "ok"
     assert running.call("drain-off") == "ok"
     assert ping(running) == "PONG"
     assert running.call("check") == "ok"
-    household = establish(running, 8)
-    household.send_line("page 3")
-    assert household.read_line() == "page 3"
+    client = establish(running, 8)
+    client.send_line("page 3")
+    assert client.read_line() == "page 3"
 
 
 def test_drain_that_is_ended_early_moves_no_more_clients(running: RunningNode) -> None:
-    household = establish(running, 1)
+    client = establish(running, 1)
     assert running.call("drain-on") == "ok"
     assert running.call("drain-off") == "ok"
     running.logged("drain-over", "sessions=1")
-    household.send_line("page 3")
-    assert household.read_line() == "page 3"
+    client.send_line("page 3")
+    assert client.read_line() == "page 3"
 
 
 def ping(running: RunningNode) -> str:
-    check = running.connect()
-    check.send_line("PING")
-    answer = check.read_line()
-    check.close()
+    connection = running.connect()
+    connection.send_line("PING")
+    answer = connection.read_line()
+    connection.close()
     return answer
 
 
@@ -248,7 +248,7 @@
         assert 0 <= moved <= sessions and (active_since_us or not moved)
         sessions -= moved
         assert not plans.may_exit(now_us, 0, 0) or any(r is not ShutdownReason.DRAIN for r in active_since_us)
-    # No more sessions begin: within the longest plan all are moved, in steps of a tenth of a second.
+    # No more sessions begin, so all are moved within the longest plan, in steps of a tenth of a second.
     for _ in range(60):
         now_us += 100_000
         sessions -= plans.count_moves(now_us, sessions, 100_000)
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -88,7 +88,7 @@
             self.establish(f"{server}.{n}", server, has_returned=has_returned)
 
     def run(self, seconds: float) -> list[Orders]:
-        """Advances the time in steps and checks the balance; moved clients return at once."""
+        """Advances the time in steps and checks the balance; moved clients reconnect at once."""
         results: list[Orders] = []
         end_us = self.now_us + int(seconds * SECOND)
         while self.now_us < end_us:
@@ -257,7 +257,7 @@
 
 
 def test_four_nodes_without_reports_do_not_overshoot_together() -> None:
-    """Each node knows a quarter of the load; together they must move as much as one node with all of it."""
+    """Each node has a quarter of the load; together they must move as much as one node with all of it."""
     harnesses = [Harness(nodes=4) for _ in range(4)]
     for n in range(160):
         harnesses[n % 4].establish(f"c{n}", 1)
@@ -301,7 +301,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_decoding_any_bytes_raises_no_other_error(content: bytes) -> None:
+def test_decoding_any_bytes_returns_a_report_or_raises_invalid_gossip_error(content: bytes) -> None:
     with contextlib.suppress(InvalidGossipError):
         decode_report(content)
 
@@ -361,21 +361,21 @@
     move_rate, now_us = MoveRate(0.3, 2.0, 1.5, 3 * SECOND, 0), 0
     moves: list[tuple[int, int]] = []
     suspended_until_us = -1
-    for n, (wait_us, targets, imbalance) in enumerate(checks):
+    for n, (wait_us, target_count, imbalance) in enumerate(checks):
         now_us += wait_us
         if n == trouble_at:
             move_rate.suspend(now_us)
             suspended_until_us = now_us + 3 * SECOND
-        allowed = move_rate.allowance(now_us, imbalance, targets)
+        allowed = move_rate.allowance(now_us, imbalance, target_count)
         assert now_us >= suspended_until_us or allowed == 0
-        assert allowed <= max(1, 2 * targets)
+        assert allowed <= max(1, 2 * target_count)
         move_rate.spend(allowed)
         moves.append((now_us, allowed))
         moved_in_window = sum(count for at_us, count in moves if now_us - at_us < 10 * SECOND)
         assert moved_in_window <= 2.0 * 20 * 10 + 2.0 * 20 + 1
 
 
-def test_group_heavier_than_the_free_load_is_not_moved() -> None:
+def test_group_heavier_than_the_free_capacity_is_not_moved() -> None:
     harness = Harness()
     for n in range(30):
         harness.establish(f"heavy{n}", 1, "home")
@@ -395,7 +395,8 @@
         harness.rebalancer.on_list_update(harness.now_us, ListKind.FULL, servers(harness.count))
         harness.establish_many(1, 40)
         for name in list(harness.rebalancer.connections.by_id):
-            # With the cost of their groups, the 40 connections use a half or three times of the 2 cores.
+            # With the cost of their groups, the 40 connections use half of the 2 cores, or three times the
+            # 2 cores.
             harness.rebalancer.on_load_reported(name, load)
         harness.run(20)
         assert bool(harness.moved) is expects_moves
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -57,7 +57,7 @@
 
 @pytest.fixture
 def processes(tmp_path: Path, servers: list[FormServer]) -> Iterator[SuccessiveProcesses]:
-    # Longer than the address of a Unix socket is allowed to be.
+    # The path of the folder is longer than the address of a Unix socket is allowed to be.
     folder = tmp_path / ("long" * 30)
     folder.mkdir()
     with ExitStack() as stack:
@@ -103,12 +103,12 @@
     processes: SuccessiveProcesses, servers: list[FormServer]
 ) -> None:
     first = processes.start()
-    households = []
+    clients = []
     for n in range(60):
-        household = first.request_session(f"{n:016x}", group=f"{n:016x}")
-        assert household.read_line() == "UP r1"
-        households.append(household)
-    households[0].sock.sendall(b"half a ")  # one client and one form server have each sent half a line
+        client = first.request_session(f"{n:016x}", group=f"{n:016x}")
+        assert client.read_line() == "UP r1"
+        clients.append(client)
+    clients[0].sock.sendall(b"half a ")  # one client and one form server have each sent half a line
     form_server, peer = next((s, s.peers[0]) for s in servers if s.peers)
     peer.sock.sendall(b"LOAD 81")
     second = processes.start()
@@ -117,20 +117,20 @@
     first.terminate()
     assert first.process.wait(TIMEOUT_S) == 0
     peer.sock.sendall(b"2.5\r\n")
-    households[0].sock.sendall(b"page\r\n")
+    clients[0].sock.sendall(b"page\r\n")
     load_reports = 0
-    for n, household in enumerate(households):
+    for n, client in enumerate(clients):
         if n:
-            household.send_line(f"page {n}")
-        line = household.read_line()
+            client.send_line(f"page {n}")
+        line = client.read_line()
         if line == "LOAD 812.5":
-            load_reports, line = load_reports + 1, household.read_line()
+            load_reports, line = load_reports + 1, client.read_line()
         assert line == (f"page {n}" if n else "half a page")
     assert load_reports == 1 and form_server.ends.empty()
-    figures = second.read_metrics()
-    assert figures["inflight"] == 60 and figures["calls.page-load.success"] == 0
-    for household in households:
-        household.close()
+    metrics = second.read_metrics()
+    assert metrics["inflight"] == 60 and metrics["calls.page-load.success"] == 0
+    for client in clients:
+        client.close()
     second.wait_for_metric("inflight", 0)
     assert "moved" not in "".join(first.lines + second.lines)
 
@@ -139,22 +139,22 @@
     processes: SuccessiveProcesses,
 ) -> None:
     first = processes.start()
-    households = []
+    clients = []
     for n in range(30):
-        households.append(first.request_session(f"{n:016x}", group=f"{n:016x}"))
-        assert households[-1].read_line() == "UP r1"
+        clients.append(first.request_session(f"{n:016x}", group=f"{n:016x}"))
+        assert clients[-1].read_line() == "UP r1"
     second = processes.start()
     second.logged("adopted")
     second.process.kill()
     first.logged("successor-lost")
-    alive = 0
-    for household in households:
+    surviving_sessions = 0
+    for client in clients:
         try:
-            household.send_line("page 3")
-            alive += household.read_line() == "page 3"
+            client.send_line("page 3")
+            surviving_sessions += client.read_line() == "page 3"
         except OSError:
             pass  # the successor owned it when it was killed
-    assert alive == int(first.wait_for_metric("inflight", alive)["inflight"])
+    assert surviving_sessions == int(first.wait_for_metric("inflight", surviving_sessions)["inflight"])
 
 
 def test_successor_has_the_state_of_its_predecessor(
@@ -166,9 +166,9 @@
     first.wait_for_metric("hosts_listed", 3)
     assert first.call("drain-on") == "ok"
     second = processes.start()
-    figures = second.read_metrics()
-    assert figures["hosts_listed"] == 3 and figures["hosts_down"] == 1
-    assert figures["calls.page-load.success"] == 0
+    metrics = second.read_metrics()
+    assert metrics["hosts_listed"] == 3 and metrics["hosts_down"] == 1
+    assert metrics["calls.page-load.success"] == 0
     assert second.call("check").startswith("fail")  # the node is still draining
     # An operator may send a command to either of the two processes.
     assert first.call("drain-off") == "ok"
@@ -182,14 +182,14 @@
     processes: SuccessiveProcesses,
 ) -> None:
     first = processes.start()
-    household = first.request_session("1" * 16)
-    assert household.read_line() == "UP r1"
+    client = first.request_session("1" * 16)
+    assert client.read_line() == "UP r1"
     second = processes.start()
     first.logged("leaving", "reason=succeeded")
     second.process.kill()
     first.logged("successor-lost")
-    household = first.request_session()
-    assert household.read_line() == "UP r1"
+    client = first.request_session()
+    assert client.read_line() == "UP r1"
     assert first.call("check") == "ok"
     third = processes.start()
     assert third.call("check") == "ok"
@@ -199,7 +199,7 @@
 
 def test_successor_that_fails_to_start_has_no_effect(processes: SuccessiveProcesses) -> None:
     first = processes.start()
-    # The control address is in use: the process exits before it takes anything over.
+    # The control address is in use, so the process exits before it takes over any socket or session.
     environment = {
         **os.environ,
         "RELAY_CONFIG": str(processes.folder / "config.json"),
@@ -209,8 +209,8 @@
         [sys.executable, "-m", "sailrun"], env=environment, capture_output=True, text=True
     )
     assert finished.returncode == 2 and finished.stderr.count("\n") == 1
-    household = first.request_session()
-    assert household.read_line() == "UP r1"
+    client = first.request_session()
+    assert client.read_line() == "UP r1"
     assert first.call("check") == "ok"
 
 
