--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -28,7 +28,7 @@
             "address": record.address,
             "zone": record.zone,
         }
-        for record, since_us in agent.members.records_with_age()
+        for record, since_us in agent.members.records_with_state_time()
     ]
 
 
--- a/sailrun/membership/membership.py
+++ b/sailrun/membership/membership.py
@@ -106,7 +106,7 @@
         """Returns the record of a member; None: the name is not known."""
         return self._table.find_record(name)
 
-    def records_with_age(self) -> list[tuple[MemberRecord, int]]:
+    def records_with_state_time(self) -> list[tuple[MemberRecord, int]]:
         """Returns every record, sorted by name, with the time at which it got its state, in microseconds."""
         return [(entry.record, entry.since_us) for entry in self._table.entries()]
 
--- a/sailrun/replication/copy_transfer.py
+++ b/sailrun/replication/copy_transfer.py
@@ -118,7 +118,7 @@
         if self._name not in voters or waited_us < VOTERS_WAIT_US:
             return
         present = {
-            r.name for r, _ in self._members.records_with_age() if r.state is not MemberState.LEFT
+            r.name for r, _ in self._members.records_with_state_time() if r.state is not MemberState.LEFT
         } & voters
         incomplete = {
             name
--- a/sailrun/replication/deletion_survey.py
+++ b/sailrun/replication/deletion_survey.py
@@ -28,7 +28,7 @@
     """Members that have to know of a deletion: those that live, and those gone for less than `absent_us`."""
     return [
         record.name
-        for record, since_us in members.records_with_age()
+        for record, since_us in members.records_with_state_time()
         if record.state in (MemberState.ALIVE, MemberState.SUSPECT)
         or (record.state is MemberState.DEAD and now_us - since_us < absent_us)
     ]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -167,5 +167,5 @@
             MemberRecord("me", 9, 1, MemberState.ALIVE, "10.0.0.1:1"), MembershipSettings(), 1, 0
         )
         members.merge_records(0, initial + order, "a")
-        views.append([r for r, _ in members.records_with_age()])
+        views.append([r for r, _ in members.records_with_state_time()])
     assert views[0] == views[1] == views[2]
