--- a/sailrun/lab/faults/explore.py
+++ b/sailrun/lab/faults/explore.py
@@ -125,7 +125,7 @@
         for name in CANDIDATES:
             leases = Leases(name, self._quorum, self._terms, 1, world.now_us, self._off)
             leases._random = _Even()  # type: ignore[assignment]
-            leases._number = 0
+            leases._last_request_number = 0
             world.leases[name] = leases
         return world
 
@@ -258,7 +258,7 @@
                         t.next_attempt_us - now_us,
                         t.last_request_us - now_us,
                         t.highest_seen_term,
-                        leases._number,
+                        leases._last_request_number,
                     )
                 )
                 parts.append([(number, sent_us - now_us) for number, sent_us in t.request_times_us.items()])
--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -106,7 +106,7 @@
     ) -> None:
         self._name, self.voters, self._settings, self._disabled_rules = name, voters, settings, disabled_rules
         self._random = random.Random(seed)
-        self._number = self._random.getrandbits(30) << 20
+        self._last_request_number = self._random.getrandbits(30) << 20
         self.by_task: dict[str, TaskLease] = {}
         self.changes: list[LeadershipChange] = []  # the driver reads and clears it
         # The tasks whose leader is being gossiped, and how often each hint was sent.
@@ -234,13 +234,13 @@
         return messages
 
     def _request_lease(self, now_us: int, lease: TaskLease) -> list[Message]:
-        self._number += 1
+        self._last_request_number += 1
         lease.last_request_us = now_us
-        lease.request_times_us[self._number] = now_us
+        lease.request_times_us[self._last_request_number] = now_us
         while len(lease.request_times_us) > 4 * RENEWALS_PER_LEASE:
             del lease.request_times_us[next(iter(lease.request_times_us))]
         request = LeaseRequest(
-            lease.task, lease.term, self._number, self.voters.stage, bool(lease.expires_us)
+            lease.task, lease.term, self._last_request_number, self.voters.stage, bool(lease.expires_us)
         )
         # This node's own voter comes first: if it denies the lease, the other requests are not sent.
         return [
