--- a/sailrun/leadership/act_log.py
+++ b/sailrun/leadership/act_log.py
@@ -8,14 +8,15 @@
 from sailrun.leadership.clock import boot_us
 from sailrun.node.clock import log
 
-# The two clocks have to be read within this time of each other; otherwise both are read again.
+# If the two clocks are read further apart than this, both are read again, at most MAX_CLOCK_READS times.
 MAX_CLOCK_READ_GAP_US = 500
 MAX_CLOCK_READS = 10
 
 
 def log_act(kind: str, **fields: Any) -> None:
-    """Logs an act with a time that is common to all processes of a machine (`at_us`). Times of this node's
-    own clock are logged as the time left until then (`left_us`) or the time passed since then (`ago_us`).
+    """Logs an act with a time that is common to all processes of a machine (`at_us`). The fields `until_us`
+    and `made_us` are times of this node's own clock; they are logged as the time left until then (`left_us`)
+    and the time passed since then (`ago_us`).
     """
     for _ in range(MAX_CLOCK_READS):
         at_us, own_us = time.monotonic_ns() // 1000, boot_us()
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -59,7 +59,7 @@
 
 __all__ = ["MOVE_RATE_TASK", "READER_TASK_PREFIX", "Agent", "AgentSettings", "OutgoingEnvelope"]
 
-# Messages for members by name.
+# Pairs of a member's name and a message for it.
 Messages = Iterable[tuple[str, Any]]
 Item = TypeVar("Item")
 
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        me: MemberRecord,
+        own_record: MemberRecord,
         settings: AgentSettings,
         seed: int,
         now_us: int,
@@ -84,26 +84,37 @@
     ) -> None:
         self.settings, self._disabled_rules, self._record = settings, disabled_rules, record
         self._now_us = now_us
-        self.name, self.process_number, self.zone = me.name, me.life, me.zone
-        # By task, the handler of its requests: called with the time, the sender and the content.
+        self.name, self.process_number, self.zone = own_record.name, own_record.life, own_record.zone
+        # By task, the handler of its requests: called with the time, the sender and the content, it returns
+        # the content of the response, or None for no response.
         self.request_handlers: dict[str, Callable[[int, str, Any], Any]] = {}
         self.on_leadership_change: Callable[[int, LeadershipChange], None] = lambda now_us, change: None
         self.on_permit_change: Callable[[PermitChange], None] = lambda change: None
         random_source = random.Random(seed)  # seeds each part, always in this order
         self.voters = Voters(settings.leadership, disabled_rules)
-        self.members = Membership(me, settings.membership, random_source.getrandbits(32), now_us)
+        self.members = Membership(own_record, settings.membership, random_source.getrandbits(32), now_us)
         self.leases = Leases(
-            me.name, self.voters, settings.leadership, random_source.getrandbits(32), now_us, disabled_rules
+            own_record.name,
+            self.voters,
+            settings.leadership,
+            random_source.getrandbits(32),
+            now_us,
+            disabled_rules,
         )
         self._change_log = ChangeLog(record)
         self.counters = self._change_log.counters
-        self._leadership = TaskLeadership(self.members, self.leases, me.zone, settings, self.counters)
+        self._leadership = TaskLeadership(self.members, self.leases, own_record.zone, settings, self.counters)
         self._envelopes = EnvelopeFactory(lambda: self.settings.membership.fleet, self.members, self.leases)
         self.durable_state = DurableState(
-            me.name, me.life, lambda: self.voters, self.members.is_living, record, disabled_rules
+            own_record.name,
+            own_record.life,
+            lambda: self.voters,
+            self.members.is_living,
+            record,
+            disabled_rules,
         )
         self._voter_role = VoterRole(
-            me.name,
+            own_record.name,
             self.voters,
             settings.leadership,
             self.durable_state,
@@ -112,14 +123,14 @@
             disabled_rules,
         )
         self._permit_role = PermitRole(settings.permits, self._change_log, disabled_rules)
-        self.rolling_drains = RollingDrains(me.name, self.permit_holder)
+        self.rolling_drains = RollingDrains(own_record.name, self.permit_holder)
         self.replica = (
             self._new_replica(random_source.getrandbits(32), now_us) if settings.replication.enabled else None
         )
         self.durable_state.attach_parts(lambda: self.voter, self.replica, self.rolling_drains)
         self._requests = self._new_requests(random_source.getrandbits(30) << 20)
         self.shards = (
-            self._new_shards(me, random_source, now_us, new_initial_term)
+            self._new_shards(own_record, random_source, now_us, new_initial_term)
             if settings.sharding.enabled
             else None
         )
@@ -140,7 +151,7 @@
             self.durable_state.journal,
         )
 
-    def _new_requests(self, number: int) -> PendingRequests:
+    def _new_requests(self, initial_number: int) -> PendingRequests:
         return PendingRequests(
             Requester(self.name, self.process_number),
             self.leases,
@@ -149,19 +160,23 @@
             self._observe_term,
             self._change_log,
             self.settings.leadership.order_s,
-            number,
+            initial_number,
             self._disabled_rules,
         )
 
     def _new_shards(
-        self, me: MemberRecord, random_source: random.Random, now_us: int, new_initial_term: Callable[[], int]
+        self,
+        own_record: MemberRecord,
+        random_source: random.Random,
+        now_us: int,
+        new_initial_term: Callable[[], int],
     ) -> ShardingAgent:
         # Imported only if sharding is switched on, because it needs numpy.
         from sailrun.sharding.agent import ShardingAgent
 
         settings, draw_bits = self.settings, random_source.getrandbits
         return ShardingAgent(
-            me,
+            own_record,
             settings.sharding,
             settings.leadership,
             self.members,
@@ -253,7 +268,7 @@
         return envelopes + self._publish_changes(now_us)
 
     def _observe_term(self, now_us: int, task: str, term: int, holder: str) -> None:
-        """Takes in a gossiped term of a task and its leader; an empty `holder` means that it is unknown."""
+        """Handles a report of a task's term and its leader; an empty `holder`: unknown."""
         self.leases.observe_term(task, term, holder, now_us)
         self._voter_role.observe_term(task, term)
 
@@ -306,7 +321,7 @@
         return self._post_addressed(self._requests.request(now_us, task, content, on_response))
 
     def _handle_request(self, now_us: int, task: str, term: int, requester: Requester, content: Any) -> Any:
-        """Returns the response that this node gives as the leader of the task; None: it sends no response."""
+        """Returns the content of this node's response as the leader of the task; None: it sends none."""
         if task == PERMITS_TASK:
             return self._permit_role.answer_request(
                 now_us, term, requester.name, requester.process_number, content
@@ -367,7 +382,7 @@
     def _turn_replica(self, now_us: int, replica: Replica) -> list[OutgoingEnvelope]:
         coordinator = replica.coordinator
         if coordinator is not None and coordinator.superseding_term > coordinator.term:
-            # A voter has promised a higher term, so this term ends and the next one will be above it.
+            # A voter has promised a higher term, so this term ends, and the next one will be above that one.
             self.leases.observe_term(MARKS_TASK, coordinator.superseding_term, "", now_us)
             self._publish_changes(now_us)
         envelopes = self._post_all(replica.turn(now_us, self.known_leader(MARKS_TASK)))
@@ -402,7 +417,7 @@
     # ------------------------------------------------------------------ changes
 
     def _publish_changes(self, now_us: int) -> list[OutgoingEnvelope]:
-        """Logs changes and passes them to the dependent parts and callbacks; returns no envelopes."""
+        """Logs changes and passes them to the dependent parts and callbacks; always returns an empty list."""
         for member_change in _take_all(self.members.changes):
             self._change_log.log_member(member_change)
         for leadership_change in _take_all(self.leases.changes):
@@ -445,7 +460,7 @@
         return envelopes
 
     def _is_still_needed(self, body: Any) -> bool:
-        """Whether a message is still needed; a lease request is not once this node's own voter denied it."""
+        """Whether a message is still needed; a lease request that this node's own voter denied is not."""
         if isinstance(body, LeaseRequest):
             return self.leases.is_requested(body)
         return (
--- a/sailrun/leadership/change_log.py
+++ b/sailrun/leadership/change_log.py
@@ -19,8 +19,8 @@
 
 
 class ChangeLog:
-    """Collects log events and passes acts on. `record` is called with the kind and fields of every act; the
-    driver logs and clears `events`.
+    """Collects log events, and passes each act with its kind and fields to `record`. The driver logs and
+    clears `events`.
     """
 
     def __init__(self, record: Callable[..., None]) -> None:
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -1,5 +1,5 @@
 """Journals the state of a member that must survive a restart, and restores it at the start. A voter relies on
-its storage folder once no other voter knows a newer one.
+its storage folder only after a majority of the voters has replied and none knew a newer version of it.
 
 This module does no I/O. The write-ahead log tracks which entries are on the disk
 (`storage/write_ahead_log.py`), and the folder's freshness tracks which versions of the folders the voters
@@ -97,10 +97,10 @@
         voter.persist_memory_state = self.journal.record_voter_state
         voter.on_new_terms = lambda: self._record("founded", what="terms")
         voter.on_memory_complete = lambda: self._record("remembered", what="terms")
-        voter.is_registered = lambda: self.freshness.is_established
+        voter.is_folder_established = lambda: self.freshness.is_established
         voter.can_persist = lambda: self._folder is None or self._folder.write_ahead_log.is_disk_available
-        # Grants that the folder has from an earlier time as a voter may be incomplete. At a start, `restore`
-        # is called after this and sets the state again.
+        # The grants that the folder has from an earlier time as a voter may be incomplete, so the folder is
+        # not relied on. At a start, `restore` is called after this and sets the state again.
         self.freshness.state = self._last_freshness = FreshnessState.REJOINING
 
     def is_durable(self, position: int) -> bool:
@@ -111,13 +111,13 @@
 
     def restore(self, now_us: int, folder: MemberFolder) -> None:
         """Restores the state from a folder as far as it is valid; called before the first turn. A voter asks
-        the other voters whether they know a newer version of the folder, and grants nothing before they have
-        answered.
+        the other voters whether they know a newer version of the folder, and grants nothing before a majority
+        has replied.
         """
         self._folder, state, is_intact = folder, folder.state, folder.is_intact
         write_ahead_log = self.journal.write_ahead_log = self._gate.write_ahead_log = folder.write_ahead_log
         write_ahead_log.list_state_entries = self.snapshot_entries
-        write_ahead_log.on_reply_dropped = lambda answer: answer(False) if callable(answer) else None
+        write_ahead_log.on_reply_dropped = lambda reply: reply(False) if callable(reply) else None
         own = OwnFolder(
             folder.identity,
             self._process_number,
@@ -165,8 +165,8 @@
                 self._record("folder", what="learning", of="marks")
 
     def snapshot_entries(self) -> Iterable[e.Entry]:
-        """Returns the current state that is needed after a restart as entries; they can be iterated once, on
-        any thread.
+        """Returns journal entries of the current state that is needed after a restart. They can be iterated
+        once, on any thread.
         """
         own, voter, entries = self.freshness.own, self._voter(), list[e.Entry]()
         if own is not None and self._folder is not None:
@@ -229,7 +229,7 @@
         self._apply_freshness(now_us, incarnation)
         return messages
 
-    def _apply_freshness(self, now_us: int, known_incarnation: int) -> None:
+    def _apply_freshness(self, now_us: int, previous_incarnation: int) -> None:
         """Acts on a change of the freshness state, and journals a new incarnation of the folder."""
         freshness, folder = self.freshness, self._folder
         if folder is None or freshness.own is None:
@@ -242,7 +242,7 @@
                 self._replace_folder(now_us, folder)
             elif freshness.state is FreshnessState.REJOINED:
                 self._record("folder", what="learned")
-        if freshness.own.incarnation != known_incarnation:
+        if freshness.own.incarnation != previous_incarnation:
             self._incarnation_position = self.journal.record_process_start(
                 freshness.own.incarnation, folder.wall_s
             )
--- a/sailrun/leadership/envelope.py
+++ b/sailrun/leadership/envelope.py
@@ -18,7 +18,8 @@
 
 MAX_DATAGRAM_BYTES = 1200
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-# Limits of the piggybacked gossip, so that a datagram stays within its limit whatever the names are.
+# The numbers of piggybacked member records and leader hints in one message. A datagram with these numbers
+# stays within MAX_DATAGRAM_BYTES whatever the names are.
 MAX_MEMBER_UPDATES, MAX_LEADER_HINTS = 4, 3
 
 Body = MemberBody | LeadershipBody | ReplicationBody | StorageMessage | ShardBody
--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -55,7 +55,7 @@
 class LeadershipChange:
     """This node became the leader of a task, or stopped being its leader.
 
-    `reason`: `granted`, `lapsed`, `released` or `outvoted`.
+    `reason`: `granted`, `lapsed` (the lease expired), `released` or `outvoted` (a higher term was observed).
     """
 
     task: str
@@ -81,7 +81,7 @@
     highest_seen_term: int = 0  # the highest term requested by any node, as far as known here
     # The highest term that a majority granted to any node; responses of lower terms are rejected.
     highest_granted_term: int = 0
-    holder: str = ""  # the leader of the task, according to gossip
+    holder: str = ""  # the leader of the task, as far as known here
     last_request_us: int = 0
     better_candidate_since_us: int = 0  # since when a better-placed member has been alive
     rank: int = 0  # the rank of this node among the candidates
@@ -155,7 +155,7 @@
         return self.voters.is_majority(recent) or now_us - self._started_us < 2 * self._lease_us
 
     def observe_term(self, task: str, term: int, holder: str, now_us: int) -> None:
-        """Takes in gossip about a granted term and its holder; an empty `holder` means that it is unknown."""
+        """Handles a report of a granted term and its holder; an empty `holder`: unknown."""
         lease = self.lease_of(task)
         lease.highest_seen_term = max(lease.highest_seen_term, term)
         if term > lease.highest_granted_term or (term == lease.highest_granted_term and not lease.holder):
@@ -177,7 +177,7 @@
             hints.append(LeaderHint(task, lease.highest_granted_term, lease.holder))
         return hints
 
-    def latest_leader_hints(self, max_count: int) -> list[LeaderHint]:
+    def highest_term_leader_hints(self, max_count: int) -> list[LeaderHint]:
         """Returns hints of up to `max_count` tasks, the highest granted terms first."""
         leases = sorted(self.by_task.values(), key=lambda t: (-t.highest_granted_term, t.task))
         return [
@@ -255,8 +255,8 @@
         return lease.term == request.term and bool(lease.requesting_since_us or lease.expires_us)
 
     def _abandon_request(self, now_us: int, lease: TaskLease) -> list[Message]:
-        """Abandons a request that found no majority: releases the voters that granted it at once, and
-        schedules the next attempt after a random delay.
+        """Abandons a request that no majority has granted: releases the lease at all voters, and schedules
+        the next attempt after a random delay of 20 to 80 percent of a lease period.
         """
         messages: list[Message] = [(v, LeaseRelease(lease.task, lease.term)) for v in self.voters.names()]
         lease.highest_seen_term = max(lease.highest_seen_term, lease.term)
--- a/sailrun/leadership/list_reader.py
+++ b/sailrun/leadership/list_reader.py
@@ -48,12 +48,12 @@
         self._next_query_us = now_us
 
     def must_read_registry(self, now_us: int) -> bool:
-        """Whether this node has to read the registry itself."""
+        """Whether this node is the reader, or has had no contact with the reader for `silence_s`."""
         return self.is_leader or now_us - self._last_contact_us >= self._settings.silence_s * SECOND
 
-    def on_registry_list(self, revision: int, members: list[dict[str, Any]]) -> None:
+    def on_registry_list(self, revision: int, entries: list[dict[str, Any]]) -> None:
         """Takes over a list from the registry itself, whatever its revision is."""
-        self.revision, self.entries = revision, members
+        self.revision, self.entries = revision, entries
 
     def next_query(self, now_us: int) -> ListQuery | None:
         """Returns the query to the reader if one is due."""
@@ -70,8 +70,8 @@
             return None
         if self.revision < 0 or query.source != self.source:
             return None
-        members = self.entries if query.revision < self.revision else None
-        return msgspec.to_builtins(ListReply(self.source, self.revision, members))
+        entries = self.entries if query.revision < self.revision else None
+        return msgspec.to_builtins(ListReply(self.source, self.revision, entries))
 
     def on_reply(self, now_us: int, content: Any) -> list[dict[str, Any]] | None:
         """Handles the reader's response; returns the list if it is newer than the one known here."""
@@ -81,7 +81,7 @@
             self.lists_rejected += 1
             return None
         if reply.source != self.source or reply.revision < self.revision:
-            self.lists_rejected += 1  # not counted as contact, so this node will read the registry itself
+            self.lists_rejected += 1  # not counted as contact; see `must_read_registry`
             return None
         self._last_contact_us = now_us
         if reply.entries is None or reply.revision == self.revision:
--- a/sailrun/leadership/member_journal.py
+++ b/sailrun/leadership/member_journal.py
@@ -29,8 +29,8 @@
     identity: str
     state: PersistedState
     is_intact: bool
-    found_position: int  # the position that was read
-    wall_s: float
+    found_position: int  # the journal position up to which the folder was read
+    wall_s: float  # when the folder was restored, in Unix seconds
     generate_identity: Callable[[], str]
 
 
@@ -85,9 +85,9 @@
         """Journals that this node completed its part in a rolling drain; returns the entry's position."""
         return self._add(e.DrainCompleted(name))
 
-    def record_drain_plan(self, name: str, for_us: int, nodes: list[str]) -> None:
+    def record_drain_plan(self, name: str, stay_empty_us: int, nodes: list[str]) -> None:
         """Journals a rolling drain that was started here; an empty `nodes` states that it is over."""
-        self._add(e.DrainPlan(name, for_us, nodes))
+        self._add(e.DrainPlan(name, stay_empty_us, nodes))
 
 
 def granted_lease_entry(task: str, grant: GrantedLease) -> e.LeaseGrant:
--- a/sailrun/leadership/messages.py
+++ b/sailrun/leadership/messages.py
@@ -55,22 +55,24 @@
 
 
 class LeaseRelease(msgspec.Struct, array_like=True, frozen=True, tag="release"):
-    """To a voter: the holder no longer uses the lease."""
+    """Notifies a voter that the holder no longer uses the lease."""
 
     task: str
     term: int
 
 
 class LeaseHandover(msgspec.Struct, array_like=True, frozen=True, tag="yield"):
-    """To the next leader: the task was released."""
+    """Notifies the next leader that the task was released for it to take over."""
 
     task: str
     term: int
 
 
 class TermQuery(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
-    """A voter that has started requests the terms that it may have forgotten. `has_durable_state`: it has a
-    storage folder, which reports its own position; without one, any folder that this voter had is outdated.
+    """Sent by a voter after its start: requests the terms that the voter may have forgotten.
+
+    `has_durable_state`: the voter has a storage folder, which reports its own position. Otherwise any folder
+    that the voter had before is outdated.
     """
 
     number: int
@@ -78,12 +80,12 @@
 
 
 class TermReport(msgspec.Struct, array_like=True, frozen=True, tag="recalled"):
-    """The answer to a `TermQuery`: the highest term of each task; the empty task has the minimum of all."""
+    """Answers a `TermQuery` with the highest term of each task; the key "" has a lower bound for all."""
 
     number: int
     remembers: bool  # whether the sender knows all terms that it has granted
     terms: dict[str, int]
-    may_remember: bool = False  # the sender's folder is being compared, after which it may remember
+    may_remember: bool = False  # `remembers` may become true once the sender's folder has been compared
 
 
 class LeaderRequest(msgspec.Struct, array_like=True, frozen=True, tag="question"):
@@ -111,7 +113,7 @@
 
 
 class ResponseRejection(msgspec.Struct, array_like=True, frozen=True, tag="refusal"):
-    """A response was not accepted because a higher term is known or it arrived too late."""
+    """Notifies a leader that its response was rejected: a higher term is known, or it arrived too late."""
 
     task: str
     term: int  # the highest term known to the sender
@@ -159,8 +161,8 @@
 
 
 class PermitResponse(msgspec.Struct, array_like=True, frozen=True):
-    """The response to a `PermitRequest`; a grant lasts for a permit's lease from the sending of the
-    request.
+    """The response to a `PermitRequest`. A grant is valid for `lease_s` of `[permits]`, counted from the time
+    at which the request was sent.
     """
 
     kind: str
--- a/sailrun/leadership/move_rate.py
+++ b/sailrun/leadership/move_rate.py
@@ -13,8 +13,8 @@
 from sailrun.leadership.settings import DRIFT
 
 SECOND = 1_000_000
-# A grant is valid for the first time from when it was requested; while clients are being moved, requests are
-# repeated at the second interval.
+# How long a grant is valid, counted from its request; and the interval of requests while clients are being
+# moved.
 RATE_GRANT_US, REQUEST_INTERVAL_US = 2 * SECOND, 500_000
 
 
@@ -25,7 +25,7 @@
 
 
 class MoveRateCoordinator:
-    """The leader's side: grants shares. Each term has a new instance."""
+    """The leader's side: grants shares. Each term has a new instance, which grants none until `_opens_us`."""
 
     def __init__(self, term: int, now_us: int) -> None:
         self.term = term
--- a/sailrun/leadership/move_rate_service.py
+++ b/sailrun/leadership/move_rate_service.py
@@ -27,14 +27,14 @@
     def __init__(self, node: Node, agent: Agent, grants_shares: bool) -> None:
         self._node, self._agent = node, agent
         self._coordinator: MoveRateCoordinator | None = None
-        self._granted = MoveRateShare()
+        self._granted_share = MoveRateShare()
         self._logged_share = UNKNOWN_SHARE
         self._is_wanted = False
         if grants_shares:
             agent.request_handlers[MOVE_RATE_TASK] = self._grant_share
 
     def on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
-        """Creates a new coordinator when this node becomes the leader, and drops it afterwards."""
+        """Creates a coordinator when this node becomes the leader; drops it when the leadership ends."""
         if change.task == MOVE_RATE_TASK:
             self._coordinator = MoveRateCoordinator(change.term, now_us) if change.is_leader else None
 
@@ -45,8 +45,8 @@
 
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         """Passes the current share to the core, and requests one from the leader if the core needs it."""
-        share = self._granted.current_share(now_us)
-        if not self._granted.take_due_request(now_us):
+        share = self._granted_share.current_share(now_us)
+        if not self._granted_share.take_due_request(now_us):
             return []
         # The core replies whether it needs a share; the reply takes effect at the next request.
         self._node.set_move_rate_share(share, self._on_wanted)
@@ -58,7 +58,7 @@
         return self._agent.request(now_us, MOVE_RATE_TASK, [], self._on_response)
 
     def _on_response(self, now_us: int, sent_us: int, content: Any) -> None:
-        self._granted.on_grant(sent_us, content)
+        self._granted_share.on_grant(sent_us, content)
 
     def _on_wanted(self, is_wanted: bool) -> None:
         self._is_wanted = is_wanted
--- a/sailrun/leadership/operator_permits.py
+++ b/sailrun/leadership/operator_permits.py
@@ -34,7 +34,7 @@
 
     def request(self, kind: str, subject: str, reply: Reply) -> None:
         """Requests a permit. `reply` is called with "" once the permit is in use, or with the reason why it
-        is not. It may never be called.
+        is not. `reply` may never be called.
         """
         self._transport.post(lambda now_us: self._request(now_us, kind, subject, reply))
 
@@ -109,7 +109,9 @@
             self._node.set_draining(change.is_held, lambda done: self._answer(DRAIN, change.subject, reason))
 
     def _on_override_set(self, change: PermitChange, is_known: bool) -> None:
-        """Replies once the core applied an override; `is_known`: whether it has that form server."""
+        """Replies once the core has applied an override. `is_known`: whether the core has that form server;
+        if not, the permit is released.
+        """
         if not change.is_held:
             self._answer(OUT_OF_SERVICE, change.subject, change.reason)
             return
--- a/sailrun/leadership/outgoing.py
+++ b/sailrun/leadership/outgoing.py
@@ -61,7 +61,7 @@
         )
         if isinstance(body, JoinAccepted):
             # A newcomer may be a voter without memory: it gets the highest known terms.
-            leader_hints = self._leases.latest_leader_hints(MAX_LEADER_HINTS)
+            leader_hints = self._leases.highest_term_leader_hints(MAX_LEADER_HINTS)
         return Envelope(
             self._fleet_name(),
             own_record.name,
--- a/sailrun/leadership/permit_role.py
+++ b/sailrun/leadership/permit_role.py
@@ -28,7 +28,7 @@
         self.coordinator: PermitCoordinator | None = None
 
     def update_settings(self, settings: PermitSettings) -> None:
-        """Applies reloaded operator settings."""
+        """Applies reloaded limits. `lease_s` and `enabled` do not change while the process runs."""
         self._settings = settings
         if self.coordinator is not None:
             self.coordinator.update_settings(settings)
@@ -36,14 +36,14 @@
     # ------------------------------------------------------------------ as the leader
 
     def on_leadership_change(self, now_us: int, change: LeadershipChange) -> None:
-        """Creates a coordinator when this node becomes the leader, and drops it when it is no longer."""
+        """Creates a coordinator when this node becomes the leader; drops it when the leadership ends."""
         self.coordinator = self._new_coordinator(now_us, change.term) if change.is_leader else None
 
     def _new_coordinator(self, now_us: int, term: int) -> PermitCoordinator:
         return PermitCoordinator(self._settings, term, now_us, self._disabled_rules)
 
     def answer_request(self, now_us: int, term: int, sender: str, process_number: int, content: Any) -> Any:
-        """Returns the response to an undecoded `PermitRequest` under this node's term; None: malformed."""
+        """Decodes a `PermitRequest` and returns the response under `term`; None: the request is malformed."""
         try:
             request = msgspec.convert(content, PermitRequest)
         except msgspec.ValidationError:
--- a/sailrun/leadership/permits.py
+++ b/sailrun/leadership/permits.py
@@ -1,4 +1,4 @@
-"""Permits limit the draining nodes, and the form servers that operators took out of service, at a time.
+"""Permits limit how many nodes drain, and how many form servers operators take out of service, at a time.
 
 The leader of the task `permits` is their coordinator. Each permit is a lease of its own, which its holder
 renews. The coordinator stores nothing on disk: holders and waiting nodes repeat their requests. A new
@@ -21,9 +21,11 @@
 DRAIN, OUT_OF_SERVICE = "drain", "out"
 # Requests are repeated this many times within a permit's lease, and at least once a second.
 RENEWALS_PER_LEASE = 6
+# The limit of requests that wait at the coordinator; further ones are denied.
 MAX_QUEUE_ENTRIES = 10_000
 # Requests in excess of this number are left for the next turn.
 MAX_REQUESTS_PER_TURN = 64
+# The kind and the subject of a permit.
 Key = tuple[str, str]
 
 
@@ -39,7 +41,7 @@
 
 @dataclass(slots=True)
 class _QueueEntry:
-    position: tuple[int, int]
+    position: tuple[int, int]  # the term of the leader that assigned it, and a number within the term
     expires_us: int
 
 
@@ -83,22 +85,22 @@
         if not self.limit_of(request.kind):
             return PermitResponse(*key, False, (0, 0), 0, f"no permits of the kind {request.kind}")
         granted = self._in_use.get(key)
-        held = (
+        is_held = (
             granted is not None
             and sender in granted.expiry_by_holder
             and granted.expiry_by_holder[sender][0] == process_number
         )
-        claims = request.state == "held"
-        if claims and not held and now_us < self.opens_us:
-            held = True  # granted by the previous leader: it is in use even above the limit
+        is_claim = request.state == "held"
+        if is_claim and not is_held and now_us < self.opens_us:
+            is_held = True  # granted by the previous leader: it is in use even above the limit
         position = self._enqueue(now_us, key, sender, request.queue_position)
         if position is None:
             return PermitResponse(*key, False, (0, 0), 0, f"{MAX_QUEUE_ENTRIES} wait already")
         ahead = self._count_ahead(key, position)
-        free = granted is not None or (
+        is_free = granted is not None or (
             now_us >= self.opens_us and self.count_in_use(request.kind) + ahead < self.limit_of(request.kind)
         )
-        if not held and not free:
+        if not is_held and not is_free:
             reason = self._denial_reason(now_us, request.kind)
             return PermitResponse(*key, False, position, ahead, reason)
         self._queue.pop((key, sender), None)
@@ -145,8 +147,8 @@
 
     def _drop_expired(self, now_us: int) -> None:
         for key, granted in list(self._in_use.items()):
-            for name, (_, until_us) in list(granted.expiry_by_holder.items()):
-                if now_us >= until_us:
+            for name, (_, expires_us) in list(granted.expiry_by_holder.items()):
+                if now_us >= expires_us:
                     del granted.expiry_by_holder[name]
             if not granted.expiry_by_holder:
                 del self._in_use[key]
@@ -163,10 +165,10 @@
                 "subject": subject,
                 "holder": name,
                 "state": "held",
-                "ends_in_s": _seconds(until - now_us),
+                "ends_in_s": _seconds(expires_us - now_us),
             }
             for (kind, subject), granted in sorted(self._in_use.items())
-            for name, (_, until) in sorted(granted.expiry_by_holder.items())
+            for name, (_, expires_us) in sorted(granted.expiry_by_holder.items())
         ]
         waiting = sorted(self._queue.items(), key=lambda item: item[1].position)
         return rows + [
@@ -185,7 +187,7 @@
 
     kind: str
     subject: str
-    state: str = "want"  # want, held, back
+    state: str = "want"  # as in `PermitRequest`
     queue_position: tuple[int, int] = (0, 0)
     expires_us: int = 0  # when the held permit expires
     next_request_us: int = 0  # when to send the next request
@@ -283,12 +285,12 @@
             response.requests_ahead,
             response.reason,
         )
-        until_us = sent_us + int(self._lease_us * (1 - 2 * DRIFT))
-        if response.is_granted and now_us < until_us:
+        expires_us = sent_us + int(self._lease_us * (1 - 2 * DRIFT))
+        if response.is_granted and now_us < expires_us:
             if permit.state != "held":
                 self.changes.append(PermitChange(*key, True))
-            permit.state, permit.expires_us = "held", max(permit.expires_us, until_us)
+            permit.state, permit.expires_us = "held", max(permit.expires_us, expires_us)
         elif not response.is_granted and permit.state == "held" and request.state == "held":
-            # The leader does not know the permit: it has expired there.
+            # The permit has expired at the leader.
             permit.state, permit.expires_us = "want", 0
             self.changes.append(PermitChange(*key, False, response.reason or "not known to its owner"))
--- a/sailrun/leadership/quorum.py
+++ b/sailrun/leadership/quorum.py
@@ -34,7 +34,7 @@
         return self.stage <= stage <= self.stage + 1
 
     def majority_time_us(self, times_by_voter: dict[str, int]) -> int:
-        """Returns the latest time that a majority of the voters has reached in `until`; 0: no majority."""
+        """Returns the latest time T such that a majority of the voters has a time of T or later; 0: none."""
         majority_times = []
         for voters in self._voter_sets:
             times = sorted((times_by_voter[n] for n in voters if n in times_by_voter), reverse=True)
--- a/sailrun/leadership/requests.py
+++ b/sailrun/leadership/requests.py
@@ -57,7 +57,7 @@
 
     `handle_request` returns the content of a response (called with the time, the task, the term, the
     requester and the content of the request); None: there is no response. `observe_term` is called with every
-    received term. The numbers of this node's requests follow `number`.
+    received term. The numbers of this node's requests follow `initial_number`.
     """
 
     def __init__(
@@ -69,15 +69,15 @@
         observe_term: Callable[[int, str, int, str], None],
         change_log: ChangeLog,
         response_timeout_s: float,
-        number: int,
+        initial_number: int,
         disabled_rules: frozenset[str],
     ) -> None:
         self._own_identity, self._leases, self._leadership = own_identity, leases, leadership
         self._handle_request, self._observe_term = handle_request, observe_term
         self._change_log, self._counters = change_log, change_log.counters
-        self._response_timeout_us, self._number, self._disabled_rules = (
+        self._response_timeout_us, self._last_request_number, self._disabled_rules = (
             int(response_timeout_s * SECOND),
-            number,
+            initial_number,
             disabled_rules,
         )
         self._pending: dict[int, _PendingRequest] = {}
@@ -91,11 +91,13 @@
         `on_response` is called if a response is accepted; otherwise it is never called, and the caller has to
         retry.
         """
-        self._number += 1
+        self._last_request_number += 1
         while len(self._pending) >= MAX_PENDING_REQUESTS:
             del self._pending[next(iter(self._pending))]
-        pending = self._pending[self._number] = _PendingRequest(task, content, now_us, on_response)
-        return self._send(now_us, self._number, pending)
+        pending = self._pending[self._last_request_number] = _PendingRequest(
+            task, content, now_us, on_response
+        )
+        return self._send(now_us, self._last_request_number, pending)
 
     def _send(self, now_us: int, number: int, pending: _PendingRequest) -> list[AddressedMessage]:
         task = pending.task
--- a/sailrun/leadership/response_gate.py
+++ b/sailrun/leadership/response_gate.py
@@ -1,8 +1,8 @@
 """Withholds a voter's responses until the state that they depend on is durable and known to a majority.
 
 A voter is bound by its responses after a restart. Therefore a response is sent only after the write-ahead log
-has synced the entries that it depends on. A response that an older version of the folder would not contain is
-sent only after a majority of the voters has also noted the position that this folder has reached.
+has synced the entries that it depends on. A response after which an older version of the folder must not be
+used any more is sent only after a majority of the voters has also noted the position of this folder.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 Message = tuple[str, Body]
 # The responses that bind a voter after a restart.
 DURABLE_RESPONSES = (LeaseGrant, Promise, Accepted, RecoveryReply, TermReport, FreshnessReply)
-# Those of them that make any folder without their entries outdated.
+# Those of them after which a version of the folder without their entries must not be used any more.
 MAJORITY_KNOWN_RESPONSES = (LeaseGrant, Promise, Accepted, RecoveryReply)
 # When more responses wait for a majority, the oldest are dropped.
 MAX_AWAITING_MAJORITY = 1000
@@ -160,7 +160,7 @@
 
 
 def _request_number(body: Any) -> int:
-    """Returns the key of the request that a response answers: the lease's term or the request's number."""
+    """Returns what identifies the answered request: the lease's term, or the number of the request."""
     if isinstance(body, LeaseGrant):
         return body.term
     if isinstance(body, (Accepted, Promise, RecoveryReply)):
--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -82,15 +82,17 @@
         # Journals that this node's part is complete, and returns the position of the entry. The part is done
         # once `is_durable` returns true for that position.
         self.persist_completion: Callable[[str], int] = lambda name: 0
-        self.is_durable: Callable[[int], bool] = lambda entry: True
+        self.is_durable: Callable[[int], bool] = lambda position: True
         self.on_done: Callable[[str], None] = lambda name: None
         # Journals a rolling drain that was started here, with how long each node stays empty; the names are
         # empty once it is over.
         self.persist_plan: Callable[[str, int, list[str]], None] = lambda name, stay_empty_us, names: None
 
-    def restore(self, now_us: int, done: Iterable[str], plans: Iterable[tuple[str, int, list[str]]]) -> None:
+    def restore(
+        self, now_us: int, completed: Iterable[str], plans: Iterable[tuple[str, int, list[str]]]
+    ) -> None:
         """Restores the state of a previous process: completed parts, and rolling drains to continue."""
-        for name in done:
+        for name in completed:
             self._local_drains[name] = _LocalDrain(name, 0, "done")
         for name, stay_empty_us, nodes in plans:
             self._begin(now_us, name, nodes, stay_empty_us)
@@ -124,7 +126,7 @@
 
     def turn(self, now_us: int) -> list[tuple[str, DrainRequest]]:
         """Returns the requests that are due. A node is requested to drain once the previous node of the list
-        is queued for its permit.
+        is queued for its permit, has got further, or was skipped.
         """
         requests: list[tuple[str, DrainRequest]] = []
         for drain in self.drains.values():
@@ -144,7 +146,7 @@
                     step.last_request_us = now_us
                     requests.append((step.node, DrainRequest(drain.name, drain.stay_empty_us)))
                 if step.state in ("not asked", "asked"):
-                    break  # the order of the list is the order of the queue
+                    break  # later nodes are requested later, so that they queue in the order of the list
         self._advance_local(now_us)
         return requests
 
@@ -172,7 +174,7 @@
         return DrainStatus(local.name, local.state, local.reason)
 
     def on_permit_change(self, change: PermitChange) -> None:
-        """Starts a drain when its permit was acquired; interrupts it until the next one when it was lost."""
+        """Starts this node's drain when its permit is acquired; queues it again when the permit is lost."""
         if (change.kind, change.subject) != (DRAIN, self._name):
             return
         for local in self._local_drains.values():
@@ -185,7 +187,7 @@
                 return
 
     def on_session_count(self, now_us: int, sessions: int) -> None:
-        """Handles the count of this node's sessions, which is only read while it drains."""
+        """Handles the number of this node's sessions, which is only read while the node drains."""
         for local in self._local_drains.values():
             if local.state == "draining" and not sessions:
                 local.state, local.empty_since_us = "empty", now_us
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -251,7 +251,7 @@
 
     @property
     def permits(self) -> bool:
-        """Whether drains, and form servers out of service, need a permit."""
+        """Whether draining a node and taking a form server out of service need a permit."""
         return self.agent.permit_holder is not None
 
     def ask_permit(self, kind: str, subject: str, reply: Callable[[str], None]) -> None:
--- a/sailrun/leadership/settings.py
+++ b/sailrun/leadership/settings.py
@@ -76,7 +76,7 @@
         Meta(
             ge=0.5,
             le=3600.0,
-            description="A permit that is not renewed for this time ends, also at its holder.",
+            description="A permit expires if it is not renewed for this time, also at its holder.",
         ),
     ] = 30.0
 
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -20,7 +20,7 @@
     from sailrun.node.core import Node
 
 SECOND = 1_000_000
-# The core is notified of an unchanged list as often as by a watch of the registry.
+# The core is notified of an unchanged list at this interval, as it would be by a watch of the registry.
 UNCHANGED_INTERVAL_US = 5 * SECOND
 
 
@@ -143,8 +143,8 @@
         return self._agent.request(now_us, self._task, [query.source, query.revision], self._on_reply)
 
     def _on_reply(self, now_us: int, sent_us: int, content: Any) -> None:
-        members = self._shared_list.on_reply(now_us, content)
-        if members is None:
+        entries = self._shared_list.on_reply(now_us, content)
+        if entries is None:
             if not self._reads_registry and now_us - self._last_update_us > UNCHANGED_INTERVAL_US:
                 self._last_update_us = now_us
                 self._node.server_list_updated(
@@ -153,7 +153,7 @@
             return
         try:
             update = read_server_list(
-                {"complete": True, "revision": self._shared_list.revision, "members": members}
+                {"complete": True, "revision": self._shared_list.revision, "members": entries}
             )
         except InvalidServerListError as error:
             log("reader-list-refused", why=str(error))
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -1,4 +1,4 @@
-"""The status of one agent for operators, as rows that JSON can represent. Remaining times are in seconds.
+"""The status of one agent for operators, as rows that JSON can represent. Durations are in seconds.
 
 The names of the fields are an interface to scripts and must not change when attributes are renamed.
 """
--- a/sailrun/leadership/task_leadership.py
+++ b/sailrun/leadership/task_leadership.py
@@ -1,4 +1,4 @@
-"""Determines which tasks of the fleet this node may lead, and whether it may act for one now."""
+"""Determines the candidates for the tasks of the fleet, and whether this node may act for a task now."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self._members_version = -1
 
     def candidate_tasks(self) -> dict[str, list[str]]:
-        """Returns the tasks this node may lead, each with its best-placed living candidates."""
+        """Returns the best-placed living candidates by task; of the reader tasks, only that of this zone."""
         if self._members.living_version != self._members_version:
             self._members_version = self._members.living_version
             self._candidate_tasks = self._place_tasks()
@@ -75,6 +75,6 @@
         return may_send
 
     def known_leader(self, task: str) -> str:
-        """Returns the leader of the task according to gossip; empty if none is known to be alive."""
+        """Returns the leader of the task as far as known here; empty if none is known to be alive."""
         holder = self._leases.lease_of(task).holder
         return holder if holder and self._members.is_living(holder) else ""
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -1,4 +1,4 @@
-"""Drives one agent with real sockets: datagrams for small messages, a framed TCP link per member for others.
+"""Drives one agent with real sockets: small messages are sent as datagrams, others over framed TCP links.
 
 One task owns the agent; readers, links and the core only put calls into its queue. A message that was created
 under a term is checked against the clock again right before its system call, after any wait in between.
@@ -65,7 +65,8 @@
         self.traffic = TrafficCounters()
         self.bad_frames = 0
         self._sockets: tuple[socket.socket, socket.socket] | None = None
-        self.closes_after_send = False  # whether to close the sockets after the next calls were sent
+        # Whether to close the sockets once the envelopes of the queued calls were sent.
+        self.closes_after_send = False
         # Called after each turn of the agent, to act on changes; returns envelopes to send.
         self.after_turn: Callable[[int], list[OutgoingEnvelope]] = lambda now_us: []
         try:
--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -1,5 +1,5 @@
-"""A voter grants leases: it records the holder, expiry and term of each task's lease. This state lives in the
-process, or is durable in a storage folder (`restore`).
+"""A voter grants leases: it records the holder, expiry and term of each task's lease. The records are held in
+memory; with a storage folder they are journalled too, and restored after a restart (`restore`).
 
 Safety rests on three guarantees, each of which depends on this voter's clock alone:
 - while a lease that it granted may be in use, it grants the task to no other candidate;
@@ -78,7 +78,7 @@
         self._minimum_term = 0  # for tasks of which no term is known
         self._started_us = now_us
         self._next_query_us = now_us
-        self._number = 0
+        self._last_query_number = 0
         self._term_reports: dict[str, TermReport] = {}  # the latest report of each voter
         self.remembers = "abstain" in disabled_rules
         self.began_new_terms = False
@@ -88,10 +88,10 @@
         self.has_durable_state = False
         # Whether the current folder is established at the other voters, so that this voter may relearn the
         # terms from them; always true without a folder.
-        self.is_registered: Callable[[], bool] = lambda: True
+        self.is_folder_established: Callable[[], bool] = lambda: True
         # Whether the disk accepts writes.
         self.can_persist: Callable[[], bool] = lambda: True
-        # Write to the journal.
+        # These write to the journal and return the position of the entry.
         self.persist_grant: Callable[[str, GrantedLease], int] = lambda task, grant: 0
         self.persist_observed_term: Callable[[str, int], int] = lambda task, term: 0
         self.persist_memory_state: Callable[[bool], int] = lambda remembers: 0
@@ -142,7 +142,7 @@
         return self._grants
 
     def observed_terms(self) -> dict[str, int]:
-        """Returns the terms learned from others by task; the empty task has the minimum of all tasks."""
+        """Returns the terms learned from others by task; the key "" has a lower bound for all tasks."""
         return (
             {**self._observed_terms, "": self._minimum_term} if self._minimum_term else self._observed_terms
         )
@@ -160,7 +160,7 @@
         return max(grant.highest_term if grant else 0, self._observed_terms.get(task, 0), self._minimum_term)
 
     def observe_term(self, task: str, term: int) -> None:
-        """Takes in a gossiped term; it can raise the lowest term that may be granted next, never lower it."""
+        """Handles a report of a term: it may raise the lowest term that can be granted, never lower it."""
         if term > self._observed_terms.get(task, 0):
             self._observed_terms[task] = term
 
@@ -259,28 +259,33 @@
 
     def due_us(self) -> int | None:
         """Returns when `turn` has to be called next; None: the voter needs no call."""
-        is_idle = self.remembers or self.may_remember or not self.is_registered()
+        is_idle = self.remembers or self.may_remember or not self.is_folder_established()
         return None if is_idle else self._next_query_us
 
     def turn(self, now_us: int) -> list[tuple[str, TermQuery]]:
         """Requests the terms that this voter may have forgotten from the other voters, until it may grant."""
         # A query states that its sender has no memory, which makes any earlier folder of the sender outdated.
         # Therefore the other voters have to know the current folder first.
-        if self.remembers or self.may_remember or now_us < self._next_query_us or not self.is_registered():
+        if (
+            self.remembers
+            or self.may_remember
+            or now_us < self._next_query_us
+            or not self.is_folder_established()
+        ):
             return []
         self._next_query_us = now_us + TERM_QUERY_INTERVAL_US
         self._end_abstaining(now_us)
         if self.remembers:
             return []
-        self._number += 1
+        self._last_query_number += 1
         return [
-            (name, TermQuery(self._number, self.has_durable_state))
+            (name, TermQuery(self._last_query_number, self.has_durable_state))
             for name in self.voters.names()
             if name != self._name
         ]
 
     def report_terms(self, query: TermQuery) -> TermReport:
-        """Answers a voter that has started with the highest term known here of each task."""
+        """Answers the query of a voter after its start: returns the highest term known here of each task."""
         highest_terms = {task: self.highest_term(task) for task in {*self._grants, *self._observed_terms}}
         if self._minimum_term:
             highest_terms[""] = self._minimum_term
@@ -295,25 +300,25 @@
 
     def _end_abstaining(self, now_us: int) -> None:
         waited_us = now_us - self._started_us
-        if waited_us < abstention_us(self._settings) or not self.is_registered():
+        if waited_us < abstention_us(self._settings) or not self.is_folder_established():
             return
         remembering = {name for name, answer in self._term_reports.items() if answer.remembers}
         all_reported = {*self._term_reports, self._name} >= set(self.voters.names())
         if not self.voters.is_majority(remembering):
             # Too few voters remember: all the voters that granted a term may have forgotten it.
             if any(answer.may_remember for answer in self._term_reports.values()):
-                return  # its folder is being compared; it will report whether it remembers
-            forgetful = {name for name, answer in self._term_reports.items() if not answer.remembers} | {
+                return  # that voter's folder is being compared; a later report states the result
+            without_memory = {name for name, answer in self._term_reports.items() if not answer.remembers} | {
                 self._name
             }
-            if self.has_durable_state and self.voters.is_majority(set(self.voters.names()) - forgetful):
-                return  # a majority may still remember, so no term from clock and random number is needed
-            all_forgot = all_reported and not remembering
+            if self.has_durable_state and self.voters.is_majority(set(self.voters.names()) - without_memory):
+                return  # a majority may still remember: no term from a clock and a random number is needed
+            none_remembers = all_reported and not remembering
             extra_wait_over = waited_us >= abstention_us(self._settings) + int(
                 EXTRA_WAIT_LEASES * self._settings.lease_s * SECOND
             )
             if not self.voters.is_majority({*self._term_reports, self._name}) or not (
-                all_forgot or extra_wait_over
+                none_remembers or extra_wait_over
             ):
                 return
             self._minimum_term = max(self._new_initial_term(), self._minimum_term)
--- a/sailrun/leadership/voter_role.py
+++ b/sailrun/leadership/voter_role.py
@@ -59,7 +59,7 @@
         self._settings = settings
 
     def observe_term(self, task: str, term: int) -> None:
-        """Takes in a gossiped term of a task."""
+        """Passes a report of a task's term to the voter."""
         if self.voter is not None:
             self.voter.observe_term(task, term)
 
--- a/sailrun/membership/anti_entropy.py
+++ b/sailrun/membership/anti_entropy.py
@@ -7,7 +7,7 @@
 from sailrun.membership.table import MembershipTable, range_of
 
 SECOND = 1_000_000
-# A table is pulled after this many consecutive answers with another digest, and at most once per interval.
+# A table is pulled after this many consecutive acks with a different digest, and at most once per interval.
 MISMATCHES_BEFORE_PULL = 2
 MIN_PULL_INTERVAL_US = 2 * SECOND
 # Records in one page, so that it fits into a datagram.
@@ -43,7 +43,11 @@
     def build_page(self, request: PullRequest) -> TablePage:
         """Returns the page that another member requested."""
         digests = zip(request.range_digests, self._table.range_digests, strict=False)
-        equal_ranges = {number for number, (theirs, ours) in enumerate(digests) if theirs == ours}
+        equal_ranges = {
+            number
+            for number, (requester_digest, own_digest) in enumerate(digests)
+            if requester_digest == own_digest
+        }
         names = [
             name
             for name in self._table.names
--- a/sailrun/membership/failure_detector.py
+++ b/sailrun/membership/failure_detector.py
@@ -142,7 +142,7 @@
         self._health.recover()
 
     def count_nack(self, nack: Nack) -> None:
-        """Counts a helper's answer that the target did not answer it in time."""
+        """Counts a nack: the helper got no ack from the target of the current probe in time."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
             self._probe.nacks += 1
 
--- a/sailrun/membership/identity.py
+++ b/sailrun/membership/identity.py
@@ -29,7 +29,7 @@
         self.record = record
         self.has_joined = has_joined
         self.is_leaving = False
-        self.name_holder_address = ""  # of the process that has this name, if this process was rejected
+        self.name_holder_address = ""  # the address of the process that has this name; empty: not rejected
         self.next_join_us = now_us
         self._table = table
         self._changes = changes
@@ -41,7 +41,7 @@
         self._table.store(now_us, self.record)
 
     def accept(self, now_us: int, incarnation: int) -> None:
-        """Handles the acceptance by another member, under that incarnation."""
+        """Handles that another member accepted this process as a member with `incarnation`."""
         self.name_holder_address = ""
         if incarnation > self.record.incarnation:
             self.update(now_us, incarnation)
--- a/sailrun/membership/joining.py
+++ b/sailrun/membership/joining.py
@@ -84,7 +84,7 @@
     def _is_name_taken(known: MemberRecord, record: MemberRecord) -> bool:
         if known.life == record.life or known.state.has_ended:
             return False
-        # A process has certainly ended where another one now has its address.
+        # A process has certainly ended if another one now has its address.
         return known.address != record.address
 
     def reconnect(self, now_us: int) -> list[OutgoingMessage]:
--- a/sailrun/membership/membership.py
+++ b/sailrun/membership/membership.py
@@ -139,15 +139,15 @@
         return updates
 
     def accept_sender(self, name: str, process_number: int) -> bool:
-        """Whether messages of this sender are accepted; counts a sender that is not a member."""
+        """Whether a message of this sender is accepted; counts the message if the sender is not a member."""
         if self.is_current_process(name, process_number):
             return True
         self.unknown_sender_count += 1
         return False
 
     def observe_contact(self, now_us: int, name: str, process_number: int, incarnation: int) -> None:
-        """Handles direct contact with a member, which proves that it is alive in that incarnation whatever
-        gossip states.
+        """Handles direct contact with a member, which proves that it is alive in that incarnation, even if
+        gossip states otherwise.
         """
         record = self._table.find_record(name)
         if record is not None and record.life == process_number and incarnation > record.incarnation:
--- a/sailrun/membership/messages.py
+++ b/sailrun/membership/messages.py
@@ -118,15 +118,15 @@
 
 
 class Rejected(msgspec.Struct, array_like=True, frozen=True, tag="refused"):
-    """The sender of a message is not a member here. `reason`: REJECTED_UNKNOWN or REJECTED_NAME."""
+    """Answers a message whose sender is not accepted as a member. `reason`: see the constants below."""
 
     reason: str
     name_holder_address: str = ""
 
 
-# The receiver does not know the sender, which has to join first.
+# The rejected process is not known as a member, and has to join first.
 REJECTED_UNKNOWN = "unknown"
-# The name belongs to another process, which has `name_holder_address`.
+# The name belongs to another process, whose address is `name_holder_address`.
 REJECTED_NAME = "name"
 
 
--- a/sailrun/membership/settings.py
+++ b/sailrun/membership/settings.py
@@ -41,7 +41,7 @@
         str,
         Meta(
             pattern="^(|node|control)$",
-            description="`control`: reserved for tasks on behalf of the fleet; others have no tasks then.",
+            description="`control`: for tasks of the fleet; if there are such members, the others get none.",
         ),
     ] = ""
     probe_s: Annotated[
@@ -52,11 +52,11 @@
     ] = 1.0
     suspect_s: Annotated[
         Seconds,
-        Meta(
-            description="The minimum time a suspect has to refute; six times as long with one accuser only."
-        ),
+        Meta(description="The minimum time to refute a suspicion; six times as long with a single accuser."),
     ] = 2.0
     forget_s: Annotated[
         Annotated[float, Meta(ge=1.0, le=604_800.0)],
-        Meta(description="How long dead members and members that left are shown; dead ones are contacted."),
+        Meta(
+            description="For this time, dead members and those that left are shown; dead ones are contacted."
+        ),
     ] = 3600.0
--- a/sailrun/membership/table.py
+++ b/sailrun/membership/table.py
@@ -167,8 +167,10 @@
             bisect.insort(self._living_names, name)
         elif was_living and not is_living:
             self._living_names.remove(name)
-        was_moved = before is not None and after is not None and _location(before) != _location(after)
-        if is_living is not was_living or was_moved:
+        placement_changed = (
+            before is not None and after is not None and _placement_fields(before) != _placement_fields(after)
+        )
+        if is_living is not was_living or placement_changed:
             self.living_version += 1
 
 
@@ -181,6 +183,6 @@
     return zlib.crc32(f"{record.name},{record.life},{record.incarnation},{int(record.state)}".encode())
 
 
-def _location(record: MemberRecord) -> tuple[str, str, str]:
+def _placement_fields(record: MemberRecord) -> tuple[str, str, str]:
     """Returns the fields that determine the tasks and shards a member may be given."""
     return record.zone, record.region, record.role
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -60,7 +60,7 @@
         """
         self._folder, self._roster, self._stack, self._has_replica = folder, roster, stack, has_replica
         self._has_storage_folder = has_storage_folder
-        self._places: dict[str, tuple[Path, str]] = {}
+        self._folders_and_addresses: dict[str, tuple[Path, str]] = {}
         self.listens = {name: free_host_port() for name in ("n1", "n2", "n3")}
         self.nodes: dict[str, RunningNode] = {}
         self.operators: dict[str, Path] = {}
@@ -75,7 +75,7 @@
 
     def replace(self, name: str) -> None:
         """Starts a successor of the running process of the node."""
-        self.start(name, self._places[name])
+        self.start(name, self._folders_and_addresses[name])
 
     def start(self, name: str, folder_and_address: tuple[Path, str] | None = None) -> None:
         if folder_and_address is None:
@@ -84,7 +84,7 @@
                 free_host_port(),
             )
             folder_and_address[0].mkdir()
-        self._places[name] = folder, listen = folder_and_address
+        self._folders_and_addresses[name] = folder, listen = folder_and_address
         tables = {
             "members": {
                 "enabled": True,
@@ -130,7 +130,7 @@
 
 @pytest.fixture(scope="module", autouse=True)
 def fault_runs() -> Iterator[list[Future[Played]]]:
-    """Fault runs on real processes, which run in parallel to the other tests of this module."""
+    """Fault runs on real processes, in parallel to the other tests of this module, most of which wait."""
     fault_kinds = ("owner-stopped", "owner-cut", "copies")
     with ThreadPoolExecutor(len(fault_kinds)) as pool:
         yield [pool.submit(play_real, FaultDay(kind, 3, seconds=26.0)) for kind in fault_kinds]
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -255,9 +255,9 @@
     def release(self, name: str, number: int) -> None:
         self.holders[name].release(self.now_us, OUT_OF_SERVICE, f"s-{number}")
 
-    @rule(part=st.integers(1, 60))
-    def pass_time(self, part: int) -> None:
-        self.now_us += part * SECOND // 20
+    @rule(twentieths=st.integers(1, 60))
+    def pass_time(self, twentieths: int) -> None:
+        self.now_us += twentieths * SECOND // 20
         for name, holder in self.holders.items():
             self.in_flight += [(name, self.now_us, request) for request in holder.turn(self.now_us)]
         # Stands for the rest of the protocol, which rejects a response that is too old.
@@ -390,7 +390,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, key",
+    "text, expected_message",
     [
         (VALID_SETTINGS.replace('name = "n1"\n', ""), "members.name: is missing"),
         (VALID_SETTINGS.replace("127.0.0.1:9700", "here"), "members.listen: 'here'"),
@@ -405,13 +405,13 @@
     ],
 )
 def test_an_error_in_the_operator_settings_is_one_line_that_names_the_key(
-    tmp_path: Path, text: str, key: str
+    tmp_path: Path, text: str, expected_message: str
 ) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(ConfigError) as raised:
         read_operator(path)
-    assert str(raised.value).startswith(f"{path}: ") and key in str(raised.value)
+    assert str(raised.value).startswith(f"{path}: ") and expected_message in str(raised.value)
     assert "\n" not in str(raised.value)
 
 
