--- a/sailrun/replication/deletion_survey.py
+++ b/sailrun/replication/deletion_survey.py
@@ -34,7 +34,7 @@
     """
     return [
         record.name
-        for record, since_us in members.records_with_age()
+        for record, since_us in members.records_with_state_time()
         if record.state in (MemberState.ALIVE, MemberState.SUSPECT)
         or (record.state is MemberState.DEAD and now_us - since_us < absent_us)
     ]
