--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -83,7 +83,7 @@
             os.close(self._spare.pop())
         self._listener.close()
 
-    shut = close
+    shut_down = close
 
     async def run(self) -> None:
         """Accepts callers until cancelled or closed."""
--- a/sailrun/front.py
+++ b/sailrun/front.py
@@ -153,13 +153,13 @@
             self._resume_event.set()
             self._resume_event = None
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         """Accepts no more connections and ends the existing ones within `CLOSE_WITHIN_US`."""
         self._shut.set()
         self._accept_scope.cancel()
 
     async def run(self) -> None:
-        """Accepts connections until cancelled or shut, and serves each in a task of its own."""
+        """Accepts connections until cancelled or shut down, and serves each in a task of its own."""
         with self._running_scope:
             async with anyio.create_task_group() as group:
                 self._group = group
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -43,12 +43,12 @@
         """Closes the socket of an acceptor that was never run."""
         ...
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         """Accepts no more connections."""
         ...
 
     async def run(self) -> None:
-        """Accepts connections until `shut`."""
+        """Accepts connections until `shut_down`."""
         ...
 
 
@@ -375,7 +375,7 @@
             self._acceptors[key] = new
             self.group.start_soon(new.run)
         if old is not None:
-            old.shut()
+            old.shut_down()
 
     async def handle_signals(self, *, task_status: TaskStatus[None]) -> None:
         """Reloads at SIGHUP and begins a graceful shutdown at SIGTERM and SIGINT."""
