--- a/sailrun/__main__.py
+++ b/sailrun/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m sailrun`: without arguments a node as the platform starts it, else the command line (cli.py)."""
+"""Runs a node as the platform starts it if there are no arguments, else the command line (cli.py)."""
 
 import sys
 
--- a/sailrun/amqp/clients.py
+++ b/sailrun/amqp/clients.py
@@ -31,7 +31,7 @@
 BAD_REQUEST = "amqp:invalid-field"
 # How long a session that is being moved may take to finish the transfers under way.
 MOVE_GRACE_US = SECOND // 2
-# How long a form server may take to answer a graceful close before its connection is dropped.
+# How long a graceful close waits for the end of the session before it closes the TCP connection.
 DETACH_TIMEOUT_US = SECOND
 # How long a client may take to send its open frame before its connection is closed.
 OPEN_TIMEOUT_US = 2 * SECOND
@@ -40,7 +40,7 @@
 
 
 class FormServerLink:
-    """The connection and link to a form server that one attempt uses alone."""
+    """The connection and link to a form server, used by one attempt only."""
 
     def __init__(self, now_us: Callable[[], int], settings: AmqpSettings, connection: Connection) -> None:
         self._now_us = now_us
@@ -58,7 +58,7 @@
         session = self.engine.amqp_connection.session()
         session.incoming_capacity = SESSION_WINDOW_BYTES
         session.open()
-        # The client's sender is this node's receiver, so towards the form server it sends.
+        # If the client sends, this node receives on the client's link and sends on the form server's.
         self.link = (session.sender if client_link.is_receiver else session.receiver)(client_link.name)
         self.link.source.copy(client_link.remote_source)
         self.link.target.copy(client_link.remote_target)
@@ -112,7 +112,9 @@
             _dispatch_delivery(event.delivery, self.relays)
 
     async def close_gracefully(self, to_deadline: Callable[[int], float]) -> None:
-        """Detaches gracefully; drops the connection of a form server that does not answer in time."""
+        """Detaches the link, then closes the TCP connection once the session has ended, at the latest after
+        `DETACH_TIMEOUT_US`.
+        """
         self.link.close()
         self.engine.amqp_connection.close()
         self.engine.dispatch_events()
@@ -134,9 +136,9 @@
 class ClientLink:
     """A link of a client's connection: the core's `SessionClient` for one form session."""
 
-    def __init__(self, front: ClientConnection, link: Any) -> None:
-        self._front = front
-        self._node = front.node
+    def __init__(self, client_connection: ClientConnection, link: Any) -> None:
+        self._client_connection = client_connection
+        self._node = client_connection.node
         self.link = link
         self._began_us = self._node.clock.now_us()
         self._session: FormSession | None = None
@@ -155,7 +157,7 @@
             if not isinstance(value, kind) or isinstance(value, bool) or not value:
                 self._detach("bad-request", BAD_REQUEST, f"property '{name}' is {value!r}")
                 return
-        if cls not in self._front.classes:
+        if cls not in self._client_connection.classes:
             self._detach("bad-request", BAD_REQUEST, f"property '{CLASS}' is {cls!r}, which does not exist")
             return
         if group is not None and not isinstance(group, str):
@@ -176,7 +178,7 @@
 
     def start_attempt(self, placement: Placement) -> None:
         """Starts an attempt; returns at once."""
-        self._front.group.start_soon(self._run_attempt, placement)
+        self._client_connection.group.start_soon(self._run_attempt, placement)
 
     def cancel_attempt(self, attempt: int) -> None:
         """Cancels the attempt that is under way."""
@@ -196,7 +198,7 @@
         """Moves the client to another node: detaches the link once its transfers have their outcomes."""
         if not self._moving:
             self._moving = True
-            self._front.group.start_soon(self._move)
+            self._client_connection.group.start_soon(self._move)
 
     def transfer(self, send: SendTransfer) -> None:
         """Does nothing: a link cannot be transferred, because proton's state of its connection is in this
@@ -228,7 +230,7 @@
         if condition:
             self.link.condition = proton.Condition(condition, text, info)
         self.link.close()
-        self._front.engine.dispatch_events()
+        self._client_connection.engine.dispatch_events()
 
     def _finish(self, reason: str) -> None:
         self._ended = True
@@ -332,9 +334,9 @@
             if self._ended or not self._node.may_begin(self._session, placement):
                 connection.close()
                 return None, AttemptOutcome.CANCELLED if self._ended else AttemptOutcome.NOT_SENT
-            server = FormServerLink(clock.now_us, self._front.settings, connection)
+            server = FormServerLink(clock.now_us, self._client_connection.settings, connection)
             server.attach(self.link, max(1, (placement.until_us - clock.now_us()) // 1000))
-            self._front.group.start_soon(server.run)
+            self._client_connection.group.start_soon(server.run)
             self._node.request_written()
             await server.answered.wait()
             if server.ended.is_set():
@@ -360,7 +362,7 @@
         if server.link.remote_properties:
             self.link.properties = dict(server.link.remote_properties)
         self.link.open()
-        client_engine, server_engine = self._front.engine, server.engine
+        client_engine, server_engine = self._client_connection.engine, server.engine
 
         def on_forwarded() -> None:
             self._node.line_forwarded(session)
@@ -432,7 +434,7 @@
         )
 
     def session_moves(self) -> Iterable[Callable[[], None]]:
-        """Returns for each established session that is not being moved yet a function that moves it."""
+        """Returns one function per established session that is not being moved yet; it moves the session."""
         return [link.move for link in self._links.values() if link.is_established()]
 
     async def _expect_open(self, deadline_us: int) -> None:
--- a/sailrun/amqp/engine.py
+++ b/sailrun/amqp/engine.py
@@ -14,6 +14,7 @@
 
 # How many bytes one AMQP session may buffer unread before its sender has to wait.
 SESSION_WINDOW_BYTES = 1024 * 1024
+# How many bytes are written to a socket or read from a transfer at once.
 CHUNK_BYTES = 64 * 1024
 
 
@@ -22,7 +23,7 @@
     """The values that this node states when it opens a connection."""
 
     container: str = "sailrun"
-    max_frame_size: int = 64 * 1024
+    max_frame_size: int = 64 * 1024  # bytes
     idle_time_out_ms: int = 30_000
 
 
--- a/sailrun/amqp/transfer_relay.py
+++ b/sailrun/amqp/transfer_relay.py
@@ -16,9 +16,9 @@
     """Forwards transfers from `inbound` to `outbound` frame by frame.
 
     The sending side gets only the credit that the receiving side has granted, so every transfer that arrives
-    can be forwarded. Each transfer gets one terminal outcome: that of the receiving side, or at the end of
-    the session one that this node sets. It is `released` if the last frame was not forwarded, so that the
-    transfer cannot have been processed, and otherwise `modified` with delivery-failed.
+    can be forwarded. Each transfer gets one terminal outcome. If the receiving side has not set one by the
+    end of the session, this node does: `released` if the last frame was not forwarded, because the transfer
+    cannot have been processed then, and otherwise `modified` with delivery-failed.
     """
 
     def __init__(
--- a/sailrun/cli.py
+++ b/sailrun/cli.py
@@ -62,12 +62,12 @@
             from sailrun.operator_settings import read_operator
 
             enabled_tables = [name for name, table in read_operator(path).tables() if table.enabled]
-            print(f"{path}: switches on {', '.join(enabled_tables) or 'nothing'}")
+            print(f"{path}: enables {', '.join(enabled_tables) or 'nothing'}")
             return
         node_config = read_sidecar(path)
     except ConfigError as error:
         complain(error)
-    print(f"{path}: fit to serve '{node_config.name}'")
+    print(f"{path}: valid configuration of '{node_config.name}'")
 
 
 @config_app.command("schema")
@@ -103,7 +103,7 @@
         name, *numbers = class_text.split(":")
         if not name or len(numbers) != 3 or not all(f.isdigit() and int(f) > 0 for f in numbers):
             complain(
-                f"--class: '{class_text}' is not NAME:OBJECTIVE_MS:DEADLINE_MS:MESSAGE_MS with numbers > 0"
+                f"--class: '{class_text}' is not NAME:OBJECTIVE_MS:DEADLINE_MS:MESSAGE_MS with integers > 0"
             )
         objective, deadline, message_aim = (int(f) * 1000 for f in numbers)
         services.append(
--- a/sailrun/config.py
+++ b/sailrun/config.py
@@ -23,8 +23,8 @@
 Address = tuple[str, int]
 
 
-# Environment variables of the platform that state a key where the file does not.
-_IN_ENVIRONMENT = {
+# The platform's environment variable for each key that can be missing from the file.
+_ENVIRONMENT_VARIABLES = {
     "name": "RELAY_NAME",
     "listen": "RELAY_LISTEN",
     "discovery": "RELAY_DISCOVERY",
@@ -64,7 +64,7 @@
     """The address at which AMQP 1.0 clients connect, and the limits stated in the open frame."""
 
     listen: Address
-    max_frame_size: int
+    max_frame_size: int  # bytes
     idle_time_out_ms: int
 
 
@@ -81,8 +81,8 @@
     seed: int
     peer_listen: Address | None
     peers: list[Address]
-    peers_all: Address | None
-    known: ServerListUpdate
+    peers_all: Address | None  # the address that reaches all peers
+    known: ServerListUpdate  # the endpoint list that the platform's file states, possibly outdated
     settings: Settings
     groups: bool  # whether `g` in a client's first line states its group
     descriptors: int | None = None  # how many this process may open; None: the platform states no limit
@@ -137,7 +137,7 @@
         replaced while a node runs, unlike the environment.
         """
         value = self.values.get(key)
-        return (os.environ.get(_IN_ENVIRONMENT.get(key, "")) or None) if value is None else value
+        return (os.environ.get(_ENVIRONMENT_VARIABLES.get(key, "")) or None) if value is None else value
 
     def require(self, key: str) -> Any:
         """Returns the value of a key. Raises ConfigError if it is missing."""
@@ -154,7 +154,7 @@
             raise self.complain(key, str(error)) from None
 
     def optional_address(self, key: str, value: Any) -> Address | None:
-        """Returns a key's value as an address, or None if the value is empty."""
+        """Returns a key's value as an address, or None if the value is missing or empty."""
         return self.address(key, value) if value else None
 
 
@@ -228,5 +228,5 @@
     limits = document.values.get("limits")
     descriptors = limits.get("sockets") if isinstance(limits, dict) else None
     if descriptors is not None and (not isinstance(descriptors, int) or descriptors < 1):
-        raise document.complain("limits.sockets", f"is {descriptors!r}, expected a number of at least 1")
+        raise document.complain("limits.sockets", f"is {descriptors!r}, expected an integer of at least 1")
     return descriptors
--- a/sailrun/connection.py
+++ b/sailrun/connection.py
@@ -12,11 +12,12 @@
 
 from sailrun.errors import SailrunError
 
-INITIAL_BUFFER_SIZE = 512
+INITIAL_BUFFER_BYTES = 512
 # Maximum length in bytes of a line of the platform's protocol; other users of the buffer pass their own
 # limit.
 MAX_LINE_LENGTH = 4096
-# How many bytes are read and discarded after this side has ended its sending.
+# How many bytes are read and discarded after this side has ended its sending. The limit is needed because the
+# other side may never stop sending.
 MAX_DISCARDED_BYTES = 64 * 1024
 _EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
@@ -63,7 +64,7 @@
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock = sock
-        self._buffer = bytearray(INITIAL_BUFFER_SIZE)
+        self._buffer = bytearray(INITIAL_BUFFER_BYTES)
         self._start = self._end = 0
         self._peeked_end = 0  # `peek_new` has returned the bytes before this position
         self._max_buffered = max_buffered
@@ -98,8 +99,8 @@
             self.ended = count == 0
             return count > 0
 
-    def _receive(self, room: memoryview) -> int:
-        return self.sock.recv_into(room)
+    def _receive(self, free_space: memoryview) -> int:
+        return self.sock.recv_into(free_space)
 
     def restore(self, data: bytes, peeked: bool) -> None:
         """Fills the buffer with bytes that another process has read; `peeked`: it has also forwarded them, so
--- a/sailrun/discovery.py
+++ b/sailrun/discovery.py
@@ -19,7 +19,7 @@
 
 SECOND = 1_000_000
 # Once the registry is reachable, a fresh answer has to arrive within 6 s, because after that time everything
-# that the registry states counts as announced to this node. Only this module uses up that time. Worst cases:
+# that the registry states counts as announced to this node. No other module adds to this delay. Worst cases:
 # - A call began just before and is refused. The next one begins `MAX_CALL_SPACING_US` after it and takes
 #   `CALL_TIMEOUT_US`: 5.6 s in total.
 # - A watch gets no answer from its beginning. It is abandoned after `WATCH_WAIT_US` and `WATCH_GRACE_US`; the
@@ -85,7 +85,7 @@
     invalid: with a partial list, the missing form servers would count as gone. Raises InvalidServerListError.
     """
     if not isinstance(document, dict):
-        raise InvalidServerListError("the list is not an object")
+        raise InvalidServerListError("the endpoint list is not a JSON object")
     kind = ListKind.FULL if _get(document, "complete", bool) else ListKind.DELTA
     servers = tuple(_form_server(entry) for entry in _get(document, "members", list))
     return ServerListUpdate(ListKind.CACHED if cached else kind, _get(document, "revision", int), servers)
@@ -102,12 +102,13 @@
         self._revision = revision
         self._random = Random(seed)
         settings = node.settings
-        # In poll mode, a node without a watch has to ask within this time; a watch is limited to it too.
+        # In poll mode, a node without a watch has to ask within `poll_interval_us`. A watch, too, waits no
+        # longer than that.
         self._wait_us = min(settings.poll_interval_us or WATCH_WAIT_US, WATCH_WAIT_US)
         self._is_shared_registry = settings.discovery is DiscoveryMode.ASK
         self._spacing_us = CALL_SPACING_US * (settings.instances if self._is_shared_registry else 1)
         self._failures = 0
-        self._call_at_us = 0  # earliest start; calls are spread at the start and after failures
+        self._call_at_us = 0  # earliest time of the next call; randomised at the start and after failures
         self._accepted_revision = -1  # the newest revision accepted from this address
         self._older_revision = -1  # the revision of an older full list in the last answer
         self._watching = self._fetching = False
--- a/sailrun/front.py
+++ b/sailrun/front.py
@@ -17,10 +17,11 @@
 # Connections with a request use two descriptors each and may use two thirds of all descriptors. Of the
 # remaining third, this many are reserved for the registry, the listeners, datagrams and probes.
 RESERVED_DESCRIPTORS = 24
+# Bounds of the number of pending and closing connections, whatever the number of descriptors.
 MIN_PENDING, MAX_PENDING = 16, 192
 
-# When a new configuration changes the address of a front, the old acceptor moves its sessions in this number
-# of steps and ends all its connections within this time.
+# When a new configuration changes the address of a front, the old acceptor ends all its connections within
+# `CLOSE_WITHIN_US`, which is divided into `MOVE_STEPS` equal steps for moving its sessions.
 CLOSE_WITHIN_US, MOVE_STEPS = 1_500_000, 15
 CLOSE_POLL_S = 0.02
 
@@ -36,13 +37,13 @@
     def __init__(self, descriptors: int) -> None:
         self._limit = max(MIN_PENDING, min(MAX_PENDING, descriptors // 3 - RESERVED_DESCRIPTORS))
         self._pending: dict[anyio.CancelScope, None] = {}
-        self._closing: dict[anyio.CancelScope, None] = {}  # answered, being read to their end
-        self._shut = False
+        self._closing: dict[anyio.CancelScope, None] = {}  # answered; read until the other side ends
+        self._closing_all = False
 
     def add(self, scope: anyio.CancelScope) -> None:
         """Adds a connection without a request; its scope is cancelled if it is evicted."""
         self._pending[scope] = None
-        if self._shut:
+        if self._closing_all:
             scope.cancel()
         self._enforce_limit()
 
@@ -74,10 +75,10 @@
                 return
 
     async def close_all(self, deadline: float) -> None:
-        """Cancels all connections without a request and waits until every connection has ended, at most until
-        the deadline. Called when the node shuts down.
+        """Cancels all connections without a request and waits until they and the closing ones have
+        ended, at most until the deadline. Called when the node shuts down.
         """
-        self._shut = True
+        self._closing_all = True
         for scope in list(self._pending):
             scope.cancel()
         with anyio.CancelScope(deadline=deadline):
@@ -102,7 +103,7 @@
         ...
 
     def session_moves(self) -> Iterable[Callable[[], None]]:
-        """Returns for each established session that is not being moved yet a function that moves it."""
+        """Returns one function per established session that is not being moved yet; it moves the session."""
         ...
 
 
@@ -127,7 +128,7 @@
         self._running_scope = anyio.CancelScope()
         self._group: TaskGroup | None = None
         self._early_connections: list[AcceptedConnection] = []  # added before `run`
-        self._shut = anyio.Event()
+        self._shutdown_event = anyio.Event()
         self._resume_event: anyio.Event | None = None  # set by `resume`; None: not paused
 
     def close(self) -> None:
@@ -140,8 +141,8 @@
         return self._listener
 
     def pause(self) -> None:
-        """Accepts no connections until `resume`; they stay in the listener's queue for the process that
-        shares the listener.
+        """Stops accepting connections until `resume`; new ones stay in the listener's queue for the process
+        that shares the listener.
         """
         if self._resume_event is None:
             self._resume_event = anyio.Event()
@@ -154,8 +155,8 @@
             self._resume_event = None
 
     def shut_down(self) -> None:
-        """Accepts no more connections and ends the existing ones within `CLOSE_WITHIN_US`."""
-        self._shut.set()
+        """Stops accepting connections and ends the existing ones within `CLOSE_WITHIN_US`."""
+        self._shutdown_event.set()
         self._accept_scope.cancel()
 
     async def run(self) -> None:
@@ -166,12 +167,12 @@
                 for connection in self._early_connections:
                     group.start_soon(self._serve, connection)
                 try:
-                    while not self._shut.is_set():
+                    while not self._shutdown_event.is_set():
                         with self._accept_scope:
                             if self._resume_event is not None:
                                 await self._resume_event.wait()
                             await self._accept_connections(group)
-                        if not self._shut.is_set():
+                        if not self._shutdown_event.is_set():
                             self._accept_scope = anyio.CancelScope()
                 finally:
                     anyio.notify_closing(self._listener)
@@ -208,7 +209,7 @@
 
     async def _move_sessions(self) -> None:
         """Moves established sessions, spread over the first half of the steps as in a planned restart. A
-        session established later is moved in the step that follows.
+        session that is established after these steps is moved in the next step.
         """
         began = anyio.current_time()
         for step in range(MOVE_STEPS):
--- a/sailrun/http_calls.py
+++ b/sailrun/http_calls.py
@@ -17,7 +17,7 @@
 
 
 class CallFailedError(SailrunError):
-    """A call brought no usable answer; the text says why."""
+    """A call got no usable response; the text states the reason."""
 
     log_name = "CallFailed"
 
@@ -61,11 +61,11 @@
             raise
         if response is None:
             self.drop()
-            raise CallFailedError("no answer before the deadline")
+            raise CallFailedError("no response before the deadline")
         return response
 
     async def _connect(self) -> Connection:
-        """Connects, with a descriptor reserved for this if necessary: clients can use all others."""
+        """Connects, if necessary with the descriptor reserved for this: clients can use all others."""
         if self._reserved_descriptor is None:
             with contextlib.suppress(OSError):
                 self._reserved_descriptor = os.dup(sys.stderr.fileno())
@@ -99,11 +99,11 @@
             elif isinstance(event, h11.Data):
                 response += event.data
                 if len(response) > MAX_RESPONSE_BYTES:
-                    raise OverlongLineError(f"the answer is longer than {MAX_RESPONSE_BYTES} bytes")
+                    raise OverlongLineError(f"the response is longer than {MAX_RESPONSE_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionResetError("the connection was closed before the answer was complete")
+                raise ConnectionResetError("the connection was closed before the response was complete")
         if status != 200:
             raise CallFailedError(f"status {status}, expected 200")
         if http.our_state is h11.DONE and http.their_state is h11.DONE:
--- a/sailrun/operator_settings.py
+++ b/sailrun/operator_settings.py
@@ -92,7 +92,8 @@
         yield from shard_faults(operator.shards, members.region, owners)
     replica = operator.replica
     if replica.enabled and replica.absent_member_wait_s < replica.deletion_retention_s:
-        # Otherwise a node could be given up before deletions unknown to it were retained for the stated time.
+        # Otherwise the removal of a deleted mark could stop waiting for a dead member before the mark has
+        # been retained for `keep_s`.
         yield (
             "replica.absent_s",
             f"is {replica.absent_member_wait_s:g}, under keep_s, which is {replica.deletion_retention_s:g}",
@@ -104,7 +105,7 @@
             # Otherwise every change of leader would end the permits in use.
             yield (
                 "permits.lease_s",
-                f"is {operator.permits.lease_s:g}, under the {leader_change_s:g} s of a change of leader",
+                f"is {operator.permits.lease_s:g}, under the {leader_change_s:g} s of a leader change",
             )
 
 
@@ -136,7 +137,8 @@
         if max(len(new - old), len(old - new)) > (1 if len(new) == len(old) else 2) or new == old:
             yield (
                 "owners.voters_before",
-                "differs from owners.voters by neither one exchanged nor one or two added or removed voters",
+                "must differ from owners.voters by one replaced voter, or by one or two added or removed "
+                "voters",
             )
     if owners.lease_s < 2 * owners.order_s:
         yield "owners.lease_s", f"is {owners.lease_s:g}, under twice order_s, which is {owners.order_s:g}"
@@ -155,7 +157,7 @@
         return "owners.revision: voters change one stage at a time; state the old voters in voters_before"
     required_voters = before.voters if after.voters_before else after.voters
     if required_voters != (after.voters_before or before.voters):
-        return "owners.voters: are not the voters that the previous stage states"
+        return "owners: voters_before, or voters if it is empty, are not the voters of the previous stage"
     return None
 
 
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -29,7 +29,7 @@
     from sailrun.storage.service import StorageService
     from sailrun.xds.discovery import EnvoyDiscovery
 
-# Keys of which a reload applies changes to the running node. Changes of the other keys take effect at the
+# Keys whose changes a reload applies to the running node. Changes of the other keys take effect at the
 # next start, except for the volatile keys, whose values can differ each time the file is read.
 _ACCEPTOR_KEYS = ("listen", "amqp", "control")
 _RELOADABLE_KEYS = (*_ACCEPTOR_KEYS, "roster", "operator")
@@ -44,7 +44,7 @@
         ...
 
     def shut_down(self) -> None:
-        """Accepts no more connections."""
+        """Stops accepting connections."""
         ...
 
     async def run(self) -> None:
@@ -53,7 +53,7 @@
 
 
 def _identity(config: NodeConfig) -> str:
-    """Returns the name and address by which a predecessor and its successor recognise each other."""
+    """Returns the name and address that identify a node in a hot restart; its predecessor has the same."""
     listens = config.listen or (config.amqp.listen if config.amqp else None)
     return f"{config.name} {show_address(listens) if listens else ''}"
 
@@ -64,19 +64,19 @@
     group: TaskGroup
 
     def __init__(
-        self, read: Callable[[], NodeConfig], config: NodeConfig, inherited: Inherited | None = None
+        self, read_config: Callable[[], NodeConfig], config: NodeConfig, inherited: Inherited | None = None
     ) -> None:
-        self._read = read
+        self._read_config = read_config
         self._config = config
         self._inherited = inherited
         self._storage = self._open_storage(config, inherited is not None)
         restored = inherited.state if inherited is not None else None
         clock = Clock()
         if restored is None and self._storage is not None:
-            drains = config.operator is not None and not config.operator.permits.enabled
-            restored = self._storage.restore_state(config.known, clock.now_us(), drains)
-        # A predecessor's endpoint list is newer than the platform's, and its watch can be continued from
-        # there.
+            may_drain = config.operator is not None and not config.operator.permits.enabled
+            restored = self._storage.restore_state(config.known, clock.now_us(), may_drain)
+        # A predecessor's endpoint list is newer than the one in the platform's file, and the watch can
+        # continue from its revision.
         initial_list = (
             restored.server_list
             if restored is not None and restored.server_list.form_servers
@@ -94,7 +94,7 @@
         self._acceptors = self._open_acceptors(config, _ACCEPTOR_KEYS)
         self._discovery, self._discovery_scope = self._discovery_for(config), anyio.CancelScope()
         self.node.discovery = self._discovery
-        self._discovery.watch(True)  # in push mode too: the list that the source holds is already in force
+        self._discovery.watch(True)  # in push mode too: the agent's data counts as announced at once
         self._apply_rebalance(config)
         self._datagrams: Datagrams | None = None
         if config.settings.peer_messages and config.peer_listen is not None:
@@ -161,7 +161,7 @@
             listener = self._inherited_socket(key, config.listen) or listen(config.listen, shared)
             return self._client_front.door(listener)
         if key == "amqp" and config.amqp is not None:
-            # Loaded only where it is enabled: the platform's nodes have neither the engine nor the codec.
+            # Loaded only where it is enabled: the platform's nodes have neither proton nor its codec.
             from sailrun.amqp.clients import amqp_acceptor
             from sailrun.amqp.engine import AmqpSettings
 
@@ -202,8 +202,8 @@
         acceptor.add_connection(self._client_front.adopt(content, sockets))
 
     def _set_paused(self, paused: bool) -> None:
-        """Stops accepting connections and datagrams, which leaves them to the successor that shares the
-        sockets, or starts again.
+        """Stops accepting connections and datagrams, so that the successor that shares the sockets receives
+        them, or resumes.
         """
         for _, acceptor in self._front_acceptors():
             acceptor.pause() if paused else acceptor.resume()
@@ -269,8 +269,8 @@
             group.start_soon(handover.run)
 
     def _write_without_fleet(self) -> None:
-        """Starts to store what this node, which is in no fleet, learns about form servers, if storage is
-        enabled.
+        """Starts to write the state of the form servers to the storage folder of a node without a fleet, if
+        storage is enabled.
         """
         if self._storage is not None:
             self._writing_scope = anyio.CancelScope()
@@ -285,15 +285,15 @@
                 discovery.drop()  # closes the connection to a replaced address
 
     async def close_pending_connections(self) -> None:
-        """Closes the remaining text protocol connections, once every request has its final answer. Those
-        without a request are rejected, and all are read to their end for at most `LINGER_US`.
+        """Closes the remaining text protocol connections. Called once every request has its final answer.
+        Connections without a request are rejected, and all are read to their end for at most `LINGER_US`.
         """
         await self._client_front.waiting.close_all(anyio.current_time() + LINGER_US / 1e6)
 
     def reload(self) -> None:
         """Reads the configuration again and applies it. An invalid file changes nothing and is logged."""
         try:
-            config = self._read()
+            config = self._read_config()
             changed = [
                 f.name
                 for f in fields(config)
@@ -335,9 +335,9 @@
             self.group.start_soon(self._run_discovery)
 
     def _fleet_settings(self, config: NodeConfig) -> AgentSettings | None:
-        """Returns the settings of the fleet that a new operator's file changes; None without a fleet.
-        Settings that cannot change in a running node keep their values. Raises ValueError for an invalid
-        change.
+        """Returns the fleet's settings after a change of the operator's file; None without a fleet.
+        Settings that cannot change in a running node, such as the address for members, keep their values.
+        Raises ValueError for an invalid change.
         """
         before, after = self._config.operator, config.operator
         if self._fleet is None or before is None or after is None:
@@ -390,16 +390,18 @@
                         self._fleet.leave()
 
 
-async def serve(read: Callable[[], NodeConfig]) -> None:
-    """Runs a node with the configuration that `read` returns until it has shut down. Raises ConfigError."""
-    config = read()
+async def serve(read_config: Callable[[], NodeConfig]) -> None:
+    """Runs a node with the configuration that `read_config` returns, until the node has shut down. Raises
+    ConfigError.
+    """
+    config = read_config()
     inherited = None
     if config.control is not None:
-        # Loaded, and a predecessor looked for, only where operators can control the node.
+        # The module is loaded, and a predecessor is looked for, only if the control interface is enabled.
         from sailrun.hot_restart.handover import inherit
 
         inherited = inherit(_identity(config))
-    service = Service(read, config, inherited)
+    service = Service(read_config, config, inherited)
     async with anyio.create_task_group() as group:
         await group.start(service.handle_signals)
         service.open(group)
@@ -416,6 +418,6 @@
     log("stopped", name=config.name)
 
 
-def run(read: Callable[[], NodeConfig]) -> None:
+def run(read_config: Callable[[], NodeConfig]) -> None:
     """Runs a node until it is signalled to stop. Raises OSError if it cannot listen on an address."""
-    anyio.run(serve, read)
+    anyio.run(serve, read_config)
--- a/sailrun/sidecar.py
+++ b/sailrun/sidecar.py
@@ -32,6 +32,7 @@
     "control": {"listen": str},
     "roster": {"source": str, "address": str, "cluster": str, "clusters": str, "endpoints": str},
 }
+# The allowed values of `roster.source`, each with the other keys of the table that it requires.
 SOURCES = {
     "http": ("address",),
     "xds-files": ("cluster", "clusters", "endpoints"),
@@ -75,7 +76,7 @@
         value = self._values.get(key, default)
         if not lowest <= value <= highest:
             raise ConfigError(
-                self._path, self._key(key), f"is {value}, expected a number from {lowest} to {highest}"
+                self._path, self._key(key), f"is {value}, expected an integer from {lowest} to {highest}"
             )
         return int(value)
 
--- a/sailrun/start.py
+++ b/sailrun/start.py
@@ -32,15 +32,15 @@
     """Runs a node until it is signalled to stop. An unusable file ends the program with a one-line error."""
     from sailrun.serve import run
 
-    def read() -> NodeConfig:
-        node_config = read_main()
+    def read_config() -> NodeConfig:
+        node_config = read_without_operator()
         if operator is None:
             return node_config
         from sailrun.operator_settings import read_operator
 
         return replace(node_config, operator=read_operator(operator))
 
-    def read_main() -> NodeConfig:
+    def read_without_operator() -> NodeConfig:
         if sidecar is not None:
             from sailrun.sidecar import read_sidecar
 
@@ -55,7 +55,7 @@
         return read_node_config(config)
 
     try:
-        run(read)
+        run(read_config)
     except ConfigError as error:
         complain(error)
     except (OSError, ImportError) as error:
--- a/sailrun/xds/discovery.py
+++ b/sailrun/xds/discovery.py
@@ -1,4 +1,4 @@
-"""Implementations of the core's `ServiceDiscovery` by xDS, from files or over REST."""
+"""Implementations of the core's `ServiceDiscovery` with xDS, from files or over REST."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
     @abstractmethod
     def drop(self) -> None:
-        """Closes what is open of the source."""
+        """Closes the connections that the source holds open."""
 
     async def run(self) -> None:
         """Polls for changes until the task is cancelled."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of several test modules."""
+"""Fixtures that several test modules use."""
 
 from __future__ import annotations
 
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -220,18 +220,17 @@
 
 
 def test_both_fronts_share_one_core(tmp_path: Path) -> None:
-    text, amqp = FormServer("s-00000001"), AmqpFormServer("s-00000002")
+    text_server, amqp_server = FormServer("s-00000001"), AmqpFormServer("s-00000002")
     roster = Roster([])
-    roster.publish(text.entry())
+    roster.publish(text_server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as node:
         for _ in range(2):
             roster.requests.get(timeout=TIMEOUT_S)
         assert node.request_session().read_line() == "UP r1"
-        roster.publish(text.entry("DRAINING"), amqp.entry())
+        roster.publish(text_server.entry("DRAINING"), amqp_server.entry())
         roster.requests.get(timeout=TIMEOUT_S)
         client = AmqpConnection(connect(node.amqp))
         link = client.open_link()
         client.wait_until(lambda: link.state & proton.Endpoint.REMOTE_ACTIVE)
-        assert (
-            len(amqp.attached) == 1 and text.first_lines.qsize() == 1
-        )  # the draining one gets no new session
+        # The draining form server gets no new session.
+        assert len(amqp_server.attached) == 1 and text_server.first_lines.qsize() == 1
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -28,9 +28,8 @@
     written = run_sailrun("config", "write", "answers", "--out", path, "--class", "answer-save:500:2000:250")
     assert written.returncode == 0, written.stderr
     assert run_sailrun("config", "check", path).returncode == 0
-    assert str(path) in error_line(
-        run_sailrun("config", "write", "answers", "--out", path)
-    )  # not overwritten
+    # An existing file is not overwritten.
+    assert str(path) in error_line(run_sailrun("config", "write", "answers", "--out", path))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -76,7 +76,7 @@
             form_servers(assignment, {}, 0)
 
 
-def replace(path: Path, text: str) -> None:
+def replace_file(path: Path, text: str) -> None:
     path.with_suffix(".new").write_text(text)
     path.with_suffix(".new").replace(path)
 
@@ -98,13 +98,13 @@
     with sidecar(tmp_path, {**source, "clusters": "clusters.json", "endpoints": "endpoints.json"}) as running:
         running.logged("roster", "form_servers=2")
         assert_placed_at(running, old_server)
-        replace(endpoints_path, endpoints(endpoint(new_server.address), endpoint("nowhere:1")))
+        replace_file(endpoints_path, endpoints(endpoint(new_server.address), endpoint("nowhere:1")))
         running.logged("xds-rejected", "endpoints.json", "nowhere")
         assert_placed_at(running, old_server)
-        replace(endpoints_path, endpoints(endpoint(new_server.address), version="2"))
+        replace_file(endpoints_path, endpoints(endpoint(new_server.address), version="2"))
         running.logged("roster", "revision=2")
         assert_placed_at(running, new_server)
-        replace(clusters_path, response(CLUSTER))  # the cluster is removed, and its form servers with it
+        replace_file(clusters_path, response(CLUSTER))  # the cluster is removed, and its form servers with it
         running.logged("roster", "revision=3", "form_servers=0")
         assert running.request_session().read_line().startswith("BUSY")
 
