--- a/sailrun/control/server.py
+++ b/sailrun/control/server.py
@@ -97,7 +97,7 @@
             os.close(self._reserved_descriptors.pop())
         self._listener.close()
 
-    shut = close
+    shut_down = close
 
     async def run(self) -> None:
         """Accepts callers until cancelled or closed."""
