--- a/sailrun/lab/__init__.py
+++ b/sailrun/lab/__init__.py
@@ -1,3 +1,3 @@
-"""The laboratory: a world of form servers, clients, a registry and datagrams, written from the public pages,
-in which real nodes are tried and watched (docs/lab.md). Never loaded by a node that serves.
+"""The laboratory: stand-ins for form servers, clients, the registry and the network, written from the public
+documentation, in which real nodes run under observation (docs/lab.md). A serving node never imports it.
 """
--- a/sailrun/lab/chance.py
+++ b/sailrun/lab/chance.py
@@ -1,4 +1,4 @@
-"""Chance, in streams of their own: what one part of a world draws moves nothing in the others."""
+"""Separate random streams, so that the draws of one part of a world do not affect the other parts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Stream:
-    """Numbers of one purpose, from the library's generator, drawn in blocks."""
+    """A stream of random numbers for one purpose, drawn in blocks from a NumPy generator."""
 
     def __init__(self, seed: int, purpose: str) -> None:
         sequence = np.random.SeedSequence([seed, zlib.crc32(purpose.encode())])
@@ -28,7 +28,7 @@
         return bounds[0] + (bounds[1] - bounds[0]) * self.random()
 
     def whole(self, bounds: tuple[int, int]) -> int:
-        """A whole number from the first to the last of the bounds."""
+        """Returns a uniform integer between the bounds, both included."""
         return bounds[0] + int((bounds[1] - bounds[0] + 1) * self.random())
 
     def below(self, count: int) -> int:
@@ -43,7 +43,7 @@
         return mean * math.exp(sigma * self._normal.pop() - sigma * sigma / 2)
 
     def pick(self, chances: tuple[float, ...]) -> int:
-        """An index, by its chance; the chances add up to 1."""
+        """Returns an index drawn by the given probabilities, which must add up to 1."""
         at = self.random()
         for n, chance in enumerate(chances):
             at -= chance
--- a/sailrun/lab/checks.py
+++ b/sailrun/lab/checks.py
@@ -1,4 +1,4 @@
-"""The rules, watched from the world: nothing here believes a node."""
+"""The rules, checked by what the world observes and never by what a node reports."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 
 from sailrun.lab.settings import SECOND
 
-# Every time limit is extended by this (the protocol's rules on sockets).
+# Tolerance added to every time limit, as the protocol's rules allow on sockets.
 SLACK_US = 50_000
-# Faults that are told in words; further ones are only counted.
+# Number of faults that a check describes; further ones are only counted.
 TOLD = 20
+# A client may be moved for balance only once in this time.
 REST_US = 60 * SECOND
 
 
 @dataclass(slots=True, eq=False)
 class Check:
-    """One rule: how often it was broken, and the first few times in words. Where its occasions are counted, a
-    rule without any was not tried, and does not hold.
+    """One rule: the number of violations and a description of the first few. If its occasions are counted, a
+    rule without any occasion was not tested and does not hold.
     """
 
     name: str
@@ -39,18 +40,18 @@
 class _Request:
     node: int
     deadline_us: int
-    server: str = ""  # where its attempt is out
+    server: str = ""  # form server of its outstanding attempt
 
 
 class RuleBook:
-    """What a day is held to, and what has been seen of it so far."""
+    """The rules of a run, with the observations made so far."""
 
     def __init__(self, begin_us: int, drain_grace_us: int) -> None:
         self._begin_us, self._grace_us = begin_us, drain_grace_us
         self._open: dict[str, _Request] = {}
-        self._dropped: set[str] = set()  # requests that nobody waits for any more
-        self._told_us: dict[tuple[int, str], int] = {}  # when a node was told that a server drains or is gone
-        self._by_hand_us: dict[tuple[int, str], int] = {}  # when a node was told that a server is out by hand
+        self._dropped: set[str] = set()  # requests that no client waits for
+        self._told_us: dict[tuple[int, str], int] = {}  # when a node received that a server drains or is gone
+        self._by_hand_us: dict[tuple[int, str], int] = {}  # when an operator excluded a server at a node
         self.answer = Check("one-final-answer")
         self.late = Check("answered-in-time")
         self.attempt = Check("one-attempt-outstanding")
@@ -86,25 +87,25 @@
             self.late.broken(now_us - self._begin_us, f"{request}: {answer} {late_ms} ms late")
 
     def begin(self, begin_us: int) -> None:
-        """Times in faults count from here."""
+        """Sets the time that fault times are relative to."""
         self._begin_us = begin_us
 
     def cut_off_asking(self, now_us: int, request: str, node_runs: bool) -> None:
-        """The connection ended, or the client's patience, before there was an answer."""
+        """Records that the connection ended or the client timed out before an answer."""
         known = self._open.pop(request, None)
         self._dropped.add(request)
         if known is not None and node_runs:
             self.answer.broken(now_us - self._begin_us, f"{request} got no answer")
 
     def given_up(self, request: str) -> None:
-        """The client left before its answer."""
+        """Records that the client left before its answer."""
         self._open.pop(request, None)
         self._dropped.add(request)
 
     def attempt_began(self, now_us: int, request: str, server: str) -> None:
         known = self._open.get(request)
         if request in self._dropped:
-            return  # its client, or its node, had gone when this was on its way
+            return  # its client or node went away while this attempt was in flight
         if known is None:
             self.attempt.broken(now_us - self._begin_us, f"{request} sent to {server} after its answer")
             return
@@ -128,11 +129,11 @@
             known.server = ""
 
     def node_starts(self, node: int) -> None:
-        """A new process: what its predecessor was told it does not know."""
+        """Forgets what the previous process of the node had received, since a new process starts."""
         self._told_us = {key: at for key, at in self._told_us.items() if key[0] != node}
 
     def node_gone(self, node: int) -> None:
-        """Killed outright: what it had taken is for the clients to repeat."""
+        """Drops the open requests of a killed node, which their clients have to repeat."""
         self._dropped.update(name for name, known in self._open.items() if known.node == node)
         self._open = {name: known for name, known in self._open.items() if known.node != node}
 
@@ -141,7 +142,7 @@
             if now_us > known.deadline_us + SLACK_US:
                 self.answer.broken(now_us - self._begin_us, f"{request} at node {known.node} got no answer")
 
-    # ------------------------------------------------------------------ the rest
+    # ------------------------------------------------------------------ form servers and moves
 
     def told_leaving(self, now_us: int, node: int, server: str) -> None:
         self._told_us.setdefault((node, server), now_us)
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -1,4 +1,4 @@
-"""`sailrun lab`: experiments from the command line. Libraries are loaded only once one is run."""
+"""`sailrun lab`: experiments from the command line. Large libraries are imported only when a command runs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from sailrun.lab.faults.play import FaultDay
     from sailrun.lab.run import Request, Summary
 
-app = typer.Typer(help="Try real nodes in a world of stand-ins, and see what a change does.")
+app = typer.Typer(help="Run real nodes against stand-ins and measure the effect of a change.")
 
 OutOption = Annotated[Path, typer.Option(help="The folder for the records, the summary and the report.")]
 
@@ -48,14 +48,14 @@
         if value is not None and not least <= value <= most:
             raise _complain(f"--{option.replace('_', '-')}: {value} is not from {least} to {most}")
     if asked.get("utilization") == 0:
-        raise _complain("--utilization: 0 would be nobody at all")
+        raise _complain("--utilization: 0 means no clients; expected a value above 0 and up to 1")
     asked["driver"] = asked.get("driver") or EXPERIMENTS[experiment].driver
     return Request(experiment, off=frozenset(off or ()), **asked)
 
 
 @app.command("list")
 def list_() -> None:
-    """The experiments, and what happens in each."""
+    """List the experiments and what happens in each."""
     from sailrun.lab.experiments import EXPERIMENTS
 
     for experiment in EXPERIMENTS.values():
@@ -70,7 +70,7 @@
 
 
 def _run_scale(out: Path, driver: str | None, faults: str | None, **sizes: Any) -> None:
-    """Refuses a run that does not fit before anything is started."""
+    """Runs the scale experiment. A plan that does not fit is rejected before anything is started."""
     from sailrun.lab.run import write
     from sailrun.lab.scale.command import play_scale
     from sailrun.lab.scale.plan import FAULTS, DoesNotFit, ScalePlan
@@ -98,7 +98,7 @@
 
 
 def _fault_day(name: str, off: list[str] | None, nodes: int | None, seconds: float | None) -> FaultDay | None:
-    """A day of faults among owners, where that is what was asked for."""
+    """Returns the fault run of this name, or None if the name is not that of a fault plan."""
     from sailrun.lab.faults.nemesis import PLANS
     from sailrun.lab.faults.play import NODES, RULES, FaultDay
     from sailrun.lab.faults.shard_plans import SHARD_PLANS
@@ -123,9 +123,9 @@
     if driver not in DRIVERS:
         raise _complain(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
     if driver == "sockets" and day.nodes > MOST_NODES:
-        raise _complain(f"--nodes: {day.nodes} are more than {MOST_NODES}, as many as real processes can be")
+        raise _complain(f"--nodes: {day.nodes} is more than {MOST_NODES}, the limit for real processes")
     if driver == "sockets" and day.off:
-        raise _complain("--off: a real process keeps all its rules; they are switched off in virtual time")
+        raise _complain("--off: rules can be switched off only with --driver virtual, not in real processes")
 
 
 def _run_faults(day: FaultDay, driver: str, out: Path) -> None:
@@ -163,15 +163,15 @@
     raise typer.Exit(0 if not result.broken else 1)
 
 
-FormServers = Annotated[int | None, typer.Option(help="How many form servers there are.")]
-Nodes = Annotated[int | None, typer.Option(help="How many nodes there are.")]
-HouseholdsOption = Annotated[int | None, typer.Option(help="Households standing at any time.")]
-Seconds = Annotated[float | None, typer.Option(help="How long the day is.")]
-Utilization = Annotated[float | None, typer.Option(help="The warm fleet's, by what stands; 0 to 1.")]
+FormServers = Annotated[int | None, typer.Option(help="Number of form servers.")]
+Nodes = Annotated[int | None, typer.Option(help="Number of nodes.")]
+HouseholdsOption = Annotated[int | None, typer.Option(help="Households connected at any time.")]
+Seconds = Annotated[float | None, typer.Option(help="Length of the run in seconds.")]
+Utilization = Annotated[float | None, typer.Option(help="Load over the warm fleet's capacity, 0 to 1.")]
 Lost = Annotated[float | None, typer.Option(help="Share of the nodes' datagrams that is lost.")]
-Off = Annotated[list[str] | None, typer.Option(help="A subsystem that is left switched off.")]
+Off = Annotated[list[str] | None, typer.Option(help="A subsystem to switch off.")]
 Driver = Annotated[str | None, typer.Option(help="virtual: simulated time; sockets: real processes.")]
-Terms = Annotated[Path | None, typer.Option(help="An operator's file whose terms the nodes get.")]
+Terms = Annotated[Path | None, typer.Option(help="An operator settings file for the nodes.")]
 
 
 @app.command("run")
@@ -188,15 +188,15 @@
     datagrams_lost: Lost = None,
     off: Off = None,
     operator: Terms = None,
-    hollow: Annotated[int | None, typer.Option(help="Of `scale`: how many hollow nodes there are.")] = None,
+    hollow: Annotated[int | None, typer.Option(help="`scale` only: number of hollow nodes.")] = None,
     faults: Annotated[
-        str | None, typer.Option(help="Of `scale`: rest, hosts, rack, zone, cut, roll or begin.")
+        str | None, typer.Option(help="`scale` only: rest, hosts, rack, zone, cut, roll or begin.")
     ] = None,
     shards: Annotated[
-        int | None, typer.Option(help="Of `scale`: how many shards all regions have; 0: none are owned.")
+        int | None, typer.Option(help="`scale` only: number of shards of all regions; 0: no shard is owned.")
     ] = None,
 ) -> None:
-    """Play one experiment. Exit 0 if every check holds, 1 if one does not."""
+    """Run one experiment. Exit with 0 if every check holds, with 1 if one does not."""
     if name == SCALE:
         sizes = {"nodes": nodes, "hollow": hollow, "seed": seed, "seconds": seconds, "shards": shards}
         _run_scale(out, driver, faults, **sizes)
@@ -223,7 +223,7 @@
     from sailrun.lab.experiments import EXPERIMENTS
 
     if request.driver not in EXPERIMENTS[name].drivers:
-        raise _complain(f"--driver: '{name}' is played by {', '.join(EXPERIMENTS[name].drivers)} only")
+        raise _complain(f"--driver: '{name}' runs with {', '.join(EXPERIMENTS[name].drivers)} only")
     from sailrun.lab.report import write_report
     from sailrun.lab.run import play, write
 
@@ -252,7 +252,7 @@
 
 
 def _progress(name: str) -> Any:
-    """A context that takes the share done; a bar where there is a terminal, nothing elsewhere."""
+    """Returns a context whose callback takes the share done. It shows a progress bar on a terminal only."""
     from contextlib import contextmanager
 
     @contextmanager
@@ -276,7 +276,7 @@
 
 
 def _show_scale(summary: Summary) -> None:
-    """Figures by role as a table."""
+    """Prints a scale summary, with the figures by role as a table."""
     from sailrun.lab.scale.role_table import is_of_role, role_lines
 
     _show_figures({name: value for name, value in summary.figures.items() if not is_of_role(name)})
@@ -304,7 +304,7 @@
 
 @app.command("compare")
 def compare(before: Path, after: Path) -> None:
-    """Two runs side by side, figure by figure; `report.html` of the second shows both."""
+    """Compare the figures of two runs. `report.html` in the second folder then shows both."""
     import msgspec
 
     from sailrun.lab.report import write_report
@@ -326,9 +326,9 @@
 @app.command("sweep")
 def sweep(
     name: str,
-    seeds: Annotated[str, typer.Option(help="The first and the last seed, as 1..200.")],
+    seeds: Annotated[str, typer.Option(help="First and last seed, for example 1..200.")],
     out: Annotated[Path | None, typer.Option(help="A folder for `sweep.json`.")] = None,
-    workers: Annotated[int | None, typer.Option(help="Processes side by side.")] = None,
+    workers: Annotated[int | None, typer.Option(help="Number of parallel processes.")] = None,
     form_servers: FormServers = None,
     nodes: Nodes = None,
     households: HouseholdsOption = None,
@@ -337,15 +337,15 @@
     datagrams_lost: Lost = None,
     off: Off = None,
     driver: Driver = None,
-    against: Annotated[str | None, typer.Option(help="A subsystem: every seed also without it.")] = None,
+    against: Annotated[str | None, typer.Option(help="A subsystem: also run every seed without it.")] = None,
     operator: Terms = None,
 ) -> None:
-    """Play an experiment for many seeds. Exit 0 if every check of every seed holds."""
+    """Run an experiment for many seeds. Exit with 0 if every check of every seed holds, with 1 if not."""
     from sailrun.lab.sweep import sweep as play_all
 
     first, dots, last = seeds.partition("..")
     if not dots or not (first.isdigit() and last.isdigit()) or int(first) > int(last):
-        raise _complain(f"--seeds: '{seeds}' is no range such as 1..200")
+        raise _complain(f"--seeds: '{seeds}' is no range of seeds; expected FIRST..LAST, for example 1..200")
     if (day := _fault_day(name, off, nodes, seconds)) is not None:
         _sweep_faults(day, driver or "virtual", list(range(int(first), int(last) + 1)), out, workers)
     if driver not in (None, "virtual"):
@@ -362,7 +362,7 @@
         rebalance=_operators(operator),
     )
     if against is not None:
-        _request(name, [against])  # is it one?
+        _request(name, [against])  # validates the name
     try:
         with _progress(name) as told:
             result = play_all(request, range(int(first), int(last) + 1), workers, against, told)
--- a/sailrun/lab/clients.py
+++ b/sailrun/lab/clients.py
@@ -1,4 +1,4 @@
-"""Clients as the public pages describe them: what they want, and when they come again."""
+"""Clients as the public documentation describes them: which sessions they want and when they reconnect."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from sailrun.lab.chance import Stream
 from sailrun.lab.settings import SECOND, RequestClassSettings, WorldSettings
 
-# A client that is turned away again and again waits longer, up to this.
+# Upper bound of the wait of a client that fails repeatedly.
 LONGEST_WAIT_US = 4 * SECOND
 
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """One connection that somebody wants from `from_us` to `until_us`, whatever becomes of it meanwhile."""
+    """One connection that is wanted from `from_us` to `until_us`, across failures and moves."""
 
     number: int
     key: str
@@ -29,13 +29,13 @@
     failures: int = 0
     tries: int = 0
     returning: bool = False  # its connection broke or was moved
-    request: str = ""  # of its present connection, or try
+    request: str = ""  # of its current connection or attempt
     stands: bool = False
-    moved_us: int = -(1 << 62)  # when it was last moved for balance,
-    sent_off_us: int = -(1 << 62)  # and for whatever reason
+    moved_us: int = -(1 << 62)  # last move for balance
+    sent_off_us: int = -(1 << 62)  # last move for any reason
 
     def again_us(self, chance: Stream, rejoin_us: tuple[int, int], advice_us: int = 0) -> int:
-        """How long it stays away after a refusal, a failure or a break."""
+        """Returns the wait before the next connection after a rejection, a failure or a broken session."""
         if advice_us and self.follows_advice:
             return advice_us + int(advice_us * 0.1 * chance.random())
         wait_us = chance.whole(rejoin_us) << min(self.failures, 3)
@@ -43,7 +43,7 @@
 
 
 class Population:
-    """Draws groups of clients: those of a group share a key and come together."""
+    """Draws groups of clients. The clients of a group share its name and arrive together."""
 
     def __init__(self, terms: WorldSettings, seed: int) -> None:
         self._terms = terms
@@ -57,11 +57,11 @@
 
     @property
     def arrivals_per_s(self) -> float:
-        """New groups a second that keep as many standing as stated."""
+        """Returns the rate of new groups that keeps the configured number of households connected."""
         return self._terms.households / self._terms.life_s
 
     def new_group(self, now_us: int, spread_us: int) -> list[Client]:
-        """A new group's clients, the further ones up to `spread_us` later."""
+        """Draws the clients of a new group. All but the first arrive up to `spread_us` later."""
         self._homes += 1
         name = f"{(self._homes * 0x9E3779B97F4A7C15) & (1 << 64) - 1:016x}"
         zone = self._terms.zones[self._who.below(len(self._terms.zones))]
@@ -92,7 +92,7 @@
         )
 
     def swing(self, client: Client) -> float:
-        """Its load from now on."""
+        """Draws the client's load from now on."""
         client.load = self._loads.lognormal(client.mean_load, self._terms.swing_sigma)
         return client.load
 
--- a/sailrun/lab/experiments.py
+++ b/sailrun/lab/experiments.py
@@ -1,4 +1,4 @@
-"""The experiments: what a day looks like, what goes wrong in it, and what must come of it."""
+"""The experiments: the world, the faults and the bounds of each run."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 
 def _picked(day: World[Any], share: float, least: int = 1) -> list[FormServerModel]:
-    """Some form servers, by the seed."""
+    """Returns some form servers, drawn by the seed."""
     servers = list(day.servers.values())
     count = max(least, round(share * len(servers)))
     return [servers.pop(day.luck.below(len(servers))) for _ in range(min(count, len(servers) - 1))]
 
 
 def _outage(day: World[Any]) -> None:
-    """A fifth vanishes and comes back cold; all of it within half a minute."""
+    """A fifth of the form servers becomes unreachable and returns in slow start, all within 30 s."""
     for server in _picked(day, 0.2):
         day.time.after(5 * SECOND, day.vanish, server, day.luck.whole((11 * SECOND, 20 * SECOND)))
 
 
 def _everything(day: World[Any]) -> None:
-    """Each trouble once, at times and places by the seed: what the rules have to stand."""
+    """Each fault once, at times and places drawn by the seed. The rules have to hold under all of them."""
     luck = day.luck
     server, other, third = (_picked(day, 0.0)[0] for _ in range(3))
     day.time.after(luck.whole((2 * SECOND, 8 * SECOND)), day.vanish, server, 12 * SECOND)
@@ -61,7 +61,7 @@
 
 
 def _herd(day: World[Any]) -> None:
-    """Form servers are replaced one by one, and in the middle of it seven in ten nodes are killed at once."""
+    """Form servers are replaced one by one, and meanwhile seven in ten nodes are killed at once."""
     for n, server in enumerate(_picked(day, 0.5)):
         day.time.after(3 * SECOND + n * SECOND // 2, day.drain, server, SECOND)
     for slot in day.slots[: round(0.7 * len(day.slots))]:
@@ -69,7 +69,7 @@
 
 
 def _zone(day: World[Any]) -> None:
-    """A data centre is lost with its nodes and form servers, and returns cold."""
+    """A data centre is lost with its nodes and form servers, and returns in slow start."""
     lost = day.terms.zones[day.luck.below(len(day.terms.zones))]
     for server in day.servers.values():
         if server.zone == lost:
@@ -87,14 +87,14 @@
 
 
 def _steps(day: World[Any], servers: list[FormServerModel], from_us: int, within_us: int, steps: int) -> None:
-    """A release: these form servers are replaced by others, so many steps within so long."""
+    """A release: these form servers are replaced by others in the given number of steps and time."""
     each = -(-len(servers) // steps)
     for n, server in enumerate(servers):
         day.time.after(from_us + n // each * within_us // steps, day.replace_server, server)
 
 
 def _bad_ones(day: World[Any], failing: bool) -> None:
-    """One of eight form servers answers errors, or is slow."""
+    """One of eight form servers is slow or, if `failing`, answers with errors."""
     for n, server in enumerate(_picked(day, 0.125)):
         if failing and n % 2 == 0:
             server.errs = day.luck.between((0.3, 0.6))
@@ -103,7 +103,7 @@
 
 
 def _fleet_calm(day: World[Any]) -> None:
-    """No fault: a burst of half as much again."""
+    """No fault, but a burst of 1.5 times the usual arrivals."""
 
     def rush(times: float) -> None:
         day.rush = times
@@ -133,7 +133,9 @@
 
 
 def _fleet_zone(day: World[Any]) -> None:
-    """A data centre is lost for 5 s and returns cold; later another one is cut off; some servers are bad."""
+    """A data centre is lost for 5 s and returns in slow start. Later another one is cut off. One of eight
+    form servers is slow or answers with errors.
+    """
     _bad_ones(day, failing=True)
     staff, zones = cast("VirtualDay", day), day.terms.zones
     lost = day.luck.below(len(zones))
@@ -148,8 +150,8 @@
 
 
 def _fleet_split(day: World[Any]) -> None:
-    """For 6 s a data centre is cut off, lists come late and nodes do not hear one another; answers get lost
-    and connections are reset under requests.
+    """For 6 s a data centre is cut off and no datagram between nodes arrives. During the whole run endpoint
+    lists are late, answers are lost and connections are reset during requests.
     """
     staff, zones = cast("VirtualDay", day), day.terms.zones
     day.registry.late_us = 3 * SECOND
@@ -172,8 +174,9 @@
 
 
 def _in_service(day: World[Any]) -> None:
-    """Staff at work: two form servers out by hand, each restarted meanwhile; a node drained; processes
-    replaced, at times by the seed, so that they overlap; and a crowd that drops and comes back in between.
+    """Operators at work: two form servers are excluded and restarted meanwhile, a node is drained, and node
+    processes are replaced, at overlapping times drawn by the seed. In between 40% of the clients disconnect
+    and return.
     """
     luck, staff = day.luck, cast("VirtualDay", day)
     for server in _picked(day, 0.0, 2):
@@ -203,15 +206,15 @@
     about: str
     terms: dict[str, Any]
     script: Script = _nothing
-    driver: str = "virtual"  # unless another is asked for
-    drivers: tuple[str, ...] = ("virtual", "sockets")  # those that can play it
+    driver: str = "virtual"  # the default
+    drivers: tuple[str, ...] = ("virtual", "sockets")  # the drivers that can run it
     holders: Holders = _everybody
-    # Bounds on figures, by figure; those of a subsystem hold only while it is on.
+    # Upper bounds by figure. Those in `bounds_of` apply only while their subsystem is on.
     bounds: dict[str, float] = field(default_factory=dict)
     bounds_of: dict[str, dict[str, float]] = field(default_factory=dict)
 
     def world(self, **changes: Any) -> WorldSettings:
-        """Its terms; what was asked for comes before its own."""
+        """Returns the experiment's settings, overridden by the changes that are not None."""
         return replace(
             WorldSettings(), **{**self.terms, **{k: v for k, v in changes.items() if v is not None}}
         )
--- a/sailrun/lab/figures.py
+++ b/sailrun/lab/figures.py
@@ -1,4 +1,4 @@
-"""What a day comes to, in figures."""
+"""Computes the figures of a run from its records."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 
 from sailrun.lab.records import Records
 
-# Even means: the busiest warm form server holds at most this over the mean, for so many seconds on end.
+# The fleet is even if the busiest warm form server holds at most EVEN times the mean load for EVEN_FOR
+# consecutive seconds.
 EVEN, EVEN_FOR = 1.25, 5
-# Prices, in shares of the worth asked for (the account): each client moved once, one full message a request.
+# Prices as shares of the requested value: one move of every client, and one full message per request. A full
+# message has FULL_MESSAGE bytes.
 MOVE_PRICE, MESSAGE_PRICE, FULL_MESSAGE = 0.02, 0.01, 256
 
 
@@ -19,7 +21,7 @@
 
 
 def even_after(imbalances: Sequence[float], from_s: int) -> float:
-    """Seconds from `from_s` until the fleet is even; infinite if it never is."""
+    """Returns the seconds from `from_s` until the fleet is even, or infinity if it never is."""
     for second in range(from_s, len(imbalances)):
         run = imbalances[second : second + EVEN_FOR]
         if len(run) == EVEN_FOR and max(run) <= EVEN:
@@ -28,9 +30,9 @@
 
 
 def fewest_moves(loads: Sequence[Sequence[tuple[float, int]]]) -> int:
-    """The fewest connections whose moves could make a fleet even: from each form server over the bound, the
-    groups that relieve it of most for each connection. `loads`: for each server the groups it holds,
-    as (load with the group's cost, connections).
+    """Returns the smallest number of connections that must move to make a fleet even. Each form server above
+    the bound gives up the groups with the most load per connection first. `loads` lists the groups on each
+    server as (load with the group's cost, connections).
     """
     total = sum(load for server in loads for load, _ in server)
     moves = 0
@@ -70,7 +72,7 @@
         "imbalance_at_start": imbalances[0] if imbalances else 0.0,
         "imbalance_at_end": sum(imbalances[-5:]) / max(1, len(imbalances[-5:])),
         "even_after_s": even_after(imbalances, warm_s),
-        "moves": float(moves),  # whatever the reason
+        "moves": float(moves),  # for any reason
         "moves_for_balance": float(rebalanced),
         "fewest_moves": float(fewest),
         "moves_over_fewest": moves / fewest if fewest else math.inf if moves else 1.0,
--- a/sailrun/lab/form_servers.py
+++ b/sailrun/lab/form_servers.py
@@ -1,4 +1,4 @@
-"""A form server as the public pages describe it. It knows the time only as it is told."""
+"""A model of a form server as the public documentation describes it. Callers pass the current time."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from sailrun.lab.settings import SECOND, WorldSettings
 
-# What a message costs to answer: with the queue before it, this makes it late as a server nears its capacity.
+# Work in us to answer one message. With the queue before it, answers become late as the load nears capacity.
 MESSAGE_WORK_US = 4_000.0
-# However much stands there, so much of a server is left to set up and to work off what is piled up.
+# Share of the capacity that always remains for set-ups and for the backlog, whatever the load.
 LEAST_SHARE = 0.05
 
 
 class Phase(Enum):
     UP = "up"
-    UNRESPONSIVE = "silent"  # a machine that is cut off: no reset, no answer
+    UNRESPONSIVE = "silent"  # the machine is cut off: no reset, no answer
     DOWN = "down"  # no process: resets and refusals
-    FALLEN = "fallen"  # pushed over while cold; stays down
+    FALLEN = "fallen"  # overloaded during slow start; stays down
 
 
 @dataclass(slots=True, eq=False)
 class Held:
-    """One connection that it holds."""
+    """One connection on a form server."""
 
     request: str
     group: str
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, eq=False)
 class FormServerModel:
-    """Work is counted in us of one core; loads and capacities in us of work a second."""
+    """Work is in us of one core; loads and capacities are in us of work per second."""
 
     terms: WorldSettings
     number: int
@@ -43,26 +43,26 @@
     capacity: float
     initial_capacity_share: float
     slow_start_us: int
-    started_us: int = 0  # 0: long ago
+    started_us: int = 0  # 0: started long ago, no slow start
     phase: Phase = Phase.UP
     draining: bool = False
     held: dict[str, Held] = field(default_factory=dict)
     groups: dict[str, int] = field(default_factory=dict)
     load: float = 0.0
-    backlog: float = 0.0  # work piled up, in us
+    backlog: float = 0.0  # unfinished work in us
     at_us: int = 0
-    errs: float = 0.0  # share of its set-ups that it answers with an error
-    fallen: bool = False  # and this has been seen to
-    most_pressure: float = 0.0  # the most sent while cold, over what may be sent
-    _sent: deque[tuple[int, float]] = field(default_factory=deque)  # work by the time it came, while cold
+    errs: float = 0.0  # share of set-ups that are answered with an error
+    fallen: bool = False  # the world has already handled its fall
+    most_pressure: float = 0.0  # peak of the work received in slow start over the allowed work
+    _sent: deque[tuple[int, float]] = field(default_factory=deque)  # (time, work) received in slow start
 
-    # ------------------------------------------------------------------ looks
+    # ------------------------------------------------------------------ state
 
     def cold(self, now_us: int) -> bool:
         return self.started_us > 0 and now_us - self.started_us < self.slow_start_us
 
     def present(self, now_us: int) -> float:
-        """Its capacity now: it rises evenly while it warms up."""
+        """Returns the current capacity, which rises linearly during slow start."""
         if not self.cold(now_us):
             return self.capacity
         age = (now_us - self.started_us) / self.slow_start_us
@@ -74,13 +74,13 @@
         return self.terms.places * self.capacity / self.terms.unit
 
     def message_us(self, now_us: int) -> float:
-        """The mean time that a message takes here now."""
+        """Returns the current mean time to answer a message."""
         capacity = self.present(now_us)
         free = max(LEAST_SHARE, 1.0 - self.load / capacity)
         return self.backlog / capacity * SECOND + MESSAGE_WORK_US / free
 
     def answered_within(self, now_us: int, aim_us: int) -> float:
-        """The share of messages answered within an aim: none while the work piled up alone takes longer."""
+        """Returns the share of messages answered within a time; 0 while the backlog alone takes longer."""
         capacity = self.present(now_us)
         queue_us = self.backlog / capacity * SECOND
         if queue_us >= aim_us:
@@ -91,7 +91,7 @@
     # ------------------------------------------------------------------ time and work
 
     def advance(self, now_us: int) -> None:
-        """Lets time pass: work is piled up or worked off. It may fall over in this."""
+        """Advances the time: the backlog grows or shrinks, and the form server may fall over."""
         past_us = now_us - self.at_us
         if past_us <= 0:
             return
@@ -106,7 +106,9 @@
             self._sent.clear()
 
     def _press(self, now_us: int, work: float) -> None:
-        """Work sent while cold: over the multiple of its present capacity for the stated time, it falls."""
+        """Adds work received in slow start. The form server falls over when the work in the overload window
+        exceeds the overload multiple of its current capacity.
+        """
         window_us = self.terms.overload_window_us
         self._sent.append((now_us, work))
         while self._sent[0][0] <= now_us - window_us:
@@ -118,7 +120,7 @@
             self.phase = Phase.FALLEN
 
     def set_up_us(self, now_us: int, work_us: float) -> float | None:
-        """How long a new connection takes to stand, if it is taken; None: turned away."""
+        """Returns the set-up time of a new connection, or None if the connection is rejected."""
         self.advance(now_us)
         if self.cold(now_us):
             self._press(now_us, work_us)
@@ -151,14 +153,14 @@
         return one
 
     def reload(self, now_us: int, request: str, load: float) -> None:
-        """A connection's load changes."""
+        """Changes a connection's load."""
         self.advance(now_us)
         one = self.held[request]
         self.load += load - one.load
         one.load = load
 
     def shed(self) -> list[str]:
-        """The newest connections, which it drops while too much is piled up."""
+        """Returns the newest connections to drop while the backlog exceeds the buffer."""
         if self.backlog <= self.terms.buffer_us * self.capacity / SECOND:
             return []
         newest = list(self.held)[-max(1, len(self.held) // 20) :]
@@ -166,7 +168,7 @@
         return newest
 
     def stop(self, phase: Phase) -> list[str]:
-        """The process ends; returns the connections that it held."""
+        """Ends the process and returns the connections that it held."""
         lost = list(self.held)
         self.phase = phase
         self.held.clear()
@@ -175,7 +177,7 @@
         return lost
 
     def start(self, now_us: int) -> None:
-        """A new process, cold."""
+        """Starts a new process in slow start."""
         self.phase, self.draining = Phase.UP, False
         self.started_us = self.at_us = now_us
         self._sent.clear()
--- a/sailrun/lab/records.py
+++ b/sailrun/lab/records.py
@@ -1,4 +1,4 @@
-"""What a day leaves behind: columns of samples, events and requests, in Parquet files."""
+"""The records of a run: samples, events and requests as columns in Parquet files."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class Table:
-    """A table in the making, column by column."""
+    """A table under construction, stored by column."""
 
     name: str
     columns: dict[str, list[Any]] = field(default_factory=dict)
@@ -23,19 +23,19 @@
 
 
 class Records:
-    """Times are us since the day began."""
+    """The tables of a run. Times are in us since the run began."""
 
     def __init__(self) -> None:
-        self.servers = Table("servers")  # a row for each form server and second
-        self.seconds = Table("seconds")  # a row for each second
-        self.events = Table("events")  # what happened to the world, and what nodes logged
-        self.requests = Table("requests")  # a row for each answer
+        self.servers = Table("servers")  # one row per form server and second
+        self.seconds = Table("seconds")  # one row per second
+        self.events = Table("events")  # events in the world and log events of nodes
+        self.requests = Table("requests")  # one row per answer
 
     def tables(self) -> tuple[Table, ...]:
         return self.servers, self.seconds, self.events, self.requests
 
     def write(self, folder: Path) -> None:
-        """One file a table. The same rows give the same bytes."""
+        """Writes one file per table. The same rows give the same bytes."""
         import pyarrow as pa
         import pyarrow.parquet as pq
 
@@ -45,7 +45,7 @@
 
 
 def read_table(folder: Path, name: str) -> dict[str, list[Any]]:
-    """A table's columns. Raises OSError or ValueError for a file that is none."""
+    """Returns a table's columns. Raises OSError or ValueError if the file is not a readable table."""
     import pyarrow.parquet as pq
 
     columns: dict[str, list[Any]] = pq.read_table(folder / f"{name}.parquet").to_pydict()
--- a/sailrun/lab/report.py
+++ b/sailrun/lab/report.py
@@ -1,4 +1,4 @@
-"""report.html: one file with everything in it, to be opened anywhere."""
+"""Writes report.html, a self-contained page."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 from sailrun.lab.run import Summary, read_summary
 from sailrun.lab.settings import SECOND
 
-# Of a large fleet only so many lines are drawn, those that differ most; of the events so many are told.
+# Maximum number of lines in a load plot (of a large fleet the highest and the lowest peaks are drawn), and of
+# events listed.
 MOST_LINES, MOST_EVENTS = 60, 400
 BEFORE, AFTER = "#c0504d", "#1f5fa8"
 
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Run:
-    """One run as it was written down."""
+    """The records of one run, as read from its folder."""
 
     summary: Summary
     servers: Columns
@@ -45,7 +46,7 @@
 
 
 def write_report(folder: Path, before: Path | None = None) -> None:
-    """Raises OSError where records are missing or the folder cannot be written."""
+    """Writes the report. Raises OSError if records are missing or the folder cannot be written."""
     after = _Run.read(folder)
     earlier = _Run.read(before) if before is not None else None
     environment = jinja2.Environment(loader=jinja2.PackageLoader("sailrun.lab"), autoescape=True)
@@ -180,7 +181,7 @@
 
 
 def _svg(figure: Any) -> str:
-    """The picture as text for the page; the same figure gives the same text."""
+    """Returns the plot as SVG text for the page. The same figure gives the same text."""
     text = io.StringIO()
     with matplotlib.rc_context({"svg.hashsalt": "sailrun", "svg.fonttype": "none"}):
         figure.tight_layout()
--- a/sailrun/lab/run.py
+++ b/sailrun/lab/run.py
@@ -1,4 +1,4 @@
-"""Plays an experiment and writes down what came of it."""
+"""Runs an experiment and writes its records and summary."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from sailrun.rebalance.settings import RebalanceSettings
 
 SUBSYSTEMS = ("rebalance", "fleet", "decisions")
-# Without the nodes' own decisions a policy stands in their place that sees the true state this much late.
+# Delay with which the reference policy sees the true state when it replaces the nodes' decisions.
 SEEING_US = 2_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What was asked for; None: as the experiment has it."""
+    """The options of a run. None means the experiment's own value."""
 
     experiment: str
     driver: str = "virtual"
@@ -40,11 +40,11 @@
     utilization: float | None = None
     datagrams_lost: float | None = None
     off: frozenset[str] = frozenset()
-    rebalance: RebalanceSettings | None = None  # the operator's own terms
+    rebalance: RebalanceSettings | None = None  # from the operator's settings file
 
 
 class Outcome(msgspec.Struct):
-    """One rule or bound, as `summary.json` has it."""
+    """The result of one rule or bound in `summary.json`."""
 
     name: str
     value: float | None  # None: no finite value
@@ -62,7 +62,7 @@
     off: list[str]
     figures: dict[str, float | None]
     checks: list[Outcome]
-    cost: dict[str, float] = {}  # of this machine: not the same every time
+    cost: dict[str, float] = {}  # measured on this machine: varies between runs
 
     @property
     def holds(self) -> bool:
@@ -120,7 +120,7 @@
         seconds=request.seconds,
         utilization=request.utilization,
         datagrams_lost=request.datagrams_lost,
-        # Without talk a node has only its own sessions to go by; the rebalancer's datagrams are its own.
+        # Without peer messages a node decides by its own sessions only. The rebalancer has its own datagrams.
         peer_messages=False if "fleet" in request.off else None,
         seeing_us=SEEING_US if "decisions" in request.off else None,
     )
@@ -170,7 +170,7 @@
 
 
 def write(folder: Path, summary: Summary, records: Records) -> None:
-    """Raises OSError where the folder cannot be written."""
+    """Writes the records and the summary. Raises OSError if the folder cannot be written."""
     folder.mkdir(parents=True, exist_ok=True)
     records.write(folder)
     text = msgspec.json.format(msgspec.json.encode(summary), indent=1)
@@ -178,5 +178,5 @@
 
 
 def read_summary(folder: Path) -> Summary:
-    """Raises OSError, or msgspec.ValidationError for a file that is no summary."""
+    """Reads a summary. Raises OSError if it cannot be read, or msgspec.DecodeError if it is malformed."""
     return msgspec.json.decode((folder / "summary.json").read_bytes(), type=Summary)
--- a/sailrun/lab/scheduler.py
+++ b/sailrun/lab/scheduler.py
@@ -1,4 +1,4 @@
-"""Virtual time: what is to happen, in the order of its time; at one time, in the order it was asked for."""
+"""Virtual time: runs callbacks in the order of their times, and those of one time in scheduling order."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from sailrun.node.clock import Clock
 
-# Any whole second will do; not 0, which a registry takes for "long ago".
+# Start of virtual time: any whole second except 0, which the registry interprets as "long ago".
 BEGIN_US = 1_000_000_000
 
 
 class Scheduler:
     def __init__(self) -> None:
         self.now_us = BEGIN_US
-        self.done = 0  # events so far
+        self.done = 0  # events run so far
         self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
@@ -35,7 +35,7 @@
 
 
 class VirtualClock(Clock):
-    """The node's clock, as the scheduler keeps it."""
+    """A node clock that reads the scheduler's virtual time."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
--- a/sailrun/lab/seeing.py
+++ b/sailrun/lab/seeing.py
@@ -1,8 +1,7 @@
-"""What a policy could do that sees the true state of every form server, only late: the nodes' measure.
+"""A reference policy that sees the true state of every form server with a delay.
 
-It stands in a node's place, behind the same calls. It knows nothing of itself: all it decides by is what
-the world was like some time ago. No real node has that; what share of its service the real ones reach says
-what is left to win.
+It replaces a node behind the same calls and decides only by the state of the world some time ago. No real
+node has this information. The share of its service that real nodes reach shows how much improvement is left.
 """
 
 from __future__ import annotations
@@ -22,15 +21,15 @@
 from sailrun.lab.settings import SECOND
 from sailrun.node.session import FormServer, FormSession, Placement
 
-# How often the world is looked at, and what is filled up to: over it a form server takes nobody new.
+# Sampling interval of the world in us, and the share of its capacity up to which a form server is filled.
 LOOK_US, FULL = SECOND // 4, 0.92
 MOST_ATTEMPTS = 5
-# Sessions of a form server that drains, or of a node that leaves, go within so long.
+# Sessions of a draining form server or a leaving node are moved within this time.
 LEAVE_US = 3 * SECOND // 2
 
 
 class Day(Protocol):
-    """What is looked at of a day in virtual time, `virtual.py`, which begins such nodes."""
+    """The part of a virtual run (`virtual.py`) that the reference policy reads."""
 
     @property
     def time(self) -> Scheduler: ...
@@ -45,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """One form server, as it was when it was looked at. Loads and capacities in us of work a second."""
+    """One form server at sampling time. Loads and capacities are in us of work per second."""
 
-    free: float  # of its present capacity, less a margin
+    free: float  # unused current capacity, less a margin
     takes: bool
 
 
 class Eyes:
-    """The true state, kept until it is old enough to be seen. One for the whole world."""
+    """Samples of the true state, published after the delay. One instance serves the whole world."""
 
     def __init__(self, day: Day, late_us: int) -> None:
         self._day, self._late_us = day, late_us
@@ -76,12 +75,12 @@
 
 
 class SeeingNode:
-    """In a node's place. It takes the calls of the core that the world makes, and only those."""
+    """Replaces a node. It implements only those calls of the core that the world makes."""
 
     def __init__(self, day: Day, eyes: Eyes, index: int) -> None:
         self._day, self._eyes = day, eyes
         self._chance = Stream(day.seed, f"seeing-{index}-{day.time.now_us}")
-        self._open: dict[str, tuple[FormSession, set[int]]] = {}  # asking, and where it was tried
+        self._open: dict[str, tuple[FormSession, set[int]]] = {}  # unanswered, with servers tried
         self._standing: dict[str, FormSession] = {}
         self._moves: list[tuple[int, int, FormSession]] = []
         self._order = count()
@@ -126,7 +125,7 @@
             self._try(session.id)
 
     def _try(self, name: str) -> None:
-        """One of the form servers that have room, each by how much it has; else any that runs."""
+        """Draws one of the form servers with free capacity, weighted by it, or else any that runs."""
         session, tried = self._open[name]
         open_to = {n: s for n, s in self._eyes.seen.items() if s.takes and n not in tried}
         if not open_to or session.attempts >= MOST_ATTEMPTS:
@@ -179,7 +178,7 @@
                 self._plan(session, now_us + SECOND // 2)
 
     def line_forwarded(self, session: FormSession) -> None:
-        """It sees a silent form server late, like everything else."""
+        """Does nothing: the policy detects an unresponsive form server only through the delayed view."""
 
     def bytes_received(self, session: FormSession) -> None:
         pass
--- a/sailrun/lab/settings.py
+++ b/sailrun/lab/settings.py
@@ -1,4 +1,4 @@
-"""The figures of a world. Ranges and defaults are those of the account of the deployment."""
+"""The settings of a world. Ranges and defaults are those of the documented deployment."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSettings:
-    """One class of connections. Times in us; load and life relative to the usual ones."""
+    """One class of connections. Times are in us; load and life are relative to the usual values."""
 
     name: str
     share: float  # of new connections
     objective_us: int  # wanted set-up time
-    deadline_us: int  # given up after
-    message_us: int  # a message wanted within
-    priority_weight: float  # a second
+    deadline_us: int  # the client gives up after this time
+    message_us: int  # wanted answer time of a message
+    priority_weight: float  # per second
     load: tuple[float, float]
     life: tuple[float, float]
     setup_us: float  # mean work to set one up
@@ -35,26 +35,26 @@
 
 @dataclass(frozen=True)
 class WorldSettings:
-    """One world. Durations in us unless a name says otherwise."""
+    """The settings of one world. Durations are in us unless the name states another unit."""
 
     form_servers: int = 14
     nodes: int = 4
-    households: int = 800  # standing at any time, each with one connection or a few
+    households: int = 800  # households connected at any time, each with one or a few connections
     seconds: float = 60.0
-    utilization: float = 0.35  # of the warm fleet, by what stands
+    utilization: float = 0.35  # load of the established connections over the capacity of the warm fleet
     classes: tuple[RequestClassSettings, ...] = CLASSES
     zones: tuple[str, ...] = ZONES
-    members: tuple[float, ...] = (0.55, 0.25, 0.12, 0.08)  # chances of 1, 2, ... connections a household
+    members: tuple[float, ...] = (0.55, 0.25, 0.12, 0.08)  # chances of 1, 2, ... connections per household
     life_s: float = 120.0
     # Form servers.
     cores: float = 2.0
     speed: tuple[float, float] = (0.85, 1.1)
     initial_capacity_share: tuple[float, float] = (0.13, 0.36)
     slow_start_us: tuple[int, int] = (12 * SECOND, 24 * SECOND)
-    places: float = 2.8  # connections that one holds at most, over what fills it
+    places: float = 2.8  # most connections of one form server, over the number that fills its capacity
     handshake_us: tuple[float, float] = (2_700, 6_000)
-    household_cost: float = 1.5  # mean connection loads, once for each household held
-    buffer_us: int = 1_500_000  # piled-up work beyond which the newest connections are dropped
+    household_cost: float = 1.5  # in mean connection loads, added once per household on a form server
+    buffer_us: int = 1_500_000  # backlog beyond which the newest connections are dropped
     overload_multiple: float = 3.0
     overload_window_us: int = 3 * SECOND
     drain_grace_us: int = 2 * SECOND
@@ -64,7 +64,7 @@
     swing_us: int = 10 * SECOND
     rejoin_us: tuple[int, int] = (50_000, 640_000)
     honour: float = 0.6  # share of the clients that follow advice
-    # The network, one way.
+    # One-way delays and losses of the network.
     near_us: tuple[int, int] = (60, 170)
     far_us: tuple[int, int] = (1_000, 1_900)
     client_us: tuple[int, int] = (370, 1_100)
@@ -74,12 +74,13 @@
     notice_us: tuple[int, int] = (1_700_000, 4_500_000)
     silent_notice_us: tuple[int, int] = (5_200_000, 12_000_000)
     call_us: tuple[int, int] = (28_000, 86_000)
-    # New watches that it takes a second, in turn, also those it has given up after so long; 0: all there are.
+    # Number of new watches that the registry starts per second, one after another (0: no limit), and the time
+    # after which a waiting call fails.
     roster_per_s: float = 0.0
     roster_patience_us: int = 2_000_000
-    # The policy in place of the nodes' own sees the true state, so late; negative: the nodes decide.
+    # Delay with which the reference policy sees the true state. Negative: the nodes decide themselves.
     seeing_us: int = -1
-    # What the nodes are told.
+    # Settings that are passed to the nodes.
     tick_us: int = 5_000
     max_attempts: int = 5
     connect_timeout_us: int = 120_000
@@ -88,18 +89,18 @@
 
     @cached_property
     def connections(self) -> float:
-        """Connections that stand at any time, on average."""
+        """Returns the mean number of established connections."""
         return self.households * sum(c * (n + 1) for n, c in enumerate(self.members))
 
     @cached_property
     def unit(self) -> float:
-        """A mean connection's load, in us of work a second: what stands comes to the stated utilization."""
+        """Returns a mean connection's load in us of work per second, derived from the utilization."""
         fleet = self.form_servers * self.cores * sum(self.speed) / 2 * SECOND
         groups = self.household_cost * self.households / self.connections
         return self.utilization * fleet / (self.connections * (1.0 + groups))
 
     def settings(self, index: int) -> dict[str, Any]:
-        """What a node is told, with the platform's names."""
+        """Returns the settings of a node under the platform's names."""
         return {
             "az": self.zones[index % len(self.zones)],
             "siblings": self.nodes,
--- a/sailrun/lab/sockets.py
+++ b/sailrun/lab/sockets.py
@@ -1,6 +1,5 @@
-"""The world on sockets: real `sailrun` processes on loopback, with the world's form servers, registry,
-network between nodes, and clients around them. The same scripts and rules as in virtual time; the clock is
-real.
+"""The world on sockets: real `sailrun` processes on loopback, surrounded by the world's form servers,
+registry, inter-node network and clients. It uses the scripts and rules of virtual time with a real clock.
 """
 
 from __future__ import annotations
@@ -35,11 +34,11 @@
 from sailrun.node.session import FormServer
 from sailrun.rebalance.settings import RebalanceSettings
 
-# A client says something so often; so long a line may be.
+# Interval between a client's lines, and the maximum length of a line in bytes.
 LINE_S, LONGEST_LINE = 2.0, 4096
-# A node is ready, or has ended, within this.
+# Time limits for a node to become ready and to exit.
 READY_S, ENDED_S = 20.0, 6.0
-# Clients of before the day come this many a second; they all stand before it begins.
+# Rate at which clients from before the run reconnect. They should all be established before the run begins.
 RESUMES_A_SECOND = 200
 KEPT_LOGS = ("rebalance", "silent", "decision", "fault", "leaving", "roster-failed", "out-of-descriptors")
 
@@ -47,7 +46,7 @@
 
 
 class RealTime:
-    """The same calls as the scheduler's, on the event loop's clock."""
+    """The scheduler's interface on the event loop's clock."""
 
     def __init__(self, group: TaskGroup) -> None:
         self._group = group
@@ -69,7 +68,7 @@
 
 
 class Line:
-    """A connection read line by line."""
+    """A connection that is read and written line by line."""
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
@@ -81,7 +80,7 @@
             await self.stream.send(text.encode() + b"\r\n")
 
     async def hear(self) -> str | None:
-        """The next line; None once the other side has ended or broken off."""
+        """Returns the next line, or None if the connection has ended or broken, or the line is too long."""
         try:
             return (await self._in.receive_until(b"\n", LONGEST_LINE)).decode("ascii", "replace").rstrip("\r")
         except (*_BROKEN, anyio.IncompleteRead, anyio.DelimiterNotFound):
@@ -108,7 +107,7 @@
 
 
 class SocketRegistry(RegistryModel):
-    """Watches wait here for news."""
+    """A registry whose watches wait for an event that is set on every change."""
 
     def __init__(self, world: World[Any]) -> None:
         super().__init__(world)
@@ -145,7 +144,7 @@
 
 
 class SocketDay(World[SocketSlot]):
-    """One day on sockets. Form servers, registry and clients live in this process, each node in its own."""
+    """One run on sockets. Form servers, registry and clients are in this process, each node in its own."""
 
     registry: SocketRegistry
 
@@ -163,9 +162,9 @@
         self.slots = [SocketSlot(n, terms.zones[n % len(terms.zones)]) for n in range(terms.nodes)]
         self._addresses: dict[int, tuple[str, int]] = {}
         self._doors: dict[int, socket.socket] = {}
-        self._held_by: dict[str, tuple[Line, Client]] = {}  # by request, at the form servers
-        self._clients: dict[str, tuple[Client, Line, SocketSlot]] = {}  # by request, those that stand
-        self._ended_by_us: set[str] = set()  # requests that the world itself breaks off
+        self._held_by: dict[str, tuple[Line, Client]] = {}  # by request: connections at the form servers
+        self._clients: dict[str, tuple[Client, Line, SocketSlot]] = {}  # by request: established sessions
+        self._ended_by_us: set[str] = set()  # requests whose connection the world itself closes
         self._asking: dict[str, Client] = {}  # by request, until its connection has ended
         self._requests = self._resumed = 0
         self._lags_ms: list[float] = []
@@ -173,7 +172,7 @@
         self._over = False
 
     async def run(self) -> list[Check]:
-        """Plays the day; returns the rules and whether they held."""
+        """Runs the world and returns the checks with their results."""
         with tempfile.TemporaryDirectory(prefix="sailrun-lab-") as folder:
             async with anyio.create_task_group() as group:
                 self._group = group
@@ -193,13 +192,13 @@
         return self.checks()
 
     def checks(self) -> list[Check]:
-        """Sockets do not show why a client was moved: what is asked of moves for balance stays out."""
+        """Returns the checks without those on moves for balance: sockets do not show the reason of a move."""
         unseen = (self.rules.twice, self.rules.onto_cold)
         self._kept_up.value = round(quantile(self._lags_ms, 0.99), 1)
         return [*(check for check in super().checks() if check not in unseen), self._kept_up]
 
     async def _watch_itself(self) -> None:
-        """How late this process is with what it has to do: where it is, the day says nothing of the nodes."""
+        """Measures how late this process runs. If it runs late, the results say nothing about the nodes."""
         while True:
             due = anyio.current_time() + 0.1
             await anyio.sleep_until(due)
@@ -216,7 +215,7 @@
         while self._resumed < self.clients and anyio.current_time() < deadline:
             await anyio.sleep(0.05)
         if self._resumed < self.clients:
-            self.faults.broken(0, f"{self.clients - self._resumed} connections of before never stood")
+            self.faults.broken(0, f"{self.clients - self._resumed} initial connections were not established")
         self.begin_us = self.time.now_us
         self.rules.begin(self.begin_us)
         self.begin(self._script)
@@ -227,7 +226,7 @@
             self._progress((self.time.now_us - self.begin_us) / (end_us - self.begin_us))
         self.rules.end(self.time.now_us)
 
-    # ------------------------------------------------------------------ what surrounds the nodes
+    # ------------------------------------------------------------------ environment of the nodes
 
     async def _lay_out(self, folder: Path) -> None:
         self.build()
@@ -249,7 +248,7 @@
         return address
 
     async def _listen(self, door: socket.socket, serve: Callable[..., Any], *facts: Any) -> None:
-        """Accepts until the day is over."""
+        """Accepts connections until the run ends."""
 
         async def one(sock: socket.socket) -> None:
             with contextlib.suppress(*_BROKEN):
@@ -268,9 +267,7 @@
                 self._group.start_soon(one, sock)
 
     async def _connect_neighbours(self) -> None:
-        """A node reaches each other one at an address kept for the two of them: here datagrams are delayed,
-        or lost, and counted.
-        """
+        """Gives each pair of nodes an address of its own, where datagrams are counted, delayed or lost."""
         count = len(self.slots)
         between = [[_datagrams() for _ in range(count)] for _ in range(count)]
         for slot in self.slots:
@@ -305,7 +302,7 @@
                     self.time.after(delay_us, _send_datagram, back, content, slot.peer_listen)
 
     async def _answer_registry(self, line: Line, slot: SocketSlot) -> None:
-        """HTTP/1.1: the whole list, and a watch on changes, for one node."""
+        """Serves one node over HTTP/1.1: the full endpoint list, and a watch on changes."""
         connection = h11.Connection(h11.SERVER)
         while True:
             event = connection.next_event()
@@ -350,7 +347,7 @@
     # ------------------------------------------------------------------ form servers
 
     async def _serve(self, line: Line, server: FormServerModel) -> None:
-        """One connection to a form server."""
+        """Serves one connection to a form server."""
         if server.phase in (Phase.DOWN, Phase.FALLEN):
             await line.end(abruptly=True)
             return
@@ -382,7 +379,7 @@
                 self.rules.attempt_ended(request)
                 await line.say("BUSY")
                 return
-            # Whoever gives up meanwhile ends the connection: it is then no attempt any more.
+            # A node that gives up meanwhile closes the connection, which ends the attempt.
             if not await self._still_there(line, took_us / SECOND):
                 self.rules.attempt_ended(request)
                 return
@@ -405,7 +402,7 @@
             group.cancel_scope.cancel()
 
     async def _still_there(self, line: Line, seconds: float) -> bool:
-        """Waits; False if the node has ended the connection by then."""
+        """Waits, and returns False if the node closes the connection meanwhile."""
         ended = False
         with anyio.move_on_after(seconds):
             ended = await line.hear() is None
@@ -423,7 +420,7 @@
                     server.reload(self.time.now_us, request, load)
 
     async def _hushed(self, server: FormServerModel) -> None:
-        """A machine that is cut off says nothing."""
+        """Waits while the form server's machine is cut off."""
         while server.phase is Phase.UNRESPONSIVE:
             await anyio.sleep(0.05)
 
@@ -475,7 +472,7 @@
         self._group.start_soon(self._visits, client, request, at)
 
     async def _visits(self, client: Client, request: str, at: FormServerModel | None) -> None:
-        """One connection of a client's, from its request to its end."""
+        """Runs one connection of a client from its request to its end."""
         slot = self.front(client)
         line: Line | None = None
         try:
@@ -484,7 +481,7 @@
                 await self._ask(line, slot, client, request, at)
                 return
         except _BROKEN:
-            pass  # the node is not there (any more)
+            pass  # the node is not running or has closed the connection
         finally:
             self._asking.pop(request, None)
             self._ended_by_us.discard(request)
@@ -553,7 +550,7 @@
                     client.failures += 1
                     self._come_again(client, client.again_us(self.chance, self.terms.rejoin_us))
                 return
-            group.cancel_scope.cancel()  # it has what it wanted
+            group.cancel_scope.cancel()  # the session reached its intended end
 
     async def _speak(self, line: Line) -> None:
         with contextlib.suppress(*_BROKEN):
@@ -624,11 +621,11 @@
                 slot.admitted = await line.hear() == "PONG"
                 await line.end()
             if process is not None and process.poll() is not None:
-                raise OSError(f"node {slot.index} ended at once with exit code {process.returncode}")
+                raise OSError(f"node {slot.index} exited with code {process.returncode} before it was ready")
             await anyio.sleep(0.05)
 
     async def _read_log(self, slot: SocketSlot, process: subprocess.Popen[bytes]) -> None:
-        """A node's log, until it ends; then it is started again."""
+        """Reads a node's log until the process ends, and then starts the node again."""
         assert process.stderr is not None
         async for text in _lines_of(process.stderr.fileno()):
             _, what, *rest = [*text.split(" ", 2), "", ""][:3]
@@ -665,7 +662,7 @@
         slot.admitted = False
 
     def _forgive(self, slot: SocketSlot) -> None:
-        """What breaks with a killed node is not cut off by it."""
+        """Exempts the sessions of a killed node from the rule against cut-off sessions."""
         slot.admitted = False
         self._ended_by_us.update(r for r, (_, _, at) in self._clients.items() if at is slot)
         self.rules.node_gone(slot.index)
@@ -701,7 +698,7 @@
 
 
 async def _lines_of(descriptor: int) -> AsyncIterator[str]:
-    """Lines of a pipe until it ends, without a thread."""
+    """Yields the lines of a pipe until it ends, without a thread."""
     os.set_blocking(descriptor, False)
     held = b""
     while True:
--- a/sailrun/lab/sweep.py
+++ b/sailrun/lab/sweep.py
@@ -1,4 +1,4 @@
-"""One experiment for many seeds, over processes."""
+"""Runs one experiment for many seeds in parallel processes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
             f"seed {s.seed}{' without ' + self.against if n and self.against else ''}: {c.name} is "
             f"{'none' if c.value is None else format(c.value, '.4g')}, limit {c.limit:g}"
             + (f" ({c.faults[0]})" if c.faults else " (it had no occasion)" if c.occasions == 0 else "")
-            # What sees the true state is a measure, and held to nothing.
+            # The reference policy, which sees the true state, does not have to pass the checks.
             for n, summaries in enumerate(
                 (self.summaries, [] if self.against == "decisions" else self.without)
             )
@@ -38,7 +38,7 @@
         return msgspec.json.format(msgspec.json.encode(self), indent=1) + b"\n"
 
     def lines(self) -> Iterator[str]:
-        """The spread of each figure, the comparison, and what was broken."""
+        """Yields the spread of each figure, the comparison and the broken checks."""
         yield f"{'figure':36} {'least':>12} {'median':>12} {'most':>12} {'none':>5}"
         for figure in self.summaries[0].figures if self.summaries else ():
             yield _row(figure, self.summaries)
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -1,7 +1,7 @@
-"""The world in virtual time: real cores, decision modules and rebalancers, many nodes in one process.
+"""The world in virtual time: real cores, decision modules and rebalancers, with many nodes in one process.
 
-Everything that happens is an event of the scheduler, and every chance comes from the seed: the same seed
-gives the same records, byte for byte, and a seed that fails can be played again.
+Everything happens in callbacks of the scheduler, and all randomness comes from the seed. The same seed gives
+the same records byte for byte, so a failing seed can be run again.
 """
 
 from __future__ import annotations
@@ -29,16 +29,17 @@
 from sailrun.rebalance.balance import Elsewhere, Orders, Rebalancer
 from sailrun.rebalance.settings import RebalanceSettings
 
+# Bounds of the delay until a restarted node receives clients again.
 ADMITTED_US = (300_000, 900_000)
-# A client's lines come every so often; at slow form servers the nodes' own are timed, one a second.
+# Interval between a client's lines. On slow form servers each node times one line per second instead.
 LINE_US = 2 * SECOND
-# What a session from before the day may take to stand.
+# Deadline for establishing a session from before the run.
 RESUME_US = 40 * SECOND
 KEPT_LOGS = ("rebalance", "silent", "decision", "fault", "leaving")
 
 
 class WatchedRebalancer(Rebalancer):
-    """The node's own, which tells whom it moves."""
+    """The node's rebalancer, which also records the sessions that it moves."""
 
     moved: dict[str, int]
 
@@ -50,18 +51,18 @@
 
 
 class Visit:
-    """A client's connection to a node: the front, in place of sockets. It is the core's `SessionClient`."""
+    """A client's connection to a node. It replaces the socket front as the core's `SessionClient`."""
 
     def __init__(self, day: VirtualDay, slot: VirtualSlot, client: Client, session: FormSession) -> None:
         self.day, self.slot, self.client, self.session = day, slot, client, session
         session.client = self
         self.asked_us = day.time.now_us
         self.placement: Placement | None = None
-        self.server: FormServerModel | None = None  # that holds it
-        self.turn = 0  # the number of its attempt, to tell late events of earlier ones
-        self.over = self.cut = False  # cut: it stands, but nothing passes
+        self.server: FormServerModel | None = None  # the form server of the established session
+        self.turn = 0  # number of the current attempt; late events of earlier attempts are ignored
+        self.over = self.cut = False  # cut: established, but no data passes
 
-    # ------------------------------------------------------------------ orders of the core
+    # ------------------------------------------------------------------ SessionClient
 
     def start_attempt(self, placement: Placement) -> None:
         day = self.day
@@ -128,7 +129,7 @@
     # ------------------------------------------------------------------ an attempt
 
     def _reach(self, turn: int, server: FormServerModel, sent_us: int, net_us: int) -> None:
-        """The first line arrives."""
+        """Handles the arrival of the request line at the form server."""
         day = self.day
         if turn != self.turn or not day.reaches(self.slot, server):
             return
@@ -194,7 +195,7 @@
         if self.server is server and server.phase is Phase.UP:
             self.end(AttemptOutcome.OK)
         elif self.server is server:
-            self.end(AttemptOutcome.CANCELLED)  # the client leaves; its form server says nothing any more
+            self.end(AttemptOutcome.CANCELLED)  # the client leaves a form server that no longer answers
 
     def _swing(self, server: FormServerModel) -> None:
         if self.server is not server or server.phase is not Phase.UP or self.slot.node is None:
@@ -204,10 +205,10 @@
         self.slot.node.report_load(self.session, load)
         self.day.time.after(self.day.people.next_swing_us(), self._swing, server)
 
-    # ------------------------------------------------------------------ its end
+    # ------------------------------------------------------------------ end of the session
 
     def end(self, outcome: AttemptOutcome) -> None:
-        """A standing session ends; its node hears how."""
+        """Ends an established session and reports the outcome to its node."""
         if self.server is None:
             return
         if not self.cut:
@@ -224,7 +225,7 @@
             self.slot.node.client_left(self.session)
 
     def speak(self) -> None:
-        """The client sends a line that nobody answers."""
+        """Sends a client's line that remains unanswered."""
         if self.server is None or self.slot.node is None or self.day.reaches(self.slot, self.server):
             return
         self.slot.node.line_forwarded(self.session)
@@ -247,16 +248,16 @@
         super().__init__(index, zone)
         self.node: Node | None = None
         self.visits: dict[str, Visit] = {}
-        self.moved: dict[str, int] = {}  # connections that its rebalancer has moved
+        self.moved: dict[str, int] = {}  # sessions that its rebalancer has moved
         self.turn_us: int | None = None
         self.token = 0
         self.registry_revision = 0
         self.watching = False
-        self.successor: VirtualSlot | None = None  # of a process that is being replaced: the node's own place
+        self.successor: VirtualSlot | None = None  # of a process being replaced: the node's slot
 
 
 class NodeDiscovery:
-    """The core's `ServiceDiscovery`, for one slot."""
+    """The core's `ServiceDiscovery` for one slot."""
 
     def __init__(self, day: VirtualDay, slot: VirtualSlot) -> None:
         self._day, self._slot = day, slot
@@ -274,10 +275,12 @@
     def __init__(self, day: VirtualDay) -> None:
         super().__init__(day)
         self._day = day
-        self._free_us = 0  # when it has done with those that wait in turn
+        self._free_us = 0  # when the last queued call will have been answered
 
     def ask(self, slot: VirtualSlot) -> None:
-        """A call out of turn: those for a watch that stands cost the registry nothing more."""
+        """Handles a call that starts a watch or fetches the list. Only these calls use the registry's limited
+        rate; calls of an established watch do not.
+        """
         time, terms = self._day.time, self._day.terms
         self.calls[int(self._day.second)] += 1
         if not terms.roster_per_s:
@@ -324,7 +327,7 @@
 
 
 class Datagrams:
-    """The core's `PeerTransport`, for one slot: late, or never."""
+    """The core's `PeerTransport` for one slot. It delays datagrams or loses them."""
 
     def __init__(self, day: VirtualDay, slot: VirtualSlot) -> None:
         self._day, self._slot = day, slot
@@ -347,7 +350,7 @@
 
 
 class VirtualDay(World[VirtualSlot]):
-    """One day. `script` is called once everything stands, and schedules what goes wrong."""
+    """One virtual run. `script` schedules the faults, once the initial sessions are established."""
 
     registry: VirtualRegistry
 
@@ -365,18 +368,18 @@
         self.time: Scheduler = Scheduler()
         self.registry = VirtualRegistry(self)
         self.slots = [VirtualSlot(n, terms.zones[n % len(terms.zones)]) for n in range(terms.nodes)]
-        self.predecessors: list[VirtualSlot] = []  # processes that run beside their successors
-        self.visits: dict[str, Visit] = {}  # by request: all that are asking or standing
-        self.moving: dict[int, int] = {}  # clients on their way after a move for balance
+        self.predecessors: list[VirtualSlot] = []  # old processes that run beside their successors
+        self.visits: dict[str, Visit] = {}  # by request: unanswered and established
+        self.moving: dict[int, int] = {}  # clients moved for balance and not yet back: time of the move
         self._settings: dict[int, Settings] = {}
         self._requests = 0
-        self.off_zones: frozenset[str] = frozenset()  # cut off from the others
+        self.off_zones: frozenset[str] = frozenset()  # zones that are cut off from the other zones
         self._eyes: Eyes | None = None
-        self.deaf = False  # nodes do not hear one another
+        self.deaf = False  # no datagram between nodes arrives
         self.answers_lost = self.attempts_reset = 0.0
 
     def run(self) -> list[Check]:
-        """Plays the day; returns the rules and whether they held."""
+        """Runs the world and returns the checks with their results."""
         self.build()
         for slot in self.slots:
             self._start(slot)
@@ -412,7 +415,7 @@
         if self.terms.seeing_us >= 0:
             if self._eyes is None:
                 self._eyes = Eyes(self, self.terms.seeing_us)
-            # In the node's place, by the calls that this world makes of one.
+            # The reference policy implements the calls that this world makes to a node.
             self._run_node(slot, cast("Node", SeeingNode(self, self._eyes, slot.index)), passed)
             return
         seed = self.seed * 1_000_003 + slot.index * 101 + self.time.now_us
@@ -477,7 +480,7 @@
             id=f"r{self._requests}",
             request_class=client.terms.name,
             deadline_us=deadline_us,
-            client=None,  # type: ignore[arg-type]  # the visit takes this place at once
+            client=None,  # type: ignore[arg-type]  # set by the Visit below
             key=client.key,
             group=client.group,
             is_retry=client.failures > 0,
@@ -508,10 +511,10 @@
             returning=visit.client.returning,
         )
 
-    # ------------------------------------------------------------------ what goes wrong
+    # ------------------------------------------------------------------ faults
 
     def lose(self, server: FormServerModel, phase: Phase) -> None:
-        """The process ends: everything it held breaks."""
+        """Ends the form server's process and breaks all its sessions."""
         for request in server.stop(phase):
             visit = self.visits.get(request)
             if visit is not None:
@@ -536,7 +539,7 @@
             self._break(self.visits[request], AttemptOutcome.RESET)
 
     def drop(self, share: float, within_us: int) -> None:
-        """A share of the clients drop and come again together."""
+        """Disconnects a share of the clients, which reconnect within the given time."""
         self.note("drop", text=f"share={share}")
         for visit in list(self.visits.values()):
             if visit.server is not None and self.luck.random() < share:
@@ -544,14 +547,14 @@
                 self.come_again(visit.client, self.luck.below(within_us))
 
     def kill(self, slot: VirtualSlot) -> None:
-        """A node is killed outright, and starts again from nothing."""
+        """Kills a node without warning. It starts again without state."""
         self.note("kill", node=slot.index)
         slot.node = None
         self.rules.node_gone(slot.index)
         self.gone(slot)
 
     def terminate(self, slot: VirtualSlot) -> None:
-        """A planned restart: newcomers for up to 0.4 s more."""
+        """Restarts a node as planned. It still receives new clients for up to 0.4 s."""
         self.note("terminate", node=slot.index)
         if slot.node is not None:
             slot.node.begin_shutdown()
@@ -562,7 +565,7 @@
             slot.admitted = False
 
     def by_hand(self, server: FormServerModel, out: bool) -> None:
-        """Staff take a form server out at every node, or call it back."""
+        """Excludes a form server by operator override at every node, or puts it back."""
         self.note("by-hand", server=server.name, text="out" if out else "back")
         for slot in self.slots:
             if slot.node is not None:
@@ -570,7 +573,9 @@
                 self.rules.told_by_hand(self.time.now_us, slot.index, server.name, out)
 
     def drain_node(self, slot: VirtualSlot, on: bool) -> None:
-        """Staff drain a node: newcomers for 0.2 s more, nobody left after 4 s. Or call it back."""
+        """Drains a node by operator command, or ends the drain. A draining node receives new clients for
+        0.2 s and must have no established session left after 4 s.
+        """
         self.note("drain-node", node=slot.index, text="on" if on else "off")
         if slot.node is not None:
             slot.node.set_draining(on, lambda done: None)
@@ -580,7 +585,7 @@
                 self.time.after(4 * SECOND, self._look_drained, slot)
 
     def _heed_drain(self, slot: VirtualSlot) -> None:
-        """The front asks whichever process answers by now."""
+        """Admits clients if the node's current process accepts them."""
         slot.admitted = slot.node is not None and slot.node.is_accepting
 
     def _look_drained(self, slot: VirtualSlot) -> None:
@@ -590,7 +595,7 @@
                     self.rules.cut_off(self.time.now_us, visit.session.id, visit.server.name)
 
     def replace(self, slot: VirtualSlot) -> None:
-        """A second process starts beside the node's, and takes its place; SIGTERM comes within 6 s."""
+        """Starts a second process that takes over from the node's process, which gets SIGTERM within 6 s."""
         if slot.node is None or slot.successor is not None:
             return
         self.note("replace", node=slot.index)
@@ -615,13 +620,13 @@
         old.discovery, old.peer_transport = NodeDiscovery(self, before), Datagrams(self, before)
         old.wake = lambda: self._arm(before, self.time.now_us + self.terms.tick_us)
         self._start(slot, state)
-        old.set_successor(lambda transfer: None)  # sessions go by `transfer`
+        old.set_successor(lambda transfer: None)  # `transfer` hands the sessions over
         self._arm(before, self.time.now_us + self.terms.tick_us)
         self.time.after(self.luck.below(6 * SECOND), old.begin_shutdown)
         self._tell_held(before)
 
     def transfer(self, visit: Visit) -> None:
-        """A standing session goes to the successor as it is."""
+        """Hands an established session over to the successor unchanged."""
         before, slot, session = visit.slot, visit.slot.successor, visit.session
         if slot is None or slot.node is None or before.node is None or visit.placement is None:
             return
@@ -656,7 +661,7 @@
                 self.rules.cut_off(self.time.now_us, visit.session.id, visit.server.name)
 
     def gone(self, slot: VirtualSlot) -> None:
-        """The node's process has ended, with whatever still came through it."""
+        """Handles the end of a node's process and of all connections through it."""
         if slot.successor is not None:
             self._predecessor_gone(slot)
             return
@@ -669,7 +674,7 @@
             if visit.server is not None:
                 visit.end(AttemptOutcome.CANCELLED)
             else:
-                visit.turn += 1  # whatever is still to come of its attempt finds nobody
+                visit.turn += 1  # later events of its attempt are ignored
                 self.visits.pop(visit.session.id, None)
             self.come_again(visit.client, visit.client.again_us(self.chance, self.terms.rejoin_us))
         slot.visits.clear()
@@ -684,7 +689,7 @@
         slot.admitted = slot.node is not None
 
     def slow(self, server: FormServerModel) -> None:
-        """One line of each node's to a slow form server, and its answer."""
+        """Sends one line from each node to a slow form server, and answers it."""
         seen: dict[int, None] = {}
         took_us = int(server.message_us(self.time.now_us))
         for request in server.held:
@@ -710,7 +715,7 @@
         return server.phase is not Phase.UNRESPONSIVE and self.together(slot.zone, server.zone)
 
     def cut(self, zones: frozenset[str], deaf: bool = False) -> None:
-        """From now on nothing passes between these zones and the others, until another cut, or none."""
+        """Cuts these zones off from the others until the next call. An empty set ends the cut."""
         self.note("cut", text=",".join(sorted(zones)) or "over")
         self.off_zones, self.deaf = zones, deaf
         for visit in list(self.visits.values()):
@@ -727,7 +732,7 @@
         self.answers_lost, self.attempts_reset = answers_lost, attempts_reset
 
     def move_registry(self) -> None:
-        """SIGHUP with the registry at another address: every watch ends, and has to begin anew."""
+        """Simulates SIGHUP with a new registry address: every watch ends and has to be started again."""
         self.note("roster-moved")
         self.registry.fail()
         self.registry.reachable = True
--- a/sailrun/lab/world.py
+++ b/sailrun/lab/world.py
@@ -1,4 +1,4 @@
-"""What both drivers share of a world: its form servers, its population, its registry and its records."""
+"""The part of a world that both drivers share: form servers, client population, registry and records."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
 from sailrun.node.session import FormServer
 
 MASK = 0xFFFFFFFF
-# A group's further connections come within so long of its first.
+# The other connections of a group start within this time after the first one.
 MEMBERS_US = 5 * SECOND
-# A draining form server that still holds anybody sends them away after this, and ends.
+# A draining form server disconnects its remaining clients after this time and exits.
 DRAINED_US = 8 * SECOND
-# A client is moved, and back at the front, within so long.
+# Bounds of the delay between the move of a client and its next connection to a node.
 GAP_US = (20_000, 200_000)
-# A node that ended is started again after this.
+# Delay before a node that ended is started again.
 RESTART_US = SECOND
+# From this mean message time on, a form server counts as slow.
 SLOW_US = 10_000
-# Moved again so soon, a client has gained nothing by the first time.
+# A client that is moved again within this time gained nothing from the first move.
 AGAIN_US = 10 * SECOND
 
 
 class Time(Protocol):
-    """Virtual or real; in us."""
+    """Schedules callbacks in virtual or real time. All times are in us."""
 
     @property
     def now_us(self) -> int: ...
@@ -42,18 +43,18 @@
 
 
 class Slot:
-    """A node's place: its name and address outlive the process."""
+    """A position in the fleet. Its name and address outlive the node process that runs in it."""
 
     def __init__(self, index: int, zone: str) -> None:
         self.index, self.zone = index, zone
-        self.admitted = False  # whether clients are sent there
+        self.admitted = False  # whether clients are routed to this node
 
 
 S = TypeVar("S", bound=Slot)
 
 
 class RegistryModel:
-    """What the registry knows: late, stale or out of reach. Handing it out is the driver's."""
+    """The registry's view, which can be late, stale or unreachable. The driver delivers it to the nodes."""
 
     def __init__(self, world: World[Any]) -> None:
         self._world = world
@@ -63,11 +64,11 @@
         self._changes: list[tuple[int, FormServer]] = []
         self.reachable = True
         self.late_us = 0
-        self.calls: Counter[int] = Counter()  # for a new watch, by second
-        self.given_up = 0  # those that waited too long
+        self.calls: Counter[int] = Counter()  # calls that start a new watch, by second
+        self.given_up = 0  # calls that waited too long
 
     def change(self, server: FormServerModel, state: BackendState, notice: tuple[int, int]) -> None:
-        """Something happened to a server, now; the registry will know of it later."""
+        """Schedules the registry's delayed update about a server whose state changes now."""
         entry = self.entry(server, state)
         self._world.time.after(self.chance.whole(notice) + self.late_us, self._publish, entry)
 
@@ -83,7 +84,7 @@
             self.published()
 
     def since(self, revision: int) -> list[FormServer]:
-        """What has changed after a revision, each server once."""
+        """Returns the newest entry of each server that changed after a revision."""
         changed: dict[str, FormServer] = {}
         for changed_at, entry in reversed(self._changes):
             if changed_at <= revision:
@@ -92,7 +93,7 @@
         return list(changed.values())
 
     def told(self, node: int, entries: Sequence[FormServer]) -> None:
-        """A node has been told this: from now on the rules hold it to that."""
+        """Records that a node received these entries. The rules apply to the node from now on."""
         for entry in entries:
             if entry.state is BackendState.READY:
                 self._world.rules.told_serving(node, entry.name)
@@ -100,15 +101,15 @@
                 self._world.rules.told_leaving(self._world.time.now_us, node, entry.name)
 
     def published(self) -> None:
-        """There is news for those that watch."""
+        """Notifies the watches that the list has changed."""
 
     def fail(self) -> None:
-        """It can't be reached until `reachable` is set again; watches end."""
+        """Makes the registry unreachable until `reachable` is set again, and ends all watches."""
         self.reachable = False
 
 
 class World(ABC, Generic[S]):
-    """A world at a seed. The driver has the time, the nodes and the clients' connections."""
+    """A world for one seed. The driver provides the time, the nodes and the clients' connections."""
 
     time: Time
     registry: RegistryModel
@@ -127,19 +128,19 @@
         self.luck = Stream(seed, "troubles")
         self.people = Population(terms, seed)
         self._draws = Stream(seed, "form-servers")
-        self.rush = 1.0  # newcomers, over the usual
+        self.rush = 1.0  # factor on the usual rate of new groups
         self.rules = RuleBook(begin_us, terms.drain_grace_us)
         self.faults = Check("no-fault-in-a-node")
         self.records = Records()
         self.servers: dict[int, FormServerModel] = {}
         self.slots: list[S] = []
         self.moves = self.datagrams = self.datagram_bytes = self.clients = self.fewest = 0
-        self.moved = Counter[str]()  # by what for
-        self.moved_again = 0  # within AGAIN_US of the time before
-        self.warm_s = 0  # when the last form server is warm again
+        self.moved = Counter[str]()  # by move reason
+        self.moved_again = 0  # moves within AGAIN_US of the client's previous move
+        self.warm_s = 0  # second at which the last form server has finished its slow start
         self._wanting = [0] * len(terms.classes)
         self._index = {c.name: n for n, c in enumerate(terms.classes)}
-        self._held: dict[int, list[int]] = {}  # standing connections by form server and class
+        self._held: dict[int, list[int]] = {}  # established sessions by form server and class
 
     @property
     def second(self) -> float:
@@ -180,7 +181,9 @@
         return server
 
     def populate(self) -> None:
-        """Those who stand when the day begins, each where its score would have it, none filled far over."""
+        """Creates the sessions that exist when the run begins. Each goes to the form server with the highest
+        score for its group, unless that server is more than 10% above its share of the load.
+        """
         holders = list(self._holders(list(self.servers.values())))
         hashes = [backend_hash(s.number) for s in holders]
         total = sum(s.capacity for s in holders)
@@ -202,7 +205,7 @@
                 self.resume(client, server)
 
     def begin(self, script: Callable[[World[Any]], None]) -> None:
-        """Everything stands: now the day runs its course."""
+        """Starts the script, the samples and the arrivals once the initial sessions are established."""
         cost = self.terms.household_cost * self.terms.unit
         held = [
             [(sum(one.load for one in members) + cost, len(members)) for members in _groups_at(s).values()]
@@ -223,48 +226,48 @@
         self.want(client)
         self.knock(client)
 
-    # ------------------------------------------------------------------ what the driver does
+    # ------------------------------------------------------------------ implemented by the driver
 
     @abstractmethod
     def resume(self, client: Client, server: FormServerModel) -> None:
-        """A connection from before the day, that a node takes over."""
+        """Opens a session that a node takes over from before the run."""
 
     @abstractmethod
     def knock(self, client: Client) -> None:
-        """A client comes to the front."""
+        """Connects a client to one of the nodes."""
 
     @abstractmethod
     def lose(self, server: FormServerModel, phase: Phase) -> None:
-        """The process ends: everything it held breaks."""
+        """Ends the form server's process and breaks all its sessions."""
 
     @abstractmethod
     def send_away(self, server: FormServerModel) -> None:
-        """It has drained: whoever is still there is sent away."""
+        """Disconnects the clients that remain when the form server has finished draining."""
 
     @abstractmethod
     def shed(self, server: FormServerModel, requests: Sequence[str]) -> None:
-        """It drops these connections."""
+        """Breaks these sessions of an overloaded form server."""
 
     @abstractmethod
     def drop(self, share: float, within_us: int) -> None:
-        """A share of the clients drop and come again together."""
+        """Disconnects a share of the clients, which reconnect within the given time."""
 
     @abstractmethod
     def kill(self, slot: S) -> None:
-        """A node is killed outright, and starts again from nothing."""
+        """Kills a node without warning. It starts again without state."""
 
     @abstractmethod
     def terminate(self, slot: S) -> None:
-        """A planned restart: newcomers for up to 0.4 s more."""
+        """Restarts a node as planned. It still receives new clients for up to 0.4 s."""
 
     def fallen_silent(self, server: FormServerModel) -> None:
-        """Its machine is cut off."""
+        """Handles a form server whose machine is cut off."""
 
     def slow(self, server: FormServerModel) -> None:
-        """Messages there take long, in this second."""
+        """Handles a form server whose messages are slow in this second."""
 
     def moves_off(self, client: Client, cause: str) -> None:
-        """Its node sends it away."""
+        """Counts a move of the client by its node."""
         now_us = self.time.now_us
         self.moved[cause] += 1
         self.moved_again += now_us - client.sent_off_us < AGAIN_US
@@ -283,7 +286,7 @@
         slots = near or [s for s in self.slots if s.admitted]
         return slots[self.chance.below(len(slots))] if slots else None
 
-    # ------------------------------------------------------------------ what goes wrong
+    # ------------------------------------------------------------------ faults
 
     def crash(self, server: FormServerModel, back_after_us: int) -> None:
         self.note("crash", server=server.name)
@@ -292,7 +295,7 @@
         self.time.after(back_after_us, self._return, server)
 
     def vanish(self, server: FormServerModel, back_after_us: int) -> None:
-        """The machine is cut off: no reset, no answer, until it returns as a new process."""
+        """Cuts the machine off: it sends no reset and no answer until it returns as a new process."""
         self.note("vanish", server=server.name)
         server.advance(self.time.now_us)
         server.phase = Phase.UNRESPONSIVE
@@ -324,7 +327,9 @@
             self.time.after(back_after_us, self._return, server)
 
     def replace_server(self, server: FormServerModel) -> None:
-        """A release: another machine starts in its place, cold and under a new id, and it drains for good."""
+        """Replaces a form server in a release: another one starts in slow start under a new id, and this one
+        drains and does not return.
+        """
         other = self._new_server(server.zone)
         other.start(self.time.now_us)
         self.warm_s = max(self.warm_s, int(self.second + other.slow_start_us / SECOND) + 1)
@@ -336,7 +341,7 @@
         self.time.after(DRAINED_US, self._drained, server, None)
 
     def look_after(self, server: FormServerModel) -> None:
-        """What a form server does by itself: it falls over, or drops its newest connections."""
+        """Applies the effects of overload: the form server falls over, or drops its newest connections."""
         if server.phase is Phase.FALLEN and not server.fallen:
             server.fallen = True
             self.rules.fell(self.time.now_us, server.name)
@@ -346,13 +351,13 @@
         elif server.phase is Phase.UP and (newest := server.shed()):
             self.shed(server, newest)
 
-    # ------------------------------------------------------------------ a second
+    # ------------------------------------------------------------------ samples
 
     def count(self, client: Client, server: FormServerModel, change: int) -> None:
         self._held[server.number][self._index[client.terms.name]] += change
 
     def _sample(self) -> None:
-        """What the second that begins now looks like."""
+        """Records the state of the world for the second that begins now."""
         now_us, terms = self.time.now_us, self.terms
         at_us = now_us - self.begin_us
         served = 0.0
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: it says the same every time, and its rules catch what they are there for."""
+"""The laboratory: runs are reproducible, and its rules detect the violations that they exist for."""
 
 from __future__ import annotations
 
@@ -75,11 +75,11 @@
     assert off.figures["even_after_s"] is None
 
 
-# ---------------------------------------------------------------------- rules that are broken are told of
+# ---------------------------------------------------------------------- detection of violations
 
 
 def test_a_node_that_breaks_rules_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The world watches: a core that answers nobody, or sends to what drains, does not pass."""
+    """A core that never answers a request breaks the rule of one final answer."""
     monkeypatch.setattr(SessionManager, "on_request", lambda self, session: None)
     summary, _ = play(Request("calm", seconds=8.0, households=60))
     held = {check.name: check.holds for check in summary.checks}
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -1,4 +1,4 @@
-"""The laboratory's days of the whole fleet, small: what goes wrong in them goes wrong, and the rules hold."""
+"""Small runs of the laboratory's whole-fleet experiments: the scheduled faults happen and the rules hold."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     if name == "roll":
         assert (figures["moves_leaving"] or 0) > 0 and (figures["moves_drains"] or 0) > 0
     if name == "split":
-        assert (figures["moves_silent"] or 0) > 0  # what is cut off is moved
+        assert (figures["moves_silent"] or 0) > 0  # sessions on cut-off form servers are moved
 
 
 def test_a_policy_that_sees_the_true_state_late_is_the_measure_of_the_nodes() -> None:
