--- a/sailrun/lab/chance.py
+++ b/sailrun/lab/chance.py
@@ -27,7 +27,7 @@
     def between(self, bounds: tuple[float, float]) -> float:
         return bounds[0] + (bounds[1] - bounds[0]) * self.random()
 
-    def whole(self, bounds: tuple[int, int]) -> int:
+    def integer(self, bounds: tuple[int, int]) -> int:
         """Returns a uniform integer between the bounds, both included."""
         return bounds[0] + int((bounds[1] - bounds[0] + 1) * self.random())
 
@@ -42,11 +42,11 @@
             self._normal = self._generator.standard_normal(_BLOCK).tolist()
         return mean * math.exp(sigma * self._normal.pop() - sigma * sigma / 2)
 
-    def pick(self, chances: tuple[float, ...]) -> int:
+    def pick(self, probabilities: tuple[float, ...]) -> int:
         """Returns an index drawn by the given probabilities, which must add up to 1."""
-        at = self.random()
-        for n, chance in enumerate(chances):
-            at -= chance
-            if at < 0:
+        remaining = self.random()
+        for n, probability in enumerate(probabilities):
+            remaining -= probability
+            if remaining < 0:
                 return n
-        return len(chances) - 1
+        return len(probabilities) - 1
--- a/sailrun/lab/checks.py
+++ b/sailrun/lab/checks.py
@@ -9,9 +9,9 @@
 # Tolerance added to every time limit, as the protocol's rules allow on sockets.
 SLACK_US = 50_000
 # Number of faults that a check describes; further ones are only counted.
-TOLD = 20
+MAX_DESCRIBED_FAULTS = 20
 # A client may be moved for balance only once in this time.
-REST_US = 60 * SECOND
+MIN_REBALANCE_INTERVAL_US = 60 * SECOND
 
 
 @dataclass(slots=True, eq=False)
@@ -30,10 +30,10 @@
     def holds(self) -> bool:
         return self.value <= self.limit and self.occasions != 0
 
-    def broken(self, at_us: int, what: str) -> None:
+    def broken(self, at_us: int, description: str) -> None:
         self.value += 1
-        if len(self.faults) < TOLD:
-            self.faults.append(f"{at_us / SECOND:.3f} s: {what}")
+        if len(self.faults) < MAX_DESCRIBED_FAULTS:
+            self.faults.append(f"{at_us / SECOND:.3f} s: {description}")
 
 
 @dataclass(slots=True)
@@ -50,8 +50,10 @@
         self._begin_us, self._grace_us = begin_us, drain_grace_us
         self._open: dict[str, _Request] = {}
         self._dropped: set[str] = set()  # requests that no client waits for
-        self._told_us: dict[tuple[int, str], int] = {}  # when a node received that a server drains or is gone
-        self._by_hand_us: dict[tuple[int, str], int] = {}  # when an operator excluded a server at a node
+        self._notified_us: dict[
+            tuple[int, str], int
+        ] = {}  # when a node received that a server drains or is gone
+        self._overridden_us: dict[tuple[int, str], int] = {}  # when an operator excluded a server at a node
         self.answer = Check("one-final-answer")
         self.late = Check("answered-in-time")
         self.attempt = Check("one-attempt-outstanding")
@@ -75,95 +77,101 @@
 
     # ------------------------------------------------------------------ requests
 
-    def asked(self, now_us: int, request: str, node: int, deadline_us: int) -> None:
+    def request_opened(self, now_us: int, request: str, node: int, deadline_us: int) -> None:
         self._open[request] = _Request(node, deadline_us)
 
     def answered(self, now_us: int, request: str, answer: str) -> None:
-        known = self._open.pop(request, None)
-        if known is None:
+        open_request = self._open.pop(request, None)
+        if open_request is None:
             self.answer.broken(now_us - self._begin_us, f"{request} got another answer: {answer}")
-        elif now_us > known.deadline_us + SLACK_US:
-            late_ms = (now_us - known.deadline_us) // 1000
+        elif now_us > open_request.deadline_us + SLACK_US:
+            late_ms = (now_us - open_request.deadline_us) // 1000
             self.late.broken(now_us - self._begin_us, f"{request}: {answer} {late_ms} ms late")
 
     def begin(self, begin_us: int) -> None:
         """Sets the time that fault times are relative to."""
         self._begin_us = begin_us
 
-    def cut_off_asking(self, now_us: int, request: str, node_runs: bool) -> None:
+    def request_cut_off(self, now_us: int, request: str, node_runs: bool) -> None:
         """Records that the connection ended or the client timed out before an answer."""
-        known = self._open.pop(request, None)
+        open_request = self._open.pop(request, None)
         self._dropped.add(request)
-        if known is not None and node_runs:
+        if open_request is not None and node_runs:
             self.answer.broken(now_us - self._begin_us, f"{request} got no answer")
 
-    def given_up(self, request: str) -> None:
+    def request_abandoned(self, request: str) -> None:
         """Records that the client left before its answer."""
         self._open.pop(request, None)
         self._dropped.add(request)
 
     def attempt_began(self, now_us: int, request: str, server: str) -> None:
-        known = self._open.get(request)
+        open_request = self._open.get(request)
         if request in self._dropped:
             return  # its client or node went away while this attempt was in flight
-        if known is None:
+        if open_request is None:
             self.attempt.broken(now_us - self._begin_us, f"{request} sent to {server} after its answer")
             return
-        if known.server:
+        if open_request.server:
             self.attempt.broken(
-                now_us - self._begin_us, f"{request} sent to {server}, still out at {known.server}"
+                now_us - self._begin_us, f"{request} sent to {server}, still out at {open_request.server}"
             )
-        known.server = server
-        key = known.node, server
-        told_us = min((d[key] for d in (self._told_us, self._by_hand_us) if key in d), default=None)
-        if told_us is not None and now_us > told_us + self._grace_us + SLACK_US:
-            late_ms = (now_us - told_us) // 1000
+        open_request.server = server
+        key = open_request.node, server
+        notified_us = min(
+            (d[key] for d in (self._notified_us, self._overridden_us) if key in d), default=None
+        )
+        if notified_us is not None and now_us > notified_us + self._grace_us + SLACK_US:
+            late_ms = (now_us - notified_us) // 1000
             self.drain.broken(
                 now_us - self._begin_us,
-                f"{request} sent to {server} {late_ms} ms after node {known.node} was told",
+                f"{request} sent to {server} {late_ms} ms after node {open_request.node} was told",
             )
 
     def attempt_ended(self, request: str) -> None:
-        known = self._open.get(request)
-        if known is not None:
-            known.server = ""
+        open_request = self._open.get(request)
+        if open_request is not None:
+            open_request.server = ""
 
     def node_starts(self, node: int) -> None:
         """Forgets what the previous process of the node had received, since a new process starts."""
-        self._told_us = {key: at for key, at in self._told_us.items() if key[0] != node}
+        self._notified_us = {key: at for key, at in self._notified_us.items() if key[0] != node}
 
     def node_gone(self, node: int) -> None:
         """Drops the open requests of a killed node, which their clients have to repeat."""
-        self._dropped.update(name for name, known in self._open.items() if known.node == node)
-        self._open = {name: known for name, known in self._open.items() if known.node != node}
+        self._dropped.update(name for name, open_request in self._open.items() if open_request.node == node)
+        self._open = {
+            name: open_request for name, open_request in self._open.items() if open_request.node != node
+        }
 
     def end(self, now_us: int) -> None:
-        for request, known in self._open.items():
-            if now_us > known.deadline_us + SLACK_US:
-                self.answer.broken(now_us - self._begin_us, f"{request} at node {known.node} got no answer")
+        for request, open_request in self._open.items():
+            if now_us > open_request.deadline_us + SLACK_US:
+                self.answer.broken(
+                    now_us - self._begin_us, f"{request} at node {open_request.node} got no answer"
+                )
 
     # ------------------------------------------------------------------ form servers and moves
 
-    def told_leaving(self, now_us: int, node: int, server: str) -> None:
-        self._told_us.setdefault((node, server), now_us)
+    def notified_leaving(self, now_us: int, node: int, server: str) -> None:
+        self._notified_us.setdefault((node, server), now_us)
 
-    def told_serving(self, node: int, server: str) -> None:
-        self._told_us.pop((node, server), None)
+    def notified_serving(self, node: int, server: str) -> None:
+        self._notified_us.pop((node, server), None)
 
-    def told_by_hand(self, now_us: int, node: int, server: str, out: bool) -> None:
+    def operator_override_set(self, now_us: int, node: int, server: str, out: bool) -> None:
         if out:
-            self._by_hand_us.setdefault((node, server), now_us)
+            self._overridden_us.setdefault((node, server), now_us)
         else:
-            self._by_hand_us.pop((node, server), None)
+            self._overridden_us.pop((node, server), None)
 
-    def fell(self, now_us: int, server: str) -> None:
+    def server_fell_over(self, now_us: int, server: str) -> None:
         self.cold.broken(now_us - self._begin_us, f"{server} was pushed over")
 
     def cut_off(self, now_us: int, request: str, server: str) -> None:
         self.lost.broken(now_us - self._begin_us, f"{request} cut off without MOVE, {server} still answers")
 
     def rebalanced(self, now_us: int, client: int, last_us: int) -> None:
-        if now_us - last_us < REST_US:
+        if now_us - last_us < MIN_REBALANCE_INTERVAL_US:
             ago_s = (now_us - last_us) / SECOND
             self.twice.broken(now_us - self._begin_us, f"client {client} moved again after {ago_s:.1f} s")
 
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -23,7 +23,7 @@
 SCALE_RANGES = {"nodes": (0, 1_000), "hollow": (0, 100_000), "seconds": (1, 3_600), "shards": (0, 1_000_000)}
 
 
-def _complain(error: object) -> typer.Exit:
+def _usage_error(error: object) -> typer.Exit:
     print(f"sailrun: {error}", file=sys.stderr)
     return typer.Exit(2)
 
@@ -33,10 +33,10 @@
     from sailrun.lab.run import SUBSYSTEMS, Request
 
     if experiment not in EXPERIMENTS:
-        raise _complain(f"NAME: '{experiment}' is none of {', '.join(EXPERIMENTS)}")
+        raise _usage_error(f"NAME: '{experiment}' is none of {', '.join(EXPERIMENTS)}")
     for name in off or ():
         if name not in SUBSYSTEMS:
-            raise _complain(f"--off: '{name}' is none of {', '.join(SUBSYSTEMS)}")
+            raise _usage_error(f"--off: '{name}' is none of {', '.join(SUBSYSTEMS)}")
     ranges: dict[str, tuple[float, float]] = {
         "form_servers": (2, 10_000),
         "nodes": (1, 1_000),
@@ -46,9 +46,9 @@
     for option, (least, most) in ranges.items():
         value = asked.get(option)
         if value is not None and not least <= value <= most:
-            raise _complain(f"--{option.replace('_', '-')}: {value} is not from {least} to {most}")
+            raise _usage_error(f"--{option.replace('_', '-')}: {value} is not from {least} to {most}")
     if asked.get("utilization") == 0:
-        raise _complain("--utilization: 0 means no clients; expected a value above 0 and up to 1")
+        raise _usage_error("--utilization: 0 means no clients; expected a value above 0 and up to 1")
     asked["driver"] = asked.get("driver") or EXPERIMENTS[experiment].driver
     return Request(experiment, off=frozenset(off or ()), **asked)
 
@@ -59,9 +59,11 @@
     from sailrun.lab.experiments import EXPERIMENTS
 
     for experiment in EXPERIMENTS.values():
-        terms = experiment.world()
-        size = f"{terms.form_servers} form servers, {terms.nodes} nodes, {terms.households} households"
-        print(f"{experiment.name:20} {experiment.about} ({size}, {terms.seconds:g} s)")
+        settings = experiment.world()
+        size = (
+            f"{settings.form_servers} form servers, {settings.nodes} nodes, {settings.households} households"
+        )
+        print(f"{experiment.name:20} {experiment.about} ({size}, {settings.seconds:g} s)")
     from sailrun.lab.faults.days import about
 
     for line in about():
@@ -77,21 +79,21 @@
 
     for option, value, known in (("driver", driver, DRIVERS), ("faults", faults, FAULTS)):
         if value is not None and value not in known:
-            raise _complain(f"--{option}: '{value}' is none of {', '.join(known)}")
+            raise _usage_error(f"--{option}: '{value}' is none of {', '.join(known)}")
     for option, (least, most) in SCALE_RANGES.items():
         value = sizes[option]
         if value is not None and not least <= value <= most:
-            raise _complain(f"--{option}: {value:g} is not from {least} to {most}")
+            raise _usage_error(f"--{option}: {value:g} is not from {least} to {most}")
     asked = {"driver": driver, "faults": faults, **sizes}
     plan = ScalePlan(**{option: value for option, value in asked.items() if value is not None})
     try:
-        with _progress(SCALE) as told:
-            summary, records = play_scale(plan, told)
+        with _progress(SCALE) as report_progress:
+            summary, records = play_scale(plan, report_progress)
         write(out, summary, records)
     except DoesNotFit as error:
-        raise _complain(f"{SCALE}: {error}") from None
+        raise _usage_error(f"{SCALE}: {error}") from None
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     _show_scale(summary)
     print(f"records: {out / 'history.parquet'}, {out / 'uses.parquet'}")
     raise typer.Exit(0 if summary.holds else 1)
@@ -109,11 +111,11 @@
     least, usual = (FEWEST_NODES, SHARD_PLANS[name].nodes) if name in SHARD_PLANS else (3, NODES)
     for rule in off or ():
         if rule not in RULES:
-            raise _complain(f"--off: '{rule}' is none of {', '.join(RULES)}")
+            raise _usage_error(f"--off: '{rule}' is none of {', '.join(RULES)}")
     if nodes is not None and not least <= nodes <= 1_000:
-        raise _complain(f"--nodes: {nodes} is not from {least} to 1000")
+        raise _usage_error(f"--nodes: {nodes} is not from {least} to 1000")
     if seconds is not None and not 20 <= seconds <= 3_600:
-        raise _complain(f"--seconds: {seconds:g} is not from 20 to 3600")
+        raise _usage_error(f"--seconds: {seconds:g} is not from 20 to 3600")
     return FaultDay(name, 1, nodes or usual, seconds, frozenset(off or ()))
 
 
@@ -121,11 +123,13 @@
     from sailrun.lab.faults.rig import MOST_NODES
 
     if driver not in DRIVERS:
-        raise _complain(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
+        raise _usage_error(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
     if driver == "sockets" and day.nodes > MOST_NODES:
-        raise _complain(f"--nodes: {day.nodes} is more than {MOST_NODES}, the limit for real processes")
+        raise _usage_error(f"--nodes: {day.nodes} is more than {MOST_NODES}, the limit for real processes")
     if driver == "sockets" and day.off:
-        raise _complain("--off: rules can be switched off only with --driver virtual, not in real processes")
+        raise _usage_error(
+            "--off: rules can be switched off only with --driver virtual, not in real processes"
+        )
 
 
 def _run_faults(day: FaultDay, driver: str, out: Path) -> None:
@@ -134,11 +138,11 @@
 
     _check_driver(day, driver)
     try:
-        with _progress(day.plan) as told:
-            summary, history = play_day(day, driver, told)
+        with _progress(day.plan) as report_progress:
+            summary, history = play_day(day, driver, report_progress)
         write(out, summary, history)
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     _show(summary)
     print(f"records: {out / 'history.parquet'}")
     raise typer.Exit(0 if summary.holds else 1)
@@ -150,14 +154,14 @@
     from sailrun.lab.faults.days import occasions, sweep_days
 
     _check_driver(day, driver)
-    with _progress(day.plan) as told:
-        result = sweep_days(day, driver, seeds, workers, told)
+    with _progress(day.plan) as report_progress:
+        result = sweep_days(day, driver, seeds, workers, report_progress)
     try:
         if out is not None:
             out.mkdir(parents=True, exist_ok=True)
             (out / "sweep.json").write_bytes(result.as_json())
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     for line in (*result.lines(), *occasions(result)):
         print(line)
     raise typer.Exit(0 if not result.broken else 1)
@@ -171,7 +175,7 @@
 Lost = Annotated[float | None, typer.Option(help="Share of the nodes' datagrams that is lost.")]
 Off = Annotated[list[str] | None, typer.Option(help="A subsystem to switch off.")]
 Driver = Annotated[str | None, typer.Option(help="virtual: simulated time; sockets: real processes.")]
-Terms = Annotated[Path | None, typer.Option(help="An operator settings file for the nodes.")]
+OperatorOption = Annotated[Path | None, typer.Option(help="An operator settings file for the nodes.")]
 
 
 @app.command("run")
@@ -187,7 +191,7 @@
     utilization: Utilization = None,
     datagrams_lost: Lost = None,
     off: Off = None,
-    operator: Terms = None,
+    operator: OperatorOption = None,
     hollow: Annotated[int | None, typer.Option(help="`scale` only: number of hollow nodes.")] = None,
     faults: Annotated[
         str | None, typer.Option(help="`scale` only: rest, hosts, rack, zone, cut, roll or begin.")
@@ -202,7 +206,7 @@
         _run_scale(out, driver, faults, **sizes)
     for option, value in (("hollow", hollow), ("faults", faults), ("shards", shards)):
         if value is not None:
-            raise _complain(f"--{option}: only '{SCALE}' takes it")
+            raise _usage_error(f"--{option}: only '{SCALE}' takes it")
     if (day := _fault_day(name, off, nodes, seconds)) is not None:
         _run_faults(replace(day, seed=seed), driver or "virtual", out)
     request = _request(
@@ -219,21 +223,21 @@
         rebalance=_operators(operator),
     )
     if request.driver not in DRIVERS:
-        raise _complain(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
+        raise _usage_error(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
     from sailrun.lab.experiments import EXPERIMENTS
 
     if request.driver not in EXPERIMENTS[name].drivers:
-        raise _complain(f"--driver: '{name}' runs with {', '.join(EXPERIMENTS[name].drivers)} only")
+        raise _usage_error(f"--driver: '{name}' runs with {', '.join(EXPERIMENTS[name].drivers)} only")
     from sailrun.lab.report import write_report
-    from sailrun.lab.run import play, write
+    from sailrun.lab.run import run_experiment, write
 
     try:
-        with _progress(name) as told:
-            summary, records = play(request, told)
+        with _progress(name) as report_progress:
+            summary, records = run_experiment(request, report_progress)
         write(out, summary, records)
         write_report(out)
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     _show(summary)
     print(f"report: {out / 'report.html'}")
     raise typer.Exit(0 if summary.holds else 1)
@@ -248,7 +252,7 @@
     try:
         return read_operator(path).rebalance
     except ConfigError as error:
-        raise _complain(error) from None
+        raise _usage_error(error) from None
 
 
 def _progress(name: str) -> Any:
@@ -314,9 +318,9 @@
         one, two = read_summary(before), read_summary(after)
         write_report(after, before)
     except OSError as error:
-        raise _complain(f"{error.filename or after}: {error.strerror or error}") from None
+        raise _usage_error(f"{error.filename or after}: {error.strerror or error}") from None
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
-        raise _complain(f"summary.json: {error}") from None
+        raise _usage_error(f"summary.json: {error}") from None
     print(f"{'':36} {before.name:>14} {after.name:>14}")
     for figure in {**one.figures, **two.figures}:
         values = [s.figures.get(figure) for s in (one, two)]
@@ -338,18 +342,20 @@
     off: Off = None,
     driver: Driver = None,
     against: Annotated[str | None, typer.Option(help="A subsystem: also run every seed without it.")] = None,
-    operator: Terms = None,
+    operator: OperatorOption = None,
 ) -> None:
     """Run an experiment for many seeds. Exit with 0 if every check of every seed holds, with 1 if not."""
-    from sailrun.lab.sweep import sweep as play_all
+    from sailrun.lab.sweep import sweep as run_sweep
 
     first, dots, last = seeds.partition("..")
     if not dots or not (first.isdigit() and last.isdigit()) or int(first) > int(last):
-        raise _complain(f"--seeds: '{seeds}' is no range of seeds; expected FIRST..LAST, for example 1..200")
+        raise _usage_error(
+            f"--seeds: '{seeds}' is no range of seeds; expected FIRST..LAST, for example 1..200"
+        )
     if (day := _fault_day(name, off, nodes, seconds)) is not None:
         _sweep_faults(day, driver or "virtual", list(range(int(first), int(last) + 1)), out, workers)
     if driver not in (None, "virtual"):
-        raise _complain(f"--driver: '{name}' is swept in virtual time only")
+        raise _usage_error(f"--driver: '{name}' is swept in virtual time only")
     request = _request(
         name,
         off,
@@ -364,13 +370,13 @@
     if against is not None:
         _request(name, [against])  # validates the name
     try:
-        with _progress(name) as told:
-            result = play_all(request, range(int(first), int(last) + 1), workers, against, told)
+        with _progress(name) as report_progress:
+            result = run_sweep(request, range(int(first), int(last) + 1), workers, against, report_progress)
         if out is not None:
             out.mkdir(parents=True, exist_ok=True)
             (out / "sweep.json").write_bytes(result.as_json())
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     for line in result.lines():
         print(line)
     raise typer.Exit(0 if not result.broken else 1)
--- a/sailrun/lab/figures.py
+++ b/sailrun/lab/figures.py
@@ -7,9 +7,9 @@
 
 from sailrun.lab.records import Records
 
-# The fleet is even if the busiest warm form server holds at most EVEN times the mean load for EVEN_FOR
-# consecutive seconds.
-EVEN, EVEN_FOR = 1.25, 5
+# The fleet is even if the busiest warm form server holds at most EVEN_RATIO times the mean load for
+# EVEN_DURATION_S consecutive seconds.
+EVEN_RATIO, EVEN_DURATION_S = 1.25, 5
 # Prices as shares of the requested value: one move of every client, and one full message per request. A full
 # message has FULL_MESSAGE bytes.
 MOVE_PRICE, MESSAGE_PRICE, FULL_MESSAGE = 0.02, 0.01, 256
@@ -23,8 +23,8 @@
 def even_after(imbalances: Sequence[float], from_s: int) -> float:
     """Returns the seconds from `from_s` until the fleet is even, or infinity if it never is."""
     for second in range(from_s, len(imbalances)):
-        run = imbalances[second : second + EVEN_FOR]
-        if len(run) == EVEN_FOR and max(run) <= EVEN:
+        run = imbalances[second : second + EVEN_DURATION_S]
+        if len(run) == EVEN_DURATION_S and max(run) <= EVEN_RATIO:
             return float(second - from_s)
     return math.inf
 
@@ -37,7 +37,7 @@
     total = sum(load for server in loads for load, _ in server)
     moves = 0
     for server in loads:
-        over = sum(load for load, _ in server) - EVEN * total / len(loads)
+        over = sum(load for load, _ in server) - EVEN_RATIO * total / len(loads)
         for load, connections in sorted(server, key=lambda one: -one[0] / one[1]):
             if over <= 0:
                 break
@@ -47,7 +47,7 @@
 
 
 def figures(
-    records: Records, rebalanced: int, fewest: int, clients: int, warm_s: int, datagram_bytes: int
+    records: Records, rebalanced: int, min_moves: int, clients: int, all_warm_s: int, datagram_bytes: int
 ) -> dict[str, float]:
     seconds = records.seconds.columns
     imbalances = seconds.get("imbalance", [])
@@ -71,11 +71,11 @@
         "service_after_prices": service - price,
         "imbalance_at_start": imbalances[0] if imbalances else 0.0,
         "imbalance_at_end": sum(imbalances[-5:]) / max(1, len(imbalances[-5:])),
-        "even_after_s": even_after(imbalances, warm_s),
+        "even_after_s": even_after(imbalances, all_warm_s),
         "moves": float(moves),  # for any reason
         "moves_for_balance": float(rebalanced),
-        "fewest_moves": float(fewest),
-        "moves_over_fewest": moves / fewest if fewest else math.inf if moves else 1.0,
+        "fewest_moves": float(min_moves),
+        "moves_over_fewest": moves / min_moves if min_moves else math.inf if moves else 1.0,
         "clients": float(clients),
         "requests": float(len(answers)),
         "refused": float(sum(1 for a in answers if a == "refused")),
--- a/sailrun/lab/form_servers.py
+++ b/sailrun/lab/form_servers.py
@@ -12,7 +12,7 @@
 # Work in us to answer one message. With the queue before it, answers become late as the load nears capacity.
 MESSAGE_WORK_US = 4_000.0
 # Share of the capacity that always remains for set-ups and for the backlog, whatever the load.
-LEAST_SHARE = 0.05
+MIN_FREE_SHARE = 0.05
 
 
 class Phase(Enum):
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class HeldConnection:
     """One connection on a form server."""
 
     request: str
@@ -36,7 +36,7 @@
 class FormServerModel:
     """Work is in us of one core; loads and capacities are in us of work per second."""
 
-    terms: WorldSettings
+    settings: WorldSettings
     number: int
     name: str
     zone: str
@@ -46,22 +46,24 @@
     started_us: int = 0  # 0: started long ago, no slow start
     phase: Phase = Phase.UP
     draining: bool = False
-    held: dict[str, Held] = field(default_factory=dict)
+    held: dict[str, HeldConnection] = field(default_factory=dict)
     groups: dict[str, int] = field(default_factory=dict)
     load: float = 0.0
     backlog: float = 0.0  # unfinished work in us
     at_us: int = 0
-    errs: float = 0.0  # share of set-ups that are answered with an error
+    error_share: float = 0.0  # share of set-ups that are answered with an error
     fallen: bool = False  # the world has already handled its fall
-    most_pressure: float = 0.0  # peak of the work received in slow start over the allowed work
-    _sent: deque[tuple[int, float]] = field(default_factory=deque)  # (time, work) received in slow start
+    peak_pressure: float = 0.0  # peak of the work received in slow start over the allowed work
+    _recent_work: deque[tuple[int, float]] = field(
+        default_factory=deque
+    )  # (time, work) received in slow start
 
     # ------------------------------------------------------------------ state
 
     def cold(self, now_us: int) -> bool:
         return self.started_us > 0 and now_us - self.started_us < self.slow_start_us
 
-    def present(self, now_us: int) -> float:
+    def current_capacity(self, now_us: int) -> float:
         """Returns the current capacity, which rises linearly during slow start."""
         if not self.cold(now_us):
             return self.capacity
@@ -70,52 +72,52 @@
             self.initial_capacity_share + (1.0 - self.initial_capacity_share) * max(0.0, age)
         )
 
-    def places(self) -> float:
-        return self.terms.places * self.capacity / self.terms.unit
+    def max_connections(self) -> float:
+        return self.settings.places * self.capacity / self.settings.unit
 
     def message_us(self, now_us: int) -> float:
         """Returns the current mean time to answer a message."""
-        capacity = self.present(now_us)
-        free = max(LEAST_SHARE, 1.0 - self.load / capacity)
+        capacity = self.current_capacity(now_us)
+        free = max(MIN_FREE_SHARE, 1.0 - self.load / capacity)
         return self.backlog / capacity * SECOND + MESSAGE_WORK_US / free
 
     def answered_within(self, now_us: int, aim_us: int) -> float:
         """Returns the share of messages answered within a time; 0 while the backlog alone takes longer."""
-        capacity = self.present(now_us)
+        capacity = self.current_capacity(now_us)
         queue_us = self.backlog / capacity * SECOND
         if queue_us >= aim_us:
             return 0.0
-        mean_us = MESSAGE_WORK_US / max(LEAST_SHARE, 1.0 - self.load / capacity)
+        mean_us = MESSAGE_WORK_US / max(MIN_FREE_SHARE, 1.0 - self.load / capacity)
         return 1.0 - math.exp(-(aim_us - queue_us) / mean_us)
 
     # ------------------------------------------------------------------ time and work
 
     def advance(self, now_us: int) -> None:
         """Advances the time: the backlog grows or shrinks, and the form server may fall over."""
-        past_us = now_us - self.at_us
-        if past_us <= 0:
+        elapsed_us = now_us - self.at_us
+        if elapsed_us <= 0:
             return
         self.at_us = now_us
-        capacity = self.present(now_us)
-        spare = max(LEAST_SHARE * capacity, capacity - self.load) if self.load < capacity else 0.0
+        capacity = self.current_capacity(now_us)
+        spare = max(MIN_FREE_SHARE * capacity, capacity - self.load) if self.load < capacity else 0.0
         growth = max(0.0, self.load - capacity)
-        self.backlog = max(0.0, self.backlog + (growth - spare) * past_us / SECOND)
+        self.backlog = max(0.0, self.backlog + (growth - spare) * elapsed_us / SECOND)
         if self.cold(now_us):
-            self._press(now_us, self.load * past_us / SECOND)
-        elif self._sent:
-            self._sent.clear()
+            self._add_pressure(now_us, self.load * elapsed_us / SECOND)
+        elif self._recent_work:
+            self._recent_work.clear()
 
-    def _press(self, now_us: int, work: float) -> None:
+    def _add_pressure(self, now_us: int, work: float) -> None:
         """Adds work received in slow start. The form server falls over when the work in the overload window
         exceeds the overload multiple of its current capacity.
         """
-        window_us = self.terms.overload_window_us
-        self._sent.append((now_us, work))
-        while self._sent[0][0] <= now_us - window_us:
-            self._sent.popleft()
-        allowed = self.terms.overload_multiple * self.present(now_us) * window_us / SECOND
-        pressure = sum(w for _, w in self._sent) / allowed
-        self.most_pressure = max(self.most_pressure, pressure)
+        window_us = self.settings.overload_window_us
+        self._recent_work.append((now_us, work))
+        while self._recent_work[0][0] <= now_us - window_us:
+            self._recent_work.popleft()
+        allowed = self.settings.overload_multiple * self.current_capacity(now_us) * window_us / SECOND
+        pressure = sum(w for _, w in self._recent_work) / allowed
+        self.peak_pressure = max(self.peak_pressure, pressure)
         if pressure > 1.0 and self.phase is Phase.UP:
             self.phase = Phase.FALLEN
 
@@ -123,21 +125,21 @@
         """Returns the set-up time of a new connection, or None if the connection is rejected."""
         self.advance(now_us)
         if self.cold(now_us):
-            self._press(now_us, work_us)
-        if self.draining or len(self.held) >= self.places():
+            self._add_pressure(now_us, work_us)
+        if self.draining or len(self.held) >= self.max_connections():
             return None
-        capacity = self.present(now_us)
+        capacity = self.current_capacity(now_us)
         self.backlog += work_us
-        return self.backlog / max(LEAST_SHARE * capacity, capacity - self.load) * SECOND
+        return self.backlog / max(MIN_FREE_SHARE * capacity, capacity - self.load) * SECOND
 
-    def hold(self, now_us: int, one: Held) -> None:
+    def hold(self, now_us: int, one: HeldConnection) -> None:
         self.advance(now_us)
         self.held[one.request] = one
         count = self.groups.get(one.group, 0)
         self.groups[one.group] = count + 1
-        self.load += one.load + (0.0 if count else self.terms.household_cost * self.terms.unit)
+        self.load += one.load + (0.0 if count else self.settings.household_cost * self.settings.unit)
 
-    def release(self, now_us: int, request: str) -> Held | None:
+    def release(self, now_us: int, request: str) -> HeldConnection | None:
         self.advance(now_us)
         one = self.held.pop(request, None)
         if one is None:
@@ -147,12 +149,12 @@
             self.groups[one.group] = count
         else:
             del self.groups[one.group]
-        self.load -= one.load + (0.0 if count else self.terms.household_cost * self.terms.unit)
+        self.load -= one.load + (0.0 if count else self.settings.household_cost * self.settings.unit)
         if not self.held:
             self.load = 0.0  # free of rounding
         return one
 
-    def reload(self, now_us: int, request: str, load: float) -> None:
+    def change_load(self, now_us: int, request: str, load: float) -> None:
         """Changes a connection's load."""
         self.advance(now_us)
         one = self.held[request]
@@ -161,7 +163,7 @@
 
     def shed(self) -> list[str]:
         """Returns the newest connections to drop while the backlog exceeds the buffer."""
-        if self.backlog <= self.terms.buffer_us * self.capacity / SECOND:
+        if self.backlog <= self.settings.buffer_us * self.capacity / SECOND:
             return []
         newest = list(self.held)[-max(1, len(self.held) // 20) :]
         self.backlog *= 0.8
@@ -180,4 +182,4 @@
         """Starts a new process in slow start."""
         self.phase, self.draining = Phase.UP, False
         self.started_us = self.at_us = now_us
-        self._sent.clear()
+        self._recent_work.clear()
--- a/sailrun/lab/report.py
+++ b/sailrun/lab/report.py
@@ -23,7 +23,7 @@
 
 # Maximum number of lines in a load plot (of a large fleet the highest and the lowest peaks are drawn), and of
 # events listed.
-MOST_LINES, MOST_EVENTS = 60, 400
+MAX_LINES, MAX_EVENTS = 60, 400
 BEFORE, AFTER = "#c0504d", "#1f5fa8"
 
 Columns = dict[str, list[Any]]
@@ -55,8 +55,8 @@
         after=after.summary,
         before=earlier.summary if earlier is not None else None,
         plots=list(_plots(after, earlier)),
-        events=events[:MOST_EVENTS],
-        left_out=max(0, len(events) - MOST_EVENTS),
+        events=events[:MAX_EVENTS],
+        left_out=max(0, len(events) - MAX_EVENTS),
     )
     (folder / "report.html").write_text(page)
 
@@ -146,8 +146,8 @@
         lines[server].append((at_us / SECOND, load, cold or phase != "up"))
     spread = {name: max(load for _, load, _ in points) / warm[name] for name, points in lines.items()}
     drawn = sorted(lines, key=lambda name: (-spread[name], name))
-    if len(drawn) > MOST_LINES:
-        drawn = drawn[: MOST_LINES // 2] + drawn[-MOST_LINES // 2 :]
+    if len(drawn) > MAX_LINES:
+        drawn = drawn[: MAX_LINES // 2] + drawn[-MAX_LINES // 2 :]
     figure, axes = pyplot.subplots(figsize=(10, 3.6))
     for name in drawn:
         points = lines[name]
--- a/sailrun/lab/run.py
+++ b/sailrun/lab/run.py
@@ -17,13 +17,13 @@
 from sailrun.lab.experiments import EXPERIMENTS, Experiment
 from sailrun.lab.figures import figures
 from sailrun.lab.records import Records
-from sailrun.lab.virtual import VirtualDay
+from sailrun.lab.virtual import VirtualWorld
 from sailrun.lab.world import World
 from sailrun.rebalance.settings import RebalanceSettings
 
 SUBSYSTEMS = ("rebalance", "fleet", "decisions")
 # Delay with which the reference policy sees the true state when it replaces the nodes' decisions.
-SEEING_US = 2_000_000
+REFERENCE_DELAY_US = 2_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,9 @@
     return value if math.isfinite(value) else None
 
 
-def play(request: Request, progress: Callable[[float], None] = lambda share: None) -> tuple[Summary, Records]:
+def run_experiment(
+    request: Request, progress: Callable[[float], None] = lambda share: None
+) -> tuple[Summary, Records]:
     experiment = EXPERIMENTS[request.experiment]
     began_s, cpu_s = time.monotonic(), time.process_time()
     if request.driver == "virtual":
@@ -83,9 +85,9 @@
     simulated = max(1.0, found.get("simulated_s", 1.0))
     outcomes = [Outcome(c.name, c.value, c.limit, c.holds, c.faults) for c in checks]
     bounds = dict(experiment.bounds)
-    for subsystem, its in experiment.bounds_of.items():
+    for subsystem, subsystem_bounds in experiment.bounds_of.items():
         if subsystem not in request.off:
-            bounds |= its
+            bounds |= subsystem_bounds
     outcomes += [
         Outcome(name, finite(found[name]), limit, found[name] <= limit) for name, limit in bounds.items()
     ]
@@ -107,12 +109,12 @@
 
 
 def _world(experiment: Experiment, request: Request) -> dict[str, Any]:
-    terms = _terms(experiment, request)
+    settings = _world_settings(experiment, request)
     names = ("form_servers", "nodes", "households", "seconds", "utilization", "datagrams_lost")
-    return {name: getattr(terms, name) for name in names}
+    return {name: getattr(settings, name) for name in names}
 
 
-def _terms(experiment: Experiment, request: Request) -> Any:
+def _world_settings(experiment: Experiment, request: Request) -> Any:
     return experiment.world(
         form_servers=request.form_servers,
         nodes=request.nodes,
@@ -122,19 +124,21 @@
         datagrams_lost=request.datagrams_lost,
         # Without peer messages a node decides by its own sessions only. The rebalancer has its own datagrams.
         peer_messages=False if "fleet" in request.off else None,
-        seeing_us=SEEING_US if "decisions" in request.off else None,
+        reference_delay_us=REFERENCE_DELAY_US if "decisions" in request.off else None,
     )
 
 
 def _virtual(
     experiment: Experiment, request: Request, progress: Callable[[float], None]
 ) -> tuple[dict[str, float], Records, list[Check]]:
-    terms, rebalance = _terms(experiment, request), _rebalance(request)
-    day = VirtualDay(terms, request.seed, rebalance, experiment.script, experiment.holders, progress)
-    checks = day.run()
-    found = _found(day)
-    found["events"] = float(day.time.done)
-    return found, day.records, checks
+    settings, rebalance = _world_settings(experiment, request), _rebalance(request)
+    world = VirtualWorld(
+        settings, request.seed, rebalance, experiment.script, experiment.select_initial_servers, progress
+    )
+    checks = world.run()
+    found = _figures_of(world)
+    found["events"] = float(world.time.done)
+    return found, world.records, checks
 
 
 def _sockets(
@@ -142,29 +146,33 @@
 ) -> tuple[dict[str, float], Records, list[Check]]:
     import anyio
 
-    from sailrun.lab.sockets import SocketDay
+    from sailrun.lab.sockets import SocketWorld
 
-    terms, rebalance = _terms(experiment, request), _rebalance(request)
-    day = SocketDay(terms, request.seed, rebalance, experiment.script, experiment.holders, progress)
-    checks = anyio.run(day.run, backend_options={"use_uvloop": True})
-    return _found(day), day.records, checks
+    settings, rebalance = _world_settings(experiment, request), _rebalance(request)
+    world = SocketWorld(
+        settings, request.seed, rebalance, experiment.script, experiment.select_initial_servers, progress
+    )
+    checks = anyio.run(world.run, backend_options={"use_uvloop": True})
+    return _figures_of(world), world.records, checks
 
 
 def _rebalance(request: Request) -> RebalanceSettings:
-    terms = request.rebalance or RebalanceSettings(enabled=True)
-    return msgspec.structs.replace(terms, enabled="rebalance" not in request.off)
+    settings = request.rebalance or RebalanceSettings(enabled=True)
+    return msgspec.structs.replace(settings, enabled="rebalance" not in request.off)
 
 
-def _found(day: World[Any]) -> dict[str, float]:
-    found = figures(day.records, day.moves, day.fewest, day.clients, day.warm_s, day.datagram_bytes)
+def _figures_of(world: World[Any]) -> dict[str, float]:
+    found = figures(
+        world.records, world.moves, world.min_moves, world.clients, world.all_warm_s, world.datagram_bytes
+    )
     for cause in MoveReason:
-        found[f"moves_{cause.value}"] = float(day.moved[cause.value])
-    found["moved_again_within_10_s"] = float(day.moved_again)
-    found["datagrams_a_request"] = round(day.datagrams / max(1.0, found["requests"]), 4)
-    found["datagram_bytes_a_request"] = round(day.datagram_bytes / max(1.0, found["requests"]), 2)
-    found["most_roster_calls_a_second"] = float(max(day.registry.calls.values(), default=0))
-    found["roster_calls_given_up"] = float(day.registry.given_up)
-    pressures = [s.most_pressure for s in day.servers.values()]
+        found[f"moves_{cause.value}"] = float(world.moves_by_reason[cause.value])
+    found["moved_again_within_10_s"] = float(world.repeated_moves)
+    found["datagrams_a_request"] = round(world.datagrams / max(1.0, found["requests"]), 4)
+    found["datagram_bytes_a_request"] = round(world.datagram_bytes / max(1.0, found["requests"]), 2)
+    found["most_roster_calls_a_second"] = float(max(world.registry.calls.values(), default=0))
+    found["roster_calls_given_up"] = float(world.registry.abandoned_calls)
+    pressures = [s.peak_pressure for s in world.servers.values()]
     found["most_pressure_on_a_cold_server"] = round(max(pressures, default=0.0), 4)
     return found
 
--- a/sailrun/lab/scheduler.py
+++ b/sailrun/lab/scheduler.py
@@ -19,18 +19,18 @@
         self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
-    def at(self, when_us: int, what: Callable[..., None], *facts: Any) -> None:
+    def at(self, when_us: int, callback: Callable[..., None], *arguments: Any) -> None:
         self._count += 1
-        heapq.heappush(self._queue, (max(when_us, self.now_us), self._count, what, facts))
+        heapq.heappush(self._queue, (max(when_us, self.now_us), self._count, callback, arguments))
 
-    def after(self, wait_us: int, what: Callable[..., None], *facts: Any) -> None:
-        self.at(self.now_us + wait_us, what, *facts)
+    def after(self, wait_us: int, callback: Callable[..., None], *arguments: Any) -> None:
+        self.at(self.now_us + wait_us, callback, *arguments)
 
     def run(self, until_us: int) -> None:
         while self._queue and self._queue[0][0] <= until_us:
-            self.now_us, _, what, facts = heapq.heappop(self._queue)
+            self.now_us, _, callback, arguments = heapq.heappop(self._queue)
             self.done += 1
-            what(*facts)
+            callback(*arguments)
         self.now_us = max(self.now_us, until_us)
 
 
--- a/sailrun/lab/seeing.py
+++ b/sailrun/lab/seeing.py
@@ -22,13 +22,13 @@
 from sailrun.node.session import FormServer, FormSession, Placement
 
 # Sampling interval of the world in us, and the share of its capacity up to which a form server is filled.
-LOOK_US, FULL = SECOND // 4, 0.92
-MOST_ATTEMPTS = 5
+SAMPLE_INTERVAL_US, MAX_FILL_SHARE = SECOND // 4, 0.92
+MAX_ATTEMPTS = 5
 # Sessions of a draining form server or a leaving node are moved within this time.
-LEAVE_US = 3 * SECOND // 2
+MOVE_SPREAD_US = 3 * SECOND // 2
 
 
-class Day(Protocol):
+class ObservedWorld(Protocol):
     """The part of a virtual run (`virtual.py`) that the reference policy reads."""
 
     @property
@@ -43,44 +43,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ServerView:
     """One form server at sampling time. Loads and capacities are in us of work per second."""
 
     free: float  # unused current capacity, less a margin
-    takes: bool
+    accepts_new: bool
 
 
-class Eyes:
+class DelayedView:
     """Samples of the true state, published after the delay. One instance serves the whole world."""
 
-    def __init__(self, day: Day, late_us: int) -> None:
-        self._day, self._late_us = day, late_us
-        self._kept: deque[tuple[int, dict[int, Seen]]] = deque()
-        self.seen: dict[int, Seen] = {}
-        self._look()
+    def __init__(self, world: ObservedWorld, late_us: int) -> None:
+        self._world, self._late_us = world, late_us
+        self._samples: deque[tuple[int, dict[int, ServerView]]] = deque()
+        self.servers: dict[int, ServerView] = {}
+        self._sample()
 
-    def _look(self) -> None:
-        day, now_us = self._day, self._day.time.now_us
-        state = dict[int, Seen]()
-        for number, server in day.servers.items():
+    def _sample(self) -> None:
+        world, now_us = self._world, self._world.time.now_us
+        state = dict[int, ServerView]()
+        for number, server in world.servers.items():
             server.advance(now_us)
             up = server.phase is Phase.UP and not server.draining
-            state[number] = Seen(FULL * server.present(now_us) - server.load, up and server.errs < 0.2)
-        self._kept.append((now_us, state))
-        while self._kept and self._kept[0][0] <= now_us - self._late_us:
-            self.seen = self._kept.popleft()[1]
-        if not self.seen:
-            self.seen = state
-        day.time.after(LOOK_US, self._look)
-
-
-class SeeingNode:
+            state[number] = ServerView(
+                MAX_FILL_SHARE * server.current_capacity(now_us) - server.load,
+                up and server.error_share < 0.2,
+            )
+        self._samples.append((now_us, state))
+        while self._samples and self._samples[0][0] <= now_us - self._late_us:
+            self.servers = self._samples.popleft()[1]
+        if not self.servers:
+            self.servers = state
+        world.time.after(SAMPLE_INTERVAL_US, self._sample)
+
+
+class ReferenceNode:
     """Replaces a node. It implements only those calls of the core that the world makes."""
 
-    def __init__(self, day: Day, eyes: Eyes, index: int) -> None:
-        self._day, self._eyes = day, eyes
-        self._chance = Stream(day.seed, f"seeing-{index}-{day.time.now_us}")
-        self._open: dict[str, tuple[FormSession, set[int]]] = {}  # unanswered, with servers tried
+    def __init__(self, world: ObservedWorld, view: DelayedView, index: int) -> None:
+        self._world, self._view = world, view
+        self._random = Stream(world.seed, f"seeing-{index}-{world.time.now_us}")
+        self._unanswered: dict[str, tuple[FormSession, set[int]]] = {}  # unanswered, with servers tried
         self._standing: dict[str, FormSession] = {}
         self._moves: list[tuple[int, int, FormSession]] = []
         self._order = count()
@@ -95,87 +98,99 @@
         pass
 
     def due_us(self) -> int:
-        return self._day.time.now_us + SECOND // 10
+        return self._world.time.now_us + SECOND // 10
 
     def run_once(self, now_us: int) -> None:
-        seen = self._eyes.seen
+        servers = self._view.servers
         for session in self._standing.values():
             number = session.placement.form_server.number if session.placement is not None else -1
-            if session.move_reason is None and number in seen and not seen[number].takes:
-                self._plan(session, now_us)
+            if session.move_reason is None and number in servers and not servers[number].accepts_new:
+                self._plan_move(session, now_us)
         while self._moves and self._moves[0][0] <= now_us:
             session = heapq.heappop(self._moves)[2]
             if session.id in self._standing:
                 session.client.move()
-        if self._leaving_us and not self._standing and not self._open and now_us > self._leaving_us + SECOND:
+        if (
+            self._leaving_us
+            and not self._standing
+            and not self._unanswered
+            and now_us > self._leaving_us + SECOND
+        ):
             self.stopped = True
 
-    def _plan(self, session: FormSession, now_us: int) -> None:
+    def _plan_move(self, session: FormSession, now_us: int) -> None:
         session.move_reason = MoveReason.DRAINING
-        at_us = now_us + self._chance.below(LEAVE_US)
+        at_us = now_us + self._random.below(MOVE_SPREAD_US)
         heapq.heappush(self._moves, (at_us, next(self._order), session))
 
     def request_session(self, session: FormSession) -> None:
-        self._open[session.id] = (session, set())
+        self._unanswered[session.id] = (session, set())
         if session.resumed_at is not None:
-            named = next((s for s in self._day.servers.values() if s.name == session.resumed_at), None)
+            named = next((s for s in self._world.servers.values() if s.name == session.resumed_at), None)
             assert named is not None
             self._send(session, named.number)
         else:
-            self._try(session.id)
+            self._start_attempt(session.id)
 
-    def _try(self, name: str) -> None:
+    def _start_attempt(self, name: str) -> None:
         """Draws one of the form servers with free capacity, weighted by it, or else any that runs."""
-        session, tried = self._open[name]
-        open_to = {n: s for n, s in self._eyes.seen.items() if s.takes and n not in tried}
-        if not open_to or session.attempts >= MOST_ATTEMPTS:
-            del self._open[name]
+        session, tried = self._unanswered[name]
+        candidates = {n: s for n, s in self._view.servers.items() if s.accepts_new and n not in tried}
+        if not candidates or session.attempts >= MAX_ATTEMPTS:
+            del self._unanswered[name]
             session.client.reject(SECOND // 2)
             return
-        room = {n: s.free for n, s in open_to.items() if s.free > 0} or dict.fromkeys(open_to, 1.0)
-        at = self._chance.random() * sum(room.values())
+        free_capacity = {n: s.free for n, s in candidates.items() if s.free > 0} or dict.fromkeys(
+            candidates, 1.0
+        )
+        threshold = self._random.random() * sum(free_capacity.values())
         number = next(
-            (n for n, reached in zip(room, accumulate(room.values()), strict=True) if reached > at), -1
+            (
+                n
+                for n, reached in zip(free_capacity, accumulate(free_capacity.values()), strict=True)
+                if reached > threshold
+            ),
+            -1,
         )
-        number = number if number >= 0 else next(iter(room))
+        number = number if number >= 0 else next(iter(free_capacity))
         tried.add(number)
         self._send(session, number)
 
     def _send(self, session: FormSession, number: int) -> None:
-        server = self._day.servers[number]
+        server = self._world.servers[number]
         entry = FormServer(server.name, ("127.0.0.1", 1), BackendState.READY, server.zone)
-        until_us = min(session.deadline_us, self._day.time.now_us + SECOND // 2)
-        if session.resumed_at is not None or session.attempts + 1 >= MOST_ATTEMPTS:
+        until_us = min(session.deadline_us, self._world.time.now_us + SECOND // 2)
+        if session.resumed_at is not None or session.attempts + 1 >= MAX_ATTEMPTS:
             until_us = session.deadline_us
         session.placement = Placement(entry, session.attempts, until_us)
         session.attempts += 1
         session.client.start_attempt(session.placement)
 
     def connection_opened(self, session: FormSession, placement: Placement, took_us: int) -> None:
-        self._open.pop(session.id, None)
+        self._unanswered.pop(session.id, None)
         session.is_established = True
         self._standing[session.id] = session
         if self._leaving_us:
-            self._plan(session, self._day.time.now_us)
+            self._plan_move(session, self._world.time.now_us)
 
     def attempt_ended(self, session: FormSession, placement: Placement, outcome: AttemptOutcome) -> None:
         session.placement = None
-        if self._standing.pop(session.id, None) is None and session.id in self._open:
-            if self._day.time.now_us < session.deadline_us - SECOND // 10:
-                self._try(session.id)
+        if self._standing.pop(session.id, None) is None and session.id in self._unanswered:
+            if self._world.time.now_us < session.deadline_us - SECOND // 10:
+                self._start_attempt(session.id)
             else:
-                del self._open[session.id]
+                del self._unanswered[session.id]
                 session.client.fail()
 
     def client_left(self, session: FormSession) -> None:
-        self._open.pop(session.id, None)
+        self._unanswered.pop(session.id, None)
 
     def begin_shutdown(self) -> None:
-        now_us = self._day.time.now_us
+        now_us = self._world.time.now_us
         self._leaving_us = now_us
         for session in self._standing.values():
             if session.move_reason is None:
-                self._plan(session, now_us + SECOND // 2)
+                self._plan_move(session, now_us + SECOND // 2)
 
     def line_forwarded(self, session: FormSession) -> None:
         """Does nothing: the policy detects an unresponsive form server only through the delayed view."""
--- a/sailrun/lab/settings.py
+++ b/sailrun/lab/settings.py
@@ -60,10 +60,10 @@
     drain_grace_us: int = 2 * SECOND
     # Households.
     load_sigma: float = 0.6
-    swing_sigma: float = 0.4
-    swing_us: int = 10 * SECOND
-    rejoin_us: tuple[int, int] = (50_000, 640_000)
-    honour: float = 0.6  # share of the clients that follow advice
+    load_change_sigma: float = 0.4
+    load_change_us: int = 10 * SECOND
+    reconnect_us: tuple[int, int] = (50_000, 640_000)
+    follows_advice_share: float = 0.6  # share of the clients that follow advice
     # One-way delays and losses of the network.
     near_us: tuple[int, int] = (60, 170)
     far_us: tuple[int, int] = (1_000, 1_900)
@@ -79,7 +79,7 @@
     roster_per_s: float = 0.0
     roster_patience_us: int = 2_000_000
     # Delay with which the reference policy sees the true state. Negative: the nodes decide themselves.
-    seeing_us: int = -1
+    reference_delay_us: int = -1
     # Settings that are passed to the nodes.
     tick_us: int = 5_000
     max_attempts: int = 5
--- a/sailrun/lab/sweep.py
+++ b/sailrun/lab/sweep.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from sailrun.lab.figures import quantile
-from sailrun.lab.run import Request, Summary, play
+from sailrun.lab.run import Request, Summary, run_experiment
 
 
 class Sweep(msgspec.Struct):
@@ -74,8 +74,8 @@
     return f"{name:36} {' '.join(cells)} {len(values) - len(known):5}"
 
 
-def _one(request: Request) -> Summary:
-    return play(request)[0]
+def _run_one(request: Request) -> Summary:
+    return run_experiment(request)[0]
 
 
 def sweep(
@@ -90,7 +90,7 @@
         requests += [replace(r, off=r.off | {against}) for r in requests]
     found: list[Summary] = []
     with ProcessPoolExecutor(workers or os.cpu_count()) as pool:
-        for summary in pool.map(_one, requests):
+        for summary in pool.map(_run_one, requests):
             found.append(summary)
             progress(len(found) / len(requests))
     return Sweep(request.experiment, against, found[: len(seeds)], found[len(seeds) :])
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -17,11 +17,11 @@
 from sailrun.hot_restart.handover import TELL_US
 from sailrun.lab.checks import Check
 from sailrun.lab.clients import Client
-from sailrun.lab.form_servers import FormServerModel, Held, Phase
+from sailrun.lab.form_servers import FormServerModel, HeldConnection, Phase
 from sailrun.lab.scheduler import BEGIN_US, Scheduler, VirtualClock
-from sailrun.lab.seeing import Eyes, SeeingNode
+from sailrun.lab.seeing import DelayedView, ReferenceNode
 from sailrun.lab.settings import SECOND, WorldSettings
-from sailrun.lab.world import GAP_US, RESTART_US, RegistryModel, Slot, World
+from sailrun.lab.world import MOVE_DELAY_US, NODE_RESTART_US, RegistryModel, Slot, World
 from sailrun.node.core import Node
 from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import FormSession, Placement, ServerListUpdate
@@ -30,70 +30,70 @@
 from sailrun.rebalance.settings import RebalanceSettings
 
 # Bounds of the delay until a restarted node receives clients again.
-ADMITTED_US = (300_000, 900_000)
+ADMISSION_DELAY_US = (300_000, 900_000)
 # Interval between a client's lines. On slow form servers each node times one line per second instead.
-LINE_US = 2 * SECOND
+LINE_INTERVAL_US = 2 * SECOND
 # Deadline for establishing a session from before the run.
-RESUME_US = 40 * SECOND
-KEPT_LOGS = ("rebalance", "silent", "decision", "fault", "leaving")
+RESUME_DEADLINE_US = 40 * SECOND
+RECORDED_LOG_EVENTS = ("rebalance", "silent", "decision", "fault", "leaving")
 
 
 class WatchedRebalancer(Rebalancer):
     """The node's rebalancer, which also records the sessions that it moves."""
 
-    moved: dict[str, int]
+    moved_sessions: dict[str, int]
 
     def look(self, now_us: int, elsewhere: Elsewhere) -> Orders:
         orders = super().look(now_us, elsewhere)
         for name in orders.moves:
-            self.moved[name] = now_us
+            self.moved_sessions[name] = now_us
         return orders
 
 
 class Visit:
     """A client's connection to a node. It replaces the socket front as the core's `SessionClient`."""
 
-    def __init__(self, day: VirtualDay, slot: VirtualSlot, client: Client, session: FormSession) -> None:
-        self.day, self.slot, self.client, self.session = day, slot, client, session
+    def __init__(self, world: VirtualWorld, slot: VirtualSlot, client: Client, session: FormSession) -> None:
+        self.world, self.slot, self.client, self.session = world, slot, client, session
         session.client = self
-        self.asked_us = day.time.now_us
+        self.asked_us = world.time.now_us
         self.placement: Placement | None = None
         self.server: FormServerModel | None = None  # the form server of the established session
-        self.turn = 0  # number of the current attempt; late events of earlier attempts are ignored
-        self.over = self.cut = False  # cut: established, but no data passes
+        self.attempt_number = 0  # number of the current attempt; late events of earlier attempts are ignored
+        self.is_finished = self.cut = False  # cut: established, but no data passes
 
     # ------------------------------------------------------------------ SessionClient
 
     def start_attempt(self, placement: Placement) -> None:
-        day = self.day
-        now_us = day.time.now_us
-        self.turn += 1
+        world = self.world
+        now_us = world.time.now_us
+        self.attempt_number += 1
         self.placement = placement
         number = placement.form_server.number
-        server = day.servers.get(number)
-        if self.over:
+        server = world.servers.get(number)
+        if self.is_finished:
             self._attempt_over(AttemptOutcome.NOT_SENT)
             return
         if self.session.resumed_at is not None:
             assert server is not None
-            self._stand(server, now_us)
+            self._establish(server, now_us)
             return
-        day.rules.attempt_began(now_us, self.session.id, placement.form_server.name)
-        net_us = day.net_us(self.slot.zone, server.zone if server else "")
-        connect_us = min(day.terms.connect_timeout_us, placement.until_us - now_us)
-        if server is not None and not day.reaches(self.slot, server):
-            day.time.after(connect_us, self._failed, self.turn, AttemptOutcome.CONNECT_FAILED)
+        world.rules.attempt_began(now_us, self.session.id, placement.form_server.name)
+        net_us = world.net_us(self.slot.zone, server.zone if server else "")
+        connect_us = min(world.settings.connect_timeout_us, placement.until_us - now_us)
+        if server is not None and not world.can_reach(self.slot, server):
+            world.time.after(connect_us, self._failed, self.attempt_number, AttemptOutcome.CONNECT_FAILED)
         elif server is None or server.phase in (Phase.DOWN, Phase.FALLEN):
-            day.time.after(
-                min(2 * net_us, connect_us), self._failed, self.turn, AttemptOutcome.CONNECT_FAILED
+            world.time.after(
+                min(2 * net_us, connect_us), self._failed, self.attempt_number, AttemptOutcome.CONNECT_FAILED
             )
         elif server.phase is Phase.UNRESPONSIVE:
-            day.time.after(connect_us, self._failed, self.turn, AttemptOutcome.CONNECT_FAILED)
-        elif day.luck.random() < day.attempts_reset:
-            day.time.after(3 * net_us, self._failed, self.turn, AttemptOutcome.RESET)
+            world.time.after(connect_us, self._failed, self.attempt_number, AttemptOutcome.CONNECT_FAILED)
+        elif world.fault_random.random() < world.attempts_reset:
+            world.time.after(3 * net_us, self._failed, self.attempt_number, AttemptOutcome.RESET)
         else:
-            day.time.after(3 * net_us, self._reach, self.turn, server, now_us, net_us)
-            day.time.at(placement.until_us, self._failed, self.turn, AttemptOutcome.TIMED_OUT)
+            world.time.after(3 * net_us, self._request_arrived, self.attempt_number, server, now_us, net_us)
+            world.time.at(placement.until_us, self._failed, self.attempt_number, AttemptOutcome.TIMED_OUT)
 
     def cancel_attempt(self, attempt: int) -> None:
         if self.placement is not None and self.placement.attempt == attempt and self.server is None:
@@ -107,103 +107,114 @@
 
     def transfer(self, send: SendTransfer) -> None:
         if self.server is not None:
-            self.day.transfer(self)
+            self.world.transfer(self)
 
     def move(self) -> None:
         if self.server is None:
             return
-        day, client = self.day, self.client
+        world, client = self.world, self.client
         at = self.server.name
-        rebalanced = self.slot.moved.pop(self.session.id, None) is not None
+        rebalanced = self.slot.moved_sessions.pop(self.session.id, None) is not None
         cause = self.session.move_reason_text or ""
-        day.note("move", node=self.slot.index, server=at, text=cause)
-        day.moves_off(client, cause)
+        world.note("move", node=self.slot.index, server=at, text=cause)
+        world.record_move(client, cause)
         if rebalanced:
-            day.moves += 1
-            day.rules.rebalanced(day.time.now_us, client.number, client.moved_us)
-            client.moved_us = day.time.now_us
-            day.moving[client.number] = day.time.now_us
+            world.moves += 1
+            world.rules.rebalanced(world.time.now_us, client.number, client.last_balance_move_us)
+            client.last_balance_move_us = world.time.now_us
+            world.moving[client.number] = world.time.now_us
         self.end(AttemptOutcome.CANCELLED)
-        day.come_again(client, day.chance.whole(GAP_US))
+        world.reconnect_later(client, world.client_random.integer(MOVE_DELAY_US))
 
     # ------------------------------------------------------------------ an attempt
 
-    def _reach(self, turn: int, server: FormServerModel, sent_us: int, net_us: int) -> None:
+    def _request_arrived(
+        self, attempt_number: int, server: FormServerModel, sent_us: int, net_us: int
+    ) -> None:
         """Handles the arrival of the request line at the form server."""
-        day = self.day
-        if turn != self.turn or not day.reaches(self.slot, server):
+        world = self.world
+        if attempt_number != self.attempt_number or not world.can_reach(self.slot, server):
             return
         if server.phase is not Phase.UP:
-            self._failed(turn, AttemptOutcome.CONNECT_FAILED)
+            self._failed(attempt_number, AttemptOutcome.CONNECT_FAILED)
             return
-        if day.luck.random() < server.errs:
-            day.time.after(2 * net_us, self._failed, turn, AttemptOutcome.ERROR)
+        if world.fault_random.random() < server.error_share:
+            world.time.after(2 * net_us, self._failed, attempt_number, AttemptOutcome.ERROR)
             return
-        if day.luck.random() < day.answers_lost:
+        if world.fault_random.random() < world.answers_lost:
             return
-        took_us = server.set_up_us(day.time.now_us, self.client.setup_us)
-        day.look_after(server)
+        took_us = server.set_up_us(world.time.now_us, self.client.setup_us)
+        world.apply_overload(server)
         if took_us is None:
-            day.time.after(net_us, self._failed, turn, AttemptOutcome.REJECTED)
+            world.time.after(net_us, self._failed, attempt_number, AttemptOutcome.REJECTED)
         else:
-            day.time.after(int(took_us) + net_us, self._up, turn, server, sent_us, server.started_us)
+            world.time.after(
+                int(took_us) + net_us,
+                self._session_accepted,
+                attempt_number,
+                server,
+                sent_us,
+                server.started_us,
+            )
 
-    def _up(self, turn: int, server: FormServerModel, sent_us: int, started_us: int) -> None:
-        if turn != self.turn or not self.day.reaches(self.slot, server):
+    def _session_accepted(
+        self, attempt_number: int, server: FormServerModel, sent_us: int, started_us: int
+    ) -> None:
+        if attempt_number != self.attempt_number or not self.world.can_reach(self.slot, server):
             return
         if server.phase is not Phase.UP or server.started_us != started_us:
-            self._failed(turn, AttemptOutcome.RESET)
+            self._failed(attempt_number, AttemptOutcome.RESET)
             return
-        self.day.rules.attempt_ended(self.session.id)
-        self._stand(server, sent_us)
+        self.world.rules.attempt_ended(self.session.id)
+        self._establish(server, sent_us)
 
-    def _failed(self, turn: int, outcome: AttemptOutcome) -> None:
-        if turn == self.turn and self.server is None:
+    def _failed(self, attempt_number: int, outcome: AttemptOutcome) -> None:
+        if attempt_number == self.attempt_number and self.server is None:
             self._attempt_over(outcome)
 
     def _attempt_over(self, outcome: AttemptOutcome) -> None:
         placement, self.placement = self.placement, None
-        self.turn += 1
-        self.day.rules.attempt_ended(self.session.id)
+        self.attempt_number += 1
+        self.world.rules.attempt_ended(self.session.id)
         if placement is not None and self.slot.node is not None:
             self.slot.node.attempt_ended(self.session, placement, outcome)
 
-    def _stand(self, server: FormServerModel, sent_us: int) -> None:
+    def _establish(self, server: FormServerModel, sent_us: int) -> None:
         assert self.placement is not None and self.slot.node is not None
-        day, client, request = self.day, self.client, self.session.id
-        now_us = day.time.now_us
-        self.turn += 1
+        world, client, request = self.world, self.client, self.session.id
+        now_us = world.time.now_us
+        self.attempt_number += 1
         self.server = server
-        server.hold(now_us, Held(request, client.group, client.load, now_us))
-        day.count(client, server, 1)
+        server.hold(now_us, HeldConnection(request, client.group, client.load, now_us))
+        world.count_session(client, server, 1)
         self.slot.node.connection_opened(self.session, self.placement, now_us - sent_us)
         if self.session.resumed_at is None:
-            day.answered(self, "served")
-            since_us = day.moving.pop(client.number, None)
+            world.answered(self, "served")
+            since_us = world.moving.pop(client.number, None)
             if since_us is not None and now_us - since_us < 2 * SECOND and server.cold(now_us):
-                day.rules.arrived_cold(now_us, client.number, server.name)
-        client.stands, client.failures = True, 0
+                world.rules.arrived_cold(now_us, client.number, server.name)
+        client.is_connected, client.failures = True, 0
         client.request = request
         if client.until_us <= now_us:
             self.end(AttemptOutcome.OK)
             return
         self.slot.node.report_load(self.session, client.load)
-        day.time.at(client.until_us, self._life_over, server)
-        day.time.after(day.people.next_swing_us(), self._swing, server)
+        world.time.at(client.until_us, self._session_expired, server)
+        world.time.after(world.population.next_load_change_us(), self._change_load, server)
 
-    def _life_over(self, server: FormServerModel) -> None:
+    def _session_expired(self, server: FormServerModel) -> None:
         if self.server is server and server.phase is Phase.UP:
             self.end(AttemptOutcome.OK)
         elif self.server is server:
             self.end(AttemptOutcome.CANCELLED)  # the client leaves a form server that no longer answers
 
-    def _swing(self, server: FormServerModel) -> None:
+    def _change_load(self, server: FormServerModel) -> None:
         if self.server is not server or server.phase is not Phase.UP or self.slot.node is None:
             return
-        load = self.day.people.swing(self.client)
-        server.reload(self.day.time.now_us, self.session.id, load)
+        load = self.world.population.draw_load(self.client)
+        server.change_load(self.world.time.now_us, self.session.id, load)
         self.slot.node.report_load(self.session, load)
-        self.day.time.after(self.day.people.next_swing_us(), self._swing, server)
+        self.world.time.after(self.world.population.next_load_change_us(), self._change_load, server)
 
     # ------------------------------------------------------------------ end of the session
 
@@ -212,35 +223,37 @@
         if self.server is None:
             return
         if not self.cut:
-            self.day.count(self.client, self.server, -1)
-        self.server.release(self.day.time.now_us, self.session.id)
+            self.world.count_session(self.client, self.server, -1)
+        self.server.release(self.world.time.now_us, self.session.id)
         self.server = None
-        self.over = True
-        self.client.stands = False
-        self.day.visits.pop(self.session.id, None)
+        self.is_finished = True
+        self.client.is_connected = False
+        self.world.visits.pop(self.session.id, None)
         self.slot.visits.pop(self.session.id, None)
         if self.slot.node is not None and self.placement is not None:
             placement, self.placement = self.placement, None
             self.slot.node.attempt_ended(self.session, placement, outcome)
             self.slot.node.client_left(self.session)
 
-    def speak(self) -> None:
+    def send_line(self) -> None:
         """Sends a client's line that remains unanswered."""
-        if self.server is None or self.slot.node is None or self.day.reaches(self.slot, self.server):
+        if self.server is None or self.slot.node is None or self.world.can_reach(self.slot, self.server):
             return
         self.slot.node.line_forwarded(self.session)
 
     def _answer(self, answer: str, retry_after_us: int) -> None:
         if self.placement is not None:
             self._attempt_over(AttemptOutcome.CANCELLED)
-        self.over = True
-        self.day.visits.pop(self.session.id, None)
+        self.is_finished = True
+        self.world.visits.pop(self.session.id, None)
         self.slot.visits.pop(self.session.id, None)
-        self.day.answered(self, answer)
+        self.world.answered(self, answer)
         client = self.client
         client.failures += 1
-        again_us = client.again_us(self.day.chance, self.day.terms.rejoin_us, retry_after_us)
-        self.day.come_again(client, again_us, returning=client.returning)
+        reconnect_delay_us = client.reconnect_delay_us(
+            self.world.client_random, self.world.settings.reconnect_us, retry_after_us
+        )
+        self.world.reconnect_later(client, reconnect_delay_us, returning=client.returning)
 
 
 class VirtualSlot(Slot):
@@ -248,8 +261,8 @@
         super().__init__(index, zone)
         self.node: Node | None = None
         self.visits: dict[str, Visit] = {}
-        self.moved: dict[str, int] = {}  # sessions that its rebalancer has moved
-        self.turn_us: int | None = None
+        self.moved_sessions: dict[str, int] = {}  # sessions that its rebalancer has moved
+        self.next_run_us: int | None = None
         self.token = 0
         self.registry_revision = 0
         self.watching = False
@@ -259,39 +272,39 @@
 class NodeDiscovery:
     """The core's `ServiceDiscovery` for one slot."""
 
-    def __init__(self, day: VirtualDay, slot: VirtualSlot) -> None:
-        self._day, self._slot = day, slot
+    def __init__(self, world: VirtualWorld, slot: VirtualSlot) -> None:
+        self._virtual_world, self._slot = world, slot
 
     def watch(self, active: bool) -> None:
         self._slot.watching = active
         if active:
-            self._day.registry.ask(self._slot)
+            self._virtual_world.registry.ask(self._slot)
 
     def fetch(self) -> None:
-        self._day.registry.ask(self._slot)
+        self._virtual_world.registry.ask(self._slot)
 
 
 class VirtualRegistry(RegistryModel):
-    def __init__(self, day: VirtualDay) -> None:
-        super().__init__(day)
-        self._day = day
-        self._free_us = 0  # when the last queued call will have been answered
+    def __init__(self, world: VirtualWorld) -> None:
+        super().__init__(world)
+        self._virtual_world = world
+        self._queue_free_us = 0  # when the last queued call will have been answered
 
     def ask(self, slot: VirtualSlot) -> None:
         """Handles a call that starts a watch or fetches the list. Only these calls use the registry's limited
         rate; calls of an established watch do not.
         """
-        time, terms = self._day.time, self._day.terms
-        self.calls[int(self._day.second)] += 1
-        if not terms.roster_per_s:
+        time, settings = self._virtual_world.time, self._virtual_world.settings
+        self.calls[int(self._virtual_world.second)] += 1
+        if not settings.roster_per_s:
             self.call(slot)
             return
-        self._free_us = max(self._free_us, time.now_us) + int(SECOND / terms.roster_per_s)
-        if self._free_us - time.now_us > terms.roster_patience_us:
-            self.given_up += 1
-            time.after(terms.roster_patience_us, self._turned_away, slot, slot.node)
+        self._queue_free_us = max(self._queue_free_us, time.now_us) + int(SECOND / settings.roster_per_s)
+        if self._queue_free_us - time.now_us > settings.roster_patience_us:
+            self.abandoned_calls += 1
+            time.after(settings.roster_patience_us, self._turned_away, slot, slot.node)
         else:
-            time.at(self._free_us, self._answer, slot, slot.node)
+            time.at(self._queue_free_us, self._answer, slot, slot.node)
 
     def _turned_away(self, slot: VirtualSlot, node: Node | None) -> None:
         if node is not None and slot.node is node:
@@ -299,19 +312,21 @@
             node.discovery_failed("waited too long")
 
     def published(self) -> None:
-        for slot in (*self._day.slots, *self._day.predecessors):
+        for slot in (*self._virtual_world.slots, *self._virtual_world.predecessors):
             if slot.watching:
                 self.call(slot)
 
     def fail(self) -> None:
         super().fail()
-        for slot in self._day.slots:
+        for slot in self._virtual_world.slots:
             if slot.watching and slot.node is not None:
                 slot.watching = False
                 slot.node.discovery_failed("out of reach")
 
     def call(self, slot: VirtualSlot) -> None:
-        self._day.time.after(self.chance.whole(self._day.terms.call_us), self._answer, slot, slot.node)
+        self._virtual_world.time.after(
+            self.random_stream.integer(self._virtual_world.settings.call_us), self._answer, slot, slot.node
+        )
 
     def _answer(self, slot: VirtualSlot, node: Node | None) -> None:
         if node is None or slot.node is not node:
@@ -322,60 +337,64 @@
             return
         changed = self.since(slot.registry_revision)
         slot.registry_revision = self.revision
-        self.told(slot.index, changed)
+        self.record_delivery(slot.index, changed)
         node.server_list_updated(ServerListUpdate(ListKind.DELTA, self.revision, tuple(changed)))
 
 
 class Datagrams:
     """The core's `PeerTransport` for one slot. It delays datagrams or loses them."""
 
-    def __init__(self, day: VirtualDay, slot: VirtualSlot) -> None:
-        self._day, self._slot = day, slot
+    def __init__(self, world: VirtualWorld, slot: VirtualSlot) -> None:
+        self._virtual_world, self._slot = world, slot
 
     def send(self, neighbour: int | None, content: bytes) -> None:
-        day = self._day
-        for slot in day.slots:
+        world = self._virtual_world
+        for slot in world.slots:
             if slot is self._slot or (neighbour is not None and slot.index != neighbour):
                 continue
-            day.datagrams += 1
-            day.datagram_bytes += len(content)
-            if not day.together(slot.zone, self._slot.zone) or day.deaf:
+            world.datagrams += 1
+            world.datagram_bytes += len(content)
+            if not world.same_partition(slot.zone, self._slot.zone) or world.datagrams_blocked:
                 continue
-            if day.wire.random() >= day.terms.datagrams_lost:
-                day.time.after(day.wire.whole(day.terms.datagram_us), self._arrive, slot, content)
+            if world.network_random.random() >= world.settings.datagrams_lost:
+                world.time.after(
+                    world.network_random.integer(world.settings.datagram_us), self._arrive, slot, content
+                )
 
     def _arrive(self, slot: VirtualSlot, content: bytes) -> None:
         if slot.node is not None:
             slot.node.peer_message_received(self._slot.index, content)
 
 
-class VirtualDay(World[VirtualSlot]):
+class VirtualWorld(World[VirtualSlot]):
     """One virtual run. `script` schedules the faults, once the initial sessions are established."""
 
     registry: VirtualRegistry
 
     def __init__(
         self,
-        terms: WorldSettings,
+        settings: WorldSettings,
         seed: int,
         rebalance: RebalanceSettings,
         script: Callable[[World[Any]], None],
-        holders: Callable[[Sequence[FormServerModel]], Sequence[FormServerModel]] = lambda servers: servers,
-        told: Callable[[float], None] = lambda share: None,
+        select_initial_servers: Callable[
+            [Sequence[FormServerModel]], Sequence[FormServerModel]
+        ] = lambda servers: servers,
+        progress: Callable[[float], None] = lambda share: None,
     ) -> None:
-        super().__init__(terms, seed, BEGIN_US, holders)
-        self._rebalance, self._script, self._progress = rebalance, script, told
+        super().__init__(settings, seed, BEGIN_US, select_initial_servers)
+        self._rebalance, self._script, self._progress = rebalance, script, progress
         self.time: Scheduler = Scheduler()
         self.registry = VirtualRegistry(self)
-        self.slots = [VirtualSlot(n, terms.zones[n % len(terms.zones)]) for n in range(terms.nodes)]
+        self.slots = [VirtualSlot(n, settings.zones[n % len(settings.zones)]) for n in range(settings.nodes)]
         self.predecessors: list[VirtualSlot] = []  # old processes that run beside their successors
         self.visits: dict[str, Visit] = {}  # by request: unanswered and established
         self.moving: dict[int, int] = {}  # clients moved for balance and not yet back: time of the move
-        self._settings: dict[int, Settings] = {}
+        self._node_settings: dict[int, Settings] = {}
         self._requests = 0
-        self.off_zones: frozenset[str] = frozenset()  # zones that are cut off from the other zones
-        self._eyes: Eyes | None = None
-        self.deaf = False  # no datagram between nodes arrives
+        self.cut_off_zones: frozenset[str] = frozenset()  # zones that are cut off from the other zones
+        self._view: DelayedView | None = None
+        self.datagrams_blocked = False  # no datagram between nodes arrives
         self.answers_lost = self.attempts_reset = 0.0
 
     def run(self) -> list[Check]:
@@ -386,7 +405,7 @@
         self.populate()
         self.time.run(BEGIN_US + SECOND // 2)
         self.begin(self._script)
-        end_us = BEGIN_US + SECOND // 2 + int(self.terms.seconds * SECOND)
+        end_us = BEGIN_US + SECOND // 2 + int(self.settings.seconds * SECOND)
         while self.time.now_us < end_us:
             self.time.run(min(end_us, self.time.now_us + SECOND))
             self._progress((self.time.now_us - BEGIN_US) / (end_us - BEGIN_US))
@@ -394,91 +413,99 @@
         return self.checks()
 
     def _start(self, slot: VirtualSlot, passed: NodeSnapshot | None = None) -> None:
-        if slot.index not in self._settings:
-            self._settings[slot.index] = read_settings(self.terms.settings(slot.index))
-        settings = self._settings[slot.index]
+        if slot.index not in self._node_settings:
+            self._node_settings[slot.index] = read_settings(self.settings.settings(slot.index))
+        node_settings = self._node_settings[slot.index]
         known = ServerListUpdate(
             ListKind.CACHED, self.registry.revision, tuple(self.registry.entries.values())
         )
         if passed is None:
             slot.registry_revision = self.registry.revision
             self.rules.node_starts(slot.index)
-            self.registry.told(slot.index, known.form_servers)
-
-        def log(what: str, /, **facts: object) -> None:
-            if what in KEPT_LOGS:
-                text = " ".join(f"{name}={value}" for name, value in facts.items() if value is not None)
-                self.note(what, node=slot.index, text=text)
-            if what == "fault":
-                self.faults.broken(self.time.now_us - BEGIN_US, str(facts)[:2000])
-
-        if self.terms.seeing_us >= 0:
-            if self._eyes is None:
-                self._eyes = Eyes(self, self.terms.seeing_us)
+            self.registry.record_delivery(slot.index, known.form_servers)
+
+        def log(event: str, /, **fields: object) -> None:
+            if event in RECORDED_LOG_EVENTS:
+                text = " ".join(f"{name}={value}" for name, value in fields.items() if value is not None)
+                self.note(event, node=slot.index, text=text)
+            if event == "fault":
+                self.faults.broken(self.time.now_us - BEGIN_US, str(fields)[:2000])
+
+        if self.settings.reference_delay_us >= 0:
+            if self._view is None:
+                self._view = DelayedView(self, self.settings.reference_delay_us)
             # The reference policy implements the calls that this world makes to a node.
-            self._run_node(slot, cast("Node", SeeingNode(self, self._eyes, slot.index)), passed)
+            self._run_node(slot, cast("Node", ReferenceNode(self, self._view, slot.index)), passed)
             return
         seed = self.seed * 1_000_003 + slot.index * 101 + self.time.now_us
         if passed is not None:
             known = passed.server_list
-        node = Node(settings, seed, VirtualClock(self.time), known, log, passed)
+        node = Node(node_settings, seed, VirtualClock(self.time), known, log, passed)
         node.discovery, node.peer_transport = NodeDiscovery(self, slot), Datagrams(self, slot)
         if self._rebalance.enabled:
-            watched = WatchedRebalancer(self._rebalance, settings, self.time.now_us)
+            watched = WatchedRebalancer(self._rebalance, node_settings, self.time.now_us)
             node.rebalancer_port.rebalancer = watched
-            watched.moved = slot.moved = {}
+            watched.moved_sessions = slot.moved_sessions = {}
         self._run_node(slot, node, passed)
 
     def _run_node(self, slot: VirtualSlot, node: Node, passed: NodeSnapshot | None) -> None:
-        slot.node, slot.turn_us = node, None
+        slot.node, slot.next_run_us = node, None
         slot.admitted = slot.admitted or passed is None
-        node.wake = lambda: self._arm(slot, self.time.now_us + self.terms.tick_us)
+        node.wake = lambda: self._arm(slot, self.time.now_us + self.settings.tick_us)
         node.start()
         self._arm(slot, node.due_us())
 
     def _arm(self, slot: VirtualSlot, when_us: int) -> None:
-        if slot.turn_us is None or when_us < slot.turn_us:
-            slot.turn_us = when_us
+        if slot.next_run_us is None or when_us < slot.next_run_us:
+            slot.next_run_us = when_us
             slot.token += 1
-            self.time.at(when_us, self._turn, slot, slot.token)
+            self.time.at(when_us, self._run_slot, slot, slot.token)
 
-    def _turn(self, slot: VirtualSlot, token: int) -> None:
+    def _run_slot(self, slot: VirtualSlot, token: int) -> None:
         node = slot.node
         if node is None or token != slot.token:
             return
-        slot.turn_us = None
+        slot.next_run_us = None
         node.run_once(self.time.now_us)
         if node.stopped:
-            self.gone(slot)
+            self.process_ended(slot)
         else:
             self._arm(slot, node.due_us())
 
     # ------------------------------------------------------------------ clients
 
-    def knock(self, client: Client) -> None:
+    def connect_client(self, client: Client) -> None:
         if self.time.now_us >= client.until_us:
             return
-        slot = self.front(client)
+        slot = self.pick_slot(client)
         if slot is None or slot.node is None:
             client.failures += 1
-            self.time.after(client.again_us(self.chance, self.terms.rejoin_us), self.knock, client)
+            self.time.after(
+                client.reconnect_delay_us(self.client_random, self.settings.reconnect_us),
+                self.connect_client,
+                client,
+            )
             return
-        self._ask(slot, client)
+        self._request_session(slot, client)
 
     def resume(self, client: Client, server: FormServerModel) -> None:
-        slot = self.front(client)
+        slot = self.pick_slot(client)
         if slot is not None:
-            self._ask(slot, client, resumed_at=server)
+            self._request_session(slot, client, resumed_at=server)
 
-    def _ask(self, slot: VirtualSlot, client: Client, resumed_at: FormServerModel | None = None) -> None:
+    def _request_session(
+        self, slot: VirtualSlot, client: Client, resumed_at: FormServerModel | None = None
+    ) -> None:
         assert slot.node is not None
         self._requests += 1
-        client.tries += 1
+        client.connection_attempts += 1
         now_us = self.time.now_us
-        deadline_us = now_us + (RESUME_US if resumed_at is not None else client.terms.deadline_us)
+        deadline_us = now_us + (
+            RESUME_DEADLINE_US if resumed_at is not None else client.request_class.deadline_us
+        )
         session = FormSession(
             id=f"r{self._requests}",
-            request_class=client.terms.name,
+            request_class=client.request_class.name,
             deadline_us=deadline_us,
             client=None,  # type: ignore[arg-type]  # set by the Visit below
             key=client.key,
@@ -490,19 +517,19 @@
         visit = Visit(self, slot, client, session)
         self.visits[session.id] = slot.visits[session.id] = visit
         if resumed_at is None:
-            self.rules.asked(now_us, session.id, slot.index, deadline_us)
+            self.rules.request_opened(now_us, session.id, slot.index, deadline_us)
         slot.node.request_session(session)
 
-    def come_again(self, client: Client, after_us: int, returning: bool = True) -> None:
+    def reconnect_later(self, client: Client, after_us: int, returning: bool = True) -> None:
         client.returning = returning
-        self.time.after(after_us, self.knock, client)
+        self.time.after(after_us, self.connect_client, client)
 
     def answered(self, visit: Visit, answer: str) -> None:
         now_us = self.time.now_us
         self.rules.answered(now_us, visit.session.id, answer)
         self.records.requests.add(
             at_us=now_us - BEGIN_US,
-            cls=visit.client.terms.name,
+            cls=visit.client.request_class.name,
             answer=answer,
             took_us=now_us - visit.asked_us,
             attempts=visit.session.attempts,
@@ -513,64 +540,68 @@
 
     # ------------------------------------------------------------------ faults
 
-    def lose(self, server: FormServerModel, phase: Phase) -> None:
+    def break_sessions(self, server: FormServerModel, phase: Phase) -> None:
         """Ends the form server's process and breaks all its sessions."""
         for request in server.stop(phase):
             visit = self.visits.get(request)
             if visit is not None:
-                self._break(visit, AttemptOutcome.RESET)
+                self._break_session(visit, AttemptOutcome.RESET)
 
-    def _break(self, visit: Visit, outcome: AttemptOutcome) -> None:
+    def _break_session(self, visit: Visit, outcome: AttemptOutcome) -> None:
         client = visit.client
         visit.end(outcome)
         client.failures += 1
-        self.come_again(client, client.again_us(self.chance, self.terms.rejoin_us))
+        self.reconnect_later(
+            client, client.reconnect_delay_us(self.client_random, self.settings.reconnect_us)
+        )
 
-    def fallen_silent(self, server: FormServerModel) -> None:
+    def on_unresponsive(self, server: FormServerModel) -> None:
         for request in server.held:
-            self.time.after(self.luck.below(LINE_US), self.visits[request].speak)
+            self.time.after(self.fault_random.below(LINE_INTERVAL_US), self.visits[request].send_line)
 
-    def send_away(self, server: FormServerModel) -> None:
+    def disconnect_clients(self, server: FormServerModel) -> None:
         for request in list(server.held):
-            self._break(self.visits[request], AttemptOutcome.CANCELLED)
+            self._break_session(self.visits[request], AttemptOutcome.CANCELLED)
 
     def shed(self, server: FormServerModel, requests: Sequence[str]) -> None:
         for request in requests:
-            self._break(self.visits[request], AttemptOutcome.RESET)
+            self._break_session(self.visits[request], AttemptOutcome.RESET)
 
     def drop(self, share: float, within_us: int) -> None:
         """Disconnects a share of the clients, which reconnect within the given time."""
         self.note("drop", text=f"share={share}")
         for visit in list(self.visits.values()):
-            if visit.server is not None and self.luck.random() < share:
+            if visit.server is not None and self.fault_random.random() < share:
                 visit.end(AttemptOutcome.CANCELLED)
-                self.come_again(visit.client, self.luck.below(within_us))
+                self.reconnect_later(visit.client, self.fault_random.below(within_us))
 
     def kill(self, slot: VirtualSlot) -> None:
         """Kills a node without warning. It starts again without state."""
         self.note("kill", node=slot.index)
         slot.node = None
         self.rules.node_gone(slot.index)
-        self.gone(slot)
+        self.process_ended(slot)
 
     def terminate(self, slot: VirtualSlot) -> None:
         """Restarts a node as planned. It still receives new clients for up to 0.4 s."""
         self.note("terminate", node=slot.index)
         if slot.node is not None:
             slot.node.begin_shutdown()
-            self.time.after(self.luck.whole((200_000, 400_000)), self._shut_out, slot, slot.node)
+            self.time.after(
+                self.fault_random.integer((200_000, 400_000)), self._stop_admitting, slot, slot.node
+            )
 
-    def _shut_out(self, slot: VirtualSlot, node: Node) -> None:
+    def _stop_admitting(self, slot: VirtualSlot, node: Node) -> None:
         if slot.node is node:
             slot.admitted = False
 
-    def by_hand(self, server: FormServerModel, out: bool) -> None:
+    def override_server(self, server: FormServerModel, out: bool) -> None:
         """Excludes a form server by operator override at every node, or puts it back."""
         self.note("by-hand", server=server.name, text="out" if out else "back")
         for slot in self.slots:
             if slot.node is not None:
                 slot.node.set_operator_override(server.name, out, lambda known: None)
-                self.rules.told_by_hand(self.time.now_us, slot.index, server.name, out)
+                self.rules.operator_override_set(self.time.now_us, slot.index, server.name, out)
 
     def drain_node(self, slot: VirtualSlot, on: bool) -> None:
         """Drains a node by operator command, or ends the drain. A draining node receives new clients for
@@ -580,15 +611,15 @@
         if slot.node is not None:
             slot.node.set_draining(on, lambda done: None)
             later_us = 200_000 if on else 2 * SECOND
-            self.time.after(later_us, self._heed_drain, slot)
+            self.time.after(later_us, self._update_admission, slot)
             if on:
-                self.time.after(4 * SECOND, self._look_drained, slot)
+                self.time.after(4 * SECOND, self._check_drained, slot)
 
-    def _heed_drain(self, slot: VirtualSlot) -> None:
+    def _update_admission(self, slot: VirtualSlot) -> None:
         """Admits clients if the node's current process accepts them."""
         slot.admitted = slot.node is not None and slot.node.is_accepting
 
-    def _look_drained(self, slot: VirtualSlot) -> None:
+    def _check_drained(self, slot: VirtualSlot) -> None:
         if slot.node is not None and not slot.node.is_accepting:
             for visit in slot.visits.values():
                 if visit.server is not None:
@@ -603,32 +634,35 @@
 
         def passed(state: NodeSnapshot) -> None:
             if slot.node is old:
-                self._succeed(slot, state)
+                self._start_successor(slot, state)
 
         old.snapshot_state(passed)
 
-    def _succeed(self, slot: VirtualSlot, state: NodeSnapshot) -> None:
+    def _start_successor(self, slot: VirtualSlot, state: NodeSnapshot) -> None:
         old = slot.node
         assert old is not None
-        before = VirtualSlot(slot.index, slot.zone)
-        before.node, before.successor, before.watching = old, slot, True
-        before.registry_revision, before.moved = slot.registry_revision, slot.moved
-        before.visits, slot.visits = slot.visits, {}
-        for visit in before.visits.values():
-            visit.slot = before
-        self.predecessors.append(before)
-        old.discovery, old.peer_transport = NodeDiscovery(self, before), Datagrams(self, before)
-        old.wake = lambda: self._arm(before, self.time.now_us + self.terms.tick_us)
+        predecessor = VirtualSlot(slot.index, slot.zone)
+        predecessor.node, predecessor.successor, predecessor.watching = old, slot, True
+        predecessor.registry_revision, predecessor.moved_sessions = (
+            slot.registry_revision,
+            slot.moved_sessions,
+        )
+        predecessor.visits, slot.visits = slot.visits, {}
+        for visit in predecessor.visits.values():
+            visit.slot = predecessor
+        self.predecessors.append(predecessor)
+        old.discovery, old.peer_transport = NodeDiscovery(self, predecessor), Datagrams(self, predecessor)
+        old.wake = lambda: self._arm(predecessor, self.time.now_us + self.settings.tick_us)
         self._start(slot, state)
         old.set_successor(lambda transfer: None)  # `transfer` hands the sessions over
-        self._arm(before, self.time.now_us + self.terms.tick_us)
-        self.time.after(self.luck.below(6 * SECOND), old.begin_shutdown)
-        self._tell_held(before)
+        self._arm(predecessor, self.time.now_us + self.settings.tick_us)
+        self.time.after(self.fault_random.below(6 * SECOND), old.begin_shutdown)
+        self._report_predecessor_load(predecessor)
 
     def transfer(self, visit: Visit) -> None:
         """Hands an established session over to the successor unchanged."""
-        before, slot, session = visit.slot, visit.slot.successor, visit.session
-        if slot is None or slot.node is None or before.node is None or visit.placement is None:
+        predecessor, slot, session = visit.slot, visit.slot.successor, visit.session
+        if slot is None or slot.node is None or predecessor.node is None or visit.placement is None:
             return
         visit.session = replace(
             session,
@@ -637,13 +671,13 @@
             unanswered_since_us=deque(session.unanswered_since_us),
         )
         visit.slot = slot
-        slot.visits[session.id] = before.visits.pop(session.id)
-        before.node.attempt_ended(session, visit.placement, AttemptOutcome.CANCELLED)
+        slot.visits[session.id] = predecessor.visits.pop(session.id)
+        predecessor.node.attempt_ended(session, visit.placement, AttemptOutcome.CANCELLED)
         slot.node.adopt_session(visit.session, visit.placement)
         slot.node.report_load(visit.session, visit.client.load)
 
-    def _tell_held(self, before: VirtualSlot) -> None:
-        old, slot = before.node, before.successor
+    def _report_predecessor_load(self, predecessor: VirtualSlot) -> None:
+        old, slot = predecessor.node, predecessor.successor
         if slot is None or slot.node is None:
             return
         if old is None:
@@ -651,44 +685,46 @@
             return
         new = slot.node
         old.report_local_load(new.update_predecessor_load)
-        self.time.after(TELL_US, self._tell_held, before)
+        self.time.after(TELL_US, self._report_predecessor_load, predecessor)
 
-    def _predecessor_gone(self, before: VirtualSlot) -> None:
-        before.node, before.watching = None, False
-        self.predecessors.remove(before)
-        for visit in list(before.visits.values()):
+    def _predecessor_ended(self, predecessor: VirtualSlot) -> None:
+        predecessor.node, predecessor.watching = None, False
+        self.predecessors.remove(predecessor)
+        for visit in list(predecessor.visits.values()):
             if visit.server is not None:
                 self.rules.cut_off(self.time.now_us, visit.session.id, visit.server.name)
 
-    def gone(self, slot: VirtualSlot) -> None:
+    def process_ended(self, slot: VirtualSlot) -> None:
         """Handles the end of a node's process and of all connections through it."""
         if slot.successor is not None:
-            self._predecessor_gone(slot)
+            self._predecessor_ended(slot)
             return
         planned, slot.node = slot.node is not None, None
         slot.admitted, slot.watching = False, False
         for visit in list(slot.visits.values()):
             if planned and visit.server is not None:
                 self.rules.cut_off(self.time.now_us, visit.session.id, visit.server.name)
-            visit.over = True
+            visit.is_finished = True
             if visit.server is not None:
                 visit.end(AttemptOutcome.CANCELLED)
             else:
-                visit.turn += 1  # later events of its attempt are ignored
+                visit.attempt_number += 1  # later events of its attempt are ignored
                 self.visits.pop(visit.session.id, None)
-            self.come_again(visit.client, visit.client.again_us(self.chance, self.terms.rejoin_us))
+            self.reconnect_later(
+                visit.client, visit.client.reconnect_delay_us(self.client_random, self.settings.reconnect_us)
+            )
         slot.visits.clear()
-        self.time.after(RESTART_US, self._start_again, slot)
+        self.time.after(NODE_RESTART_US, self._start_again, slot)
 
     def _start_again(self, slot: VirtualSlot) -> None:
         self._start(slot)
         slot.admitted = False
-        self.time.after(self.luck.whole(ADMITTED_US), self._admit, slot)
+        self.time.after(self.fault_random.integer(ADMISSION_DELAY_US), self._admit, slot)
 
     def _admit(self, slot: VirtualSlot) -> None:
         slot.admitted = slot.node is not None
 
-    def slow(self, server: FormServerModel) -> None:
+    def on_slow_server(self, server: FormServerModel) -> None:
         """Sends one line from each node to a slow form server, and answers it."""
         seen: dict[int, None] = {}
         took_us = int(server.message_us(self.time.now_us))
@@ -708,27 +744,27 @@
 
     # ------------------------------------------------------------------ the network
 
-    def together(self, here: str, there: str) -> bool:
-        return (here in self.off_zones) is (there in self.off_zones)
+    def same_partition(self, here: str, there: str) -> bool:
+        return (here in self.cut_off_zones) is (there in self.cut_off_zones)
 
-    def reaches(self, slot: VirtualSlot, server: FormServerModel) -> bool:
-        return server.phase is not Phase.UNRESPONSIVE and self.together(slot.zone, server.zone)
+    def can_reach(self, slot: VirtualSlot, server: FormServerModel) -> bool:
+        return server.phase is not Phase.UNRESPONSIVE and self.same_partition(slot.zone, server.zone)
 
-    def cut(self, zones: frozenset[str], deaf: bool = False) -> None:
+    def cut(self, zones: frozenset[str], datagrams_blocked: bool = False) -> None:
         """Cuts these zones off from the others until the next call. An empty set ends the cut."""
         self.note("cut", text=",".join(sorted(zones)) or "over")
-        self.off_zones, self.deaf = zones, deaf
+        self.cut_off_zones, self.datagrams_blocked = zones, datagrams_blocked
         for visit in list(self.visits.values()):
             if visit.server is None:
                 continue
-            off = not self.together(visit.slot.zone, visit.server.zone)
+            off = not self.same_partition(visit.slot.zone, visit.server.zone)
             if off is not visit.cut:
                 visit.cut = off
-                self.count(visit.client, visit.server, -1 if off else 1)
+                self.count_session(visit.client, visit.server, -1 if off else 1)
                 if off:
-                    self.time.after(self.luck.below(LINE_US), visit.speak)
+                    self.time.after(self.fault_random.below(LINE_INTERVAL_US), visit.send_line)
 
-    def spoil(self, answers_lost: float, attempts_reset: float) -> None:
+    def set_attempt_faults(self, answers_lost: float, attempts_reset: float) -> None:
         self.answers_lost, self.attempts_reset = answers_lost, attempts_reset
 
     def move_registry(self) -> None:
@@ -738,4 +774,4 @@
         self.registry.reachable = True
 
     def net_us(self, here: str, there: str) -> int:
-        return self.wire.whole(self.terms.near_us if here == there else self.terms.far_us)
+        return self.network_random.integer(self.settings.near_us if here == there else self.settings.far_us)
--- a/sailrun/lab/world.py
+++ b/sailrun/lab/world.py
@@ -20,17 +20,17 @@
 
 MASK = 0xFFFFFFFF
 # The other connections of a group start within this time after the first one.
-MEMBERS_US = 5 * SECOND
+GROUP_SPREAD_US = 5 * SECOND
 # A draining form server disconnects its remaining clients after this time and exits.
-DRAINED_US = 8 * SECOND
+DRAIN_DURATION_US = 8 * SECOND
 # Bounds of the delay between the move of a client and its next connection to a node.
-GAP_US = (20_000, 200_000)
+MOVE_DELAY_US = (20_000, 200_000)
 # Delay before a node that ended is started again.
-RESTART_US = SECOND
+NODE_RESTART_US = SECOND
 # From this mean message time on, a form server counts as slow.
-SLOW_US = 10_000
+SLOW_MESSAGE_US = 10_000
 # A client that is moved again within this time gained nothing from the first move.
-AGAIN_US = 10 * SECOND
+REPEATED_MOVE_US = 10 * SECOND
 
 
 class Time(Protocol):
@@ -38,8 +38,8 @@
 
     @property
     def now_us(self) -> int: ...
-    def at(self, when_us: int, what: Callable[..., None], *facts: Any) -> None: ...
-    def after(self, wait_us: int, what: Callable[..., None], *facts: Any) -> None: ...
+    def at(self, when_us: int, callback: Callable[..., None], *arguments: Any) -> None: ...
+    def after(self, wait_us: int, callback: Callable[..., None], *arguments: Any) -> None: ...
 
 
 class Slot:
@@ -58,19 +58,19 @@
 
     def __init__(self, world: World[Any]) -> None:
         self._world = world
-        self.chance = Stream(world.seed, "roster")
+        self.random_stream = Stream(world.seed, "roster")
         self.revision = 1
         self.entries: dict[str, FormServer] = {}
         self._changes: list[tuple[int, FormServer]] = []
         self.reachable = True
         self.late_us = 0
         self.calls: Counter[int] = Counter()  # calls that start a new watch, by second
-        self.given_up = 0  # calls that waited too long
+        self.abandoned_calls = 0  # calls that waited too long
 
     def change(self, server: FormServerModel, state: BackendState, notice: tuple[int, int]) -> None:
         """Schedules the registry's delayed update about a server whose state changes now."""
         entry = self.entry(server, state)
-        self._world.time.after(self.chance.whole(notice) + self.late_us, self._publish, entry)
+        self._world.time.after(self.random_stream.integer(notice) + self.late_us, self._publish, entry)
 
     def entry(self, server: FormServerModel, state: BackendState) -> FormServer:
         address = self._world.address_of(server)
@@ -92,13 +92,13 @@
             changed.setdefault(entry.name, entry)
         return list(changed.values())
 
-    def told(self, node: int, entries: Sequence[FormServer]) -> None:
+    def record_delivery(self, node: int, entries: Sequence[FormServer]) -> None:
         """Records that a node received these entries. The rules apply to the node from now on."""
         for entry in entries:
             if entry.state is BackendState.READY:
-                self._world.rules.told_serving(node, entry.name)
+                self._world.rules.notified_serving(node, entry.name)
             else:
-                self._world.rules.told_leaving(self._world.time.now_us, node, entry.name)
+                self._world.rules.notified_leaving(self._world.time.now_us, node, entry.name)
 
     def published(self) -> None:
         """Notifies the watches that the list has changed."""
@@ -116,31 +116,31 @@
 
     def __init__(
         self,
-        terms: WorldSettings,
+        settings: WorldSettings,
         seed: int,
         begin_us: int,
-        holders: Callable[[Sequence[FormServerModel]], Sequence[FormServerModel]],
+        select_initial_servers: Callable[[Sequence[FormServerModel]], Sequence[FormServerModel]],
     ) -> None:
-        self.terms, self.seed, self.begin_us = terms, seed, begin_us
-        self._holders = holders
-        self.chance = Stream(seed, "clients")
-        self.wire = Stream(seed, "network")
-        self.luck = Stream(seed, "troubles")
-        self.people = Population(terms, seed)
-        self._draws = Stream(seed, "form-servers")
-        self.rush = 1.0  # factor on the usual rate of new groups
-        self.rules = RuleBook(begin_us, terms.drain_grace_us)
+        self.settings, self.seed, self.begin_us = settings, seed, begin_us
+        self._select_initial_servers = select_initial_servers
+        self.client_random = Stream(seed, "clients")
+        self.network_random = Stream(seed, "network")
+        self.fault_random = Stream(seed, "troubles")
+        self.population = Population(settings, seed)
+        self._server_random = Stream(seed, "form-servers")
+        self.arrival_factor = 1.0  # factor on the usual rate of new groups
+        self.rules = RuleBook(begin_us, settings.drain_grace_us)
         self.faults = Check("no-fault-in-a-node")
         self.records = Records()
         self.servers: dict[int, FormServerModel] = {}
         self.slots: list[S] = []
-        self.moves = self.datagrams = self.datagram_bytes = self.clients = self.fewest = 0
-        self.moved = Counter[str]()  # by move reason
-        self.moved_again = 0  # moves within AGAIN_US of the client's previous move
-        self.warm_s = 0  # second at which the last form server has finished its slow start
-        self._wanting = [0] * len(terms.classes)
-        self._index = {c.name: n for n, c in enumerate(terms.classes)}
-        self._held: dict[int, list[int]] = {}  # established sessions by form server and class
+        self.moves = self.datagrams = self.datagram_bytes = self.clients = self.min_moves = 0
+        self.moves_by_reason = Counter[str]()  # by move reason
+        self.repeated_moves = 0  # moves within REPEATED_MOVE_US of the client's previous move
+        self.all_warm_s = 0  # second at which the last form server has finished its slow start
+        self._wanted_by_class = [0] * len(settings.classes)
+        self._index = {c.name: n for n, c in enumerate(settings.classes)}
+        self._sessions_by_server: dict[int, list[int]] = {}  # established sessions by form server and class
 
     @property
     def second(self) -> float:
@@ -157,74 +157,74 @@
         return ("127.0.0.1", 1)
 
     def build(self) -> None:
-        for n in range(self.terms.form_servers):
-            server = self._new_server(self.terms.zones[n % len(self.terms.zones)])
+        for n in range(self.settings.form_servers):
+            server = self._new_server(self.settings.zones[n % len(self.settings.zones)])
             self.registry.entries[server.name] = self.registry.entry(server, BackendState.READY)
 
     def _new_server(self, zone: str) -> FormServerModel:
-        draws, n = self._draws, len(self.servers)
+        server_random, n = self._server_random, len(self.servers)
         number = (n * 0x9E3779B1 + self.seed * 0x85EBCA6B + 0x51ED270B) & MASK
         while number in self.servers:
             number = (number + 1) & MASK
         server = FormServerModel(
-            self.terms,
+            self.settings,
             number,
             f"s-{number:08x}",
             zone,
-            self.terms.cores * draws.between(self.terms.speed) * SECOND,
-            draws.between(self.terms.initial_capacity_share),
-            draws.whole(self.terms.slow_start_us),
+            self.settings.cores * server_random.between(self.settings.speed) * SECOND,
+            server_random.between(self.settings.initial_capacity_share),
+            server_random.integer(self.settings.slow_start_us),
             at_us=self.time.now_us,
         )
         self.servers[number] = server
-        self._held[number] = [0] * len(self.terms.classes)
+        self._sessions_by_server[number] = [0] * len(self.settings.classes)
         return server
 
     def populate(self) -> None:
         """Creates the sessions that exist when the run begins. Each goes to the form server with the highest
         score for its group, unless that server is more than 10% above its share of the load.
         """
-        holders = list(self._holders(list(self.servers.values())))
-        hashes = [backend_hash(s.number) for s in holders]
-        total = sum(s.capacity for s in holders)
-        cost = self.terms.household_cost * self.terms.unit
-        expected = self.terms.households * cost + self.terms.connections * self.terms.unit
-        loads = dict.fromkeys(holders, 0.0)
-        for _ in range(self.terms.households):
-            clients = self.people.new_group(self.time.now_us, 0)
+        initial_servers = list(self._select_initial_servers(list(self.servers.values())))
+        hashes = [backend_hash(s.number) for s in initial_servers]
+        total = sum(s.capacity for s in initial_servers)
+        cost = self.settings.household_cost * self.settings.unit
+        expected = self.settings.households * cost + self.settings.connections * self.settings.unit
+        loads = dict.fromkeys(initial_servers, 0.0)
+        for _ in range(self.settings.households):
+            clients = self.population.new_group(self.time.now_us, 0)
             key = key_hash(clients[0].group)
             scores = [(h * key) & MASK for h in hashes]
-            server = holders[max(range(len(holders)), key=scores.__getitem__)]
+            server = initial_servers[max(range(len(initial_servers)), key=scores.__getitem__)]
             if loads[server] > 1.1 * expected * server.capacity / total:
-                ranked = sorted(zip(scores, holders, strict=True), key=lambda pair: -pair[0])
-                room = (s for _, s in ranked if loads[s] <= 1.1 * expected * s.capacity / total)
-                server = next(room, server)
+                ranked = sorted(zip(scores, initial_servers, strict=True), key=lambda pair: -pair[0])
+                below_limit = (s for _, s in ranked if loads[s] <= 1.1 * expected * s.capacity / total)
+                server = next(below_limit, server)
             loads[server] += sum(c.load for c in clients) + cost
             for client in clients:
-                self.want(client)
+                self.count_wanted(client)
                 self.resume(client, server)
 
     def begin(self, script: Callable[[World[Any]], None]) -> None:
         """Starts the script, the samples and the arrivals once the initial sessions are established."""
-        cost = self.terms.household_cost * self.terms.unit
+        cost = self.settings.household_cost * self.settings.unit
         held = [
             [(sum(one.load for one in members) + cost, len(members)) for members in _groups_at(s).values()]
             for s in self.servers.values()
         ]
-        self.fewest = fewest_moves(held)
+        self.min_moves = fewest_moves(held)
         script(self)
         self.time.after(0, self._sample)
-        self.time.after(0, self._arrive)
+        self.time.after(0, self._add_group)
 
-    def _arrive(self) -> None:
-        for client in self.people.new_group(self.time.now_us, MEMBERS_US):
-            self.time.at(client.from_us, self._first, client)
-        mean_us = SECOND / (self.rush * self.people.arrivals_per_s)
-        self.time.after(int(self.chance.exponential(mean_us)), self._arrive)
+    def _add_group(self) -> None:
+        for client in self.population.new_group(self.time.now_us, GROUP_SPREAD_US):
+            self.time.at(client.from_us, self._connect_first, client)
+        mean_us = SECOND / (self.arrival_factor * self.population.arrivals_per_s)
+        self.time.after(int(self.client_random.exponential(mean_us)), self._add_group)
 
-    def _first(self, client: Client) -> None:
-        self.want(client)
-        self.knock(client)
+    def _connect_first(self, client: Client) -> None:
+        self.count_wanted(client)
+        self.connect_client(client)
 
     # ------------------------------------------------------------------ implemented by the driver
 
@@ -233,15 +233,15 @@
         """Opens a session that a node takes over from before the run."""
 
     @abstractmethod
-    def knock(self, client: Client) -> None:
+    def connect_client(self, client: Client) -> None:
         """Connects a client to one of the nodes."""
 
     @abstractmethod
-    def lose(self, server: FormServerModel, phase: Phase) -> None:
+    def break_sessions(self, server: FormServerModel, phase: Phase) -> None:
         """Ends the form server's process and breaks all its sessions."""
 
     @abstractmethod
-    def send_away(self, server: FormServerModel) -> None:
+    def disconnect_clients(self, server: FormServerModel) -> None:
         """Disconnects the clients that remain when the form server has finished draining."""
 
     @abstractmethod
@@ -260,69 +260,69 @@
     def terminate(self, slot: S) -> None:
         """Restarts a node as planned. It still receives new clients for up to 0.4 s."""
 
-    def fallen_silent(self, server: FormServerModel) -> None:
+    def on_unresponsive(self, server: FormServerModel) -> None:
         """Handles a form server whose machine is cut off."""
 
-    def slow(self, server: FormServerModel) -> None:
+    def on_slow_server(self, server: FormServerModel) -> None:
         """Handles a form server whose messages are slow in this second."""
 
-    def moves_off(self, client: Client, cause: str) -> None:
+    def record_move(self, client: Client, cause: str) -> None:
         """Counts a move of the client by its node."""
         now_us = self.time.now_us
-        self.moved[cause] += 1
-        self.moved_again += now_us - client.sent_off_us < AGAIN_US
-        client.sent_off_us = now_us
+        self.moves_by_reason[cause] += 1
+        self.repeated_moves += now_us - client.last_move_us < REPEATED_MOVE_US
+        client.last_move_us = now_us
 
-    def want(self, client: Client) -> None:
+    def count_wanted(self, client: Client) -> None:
         self.clients += 1
-        self._wanting[self._index[client.terms.name]] += 1
-        self.time.at(client.until_us, self._want_no_more, client)
+        self._wanted_by_class[self._index[client.request_class.name]] += 1
+        self.time.at(client.until_us, self._uncount_wanted, client)
 
-    def _want_no_more(self, client: Client) -> None:
-        self._wanting[self._index[client.terms.name]] -= 1
+    def _uncount_wanted(self, client: Client) -> None:
+        self._wanted_by_class[self._index[client.request_class.name]] -= 1
 
-    def front(self, client: Client) -> S | None:
+    def pick_slot(self, client: Client) -> S | None:
         near = [s for s in self.slots if s.admitted and s.zone == client.zone]
         slots = near or [s for s in self.slots if s.admitted]
-        return slots[self.chance.below(len(slots))] if slots else None
+        return slots[self.client_random.below(len(slots))] if slots else None
 
     # ------------------------------------------------------------------ faults
 
     def crash(self, server: FormServerModel, back_after_us: int) -> None:
         self.note("crash", server=server.name)
-        self.lose(server, Phase.DOWN)
-        self.registry.change(server, BackendState.GONE, self.terms.notice_us)
+        self.break_sessions(server, Phase.DOWN)
+        self.registry.change(server, BackendState.GONE, self.settings.notice_us)
         self.time.after(back_after_us, self._return, server)
 
-    def vanish(self, server: FormServerModel, back_after_us: int) -> None:
+    def cut_off_server(self, server: FormServerModel, back_after_us: int) -> None:
         """Cuts the machine off: it sends no reset and no answer until it returns as a new process."""
         self.note("vanish", server=server.name)
         server.advance(self.time.now_us)
         server.phase = Phase.UNRESPONSIVE
-        self.fallen_silent(server)
-        self.registry.change(server, BackendState.GONE, self.terms.silent_notice_us)
+        self.on_unresponsive(server)
+        self.registry.change(server, BackendState.GONE, self.settings.silent_notice_us)
         self.time.after(back_after_us, self._return, server)
 
     def _return(self, server: FormServerModel) -> None:
         if server.phase is Phase.FALLEN:
             return
-        self.lose(server, Phase.DOWN)
+        self.break_sessions(server, Phase.DOWN)
         server.start(self.time.now_us)
-        self.warm_s = max(self.warm_s, int(self.second + server.slow_start_us / SECOND) + 1)
+        self.all_warm_s = max(self.all_warm_s, int(self.second + server.slow_start_us / SECOND) + 1)
         self.note("start", server=server.name)
-        self.registry.change(server, BackendState.READY, self.terms.notice_us)
+        self.registry.change(server, BackendState.READY, self.settings.notice_us)
 
     def drain(self, server: FormServerModel, back_after_us: int) -> None:
         self.note("drain", server=server.name)
         server.draining = True
-        self.registry.change(server, BackendState.DRAINING, self.terms.notice_us)
-        self.time.after(DRAINED_US, self._drained, server, back_after_us)
+        self.registry.change(server, BackendState.DRAINING, self.settings.notice_us)
+        self.time.after(DRAIN_DURATION_US, self._drained, server, back_after_us)
 
     def _drained(self, server: FormServerModel, back_after_us: int | None) -> None:
-        self.send_away(server)
+        self.disconnect_clients(server)
         self.note("drained", server=server.name)
         server.stop(Phase.DOWN)
-        self.registry.change(server, BackendState.GONE, self.terms.notice_us)
+        self.registry.change(server, BackendState.GONE, self.settings.notice_us)
         if back_after_us is not None:
             self.time.after(back_after_us, self._return, server)
 
@@ -332,49 +332,49 @@
         """
         other = self._new_server(server.zone)
         other.start(self.time.now_us)
-        self.warm_s = max(self.warm_s, int(self.second + other.slow_start_us / SECOND) + 1)
+        self.all_warm_s = max(self.all_warm_s, int(self.second + other.slow_start_us / SECOND) + 1)
         self.note("start", server=other.name, text=f"in place of {server.name}")
-        self.registry.change(other, BackendState.READY, self.terms.notice_us)
+        self.registry.change(other, BackendState.READY, self.settings.notice_us)
         self.note("drain", server=server.name)
         server.draining = True
-        self.registry.change(server, BackendState.DRAINING, self.terms.notice_us)
-        self.time.after(DRAINED_US, self._drained, server, None)
+        self.registry.change(server, BackendState.DRAINING, self.settings.notice_us)
+        self.time.after(DRAIN_DURATION_US, self._drained, server, None)
 
-    def look_after(self, server: FormServerModel) -> None:
+    def apply_overload(self, server: FormServerModel) -> None:
         """Applies the effects of overload: the form server falls over, or drops its newest connections."""
         if server.phase is Phase.FALLEN and not server.fallen:
             server.fallen = True
-            self.rules.fell(self.time.now_us, server.name)
+            self.rules.server_fell_over(self.time.now_us, server.name)
             self.note("fallen", server=server.name)
-            self.lose(server, Phase.FALLEN)
-            self.registry.change(server, BackendState.GONE, self.terms.notice_us)
+            self.break_sessions(server, Phase.FALLEN)
+            self.registry.change(server, BackendState.GONE, self.settings.notice_us)
         elif server.phase is Phase.UP and (newest := server.shed()):
             self.shed(server, newest)
 
     # ------------------------------------------------------------------ samples
 
-    def count(self, client: Client, server: FormServerModel, change: int) -> None:
-        self._held[server.number][self._index[client.terms.name]] += change
+    def count_session(self, client: Client, server: FormServerModel, change: int) -> None:
+        self._sessions_by_server[server.number][self._index[client.request_class.name]] += change
 
     def _sample(self) -> None:
         """Records the state of the world for the second that begins now."""
-        now_us, terms = self.time.now_us, self.terms
+        now_us, settings = self.time.now_us, self.settings
         at_us = now_us - self.begin_us
         served = 0.0
         warm_load = warm_capacity = 0.0
         ratios: list[tuple[float, float]] = []
         for server in self.servers.values():
             server.advance(now_us)
-            self.look_after(server)
-            held = self._held[server.number]
+            self.apply_overload(server)
+            held = self._sessions_by_server[server.number]
             if server.phase is Phase.UP:
-                for n, cls in enumerate(terms.classes):
+                for n, cls in enumerate(settings.classes):
                     if held[n]:
                         served += (
                             held[n] * cls.priority_weight * server.answered_within(now_us, cls.message_us)
                         )
-                if server.message_us(now_us) >= SLOW_US:
-                    self.slow(server)
+                if server.message_us(now_us) >= SLOW_MESSAGE_US:
+                    self.on_slow_server(server)
                 if not server.cold(now_us) and not server.draining:
                     warm_load += server.load
                     warm_capacity += server.capacity
@@ -383,7 +383,7 @@
                 at_us=at_us,
                 server=server.name,
                 load=server.load,
-                capacity=server.present(now_us),
+                capacity=server.current_capacity(now_us),
                 backlog_us=server.backlog,
                 standing=sum(held),
                 phase=server.phase.value,
@@ -397,9 +397,11 @@
             imbalance=imbalance,
             utilization=warm_load / warm_capacity if warm_capacity else 0.0,
             busiest=max((load / capacity for load, capacity in ratios), default=0.0),
-            wanting=sum(self._wanting),
-            standing=sum(map(sum, self._held.values())),
-            asked=sum(n * c.priority_weight for n, c in zip(self._wanting, terms.classes, strict=True)),
+            wanting=sum(self._wanted_by_class),
+            standing=sum(map(sum, self._sessions_by_server.values())),
+            asked=sum(
+                n * c.priority_weight for n, c in zip(self._wanted_by_class, settings.classes, strict=True)
+            ),
             served=served,
             moves=self.moves,
             datagrams=self.datagrams,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,10 +13,10 @@
 from sailrun.lab.checks import RuleBook
 from sailrun.lab.experiments import EXPERIMENTS
 from sailrun.lab.figures import even_after, fewest_moves
-from sailrun.lab.form_servers import FormServerModel, Held, Phase
-from sailrun.lab.run import Request, play
+from sailrun.lab.form_servers import FormServerModel, HeldConnection, Phase
+from sailrun.lab.run import Request, run_experiment
 from sailrun.lab.settings import SECOND, WorldSettings
-from sailrun.lab.virtual import VirtualDay, Visit
+from sailrun.lab.virtual import VirtualWorld, Visit
 from sailrun.node.sessions import SessionManager
 from sailrun.rebalance.settings import RebalanceSettings
 
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize("seed", [5, 8])
 @pytest.mark.parametrize("name", ["troubled", "rebalance-troubled"])
 def test_whatever_goes_wrong_the_rules_hold(name: str, seed: int) -> None:
-    summary, _ = play(Request(name, seed=seed, form_servers=10, households=300, seconds=50.0))
+    summary, _ = run_experiment(Request(name, seed=seed, form_servers=10, households=300, seconds=50.0))
     broken = [check for check in summary.checks if not check.holds]
     assert not broken
     assert summary.figures["moves"]
@@ -69,9 +69,11 @@
 
 @pytest.mark.parametrize("nodes, lost", [(1, 0.0), (4, 0.2)])
 def test_a_skewed_fleet_is_even_within_a_minute(nodes: int, lost: float) -> None:
-    summary, _ = play(Request("rebalance", seed=31, nodes=nodes, datagrams_lost=lost, seconds=60.0))
+    summary, _ = run_experiment(Request("rebalance", seed=31, nodes=nodes, datagrams_lost=lost, seconds=60.0))
     assert all(check.holds for check in summary.checks), summary.checks
-    off, _ = play(Request("rebalance", seed=31, nodes=nodes, seconds=60.0, off=frozenset({"rebalance"})))
+    off, _ = run_experiment(
+        Request("rebalance", seed=31, nodes=nodes, seconds=60.0, off=frozenset({"rebalance"}))
+    )
     assert off.figures["even_after_s"] is None
 
 
@@ -81,7 +83,7 @@
 def test_a_node_that_breaks_rules_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """A core that never answers a request breaks the rule of one final answer."""
     monkeypatch.setattr(SessionManager, "on_request", lambda self, session: None)
-    summary, _ = play(Request("calm", seconds=8.0, households=60))
+    summary, _ = run_experiment(Request("calm", seconds=8.0, households=60))
     held = {check.name: check.holds for check in summary.checks}
     assert not held["one-final-answer"]
 
@@ -89,13 +91,13 @@
 def test_a_front_that_sends_twice_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     start_attempt = Visit.start_attempt
 
-    def twice(self: Visit, placement: object) -> None:
+    def start_attempt_twice(self: Visit, placement: object) -> None:
         start_attempt(self, placement)  # type: ignore[arg-type]
         if self.session.resumed_at is None:
             start_attempt(self, placement)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Visit, "start_attempt", twice)
-    summary, _ = play(Request("calm", seconds=8.0, households=60))
+    monkeypatch.setattr(Visit, "start_attempt", start_attempt_twice)
+    summary, _ = run_experiment(Request("calm", seconds=8.0, households=60))
     held = {check.name: check.holds for check in summary.checks}
     assert not held["one-attempt-outstanding"]
 
@@ -105,30 +107,32 @@
 
     apply_entry = BackendList.apply_entry
 
-    def always_ready(self: BackendList, told: Backend) -> None:
-        apply_entry(self, Backend(told.id, BackendState.READY, told.zone, 0, told.capacity, told.started_us))
+    def always_ready(self: BackendList, entry: Backend) -> None:
+        apply_entry(
+            self, Backend(entry.id, BackendState.READY, entry.zone, 0, entry.capacity, entry.started_us)
+        )
 
     monkeypatch.setattr(BackendList, "apply_entry", always_ready)
 
-    def one_drains(day: VirtualDay) -> None:
-        day.drain(next(iter(day.servers.values())), 20 * SECOND)
+    def one_drains(world: VirtualWorld) -> None:
+        world.drain(next(iter(world.servers.values())), 20 * SECOND)
 
-    terms = WorldSettings(households=300, form_servers=4, seconds=12.0)
-    day = VirtualDay(terms, 3, RebalanceSettings(), one_drains)  # type: ignore[arg-type]
-    held = {check.name: check.holds for check in day.run()}
+    settings = WorldSettings(households=300, form_servers=4, seconds=12.0)
+    world = VirtualWorld(settings, 3, RebalanceSettings(), one_drains)  # type: ignore[arg-type]
+    held = {check.name: check.holds for check in world.run()}
     assert not held["drains-kept"]
 
 
 def test_late_answers_lost_connections_and_second_moves_are_told_with_their_time() -> None:
     rules = RuleBook(0, 2 * SECOND)
-    rules.asked(0, "r1", 0, SECOND)
+    rules.request_opened(0, "r1", 0, SECOND)
     rules.answered(SECOND + 60_000, "r1", "served")
     rules.answered(SECOND + 70_000, "r1", "failed")
     rules.cut_off(2 * SECOND, "r2", "s-1")
     rules.rebalanced(90 * SECOND, 7, 45 * SECOND)
     rules.rebalanced(90 * SECOND, 8, 20 * SECOND)
-    told = {check.name: check.faults for check in rules.all() if not check.holds}
-    assert told == {
+    reported = {check.name: check.faults for check in rules.all() if not check.holds}
+    assert reported == {
         "answered-in-time": ["1.060 s: r1: served 60 ms late"],
         "one-final-answer": ["1.070 s: r1 got another answer: failed"],
         "nobody-lost": ["2.000 s: r2 cut off without MOVE, s-1 still answers"],
@@ -140,30 +144,30 @@
 
 
 def model(started_us: int = 0) -> FormServerModel:
-    terms = WorldSettings(form_servers=2, households=20)
-    return FormServerModel(terms, 1, "s-1", "a", 2e6, 0.13, 24 * SECOND, started_us=started_us)
+    settings = WorldSettings(form_servers=2, households=20)
+    return FormServerModel(settings, 1, "s-1", "a", 2e6, 0.13, 24 * SECOND, started_us=started_us)
 
 
 def test_a_cold_form_server_falls_over_at_three_times_what_it_can_do() -> None:
     for factor, phase in ((2.8, Phase.UP), (4.2, Phase.FALLEN)):
         server = model(started_us=SECOND)
         server.at_us = SECOND
-        server.hold(SECOND, Held("r", "h", 0.0, 0))
+        server.hold(SECOND, HeldConnection("r", "h", 0.0, 0))
         now_us = SECOND
         for _ in range(35):
             now_us += SECOND // 10
-            server.reload(now_us, "r", factor * server.present(now_us))
+            server.change_load(now_us, "r", factor * server.current_capacity(now_us))
         assert server.phase is phase
 
 
 def test_what_is_held_adds_up_and_messages_slow_down_as_a_server_fills() -> None:
     server = model()
-    cost = server.terms.household_cost * server.terms.unit
+    cost = server.settings.household_cost * server.settings.unit
     for n in range(4):
-        server.hold(0, Held(f"r{n}", f"h{n // 2}", 1000.0, 0))
+        server.hold(0, HeldConnection(f"r{n}", f"h{n // 2}", 1000.0, 0))
     assert server.load == pytest.approx(4000.0 + 2 * cost)
     quick = server.answered_within(0, 50_000)
-    server.reload(0, "r0", 1.9e6)
+    server.change_load(0, "r0", 1.9e6)
     assert server.answered_within(0, 50_000) < quick
     server.release(0, "r1")
     server.release(0, "r0")
@@ -186,7 +190,7 @@
 
 def test_staff_at_work_break_no_rule_and_fail_nobody() -> None:
     for seed in range(1, 13):
-        summary, _ = play(Request("in-service", seed=seed, off=frozenset({"rebalance"})))
+        summary, _ = run_experiment(Request("in-service", seed=seed, off=frozenset({"rebalance"})))
         assert [c.name for c in summary.checks if not c.holds] == []
         assert summary.figures["failed"] == 0
         assert (summary.figures["moves"] or 0) < 2 * (summary.figures["clients"] or 0)
@@ -197,7 +201,7 @@
     for nodes, seeds in ((4, (1, 2, 3)), (40, (1,))):
         for seed in seeds:
             for off in (frozenset({"rebalance"}), frozenset({"rebalance", "fleet"})):
-                summary, _ = play(Request(name, seed=seed, nodes=nodes, off=off))
+                summary, _ = run_experiment(Request(name, seed=seed, nodes=nodes, off=off))
                 assert [c.name for c in summary.checks if not c.holds] == []
                 assert (summary.figures["roster_calls_given_up"] or 0) <= nodes // 4
                 datagrams = summary.figures["datagrams_a_request"] or 0
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sailrun.lab.run import Request, play
+from sailrun.lab.run import Request, run_experiment
 
 
 @pytest.mark.parametrize("name", ["calm", "roll", "herd", "zone", "split", "join"])
@@ -20,7 +20,7 @@
         seconds=24.0,
         off=frozenset({"rebalance"}),
     )
-    summary, records = play(request)
+    summary, records = run_experiment(request)
     assert summary.holds, [c for c in summary.checks if not c.holds]
     happened = Counter(records.events.columns.get("what", []))
     wanted = {
@@ -50,6 +50,6 @@
         request = Request(
             "fleet-join", seed=4, nodes=12, form_servers=12, households=110, seconds=20.0, off=off
         )
-        summary, _ = play(request)
+        summary, _ = run_experiment(request)
         served["decisions" in off] = summary.figures["service"] or 0.0
     assert 0.5 <= served[False] / served[True] <= 1.2 and served[True] > 0.6
