--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -56,7 +56,7 @@
         "seed": "1",
         "peers": [],
         "known": {"revision": 1, "complete": True, "members": []},
-        "settings": WorldSettings(nodes=1, form_servers=1).settings(0),
+        "settings": WorldSettings(nodes=1, form_servers=1).node_settings(0),
     }
 
 
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -281,7 +281,7 @@
     # ------------------------------------------------------------------ files
 
     def _config(self, node: RealNode) -> Path:
-        settings = WorldSettings(nodes=len(self.names), form_servers=FORM_SERVERS).settings(node.index)
+        settings = WorldSettings(nodes=len(self.names), form_servers=FORM_SERVERS).node_settings(node.index)
         settings["az"] = node.zone
         document = {
             "name": node.name,
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -169,7 +169,7 @@
 ) -> ProcessFiles:
     """The platform's file and the operator's file of one process."""
     place = process.place
-    settings = WorldSettings(nodes=plan.total, form_servers=FORM_SERVERS).settings(place.index)
+    settings = WorldSettings(nodes=plan.total, form_servers=FORM_SERVERS).node_settings(place.index)
     settings["az"] = place.zone
     config = {
         "name": place.name,
--- a/sailrun/lab/settings.py
+++ b/sailrun/lab/settings.py
@@ -99,7 +99,7 @@
         groups = self.household_cost * self.households / self.connections
         return self.utilization * fleet / (self.connections * (1.0 + groups))
 
-    def settings(self, index: int) -> dict[str, Any]:
+    def node_settings(self, index: int) -> dict[str, Any]:
         """Returns the settings of a node under the platform's names."""
         return {
             "az": self.zones[index % len(self.zones)],
--- a/sailrun/lab/sockets.py
+++ b/sailrun/lab/sockets.py
@@ -628,7 +628,7 @@
             "peers": [_address_text(peer) for peer in slot.peers],
             "peers_all": _address_text(slot.broadcast),
             "known": self.registry.full_list(),
-            "settings": self.settings.settings(slot.index),
+            "settings": self.settings.node_settings(slot.index),
         }
         self.rules.node_starts(slot.index)
         (slot.folder / "config.json").write_text(json.dumps(config))
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -414,7 +414,7 @@
 
     def _start(self, slot: VirtualSlot, passed: NodeSnapshot | None = None) -> None:
         if slot.index not in self._node_settings:
-            self._node_settings[slot.index] = read_settings(self.settings.settings(slot.index))
+            self._node_settings[slot.index] = read_settings(self.settings.node_settings(slot.index))
         node_settings = self._node_settings[slot.index]
         known = ServerListUpdate(
             ListKind.CACHED, self.registry.revision, tuple(self.registry.entries.values())
