--- a/sailrun/lab/checks.py
+++ b/sailrun/lab/checks.py
@@ -113,7 +113,8 @@
             return
         if open_request.server:
             self.attempt.broken(
-                now_us - self._begin_us, f"{request} sent to {server}, still out at {open_request.server}"
+                now_us - self._begin_us,
+                f"{request} sent to {server} while an attempt is outstanding at {open_request.server}",
             )
         open_request.server = server
         key = open_request.node, server
@@ -124,7 +125,7 @@
             late_ms = (now_us - notified_us) // 1000
             self.drain.broken(
                 now_us - self._begin_us,
-                f"{request} sent to {server} {late_ms} ms after node {open_request.node} was told",
+                f"{request} sent to {server} {late_ms} ms after node {open_request.node} was notified",
             )
 
     def attempt_ended(self, request: str) -> None:
@@ -165,7 +166,7 @@
             self._overridden_us.pop((node, server), None)
 
     def server_fell_over(self, now_us: int, server: str) -> None:
-        self.cold.broken(now_us - self._begin_us, f"{server} was pushed over")
+        self.cold.broken(now_us - self._begin_us, f"{server} fell over under load in slow start")
 
     def cut_off(self, now_us: int, request: str, server: str) -> None:
         self.lost.broken(now_us - self._begin_us, f"{request} cut off without MOVE, {server} still answers")
@@ -177,5 +178,5 @@
 
     def arrived_cold(self, now_us: int, client: int, server: str) -> None:
         self.onto_cold.broken(
-            now_us - self._begin_us, f"client {client}, moved, stands at {server}, still cold"
+            now_us - self._begin_us, f"client {client} was moved to {server}, which is in slow start"
         )
--- a/sailrun/lab/experiments.py
+++ b/sailrun/lab/experiments.py
@@ -139,7 +139,7 @@
 
 
 def _fleet_herd(world: World[Any]) -> None:
-    """A release; seven in ten nodes are killed at once; one of eight form servers is bad."""
+    """A release, while seven in ten nodes are killed at once. One of eight form servers is slow or fails."""
     _bad_ones(world, failing=True)
     _steps(world, _pick_servers(world, 0.35), 6 * SECOND, 9 * SECOND, 4)
     for slot in world.slots[: round(0.7 * len(world.slots))]:
@@ -262,24 +262,24 @@
             script=_drain_and_crash,
             driver="sockets",
         ),
-        Experiment("calm", "nothing goes wrong", {"seconds": 60.0}),
+        Experiment("calm", "no faults", {"seconds": 60.0}),
         Experiment(
             "rebalance",
-            "all load stands on a third of the form servers",
+            "all load is on a third of the form servers",
             _LARGE,
             select_initial_servers=_first_third,
             bounds_of=_EVEN,
         ),
         Experiment(
             "rebalance-outage",
-            "a fifth of the form servers vanishes and comes back cold",
+            "a fifth of the form servers becomes unreachable and returns in slow start",
             {**_LARGE, "seconds": 150.0},
             script=_outage,
             bounds_of={"rebalance": {"even_after_s": 60.0}},
         ),
         Experiment(
             "rebalance-troubled",
-            "all load on a third, and everything goes wrong while it is evened out",
+            "all load is on a third of the form servers, and every fault occurs during rebalancing",
             {**_LARGE, "seconds": 120.0},
             script=_all_faults,
             select_initial_servers=_first_third,
@@ -292,24 +292,36 @@
         ),
         Experiment(
             "in-service",
-            "form servers out by hand, a node drained, processes replaced, and a crowd",
+            "form servers excluded, a node drained, processes replaced, and 40% of the clients reconnect",
             {"form_servers": 13, "nodes": 4, "households": 240, "seconds": 40.0, "utilization": 0.4},
             script=_in_service,
             drivers=("virtual",),
         ),
-        Experiment("zone", "a data centre is lost and returns cold", _FLEET, script=_zone),
+        Experiment("zone", "a data centre is lost and returns in slow start", _FLEET, script=_zone),
         Experiment("join", "six in ten form servers are replaced within 7 s", _FLEET, script=_join),
         *(
             Experiment(f"fleet-{name}", about, _WHOLE, script=script, drivers=("virtual",))
             for name, about, script in (
-                ("calm", "two hundred nodes, nothing goes wrong, a burst of newcomers", _fleet_calm),
+                ("calm", "two hundred nodes, no faults, a burst of new clients", _fleet_calm),
                 ("roll", "half of the form servers and all nodes are replaced in steps", _fleet_roll),
-                ("herd", "a release, seven in ten nodes killed, some form servers bad", _fleet_herd),
-                ("zone", "a data centre is lost, another cut off, some form servers bad", _fleet_zone),
-                ("split", "a data centre cut off, nodes deaf, answers lost, lists late", _fleet_split),
+                (
+                    "herd",
+                    "a release, seven in ten nodes killed, some form servers slow or failing",
+                    _fleet_herd,
+                ),
+                (
+                    "zone",
+                    "a data centre is lost, another cut off, some form servers slow or failing",
+                    _fleet_zone,
+                ),
+                (
+                    "split",
+                    "a data centre cut off, no datagrams between nodes, answers lost, endpoint lists late",
+                    _fleet_split,
+                ),
                 ("join", "six in ten form servers are replaced by others within 7 s", _fleet_join),
             )
         ),
-        Experiment("troubled", "every trouble once", {"seconds": 60.0}, script=_all_faults),
+        Experiment("troubled", "every fault once", {"seconds": 60.0}, script=_all_faults),
     )
 }
--- a/sailrun/lab/report.py
+++ b/sailrun/lab/report.py
@@ -72,12 +72,12 @@
         if run is not None:
             yield (
                 f"Load of the form servers{', ' + label if label else ''}",
-                "Load over what the server can do when warm; dotted while it is cold or away.",
+                "Load over the server's full capacity; dotted while it is in slow start or unavailable.",
                 _loads(run),
             )
     yield (
         "The busiest form server",
-        "Its load over the mean of the warm ones. Even is 1.25 or less.",
+        "Its load over the mean of the warm form servers. A ratio of 1.25 or less counts as even.",
         _over_time(after, before, {"imbalance": _second("imbalance")}, "times the mean", even=1.25),
     )
     yield (
@@ -87,17 +87,17 @@
     )
     yield (
         "Service",
-        "The worth of the connections served well in a second over the worth of those wanted.",
+        "The value of the connections served well over the value of those wanted, by second.",
         _over_time(after, before, {"service": _service}, "share"),
     )
     yield (
         "Refused and failed",
-        "Answers a second that were not `served`.",
+        "Answers per second other than `served`.",
         _over_time(after, before, {"refused": _answers("refused"), "failed": _answers("failed")}, "a second"),
     )
     yield (
         "Set-up times",
-        "From the request to its answer, for those served: median and 99th percentile of each second.",
+        "Time from a request to its `served` answer: median and 99th percentile of each second.",
         _over_time(after, before, {"median": _set_ups(0.5), "p99": _set_ups(0.99)}, "ms"),
     )
 
--- a/sailrun/lab/sweep.py
+++ b/sailrun/lab/sweep.py
@@ -24,7 +24,7 @@
         return [
             f"seed {s.seed}{' without ' + self.against if n and self.against else ''}: {c.name} is "
             f"{'none' if c.value is None else format(c.value, '.4g')}, limit {c.limit:g}"
-            + (f" ({c.faults[0]})" if c.faults else " (it had no occasion)" if c.occasions == 0 else "")
+            + (f" ({c.faults[0]})" if c.faults else " (it had no occasions)" if c.occasions == 0 else "")
             # The reference policy, which sees the true state, does not have to pass the checks.
             for n, summaries in enumerate(
                 (self.summaries, [] if self.against == "decisions" else self.without)
@@ -51,7 +51,7 @@
                     (a.figures["service"] or 0.0) / max(1e-9, b.figures["service"] or 0.0) for a, b in pairs
                 ]
                 yield (
-                    f"served, of what a policy serves that sees the true state late: least {min(parts):.3f}, "
+                    f"service over that of the delayed reference policy: least {min(parts):.3f}, "
                     f"median {quantile(parts, 0.5):.3f}; under half in {sum(p < 0.5 for p in parts)}"
                 )
             gains = [
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -72,7 +72,7 @@
         number = placement.form_server.number
         server = world.servers.get(number)
         if self.is_finished:
-            self._attempt_over(AttemptOutcome.NOT_SENT)
+            self._end_attempt(AttemptOutcome.NOT_SENT)
             return
         if self.session.resumed_at is not None:
             assert server is not None
@@ -97,7 +97,7 @@
 
     def cancel_attempt(self, attempt: int) -> None:
         if self.placement is not None and self.placement.attempt == attempt and self.server is None:
-            self._attempt_over(AttemptOutcome.CANCELLED)
+            self._end_attempt(AttemptOutcome.CANCELLED)
 
     def reject(self, retry_after_us: int) -> None:
         self._answer("refused", retry_after_us)
@@ -170,9 +170,9 @@
 
     def _failed(self, attempt_number: int, outcome: AttemptOutcome) -> None:
         if attempt_number == self.attempt_number and self.server is None:
-            self._attempt_over(outcome)
+            self._end_attempt(outcome)
 
-    def _attempt_over(self, outcome: AttemptOutcome) -> None:
+    def _end_attempt(self, outcome: AttemptOutcome) -> None:
         placement, self.placement = self.placement, None
         self.attempt_number += 1
         self.world.rules.attempt_ended(self.session.id)
@@ -243,7 +243,7 @@
 
     def _answer(self, answer: str, retry_after_us: int) -> None:
         if self.placement is not None:
-            self._attempt_over(AttemptOutcome.CANCELLED)
+            self._end_attempt(AttemptOutcome.CANCELLED)
         self.is_finished = True
         self.world.visits.pop(self.session.id, None)
         self.slot.visits.pop(self.session.id, None)
@@ -309,7 +309,7 @@
     def _turned_away(self, slot: VirtualSlot, node: Node | None) -> None:
         if node is not None and slot.node is node:
             slot.watching = False
-            node.discovery_failed("waited too long")
+            node.discovery_failed("registry call timed out in the queue")
 
     def published(self) -> None:
         for slot in (*self._virtual_world.slots, *self._virtual_world.predecessors):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -52,7 +52,7 @@
         (("compare", "nowhere", "nowhere"), "nowhere/summary.json"),
     ],
 )
-def test_bad_use_gets_one_line_and_exit_code_2(arguments: tuple[str, ...], fault: str) -> None:
+def test_invalid_arguments_print_one_line_and_exit_with_2(arguments: tuple[str, ...], fault: str) -> None:
     done = lab(*arguments)
     assert done.returncode == 2
     assert fault in done.stderr and done.stderr.count("\n") == 1
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("seed", [5, 8])
 @pytest.mark.parametrize("name", ["troubled", "rebalance-troubled"])
-def test_whatever_goes_wrong_the_rules_hold(name: str, seed: int) -> None:
+def test_rules_hold_under_every_fault(name: str, seed: int) -> None:
     summary, _ = run_experiment(Request(name, seed=seed, form_servers=10, households=300, seconds=50.0))
     broken = [check for check in summary.checks if not check.holds]
     assert not broken
@@ -80,7 +80,7 @@
 # ---------------------------------------------------------------------- detection of violations
 
 
-def test_a_node_that_breaks_rules_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_node_that_never_answers_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """A core that never answers a request breaks the rule of one final answer."""
     monkeypatch.setattr(SessionManager, "on_request", lambda self, session: None)
     summary, _ = run_experiment(Request("calm", seconds=8.0, households=60))
@@ -88,7 +88,7 @@
     assert not held["one-final-answer"]
 
 
-def test_a_front_that_sends_twice_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_front_that_starts_an_attempt_twice_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     start_attempt = Visit.start_attempt
 
     def start_attempt_twice(self: Visit, placement: object) -> None:
@@ -102,7 +102,7 @@
     assert not held["one-attempt-outstanding"]
 
 
-def test_a_decision_that_forgets_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decisions_that_ignore_drains_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     from sailrun.decisions.backend_list import BackendList
 
     apply_entry = BackendList.apply_entry
@@ -123,7 +123,7 @@
     assert not held["drains-kept"]
 
 
-def test_late_answers_lost_connections_and_second_moves_are_told_with_their_time() -> None:
+def test_late_answers_lost_connections_and_repeated_moves_are_reported_with_their_time() -> None:
     rules = RuleBook(0, 2 * SECOND)
     rules.request_opened(0, "r1", 0, SECOND)
     rules.answered(SECOND + 60_000, "r1", "served")
@@ -148,7 +148,7 @@
     return FormServerModel(settings, 1, "s-1", "a", 2e6, 0.13, 24 * SECOND, started_us=started_us)
 
 
-def test_a_cold_form_server_falls_over_at_three_times_what_it_can_do() -> None:
+def test_a_form_server_in_slow_start_falls_over_at_three_times_its_capacity() -> None:
     for factor, phase in ((2.8, Phase.UP), (4.2, Phase.FALLEN)):
         server = model(started_us=SECOND)
         server.at_us = SECOND
@@ -160,7 +160,7 @@
         assert server.phase is phase
 
 
-def test_what_is_held_adds_up_and_messages_slow_down_as_a_server_fills() -> None:
+def test_connection_loads_add_up_and_messages_slow_down_with_load() -> None:
     server = model()
     cost = server.settings.household_cost * server.settings.unit
     for n in range(4):
@@ -174,7 +174,7 @@
     assert server.load == pytest.approx(2000.0 + cost)
 
 
-def test_the_fewest_moves_and_when_a_fleet_is_even() -> None:
+def test_fewest_moves_and_the_time_until_a_fleet_is_even() -> None:
     assert fewest_moves([[(10.0, 1)] * 8, []]) == 3  # 80 and 0: to 50 and 30
     assert fewest_moves([[(30.0, 3), (30.0, 1), (20.0, 1)], []]) == 1
     assert fewest_moves([[(10.0, 1)] * 4, [(10.0, 1)] * 4]) == 0
@@ -182,13 +182,13 @@
     assert even_after([1.3] * 9, 0) == float("inf")
 
 
-def test_every_experiment_has_a_world_of_its_own_size() -> None:
+def test_every_experiment_has_valid_settings_and_accepts_changes() -> None:
     for experiment in EXPERIMENTS.values():
         assert experiment.world(nodes=3).nodes == 3
         assert experiment.world().connections >= experiment.world().households
 
 
-def test_staff_at_work_break_no_rule_and_fail_nobody() -> None:
+def test_operator_actions_break_no_rule_and_fail_no_request() -> None:
     for seed in range(1, 13):
         summary, _ = run_experiment(Request("in-service", seed=seed, off=frozenset({"rebalance"})))
         assert [c.name for c in summary.checks if not c.holds] == []
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("name", ["herd", "zone", "join"])
-def test_many_nodes_keep_the_rules_and_the_roster_free(name: str) -> None:
+def test_many_nodes_keep_the_rules_and_do_not_overload_the_registry(name: str) -> None:
     for nodes, seeds in ((4, (1, 2, 3)), (40, (1,))):
         for seed in seeds:
             for off in (frozenset({"rebalance"}), frozenset({"rebalance", "fleet"})):
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("name", ["calm", "roll", "herd", "zone", "split", "join"])
-def test_the_rules_hold_on_the_days_of_the_whole_fleet(name: str) -> None:
+def test_rules_hold_in_whole_fleet_experiments(name: str) -> None:
     request = Request(
         f"fleet-{name}",
         seed=17,
@@ -44,7 +44,7 @@
         assert (figures["moves_silent"] or 0) > 0  # sessions on cut-off form servers are moved
 
 
-def test_a_policy_that_sees_the_true_state_late_is_the_measure_of_the_nodes() -> None:
+def test_nodes_serve_at_least_half_of_what_the_reference_policy_serves() -> None:
     served = {}
     for off in (frozenset({"rebalance"}), frozenset({"rebalance", "decisions"})):
         request = Request(
