--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -28,7 +28,7 @@
     return typer.Exit(2)
 
 
-def _request(experiment: str, off: list[str] | None, **asked: Any) -> Request:
+def _request(experiment: str, off: list[str] | None, **options: Any) -> Request:
     from sailrun.lab.experiments import EXPERIMENTS
     from sailrun.lab.run import SUBSYSTEMS, Request
 
@@ -43,14 +43,14 @@
         "households": (1, 10_000_000),
     }
     ranges |= {"seconds": (1, 86_400), "utilization": (0, 1), "datagrams_lost": (0, 1)}
-    for option, (least, most) in ranges.items():
-        value = asked.get(option)
-        if value is not None and not least <= value <= most:
-            raise _usage_error(f"--{option.replace('_', '-')}: {value} is not from {least} to {most}")
-    if asked.get("utilization") == 0:
+    for option, (lowest, highest) in ranges.items():
+        value = options.get(option)
+        if value is not None and not lowest <= value <= highest:
+            raise _usage_error(f"--{option.replace('_', '-')}: {value} is not from {lowest} to {highest}")
+    if options.get("utilization") == 0:
         raise _usage_error("--utilization: 0 means no clients; expected a value above 0 and up to 1")
-    asked["driver"] = asked.get("driver") or EXPERIMENTS[experiment].driver
-    return Request(experiment, off=frozenset(off or ()), **asked)
+    options["driver"] = options.get("driver") or EXPERIMENTS[experiment].driver
+    return Request(experiment, off=frozenset(off or ()), **options)
 
 
 @app.command("list")
@@ -80,12 +80,12 @@
     for option, value, known in (("driver", driver, DRIVERS), ("faults", faults, FAULTS)):
         if value is not None and value not in known:
             raise _usage_error(f"--{option}: '{value}' is none of {', '.join(known)}")
-    for option, (least, most) in SCALE_RANGES.items():
+    for option, (lowest, highest) in SCALE_RANGES.items():
         value = sizes[option]
-        if value is not None and not least <= value <= most:
-            raise _usage_error(f"--{option}: {value:g} is not from {least} to {most}")
-    asked = {"driver": driver, "faults": faults, **sizes}
-    plan = ScalePlan(**{option: value for option, value in asked.items() if value is not None})
+        if value is not None and not lowest <= value <= highest:
+            raise _usage_error(f"--{option}: {value:g} is not from {lowest} to {highest}")
+    options = {"driver": driver, "faults": faults, **sizes}
+    plan = ScalePlan(**{option: value for option, value in options.items() if value is not None})
     try:
         with _progress(SCALE) as report_progress:
             summary, records = play_scale(plan, report_progress)
@@ -108,15 +108,15 @@
 
     if name not in PLANS and name not in SHARD_PLANS:
         return None
-    least, usual = (FEWEST_NODES, SHARD_PLANS[name].nodes) if name in SHARD_PLANS else (3, NODES)
+    lowest, default_nodes = (FEWEST_NODES, SHARD_PLANS[name].nodes) if name in SHARD_PLANS else (3, NODES)
     for rule in off or ():
         if rule not in RULES:
             raise _usage_error(f"--off: '{rule}' is none of {', '.join(RULES)}")
-    if nodes is not None and not least <= nodes <= 1_000:
-        raise _usage_error(f"--nodes: {nodes} is not from {least} to 1000")
+    if nodes is not None and not lowest <= nodes <= 1_000:
+        raise _usage_error(f"--nodes: {nodes} is not from {lowest} to 1000")
     if seconds is not None and not 20 <= seconds <= 3_600:
         raise _usage_error(f"--seconds: {seconds:g} is not from 20 to 3600")
-    return FaultDay(name, 1, nodes or usual, seconds, frozenset(off or ()))
+    return FaultDay(name, 1, nodes or default_nodes, seconds, frozenset(off or ()))
 
 
 def _check_driver(day: FaultDay, driver: str) -> None:
@@ -260,7 +260,7 @@
     from contextlib import contextmanager
 
     @contextmanager
-    def shown() -> Any:
+    def progress_context() -> Any:
         if not sys.stderr.isatty():
             yield lambda share: None
             return
@@ -271,7 +271,7 @@
             task = bar.add_task(name, total=1.0)
             yield lambda share: bar.update(task, completed=share)
 
-    return shown()
+    return progress_context()
 
 
 def _show(summary: Summary) -> None:
@@ -300,8 +300,8 @@
     for check in summary.checks:
         shown = "none" if check.value is None else format(check.value, ".6g")
         seen = "" if check.occasions is None else f", {check.occasions} occasions"
-        word = "holds " if check.holds else "BROKEN"
-        print(f"{word} {check.name}: {shown} (limit {check.limit:g}{seen})")
+        verdict = "holds " if check.holds else "BROKEN"
+        print(f"{verdict} {check.name}: {shown} (limit {check.limit:g}{seen})")
         for fault in check.faults[:5]:
             print(f"       {fault}")
 
--- a/sailrun/lab/run.py
+++ b/sailrun/lab/run.py
@@ -79,17 +79,17 @@
     experiment = EXPERIMENTS[request.experiment]
     began_s, cpu_s = time.monotonic(), time.process_time()
     if request.driver == "virtual":
-        found, records, checks = _virtual(experiment, request, progress)
+        values, records, checks = _virtual(experiment, request, progress)
     else:
-        found, records, checks = _sockets(experiment, request, progress)
-    simulated = max(1.0, found.get("simulated_s", 1.0))
+        values, records, checks = _sockets(experiment, request, progress)
+    simulated = max(1.0, values.get("simulated_s", 1.0))
     outcomes = [Outcome(c.name, c.value, c.limit, c.holds, c.faults) for c in checks]
     bounds = dict(experiment.bounds)
     for subsystem, subsystem_bounds in experiment.bounds_of.items():
         if subsystem not in request.off:
             bounds |= subsystem_bounds
     outcomes += [
-        Outcome(name, finite(found[name]), limit, found[name] <= limit) for name, limit in bounds.items()
+        Outcome(name, finite(values[name]), limit, values[name] <= limit) for name, limit in bounds.items()
     ]
     summary = Summary(
         experiment.name,
@@ -97,7 +97,7 @@
         request.seed,
         _world(experiment, request),
         sorted(request.off),
-        {name: finite(value) for name, value in found.items()},
+        {name: finite(value) for name, value in values.items()},
         outcomes,
         {
             "wall_s": round(time.monotonic() - began_s, 2),
@@ -136,9 +136,9 @@
         settings, request.seed, rebalance, experiment.script, experiment.select_initial_servers, progress
     )
     checks = world.run()
-    found = _figures_of(world)
-    found["events"] = float(world.time.done)
-    return found, world.records, checks
+    values = _figures_of(world)
+    values["events"] = float(world.time.done)
+    return values, world.records, checks
 
 
 def _sockets(
@@ -162,19 +162,19 @@
 
 
 def _figures_of(world: World[Any]) -> dict[str, float]:
-    found = figures(
+    values = figures(
         world.records, world.moves, world.min_moves, world.clients, world.all_warm_s, world.datagram_bytes
     )
     for cause in MoveReason:
-        found[f"moves_{cause.value}"] = float(world.moves_by_reason[cause.value])
-    found["moved_again_within_10_s"] = float(world.repeated_moves)
-    found["datagrams_a_request"] = round(world.datagrams / max(1.0, found["requests"]), 4)
-    found["datagram_bytes_a_request"] = round(world.datagram_bytes / max(1.0, found["requests"]), 2)
-    found["most_roster_calls_a_second"] = float(max(world.registry.calls.values(), default=0))
-    found["roster_calls_given_up"] = float(world.registry.abandoned_calls)
+        values[f"moves_{cause.value}"] = float(world.moves_by_reason[cause.value])
+    values["moved_again_within_10_s"] = float(world.repeated_moves)
+    values["datagrams_a_request"] = round(world.datagrams / max(1.0, values["requests"]), 4)
+    values["datagram_bytes_a_request"] = round(world.datagram_bytes / max(1.0, values["requests"]), 2)
+    values["most_roster_calls_a_second"] = float(max(world.registry.calls.values(), default=0))
+    values["roster_calls_given_up"] = float(world.registry.abandoned_calls)
     pressures = [s.peak_pressure for s in world.servers.values()]
-    found["most_pressure_on_a_cold_server"] = round(max(pressures, default=0.0), 4)
-    return found
+    values["most_pressure_on_a_cold_server"] = round(max(pressures, default=0.0), 4)
+    return values
 
 
 def write(folder: Path, summary: Summary, records: Records) -> None:
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -60,7 +60,7 @@
         self.placement: Placement | None = None
         self.server: FormServerModel | None = None  # the form server of the established session
         self.attempt_number = 0  # number of the current attempt; late events of earlier attempts are ignored
-        self.is_finished = self.cut = False  # cut: established, but no data passes
+        self.is_finished = self.is_cut_off = False  # is_cut_off: established, but no data passes
 
     # ------------------------------------------------------------------ SessionClient
 
@@ -222,7 +222,7 @@
         """Ends an established session and reports the outcome to its node."""
         if self.server is None:
             return
-        if not self.cut:
+        if not self.is_cut_off:
             self.world.count_session(self.client, self.server, -1)
         self.server.release(self.world.time.now_us, self.session.id)
         self.server = None
@@ -412,17 +412,17 @@
         self.rules.end(self.time.now_us)
         return self.checks()
 
-    def _start(self, slot: VirtualSlot, passed: NodeSnapshot | None = None) -> None:
+    def _start(self, slot: VirtualSlot, snapshot: NodeSnapshot | None = None) -> None:
         if slot.index not in self._node_settings:
             self._node_settings[slot.index] = read_settings(self.settings.node_settings(slot.index))
         node_settings = self._node_settings[slot.index]
-        known = ServerListUpdate(
+        initial_list = ServerListUpdate(
             ListKind.CACHED, self.registry.revision, tuple(self.registry.entries.values())
         )
-        if passed is None:
+        if snapshot is None:
             slot.registry_revision = self.registry.revision
             self.rules.node_starts(slot.index)
-            self.registry.record_delivery(slot.index, known.form_servers)
+            self.registry.record_delivery(slot.index, initial_list.form_servers)
 
         def log(event: str, /, **fields: object) -> None:
             if event in RECORDED_LOG_EVENTS:
@@ -435,22 +435,22 @@
             if self._view is None:
                 self._view = DelayedView(self, self.settings.reference_delay_us)
             # The reference policy implements the calls that this world makes to a node.
-            self._run_node(slot, cast("Node", ReferenceNode(self, self._view, slot.index)), passed)
+            self._run_node(slot, cast("Node", ReferenceNode(self, self._view, slot.index)), snapshot)
             return
         seed = self.seed * 1_000_003 + slot.index * 101 + self.time.now_us
-        if passed is not None:
-            known = passed.server_list
-        node = Node(node_settings, seed, VirtualClock(self.time), known, log, passed)
+        if snapshot is not None:
+            initial_list = snapshot.server_list
+        node = Node(node_settings, seed, VirtualClock(self.time), initial_list, log, snapshot)
         node.discovery, node.peer_transport = NodeDiscovery(self, slot), Datagrams(self, slot)
         if self._rebalance.enabled:
             watched = WatchedRebalancer(self._rebalance, node_settings, self.time.now_us)
             node.rebalancer_port.rebalancer = watched
             watched.moved_sessions = slot.moved_sessions = {}
-        self._run_node(slot, node, passed)
+        self._run_node(slot, node, snapshot)
 
-    def _run_node(self, slot: VirtualSlot, node: Node, passed: NodeSnapshot | None) -> None:
+    def _run_node(self, slot: VirtualSlot, node: Node, snapshot: NodeSnapshot | None) -> None:
         slot.node, slot.next_run_us = node, None
-        slot.admitted = slot.admitted or passed is None
+        slot.admitted = slot.admitted or snapshot is None
         node.wake = lambda: self._arm(slot, self.time.now_us + self.settings.tick_us)
         node.start()
         self._arm(slot, node.due_us())
@@ -600,7 +600,7 @@
         self.note("by-hand", server=server.name, text="out" if out else "back")
         for slot in self.slots:
             if slot.node is not None:
-                slot.node.set_operator_override(server.name, out, lambda known: None)
+                slot.node.set_operator_override(server.name, out, lambda is_known: None)
                 self.rules.operator_override_set(self.time.now_us, slot.index, server.name, out)
 
     def drain_node(self, slot: VirtualSlot, on: bool) -> None:
@@ -632,11 +632,11 @@
         self.note("replace", node=slot.index)
         old = slot.node
 
-        def passed(state: NodeSnapshot) -> None:
+        def start_successor(state: NodeSnapshot) -> None:
             if slot.node is old:
                 self._start_successor(slot, state)
 
-        old.snapshot_state(passed)
+        old.snapshot_state(start_successor)
 
     def _start_successor(self, slot: VirtualSlot, state: NodeSnapshot) -> None:
         old = slot.node
@@ -758,8 +758,8 @@
             if visit.server is None:
                 continue
             off = not self.same_partition(visit.slot.zone, visit.server.zone)
-            if off is not visit.cut:
-                visit.cut = off
+            if off is not visit.is_cut_off:
+                visit.is_cut_off = off
                 self.count_session(visit.client, visit.server, -1 if off else 1)
                 if off:
                     self.time.after(self.fault_random.below(LINE_INTERVAL_US), visit.send_line)
