--- a/sailrun/lab/report.py
+++ b/sailrun/lab/report.py
@@ -1,4 +1,4 @@
-"""report.html: one file with everything in it, to be opened anywhere."""
+"""Writes report.html, a self-contained page."""
 
 from __future__ import annotations
 
@@ -21,8 +21,9 @@
 from sailrun.lab.run import Summary, read_summary
 from sailrun.lab.settings import SECOND
 
-# Of a large fleet only so many lines are drawn, those that differ most; of the events so many are told.
-MOST_LINES, MOST_EVENTS = 60, 400
+# Maximum number of lines in a load plot (of a large fleet the highest and the lowest peaks are drawn), and of
+# events listed.
+MAX_LINES, MAX_EVENTS = 60, 400
 BEFORE, AFTER = "#c0504d", "#1f5fa8"
 
 Columns = dict[str, list[Any]]
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Run:
-    """One run as it was written down."""
+    """The records of one run, as read from its folder."""
 
     summary: Summary
     servers: Columns
@@ -45,7 +46,7 @@
 
 
 def write_report(folder: Path, before: Path | None = None) -> None:
-    """Raises OSError where records are missing or the folder cannot be written."""
+    """Writes the report. Raises OSError if records are missing or the folder cannot be written."""
     after = _Run.read(folder)
     earlier = _Run.read(before) if before is not None else None
     environment = jinja2.Environment(loader=jinja2.PackageLoader("sailrun.lab"), autoescape=True)
@@ -54,8 +55,8 @@
         after=after.summary,
         before=earlier.summary if earlier is not None else None,
         plots=list(_plots(after, earlier)),
-        events=events[:MOST_EVENTS],
-        left_out=max(0, len(events) - MOST_EVENTS),
+        events=events[:MAX_EVENTS],
+        left_out=max(0, len(events) - MAX_EVENTS),
     )
     (folder / "report.html").write_text(page)
 
@@ -71,12 +72,12 @@
         if run is not None:
             yield (
                 f"Load of the form servers{', ' + label if label else ''}",
-                "Load over what the server can do when warm; dotted while it is cold or away.",
+                "Load over the server's full capacity; dotted while it is in slow start or unavailable.",
                 _loads(run),
             )
     yield (
         "The busiest form server",
-        "Its load over the mean of the warm ones. Even is 1.25 or less.",
+        "Its load over the mean of the warm form servers. A ratio of 1.25 or less counts as even.",
         _over_time(after, before, {"imbalance": _second("imbalance")}, "times the mean", even=1.25),
     )
     yield (
@@ -86,17 +87,17 @@
     )
     yield (
         "Service",
-        "The worth of the connections served well in a second over the worth of those wanted.",
+        "The value of the connections served well over the value of those wanted, by second.",
         _over_time(after, before, {"service": _service}, "share"),
     )
     yield (
         "Refused and failed",
-        "Answers a second that were not `served`.",
+        "Answers per second other than `served`.",
         _over_time(after, before, {"refused": _answers("refused"), "failed": _answers("failed")}, "a second"),
     )
     yield (
         "Set-up times",
-        "From the request to its answer, for those served: median and 99th percentile of each second.",
+        "Time from a request to its `served` answer: median and 99th percentile of each second.",
         _over_time(after, before, {"median": _set_ups(0.5), "p99": _set_ups(0.99)}, "ms"),
     )
 
@@ -145,8 +146,8 @@
         lines[server].append((at_us / SECOND, load, cold or phase != "up"))
     spread = {name: max(load for _, load, _ in points) / warm[name] for name, points in lines.items()}
     drawn = sorted(lines, key=lambda name: (-spread[name], name))
-    if len(drawn) > MOST_LINES:
-        drawn = drawn[: MOST_LINES // 2] + drawn[-MOST_LINES // 2 :]
+    if len(drawn) > MAX_LINES:
+        drawn = drawn[: MAX_LINES // 2] + drawn[-MAX_LINES // 2 :]
     figure, axes = pyplot.subplots(figsize=(10, 3.6))
     for name in drawn:
         points = lines[name]
@@ -180,7 +181,7 @@
 
 
 def _svg(figure: Any) -> str:
-    """The picture as text for the page; the same figure gives the same text."""
+    """Returns the plot as SVG text for the page. The same figure gives the same text."""
     text = io.StringIO()
     with matplotlib.rc_context({"svg.hashsalt": "sailrun", "svg.fonttype": "none"}):
         figure.tight_layout()
--- a/sailrun/lab/run.py
+++ b/sailrun/lab/run.py
@@ -1,4 +1,4 @@
-"""Plays an experiment and writes down what came of it."""
+"""Runs an experiment and writes its records and summary."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from sailrun.lab.experiments import EXPERIMENTS, Experiment
 from sailrun.lab.figures import figures
 from sailrun.lab.records import Records
-from sailrun.lab.virtual import VirtualDay
+from sailrun.lab.virtual import VirtualWorld
 from sailrun.lab.world import World
 from sailrun.rebalance.settings import RebalanceSettings
 
 SUBSYSTEMS = ("rebalance", "fleet", "decisions")
-# Without the nodes' own decisions a policy stands in their place that sees the true state this much late.
-SEEING_US = 2_000_000
+# Delay with which the reference policy sees the true state when it replaces the nodes' decisions.
+REFERENCE_DELAY_US = 2_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What was asked for; None: as the experiment has it."""
+    """The options of a run. None means the experiment's own value."""
 
     experiment: str
     driver: str = "virtual"
@@ -40,11 +40,11 @@
     utilization: float | None = None
     datagrams_lost: float | None = None
     off: frozenset[str] = frozenset()
-    rebalance: RebalanceSettings | None = None  # the operator's own terms
+    rebalance: RebalanceSettings | None = None  # from the operator's settings file
 
 
 class Outcome(msgspec.Struct):
-    """One rule or bound, as `summary.json` has it."""
+    """The result of one rule or bound in `summary.json`."""
 
     name: str
     value: float | None  # None: no finite value
@@ -62,7 +62,7 @@
     off: list[str]
     figures: dict[str, float | None]
     checks: list[Outcome]
-    cost: dict[str, float] = {}  # of this machine: not the same every time
+    cost: dict[str, float] = {}  # measured on this machine: varies between runs
 
     @property
     def holds(self) -> bool:
@@ -73,21 +73,23 @@
     return value if math.isfinite(value) else None
 
 
-def play(request: Request, progress: Callable[[float], None] = lambda share: None) -> tuple[Summary, Records]:
+def run_experiment(
+    request: Request, progress: Callable[[float], None] = lambda share: None
+) -> tuple[Summary, Records]:
     experiment = EXPERIMENTS[request.experiment]
     began_s, cpu_s = time.monotonic(), time.process_time()
     if request.driver == "virtual":
-        found, records, checks = _virtual(experiment, request, progress)
+        values, records, checks = _virtual(experiment, request, progress)
     else:
-        found, records, checks = _sockets(experiment, request, progress)
-    simulated = max(1.0, found.get("simulated_s", 1.0))
+        values, records, checks = _sockets(experiment, request, progress)
+    simulated = max(1.0, values.get("simulated_s", 1.0))
     outcomes = [Outcome(c.name, c.value, c.limit, c.holds, c.faults) for c in checks]
     bounds = dict(experiment.bounds)
-    for subsystem, its in experiment.bounds_of.items():
+    for subsystem, subsystem_bounds in experiment.bounds_of.items():
         if subsystem not in request.off:
-            bounds |= its
+            bounds |= subsystem_bounds
     outcomes += [
-        Outcome(name, finite(found[name]), limit, found[name] <= limit) for name, limit in bounds.items()
+        Outcome(name, finite(values[name]), limit, values[name] <= limit) for name, limit in bounds.items()
     ]
     summary = Summary(
         experiment.name,
@@ -95,7 +97,7 @@
         request.seed,
         _world(experiment, request),
         sorted(request.off),
-        {name: finite(value) for name, value in found.items()},
+        {name: finite(value) for name, value in values.items()},
         outcomes,
         {
             "wall_s": round(time.monotonic() - began_s, 2),
@@ -107,12 +109,12 @@
 
 
 def _world(experiment: Experiment, request: Request) -> dict[str, Any]:
-    terms = _terms(experiment, request)
+    settings = _world_settings(experiment, request)
     names = ("form_servers", "nodes", "households", "seconds", "utilization", "datagrams_lost")
-    return {name: getattr(terms, name) for name in names}
+    return {name: getattr(settings, name) for name in names}
 
 
-def _terms(experiment: Experiment, request: Request) -> Any:
+def _world_settings(experiment: Experiment, request: Request) -> Any:
     return experiment.world(
         form_servers=request.form_servers,
         nodes=request.nodes,
@@ -120,21 +122,23 @@
         seconds=request.seconds,
         utilization=request.utilization,
         datagrams_lost=request.datagrams_lost,
-        # Without talk a node has only its own sessions to go by; the rebalancer's datagrams are its own.
+        # Without peer messages a node decides by its own sessions only. The rebalancer has its own datagrams.
         peer_messages=False if "fleet" in request.off else None,
-        seeing_us=SEEING_US if "decisions" in request.off else None,
+        reference_delay_us=REFERENCE_DELAY_US if "decisions" in request.off else None,
     )
 
 
 def _virtual(
     experiment: Experiment, request: Request, progress: Callable[[float], None]
 ) -> tuple[dict[str, float], Records, list[Check]]:
-    terms, rebalance = _terms(experiment, request), _rebalance(request)
-    day = VirtualDay(terms, request.seed, rebalance, experiment.script, experiment.holders, progress)
-    checks = day.run()
-    found = _found(day)
-    found["events"] = float(day.time.done)
-    return found, day.records, checks
+    settings, rebalance = _world_settings(experiment, request), _rebalance(request)
+    world = VirtualWorld(
+        settings, request.seed, rebalance, experiment.script, experiment.select_initial_servers, progress
+    )
+    checks = world.run()
+    values = _figures_of(world)
+    values["events"] = float(world.time.done)
+    return values, world.records, checks
 
 
 def _sockets(
@@ -142,35 +146,39 @@
 ) -> tuple[dict[str, float], Records, list[Check]]:
     import anyio
 
-    from sailrun.lab.sockets import SocketDay
+    from sailrun.lab.sockets import SocketWorld
 
-    terms, rebalance = _terms(experiment, request), _rebalance(request)
-    day = SocketDay(terms, request.seed, rebalance, experiment.script, experiment.holders, progress)
-    checks = anyio.run(day.run, backend_options={"use_uvloop": True})
-    return _found(day), day.records, checks
+    settings, rebalance = _world_settings(experiment, request), _rebalance(request)
+    world = SocketWorld(
+        settings, request.seed, rebalance, experiment.script, experiment.select_initial_servers, progress
+    )
+    checks = anyio.run(world.run, backend_options={"use_uvloop": True})
+    return _figures_of(world), world.records, checks
 
 
 def _rebalance(request: Request) -> RebalanceSettings:
-    terms = request.rebalance or RebalanceSettings(enabled=True)
-    return msgspec.structs.replace(terms, enabled="rebalance" not in request.off)
+    settings = request.rebalance or RebalanceSettings(enabled=True)
+    return msgspec.structs.replace(settings, enabled="rebalance" not in request.off)
 
 
-def _found(day: World[Any]) -> dict[str, float]:
-    found = figures(day.records, day.moves, day.fewest, day.clients, day.warm_s, day.datagram_bytes)
+def _figures_of(world: World[Any]) -> dict[str, float]:
+    values = figures(
+        world.records, world.moves, world.min_moves, world.clients, world.all_warm_s, world.datagram_bytes
+    )
     for cause in MoveReason:
-        found[f"moves_{cause.value}"] = float(day.moved[cause.value])
-    found["moved_again_within_10_s"] = float(day.moved_again)
-    found["datagrams_a_request"] = round(day.datagrams / max(1.0, found["requests"]), 4)
-    found["datagram_bytes_a_request"] = round(day.datagram_bytes / max(1.0, found["requests"]), 2)
-    found["most_roster_calls_a_second"] = float(max(day.registry.calls.values(), default=0))
-    found["roster_calls_given_up"] = float(day.registry.given_up)
-    pressures = [s.most_pressure for s in day.servers.values()]
-    found["most_pressure_on_a_cold_server"] = round(max(pressures, default=0.0), 4)
-    return found
+        values[f"moves_{cause.value}"] = float(world.moves_by_reason[cause.value])
+    values["moved_again_within_10_s"] = float(world.repeated_moves)
+    values["datagrams_a_request"] = round(world.datagrams / max(1.0, values["requests"]), 4)
+    values["datagram_bytes_a_request"] = round(world.datagram_bytes / max(1.0, values["requests"]), 2)
+    values["most_roster_calls_a_second"] = float(max(world.registry.calls.values(), default=0))
+    values["roster_calls_given_up"] = float(world.registry.abandoned_calls)
+    pressures = [s.peak_pressure for s in world.servers.values()]
+    values["most_pressure_on_a_cold_server"] = round(max(pressures, default=0.0), 4)
+    return values
 
 
 def write(folder: Path, summary: Summary, records: Records) -> None:
-    """Raises OSError where the folder cannot be written."""
+    """Writes the records and the summary. Raises OSError if the folder cannot be written."""
     folder.mkdir(parents=True, exist_ok=True)
     records.write(folder)
     text = msgspec.json.format(msgspec.json.encode(summary), indent=1)
@@ -178,5 +186,5 @@
 
 
 def read_summary(folder: Path) -> Summary:
-    """Raises OSError, or msgspec.ValidationError for a file that is no summary."""
+    """Reads a summary. Raises OSError if it cannot be read, or msgspec.DecodeError if it is malformed."""
     return msgspec.json.decode((folder / "summary.json").read_bytes(), type=Summary)
--- a/sailrun/lab/scheduler.py
+++ b/sailrun/lab/scheduler.py
@@ -1,4 +1,4 @@
-"""Virtual time: what is to happen, in the order of its time; at one time, in the order it was asked for."""
+"""Virtual time: runs callbacks in the order of their times, and those of one time in scheduling order."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 from sailrun.node.clock import Clock
 
-# Any whole second will do; not 0, which a registry takes for "long ago".
+# Start of virtual time: any whole second except 0, which the registry interprets as "long ago".
 BEGIN_US = 1_000_000_000
 
 
 class Scheduler:
     def __init__(self) -> None:
         self.now_us = BEGIN_US
-        self.done = 0  # events so far
+        self.done = 0  # events run so far
         self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
-    def at(self, when_us: int, what: Callable[..., None], *facts: Any) -> None:
+    def at(self, when_us: int, callback: Callable[..., None], *arguments: Any) -> None:
         self._count += 1
-        heapq.heappush(self._queue, (max(when_us, self.now_us), self._count, what, facts))
+        heapq.heappush(self._queue, (max(when_us, self.now_us), self._count, callback, arguments))
 
-    def after(self, wait_us: int, what: Callable[..., None], *facts: Any) -> None:
-        self.at(self.now_us + wait_us, what, *facts)
+    def after(self, wait_us: int, callback: Callable[..., None], *arguments: Any) -> None:
+        self.at(self.now_us + wait_us, callback, *arguments)
 
     def run(self, until_us: int) -> None:
         while self._queue and self._queue[0][0] <= until_us:
-            self.now_us, _, what, facts = heapq.heappop(self._queue)
+            self.now_us, _, callback, arguments = heapq.heappop(self._queue)
             self.done += 1
-            what(*facts)
+            callback(*arguments)
         self.now_us = max(self.now_us, until_us)
 
 
 class VirtualClock(Clock):
-    """The node's clock, as the scheduler keeps it."""
+    """A node clock that reads the scheduler's virtual time."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -103,8 +103,8 @@
 
 def test_identifiers_and_comments_are_no_names() -> None:
     path = "sailrun/leadership/status.py"
-    text = SOURCE.texts[path].replace("counted", "renamed") + "\n# a comment\n"
-    text = text.replace('"""Counts since the process started', '"""Reworded')
+    text = SOURCE.texts[path].replace("agent_counters", "renamed") + "\n# a comment\n"
+    text = text.replace('"""Returns counts since the process started', '"""Reworded')
     assert text.count("renamed") > 1
     assert "Reworded" in text
     assert external_names(with_text(path, text)) == NAMES
