--- a/benchmarks/same_behaviour.py
+++ b/benchmarks/same_behaviour.py
@@ -10,7 +10,8 @@
   every message, datagram and stored entry that is encoded, and the files of all simulated folders;
 - what `sailrun lasting show|check|export` of either version prints for the folders of both.
 
-Records and printed figures of BASE are compared after the names in `RENAMED` are mapped. Printed: the first
+Records and printed figures of BASE are compared after the names in `RENAMED` and the texts in `REWORDED` are
+mapped. Printed: the first
 difference of each run that differs, then one line of totals. Exit status: 0 identical, 1 not.
 """
 
@@ -43,6 +44,13 @@
 # Old name -> new name of table columns, figures, checks, kinds of events and the keys of their facts: names
 # at the edge that a version of this program may have changed.
 RENAMED: dict[str, str] = {}
+# Old text -> new text of the reasons in log lines and of what `sailrun lasting` prints.
+REWORDED: dict[str, str] = {
+    "a load that is none": "a load is negative or not finite",
+    "copied or restored from elsewhere": (
+        "the folder was copied or restored: the inode of its identity file differs"
+    ),
+}
 # Columns whose text is a JSON object of facts.
 FACTS_COLUMN = "facts"
 DEFAULT_WORKERS = 3
@@ -129,7 +137,14 @@
         return {renamed(key): renamed(content) for key, content in value.items()}
     if isinstance(value, list):
         return [renamed(content) for content in value]
-    return RENAMED.get(value, value) if isinstance(value, str) else value
+    return reworded(RENAMED.get(value, value)) if isinstance(value, str) else value
+
+
+def reworded(text: str) -> str:
+    """A text of BASE with the texts of `REWORDED` replaced."""
+    for old, new in REWORDED.items():
+        text = text.replace(old, new)
+    return text
 
 
 def first_difference(base: Iterable[str], ours: Iterable[str]) -> str:
@@ -338,7 +353,8 @@
             outcome.difference = f"{tree}: {failed}"
             return outcome
         printed.append((out / PRINTED_FILE).read_text().splitlines())
-    outcome.difference = first_difference(*printed)
+    base, ours = printed
+    outcome.difference = first_difference(map(reworded, base), ours)
     if len(folders) < FEWEST_FOLDERS:
         outcome.difference = f"only {len(folders)} folders were written"
     return outcome
