--- a/sailrun/lab/chance.py
+++ b/sailrun/lab/chance.py
@@ -7,7 +7,8 @@
 
 import numpy as np
 
-_BLOCK = 1024
+# Number of values that are drawn from the generator at a time.
+_BLOCK_SIZE = 1024
 
 
 class Stream:
@@ -21,7 +22,7 @@
 
     def random(self) -> float:
         if not self._uniform:
-            self._uniform = self._generator.random(_BLOCK).tolist()
+            self._uniform = self._generator.random(_BLOCK_SIZE).tolist()
         return self._uniform.pop()
 
     def between(self, bounds: tuple[float, float]) -> float:
@@ -32,14 +33,16 @@
         return bounds[0] + int((bounds[1] - bounds[0] + 1) * self.random())
 
     def below(self, count: int) -> int:
+        """Returns a uniform integer from 0 to `count` - 1."""
         return int(count * self.random())
 
     def exponential(self, mean: float) -> float:
         return -mean * math.log(1.0 - self.random())
 
     def lognormal(self, mean: float, sigma: float) -> float:
+        """Returns a log-normal number with this mean. `sigma` is the standard deviation of its logarithm."""
         if not self._normal:
-            self._normal = self._generator.standard_normal(_BLOCK).tolist()
+            self._normal = self._generator.standard_normal(_BLOCK_SIZE).tolist()
         return mean * math.exp(sigma * self._normal.pop() - sigma * sigma / 2)
 
     def pick(self, probabilities: tuple[float, ...]) -> int:
--- a/sailrun/lab/checks.py
+++ b/sailrun/lab/checks.py
@@ -1,4 +1,4 @@
-"""The rules, checked by what the world observes and never by what a node reports."""
+"""The rules of a run. They are checked with observations of the world, never with reports of a node."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @dataclass(slots=True, eq=False)
 class Check:
-    """One rule: the number of violations and a description of the first few. If its occasions are counted, a
-    rule without any occasion was not tested and does not hold.
+    """One rule with its result. `value` is usually the number of violations, and `faults` describes the first
+    few. If its occasions are counted, a rule without any occasion was not tested and does not hold.
     """
 
     name: str
-    limit: float = 0.0
+    limit: float = 0.0  # the rule holds up to this value
     value: float = 0.0
     faults: list[str] = field(default_factory=list)
-    occasions: int | None = None
+    occasions: int | None = None  # None: not counted
 
     @property
     def holds(self) -> bool:
@@ -52,16 +52,16 @@
         self._dropped: set[str] = set()  # requests that no client waits for
         self._notified_us: dict[
             tuple[int, str], int
-        ] = {}  # when a node received that a server drains or is gone
-        self._overridden_us: dict[tuple[int, str], int] = {}  # when an operator excluded a server at a node
+        ] = {}  # time at which a node received that a server drains or is gone
+        self._overridden_us: dict[tuple[int, str], int] = {}  # time at which an operator excluded a server
         self.answer = Check("one-final-answer")
         self.late = Check("answered-in-time")
         self.attempt = Check("one-attempt-outstanding")
         self.drain = Check("drains-kept")
-        self.cold = Check("no-cold-server-pushed-over")
+        self.overload_in_slow_start = Check("no-cold-server-pushed-over")
         self.lost = Check("nobody-lost")
         self.twice = Check("nobody-rebalanced-twice-in-a-minute")
-        self.onto_cold = Check("no-move-onto-a-warming-server")
+        self.move_onto_slow_start = Check("no-move-onto-a-warming-server")
 
     def all(self) -> list[Check]:
         return [
@@ -69,10 +69,10 @@
             self.late,
             self.attempt,
             self.drain,
-            self.cold,
+            self.overload_in_slow_start,
             self.lost,
             self.twice,
-            self.onto_cold,
+            self.move_onto_slow_start,
         ]
 
     # ------------------------------------------------------------------ requests
@@ -89,7 +89,7 @@
             self.late.broken(now_us - self._begin_us, f"{request}: {answer} {late_ms} ms late")
 
     def begin(self, begin_us: int) -> None:
-        """Sets the time that fault times are relative to."""
+        """Sets the begin of the run. Faults are reported with the time since then."""
         self._begin_us = begin_us
 
     def request_cut_off(self, now_us: int, request: str, node_runs: bool) -> None:
@@ -134,7 +134,7 @@
             open_request.server = ""
 
     def node_starts(self, node: int) -> None:
-        """Forgets what the previous process of the node had received, since a new process starts."""
+        """Discards the records of what the node's previous process had received."""
         self._notified_us = {key: at for key, at in self._notified_us.items() if key[0] != node}
 
     def node_gone(self, node: int) -> None:
@@ -159,14 +159,16 @@
     def notified_serving(self, node: int, server: str) -> None:
         self._notified_us.pop((node, server), None)
 
-    def operator_override_set(self, now_us: int, node: int, server: str, out: bool) -> None:
-        if out:
+    def operator_override_set(self, now_us: int, node: int, server: str, excluded: bool) -> None:
+        if excluded:
             self._overridden_us.setdefault((node, server), now_us)
         else:
             self._overridden_us.pop((node, server), None)
 
     def server_fell_over(self, now_us: int, server: str) -> None:
-        self.cold.broken(now_us - self._begin_us, f"{server} fell over under load in slow start")
+        self.overload_in_slow_start.broken(
+            now_us - self._begin_us, f"{server} fell over under load in slow start"
+        )
 
     def cut_off(self, now_us: int, request: str, server: str) -> None:
         self.lost.broken(now_us - self._begin_us, f"{request} cut off without MOVE, {server} still answers")
@@ -176,7 +178,7 @@
             ago_s = (now_us - last_us) / SECOND
             self.twice.broken(now_us - self._begin_us, f"client {client} moved again after {ago_s:.1f} s")
 
-    def arrived_cold(self, now_us: int, client: int, server: str) -> None:
-        self.onto_cold.broken(
+    def arrived_in_slow_start(self, now_us: int, client: int, server: str) -> None:
+        self.move_onto_slow_start.broken(
             now_us - self._begin_us, f"client {client} was moved to {server}, which is in slow start"
         )
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -20,6 +20,7 @@
 
 DRIVERS = ("virtual", "sockets")
 SCALE = "scale"
+# Lowest and highest allowed values of the options of `scale`.
 SCALE_RANGES = {"nodes": (0, 1_000), "hollow": (0, 100_000), "seconds": (1, 3_600), "shards": (0, 1_000_000)}
 
 
@@ -77,9 +78,9 @@
     from sailrun.lab.scale.command import play_scale
     from sailrun.lab.scale.plan import FAULTS, DoesNotFit, ScalePlan
 
-    for option, value, known in (("driver", driver, DRIVERS), ("faults", faults, FAULTS)):
-        if value is not None and value not in known:
-            raise _usage_error(f"--{option}: '{value}' is none of {', '.join(known)}")
+    for option, value, allowed in (("driver", driver, DRIVERS), ("faults", faults, FAULTS)):
+        if value is not None and value not in allowed:
+            raise _usage_error(f"--{option}: '{value}' is none of {', '.join(allowed)}")
     for option, (lowest, highest) in SCALE_RANGES.items():
         value = sizes[option]
         if value is not None and not lowest <= value <= highest:
@@ -220,7 +221,7 @@
         seconds=seconds,
         utilization=utilization,
         datagrams_lost=datagrams_lost,
-        rebalance=_operators(operator),
+        rebalance=_rebalance_settings(operator),
     )
     if request.driver not in DRIVERS:
         raise _usage_error(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
@@ -243,7 +244,7 @@
     raise typer.Exit(0 if summary.holds else 1)
 
 
-def _operators(path: Path | None) -> Any:
+def _rebalance_settings(path: Path | None) -> Any:
     if path is None:
         return None
     from sailrun.errors import ConfigError
@@ -350,7 +351,7 @@
     first, dots, last = seeds.partition("..")
     if not dots or not (first.isdigit() and last.isdigit()) or int(first) > int(last):
         raise _usage_error(
-            f"--seeds: '{seeds}' is no range of seeds; expected FIRST..LAST, for example 1..200"
+            f"--seeds: '{seeds}' is not a range of seeds; expected FIRST..LAST, for example 1..200"
         )
     if (day := _fault_day(name, off, nodes, seconds)) is not None:
         _sweep_faults(day, driver or "virtual", list(range(int(first), int(last) + 1)), out, workers)
@@ -365,7 +366,7 @@
         seconds=seconds,
         utilization=utilization,
         datagrams_lost=datagrams_lost,
-        rebalance=_operators(operator),
+        rebalance=_rebalance_settings(operator),
     )
     if against is not None:
         _request(name, [against])  # validates the name
--- a/sailrun/lab/experiments.py
+++ b/sailrun/lab/experiments.py
@@ -29,10 +29,10 @@
     pass
 
 
-def _pick_servers(world: World[Any], share: float, least: int = 1) -> list[FormServerModel]:
+def _pick_servers(world: World[Any], share: float, minimum: int = 1) -> list[FormServerModel]:
     """Returns some form servers, drawn by the seed."""
     servers = list(world.servers.values())
-    count = max(least, round(share * len(servers)))
+    count = max(minimum, round(share * len(servers)))
     return [servers.pop(world.fault_random.below(len(servers))) for _ in range(min(count, len(servers) - 1))]
 
 
@@ -45,7 +45,7 @@
 
 
 def _all_faults(world: World[Any]) -> None:
-    """Each fault once, at times and places drawn by the seed. The rules have to hold under all of them."""
+    """Injects each fault once, at times and places drawn by the seed. The rules have to hold."""
     fault_random = world.fault_random
     server, other, third = (_pick_servers(world, 0.0)[0] for _ in range(3))
     world.time.after(
@@ -57,7 +57,7 @@
         world.time.after(fault_random.integer((3 * SECOND, 30 * SECOND)), world.crash, third, 4 * SECOND)
     world.time.after(fault_random.integer((5 * SECOND, 30 * SECOND)), world.drop, 0.3, 2 * SECOND)
     world.time.after(fault_random.integer((5 * SECOND, 15 * SECOND)), world.registry.fail)
-    world.time.after(fault_random.integer((20 * SECOND, 30 * SECOND)), _registry_back, world)
+    world.time.after(fault_random.integer((20 * SECOND, 30 * SECOND)), _restore_registry, world)
     slots = world.slots
     world.time.after(
         fault_random.integer((5 * SECOND, 30 * SECOND)),
@@ -98,16 +98,16 @@
         world.time.after(3 * SECOND + n * 7 * SECOND // len(servers), world.drain, server, SECOND)
 
 
-def _steps(
+def _release_in_steps(
     world: World[Any], servers: list[FormServerModel], from_us: int, within_us: int, steps: int
 ) -> None:
     """A release: these form servers are replaced by others in the given number of steps and time."""
-    each = -(-len(servers) // steps)
+    per_step = -(-len(servers) // steps)
     for n, server in enumerate(servers):
-        world.time.after(from_us + n // each * within_us // steps, world.replace_server, server)
+        world.time.after(from_us + n // per_step * within_us // steps, world.replace_server, server)
 
 
-def _bad_ones(world: World[Any], failing: bool) -> None:
+def _degrade_servers(world: World[Any], failing: bool) -> None:
     """One of eight form servers is slow or, if `failing`, answers with errors."""
     for n, server in enumerate(_pick_servers(world, 0.125)):
         if failing and n % 2 == 0:
@@ -131,7 +131,7 @@
     the registry moves to another address.
     """
     virtual_world = cast("VirtualWorld", world)
-    _steps(world, _pick_servers(world, 0.5), 4 * SECOND, 11 * SECOND, 5)
+    _release_in_steps(world, _pick_servers(world, 0.5), 4 * SECOND, 11 * SECOND, 5)
     for n, slot in enumerate(world.slots):
         tenth = n * 10 // len(world.slots)
         world.time.after(3 * SECOND + tenth * 8 * SECOND // 5, world.terminate, slot)
@@ -140,8 +140,8 @@
 
 def _fleet_herd(world: World[Any]) -> None:
     """A release, while seven in ten nodes are killed at once. One of eight form servers is slow or fails."""
-    _bad_ones(world, failing=True)
-    _steps(world, _pick_servers(world, 0.35), 6 * SECOND, 9 * SECOND, 4)
+    _degrade_servers(world, failing=True)
+    _release_in_steps(world, _pick_servers(world, 0.35), 6 * SECOND, 9 * SECOND, 4)
     for slot in world.slots[: round(0.7 * len(world.slots))]:
         world.time.after(9 * SECOND, world.kill, slot)
 
@@ -150,7 +150,7 @@
     """A data centre is lost for 5 s and returns in slow start. Later another one is cut off. One of eight
     form servers is slow or answers with errors.
     """
-    _bad_ones(world, failing=True)
+    _degrade_servers(world, failing=True)
     virtual_world, zones = cast("VirtualWorld", world), world.settings.zones
     lost = world.fault_random.below(len(zones))
     for server in world.servers.values():
@@ -165,7 +165,8 @@
 
 def _fleet_split(world: World[Any]) -> None:
     """For 6 s a data centre is cut off and no datagram between nodes arrives. During the whole run endpoint
-    lists are late, answers are lost and connections are reset during requests.
+    lists are late, answers are lost and connections are reset during requests. A tenth of the form servers is
+    replaced meanwhile.
     """
     virtual_world, zones = cast("VirtualWorld", world), world.settings.zones
     world.registry.late_us = 3 * SECOND
@@ -180,7 +181,7 @@
 
 def _fleet_join(world: World[Any]) -> None:
     """Six in ten form servers are replaced within 7 s."""
-    _steps(world, _pick_servers(world, 0.6), 5 * SECOND, 7 * SECOND, 2)
+    _release_in_steps(world, _pick_servers(world, 0.6), 5 * SECOND, 7 * SECOND, 2)
 
 
 def _drain_and_crash(world: World[Any]) -> None:
@@ -217,7 +218,7 @@
     world.time.after(fault_random.integer((6 * SECOND, 16 * SECOND)), world.drop, 0.4, SECOND)
 
 
-def _registry_back(world: World[Any]) -> None:
+def _restore_registry(world: World[Any]) -> None:
     world.registry.reachable = True
 
 
@@ -246,11 +247,11 @@
     **{"form_servers": 13, "nodes": 40, "households": 130},
     **{"seconds": 40.0, "utilization": 0.4, "roster_per_s": 7.5},
 }
-_WHOLE: dict[str, Any] = {
+_WHOLE_FLEET: dict[str, Any] = {
     **{"form_servers": 90, "nodes": 200, "households": 900},
     **{"seconds": 30.0, "utilization": 0.5, "roster_per_s": 40.0},
 }
-_EVEN = {"rebalance": {"even_after_s": 60.0, "moves_over_fewest": 1.3}}
+_EVENNESS_BOUNDS = {"rebalance": {"even_after_s": 60.0, "moves_over_fewest": 1.3}}
 
 EXPERIMENTS = {
     e.name: e
@@ -268,7 +269,7 @@
             "all load is on a third of the form servers",
             _LARGE,
             select_initial_servers=_first_third,
-            bounds_of=_EVEN,
+            bounds_of=_EVENNESS_BOUNDS,
         ),
         Experiment(
             "rebalance-outage",
@@ -300,7 +301,7 @@
         Experiment("zone", "a data centre is lost and returns in slow start", _FLEET, script=_zone),
         Experiment("join", "six in ten form servers are replaced within 7 s", _FLEET, script=_join),
         *(
-            Experiment(f"fleet-{name}", about, _WHOLE, script=script, drivers=("virtual",))
+            Experiment(f"fleet-{name}", about, _WHOLE_FLEET, script=script, drivers=("virtual",))
             for name, about, script in (
                 ("calm", "two hundred nodes, no faults, a burst of new clients", _fleet_calm),
                 ("roll", "half of the form servers and all nodes are replaced in steps", _fleet_roll),
--- a/sailrun/lab/figures.py
+++ b/sailrun/lab/figures.py
@@ -10,8 +10,8 @@
 # The fleet is even if the busiest warm form server holds at most EVEN_RATIO times the mean load for
 # EVEN_DURATION_S consecutive seconds.
 EVEN_RATIO, EVEN_DURATION_S = 1.25, 5
-# Prices as shares of the requested value: one move of every client, and one full message per request. A full
-# message has FULL_MESSAGE bytes.
+# Prices of the documented deployment, as shares of the requested value: MOVE_PRICE for moving every client
+# once, and MESSAGE_PRICE for one full message per request. A full message has FULL_MESSAGE bytes.
 MOVE_PRICE, MESSAGE_PRICE, FULL_MESSAGE = 0.02, 0.01, 256
 
 
@@ -23,8 +23,8 @@
 def even_after(imbalances: Sequence[float], from_s: int) -> float:
     """Returns the seconds from `from_s` until the fleet is even, or infinity if it never is."""
     for second in range(from_s, len(imbalances)):
-        run = imbalances[second : second + EVEN_DURATION_S]
-        if len(run) == EVEN_DURATION_S and max(run) <= EVEN_RATIO:
+        window = imbalances[second : second + EVEN_DURATION_S]
+        if len(window) == EVEN_DURATION_S and max(window) <= EVEN_RATIO:
             return float(second - from_s)
     return math.inf
 
@@ -38,7 +38,7 @@
     moves = 0
     for server in loads:
         over = sum(load for load, _ in server) - EVEN_RATIO * total / len(loads)
-        for load, connections in sorted(server, key=lambda one: -one[0] / one[1]):
+        for load, connections in sorted(server, key=lambda group: -group[0] / group[1]):
             if over <= 0:
                 break
             over -= load
--- a/sailrun/lab/form_servers.py
+++ b/sailrun/lab/form_servers.py
@@ -50,9 +50,9 @@
     groups: dict[str, int] = field(default_factory=dict)
     load: float = 0.0
     backlog: float = 0.0  # unfinished work in us
-    at_us: int = 0
+    at_us: int = 0  # time up to which the state has been advanced
     error_share: float = 0.0  # share of set-ups that are answered with an error
-    fallen: bool = False  # the world has already handled its fall
+    fallen: bool = False  # the world has already applied the effects of the overload
     peak_pressure: float = 0.0  # peak of the work received in slow start over the allowed work
     _recent_work: deque[tuple[int, float]] = field(
         default_factory=deque
@@ -60,12 +60,12 @@
 
     # ------------------------------------------------------------------ state
 
-    def cold(self, now_us: int) -> bool:
+    def in_slow_start(self, now_us: int) -> bool:
         return self.started_us > 0 and now_us - self.started_us < self.slow_start_us
 
     def current_capacity(self, now_us: int) -> float:
         """Returns the current capacity, which rises linearly during slow start."""
-        if not self.cold(now_us):
+        if not self.in_slow_start(now_us):
             return self.capacity
         age = (now_us - self.started_us) / self.slow_start_us
         return self.capacity * (
@@ -73,7 +73,7 @@
         )
 
     def max_connections(self) -> float:
-        return self.settings.places * self.capacity / self.settings.unit
+        return self.settings.max_connections_ratio * self.capacity / self.settings.connection_load
 
     def message_us(self, now_us: int) -> float:
         """Returns the current mean time to answer a message."""
@@ -102,7 +102,7 @@
         spare = max(MIN_FREE_SHARE * capacity, capacity - self.load) if self.load < capacity else 0.0
         growth = max(0.0, self.load - capacity)
         self.backlog = max(0.0, self.backlog + (growth - spare) * elapsed_us / SECOND)
-        if self.cold(now_us):
+        if self.in_slow_start(now_us):
             self._add_pressure(now_us, self.load * elapsed_us / SECOND)
         elif self._recent_work:
             self._recent_work.clear()
@@ -124,7 +124,7 @@
     def set_up_us(self, now_us: int, work_us: float) -> float | None:
         """Returns the set-up time of a new connection, or None if the connection is rejected."""
         self.advance(now_us)
-        if self.cold(now_us):
+        if self.in_slow_start(now_us):
             self._add_pressure(now_us, work_us)
         if self.draining or len(self.held) >= self.max_connections():
             return None
@@ -132,37 +132,43 @@
         self.backlog += work_us
         return self.backlog / max(MIN_FREE_SHARE * capacity, capacity - self.load) * SECOND
 
-    def hold(self, now_us: int, one: HeldConnection) -> None:
+    def hold(self, now_us: int, connection: HeldConnection) -> None:
         self.advance(now_us)
-        self.held[one.request] = one
-        count = self.groups.get(one.group, 0)
-        self.groups[one.group] = count + 1
-        self.load += one.load + (0.0 if count else self.settings.household_cost * self.settings.unit)
+        self.held[connection.request] = connection
+        count = self.groups.get(connection.group, 0)
+        self.groups[connection.group] = count + 1
+        self.load += connection.load + (
+            0.0 if count else self.settings.household_cost * self.settings.connection_load
+        )
 
     def release(self, now_us: int, request: str) -> HeldConnection | None:
         self.advance(now_us)
-        one = self.held.pop(request, None)
-        if one is None:
+        connection = self.held.pop(request, None)
+        if connection is None:
             return None
-        count = self.groups[one.group] - 1
+        count = self.groups[connection.group] - 1
         if count:
-            self.groups[one.group] = count
+            self.groups[connection.group] = count
         else:
-            del self.groups[one.group]
-        self.load -= one.load + (0.0 if count else self.settings.household_cost * self.settings.unit)
+            del self.groups[connection.group]
+        self.load -= connection.load + (
+            0.0 if count else self.settings.household_cost * self.settings.connection_load
+        )
         if not self.held:
             self.load = 0.0  # free of rounding
-        return one
+        return connection
 
     def change_load(self, now_us: int, request: str, load: float) -> None:
-        """Changes a connection's load."""
+        """Sets the load of a connection, which changes the form server's load by the same amount."""
         self.advance(now_us)
-        one = self.held[request]
-        self.load += load - one.load
-        one.load = load
+        connection = self.held[request]
+        self.load += load - connection.load
+        connection.load = load
 
     def shed(self) -> list[str]:
-        """Returns the newest connections to drop while the backlog exceeds the buffer."""
+        """Returns the newest 5% of the connections (at least one) to drop if the backlog exceeds the buffer,
+        and reduces the backlog by 20%.
+        """
         if self.backlog <= self.settings.buffer_us * self.capacity / SECOND:
             return []
         newest = list(self.held)[-max(1, len(self.held) // 20) :]
--- a/sailrun/lab/report.py
+++ b/sailrun/lab/report.py
@@ -1,4 +1,4 @@
-"""Writes report.html, a self-contained page."""
+"""Writes `report.html`, one self-contained file that can be opened anywhere."""
 
 from __future__ import annotations
 
@@ -139,21 +139,26 @@
 
 def _loads(run: _Run) -> str:
     lines: dict[str, list[tuple[float, float, bool]]] = defaultdict(list)
-    warm: dict[str, float] = {}
+    full_capacity: dict[str, float] = {}
     names = ("at_us", "server", "load", "capacity", "phase", "cold")
     for at_us, server, load, capacity, phase, cold in zip(*(run.servers[n] for n in names), strict=True):
-        warm[server] = max(warm.get(server, 0.0), capacity)
+        full_capacity[server] = max(full_capacity.get(server, 0.0), capacity)
         lines[server].append((at_us / SECOND, load, cold or phase != "up"))
-    spread = {name: max(load for _, load, _ in points) / warm[name] for name, points in lines.items()}
-    drawn = sorted(lines, key=lambda name: (-spread[name], name))
+    peak_load = {
+        name: max(load for _, load, _ in points) / full_capacity[name] for name, points in lines.items()
+    }
+    drawn = sorted(lines, key=lambda name: (-peak_load[name], name))
     if len(drawn) > MAX_LINES:
         drawn = drawn[: MAX_LINES // 2] + drawn[-MAX_LINES // 2 :]
     figure, axes = pyplot.subplots(figsize=(10, 3.6))
     for name in drawn:
         points = lines[name]
         at = [second for second, _, _ in points]
-        for away, style in ((False, "-"), (True, ":")):
-            shown = [load / warm[name] if off == away else float("nan") for _, load, off in points]
+        for unavailable, style in ((False, "-"), (True, ":")):
+            shown = [
+                load / full_capacity[name] if is_unavailable == unavailable else float("nan")
+                for _, load, is_unavailable in points
+            ]
             axes.plot(at, shown, style, linewidth=0.8, alpha=0.8)
     axes.set_xlabel("s")
     axes.set_ylabel("load over capacity")
@@ -170,8 +175,8 @@
             continue
         for n, (name, values) in enumerate(series.items()):
             at, shown = values(run)
-            words = f"{label}: {name}" if before is not None else name
-            axes.plot(at, shown, "-" if n == 0 else "--", color=colour, linewidth=1.2, label=words)
+            legend_label = f"{label}: {name}" if before is not None else name
+            axes.plot(at, shown, "-" if n == 0 else "--", color=colour, linewidth=1.2, label=legend_label)
     if even is not None:
         axes.axhline(even, color="#999", linewidth=0.8)
     axes.set_xlabel("s")
--- a/sailrun/lab/scheduler.py
+++ b/sailrun/lab/scheduler.py
@@ -1,4 +1,6 @@
-"""Virtual time: runs callbacks in the order of their times, and those of one time in scheduling order."""
+"""Virtual time. Callbacks run in the order of their times; those that are due at the same time run in the
+order in which they were scheduled.
+"""
 
 from __future__ import annotations
 
--- a/sailrun/lab/seeing.py
+++ b/sailrun/lab/seeing.py
@@ -1,7 +1,8 @@
 """A reference policy that sees the true state of every form server with a delay.
 
-It replaces a node behind the same calls and decides only by the state of the world some time ago. No real
-node has this information. The share of its service that real nodes reach shows how much improvement is left.
+It replaces a node behind the same calls and bases its decisions only on the state of the world some time
+ago. No real node has this information. The share of its service that real nodes reach shows how much
+improvement is left.
 """
 
 from __future__ import annotations
@@ -51,7 +52,9 @@
 
 
 class DelayedView:
-    """Samples of the true state, published after the delay. One instance serves the whole world."""
+    """Samples of the true state, which become visible after the delay. The first sample is visible at once.
+    One instance serves the whole world.
+    """
 
     def __init__(self, world: ObservedWorld, late_us: int) -> None:
         self._world, self._late_us = world, late_us
@@ -78,21 +81,23 @@
 
 
 class ReferenceNode:
-    """Replaces a node. It implements only those calls of the core that the world makes."""
+    """Replaces a node. It implements only those calls of the core that the world makes in runs without
+    operator commands and without replaced processes.
+    """
 
     def __init__(self, world: ObservedWorld, view: DelayedView, index: int) -> None:
         self._world, self._view = world, view
         self._random = Stream(world.seed, f"seeing-{index}-{world.time.now_us}")
-        self._unanswered: dict[str, tuple[FormSession, set[int]]] = {}  # unanswered, with servers tried
-        self._standing: dict[str, FormSession] = {}
-        self._moves: list[tuple[int, int, FormSession]] = []
+        self._unanswered: dict[str, tuple[FormSession, set[int]]] = {}  # by id, with the servers tried
+        self._established: dict[str, FormSession] = {}
+        self._moves: list[tuple[int, int, FormSession]] = []  # (time, order, session)
         self._order = count()
-        self._leaving_us = 0
+        self._leaving_us = 0  # time at which the shutdown began; 0: not shutting down
         self.wake: Callable[[], None] = lambda: None
         self.admits, self.stopped = True, False
         self.discovery: Any = None
-        self.neighbours: Any = None
-        self.rebalancer: Any = None
+        self.peer_transport: Any = None
+        self.rebalancer_port: Any = None
 
     def start(self) -> None:
         pass
@@ -102,17 +107,17 @@
 
     def run_once(self, now_us: int) -> None:
         servers = self._view.servers
-        for session in self._standing.values():
+        for session in self._established.values():
             number = session.placement.form_server.number if session.placement is not None else -1
             if session.move_reason is None and number in servers and not servers[number].accepts_new:
                 self._plan_move(session, now_us)
         while self._moves and self._moves[0][0] <= now_us:
             session = heapq.heappop(self._moves)[2]
-            if session.id in self._standing:
+            if session.id in self._established:
                 session.client.move()
         if (
             self._leaving_us
-            and not self._standing
+            and not self._established
             and not self._unanswered
             and now_us > self._leaving_us + SECOND
         ):
@@ -132,12 +137,12 @@
         else:
             self._start_attempt(session.id)
 
-    def _start_attempt(self, name: str) -> None:
+    def _start_attempt(self, session_id: str) -> None:
         """Draws one of the form servers with free capacity, weighted by it, or else any that runs."""
-        session, tried = self._unanswered[name]
+        session, tried = self._unanswered[session_id]
         candidates = {n: s for n, s in self._view.servers.items() if s.accepts_new and n not in tried}
         if not candidates or session.attempts >= MAX_ATTEMPTS:
-            del self._unanswered[name]
+            del self._unanswered[session_id]
             session.client.reject(SECOND // 2)
             return
         free_capacity = {n: s.free for n, s in candidates.items() if s.free > 0} or dict.fromkeys(
@@ -169,13 +174,13 @@
     def connection_opened(self, session: FormSession, placement: Placement, took_us: int) -> None:
         self._unanswered.pop(session.id, None)
         session.is_established = True
-        self._standing[session.id] = session
+        self._established[session.id] = session
         if self._leaving_us:
             self._plan_move(session, self._world.time.now_us)
 
     def attempt_ended(self, session: FormSession, placement: Placement, outcome: AttemptOutcome) -> None:
         session.placement = None
-        if self._standing.pop(session.id, None) is None and session.id in self._unanswered:
+        if self._established.pop(session.id, None) is None and session.id in self._unanswered:
             if self._world.time.now_us < session.deadline_us - SECOND // 10:
                 self._start_attempt(session.id)
             else:
@@ -188,7 +193,7 @@
     def begin_shutdown(self) -> None:
         now_us = self._world.time.now_us
         self._leaving_us = now_us
-        for session in self._standing.values():
+        for session in self._established.values():
             if session.move_reason is None:
                 self._plan_move(session, now_us + SECOND // 2)
 
@@ -204,11 +209,11 @@
     def report_load(self, session: FormSession, load: float) -> None:
         pass
 
-    def server_list_updated(self, news: Any) -> None:
+    def server_list_updated(self, update: Any) -> None:
         pass
 
-    def discovery_failed(self, why: str) -> None:
+    def discovery_failed(self, reason: str) -> None:
         pass
 
-    def peer_message_received(self, neighbour: int, content: bytes) -> None:
+    def peer_message_received(self, peer: int, content: bytes) -> None:
         pass
--- a/sailrun/lab/settings.py
+++ b/sailrun/lab/settings.py
@@ -11,17 +11,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSettings:
-    """One class of connections. Times are in us; load and life are relative to the usual values."""
+    """One class of connections. Times are in us; load and lifetime are relative to the usual values."""
 
     name: str
-    share: float  # of new connections
-    objective_us: int  # wanted set-up time
+    share: float  # share of new connections
+    objective_us: int  # objective for the set-up time
     deadline_us: int  # the client gives up after this time
-    message_us: int  # wanted answer time of a message
+    message_us: int  # objective for the time to answer a message
     priority_weight: float  # per second
     load: tuple[float, float]
-    life: tuple[float, float]
-    setup_us: float  # mean work to set one up
+    lifetime: tuple[float, float]
+    setup_us: float  # mean of the exponentially distributed part of the set-up work
 
 
 CLASSES = (
@@ -44,17 +44,21 @@
     utilization: float = 0.35  # load of the established connections over the capacity of the warm fleet
     classes: tuple[RequestClassSettings, ...] = CLASSES
     zones: tuple[str, ...] = ZONES
-    members: tuple[float, ...] = (0.55, 0.25, 0.12, 0.08)  # chances of 1, 2, ... connections per household
-    life_s: float = 120.0
+    # Probabilities of 1, 2, ... connections per household.
+    group_size_shares: tuple[float, ...] = (0.55, 0.25, 0.12, 0.08)
+    lifetime_s: float = 120.0  # mean time for which a connection is wanted
     # Form servers.
     cores: float = 2.0
-    speed: tuple[float, float] = (0.85, 1.1)
+    speed: tuple[float, float] = (0.85, 1.1)  # capacity of one core in seconds of work per second
     initial_capacity_share: tuple[float, float] = (0.13, 0.36)
     slow_start_us: tuple[int, int] = (12 * SECOND, 24 * SECOND)
-    places: float = 2.8  # most connections of one form server, over the number that fills its capacity
-    handshake_us: tuple[float, float] = (2_700, 6_000)
+    # Maximum number of connections of one form server, over the number that fills its capacity.
+    max_connections_ratio: float = 2.8
+    handshake_us: tuple[float, float] = (2_700, 6_000)  # uniformly distributed part of the set-up work
     household_cost: float = 1.5  # in mean connection loads, added once per household on a form server
     buffer_us: int = 1_500_000  # backlog beyond which the newest connections are dropped
+    # In slow start a form server falls over if the work that it receives within the window exceeds this
+    # multiple of its current capacity.
     overload_multiple: float = 3.0
     overload_window_us: int = 3 * SECOND
     drain_grace_us: int = 2 * SECOND
@@ -72,12 +76,12 @@
     datagrams_lost: float = 0.02
     # The service registry (the platform's roster).
     notice_us: tuple[int, int] = (1_700_000, 4_500_000)
-    silent_notice_us: tuple[int, int] = (5_200_000, 12_000_000)
+    unresponsive_notice_us: tuple[int, int] = (5_200_000, 12_000_000)
     call_us: tuple[int, int] = (28_000, 86_000)
     # Number of new watches that the registry starts per second, one after another (0: no limit), and the time
     # after which a waiting call fails.
     roster_per_s: float = 0.0
-    roster_patience_us: int = 2_000_000
+    registry_call_timeout_us: int = 2_000_000
     # Delay with which the reference policy sees the true state. Negative: the nodes decide themselves.
     reference_delay_us: int = -1
     # Settings that are passed to the nodes.
@@ -90,10 +94,10 @@
     @cached_property
     def connections(self) -> float:
         """Returns the mean number of established connections."""
-        return self.households * sum(c * (n + 1) for n, c in enumerate(self.members))
+        return self.households * sum(c * (n + 1) for n, c in enumerate(self.group_size_shares))
 
     @cached_property
-    def unit(self) -> float:
+    def connection_load(self) -> float:
         """Returns a mean connection's load in us of work per second, derived from the utilization."""
         fleet = self.form_servers * self.cores * sum(self.speed) / 2 * SECOND
         groups = self.household_cost * self.households / self.connections
--- a/sailrun/lab/sockets.py
+++ b/sailrun/lab/sockets.py
@@ -38,7 +38,7 @@
 LINE_INTERVAL_S, MAX_LINE_BYTES = 2.0, 4096
 # Time limits for a node to become ready and to exit.
 READY_TIMEOUT_S, EXIT_TIMEOUT_S = 20.0, 6.0
-# Rate at which clients from before the run reconnect. They should all be established before the run begins.
+# Rate at which the initial sessions are requested. They should all be established before the run begins.
 RESUMES_PER_SECOND = 200
 RECORDED_LOG_EVENTS = (
     "rebalance",
@@ -75,7 +75,7 @@
         callback(*arguments)
 
 
-class Line:
+class LineConnection:
     """A connection that is read and written line by line."""
 
     def __init__(self, stream: SocketStream) -> None:
@@ -123,13 +123,13 @@
         super().__init__(world)
         self.update_event = anyio.Event()
 
-    def published(self) -> None:
+    def notify_watches(self) -> None:
         self.update_event.set()
         self.update_event = anyio.Event()
 
     def fail(self) -> None:
         super().fail()
-        self.published()
+        self.notify_watches()
 
     def as_json(self, entry: FormServer) -> dict[str, Any]:
         phases = {
@@ -173,9 +173,11 @@
         self._addresses: dict[int, tuple[str, int]] = {}
         self._listeners: dict[int, socket.socket] = {}
         self._server_connections: dict[
-            str, tuple[Line, Client]
+            str, tuple[LineConnection, Client]
         ] = {}  # by request: connections at the form servers
-        self._clients: dict[str, tuple[Client, Line, SocketSlot]] = {}  # by request: established sessions
+        self._clients: dict[
+            str, tuple[Client, LineConnection, SocketSlot]
+        ] = {}  # by request: established sessions
         self._closed_by_world: set[str] = set()  # requests whose connection the world itself closes
         self._open_requests: dict[str, Client] = {}  # by request, until its connection has ended
         self._requests = self._resumed = 0
@@ -204,8 +206,10 @@
         return self.checks()
 
     def checks(self) -> list[Check]:
-        """Returns the checks without those on moves for balance: sockets do not show the reason of a move."""
-        unseen = (self.rules.twice, self.rules.onto_cold)
+        """Returns the checks with their results, without the checks of moves for balance, because sockets do
+        not show the reason of a move.
+        """
+        unseen = (self.rules.twice, self.rules.move_onto_slow_start)
         self._lag_check.value = round(quantile(self._lags_ms, 0.99), 1)
         return [*(check for check in super().checks() if check not in unseen), self._lag_check]
 
@@ -254,7 +258,7 @@
             )
             slot.folder = folder / f"n{slot.index}"
             slot.folder.mkdir()
-        await self._connect_neighbours()
+        await self._connect_peers()
 
     def address_of(self, server: FormServerModel) -> tuple[str, int]:
         if server.number not in self._listeners:
@@ -265,9 +269,9 @@
     async def _listen(self, listener: socket.socket, serve: Callable[..., Any], *arguments: Any) -> None:
         """Accepts connections until the run ends."""
 
-        async def one(sock: socket.socket) -> None:
+        async def serve_connection(sock: socket.socket) -> None:
             with contextlib.suppress(*_BROKEN):
-                line = Line(await SocketStream.from_socket(sock))
+                line = LineConnection(await SocketStream.from_socket(sock))
                 try:
                     await serve(line, *arguments)
                 finally:
@@ -279,10 +283,12 @@
             with contextlib.suppress(OSError):
                 sock, _ = listener.accept()
                 sock.setblocking(False)
-                self._group.start_soon(one, sock)
+                self._group.start_soon(serve_connection, sock)
 
-    async def _connect_neighbours(self) -> None:
-        """Gives each pair of nodes an address of its own, where datagrams are counted, delayed or lost."""
+    async def _connect_peers(self) -> None:
+        """Gives each ordered pair of nodes and each node's broadcasts a socket of its own, where datagrams
+        are counted, delayed or lost.
+        """
         count = len(self.slots)
         pair_sockets = [[_datagram_socket() for _ in range(count)] for _ in range(count)]
         for slot in self.slots:
@@ -318,7 +324,7 @@
                     delay_us = self.network_random.integer(self.settings.datagram_us)
                     self.time.after(delay_us, _send_datagram, return_socket, content, slot.peer_listen)
 
-    async def _answer_registry(self, line: Line, slot: SocketSlot) -> None:
+    async def _answer_registry(self, line: LineConnection, slot: SocketSlot) -> None:
         """Serves one node over HTTP/1.1: the full endpoint list, and a watch on changes."""
         connection = h11.Connection(h11.SERVER)
         while True:
@@ -327,9 +333,9 @@
                 connection.receive_data(await line.stream.receive(4096))
             elif isinstance(event, h11.Request):
                 status, body, delivered = await self._registry_body(event.target.decode())
-                head = [("Content-Length", str(len(body))), ("Content-Type", "application/json")]
+                headers = [("Content-Length", str(len(body))), ("Content-Type", "application/json")]
                 out = [
-                    connection.send(h11.Response(status_code=status, headers=head)),
+                    connection.send(h11.Response(status_code=status, headers=headers)),
                     connection.send(h11.Data(data=body)),
                     connection.send(h11.EndOfMessage()),
                 ]
@@ -363,7 +369,7 @@
 
     # ------------------------------------------------------------------ form servers
 
-    async def _serve(self, line: Line, server: FormServerModel) -> None:
+    async def _serve(self, line: LineConnection, server: FormServerModel) -> None:
         """Serves one connection to a form server."""
         if server.phase in (Phase.DOWN, Phase.FALLEN):
             await line.close(abruptly=True)
@@ -381,12 +387,14 @@
         if "at" not in fields:
             self.rules.attempt_began(now_us, request, server.name)
         try:
-            await self._place(line, server, request, fields)
+            await self._set_up_session(line, server, request, fields)
         finally:
             if request in server.held and self._server_connections[request][0] is line:
                 self._release(server, request)
 
-    async def _place(self, line: Line, server: FormServerModel, request: str, fields: dict[str, str]) -> None:
+    async def _set_up_session(
+        self, line: LineConnection, server: FormServerModel, request: str, fields: dict[str, str]
+    ) -> None:
         client = self._open_requests[request]
         started_us = server.started_us
         if "at" not in fields:
@@ -418,7 +426,7 @@
                     await line.send_line(received)
             group.cancel_scope.cancel()
 
-    async def _wait_connected(self, line: Line, seconds: float) -> bool:
+    async def _wait_connected(self, line: LineConnection, seconds: float) -> bool:
         """Waits, and returns False if the node closes the connection meanwhile."""
         ended = False
         with anyio.move_on_after(seconds):
@@ -426,7 +434,7 @@
         return not ended
 
     async def _send_load_reports(
-        self, line: Line, server: FormServerModel, request: str, client: Client
+        self, line: LineConnection, server: FormServerModel, request: str, client: Client
     ) -> None:
         load = client.load
         with contextlib.suppress(*_BROKEN):
@@ -443,7 +451,7 @@
         while server.phase is Phase.UNRESPONSIVE:
             await anyio.sleep(0.05)
 
-    def _release(self, server: FormServerModel, request: str) -> Line:
+    def _release(self, server: FormServerModel, request: str) -> LineConnection:
         line, client = self._server_connections.pop(request)
         if server.release(self.time.now_us, request) is not None:
             self.count_session(client, server, -1)
@@ -466,7 +474,7 @@
             self._closed_by_world.add(request)
             self._group.start_soon(self._end_one, self._release(server, request), message, abruptly)
 
-    async def _end_one(self, line: Line, message: str, abruptly: bool) -> None:
+    async def _end_one(self, line: LineConnection, message: str, abruptly: bool) -> None:
         with contextlib.suppress(*_BROKEN):
             if message:
                 await line.send_line(message)
@@ -495,10 +503,10 @@
     async def _run_connection(self, client: Client, request: str, at: FormServerModel | None) -> None:
         """Runs one connection of a client from its request to its end."""
         slot = self.pick_slot(client)
-        line: Line | None = None
+        line: LineConnection | None = None
         try:
             if slot is not None:
-                line = Line(await anyio.connect_tcp(*slot.address))
+                line = LineConnection(await anyio.connect_tcp(*slot.address))
                 await self._request_session(line, slot, client, request, at)
                 return
         except _BROKEN:
@@ -516,7 +524,7 @@
         )
 
     async def _request_session(
-        self, line: Line, slot: SocketSlot, client: Client, request: str, at: FormServerModel | None
+        self, line: LineConnection, slot: SocketSlot, client: Client, request: str, at: FormServerModel | None
     ) -> None:
         wait_us = client.request_class.deadline_us if at is None else 40 * SECOND
         fields = [f"c={client.request_class.name}", f"d={wait_us // 1000}", f"g={client.group}"]
@@ -558,7 +566,7 @@
         finally:
             self._clients.pop(request, None)
 
-    async def _hold_session(self, line: Line, client: Client, request: str) -> None:
+    async def _hold_session(self, line: LineConnection, client: Client, request: str) -> None:
         moved, deadline = False, anyio.current_time() + (client.until_us - self.time.now_us) / SECOND
         async with anyio.create_task_group() as group:
             group.start_soon(self._send_lines, line)
@@ -571,7 +579,7 @@
                         self.rules.cut_off(self.time.now_us, request, held_at.name)
                 group.cancel_scope.cancel()
                 if moved:
-                    self.note("move")
+                    self.record_event("move")
                     self._reconnect_later(client, self.client_random.integer(MOVE_DELAY_US))
                 else:
                     client.failures += 1
@@ -581,7 +589,7 @@
                 return
             group.cancel_scope.cancel()  # the session reached its intended end
 
-    async def _send_lines(self, line: Line) -> None:
+    async def _send_lines(self, line: LineConnection) -> None:
         with contextlib.suppress(*_BROKEN):
             await anyio.sleep(LINE_INTERVAL_S * self.fault_random.random())
             while True:
@@ -608,7 +616,8 @@
         )
 
     def drop(self, share: float, within_us: int) -> None:
-        self.note("drop", text=f"share={share}")
+        """Disconnects a share of the clients. They reconnect after their usual delay, not `within_us`."""
+        self.record_event("drop", text=f"share={share}")
         for request, (client, line, _) in list(self._clients.items()):
             if self.fault_random.random() < share:
                 self._closed_by_world.add(request)
@@ -645,7 +654,7 @@
         process = slot.process
         while slot.process is process and not slot.admitted:
             with contextlib.suppress(*_BROKEN):
-                line = Line(await anyio.connect_tcp(*slot.address))
+                line = LineConnection(await anyio.connect_tcp(*slot.address))
                 await line.send_line("PING")
                 slot.admitted = await line.receive_line() == "PONG"
                 await line.close()
@@ -659,7 +668,7 @@
         async for text in _lines_of(process.stderr.fileno()):
             _, event, *rest = [*text.split(" ", 2), "", ""][:3]
             if event in RECORDED_LOG_EVENTS:
-                self.note(event, node=slot.index, text=rest[0])
+                self.record_event(event, node=slot.index, text=rest[0])
             if event == "rebalance" and " moved=" in f" {rest[0]}" and "state=held" not in rest[0]:
                 self.moves += int(rest[0].partition("moved=")[2].split(" ")[0])
             if event == "fault":
@@ -676,13 +685,13 @@
         await self._until_ready(slot)
 
     def kill(self, slot: SocketSlot) -> None:
-        self.note("kill", node=slot.index)
+        self.record_event("kill", node=slot.index)
         if slot.process is not None:
             self._exempt_sessions(slot)
             slot.process.send_signal(signal.SIGKILL)
 
     def terminate(self, slot: SocketSlot) -> None:
-        self.note("terminate", node=slot.index)
+        self.record_event("terminate", node=slot.index)
         if slot.process is not None:
             slot.process.send_signal(signal.SIGTERM)
             self.time.after(self.fault_random.integer((200_000, 400_000)), self._stop_admitting, slot)
@@ -691,7 +700,9 @@
         slot.admitted = False
 
     def _exempt_sessions(self, slot: SocketSlot) -> None:
-        """Exempts the sessions of a killed node from the rule against cut-off sessions."""
+        """Stops admitting clients to a killed node and exempts its sessions from the rule against cut-off
+        sessions.
+        """
         slot.admitted = False
         self._closed_by_world.update(r for r, (_, _, at) in self._clients.items() if at is slot)
         self.rules.node_gone(slot.index)
--- a/sailrun/lab/sweep.py
+++ b/sailrun/lab/sweep.py
@@ -15,7 +15,7 @@
 
 class Sweep(msgspec.Struct):
     experiment: str
-    against: str | None
+    against: str | None  # the subsystem that is off in `without`
     summaries: list[Summary]
     without: list[Summary]  # the same seeds with the subsystem off
 
@@ -25,7 +25,7 @@
             f"seed {s.seed}{' without ' + self.against if n and self.against else ''}: {c.name} is "
             f"{'none' if c.value is None else format(c.value, '.4g')}, limit {c.limit:g}"
             + (f" ({c.faults[0]})" if c.faults else " (it had no occasions)" if c.occasions == 0 else "")
-            # The reference policy, which sees the true state, does not have to pass the checks.
+            # The runs of the reference policy, which sees the true state, do not have to pass the checks.
             for n, summaries in enumerate(
                 (self.summaries, [] if self.against == "decisions" else self.without)
             )
@@ -47,12 +47,12 @@
         if self.without:
             pairs = list(zip(self.summaries, self.without, strict=True))
             if self.against == "decisions":
-                parts = [
+                ratios = [
                     (a.figures["service"] or 0.0) / max(1e-9, b.figures["service"] or 0.0) for a, b in pairs
                 ]
                 yield (
-                    f"service over that of the delayed reference policy: least {min(parts):.3f}, "
-                    f"median {quantile(parts, 0.5):.3f}; under half in {sum(p < 0.5 for p in parts)}"
+                    f"service over that of the delayed reference policy: least {min(ratios):.3f}, "
+                    f"median {quantile(ratios, 0.5):.3f}; under half in {sum(p < 0.5 for p in ratios)}"
                 )
             gains = [
                 (a.figures["service_after_prices"] or 0.0) - (b.figures["service_after_prices"] or 0.0)
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -50,7 +50,7 @@
         return orders
 
 
-class Visit:
+class ClientConnection:
     """A client's connection to a node. It replaces the socket front as the core's `SessionClient`."""
 
     def __init__(self, world: VirtualWorld, slot: VirtualSlot, client: Client, session: FormSession) -> None:
@@ -116,7 +116,7 @@
         at = self.server.name
         rebalanced = self.slot.moved_sessions.pop(self.session.id, None) is not None
         cause = self.session.move_reason_text or ""
-        world.note("move", node=self.slot.index, server=at, text=cause)
+        world.record_event("move", node=self.slot.index, server=at, text=cause)
         world.record_move(client, cause)
         if rebalanced:
             world.moves += 1
@@ -191,8 +191,8 @@
         if self.session.resumed_at is None:
             world.answered(self, "served")
             since_us = world.moving.pop(client.number, None)
-            if since_us is not None and now_us - since_us < 2 * SECOND and server.cold(now_us):
-                world.rules.arrived_cold(now_us, client.number, server.name)
+            if since_us is not None and now_us - since_us < 2 * SECOND and server.in_slow_start(now_us):
+                world.rules.arrived_in_slow_start(now_us, client.number, server.name)
         client.is_connected, client.failures = True, 0
         client.request = request
         if client.until_us <= now_us:
@@ -228,15 +228,15 @@
         self.server = None
         self.is_finished = True
         self.client.is_connected = False
-        self.world.visits.pop(self.session.id, None)
-        self.slot.visits.pop(self.session.id, None)
+        self.world.connections.pop(self.session.id, None)
+        self.slot.connections.pop(self.session.id, None)
         if self.slot.node is not None and self.placement is not None:
             placement, self.placement = self.placement, None
             self.slot.node.attempt_ended(self.session, placement, outcome)
             self.slot.node.client_left(self.session)
 
     def send_line(self) -> None:
-        """Sends a client's line that remains unanswered."""
+        """Sends a client's line if the form server is unreachable, so that the line remains unanswered."""
         if self.server is None or self.slot.node is None or self.world.can_reach(self.slot, self.server):
             return
         self.slot.node.line_forwarded(self.session)
@@ -245,8 +245,8 @@
         if self.placement is not None:
             self._end_attempt(AttemptOutcome.CANCELLED)
         self.is_finished = True
-        self.world.visits.pop(self.session.id, None)
-        self.slot.visits.pop(self.session.id, None)
+        self.world.connections.pop(self.session.id, None)
+        self.slot.connections.pop(self.session.id, None)
         self.world.answered(self, answer)
         client = self.client
         client.failures += 1
@@ -260,13 +260,15 @@
     def __init__(self, index: int, zone: str) -> None:
         super().__init__(index, zone)
         self.node: Node | None = None
-        self.visits: dict[str, Visit] = {}
-        self.moved_sessions: dict[str, int] = {}  # sessions that its rebalancer has moved
+        self.connections: dict[str, ClientConnection] = {}
+        self.moved_sessions: dict[str, int] = {}  # times of the moves by its rebalancer, by session
         self.next_run_us: int | None = None
-        self.token = 0
+        self.run_number = 0  # number of the latest scheduled run; earlier ones are ignored
         self.registry_revision = 0
         self.watching = False
-        self.successor: VirtualSlot | None = None  # of a process being replaced: the node's slot
+        self.successor: VirtualSlot | None = (
+            None  # of a process that is being replaced: the slot of its successor
+        )
 
 
 class NodeDiscovery:
@@ -278,10 +280,10 @@
     def watch(self, active: bool) -> None:
         self._slot.watching = active
         if active:
-            self._virtual_world.registry.ask(self._slot)
+            self._virtual_world.registry.request_list(self._slot)
 
     def fetch(self) -> None:
-        self._virtual_world.registry.ask(self._slot)
+        self._virtual_world.registry.request_list(self._slot)
 
 
 class VirtualRegistry(RegistryModel):
@@ -290,7 +292,7 @@
         self._virtual_world = world
         self._queue_free_us = 0  # when the last queued call will have been answered
 
-    def ask(self, slot: VirtualSlot) -> None:
+    def request_list(self, slot: VirtualSlot) -> None:
         """Handles a call that starts a watch or fetches the list. Only these calls use the registry's limited
         rate; calls of an established watch do not.
         """
@@ -300,18 +302,18 @@
             self.call(slot)
             return
         self._queue_free_us = max(self._queue_free_us, time.now_us) + int(SECOND / settings.roster_per_s)
-        if self._queue_free_us - time.now_us > settings.roster_patience_us:
+        if self._queue_free_us - time.now_us > settings.registry_call_timeout_us:
             self.abandoned_calls += 1
-            time.after(settings.roster_patience_us, self._turned_away, slot, slot.node)
+            time.after(settings.registry_call_timeout_us, self._call_timed_out, slot, slot.node)
         else:
             time.at(self._queue_free_us, self._answer, slot, slot.node)
 
-    def _turned_away(self, slot: VirtualSlot, node: Node | None) -> None:
+    def _call_timed_out(self, slot: VirtualSlot, node: Node | None) -> None:
         if node is not None and slot.node is node:
             slot.watching = False
             node.discovery_failed("registry call timed out in the queue")
 
-    def published(self) -> None:
+    def notify_watches(self) -> None:
         for slot in (*self._virtual_world.slots, *self._virtual_world.predecessors):
             if slot.watching:
                 self.call(slot)
@@ -321,7 +323,7 @@
         for slot in self._virtual_world.slots:
             if slot.watching and slot.node is not None:
                 slot.watching = False
-                slot.node.discovery_failed("out of reach")
+                slot.node.discovery_failed("registry is unreachable")
 
     def call(self, slot: VirtualSlot) -> None:
         self._virtual_world.time.after(
@@ -333,7 +335,7 @@
             return
         if not self.reachable:
             slot.watching = False
-            node.discovery_failed("out of reach")
+            node.discovery_failed("registry is unreachable")
             return
         changed = self.since(slot.registry_revision)
         slot.registry_revision = self.revision
@@ -347,10 +349,10 @@
     def __init__(self, world: VirtualWorld, slot: VirtualSlot) -> None:
         self._virtual_world, self._slot = world, slot
 
-    def send(self, neighbour: int | None, content: bytes) -> None:
+    def send(self, peer: int | None, content: bytes) -> None:
         world = self._virtual_world
         for slot in world.slots:
-            if slot is self._slot or (neighbour is not None and slot.index != neighbour):
+            if slot is self._slot or (peer is not None and slot.index != peer):
                 continue
             world.datagrams += 1
             world.datagram_bytes += len(content)
@@ -388,14 +390,14 @@
         self.registry = VirtualRegistry(self)
         self.slots = [VirtualSlot(n, settings.zones[n % len(settings.zones)]) for n in range(settings.nodes)]
         self.predecessors: list[VirtualSlot] = []  # old processes that run beside their successors
-        self.visits: dict[str, Visit] = {}  # by request: unanswered and established
+        self.connections: dict[str, ClientConnection] = {}  # by request: unanswered and established
         self.moving: dict[int, int] = {}  # clients moved for balance and not yet back: time of the move
         self._node_settings: dict[int, Settings] = {}
         self._requests = 0
         self.cut_off_zones: frozenset[str] = frozenset()  # zones that are cut off from the other zones
         self._view: DelayedView | None = None
         self.datagrams_blocked = False  # no datagram between nodes arrives
-        self.answers_lost = self.attempts_reset = 0.0
+        self.answers_lost = self.attempts_reset = 0.0  # shares of the attempts
 
     def run(self) -> list[Check]:
         """Runs the world and returns the checks with their results."""
@@ -427,14 +429,14 @@
         def log(event: str, /, **fields: object) -> None:
             if event in RECORDED_LOG_EVENTS:
                 text = " ".join(f"{name}={value}" for name, value in fields.items() if value is not None)
-                self.note(event, node=slot.index, text=text)
+                self.record_event(event, node=slot.index, text=text)
             if event == "fault":
                 self.faults.broken(self.time.now_us - BEGIN_US, str(fields)[:2000])
 
         if self.settings.reference_delay_us >= 0:
             if self._view is None:
                 self._view = DelayedView(self, self.settings.reference_delay_us)
-            # The reference policy implements the calls that this world makes to a node.
+            # The reference policy implements the calls of runs without operator commands.
             self._run_node(slot, cast("Node", ReferenceNode(self, self._view, slot.index)), snapshot)
             return
         seed = self.seed * 1_000_003 + slot.index * 101 + self.time.now_us
@@ -458,12 +460,12 @@
     def _arm(self, slot: VirtualSlot, when_us: int) -> None:
         if slot.next_run_us is None or when_us < slot.next_run_us:
             slot.next_run_us = when_us
-            slot.token += 1
-            self.time.at(when_us, self._run_slot, slot, slot.token)
+            slot.run_number += 1
+            self.time.at(when_us, self._run_slot, slot, slot.run_number)
 
-    def _run_slot(self, slot: VirtualSlot, token: int) -> None:
+    def _run_slot(self, slot: VirtualSlot, run_number: int) -> None:
         node = slot.node
-        if node is None or token != slot.token:
+        if node is None or run_number != slot.run_number:
             return
         slot.next_run_us = None
         node.run_once(self.time.now_us)
@@ -507,15 +509,15 @@
             id=f"r{self._requests}",
             request_class=client.request_class.name,
             deadline_us=deadline_us,
-            client=None,  # type: ignore[arg-type]  # set by the Visit below
+            client=None,  # type: ignore[arg-type]  # set by the ClientConnection below
             key=client.key,
             group=client.group,
             is_retry=client.failures > 0,
             is_returning=client.returning,
             resumed_at=resumed_at.name if resumed_at is not None else None,
         )
-        visit = Visit(self, slot, client, session)
-        self.visits[session.id] = slot.visits[session.id] = visit
+        connection = ClientConnection(self, slot, client, session)
+        self.connections[session.id] = slot.connections[session.id] = connection
         if resumed_at is None:
             self.rules.request_opened(now_us, session.id, slot.index, deadline_us)
         slot.node.request_session(session)
@@ -524,18 +526,18 @@
         client.returning = returning
         self.time.after(after_us, self.connect_client, client)
 
-    def answered(self, visit: Visit, answer: str) -> None:
+    def answered(self, connection: ClientConnection, answer: str) -> None:
         now_us = self.time.now_us
-        self.rules.answered(now_us, visit.session.id, answer)
+        self.rules.answered(now_us, connection.session.id, answer)
         self.records.requests.add(
             at_us=now_us - BEGIN_US,
-            cls=visit.client.request_class.name,
+            cls=connection.client.request_class.name,
             answer=answer,
-            took_us=now_us - visit.asked_us,
-            attempts=visit.session.attempts,
-            node=visit.slot.index,
-            server=visit.server.name if visit.server is not None else "",
-            returning=visit.client.returning,
+            took_us=now_us - connection.asked_us,
+            attempts=connection.session.attempts,
+            node=connection.slot.index,
+            server=connection.server.name if connection.server is not None else "",
+            returning=connection.client.returning,
         )
 
     # ------------------------------------------------------------------ faults
@@ -543,13 +545,13 @@
     def break_sessions(self, server: FormServerModel, phase: Phase) -> None:
         """Ends the form server's process and breaks all its sessions."""
         for request in server.stop(phase):
-            visit = self.visits.get(request)
-            if visit is not None:
-                self._break_session(visit, AttemptOutcome.RESET)
+            connection = self.connections.get(request)
+            if connection is not None:
+                self._break_session(connection, AttemptOutcome.RESET)
 
-    def _break_session(self, visit: Visit, outcome: AttemptOutcome) -> None:
-        client = visit.client
-        visit.end(outcome)
+    def _break_session(self, connection: ClientConnection, outcome: AttemptOutcome) -> None:
+        client = connection.client
+        connection.end(outcome)
         client.failures += 1
         self.reconnect_later(
             client, client.reconnect_delay_us(self.client_random, self.settings.reconnect_us)
@@ -557,34 +559,34 @@
 
     def on_unresponsive(self, server: FormServerModel) -> None:
         for request in server.held:
-            self.time.after(self.fault_random.below(LINE_INTERVAL_US), self.visits[request].send_line)
+            self.time.after(self.fault_random.below(LINE_INTERVAL_US), self.connections[request].send_line)
 
     def disconnect_clients(self, server: FormServerModel) -> None:
         for request in list(server.held):
-            self._break_session(self.visits[request], AttemptOutcome.CANCELLED)
+            self._break_session(self.connections[request], AttemptOutcome.CANCELLED)
 
     def shed(self, server: FormServerModel, requests: Sequence[str]) -> None:
         for request in requests:
-            self._break_session(self.visits[request], AttemptOutcome.RESET)
+            self._break_session(self.connections[request], AttemptOutcome.RESET)
 
     def drop(self, share: float, within_us: int) -> None:
         """Disconnects a share of the clients, which reconnect within the given time."""
-        self.note("drop", text=f"share={share}")
-        for visit in list(self.visits.values()):
-            if visit.server is not None and self.fault_random.random() < share:
-                visit.end(AttemptOutcome.CANCELLED)
-                self.reconnect_later(visit.client, self.fault_random.below(within_us))
+        self.record_event("drop", text=f"share={share}")
+        for connection in list(self.connections.values()):
+            if connection.server is not None and self.fault_random.random() < share:
+                connection.end(AttemptOutcome.CANCELLED)
+                self.reconnect_later(connection.client, self.fault_random.below(within_us))
 
     def kill(self, slot: VirtualSlot) -> None:
         """Kills a node without warning. It starts again without state."""
-        self.note("kill", node=slot.index)
+        self.record_event("kill", node=slot.index)
         slot.node = None
         self.rules.node_gone(slot.index)
         self.process_ended(slot)
 
     def terminate(self, slot: VirtualSlot) -> None:
         """Restarts a node as planned. It still receives new clients for up to 0.4 s."""
-        self.note("terminate", node=slot.index)
+        self.record_event("terminate", node=slot.index)
         if slot.node is not None:
             slot.node.begin_shutdown()
             self.time.after(
@@ -595,19 +597,19 @@
         if slot.node is node:
             slot.admitted = False
 
-    def override_server(self, server: FormServerModel, out: bool) -> None:
+    def override_server(self, server: FormServerModel, excluded: bool) -> None:
         """Excludes a form server by operator override at every node, or puts it back."""
-        self.note("by-hand", server=server.name, text="out" if out else "back")
+        self.record_event("by-hand", server=server.name, text="out" if excluded else "back")
         for slot in self.slots:
             if slot.node is not None:
-                slot.node.set_operator_override(server.name, out, lambda is_known: None)
-                self.rules.operator_override_set(self.time.now_us, slot.index, server.name, out)
+                slot.node.set_operator_override(server.name, excluded, lambda is_known: None)
+                self.rules.operator_override_set(self.time.now_us, slot.index, server.name, excluded)
 
     def drain_node(self, slot: VirtualSlot, on: bool) -> None:
         """Drains a node by operator command, or ends the drain. A draining node receives new clients for
         0.2 s and must have no established session left after 4 s.
         """
-        self.note("drain-node", node=slot.index, text="on" if on else "off")
+        self.record_event("drain-node", node=slot.index, text="on" if on else "off")
         if slot.node is not None:
             slot.node.set_draining(on, lambda done: None)
             later_us = 200_000 if on else 2 * SECOND
@@ -621,15 +623,15 @@
 
     def _check_drained(self, slot: VirtualSlot) -> None:
         if slot.node is not None and not slot.node.is_accepting:
-            for visit in slot.visits.values():
-                if visit.server is not None:
-                    self.rules.cut_off(self.time.now_us, visit.session.id, visit.server.name)
+            for connection in slot.connections.values():
+                if connection.server is not None:
+                    self.rules.cut_off(self.time.now_us, connection.session.id, connection.server.name)
 
     def replace(self, slot: VirtualSlot) -> None:
         """Starts a second process that takes over from the node's process, which gets SIGTERM within 6 s."""
         if slot.node is None or slot.successor is not None:
             return
-        self.note("replace", node=slot.index)
+        self.record_event("replace", node=slot.index)
         old = slot.node
 
         def start_successor(state: NodeSnapshot) -> None:
@@ -647,9 +649,9 @@
             slot.registry_revision,
             slot.moved_sessions,
         )
-        predecessor.visits, slot.visits = slot.visits, {}
-        for visit in predecessor.visits.values():
-            visit.slot = predecessor
+        predecessor.connections, slot.connections = slot.connections, {}
+        for connection in predecessor.connections.values():
+            connection.slot = predecessor
         self.predecessors.append(predecessor)
         old.discovery, old.peer_transport = NodeDiscovery(self, predecessor), Datagrams(self, predecessor)
         old.wake = lambda: self._arm(predecessor, self.time.now_us + self.settings.tick_us)
@@ -659,22 +661,22 @@
         self.time.after(self.fault_random.below(6 * SECOND), old.begin_shutdown)
         self._report_predecessor_load(predecessor)
 
-    def transfer(self, visit: Visit) -> None:
+    def transfer(self, connection: ClientConnection) -> None:
         """Hands an established session over to the successor unchanged."""
-        predecessor, slot, session = visit.slot, visit.slot.successor, visit.session
-        if slot is None or slot.node is None or predecessor.node is None or visit.placement is None:
+        predecessor, slot, session = connection.slot, connection.slot.successor, connection.session
+        if slot is None or slot.node is None or predecessor.node is None or connection.placement is None:
             return
-        visit.session = replace(
+        connection.session = replace(
             session,
             placement=None,
             is_established=False,
             unanswered_since_us=deque(session.unanswered_since_us),
         )
-        visit.slot = slot
-        slot.visits[session.id] = predecessor.visits.pop(session.id)
-        predecessor.node.attempt_ended(session, visit.placement, AttemptOutcome.CANCELLED)
-        slot.node.adopt_session(visit.session, visit.placement)
-        slot.node.report_load(visit.session, visit.client.load)
+        connection.slot = slot
+        slot.connections[session.id] = predecessor.connections.pop(session.id)
+        predecessor.node.attempt_ended(session, connection.placement, AttemptOutcome.CANCELLED)
+        slot.node.adopt_session(connection.session, connection.placement)
+        slot.node.report_load(connection.session, connection.client.load)
 
     def _report_predecessor_load(self, predecessor: VirtualSlot) -> None:
         old, slot = predecessor.node, predecessor.successor
@@ -690,9 +692,9 @@
     def _predecessor_ended(self, predecessor: VirtualSlot) -> None:
         predecessor.node, predecessor.watching = None, False
         self.predecessors.remove(predecessor)
-        for visit in list(predecessor.visits.values()):
-            if visit.server is not None:
-                self.rules.cut_off(self.time.now_us, visit.session.id, visit.server.name)
+        for connection in list(predecessor.connections.values()):
+            if connection.server is not None:
+                self.rules.cut_off(self.time.now_us, connection.session.id, connection.server.name)
 
     def process_ended(self, slot: VirtualSlot) -> None:
         """Handles the end of a node's process and of all connections through it."""
@@ -701,19 +703,20 @@
             return
         planned, slot.node = slot.node is not None, None
         slot.admitted, slot.watching = False, False
-        for visit in list(slot.visits.values()):
-            if planned and visit.server is not None:
-                self.rules.cut_off(self.time.now_us, visit.session.id, visit.server.name)
-            visit.is_finished = True
-            if visit.server is not None:
-                visit.end(AttemptOutcome.CANCELLED)
+        for connection in list(slot.connections.values()):
+            if planned and connection.server is not None:
+                self.rules.cut_off(self.time.now_us, connection.session.id, connection.server.name)
+            connection.is_finished = True
+            if connection.server is not None:
+                connection.end(AttemptOutcome.CANCELLED)
             else:
-                visit.attempt_number += 1  # later events of its attempt are ignored
-                self.visits.pop(visit.session.id, None)
+                connection.attempt_number += 1  # later events of its attempt are ignored
+                self.connections.pop(connection.session.id, None)
             self.reconnect_later(
-                visit.client, visit.client.reconnect_delay_us(self.client_random, self.settings.reconnect_us)
+                connection.client,
+                connection.client.reconnect_delay_us(self.client_random, self.settings.reconnect_us),
             )
-        slot.visits.clear()
+        slot.connections.clear()
         self.time.after(NODE_RESTART_US, self._start_again, slot)
 
     def _start_again(self, slot: VirtualSlot) -> None:
@@ -725,22 +728,22 @@
         slot.admitted = slot.node is not None
 
     def on_slow_server(self, server: FormServerModel) -> None:
-        """Sends one line from each node to a slow form server, and answers it."""
+        """Sends one line from each node to a slow form server, which answers after its mean message time."""
         seen: dict[int, None] = {}
         took_us = int(server.message_us(self.time.now_us))
         for request in server.held:
-            visit = self.visits[request]
-            if visit.slot.index not in seen and visit.slot.node is not None:
-                seen[visit.slot.index] = None
-                visit.slot.node.line_forwarded(visit.session)
-                self.time.after(took_us, self._answer_line, visit, visit.slot.node)
+            connection = self.connections[request]
+            if connection.slot.index not in seen and connection.slot.node is not None:
+                seen[connection.slot.index] = None
+                connection.slot.node.line_forwarded(connection.session)
+                self.time.after(took_us, self._answer_line, connection, connection.slot.node)
                 if len(seen) == len(self.slots):
                     break
 
-    def _answer_line(self, visit: Visit, node: Node) -> None:
-        if visit.server is not None and visit.slot.node is node:
-            node.bytes_received(visit.session)
-            node.line_answered(visit.session)
+    def _answer_line(self, connection: ClientConnection, node: Node) -> None:
+        if connection.server is not None and connection.slot.node is node:
+            node.bytes_received(connection.session)
+            node.line_answered(connection.session)
 
     # ------------------------------------------------------------------ the network
 
@@ -752,24 +755,24 @@
 
     def cut(self, zones: frozenset[str], datagrams_blocked: bool = False) -> None:
         """Cuts these zones off from the others until the next call. An empty set ends the cut."""
-        self.note("cut", text=",".join(sorted(zones)) or "over")
+        self.record_event("cut", text=",".join(sorted(zones)) or "over")
         self.cut_off_zones, self.datagrams_blocked = zones, datagrams_blocked
-        for visit in list(self.visits.values()):
-            if visit.server is None:
+        for connection in list(self.connections.values()):
+            if connection.server is None:
                 continue
-            off = not self.same_partition(visit.slot.zone, visit.server.zone)
-            if off is not visit.is_cut_off:
-                visit.is_cut_off = off
-                self.count_session(visit.client, visit.server, -1 if off else 1)
+            off = not self.same_partition(connection.slot.zone, connection.server.zone)
+            if off is not connection.is_cut_off:
+                connection.is_cut_off = off
+                self.count_session(connection.client, connection.server, -1 if off else 1)
                 if off:
-                    self.time.after(self.fault_random.below(LINE_INTERVAL_US), visit.send_line)
+                    self.time.after(self.fault_random.below(LINE_INTERVAL_US), connection.send_line)
 
     def set_attempt_faults(self, answers_lost: float, attempts_reset: float) -> None:
         self.answers_lost, self.attempts_reset = answers_lost, attempts_reset
 
     def move_registry(self) -> None:
         """Simulates SIGHUP with a new registry address: every watch ends and has to be started again."""
-        self.note("roster-moved")
+        self.record_event("roster-moved")
         self.registry.fail()
         self.registry.reachable = True
 
--- a/sailrun/lab/world.py
+++ b/sailrun/lab/world.py
@@ -19,7 +19,7 @@
 from sailrun.node.session import FormServer
 
 MASK = 0xFFFFFFFF
-# The other connections of a group start within this time after the first one.
+# The other clients of a group connect within this time after the first one.
 GROUP_SPREAD_US = 5 * SECOND
 # A draining form server disconnects its remaining clients after this time and exits.
 DRAIN_DURATION_US = 8 * SECOND
@@ -27,7 +27,7 @@
 MOVE_DELAY_US = (20_000, 200_000)
 # Delay before a node that ended is started again.
 NODE_RESTART_US = SECOND
-# From this mean message time on, a form server counts as slow.
+# A form server counts as slow if its mean message time reaches this value.
 SLOW_MESSAGE_US = 10_000
 # A client that is moved again within this time gained nothing from the first move.
 REPEATED_MOVE_US = 10 * SECOND
@@ -54,7 +54,7 @@
 
 
 class RegistryModel:
-    """The registry's view, which can be late, stale or unreachable. The driver delivers it to the nodes."""
+    """The registry's endpoint list, which can be late, stale or unreachable. The driver delivers it."""
 
     def __init__(self, world: World[Any]) -> None:
         self._world = world
@@ -63,14 +63,14 @@
         self.entries: dict[str, FormServer] = {}
         self._changes: list[tuple[int, FormServer]] = []
         self.reachable = True
-        self.late_us = 0
+        self.late_us = 0  # added to the delay of each update
         self.calls: Counter[int] = Counter()  # calls that start a new watch, by second
-        self.abandoned_calls = 0  # calls that waited too long
+        self.abandoned_calls = 0  # calls that timed out in the queue
 
-    def change(self, server: FormServerModel, state: BackendState, notice: tuple[int, int]) -> None:
+    def change(self, server: FormServerModel, state: BackendState, delay_us: tuple[int, int]) -> None:
         """Schedules the registry's delayed update about a server whose state changes now."""
         entry = self.entry(server, state)
-        self._world.time.after(self.random_stream.integer(notice) + self.late_us, self._publish, entry)
+        self._world.time.after(self.random_stream.integer(delay_us) + self.late_us, self._publish, entry)
 
     def entry(self, server: FormServerModel, state: BackendState) -> FormServer:
         address = self._world.address_of(server)
@@ -81,7 +81,7 @@
         self.entries[entry.name] = entry
         self._changes.append((self.revision, entry))
         if self.reachable:
-            self.published()
+            self.notify_watches()
 
     def since(self, revision: int) -> list[FormServer]:
         """Returns the newest entry of each server that changed after a revision."""
@@ -100,7 +100,7 @@
             else:
                 self._world.rules.notified_leaving(self._world.time.now_us, node, entry.name)
 
-    def published(self) -> None:
+    def notify_watches(self) -> None:
         """Notifies the watches that the list has changed."""
 
     def fail(self) -> None:
@@ -135,7 +135,7 @@
         self.servers: dict[int, FormServerModel] = {}
         self.slots: list[S] = []
         self.moves = self.datagrams = self.datagram_bytes = self.clients = self.min_moves = 0
-        self.moves_by_reason = Counter[str]()  # by move reason
+        self.moves_by_reason = Counter[str]()
         self.repeated_moves = 0  # moves within REPEATED_MOVE_US of the client's previous move
         self.all_warm_s = 0  # second at which the last form server has finished its slow start
         self._wanted_by_class = [0] * len(settings.classes)
@@ -144,9 +144,10 @@
 
     @property
     def second(self) -> float:
+        """Returns the seconds since the run began."""
         return (self.time.now_us - self.begin_us) / SECOND
 
-    def note(self, what: str, node: int = -1, server: str = "", text: str = "") -> None:
+    def record_event(self, what: str, node: int = -1, server: str = "", text: str = "") -> None:
         at_us = self.time.now_us - self.begin_us
         self.records.events.add(at_us=at_us, what=what, node=node, server=server, text=text)
 
@@ -187,8 +188,8 @@
         initial_servers = list(self._select_initial_servers(list(self.servers.values())))
         hashes = [backend_hash(s.number) for s in initial_servers]
         total = sum(s.capacity for s in initial_servers)
-        cost = self.settings.household_cost * self.settings.unit
-        expected = self.settings.households * cost + self.settings.connections * self.settings.unit
+        cost = self.settings.household_cost * self.settings.connection_load
+        expected = self.settings.households * cost + self.settings.connections * self.settings.connection_load
         loads = dict.fromkeys(initial_servers, 0.0)
         for _ in range(self.settings.households):
             clients = self.population.new_group(self.time.now_us, 0)
@@ -206,12 +207,15 @@
 
     def begin(self, script: Callable[[World[Any]], None]) -> None:
         """Starts the script, the samples and the arrivals once the initial sessions are established."""
-        cost = self.settings.household_cost * self.settings.unit
-        held = [
-            [(sum(one.load for one in members) + cost, len(members)) for members in _groups_at(s).values()]
+        cost = self.settings.household_cost * self.settings.connection_load
+        groups_by_server = [
+            [
+                (sum(one.load for one in members) + cost, len(members))
+                for members in _connections_by_group(s).values()
+            ]
             for s in self.servers.values()
         ]
-        self.min_moves = fewest_moves(held)
+        self.min_moves = fewest_moves(groups_by_server)
         script(self)
         self.time.after(0, self._sample)
         self.time.after(0, self._add_group)
@@ -230,7 +234,7 @@
 
     @abstractmethod
     def resume(self, client: Client, server: FormServerModel) -> None:
-        """Opens a session that a node takes over from before the run."""
+        """Opens an initial session at this form server. A node takes it over from before the run."""
 
     @abstractmethod
     def connect_client(self, client: Client) -> None:
@@ -242,7 +246,7 @@
 
     @abstractmethod
     def disconnect_clients(self, server: FormServerModel) -> None:
-        """Disconnects the clients that remain when the form server has finished draining."""
+        """Disconnects the clients that remain at the end of the form server's drain."""
 
     @abstractmethod
     def shed(self, server: FormServerModel, requests: Sequence[str]) -> None:
@@ -289,42 +293,42 @@
     # ------------------------------------------------------------------ faults
 
     def crash(self, server: FormServerModel, back_after_us: int) -> None:
-        self.note("crash", server=server.name)
+        self.record_event("crash", server=server.name)
         self.break_sessions(server, Phase.DOWN)
         self.registry.change(server, BackendState.GONE, self.settings.notice_us)
-        self.time.after(back_after_us, self._return, server)
+        self.time.after(back_after_us, self._restart_server, server)
 
     def cut_off_server(self, server: FormServerModel, back_after_us: int) -> None:
         """Cuts the machine off: it sends no reset and no answer until it returns as a new process."""
-        self.note("vanish", server=server.name)
+        self.record_event("vanish", server=server.name)
         server.advance(self.time.now_us)
         server.phase = Phase.UNRESPONSIVE
         self.on_unresponsive(server)
-        self.registry.change(server, BackendState.GONE, self.settings.silent_notice_us)
-        self.time.after(back_after_us, self._return, server)
+        self.registry.change(server, BackendState.GONE, self.settings.unresponsive_notice_us)
+        self.time.after(back_after_us, self._restart_server, server)
 
-    def _return(self, server: FormServerModel) -> None:
+    def _restart_server(self, server: FormServerModel) -> None:
         if server.phase is Phase.FALLEN:
             return
         self.break_sessions(server, Phase.DOWN)
         server.start(self.time.now_us)
         self.all_warm_s = max(self.all_warm_s, int(self.second + server.slow_start_us / SECOND) + 1)
-        self.note("start", server=server.name)
+        self.record_event("start", server=server.name)
         self.registry.change(server, BackendState.READY, self.settings.notice_us)
 
     def drain(self, server: FormServerModel, back_after_us: int) -> None:
-        self.note("drain", server=server.name)
+        self.record_event("drain", server=server.name)
         server.draining = True
         self.registry.change(server, BackendState.DRAINING, self.settings.notice_us)
         self.time.after(DRAIN_DURATION_US, self._drained, server, back_after_us)
 
     def _drained(self, server: FormServerModel, back_after_us: int | None) -> None:
         self.disconnect_clients(server)
-        self.note("drained", server=server.name)
+        self.record_event("drained", server=server.name)
         server.stop(Phase.DOWN)
         self.registry.change(server, BackendState.GONE, self.settings.notice_us)
         if back_after_us is not None:
-            self.time.after(back_after_us, self._return, server)
+            self.time.after(back_after_us, self._restart_server, server)
 
     def replace_server(self, server: FormServerModel) -> None:
         """Replaces a form server in a release: another one starts in slow start under a new id, and this one
@@ -333,9 +337,9 @@
         other = self._new_server(server.zone)
         other.start(self.time.now_us)
         self.all_warm_s = max(self.all_warm_s, int(self.second + other.slow_start_us / SECOND) + 1)
-        self.note("start", server=other.name, text=f"in place of {server.name}")
+        self.record_event("start", server=other.name, text=f"in place of {server.name}")
         self.registry.change(other, BackendState.READY, self.settings.notice_us)
-        self.note("drain", server=server.name)
+        self.record_event("drain", server=server.name)
         server.draining = True
         self.registry.change(server, BackendState.DRAINING, self.settings.notice_us)
         self.time.after(DRAIN_DURATION_US, self._drained, server, None)
@@ -345,7 +349,7 @@
         if server.phase is Phase.FALLEN and not server.fallen:
             server.fallen = True
             self.rules.server_fell_over(self.time.now_us, server.name)
-            self.note("fallen", server=server.name)
+            self.record_event("fallen", server=server.name)
             self.break_sessions(server, Phase.FALLEN)
             self.registry.change(server, BackendState.GONE, self.settings.notice_us)
         elif server.phase is Phase.UP and (newest := server.shed()):
@@ -366,16 +370,18 @@
         for server in self.servers.values():
             server.advance(now_us)
             self.apply_overload(server)
-            held = self._sessions_by_server[server.number]
+            sessions_by_class = self._sessions_by_server[server.number]
             if server.phase is Phase.UP:
                 for n, cls in enumerate(settings.classes):
-                    if held[n]:
+                    if sessions_by_class[n]:
                         served += (
-                            held[n] * cls.priority_weight * server.answered_within(now_us, cls.message_us)
+                            sessions_by_class[n]
+                            * cls.priority_weight
+                            * server.answered_within(now_us, cls.message_us)
                         )
                 if server.message_us(now_us) >= SLOW_MESSAGE_US:
                     self.on_slow_server(server)
-                if not server.cold(now_us) and not server.draining:
+                if not server.in_slow_start(now_us) and not server.draining:
                     warm_load += server.load
                     warm_capacity += server.capacity
                     ratios.append((server.load, server.capacity))
@@ -385,10 +391,10 @@
                 load=server.load,
                 capacity=server.current_capacity(now_us),
                 backlog_us=server.backlog,
-                standing=sum(held),
+                standing=sum(sessions_by_class),
                 phase=server.phase.value,
                 draining=server.draining,
-                cold=server.cold(now_us),
+                cold=server.in_slow_start(now_us),
             )
         mean = warm_load / len(ratios) if ratios else 0.0
         imbalance = max(load for load, _ in ratios) / mean if mean else 0.0
@@ -409,8 +415,8 @@
         self.time.after(SECOND, self._sample)
 
 
-def _groups_at(server: FormServerModel) -> dict[str, list[Any]]:
-    found: dict[str, list[Any]] = {}
+def _connections_by_group(server: FormServerModel) -> dict[str, list[Any]]:
+    groups: dict[str, list[Any]] = {}
     for one in server.held.values():
-        found.setdefault(one.group, []).append(one)
-    return found
+        groups.setdefault(one.group, []).append(one)
+    return groups
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,7 +16,7 @@
 from sailrun.lab.form_servers import FormServerModel, HeldConnection, Phase
 from sailrun.lab.run import Request, run_experiment
 from sailrun.lab.settings import SECOND, WorldSettings
-from sailrun.lab.virtual import VirtualWorld, Visit
+from sailrun.lab.virtual import ClientConnection, VirtualWorld
 from sailrun.node.sessions import SessionManager
 from sailrun.rebalance.settings import RebalanceSettings
 
@@ -29,8 +29,8 @@
 def test_the_same_seed_gives_the_same_records_byte_for_byte(tmp_path: Path) -> None:
     small = ("--seconds", "12", "--households", "150", "--form-servers", "8")
     for out in ("one", "two"):
-        done = lab("run", "rebalance-troubled", "--seed", "77", *small, "--out", str(tmp_path / out))
-        assert done.returncode in (0, 1), done.stderr
+        result = lab("run", "rebalance-troubled", "--seed", "77", *small, "--out", str(tmp_path / out))
+        assert result.returncode in (0, 1), result.stderr
     for name in ("servers.parquet", "seconds.parquet", "events.parquet", "requests.parquet"):
         assert (tmp_path / "one" / name).read_bytes() == (tmp_path / "two" / name).read_bytes()
     page = (tmp_path / "one" / "report.html").read_text()
@@ -48,14 +48,14 @@
         (("run", "calm", "--off", "sleep", "--out", "x"), "--off: 'sleep' is none of"),
         (("run", "calm", "--nodes", "0", "--out", "x"), "--nodes: 0 is not from 1"),
         (("run", "calm", "--driver", "magic", "--out", "x"), "--driver: 'magic' is none of"),
-        (("sweep", "calm", "--seeds", "9..3"), "--seeds: '9..3' is no range"),
+        (("sweep", "calm", "--seeds", "9..3"), "--seeds: '9..3' is not a range of seeds"),
         (("compare", "nowhere", "nowhere"), "nowhere/summary.json"),
     ],
 )
 def test_invalid_arguments_print_one_line_and_exit_with_2(arguments: tuple[str, ...], fault: str) -> None:
-    done = lab(*arguments)
-    assert done.returncode == 2
-    assert fault in done.stderr and done.stderr.count("\n") == 1
+    result = lab(*arguments)
+    assert result.returncode == 2
+    assert fault in result.stderr and result.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize("seed", [5, 8])
@@ -84,22 +84,22 @@
     """A core that never answers a request breaks the rule of one final answer."""
     monkeypatch.setattr(SessionManager, "on_request", lambda self, session: None)
     summary, _ = run_experiment(Request("calm", seconds=8.0, households=60))
-    held = {check.name: check.holds for check in summary.checks}
-    assert not held["one-final-answer"]
+    holds_by_name = {check.name: check.holds for check in summary.checks}
+    assert not holds_by_name["one-final-answer"]
 
 
 def test_a_front_that_starts_an_attempt_twice_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    start_attempt = Visit.start_attempt
+    start_attempt = ClientConnection.start_attempt
 
-    def start_attempt_twice(self: Visit, placement: object) -> None:
+    def start_attempt_twice(self: ClientConnection, placement: object) -> None:
         start_attempt(self, placement)  # type: ignore[arg-type]
         if self.session.resumed_at is None:
             start_attempt(self, placement)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Visit, "start_attempt", start_attempt_twice)
+    monkeypatch.setattr(ClientConnection, "start_attempt", start_attempt_twice)
     summary, _ = run_experiment(Request("calm", seconds=8.0, households=60))
-    held = {check.name: check.holds for check in summary.checks}
-    assert not held["one-attempt-outstanding"]
+    holds_by_name = {check.name: check.holds for check in summary.checks}
+    assert not holds_by_name["one-attempt-outstanding"]
 
 
 def test_decisions_that_ignore_drains_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -119,8 +119,8 @@
 
     settings = WorldSettings(households=300, form_servers=4, seconds=12.0)
     world = VirtualWorld(settings, 3, RebalanceSettings(), one_drains)  # type: ignore[arg-type]
-    held = {check.name: check.holds for check in world.run()}
-    assert not held["drains-kept"]
+    holds_by_name = {check.name: check.holds for check in world.run()}
+    assert not holds_by_name["drains-kept"]
 
 
 def test_late_answers_lost_connections_and_repeated_moves_are_reported_with_their_time() -> None:
@@ -143,14 +143,14 @@
 # ---------------------------------------------------------------------- the world
 
 
-def model(started_us: int = 0) -> FormServerModel:
+def form_server_model(started_us: int = 0) -> FormServerModel:
     settings = WorldSettings(form_servers=2, households=20)
     return FormServerModel(settings, 1, "s-1", "a", 2e6, 0.13, 24 * SECOND, started_us=started_us)
 
 
 def test_a_form_server_in_slow_start_falls_over_at_three_times_its_capacity() -> None:
     for factor, phase in ((2.8, Phase.UP), (4.2, Phase.FALLEN)):
-        server = model(started_us=SECOND)
+        server = form_server_model(started_us=SECOND)
         server.at_us = SECOND
         server.hold(SECOND, HeldConnection("r", "h", 0.0, 0))
         now_us = SECOND
@@ -161,8 +161,8 @@
 
 
 def test_connection_loads_add_up_and_messages_slow_down_with_load() -> None:
-    server = model()
-    cost = server.settings.household_cost * server.settings.unit
+    server = form_server_model()
+    cost = server.settings.household_cost * server.settings.connection_load
     for n in range(4):
         server.hold(0, HeldConnection(f"r{n}", f"h{n // 2}", 1000.0, 0))
     assert server.load == pytest.approx(4000.0 + 2 * cost)
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -23,7 +23,7 @@
     summary, records = run_experiment(request)
     assert summary.holds, [c for c in summary.checks if not c.holds]
     happened = Counter(records.events.columns.get("what", []))
-    wanted = {
+    expected_counts = {
         "calm": {},
         "roll": {"terminate": 20, "start": 8, "roster-moved": 1},
         "herd": {"kill": 14, "start": 6},
@@ -31,12 +31,15 @@
         "split": {"cut": 2, "start": 2},
         "join": {"start": 10, "drained": 10},
     }[name]
-    for what, least in wanted.items():
-        assert happened[what] >= least, (what, happened)
+    for what, minimum in expected_counts.items():
+        assert happened[what] >= minimum, (what, happened)
     figures = summary.figures
-    causes = sum(count or 0.0 for figure, count in figures.items() if figure.startswith("moves_"))
+    moves_for_all_reasons = sum(
+        count or 0.0 for figure, count in figures.items() if figure.startswith("moves_")
+    )
     assert (
-        causes - (figures["moves_for_balance"] or 0) - (figures["moves_over_fewest"] or 0) == figures["moves"]
+        moves_for_all_reasons - (figures["moves_for_balance"] or 0) - (figures["moves_over_fewest"] or 0)
+        == figures["moves"]
     )
     if name == "roll":
         assert (figures["moves_leaving"] or 0) > 0 and (figures["moves_drains"] or 0) > 0
