--- a/sailrun/lab/scale/checks.py
+++ b/sailrun/lab/scale/checks.py
@@ -1,4 +1,4 @@
-"""What a scale run is held to. Pure: out of recorded rows and times."""
+"""The checks of a scale run, computed from recorded rows and times without I/O."""
 
 from __future__ import annotations
 
@@ -9,24 +9,30 @@
 from sailrun.lab.run import Outcome, finite
 from sailrun.lab.scale.host_messages import NodeReport
 
-# All know all within this after the begin, and after the last fault.
+# The time within which every node must know every other, after the start and after the last fault.
 KNOWN_S = 60.0
-# A host whose event loop was later than this, 99 times in 100 it was not, says nothing of its nodes.
+# A host is overloaded if the 99th percentile of its event loop lateness exceeds this limit. The figures of
+# its nodes are then invalid.
 LATE_MS, LATE_SHARE = 100.0, 0.99
 NAMED = 5
 
 
 def known_check(name: str, seconds: float, lacking: Iterable[str], occasions: int) -> Outcome:
-    """`seconds`: after how long every node knew every other; infinite where it never did. `occasions`: what
-    they had to get over; without any, nothing was tried.
+    """Checks that every node knew every other in time.
+
+    `seconds`: the time until then; infinite if it never happened. `occasions`: the number of events that the
+    nodes had to recover from; with none the check fails, because nothing was tested.
     """
-    faults = [f"{node} knows other members" for node in lacking][:NAMED]
+    faults = [f"{node} does not know exactly the running members" for node in lacking][:NAMED]
     holds = seconds <= KNOWN_S and occasions > 0
     return Outcome(name, finite(seconds), KNOWN_S, holds, faults, occasions)
 
 
 def owner_checks(rows: list[Row], begin_us: int, end_us: int) -> list[Outcome]:
-    """Rows are `hold`, `lost`, `started` and `died`, as in `sailrun.lab.faults.history`."""
+    """Checks that no task has two owners at once and that every task has one at the end.
+
+    The rows are `hold`, `lost`, `started` and `died`, as in `sailrun.lab.faults.history`.
+    """
     holds = Judge(rows, {}, begin_us, end_us).holds
     faults = [fault for task, spans in sorted(holds.items()) for fault in _overlaps(task, spans, begin_us)]
     unowned = [task for task, spans in sorted(holds.items()) if not any(s.end_us >= end_us for s in spans)]
@@ -44,7 +50,7 @@
 
 
 def longest_gap_s(rows: list[Row], begin_us: int, end_us: int) -> float:
-    """The longest time that any task had no owner between two that it had."""
+    """Returns the longest time that any task was without an owner between two ownerships."""
     longest_us = 0
     for spans in Judge(rows, {}, begin_us, end_us).holds.values():
         covered_us: int | None = None
@@ -68,10 +74,10 @@
 
 
 def late_check(late_ms: dict[str, list[float]]) -> Outcome:
-    """By host. Where it does not hold, the figures of this run mean nothing."""
+    """Checks the event loop lateness of each host. If it fails, the figures of the run are invalid."""
     worst = {host: quantile(values, LATE_SHARE) for host, values in late_ms.items()}
     faults = [
-        f"{host} was late by {late:.0f} ms: the figures of this run mean nothing"
+        f"{host} ran its event loop late by {late:.0f} ms: the figures of this run are invalid"
         for host, late in sorted(worst.items())
         if late > LATE_MS
     ]
@@ -81,20 +87,21 @@
 
 
 def shards_check(reports: list[NodeReport], shards: int) -> Outcome:
-    """At the end as many shards are used as there are, over all nodes. That no two nodes use the same one is
-    what the days of shards judge: here only the number is known.
+    """Checks that the number of shards in use over all nodes at the end equals the number of shards.
+
+    Only the number is known here. The sharding runs check that no two nodes use the same shard.
     """
     used = sum(report.shards for report in reports)
-    faults = [] if used == shards else [f"{used} shards are used, of {shards}"]
+    faults = [] if used == shards else [f"{used} shards are in use, expected {shards}"]
     return Outcome("shards-owned-at-the-end", abs(shards - used), 0, not faults, faults, shards)
 
 
 def most_late_ms(late_ms: dict[str, list[float]]) -> float:
-    """How late the worst host was, 99 times in 100 no later."""
+    """Returns the 99th percentile of the event loop lateness of the worst host."""
     return max((quantile(values, LATE_SHARE) for values in late_ms.values()), default=0.0)
 
 
 def ended_check(ended: list[str], processes: int) -> Outcome:
-    """Processes that ended although nobody had them end."""
+    """Checks that no process ended without being told to by the run."""
     faults = [f"{name} ended by itself" for name in ended]
     return Outcome("no-process-ended-by-itself", len(ended), 0, not ended, faults[:NAMED], processes)
--- a/sailrun/lab/scale/command.py
+++ b/sailrun/lab/scale/command.py
@@ -1,4 +1,4 @@
-"""Plays a scale run by either driver."""
+"""Plays a scale run with either driver."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
     told: Callable[[float], None] = lambda share: None,
     steps: list[Step] | None = None,
 ) -> tuple[Summary, ScaleRecords]:
-    """`steps`: other faults than the plan's. Raises DoesNotFit before anything is started, and OSError."""
+    """Plays the plan. `steps` replaces the faults of the plan.
+
+    Raises DoesNotFit before anything is started, and OSError.
+    """
     check_fit(plan)
     began_s, cpu_s = time.monotonic(), time.process_time()
     if steps is None:
@@ -28,7 +31,7 @@
     measured = play(plan, steps, told)
     cost = {
         "wall_s": round(time.monotonic() - began_s, 2),
-        "cpu_s": round(time.process_time() - cpu_s, 2),  # of this process, without hosts
+        "cpu_s": round(time.process_time() - cpu_s, 2),  # of this process, excluding the host processes
         "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
     }
     return summary_of(plan, measured, cost), ScaleRecords(measured)
--- a/sailrun/lab/scale/delay_line.py
+++ b/sailrun/lab/scale/delay_line.py
@@ -1,4 +1,4 @@
-"""Messages on their way: one task holds back what a host's nodes send until it is due."""
+"""Delays messages: one task holds the messages that a host's nodes send until they are due."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import anyio
 
-# What is due so soon is done at once: the event loop takes about that long anyway.
+# A shorter wait is skipped: the event loop takes about that long anyway.
 AT_ONCE_S = 0.001
 
 
--- a/sailrun/lab/scale/faults.py
+++ b/sailrun/lab/scale/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a scale run, as steps with their times: pure, the same for both drivers."""
+"""Computes the faults of a scale run as timed steps, without I/O. Both drivers use the same steps."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 
 from sailrun.lab.scale.plan import Place, ScalePlan, region_name
 
-# Killed nodes and silent switches are away for so long, regions cut apart, processes stopped.
+# How long nodes stay killed and switches failed, regions cut off from each other, and processes stopped.
 AWAY_S, CUT_S, STOPPED_S = 60.0, 30.0, 6.0
-# What was stopped has gone on for some time when others are killed.
+# When nodes are killed: the stopped processes have been running again for some time by then.
 KILL_AT_S = 20.0
-# A rolling restart: so many parts of the fleet one after the other, each away for a moment.
+# A rolling restart: the number of parts of the fleet, the time from one part to the next, and the time that
+# each part is down.
 ROLL_PARTS, ROLL_STEP_S, ROLL_AWAY_S = 20, 4.0, 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class KillHost:
-    """SIGKILL for a host process, with all its nodes."""
+    """Sends SIGKILL to a host process, which ends all its nodes."""
 
     host: int
 
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopHost:
-    """SIGSTOP for a host process; its nodes neither act nor hear."""
+    """Sends SIGSTOP to a host process; its nodes neither act nor receive."""
 
     host: int
 
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveNodes:
-    """They leave in good order and end."""
+    """The nodes leave the fleet gracefully and end."""
 
     names: tuple[str, ...]
 
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopNodes:
-    """SIGSTOP for real processes."""
+    """Sends SIGSTOP to real processes."""
 
     names: tuple[str, ...]
 
@@ -70,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SilenceNodes:
-    """Their switch fails, or is mended."""
+    """The switch of these nodes fails (`on`), or is repaired."""
 
     names: tuple[str, ...]
     on: bool
@@ -105,14 +106,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """`at_s`: seconds since the first step could come."""
+    """`at_s`: seconds since the start of the fault stretch."""
 
     at_s: float
     action: Action
 
 
 def fault_steps(plan: ScalePlan, places: list[Place]) -> list[Step]:
-    """In the order of their time. Nothing for `rest`, and for `begin`, which is a fault from the start."""
+    """Returns the steps of the plan in time order.
+
+    There are none for `rest`, nor for `begin`, whose fault is the simultaneous start itself.
+    """
     match plan.faults:
         case "hosts":
             return _hosts(plan, places)
@@ -131,8 +135,9 @@
 
 
 def _hosts(plan: ScalePlan, places: list[Place]) -> list[Step]:
-    """A host and a real process are stopped for a moment; later others are killed, and start again. All at
-    once could leave no majority of voters, which is another fault.
+    """Stops a host and a real process for a short time; later kills others and restarts them.
+
+    All of them at once could leave the voters without a majority, which is another fault.
     """
     real = [place.name for place in places if place.real]
     back_s = KILL_AT_S + AWAY_S
@@ -149,14 +154,17 @@
 
 
 def _some_rack(places: list[Place]) -> tuple[str, ...]:
-    """The hollow nodes of the last zone's first rack: a switch of a real process cannot fail."""
+    """Returns the hollow nodes of the last zone's first rack.
+
+    Real processes are left out, because the run cannot fail their switch.
+    """
     hollow = [place for place in places if not place.real]
     rack = next(place.rack for place in reversed(hollow) if place.rack.endswith("-k0"))
     return tuple(place.name for place in hollow if place.rack == rack)
 
 
 def _some_zone(places: list[Place]) -> tuple[str, ...]:
-    """The nodes of the last zone, which has no real processes."""
+    """Returns the nodes of the last zone, which has no real processes."""
     zone = [place for place in places if not place.real][-1].zone
     return tuple(place.name for place in places if place.zone == zone)
 
--- a/sailrun/lab/scale/hollow_host.py
+++ b/sailrun/lab/scale/hollow_host.py
@@ -1,6 +1,6 @@
-"""One host process with many hollow nodes: `python -m sailrun.lab.scale.hollow_host`.
+"""A host process that runs many hollow nodes: `python -m sailrun.lab.scale.hollow_host`.
 
-Reads commands on stdin and answers on stdout, see `host_messages.py`. Ends when stdin does.
+Reads commands from stdin and writes answers to stdout, see `host_messages.py`. Ends at the end of stdin.
 """
 
 from __future__ import annotations
@@ -46,9 +46,9 @@
 from sailrun.leadership.clock import boot_us
 from sailrun.membership.messages import MemberRecord
 
-# The event loop is looked at so often for how late it is.
+# The interval at which the lateness of the event loop is measured.
 LATE_STEP_S = 0.05
-# What is recorded of owners; the rest would be a row for every question.
+# The kinds of ownership rows that are recorded; the others would add a row for every request.
 KEPT = ("hold", "lost")
 
 
@@ -104,13 +104,13 @@
         for name, number in lives.items():
             node = self._new_node(name, number)
             if known:
-                # Each has records of its own, as if they had come by its own sockets.
+                # Each node gets its own copies of the records, as if it had received them on its own sockets.
                 node.know([record for record in decoder.decode(packed) if record.name != name])
             self._nodes[name] = node
             self._group.start_soon(node.run)
             await anyio.sleep(0)
-        # What stands from now on is not walked through by the collector: real nodes hold little, and many of
-        # them in one process would stop each other for as long as all of it takes.
+        # Keeps the garbage collector from scanning the objects that exist now. A real node has few objects,
+        # but a scan of those of many nodes in one process would pause all of them.
         gc.collect()
         gc.freeze()
 
@@ -148,7 +148,7 @@
         if self._nodes.get(node.place.name) is node:
             self._kill(node.place.name)
 
-    # ------------------------------------------------------------------ what is asked
+    # ------------------------------------------------------------------ queries
 
     async def _look(self, asked: Look) -> Looked:
         lacking = []
@@ -170,7 +170,7 @@
 
 
 def rss_mb(pid: int) -> float:
-    """The memory that a process has in use now. Raises OSError where there is none."""
+    """Returns the resident memory of a process. Raises OSError if the process does not exist."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1024 / 1024
 
@@ -179,7 +179,7 @@
     stdin = anyio.wrap_file(sys.stdin.buffer)
     setup = read_command(await stdin.readline())
     if not isinstance(setup, Setup):
-        raise SystemExit("hollow_host: the first line is no setup")
+        raise SystemExit("hollow_host: the first line on stdin must be a setup command")
     async with anyio.create_task_group() as group:
         host = HollowHost(setup, group)
         _answer(Ready(rss_mb(os.getpid()), time.process_time()))
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -1,4 +1,4 @@
-"""A hollow node: a real node's agent and carrier, without clients, form servers and a core."""
+"""A hollow node: the agent and transport of a real node, without clients, form servers and a core."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
-# The server roster changes so often in a scale run.
+# The interval at which the endpoint list changes in a scale run.
 ROSTER_S = 60
-# A node that leaves goes on for a moment, as one does that moves its households.
+# A leaving node runs on for this time, as a real node does while it moves its clients.
 LEAVING_S = 0.5
 
 
 def life_of(seed: int, name: str, number: int) -> int:
-    """The life of a hollow node, known beforehand to every host."""
+    """Returns the process number of the `number`-th start of a hollow node. Every host can compute it."""
     return random.Random(f"{seed}/{name}/{number}").getrandbits(62)
 
 
@@ -46,7 +46,7 @@
 
 
 def names_crc(names: list[str]) -> int:
-    """Of names in their order."""
+    """Returns the CRC of the names in the given order."""
     return zlib.crc32("\n".join(names).encode())
 
 
@@ -55,8 +55,10 @@
 
 
 class ModelledCarrier(Transport):
-    """Its datagrams and frames take the network model's way. A frame waits before it is queued for its link,
-    so that its owner's term is looked at after the delay, not before.
+    """A transport that applies the delay and loss of the network model to datagrams and frames.
+
+    A frame waits before it is queued for its link, so that the leader's term is checked after the delay, not
+    before.
     """
 
     def __init__(self, agent: MeteredAgent, place: Place, network: NetworkModel, delays: DelayLine) -> None:
@@ -114,7 +116,7 @@
 
 
 class HollowNode:
-    """One life of a hollow node."""
+    """One process lifetime of a hollow node."""
 
     def __init__(
         self,
@@ -128,7 +130,7 @@
         began_us: int,
         record: Callable[..., None],
     ) -> None:
-        """Raises OSError for an address that is not to be had."""
+        """Raises OSError if the address is not available."""
         self.place, self.number = place, number
         self._began_us = began_us
         luck = random.Random(f"{seed}/{place.name}/{number}/agent")
@@ -148,14 +150,14 @@
             content
         )
         self._scope = anyio.CancelScope()
-        self._checked = (-1, 0)  # the members' version, and the sum of their names
+        self._checked = (-1, 0)  # the version of the member list, and the CRC of its names
 
     async def run(self) -> None:
         with self._scope:
             await self.carrier.run()
 
     def kill(self) -> None:
-        """Its sockets are closed as soon as its tasks have ended."""
+        """Cancels the tasks of the node; its sockets are closed once they have ended."""
         self._scope.cancel()
 
     async def leave(self) -> None:
@@ -164,13 +166,15 @@
         self.kill()
 
     def know(self, records: list[MemberRecord]) -> None:
-        """Begins with these members known, as if it had joined long ago and had told all news."""
+        """Starts with these members known, as if it had joined long ago and disseminated all updates."""
         know_members(self.agent, boot_us(), records)
 
-    # ------------------------------------------------------------------ the roster's list
+    # ------------------------------------------------------------------ endpoint list
 
     def _after(self, now_us: int) -> list[OutgoingEnvelope]:
-        """As a real node does after each turn: the reader of its zone reads, the others ask the reader."""
+        """Reads the list after each turn as a real node does: the reader of a zone reads the registry, and
+        the other nodes query the reader.
+        """
         reading = self._reading
         reading.is_leader = bool(self.agent.leading_term(self._task, now_us))
         if reading.must_read_registry(now_us):
@@ -183,13 +187,13 @@
     def _answered(self, now_us: int, sent_us: int, content: Any) -> None:
         self._reading.on_reply(now_us, content)
 
-    # ------------------------------------------------------------------ what is looked at
+    # ------------------------------------------------------------------ inspection
 
     def report(self) -> NodeReport:
         return node_report(self.agent, self.number, self.carrier.traffic, boot_us())
 
     def knows(self, asked: Look, seed: int) -> bool:
-        """Whether it knows exactly the members that were asked for."""
+        """Returns whether the node knows exactly the members that the command describes."""
         members = self.agent.members
         if not members.has_joined or len(members.living_names) != asked.count:
             return False
@@ -205,7 +209,7 @@
 
 
 def node_report(agent: MeteredAgent, life: int, traffic: TrafficCounters, now_us: int) -> NodeReport:
-    """What one node has used, what it owns, and how many shards it may use."""
+    """Returns what one node has used, the tasks that it leads, and how many shards it may use."""
     tasks = [task for task in agent.candidate_tasks() if agent.leading_term(task, now_us)]
     report = NodeReport(agent.name, life, traffic, agent.cpu_s, tasks, agent.voter is not None)
     part = agent.shards
@@ -219,6 +223,6 @@
 
 
 def know_members(agent: MeteredAgent, now_us: int, records: list[MemberRecord]) -> None:
-    """A faster start: the members are known, and the news of them has been told to all."""
+    """Speeds up the start: the members are known at once, and their updates count as disseminated."""
     agent.members.preload(now_us, records)
     agent.cpu_s = 0.0
--- a/sailrun/lab/scale/host_messages.py
+++ b/sailrun/lab/scale/host_messages.py
@@ -1,4 +1,4 @@
-"""What a run and its host processes say to each other: JSON, a line each, on the host's stdin and stdout."""
+"""Messages between a run and its host processes: one JSON object per line on the host's stdin and stdout."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 class Setup(msgspec.Struct, frozen=True, tag="setup"):
-    """The first line. `block` is the loopback block of the run, `began_us` its begin by the clock of leases,
-    `roster` the source of the server roster as real processes name it.
+    """The first command. `block` is the loopback block of the run, `began_us` its start by the clock of
+    leases, `roster` the source of the endpoint list as real processes name it.
     """
 
     plan: ScalePlan
@@ -25,8 +25,8 @@
 
 
 class Start(msgspec.Struct, frozen=True, tag="start"):
-    """Starts nodes by name, each in the life of that number. `known`: they begin with all hollow nodes known
-    as members, instead of joining.
+    """Starts nodes by name; `lives` has the start number of each. `known`: they start with all hollow nodes
+    known as members, instead of joining.
     """
 
     lives: dict[str, int]
@@ -38,13 +38,13 @@
 
 
 class Leave(msgspec.Struct, frozen=True, tag="leave"):
-    """They leave in good order, and end."""
+    """The nodes leave the fleet gracefully and end."""
 
     names: list[str]
 
 
 class Silence(msgspec.Struct, frozen=True, tag="silence"):
-    """Nothing passes to and from these nodes; every host is told."""
+    """Blocks all messages to and from these nodes, or stops blocking them. Every host gets it."""
 
     names: list[str]
     on: bool
@@ -60,7 +60,10 @@
 
 
 class Look(msgspec.Struct, frozen=True, tag="look"):
-    """Asks whether every node here knows exactly these members; `lives` has those that were started again."""
+    """Asks which nodes of the host do not know exactly these members.
+
+    `lives` has the start numbers of the nodes that were restarted.
+    """
 
     count: int
     names_crc: int
@@ -81,7 +84,7 @@
 
 
 class Ready(msgspec.Struct, frozen=True, tag="ready"):
-    """The host has no nodes yet, and has taken so much memory and processor time."""
+    """The host is ready. The memory and processor time are those that it uses without nodes."""
 
     rss_mb: float
     cpu_s: float
@@ -89,12 +92,12 @@
 
 class Looked(msgspec.Struct, frozen=True, tag="looked"):
     nodes: int
-    lacking: list[str]  # the nodes that know other members than was asked
+    lacking: list[str]  # the nodes that do not know exactly the members of the command
 
 
 class NodeReport(msgspec.Struct):
-    """One node's counts since its life began. `cpu_s`: the time inside its agent, and of packing, unpacking
-    and sending; of a real process all of it.
+    """The counters of one node since it started. `cpu_s`: the processor time of the agent and of encoding,
+    decoding and sending; for a real process, of the whole process.
     """
 
     name: str
@@ -103,14 +106,14 @@
     cpu_s: float
     tasks: list[str]
     voter: bool
-    rss_mb: float = 0.0  # of a real process
-    control: bool = False  # set aside for work on behalf of the fleet
-    shards: int = 0  # that it may use
+    rss_mb: float = 0.0  # of a real process only
+    control: bool = False  # a control member, set aside for work on behalf of the fleet
+    shards: int = 0  # the number of shards that the node may use
 
 
 class HostReport(msgspec.Struct, frozen=True, tag="reported"):
-    """`late_ms`: by how much the event loop was late, at every look since the last report. `stopped`:
-    messages that cuts and silences kept back so far.
+    """`late_ms`: the event loop lateness of every measurement since the last report. `stopped`: the number of
+    messages that cuts and silences have blocked so far.
     """
 
     nodes: list[NodeReport]
@@ -121,7 +124,7 @@
 
 
 class Recorded(msgspec.Struct, frozen=True, tag="recorded"):
-    """Not asked for: what became of a node or of what it owns, with the clock of leases."""
+    """Sent without a request: an event of a node or of its tasks, with the time by the clock of leases."""
 
     row: dict[str, Any]
 
--- a/sailrun/lab/scale/host_process.py
+++ b/sailrun/lab/scale/host_process.py
@@ -1,4 +1,4 @@
-"""The run's hold on one host process: its start, its commands and answers, signals, and its end."""
+"""Controls one host process from the run: its start, commands and answers, signals, and its end."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 
 class HostProcess:
     def __init__(self, number: int, folder: Path, group: TaskGroup, record: Callable[[Row], None]) -> None:
-        """`record` is given every row that the host records."""
+        """`record` is called with every row that the host records."""
         self.name, self.number, self._record = f"host-{number}", number, record
         self._log, self._group = folder / f"host-{number}.log", group
         self._turn = anyio.Lock()
         self._process: Process | None = None
         self._answers: MemoryObjectReceiveStream[Answer] | None = None
         self.lives = 0
-        self.base_mb = self.base_cpu_s = 0.0  # without nodes
+        self.base_mb = self.base_cpu_s = 0.0  # used without nodes
         self.stopped = False
-        self.ends = False  # somebody has it end
+        self.ends = False  # the run has told it to end
         self.ended_by_itself = False
 
     @property
@@ -48,7 +48,7 @@
         return self._process is not None and not self.stopped
 
     async def start(self, setup: Setup) -> None:
-        """Returns once the host has said that it is ready."""
+        """Starts the host and returns once it has reported that it is ready."""
         self.lives, self.ends = self.lives + 1, False
         with self._log.open("ab") as log:
             process = await anyio.open_process(
@@ -84,14 +84,14 @@
             self.ended_by_itself = self.ended_by_itself or not self.ends
 
     async def tell(self, command: Command) -> None:
-        """Has the host do something that it does not answer."""
+        """Sends the host a command that has no answer."""
         process = self._process
         if process is not None and process.stdin is not None:
             with suppress(*BROKEN):
                 await process.stdin.send(line_of(command))
 
     async def ask(self, command: Command) -> Answer | None:
-        """Its answer; None where it does not run, is stopped or ends meanwhile."""
+        """Returns the answer; None if the host does not run, is stopped or ends meanwhile."""
         async with self._turn:
             if not self.runs or self._answers is None:
                 return None
@@ -124,6 +124,6 @@
             await anyio.sleep(0.02)
 
     def last_words(self) -> str:
-        """The last line of its log."""
+        """Returns the last line of the host's log."""
         lines = self._log.read_text(errors="replace").strip().splitlines() if self._log.exists() else []
         return lines[-1] if lines else ""
--- a/sailrun/lab/scale/metered_agent.py
+++ b/sailrun/lab/scale/metered_agent.py
@@ -1,4 +1,4 @@
-"""The agent of a real node with a stopwatch on what its carrier calls."""
+"""The agent of a real node, which measures the processor time of the calls that its transport makes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MeteredAgent(Agent):
-    """`cpu_s`: processor time spent in its calls, in seconds; a carrier may add its own."""
+    """`cpu_s`: processor time spent in its calls, in seconds; a transport may add its own."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         self.cpu_s = 0.0
@@ -25,7 +25,7 @@
     def turn(self, now_us: int) -> list[OutgoingEnvelope]:
         began_s = thread_time()
         outs = super().turn(now_us)
-        self.log_events.clear()  # nobody reads a log of hundreds of nodes
+        self.log_events.clear()  # the log events of hundreds of nodes are not used
         self.cpu_s += thread_time() - began_s
         return outs
 
--- a/sailrun/lab/scale/network_model.py
+++ b/sailrun/lab/scale/network_model.py
@@ -1,7 +1,7 @@
-"""Delay and loss between places, cuts between regions, and nodes that nobody hears.
+"""Delay and loss between places, cuts between regions, and nodes that are cut off from the network.
 
-The same model is used by every host process and by virtual time. What passes between two real processes is
-plain loopback and passes no model; every other path has it, applied by the hollow end.
+Every host process and virtual time use the same model. Messages between two real processes go over plain
+loopback without the model; on every other path the hollow end applies it.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 from sailrun.lab.scale.plan import Place
 
-# One way, in seconds. Regions stand in a ring; each step along it takes this long.
+# One-way delays in seconds. The regions form a ring, and each step along it takes REGION_STEP_S.
 IN_ZONE_S, IN_REGION_S, REGION_STEP_S = 0.0001, 0.0008, 0.015
-# The part of a delay by which it may be longer.
+# The largest random extension of a delay, as a share of it.
 JITTER = 0.2
-# Share of messages that are lost on the way.
+# The share of messages that are lost.
 LOST_IN_REGION, LOST_BETWEEN_REGIONS = 0.0001, 0.002
 
 
 @dataclass(frozen=True, slots=True)
 class Path:
-    """From one place to another: seconds one way without jitter, and the share of messages lost."""
+    """The path from one place to another: the one-way delay without jitter and the share of lost messages."""
 
     delay_s: float
     lost: float
@@ -43,30 +43,32 @@
         self._random = random.Random(seed)
         self.by_name = {place.name: place for place in places}
         self.by_address = {place.address: place for place in self.by_name.values()}
-        self._paths: dict[tuple[str, str], Path] = {}  # by zones
+        self._paths: dict[tuple[str, str], Path] = {}  # by the zones of sender and receiver
         self._cut: set[frozenset[str]] = set()  # pairs of regions
         self._silent: set[str] = set()  # names
-        self.stopped = 0  # messages that a cut or a silence kept back
+        self.stopped = 0  # messages that a cut or a silence blocked
 
     # ------------------------------------------------------------------ faults
 
     def cut(self, one: str, other: str) -> None:
-        """Nothing passes between the two regions any more, either way."""
+        """Blocks all messages between the two regions, in both directions."""
         self._cut.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """Every cut is over."""
+        """Ends every cut."""
         self._cut.clear()
 
     def silence(self, names: Iterable[str], on: bool) -> None:
-        """Nothing comes from these nodes or gets to them, as if their switch had failed."""
+        """Blocks all messages from and to these nodes, as if their switch had failed, or stops blocking
+        them.
+        """
         if on:
             self._silent.update(names)
         else:
             self._silent.difference_update(names)
 
     def passes(self, sender: Place, receiver: Place) -> bool:
-        """Whether anything gets from the one to the other now; what does not is counted."""
+        """Returns whether a message gets from the sender to the receiver now. Counts it if not."""
         cut = bool(self._cut) and frozenset((sender.region, receiver.region)) in self._cut
         if cut or sender.name in self._silent or receiver.name in self._silent:
             self.stopped += 1
@@ -76,7 +78,7 @@
     # ------------------------------------------------------------------ paths
 
     def datagram_s(self, sender: Place, receiver: Place) -> float | None:
-        """How long a datagram takes; None: it is lost."""
+        """Returns the delay of a datagram in seconds, or None if it is lost."""
         if not self.passes(sender, receiver):
             return None
         path = self._path(sender, receiver)
@@ -85,7 +87,10 @@
         return path.delay_s * (1.0 + JITTER * self._random.random())
 
     def frame_s(self, sender: Place, receiver: Place) -> float | None:
-        """How long a frame on a link takes; None: the two are cut apart. TCP mends loss by itself."""
+        """Returns the delay of a frame on a link in seconds, or None if the two places are cut off.
+
+        A frame is never lost by chance, because TCP retransmits.
+        """
         if not self.passes(sender, receiver):
             return None
         return self._path(sender, receiver).delay_s * (1.0 + JITTER * self._random.random())
--- a/sailrun/lab/scale/plan.py
+++ b/sailrun/lab/scale/plan.py
@@ -1,4 +1,4 @@
-"""What a scale run is asked for, where its nodes stand, and whether it fits this machine."""
+"""The parameters of a scale run, the placement of its nodes, and the check that it fits this machine."""
 
 from __future__ import annotations
 
@@ -12,25 +12,26 @@
 DRIVERS = ("sockets", "virtual")
 FAULTS = ("rest", "hosts", "rack", "zone", "cut", "roll", "begin")
 
-# The sizes that a run may have.
+# The largest sizes of a run.
 MOST_VIRTUAL = 3_800
 MOST_PROCESSES = 300
 MOST_MB = 12_000.0
-# Memory, as measured and rounded up: one node's knowledge of another, a hollow node that knows nobody, a host
-# without nodes, a real process, and in virtual time, where all nodes share one record of a member.
+# Memory, rounded up: what one node stores of another, a hollow node that knows no members, a host without
+# nodes, a real process. In virtual time all nodes share one record of a member.
 PAIR_KB, HOLLOW_MB, HOST_MB, REAL_MB = 0.8, 0.15, 30.0, 50.0
 VIRTUAL_PAIR_KB, VIRTUAL_MB = 0.4, 60.0
-# Hollow nodes of one host, the fewest and the most hosts: leave a core for the real processes and the run.
+# Hollow nodes per host, and the fewest and the most hosts. The limit leaves a core for the real processes and
+# the run.
 HOLLOW_A_HOST, FEWEST_HOSTS, MOST_HOSTS = 100, 2, 7
-# A hollow node's own sockets and the links that it may have open, and what else a host holds open.
+# File descriptors: of a hollow node for its sockets and links, and of a host for everything else.
 DESCRIPTORS_A_NODE, DESCRIPTORS_A_HOST = 4, 64
-# Members of a region that are set aside for control where shards are owned.
+# Members of a region that are set aside for control if the run has shards.
 CONTROL_OF_A_REGION = 3
-# Of a node's placement, for each shard of its region.
+# Memory of a node's shard placement for each shard of its region.
 SHARD_BYTES = 16
-# Nodes that hang on one switch.
+# Nodes that are connected to one switch.
 RACK_NODES = 20
-# Of a hollow node on its own loopback address; below the ports that the system gives to whoever asks.
+# The port of every hollow node on its own loopback address; below the range of ephemeral ports.
 PORT = 14_000
 NODES_A_BLOCK = 250
 
@@ -41,9 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScalePlan:
-    """One run. `nodes` are real processes, `hollow` the hollow nodes; in virtual time all are played alike.
+    """One run. `nodes`: the number of real processes. `hollow`: the number of hollow nodes. In virtual time
+    both are simulated in the same way.
 
-    `seconds`: how long the nodes' use is measured at rest, before any fault.
+    `seconds`: how long the resource use of the nodes is measured at rest, before any fault.
     """
 
     nodes: int = 3
@@ -67,12 +69,12 @@
 
     @property
     def control(self) -> int:
-        """Members set aside for control: the first ones, which stand in all regions in turn."""
+        """The number of members set aside for control: the first nodes, which are spread over all regions."""
         return CONTROL_OF_A_REGION * self.regions if self.shards else 0
 
     @property
     def hosts(self) -> int:
-        """Host processes for the hollow nodes."""
+        """The number of host processes for the hollow nodes."""
         if not self.hollow:
             return 0
         return max(FEWEST_HOSTS, min(MOST_HOSTS, math.ceil(self.hollow / HOLLOW_A_HOST)))
@@ -84,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a node stands. `host`: the number of its host process; -1 for a real process."""
+    """The placement of a node. `host`: the number of its host process; -1 for a real process."""
 
     index: int
     name: str
@@ -101,7 +103,8 @@
 
 
 def place_nodes(plan: ScalePlan, block: int = 0) -> list[Place]:
-    """All nodes: the hollow ones first, over all zones in turn; then the real ones, all in the first region.
+    """Places all nodes: the hollow ones first, round-robin over all zones; then the real ones, all in the
+    first region.
 
     `block`: the second octet of the loopback addresses that belong to this run.
     """
@@ -132,13 +135,15 @@
 
 
 def zone_name(zone: int, regions: int) -> str:
-    """Zones are dealt out to the regions in turn."""
+    """Returns the name of a zone. Zones are assigned to the regions round-robin."""
     return f"r{zone % regions}-z{zone}"
 
 
 def voters_of(places: list[Place]) -> tuple[str, ...]:
-    """Seven of the first nodes, each in another region as far as there are so many; the last one is a real
-    process where there is any and no member is set aside for control. Smaller fleets have five or three.
+    """Returns the names of the voters: the first seven nodes; five or three in smaller fleets.
+
+    Each is in another region as far as there are enough regions. The last one is replaced by a real process
+    if there is one and no members are set aside for control.
     """
     count = 3 if len(places) < 7 else 5 if len(places) < 50 else 7
     names = [place.name for place in places[:count]]
@@ -149,12 +154,12 @@
 
 
 def control_of(places: list[Place], region: str) -> tuple[str, ...]:
-    """The names of a region's control members."""
+    """Returns the names of a region's control members."""
     return tuple(place.name for place in places if place.role == CONTROL and place.region == region)
 
 
 def memory_mb(plan: ScalePlan) -> float:
-    """What the run is expected to take."""
+    """Returns the memory that the run is expected to need."""
     pairs = plan.total * plan.total
     shards_mb = plan.hollow * plan.shards_of_a_region * SHARD_BYTES / 1024**2
     if plan.driver == "virtual":
@@ -164,18 +169,18 @@
 
 
 def check_fit(plan: ScalePlan) -> None:
-    """Raises DoesNotFit with one line that says what does not fit."""
+    """Raises DoesNotFit with a one-line message if the run is too small or too large."""
     if plan.total < 3:
         raise DoesNotFit(f"{plan.total} nodes are fewer than 3")
     if plan.driver == "virtual" and plan.total > MOST_VIRTUAL:
-        raise DoesNotFit(f"{plan.total} nodes are more than {MOST_VIRTUAL}, as many as virtual time plays")
+        raise DoesNotFit(f"{plan.total} nodes are more than {MOST_VIRTUAL}, the limit of virtual time")
     if plan.processes > MOST_PROCESSES:
         raise DoesNotFit(f"{plan.processes} processes are more than {MOST_PROCESSES}")
     if (needed_mb := memory_mb(plan)) > MOST_MB:
         raise DoesNotFit(f"{needed_mb:.0f} MB are expected, more than {MOST_MB:.0f}")
     if plan.shards and plan.hollow < plan.control + plan.regions:
         raise DoesNotFit(
-            f"{plan.hollow} hollow nodes are fewer than {plan.control + plan.regions}, as many as shards need"
+            f"{plan.hollow} hollow nodes are fewer than {plan.control + plan.regions}, the least with shards"
         )
     if plan.driver == "sockets":
         _check_descriptors(plan)
@@ -187,4 +192,4 @@
     needed = math.ceil(plan.hollow / plan.hosts) * DESCRIPTORS_A_NODE + DESCRIPTORS_A_HOST
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if allowed != resource.RLIM_INFINITY and needed > allowed:
-        raise DoesNotFit(f"{needed} descriptors a host are needed, {allowed} are allowed")
+        raise DoesNotFit(f"{needed} file descriptors per host are needed, {allowed} are allowed")
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -1,4 +1,4 @@
-"""Real processes of the program beside the hollow nodes: `sailrun serve` with an operator's file."""
+"""Runs real processes of the program beside the hollow nodes: `sailrun serve` with an operator's file."""
 
 from __future__ import annotations
 
@@ -38,7 +38,9 @@
 
 
 class SteadyRoster(RigRoster):
-    """A server roster whose list has a new revision once in `ROSTER_S`, the same that hollow readers tell."""
+    """A registry whose endpoint list gets a new revision every `ROSTER_S`, the same as hollow readers
+    report.
+    """
 
     def __init__(self, began_us: int) -> None:
         super().__init__()
@@ -52,25 +54,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessFiles:
-    """The platform's file, and the operator's."""
+    """The paths of the platform's file and the operator's file."""
 
     config: Path
     operator: Path
 
 
 class RealProcess:
-    """One place for a real process; `run` is one life of it."""
+    """One place for a real process; each call of `run` is one process lifetime."""
 
     def __init__(self, place: Place, row: Callable[..., None]) -> None:
-        """`row` is told what the process did with tasks: kind, node, at_us, facts."""
+        """`row` is called for every event of the process and its tasks: kind, node, at_us, facts."""
         self.place, self._row = place, row
         self.listen, self.control = free_address(), free_address()
         self.lives = 0
         self.process: Process | None = None
-        self.ends = False  # somebody has it end
+        self.ends = False  # the run has told it to end
 
     async def run(self, files: ProcessFiles) -> None:
-        """From its start to its end, which takes it away."""
+        """Runs the process from its start to its end. Kills it if this call is cancelled."""
         self.lives, self.ends = self.lives + 1, False
         environment = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "SAILRUN_"))}
         command = [sys.executable, "-m", "sailrun", "serve"]
@@ -97,7 +99,10 @@
             self._row("died", self.place.name, boot_us(), code=process.returncode)
 
     def _heard(self, line: str) -> None:
-        """A log line `TIME act kind=hold at_us=... task=... left_us=...`: times are monotonic, as it says."""
+        """Records a log line `TIME act kind=hold at_us=... task=... left_us=...`.
+
+        The times in it are of the monotonic clock.
+        """
         _, _, rest = line.strip().partition(" ")
         what, *words = rest.split(" ")
         facts: dict[str, Any] = dict(word.split("=", 1) for word in words if "=" in word)
@@ -112,17 +117,17 @@
         self._row("hold", self.place.name, at_us, task=task, term=term, until_us=until_us)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """To this process by its pid, while it runs."""
+        """Sends a signal to the process if it runs."""
         if number in (signal.SIGKILL, signal.SIGTERM):
             self.ends = True
         if self.process is not None and self.process.returncode is None:
             with suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
-    # ------------------------------------------------------------------ what is looked at
+    # ------------------------------------------------------------------ inspection
 
     async def report(self) -> NodeReport | None:
-        """None: it does not run, or does not answer."""
+        """Returns None if the process does not run or does not answer."""
         counts = await self._asked("fleet counts")
         process = self.process
         if counts is None or process is None:
@@ -139,7 +144,7 @@
         return report
 
     async def knows(self, asked: Look) -> bool:
-        """Whether it knows exactly the members that were asked for, by name."""
+        """Returns whether the process knows exactly the members that the command describes, by name."""
         members = await self._asked("fleet members")
         if members is None:
             return False
@@ -147,7 +152,7 @@
         return len(names) == asked.count and names_crc(names) == asked.names_crc
 
     async def _asked(self, line: str) -> Any:
-        """What the process answers to a call of staff, as JSON; None where it does not."""
+        """Returns the JSON answer to a line on the control address, or None if there is no `ok` answer."""
         answer = b""
         with anyio.move_on_after(ANSWER_TIMEOUT_S), suppress(*BROKEN):
             async with await anyio.connect_tcp(*self.control) as stream:
@@ -159,7 +164,7 @@
 
 
 def process_cpu_s(pid: int) -> float:
-    """Processor time of a process so far. Raises OSError where there is none."""
+    """Returns the processor time of a process so far. Raises OSError if the process does not exist."""
     words = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
     return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -167,7 +172,7 @@
 def write_files(
     folder: Path, process: RealProcess, plan: ScalePlan, terms: AgentSettings, roster: RigRoster
 ) -> ProcessFiles:
-    """The platform's file and the operator's file of one process."""
+    """Writes the platform's file and the operator's file of one process."""
     place = process.place
     settings = WorldSettings(nodes=plan.total, form_servers=FORM_SERVERS).settings(place.index)
     settings["az"] = place.zone
@@ -201,5 +206,8 @@
 
 
 def _boot_offset_us() -> int:
-    """From the clock in which nodes record to the clock of leases: the time that the machine slept."""
+    """Returns the offset from the monotonic clock of the log lines to the clock of leases.
+
+    It is the time that the machine was suspended.
+    """
     return boot_us() - time.monotonic_ns() // 1000
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -22,15 +22,15 @@
 from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
 from sailrun.leadership.clock import boot_us
 
-# Whether all know all is looked at so often, and no longer than this.
+# How often the run checks that every node knows every other, and for how long at most.
 LOOK_S, GIVEN_UP_S = 0.5, 2 * KNOWN_S
-# Between the time when all know all and the first measurement: leases have settled.
+# The wait before a measurement, after every node knows every other: leases settle in it.
 SETTLE_S = 3.0
 Told = Callable[[float], None]
 
 
 def play_sockets(plan: ScalePlan, steps: list[Step], told: Told) -> Measured:
-    """Raises OSError where addresses are not to be had."""
+    """Plays the plan. Raises OSError if addresses are not available."""
     return anyio.run(_play, plan, steps, told)
 
 
@@ -56,16 +56,16 @@
 
 
 async def _end_on_signal(run: anyio.CancelScope) -> None:
-    """A run that is told to end leaves no process behind."""
+    """Cancels the run on SIGTERM or SIGINT, so that it leaves no process behind."""
     if threading.current_thread() is not threading.main_thread():
-        return  # signals come to the main thread only
+        return  # signals are delivered to the main thread only
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             run.cancel()
 
 
 class _RealRun:
-    """Goes through the stretches of a run, and measures each."""
+    """Plays the stretches of a run and measures each."""
 
     def __init__(self, fleet: SocketFleet, steps: list[Step], told: Told) -> None:
         self._fleet, self._steps, self._told = fleet, steps, told
@@ -106,7 +106,7 @@
         self._uses[BEGIN] = uses_between(fleet.nothing_used(sample), sample)
         self._figures["hosts_late_in_begin_ms"] = most_late_ms(fleet.late_ms)
         if not all_at_once:
-            fleet.late_ms.clear()  # such a begin is not what is measured
+            fleet.late_ms.clear()  # the lateness of a start with preloaded members is not checked
         self._told(0.2)
         return known
 
@@ -126,7 +126,7 @@
             await self._fleet.carry_out(step.action)
             self._watch.acted(time.monotonic(), step.action)
         known = await self._until_known()
-        await anyio.sleep(SETTLE_S)  # whose owner was hit has another one
+        await anyio.sleep(SETTLE_S)  # tasks whose owner was hit get another one
         after = await self._fleet.sample()
         self._uses[FAULT] = uses_between(before, after)
         known.occasions = self._watch.occasions(after.stopped())
@@ -153,6 +153,6 @@
             if not lacking:
                 return Known(time.monotonic() - began_s)
             if self._fleet.ended_by_itself():
-                break  # it will never be whole
+                break  # the fleet will never be complete
             await anyio.sleep(LOOK_S)
         return Known(math.inf, lacking)
--- a/sailrun/lab/scale/results.py
+++ b/sailrun/lab/scale/results.py
@@ -1,4 +1,4 @@
-"""What a scale run leaves behind: its summary and its records, the same for both drivers."""
+"""The results of a scale run: its summary and its records, the same for both drivers."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 @dataclass(slots=True)
 class Known:
-    """After how many seconds every node knew every other; infinite: never, and who lacked something.
-    `occasions`: how much had happened that they had to get over.
+    """`seconds`: the time until every node knew every other; infinite if it never happened. `lacking`: the
+    nodes that did not know every other then. `occasions`: the number of events that they had to recover from.
     """
 
     seconds: float
@@ -37,8 +37,9 @@
 
 @dataclass(slots=True)
 class Measured:
-    """`late_ms`, by host, where there are hosts; `processes` in real time only. Times of rows in us of one
-    clock.
+    """The measurements of a run. `late_ms`: by host, None without hosts. `processes`: 0 in virtual time.
+
+    The times of the rows are microseconds of one clock.
     """
 
     begin: Known
@@ -55,7 +56,7 @@
 
 
 class ScaleRecords(Records):
-    """Two tables: what happened (`history`), and what each node used in each stretch (`uses`)."""
+    """Two tables: the events (`history`), and the resource use of each node in each stretch (`uses`)."""
 
     def __init__(self, measured: Measured) -> None:
         super().__init__()
--- a/sailrun/lab/scale/role_table.py
+++ b/sailrun/lab/scale/role_table.py
@@ -1,4 +1,4 @@
-"""The figures by role as a table for people."""
+"""Formats the figures by role as a text table."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def role_lines(figures: Figures) -> Iterator[str]:
-    """For each stretch its roles: median and busiest node of each measure."""
+    """Yields, for each stretch, a header and a line per role: median and maximum of each measure."""
     for stretch, prefix in PREFIXES.items():
         roles = [role for role in _roles(figures) if _stretch_of(role) == prefix]
         if not roles:
--- a/sailrun/lab/scale/roles.py
+++ b/sailrun/lab/scale/roles.py
@@ -1,4 +1,4 @@
-"""What nodes of each role use: pure figures out of two reports of the same nodes."""
+"""Computes the resource use by role from two reports of the same nodes, without I/O."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 ORDINARY, VOTER, READER_ROLE, REAL = "ordinary", "voter", "reader", "real"
 CONTROL_ROLE, ASSIGNER = "control", "assigner"
 SHARDS_TASK = "shards/"
-# What is told of every node, each a second but for memory.
+# The measures of every node: per second, except for memory.
 MEASURES = ("bytes_in", "bytes_out", "messages_in", "messages_out", "cpu", "cpu_whole", "memory_mb")
 
 
 @dataclass(frozen=True, slots=True)
 class NodeUse:
-    """What one node used in a stretch of time. Bytes and messages a second, `cpu` as a share of one core:
-    inside the agent, packing, unpacking and sending. `cpu_whole`: its share of its whole process.
+    """The resource use of one node in a stretch. Bytes and messages are per second.
+
+    `cpu`: the share of one core for the agent, encoding, decoding and sending. `cpu_whole`: the node's part
+    of the processor time of its whole process, as a share of one core.
     """
 
     name: str
@@ -35,7 +37,9 @@
 
 
 def roles_of(report: NodeReport, is_real: bool = False) -> tuple[str, ...]:
-    """A real process is told of by itself; a node with several roles counts in each of them."""
+    """Returns the roles of a node. A real process has a role of its own; a node with several roles counts in
+    each.
+    """
     if is_real:
         return (REAL,)
     roles = [_role_of_owner(task) for task in report.tasks]
@@ -60,7 +64,7 @@
     memory_mb: float,
     is_real: bool = False,
 ) -> NodeUse:
-    """Roles are those at the end."""
+    """Returns the use between two reports of a node, with the roles of the later report."""
     one, other = before.traffic, after.traffic
     return NodeUse(
         after.name,
@@ -76,7 +80,7 @@
 
 
 def role_figures(uses: Iterable[NodeUse], prefix: str = "") -> dict[str, float]:
-    """`ROLE.MEASURE.median` and `ROLE.MEASURE.most`, and `ROLE.nodes`."""
+    """Returns the figures `ROLE.MEASURE.median`, `ROLE.MEASURE.most` (the maximum) and `ROLE.nodes`."""
     by_role: dict[str, list[NodeUse]] = defaultdict(list)
     for use in uses:
         for role in use.roles:
--- a/sailrun/lab/scale/settings.py
+++ b/sailrun/lab/scale/settings.py
@@ -1,4 +1,4 @@
-"""The terms of a node in a scale run: the program's defaults, with every part of the fleet switched on."""
+"""The settings of a node in a scale run: the defaults of the program, with all fleet features enabled."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 FLEET = "scale"
-# Nodes join by the first so many, which stand in as many regions.
+# Nodes join through this many of the first nodes, each of which is in another region.
 JOIN_BY = 3
 
 
 def node_terms(plan: ScalePlan, places: list[Place], place: Place) -> AgentSettings:
-    """The terms of one node. The owner of the rebalancer's pace is kept, although nobody asks it."""
+    """Returns the settings of one node.
+
+    The move rate has a leader, although no node requests a rate grant.
+    """
     joins = tuple(p.address for p in places[:JOIN_BY] if p.name != place.name)
     return AgentSettings(
         MembershipSettings(
@@ -38,7 +41,9 @@
 
 
 def shards_terms(plan: ScalePlan, places: list[Place]) -> ShardingSettings:
-    """Every region has the same number of shards, and its control members vote."""
+    """Returns the sharding settings: every region has the same number of shards, and its control members
+    vote.
+    """
     if not plan.shards:
         return ShardingSettings()
     regions = tuple(
@@ -53,7 +58,7 @@
 
 
 def record_of(place: Place, life: int) -> MemberRecord:
-    """What a node says of itself as it starts."""
+    """Returns the member record with which a node starts."""
     return MemberRecord(
         place.name, life, 1, MemberState.ALIVE, place.address, place.zone, place.region, place.role
     )
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -1,4 +1,4 @@
-"""All processes of a scale run in real time: hosts with hollow nodes, and real processes."""
+"""Runs all processes of a scale run in real time: hosts with hollow nodes, and real processes."""
 
 from __future__ import annotations
 
@@ -63,8 +63,8 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSample:
-    """A host's report, when it came (seconds, monotonic), in which of its lives, and what it took without
-    nodes.
+    """A host's report, its time of arrival (monotonic seconds), the host's start number, and the memory and
+    processor time that the host used without nodes.
     """
 
     at_s: float
@@ -76,17 +76,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What all nodes had used by then. Real processes with the time of their answer."""
+    """The resource use of all nodes up to one point. Real processes have the time of their answer."""
 
     hosts: dict[int, HostSample]
     real: dict[str, tuple[float, NodeReport]]
 
     def stopped(self) -> int:
-        """Messages that cuts and silences kept back, since the hosts that answered started."""
+        """Returns the number of messages that cuts and silences blocked since the answering hosts started."""
         return sum(host.report.stopped for host in self.hosts.values())
 
     def reports(self) -> list[NodeReport]:
-        """Of all nodes."""
+        """Returns the reports of all nodes."""
         hollow = [report for host in self.hosts.values() for report in host.report.nodes]
         return hollow + [report for _, report in self.real.values()]
 
@@ -96,7 +96,7 @@
 
 
 def uses_between(before: Sample, after: Sample) -> list[NodeUse]:
-    """Of the nodes that lived from the one to the other."""
+    """Returns the use of the nodes that ran from the first sample to the second without a restart."""
     uses = []
     for number, end in after.hosts.items():
         begin = before.hosts.get(number)
@@ -109,7 +109,7 @@
         spent_s = end.report.cpu_s - begin.report.cpu_s
         agents_s = sum(report.cpu_s - was.cpu_s for was, report in lived)
         for was, report in lived:
-            # Of the whole process a node has the same part as of the agents' time.
+            # A node's part of the process time equals its part of the time of all agents.
             part = (report.cpu_s - was.cpu_s) / agents_s if agents_s else 0.0
             uses.append(use_between(was, report, seconds, spent_s * part / seconds, memory_mb))
     for name, (end_s, report) in after.real.items():
@@ -134,7 +134,7 @@
         self.real = {p.name: RealProcess(p, self.record) for p in self.places if p.real}
         self._roster_us = self.begin_us
         self._roster = SteadyRoster(self._roster_us)
-        self._numbers: dict[str, int] = {}  # of each node's latest life
+        self._numbers: dict[str, int] = {}  # the number of each node's latest start
         self._running: set[str] = set()
         self._stopped: set[str] = set()  # by SIGSTOP
         self._ends = False
@@ -158,7 +158,7 @@
         return Setup(self.plan, host, self._block, self._roster_us, source)
 
     async def start_all(self, known: bool) -> None:
-        """Every node, all at once."""
+        """Starts all nodes without waiting in between."""
         for host in self.hosts:
             await self._start_hollow(host, self._names_of(host), known)
         for name in self.real:
@@ -204,7 +204,7 @@
             await anyio.sleep(0.02)
 
     def ended_by_itself(self) -> list[str]:
-        """Processes that ended although nobody had them end; hosts with the last words of their log."""
+        """Returns the processes that ended without being told to; hosts with the last line of their log."""
         hosts = [f"{host.name} ({host.last_words()})" for host in self.hosts if host.ended_by_itself]
         return hosts + self._real_ended
 
@@ -276,10 +276,13 @@
                     await anyio.sleep(0.02)
                 self._start_real(name)
 
-    # ------------------------------------------------------------------ what is looked at
+    # ------------------------------------------------------------------ inspection
 
     async def lacking(self) -> list[str]:
-        """The nodes that do not know exactly those that run; who is stopped counts as not running."""
+        """Returns the nodes that do not know exactly the running nodes.
+
+        A stopped node counts as not running.
+        """
         running = self._running - self._stopped
         names = sorted(running)
         again = {n: number for n, number in self._numbers.items() if number > 1 and n in running}
@@ -332,7 +335,7 @@
         return Sample(hosts, real)
 
     def nothing_used(self, sample: Sample) -> Sample:
-        """The sample of before the begin, for the same nodes."""
+        """Returns a sample of the same nodes with zero use, as of the start of the run."""
 
         def fresh(report: NodeReport) -> NodeReport:
             return NodeReport(report.name, report.life, TrafficCounters(), 0.0, [], report.voter)
@@ -353,7 +356,10 @@
 
 @contextmanager
 def loopback_block(seed: int) -> Iterator[int]:
-    """A block of loopback addresses that no other run has: 127.BLOCK.0.0/16. Raises OSError for none left."""
+    """Reserves a block of loopback addresses that no other run uses: 127.BLOCK.0.0/16.
+
+    Raises OSError if none is free.
+    """
     blocks = list(BLOCKS)
     random.Random(f"{seed}/{time.monotonic_ns()}").shuffle(blocks)
     for block in blocks:
--- a/sailrun/lab/scale/stretches.py
+++ b/sailrun/lab/scale/stretches.py
@@ -1,7 +1,7 @@
-"""The stretches of a run that are measured, and how their figures are named."""
+"""The measured stretches of a run and the prefixes of their figures."""
 
 from __future__ import annotations
 
 BEGIN, REST, FAULT = "begin", "rest", "fault"
-# The figures of rest have no prefix.
+# The figures of the rest stretch have no prefix.
 PREFIXES = {REST: "", FAULT: "fault.", BEGIN: "begin."}
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -1,7 +1,7 @@
 """Plays a scale run in virtual time: the same agents, the same network model, in one process.
 
-Neither an event loop nor sockets are there, so that `cpu` lacks unpacking and sending. All nodes share the
-records of members with which they begin: memory is less than that of separate nodes.
+There are no event loop and no sockets, so `cpu` excludes decoding and sending. All nodes share the member
+records with which they start, so they use less memory than separate nodes.
 """
 
 from __future__ import annotations
@@ -78,14 +78,17 @@
         self._stops: dict[str, int] = {}
 
     def begin(self) -> None:
-        """All at once. But for `begin`, every node knows every other from the first moment on."""
+        """Starts all nodes at once.
+
+        Except for the fault `begin`, every node knows every other from the start.
+        """
         self.time.after(ROSTER_S * SECOND, self._publish)
         for name in self.names:
             self.start(name)
         if self.plan.faults == "begin":
             return
         records = [self.agent(name).members.own_record for name in self.names]
-        gc.disable()  # nothing of this is garbage
+        gc.disable()  # none of these allocations is garbage
         for name in self.names:
             others = [record for record in records if record.name != name]
             know_members(self.agent(name), self.clock_us(self.nodes[name]), others)
@@ -178,18 +181,21 @@
     def _continue(self, name: str) -> None:
         self.go_on(name, self._stops.get(name, 0))
 
-    # ------------------------------------------------------------------ what is looked at
+    # ------------------------------------------------------------------ inspection
 
     @property
     def now_s(self) -> float:
-        """Seconds since the begin."""
+        """Seconds since the start of the run."""
         return (self.time.now_us - BEGIN_US) / SECOND
 
     def run_for(self, seconds: float) -> None:
         self.run(self.now_s + seconds)
 
     def lacking(self) -> list[str]:
-        """The nodes that do not know exactly those that run; who is stopped counts as not running."""
+        """Returns the nodes that do not know exactly the running nodes.
+
+        A stopped node counts as not running.
+        """
         nodes = [self.nodes[name] for name in sorted(self.names)]
         running = [node for node in nodes if node.agent is not None and not node.stopped]
         names = [node.name for node in running]
@@ -225,7 +231,7 @@
 
 
 class _Stretch:
-    """A stretch of a run: what was used since it began."""
+    """A stretch of a run: the resource use of the nodes since it began."""
 
     def __init__(self, fleet: VirtualScaleFleet, base_mb: float) -> None:
         self._fleet, self._base_mb = fleet, base_mb
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -324,7 +324,7 @@
     assert late_check({"host-0": on_time, "host-1": on_time}).holds
     check = late_check({"host-0": on_time, "host-1": late})
     assert not check.holds and check.faults == [
-        "host-1 was late by 150 ms: the figures of this run mean nothing"
+        "host-1 ran its event loop late by 150 ms: the figures of this run are invalid"
     ]
     assert not late_check({}).holds
 
@@ -333,7 +333,11 @@
     assert known_check("known", KNOWN_S, [], occasions=1).holds
     assert not known_check("known", 0.0, [], occasions=0).holds
     never = known_check("known", float("inf"), ["n4"], occasions=1)
-    assert not never.holds and never.value is None and never.faults == ["n4 knows other members"]
+    assert (
+        not never.holds
+        and never.value is None
+        and never.faults == ["n4 does not know exactly the running members"]
+    )
 
 
 def test_the_longest_time_without_an_owner_is_between_two_that_there_were() -> None:
