--- a/sailrun/lab/scale/checks.py
+++ b/sailrun/lab/scale/checks.py
@@ -10,22 +10,22 @@
 from sailrun.lab.scale.host_messages import NodeReport
 
 # The time within which every node must know every other, after the start and after the last fault.
-KNOWN_S = 60.0
+KNOWN_LIMIT_S = 60.0
 # A host is overloaded if the 99th percentile of its event loop lateness exceeds this limit. The figures of
 # its nodes are then invalid.
-LATE_MS, LATE_SHARE = 100.0, 0.99
-NAMED = 5
+MAX_LATE_MS, LATE_QUANTILE = 100.0, 0.99
+MAX_NAMED_FAULTS = 5
 
 
-def known_check(name: str, seconds: float, lacking: Iterable[str], occasions: int) -> Outcome:
+def members_known_check(name: str, seconds: float, lacking: Iterable[str], occasions: int) -> Outcome:
     """Checks that every node knew every other in time.
 
     `seconds`: the time until then; infinite if it never happened. `occasions`: the number of events that the
     nodes had to recover from; with none the check fails, because nothing was tested.
     """
-    faults = [f"{node} does not know exactly the running members" for node in lacking][:NAMED]
-    holds = seconds <= KNOWN_S and occasions > 0
-    return Outcome(name, finite(seconds), KNOWN_S, holds, faults, occasions)
+    faults = [f"{node} does not know exactly the running members" for node in lacking][:MAX_NAMED_FAULTS]
+    holds = seconds <= KNOWN_LIMIT_S and occasions > 0
+    return Outcome(name, finite(seconds), KNOWN_LIMIT_S, holds, faults, occasions)
 
 
 def owner_checks(rows: list[Row], begin_us: int, end_us: int) -> list[Outcome]:
@@ -37,13 +37,20 @@
     faults = [fault for task, spans in sorted(holds.items()) for fault in _overlaps(task, spans, begin_us)]
     unowned = [task for task, spans in sorted(holds.items()) if not any(s.end_us >= end_us for s in spans)]
     return [
-        Outcome("one-owner-a-task", len(faults), 0, not faults and bool(holds), faults[:NAMED], len(holds)),
+        Outcome(
+            "one-owner-a-task",
+            len(faults),
+            0,
+            not faults and bool(holds),
+            faults[:MAX_NAMED_FAULTS],
+            len(holds),
+        ),
         Outcome(
             "every-task-owned-at-the-end",
             len(unowned),
             0,
             not unowned and bool(holds),
-            [f"{task} has no owner" for task in unowned[:NAMED]],
+            [f"{task} has no owner" for task in unowned[:MAX_NAMED_FAULTS]],
             len(holds),
         ),
     ]
@@ -75,15 +82,17 @@
 
 def late_check(late_ms: dict[str, list[float]]) -> Outcome:
     """Checks the event loop lateness of each host. If it fails, the figures of the run are invalid."""
-    worst = {host: quantile(values, LATE_SHARE) for host, values in late_ms.items()}
+    worst = {host: quantile(values, LATE_QUANTILE) for host, values in late_ms.items()}
     faults = [
         f"{host} ran its event loop late by {late:.0f} ms: the figures of this run are invalid"
         for host, late in sorted(worst.items())
-        if late > LATE_MS
+        if late > MAX_LATE_MS
     ]
     looks = sum(len(values) for values in late_ms.values())
     value = max(worst.values(), default=0.0)
-    return Outcome("hosts-on-time-ms", value, LATE_MS, not faults and looks > 0, faults[:NAMED], looks)
+    return Outcome(
+        "hosts-on-time-ms", value, MAX_LATE_MS, not faults and looks > 0, faults[:MAX_NAMED_FAULTS], looks
+    )
 
 
 def shards_check(reports: list[NodeReport], shards: int) -> Outcome:
@@ -96,12 +105,14 @@
     return Outcome("shards-owned-at-the-end", abs(shards - used), 0, not faults, faults, shards)
 
 
-def most_late_ms(late_ms: dict[str, list[float]]) -> float:
+def worst_late_ms(late_ms: dict[str, list[float]]) -> float:
     """Returns the 99th percentile of the event loop lateness of the worst host."""
-    return max((quantile(values, LATE_SHARE) for values in late_ms.values()), default=0.0)
+    return max((quantile(values, LATE_QUANTILE) for values in late_ms.values()), default=0.0)
 
 
 def ended_check(ended: list[str], processes: int) -> Outcome:
     """Checks that no process ended without being told to by the run."""
     faults = [f"{name} ended by itself" for name in ended]
-    return Outcome("no-process-ended-by-itself", len(ended), 0, not ended, faults[:NAMED], processes)
+    return Outcome(
+        "no-process-ended-by-itself", len(ended), 0, not ended, faults[:MAX_NAMED_FAULTS], processes
+    )
--- a/sailrun/lab/scale/command.py
+++ b/sailrun/lab/scale/command.py
@@ -16,7 +16,7 @@
 
 def play_scale(
     plan: ScalePlan,
-    told: Callable[[float], None] = lambda share: None,
+    on_progress: Callable[[float], None] = lambda share: None,
     steps: list[Step] | None = None,
 ) -> tuple[Summary, ScaleRecords]:
     """Plays the plan. `steps` replaces the faults of the plan.
@@ -28,7 +28,7 @@
     if steps is None:
         steps = fault_steps(plan, place_nodes(plan))
     play = play_sockets if plan.driver == "sockets" else play_virtual
-    measured = play(plan, steps, told)
+    measured = play(plan, steps, on_progress)
     cost = {
         "wall_s": round(time.monotonic() - began_s, 2),
         "cpu_s": round(time.process_time() - cpu_s, 2),  # of this process, excluding the host processes
--- a/sailrun/lab/scale/fault_watch.py
+++ b/sailrun/lab/scale/fault_watch.py
@@ -25,7 +25,7 @@
         self._killed_s: float | None = None  # until all remaining nodes know of the kill
         self._gone_known_s: float | None = None
 
-    def acted(self, now_s: float, action: Action) -> None:
+    def on_action(self, now_s: float, action: Action) -> None:
         self.actions += 1
         self._cuts += isinstance(action, CutRegions | SilenceNodes)
         if isinstance(action, KillHost | KillNodes):
@@ -33,7 +33,7 @@
         elif isinstance(action, StartHost | StartNodes) and self._killed_s is not None:
             self._gone_known_s, self._killed_s = math.inf, None  # restarted before all nodes knew
 
-    def saw(self, now_s: float, lacking: int) -> None:
+    def on_poll(self, now_s: float, lacking: int) -> None:
         """`lacking`: the number of nodes that do not know exactly the running members."""
         self.most_lacking = max(self.most_lacking, lacking)
         if lacking == 0 and self._killed_s is not None:
--- a/sailrun/lab/scale/faults.py
+++ b/sailrun/lab/scale/faults.py
@@ -8,12 +8,12 @@
 from sailrun.lab.scale.plan import Place, ScalePlan, region_name
 
 # How long nodes stay killed and switches failed, regions cut off from each other, and processes stopped.
-AWAY_S, CUT_S, STOPPED_S = 60.0, 30.0, 6.0
+DOWN_S, CUT_S, STOPPED_S = 60.0, 30.0, 6.0
 # When nodes are killed: the stopped processes have been running again for some time by then.
 KILL_AT_S = 20.0
 # A rolling restart: the number of parts of the fleet, the time from one part to the next, and the time that
 # each part is down.
-ROLL_PARTS, ROLL_STEP_S, ROLL_AWAY_S = 20, 4.0, 2.0
+ROLL_PARTS, ROLL_STEP_S, ROLL_DOWN_S = 20, 4.0, 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,11 +121,11 @@
         case "hosts":
             return _hosts(plan, places)
         case "rack":
-            rack = _some_rack(places)
-            return [Step(0.0, SilenceNodes(rack, True)), Step(AWAY_S, SilenceNodes(rack, False))]
+            rack = _last_zone_rack(places)
+            return [Step(0.0, SilenceNodes(rack, True)), Step(DOWN_S, SilenceNodes(rack, False))]
         case "zone":
-            zone = _some_zone(places)
-            return [Step(0.0, KillNodes(zone)), Step(AWAY_S, StartNodes(zone))]
+            zone = _last_zone(places)
+            return [Step(0.0, KillNodes(zone)), Step(DOWN_S, StartNodes(zone))]
         case "cut":
             other = region_name(min(1, plan.regions - 1))
             return [Step(0.0, CutRegions(region_name(0), other)), Step(CUT_S, HealRegions())]
@@ -140,7 +140,7 @@
     All of them at once could leave the voters without a majority, which is another fault.
     """
     real = [place.name for place in places if place.real]
-    back_s = KILL_AT_S + AWAY_S
+    back_s = KILL_AT_S + DOWN_S
     steps = []
     if plan.hosts > 1:
         steps += [Step(0.0, StopHost(1)), Step(STOPPED_S, ContinueHost(1))]
@@ -153,7 +153,7 @@
     return sorted(steps, key=lambda step: step.at_s)
 
 
-def _some_rack(places: list[Place]) -> tuple[str, ...]:
+def _last_zone_rack(places: list[Place]) -> tuple[str, ...]:
     """Returns the hollow nodes of the last zone's first rack.
 
     Real processes are left out, because the run cannot fail their switch.
@@ -163,7 +163,7 @@
     return tuple(place.name for place in hollow if place.rack == rack)
 
 
-def _some_zone(places: list[Place]) -> tuple[str, ...]:
+def _last_zone(places: list[Place]) -> tuple[str, ...]:
     """Returns the nodes of the last zone, which has no real processes."""
     zone = [place for place in places if not place.real][-1].zone
     return tuple(place.name for place in places if place.zone == zone)
@@ -174,8 +174,11 @@
     random.Random(f"roll/{plan.seed}").shuffle(names)
     steps = []
     for part in range(ROLL_PARTS):
-        its = tuple(names[part::ROLL_PARTS])
-        if its:
+        part_names = tuple(names[part::ROLL_PARTS])
+        if part_names:
             begin_s = part * ROLL_STEP_S
-            steps += [Step(begin_s, LeaveNodes(its)), Step(begin_s + ROLL_AWAY_S, StartNodes(its))]
+            steps += [
+                Step(begin_s, LeaveNodes(part_names)),
+                Step(begin_s + ROLL_DOWN_S, StartNodes(part_names)),
+            ]
     return steps
--- a/sailrun/lab/scale/hollow_host.py
+++ b/sailrun/lab/scale/hollow_host.py
@@ -18,7 +18,7 @@
 from anyio.abc import TaskGroup
 
 from sailrun.lab.scale.delay_line import DelayLine
-from sailrun.lab.scale.hollow_node import HollowNode, life_of, member_record
+from sailrun.lab.scale.hollow_node import HollowNode, member_record, process_number_of
 from sailrun.lab.scale.host_messages import (
     Answer,
     Command,
@@ -42,14 +42,14 @@
 )
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import place_nodes
-from sailrun.lab.scale.settings import node_terms
+from sailrun.lab.scale.settings import node_settings
 from sailrun.leadership.clock import boot_us
 from sailrun.membership.messages import MemberRecord
 
 # The interval at which the lateness of the event loop is measured.
-LATE_STEP_S = 0.05
+LATENESS_INTERVAL_S = 0.05
 # The kinds of ownership rows that are recorded; the others would add a row for every request.
-KEPT = ("hold", "lost")
+OWNERSHIP_KINDS = ("hold", "lost")
 
 
 class HollowHost:
@@ -68,7 +68,7 @@
 
     async def _measure_lateness(self) -> None:
         while True:
-            due_s = anyio.current_time() + LATE_STEP_S
+            due_s = anyio.current_time() + LATENESS_INTERVAL_S
             await anyio.sleep_until(due_s)
             self._late_ms.append(round((anyio.current_time() - due_s) * 1000, 2))
 
@@ -118,13 +118,13 @@
         setup, place = self._setup, self._by_name[name]
 
         def record(kind: str, **facts: Any) -> None:
-            if kind in KEPT:
+            if kind in OWNERSHIP_KINDS:
                 self._row(kind, name, **facts)
 
-        self._row("started", name, life=life_of(setup.plan.seed, name, number))
+        self._row("started", name, life=process_number_of(setup.plan.seed, name, number))
         return HollowNode(
             place,
-            node_terms(setup.plan, self._places, place),
+            node_settings(setup.plan, self._places, place),
             setup.plan.seed,
             number,
             self._network,
@@ -150,11 +150,11 @@
 
     # ------------------------------------------------------------------ queries
 
-    async def _look(self, asked: Look) -> Looked:
+    async def _look(self, expected_members: Look) -> Looked:
         lacking = []
         nodes = list(self._nodes.values())
         for node in nodes:
-            if not node.knows(asked, self._setup.plan.seed):
+            if not node.knows(expected_members, self._setup.plan.seed):
                 lacking.append(node.place.name)
             await anyio.sleep(0)
         return Looked(len(nodes), lacking)
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -14,12 +14,12 @@
 import anyio
 
 from sailrun.connection import split_address
-from sailrun.lab.scale.delay_line import AT_ONCE_S, DelayLine
+from sailrun.lab.scale.delay_line import IMMEDIATE_S, DelayLine
 from sailrun.lab.scale.host_messages import Look, NodeReport
 from sailrun.lab.scale.metered_agent import MeteredAgent
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import Place
-from sailrun.lab.scale.settings import record_of
+from sailrun.lab.scale.settings import initial_member_record
 from sailrun.leadership.agent import READER_TASK_PREFIX, AgentSettings, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
 from sailrun.leadership.envelope import Envelope
@@ -33,16 +33,16 @@
 # The interval at which the endpoint list changes in a scale run.
 ROSTER_S = 60
 # A leaving node runs on for this time, as a real node does while it moves its clients.
-LEAVING_S = 0.5
+LEAVE_GRACE_S = 0.5
 
 
-def life_of(seed: int, name: str, number: int) -> int:
+def process_number_of(seed: int, name: str, number: int) -> int:
     """Returns the process number of the `number`-th start of a hollow node. Every host can compute it."""
     return random.Random(f"{seed}/{name}/{number}").getrandbits(62)
 
 
 def member_record(seed: int, place: Place, number: int) -> MemberRecord:
-    return record_of(place, life_of(seed, place.name, number))
+    return initial_member_record(place, process_number_of(seed, place.name, number))
 
 
 def names_crc(names: list[str]) -> int:
@@ -78,7 +78,7 @@
         if wait_s is None:
             self.traffic.sent(len(data))
             return
-        if wait_s < AT_ONCE_S:
+        if wait_s < IMMEDIATE_S:
             super()._send_datagram(datagrams, data, address)
         else:
             self._delays.after(wait_s, partial(self._put_late, datagrams, data, address))
@@ -121,7 +121,7 @@
     def __init__(
         self,
         place: Place,
-        terms: AgentSettings,
+        agent_settings: AgentSettings,
         seed: int,
         number: int,
         network: NetworkModel,
@@ -133,21 +133,21 @@
         """Raises OSError if the address is not available."""
         self.place, self.number = place, number
         self._began_us = began_us
-        luck = random.Random(f"{seed}/{place.name}/{number}/agent")
+        rng = random.Random(f"{seed}/{place.name}/{number}/agent")
         self.agent = MeteredAgent(
             member_record(seed, place, number),
-            terms,
-            luck.getrandbits(32),
+            agent_settings,
+            rng.getrandbits(32),
             boot_us(),
-            lambda: new_initial_term(time.time(), luck.getrandbits(12)),
+            lambda: new_initial_term(time.time(), rng.getrandbits(12)),
             record=record,
         )
         self.carrier = ModelledCarrier(self.agent, place, network, delays)
-        self.carrier.after_turn = self._after
+        self.carrier.after_turn = self._after_turn
         self._task = READER_TASK_PREFIX + place.zone
-        self._reading = SharedList(roster, terms.list_reader, boot_us())
-        self.agent.request_handlers[self._task] = lambda now_us, sender, content: self._reading.answer_query(
-            content
+        self._shared_list = SharedList(roster, agent_settings.list_reader, boot_us())
+        self.agent.request_handlers[self._task] = lambda now_us, sender, content: (
+            self._shared_list.answer_query(content)
         )
         self._scope = anyio.CancelScope()
         self._checked = (-1, 0)  # the version of the member list, and the CRC of its names
@@ -162,67 +162,69 @@
 
     async def leave(self) -> None:
         self.carrier.post(self.agent.leave)
-        await anyio.sleep(LEAVING_S)
+        await anyio.sleep(LEAVE_GRACE_S)
         self.kill()
 
     def know(self, records: list[MemberRecord]) -> None:
         """Starts with these members known, as if it had joined long ago and disseminated all updates."""
-        know_members(self.agent, boot_us(), records)
+        preload_members(self.agent, boot_us(), records)
 
     # ------------------------------------------------------------------ endpoint list
 
-    def _after(self, now_us: int) -> list[OutgoingEnvelope]:
+    def _after_turn(self, now_us: int) -> list[OutgoingEnvelope]:
         """Reads the list after each turn as a real node does: the reader of a zone reads the registry, and
         the other nodes query the reader.
         """
-        reading = self._reading
-        reading.is_leader = bool(self.agent.leading_term(self._task, now_us))
-        if reading.must_read_registry(now_us):
-            reading.on_registry_list(roster_revision(self._began_us, now_us), [])
-        has = reading.next_query(now_us)
-        if has is None or not self.agent.members.has_joined:
+        shared_list = self._shared_list
+        shared_list.is_leader = bool(self.agent.leading_term(self._task, now_us))
+        if shared_list.must_read_registry(now_us):
+            shared_list.on_registry_list(roster_revision(self._began_us, now_us), [])
+        query = shared_list.next_query(now_us)
+        if query is None or not self.agent.members.has_joined:
             return []
-        return self.agent.request(now_us, self._task, [has.source, has.revision], self._answered)
+        return self.agent.request(now_us, self._task, [query.source, query.revision], self._on_answer)
 
-    def _answered(self, now_us: int, sent_us: int, content: Any) -> None:
-        self._reading.on_reply(now_us, content)
+    def _on_answer(self, now_us: int, sent_us: int, content: Any) -> None:
+        self._shared_list.on_reply(now_us, content)
 
     # ------------------------------------------------------------------ inspection
 
     def report(self) -> NodeReport:
         return node_report(self.agent, self.number, self.carrier.traffic, boot_us())
 
-    def knows(self, asked: Look, seed: int) -> bool:
+    def knows(self, expected_members: Look, seed: int) -> bool:
         """Returns whether the node knows exactly the members that the command describes."""
         members = self.agent.members
-        if not members.has_joined or len(members.living_names) != asked.count:
+        if not members.has_joined or len(members.living_names) != expected_members.count:
             return False
         if self._checked[0] != members.living_version:
             self._checked = (members.living_version, names_crc(members.living_names))
-        if self._checked[1] != asked.names_crc:
+        if self._checked[1] != expected_members.names_crc:
             return False
-        return all(self._knows_life(seed, name, number) for name, number in asked.lives.items())
+        return all(
+            self._knows_process_number(seed, name, number) for name, number in expected_members.lives.items()
+        )
 
-    def _knows_life(self, seed: int, name: str, number: int) -> bool:
+    def _knows_process_number(self, seed: int, name: str, number: int) -> bool:
         record = self.agent.members.find_record(name)
-        return record is not None and record.life == life_of(seed, name, number)
+        return record is not None and record.life == process_number_of(seed, name, number)
 
 
 def node_report(agent: MeteredAgent, life: int, traffic: TrafficCounters, now_us: int) -> NodeReport:
     """Returns what one node has used, the tasks that it leads, and how many shards it may use."""
     tasks = [task for task in agent.candidate_tasks() if agent.leading_term(task, now_us)]
     report = NodeReport(agent.name, life, traffic, agent.cpu_s, tasks, agent.voter is not None)
-    part = agent.shards
-    if part is None:
+    sharding = agent.shards
+    if sharding is None:
         return report
-    if part.is_assigner(now_us):
-        tasks.append(part.task)
-    report.control = part.session is None
-    report.shards = len(part.session.usable_shards(now_us)) if part.session is not None else 0
+    if sharding.is_assigner(now_us):
+        tasks.append(sharding.task)
+    report.control = sharding.session is None
+    report.shards = len(sharding.session.usable_shards(now_us)) if sharding.session is not None else 0
     return report
 
 
-def know_members(agent: MeteredAgent, now_us: int, records: list[MemberRecord]) -> None:
+def preload_members(agent: MeteredAgent, now_us: int, records: list[MemberRecord]) -> None:
     """Speeds up the start: the members are known at once, and their updates count as disseminated."""
     agent.members.preload(now_us, records)
     agent.cpu_s = 0.0
--- a/sailrun/lab/scale/host_process.py
+++ b/sailrun/lab/scale/host_process.py
@@ -17,9 +17,9 @@
 from sailrun.lab.faults.history import Row
 from sailrun.lab.scale.host_messages import Answer, Command, Ready, Recorded, Setup, line_of, read_answer
 
-LONGEST_ANSWER = 256 * 1024 * 1024
-MOST_ANSWERS = 16
-BROKEN = (
+MAX_ANSWER_BYTES = 256 * 1024 * 1024
+MAX_QUEUED_ANSWERS = 16
+STREAM_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     anyio.EndOfStream,
@@ -34,22 +34,22 @@
         """`record` is called with every row that the host records."""
         self.name, self.number, self._record = f"host-{number}", number, record
         self._log, self._group = folder / f"host-{number}.log", group
-        self._turn = anyio.Lock()
+        self._request_lock = anyio.Lock()
         self._process: Process | None = None
         self._answers: MemoryObjectReceiveStream[Answer] | None = None
         self.lives = 0
         self.base_mb = self.base_cpu_s = 0.0  # used without nodes
         self.stopped = False
-        self.ends = False  # the run has told it to end
+        self.is_ending = False  # the run has told it to end
         self.ended_by_itself = False
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self._process is not None and not self.stopped
 
     async def start(self, setup: Setup) -> None:
         """Starts the host and returns once it has reported that it is ready."""
-        self.lives, self.ends = self.lives + 1, False
+        self.lives, self.is_ending = self.lives + 1, False
         with self._log.open("ab") as log:
             process = await anyio.open_process(
                 [sys.executable, "-m", "sailrun.lab.scale.hollow_host"],
@@ -58,9 +58,9 @@
                 stderr=log,
             )
         self._process = process
-        into, self._answers = anyio.create_memory_object_stream[Answer](MOST_ANSWERS)
-        self._group.start_soon(self._watch, process, into)
-        answer = await self.ask(setup)
+        answer_sender, self._answers = anyio.create_memory_object_stream[Answer](MAX_QUEUED_ANSWERS)
+        self._group.start_soon(self._watch, process, answer_sender)
+        answer = await self.request(setup)
         if isinstance(answer, Ready):
             self.base_mb, self.base_cpu_s = answer.rss_mb, answer.cpu_s
 
@@ -68,9 +68,9 @@
         assert process.stdout is not None
         lines = BufferedByteReceiveStream(process.stdout)
         try:
-            with answers, suppress(*BROKEN):
+            with answers, suppress(*STREAM_ERRORS):
                 while True:
-                    answer = read_answer(await lines.receive_until(b"\n", LONGEST_ANSWER))
+                    answer = read_answer(await lines.receive_until(b"\n", MAX_ANSWER_BYTES))
                     if isinstance(answer, Recorded):
                         self._record(answer.row)
                     else:
@@ -81,36 +81,36 @@
                 process.kill()
             if self._process is process:
                 self._process = None
-            self.ended_by_itself = self.ended_by_itself or not self.ends
+            self.ended_by_itself = self.ended_by_itself or not self.is_ending
 
-    async def tell(self, command: Command) -> None:
+    async def send_command(self, command: Command) -> None:
         """Sends the host a command that has no answer."""
         process = self._process
         if process is not None and process.stdin is not None:
-            with suppress(*BROKEN):
+            with suppress(*STREAM_ERRORS):
                 await process.stdin.send(line_of(command))
 
-    async def ask(self, command: Command) -> Answer | None:
+    async def request(self, command: Command) -> Answer | None:
         """Returns the answer; None if the host does not run, is stopped or ends meanwhile."""
-        async with self._turn:
-            if not self.runs or self._answers is None:
+        async with self._request_lock:
+            if not self.is_running or self._answers is None:
                 return None
-            await self.tell(command)
-            with suppress(*BROKEN):
+            await self.send_command(command)
+            with suppress(*STREAM_ERRORS):
                 return await self._answers.receive()
         return None
 
     # ------------------------------------------------------------------ signals
 
     def kill(self) -> None:
-        self.ends = True
+        self.is_ending = True
         self._signal(signal.SIGKILL)
 
     def stop(self) -> None:
         self.stopped = True
         self._signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.stopped = False
         self._signal(signal.SIGCONT)
 
@@ -123,7 +123,7 @@
         while self._process is not None:
             await anyio.sleep(0.02)
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """Returns the last line of the host's log."""
         lines = self._log.read_text(errors="replace").strip().splitlines() if self._log.exists() else []
         return lines[-1] if lines else ""
--- a/sailrun/lab/scale/plan.py
+++ b/sailrun/lab/scale/plan.py
@@ -13,27 +13,27 @@
 FAULTS = ("rest", "hosts", "rack", "zone", "cut", "roll", "begin")
 
 # The largest sizes of a run.
-MOST_VIRTUAL = 3_800
-MOST_PROCESSES = 300
-MOST_MB = 12_000.0
+MAX_VIRTUAL_NODES = 3_800
+MAX_PROCESSES = 300
+MAX_MEMORY_MB = 12_000.0
 # Memory, rounded up: what one node stores of another, a hollow node that knows no members, a host without
 # nodes, a real process. In virtual time all nodes share one record of a member.
 PAIR_KB, HOLLOW_MB, HOST_MB, REAL_MB = 0.8, 0.15, 30.0, 50.0
 VIRTUAL_PAIR_KB, VIRTUAL_MB = 0.4, 60.0
 # Hollow nodes per host, and the fewest and the most hosts. The limit leaves a core for the real processes and
 # the run.
-HOLLOW_A_HOST, FEWEST_HOSTS, MOST_HOSTS = 100, 2, 7
+HOLLOW_PER_HOST, MIN_HOSTS, MAX_HOSTS = 100, 2, 7
 # File descriptors: of a hollow node for its sockets and links, and of a host for everything else.
-DESCRIPTORS_A_NODE, DESCRIPTORS_A_HOST = 4, 64
+DESCRIPTORS_PER_NODE, DESCRIPTORS_PER_HOST = 4, 64
 # Members of a region that are set aside for control if the run has shards.
-CONTROL_OF_A_REGION = 3
+CONTROL_PER_REGION = 3
 # Memory of a node's shard placement for each shard of its region.
 SHARD_BYTES = 16
 # Nodes that are connected to one switch.
 RACK_NODES = 20
 # The port of every hollow node on its own loopback address; below the range of ephemeral ports.
 PORT = 14_000
-NODES_A_BLOCK = 250
+NODES_PER_OCTET = 250
 
 
 class DoesNotFit(ValueError):
@@ -60,7 +60,7 @@
     replica: bool = True
 
     @property
-    def shards_of_a_region(self) -> int:
+    def shards_per_region(self) -> int:
         return math.ceil(self.shards / self.regions)
 
     @property
@@ -70,14 +70,14 @@
     @property
     def control(self) -> int:
         """The number of members set aside for control: the first nodes, which are spread over all regions."""
-        return CONTROL_OF_A_REGION * self.regions if self.shards else 0
+        return CONTROL_PER_REGION * self.regions if self.shards else 0
 
     @property
     def hosts(self) -> int:
         """The number of host processes for the hollow nodes."""
         if not self.hollow:
             return 0
-        return max(FEWEST_HOSTS, min(MOST_HOSTS, math.ceil(self.hollow / HOLLOW_A_HOST)))
+        return max(MIN_HOSTS, min(MAX_HOSTS, math.ceil(self.hollow / HOLLOW_PER_HOST)))
 
     @property
     def processes(self) -> int:
@@ -122,7 +122,7 @@
                 region_name(zone % plan.regions),
                 zone_name(zone, plan.regions),
                 f"{zone_name(zone, plan.regions)}-k{in_zone // RACK_NODES}",
-                f"127.{block}.{index // NODES_A_BLOCK}.{index % NODES_A_BLOCK + 1}:{PORT}",
+                f"127.{block}.{index // NODES_PER_OCTET}.{index % NODES_PER_OCTET + 1}:{PORT}",
                 index % max(1, plan.hosts) if is_hollow else -1,
                 CONTROL if plan.shards and is_hollow and index < plan.control else "",
             )
@@ -161,7 +161,7 @@
 def memory_mb(plan: ScalePlan) -> float:
     """Returns the memory that the run is expected to need."""
     pairs = plan.total * plan.total
-    shards_mb = plan.hollow * plan.shards_of_a_region * SHARD_BYTES / 1024**2
+    shards_mb = plan.hollow * plan.shards_per_region * SHARD_BYTES / 1024**2
     if plan.driver == "virtual":
         return VIRTUAL_MB + plan.total * HOLLOW_MB + pairs * VIRTUAL_PAIR_KB / 1024 + shards_mb
     processes_mb = plan.hosts * HOST_MB + plan.nodes * REAL_MB
@@ -172,12 +172,12 @@
     """Raises DoesNotFit with a one-line message if the run is too small or too large."""
     if plan.total < 3:
         raise DoesNotFit(f"{plan.total} nodes are fewer than 3")
-    if plan.driver == "virtual" and plan.total > MOST_VIRTUAL:
-        raise DoesNotFit(f"{plan.total} nodes are more than {MOST_VIRTUAL}, the limit of virtual time")
-    if plan.processes > MOST_PROCESSES:
-        raise DoesNotFit(f"{plan.processes} processes are more than {MOST_PROCESSES}")
-    if (needed_mb := memory_mb(plan)) > MOST_MB:
-        raise DoesNotFit(f"{needed_mb:.0f} MB are expected, more than {MOST_MB:.0f}")
+    if plan.driver == "virtual" and plan.total > MAX_VIRTUAL_NODES:
+        raise DoesNotFit(f"{plan.total} nodes are more than {MAX_VIRTUAL_NODES}, the limit of virtual time")
+    if plan.processes > MAX_PROCESSES:
+        raise DoesNotFit(f"{plan.processes} processes are more than {MAX_PROCESSES}")
+    if (needed_mb := memory_mb(plan)) > MAX_MEMORY_MB:
+        raise DoesNotFit(f"{needed_mb:.0f} MB are expected, more than {MAX_MEMORY_MB:.0f}")
     if plan.shards and plan.hollow < plan.control + plan.regions:
         raise DoesNotFit(
             f"{plan.hollow} hollow nodes are fewer than {plan.control + plan.regions}, the least with shards"
@@ -189,7 +189,7 @@
 def _check_descriptors(plan: ScalePlan) -> None:
     if not plan.hosts:
         return
-    needed = math.ceil(plan.hollow / plan.hosts) * DESCRIPTORS_A_NODE + DESCRIPTORS_A_HOST
+    needed = math.ceil(plan.hollow / plan.hosts) * DESCRIPTORS_PER_NODE + DESCRIPTORS_PER_HOST
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if allowed != resource.RLIM_INFINITY and needed > allowed:
         raise DoesNotFit(f"{needed} file descriptors per host are needed, {allowed} are allowed")
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -32,8 +32,8 @@
 from sailrun.leadership.clock import boot_us
 from sailrun.leadership.traffic import TrafficCounters
 
-BROKEN = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
-KEPT_ACTS = ("hold", "lost")
+STREAM_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
+OWNERSHIP_ACTS = ("hold", "lost")
 _LIVING = ("alive", "suspect")
 
 
@@ -69,11 +69,11 @@
         self.listen, self.control = free_address(), free_address()
         self.lives = 0
         self.process: Process | None = None
-        self.ends = False  # the run has told it to end
+        self.is_ending = False  # the run has told it to end
 
     async def run(self, files: ProcessFiles) -> None:
         """Runs the process from its start to its end. Kills it if this call is cancelled."""
-        self.lives, self.ends = self.lives + 1, False
+        self.lives, self.is_ending = self.lives + 1, False
         environment = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "SAILRUN_"))}
         command = [sys.executable, "-m", "sailrun", "serve"]
         process = self.process = await anyio.open_process(
@@ -86,9 +86,11 @@
         try:
             assert process.stderr is not None
             lines = BufferedByteReceiveStream(process.stderr)
-            with suppress(*BROKEN, anyio.IncompleteRead, anyio.DelimiterNotFound):
+            with suppress(*STREAM_ERRORS, anyio.IncompleteRead, anyio.DelimiterNotFound):
                 while True:
-                    self._heard((await lines.receive_until(b"\n", LONGEST_LINE)).decode("utf-8", "replace"))
+                    self._on_log_line(
+                        (await lines.receive_until(b"\n", LONGEST_LINE)).decode("utf-8", "replace")
+                    )
             await process.wait()
         finally:
             if process.returncode is None:
@@ -98,15 +100,15 @@
             self.process = None
             self._row("died", self.place.name, boot_us(), code=process.returncode)
 
-    def _heard(self, line: str) -> None:
+    def _on_log_line(self, line: str) -> None:
         """Records a log line `TIME act kind=hold at_us=... task=... left_us=...`.
 
         The times in it are of the monotonic clock.
         """
         _, _, rest = line.strip().partition(" ")
-        what, *words = rest.split(" ")
-        facts: dict[str, Any] = dict(word.split("=", 1) for word in words if "=" in word)
-        if what != "act" or facts.get("kind") not in KEPT_ACTS:
+        what, *fields = rest.split(" ")
+        facts: dict[str, Any] = dict(field.split("=", 1) for field in fields if "=" in field)
+        if what != "act" or facts.get("kind") not in OWNERSHIP_ACTS:
             return
         at_us = int(facts["at_us"]) + _boot_offset_us()
         if facts["kind"] == "lost":
@@ -119,7 +121,7 @@
     def send_signal(self, number: signal.Signals) -> None:
         """Sends a signal to the process if it runs."""
         if number in (signal.SIGKILL, signal.SIGTERM):
-            self.ends = True
+            self.is_ending = True
         if self.process is not None and self.process.returncode is None:
             with suppress(ProcessLookupError):
                 self.process.send_signal(number)
@@ -128,7 +130,7 @@
 
     async def report(self) -> NodeReport | None:
         """Returns None if the process does not run or does not answer."""
-        counts = await self._asked("fleet counts")
+        counts = await self._query("fleet counts")
         process = self.process
         if counts is None or process is None:
             return None
@@ -139,22 +141,22 @@
         keys = ("messages_in", "messages_out", "bytes_in", "bytes_out")
         traffic = TrafficCounters(*(counts[key] for key in keys))
         report = NodeReport(self.place.name, self.lives, traffic, cpu_s, [], False, memory)
-        shown = await self._asked("fleet shards")
-        report.shards = len(shown["usable"]) if shown is not None else 0
+        shards_answer = await self._query("fleet shards")
+        report.shards = len(shards_answer["usable"]) if shards_answer is not None else 0
         return report
 
-    async def knows(self, asked: Look) -> bool:
+    async def knows(self, expected_members: Look) -> bool:
         """Returns whether the process knows exactly the members that the command describes, by name."""
-        members = await self._asked("fleet members")
+        members = await self._query("fleet members")
         if members is None:
             return False
         names = sorted(m["name"] for m in members if m["state"] in _LIVING)
-        return len(names) == asked.count and names_crc(names) == asked.names_crc
+        return len(names) == expected_members.count and names_crc(names) == expected_members.names_crc
 
-    async def _asked(self, line: str) -> Any:
+    async def _query(self, line: str) -> Any:
         """Returns the JSON answer to a line on the control address, or None if there is no `ok` answer."""
         answer = b""
-        with anyio.move_on_after(ANSWER_TIMEOUT_S), suppress(*BROKEN):
+        with anyio.move_on_after(ANSWER_TIMEOUT_S), suppress(*STREAM_ERRORS):
             async with await anyio.connect_tcp(*self.control) as stream:
                 await stream.send(f"{line}\r\n".encode())
                 while True:
@@ -165,12 +167,12 @@
 
 def process_cpu_s(pid: int) -> float:
     """Returns the processor time of a process so far. Raises OSError if the process does not exist."""
-    words = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
-    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def write_files(
-    folder: Path, process: RealProcess, plan: ScalePlan, terms: AgentSettings, roster: RigRoster
+    folder: Path, process: RealProcess, plan: ScalePlan, agent_settings: AgentSettings, roster: RigRoster
 ) -> ProcessFiles:
     """Writes the platform's file and the operator's file of one process."""
     place = process.place
@@ -178,22 +180,22 @@
     settings["az"] = place.zone
     config = {
         "name": place.name,
-        "listen": _text(process.listen),
-        "control": _text(process.control),
-        "discovery": _text(roster.address),
+        "listen": _address_text(process.listen),
+        "control": _address_text(process.control),
+        "discovery": _address_text(roster.address),
         "seed": f"{plan.seed * 10_000 + place.index:x}",
         "peers": [],
         "known": roster.whole(),
         "settings": settings,
     }
     tables: dict[str, Any] = {
-        "members": msgspec.to_builtins(terms.membership),
-        "owners": {**msgspec.to_builtins(terms.leadership), "record": True},
-        "permits": msgspec.to_builtins(terms.permits),
-        "reader": msgspec.to_builtins(terms.list_reader),
-        "replica": msgspec.to_builtins(terms.replication),
-        "shards": msgspec.to_builtins(terms.sharding),
-        "rebalance": {"enabled": terms.shares_move_rate},
+        "members": msgspec.to_builtins(agent_settings.membership),
+        "owners": {**msgspec.to_builtins(agent_settings.leadership), "record": True},
+        "permits": msgspec.to_builtins(agent_settings.permits),
+        "reader": msgspec.to_builtins(agent_settings.list_reader),
+        "replica": msgspec.to_builtins(agent_settings.replication),
+        "shards": msgspec.to_builtins(agent_settings.sharding),
+        "rebalance": {"enabled": agent_settings.shares_move_rate},
     }
     files = ProcessFiles(folder / f"{place.name}.json", folder / f"{place.name}.toml")
     files.config.write_text(json.dumps(config))
@@ -201,7 +203,7 @@
     return files
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from sailrun.lab.scale.checks import KNOWN_S, NAMED, most_late_ms
+from sailrun.lab.scale.checks import KNOWN_LIMIT_S, MAX_NAMED_FAULTS, worst_late_ms
 from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import Step
 from sailrun.lab.scale.plan import ScalePlan, memory_mb
@@ -23,18 +23,18 @@
 from sailrun.leadership.clock import boot_us
 
 # How often the run checks that every node knows every other, and for how long at most.
-LOOK_S, GIVEN_UP_S = 0.5, 2 * KNOWN_S
+CHECK_INTERVAL_S, KNOWN_TIMEOUT_S = 0.5, 2 * KNOWN_LIMIT_S
 # The wait before a measurement, after every node knows every other: leases settle in it.
 SETTLE_S = 3.0
-Told = Callable[[float], None]
+OnProgress = Callable[[float], None]
 
 
-def play_sockets(plan: ScalePlan, steps: list[Step], told: Told) -> Measured:
+def play_sockets(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
     """Plays the plan. Raises OSError if addresses are not available."""
-    return anyio.run(_play, plan, steps, told)
+    return anyio.run(_play, plan, steps, on_progress)
 
 
-async def _play(plan: ScalePlan, steps: list[Step], told: Told) -> Measured:
+async def _play(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
     with (
         tempfile.TemporaryDirectory(prefix="sailrun-scale-") as folder,
         loopback_block(plan.seed) as block,
@@ -44,7 +44,7 @@
             group.start_soon(_end_on_signal, group.cancel_scope)
             fleet = SocketFleet(plan, block, Path(folder), group)
             try:
-                measured = await _RealRun(fleet, steps, told).measure()
+                measured = await _RealRun(fleet, steps, on_progress).measure()
             finally:
                 with anyio.CancelScope(shield=True):
                     await fleet.end()
@@ -67,8 +67,8 @@
 class _RealRun:
     """Plays the stretches of a run and measures each."""
 
-    def __init__(self, fleet: SocketFleet, steps: list[Step], told: Told) -> None:
-        self._fleet, self._steps, self._told = fleet, steps, told
+    def __init__(self, fleet: SocketFleet, steps: list[Step], on_progress: OnProgress) -> None:
+        self._fleet, self._steps, self._on_progress = fleet, steps, on_progress
         self._watch = FaultWatch()
         self._uses: dict[str, list[NodeUse]] = {}
         self._figures = {"hosts": float(len(fleet.hosts)), "memory_expected_mb": memory_mb(fleet.plan)}
@@ -82,7 +82,7 @@
         end_us = boot_us()
         last = await fleet.sample()
         self._figures["memory_mb"] = last.memory_mb()
-        self._told(1.0)
+        self._on_progress(1.0)
         return Measured(
             begin,
             after,
@@ -103,11 +103,11 @@
         await fleet.start_all(known=not all_at_once)
         known = await self._until_known()
         sample = await fleet.sample()
-        self._uses[BEGIN] = uses_between(fleet.nothing_used(sample), sample)
-        self._figures["hosts_late_in_begin_ms"] = most_late_ms(fleet.late_ms)
+        self._uses[BEGIN] = uses_between(fleet.zero_sample(sample), sample)
+        self._figures["hosts_late_in_begin_ms"] = worst_late_ms(fleet.late_ms)
         if not all_at_once:
             fleet.late_ms.clear()  # the lateness of a start with preloaded members is not checked
-        self._told(0.2)
+        self._on_progress(0.2)
         return known
 
     async def _rest(self) -> Sample:
@@ -116,7 +116,7 @@
         await anyio.sleep(self._fleet.plan.seconds)
         after = await self._fleet.sample()
         self._uses[REST] = uses_between(before, after)
-        self._told(0.6)
+        self._on_progress(0.6)
         return after
 
     async def _faults(self, before: Sample) -> Known:
@@ -124,7 +124,7 @@
         for step in self._steps:
             await self._watch_until(began_s + step.at_s)
             await self._fleet.carry_out(step.action)
-            self._watch.acted(time.monotonic(), step.action)
+            self._watch.on_action(time.monotonic(), step.action)
         known = await self._until_known()
         await anyio.sleep(SETTLE_S)  # tasks whose owner was hit get another one
         after = await self._fleet.sample()
@@ -137,22 +137,24 @@
     async def _watch_until(self, due_s: float) -> None:
         while (left_s := due_s - time.monotonic()) > 0:
             if self._watch.actions:
-                self._saw(await self._fleet.lacking())
+                self._record_poll(await self._fleet.lacking())
                 left_s = due_s - time.monotonic()
-            await anyio.sleep(max(0.0, min(LOOK_S, left_s)))
+            await anyio.sleep(max(0.0, min(CHECK_INTERVAL_S, left_s)))
 
-    def _saw(self, lacking: list[str]) -> None:
-        self._watch.saw(time.monotonic(), len(lacking))
-        self._fleet.record("look", "", boot_us(), lacking=len(lacking), some=",".join(lacking[:NAMED]))
+    def _record_poll(self, lacking: list[str]) -> None:
+        self._watch.on_poll(time.monotonic(), len(lacking))
+        self._fleet.record(
+            "look", "", boot_us(), lacking=len(lacking), some=",".join(lacking[:MAX_NAMED_FAULTS])
+        )
 
     async def _until_known(self) -> Known:
         began_s = time.monotonic()
         lacking: list[str] = []
-        while time.monotonic() - began_s < GIVEN_UP_S:
+        while time.monotonic() - began_s < KNOWN_TIMEOUT_S:
             lacking = await self._fleet.lacking()
             if not lacking:
                 return Known(time.monotonic() - began_s)
             if self._fleet.ended_by_itself():
                 break  # the fleet will never be complete
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
         return Known(math.inf, lacking)
--- a/sailrun/lab/scale/results.py
+++ b/sailrun/lab/scale/results.py
@@ -10,9 +10,9 @@
 from sailrun.lab.run import Outcome, Summary, finite
 from sailrun.lab.scale.checks import (
     ended_check,
-    known_check,
     late_check,
     longest_gap_s,
+    members_known_check,
     owner_checks,
     shards_check,
 )
@@ -99,14 +99,16 @@
 
 def _checks(plan: ScalePlan, measured: Measured) -> list[Outcome]:
     begin, after = measured.begin, measured.after
-    checks = [known_check("all-known-after-begin-s", begin.seconds, begin.lacking, begin.occasions)]
+    checks = [members_known_check("all-known-after-begin-s", begin.seconds, begin.lacking, begin.occasions)]
     if after is not None:
-        checks.append(known_check("all-known-after-fault-s", after.seconds, after.lacking, after.occasions))
+        checks.append(
+            members_known_check("all-known-after-fault-s", after.seconds, after.lacking, after.occasions)
+        )
     checks += owner_checks(measured.rows, measured.begin_us, measured.end_us)
     if measured.late_ms is not None:
         checks.append(late_check(measured.late_ms))
     if plan.shards:
-        checks.append(shards_check(measured.reports, plan.shards_of_a_region * plan.regions))
+        checks.append(shards_check(measured.reports, plan.shards_per_region * plan.regions))
     if measured.processes:
         checks.append(ended_check(measured.ended, measured.processes))
     return checks
--- a/sailrun/lab/scale/roles.py
+++ b/sailrun/lab/scale/roles.py
@@ -65,14 +65,14 @@
     is_real: bool = False,
 ) -> NodeUse:
     """Returns the use between two reports of a node, with the roles of the later report."""
-    one, other = before.traffic, after.traffic
+    first, last = before.traffic, after.traffic
     return NodeUse(
         after.name,
         roles_of(after, is_real),
-        (other.bytes_in - one.bytes_in) / seconds,
-        (other.bytes_out - one.bytes_out) / seconds,
-        (other.messages_in - one.messages_in) / seconds,
-        (other.messages_out - one.messages_out) / seconds,
+        (last.bytes_in - first.bytes_in) / seconds,
+        (last.bytes_out - first.bytes_out) / seconds,
+        (last.messages_in - first.messages_in) / seconds,
+        (last.messages_out - first.messages_out) / seconds,
         (after.cpu_s - before.cpu_s) / seconds,
         cpu_whole,
         memory_mb,
@@ -86,10 +86,10 @@
         for role in use.roles:
             by_role[role].append(use)
     figures: dict[str, float] = {}
-    for role, its in sorted(by_role.items()):
-        figures[f"{prefix}{role}.nodes"] = float(len(its))
+    for role, role_uses in sorted(by_role.items()):
+        figures[f"{prefix}{role}.nodes"] = float(len(role_uses))
         for measure in MEASURES:
-            values = [getattr(use, measure) for use in its]
+            values = [getattr(use, measure) for use in role_uses]
             figures[f"{prefix}{role}.{measure}.median"] = round(quantile(values, 0.5), 6)
             figures[f"{prefix}{role}.{measure}.most"] = round(max(values), 6)
     return figures
--- a/sailrun/lab/scale/settings.py
+++ b/sailrun/lab/scale/settings.py
@@ -12,15 +12,15 @@
 
 FLEET = "scale"
 # Nodes join through this many of the first nodes, each of which is in another region.
-JOIN_BY = 3
+JOIN_ADDRESS_COUNT = 3
 
 
-def node_terms(plan: ScalePlan, places: list[Place], place: Place) -> AgentSettings:
+def node_settings(plan: ScalePlan, places: list[Place], place: Place) -> AgentSettings:
     """Returns the settings of one node.
 
     The move rate has a leader, although no node requests a rate grant.
     """
-    joins = tuple(p.address for p in places[:JOIN_BY] if p.name != place.name)
+    joins = tuple(p.address for p in places[:JOIN_ADDRESS_COUNT] if p.name != place.name)
     return AgentSettings(
         MembershipSettings(
             enabled=True,
@@ -36,11 +36,11 @@
         ListReaderSettings(enabled=True),
         shares_move_rate=True,
         replication=ReplicationSettings(enabled=plan.replica),
-        sharding=shards_terms(plan, places),
+        sharding=sharding_settings(plan, places),
     )
 
 
-def shards_terms(plan: ScalePlan, places: list[Place]) -> ShardingSettings:
+def sharding_settings(plan: ScalePlan, places: list[Place]) -> ShardingSettings:
     """Returns the sharding settings: every region has the same number of shards, and its control members
     vote.
     """
@@ -49,7 +49,7 @@
     regions = tuple(
         RegionSettings(
             name=region_name(number),
-            shards=plan.shards_of_a_region,
+            shards=plan.shards_per_region,
             voters=control_of(places, region_name(number)),
         )
         for number in range(plan.regions)
@@ -57,7 +57,7 @@
     return ShardingSettings(enabled=True, regions=regions)
 
 
-def record_of(place: Place, life: int) -> MemberRecord:
+def initial_member_record(place: Place, life: int) -> MemberRecord:
     """Returns the member record with which a node starts."""
     return MemberRecord(
         place.name, life, 1, MemberState.ALIVE, place.address, place.zone, place.region, place.role
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -52,13 +52,13 @@
 from sailrun.lab.scale.plan import PORT, ScalePlan, place_nodes
 from sailrun.lab.scale.real_process import RealProcess, SteadyRoster, write_files
 from sailrun.lab.scale.roles import NodeUse, use_between
-from sailrun.lab.scale.settings import node_terms
+from sailrun.lab.scale.settings import node_settings
 from sailrun.leadership.clock import boot_us
 from sailrun.leadership.traffic import TrafficCounters
 
 # Blocks of loopback addresses, by their second octet, that a run may take.
 BLOCKS = range(16, 240)
-ENDED_S = 5.0
+END_TIMEOUT_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,14 +104,14 @@
             continue
         seconds, nodes = end.at_s - begin.at_s, len(end.report.nodes)
         memory_mb = (end.report.rss_mb - end.base_mb) / nodes
-        were = {(report.name, report.life): report for report in begin.report.nodes}
-        lived = [(were[r.name, r.life], r) for r in end.report.nodes if (r.name, r.life) in were]
+        earlier = {(report.name, report.life): report for report in begin.report.nodes}
+        same_start = [(earlier[r.name, r.life], r) for r in end.report.nodes if (r.name, r.life) in earlier]
         spent_s = end.report.cpu_s - begin.report.cpu_s
-        agents_s = sum(report.cpu_s - was.cpu_s for was, report in lived)
-        for was, report in lived:
+        agents_s = sum(report.cpu_s - earlier_report.cpu_s for earlier_report, report in same_start)
+        for earlier_report, report in same_start:
             # A node's part of the process time equals its part of the time of all agents.
-            part = (report.cpu_s - was.cpu_s) / agents_s if agents_s else 0.0
-            uses.append(use_between(was, report, seconds, spent_s * part / seconds, memory_mb))
+            share = (report.cpu_s - earlier_report.cpu_s) / agents_s if agents_s else 0.0
+            uses.append(use_between(earlier_report, report, seconds, spent_s * share / seconds, memory_mb))
     for name, (end_s, report) in after.real.items():
         if name not in before.real:
             continue
@@ -137,7 +137,7 @@
         self._numbers: dict[str, int] = {}  # the number of each node's latest start
         self._running: set[str] = set()
         self._stopped: set[str] = set()  # by SIGSTOP
-        self._ends = False
+        self._is_ending = False
         self.ended: list[str] = []  # once the run is over: processes that ended by themselves
         self._real_ended: list[str] = []
 
@@ -171,30 +171,30 @@
         for name in names:
             self._numbers[name] = self._numbers.get(name, 0) + 1
         self._running.update(names)
-        await host.tell(Start({name: self._numbers[name] for name in names}, known))
+        await host.send_command(Start({name: self._numbers[name] for name in names}, known))
 
     def _start_real(self, name: str) -> None:
         self._running.add(name)
         self._group.start_soon(self._run_real, self.real[name])
 
     async def _run_real(self, process: RealProcess) -> None:
-        terms = node_terms(self.plan, self.places, process.place)
-        await process.run(write_files(self._folder, process, self.plan, terms, self._roster))
-        if not process.ends and not self._ends:
+        agent_settings = node_settings(self.plan, self.places, process.place)
+        await process.run(write_files(self._folder, process, self.plan, agent_settings, self._roster))
+        if not process.is_ending and not self._is_ending:
             self._real_ended.append(process.place.name)
 
     async def end(self) -> None:
         """Ends every process that was started, and waits until each has ended."""
         self.ended += self.ended_by_itself()
-        self._ends = True
+        self._is_ending = True
         for host in self.hosts:
-            host.ends = True
+            host.is_ending = True
             if host.stopped:
-                host.go_on()
-            await host.tell(End())
+                host.resume()
+            await host.send_command(End())
         for process in self.real.values():
             process.send_signal(signal.SIGKILL)
-        with anyio.move_on_after(ENDED_S):
+        with anyio.move_on_after(END_TIMEOUT_S):
             for host in self.hosts:
                 await host.ended()
         for host in self.hosts:
@@ -205,7 +205,7 @@
 
     def ended_by_itself(self) -> list[str]:
         """Returns the processes that ended without being told to; hosts with the last line of their log."""
-        hosts = [f"{host.name} ({host.last_words()})" for host in self.hosts if host.ended_by_itself]
+        hosts = [f"{host.name} ({host.last_log_line()})" for host in self.hosts if host.ended_by_itself]
         return hosts + self._real_ended
 
     # ------------------------------------------------------------------ faults
@@ -228,7 +228,7 @@
                 self.hosts[number].stop()
             case ContinueHost(number):
                 self._stopped.difference_update(self._names_of(self.hosts[number]))
-                self.hosts[number].go_on()
+                self.hosts[number].resume()
             case KillNodes(names):
                 await self._end_nodes(names, signal.SIGKILL)
             case LeaveNodes(names):
@@ -242,15 +242,15 @@
                 self._stopped.difference_update(names)
                 self._signal(names, signal.SIGCONT)
             case SilenceNodes(names, on):
-                await self._tell_all(Silence(list(names), on))
+                await self._send_to_all(Silence(list(names), on))
             case CutRegions(one, other):
-                await self._tell_all(Cut(one, other))
+                await self._send_to_all(Cut(one, other))
             case HealRegions():
-                await self._tell_all(Heal())
+                await self._send_to_all(Heal())
 
-    async def _tell_all(self, command: Command) -> None:
+    async def _send_to_all(self, command: Command) -> None:
         for host in self.hosts:
-            await host.tell(command)
+            await host.send_command(command)
 
     def _signal(self, names: tuple[str, ...], number: signal.Signals) -> None:
         for name in names:
@@ -261,15 +261,19 @@
         self._running.difference_update(names)
         self._signal(names, number)
         for host in self.hosts:
-            its = [place.name for place in self.places if place.host == host.number and place.name in names]
-            if its:
-                await host.tell(Kill(its) if number is signal.SIGKILL else Leave(its))
+            host_names = [
+                place.name for place in self.places if place.host == host.number and place.name in names
+            ]
+            if host_names:
+                await host.send_command(Kill(host_names) if number is signal.SIGKILL else Leave(host_names))
 
     async def _start_nodes(self, names: tuple[str, ...]) -> None:
         for host in self.hosts:
-            its = [place.name for place in self.places if place.host == host.number and place.name in names]
-            if its:
-                await self._start_hollow(host, its)
+            host_names = [
+                place.name for place in self.places if place.host == host.number and place.name in names
+            ]
+            if host_names:
+                await self._start_hollow(host, host_names)
         for name in names:
             if name in self.real:
                 while self.real[name].process is not None:
@@ -285,20 +289,20 @@
         """
         running = self._running - self._stopped
         names = sorted(running)
-        again = {n: number for n, number in self._numbers.items() if number > 1 and n in running}
-        asked = Look(len(names), names_crc(names), again)
+        restarted = {n: number for n, number in self._numbers.items() if number > 1 and n in running}
+        expected_members = Look(len(names), names_crc(names), restarted)
         lacking: list[str] = []
 
         async def look_at_host(host: HostProcess) -> None:
             expected = [name for name in self._names_of(host) if name in running]
-            answer = await host.ask(asked) if expected else None
+            answer = await host.request(expected_members) if expected else None
             if isinstance(answer, Looked) and answer.nodes == len(expected):
                 lacking.extend(answer.lacking)
             else:
                 lacking.extend(expected)
 
         async def look_at_real(process: RealProcess) -> None:
-            if not await process.knows(asked):
+            if not await process.knows(expected_members):
                 lacking.append(process.place.name)
 
         async with anyio.create_task_group() as looking:
@@ -314,7 +318,7 @@
         real: dict[str, tuple[float, NodeReport]] = {}
 
         async def of_host(host: HostProcess) -> None:
-            report = await host.ask(Report())
+            report = await host.request(Report())
             if isinstance(report, HostReport):
                 hosts[host.number] = HostSample(
                     time.monotonic(), host.lives, host.base_mb, host.base_cpu_s, report
@@ -334,7 +338,7 @@
                     asking.start_soon(of_real, process)
         return Sample(hosts, real)
 
-    def nothing_used(self, sample: Sample) -> Sample:
+    def zero_sample(self, sample: Sample) -> Sample:
         """Returns a sample of the same nodes with zero use, as of the start of the run."""
 
         def fresh(report: NodeReport) -> NodeReport:
@@ -363,9 +367,9 @@
     blocks = list(BLOCKS)
     random.Random(f"{seed}/{time.monotonic_ns()}").shuffle(blocks)
     for block in blocks:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as held:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             try:
-                held.bind((f"127.{block}.255.1", PORT))
+                probe.bind((f"127.{block}.255.1", PORT))
             except OSError:
                 continue
             yield block
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
-from sailrun.lab.scale.checks import NAMED
+from sailrun.lab.scale.checks import MAX_NAMED_FAULTS
 from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import (
     Action,
@@ -33,16 +33,16 @@
     StopHost,
     StopNodes,
 )
-from sailrun.lab.scale.hollow_host import KEPT, rss_mb
-from sailrun.lab.scale.hollow_node import ROSTER_S, know_members, node_report
+from sailrun.lab.scale.hollow_host import OWNERSHIP_KINDS, rss_mb
+from sailrun.lab.scale.hollow_node import ROSTER_S, node_report, preload_members
 from sailrun.lab.scale.host_messages import NodeReport
 from sailrun.lab.scale.metered_agent import MeteredAgent
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import Place, ScalePlan, memory_mb, place_nodes, voters_of
-from sailrun.lab.scale.real_run import GIVEN_UP_S, LOOK_S, SETTLE_S
+from sailrun.lab.scale.real_run import CHECK_INTERVAL_S, KNOWN_TIMEOUT_S, SETTLE_S
 from sailrun.lab.scale.results import Known, Measured
 from sailrun.lab.scale.roles import NodeUse, use_between
-from sailrun.lab.scale.settings import node_terms, record_of
+from sailrun.lab.scale.settings import initial_member_record, node_settings
 from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
 from sailrun.lab.scheduler import BEGIN_US
 from sailrun.leadership.agent import OutgoingEnvelope
@@ -51,8 +51,8 @@
 from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
-RECORDED = (*KEPT, "started", "died", "fault", "look")
-Told = Callable[[float], None]
+RECORDED = (*OWNERSHIP_KINDS, "started", "died", "fault", "look")
+OnProgress = Callable[[float], None]
 
 
 class VirtualScaleFleet(VirtualFleet):
@@ -64,7 +64,7 @@
             plan.total,
             len(voters_of(places)),
             plan.zones,
-            lambda index, voters, joins: node_terms(plan, places, places[index]),
+            lambda index, voters, joins: node_settings(plan, places, places[index]),
             plan.seed,
         )
         self.plan, self.places = plan, places
@@ -91,7 +91,7 @@
         gc.disable()  # none of these allocations is garbage
         for name in self.names:
             others = [record for record in records if record.name != name]
-            know_members(self.agent(name), self.clock_us(self.nodes[name]), others)
+            preload_members(self.agent(name), self.clock_us(self.nodes[name]), others)
         gc.enable()
         gc.freeze()
 
@@ -101,7 +101,7 @@
         return agent
 
     def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
-        return record_of(self.place_of[node.name], life)
+        return initial_member_record(self.place_of[node.name], life)
 
     def start(self, name: str, clock_s: float = 0.0) -> None:
         self.traffic[name] = TrafficCounters()
@@ -130,9 +130,9 @@
         by_link = size > MAX_DATAGRAM_BYTES
         wait_s = model.frame_s(sender, receiver) if by_link else model.datagram_s(sender, receiver)
         if wait_s is not None:
-            self.time.after(int(wait_s * SECOND), self._come, sender, to, out.envelope, size)
+            self.time.after(int(wait_s * SECOND), self._deliver, sender, to, out.envelope, size)
 
-    def _come(self, sender: Place, to: VirtualNode, envelope: Envelope, size: int) -> None:
+    def _deliver(self, sender: Place, to: VirtualNode, envelope: Envelope, size: int) -> None:
         if to.agent is not None and self.network.passes(sender, self.place_of[to.name]):
             self.traffic[to.name].received(size)
             self._hear(to, sender.address, envelope)
@@ -199,8 +199,8 @@
         nodes = [self.nodes[name] for name in sorted(self.names)]
         running = [node for node in nodes if node.agent is not None and not node.stopped]
         names = [node.name for node in running]
-        again = {n.name: self.agent(n.name).process_number for n in running if n.life > 1}
-        return [node.name for node in running if not self._knows(node.name, names, again)]
+        restarted = {n.name: self.agent(n.name).process_number for n in running if n.life > 1}
+        return [node.name for node in running if not self._knows(node.name, names, restarted)]
 
     def _knows(self, name: str, names: list[str], lives: dict[str, int]) -> bool:
         members = self.agent(name).members
@@ -212,11 +212,11 @@
     def until_known(self) -> Known:
         began_s = self.now_s
         lacking: list[str] = []
-        while self.now_s - began_s < GIVEN_UP_S:
+        while self.now_s - began_s < KNOWN_TIMEOUT_S:
             lacking = self.lacking()
             if not lacking:
                 return Known(self.now_s - began_s)
-            self.run_for(LOOK_S)
+            self.run_for(CHECK_INTERVAL_S)
         return Known(math.inf, lacking)
 
     def reports(self) -> dict[str, NodeReport]:
@@ -249,32 +249,34 @@
         ]
 
 
-def play_virtual(plan: ScalePlan, steps: list[Step], told: Told) -> Measured:
+def play_virtual(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
     base_mb = rss_mb(os.getpid())
     fleet = VirtualScaleFleet(plan)
     try:
-        return _measure(fleet, steps, told, base_mb)
+        return _measure(fleet, steps, on_progress, base_mb)
     finally:
         gc.unfreeze()
 
 
-def _measure(fleet: VirtualScaleFleet, steps: list[Step], told: Told, base_mb: float) -> Measured:
+def _measure(
+    fleet: VirtualScaleFleet, steps: list[Step], on_progress: OnProgress, base_mb: float
+) -> Measured:
     fleet.begin()
     stretch = _Stretch(fleet, base_mb)
     begin = fleet.until_known()
     uses = {BEGIN: stretch.uses()} if fleet.now_s else {}
-    told(0.2)
+    on_progress(0.2)
     fleet.run_for(SETTLE_S)
     stretch = _Stretch(fleet, base_mb)
     fleet.run_for(fleet.plan.seconds)
     uses[REST] = stretch.uses()
-    told(0.6)
+    on_progress(0.6)
     after, watch = None, FaultWatch()
     if steps:
         stretch = _Stretch(fleet, base_mb)
         after = _play_steps(fleet, steps, watch)
         uses[FAULT] = stretch.uses()
-    told(1.0)
+    on_progress(1.0)
     figures = {"memory_expected_mb": memory_mb(fleet.plan), "memory_mb": rss_mb(os.getpid())}
     if steps:
         figures |= {**watch.figures(), "messages_stopped": float(fleet.network.stopped)}
@@ -287,13 +289,13 @@
     began_s = fleet.now_s
     for step in steps:
         while (left_s := began_s + step.at_s - fleet.now_s) > 0:
-            fleet.run_for(min(LOOK_S, left_s))
+            fleet.run_for(min(CHECK_INTERVAL_S, left_s))
             if watch.actions:
                 lacking = fleet.lacking()
-                watch.saw(fleet.now_s, len(lacking))
-                fleet.row("look", "", lacking=len(lacking), some=",".join(lacking[:NAMED]))
+                watch.on_poll(fleet.now_s, len(lacking))
+                fleet.row("look", "", lacking=len(lacking), some=",".join(lacking[:MAX_NAMED_FAULTS]))
         fleet.carry_out(step.action)
-        watch.acted(fleet.now_s, step.action)
+        watch.on_action(fleet.now_s, step.action)
     known = fleet.until_known()
     fleet.run_for(SETTLE_S)
     known.occasions = watch.occasions(fleet.network.stopped)
