--- a/sailrun/lab/scale/delay_line.py
+++ b/sailrun/lab/scale/delay_line.py
@@ -9,7 +9,7 @@
 import anyio
 
 # A shorter wait is skipped: the event loop takes about that long anyway.
-IMMEDIATE_S = 0.001
+MIN_DELAY_S = 0.001
 
 
 class DelayLine:
@@ -19,7 +19,7 @@
         self._earlier_deadline = anyio.Event()
 
     def after(self, wait_s: float, action: Callable[[], None]) -> None:
-        if wait_s < IMMEDIATE_S:
+        if wait_s < MIN_DELAY_S:
             action()
             return
         due_s = anyio.current_time() + wait_s
--- a/sailrun/lab/scale/fault_watch.py
+++ b/sailrun/lab/scale/fault_watch.py
@@ -22,7 +22,7 @@
         self.actions = 0
         self._cuts = 0
         self.most_lacking = 0
-        self._killed_s: float | None = None  # until all remaining nodes know of the kill
+        self._killed_s: float | None = None  # the last kill, until all remaining nodes know of it
         self._gone_known_s: float | None = None
 
     def on_action(self, now_s: float, action: Action) -> None:
--- a/sailrun/lab/scale/hollow_host.py
+++ b/sailrun/lab/scale/hollow_host.py
@@ -105,7 +105,7 @@
             node = self._new_node(name, number)
             if known:
                 # Each node gets its own copies of the records, as if it had received them on its own sockets.
-                node.know([record for record in decoder.decode(packed) if record.name != name])
+                node.preload([record for record in decoder.decode(packed) if record.name != name])
             self._nodes[name] = node
             self._group.start_soon(node.run)
             await anyio.sleep(0)
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -14,7 +14,7 @@
 import anyio
 
 from sailrun.connection import split_address
-from sailrun.lab.scale.delay_line import IMMEDIATE_S, DelayLine
+from sailrun.lab.scale.delay_line import MIN_DELAY_S, DelayLine
 from sailrun.lab.scale.host_messages import Look, NodeReport
 from sailrun.lab.scale.metered_agent import MeteredAgent
 from sailrun.lab.scale.network_model import NetworkModel
@@ -78,7 +78,7 @@
         if wait_s is None:
             self.traffic.sent(len(data))
             return
-        if wait_s < IMMEDIATE_S:
+        if wait_s < MIN_DELAY_S:
             super()._send_datagram(datagrams, data, address)
         else:
             self._delays.after(wait_s, partial(self._put_late, datagrams, data, address))
@@ -104,7 +104,7 @@
             self._metered.cpu_s += thread_time() - began_s
 
     def _on_envelope(self, address: str, envelope: Envelope) -> None:
-        """A real process knows no model: what it sends takes its way here."""
+        """Applies the model to datagrams from real processes, which send without it."""
         sender = self._network.by_name.get(envelope.sender)
         if sender is None or not sender.real:
             if sender is None or self._network.passes(sender, self._place):
@@ -165,7 +165,7 @@
         await anyio.sleep(LEAVE_GRACE_S)
         self.kill()
 
-    def know(self, records: list[MemberRecord]) -> None:
+    def preload(self, records: list[MemberRecord]) -> None:
         """Starts with these members known, as if it had joined long ago and disseminated all updates."""
         preload_members(self.agent, boot_us(), records)
 
--- a/sailrun/lab/scale/role_table.py
+++ b/sailrun/lab/scale/role_table.py
@@ -8,7 +8,7 @@
 from sailrun.lab.scale.stretches import PREFIXES
 
 Figures = Mapping[str, float | None]
-_HEADS = {
+_HEADINGS = {
     "bytes_in": "bytes in/s",
     "bytes_out": "bytes out/s",
     "messages_in": "messages in/s",
@@ -30,8 +30,8 @@
         roles = [role for role in _roles(figures) if _stretch_of(role) == prefix]
         if not roles:
             continue
-        heads = "".join(f"{_HEADS[measure]:>17}" for measure in MEASURES)
-        yield f"{stretch + ': median, busiest':22}{'nodes':>6}{heads}"
+        headings = "".join(f"{_HEADINGS[measure]:>17}" for measure in MEASURES)
+        yield f"{stretch + ': median, busiest':22}{'nodes':>6}{headings}"
         for role in roles:
             cells = "".join(f"{_cell(figures, role, measure):>17}" for measure in MEASURES)
             yield f"{role.removeprefix(prefix):22}{figures[f'{role}.nodes']:>6.0f}{cells}"
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -75,7 +75,7 @@
             node.address, node.zone = place.address, place.zone
         self._at = {node.address: node for node in self.nodes.values()}
         self.traffic: dict[str, TrafficCounters] = {}
-        self._stops: dict[str, int] = {}
+        self._stop_numbers: dict[str, int] = {}
 
     def begin(self) -> None:
         """Starts all nodes at once.
@@ -176,10 +176,10 @@
             act(name)
 
     def _stop(self, name: str) -> None:
-        self._stops[name] = self.stop(name)
+        self._stop_numbers[name] = self.stop(name)
 
     def _continue(self, name: str) -> None:
-        self.go_on(name, self._stops.get(name, 0))
+        self.go_on(name, self._stop_numbers.get(name, 0))
 
     # ------------------------------------------------------------------ inspection
 
