--- a/sailrun/lab/scale/faults.py
+++ b/sailrun/lab/scale/faults.py
@@ -121,10 +121,10 @@
         case "hosts":
             return _hosts(plan, places)
         case "rack":
-            rack = _last_zone_rack(places)
+            rack = _choose_rack(places)
             return [Step(0.0, SilenceNodes(rack, True)), Step(DOWN_S, SilenceNodes(rack, False))]
         case "zone":
-            zone = _last_zone(places)
+            zone = _choose_zone(places)
             return [Step(0.0, KillNodes(zone)), Step(DOWN_S, StartNodes(zone))]
         case "cut":
             other = region_name(min(1, plan.regions - 1))
@@ -153,8 +153,8 @@
     return sorted(steps, key=lambda step: step.at_s)
 
 
-def _last_zone_rack(places: list[Place]) -> tuple[str, ...]:
-    """Returns the hollow nodes of the last zone's first rack.
+def _choose_rack(places: list[Place]) -> tuple[str, ...]:
+    """Returns the hollow nodes of one rack: the one of the last hollow node that is in a first rack.
 
     Real processes are left out, because the run cannot fail their switch.
     """
@@ -163,8 +163,8 @@
     return tuple(place.name for place in hollow if place.rack == rack)
 
 
-def _last_zone(places: list[Place]) -> tuple[str, ...]:
-    """Returns the nodes of the last zone, which has no real processes."""
+def _choose_zone(places: list[Place]) -> tuple[str, ...]:
+    """Returns all nodes of the zone of the last hollow node, including any real processes in it."""
     zone = [place for place in places if not place.real][-1].zone
     return tuple(place.name for place in places if place.zone == zone)
 
