--- a/sailrun/lab/scale/command.py
+++ b/sailrun/lab/scale/command.py
@@ -1,4 +1,4 @@
-"""Plays a scale run by either driver."""
+"""Plays a scale run with either driver."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
 
 def play_scale(
     plan: ScalePlan,
-    told: Callable[[float], None] = lambda share: None,
+    on_progress: Callable[[float], None] = lambda share: None,
     steps: list[Step] | None = None,
 ) -> tuple[Summary, ScaleRecords]:
-    """`steps`: other faults than the plan's. Raises DoesNotFit before anything is started, and OSError."""
+    """Plays the plan. `steps` replaces the faults of the plan.
+
+    Raises DoesNotFit before anything is started, and OSError.
+    """
     check_fit(plan)
     began_s, cpu_s = time.monotonic(), time.process_time()
     if steps is None:
         steps = fault_steps(plan, place_nodes(plan))
     play = play_sockets if plan.driver == "sockets" else play_virtual
-    measured = play(plan, steps, told)
+    measured = play(plan, steps, on_progress)
     cost = {
         "wall_s": round(time.monotonic() - began_s, 2),
-        "cpu_s": round(time.process_time() - cpu_s, 2),  # of this process, without hosts
+        "cpu_s": round(time.process_time() - cpu_s, 2),  # of this process, excluding the host processes
         "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
     }
     return summary_of(plan, measured, cost), ScaleRecords(measured)
--- a/sailrun/lab/scale/role_table.py
+++ b/sailrun/lab/scale/role_table.py
@@ -1,4 +1,4 @@
-"""The figures by role as a table for people."""
+"""Formats the figures by role as a text table."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sailrun.lab.scale.stretches import PREFIXES
 
 Figures = Mapping[str, float | None]
-_HEADS = {
+_HEADINGS = {
     "bytes_in": "bytes in/s",
     "bytes_out": "bytes out/s",
     "messages_in": "messages in/s",
@@ -25,13 +25,13 @@
 
 
 def role_lines(figures: Figures) -> Iterator[str]:
-    """For each stretch its roles: median and busiest node of each measure."""
+    """Yields, for each stretch, a header and a line per role: median and maximum of each measure."""
     for stretch, prefix in PREFIXES.items():
         roles = [role for role in _roles(figures) if _stretch_of(role) == prefix]
         if not roles:
             continue
-        heads = "".join(f"{_HEADS[measure]:>17}" for measure in MEASURES)
-        yield f"{stretch + ': median, busiest':22}{'nodes':>6}{heads}"
+        headings = "".join(f"{_HEADINGS[measure]:>17}" for measure in MEASURES)
+        yield f"{stretch + ': median, busiest':22}{'nodes':>6}{headings}"
         for role in roles:
             cells = "".join(f"{_cell(figures, role, measure):>17}" for measure in MEASURES)
             yield f"{role.removeprefix(prefix):22}{figures[f'{role}.nodes']:>6.0f}{cells}"
--- a/sailrun/lab/scale/roles.py
+++ b/sailrun/lab/scale/roles.py
@@ -1,4 +1,4 @@
-"""What nodes of each role use: pure figures out of two reports of the same nodes."""
+"""Computes the resource use by role from two reports of the same nodes, without I/O."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 ORDINARY, VOTER, READER_ROLE, REAL = "ordinary", "voter", "reader", "real"
 CONTROL_ROLE, ASSIGNER = "control", "assigner"
 SHARDS_TASK = "shards/"
-# What is told of every node, each a second but for memory.
+# The measures of every node: per second, except for memory.
 MEASURES = ("bytes_in", "bytes_out", "messages_in", "messages_out", "cpu", "cpu_whole", "memory_mb")
 
 
 @dataclass(frozen=True, slots=True)
 class NodeUse:
-    """What one node used in a stretch of time. Bytes and messages a second, `cpu` as a share of one core:
-    inside the agent, packing, unpacking and sending. `cpu_whole`: its share of its whole process.
+    """The resource use of one node in a stretch. Bytes and messages are per second.
+
+    `cpu`: the share of one core for the agent, encoding, decoding and sending. `cpu_whole`: the node's part
+    of the processor time of its whole process, as a share of one core.
     """
 
     name: str
@@ -35,7 +37,9 @@
 
 
 def roles_of(report: NodeReport, is_real: bool = False) -> tuple[str, ...]:
-    """A real process is told of by itself; a node with several roles counts in each of them."""
+    """Returns the roles of a node. A real process has a role of its own; a node with several roles counts in
+    each.
+    """
     if is_real:
         return (REAL,)
     roles = [_role_of_owner(task) for task in report.tasks]
@@ -60,15 +64,15 @@
     memory_mb: float,
     is_real: bool = False,
 ) -> NodeUse:
-    """Roles are those at the end."""
-    one, other = before.traffic, after.traffic
+    """Returns the use between two reports of a node, with the roles of the later report."""
+    first, last = before.traffic, after.traffic
     return NodeUse(
         after.name,
         roles_of(after, is_real),
-        (other.bytes_in - one.bytes_in) / seconds,
-        (other.bytes_out - one.bytes_out) / seconds,
-        (other.messages_in - one.messages_in) / seconds,
-        (other.messages_out - one.messages_out) / seconds,
+        (last.bytes_in - first.bytes_in) / seconds,
+        (last.bytes_out - first.bytes_out) / seconds,
+        (last.messages_in - first.messages_in) / seconds,
+        (last.messages_out - first.messages_out) / seconds,
         (after.cpu_s - before.cpu_s) / seconds,
         cpu_whole,
         memory_mb,
@@ -76,16 +80,16 @@
 
 
 def role_figures(uses: Iterable[NodeUse], prefix: str = "") -> dict[str, float]:
-    """`ROLE.MEASURE.median` and `ROLE.MEASURE.most`, and `ROLE.nodes`."""
+    """Returns the figures `ROLE.MEASURE.median`, `ROLE.MEASURE.most` (the maximum) and `ROLE.nodes`."""
     by_role: dict[str, list[NodeUse]] = defaultdict(list)
     for use in uses:
         for role in use.roles:
             by_role[role].append(use)
     figures: dict[str, float] = {}
-    for role, its in sorted(by_role.items()):
-        figures[f"{prefix}{role}.nodes"] = float(len(its))
+    for role, role_uses in sorted(by_role.items()):
+        figures[f"{prefix}{role}.nodes"] = float(len(role_uses))
         for measure in MEASURES:
-            values = [getattr(use, measure) for use in its]
+            values = [getattr(use, measure) for use in role_uses]
             figures[f"{prefix}{role}.{measure}.median"] = round(quantile(values, 0.5), 6)
             figures[f"{prefix}{role}.{measure}.most"] = round(max(values), 6)
     return figures
--- a/sailrun/lab/scale/settings.py
+++ b/sailrun/lab/scale/settings.py
@@ -1,4 +1,4 @@
-"""The terms of a node in a scale run: the program's defaults, with every part of the fleet switched on."""
+"""The settings of a node in a scale run: the defaults of the program, with all fleet features enabled."""
 
 from __future__ import annotations
 
@@ -11,13 +11,16 @@
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 FLEET = "scale"
-# Nodes join by the first so many, which stand in as many regions.
-JOIN_BY = 3
+# Nodes join through this many of the first nodes, each of which is in another region.
+JOIN_ADDRESS_COUNT = 3
 
 
-def node_terms(plan: ScalePlan, places: list[Place], place: Place) -> AgentSettings:
-    """The terms of one node. The owner of the rebalancer's pace is kept, although nobody asks it."""
-    joins = tuple(p.address for p in places[:JOIN_BY] if p.name != place.name)
+def node_settings(plan: ScalePlan, places: list[Place], place: Place) -> AgentSettings:
+    """Returns the settings of one node.
+
+    The move rate has a leader, although no node requests a rate grant.
+    """
+    joins = tuple(p.address for p in places[:JOIN_ADDRESS_COUNT] if p.name != place.name)
     return AgentSettings(
         MembershipSettings(
             enabled=True,
@@ -33,18 +36,20 @@
         ListReaderSettings(enabled=True),
         shares_move_rate=True,
         replication=ReplicationSettings(enabled=plan.replica),
-        sharding=shards_terms(plan, places),
+        sharding=sharding_settings(plan, places),
     )
 
 
-def shards_terms(plan: ScalePlan, places: list[Place]) -> ShardingSettings:
-    """Every region has the same number of shards, and its control members vote."""
+def sharding_settings(plan: ScalePlan, places: list[Place]) -> ShardingSettings:
+    """Returns the sharding settings: every region has the same number of shards, and its control members
+    vote.
+    """
     if not plan.shards:
         return ShardingSettings()
     regions = tuple(
         RegionSettings(
             name=region_name(number),
-            shards=plan.shards_of_a_region,
+            shards=plan.shards_per_region,
             voters=control_of(places, region_name(number)),
         )
         for number in range(plan.regions)
@@ -52,8 +57,8 @@
     return ShardingSettings(enabled=True, regions=regions)
 
 
-def record_of(place: Place, life: int) -> MemberRecord:
-    """What a node says of itself as it starts."""
+def initial_member_record(place: Place, life: int) -> MemberRecord:
+    """Returns the member record with which a node starts."""
     return MemberRecord(
         place.name, life, 1, MemberState.ALIVE, place.address, place.zone, place.region, place.role
     )
