--- a/benchmarks/external_names.py
+++ b/benchmarks/external_names.py
@@ -112,7 +112,17 @@
 OWN_TEST = "tests/test_external_names.py"
 
 LOG_CALLS = {"log", "_log", "log_event", "_log_event", "LogEvent", "add"}
-RECORD_CALLS = {"record", "_record", "_record_event", "row", "_row", "note", "told", "log_act"}
+RECORD_CALLS = {
+    "record",
+    "_record",
+    "_record_event",
+    "row",
+    "_row",
+    "note",
+    "record_event",
+    "told",
+    "log_act",
+}
 # Calls whose first argument names an experiment, a check or a plan in the records.
 NAMED_CALLS = {"Check", "Counted", "Experiment", "Plan", "ShardPlan"}
 # Calls whose string arguments are no names outside the process.
--- a/benchmarks/mixed_restarts.py
+++ b/benchmarks/mixed_restarts.py
@@ -27,7 +27,7 @@
     see_counts,
     wait_for,
 )
-from tests.stand_ins import PATIENCE_S, FormServer, Peer, Roster, RunningNode, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
 from tests.test_sharding_processes import free
 
 # Facts of `sailrun lasting show` that depend on when it is asked.
@@ -129,7 +129,7 @@
         after = fleet.replace(before.name, fleet.versions.other(before.version))
         after.running.logged("lasting-trusted")
         before.running.terminate()
-        assert before.running.process.wait(PATIENCE_S) == 0
+        assert before.running.process.wait(TIMEOUT_S) == 0
         fleet.await_members()
         seen.append(f"{before.shown} by {after.shown}")
     return f"{', '.join(seen)}; {see_counts(fleet)}"
@@ -184,8 +184,8 @@
     def open_sessions(self, at: RunningNode) -> None:
         """Households whose sessions are to outlast the process."""
         for n in range(HOUSEHOLDS):
-            household = at.ask(f"{n:016x}", group=f"{n:016x}")
-            assert household.hear() == "UP r1"
+            household = at.request_session(f"{n:016x}", group=f"{n:016x}")
+            assert household.read_line() == "UP r1"
             self.households.append(household)
 
     def replace(self, first: RunningNode, version: Version) -> tuple[RunningNode, str]:
@@ -197,14 +197,14 @@
         for n in range(HOUSEHOLDS):
             second.logged("adopted", f"id={n:016x}")
         first.terminate()
-        assert first.process.wait(PATIENCE_S) == 0
+        assert first.process.wait(TIMEOUT_S) == 0
         self.households[0].sock.sendall(b"page\r\n")
-        assert self.households[0].hear() == "half a page"
+        assert self.households[0].read_line() == "half a page"
         for n, household in enumerate(self.households):
-            household.say(f"page {n}")
-            assert household.hear() == f"page {n}"
+            household.send_line(f"page {n}")
+            assert household.read_line() == f"page {n}"
         assert all(server.ends.empty() for server in self.servers), "a form server's connection ended"
-        figures = second.figures()
+        figures = second.read_metrics()
         assert figures["inflight"] == HOUSEHOLDS and figures["hosts_down"] == 1, figures
         all_read(refused_in([*first.lines, *second.lines]))
         return second, f"{figures['inflight']} sessions adopted and alive, the operator's exclusion as well"
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -73,11 +73,11 @@
 def see_load(fleet: MixedFleet) -> str:
     """Each node has the load of all in its sums, and takes the other version's datagrams."""
     nodes = [fleet.members[name].running for name in NAMES]
-    households = [running.ask(f"{n:016x}", group=f"{n:016x}") for n, running in enumerate(nodes)]
+    households = [running.request_session(f"{n:016x}", group=f"{n:016x}") for n, running in enumerate(nodes)]
     for household in households:
-        assert household.hear() == "UP r1"
-        household.say("LOAD 812.5")  # its form server says every line back
-        assert household.hear() == "LOAD 812.5"
+        assert household.read_line() == "UP r1"
+        household.send_line("LOAD 812.5")  # its form server says every line back
+        assert household.read_line() == "LOAD 812.5"
     watches = {member.shown: watch_sums(fleet, member) for member in fleet.living()}
     for shown, watch in watches.items():
         try:
@@ -230,11 +230,11 @@
 
 def see_assigner_killed(region: MixedRegion) -> str:
     """Another control member goes on assigning from the same generation."""
-    generation = region.shown(REGION_NODES[0])["generation"]
+    generation = region.status(REGION_NODES[0])["generation"]
     killed = str(wait_for("an assigner", region.assigner))
     region.kill(killed)
     after = str(wait_for("another assigner", region.assigner))
-    wait_for("the same generation", lambda: region.shown(after).get("settled") == generation)
+    wait_for("the same generation", lambda: region.status(after).get("settled") == generation)
     region.start(killed)
     return f"killed {region.shown_name(killed)}: {region.shown_name(after)} at generation {generation}"
 
@@ -253,7 +253,7 @@
 
 def see_region_counts(region: MixedRegion) -> str:
     """No process of the region has met a message that it could not read."""
-    for name in filter(region.lives, region.running):
+    for name in filter(region.is_running, region.running):
         counts = json.loads(region.running[name].call("fleet counts").removeprefix("ok "))
         assert not counts["bad_messages"] and not counts["wrong_fleet"], f"{name}: {counts}"
     return all_read(refused_in([line for running in region.running.values() for line in running.lines]))
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -42,7 +42,7 @@
     "metric": ("sailrun/control/calls.py", "{PREFIX}.hosts_down:", "{PREFIX}.changed:"),
     "path": ("sailrun/storage/folder_layout.py", '"snapshot."', '"changed."'),
     "record-column": ("sailrun/lab/world.py", "backlog_us=server", "changed=server"),
-    "record-kind": ("sailrun/lab/world.py", 'note("vanish"', 'note("changed"'),
+    "record-kind": ("sailrun/lab/world.py", 'record_event("vanish"', 'record_event("changed"'),
     "record-table": ("sailrun/lab/records.py", 'Table("servers")', 'Table("changed")'),
     "record-value": ("sailrun/lab/scale/results.py", '"known_after_begin_s"', '"changed"'),
     "registry": ("sailrun/discovery.py", '"SERVING"', '"changed"'),
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -10,7 +10,7 @@
 from benchmarks.datagram_relay import DatagramRelay, SumsWatch
 from benchmarks.mixed_fleet import Report, refused_in, wait_for
 from benchmarks.mixed_settings import inlined
-from tests.stand_ins import PATIENCE_S
+from tests.stand_ins import TIMEOUT_S
 
 
 def test_a_check_that_raises_is_printed_and_sets_the_exit_status(capsys: pytest.CaptureFixture[str]) -> None:
@@ -57,7 +57,7 @@
     nodes = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
     for node in nodes:
         node.bind(("127.0.0.1", 0))
-        node.settimeout(PATIENCE_S)
+        node.settimeout(TIMEOUT_S)
     relay = DatagramRelay(["{}:{}".format(*node.getsockname()) for node in nodes])
 
     def send(to: str) -> None:
