--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -277,9 +277,9 @@
 
 def _show_scale(summary: Summary) -> None:
     """Figures by role as a table."""
-    from sailrun.lab.scale.role_table import is_of_role, role_lines
+    from sailrun.lab.scale.role_table import is_role_figure, role_lines
 
-    _show_figures({name: value for name, value in summary.figures.items() if not is_of_role(name)})
+    _show_figures({name: value for name, value in summary.figures.items() if not is_role_figure(name)})
     for line in role_lines(summary.figures):
         print(line)
     _show_checks(summary)
--- a/sailrun/lab/scale/role_table.py
+++ b/sailrun/lab/scale/role_table.py
@@ -20,7 +20,7 @@
 _SHARES = ("cpu", "cpu_whole")
 
 
-def is_of_role(figure: str) -> bool:
+def is_role_figure(figure: str) -> bool:
     return "." in figure
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -49,7 +49,7 @@
     place_nodes,
     voters_of,
 )
-from sailrun.lab.scale.role_table import is_of_role, role_lines
+from sailrun.lab.scale.role_table import is_role_figure, role_lines
 from sailrun.lab.scale.roles import MEASURES, NodeUse, role_figures, roles_of, use_between
 from sailrun.lab.scale.settings import node_settings
 from sailrun.leadership.traffic import TrafficCounters
@@ -280,7 +280,7 @@
     lines = list(role_lines(role_figures([use]) | role_figures([use], "fault.")))
     assert [line.split()[0] for line in lines] == ["rest:", "ordinary", "fault:", "ordinary"]
     assert "400, 400" in lines[1] and "2.50%, 2.50%" in lines[1] and "1.50, 1.50" in lines[1]
-    assert is_of_role("ordinary.nodes") and not is_of_role("known_after_begin_s")
+    assert is_role_figure("ordinary.nodes") and not is_role_figure("known_after_begin_s")
 
 
 # ---------------------------------------------------------------------- checks
