--- a/sailrun/lab/scale/checks.py
+++ b/sailrun/lab/scale/checks.py
@@ -1,4 +1,7 @@
-"""The checks of a scale run, computed from recorded rows and times without I/O."""
+"""The checks of a scale run, computed from recorded rows and times without I/O.
+
+The checks call the leader of a task its owner.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from sailrun.lab.scale.host_messages import NodeReport
 
 # The time within which every node must know every other, after the start and after the last fault.
-KNOWN_LIMIT_S = 60.0
+CONVERGENCE_LIMIT_S = 60.0
 # A host is overloaded if the 99th percentile of its event loop lateness exceeds this limit. The figures of
 # its nodes are then invalid.
 MAX_LATE_MS, LATE_QUANTILE = 100.0, 0.99
@@ -20,12 +23,13 @@
 def members_known_check(name: str, seconds: float, lacking: Iterable[str], occasions: int) -> Outcome:
     """Checks that every node knew every other in time.
 
-    `seconds`: the time until then; infinite if it never happened. `occasions`: the number of events that the
-    nodes had to recover from; with none the check fails, because nothing was tested.
+    `seconds`: the time until every node knew every other; infinite if it never happened. `occasions`: the
+    number of events that the nodes had to recover from; with none the check fails, because nothing was
+    tested.
     """
     faults = [f"{node} does not know exactly the running members" for node in lacking][:MAX_NAMED_FAULTS]
-    holds = seconds <= KNOWN_LIMIT_S and occasions > 0
-    return Outcome(name, finite(seconds), KNOWN_LIMIT_S, holds, faults, occasions)
+    holds = seconds <= CONVERGENCE_LIMIT_S and occasions > 0
+    return Outcome(name, finite(seconds), CONVERGENCE_LIMIT_S, holds, faults, occasions)
 
 
 def owner_checks(rows: list[Row], begin_us: int, end_us: int) -> list[Outcome]:
@@ -88,10 +92,15 @@
         for host, late in sorted(worst.items())
         if late > MAX_LATE_MS
     ]
-    looks = sum(len(values) for values in late_ms.values())
+    measurements = sum(len(values) for values in late_ms.values())
     value = max(worst.values(), default=0.0)
     return Outcome(
-        "hosts-on-time-ms", value, MAX_LATE_MS, not faults and looks > 0, faults[:MAX_NAMED_FAULTS], looks
+        "hosts-on-time-ms",
+        value,
+        MAX_LATE_MS,
+        not faults and measurements > 0,
+        faults[:MAX_NAMED_FAULTS],
+        measurements,
     )
 
 
@@ -111,7 +120,7 @@
 
 
 def ended_check(ended: list[str], processes: int) -> Outcome:
-    """Checks that no process ended without being told to by the run."""
+    """Checks that no process ended except by an action of the run."""
     faults = [f"{name} ended by itself" for name in ended]
     return Outcome(
         "no-process-ended-by-itself", len(ended), 0, not ended, faults[:MAX_NAMED_FAULTS], processes
--- a/sailrun/lab/scale/command.py
+++ b/sailrun/lab/scale/command.py
@@ -21,7 +21,8 @@
 ) -> tuple[Summary, ScaleRecords]:
     """Plays the plan. `steps` replaces the faults of the plan.
 
-    Raises DoesNotFit before anything is started, and OSError.
+    Raises DoesNotFit before anything is started if the plan does not fit, and OSError if addresses are not
+    available.
     """
     check_fit(plan)
     began_s, cpu_s = time.monotonic(), time.process_time()
--- a/sailrun/lab/scale/delay_line.py
+++ b/sailrun/lab/scale/delay_line.py
@@ -14,6 +14,7 @@
 
 class DelayLine:
     def __init__(self) -> None:
+        # A heap of due times in seconds, sequence numbers and actions.
         self._due: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count()
         self._earlier_deadline = anyio.Event()
--- a/sailrun/lab/scale/fault_watch.py
+++ b/sailrun/lab/scale/fault_watch.py
@@ -20,14 +20,14 @@
 
     def __init__(self) -> None:
         self.actions = 0
-        self._cuts = 0
+        self._network_faults = 0
         self.most_lacking = 0
-        self._killed_s: float | None = None  # the last kill, until all remaining nodes know of it
+        self._killed_s: float | None = None  # time of the last kill; None once known to all
         self._gone_known_s: float | None = None
 
     def on_action(self, now_s: float, action: Action) -> None:
         self.actions += 1
-        self._cuts += isinstance(action, CutRegions | SilenceNodes)
+        self._network_faults += isinstance(action, CutRegions | SilenceNodes)
         if isinstance(action, KillHost | KillNodes):
             self._killed_s = now_s
         elif isinstance(action, StartHost | StartNodes) and self._killed_s is not None:
@@ -45,7 +45,7 @@
 
         Returns 0 if there was a cut or a silence that blocked no message, because it then had no effect.
         """
-        if self._cuts and not messages_stopped:
+        if self._network_faults and not messages_stopped:
             return 0
         return self.actions + messages_stopped
 
--- a/sailrun/lab/scale/faults.py
+++ b/sailrun/lab/scale/faults.py
@@ -7,9 +7,10 @@
 
 from sailrun.lab.scale.plan import Place, ScalePlan, region_name
 
-# How long nodes stay killed and switches failed, regions cut off from each other, and processes stopped.
+# How long killed nodes and failed switches stay down, how long regions stay cut off from each other, and how
+# long processes stay stopped.
 DOWN_S, CUT_S, STOPPED_S = 60.0, 30.0, 6.0
-# When nodes are killed: the stopped processes have been running again for some time by then.
+# The time at which nodes are killed. The stopped processes have resumed some time before.
 KILL_AT_S = 20.0
 # A rolling restart: the number of parts of the fleet, the time from one part to the next, and the time that
 # each part is down.
@@ -154,7 +155,9 @@
 
 
 def _choose_rack(places: list[Place]) -> tuple[str, ...]:
-    """Returns the hollow nodes of one rack: the one of the last hollow node that is in a first rack.
+    """Returns the hollow nodes of one rack that is the first of its zone.
+
+    Of all these racks, it is the one that holds the hollow node with the highest index.
 
     Real processes are left out, because the run cannot fail their switch.
     """
--- a/sailrun/lab/scale/hollow_host.py
+++ b/sailrun/lab/scale/hollow_host.py
@@ -1,6 +1,7 @@
 """A host process that runs many hollow nodes: `python -m sailrun.lab.scale.hollow_host`.
 
-Reads commands from stdin and writes answers to stdout, see `host_messages.py`. Ends at the end of stdin.
+Reads commands from stdin and writes answers to stdout, see `host_messages.py`. Ends after the `end` command
+or at the end of stdin.
 """
 
 from __future__ import annotations
@@ -99,13 +100,13 @@
     async def _start(self, lives: dict[str, int], known: bool) -> None:
         seed = self._setup.plan.seed
         hollow = [place for place in self._places if not place.real] if known else []
-        packed = msgspec.msgpack.encode([member_record(seed, place, 1) for place in hollow])
+        encoded_records = msgspec.msgpack.encode([member_record(seed, place, 1) for place in hollow])
         decoder = msgspec.msgpack.Decoder(list[MemberRecord])
         for name, number in lives.items():
             node = self._new_node(name, number)
             if known:
                 # Each node gets its own copies of the records, as if it had received them on its own sockets.
-                node.preload([record for record in decoder.decode(packed) if record.name != name])
+                node.preload([record for record in decoder.decode(encoded_records) if record.name != name])
             self._nodes[name] = node
             self._group.start_soon(node.run)
             await anyio.sleep(0)
@@ -166,7 +167,7 @@
             reports.append(node.report())
             await anyio.sleep(0)
         late_ms, self._late_ms = self._late_ms, []
-        return HostReport(reports, cpu_s, rss_mb(os.getpid()), late_ms, self._network.stopped)
+        return HostReport(reports, cpu_s, rss_mb(os.getpid()), late_ms, self._network.blocked_messages)
 
 
 def rss_mb(pid: int) -> float:
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -31,7 +31,7 @@
 
 SECOND = 1_000_000
 # The interval at which the endpoint list changes in a scale run.
-ROSTER_S = 60
+ROSTER_CHANGE_INTERVAL_S = 60
 # A leaving node runs on for this time, as a real node does while it moves its clients.
 LEAVE_GRACE_S = 0.5
 
@@ -51,10 +51,10 @@
 
 
 def roster_revision(began_us: int, now_us: int) -> int:
-    return 1 + max(0, now_us - began_us) // (ROSTER_S * SECOND)
+    return 1 + max(0, now_us - began_us) // (ROSTER_CHANGE_INTERVAL_S * SECOND)
 
 
-class ModelledCarrier(Transport):
+class ModelledTransport(Transport):
     """A transport that applies the delay and loss of the network model to datagrams and frames.
 
     A frame waits before it is queued for its link, so that the leader's term is checked after the delay, not
@@ -81,9 +81,9 @@
         if wait_s < MIN_DELAY_S:
             super()._send_datagram(datagrams, data, address)
         else:
-            self._delays.after(wait_s, partial(self._put_late, datagrams, data, address))
+            self._delays.after(wait_s, partial(self._send_delayed_datagram, datagrams, data, address))
 
-    def _put_late(self, datagrams: socket.socket, data: bytes, address: str) -> None:
+    def _send_delayed_datagram(self, datagrams: socket.socket, data: bytes, address: str) -> None:
         began_s = thread_time()
         super()._send_datagram(datagrams, data, address)
         self._metered.cpu_s += thread_time() - began_s
@@ -104,7 +104,10 @@
             self._metered.cpu_s += thread_time() - began_s
 
     def _on_envelope(self, address: str, envelope: Envelope) -> None:
-        """Applies the model to datagrams from real processes, which send without it."""
+        """Applies the model to messages from real processes, which send without it.
+
+        A message from a hollow node is checked again for a cut or a silence that began during its delay.
+        """
         sender = self._network.by_name.get(envelope.sender)
         if sender is None or not sender.real:
             if sender is None or self._network.passes(sender, self._place):
@@ -142,8 +145,8 @@
             lambda: new_initial_term(time.time(), rng.getrandbits(12)),
             record=record,
         )
-        self.carrier = ModelledCarrier(self.agent, place, network, delays)
-        self.carrier.after_turn = self._after_turn
+        self.transport = ModelledTransport(self.agent, place, network, delays)
+        self.transport.after_turn = self._after_turn
         self._task = READER_TASK_PREFIX + place.zone
         self._shared_list = SharedList(roster, agent_settings.list_reader, boot_us())
         self.agent.request_handlers[self._task] = lambda now_us, sender, content: (
@@ -154,14 +157,14 @@
 
     async def run(self) -> None:
         with self._scope:
-            await self.carrier.run()
+            await self.transport.run()
 
     def kill(self) -> None:
         """Cancels the tasks of the node; its sockets are closed once they have ended."""
         self._scope.cancel()
 
     async def leave(self) -> None:
-        self.carrier.post(self.agent.leave)
+        self.transport.post(self.agent.leave)
         await anyio.sleep(LEAVE_GRACE_S)
         self.kill()
 
@@ -190,7 +193,7 @@
     # ------------------------------------------------------------------ inspection
 
     def report(self) -> NodeReport:
-        return node_report(self.agent, self.number, self.carrier.traffic, boot_us())
+        return node_report(self.agent, self.number, self.transport.traffic, boot_us())
 
     def knows(self, expected_members: Look, seed: int) -> bool:
         """Returns whether the node knows exactly the members that the command describes."""
--- a/sailrun/lab/scale/host_messages.py
+++ b/sailrun/lab/scale/host_messages.py
@@ -44,7 +44,7 @@
 
 
 class Silence(msgspec.Struct, frozen=True, tag="silence"):
-    """Blocks all messages to and from these nodes, or stops blocking them. Every host gets it."""
+    """Blocks all messages to and from these nodes, or stops blocking them. The run sends it to every host."""
 
     names: list[str]
     on: bool
--- a/sailrun/lab/scale/host_process.py
+++ b/sailrun/lab/scale/host_process.py
@@ -37,10 +37,10 @@
         self._request_lock = anyio.Lock()
         self._process: Process | None = None
         self._answers: MemoryObjectReceiveStream[Answer] | None = None
-        self.lives = 0
+        self.start_count = 0
         self.base_mb = self.base_cpu_s = 0.0  # used without nodes
         self.stopped = False
-        self.is_ending = False  # the run has told it to end
+        self.is_ending = False  # the run has started to end it
         self.ended_by_itself = False
 
     @property
@@ -48,8 +48,8 @@
         return self._process is not None and not self.stopped
 
     async def start(self, setup: Setup) -> None:
-        """Starts the host and returns once it has reported that it is ready."""
-        self.lives, self.is_ending = self.lives + 1, False
+        """Starts the host and returns once it is ready or has ended."""
+        self.start_count, self.is_ending = self.start_count + 1, False
         with self._log.open("ab") as log:
             process = await anyio.open_process(
                 [sys.executable, "-m", "sailrun.lab.scale.hollow_host"],
@@ -119,7 +119,7 @@
             with suppress(ProcessLookupError):
                 self._process.send_signal(number)
 
-    async def ended(self) -> None:
+    async def wait_until_ended(self) -> None:
         while self._process is not None:
             await anyio.sleep(0.02)
 
--- a/sailrun/lab/scale/network_model.py
+++ b/sailrun/lab/scale/network_model.py
@@ -1,7 +1,7 @@
 """Delay and loss between places, cuts between regions, and nodes that are cut off from the network.
 
 Every host process and virtual time use the same model. Messages between two real processes go over plain
-loopback without the model; on every other path the hollow end applies it.
+loopback without the model; on every other path the hollow node applies it.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         self._paths: dict[tuple[str, str], Path] = {}  # by the zones of sender and receiver
         self._cut: set[frozenset[str]] = set()  # pairs of regions
         self._silent: set[str] = set()  # names
-        self.stopped = 0  # messages that a cut or a silence blocked
+        self.blocked_messages = 0  # by a cut or a silence
 
     # ------------------------------------------------------------------ faults
 
@@ -71,7 +71,7 @@
         """Returns whether a message gets from the sender to the receiver now. Counts it if not."""
         cut = bool(self._cut) and frozenset((sender.region, receiver.region)) in self._cut
         if cut or sender.name in self._silent or receiver.name in self._silent:
-            self.stopped += 1
+            self.blocked_messages += 1
             return False
         return True
 
@@ -87,7 +87,7 @@
         return path.delay_s * (1.0 + JITTER * self._random.random())
 
     def frame_s(self, sender: Place, receiver: Place) -> float | None:
-        """Returns the delay of a frame on a link in seconds, or None if the two places are cut off.
+        """Returns the delay of a frame on a link in seconds, or None if a cut or a silence blocks it.
 
         A frame is never lost by chance, because TCP retransmits.
         """
--- a/sailrun/lab/scale/plan.py
+++ b/sailrun/lab/scale/plan.py
@@ -16,12 +16,14 @@
 MAX_VIRTUAL_NODES = 3_800
 MAX_PROCESSES = 300
 MAX_MEMORY_MB = 12_000.0
-# Memory, rounded up: what one node stores of another, a hollow node that knows no members, a host without
-# nodes, a real process. In virtual time all nodes share one record of a member.
+# Memory, rounded up: what one node stores about another, a hollow node that knows no members, a host without
+# nodes, and a real process.
 PAIR_KB, HOLLOW_MB, HOST_MB, REAL_MB = 0.8, 0.15, 30.0, 50.0
+# In virtual time, where all nodes share one record of each member: what one node stores about another, and
+# the process without nodes.
 VIRTUAL_PAIR_KB, VIRTUAL_MB = 0.4, 60.0
-# Hollow nodes per host, and the fewest and the most hosts. The limit leaves a core for the real processes and
-# the run.
+# Hollow nodes per host, and the minimum and maximum number of hosts. The maximum leaves a core for the real
+# processes and the run.
 HOLLOW_PER_HOST, MIN_HOSTS, MAX_HOSTS = 100, 2, 7
 # File descriptors: of a hollow node for its sockets and links, and of a host for everything else.
 DESCRIPTORS_PER_NODE, DESCRIPTORS_PER_HOST = 4, 64
@@ -33,6 +35,7 @@
 RACK_NODES = 20
 # The port of every hollow node on its own loopback address; below the range of ephemeral ports.
 PORT = 14_000
+# Nodes whose loopback addresses share the third octet.
 NODES_PER_OCTET = 250
 
 
@@ -180,7 +183,7 @@
         raise DoesNotFit(f"{needed_mb:.0f} MB are expected, more than {MAX_MEMORY_MB:.0f}")
     if plan.shards and plan.hollow < plan.control + plan.regions:
         raise DoesNotFit(
-            f"{plan.hollow} hollow nodes are fewer than {plan.control + plan.regions}, the least with shards"
+            f"{plan.hollow} hollow nodes are fewer than {plan.control + plan.regions}, the minimum for shards"
         )
     if plan.driver == "sockets":
         _check_descriptors(plan)
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -38,8 +38,9 @@
 
 
 class SteadyRoster(RigRoster):
-    """A registry whose endpoint list gets a new revision every `ROSTER_S`, the same as hollow readers
-    report.
+    """A registry that changes the revision of its endpoint list every `ROSTER_CHANGE_INTERVAL_S`.
+
+    Hollow list readers report the same revisions.
     """
 
     def __init__(self, began_us: int) -> None:
@@ -67,13 +68,13 @@
         """`row` is called for every event of the process and its tasks: kind, node, at_us, facts."""
         self.place, self._row = place, row
         self.listen, self.control = free_address(), free_address()
-        self.lives = 0
+        self.start_count = 0
         self.process: Process | None = None
-        self.is_ending = False  # the run has told it to end
+        self.is_ending = False  # the run has sent it a signal to end
 
     async def run(self, files: ProcessFiles) -> None:
         """Runs the process from its start to its end. Kills it if this call is cancelled."""
-        self.lives, self.is_ending = self.lives + 1, False
+        self.start_count, self.is_ending = self.start_count + 1, False
         environment = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "SAILRUN_"))}
         command = [sys.executable, "-m", "sailrun", "serve"]
         process = self.process = await anyio.open_process(
@@ -82,7 +83,7 @@
             stdout=subprocess.DEVNULL,
             env={**environment, "TMPDIR": str(files.config.parent)},
         )
-        self._row("started", self.place.name, boot_us(), life=self.lives)
+        self._row("started", self.place.name, boot_us(), life=self.start_count)
         try:
             assert process.stderr is not None
             lines = BufferedByteReceiveStream(process.stderr)
@@ -101,9 +102,9 @@
             self._row("died", self.place.name, boot_us(), code=process.returncode)
 
     def _on_log_line(self, line: str) -> None:
-        """Records a log line `TIME act kind=hold at_us=... task=... left_us=...`.
+        """Records the ownership event of a log line `TIME act kind=hold at_us=... task=... left_us=...`.
 
-        The times in it are of the monotonic clock.
+        Other lines are ignored. `at_us` is a time of the monotonic clock, `left_us` the rest of the lease.
         """
         _, _, rest = line.strip().partition(" ")
         what, *fields = rest.split(" ")
@@ -119,7 +120,7 @@
         self._row("hold", self.place.name, at_us, task=task, term=term, until_us=until_us)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal to the process if it runs."""
+        """Sends a signal to the process if it runs. SIGKILL and SIGTERM mark it as ending."""
         if number in (signal.SIGKILL, signal.SIGTERM):
             self.is_ending = True
         if self.process is not None and self.process.returncode is None:
@@ -140,7 +141,7 @@
             return None
         keys = ("messages_in", "messages_out", "bytes_in", "bytes_out")
         traffic = TrafficCounters(*(counts[key] for key in keys))
-        report = NodeReport(self.place.name, self.lives, traffic, cpu_s, [], False, memory)
+        report = NodeReport(self.place.name, self.start_count, traffic, cpu_s, [], False, memory)
         shards_answer = await self._query("fleet shards")
         report.shards = len(shards_answer["usable"]) if shards_answer is not None else 0
         return report
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -12,19 +12,19 @@
 
 import anyio
 
-from sailrun.lab.scale.checks import KNOWN_LIMIT_S, MAX_NAMED_FAULTS, worst_late_ms
+from sailrun.lab.scale.checks import CONVERGENCE_LIMIT_S, MAX_NAMED_FAULTS, worst_late_ms
 from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import Step
 from sailrun.lab.scale.plan import ScalePlan, memory_mb
-from sailrun.lab.scale.results import Known, Measured
+from sailrun.lab.scale.results import Convergence, Measured
 from sailrun.lab.scale.roles import NodeUse
 from sailrun.lab.scale.socket_fleet import Sample, SocketFleet, loopback_block, uses_between
 from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
 from sailrun.leadership.clock import boot_us
 
 # How often the run checks that every node knows every other, and for how long at most.
-CHECK_INTERVAL_S, KNOWN_TIMEOUT_S = 0.5, 2 * KNOWN_LIMIT_S
-# The wait before a measurement, after every node knows every other: leases settle in it.
+CHECK_INTERVAL_S, CONVERGENCE_TIMEOUT_S = 0.5, 2 * CONVERGENCE_LIMIT_S
+# The wait after every node knows every other, before the next measurement, so that leases settle.
 SETTLE_S = 3.0
 OnProgress = Callable[[float], None]
 
@@ -96,19 +96,19 @@
             figures=self._figures,
         )
 
-    async def _begin(self) -> Known:
+    async def _begin(self) -> Convergence:
         fleet = self._fleet
         all_at_once = fleet.plan.faults == "begin"
         fleet.begin_us = boot_us()
         await fleet.start_all(known=not all_at_once)
-        known = await self._until_known()
+        convergence = await self._until_converged()
         sample = await fleet.sample()
         self._uses[BEGIN] = uses_between(fleet.zero_sample(sample), sample)
         self._figures["hosts_late_in_begin_ms"] = worst_late_ms(fleet.late_ms)
         if not all_at_once:
             fleet.late_ms.clear()  # the lateness of a start with preloaded members is not checked
         self._on_progress(0.2)
-        return known
+        return convergence
 
     async def _rest(self) -> Sample:
         await anyio.sleep(SETTLE_S)
@@ -119,20 +119,20 @@
         self._on_progress(0.6)
         return after
 
-    async def _faults(self, before: Sample) -> Known:
+    async def _faults(self, before: Sample) -> Convergence:
         began_s = time.monotonic()
         for step in self._steps:
             await self._watch_until(began_s + step.at_s)
             await self._fleet.carry_out(step.action)
             self._watch.on_action(time.monotonic(), step.action)
-        known = await self._until_known()
-        await anyio.sleep(SETTLE_S)  # tasks whose owner was hit get another one
+        convergence = await self._until_converged()
+        await anyio.sleep(SETTLE_S)  # tasks that lost their owner get another one
         after = await self._fleet.sample()
         self._uses[FAULT] = uses_between(before, after)
-        known.occasions = self._watch.occasions(after.stopped())
+        convergence.occasions = self._watch.occasions(after.blocked_messages())
         self._figures |= self._watch.figures()
-        self._figures["messages_stopped"] = float(after.stopped())
-        return known
+        self._figures["messages_stopped"] = float(after.blocked_messages())
+        return convergence
 
     async def _watch_until(self, due_s: float) -> None:
         while (left_s := due_s - time.monotonic()) > 0:
@@ -147,14 +147,14 @@
             "look", "", boot_us(), lacking=len(lacking), some=",".join(lacking[:MAX_NAMED_FAULTS])
         )
 
-    async def _until_known(self) -> Known:
+    async def _until_converged(self) -> Convergence:
         began_s = time.monotonic()
         lacking: list[str] = []
-        while time.monotonic() - began_s < KNOWN_TIMEOUT_S:
+        while time.monotonic() - began_s < CONVERGENCE_TIMEOUT_S:
             lacking = await self._fleet.lacking()
             if not lacking:
-                return Known(time.monotonic() - began_s)
+                return Convergence(time.monotonic() - began_s)
             if self._fleet.ended_by_itself():
                 break  # the fleet will never be complete
             await anyio.sleep(CHECK_INTERVAL_S)
-        return Known(math.inf, lacking)
+        return Convergence(math.inf, lacking)
--- a/sailrun/lab/scale/results.py
+++ b/sailrun/lab/scale/results.py
@@ -25,9 +25,10 @@
 
 
 @dataclass(slots=True)
-class Known:
+class Convergence:
     """`seconds`: the time until every node knew every other; infinite if it never happened. `lacking`: the
-    nodes that did not know every other then. `occasions`: the number of events that they had to recover from.
+    nodes that still did not when the run stopped waiting. `occasions`: the number of events that they had to
+    recover from.
     """
 
     seconds: float
@@ -42,8 +43,8 @@
     The times of the rows are microseconds of one clock.
     """
 
-    begin: Known
-    after: Known | None
+    begin: Convergence
+    after: Convergence | None
     uses: dict[str, list[NodeUse]]
     rows: list[Row]
     begin_us: int
--- a/sailrun/lab/scale/role_table.py
+++ b/sailrun/lab/scale/role_table.py
@@ -17,7 +17,7 @@
     "cpu_whole": "whole cpu",
     "memory_mb": "MB",
 }
-_SHARES = ("cpu", "cpu_whole")
+_SHARE_MEASURES = ("cpu", "cpu_whole")
 
 
 def is_role_figure(figure: str) -> bool:
@@ -47,6 +47,6 @@
 
 def _cell(figures: Figures, role: str, measure: str) -> str:
     values = [figures[f"{role}.{measure}.{which}"] or 0.0 for which in ("median", "most")]
-    if measure in _SHARES:
+    if measure in _SHARE_MEASURES:
         return ", ".join(f"{value:.2%}" for value in values)
     return ", ".join(f"{value:.2f}" if value < 10 else f"{value:.0f}" for value in values)
--- a/sailrun/lab/scale/settings.py
+++ b/sailrun/lab/scale/settings.py
@@ -11,7 +11,7 @@
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 FLEET = "scale"
-# Nodes join through this many of the first nodes, each of which is in another region.
+# The number of nodes through which every node joins: the first ones, which are in different regions.
 JOIN_ADDRESS_COUNT = 3
 
 
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -58,6 +58,7 @@
 
 # Blocks of loopback addresses, by their second octet, that a run may take.
 BLOCKS = range(16, 240)
+# The time that all hosts together have for ending after the `end` command, before they are killed.
 END_TIMEOUT_S = 5.0
 
 
@@ -76,12 +77,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The resource use of all nodes up to one point. Real processes have the time of their answer."""
+    """The reports of all hosts and real processes that answered.
+
+    `real`: by name, with the time of arrival (monotonic seconds).
+    """
 
     hosts: dict[int, HostSample]
     real: dict[str, tuple[float, NodeReport]]
 
-    def stopped(self) -> int:
+    def blocked_messages(self) -> int:
         """Returns the number of messages that cuts and silences blocked since the answering hosts started."""
         return sum(host.report.stopped for host in self.hosts.values())
 
@@ -147,7 +151,7 @@
     # ------------------------------------------------------------------ begin and end
 
     async def open(self) -> None:
-        """Starts the hosts, without nodes."""
+        """Starts the registry and the hosts, without nodes."""
         await self._roster.open(self._group)
         async with anyio.create_task_group() as starting:
             for host in self.hosts:
@@ -158,7 +162,7 @@
         return Setup(self.plan, host, self._block, self._roster_us, source)
 
     async def start_all(self, known: bool) -> None:
-        """Starts all nodes without waiting in between."""
+        """Starts all nodes without waiting for any of them."""
         for host in self.hosts:
             await self._start_hollow(host, self._names_of(host), known)
         for name in self.real:
@@ -196,15 +200,18 @@
             process.send_signal(signal.SIGKILL)
         with anyio.move_on_after(END_TIMEOUT_S):
             for host in self.hosts:
-                await host.ended()
+                await host.wait_until_ended()
         for host in self.hosts:
             host.kill()
-            await host.ended()
+            await host.wait_until_ended()
         while any(process.process is not None for process in self.real.values()):
             await anyio.sleep(0.02)
 
     def ended_by_itself(self) -> list[str]:
-        """Returns the processes that ended without being told to; hosts with the last line of their log."""
+        """Returns the processes that ended except by an action of the run.
+
+        Hosts are returned with the last line of their log.
+        """
         hosts = [f"{host.name} ({host.last_log_line()})" for host in self.hosts if host.ended_by_itself]
         return hosts + self._real_ended
 
@@ -220,7 +227,7 @@
                     self.record("died", name, boot_us())
             case StartHost(number):
                 host = self.hosts[number]
-                await host.ended()
+                await host.wait_until_ended()
                 await host.start(self._setup(number))
                 await self._start_hollow(host, self._names_of(host))
             case StopHost(number):
@@ -293,7 +300,7 @@
         expected_members = Look(len(names), names_crc(names), restarted)
         lacking: list[str] = []
 
-        async def look_at_host(host: HostProcess) -> None:
+        async def check_host(host: HostProcess) -> None:
             expected = [name for name in self._names_of(host) if name in running]
             answer = await host.request(expected_members) if expected else None
             if isinstance(answer, Looked) and answer.nodes == len(expected):
@@ -301,47 +308,47 @@
             else:
                 lacking.extend(expected)
 
-        async def look_at_real(process: RealProcess) -> None:
+        async def check_real(process: RealProcess) -> None:
             if not await process.knows(expected_members):
                 lacking.append(process.place.name)
 
-        async with anyio.create_task_group() as looking:
+        async with anyio.create_task_group() as checks:
             for host in self.hosts:
-                looking.start_soon(look_at_host, host)
+                checks.start_soon(check_host, host)
             for name, process in self.real.items():
                 if name in running:
-                    looking.start_soon(look_at_real, process)
+                    checks.start_soon(check_real, process)
         return sorted(lacking)
 
     async def sample(self) -> Sample:
         hosts: dict[int, HostSample] = {}
         real: dict[str, tuple[float, NodeReport]] = {}
 
-        async def of_host(host: HostProcess) -> None:
+        async def sample_host(host: HostProcess) -> None:
             report = await host.request(Report())
             if isinstance(report, HostReport):
                 hosts[host.number] = HostSample(
-                    time.monotonic(), host.lives, host.base_mb, host.base_cpu_s, report
+                    time.monotonic(), host.start_count, host.base_mb, host.base_cpu_s, report
                 )
                 self.late_ms.setdefault(host.name, []).extend(report.late_ms)
 
-        async def of_real(process: RealProcess) -> None:
+        async def sample_real(process: RealProcess) -> None:
             report = await process.report()
             if report is not None:
                 real[process.place.name] = (time.monotonic(), report)
 
-        async with anyio.create_task_group() as asking:
+        async with anyio.create_task_group() as requests:
             for host in self.hosts:
-                asking.start_soon(of_host, host)
+                requests.start_soon(sample_host, host)
             for name, process in self.real.items():
                 if name not in self._stopped:
-                    asking.start_soon(of_real, process)
+                    requests.start_soon(sample_real, process)
         return Sample(hosts, real)
 
     def zero_sample(self, sample: Sample) -> Sample:
         """Returns a sample of the same nodes with zero use, as of the start of the run."""
 
-        def fresh(report: NodeReport) -> NodeReport:
+        def zeroed(report: NodeReport) -> NodeReport:
             return NodeReport(report.name, report.life, TrafficCounters(), 0.0, [], report.voter)
 
         began_s = time.monotonic() - (boot_us() - self.begin_us) / 1e6
@@ -351,11 +358,11 @@
                 host.life,
                 host.base_mb,
                 host.base_cpu_s,
-                HostReport([fresh(r) for r in host.report.nodes], host.base_cpu_s, host.base_mb, [], 0),
+                HostReport([zeroed(r) for r in host.report.nodes], host.base_cpu_s, host.base_mb, [], 0),
             )
             for number, host in sample.hosts.items()
         }
-        return Sample(hosts, {name: (began_s, fresh(report)) for name, (_, report) in sample.real.items()})
+        return Sample(hosts, {name: (began_s, zeroed(report)) for name, (_, report) in sample.real.items()})
 
 
 @contextmanager
@@ -367,9 +374,9 @@
     blocks = list(BLOCKS)
     random.Random(f"{seed}/{time.monotonic_ns()}").shuffle(blocks)
     for block in blocks:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as reservation:
             try:
-                probe.bind((f"127.{block}.255.1", PORT))
+                reservation.bind((f"127.{block}.255.1", PORT))
             except OSError:
                 continue
             yield block
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -1,7 +1,7 @@
 """Plays a scale run in virtual time: the same agents, the same network model, in one process.
 
 There are no event loop and no sockets, so `cpu` excludes decoding and sending. All nodes share the member
-records with which they start, so they use less memory than separate nodes.
+records with which they start, so they use less memory than nodes with records of their own.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
     StopNodes,
 )
 from sailrun.lab.scale.hollow_host import OWNERSHIP_KINDS, rss_mb
-from sailrun.lab.scale.hollow_node import ROSTER_S, node_report, preload_members
+from sailrun.lab.scale.hollow_node import ROSTER_CHANGE_INTERVAL_S, node_report, preload_members
 from sailrun.lab.scale.host_messages import NodeReport
 from sailrun.lab.scale.metered_agent import MeteredAgent
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import Place, ScalePlan, memory_mb, place_nodes, voters_of
-from sailrun.lab.scale.real_run import CHECK_INTERVAL_S, KNOWN_TIMEOUT_S, SETTLE_S
-from sailrun.lab.scale.results import Known, Measured
+from sailrun.lab.scale.real_run import CHECK_INTERVAL_S, CONVERGENCE_TIMEOUT_S, SETTLE_S
+from sailrun.lab.scale.results import Convergence, Measured
 from sailrun.lab.scale.roles import NodeUse, use_between
 from sailrun.lab.scale.settings import initial_member_record, node_settings
 from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
@@ -51,7 +51,7 @@
 from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
-RECORDED = (*OWNERSHIP_KINDS, "started", "died", "fault", "look")
+RECORDED_KINDS = (*OWNERSHIP_KINDS, "started", "died", "fault", "look")
 OnProgress = Callable[[float], None]
 
 
@@ -82,7 +82,7 @@
 
         Except for the fault `begin`, every node knows every other from the start.
         """
-        self.time.after(ROSTER_S * SECOND, self._publish)
+        self.time.after(ROSTER_CHANGE_INTERVAL_S * SECOND, self._publish)
         for name in self.names:
             self.start(name)
         if self.plan.faults == "begin":
@@ -108,12 +108,12 @@
         super().start(name, clock_s)
 
     def row(self, kind: str, node: str, **facts: Any) -> None:
-        if kind in RECORDED:
+        if kind in RECORDED_KINDS:
             super().row(kind, node, **facts)
 
     def _publish(self) -> None:
         self.revision += 1
-        self.time.after(ROSTER_S * SECOND, self._publish)
+        self.time.after(ROSTER_CHANGE_INTERVAL_S * SECOND, self._publish)
 
     # ------------------------------------------------------------------ the network
 
@@ -143,23 +143,23 @@
         self.row("fault", "", what=type(action).__name__, facts=str(action)[:500])
         match action:
             case KillHost(number):
-                self._each(self._names_of(number), self.kill)
+                self._for_each(self._names_of(number), self.kill)
             case StartHost(number):
-                self._each(self._names_of(number), self.start)
+                self._for_each(self._names_of(number), self.start)
             case StopHost(number):
-                self._each(self._names_of(number), self._stop)
+                self._for_each(self._names_of(number), self._stop)
             case ContinueHost(number):
-                self._each(self._names_of(number), self._continue)
+                self._for_each(self._names_of(number), self._continue)
             case KillNodes(names):
-                self._each(names, self.kill)
+                self._for_each(names, self.kill)
             case LeaveNodes(names):
-                self._each(names, self.leave)
+                self._for_each(names, self.leave)
             case StartNodes(names):
-                self._each(names, self.start)
+                self._for_each(names, self.start)
             case StopNodes(names):
-                self._each(names, self._stop)
+                self._for_each(names, self._stop)
             case ContinueNodes(names):
-                self._each(names, self._continue)
+                self._for_each(names, self._continue)
             case SilenceNodes(names, on):
                 self.network.silence(names, on)
             case CutRegions(one, other):
@@ -171,7 +171,7 @@
         return tuple(place.name for place in self.places if place.host == host)
 
     @staticmethod
-    def _each(names: tuple[str, ...], act: Callable[[str], None]) -> None:
+    def _for_each(names: tuple[str, ...], act: Callable[[str], None]) -> None:
         for name in names:
             act(name)
 
@@ -209,15 +209,15 @@
         known = {other: members.find_record(other) for other in lives}
         return all(record is not None and record.life == lives[other] for other, record in known.items())
 
-    def until_known(self) -> Known:
+    def until_converged(self) -> Convergence:
         began_s = self.now_s
         lacking: list[str] = []
-        while self.now_s - began_s < KNOWN_TIMEOUT_S:
+        while self.now_s - began_s < CONVERGENCE_TIMEOUT_S:
             lacking = self.lacking()
             if not lacking:
-                return Known(self.now_s - began_s)
+                return Convergence(self.now_s - began_s)
             self.run_for(CHECK_INTERVAL_S)
-        return Known(math.inf, lacking)
+        return Convergence(math.inf, lacking)
 
     def reports(self) -> dict[str, NodeReport]:
         return {node.name: self._report(node) for node in self.nodes.values() if node.agent is not None}
@@ -263,7 +263,7 @@
 ) -> Measured:
     fleet.begin()
     stretch = _Stretch(fleet, base_mb)
-    begin = fleet.until_known()
+    begin = fleet.until_converged()
     uses = {BEGIN: stretch.uses()} if fleet.now_s else {}
     on_progress(0.2)
     fleet.run_for(SETTLE_S)
@@ -279,13 +279,13 @@
     on_progress(1.0)
     figures = {"memory_expected_mb": memory_mb(fleet.plan), "memory_mb": rss_mb(os.getpid())}
     if steps:
-        figures |= {**watch.figures(), "messages_stopped": float(fleet.network.stopped)}
+        figures |= {**watch.figures(), "messages_stopped": float(fleet.network.blocked_messages)}
     measured = Measured(begin, after, uses, fleet.rows, BEGIN_US, fleet.time.now_us, figures=figures)
     measured.reports = list(fleet.reports().values())
     return measured
 
 
-def _play_steps(fleet: VirtualScaleFleet, steps: list[Step], watch: FaultWatch) -> Known:
+def _play_steps(fleet: VirtualScaleFleet, steps: list[Step], watch: FaultWatch) -> Convergence:
     began_s = fleet.now_s
     for step in steps:
         while (left_s := began_s + step.at_s - fleet.now_s) > 0:
@@ -296,7 +296,7 @@
                 fleet.row("look", "", lacking=len(lacking), some=",".join(lacking[:MAX_NAMED_FAULTS]))
         fleet.carry_out(step.action)
         watch.on_action(fleet.now_s, step.action)
-    known = fleet.until_known()
+    convergence = fleet.until_converged()
     fleet.run_for(SETTLE_S)
-    known.occasions = watch.occasions(fleet.network.stopped)
-    return known
+    convergence.occasions = watch.occasions(fleet.network.blocked_messages)
+    return convergence
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from sailrun.lab.faults.history import Row
 from sailrun.lab.run import Outcome, Summary
 from sailrun.lab.scale.checks import (
-    KNOWN_LIMIT_S,
+    CONVERGENCE_LIMIT_S,
     MAX_LATE_MS,
     late_check,
     longest_gap_s,
@@ -337,7 +337,7 @@
 
 
 def test_members_that_are_never_known_fail_the_check() -> None:
-    assert members_known_check("known", KNOWN_LIMIT_S, [], occasions=1).holds
+    assert members_known_check("known", CONVERGENCE_LIMIT_S, [], occasions=1).holds
     assert not members_known_check("known", 0.0, [], occasions=0).holds
     never = members_known_check("known", float("inf"), ["n4"], occasions=1)
     assert (
