--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from sailrun.lab.faults.history import Row
 from sailrun.lab.run import Outcome, Summary
 from sailrun.lab.scale.checks import (
-    KNOWN_LIMIT_S,
+    CONVERGENCE_LIMIT_S,
     MAX_LATE_MS,
     late_check,
     longest_gap_s,
@@ -49,7 +49,7 @@
     place_nodes,
     voters_of,
 )
-from sailrun.lab.scale.role_table import is_of_role, role_lines
+from sailrun.lab.scale.role_table import is_role_figure, role_lines
 from sailrun.lab.scale.roles import MEASURES, NodeUse, role_figures, roles_of, use_between
 from sailrun.lab.scale.settings import node_settings
 from sailrun.leadership.traffic import TrafficCounters
@@ -280,7 +280,7 @@
     lines = list(role_lines(role_figures([use]) | role_figures([use], "fault.")))
     assert [line.split()[0] for line in lines] == ["rest:", "ordinary", "fault:", "ordinary"]
     assert "400, 400" in lines[1] and "2.50%, 2.50%" in lines[1] and "1.50, 1.50" in lines[1]
-    assert is_of_role("ordinary.nodes") and not is_of_role("known_after_begin_s")
+    assert is_role_figure("ordinary.nodes") and not is_role_figure("known_after_begin_s")
 
 
 # ---------------------------------------------------------------------- checks
@@ -337,7 +337,7 @@
 
 
 def test_members_that_are_never_known_fail_the_check() -> None:
-    assert members_known_check("known", KNOWN_LIMIT_S, [], occasions=1).holds
+    assert members_known_check("known", CONVERGENCE_LIMIT_S, [], occasions=1).holds
     assert not members_known_check("known", 0.0, [], occasions=0).holds
     never = members_known_check("known", float("inf"), ["n4"], occasions=1)
     assert (
