--- a/sailrun/cli.py
+++ b/sailrun/cli.py
@@ -62,12 +62,12 @@
             from sailrun.operator_settings import read_operator
 
             enabled_tables = [name for name, table in read_operator(path).tables() if table.enabled]
-            print(f"{path}: enables {', '.join(enabled_tables) or 'nothing'}")
+            print(f"{path}: switches on {', '.join(enabled_tables) or 'nothing'}")
             return
         node_config = read_sidecar(path)
     except ConfigError as error:
         complain(error)
-    print(f"{path}: valid configuration of '{node_config.name}'")
+    print(f"{path}: fit to serve '{node_config.name}'")
 
 
 @config_app.command("schema")
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -398,7 +398,7 @@
         (VALID_SETTINGS.replace('"n3"', '"n2"'), "owners.voters: names a voter twice"),
         (VALID_SETTINGS + "lease_s = 1.5\n", "owners.lease_s: is 1.5, under twice order_s"),
         (VALID_SETTINGS + "revision = 0\n", "owners.revision: "),
-        (VALID_SETTINGS + 'voters_before = ["n4", "n5", "n6"]\n', "owners.voters_before: differs"),
+        (VALID_SETTINGS + 'voters_before = ["n4", "n5", "n6"]\n', "owners.voters_before: must differ"),
         (VALID_SETTINGS + "[permits]\nenabled = true\nlease_s = 1.0\n", "permits.lease_s: is 1, under the 6"),
         ("[permits]\nenabled = true\n", "permits.enabled: is true, but owners.enabled is not"),
         (VALID_SETTINGS + "[reader]\nask = 1\n", "reader: "),
