--- a/sailrun/__main__.py
+++ b/sailrun/__main__.py
@@ -1,13 +1,13 @@
-"""`python -m sailrun`: the platform's node without arguments, else the command line, see sailrun/cli.py."""
+"""Runs a node as the platform starts it if there are no arguments, else the command line (cli.py)."""
 
 import sys
 
 if __name__ == "__main__":
     if len(sys.argv) == 1:
-        # What reads arguments is a good part of what a start costs, and here there are none.
-        from sailrun.start import by_environment, start
+        # Importing the argument parser takes a good part of the start-up time and is not needed here.
+        from sailrun.start import paths_from_environment, start
 
-        start(*by_environment())
+        start(*paths_from_environment())
     else:
         from sailrun.cli import command
 
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -1,4 +1,4 @@
-"""`sailrun lab`: experiments from the command line. Libraries are loaded only once one is run."""
+"""`sailrun lab`: experiments from the command line. Large libraries are imported only when a command runs."""
 
 from __future__ import annotations
 
@@ -13,55 +13,58 @@
     from sailrun.lab.faults.play import FaultDay
     from sailrun.lab.run import Request, Summary
 
-app = typer.Typer(help="Try real nodes in a world of stand-ins, and see what a change does.")
+app = typer.Typer(help="Run real nodes against stand-ins and measure the effect of a change.")
 
 OutOption = Annotated[Path, typer.Option(help="The folder for the records, the summary and the report.")]
 
 
 DRIVERS = ("virtual", "sockets")
 SCALE = "scale"
+# Lowest and highest allowed values of the options of `scale`.
 SCALE_RANGES = {"nodes": (0, 1_000), "hollow": (0, 100_000), "seconds": (1, 3_600), "shards": (0, 1_000_000)}
 
 
-def _complain(error: object) -> typer.Exit:
+def _usage_error(error: object) -> typer.Exit:
     print(f"sailrun: {error}", file=sys.stderr)
     return typer.Exit(2)
 
 
-def _request(experiment: str, off: list[str] | None, **asked: Any) -> Request:
+def _request(experiment: str, off: list[str] | None, **options: Any) -> Request:
     from sailrun.lab.experiments import EXPERIMENTS
     from sailrun.lab.run import SUBSYSTEMS, Request
 
     if experiment not in EXPERIMENTS:
-        raise _complain(f"NAME: '{experiment}' is none of {', '.join(EXPERIMENTS)}")
+        raise _usage_error(f"NAME: '{experiment}' is none of {', '.join(EXPERIMENTS)}")
     for name in off or ():
         if name not in SUBSYSTEMS:
-            raise _complain(f"--off: '{name}' is none of {', '.join(SUBSYSTEMS)}")
+            raise _usage_error(f"--off: '{name}' is none of {', '.join(SUBSYSTEMS)}")
     ranges: dict[str, tuple[float, float]] = {
         "form_servers": (2, 10_000),
         "nodes": (1, 1_000),
         "households": (1, 10_000_000),
     }
     ranges |= {"seconds": (1, 86_400), "utilization": (0, 1), "datagrams_lost": (0, 1)}
-    for option, (least, most) in ranges.items():
-        value = asked.get(option)
-        if value is not None and not least <= value <= most:
-            raise _complain(f"--{option.replace('_', '-')}: {value} is not from {least} to {most}")
-    if asked.get("utilization") == 0:
-        raise _complain("--utilization: 0 would be nobody at all")
-    asked["driver"] = asked.get("driver") or EXPERIMENTS[experiment].driver
-    return Request(experiment, off=frozenset(off or ()), **asked)
+    for option, (lowest, highest) in ranges.items():
+        value = options.get(option)
+        if value is not None and not lowest <= value <= highest:
+            raise _usage_error(f"--{option.replace('_', '-')}: {value} is not from {lowest} to {highest}")
+    if options.get("utilization") == 0:
+        raise _usage_error("--utilization: 0 means no clients; expected a value above 0 and up to 1")
+    options["driver"] = options.get("driver") or EXPERIMENTS[experiment].driver
+    return Request(experiment, off=frozenset(off or ()), **options)
 
 
 @app.command("list")
 def list_() -> None:
-    """The experiments, and what happens in each."""
+    """List the experiments and what happens in each."""
     from sailrun.lab.experiments import EXPERIMENTS
 
     for experiment in EXPERIMENTS.values():
-        terms = experiment.world()
-        size = f"{terms.form_servers} form servers, {terms.nodes} nodes, {terms.households} households"
-        print(f"{experiment.name:20} {experiment.about} ({size}, {terms.seconds:g} s)")
+        settings = experiment.world()
+        size = (
+            f"{settings.form_servers} form servers, {settings.nodes} nodes, {settings.households} households"
+        )
+        print(f"{experiment.name:20} {experiment.about} ({size}, {settings.seconds:g} s)")
     from sailrun.lab.faults.days import about
 
     for line in about():
@@ -70,35 +73,35 @@
 
 
 def _run_scale(out: Path, driver: str | None, faults: str | None, **sizes: Any) -> None:
-    """Refuses a run that does not fit before anything is started."""
+    """Runs the scale experiment. A plan that does not fit is rejected before anything is started."""
     from sailrun.lab.run import write
     from sailrun.lab.scale.command import play_scale
     from sailrun.lab.scale.plan import FAULTS, DoesNotFit, ScalePlan
 
-    for option, value, known in (("driver", driver, DRIVERS), ("faults", faults, FAULTS)):
-        if value is not None and value not in known:
-            raise _complain(f"--{option}: '{value}' is none of {', '.join(known)}")
-    for option, (least, most) in SCALE_RANGES.items():
+    for option, value, allowed in (("driver", driver, DRIVERS), ("faults", faults, FAULTS)):
+        if value is not None and value not in allowed:
+            raise _usage_error(f"--{option}: '{value}' is none of {', '.join(allowed)}")
+    for option, (lowest, highest) in SCALE_RANGES.items():
         value = sizes[option]
-        if value is not None and not least <= value <= most:
-            raise _complain(f"--{option}: {value:g} is not from {least} to {most}")
-    asked = {"driver": driver, "faults": faults, **sizes}
-    plan = ScalePlan(**{option: value for option, value in asked.items() if value is not None})
+        if value is not None and not lowest <= value <= highest:
+            raise _usage_error(f"--{option}: {value:g} is not from {lowest} to {highest}")
+    options = {"driver": driver, "faults": faults, **sizes}
+    plan = ScalePlan(**{option: value for option, value in options.items() if value is not None})
     try:
-        with _progress(SCALE) as told:
-            summary, records = play_scale(plan, told)
+        with _progress(SCALE) as report_progress:
+            summary, records = play_scale(plan, report_progress)
         write(out, summary, records)
     except DoesNotFit as error:
-        raise _complain(f"{SCALE}: {error}") from None
+        raise _usage_error(f"{SCALE}: {error}") from None
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     _show_scale(summary)
     print(f"records: {out / 'history.parquet'}, {out / 'uses.parquet'}")
     raise typer.Exit(0 if summary.holds else 1)
 
 
 def _fault_day(name: str, off: list[str] | None, nodes: int | None, seconds: float | None) -> FaultDay | None:
-    """A day of faults among owners, where that is what was asked for."""
+    """Returns the fault run of this name, or None if the name is not that of a fault plan."""
     from sailrun.lab.faults.nemesis import PLANS
     from sailrun.lab.faults.play import NODES, RULES, FaultDay
     from sailrun.lab.faults.shard_plans import SHARD_PLANS
@@ -106,26 +109,28 @@
 
     if name not in PLANS and name not in SHARD_PLANS:
         return None
-    least, usual = (FEWEST_NODES, SHARD_PLANS[name].nodes) if name in SHARD_PLANS else (3, NODES)
+    lowest, default_nodes = (FEWEST_NODES, SHARD_PLANS[name].nodes) if name in SHARD_PLANS else (3, NODES)
     for rule in off or ():
         if rule not in RULES:
-            raise _complain(f"--off: '{rule}' is none of {', '.join(RULES)}")
-    if nodes is not None and not least <= nodes <= 1_000:
-        raise _complain(f"--nodes: {nodes} is not from {least} to 1000")
+            raise _usage_error(f"--off: '{rule}' is none of {', '.join(RULES)}")
+    if nodes is not None and not lowest <= nodes <= 1_000:
+        raise _usage_error(f"--nodes: {nodes} is not from {lowest} to 1000")
     if seconds is not None and not 20 <= seconds <= 3_600:
-        raise _complain(f"--seconds: {seconds:g} is not from 20 to 3600")
-    return FaultDay(name, 1, nodes or usual, seconds, frozenset(off or ()))
+        raise _usage_error(f"--seconds: {seconds:g} is not from 20 to 3600")
+    return FaultDay(name, 1, nodes or default_nodes, seconds, frozenset(off or ()))
 
 
 def _check_driver(day: FaultDay, driver: str) -> None:
     from sailrun.lab.faults.rig import MOST_NODES
 
     if driver not in DRIVERS:
-        raise _complain(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
+        raise _usage_error(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
     if driver == "sockets" and day.nodes > MOST_NODES:
-        raise _complain(f"--nodes: {day.nodes} are more than {MOST_NODES}, as many as real processes can be")
+        raise _usage_error(f"--nodes: {day.nodes} is more than {MOST_NODES}, the limit for real processes")
     if driver == "sockets" and day.off:
-        raise _complain("--off: a real process keeps all its rules; they are switched off in virtual time")
+        raise _usage_error(
+            "--off: rules can be switched off only with --driver virtual, not in real processes"
+        )
 
 
 def _run_faults(day: FaultDay, driver: str, out: Path) -> None:
@@ -134,11 +139,11 @@
 
     _check_driver(day, driver)
     try:
-        with _progress(day.plan) as told:
-            summary, history = play_day(day, driver, told)
+        with _progress(day.plan) as report_progress:
+            summary, history = play_day(day, driver, report_progress)
         write(out, summary, history)
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     _show(summary)
     print(f"records: {out / 'history.parquet'}")
     raise typer.Exit(0 if summary.holds else 1)
@@ -150,28 +155,28 @@
     from sailrun.lab.faults.days import occasions, sweep_days
 
     _check_driver(day, driver)
-    with _progress(day.plan) as told:
-        result = sweep_days(day, driver, seeds, workers, told)
+    with _progress(day.plan) as report_progress:
+        result = sweep_days(day, driver, seeds, workers, report_progress)
     try:
         if out is not None:
             out.mkdir(parents=True, exist_ok=True)
             (out / "sweep.json").write_bytes(result.as_json())
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     for line in (*result.lines(), *occasions(result)):
         print(line)
     raise typer.Exit(0 if not result.broken else 1)
 
 
-FormServers = Annotated[int | None, typer.Option(help="How many form servers there are.")]
-Nodes = Annotated[int | None, typer.Option(help="How many nodes there are.")]
-HouseholdsOption = Annotated[int | None, typer.Option(help="Households standing at any time.")]
-Seconds = Annotated[float | None, typer.Option(help="How long the day is.")]
-Utilization = Annotated[float | None, typer.Option(help="The warm fleet's, by what stands; 0 to 1.")]
+FormServers = Annotated[int | None, typer.Option(help="Number of form servers.")]
+Nodes = Annotated[int | None, typer.Option(help="Number of nodes.")]
+HouseholdsOption = Annotated[int | None, typer.Option(help="Households connected at any time.")]
+Seconds = Annotated[float | None, typer.Option(help="Length of the run in seconds.")]
+Utilization = Annotated[float | None, typer.Option(help="Load over the warm fleet's capacity, 0 to 1.")]
 Lost = Annotated[float | None, typer.Option(help="Share of the nodes' datagrams that is lost.")]
-Off = Annotated[list[str] | None, typer.Option(help="A subsystem that is left switched off.")]
+Off = Annotated[list[str] | None, typer.Option(help="A subsystem to switch off.")]
 Driver = Annotated[str | None, typer.Option(help="virtual: simulated time; sockets: real processes.")]
-Terms = Annotated[Path | None, typer.Option(help="An operator's file whose terms the nodes get.")]
+OperatorOption = Annotated[Path | None, typer.Option(help="An operator settings file for the nodes.")]
 
 
 @app.command("run")
@@ -187,22 +192,22 @@
     utilization: Utilization = None,
     datagrams_lost: Lost = None,
     off: Off = None,
-    operator: Terms = None,
-    hollow: Annotated[int | None, typer.Option(help="Of `scale`: how many hollow nodes there are.")] = None,
+    operator: OperatorOption = None,
+    hollow: Annotated[int | None, typer.Option(help="`scale` only: number of hollow nodes.")] = None,
     faults: Annotated[
-        str | None, typer.Option(help="Of `scale`: rest, hosts, rack, zone, cut, roll or begin.")
+        str | None, typer.Option(help="`scale` only: rest, hosts, rack, zone, cut, roll or begin.")
     ] = None,
     shards: Annotated[
-        int | None, typer.Option(help="Of `scale`: how many shards all regions have; 0: none are owned.")
+        int | None, typer.Option(help="`scale` only: number of shards of all regions; 0: no shard is owned.")
     ] = None,
 ) -> None:
-    """Play one experiment. Exit 0 if every check holds, 1 if one does not."""
+    """Run one experiment. Exit with 0 if every check holds, with 1 if one does not."""
     if name == SCALE:
         sizes = {"nodes": nodes, "hollow": hollow, "seed": seed, "seconds": seconds, "shards": shards}
         _run_scale(out, driver, faults, **sizes)
     for option, value in (("hollow", hollow), ("faults", faults), ("shards", shards)):
         if value is not None:
-            raise _complain(f"--{option}: only '{SCALE}' takes it")
+            raise _usage_error(f"--{option}: only '{SCALE}' takes it")
     if (day := _fault_day(name, off, nodes, seconds)) is not None:
         _run_faults(replace(day, seed=seed), driver or "virtual", out)
     request = _request(
@@ -216,30 +221,30 @@
         seconds=seconds,
         utilization=utilization,
         datagrams_lost=datagrams_lost,
-        rebalance=_operators(operator),
+        rebalance=_rebalance_settings(operator),
     )
     if request.driver not in DRIVERS:
-        raise _complain(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
+        raise _usage_error(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
     from sailrun.lab.experiments import EXPERIMENTS
 
     if request.driver not in EXPERIMENTS[name].drivers:
-        raise _complain(f"--driver: '{name}' is played by {', '.join(EXPERIMENTS[name].drivers)} only")
+        raise _usage_error(f"--driver: '{name}' runs with {', '.join(EXPERIMENTS[name].drivers)} only")
     from sailrun.lab.report import write_report
-    from sailrun.lab.run import play, write
+    from sailrun.lab.run import run_experiment, write
 
     try:
-        with _progress(name) as told:
-            summary, records = play(request, told)
+        with _progress(name) as report_progress:
+            summary, records = run_experiment(request, report_progress)
         write(out, summary, records)
         write_report(out)
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     _show(summary)
     print(f"report: {out / 'report.html'}")
     raise typer.Exit(0 if summary.holds else 1)
 
 
-def _operators(path: Path | None) -> Any:
+def _rebalance_settings(path: Path | None) -> Any:
     if path is None:
         return None
     from sailrun.errors import ConfigError
@@ -248,15 +253,15 @@
     try:
         return read_operator(path).rebalance
     except ConfigError as error:
-        raise _complain(error) from None
+        raise _usage_error(error) from None
 
 
 def _progress(name: str) -> Any:
-    """A context that takes the share done; a bar where there is a terminal, nothing elsewhere."""
+    """Returns a context whose callback takes the share done. It shows a progress bar on a terminal only."""
     from contextlib import contextmanager
 
     @contextmanager
-    def shown() -> Any:
+    def progress_context() -> Any:
         if not sys.stderr.isatty():
             yield lambda share: None
             return
@@ -267,7 +272,7 @@
             task = bar.add_task(name, total=1.0)
             yield lambda share: bar.update(task, completed=share)
 
-    return shown()
+    return progress_context()
 
 
 def _show(summary: Summary) -> None:
@@ -276,10 +281,10 @@
 
 
 def _show_scale(summary: Summary) -> None:
-    """Figures by role as a table."""
-    from sailrun.lab.scale.role_table import is_of_role, role_lines
+    """Prints a scale summary, with the figures by role as a table."""
+    from sailrun.lab.scale.role_table import is_role_figure, role_lines
 
-    _show_figures({name: value for name, value in summary.figures.items() if not is_of_role(name)})
+    _show_figures({name: value for name, value in summary.figures.items() if not is_role_figure(name)})
     for line in role_lines(summary.figures):
         print(line)
     _show_checks(summary)
@@ -296,15 +301,15 @@
     for check in summary.checks:
         shown = "none" if check.value is None else format(check.value, ".6g")
         seen = "" if check.occasions is None else f", {check.occasions} occasions"
-        word = "holds " if check.holds else "BROKEN"
-        print(f"{word} {check.name}: {shown} (limit {check.limit:g}{seen})")
+        verdict = "holds " if check.holds else "BROKEN"
+        print(f"{verdict} {check.name}: {shown} (limit {check.limit:g}{seen})")
         for fault in check.faults[:5]:
             print(f"       {fault}")
 
 
 @app.command("compare")
 def compare(before: Path, after: Path) -> None:
-    """Two runs side by side, figure by figure; `report.html` of the second shows both."""
+    """Compare the figures of two runs. `report.html` in the second folder then shows both."""
     import msgspec
 
     from sailrun.lab.report import write_report
@@ -314,9 +319,9 @@
         one, two = read_summary(before), read_summary(after)
         write_report(after, before)
     except OSError as error:
-        raise _complain(f"{error.filename or after}: {error.strerror or error}") from None
+        raise _usage_error(f"{error.filename or after}: {error.strerror or error}") from None
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
-        raise _complain(f"summary.json: {error}") from None
+        raise _usage_error(f"summary.json: {error}") from None
     print(f"{'':36} {before.name:>14} {after.name:>14}")
     for figure in {**one.figures, **two.figures}:
         values = [s.figures.get(figure) for s in (one, two)]
@@ -326,9 +331,9 @@
 @app.command("sweep")
 def sweep(
     name: str,
-    seeds: Annotated[str, typer.Option(help="The first and the last seed, as 1..200.")],
+    seeds: Annotated[str, typer.Option(help="First and last seed, for example 1..200.")],
     out: Annotated[Path | None, typer.Option(help="A folder for `sweep.json`.")] = None,
-    workers: Annotated[int | None, typer.Option(help="Processes side by side.")] = None,
+    workers: Annotated[int | None, typer.Option(help="Number of parallel processes.")] = None,
     form_servers: FormServers = None,
     nodes: Nodes = None,
     households: HouseholdsOption = None,
@@ -337,19 +342,21 @@
     datagrams_lost: Lost = None,
     off: Off = None,
     driver: Driver = None,
-    against: Annotated[str | None, typer.Option(help="A subsystem: every seed also without it.")] = None,
-    operator: Terms = None,
+    against: Annotated[str | None, typer.Option(help="A subsystem: also run every seed without it.")] = None,
+    operator: OperatorOption = None,
 ) -> None:
-    """Play an experiment for many seeds. Exit 0 if every check of every seed holds."""
-    from sailrun.lab.sweep import sweep as play_all
+    """Run an experiment for many seeds. Exit with 0 if every check of every seed holds, with 1 if not."""
+    from sailrun.lab.sweep import sweep as run_sweep
 
     first, dots, last = seeds.partition("..")
     if not dots or not (first.isdigit() and last.isdigit()) or int(first) > int(last):
-        raise _complain(f"--seeds: '{seeds}' is no range such as 1..200")
+        raise _usage_error(
+            f"--seeds: '{seeds}' is not a range of seeds; expected FIRST..LAST, for example 1..200"
+        )
     if (day := _fault_day(name, off, nodes, seconds)) is not None:
         _sweep_faults(day, driver or "virtual", list(range(int(first), int(last) + 1)), out, workers)
     if driver not in (None, "virtual"):
-        raise _complain(f"--driver: '{name}' is swept in virtual time only")
+        raise _usage_error(f"--driver: '{name}' is swept in virtual time only")
     request = _request(
         name,
         off,
@@ -359,18 +366,18 @@
         seconds=seconds,
         utilization=utilization,
         datagrams_lost=datagrams_lost,
-        rebalance=_operators(operator),
+        rebalance=_rebalance_settings(operator),
     )
     if against is not None:
-        _request(name, [against])  # is it one?
+        _request(name, [against])  # validates the name
     try:
-        with _progress(name) as told:
-            result = play_all(request, range(int(first), int(last) + 1), workers, against, told)
+        with _progress(name) as report_progress:
+            result = run_sweep(request, range(int(first), int(last) + 1), workers, against, report_progress)
         if out is not None:
             out.mkdir(parents=True, exist_ok=True)
             (out / "sweep.json").write_bytes(result.as_json())
     except OSError as error:
-        raise _complain(f"{out}: {error.strerror or error}") from None
+        raise _usage_error(f"{out}: {error.strerror or error}") from None
     for line in result.lines():
         print(line)
     raise typer.Exit(0 if not result.broken else 1)
--- a/sailrun/lab/form_servers.py
+++ b/sailrun/lab/form_servers.py
@@ -1,4 +1,4 @@
-"""A form server as the public pages describe it. It knows the time only as it is told."""
+"""A model of a form server as the public documentation describes it. Callers pass the current time."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from sailrun.lab.settings import SECOND, WorldSettings
 
-# What a message costs to answer: with the queue before it, this makes it late as a server nears its capacity.
+# Work in us to answer one message. With the queue before it, answers become late as the load nears capacity.
 MESSAGE_WORK_US = 4_000.0
-# However much stands there, so much of a server is left to set up and to work off what is piled up.
-LEAST_SHARE = 0.05
+# Share of the capacity that always remains for set-ups and for the backlog, whatever the load.
+MIN_FREE_SHARE = 0.05
 
 
 class Phase(Enum):
     UP = "up"
-    UNRESPONSIVE = "silent"  # a machine that is cut off: no reset, no answer
+    UNRESPONSIVE = "silent"  # the machine is cut off: no reset, no answer
     DOWN = "down"  # no process: resets and refusals
-    FALLEN = "fallen"  # pushed over while cold; stays down
+    FALLEN = "fallen"  # overloaded during slow start; stays down
 
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """One connection that it holds."""
+class HeldConnection:
+    """One connection on a form server."""
 
     request: str
     group: str
@@ -34,139 +34,149 @@
 
 @dataclass(slots=True, eq=False)
 class FormServerModel:
-    """Work is counted in us of one core; loads and capacities in us of work a second."""
+    """Work is in us of one core; loads and capacities are in us of work per second."""
 
-    terms: WorldSettings
+    settings: WorldSettings
     number: int
     name: str
     zone: str
     capacity: float
     initial_capacity_share: float
     slow_start_us: int
-    started_us: int = 0  # 0: long ago
+    started_us: int = 0  # 0: started long ago, no slow start
     phase: Phase = Phase.UP
     draining: bool = False
-    held: dict[str, Held] = field(default_factory=dict)
+    held: dict[str, HeldConnection] = field(default_factory=dict)
     groups: dict[str, int] = field(default_factory=dict)
     load: float = 0.0
-    backlog: float = 0.0  # work piled up, in us
-    at_us: int = 0
-    errs: float = 0.0  # share of its set-ups that it answers with an error
-    fallen: bool = False  # and this has been seen to
-    most_pressure: float = 0.0  # the most sent while cold, over what may be sent
-    _sent: deque[tuple[int, float]] = field(default_factory=deque)  # work by the time it came, while cold
-
-    # ------------------------------------------------------------------ looks
-
-    def cold(self, now_us: int) -> bool:
+    backlog: float = 0.0  # unfinished work in us
+    at_us: int = 0  # time up to which the state has been advanced
+    error_share: float = 0.0  # share of set-ups that are answered with an error
+    fallen: bool = False  # the world has already applied the effects of the overload
+    peak_pressure: float = 0.0  # peak of the work received in slow start over the allowed work
+    _recent_work: deque[tuple[int, float]] = field(
+        default_factory=deque
+    )  # (time, work) received in slow start
+
+    # ------------------------------------------------------------------ state
+
+    def in_slow_start(self, now_us: int) -> bool:
         return self.started_us > 0 and now_us - self.started_us < self.slow_start_us
 
-    def present(self, now_us: int) -> float:
-        """Its capacity now: it rises evenly while it warms up."""
-        if not self.cold(now_us):
+    def current_capacity(self, now_us: int) -> float:
+        """Returns the current capacity, which rises linearly during slow start."""
+        if not self.in_slow_start(now_us):
             return self.capacity
         age = (now_us - self.started_us) / self.slow_start_us
         return self.capacity * (
             self.initial_capacity_share + (1.0 - self.initial_capacity_share) * max(0.0, age)
         )
 
-    def places(self) -> float:
-        return self.terms.places * self.capacity / self.terms.unit
+    def max_connections(self) -> float:
+        return self.settings.max_connections_ratio * self.capacity / self.settings.connection_load
 
     def message_us(self, now_us: int) -> float:
-        """The mean time that a message takes here now."""
-        capacity = self.present(now_us)
-        free = max(LEAST_SHARE, 1.0 - self.load / capacity)
+        """Returns the current mean time to answer a message."""
+        capacity = self.current_capacity(now_us)
+        free = max(MIN_FREE_SHARE, 1.0 - self.load / capacity)
         return self.backlog / capacity * SECOND + MESSAGE_WORK_US / free
 
     def answered_within(self, now_us: int, aim_us: int) -> float:
-        """The share of messages answered within an aim: none while the work piled up alone takes longer."""
-        capacity = self.present(now_us)
+        """Returns the share of messages answered within a time; 0 while the backlog alone takes longer."""
+        capacity = self.current_capacity(now_us)
         queue_us = self.backlog / capacity * SECOND
         if queue_us >= aim_us:
             return 0.0
-        mean_us = MESSAGE_WORK_US / max(LEAST_SHARE, 1.0 - self.load / capacity)
+        mean_us = MESSAGE_WORK_US / max(MIN_FREE_SHARE, 1.0 - self.load / capacity)
         return 1.0 - math.exp(-(aim_us - queue_us) / mean_us)
 
     # ------------------------------------------------------------------ time and work
 
     def advance(self, now_us: int) -> None:
-        """Lets time pass: work is piled up or worked off. It may fall over in this."""
-        past_us = now_us - self.at_us
-        if past_us <= 0:
+        """Advances the time: the backlog grows or shrinks, and the form server may fall over."""
+        elapsed_us = now_us - self.at_us
+        if elapsed_us <= 0:
             return
         self.at_us = now_us
-        capacity = self.present(now_us)
-        spare = max(LEAST_SHARE * capacity, capacity - self.load) if self.load < capacity else 0.0
+        capacity = self.current_capacity(now_us)
+        spare = max(MIN_FREE_SHARE * capacity, capacity - self.load) if self.load < capacity else 0.0
         growth = max(0.0, self.load - capacity)
-        self.backlog = max(0.0, self.backlog + (growth - spare) * past_us / SECOND)
-        if self.cold(now_us):
-            self._press(now_us, self.load * past_us / SECOND)
-        elif self._sent:
-            self._sent.clear()
-
-    def _press(self, now_us: int, work: float) -> None:
-        """Work sent while cold: over the multiple of its present capacity for the stated time, it falls."""
-        window_us = self.terms.overload_window_us
-        self._sent.append((now_us, work))
-        while self._sent[0][0] <= now_us - window_us:
-            self._sent.popleft()
-        allowed = self.terms.overload_multiple * self.present(now_us) * window_us / SECOND
-        pressure = sum(w for _, w in self._sent) / allowed
-        self.most_pressure = max(self.most_pressure, pressure)
+        self.backlog = max(0.0, self.backlog + (growth - spare) * elapsed_us / SECOND)
+        if self.in_slow_start(now_us):
+            self._add_pressure(now_us, self.load * elapsed_us / SECOND)
+        elif self._recent_work:
+            self._recent_work.clear()
+
+    def _add_pressure(self, now_us: int, work: float) -> None:
+        """Adds work received in slow start. The form server falls over when the work in the overload window
+        exceeds the overload multiple of its current capacity.
+        """
+        window_us = self.settings.overload_window_us
+        self._recent_work.append((now_us, work))
+        while self._recent_work[0][0] <= now_us - window_us:
+            self._recent_work.popleft()
+        allowed = self.settings.overload_multiple * self.current_capacity(now_us) * window_us / SECOND
+        pressure = sum(w for _, w in self._recent_work) / allowed
+        self.peak_pressure = max(self.peak_pressure, pressure)
         if pressure > 1.0 and self.phase is Phase.UP:
             self.phase = Phase.FALLEN
 
     def set_up_us(self, now_us: int, work_us: float) -> float | None:
-        """How long a new connection takes to stand, if it is taken; None: turned away."""
+        """Returns the set-up time of a new connection, or None if the connection is rejected."""
         self.advance(now_us)
-        if self.cold(now_us):
-            self._press(now_us, work_us)
-        if self.draining or len(self.held) >= self.places():
+        if self.in_slow_start(now_us):
+            self._add_pressure(now_us, work_us)
+        if self.draining or len(self.held) >= self.max_connections():
             return None
-        capacity = self.present(now_us)
+        capacity = self.current_capacity(now_us)
         self.backlog += work_us
-        return self.backlog / max(LEAST_SHARE * capacity, capacity - self.load) * SECOND
+        return self.backlog / max(MIN_FREE_SHARE * capacity, capacity - self.load) * SECOND
 
-    def hold(self, now_us: int, one: Held) -> None:
+    def hold(self, now_us: int, connection: HeldConnection) -> None:
         self.advance(now_us)
-        self.held[one.request] = one
-        count = self.groups.get(one.group, 0)
-        self.groups[one.group] = count + 1
-        self.load += one.load + (0.0 if count else self.terms.household_cost * self.terms.unit)
+        self.held[connection.request] = connection
+        count = self.groups.get(connection.group, 0)
+        self.groups[connection.group] = count + 1
+        self.load += connection.load + (
+            0.0 if count else self.settings.household_cost * self.settings.connection_load
+        )
 
-    def release(self, now_us: int, request: str) -> Held | None:
+    def release(self, now_us: int, request: str) -> HeldConnection | None:
         self.advance(now_us)
-        one = self.held.pop(request, None)
-        if one is None:
+        connection = self.held.pop(request, None)
+        if connection is None:
             return None
-        count = self.groups[one.group] - 1
+        count = self.groups[connection.group] - 1
         if count:
-            self.groups[one.group] = count
+            self.groups[connection.group] = count
         else:
-            del self.groups[one.group]
-        self.load -= one.load + (0.0 if count else self.terms.household_cost * self.terms.unit)
+            del self.groups[connection.group]
+        self.load -= connection.load + (
+            0.0 if count else self.settings.household_cost * self.settings.connection_load
+        )
         if not self.held:
             self.load = 0.0  # free of rounding
-        return one
+        return connection
 
-    def reload(self, now_us: int, request: str, load: float) -> None:
-        """A connection's load changes."""
+    def change_load(self, now_us: int, request: str, load: float) -> None:
+        """Sets the load of a connection, which changes the form server's load by the same amount."""
         self.advance(now_us)
-        one = self.held[request]
-        self.load += load - one.load
-        one.load = load
+        connection = self.held[request]
+        self.load += load - connection.load
+        connection.load = load
 
     def shed(self) -> list[str]:
-        """The newest connections, which it drops while too much is piled up."""
-        if self.backlog <= self.terms.buffer_us * self.capacity / SECOND:
+        """Returns the newest 5% of the connections (at least one) to drop if the backlog exceeds the buffer,
+        and reduces the backlog by 20%.
+        """
+        if self.backlog <= self.settings.buffer_us * self.capacity / SECOND:
             return []
         newest = list(self.held)[-max(1, len(self.held) // 20) :]
         self.backlog *= 0.8
         return newest
 
     def stop(self, phase: Phase) -> list[str]:
-        """The process ends; returns the connections that it held."""
+        """Ends the process and returns the connections that it held."""
         lost = list(self.held)
         self.phase = phase
         self.held.clear()
@@ -175,7 +185,7 @@
         return lost
 
     def start(self, now_us: int) -> None:
-        """A new process, cold."""
+        """Starts a new process in slow start."""
         self.phase, self.draining = Phase.UP, False
         self.started_us = self.at_us = now_us
-        self._sent.clear()
+        self._recent_work.clear()
--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -1,4 +1,4 @@
-"""A hollow node: a real node's agent and carrier, without clients, form servers and a core."""
+"""A hollow node: the agent and transport of a real node, without clients, form servers and a core."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 import anyio
 
 from sailrun.connection import split_address
-from sailrun.lab.scale.delay_line import AT_ONCE_S, DelayLine
+from sailrun.lab.scale.delay_line import MIN_DELAY_S, DelayLine
 from sailrun.lab.scale.host_messages import Look, NodeReport
 from sailrun.lab.scale.metered_agent import MeteredAgent
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import Place
-from sailrun.lab.scale.settings import record_of
+from sailrun.lab.scale.settings import initial_member_record
 from sailrun.leadership.agent import READER_TASK_PREFIX, AgentSettings, OutgoingEnvelope
 from sailrun.leadership.clock import boot_us
 from sailrun.leadership.envelope import Envelope
@@ -30,33 +30,35 @@
 from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
-# The server roster changes so often in a scale run.
-ROSTER_S = 60
-# A node that leaves goes on for a moment, as one does that moves its households.
-LEAVING_S = 0.5
+# The interval at which the endpoint list changes in a scale run.
+ROSTER_CHANGE_INTERVAL_S = 60
+# A leaving node runs on for this time, as a real node does while it moves its clients.
+LEAVE_GRACE_S = 0.5
 
 
-def life_of(seed: int, name: str, number: int) -> int:
-    """The life of a hollow node, known beforehand to every host."""
+def process_number_of(seed: int, name: str, number: int) -> int:
+    """Returns the process number of the `number`-th start of a hollow node. Every host can compute it."""
     return random.Random(f"{seed}/{name}/{number}").getrandbits(62)
 
 
 def member_record(seed: int, place: Place, number: int) -> MemberRecord:
-    return record_of(place, life_of(seed, place.name, number))
+    return initial_member_record(place, process_number_of(seed, place.name, number))
 
 
 def names_crc(names: list[str]) -> int:
-    """Of names in their order."""
+    """Returns the CRC of the names in the given order."""
     return zlib.crc32("\n".join(names).encode())
 
 
 def roster_revision(began_us: int, now_us: int) -> int:
-    return 1 + max(0, now_us - began_us) // (ROSTER_S * SECOND)
+    return 1 + max(0, now_us - began_us) // (ROSTER_CHANGE_INTERVAL_S * SECOND)
 
 
-class ModelledCarrier(Transport):
-    """Its datagrams and frames take the network model's way. A frame waits before it is queued for its link,
-    so that its owner's term is looked at after the delay, not before.
+class ModelledTransport(Transport):
+    """A transport that applies the delay and loss of the network model to datagrams and frames.
+
+    A frame waits before it is queued for its link, so that the leader's term is checked after the delay, not
+    before.
     """
 
     def __init__(self, agent: MeteredAgent, place: Place, network: NetworkModel, delays: DelayLine) -> None:
@@ -76,12 +78,12 @@
         if wait_s is None:
             self.traffic.sent(len(data))
             return
-        if wait_s < AT_ONCE_S:
+        if wait_s < MIN_DELAY_S:
             super()._send_datagram(datagrams, data, address)
         else:
-            self._delays.after(wait_s, partial(self._put_late, datagrams, data, address))
+            self._delays.after(wait_s, partial(self._send_delayed_datagram, datagrams, data, address))
 
-    def _put_late(self, datagrams: socket.socket, data: bytes, address: str) -> None:
+    def _send_delayed_datagram(self, datagrams: socket.socket, data: bytes, address: str) -> None:
         began_s = thread_time()
         super()._send_datagram(datagrams, data, address)
         self._metered.cpu_s += thread_time() - began_s
@@ -102,7 +104,10 @@
             self._metered.cpu_s += thread_time() - began_s
 
     def _on_envelope(self, address: str, envelope: Envelope) -> None:
-        """A real process knows no model: what it sends takes its way here."""
+        """Applies the model to messages from real processes, which send without it.
+
+        A message from a hollow node is checked again for a cut or a silence that began during its delay.
+        """
         sender = self._network.by_name.get(envelope.sender)
         if sender is None or not sender.real:
             if sender is None or self._network.passes(sender, self._place):
@@ -114,12 +119,12 @@
 
 
 class HollowNode:
-    """One life of a hollow node."""
+    """One process lifetime of a hollow node."""
 
     def __init__(
         self,
         place: Place,
-        terms: AgentSettings,
+        agent_settings: AgentSettings,
         seed: int,
         number: int,
         network: NetworkModel,
@@ -128,97 +133,101 @@
         began_us: int,
         record: Callable[..., None],
     ) -> None:
-        """Raises OSError for an address that is not to be had."""
+        """Raises OSError if the address is not available."""
         self.place, self.number = place, number
         self._began_us = began_us
-        luck = random.Random(f"{seed}/{place.name}/{number}/agent")
+        rng = random.Random(f"{seed}/{place.name}/{number}/agent")
         self.agent = MeteredAgent(
             member_record(seed, place, number),
-            terms,
-            luck.getrandbits(32),
+            agent_settings,
+            rng.getrandbits(32),
             boot_us(),
-            lambda: new_initial_term(time.time(), luck.getrandbits(12)),
+            lambda: new_initial_term(time.time(), rng.getrandbits(12)),
             record=record,
         )
-        self.carrier = ModelledCarrier(self.agent, place, network, delays)
-        self.carrier.after_turn = self._after
+        self.transport = ModelledTransport(self.agent, place, network, delays)
+        self.transport.after_turn = self._after_turn
         self._task = READER_TASK_PREFIX + place.zone
-        self._reading = SharedList(roster, terms.list_reader, boot_us())
-        self.agent.request_handlers[self._task] = lambda now_us, sender, content: self._reading.answer_query(
-            content
+        self._shared_list = SharedList(roster, agent_settings.list_reader, boot_us())
+        self.agent.request_handlers[self._task] = lambda now_us, sender, content: (
+            self._shared_list.answer_query(content)
         )
         self._scope = anyio.CancelScope()
-        self._checked = (-1, 0)  # the members' version, and the sum of their names
+        self._checked = (-1, 0)  # the version of the member list, and the CRC of its names
 
     async def run(self) -> None:
         with self._scope:
-            await self.carrier.run()
+            await self.transport.run()
 
     def kill(self) -> None:
-        """Its sockets are closed as soon as its tasks have ended."""
+        """Cancels the tasks of the node; its sockets are closed once they have ended."""
         self._scope.cancel()
 
     async def leave(self) -> None:
-        self.carrier.post(self.agent.leave)
-        await anyio.sleep(LEAVING_S)
+        self.transport.post(self.agent.leave)
+        await anyio.sleep(LEAVE_GRACE_S)
         self.kill()
 
-    def know(self, records: list[MemberRecord]) -> None:
-        """Begins with these members known, as if it had joined long ago and had told all news."""
-        know_members(self.agent, boot_us(), records)
-
-    # ------------------------------------------------------------------ the roster's list
-
-    def _after(self, now_us: int) -> list[OutgoingEnvelope]:
-        """As a real node does after each turn: the reader of its zone reads, the others ask the reader."""
-        reading = self._reading
-        reading.is_leader = bool(self.agent.leading_term(self._task, now_us))
-        if reading.must_read_registry(now_us):
-            reading.on_registry_list(roster_revision(self._began_us, now_us), [])
-        has = reading.next_query(now_us)
-        if has is None or not self.agent.members.has_joined:
+    def preload(self, records: list[MemberRecord]) -> None:
+        """Starts with these members known, as if it had joined long ago and disseminated all updates."""
+        preload_members(self.agent, boot_us(), records)
+
+    # ------------------------------------------------------------------ endpoint list
+
+    def _after_turn(self, now_us: int) -> list[OutgoingEnvelope]:
+        """Reads the list after each turn as a real node does: the reader of a zone reads the registry, and
+        the other nodes query the reader.
+        """
+        shared_list = self._shared_list
+        shared_list.is_leader = bool(self.agent.leading_term(self._task, now_us))
+        if shared_list.must_read_registry(now_us):
+            shared_list.on_registry_list(roster_revision(self._began_us, now_us), [])
+        query = shared_list.next_query(now_us)
+        if query is None or not self.agent.members.has_joined:
             return []
-        return self.agent.request(now_us, self._task, [has.source, has.revision], self._answered)
+        return self.agent.request(now_us, self._task, [query.source, query.revision], self._on_answer)
 
-    def _answered(self, now_us: int, sent_us: int, content: Any) -> None:
-        self._reading.on_reply(now_us, content)
+    def _on_answer(self, now_us: int, sent_us: int, content: Any) -> None:
+        self._shared_list.on_reply(now_us, content)
 
-    # ------------------------------------------------------------------ what is looked at
+    # ------------------------------------------------------------------ inspection
 
     def report(self) -> NodeReport:
-        return node_report(self.agent, self.number, self.carrier.traffic, boot_us())
+        return node_report(self.agent, self.number, self.transport.traffic, boot_us())
 
-    def knows(self, asked: Look, seed: int) -> bool:
-        """Whether it knows exactly the members that were asked for."""
+    def knows(self, expected_members: Look, seed: int) -> bool:
+        """Returns whether the node knows exactly the members that the command describes."""
         members = self.agent.members
-        if not members.has_joined or len(members.living_names) != asked.count:
+        if not members.has_joined or len(members.living_names) != expected_members.count:
             return False
         if self._checked[0] != members.living_version:
             self._checked = (members.living_version, names_crc(members.living_names))
-        if self._checked[1] != asked.names_crc:
+        if self._checked[1] != expected_members.names_crc:
             return False
-        return all(self._knows_life(seed, name, number) for name, number in asked.lives.items())
+        return all(
+            self._knows_process_number(seed, name, number) for name, number in expected_members.lives.items()
+        )
 
-    def _knows_life(self, seed: int, name: str, number: int) -> bool:
+    def _knows_process_number(self, seed: int, name: str, number: int) -> bool:
         record = self.agent.members.find_record(name)
-        return record is not None and record.life == life_of(seed, name, number)
+        return record is not None and record.life == process_number_of(seed, name, number)
 
 
 def node_report(agent: MeteredAgent, life: int, traffic: TrafficCounters, now_us: int) -> NodeReport:
-    """What one node has used, what it owns, and how many shards it may use."""
+    """Returns what one node has used, the tasks that it leads, and how many shards it may use."""
     tasks = [task for task in agent.candidate_tasks() if agent.leading_term(task, now_us)]
     report = NodeReport(agent.name, life, traffic, agent.cpu_s, tasks, agent.voter is not None)
-    part = agent.shards
-    if part is None:
+    sharding = agent.shards
+    if sharding is None:
         return report
-    if part.is_assigner(now_us):
-        tasks.append(part.task)
-    report.control = part.session is None
-    report.shards = len(part.session.usable_shards(now_us)) if part.session is not None else 0
+    if sharding.is_assigner(now_us):
+        tasks.append(sharding.task)
+    report.control = sharding.session is None
+    report.shards = len(sharding.session.usable_shards(now_us)) if sharding.session is not None else 0
     return report
 
 
-def know_members(agent: MeteredAgent, now_us: int, records: list[MemberRecord]) -> None:
-    """A faster start: the members are known, and the news of them has been told to all."""
+def preload_members(agent: MeteredAgent, now_us: int, records: list[MemberRecord]) -> None:
+    """Speeds up the start: the members are known at once, and their updates count as disseminated."""
     agent.members.preload(now_us, records)
     agent.cpu_s = 0.0
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -1,4 +1,4 @@
-"""Real processes of the program beside the hollow nodes: `sailrun serve` with an operator's file."""
+"""Runs real processes of the program beside the hollow nodes: `sailrun serve` with an operator's file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from anyio.abc import Process
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from sailrun.control.cli import ANSWER_S
+from sailrun.control.cli import ANSWER_TIMEOUT_S
 from sailrun.lab.faults.relays import Address
 from sailrun.lab.faults.rig import FORM_SERVERS, LONGEST_LINE, RigRoster, free_address
 from sailrun.lab.scale.hollow_host import rss_mb
@@ -32,13 +32,16 @@
 from sailrun.leadership.clock import boot_us
 from sailrun.leadership.traffic import TrafficCounters
 
-BROKEN = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
-KEPT_ACTS = ("hold", "lost")
+STREAM_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
+OWNERSHIP_ACTS = ("hold", "lost")
 _LIVING = ("alive", "suspect")
 
 
 class SteadyRoster(RigRoster):
-    """A server roster whose list has a new revision once in `ROSTER_S`, the same that hollow readers tell."""
+    """A registry that changes the revision of its endpoint list every `ROSTER_CHANGE_INTERVAL_S`.
+
+    Hollow list readers report the same revisions.
+    """
 
     def __init__(self, began_us: int) -> None:
         super().__init__()
@@ -52,26 +55,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessFiles:
-    """The platform's file, and the operator's."""
+    """The paths of the platform's file and the operator's file."""
 
     config: Path
     operator: Path
 
 
 class RealProcess:
-    """One place for a real process; `run` is one life of it."""
+    """One place for a real process; each call of `run` is one process lifetime."""
 
     def __init__(self, place: Place, row: Callable[..., None]) -> None:
-        """`row` is told what the process did with tasks: kind, node, at_us, facts."""
+        """`row` is called for every event of the process and its tasks: kind, node, at_us, facts."""
         self.place, self._row = place, row
         self.listen, self.control = free_address(), free_address()
-        self.lives = 0
+        self.start_count = 0
         self.process: Process | None = None
-        self.ends = False  # somebody has it end
+        self.is_ending = False  # the run has sent it a signal to end
 
     async def run(self, files: ProcessFiles) -> None:
-        """From its start to its end, which takes it away."""
-        self.lives, self.ends = self.lives + 1, False
+        """Runs the process from its start to its end. Kills it if this call is cancelled."""
+        self.start_count, self.is_ending = self.start_count + 1, False
         environment = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "SAILRUN_"))}
         command = [sys.executable, "-m", "sailrun", "serve"]
         process = self.process = await anyio.open_process(
@@ -80,13 +83,15 @@
             stdout=subprocess.DEVNULL,
             env={**environment, "TMPDIR": str(files.config.parent)},
         )
-        self._row("started", self.place.name, boot_us(), life=self.lives)
+        self._row("started", self.place.name, boot_us(), life=self.start_count)
         try:
             assert process.stderr is not None
             lines = BufferedByteReceiveStream(process.stderr)
-            with suppress(*BROKEN, anyio.IncompleteRead, anyio.DelimiterNotFound):
+            with suppress(*STREAM_ERRORS, anyio.IncompleteRead, anyio.DelimiterNotFound):
                 while True:
-                    self._heard((await lines.receive_until(b"\n", LONGEST_LINE)).decode("utf-8", "replace"))
+                    self._on_log_line(
+                        (await lines.receive_until(b"\n", LONGEST_LINE)).decode("utf-8", "replace")
+                    )
             await process.wait()
         finally:
             if process.returncode is None:
@@ -96,12 +101,15 @@
             self.process = None
             self._row("died", self.place.name, boot_us(), code=process.returncode)
 
-    def _heard(self, line: str) -> None:
-        """A log line `TIME act kind=hold at_us=... task=... left_us=...`: times are monotonic, as it says."""
+    def _on_log_line(self, line: str) -> None:
+        """Records the ownership event of a log line `TIME act kind=hold at_us=... task=... left_us=...`.
+
+        Other lines are ignored. `at_us` is a time of the monotonic clock, `left_us` the rest of the lease.
+        """
         _, _, rest = line.strip().partition(" ")
-        what, *words = rest.split(" ")
-        facts: dict[str, Any] = dict(word.split("=", 1) for word in words if "=" in word)
-        if what != "act" or facts.get("kind") not in KEPT_ACTS:
+        what, *fields = rest.split(" ")
+        facts: dict[str, Any] = dict(field.split("=", 1) for field in fields if "=" in field)
+        if what != "act" or facts.get("kind") not in OWNERSHIP_ACTS:
             return
         at_us = int(facts["at_us"]) + _boot_offset_us()
         if facts["kind"] == "lost":
@@ -112,18 +120,18 @@
         self._row("hold", self.place.name, at_us, task=task, term=term, until_us=until_us)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """To this process by its pid, while it runs."""
+        """Sends a signal to the process if it runs. SIGKILL and SIGTERM mark it as ending."""
         if number in (signal.SIGKILL, signal.SIGTERM):
-            self.ends = True
+            self.is_ending = True
         if self.process is not None and self.process.returncode is None:
             with suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
-    # ------------------------------------------------------------------ what is looked at
+    # ------------------------------------------------------------------ inspection
 
     async def report(self) -> NodeReport | None:
-        """None: it does not run, or does not answer."""
-        counts = await self._asked("fleet counts")
+        """Returns None if the process does not run or does not answer."""
+        counts = await self._query("fleet counts")
         process = self.process
         if counts is None or process is None:
             return None
@@ -133,23 +141,23 @@
             return None
         keys = ("messages_in", "messages_out", "bytes_in", "bytes_out")
         traffic = TrafficCounters(*(counts[key] for key in keys))
-        report = NodeReport(self.place.name, self.lives, traffic, cpu_s, [], False, memory)
-        shown = await self._asked("fleet shards")
-        report.shards = len(shown["usable"]) if shown is not None else 0
+        report = NodeReport(self.place.name, self.start_count, traffic, cpu_s, [], False, memory)
+        shards_answer = await self._query("fleet shards")
+        report.shards = len(shards_answer["usable"]) if shards_answer is not None else 0
         return report
 
-    async def knows(self, asked: Look) -> bool:
-        """Whether it knows exactly the members that were asked for, by name."""
-        members = await self._asked("fleet members")
+    async def knows(self, expected_members: Look) -> bool:
+        """Returns whether the process knows exactly the members that the command describes, by name."""
+        members = await self._query("fleet members")
         if members is None:
             return False
         names = sorted(m["name"] for m in members if m["state"] in _LIVING)
-        return len(names) == asked.count and names_crc(names) == asked.names_crc
+        return len(names) == expected_members.count and names_crc(names) == expected_members.names_crc
 
-    async def _asked(self, line: str) -> Any:
-        """What the process answers to a call of staff, as JSON; None where it does not."""
+    async def _query(self, line: str) -> Any:
+        """Returns the JSON answer to a line on the control address, or None if there is no `ok` answer."""
         answer = b""
-        with anyio.move_on_after(ANSWER_S), suppress(*BROKEN):
+        with anyio.move_on_after(ANSWER_TIMEOUT_S), suppress(*STREAM_ERRORS):
             async with await anyio.connect_tcp(*self.control) as stream:
                 await stream.send(f"{line}\r\n".encode())
                 while True:
@@ -159,36 +167,36 @@
 
 
 def process_cpu_s(pid: int) -> float:
-    """Processor time of a process so far. Raises OSError where there is none."""
-    words = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
-    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+    """Returns the processor time of a process so far. Raises OSError if the process does not exist."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def write_files(
-    folder: Path, process: RealProcess, plan: ScalePlan, terms: AgentSettings, roster: RigRoster
+    folder: Path, process: RealProcess, plan: ScalePlan, agent_settings: AgentSettings, roster: RigRoster
 ) -> ProcessFiles:
-    """The platform's file and the operator's file of one process."""
+    """Writes the platform's file and the operator's file of one process."""
     place = process.place
-    settings = WorldSettings(nodes=plan.total, form_servers=FORM_SERVERS).settings(place.index)
+    settings = WorldSettings(nodes=plan.total, form_servers=FORM_SERVERS).node_settings(place.index)
     settings["az"] = place.zone
     config = {
         "name": place.name,
-        "listen": _text(process.listen),
-        "control": _text(process.control),
-        "discovery": _text(roster.address),
+        "listen": _address_text(process.listen),
+        "control": _address_text(process.control),
+        "discovery": _address_text(roster.address),
         "seed": f"{plan.seed * 10_000 + place.index:x}",
         "peers": [],
         "known": roster.whole(),
         "settings": settings,
     }
     tables: dict[str, Any] = {
-        "members": msgspec.to_builtins(terms.membership),
-        "owners": {**msgspec.to_builtins(terms.leadership), "record": True},
-        "permits": msgspec.to_builtins(terms.permits),
-        "reader": msgspec.to_builtins(terms.list_reader),
-        "replica": msgspec.to_builtins(terms.replication),
-        "shards": msgspec.to_builtins(terms.sharding),
-        "rebalance": {"enabled": terms.shares_move_rate},
+        "members": msgspec.to_builtins(agent_settings.membership),
+        "owners": {**msgspec.to_builtins(agent_settings.leadership), "record": True},
+        "permits": msgspec.to_builtins(agent_settings.permits),
+        "reader": msgspec.to_builtins(agent_settings.list_reader),
+        "replica": msgspec.to_builtins(agent_settings.replication),
+        "shards": msgspec.to_builtins(agent_settings.sharding),
+        "rebalance": {"enabled": agent_settings.shares_move_rate},
     }
     files = ProcessFiles(folder / f"{place.name}.json", folder / f"{place.name}.toml")
     files.config.write_text(json.dumps(config))
@@ -196,10 +204,13 @@
     return files
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
 def _boot_offset_us() -> int:
-    """From the clock in which nodes record to the clock of leases: the time that the machine slept."""
+    """Returns the offset from the monotonic clock of the log lines to the clock of leases.
+
+    It is the time that the machine was suspended.
+    """
     return boot_us() - time.monotonic_ns() // 1000
--- a/sailrun/lab/scale/results.py
+++ b/sailrun/lab/scale/results.py
@@ -1,4 +1,4 @@
-"""What a scale run leaves behind: its summary and its records, the same for both drivers."""
+"""The results of a scale run: its summary and its records, the same for both drivers."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from sailrun.lab.run import Outcome, Summary, finite
 from sailrun.lab.scale.checks import (
     ended_check,
-    known_check,
     late_check,
     longest_gap_s,
+    members_known_check,
     owner_checks,
     shards_check,
 )
@@ -25,9 +25,10 @@
 
 
 @dataclass(slots=True)
-class Known:
-    """After how many seconds every node knew every other; infinite: never, and who lacked something.
-    `occasions`: how much had happened that they had to get over.
+class Convergence:
+    """`seconds`: the time until every node knew every other; infinite if it never happened. `lacking`: the
+    nodes that still did not when the run stopped waiting. `occasions`: the number of events that they had to
+    recover from.
     """
 
     seconds: float
@@ -37,12 +38,13 @@
 
 @dataclass(slots=True)
 class Measured:
-    """`late_ms`, by host, where there are hosts; `processes` in real time only. Times of rows in us of one
-    clock.
+    """The measurements of a run. `late_ms`: by host, None without hosts. `processes`: 0 in virtual time.
+
+    The times of the rows are microseconds of one clock.
     """
 
-    begin: Known
-    after: Known | None
+    begin: Convergence
+    after: Convergence | None
     uses: dict[str, list[NodeUse]]
     rows: list[Row]
     begin_us: int
@@ -55,7 +57,7 @@
 
 
 class ScaleRecords(Records):
-    """Two tables: what happened (`history`), and what each node used in each stretch (`uses`)."""
+    """Two tables: the events (`history`), and the resource use of each node in each stretch (`uses`)."""
 
     def __init__(self, measured: Measured) -> None:
         super().__init__()
@@ -98,14 +100,16 @@
 
 def _checks(plan: ScalePlan, measured: Measured) -> list[Outcome]:
     begin, after = measured.begin, measured.after
-    checks = [known_check("all-known-after-begin-s", begin.seconds, begin.lacking, begin.occasions)]
+    checks = [members_known_check("all-known-after-begin-s", begin.seconds, begin.lacking, begin.occasions)]
     if after is not None:
-        checks.append(known_check("all-known-after-fault-s", after.seconds, after.lacking, after.occasions))
+        checks.append(
+            members_known_check("all-known-after-fault-s", after.seconds, after.lacking, after.occasions)
+        )
     checks += owner_checks(measured.rows, measured.begin_us, measured.end_us)
     if measured.late_ms is not None:
         checks.append(late_check(measured.late_ms))
     if plan.shards:
-        checks.append(shards_check(measured.reports, plan.shards_of_a_region * plan.regions))
+        checks.append(shards_check(measured.reports, plan.shards_per_region * plan.regions))
     if measured.processes:
         checks.append(ended_check(measured.ended, measured.processes))
     return checks
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -1,7 +1,7 @@
 """Plays a scale run in virtual time: the same agents, the same network model, in one process.
 
-Neither an event loop nor sockets are there, so that `cpu` lacks unpacking and sending. All nodes share the
-records of members with which they begin: memory is less than that of separate nodes.
+There are no event loop and no sockets, so `cpu` excludes decoding and sending. All nodes share the member
+records with which they start, so they use less memory than nodes with records of their own.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from typing import Any
 
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
-from sailrun.lab.scale.checks import NAMED
+from sailrun.lab.scale.checks import MAX_NAMED_FAULTS
 from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import (
     Action,
@@ -33,16 +33,16 @@
     StopHost,
     StopNodes,
 )
-from sailrun.lab.scale.hollow_host import KEPT, rss_mb
-from sailrun.lab.scale.hollow_node import ROSTER_S, know_members, node_report
+from sailrun.lab.scale.hollow_host import OWNERSHIP_KINDS, rss_mb
+from sailrun.lab.scale.hollow_node import ROSTER_CHANGE_INTERVAL_S, node_report, preload_members
 from sailrun.lab.scale.host_messages import NodeReport
 from sailrun.lab.scale.metered_agent import MeteredAgent
 from sailrun.lab.scale.network_model import NetworkModel
 from sailrun.lab.scale.plan import Place, ScalePlan, memory_mb, place_nodes, voters_of
-from sailrun.lab.scale.real_run import GIVEN_UP_S, LOOK_S, SETTLE_S
-from sailrun.lab.scale.results import Known, Measured
+from sailrun.lab.scale.real_run import CHECK_INTERVAL_S, CONVERGENCE_TIMEOUT_S, SETTLE_S
+from sailrun.lab.scale.results import Convergence, Measured
 from sailrun.lab.scale.roles import NodeUse, use_between
-from sailrun.lab.scale.settings import node_terms, record_of
+from sailrun.lab.scale.settings import initial_member_record, node_settings
 from sailrun.lab.scale.stretches import BEGIN, FAULT, REST
 from sailrun.lab.scheduler import BEGIN_US
 from sailrun.leadership.agent import OutgoingEnvelope
@@ -51,8 +51,8 @@
 from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
-RECORDED = (*KEPT, "started", "died", "fault", "look")
-Told = Callable[[float], None]
+RECORDED_KINDS = (*OWNERSHIP_KINDS, "started", "died", "fault", "look")
+OnProgress = Callable[[float], None]
 
 
 class VirtualScaleFleet(VirtualFleet):
@@ -64,7 +64,7 @@
             plan.total,
             len(voters_of(places)),
             plan.zones,
-            lambda index, voters, joins: node_terms(plan, places, places[index]),
+            lambda index, voters, joins: node_settings(plan, places, places[index]),
             plan.seed,
         )
         self.plan, self.places = plan, places
@@ -75,20 +75,23 @@
             node.address, node.zone = place.address, place.zone
         self._at = {node.address: node for node in self.nodes.values()}
         self.traffic: dict[str, TrafficCounters] = {}
-        self._stops: dict[str, int] = {}
+        self._stop_numbers: dict[str, int] = {}
 
     def begin(self) -> None:
-        """All at once. But for `begin`, every node knows every other from the first moment on."""
-        self.time.after(ROSTER_S * SECOND, self._publish)
+        """Starts all nodes at once.
+
+        Except for the fault `begin`, every node knows every other from the start.
+        """
+        self.time.after(ROSTER_CHANGE_INTERVAL_S * SECOND, self._publish)
         for name in self.names:
             self.start(name)
         if self.plan.faults == "begin":
             return
         records = [self.agent(name).members.own_record for name in self.names]
-        gc.disable()  # nothing of this is garbage
+        gc.disable()  # none of these allocations is garbage
         for name in self.names:
             others = [record for record in records if record.name != name]
-            know_members(self.agent(name), self.clock_us(self.nodes[name]), others)
+            preload_members(self.agent(name), self.clock_us(self.nodes[name]), others)
         gc.enable()
         gc.freeze()
 
@@ -98,19 +101,19 @@
         return agent
 
     def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
-        return record_of(self.place_of[node.name], life)
+        return initial_member_record(self.place_of[node.name], life)
 
     def start(self, name: str, clock_s: float = 0.0) -> None:
         self.traffic[name] = TrafficCounters()
         super().start(name, clock_s)
 
     def row(self, kind: str, node: str, **facts: Any) -> None:
-        if kind in RECORDED:
+        if kind in RECORDED_KINDS:
             super().row(kind, node, **facts)
 
     def _publish(self) -> None:
         self.revision += 1
-        self.time.after(ROSTER_S * SECOND, self._publish)
+        self.time.after(ROSTER_CHANGE_INTERVAL_S * SECOND, self._publish)
 
     # ------------------------------------------------------------------ the network
 
@@ -127,9 +130,9 @@
         by_link = size > MAX_DATAGRAM_BYTES
         wait_s = model.frame_s(sender, receiver) if by_link else model.datagram_s(sender, receiver)
         if wait_s is not None:
-            self.time.after(int(wait_s * SECOND), self._come, sender, to, out.envelope, size)
+            self.time.after(int(wait_s * SECOND), self._deliver, sender, to, out.envelope, size)
 
-    def _come(self, sender: Place, to: VirtualNode, envelope: Envelope, size: int) -> None:
+    def _deliver(self, sender: Place, to: VirtualNode, envelope: Envelope, size: int) -> None:
         if to.agent is not None and self.network.passes(sender, self.place_of[to.name]):
             self.traffic[to.name].received(size)
             self._hear(to, sender.address, envelope)
@@ -140,23 +143,23 @@
         self.row("fault", "", what=type(action).__name__, facts=str(action)[:500])
         match action:
             case KillHost(number):
-                self._each(self._names_of(number), self.kill)
+                self._for_each(self._names_of(number), self.kill)
             case StartHost(number):
-                self._each(self._names_of(number), self.start)
+                self._for_each(self._names_of(number), self.start)
             case StopHost(number):
-                self._each(self._names_of(number), self._stop)
+                self._for_each(self._names_of(number), self._stop)
             case ContinueHost(number):
-                self._each(self._names_of(number), self._continue)
+                self._for_each(self._names_of(number), self._continue)
             case KillNodes(names):
-                self._each(names, self.kill)
+                self._for_each(names, self.kill)
             case LeaveNodes(names):
-                self._each(names, self.leave)
+                self._for_each(names, self.leave)
             case StartNodes(names):
-                self._each(names, self.start)
+                self._for_each(names, self.start)
             case StopNodes(names):
-                self._each(names, self._stop)
+                self._for_each(names, self._stop)
             case ContinueNodes(names):
-                self._each(names, self._continue)
+                self._for_each(names, self._continue)
             case SilenceNodes(names, on):
                 self.network.silence(names, on)
             case CutRegions(one, other):
@@ -168,33 +171,36 @@
         return tuple(place.name for place in self.places if place.host == host)
 
     @staticmethod
-    def _each(names: tuple[str, ...], act: Callable[[str], None]) -> None:
+    def _for_each(names: tuple[str, ...], act: Callable[[str], None]) -> None:
         for name in names:
             act(name)
 
     def _stop(self, name: str) -> None:
-        self._stops[name] = self.stop(name)
+        self._stop_numbers[name] = self.stop(name)
 
     def _continue(self, name: str) -> None:
-        self.go_on(name, self._stops.get(name, 0))
+        self.go_on(name, self._stop_numbers.get(name, 0))
 
-    # ------------------------------------------------------------------ what is looked at
+    # ------------------------------------------------------------------ inspection
 
     @property
     def now_s(self) -> float:
-        """Seconds since the begin."""
+        """Seconds since the start of the run."""
         return (self.time.now_us - BEGIN_US) / SECOND
 
     def run_for(self, seconds: float) -> None:
         self.run(self.now_s + seconds)
 
     def lacking(self) -> list[str]:
-        """The nodes that do not know exactly those that run; who is stopped counts as not running."""
+        """Returns the nodes that do not know exactly the running nodes.
+
+        A stopped node counts as not running.
+        """
         nodes = [self.nodes[name] for name in sorted(self.names)]
         running = [node for node in nodes if node.agent is not None and not node.stopped]
         names = [node.name for node in running]
-        again = {n.name: self.agent(n.name).life for n in running if n.life > 1}
-        return [node.name for node in running if not self._knows(node.name, names, again)]
+        restarted = {n.name: self.agent(n.name).process_number for n in running if n.life > 1}
+        return [node.name for node in running if not self._knows(node.name, names, restarted)]
 
     def _knows(self, name: str, names: list[str], lives: dict[str, int]) -> bool:
         members = self.agent(name).members
@@ -203,15 +209,15 @@
         known = {other: members.find_record(other) for other in lives}
         return all(record is not None and record.life == lives[other] for other, record in known.items())
 
-    def until_known(self) -> Known:
+    def until_converged(self) -> Convergence:
         began_s = self.now_s
         lacking: list[str] = []
-        while self.now_s - began_s < GIVEN_UP_S:
+        while self.now_s - began_s < CONVERGENCE_TIMEOUT_S:
             lacking = self.lacking()
             if not lacking:
-                return Known(self.now_s - began_s)
-            self.run_for(LOOK_S)
-        return Known(math.inf, lacking)
+                return Convergence(self.now_s - began_s)
+            self.run_for(CHECK_INTERVAL_S)
+        return Convergence(math.inf, lacking)
 
     def reports(self) -> dict[str, NodeReport]:
         return {node.name: self._report(node) for node in self.nodes.values() if node.agent is not None}
@@ -225,7 +231,7 @@
 
 
 class _Stretch:
-    """A stretch of a run: what was used since it began."""
+    """A stretch of a run: the resource use of the nodes since it began."""
 
     def __init__(self, fleet: VirtualScaleFleet, base_mb: float) -> None:
         self._fleet, self._base_mb = fleet, base_mb
@@ -243,52 +249,54 @@
         ]
 
 
-def play_virtual(plan: ScalePlan, steps: list[Step], told: Told) -> Measured:
+def play_virtual(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
     base_mb = rss_mb(os.getpid())
     fleet = VirtualScaleFleet(plan)
     try:
-        return _measure(fleet, steps, told, base_mb)
+        return _measure(fleet, steps, on_progress, base_mb)
     finally:
         gc.unfreeze()
 
 
-def _measure(fleet: VirtualScaleFleet, steps: list[Step], told: Told, base_mb: float) -> Measured:
+def _measure(
+    fleet: VirtualScaleFleet, steps: list[Step], on_progress: OnProgress, base_mb: float
+) -> Measured:
     fleet.begin()
     stretch = _Stretch(fleet, base_mb)
-    begin = fleet.until_known()
+    begin = fleet.until_converged()
     uses = {BEGIN: stretch.uses()} if fleet.now_s else {}
-    told(0.2)
+    on_progress(0.2)
     fleet.run_for(SETTLE_S)
     stretch = _Stretch(fleet, base_mb)
     fleet.run_for(fleet.plan.seconds)
     uses[REST] = stretch.uses()
-    told(0.6)
+    on_progress(0.6)
     after, watch = None, FaultWatch()
     if steps:
         stretch = _Stretch(fleet, base_mb)
         after = _play_steps(fleet, steps, watch)
         uses[FAULT] = stretch.uses()
-    told(1.0)
+    on_progress(1.0)
     figures = {"memory_expected_mb": memory_mb(fleet.plan), "memory_mb": rss_mb(os.getpid())}
     if steps:
-        figures |= {**watch.figures(), "messages_stopped": float(fleet.network.stopped)}
+        figures |= {**watch.figures(), "messages_stopped": float(fleet.network.blocked_messages)}
     measured = Measured(begin, after, uses, fleet.rows, BEGIN_US, fleet.time.now_us, figures=figures)
     measured.reports = list(fleet.reports().values())
     return measured
 
 
-def _play_steps(fleet: VirtualScaleFleet, steps: list[Step], watch: FaultWatch) -> Known:
+def _play_steps(fleet: VirtualScaleFleet, steps: list[Step], watch: FaultWatch) -> Convergence:
     began_s = fleet.now_s
     for step in steps:
         while (left_s := began_s + step.at_s - fleet.now_s) > 0:
-            fleet.run_for(min(LOOK_S, left_s))
+            fleet.run_for(min(CHECK_INTERVAL_S, left_s))
             if watch.actions:
                 lacking = fleet.lacking()
-                watch.saw(fleet.now_s, len(lacking))
-                fleet.row("look", "", lacking=len(lacking), some=",".join(lacking[:NAMED]))
+                watch.on_poll(fleet.now_s, len(lacking))
+                fleet.row("look", "", lacking=len(lacking), some=",".join(lacking[:MAX_NAMED_FAULTS]))
         fleet.carry_out(step.action)
-        watch.acted(fleet.now_s, step.action)
-    known = fleet.until_known()
+        watch.on_action(fleet.now_s, step.action)
+    convergence = fleet.until_converged()
     fleet.run_for(SETTLE_S)
-    known.occasions = watch.occasions(fleet.network.stopped)
-    return known
+    convergence.occasions = watch.occasions(fleet.network.blocked_messages)
+    return convergence
--- a/sailrun/lab/sweep.py
+++ b/sailrun/lab/sweep.py
@@ -1,4 +1,4 @@
-"""One experiment for many seeds, over processes."""
+"""Runs one experiment for many seeds in parallel processes."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 import msgspec
 
 from sailrun.lab.figures import quantile
-from sailrun.lab.run import Request, Summary, play
+from sailrun.lab.run import Request, Summary, run_experiment
 
 
 class Sweep(msgspec.Struct):
     experiment: str
-    against: str | None
+    against: str | None  # the subsystem that is off in `without`
     summaries: list[Summary]
     without: list[Summary]  # the same seeds with the subsystem off
 
@@ -24,8 +24,8 @@
         return [
             f"seed {s.seed}{' without ' + self.against if n and self.against else ''}: {c.name} is "
             f"{'none' if c.value is None else format(c.value, '.4g')}, limit {c.limit:g}"
-            + (f" ({c.faults[0]})" if c.faults else " (it had no occasion)" if c.occasions == 0 else "")
-            # What sees the true state is a measure, and held to nothing.
+            + (f" ({c.faults[0]})" if c.faults else " (it had no occasions)" if c.occasions == 0 else "")
+            # The runs of the reference policy, which sees the true state, do not have to pass the checks.
             for n, summaries in enumerate(
                 (self.summaries, [] if self.against == "decisions" else self.without)
             )
@@ -38,7 +38,7 @@
         return msgspec.json.format(msgspec.json.encode(self), indent=1) + b"\n"
 
     def lines(self) -> Iterator[str]:
-        """The spread of each figure, the comparison, and what was broken."""
+        """Yields the spread of each figure, the comparison and the broken checks."""
         yield f"{'figure':36} {'least':>12} {'median':>12} {'most':>12} {'none':>5}"
         for figure in self.summaries[0].figures if self.summaries else ():
             yield _row(figure, self.summaries)
@@ -47,12 +47,12 @@
         if self.without:
             pairs = list(zip(self.summaries, self.without, strict=True))
             if self.against == "decisions":
-                parts = [
+                ratios = [
                     (a.figures["service"] or 0.0) / max(1e-9, b.figures["service"] or 0.0) for a, b in pairs
                 ]
                 yield (
-                    f"served, of what a policy serves that sees the true state late: least {min(parts):.3f}, "
-                    f"median {quantile(parts, 0.5):.3f}; under half in {sum(p < 0.5 for p in parts)}"
+                    f"service over that of the delayed reference policy: least {min(ratios):.3f}, "
+                    f"median {quantile(ratios, 0.5):.3f}; under half in {sum(p < 0.5 for p in ratios)}"
                 )
             gains = [
                 (a.figures["service_after_prices"] or 0.0) - (b.figures["service_after_prices"] or 0.0)
@@ -74,8 +74,8 @@
     return f"{name:36} {' '.join(cells)} {len(values) - len(known):5}"
 
 
-def _one(request: Request) -> Summary:
-    return play(request)[0]
+def _run_one(request: Request) -> Summary:
+    return run_experiment(request)[0]
 
 
 def sweep(
@@ -90,7 +90,7 @@
         requests += [replace(r, off=r.off | {against}) for r in requests]
     found: list[Summary] = []
     with ProcessPoolExecutor(workers or os.cpu_count()) as pool:
-        for summary in pool.map(_one, requests):
+        for summary in pool.map(_run_one, requests):
             found.append(summary)
             progress(len(found) / len(requests))
     return Sweep(request.experiment, against, found[: len(seeds)], found[len(seeds) :])
--- a/sailrun/sharding/log_events.py
+++ b/sailrun/sharding/log_events.py
@@ -1,4 +1,4 @@
-"""Log events of the ownership of shards: the name of each and its fields, in order."""
+"""Log events about the ownership of shards: their names and their fields in order."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from sailrun.sharding.messages import GenerationChange
 
-Note = tuple[str, dict[str, object]]
+LogEvent = tuple[str, dict[str, object]]
 
 
 class SessionEventKind(StrEnum):
-    """What happened to a node's session; the values are what the log shows."""
+    """The kind of a change of a node's session. The values are logged."""
 
     BEGAN = "began"
     LOST = "lost"
@@ -21,33 +21,33 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionEvent:
-    """A change of a node's own session; `shards`: how many it may use."""
+    """A change of a node's own session; `shard_count` is the number of shards that it may use."""
 
     kind: SessionEventKind
     generation: int
     session_number: int
-    shards: int
+    shard_count: int
     reason: str = ""
 
 
-def generation_note(region: str, change: GenerationChange, nodes: int) -> Note:
-    """A new generation, at the assigner; `nodes`: how many have a session now."""
-    facts: dict[str, object] = {
+def generation_event(region: str, change: GenerationChange, node_count: int) -> LogEvent:
+    """Returns the event for a new generation, logged at the assigner; `node_count` counts its sessions."""
+    fields: dict[str, object] = {
         "region": region,
         "generation": change.generation,
-        "nodes": nodes,
+        "nodes": node_count,
         "joined": ",".join(session.name for session in change.joined) or None,
         "left": len(change.left) or None,
     }
-    return "shards-generation", facts
+    return "shards-generation", fields
 
 
-def session_note(event: SessionEvent) -> Note:
-    """A change of a node's own session."""
-    facts: dict[str, object] = {
+def session_event(event: SessionEvent) -> LogEvent:
+    """Returns the event for a change of a node's own session."""
+    fields: dict[str, object] = {
         "what": event.kind.value,
         "generation": event.generation,
-        "shards": event.shards,
+        "shards": event.shard_count,
         "why": event.reason or None,
     }
-    return "shards", facts
+    return "shards", fields
--- a/sailrun/sharding/table_replication.py
+++ b/sailrun/sharding/table_replication.py
@@ -1,9 +1,9 @@
-"""A region's table of sessions, stored by a majority of its voters in memory. Pure.
+"""The replication of a region's table of sessions in the memory of a majority of its voters. Pure.
 
 There is one writer at a time: the assigner, which holds the region's lease. It reads a majority of voters
 with memory, writes the newest table found there under its own term, and then one generation after another, as
-in Paxos. A voter that was restarted has no memory; it counts again once an assigner has written to that very
-process. Why nothing that a majority stores is lost by this: `docs/design/shards.md`.
+in Paxos. A voter that was restarted has no memory; it counts again once an assigner has written to its new
+process. `docs/design/shards.md` explains why no table that a majority stores is lost.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
     WriteTable,
 )
 
-SECOND = 1_000_000
-# A request without an answer is sent again after the first time, then later and later up to the second.
+SECOND_US = 1_000_000
+# The first delay before an unanswered request is repeated, and the limit to which the delay doubles.
 MIN_RETRY_US = 100_000
-MAX_RETRY_US = 5 * SECOND
-# So many of the latest changes are stored, for nodes that are behind.
+MAX_RETRY_US = 5 * SECOND_US
+# Number of the latest changes that the table contains, for nodes that lag behind.
 STORED_CHANGES = 64
 
 
 def next_state(state: TableState, term: int, joined: list[Session], left: list[int]) -> TableState:
-    """The table after one more change; `left` are numbers of sessions."""
+    """The table after one more change; `left` are numbers of sessions to remove."""
     generation = state.generation + 1
     change = GenerationChange(generation, joined, left)
     removed = set(left)
@@ -44,40 +44,42 @@
 
 
 class TableAcceptor:
-    """One voter's copy of the table. `life`: this process's number; a write for another one is rejected."""
+    """One voter's replica of the table. Writes that are addressed to another process are rejected."""
 
-    def __init__(self, region: str, life: int, off: frozenset[str] = frozenset()) -> None:
-        """`off` names safety rules that the laboratory switches off."""
+    def __init__(
+        self, region: str, process_number: int, disabled_rules: frozenset[str] = frozenset()
+    ) -> None:
+        """`disabled_rules` are safety rules that the laboratory switches off."""
         self.promised_term = 0
         self.state: TableState | None = None
-        self.has_memory = "remember" in off
+        self.has_memory = "remember" in disabled_rules
         self._region = region
-        self._life = life
+        self._process_number = process_number
 
     def promise(self, request: ReadTable) -> TableRead | TableRejected:
-        """Promises to accept nothing of a lower term, and returns the table."""
+        """Promises to accept nothing with a lower term, and returns the table."""
         if request.term < self.promised_term:
             return self._reject(request.term, request.sequence)
         self.promised_term = request.term
         return TableRead(
-            self._region, request.term, request.sequence, self._life, self.has_memory, self.state
+            self._region, request.term, request.sequence, self._process_number, self.has_memory, self.state
         )
 
     def accept(self, request: WriteTable) -> TableWritten | TableRejected:
-        """Stores the table, unless a higher term was promised or another process is meant."""
+        """Stores the table, unless a higher term was promised or the write is for another process."""
         term = request.state.term
-        if request.life != self._life:
-            return TableRejected(self._region, term, request.sequence, self._life, 0)
+        if request.life != self._process_number:
+            return TableRejected(self._region, term, request.sequence, self._process_number, 0)
         if term < self.promised_term:
             return self._reject(term, request.sequence)
         self.promised_term = term
         self.has_memory = True
         if self.state is None or _version(request.state) > _version(self.state):
             self.state = request.state
-        return TableWritten(self._region, term, request.sequence, self._life)
+        return TableWritten(self._region, term, request.sequence, self._process_number)
 
     def _reject(self, term: int, sequence: int) -> TableRejected:
-        return TableRejected(self._region, term, sequence, self._life, self.promised_term)
+        return TableRejected(self._region, term, sequence, self._process_number, self.promised_term)
 
 
 def _version(state: TableState) -> tuple[int, int]:
@@ -86,7 +88,7 @@
 
 @dataclass(slots=True)
 class _Retry:
-    """When a voter is sent the present request again."""
+    """When the present request is sent again to a voter."""
 
     next_us: int = 0
     wait_us: int = MIN_RETRY_US
@@ -106,7 +108,7 @@
 
 
 class TableWriter:
-    """The assigner's side, made anew at each term. Driven only while the lease is held."""
+    """The assigner's side of the replication, created for each term and used only while the lease is held."""
 
     def __init__(
         self,
@@ -114,27 +116,28 @@
         digest: int,
         term: int,
         voters: Voters,
-        life_of: Callable[[str], int | None],
-        founding: Callable[[], int],
-        patience_us: int,
+        process_number_of: Callable[[str], int | None],
+        new_initial_term: Callable[[], int],
+        recovery_timeout_us: int,
         now_us: int,
-        off: frozenset[str] = frozenset(),
+        disabled_rules: frozenset[str] = frozenset(),
     ) -> None:
-        """`life_of` returns a living voter's process number, as far as known. After `patience_us` without a
-        majority that has memory an empty table is begun, above `founding`: by then the lease of every node
-        has ended. `off` names safety rules that the laboratory switches off.
+        """`process_number_of` returns the process number of a living voter, None if it is unknown. If no
+        majority with memory is found within `recovery_timeout_us`, an empty table is created whose generation
+        is above the result of `new_initial_term`: by then the lease of every node has ended. `disabled_rules`
+        are safety rules that the laboratory switches off.
         """
         self.term = term
-        self.state: TableState | None = None  # the latest that a majority stores
-        self.is_new_table = False  # no majority had memory: the table was begun empty
-        self.higher_term = 0  # one that a voter has promised above this one
+        self.state: TableState | None = None  # the latest table that a majority stores
+        self.is_new_table = False  # no majority had memory, so an empty table was created
+        self.higher_term = 0  # a term above this one that a voter has promised; 0: none
         self._region = region
         self._settings_digest = digest
         self._voters = voters
-        self._life_of = life_of
-        self._founding = founding
-        self._off = off
-        self._new_table_us = now_us + patience_us
+        self._process_number_of = process_number_of
+        self._new_initial_term = new_initial_term
+        self._disabled_rules = disabled_rules
+        self._new_table_us = now_us + recovery_timeout_us
         self._sequence = 0
         self._retries: dict[str, _Retry] = {}  # of the present request, by voter
         self._reading: _Reading | None = _Reading(self._next_sequence())
@@ -142,7 +145,7 @@
         self._observed_generation = 0
 
     def _next_sequence(self) -> int:
-        """The number of a new request; the retries of the previous one end."""
+        """Returns the number of a new request and ends the retries of the previous one."""
         self._sequence += 1
         self._retries = {}
         return self._sequence
@@ -154,17 +157,17 @@
         return self._reading is None and self.state is not None and is_written
 
     def observe_generation(self, generation: int) -> None:
-        """A node applies that generation: a table that is begun empty has to be above it."""
+        """Records a generation that a node applies or a voter stores: a new table has to be above it."""
         self._observed_generation = max(self._observed_generation, generation)
 
     def write(self, state: TableState) -> None:
-        """Has the voters store the next table; `state` shows it once a majority does."""
+        """Has the voters store the next table; it becomes `state` once a majority has stored it."""
         self._writing = _Writing(self._next_sequence(), state)
 
     # ------------------------------------------------------------------ answers
 
     def receive(self, now_us: int, sender: str, body: TableRead | TableWritten | TableRejected) -> None:
-        """Takes in a voter's answer. To be called only while the lease is held: later it has no value."""
+        """Processes a voter's answer. Must be called only while the lease is held; it is invalid later."""
         if body.term != self.term or sender not in self._voters.names():
             return
         match body:
@@ -185,20 +188,20 @@
         self._complete_reading(now_us, reading)
 
     def _complete_reading(self, now_us: int, reading: _Reading) -> None:
-        """Writes the newest table found, or an empty one, as soon as the answers permit."""
+        """Writes the newest table found, or an empty one, as soon as the answers allow it."""
         with_memory = {name for name, answer in reading.answers.items() if answer.has_memory}
         newest: TableState | None = None
-        if self._voters.is_majority(with_memory) or (with_memory and "register" in self._off):
+        if self._voters.is_majority(with_memory) or (with_memory and "register" in self._disabled_rules):
             states = [reading.answers[name].state for name in with_memory]
             newest = max((state for state in states if state is not None), key=_version, default=None)
         elif now_us < self._new_table_us or not self._voters.is_majority(reading.answers.keys()):
             return
         if newest is None:
             self.is_new_table = True
-            generation = max(self._founding(), self._observed_generation) + 1
+            generation = max(self._new_initial_term(), self._observed_generation) + 1
             newest = TableState(self.term, generation, [], [])
         self._reading = None
-        # A majority has to store it under this term before any node receives it.
+        # A majority has to store the table under this term before any node receives it.
         self.write(msgspec.structs.replace(newest, term=self.term))
 
     def _on_written(self, sender: str, answer: TableWritten) -> None:
@@ -212,7 +215,7 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """When `tick` has to be called next."""
+        """The time at which `tick` has to be called next."""
         due = [self._retries.get(name, _Retry()).next_us for name in self._pending_voters()]
         return min(due, default=now_us + MAX_RETRY_US)
 
@@ -223,13 +226,15 @@
         if self._writing is None:
             return []
         acknowledged_by = self._writing.acknowledged_by
-        lives = {name: self._life_of(name) for name in self._voters.names()}
+        process_numbers = {name: self._process_number_of(name) for name in self._voters.names()}
         return [
-            name for name, life in lives.items() if life is not None and acknowledged_by.get(name) != life
+            name
+            for name, process_number in process_numbers.items()
+            if process_number is not None and acknowledged_by.get(name) != process_number
         ]
 
     def tick(self, now_us: int) -> list[PeerMessage]:
-        """The requests to voters that are due."""
+        """Returns the requests to voters that are due."""
         if self._reading is not None and now_us >= self._new_table_us:
             self._complete_reading(now_us, self._reading)
         messages: list[PeerMessage] = []
@@ -247,8 +252,10 @@
     def _build_request(self, name: str) -> ReadTable | WriteTable | None:
         if self._reading is not None:
             return ReadTable(self._region, self._settings_digest, self.term, self._reading.sequence)
-        life = self._life_of(name)
-        if self._writing is None or life is None:
+        process_number = self._process_number_of(name)
+        if self._writing is None or process_number is None:
             return None
         writing = self._writing
-        return WriteTable(self._region, self._settings_digest, writing.sequence, life, writing.state)
+        return WriteTable(
+            self._region, self._settings_digest, writing.sequence, process_number, writing.state
+        )
--- a/sailrun/storage/__init__.py
+++ b/sailrun/storage/__init__.py
@@ -1,3 +1,5 @@
-"""What outlasts a process: a node's own folder, with what its vote may never forget and what it would like to
-remember.
+"""Persistent state of a node: a storage folder with a write-ahead log and snapshots.
+
+The folder contains the state that the node needs to vote safely after a restart, and learned state about form
+servers, which is only an optimisation.
 """
--- a/sailrun/storage/settings.py
+++ b/sailrun/storage/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets of a node's own folder: the table `[lasting]` of the operator's file."""
+"""Settings of a node's storage folder: the table `[lasting]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -10,21 +10,25 @@
 
 
 class StorageSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Where a node keeps what it has to know after a restart. Off without a folder."""
+    """Settings of a node's persistent state. Storage is disabled if `folder` is empty."""
 
     folder: Annotated[
-        str, Meta(description="This node's own folder, on a disk that lasts; empty: nothing is kept.")
+        str, Meta(description="This node's own folder, on a persistent disk; empty: nothing is stored.")
     ] = ""
     generation_mb: Annotated[
         float,
-        Meta(ge=0.01, le=4096.0, description="A journal of this size is followed by a snapshot and another."),
+        Meta(
+            ge=0.01,
+            le=4096.0,
+            description="Size of a journal, in megabytes, above which a snapshot and a new journal follow.",
+        ),
     ] = 8.0
     queue_mb: Annotated[
         float,
         Meta(
             ge=0.1,
             le=1024.0,
-            description="More than this waits for a slow disk no more: it is written anew as a whole.",
+            description="Megabytes of entries that may be pending; above it the whole state is written.",
         ),
     ] = 8.0
     slow_s: Annotated[
@@ -32,19 +36,23 @@
         Meta(
             ge=0.0,
             le=60.0,
-            description="A voter whose disk takes longer than this steps back; 0: half of owners.lease_s.",
+            description="A voter whose disk takes longer denies lease requests; 0: half of owners.lease_s.",
         ),
     ] = 0.0
     idle_sync_s: Annotated[
         float,
-        Meta(ge=0.05, le=600.0, description="What nobody waits for is safe on the disk after about this."),
+        Meta(
+            ge=0.05,
+            le=600.0,
+            description="Approximate time after which entries that no reply waits for are synced to disk.",
+        ),
     ] = 2.0
     half_life_s: Annotated[
         float,
         Meta(
             ge=1.0,
             le=604_800.0,
-            description="What was learned of form servers counts half after so long without this node.",
+            description="Age at which stored learned state about form servers has half of its weight.",
         ),
     ] = 120.0
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What several test modules share."""
+"""Fixtures that several test modules use."""
 
 from __future__ import annotations
 
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -42,7 +42,7 @@
     "metric": ("sailrun/control/calls.py", "{PREFIX}.hosts_down:", "{PREFIX}.changed:"),
     "path": ("sailrun/storage/folder_layout.py", '"snapshot."', '"changed."'),
     "record-column": ("sailrun/lab/world.py", "backlog_us=server", "changed=server"),
-    "record-kind": ("sailrun/lab/world.py", 'note("vanish"', 'note("changed"'),
+    "record-kind": ("sailrun/lab/world.py", 'record_event("vanish"', 'record_event("changed"'),
     "record-table": ("sailrun/lab/records.py", 'Table("servers")', 'Table("changed")'),
     "record-value": ("sailrun/lab/scale/results.py", '"known_after_begin_s"', '"changed"'),
     "registry": ("sailrun/discovery.py", '"SERVING"', '"changed"'),
@@ -103,8 +103,8 @@
 
 def test_identifiers_and_comments_are_no_names() -> None:
     path = "sailrun/leadership/status.py"
-    text = SOURCE.texts[path].replace("counted", "renamed") + "\n# a comment\n"
-    text = text.replace('"""Counts since the process started', '"""Reworded')
+    text = SOURCE.texts[path].replace("agent_counters", "renamed") + "\n# a comment\n"
+    text = text.replace('"""Returns counts since the process started', '"""Reworded')
     assert text.count("renamed") > 1
     assert "Reworded" in text
     assert external_names(with_text(path, text)) == NAMES
