--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -146,9 +146,9 @@
     def row(self, kind: str, node: str, **facts: Any) -> None:
         """Nothing is kept: no judge looks at this fleet, and rows would be taken for memory of nodes."""
 
-    def _turn(self, node: VirtualNode, waking: int) -> None:
+    def _turn(self, node: VirtualNode, turn_number: int) -> None:
         began_ns, self._aside_ns = time.thread_time_ns(), 0
-        super()._turn(node, waking)
+        super()._turn(node, turn_number)
         self.counts[node.name].cpu_ns += time.thread_time_ns() - began_ns - self._aside_ns
 
     def _arrive(self, sender: str, address: str, to: VirtualNode, envelope: Envelope) -> None:
@@ -160,11 +160,11 @@
         super()._arrive(sender, address, to, decode_envelope(data))
         self.counts[to.name].cpu_ns += time.thread_time_ns() - began_ns - self._aside_ns
 
-    def _put(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
+    def _transmit(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
         length = len(encode_envelope(out.envelope))
         packed_ns = time.thread_time_ns()
         self._count(node, out.envelope, length)
-        super()._put(node, out)
+        super()._transmit(node, out)
         self._aside_ns += time.thread_time_ns() - packed_ns
 
     def _count(self, node: VirtualNode, envelope: Envelope, length: int) -> None:
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -167,7 +167,7 @@
     op = MarkRequest("mark", _replica(fleet, name).make_request_id(), 0, "out", subject, True)
     node = fleet.nodes[name]
     _replica(fleet, name).write_mark(fleet.clock_us(node), op, answers.append, 60_000_000)
-    fleet._soon(node)
+    fleet._run_soon(node)
 
 
 def _all_done(fleet: CountingFleet, answers: list[MarkOutcome], count: int) -> None:
@@ -300,7 +300,7 @@
         agent = fleet.nodes[name].agent
         assert agent is not None and agent.permit_holder is not None
         agent.permit_holder.request("drain", name)
-        fleet._soon(fleet.nodes[name])
+        fleet._run_soon(fleet.nodes[name])
     fleet.run_for(5.0)
     fleet.forget_counts()
     fleet.run_for(REST_S)
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -63,7 +63,7 @@
     """Marks at one node after another: until the answer, and until all nodes hold each."""
     lost, seed = asked
     fleet = _fleet(20, seed)
-    fleet.weather(lost, (1_000, 3_000), 0.0)
+    fleet.set_network_faults(lost, (1_000, 3_000), 0.0)
     majority: list[float] = []
     everywhere: list[float] = []
     for n in range(20):
@@ -71,7 +71,7 @@
         answers: list[MarkOutcome] = []
         op = MarkRequest("mark", _part(fleet, name).make_request_id(), 0, "out", f"s-{n:08x}", True)
         _part(fleet, name).write_mark(fleet.clock_us(fleet.nodes[name]), op, answers.append)
-        fleet._soon(fleet.nodes[name])
+        fleet._run_soon(fleet.nodes[name])
         told = False
         while _now_s(fleet) - began_s < 20.0:
             fleet.run(_now_s(fleet) + 0.01)
@@ -116,7 +116,7 @@
     nodes, writes = asked
     fleet = _fleet(nodes, 1)
     for_s = 10.0 if nodes <= 200 else 3.0
-    fleet.weighed = fleet.bytes = 0
+    fleet.encoded_count = fleet.bytes = 0
     fleet.by_body.clear()
     began = time.process_time()
     end_s = _now_s(fleet) + for_s
@@ -131,7 +131,12 @@
             fleet.run(end_s)
     sent = sum(fleet.by_body.values())
     cpu_s = time.process_time() - began
-    return nodes, writes, fleet.bytes / max(1, fleet.weighed) * sent / nodes / for_s, cpu_s / nodes / for_s
+    return (
+        nodes,
+        writes,
+        fleet.bytes / max(1, fleet.encoded_count) * sent / nodes / for_s,
+        cpu_s / nodes / for_s,
+    )
 
 
 def _known(nodes: int) -> tuple[int, float, float]:
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -27,7 +27,7 @@
 from benchmarks.startup import a_config
 from sailrun.decisions.events import StateSnapshot
 from sailrun.lab.faults.days import occasions, sweep_days
-from sailrun.lab.faults.killing import cut_at, kill_often
+from sailrun.lab.faults.killing import find_power_cut_fault, kill_repeatedly
 from sailrun.lab.faults.play import FaultDay
 from sailrun.lab.faults.rig import free_address
 from sailrun.lab.figures import quantile
@@ -205,7 +205,7 @@
 
 
 def _cuts(seed: int) -> tuple[int, list[str]]:
-    found = [cut_at(step, seed) for step in range(1, 600)]
+    found = [find_power_cut_fault(step, seed) for step in range(1, 600)]
     return len(found), [f for f in found if f]
 
 
@@ -213,7 +213,7 @@
     jobs = os.cpu_count() or 1
     folders = [place / f"kill-{n}" for n in range(jobs)]
     with ProcessPoolExecutor(jobs) as pool:
-        told = list(pool.map(kill_often, folders, [KILLS // jobs] * jobs, range(100, 100 + jobs)))
+        told = list(pool.map(kill_repeatedly, folders, [KILLS // jobs] * jobs, range(100, 100 + jobs)))
     kills, acknowledged = sum(t.kills for t in told), sum(t.acknowledged for t in told)
     torn, generations = sum(t.torn for t in told), sum(t.generations for t in told)
     yield f"kill   {kills} times, {acknowledged} entries acknowledged, {torn} torn ends: none lost"
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -67,7 +67,7 @@
     fleet = _fleet(5, seed)
     fleet.run(20.0)
     lost, delay_us = WEATHERS[weather]
-    fleet.weather(lost, delay_us, 0.0)
+    fleet.set_network_faults(lost, delay_us, 0.0)
     fleet.rows.clear()
     fleet.run(3_620.0)
     return sum(1 for row in fleet.rows if row["kind"] == "lost")
@@ -94,10 +94,10 @@
     fleet = _fleet(nodes, 1)
     settled = 15.0 if nodes < 100 else 60.0 if nodes < 500 else 150.0
     fleet.run(settled)
-    before, fleet.bytes, fleet.weighed = sum(fleet.by_body.values()), 0, 0
+    before, fleet.bytes, fleet.encoded_count = sum(fleet.by_body.values()), 0, 0
     fleet.run(settled + 20.0)
     sent = sum(fleet.by_body.values()) - before
-    return fleet.bytes / max(1, fleet.weighed) * sent / nodes / 20.0, sent / nodes / 20.0
+    return fleet.bytes / max(1, fleet.encoded_count) * sent / nodes / 20.0, sent / nodes / 20.0
 
 
 def _spread(values: list[float]) -> str:
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -65,9 +65,9 @@
             f"{settings.form_servers} form servers, {settings.nodes} nodes, {settings.households} households"
         )
         print(f"{experiment.name:20} {experiment.about} ({size}, {settings.seconds:g} s)")
-    from sailrun.lab.faults.days import about
+    from sailrun.lab.faults.days import describe_plans
 
-    for line in about():
+    for line in describe_plans():
         print(line)
     print(f"{SCALE:20} real processes and many hollow nodes: what each role uses (3 nodes, 60 hollow, 30 s)")
 
@@ -103,7 +103,7 @@
 def _fault_day(name: str, off: list[str] | None, nodes: int | None, seconds: float | None) -> FaultDay | None:
     """Returns the fault run of this name, or None if the name is not that of a fault plan."""
     from sailrun.lab.faults.nemesis import PLANS
-    from sailrun.lab.faults.play import NODES, RULES, FaultDay
+    from sailrun.lab.faults.play import NODES, SAFETY_RULES, FaultDay
     from sailrun.lab.faults.shard_plans import SHARD_PLANS
     from sailrun.lab.faults.shard_world import FEWEST_NODES
 
@@ -111,8 +111,8 @@
         return None
     lowest, default_nodes = (FEWEST_NODES, SHARD_PLANS[name].nodes) if name in SHARD_PLANS else (3, NODES)
     for rule in off or ():
-        if rule not in RULES:
-            raise _usage_error(f"--off: '{rule}' is none of {', '.join(RULES)}")
+        if rule not in SAFETY_RULES:
+            raise _usage_error(f"--off: '{rule}' is none of {', '.join(SAFETY_RULES)}")
     if nodes is not None and not lowest <= nodes <= 1_000:
         raise _usage_error(f"--nodes: {nodes} is not from {lowest} to 1000")
     if seconds is not None and not 20 <= seconds <= 3_600:
@@ -121,12 +121,12 @@
 
 
 def _check_driver(day: FaultDay, driver: str) -> None:
-    from sailrun.lab.faults.rig import MOST_NODES
+    from sailrun.lab.faults.rig import MAX_NODES
 
     if driver not in DRIVERS:
         raise _usage_error(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
-    if driver == "sockets" and day.nodes > MOST_NODES:
-        raise _usage_error(f"--nodes: {day.nodes} is more than {MOST_NODES}, the limit for real processes")
+    if driver == "sockets" and day.nodes > MAX_NODES:
+        raise _usage_error(f"--nodes: {day.nodes} is more than {MAX_NODES}, the limit for real processes")
     if driver == "sockets" and day.off:
         raise _usage_error(
             "--off: rules can be switched off only with --driver virtual, not in real processes"
--- a/sailrun/lab/faults/copies.py
+++ b/sailrun/lab/faults/copies.py
@@ -20,7 +20,7 @@
 
 from sailrun.lab.checks import Check
 from sailrun.lab.faults.history import Counted, Row, fault
-from sailrun.lab.faults.linear import Operation, TooMany, first_fault
+from sailrun.lab.faults.linear import Operation, SearchLimitError, first_fault
 
 SECOND = 1_000_000
 NONE = "none"
@@ -109,11 +109,11 @@
             check.occasions += sum(1 for o in operations if not math.isinf(o.end_us))
             try:
                 at = first_fault(operations, NONE)
-            except TooMany:
+            except SearchLimitError:
                 check.occasions = 0
                 continue
             if at is not None:
-                self._fault(check, int(at.end_us), f"{subject}: {at.told}, told {at.value}")
+                self._fault(check, int(at.end_us), f"{subject}: {at.label}, told {at.value}")
         return check
 
     def _fresh(self) -> Check:
--- a/sailrun/lab/faults/days.py
+++ b/sailrun/lab/faults/days.py
@@ -99,7 +99,7 @@
         yield f"{name:36} {count} occasions"
 
 
-def about() -> Iterator[str]:
+def describe_plans() -> Iterator[str]:
     for plan in PLANS.values():
         yield f"{plan.name:20} {plan.about} (5 nodes, {plan.seconds:g} s)"
     for plan in SHARD_PLANS.values():
--- a/sailrun/lab/faults/disk.py
+++ b/sailrun/lab/faults/disk.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 # The unit in which the disk stores writes, each independent of the others.
-PIECE = 512
+SECTOR_BYTES = 512
 
 
 @dataclass(slots=True)
@@ -147,8 +147,8 @@
     short, long = sorted((len(current), len(synced)))
     length = rng.choice((short, long, rng.randint(short, long)))
     result = bytearray(length)
-    for offset in range(0, length, PIECE):
-        sector = slice(offset, min(offset + PIECE, length))
+    for offset in range(0, length, SECTOR_BYTES):
+        sector = slice(offset, min(offset + SECTOR_BYTES, length))
         old, new = synced[sector], current[sector]
         chosen = new if old == new or rng.random() < 0.5 else old
         result[sector] = chosen.ljust(sector.stop - sector.start, b"\0")
--- a/sailrun/lab/faults/killing.py
+++ b/sailrun/lab/faults/killing.py
@@ -55,7 +55,7 @@
     return last if complete else -1
 
 
-def everything(last: int) -> Iterator[e.Entry]:
+def snapshot_entries(last: int) -> Iterator[e.Entry]:
     """Yields the entries of a snapshot at the start of a generation."""
     if last:
         yield entry_of(last - (1 - last % 2))
@@ -93,7 +93,7 @@
         if folder.is_writing_snapshot:
             folder.write_snapshot_chunk()
         elif rng.random() < 1 / SYNCS_PER_GENERATION:
-            folder.begin_generation(everything(number))
+            folder.begin_generation(snapshot_entries(number))
 
 
 @dataclass(slots=True)
@@ -106,7 +106,7 @@
     generations: int = 0
 
 
-def kill_often(folder: Path, kills: int, seed: int) -> KillCounts:
+def kill_repeatedly(folder: Path, kills: int, seed: int) -> KillCounts:
     """Kills the writer repeatedly.
 
     Raises ValueError if an acknowledged entry is missing, the folder is damaged or the writer ends by itself.
@@ -140,7 +140,7 @@
     pass
 
 
-def cut_at(step: int, seed: int, off: frozenset[str] = frozenset()) -> str | None:
+def find_power_cut_fault(step: int, seed: int, off: frozenset[str] = frozenset()) -> str | None:
     """Writes to a simulated disk that loses power at the given step, then once more, earlier, over the
     remaining files. Returns the fault that was found, or None.
     """
--- a/sailrun/lab/faults/linear.py
+++ b/sailrun/lab/faults/linear.py
@@ -24,10 +24,10 @@
     end_us: float
     writes: bool
     value: str
-    told: str = ""  # node and command, for reports of faults
+    label: str = ""  # node and command, for reports of faults
 
 
-class TooMany(Exception):
+class SearchLimitError(Exception):
     """The search was given up; the history may be linearizable or not."""
 
 
@@ -54,7 +54,7 @@
             continue
         seen.add((done, current))
         if len(seen) > MAX_CONFIGURATIONS:
-            raise TooMany
+            raise SearchLimitError
         remaining = [n for n in range(len(ops)) if not done >> n & 1]
         first_end = min((ops[n].end_us for n in remaining), default=math.inf)
         for n in reversed(remaining):
@@ -95,4 +95,4 @@
 
 
 def _without_answer(op: Operation) -> Operation:
-    return Operation(op.call_us, math.inf, op.writes, op.value, op.told)
+    return Operation(op.call_us, math.inf, op.writes, op.value, op.label)
--- a/sailrun/lab/faults/nemesis.py
+++ b/sailrun/lab/faults/nemesis.py
@@ -33,18 +33,18 @@
     def start(self, name: str, clock_s: float = 0.0) -> None: ...
     def leave(self, name: str) -> None: ...
     def stop(self, name: str, in_send: bool = False) -> int: ...
-    def go_on(self, name: str, stop: int) -> None: ...
+    def resume(self, name: str, stop: int) -> None: ...
     def cut(self, one: list[str], other: list[str], both_ways: bool = True) -> int: ...
     def heal(self, cut: int) -> None: ...
-    def weather(self, lost: float, delay_us: tuple[int, int], doubled: float) -> None: ...
-    def hold_back(self, name: str, for_us: int) -> None: ...
+    def set_network_faults(self, lost: float, delay_us: tuple[int, int], doubled: float) -> None: ...
+    def delay_messages(self, name: str, for_us: int) -> None: ...
     def request_permit(self, name: str, kind: str, subject: str, for_us: int) -> None: ...
     def hand_over(self, name: str) -> None: ...
     def begin_rolling_drain(self, name: str, names: list[str], for_us: int) -> None: ...
-    def told(self, what: str, **facts: object) -> None: ...
-    def finish(self, wait_us: int) -> None: ...
+    def record_fault(self, what: str, **facts: object) -> None: ...
+    def end_after(self, wait_us: int) -> None: ...
     def mark(self, name: str, subject: str, on: bool) -> None: ...
-    def mark_here(self, name: str, subject: str, on: bool) -> None: ...
+    def mark_locally(self, name: str, subject: str, on: bool) -> None: ...
     def read_mark(self, name: str, subject: str) -> None: ...
     def corrupt_mark(self, name: str) -> None: ...
     def power_cut(self, names: list[str]) -> None: ...
@@ -63,7 +63,7 @@
     script: Callable[[Nemesis], None]
     seconds: float = 40.0
     permits: bool = False
-    copies: bool = False
+    replicas: bool = False
     conflicting_marks: bool = False  # operators set conflicting marks on the two sides of a partition
     storage: bool = False  # each node has its own storage folder
     older_folders: bool = False  # older storage folders are restored
@@ -75,7 +75,7 @@
     """Schedules the faults of a plan, determined by a seed."""
 
     def __init__(self, fleet: Fleet, plan: Plan, seed: int, seconds: float, lease_s: float) -> None:
-        self.fleet, self.luck = fleet, random.Random(f"{plan.name}/{seed}")
+        self.fleet, self.random = fleet, random.Random(f"{plan.name}/{seed}")
         self.seconds, self.lease_s = seconds, lease_s
         self.first_s = plan.calm_begin_s
         self.last_s = max(self.first_s + 1.0, seconds - plan.calm_end_s)
@@ -88,10 +88,10 @@
         """Schedules the fault repeatedly, with a random interval, until the last time at which a fault may
         begin.
         """
-        when_s = self.first_s + self.luck.uniform(0, max_s - min_s)
+        when_s = self.first_s + self.random.uniform(0, max_s - min_s)
         while when_s < self.last_s:
             self.at(when_s, action)
-            when_s += self.luck.uniform(min_s, max_s)
+            when_s += self.random.uniform(min_s, max_s)
 
     def later(self, wait_s: float, action: Callable[..., None], *arguments: object) -> None:
         self.fleet.after(int(wait_s * SECOND), action, *arguments)
@@ -99,9 +99,11 @@
     def pick_target(self) -> str:
         """Returns the owner of a random task in 85% of the cases, otherwise a random node."""
         tasks = self.fleet.tasks()
-        owner = self.fleet.owner(self.luck.choice(tasks)) if tasks else None
+        owner = self.fleet.owner(self.random.choice(tasks)) if tasks else None
         return (
-            owner if owner is not None and self.luck.random() < 0.85 else self.luck.choice(self.fleet.names)
+            owner
+            if owner is not None and self.random.random() < 0.85
+            else self.random.choice(self.fleet.names)
         )
 
     def schedule_owner_fault(self, when_s: float, fault: Callable[[str], None]) -> None:
@@ -112,7 +114,7 @@
         def attempt() -> None:
             owners = [o for o in map(self.fleet.owner, self.fleet.tasks()) if o is not None]
             if owners:
-                fault(self.luck.choice(owners))
+                fault(self.random.choice(owners))
             else:
                 self.later(0.5, attempt)
 
@@ -125,7 +127,7 @@
         self.later(for_s, self.fleet.start, name)
 
     def stop_for(self, name: str, for_s: float) -> None:
-        self.later(for_s, self.fleet.go_on, name, self.fleet.stop(name))
+        self.later(for_s, self.fleet.resume, name, self.fleet.stop(name))
 
     def cut_off(self, name: str, for_s: float, both_ways: bool) -> None:
         """Cuts a node off from all other voters, but not from the other nodes."""
@@ -137,30 +139,30 @@
     def kill_one(self) -> None:
         name = self.pick_target()
         self.fleet.kill(name)
-        self.later(self.luck.choice((0.05, 1.0, 5.0)), self.fleet.start, name)
+        self.later(self.random.choice((0.05, 1.0, 5.0)), self.fleet.start, name)
 
     def leave_one(self) -> None:
         name = self.pick_target()
         self.fleet.leave(name)
-        self.later(self.luck.uniform(1.0, 4.0), self.fleet.start, name)
+        self.later(self.random.uniform(1.0, 4.0), self.fleet.start, name)
 
     def stop_one(self) -> None:
         name = self.pick_target()
-        stop = self.fleet.stop(name, self.luck.random() < 0.5)
-        self.later(self.lease_s * self.luck.uniform(0.3, 3.0), self.fleet.go_on, name, stop)
+        stop = self.fleet.stop(name, self.random.random() < 0.5)
+        self.later(self.lease_s * self.random.uniform(0.3, 3.0), self.fleet.resume, name, stop)
 
     def weather(self, lost: float, min_ms: int, max_ms: int, doubled: float = 0.02) -> None:
-        self.fleet.weather(lost, (min_ms * 1000, max_ms * 1000), doubled)
+        self.fleet.set_network_faults(lost, (min_ms * 1000, max_ms * 1000), doubled)
 
     def partition(self, both_ways: bool) -> None:
         """Partitions the fleet: the owner from the voters, two halves, or three parts."""
-        names, draw = list(self.fleet.names), self.luck.random()
+        names, draw = list(self.fleet.names), self.random.random()
         owner = self.pick_target()
-        for_s = self.luck.choice((1.0, 3.0, 8.0))
-        self.luck.shuffle(names)
+        for_s = self.random.choice((1.0, 3.0, 8.0))
+        self.random.shuffle(names)
         if draw < 0.5:
             others = [v for v in self.fleet.voters if v != owner]
-            self.cut_for(for_s, [owner], others if self.luck.random() < 0.6 else others[:1], both_ways)
+            self.cut_for(for_s, [owner], others if self.random.random() < 0.6 else others[:1], both_ways)
         elif draw < 0.8:
             half = len(names) // 2
             self.cut_for(for_s, names[:half], names[half:], both_ways)
@@ -172,8 +174,8 @@
 
 
 def _owner(nemesis: Nemesis) -> None:
-    nemesis.weather(nemesis.luck.choice((0.0, 0.02, 0.1)), 1, nemesis.luck.choice((3, 30)))
-    nemesis.every(4.0, 8.0, lambda: nemesis.luck.choice((nemesis.kill_one, nemesis.leave_one))())
+    nemesis.weather(nemesis.random.choice((0.0, 0.02, 0.1)), 1, nemesis.random.choice((3, 30)))
+    nemesis.every(4.0, 8.0, lambda: nemesis.random.choice((nemesis.kill_one, nemesis.leave_one))())
     nemesis.schedule_owner_fault(11.0, lambda name: nemesis.kill_for(name, 2.0 * nemesis.lease_s))
 
 
@@ -186,7 +188,7 @@
 def _cut(nemesis: Nemesis) -> None:
     nemesis.weather(0.02, 1, 20)
     nemesis.every(6.0, 12.0, lambda: nemesis.partition(True))
-    nemesis.every(9.0, 15.0, lambda: nemesis.luck.choice((nemesis.kill_one, nemesis.stop_one))())
+    nemesis.every(9.0, 15.0, lambda: nemesis.random.choice((nemesis.kill_one, nemesis.stop_one))())
     nemesis.schedule_owner_fault(11.0, lambda name: nemesis.cut_off(name, 3.0 * nemesis.lease_s, True))
 
 
@@ -197,47 +199,47 @@
 
 
 def _slow(nemesis: Nemesis) -> None:
-    luck, fleet = nemesis.luck, nemesis.fleet
+    rng, fleet = nemesis.random, nemesis.fleet
 
     def degrade_network() -> None:
-        nemesis.weather(*luck.choice(((0.3, 1, 40), (0.0, 150, 250), (0.1, 5, 900), (0.05, 300, 2500))), 0.1)
-        nemesis.later(luck.uniform(2.0, 6.0), nemesis.weather, 0.02, 1, 20)
+        nemesis.weather(*rng.choice(((0.3, 1, 40), (0.0, 150, 250), (0.1, 5, 900), (0.05, 300, 2500))), 0.1)
+        nemesis.later(rng.uniform(2.0, 6.0), nemesis.weather, 0.02, 1, 20)
 
     def delay_target() -> None:
-        fleet.hold_back(nemesis.pick_target(), int(luck.choice((3.0, 10.0, 30.0)) * SECOND))
+        fleet.delay_messages(nemesis.pick_target(), int(rng.choice((3.0, 10.0, 30.0)) * SECOND))
 
     nemesis.weather(0.02, 1, 20)
     nemesis.every(6.0, 10.0, degrade_network)
     nemesis.every(4.0, 9.0, delay_target)
-    nemesis.every(9.0, 14.0, lambda: luck.choice((nemesis.stop_one, nemesis.kill_one))())
+    nemesis.every(9.0, 14.0, lambda: rng.choice((nemesis.stop_one, nemesis.kill_one))())
     for at_s in (11.0, 30.0):
         nemesis.schedule_owner_fault(at_s, lambda name: nemesis.stop_for(name, 3.0 * nemesis.lease_s))
 
 
 def _restart(nemesis: Nemesis) -> None:
-    luck, fleet = nemesis.luck, nemesis.fleet
+    rng, fleet = nemesis.random, nemesis.fleet
 
     def restart_voters() -> None:
         voters = list(fleet.voters)
-        luck.shuffle(voters)
+        rng.shuffle(voters)
         # One voter, a bare majority or all, sometimes with the owner; at once or one by one; the wall clock
         # is the same or off by an hour.
-        restarted = set(voters[: luck.choice((1, len(voters) // 2 + 1, len(voters) // 2 + 1, len(voters)))])
-        if luck.random() < 0.5:
+        restarted = set(voters[: rng.choice((1, len(voters) // 2 + 1, len(voters) // 2 + 1, len(voters)))])
+        if rng.random() < 0.5:
             restarted.add(nemesis.pick_target())
-        clock_s = luck.choice((0.0, 0.0, -3600.0, 3600.0))
-        at_once = luck.random() < 0.6
+        clock_s = rng.choice((0.0, 0.0, -3600.0, 3600.0))
+        at_once = rng.random() < 0.6
         for n, name in enumerate(sorted(restarted)):
             wait_s = 0.0 if at_once else 0.7 * n
             nemesis.later(wait_s, fleet.kill, name)
-            nemesis.later(wait_s + luck.choice((0.02, 0.02, 0.5, 3.0)), fleet.start, name, clock_s)
+            nemesis.later(wait_s + rng.choice((0.02, 0.02, 0.5, 3.0)), fleet.start, name, clock_s)
 
     def restart_behind_partition() -> None:
         """Cuts off the owner with one voter, and restarts the voters on the other side."""
         owner = nemesis.pick_target()
         kept_voter = next((v for v in fleet.voters if v != owner), owner)
         rest = [n for n in fleet.names if n not in (owner, kept_voter)]
-        nemesis.cut_for(luck.uniform(1.0, 5.0), [owner, kept_voter], rest)
+        nemesis.cut_for(rng.uniform(1.0, 5.0), [owner, kept_voter], rest)
         for name in [v for v in fleet.voters if v in rest]:
             nemesis.kill_for(name, 0.05)
 
@@ -245,7 +247,7 @@
         """Restarts a voter of the owner's majority while another voter receives nothing from the owner."""
         owner = nemesis.pick_target()
         others = [v for v in fleet.voters if v != owner]
-        luck.shuffle(others)
+        rng.shuffle(others)
         nemesis.cut_for(3 * nemesis.lease_s, [owner], others[:1])
         nemesis.later(1.2 * nemesis.lease_s, nemesis.kill_for, others[-1], 0.05)
         nemesis.later(1.2 * nemesis.lease_s, nemesis.cut_for, 1.8 * nemesis.lease_s, [owner], others)
@@ -254,7 +256,7 @@
     nemesis.every(
         7.0,
         11.0,
-        lambda: luck.choice(
+        lambda: rng.choice(
             (restart_voters, restart_voters, restart_behind_partition, restart_voter_of_owner)
         )(),
     )
@@ -262,36 +264,36 @@
 
 
 def _permits(nemesis: Nemesis) -> None:
-    luck, fleet = nemesis.luck, nemesis.fleet
+    rng, fleet = nemesis.random, nemesis.fleet
 
     def request_permits() -> None:
-        for _ in range(luck.randint(1, 4)):
+        for _ in range(rng.randint(1, 4)):
             fleet.request_permit(
-                luck.choice(fleet.names),
+                rng.choice(fleet.names),
                 "out",
-                f"s-{luck.randint(1, 6)}",
-                int(luck.uniform(0.5, 6.0) * SECOND),
+                f"s-{rng.randint(1, 6)}",
+                int(rng.uniform(0.5, 6.0) * SECOND),
             )
 
     def inject_fault() -> None:
-        draw = luck.random()
+        draw = rng.random()
         if draw < 0.35:
             nemesis.kill_one()
         elif draw < 0.6:
             nemesis.stop_one()
         elif draw < 0.85:
-            nemesis.partition(luck.random() < 0.7)
+            nemesis.partition(rng.random() < 0.7)
         else:
-            name = luck.choice(fleet.names)
+            name = rng.choice(fleet.names)
             fleet.kill(name)
             nemesis.later(2.0, fleet.start, name)
 
     nemesis.weather(0.03, 1, 20)
     for n in range(14):
         nemesis.at(CALM_BEGIN_S + 1.3 * n, request_permits)
-    drained = luck.sample(fleet.names, min(len(fleet.names), 4))
+    drained = rng.sample(fleet.names, min(len(fleet.names), 4))
     nemesis.at(
-        CALM_BEGIN_S + 1.0, lambda: fleet.begin_rolling_drain(luck.choice(fleet.names), drained, SECOND)
+        CALM_BEGIN_S + 1.0, lambda: fleet.begin_rolling_drain(rng.choice(fleet.names), drained, SECOND)
     )
     nemesis.every(4.0, 8.0, inject_fault)
 
@@ -304,21 +306,23 @@
     """Operator commands at random nodes: marks are set, cleared and read."""
 
     def __init__(self, nemesis: Nemesis, min_s: float = 0.2, max_s: float = 1.0) -> None:
-        self.nemesis, self.fleet, self.luck = nemesis, nemesis.fleet, nemesis.luck
+        self.nemesis, self.fleet, self.random = nemesis, nemesis.fleet, nemesis.random
         nemesis.every(min_s, max_s, self.set_or_read_mark)
         nemesis.every(2.0, 5.0, self.set_mark_locally)
 
     def set_or_read_mark(self) -> None:
-        name, subject = self.luck.choice(self.fleet.names), self.luck.choice(MAJORITY_MARKED)
-        if self.luck.random() < 0.4:
+        name, subject = self.random.choice(self.fleet.names), self.random.choice(MAJORITY_MARKED)
+        if self.random.random() < 0.4:
             self.fleet.read_mark(name, subject)
         else:
-            self.fleet.mark(name, subject, self.luck.random() < 0.5)
+            self.fleet.mark(name, subject, self.random.random() < 0.5)
 
     def set_mark_locally(self) -> None:
         # The other two are for conflicting marks on the two sides of a partition.
-        self.fleet.mark_here(
-            self.luck.choice(self.fleet.names), self.luck.choice(LOCALLY_MARKED[:2]), self.luck.random() < 0.5
+        self.fleet.mark_locally(
+            self.random.choice(self.fleet.names),
+            self.random.choice(LOCALLY_MARKED[:2]),
+            self.random.random() < 0.5,
         )
 
     def set_conflicting_marks(self, for_s: float, subject: str) -> None:
@@ -326,30 +330,30 @@
         other.
         """
         names = list(self.fleet.names)
-        self.luck.shuffle(names)
+        self.random.shuffle(names)
         half = max(1, len(names) // 2)
         one, other = names[:half], names[half:]
         self.nemesis.cut_for(for_s, one, other)
 
         def set_marks() -> None:
-            self.fleet.told("apart", subject=f"out/{subject}")
+            self.fleet.record_fault("apart", subject=f"out/{subject}")
             for name in self.fleet.names:
-                self.fleet.mark_here(name, subject, name in one)
+                self.fleet.mark_locally(name, subject, name in one)
 
         self.nemesis.later(for_s / 2, set_marks)
 
 
 def _copies(nemesis: Nemesis) -> None:
-    nemesis.weather(nemesis.luck.choice((0.0, 0.05, 0.1)), 1, nemesis.luck.choice((3, 30)))
+    nemesis.weather(nemesis.random.choice((0.0, 0.05, 0.1)), 1, nemesis.random.choice((3, 30)))
     _OperatorCommands(nemesis)
-    nemesis.every(4.0, 8.0, lambda: nemesis.luck.choice((nemesis.kill_one, nemesis.stop_one))())
+    nemesis.every(4.0, 8.0, lambda: nemesis.random.choice((nemesis.kill_one, nemesis.stop_one))())
     nemesis.schedule_owner_fault(11.0, lambda name: nemesis.kill_for(name, 2.0 * nemesis.lease_s))
 
 
 def _copies_cut(nemesis: Nemesis) -> None:
     nemesis.weather(0.02, 1, 20)
     operators = _OperatorCommands(nemesis)
-    nemesis.every(7.0, 11.0, lambda: nemesis.partition(nemesis.luck.random() < 0.8))
+    nemesis.every(7.0, 11.0, lambda: nemesis.partition(nemesis.random.random() < 0.8))
     nemesis.at(CALM_BEGIN_S + 4.0, lambda: operators.set_conflicting_marks(5.0, LOCALLY_MARKED[2]))
     nemesis.at(CALM_BEGIN_S + 18.0, lambda: operators.set_conflicting_marks(4.0, LOCALLY_MARKED[3]))
     nemesis.schedule_owner_fault(15.0, lambda name: nemesis.cut_off(name, 3.0 * nemesis.lease_s, True))
@@ -357,13 +361,13 @@
 
 def _copies_return(nemesis: Nemesis) -> None:
     """Nodes are away for longer than deleted marks are retained: cut off, or stopped and then resumed."""
-    luck, fleet = nemesis.luck, nemesis.fleet
+    rng, fleet = nemesis.random, nemesis.fleet
 
     def take_one_away() -> None:
-        name = luck.choice(fleet.names)
+        name = rng.choice(fleet.names)
         others = [n for n in fleet.names if n != name]
-        for_s = luck.uniform(9.0, 13.0)
-        if luck.random() < 0.6:
+        for_s = rng.uniform(9.0, 13.0)
+        if rng.random() < 0.6:
             nemesis.cut_for(for_s, [name], others)
         else:
             nemesis.stop_for(name, for_s)
@@ -371,7 +375,7 @@
     nemesis.weather(0.02, 1, 20)
     _OperatorCommands(nemesis, 0.2, 0.6)
     for at_s in (0.0, 9.0, 18.0):
-        nemesis.at(CALM_BEGIN_S + at_s + luck.uniform(0.0, 4.0), take_one_away)
+        nemesis.at(CALM_BEGIN_S + at_s + rng.uniform(0.0, 4.0), take_one_away)
     nemesis.every(8.0, 14.0, nemesis.kill_one)
     nemesis.schedule_owner_fault(20.0, lambda name: nemesis.kill_for(name, 2.0 * nemesis.lease_s))
 
@@ -379,7 +383,7 @@
 def _copies_differ(nemesis: Nemesis) -> None:
     nemesis.weather(0.02, 1, 20)
     operators = _OperatorCommands(nemesis)
-    nemesis.every(1.5, 4.0, lambda: nemesis.fleet.corrupt_mark(nemesis.luck.choice(nemesis.fleet.names)))
+    nemesis.every(1.5, 4.0, lambda: nemesis.fleet.corrupt_mark(nemesis.random.choice(nemesis.fleet.names)))
     nemesis.at(CALM_BEGIN_S + 3.0, lambda: operators.set_conflicting_marks(4.0, LOCALLY_MARKED[3]))
     nemesis.at(CALM_BEGIN_S + 14.0, lambda: operators.set_conflicting_marks(4.0, LOCALLY_MARKED[2]))
     nemesis.every(8.0, 14.0, nemesis.kill_one)
@@ -388,22 +392,22 @@
 
 def _copies_roll(nemesis: Nemesis) -> None:
     """Rolling restarts, a majority of the voters among them; half the fleet is restarted twice in 10 s."""
-    luck, fleet = nemesis.luck, nemesis.fleet
+    rng, fleet = nemesis.random, nemesis.fleet
 
     def restart_half_twice() -> None:
         names = list(fleet.names)
-        luck.shuffle(names)
+        rng.shuffle(names)
         for name in names[: len(names) // 2]:
             if name in fleet.voters[: len(fleet.voters) // 2 + 1]:
                 continue
             for wait_s in (0.0, 5.0):
                 nemesis.later(wait_s, fleet.kill, name)
-                nemesis.later(wait_s + luck.uniform(0.1, 1.0), fleet.start, name)
+                nemesis.later(wait_s + rng.uniform(0.1, 1.0), fleet.start, name)
 
     def restart_one_by_one() -> None:
         for n, name in enumerate(fleet.names[:8]):
             nemesis.later(3.5 * n, fleet.kill, name)
-            nemesis.later(3.5 * n + luck.uniform(0.02, 0.5), fleet.start, name, luck.choice((0.0, 86_400.0)))
+            nemesis.later(3.5 * n + rng.uniform(0.02, 0.5), fleet.start, name, rng.choice((0.0, 86_400.0)))
 
     nemesis.weather(0.02, 1, 10)
     _OperatorCommands(nemesis)
@@ -415,27 +419,27 @@
     """Faults of nodes that have storage folders."""
 
     def __init__(self, nemesis: Nemesis) -> None:
-        self.nemesis, self.fleet, self.luck = nemesis, nemesis.fleet, nemesis.luck
+        self.nemesis, self.fleet, self.random = nemesis, nemesis.fleet, nemesis.random
 
     def restart(self, names: list[str], extra_wait_s: float = 0.0) -> None:
         """Kills the processes or cuts the power of their machines; they are started again within about a
         second, some of them `extra_wait_s` later.
         """
-        if self.luck.random() < 0.5:
+        if self.random.random() < 0.5:
             self.fleet.power_cut(names)
         else:
             for name in names:
                 self.fleet.kill(name)
         for name in names:
-            clock_s = self.luck.choice((0.0, 0.0, 0.0, -31_536_000.0))
-            wait_s = 0.3 + self.luck.uniform(0.0, 0.7) + self.luck.choice((0.0, 0.0, extra_wait_s))
+            clock_s = self.random.choice((0.0, 0.0, 0.0, -31_536_000.0))
+            wait_s = 0.3 + self.random.uniform(0.0, 0.7) + self.random.choice((0.0, 0.0, extra_wait_s))
             self.nemesis.later(wait_s, self.fleet.start, name, clock_s)
 
     def restart_some(self) -> None:
         """Restarts one node, a bare majority of the voters at once, or all voters one after another."""
         voters = list(self.fleet.voters)
-        self.luck.shuffle(voters)
-        draw = self.luck.random()
+        self.random.shuffle(voters)
+        draw = self.random.random()
         if draw < 0.4:
             self.restart([self.nemesis.pick_target()])
         elif draw < 0.8:
@@ -449,7 +453,7 @@
 
     def slow_disk(self) -> None:
         """Stalls a voter's disk for 5 s, and kills a node, usually an owner, meanwhile."""
-        self.fleet.stall_disk(self.luck.choice(self.fleet.voters), 5 * SECOND)
+        self.fleet.stall_disk(self.random.choice(self.fleet.voters), 5 * SECOND)
         self.nemesis.later(0.2, self.nemesis.kill_one)
 
     def fill_voter_disks(self) -> None:
@@ -457,7 +461,7 @@
 
     def restart_from_backup(self) -> None:
         """Restarts a voter with the storage folder that it had 3 to 6 s before."""
-        name, backup_age_s = self.luck.choice(self.fleet.voters), self.luck.uniform(3.0, 6.0)
+        name, backup_age_s = self.random.choice(self.fleet.voters), self.random.uniform(3.0, 6.0)
         self.fleet.back_up_folder(name)
         self.nemesis.later(backup_age_s, self.fleet.kill, name)
         self.nemesis.later(backup_age_s + 0.8, self.fleet.restore_folder, name)
@@ -470,7 +474,7 @@
     folder_faults = _FolderFaults(nemesis)
     nemesis.every(5.0, 8.0, folder_faults.restart_some)
     nemesis.every(
-        9.0, 14.0, lambda: nemesis.luck.choice((folder_faults.slow_disk, folder_faults.fill_voter_disks))()
+        9.0, 14.0, lambda: nemesis.random.choice((folder_faults.slow_disk, folder_faults.fill_voter_disks))()
     )
     for at_s in (7.0, 19.0, 31.0):
         # One after another: a majority of three voters does not survive two older folders at a time.
@@ -490,14 +494,14 @@
 
 def _lasting_walk(nemesis: Nemesis) -> None:
     """Kills the whole fleet during a rolling drain, twice."""
-    luck, fleet = nemesis.luck, nemesis.fleet
+    rng, fleet = nemesis.random, nemesis.fleet
     nemesis.weather(0.02, 1, 10)
     folder_faults = _FolderFaults(nemesis)
-    drained = luck.sample(fleet.names, min(len(fleet.names), 4))
-    initiator = luck.choice(fleet.names)
+    drained = rng.sample(fleet.names, min(len(fleet.names), 4))
+    initiator = rng.choice(fleet.names)
     nemesis.at(CALM_BEGIN_S + 1.0, lambda: fleet.begin_rolling_drain(initiator, drained, SECOND))
-    nemesis.at(CALM_BEGIN_S + luck.uniform(2.0, 6.0), lambda: folder_faults.restart_all(0.0))
-    nemesis.at(CALM_BEGIN_S + luck.uniform(12.0, 20.0), lambda: folder_faults.restart_all(0.0))
+    nemesis.at(CALM_BEGIN_S + rng.uniform(2.0, 6.0), lambda: folder_faults.restart_all(0.0))
+    nemesis.at(CALM_BEGIN_S + rng.uniform(12.0, 20.0), lambda: folder_faults.restart_all(0.0))
     nemesis.schedule_owner_fault(
         CALM_BEGIN_S + 24.0, lambda name: nemesis.kill_for(name, 2.0 * nemesis.lease_s)
     )
@@ -534,14 +538,14 @@
             "copies",
             "Operators mark form servers; owners and other nodes are killed and stopped.",
             _copies,
-            copies=True,
+            replicas=True,
         ),
         Plan(
             "copies-cut",
             "Operators mark form servers on both sides of partitions.",
             _copies_cut,
             45.0,
-            copies=True,
+            replicas=True,
             conflicting_marks=True,
         ),
         Plan(
@@ -549,13 +553,13 @@
             "Nodes return after more time than deleted marks are retained.",
             _copies_return,
             60.0,
-            copies=True,
+            replicas=True,
         ),
         Plan(
             "copies-differ",
             "Replicas are corrupted; conflicting marks on two sides of a partition.",
             _copies_differ,
-            copies=True,
+            replicas=True,
             conflicting_marks=True,
         ),
         Plan(
@@ -563,14 +567,14 @@
             "Rolling restarts; half the fleet is restarted twice.",
             _copies_roll,
             60.0,
-            copies=True,
+            replicas=True,
         ),
         Plan(
             "lasting",
             "Nodes with storage folders: kills, power cuts, slow and full disks, older folders.",
             _lasting,
             60.0,
-            copies=True,
+            replicas=True,
             storage=True,
             older_folders=True,
         ),
@@ -579,7 +583,7 @@
             "The whole fleet is killed or loses power at once, repeatedly.",
             _lasting_all,
             60.0,
-            copies=True,
+            replicas=True,
             storage=True,
         ),
         Plan(
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -21,7 +21,7 @@
 SECOND = 1_000_000
 NODES, MAX_ZONES = 5, 3
 # The safety rules that can be switched off, to test that the checks detect it.
-RULES = (
+SAFETY_RULES = (
     "fence",
     "clock",
     "abstain",
@@ -47,7 +47,7 @@
 MAX_DRAINS, MAX_OUT = 1, 2
 DELETION_RETENTION_S, ABSENT_MEMBER_WAIT_S = 3.0, 5.0
 # Generations are so small that a run has many of them.
-LASTING = StorageSettings(folder="folder", generation_mb=0.02, idle_sync_s=1.0)
+STORAGE_SETTINGS = StorageSettings(folder="folder", generation_mb=0.02, idle_sync_s=1.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,9 +81,9 @@
             enabled=True, voters=tuple(voters), lease_s=LEASE_S, order_s=ORDER_S, give_back_s=10.0
         ),
         PermitSettings(enabled=plan.permits, drains=MAX_DRAINS, out=MAX_OUT, lease_s=PERMIT_LEASE_S),
-        ListReaderSettings(enabled=not plan.copies),
+        ListReaderSettings(enabled=not plan.replicas),
         replication=ReplicationSettings(
-            enabled=plan.copies,
+            enabled=plan.replicas,
             compare_interval_s=0.5,
             stale_after_s=5.0,
             deletion_retention_s=DELETION_RETENTION_S,
@@ -107,8 +107,8 @@
         lambda index, voters, join_addresses: agent_terms(index, voters, join_addresses, plan),
         day.seed,
         day.off,
-        1.0 if plan.copies else 0.0,
-        LASTING if plan.storage else None,
+        1.0 if plan.replicas else 0.0,
+        STORAGE_SETTINGS if plan.storage else None,
     )
     fleet.begin()
     Nemesis(fleet, plan, day.seed, seconds, LEASE_S)
@@ -117,7 +117,7 @@
         on_progress(tenth / 10)
     end_us = fleet.time.now_us
     result = check_history(fleet.rows, plan, BEGIN_US, end_us, seconds, voters_among(day.nodes))
-    encoded = max(1, fleet.weighed)
+    encoded = max(1, fleet.encoded_count)
     sent = sum(fleet.by_body.values())
     result.figures["bytes_a_node_and_s"] = fleet.bytes / encoded * sent / day.nodes / seconds
     result.figures["messages_a_node_and_s"] = sent / day.nodes / seconds
@@ -142,14 +142,14 @@
         min(MAX_ZONES, max(1, day.nodes // 3)),
         lambda index, voters, join_addresses: agent_terms(index, voters, join_addresses, plan),
         day.seed,
-        1.0 if plan.copies else 0.0,
-        LASTING if plan.storage else None,
+        1.0 if plan.replicas else 0.0,
+        STORAGE_SETTINGS if plan.storage else None,
     )
     # Parallel runs start processes from several threads, which uvloop does not support.
     anyio.run(rig.play, seconds, lambda fleet: Nemesis(fleet, plan, day.seed, seconds, LEASE_S))
     on_progress(1.0)
     result = check_history(rig.rows, plan, rig.begin_us, rig.end_us, seconds, voters_among(day.nodes))
-    result.figures["messages_a_node_and_s"] = rig.relays.passed / day.nodes / seconds
+    result.figures["messages_a_node_and_s"] = rig.relays.delivered / day.nodes / seconds
     result.figures["roster_calls_a_s"] = rig.roster.request_count / seconds
     return result
 
@@ -177,7 +177,7 @@
             figures[f"s_without_owner_{name}_median"] = quantile(gaps, 0.5)
             figures[f"s_without_owner_{name}_most"] = max(gaps)
     checks = judge.checks()
-    if plan.copies:
+    if plan.replicas:
         checks += CopyJudge(rows, begin_us, end_us).checks(plan.conflicting_marks)
         figures |= _mark_figures(rows)
     if plan.storage:
--- a/sailrun/lab/faults/relays.py
+++ b/sailrun/lab/faults/relays.py
@@ -68,7 +68,7 @@
         self._last_cut = 0
         # By sender: messages sent before the first time may be delayed until the second.
         self._delay_windows: dict[str, tuple[float, float]] = {}
-        self.passed = self.dropped = self.delayed = self.truncated = 0
+        self.delivered = self.dropped = self.delayed = self.truncated = 0
 
     async def add(self, name: str, real: Address) -> Address:
         """Adds a member; returns the address that it has to advertise."""
@@ -143,7 +143,7 @@
             return
         try:
             self._socket_towards(sender, to).sendto(data, to.real)
-            self.passed += 1
+            self.delivered += 1
         except OSError:
             self.dropped += 1
 
@@ -174,7 +174,7 @@
                         self.truncated += 1
                         return
                     await out.send(head + data)
-                    self.passed += 1
+                    self.delivered += 1
             except (*_CONNECTION_ERRORS, InvalidEnvelopeError):
                 return
             finally:
@@ -196,7 +196,7 @@
     def heal(self, cut: int) -> None:
         self._blocked_pairs.pop(cut, None)
 
-    def hold_back(self, name: str, for_us: int) -> None:
+    def delay_messages(self, name: str, for_us: int) -> None:
         """Delays half of what the member sends in the next half second by up to `for_us`."""
         now = time.monotonic()
         self._delay_windows[name] = (now + min(for_us / 1e6, 0.5), now + for_us / 1e6)
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -39,7 +39,7 @@
 from sailrun.storage.folder_reader import read_folder
 from sailrun.storage.settings import StorageSettings
 
-MOST_NODES = 15
+MAX_NODES = 15
 FORM_SERVERS = 8
 _CONNECTION_ERRORS = (
     anyio.BrokenResourceError,
@@ -49,7 +49,7 @@
     anyio.DelimiterNotFound,
     OSError,
 )
-LONGEST_LINE = 65_536
+MAX_LINE_BYTES = 65_536
 # A node that takes longer to report its replica was stopped meanwhile: the time of that state is not known.
 MAX_REPORT_US = 250_000
 # Time limit for all processes to exit after they were killed.
@@ -114,8 +114,8 @@
         node has a storage folder. Raises ValueError for a number of nodes out of range.
         """
         self._storage = storage
-        if not 1 <= nodes <= MOST_NODES:
-            raise ValueError(f"nodes must be between 1 and {MOST_NODES}, not {nodes}")
+        if not 1 <= nodes <= MAX_NODES:
+            raise ValueError(f"nodes must be between 1 and {MAX_NODES}, not {nodes}")
         self.names = [f"n{n}" for n in range(nodes)]
         self.voters = self.names[:voters]
         self._make_settings, self._seed, self._replica_interval_s = make_settings, seed, replica_interval_s
@@ -167,7 +167,7 @@
         while any(node.process is not None for node in self.nodes.values()):
             await anyio.sleep(0.02)
 
-    def finish(self, wait_us: int) -> None:
+    def end_after(self, wait_us: int) -> None:
         """Ends the run `wait_us` from now, unless it has ended before."""
         self.after(wait_us, self._finish_requested.set)
 
@@ -184,7 +184,7 @@
     def row(self, kind: str, node: str, at_us: int | None = None, **facts: Any) -> None:
         self.rows.append({"at_us": now_us() if at_us is None else at_us, "node": node, "kind": kind, **facts})
 
-    def told(self, what: str, **facts: object) -> None:
+    def record_fault(self, what: str, **facts: object) -> None:
         self.row("fault", str(facts.get("node", "")), what=what, facts=str(facts))
 
     # ------------------------------------------------------------------ processes
@@ -217,7 +217,7 @@
             with suppress(*_CONNECTION_ERRORS):
                 while True:
                     self._on_log_line(
-                        node, (await lines.receive_until(b"\n", LONGEST_LINE)).decode("utf-8", "replace")
+                        node, (await lines.receive_until(b"\n", MAX_LINE_BYTES)).decode("utf-8", "replace")
                     )
             await process.aclose()
         finally:
@@ -258,7 +258,7 @@
         self._signal(name, signal.SIGKILL)
 
     def leave(self, name: str) -> None:
-        self.told("leave", node=name)
+        self.record_fault("leave", node=name)
         self.nodes[name].leaving = True
         self._signal(name, signal.SIGTERM)
 
@@ -266,13 +266,13 @@
         """Stops the process at whatever point it is, which may be between its lease check and the send."""
         node = self.nodes[name]
         node.stop += 1
-        self.told("stop", node=name)
+        self.record_fault("stop", node=name)
         self._signal(name, signal.SIGSTOP)
         return node.stop
 
-    def go_on(self, name: str, stop: int) -> None:
+    def resume(self, name: str, stop: int) -> None:
         if self.nodes[name].stop == stop:
-            self.told("go-on", node=name)
+            self.record_fault("go-on", node=name)
             self._signal(name, signal.SIGCONT)
 
     def _signal(self, name: str, number: signal.Signals) -> None:
@@ -293,7 +293,7 @@
             "discovery": _format_address(self.roster.address),
             "seed": f"{self._seed * 100 + node.index:x}",
             "peers": [],
-            "known": self.roster.whole(),
+            "known": self.roster.list_document(),
             "settings": settings,
         }
         path = self._folder / f"{node.name}.json"
@@ -329,23 +329,23 @@
     # ------------------------------------------------------------------ the network
 
     def cut(self, one: list[str], other: list[str], both_ways: bool = True) -> int:
-        self.told("cut", one=",".join(one), other=",".join(other), both_ways=both_ways)
+        self.record_fault("cut", one=",".join(one), other=",".join(other), both_ways=both_ways)
         return self.relays.cut(one, other, both_ways)
 
     def heal(self, cut: int) -> None:
-        self.told("heal")
+        self.record_fault("heal")
         self.relays.heal(cut)
 
-    def weather(self, lost: float, delay_us: tuple[int, int], doubled: float) -> None:
-        self.told("weather", lost=lost, delay_us=delay_us, doubled=doubled)
+    def set_network_faults(self, lost: float, delay_us: tuple[int, int], doubled: float) -> None:
+        self.record_fault("weather", lost=lost, delay_us=delay_us, doubled=doubled)
         faults = self.relays.faults
         faults.loss_share, faults.delay_us, faults.duplicate_share = lost, delay_us, doubled
         faults.truncation_share = lost / 2
         faults.bytes_per_s = 1e6 if lost else 0.0
 
-    def hold_back(self, name: str, for_us: int) -> None:
-        self.told("hold-back", node=name, for_us=for_us)
-        self.relays.hold_back(name, for_us)
+    def delay_messages(self, name: str, for_us: int) -> None:
+        self.record_fault("hold-back", node=name, for_us=for_us)
+        self.relays.delay_messages(name, for_us)
 
     # ------------------------------------------------------------------ ownership and permits
 
@@ -368,7 +368,7 @@
         """
 
     def begin_rolling_drain(self, name: str, names: list[str], for_us: int) -> None:
-        self.told("walk", node=name, names=",".join(names))
+        self.record_fault("walk", node=name, names=",".join(names))
         line = f"fleet walk walk-{self._seed} {for_us // 1000} {','.join(names)}"
         self.group.start_soon(self.call, name, line)
 
@@ -409,7 +409,7 @@
     def mark(self, name: str, subject: str, on: bool) -> None:
         self._start_mark(name, subject, on, "majority")
 
-    def mark_here(self, name: str, subject: str, on: bool) -> None:
+    def mark_locally(self, name: str, subject: str, on: bool) -> None:
         self._start_mark(name, subject, on, "none")
 
     def read_mark(self, name: str, subject: str) -> None:
@@ -425,7 +425,7 @@
 
     def power_cut(self, names: list[str]) -> None:
         """Kills the processes; a real machine keeps its power, so everything that they wrote remains."""
-        self.told("killed", names=",".join(names))
+        self.record_fault("killed", names=",".join(names))
         for name in names:
             self.kill(name)
 
@@ -437,7 +437,7 @@
 
     def back_up_folder(self, name: str) -> None:
         if self._storage_folder(name).is_dir():
-            self.told("back-up", node=name)
+            self.record_fault("back-up", node=name)
             shutil.copytree(
                 self._storage_folder(name), self._storage_folder(f"{name}-old"), dirs_exist_ok=True
             )
@@ -485,7 +485,7 @@
         self.request_count = 0
         self.requests_by_second: dict[int, int] = {}
 
-    def whole(self) -> dict[str, Any]:
+    def list_document(self) -> dict[str, Any]:
         members = [
             {
                 "id": f"s-{n:08x}",
@@ -517,7 +517,9 @@
             lines = BufferedByteReceiveStream(stream)
             with suppress(*_CONNECTION_ERRORS):
                 while True:
-                    first = (await lines.receive_until(b"\r\n\r\n", LONGEST_LINE)).split(b"\r\n")[0].decode()
+                    first = (
+                        (await lines.receive_until(b"\r\n\r\n", MAX_LINE_BYTES)).split(b"\r\n")[0].decode()
+                    )
                     self.request_count += 1
                     second = int(time.monotonic())
                     self.requests_by_second[second] = self.requests_by_second.get(second, 0) + 1
@@ -526,7 +528,7 @@
                     until = time.monotonic() + int(parameters.get("wait_ms", 0)) / 1000
                     while int(parameters.get("after", -1)) >= self.revision and time.monotonic() < until:
                         await anyio.sleep(0.05)
-                    body = json.dumps(self.whole()).encode()
+                    body = json.dumps(self.list_document()).encode()
                     head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
                     await stream.send(head.encode() + body)
 
--- a/sailrun/lab/faults/shard_days.py
+++ b/sailrun/lab/faults/shard_days.py
@@ -33,7 +33,7 @@
         fleet.run(seconds * tenth / 10)
         told(tenth / 10)
     played = judged_shards(fleet.rows, plan, BEGIN_US, fleet.time.now_us, seconds)
-    rate = max(1, fleet.weighed)
+    rate = max(1, fleet.encoded_count)
     sent = sum(fleet.by_body.values())
     played.figures["bytes_a_node_and_s"] = fleet.bytes / rate * sent / day.nodes / seconds
     played.figures["messages_a_node_and_s"] = sent / day.nodes / seconds
@@ -59,7 +59,7 @@
     anyio.run(rig.play, seconds, lambda fleet: Nemesis(fleet, plan, day.seed, seconds, LEASE_S))
     told(1.0)
     played = judged_shards(rig.rows, plan, rig.begin_us, rig.end_us, seconds)
-    played.figures["messages_a_node_and_s"] = rig.relays.passed / day.nodes / seconds
+    played.figures["messages_a_node_and_s"] = rig.relays.delivered / day.nodes / seconds
     return played
 
 
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -18,7 +18,7 @@
 
 class ShardFleet(VirtualFleet):
     # Longer than a shard's lease, now and then.
-    late_s = (4.0, 14.0)
+    send_pause_s = (4.0, 14.0)
 
     def __init__(self, nodes: int, seed: int, off: frozenset[str] = frozenset()) -> None:
         super().__init__(nodes, FLEET_VOTERS, ZONES_OF_A_REGION, shard_agent_terms, seed, off)
@@ -65,9 +65,9 @@
         node = self.nodes[name]
         if node.agent is None or node.agent.shards is None or node.stopped:
             return
-        self.told("hand-over", node=name)
+        self.record_fault("hand-over", node=name)
         node.agent.shards.set_leaving(self.clock_us(node), True)
-        self._wake(node, 0)
+        self._schedule_turn(node, 0)
 
     # ------------------------------------------------------------------ what the nemesis asks
 
--- a/sailrun/lab/faults/shard_plans.py
+++ b/sailrun/lab/faults/shard_plans.py
@@ -44,7 +44,7 @@
 
 
 def _shards(nemesis: Nemesis) -> None:
-    shards, luck = ShardFaults(nemesis), nemesis.luck
+    shards, luck = ShardFaults(nemesis), nemesis.random
     nemesis.weather(luck.choice((0.0, 0.02, 0.05)), 1, luck.choice((3, 20)))
     nemesis.every(
         3.0,
@@ -155,12 +155,12 @@
 def _roll(nemesis: Nemesis) -> None:
     """Everybody is restarted in good order, one after another; then a zone is lost and comes back."""
     shards = ShardFaults(nemesis)
-    nemesis.weather(nemesis.luck.choice((0.0, 0.02)), 1, 10)
+    nemesis.weather(nemesis.random.choice((0.0, 0.02)), 1, 10)
 
     def restart(name: str) -> None:
         if place_of(index_of(name)).role:
             nemesis.fleet.leave(name)
-            nemesis.later(nemesis.luck.uniform(0.8, 1.5), nemesis.fleet.start, name)
+            nemesis.later(nemesis.random.uniform(0.8, 1.5), nemesis.fleet.start, name)
         else:
             shards.hand_over(name)
 
@@ -171,7 +171,7 @@
 
 
 def _slow(nemesis: Nemesis) -> None:
-    shards, luck = ShardFaults(nemesis), nemesis.luck
+    shards, luck = ShardFaults(nemesis), nemesis.random
 
     def storm() -> None:
         nemesis.weather(*luck.choice(((0.3, 1, 40), (0.0, 150, 250), (0.1, 5, 900), (0.05, 300, 2500))), 0.1)
@@ -194,7 +194,7 @@
 
     def begin() -> None:
         shards.stop(names[0], SHORT_STOP_S)
-        nemesis.fleet.finish(int((SHORT_STOP_S + OWNED_SOON_S + 2.0) * SECOND))
+        nemesis.fleet.end_after(int((SHORT_STOP_S + OWNED_SOON_S + 2.0) * SECOND))
         nemesis.later(1.0, lambda: nemesis.cut_for(3.0, names[1:2], [shards.assigner(region)], False))
         nemesis.later(3.0, lambda: shards.kill(shards.assigner(region), 1.0))
 
--- a/sailrun/lab/faults/shard_strikes.py
+++ b/sailrun/lab/faults/shard_strikes.py
@@ -32,7 +32,7 @@
     """The faults, struck where shards are owned or decided on."""
 
     def __init__(self, nemesis: Nemesis) -> None:
-        self.nemesis, self.fleet, self.luck = nemesis, nemesis.fleet, nemesis.luck
+        self.nemesis, self.fleet, self.luck = nemesis, nemesis.fleet, nemesis.random
         self._begun = False
 
     # ------------------------------------------------------------------ when
@@ -113,7 +113,7 @@
         self.stop(self.anybody(), SHARD_LEASE_S * self.luck.uniform(0.4, 1.6), self.luck.random() < 0.5)
 
     def stop(self, name: str, for_s: float, in_send: bool = False) -> None:
-        self.nemesis.later(for_s, self.fleet.go_on, name, self.fleet.stop(name, in_send))
+        self.nemesis.later(for_s, self.fleet.resume, name, self.fleet.stop(name, in_send))
 
     def lose_zone(self, part: float = 1.0) -> None:
         """A zone, or a rack of it, loses its power, and is back some seconds later."""
@@ -136,7 +136,9 @@
         for region in REGIONS:
             name = self.node(region)
             for n in range(STALE_TIMES):
-                self.nemesis.later(0.5 * n, self.fleet.hold_back, name, int((STALE_S - 0.5 * n) * SECOND))
+                self.nemesis.later(
+                    0.5 * n, self.fleet.delay_messages, name, int((STALE_S - 0.5 * n) * SECOND)
+                )
             wait_s = 0.5 * STALE_TIMES + 0.1
             control = list(control_of(region))
             self.nemesis.later(wait_s, self.nemesis.cut_for, 1.2 * SHARD_LEASE_S, [name], control)
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -73,7 +73,7 @@
 
     agent_class: type[Agent] = Agent
     # How long a node is paused that was stopped between the lease check and the send.
-    late_s = (1.0, 6.0)
+    send_pause_s = (1.0, 6.0)
 
     def __init__(
         self,
@@ -101,13 +101,13 @@
             name: VirtualNode(name, n, f"10.0.0.{n}:1", f"z{n % zones}", self._random.uniform(0.99, 1.01))
             for n, name in enumerate(self.names)
         }
-        self._at = {node.address: node for node in self.nodes.values()}
+        self._nodes_by_address = {node.address: node for node in self.nodes.values()}
         # By cut: pairs of sender and receiver whose messages are dropped.
         self._blocked_pairs: dict[int, set[tuple[str, str]]] = {}
         self._last_cut = 0
         self._loss_share, self._delay_us, self._duplicate_share = 0.0, (1_000, 3_000), 0.0
         self._sent_count = 0
-        self.weighed = self.bytes = 0
+        self.encoded_count = self.bytes = 0
         self.by_body: dict[str, int] = {}
         self.revision = 1
         self._replica_interval_us = int(replica_interval_s * SECOND)
@@ -135,10 +135,10 @@
     def row(self, kind: str, node: str, **facts: Any) -> None:
         self.rows.append({"at_us": self.time.now_us, "node": node, "kind": kind, **facts})
 
-    def told(self, what: str, **facts: object) -> None:
+    def record_fault(self, what: str, **facts: object) -> None:
         self.row("fault", str(facts.get("node", "")), what=what, facts=str(facts))
 
-    def finish(self, wait_us: int) -> None:
+    def end_after(self, wait_us: int) -> None:
         """Does nothing: a run in virtual time costs little and always has its full length."""
 
     # ------------------------------------------------------------------ processes
@@ -184,7 +184,7 @@
             self._open_folder(node, self._storage, wall_s, rng)
         self._set_up_list_reader(node)
         self.row("started", name, life=me.life, clock_s=clock_s)
-        self._wake(node, 0)
+        self._schedule_turn(node, 0)
 
     def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         """Returns the member record with which a node starts."""
@@ -213,7 +213,7 @@
         node = self.nodes[name]
         if node.agent is None or node.stopped:
             return
-        self.told("leave", node=name)
+        self.record_fault("leave", node=name)
         self._send(node, node.agent.leave(self.clock_us(node)))
         # It runs for another 0.5 s, as a node does while it moves its clients.
         self.time.after(SECOND // 2, self._end_leave, name, node.life)
@@ -225,7 +225,7 @@
     def stop(self, name: str, in_send: bool = False) -> int:
         node = self.nodes[name]
         if node.agent is not None:
-            self.told("stop", node=name, in_send=in_send)
+            self.record_fault("stop", node=name, in_send=in_send)
             node.stop += 1
             if in_send:
                 node.stop_in_send = True
@@ -233,21 +233,21 @@
                 node.stopped = True
         return node.stop
 
-    def go_on(self, name: str, stop: int) -> None:
+    def resume(self, name: str, stop: int) -> None:
         node = self.nodes[name]
         if node.stop != stop:
             return
         node.stop_in_send = False
         if not node.stopped:
             return
-        self.told("go-on", node=name)
+        self.record_fault("go-on", node=name)
         node.stopped = False
         if node.agent is None:
             return
         inbox, node.inbox = node.inbox, []
         for address, envelope in inbox:
-            self._hear(node, address, envelope)
-        self._wake(node, 0)
+            self._receive(node, address, envelope)
+        self._schedule_turn(node, 0)
 
     # ------------------------------------------------------------------ storage folders
 
@@ -322,22 +322,22 @@
             return
         now_us = self.clock_us(node)
         self._send(node, node.agent.on_written(now_us, done))
-        self._soon(node)
+        self._run_soon(node)
 
     def power_cut(self, names: list[str]) -> None:
         """Kills the processes; data that was not synced is kept or lost at random."""
-        self.told("power-cut", names=",".join(names))
+        self.record_fault("power-cut", names=",".join(names))
         for name in names:
             self.kill(name)
             self.nodes[name].files.power_cut(self._random)
 
     def stall_disk(self, name: str, for_us: int) -> None:
-        self.told("stall", node=name, for_us=for_us)
+        self.record_fault("stall", node=name, for_us=for_us)
         self.nodes[name].disk_stalled_until_us = self.time.now_us + for_us
 
     def fill_disks(self, names: list[str], for_us: int) -> None:
         """Fills the disks: writes and new files fail with ENOSPC for `for_us`."""
-        self.told("full", names=",".join(names), for_us=for_us)
+        self.record_fault("full", names=",".join(names), for_us=for_us)
 
         def fail_writes(operation: str, name: str) -> None:
             if operation in ("write", "create"):
@@ -351,7 +351,7 @@
         self.nodes[name].files.fault = lambda operation, name: None
 
     def back_up_folder(self, name: str) -> None:
-        self.told("back-up", node=name)
+        self.record_fault("back-up", node=name)
         node = self.nodes[name]
         node.backup = (node.files.copy(), self._random.random() < 0.5)
 
@@ -371,7 +371,7 @@
 
     # ------------------------------------------------------------------ turns
 
-    def _wake(self, node: VirtualNode, wait_us: int) -> None:
+    def _schedule_turn(self, node: VirtualNode, wait_us: int) -> None:
         node.turn_number += 1
         node.next_turn_us = self.time.now_us + wait_us
         self.time.after(wait_us, self._turn, node, node.turn_number)
@@ -391,7 +391,7 @@
             due_us = agent.due_us(now_us)
             if node.write_ahead_log is not None:
                 due_us = min(due_us, node.write_ahead_log.due_us(now_us) or due_us)
-            self._wake(node, max(1_000, due_us - now_us))
+            self._schedule_turn(node, max(1_000, due_us - now_us))
 
     def _query_list(
         self, node: VirtualNode, agent: Agent, shared_list: SharedList, now_us: int
@@ -409,7 +409,7 @@
 
         return agent.request(now_us, task, [query.source, query.revision], done)
 
-    def _hear(self, node: VirtualNode, address: str, envelope: Envelope) -> None:
+    def _receive(self, node: VirtualNode, address: str, envelope: Envelope) -> None:
         if node.agent is None:
             return
         if node.stopped:
@@ -420,7 +420,7 @@
         self._send(node, node.agent.on_envelope(now_us, address, envelope))
         wait_us = max(1_000, node.agent.due_us(now_us) - now_us)
         if not node.stopped and self.time.now_us + wait_us < node.next_turn_us:
-            self._wake(node, wait_us)
+            self._schedule_turn(node, wait_us)
 
     def _send(self, node: VirtualNode, envelopes: list[OutgoingEnvelope]) -> None:
         agent = node.agent
@@ -437,7 +437,7 @@
             # It has checked its lease, and is stopped before it sends.
             node.stop_in_send, node.stopped = False, True
             self.time.after(
-                int(self._random.uniform(*self.late_s) * SECOND),
+                int(self._random.uniform(*self.send_pause_s) * SECOND),
                 self._send_and_resume,
                 node,
                 node.stop,
@@ -445,7 +445,7 @@
             )
             return
         for outgoing in envelopes:
-            self._put(node, outgoing)
+            self._transmit(node, outgoing)
 
     def _is_act(self, outgoing: OutgoingEnvelope) -> bool:
         """Returns whether the message was made under a lease that may end before it is sent."""
@@ -455,8 +455,8 @@
         if node.agent is None or node.stop != stop:
             return
         for outgoing in envelopes:
-            self._put(node, outgoing)
-        self.go_on(node.name, stop)
+            self._transmit(node, outgoing)
+        self.resume(node.name, stop)
 
     # ------------------------------------------------------------------ operator commands, and replicas
 
@@ -495,9 +495,9 @@
         if replica is not None:
             mark = self._mark_request(name, "mark", subject, on)
             replica.write_mark(self.clock_us(node), mark, lambda answer: None, OPERATOR_TIMEOUT_US)
-            self._soon(node)
+            self._run_soon(node)
 
-    def mark_here(self, name: str, subject: str, on: bool) -> None:
+    def mark_locally(self, name: str, subject: str, on: bool) -> None:
         replica, node = self._replica(name), self.nodes[name]
         if replica is not None:
             replica.write_mark_locally(self.clock_us(node), self._mark_request(name, "mark", subject, on))
@@ -506,11 +506,11 @@
         replica, node = self._replica(name), self.nodes[name]
         if replica is not None:
             replica.read_mark(self.clock_us(node), "out", subject, lambda words: None, OPERATOR_TIMEOUT_US)
-            self._soon(node)
+            self._run_soon(node)
 
-    def _soon(self, node: VirtualNode) -> None:
+    def _run_soon(self, node: VirtualNode) -> None:
         if not node.stopped:
-            self._wake(node, 0)
+            self._schedule_turn(node, 0)
 
     def corrupt_mark(self, name: str) -> None:
         replica = self._replica(name)
@@ -522,14 +522,14 @@
 
     # ------------------------------------------------------------------ the network
 
-    def _put(self, node: VirtualNode, outgoing: OutgoingEnvelope) -> None:
+    def _transmit(self, node: VirtualNode, outgoing: OutgoingEnvelope) -> None:
         self._sent_count += 1
         kind = type(outgoing.envelope.body).__name__
         self.by_body[kind] = self.by_body.get(kind, 0) + 1
         if self._sent_count % WEIGHED == 0:
-            self.weighed += 1
+            self.encoded_count += 1
             self.bytes += len(encode_envelope(outgoing.envelope))
-        receiver = self._at.get(outgoing.address)
+        receiver = self._nodes_by_address.get(outgoing.address)
         rng = self._random
         if receiver is None or self._is_cut(node.name, receiver.name):
             return
@@ -542,13 +542,13 @@
 
     def _arrive(self, sender: str, address: str, receiver: VirtualNode, envelope: Envelope) -> None:
         if not self._is_cut(sender, receiver.name):
-            self._hear(receiver, address, envelope)
+            self._receive(receiver, address, envelope)
 
     def _is_cut(self, sender: str, receiver: str) -> bool:
         return any((sender, receiver) in pairs for pairs in self._blocked_pairs.values())
 
     def cut(self, one: list[str], other: list[str], both_ways: bool = True) -> int:
-        self.told("cut", one=",".join(one), other=",".join(other), both_ways=both_ways)
+        self.record_fault("cut", one=",".join(one), other=",".join(other), both_ways=both_ways)
         self._last_cut += 1
         self._blocked_pairs[self._last_cut] = {(a, b) for a in one for b in other}
         if both_ways:
@@ -556,15 +556,15 @@
         return self._last_cut
 
     def heal(self, cut: int) -> None:
-        self.told("heal")
+        self.record_fault("heal")
         self._blocked_pairs.pop(cut, None)
 
-    def weather(self, lost: float, delay_us: tuple[int, int], doubled: float) -> None:
-        self.told("weather", lost=lost, delay_us=delay_us, doubled=doubled)
+    def set_network_faults(self, lost: float, delay_us: tuple[int, int], doubled: float) -> None:
+        self.record_fault("weather", lost=lost, delay_us=delay_us, doubled=doubled)
         self._loss_share, self._delay_us, self._duplicate_share = lost, delay_us, doubled
 
-    def hold_back(self, name: str, for_us: int) -> None:
-        self.told("hold-back", node=name, for_us=for_us)
+    def delay_messages(self, name: str, for_us: int) -> None:
+        self.record_fault("hold-back", node=name, for_us=for_us)
         self.nodes[name].delayed_until_us = self.time.now_us + for_us
         self.time.after(min(for_us, SECOND // 2), self._end_message_delay, name)
 
@@ -619,5 +619,5 @@
     def begin_rolling_drain(self, name: str, names: list[str], for_us: int) -> None:
         agent = self.nodes[name].agent
         if agent is not None:
-            self.told("walk", node=name, names=",".join(names))
+            self.record_fault("walk", node=name, names=",".join(names))
             agent.rolling_drains.begin(self.clock_us(self.nodes[name]), f"walk-{self._seed}", names, for_us)
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -22,7 +22,7 @@
 
 from sailrun.control.cli import ANSWER_TIMEOUT_S
 from sailrun.lab.faults.relays import Address
-from sailrun.lab.faults.rig import FORM_SERVERS, LONGEST_LINE, RigRoster, free_address
+from sailrun.lab.faults.rig import FORM_SERVERS, MAX_LINE_BYTES, RigRoster, free_address
 from sailrun.lab.scale.hollow_host import rss_mb
 from sailrun.lab.scale.hollow_node import names_crc, roster_revision
 from sailrun.lab.scale.host_messages import Look, NodeReport
@@ -90,7 +90,7 @@
             with suppress(*STREAM_ERRORS, anyio.IncompleteRead, anyio.DelimiterNotFound):
                 while True:
                     self._on_log_line(
-                        (await lines.receive_until(b"\n", LONGEST_LINE)).decode("utf-8", "replace")
+                        (await lines.receive_until(b"\n", MAX_LINE_BYTES)).decode("utf-8", "replace")
                     )
             await process.wait()
         finally:
@@ -186,7 +186,7 @@
         "discovery": _address_text(roster.address),
         "seed": f"{plan.seed * 10_000 + place.index:x}",
         "peers": [],
-        "known": roster.whole(),
+        "known": roster.list_document(),
         "settings": settings,
     }
     tables: dict[str, Any] = {
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -73,7 +73,7 @@
         for place in places:
             node = self.nodes[place.name]
             node.address, node.zone = place.address, place.zone
-        self._at = {node.address: node for node in self.nodes.values()}
+        self._nodes_by_address = {node.address: node for node in self.nodes.values()}
         self.traffic: dict[str, TrafficCounters] = {}
         self._stop_numbers: dict[str, int] = {}
 
@@ -117,13 +117,13 @@
 
     # ------------------------------------------------------------------ the network
 
-    def _put(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
+    def _transmit(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
         began_s = thread_time()
         size = len(encode_envelope(out.envelope))
         if isinstance(node.agent, MeteredAgent):
             node.agent.cpu_s += thread_time() - began_s
         self.traffic[node.name].sent(size)
-        to = self._at.get(out.address)
+        to = self._nodes_by_address.get(out.address)
         if to is None:
             return
         model, sender, receiver = self.network, self.place_of[node.name], self.place_of[to.name]
@@ -135,7 +135,7 @@
     def _deliver(self, sender: Place, to: VirtualNode, envelope: Envelope, size: int) -> None:
         if to.agent is not None and self.network.passes(sender, self.place_of[to.name]):
             self.traffic[to.name].received(size)
-            self._hear(to, sender.address, envelope)
+            self._receive(to, sender.address, envelope)
 
     # ------------------------------------------------------------------ faults
 
@@ -179,7 +179,7 @@
         self._stop_numbers[name] = self.stop(name)
 
     def _continue(self, name: str) -> None:
-        self.go_on(name, self._stop_numbers.get(name, 0))
+        self.resume(name, self._stop_numbers.get(name, 0))
 
     # ------------------------------------------------------------------ inspection
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -73,7 +73,7 @@
     fleet.run(5.0)
     pause = fleet.stop("n2")
     fleet.run(5.6)
-    fleet.go_on("n2", pause)
+    fleet.resume("n2", pause)
     rows_before = len(fleet.rows)
     fleet.run(15.0)
     suspected = [
@@ -95,7 +95,7 @@
 
 def test_false_suspicions_are_refuted_at_ten_percent_packet_loss() -> None:
     fleet = new_fleet(8)
-    fleet.weather(0.10, (1_000, 200_000), 0.02)
+    fleet.set_network_faults(0.10, (1_000, 200_000), 0.02)
     fleet.run(60.0)
     assert not [r for r in fleet.rows if r["kind"] == "member" and r["what"] == "gone"]
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -449,7 +449,7 @@
     cut = fleet.cut(["n0", "n4"], ["n1", "n2", "n3"])
     fleet.run(9.0)
     assert write_mark(fleet, "n4", "s-00000001", True).state == "unknown"
-    fleet.mark_here("n4", "s-00000002", True)
+    fleet.mark_locally("n4", "s-00000002", True)
     behind_s = get_replica(fleet, "n4").get_lag_s(fleet.clock_us(fleet.nodes["n4"]))
     assert behind_s is not None and behind_s > 3.0
     assert write_mark(fleet, "n2", "s-00000003", True).state == "done"
@@ -467,7 +467,7 @@
     write_mark(fleet, "n1", "s-00000001", True, all_members=True)
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 6.0)
-    fleet.mark_here("n4", "s-00000002", True)
+    fleet.mark_locally("n4", "s-00000002", True)
     write_mark(fleet, "n1", "s-00000001", False)
     run_until(fleet, lambda: get_replica(fleet, "n1").anti_entropy.copy.epoch > 0, 60.0)
     key = ("out", "s-00000001", "")
@@ -555,7 +555,7 @@
 def test_removed_local_writes_are_distinguished_from_new_ones() -> None:
     fleet = make_fleet(5, 8, "copies-return")
     fleet.run(5.0)
-    fleet.mark_here("n4", "s-00000001", True)
+    fleet.mark_locally("n4", "s-00000001", True)
     run_until(fleet, lambda: are_converged(fleet, fleet.names))
     cut = fleet.cut(["n4"], ["n0", "n1", "n2", "n3"])
     fleet.run(now_s(fleet) + 6.0)
@@ -619,7 +619,7 @@
     assert fault is not None and fault.value == "none"
 
 
-@pytest.mark.parametrize("kind", [k for k, plan in PLANS.items() if plan.copies])
+@pytest.mark.parametrize("kind", [k for k, plan in PLANS.items() if plan.replicas])
 def test_runs_with_replication_faults_pass_every_check(kind: str) -> None:
     # The last seeds found an empty replica that counted as complete, and a version whose context was lost
     # with its discarded replica. With 17 nodes, a record had more concurrent versions than its bound allowed.
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -23,9 +23,16 @@
 )
 from sailrun.lab.faults import disk
 from sailrun.lab.faults.disk import SimFiles
-from sailrun.lab.faults.killing import cut_at, entry_of, everything, kill_often, last_of, write
+from sailrun.lab.faults.killing import (
+    entry_of,
+    find_power_cut_fault,
+    kill_repeatedly,
+    last_of,
+    snapshot_entries,
+    write,
+)
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.play import LASTING, FaultDay, agent_terms, play_virtual
+from sailrun.lab.faults.play import STORAGE_SETTINGS, FaultDay, agent_terms, play_virtual
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.lab.scheduler import BEGIN_US
 from sailrun.leadership.agent import OutgoingEnvelope
@@ -97,19 +104,21 @@
 def test_power_cut_at_every_step_leaves_the_state_before_or_after() -> None:
     for step in range(1, 300):
         for seed in range(4):
-            assert cut_at(step, seed) is None
+            assert find_power_cut_fault(step, seed) is None
 
 
 @pytest.mark.parametrize("rule", ["sync", "folder"])
 def test_without_syncs_power_cuts_lose_acknowledged_entries(rule: str) -> None:
-    assert any(cut_at(step, seed, frozenset([rule])) for step in range(1, 300) for seed in range(4))
+    assert any(
+        find_power_cut_fault(step, seed, frozenset([rule])) for step in range(1, 300) for seed in range(4)
+    )
 
 
 def test_every_subset_of_unsynced_writes_leaves_the_state_before_or_after(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each piece of 32 bytes of a write may or may not be on disk, independently of the others."""
-    monkeypatch.setattr(disk, "PIECE", 32)
+    monkeypatch.setattr(disk, "SECTOR_BYTES", 32)
     files = create_test_folder(20)
     contents = read_folder(files)
     folder = FolderWriter(files, contents)
@@ -258,7 +267,7 @@
     from concurrent.futures import ThreadPoolExecutor
 
     with ThreadPoolExecutor(6) as pool:
-        results = list(pool.map(lambda n: kill_often(tmp_path / f"f{n}", 50, n), range(6)))
+        results = list(pool.map(lambda n: kill_repeatedly(tmp_path / f"f{n}", 50, n), range(6)))
     assert sum(result.kills for result in results) == 300
     assert all(result.acknowledged > 0 and result.generations > 1 for result in results), results
 
@@ -306,7 +315,7 @@
 def test_a_slow_disk_drops_replies_and_a_failing_one_requires_a_new_generation() -> None:
     wal, writer, files = open_log()
     write_next_batch(wal, writer, 0)
-    wal.list_state_entries = lambda: list(everything(3))
+    wal.list_state_entries = lambda: list(snapshot_entries(3))
     wal.defer_reply(0, wal.append(entry_of(1)), "a", "a")
     batch = wal.tick(0)
     assert batch is not None
@@ -341,7 +350,7 @@
 def test_a_full_queue_is_replaced_by_the_whole_state() -> None:
     wal, writer, files = open_log(StorageSettings(folder="f", queue_mb=0.1))
     write_next_batch(wal, writer, 0)
-    wal.list_state_entries = lambda: list(everything(4000))
+    wal.list_state_entries = lambda: list(snapshot_entries(4000))
     for n in range(4000):
         wal.append(entry_of(n + 1))
     assert len(wal._pending) == 0
@@ -540,7 +549,7 @@
         1,
         lambda index, voters, joins: agent_terms(index, voters, joins, PLANS["lasting"]),
         seed,
-        storage=LASTING,
+        storage=STORAGE_SETTINGS,
     )
     fleet.begin()
     fleet.run(8.0)
@@ -564,7 +573,7 @@
         "mark", replica_of(fleet, "n4").make_request_id(), 0, "out", "s-00000001", True, all_members=True
     )
     replica_of(fleet, "n4").write_mark(fleet.clock_us(fleet.nodes["n4"]), request, outcomes.append)
-    fleet._soon(fleet.nodes["n4"])
+    fleet._run_soon(fleet.nodes["n4"])
     fleet.run(elapsed_s(fleet) + 3.0)
     assert [(a.state, a.copies, a.replicas) for a in outcomes] == [("done", 5, 5)]
     for name in fleet.names:
@@ -578,16 +587,16 @@
     agent = node.agent
     assert agent is not None and node.write_ahead_log is not None
     reports: list[bool] = []
-    fleet.mark_here("n4", "s-00000002", True)
+    fleet.mark_locally("n4", "s-00000002", True)
     agent.durable_state.call_when_durable(fleet.clock_us(node), reports.append)
     assert not reports
-    fleet._soon(node)
+    fleet._run_soon(node)
     fleet.run(elapsed_s(fleet) + 0.1)
     assert reports == [True]
     fleet.fill_disks(["n4"], 60 * SECOND_US)
-    fleet.mark_here("n4", "s-00000003", True)
+    fleet.mark_locally("n4", "s-00000003", True)
     agent.durable_state.call_when_durable(fleet.clock_us(node), reports.append)
-    fleet._soon(node)
+    fleet._run_soon(node)
     fleet.run(elapsed_s(fleet) + 0.1)
     assert reports == [True, False]
 
@@ -637,14 +646,14 @@
     agent = node.agent
     assert agent is not None
     sent: list[LeaseGrant] = []
-    original_put = fleet._put
+    original_put = fleet._transmit
 
     def collect(sender: VirtualNode, out: OutgoingEnvelope) -> None:
         if sender is node and isinstance(out.envelope.body, LeaseGrant) and out.envelope.body.task == "t":
             sent.append(out.envelope.body)
         original_put(sender, out)
 
-    fleet._put = collect  # type: ignore[method-assign, assignment]
+    fleet._transmit = collect  # type: ignore[method-assign, assignment]
     cut = fleet.cut(["n0"], ["n1", "n2"])
     for number in (1, 2, 3):
         request = LeaseRequest("t", 2**52, number, agent.voters.stage, number > 1)
@@ -679,7 +688,7 @@
     folder = FolderWriter(files, read_folder(files))
     folder.resume()
     last = last_of(read_folder(files).state)
-    folder.write_standalone_generation(everything(last), folder.position)
+    folder.write_standalone_generation(snapshot_entries(last), folder.position)
     contents = read_folder(files)
     assert contents.integrity is FolderIntegrity.INTACT and last_of(contents.state) == last
     files._names[f"snapshot.{contents.journal_generation}"].data[80] ^= 1
