--- a/sailrun/lab/faults/__init__.py
+++ b/sailrun/lab/faults/__init__.py
@@ -1,3 +1,3 @@
-"""Many processes under faults: a nemesis by seed, real processes or virtual time, and a checker of
-histories.
+"""Fault injection into a fleet of nodes: seeded fault plans, which run on real processes or in virtual time,
+and checkers of the recorded histories.
 """
--- a/sailrun/lab/faults/copies.py
+++ b/sailrun/lab/faults/copies.py
@@ -1,15 +1,18 @@
-"""Judges copies: what staff were answered, and what every node's copy showed, against what there can have
-been. Nothing here asks a node whether it was right.
+"""Checks replicas: compares the answers to operators and the content of each node's replica with what can
+have happened. The checker never asks a node whether its state is correct.
 
-Rows, besides those of `history.py`:
+Rows, in addition to those of `history.py`:
 
-- `call` id, what (mark or look), subject, on: staff asked something of the owner of the marks, by that node;
-- `answer` id, state, value: what they were told; `done` and `waits` are acknowledged by a majority;
-- `weak` id, subject, on, saw: a mark on the node's own word, and the ids that it had seen of the subject;
-- `copy` whole, behind_s, digest, epoch, copies, marks: what a node's copy showed, by subject the ids with
-  whether they are on; `copies` were thrown away since its start;
-- `fault` with what `apart` and facts: from then on, staff say one thing on one side of a cut and another on
-  the other; `spoil` and subject: a byte of that node's copy was changed.
+- `call` id, what (mark or look), subject, on: an operator sent a request to the leader of the marks through
+  that node;
+- `answer` id, state, value: the answer; `done` and `waits` mean that a majority has acknowledged the request;
+- `weak` id, subject, on, saw: a mark that the node wrote without the leader, and the ids that it had seen of
+  the subject;
+- `copy` whole, behind_s, digest, epoch, copies, marks: the state of a node's replica; `marks` has, by
+  subject, the ids, each with whether it is on; `copies` is the number of replicas discarded since the node's
+  start;
+- `fault` with the name `apart` and facts: from then on, operators write different marks on the two sides of a
+  partition; with `spoil` and subject: a byte of that node's replica was changed.
 """
 
 from __future__ import annotations
@@ -22,280 +25,302 @@
 from sailrun.lab.faults.history import Counted, Row, fault
 from sailrun.lab.faults.linear import Operation, TooMany, first_fault
 
-SECOND = 1_000_000
-NONE = "none"
-# Copies are alike so long after the last fault and the last word of staff.
-ALIKE_US = 5 * SECOND
-# A copy that says it is so little behind is held to it, with this much for the time that a row takes.
-FRESH_S, ROW_US = 3.0, 100_000
-# Spoilt bytes are found and mended within this: the lab's time for a look at every record, and some votes.
-FOUND_US = 8 * SECOND
+SECOND_US = 1_000_000
+NO_MARK = "none"
+# Replicas are equal this long after the last fault and the last request of an operator.
+CONVERGENCE_US = 5 * SECOND_US
+# Replicas that report at most this lag are checked, with a tolerance for the time to write a row.
+MAX_CHECKED_LAG_S, ROW_TOLERANCE_US = 3.0, 100_000
+# Corrupted bytes are detected and repaired within this time: the laboratory's interval for scrubbing all
+# records, and some votes.
+REPAIR_US = 8 * SECOND_US
 
 
 class CopyJudge:
     def __init__(self, rows: list[Row], begin_us: int, end_us: int) -> None:
-        # That all processes are ended when the day is over is none of its faults.
+        # The end of all processes after the run does not count as a fault.
         self.rows = sorted((r for r in rows if r["at_us"] <= end_us), key=lambda row: row["at_us"])
         self._begin_us = begin_us
-        self.copies = [row for row in self.rows if row["kind"] == "copy"]
+        self.replica_rows = [row for row in self.rows if row["kind"] == "copy"]
         self.calls = {r["id"]: r for r in self.rows if r["kind"] == "call"}
         self.answers = {r["id"]: r for r in self.rows if r["kind"] == "answer"}
-        self._spoils = [r for r in self.rows if r["kind"] == "fault" and r["what"] == "spoil"]
-        self.weak = {r["id"]: r for r in self.rows if r["kind"] == "weak"}
-        ended = ("fault", "died", "started", "call", "answer", "weak")
-        # The nemesis's own rows tell what began and what ended; staff's calls change what copies hold.
-        self.calm_us = max((r["at_us"] for r in self.rows if r["kind"] in ended), default=begin_us)
+        self._corruptions = [r for r in self.rows if r["kind"] == "fault" and r["what"] == "spoil"]
+        self.local_marks = {r["id"]: r for r in self.rows if r["kind"] == "weak"}
+        change_kinds = ("fault", "died", "started", "call", "answer", "weak")
+        # Rows of the nemesis mark the beginning and end of faults; requests of operators change the replicas.
+        self.last_change_us = max(
+            (r["at_us"] for r in self.rows if r["kind"] in change_kinds), default=begin_us
+        )
 
     def checks(self, apart: bool) -> list[Check]:
-        """`apart`: staff said two things on two sides of a cut that day."""
+        """Returns the checks. `apart`: in this run operators wrote different marks on the two sides of a
+        partition.
+        """
         checks = [
             self._linearizable(),
-            self._alike(),
-            self._stays_gone(),
-            self._conflicts(),
-            self._fresh(),
+            self._replicas_converge(),
+            self._removed_marks_stay_removed(),
+            self._only_real_conflicts(),
+            self._reported_lag_holds(),
         ]
-        return [*checks, self._safe_side()] if apart else checks
+        return [*checks, self._out_wins_over_back()] if apart else checks
 
     def _check(self, name: str) -> Counted:
         return Counted(name, occasions=0)
 
-    def _fault(self, check: Check, at_us: int, what: str) -> None:
-        fault(check, at_us - self._begin_us, what)
+    def _add_fault(self, check: Check, at_us: int, message: str) -> None:
+        fault(check, at_us - self._begin_us, message)
 
-    # ------------------------------------------------------------------ marks that a majority acknowledged
+    # ------------------------------------------------------------------ marks acknowledged by a majority
 
-    def _by_subject(self) -> dict[str, list[Operation]]:
-        """Writes and reads by the owner, and what every whole copy showed at the end."""
-        found: dict[str, list[Operation]] = defaultdict(list)
+    def _operations_by_subject(self) -> dict[str, list[Operation]]:
+        """Returns the writes and reads of the leader, and a final read of each replica, by subject."""
+        operations_by_subject: dict[str, list[Operation]] = defaultdict(list)
         for id_, call in self.calls.items():
             answer = self.answers.get(id_)
             state = answer["state"] if answer is not None else "unknown"
             end_us = answer["at_us"] if answer is not None and state in ("done", "waits") else math.inf
             if state == "refused":
                 continue
-            told = f"{call['node']} {call['what']} {id_}"
+            label = f"{call['node']} {call['what']} {id_}"
             if call["what"] == "mark":
-                value = id_ if call["on"] in (True, "True") else NONE
-                found[call["subject"]].append(Operation(call["at_us"], end_us, True, value, told))
+                value = id_ if call["on"] in (True, "True") else NO_MARK
+                operations_by_subject[call["subject"]].append(
+                    Operation(call["at_us"], end_us, True, value, label)
+                )
             elif answer is not None and state == "done":
                 value = answer["value"]
-                found[call["subject"]].append(Operation(call["at_us"], end_us, False, value, told))
-        last = self._last_copies()
-        for subject in found:
+                operations_by_subject[call["subject"]].append(
+                    Operation(call["at_us"], end_us, False, value, label)
+                )
+        last = self._final_replica_rows()
+        for subject in operations_by_subject:
             for row in last:
                 shown = row["marks"].get(subject, {})
-                value = ",".join(sorted(i for i, on in shown.items() if on)) or NONE
-                read = Operation(row["at_us"], row["at_us"], False, value, f"{row['node']}'s copy")
-                found[subject].append(read)
-        return found
+                value = ",".join(sorted(i for i, on in shown.items() if on)) or NO_MARK
+                read = Operation(row["at_us"], row["at_us"], False, value, f"{row['node']}'s replica")
+                operations_by_subject[subject].append(read)
+        return operations_by_subject
 
-    def _last_copies(self) -> list[Row]:
-        """What each node that runs at the end showed last."""
+    def _final_replica_rows(self) -> list[Row]:
+        """Returns the last row of the replica of each node that runs at the end."""
         last: dict[str, Row] = {}
         for row in self.rows:
             if row["kind"] == "died":
                 last.pop(row["node"], None)
-            elif row["kind"] == "copy" and row["at_us"] >= self.calm_us + ALIKE_US:
+            elif row["kind"] == "copy" and row["at_us"] >= self.last_change_us + CONVERGENCE_US:
                 last[row["node"]] = row
         return list(last.values())
 
     def _linearizable(self) -> Check:
-        """What staff were told of a mark by its owner, and what all copies hold at the end, is what one copy
-        would have told. Occasions: answers.
+        """The leader's answers about a mark, and the content of all replicas at the end, are linearizable: a
+        single register could have given them. Occasions: answers, and final reads of replicas.
         """
         check = self._check("marks-as-of-one-copy")
-        for subject, operations in self._by_subject().items():
+        for subject, operations in self._operations_by_subject().items():
             check.occasions += sum(1 for o in operations if not math.isinf(o.end_us))
             try:
-                at = first_fault(operations, NONE)
+                at = first_fault(operations, NO_MARK)
             except TooMany:
                 check.occasions = 0
                 continue
             if at is not None:
-                self._fault(check, int(at.end_us), f"{subject}: {at.told}, told {at.value}")
+                self._add_fault(check, int(at.end_us), f"{subject}: {at.told} returned {at.value}")
         return check
 
-    def _fresh(self) -> Check:
-        """A copy shows what was acknowledged before the time that it says it is behind. Occasions: marks
-        shown by copies little behind.
+    def _reported_lag_holds(self) -> Check:
+        """A replica contains all marks that were acknowledged before now minus its reported lag. Occasions:
+        subjects with an acknowledged mark, at each replica with a small lag.
         """
         check = self._check("no-older-than-it-says")
-        writes: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
-        for subject, operations in self._by_subject().items():
-            writes[subject] = [(o.call_us, o.end_us, o.value) for o in operations if o.writes]
-        for row in self.copies:
+        writes_by_subject: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
+        for subject, operations in self._operations_by_subject().items():
+            writes_by_subject[subject] = [(o.call_us, o.end_us, o.value) for o in operations if o.writes]
+        for row in self.replica_rows:
             behind_s = row["behind_s"]
-            if behind_s is None or behind_s > FRESH_S or not row["whole"]:
+            if behind_s is None or behind_s > MAX_CHECKED_LAG_S or not row["whole"]:
                 continue
-            by_us = row["at_us"] - behind_s * SECOND - ROW_US
-            for subject, told in writes.items():
-                if self._spoilt(row["node"], subject, row["at_us"]):
+            until_us = row["at_us"] - behind_s * SECOND_US - ROW_TOLERANCE_US
+            for subject, writes in writes_by_subject.items():
+                if self._recently_corrupted(row["node"], subject, row["at_us"]):
                     continue
-                done = [w for w in told if w[1] <= by_us]
+                done = [w for w in writes if w[1] <= until_us]
                 if not done:
                     continue
                 check.occasions += 1
                 latest_call = max(w[0] for w in done)
-                # What may stand at that time or later: no acknowledged write began after it had ended.
-                may = {w[2] for w in told if w[1] >= latest_call}
-                on = [i for i, yes in row["marks"].get(subject, {}).items() if yes]
-                shown = ",".join(sorted(on)) or NONE
-                if shown not in may:
-                    what = f"{row['node']} shows {shown} for {subject}, and is {behind_s:.1f} s behind"
-                    self._fault(check, row["at_us"], what)
+                # The values that are possible at that time or later: no acknowledged write began after the
+                # end of their own write.
+                possible_values = {w[2] for w in writes if w[1] >= latest_call}
+                on = [i for i, is_on in row["marks"].get(subject, {}).items() if is_on]
+                shown = ",".join(sorted(on)) or NO_MARK
+                if shown not in possible_values:
+                    message = (
+                        f"{row['node']} has {shown} for {subject} with a reported lag of {behind_s:.1f} s"
+                    )
+                    self._add_fault(check, row["at_us"], message)
         return check
 
-    def _spoilt(self, node: str, subject: str, at_us: int) -> bool:
-        """Whether that copy's record was spoilt so lately that it need not be found out yet."""
+    def _recently_corrupted(self, node: str, subject: str, at_us: int) -> bool:
+        """Returns whether the node's record was corrupted so recently that it may not be repaired yet."""
         return any(
-            r["node"] == node and r["subject"] == subject and at_us - FOUND_US <= r["at_us"] <= at_us
-            for r in self._spoils
+            r["node"] == node and r["subject"] == subject and at_us - REPAIR_US <= r["at_us"] <= at_us
+            for r in self._corruptions
         )
 
-    # ------------------------------------------------------------------ all copies
+    # ------------------------------------------------------------------ all replicas
 
-    def _alike(self) -> Check:
-        """All copies of an epoch are the same some time after the last fault, and all are of one epoch but
-        for the moment in which what was taken back is forgotten: unlike twice in a row is a fault, or of two
-        epochs three times. Occasions: copies compared.
+    def _replicas_converge(self) -> Check:
+        """From some time after the last fault, all replicas of an epoch are equal, and all have the same
+        epoch except briefly while deleted marks are purged. A violation is a difference in two consecutive
+        rounds, or several epochs in three consecutive rounds. Occasions: replicas compared.
         """
         check = self._check("copies-alike-at-rest")
         rounds: dict[int, dict[str, Row]] = defaultdict(dict)
-        for row in self.copies:
-            if row["at_us"] >= self.calm_us + ALIKE_US:
-                rounds[row["at_us"] // SECOND][row["node"]] = row
-        unlike_for = epochs_for = 0
+        for row in self.replica_rows:
+            if row["at_us"] >= self.last_change_us + CONVERGENCE_US:
+                rounds[row["at_us"] // SECOND_US][row["node"]] = row
+        unequal_rounds = mixed_epoch_rounds = 0
         for _, rows in sorted(rounds.items()):
             check.occasions += len(rows)
             epochs = {r["epoch"] for r in rows.values()}
-            kinds = {(r["epoch"], str(r["digest"]) if r["whole"] else "not whole") for r in rows.values()}
-            unlike_for = unlike_for + 1 if len(kinds) > len(epochs) else 0
-            epochs_for = epochs_for + 1 if len(epochs) > 1 else 0
-            if unlike_for >= 2 or epochs_for >= 3:
-                told = ", ".join(
+            contents = {(r["epoch"], str(r["digest"]) if r["whole"] else "not whole") for r in rows.values()}
+            unequal_rounds = unequal_rounds + 1 if len(contents) > len(epochs) else 0
+            mixed_epoch_rounds = mixed_epoch_rounds + 1 if len(epochs) > 1 else 0
+            if unequal_rounds >= 2 or mixed_epoch_rounds >= 3:
+                message = ", ".join(
                     f"{n} {r['epoch']}/{r['digest'] if r['whole'] else '-'}" for n, r in sorted(rows.items())
                 )
-                self._fault(check, next(iter(rows.values()))["at_us"], told)
+                self._add_fault(check, next(iter(rows.values()))["at_us"], message)
         return check
 
-    def _stays_gone(self) -> Check:
-        """What a copy held and then did not is never there again in that life of the node, but where it was
-        spoilt and mended, or thrown away and taken anew. Occasions: marks that went.
+    def _removed_marks_stay_removed(self) -> Check:
+        """A mark that disappeared from a replica does not reappear there during that incarnation of the node,
+        except where the replica was corrupted and repaired, or discarded and fetched again. Occasions: marks
+        that disappeared.
         """
         check = self._check("taken-back-stays-gone")
-        had: dict[str, dict[str, set[str]]] = defaultdict(lambda: defaultdict(set))
-        copies: dict[str, int] = {}
-        went: dict[str, dict[str, int]] = defaultdict(dict)
+        held: dict[str, dict[str, set[str]]] = defaultdict(lambda: defaultdict(set))
+        discarded: dict[str, int] = {}
+        removed_us: dict[str, dict[str, int]] = defaultdict(dict)
         for row in self.rows:
             node = row["node"]
             if row["kind"] == "died":
-                had.pop(node, None)
-                went.pop(node, None)
+                held.pop(node, None)
+                removed_us.pop(node, None)
             if row["kind"] != "copy" or not row["whole"]:
                 continue
-            if copies.get(node) != row["copies"]:
-                # Another copy, of a giver that may have been behind for a moment.
-                had.pop(node, None)
-                went.pop(node, None)
-            copies[node] = row["copies"]
-            for subject in {*row["marks"], *had[node]}:
-                if self._spoilt(node, subject, row["at_us"]):
-                    had[node].pop(subject, None)
+            if discarded.get(node) != row["copies"]:
+                # The replica was fetched again, from a member that may have been slightly behind.
+                held.pop(node, None)
+                removed_us.pop(node, None)
+            discarded[node] = row["copies"]
+            for subject in {*row["marks"], *held[node]}:
+                if self._recently_corrupted(node, subject, row["at_us"]):
+                    held[node].pop(subject, None)
                     continue
                 shown = {i for i, on in row["marks"].get(subject, {}).items() if on}
-                for back in sorted(shown & went[node].keys()):
-                    if self._later(back, went[node][back]):
+                for reappeared in sorted(shown & removed_us[node].keys()):
+                    if self._acknowledged_after(reappeared, removed_us[node][reappeared]):
                         continue
-                    self._fault(check, row["at_us"], f"{node}: {subject} {back} is back")
-                gone = had[node][subject] - shown
+                    self._add_fault(check, row["at_us"], f"{node}: {subject} {reappeared} reappeared")
+                gone = held[node][subject] - shown
                 check.occasions += len(gone)
                 for id_ in gone:
-                    went[node][id_] = row["at_us"]
-                for again in shown & went[node].keys():
-                    del went[node][again]
-                had[node][subject] = shown
+                    removed_us[node][id_] = row["at_us"]
+                for again in shown & removed_us[node].keys():
+                    del removed_us[node][again]
+                held[node][subject] = shown
         return check
 
-    def _later(self, id_: str, went_us: int) -> bool:
-        """Whether a mark was acknowledged, if at all, after it had gone there: what a copy held of an owner
-        that no majority heard was nobody's yet, and the next owner may have written it anew.
+    def _acknowledged_after(self, id_: str, removed_us: int) -> bool:
+        """Returns whether a leader's mark had not been acknowledged when it disappeared. Such a mark may
+        reappear: if no majority received it from its leader, the next leader may have written it again.
         """
         answer = self.answers.get(id_)
-        return id_ in self.calls and (answer is None or answer["at_us"] >= went_us)
+        return id_ in self.calls and (answer is None or answer["at_us"] >= removed_us)
 
-    # ------------------------------------------------------------------ words on two sides
+    # ------------------------------------------------------------------ marks on two sides of a partition
 
-    def _safe_side(self) -> Check:
-        """Out on one side of a cut and back on the other stays out until staff say more. Occasions: such
-        pairs, at each copy.
+    def _out_wins_over_back(self) -> Check:
+        """A form server that was marked out on one side of a partition and back in service on the other stays
+        out until operators write another mark. Occasions: such pairs, at each replica.
         """
         check = self._check("safe-side-kept")
         for apart in (r for r in self.rows if r["kind"] == "fault" and r["what"] == "apart"):
-            words = {i: r for i, r in self.weak.items() if f"'{r['subject']}'" in apart["facts"]}
-            out = [i for i, r in words.items() if r["on"] in (True, "True")]
-            back = [i for i in words if i not in out]
-            # Neither side knew of the other.
-            met = any(self._knew(a, b) or self._knew(b, a) for a in out for b in back)
-            if not out or not back or met:
+            marks_by_id = {i: r for i, r in self.local_marks.items() if f"'{r['subject']}'" in apart["facts"]}
+            out = [i for i, r in marks_by_id.items() if r["on"] in (True, "True")]
+            back = [i for i in marks_by_id if i not in out]
+            # The check applies only if no mark of one side had been seen by the other.
+            had_contact = any(self._had_seen(a, b) or self._had_seen(b, a) for a in out for b in back)
+            if not out or not back or had_contact:
                 continue
-            subject = words[out[0]]["subject"]
-            if all(self._struck(words[i]["node"], subject, words[i]["at_us"]) for i in out):
-                continue  # the word went with its only copies
-            for row in self._last_copies():
+            subject = marks_by_id[out[0]]["subject"]
+            if all(
+                self._lost_before_spread(marks_by_id[i]["node"], subject, marks_by_id[i]["at_us"])
+                for i in out
+            ):
+                continue  # the mark was lost with its only replicas
+            for row in self._final_replica_rows():
                 check.occasions += 1
                 if not any(row["marks"].get(subject, {}).get(i) for i in out):
-                    self._fault(check, row["at_us"], f"{row['node']}: {subject} is not out")
+                    self._add_fault(check, row["at_us"], f"{row['node']}: {subject} is not marked out")
         return check
 
-    def _struck(self, node: str, subject: str, at_us: int) -> bool:
-        """Whether that node died, or its copy of this was spoilt, before what it said then had spread."""
-        until_us = at_us + ALIKE_US
+    def _lost_before_spread(self, node: str, subject: str, at_us: int) -> bool:
+        """Returns whether the node died, or its record was corrupted, before its mark had time to spread."""
+        until_us = at_us + CONVERGENCE_US
         died = any(
             r["kind"] == "died" and r["node"] == node and at_us <= r["at_us"] <= until_us for r in self.rows
         )
-        return died or self._spoilt(node, subject, until_us)
+        return died or self._recently_corrupted(node, subject, until_us)
 
-    def _conflicts(self) -> Check:
-        """Of two words that a copy shows beside each other, neither writer knew the other. Occasions: marks
-        shown.
+    def _only_real_conflicts(self) -> Check:
+        """If a replica contains two concurrent marks of a subject, the writer of neither had seen the other
+        one. Occasions: subjects with marks, at each replica.
         """
         check = self._check("only-real-conflicts")
-        for row in self.copies:
+        for row in self.replica_rows:
             for subject, shown in row["marks"].items():
                 check.occasions += 1
                 ids = sorted(shown)
-                for n, one in enumerate(ids):
-                    for other in ids[n + 1 :]:
-                        if self._knew(one, other) or self._knew(other, one) or self._strong(one, other):
-                            what = f"{row['node']}: {subject} shows {one} beside {other}"
-                            self._fault(check, row["at_us"], what)
+                for n, first in enumerate(ids):
+                    for second in ids[n + 1 :]:
+                        if (
+                            self._had_seen(first, second)
+                            or self._had_seen(second, first)
+                            or self._both_by_leaders(first, second)
+                        ):
+                            message = f"{row['node']}: {subject} has {first} concurrent with {second}"
+                            self._add_fault(check, row["at_us"], message)
         return check
 
-    def _knew(self, one: str, other: str) -> bool:
-        """Whether the writer of `one` had seen `other`, or what had seen it."""
-        left, seen = [one], set[str]()
-        while left:
-            told = self.weak.get(left.pop())
-            for id_ in str(told["saw"]).split(",") if told is not None and told.get("saw") else ():
-                if id_ == other:
+    def _had_seen(self, first: str, second: str) -> bool:
+        """Returns whether the writer of `first` had seen `second`, directly or through another mark."""
+        pending, seen = [first], set[str]()
+        while pending:
+            mark = self.local_marks.get(pending.pop())
+            for id_ in str(mark["saw"]).split(",") if mark is not None and mark.get("saw") else ():
+                if id_ == second:
                     return True
                 if id_ not in seen:
                     seen.add(id_)
-                    left.append(id_)
+                    pending.append(id_)
         return False
 
-    def _strong(self, one: str, other: str) -> bool:
-        """Marks written by owners are in one order: never beside each other."""
-        return one.rstrip("+") in self.calls and other.rstrip("+") in self.calls
+    def _both_by_leaders(self, first: str, second: str) -> bool:
+        """Returns whether leaders wrote both marks; such marks are totally ordered, never concurrent."""
+        return first.rstrip("+") in self.calls and second.rstrip("+") in self.calls
 
 
 def shown(marks: list[dict[str, Any]]) -> dict[str, dict[str, bool]]:
-    """By subject, the ids that a copy holds with whether they are on, from `fleet state`'s records."""
-    found: dict[str, dict[str, bool]] = {}
+    """Returns, by subject, the ids of a replica's marks, each with whether it is on, from the records that
+    `fleet state` prints.
+    """
+    marks_by_subject: dict[str, dict[str, bool]] = {}
     for mark in marks:
         if "words" not in mark:
-            continue  # of another kind
-        words = {w["id"]: bool(w["on"]) for w in mark["words"]}
-        found[f"{mark['kind']}/{mark['subject']}"] = words
-    return found
+            continue  # a record of another kind
+        versions = {w["id"]: bool(w["on"]) for w in mark["words"]}
+        marks_by_subject[f"{mark['kind']}/{mark['subject']}"] = versions
+    return marks_by_subject
--- a/sailrun/lab/faults/explore.py
+++ b/sailrun/lab/faults/explore.py
@@ -1,10 +1,9 @@
-"""Every order of events, for small cases: three voters, two candidates, one task, the real modules.
+"""Explores every order of events for small cases: three voters, two candidates and one task, with the real
+modules.
 
-A message that is not delivered is lost or late: it stays deliverable for ever, so loss, delay and
-reordering are
-all the orders in which deliveries, steps of time and restarts can come. States that were seen are not gone
-into
-again. What must hold is looked at after every event.
+A message that was not delivered is lost or late. It stays deliverable forever, so the orders of deliveries,
+steps of time and restarts cover loss, delay and reordering. States that were seen before are not explored
+again. The invariants are checked after every event.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 from sailrun.leadership.settings import LeadershipSettings
 from sailrun.leadership.voter import Voter, abstention_us
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 TASK = "t"
 VOTERS, CANDIDATES = ("a", "b", "c"), ("x", "y")
 LEASE_S = 1.0
@@ -29,9 +28,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How far to go along one path: deliveries, steps of time (each half a lease), turns of candidates (in
-    which
-    they ask, renew, give up or find their lease ended), restarts of voters.
+    """The limits of one path: deliveries, steps of time (each half a lease), turns of candidates (in which
+    they request, renew or give up a lease, or notice that it expired), and restarts of voters.
     """
 
     deliveries: int = 8
@@ -39,22 +37,22 @@
     turns: int = 3
     restarts: int = 1
     states: int = 2_000_000
-    depth_first: bool = False  # needs little memory; the paths to faults are longer
+    depth_first: bool = False  # needs little memory, but finds longer paths to violations
 
 
 @dataclass(slots=True)
-class Found:
+class ExplorationResult:
     states: int = 0
     events: int = 0
-    complete: bool = True  # all within the bounds, not stopped by the number of states
-    owners: int = 0  # states in which somebody owned the task
-    changes: int = 0  # paths on which it went from one to the other
-    fault: str = ""  # what was broken, and how it came about
+    complete: bool = True  # all within the bounds was explored, below the limit of states
+    owners: int = 0  # how often a candidate held the lease after an event
+    changes: int = 0  # how often the lease passed from one candidate to the other
+    fault: str = ""  # the violated invariant; `path` has the events that led to it
     path: tuple[str, ...] = ()
 
 
-class _Even:
-    """In place of chance, so that the same events give the same state."""
+class _ConstantRandom:
+    """Replaces the random generator with constants, so that the same events lead to the same state."""
 
     def random(self) -> float:
         return 0.5
@@ -65,16 +63,18 @@
 
 @dataclass
 class World:
-    """One state. Messages are (from, to, body); all that was ever sent and not delivered may still come."""
+    """One state. Messages are (sender, receiver, body); each message that was sent and not delivered may
+    still arrive.
+    """
 
     now_us: int = 0
     leases: dict[str, Leases] = field(default_factory=dict)
     voters: dict[str, Voter] = field(default_factory=dict)
-    lives: dict[str, int] = field(default_factory=dict)
-    flying: list[tuple[str, str, Any]] = field(default_factory=list)
-    given: dict[int, str] = field(default_factory=dict)  # by term, who owned
-    highest: int = 0
-    owner: str = ""
+    incarnations: dict[str, int] = field(default_factory=dict)
+    in_flight: list[tuple[str, str, Any]] = field(default_factory=list)
+    holder_by_term: dict[int, str] = field(default_factory=dict)  # the holder of each term
+    highest_term: int = 0
+    holder: str = ""
     deliveries: int = 0
     steps: int = 0
     turns: int = 0
@@ -82,85 +82,95 @@
     path: tuple[str, ...] = ()
 
 
-def _copied(world: World) -> World:
-    """Copies what changes; messages never do. A copy of everything takes fifty times as long."""
+def _copy_world(world: World) -> World:
+    """Returns a copy of the mutable parts; messages are immutable. A deep copy takes fifty times as long."""
     after = copy.copy(world)
-    after.flying, after.given, after.lives = world.flying[:], dict(world.given), dict(world.lives)
+    after.in_flight, after.holder_by_term, after.incarnations = (
+        world.in_flight[:],
+        dict(world.holder_by_term),
+        dict(world.incarnations),
+    )
     after.leases = {}
-    for name, old in world.leases.items():
-        leases = after.leases[name] = copy.copy(old)
+    for name, original_leases in world.leases.items():
+        leases = after.leases[name] = copy.copy(original_leases)
         leases.by_task, leases.changes = {}, []
-        leases.hint_sends, leases.last_contact_us = dict(old.hint_sends), dict(old.last_contact_us)
-        for task, lease in old.by_task.items():
-            one = leases.by_task[task] = copy.copy(lease)
-            one.request_times_us, one.granted_request_us, one.denied_by = (
-                dict(one.request_times_us),
-                dict(one.granted_request_us),
-                set(one.denied_by),
+        leases.hint_sends, leases.last_contact_us = (
+            dict(original_leases.hint_sends),
+            dict(original_leases.last_contact_us),
+        )
+        for task, lease in original_leases.by_task.items():
+            lease_copy = leases.by_task[task] = copy.copy(lease)
+            lease_copy.request_times_us, lease_copy.granted_request_us, lease_copy.denied_by = (
+                dict(lease_copy.request_times_us),
+                dict(lease_copy.granted_request_us),
+                set(lease_copy.denied_by),
             )
     after.voters = {}
-    for name, was in world.voters.items():
-        voter = after.voters[name] = copy.copy(was)
-        voter._grants = {task: copy.copy(slot) for task, slot in was._grants.items()}
-        voter._observed_terms, voter._term_reports = dict(was._observed_terms), dict(was._term_reports)
+    for name, original in world.voters.items():
+        voter = after.voters[name] = copy.copy(original)
+        voter._grants = {task: copy.copy(slot) for task, slot in original._grants.items()}
+        voter._observed_terms, voter._term_reports = (
+            dict(original._observed_terms),
+            dict(original._term_reports),
+        )
     return after
 
 
 class Explorer:
     def __init__(self, bounds: Bounds, off: frozenset[str] = frozenset()) -> None:
         self._bounds, self._off = bounds, off
-        self._terms = LeadershipSettings(enabled=True, voters=VOTERS, lease_s=LEASE_S)
-        self._quorum = Voters(self._terms, off)
+        self._settings = LeadershipSettings(enabled=True, voters=VOTERS, lease_s=LEASE_S)
+        self._quorum = Voters(self._settings, off)
 
     def _voter(self, name: str, now_us: int) -> Voter:
-        return Voter(name, self._quorum, self._terms, now_us, lambda: 1_000 + now_us, self._off)
+        return Voter(name, self._quorum, self._settings, now_us, lambda: 1_000 + now_us, self._off)
 
     def begin(self) -> World:
-        """Voters that may vote, and candidates that have not asked."""
-        world = World(now_us=10 * SECOND)
+        """Returns the first state: voters that may vote, and candidates that have not requested a lease."""
+        world = World(now_us=10 * SECOND_US)
         for name in VOTERS:
             voter = self._voter(name, 0)
             voter.remembers = True
-            world.voters[name], world.lives[name] = voter, 0
+            world.voters[name], world.incarnations[name] = voter, 0
         for name in CANDIDATES:
-            leases = Leases(name, self._quorum, self._terms, 1, world.now_us, self._off)
-            leases._random = _Even()  # type: ignore[assignment]
+            leases = Leases(name, self._quorum, self._settings, 1, world.now_us, self._off)
+            leases._random = _ConstantRandom()  # type: ignore[assignment]
             leases._last_request_number = 0
             world.leases[name] = leases
         return world
 
-    def explore(self) -> Found:
-        found = Found()
+    def explore(self) -> ExplorationResult:
+        result = ExplorationResult()
         first = self.begin()
-        seen = {self._key(first)}
+        seen = {self._state_hash(first)}
         queue = deque([first])
         while queue:
             world = queue.pop() if self._bounds.depth_first else queue.popleft()
-            found.states += 1
+            result.states += 1
             for event in self._events(world):
-                after = _copied(world)
-                self._do(after, event)
-                found.events += 1
+                after = _copy_world(world)
+                self._apply(after, event)
+                result.events += 1
                 after.path = (*world.path, str(event))
-                fault = self._judge(after, found)
+                fault = self._find_violation(after, result)
                 if fault:
-                    found.fault, found.path = fault, after.path
-                    return found
-                key = self._key(after)
+                    result.fault, result.path = fault, after.path
+                    return result
+                key = self._state_hash(after)
                 if key not in seen:
                     seen.add(key)
                     queue.append(after)
             if len(seen) >= self._bounds.states:
-                found.complete = False
-                return found
-        return found
+                result.complete = False
+                return result
+        return result
 
     def _events(self, world: World) -> Iterator[tuple[Any, ...]]:
         if world.deliveries < self._bounds.deliveries:
-            told = set()
-            for n, message in enumerate(world.flying):
-                if repr(message) not in told:
-                    told.add(repr(message))
+            seen_messages = set()
+            for n, message in enumerate(world.in_flight):
+                if repr(message) not in seen_messages:
+                    seen_messages.add(repr(message))
                     yield "deliver", n
         if world.steps < self._bounds.steps:
             yield ("step",)
@@ -171,125 +181,136 @@
             for name in VOTERS:
                 yield "restart", name
 
-    def _do(self, world: World, event: tuple[Any, ...]) -> None:
+    def _apply(self, world: World, event: tuple[Any, ...]) -> None:
         match event:
             case "deliver", int(n):
                 world.deliveries += 1
-                sender, to, body = world.flying.pop(n)
+                sender, to, body = world.in_flight.pop(n)
                 self._deliver(world, sender, to, body)
             case ("step",):
                 world.steps += 1
-                world.now_us += int(LEASE_S * SECOND) // 2
+                world.now_us += int(LEASE_S * SECOND_US) // 2
                 for name, voter in world.voters.items():
-                    self._fly(world, name, voter.turn(world.now_us))
+                    self._send(world, name, voter.turn(world.now_us))
             case "turn", str(name):
                 world.turns += 1
-                posts = world.leases[name].turn(world.now_us, {TASK: list(CANDIDATES)})
-                self._fly(world, name, posts)
+                messages = world.leases[name].turn(world.now_us, {TASK: list(CANDIDATES)})
+                self._send(world, name, messages)
             case "restart", str(name):
                 world.restarts += 1
-                world.lives[name] += 1
+                world.incarnations[name] += 1
                 world.voters[name] = self._voter(name, world.now_us)
-                # What was sent to the old process came to nobody.
-                world.flying = [m for m in world.flying if m[1] != name]
+                # Messages to the previous process are lost.
+                world.in_flight = [message for message in world.in_flight if message[1] != name]
 
-    def _fly(self, world: World, sender: str, posts: Any) -> None:
-        world.flying += [(sender, to, body) for to, body in posts]
+    def _send(self, world: World, sender: str, messages: Any) -> None:
+        world.in_flight += [(sender, to, body) for to, body in messages]
 
     def _deliver(self, world: World, sender: str, to: str, body: Any) -> None:
         now_us = world.now_us
         match body:
             case LeaseRequest():
                 answer = world.voters[to].on_lease_request(now_us, sender, 0, body)
-                # A denial only has its candidate give up sooner than it would without: taken for lost.
+                # A denial only makes the candidate give up earlier, so denials are treated as lost.
                 if isinstance(answer, LeaseGrant):
-                    world.flying.append((to, sender, answer))
+                    world.in_flight.append((to, sender, answer))
             case LeaseRelease():
                 world.voters[to].on_release(sender, 0, body)
             case TermQuery():
-                world.flying.append((to, sender, world.voters[to].report_terms(body)))
+                world.in_flight.append((to, sender, world.voters[to].report_terms(body)))
             case TermReport():
                 world.voters[to].on_term_report(now_us, sender, body)
             case LeaseGrant():
                 world.leases[to].on_grant(now_us, sender, body)
 
-    def _judge(self, world: World, found: Found) -> str:
-        """What must hold in every state."""
-        owners = {n: t.held_term(TASK, world.now_us) for n, t in world.leases.items()}
-        holding = {n: term for n, term in owners.items() if term}
-        if len(holding) > 1:
-            return f"two owners at {world.now_us} us: {holding}"
-        for name, term in holding.items():
-            found.owners += 1
-            if world.given.setdefault(term, name) != name:
-                return f"term {term} was given to {world.given[term]} and to {name}"
-            if term < world.highest:
-                return f"term {term} after {world.highest}"
-            if world.owner and name != world.owner:
-                found.changes += 1
-            world.highest, world.owner = term, name
+    def _find_violation(self, world: World, result: ExplorationResult) -> str:
+        """Checks the invariants of a state. Returns the violation, or an empty string."""
+        held_terms = {n: lease.held_term(TASK, world.now_us) for n, lease in world.leases.items()}
+        terms_by_holder = {n: term for n, term in held_terms.items() if term}
+        if len(terms_by_holder) > 1:
+            return f"two owners at {world.now_us} us: {terms_by_holder}"
+        for name, term in terms_by_holder.items():
+            result.owners += 1
+            if world.holder_by_term.setdefault(term, name) != name:
+                return f"term {term} was granted to {world.holder_by_term[term]} and to {name}"
+            if term < world.highest_term:
+                return f"term {term} after {world.highest_term}"
+            if world.holder and name != world.holder:
+                result.changes += 1
+            world.highest_term, world.holder = term, name
         return ""
 
-    def _key(self, world: World) -> int:
-        """What the future depends on: times as they are to now, and nothing of how it came about. Voters
-        differ
-        by what they hold and by what flies to and from them, not by name, unless they talk to each other.
+    def _state_hash(self, world: World) -> int:
+        """Returns a hash of everything that later states depend on: times relative to now, but not the path.
+        Voters are distinguished by their state and by the messages in flight to and from them, and by name
+        only if messages between voters are in flight.
         """
         now_us = world.now_us
-        parts: list[Any] = [
+        state: list[Any] = [
             world.deliveries,
             world.steps,
             world.turns,
             world.restarts,
-            world.highest,
-            world.owner,
+            world.highest_term,
+            world.holder,
         ]
         for leases in world.leases.values():
-            for t in leases.by_task.values():
-                parts.append(
+            for lease in leases.by_task.values():
+                state.append(
                     (
-                        t.term,
-                        t.expires_us and t.expires_us - now_us,
-                        t.requesting_since_us and t.requesting_since_us - now_us,
+                        lease.term,
+                        lease.expires_us and lease.expires_us - now_us,
+                        lease.requesting_since_us and lease.requesting_since_us - now_us,
                     )
                 )
-                parts.append(
+                state.append(
                     (
-                        t.next_attempt_us - now_us,
-                        t.last_request_us - now_us,
-                        t.highest_seen_term,
+                        lease.next_attempt_us - now_us,
+                        lease.last_request_us - now_us,
+                        lease.highest_seen_term,
                         leases._last_request_number,
                     )
                 )
-                parts.append([(number, sent_us - now_us) for number, sent_us in t.request_times_us.items()])
-        among = [m for m in world.flying if m[0] in VOTERS and m[1] in VOTERS]
-        about = []
+                state.append(
+                    [(number, sent_us - now_us) for number, sent_us in lease.request_times_us.items()]
+                )
+        between_voters = [
+            message for message in world.in_flight if message[0] in VOTERS and message[1] in VOTERS
+        ]
+        voter_states = []
         for name, voter in world.voters.items():
-            slots = (
-                (k, s.term, s.holder, s.expires_us - now_us, s.is_released, s.highest_term)
-                for k, s in voter._grants.items()
+            grants = (
+                (
+                    task,
+                    grant.term,
+                    grant.holder,
+                    grant.expires_us - now_us,
+                    grant.is_released,
+                    grant.highest_term,
+                )
+                for task, grant in voter._grants.items()
             )
-            waited_us = min(now_us - voter._started_us, abstention_us(self._terms))
+            waited_us = min(now_us - voter._started_us, abstention_us(self._settings))
             granted = [
-                t.granted_request_us[name] - now_us if name in t.granted_request_us else None
+                lease.granted_request_us[name] - now_us if name in lease.granted_request_us else None
                 for leases in world.leases.values()
-                for t in leases.by_task.values()
+                for lease in leases.by_task.values()
             ]
-            flying = sorted(
-                f"{m[0] == name} {m[1] if m[0] == name else m[0]} {m[2]}"
-                for m in world.flying
-                if name in m[:2] and m not in among
+            in_flight = sorted(
+                f"{message[0] == name} {message[1] if message[0] == name else message[0]} {message[2]}"
+                for message in world.in_flight
+                if name in message[:2] and message not in between_voters
             )
-            whole = (
-                sorted(slots),
+            voter_state = (
+                sorted(grants),
                 sorted(voter._observed_terms.items()),
                 voter._minimum_term,
                 voter.remembers,
                 granted,
-                flying,
+                in_flight,
             )
-            forgetful = (
+            recovery_state = (
                 () if voter.remembers else (name, waited_us, sorted(map(repr, voter._term_reports.items())))
             )
-            about.append(repr((whole, forgetful, name if among else "")))
-        return hash((repr(parts), tuple(sorted(about)), tuple(sorted(map(repr, among)))))
+            voter_states.append(repr((voter_state, recovery_state, name if between_voters else "")))
+        return hash((repr(state), tuple(sorted(voter_states)), tuple(sorted(map(repr, between_voters)))))
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -1,4 +1,4 @@
-"""The members of two regions in virtual time, whose owners of shards act for them again and again."""
+"""The members of two regions in virtual time. Shard owners periodically send acts for their shards."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class ShardFleet(VirtualFleet):
-    # Longer than a shard's lease, now and then.
+    # The range extends beyond a shard's lease, so that some late messages are sent after the lease expired.
     late_s = (4.0, 14.0)
 
     def __init__(self, nodes: int, seed: int, off: frozenset[str] = frozenset()) -> None:
         super().__init__(nodes, FLEET_VOTERS, ZONES_OF_A_REGION, shard_agent_terms, seed, off)
         for node in self.nodes.values():
             node.zone = place_of(node.index).zone
-        self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node, in which of its lives
+        self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node; with its incarnation
 
     def begin(self) -> None:
         super().begin()
-        for n, name in enumerate(self.names):
-            self.time.after(ACT_INTERVAL_US * n // len(self.names), self._act_for_shards, name)
+        for index, name in enumerate(self.names):
+            self.time.after(ACT_INTERVAL_US * index // len(self.names), self._act_for_shards, name)
 
     def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         place = place_of(node.index)
@@ -69,12 +69,12 @@
         node.agent.shards.set_leaving(self.clock_us(node), True)
         self._wake(node, 0)
 
-    # ------------------------------------------------------------------ what the nemesis asks
+    # ------------------------------------------------------------------ queries of the nemesis
 
     def owner(self, task: str) -> str | None:
         for node in self.nodes.values():
-            part = node.agent.shards if node.agent is not None else None
-            if part is not None and part.task == task and part.is_assigner(self.clock_us(node)):
+            sharding = node.agent.shards if node.agent is not None else None
+            if sharding is not None and sharding.task == task and sharding.is_assigner(self.clock_us(node)):
                 return node.name
         return None
 
--- a/sailrun/lab/faults/shard_history.py
+++ b/sailrun/lab/faults/shard_history.py
@@ -1,14 +1,15 @@
-"""Which session used which shard when, as the nodes' own records tell, in the time that all share.
-
-Rows are those of `history.py`; of shards there are:
-
-- `shards` region, generation, session, until_us, shards: from now on the node uses these shards (`0,3,7`, or
-  `-` for none) until then; it replaces the row before;
-- `shards-lost` region, session, why: it uses none any more under that session;
-- `shards-generation` region, generation, session, sessions: the node goes by that generation, in which these
-  sessions are (`NAME:NUMBER,...`);
-- `shard-act` shard, generation, session, to: an act was made, at the moment the clock was looked at for it;
-- `shard-take`, `shard-refuse` shard, generation, session, of: what became of an act where it came to.
+"""Derives from the rows that nodes record which session used which shard at what time, on the shared clock.
+
+The rows are those described in `history.py`. The following kinds are about shards:
+
+- `shards` region, generation, session, until_us, shards: the node uses these shards (`0,3,7`, or `-` for
+  none) from now until `until_us`; the row replaces the node's previous one;
+- `shards-lost` region, session, why: the node uses no more shards under that session;
+- `shards-generation` region, generation, session, sessions: the node applies that generation, which contains
+  these sessions (`NAME:NUMBER,...`);
+- `shard-act` shard, generation, session, to: an act was created; `at_us` is the clock reading that was used
+  for it;
+- `shard-take`, `shard-refuse` shard, generation, session, of: the receiver accepted or rejected an act.
 """
 
 from __future__ import annotations
@@ -23,8 +24,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Owned:
-    """A time in which one session used one shard. `generation`: the one its node went by as it began."""
+class OwnershipSpan:
+    """A span of time in which one session used one shard. `generation` is the one that the node applied when
+    the span began.
+    """
 
     node: str
     session: int
@@ -35,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class SessionSpan:
-    """How long a session was used by its node's own word."""
+    """The span of time in which a node used a session, according to the node's own rows."""
 
     node: str
     begin_us: int
@@ -44,41 +47,45 @@
 
 @dataclass(slots=True, eq=False)
 class Generation:
-    """What a generation holds, as the first node said that went by it."""
+    """The content of a generation, as recorded by the first node that applied it."""
 
     number: int
-    first_us: int
+    first_applied_us: int
     text: str
 
     def sessions(self) -> dict[int, str]:
-        """Names of nodes by session."""
-        pairs = (word.split(":") for word in self.text.split(",") if ":" in word)
+        """Returns the names of nodes by session number."""
+        pairs = (entry.split(":") for entry in self.text.split(",") if ":" in entry)
         return {int(number): name for name, number in pairs}
 
 
 @dataclass(slots=True, eq=False)
-class _Using:
-    """What a node uses now."""
+class _CurrentUse:
+    """The session and shards that a node uses at this point of the history."""
 
     session: int
     until_us: int
-    spans: dict[int, Owned] = field(default_factory=dict)  # by shard
+    spans: dict[int, OwnershipSpan] = field(default_factory=dict)  # by shard
 
 
 def shards_of(row: Row) -> frozenset[int]:
-    """The shards a `shards` row names; a log line's single shard may have been read as a number."""
+    """Returns the shards that a `shards` row lists. A single shard may have been parsed from a log line as a
+    number.
+    """
     text = str(row["shards"])
     return frozenset() if text == "-" else frozenset(map(int, text.split(",")))
 
 
 def shards_in_use(rows: list[Row]) -> int:
-    """How many shards the nodes use by what each said last; to be asked while nothing goes wrong yet."""
+    """Returns how many shards the nodes use according to the last row of each. The result is valid only
+    before the first fault, because rows about lost sessions and ended processes are ignored.
+    """
     latest = {row["node"]: len(shards_of(row)) for row in rows if row["kind"] == "shards"}
     return sum(latest.values())
 
 
 def shard_of(row: Row) -> ShardKey:
-    """The shard that an act, or what became of one, is about: acts stay in their region."""
+    """Returns the shard that an act, or its outcome, is about. Acts stay within the region of their node."""
     return region_of(row["node"]), int(row["shard"])
 
 
@@ -87,58 +94,58 @@
 
 
 class ShardHistory:
-    """Goes through the rows once, in the order of their time."""
+    """Reads the rows once, in order of time."""
 
     def __init__(self, rows: list[Row]) -> None:
         self.rows = sorted(rows, key=lambda row: row["at_us"])
-        self.owned: dict[ShardKey, list[Owned]] = defaultdict(list)
+        self.owned: dict[ShardKey, list[OwnershipSpan]] = defaultdict(list)
         self.sessions: dict[tuple[str, int], SessionSpan] = {}  # by region and number
         self.generations: dict[tuple[str, int], Generation] = {}  # by region and number
-        self._using: dict[str, _Using] = {}
+        self._current_uses: dict[str, _CurrentUse] = {}
         for row in self.rows:
             self._read(row)
 
     def _read(self, row: Row) -> None:
         match row["kind"]:
             case "shards":
-                self._uses(row)
+                self._record_use(row)
             case "shards-lost" | "died":
-                self._ends(row["node"], row["at_us"])
+                self._end_session(row["node"], row["at_us"])
             case "shards-generation":
                 key = (row["region"], int(row["generation"]))
                 if key not in self.generations:
                     self.generations[key] = Generation(key[1], row["at_us"], str(row["sessions"]))
 
-    def _uses(self, row: Row) -> None:
+    def _record_use(self, row: Row) -> None:
         node, at_us, session, until_us = row["node"], row["at_us"], int(row["session"]), row["until_us"]
-        using = self._using.get(node)
-        if using is None or using.session != session or at_us > using.until_us:
-            self._ends(node, at_us)
+        current = self._current_uses.get(node)
+        if current is None or current.session != session or at_us > current.until_us:
+            self._end_session(node, at_us)
             if until_us <= at_us:
-                return  # said after the lease had ended: nothing is used by it
-            using = self._using[node] = _Using(session, until_us)
+                return  # recorded after the lease had expired, so no shard is used
+            current = self._current_uses[node] = _CurrentUse(session, until_us)
         shards = shards_of(row)
-        for shard in [shard for shard in using.spans if shard not in shards]:
-            span = using.spans.pop(shard)
+        for shard in [shard for shard in current.spans if shard not in shards]:
+            span = current.spans.pop(shard)
             span.end_us = min(span.end_us, at_us)
         for shard in shards:
-            if shard not in using.spans:
-                span = Owned(node, session, int(row["generation"]), at_us, until_us)
-                using.spans[shard] = span
+            if shard not in current.spans:
+                span = OwnershipSpan(node, session, int(row["generation"]), at_us, until_us)
+                current.spans[shard] = span
                 self.owned[row["region"], shard].append(span)
-            using.spans[shard].end_us = until_us
-        using.until_us = until_us
+            current.spans[shard].end_us = until_us
+        current.until_us = until_us
         key = (row["region"], session)
-        whole = self.sessions.setdefault(key, SessionSpan(node, at_us, until_us))
-        whole.end_us = until_us
+        session_span = self.sessions.setdefault(key, SessionSpan(node, at_us, until_us))
+        session_span.end_us = until_us
 
-    def _ends(self, node: str, at_us: int) -> None:
-        """Nothing is used any more under the session that the node had."""
-        using = self._using.pop(node, None)
-        if using is None:
+    def _end_session(self, node: str, at_us: int) -> None:
+        """Ends all spans of the session that the node used."""
+        current = self._current_uses.pop(node, None)
+        if current is None:
             return
-        for span in using.spans.values():
+        for span in current.spans.values():
             span.end_us = min(span.end_us, at_us)
-        whole = self.sessions.get((region_of(node), using.session))
-        if whole is not None:
-            whole.end_us = min(whole.end_us, at_us)
+        session_span = self.sessions.get((region_of(node), current.session))
+        if session_span is not None:
+            session_span.end_us = min(session_span.end_us, at_us)
--- a/sailrun/lab/faults/shard_judge.py
+++ b/sailrun/lab/faults/shard_judge.py
@@ -1,5 +1,5 @@
-"""What the days of shards are held to. Each check counts its breaches and its occasions, and does not hold
-without an occasion.
+"""The checks of the fault runs of sharding. Each check counts its violations and its occasions, and does not
+hold without an occasion.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from sailrun.lab.faults.history import Counted, Judge, Row, fault
 from sailrun.lab.faults.shard_history import (
     Generation,
-    Owned,
+    OwnershipSpan,
     ShardHistory,
     ShardKey,
     shard_of,
@@ -24,17 +24,17 @@
 from sailrun.lab.faults.shard_world import REGIONS, SHARDS_OF_A_REGION
 from sailrun.sharding.placement import node_hash, shard_key
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Expected:
-    """What a plan is held to beside the rules of every day."""
+    """The results expected of one plan, in addition to the checks of every run."""
 
-    moves: bool = True  # shards move; otherwise no generation may follow once faults began
+    moves: bool = True  # shards move; otherwise no new generation is allowed after the first fault
     assigner_changes: bool = True
-    refusals: bool = False  # acts that come late are refused on each such day; on others they may be
-    owned_within_s: float = 14.0  # of the last fault, every shard is owned
+    refusals: bool = False  # late acts are rejected in each run of the plan; without it they may be rejected
+    owned_within_s: float = 14.0  # after the last fault, until every shard has an owner
 
 
 class ShardJudge:
@@ -42,18 +42,18 @@
         self.history = ShardHistory(rows)
         self.rows = self.history.rows
         self._begin_us, self._end_us, self._expected = begin_us, end_us, expected
-        self._leases = Judge(rows, {}, begin_us, end_us)
+        self._lease_checker = Judge(rows, {}, begin_us, end_us)
 
     def checks(self) -> list[Check]:
         expected = self._expected
-        found: list[Check] = [
+        result: list[Check] = [
             self.acts_only_while_owner(),
             self.one_content(),
             self.used_only_where_placed(),
             self.owned_after_the_faults(),
         ]
         if expected.moves:
-            found += [
+            result += [
                 self.one_owner(),
                 self.generations_grow_at_a_node(),
                 self.moves_with_cause(),
@@ -62,85 +62,93 @@
                 self.tokens_grow(),
             ]
         else:
-            found.append(self.nothing_moved())
+            result.append(self.nothing_moved())
         refused = self.only_the_past_is_refused()
         if expected.refusals or refused.occasions:
-            found.append(refused)
+            result.append(refused)
         if expected.assigner_changes:
-            found += [check for check in self._leases.checks() if check.name in LEASE_CHECKS]
-        return found
+            result += [check for check in self._lease_checker.checks() if check.name in LEASE_CHECKS]
+        return result
 
-    def _fault(self, check: Check, at_us: int, what: str) -> None:
-        fault(check, at_us - self._begin_us, what)
+    def _add_fault(self, check: Check, at_us: int, message: str) -> None:
+        fault(check, at_us - self._begin_us, message)
 
-    # ------------------------------------------------------------------ who uses what
+    # ------------------------------------------------------------------ use of shards
 
     def one_owner(self) -> Counted:
-        """Never two sessions that use one shard at an instant. Occasions: changes of owner."""
+        """At no time do two sessions use the same shard. Occasions: changes of owner."""
         check = Counted("one-owner-of-a-shard", occasions=0)
         for key, spans in self.history.owned.items():
-            latest: Owned | None = None
+            latest: OwnershipSpan | None = None
             for span in sorted(spans, key=lambda s: s.begin_us):
                 if latest is not None and span.session != latest.session:
                     check.occasions += 1
                     if span.begin_us < latest.end_us:
-                        what = f"{_shown(key)}: {span.node} and {latest.node} both use it"
-                        self._fault(check, span.begin_us, what)
+                        message = f"{_format_shard(key)}: {span.node} and {latest.node} both use it"
+                        self._add_fault(check, span.begin_us, message)
                 if latest is None or span.end_us > latest.end_us:
                     latest = span
         return check
 
     def acts_only_while_owner(self) -> Counted:
-        """No act is made but by who uses the shard then. Occasions: acts made."""
+        """Only the session that uses a shard at that time creates acts for it. Occasions: acts created."""
         check = Counted("acts-only-while-owner", occasions=0)
-        for row in self._of("shard-act"):
+        for row in self._rows_of_kind("shard-act"):
             check.occasions += 1
             key, at_us, session = shard_of(row), row["at_us"], int(row["session"])
             spans = self.history.owned.get(key, ())
             if not any(s.session == session and s.begin_us <= at_us <= s.end_us for s in spans):
-                self._fault(check, at_us, f"{_shown(key)}: {row['node']} acts under session {session}")
+                self._add_fault(
+                    check, at_us, f"{_format_shard(key)}: {row['node']} acts under session {session}"
+                )
         return check
 
     def used_only_where_placed(self) -> Counted:
-        """Nobody uses what the sessions of its generation do not place on it. Occasions: shards told of."""
+        """A session uses only the shards that placement among the sessions of its generation assigns to it.
+        Occasions: shards listed in `shards` rows.
+        """
         check = Counted("used-only-where-placed", occasions=0)
-        for row in self._of("shards"):
+        for row in self._rows_of_kind("shards"):
             generation = self.history.generations.get((row["region"], int(row["generation"])))
             for shard in shards_of(row):
                 check.occasions += 1
                 owner = placed(row["region"], shard, generation.text) if generation is not None else 0
                 if owner != int(row["session"]):
-                    what = f"{row['region']}/{shard}: {row['node']} uses what is placed on session {owner}"
-                    self._fault(check, row["at_us"], what)
+                    message = (
+                        f"{row['region']}/{shard}: {row['node']} uses the shard placed on session {owner}"
+                    )
+                    self._add_fault(check, row["at_us"], message)
         return check
 
     def owned_after_the_faults(self) -> Counted:
-        """Some time after the last fault every shard is used, without a gap to the end. Occasions: shards."""
+        """From `owned_within_s` after the last fault to the end, every shard is in use without a gap.
+        Occasions: shards.
+        """
         check = Counted("owned-after-the-faults", occasions=0)
-        from_us = self.last_fault_us() + int(self._expected.owned_within_s * SECOND)
+        from_us = self.last_fault_us() + int(self._expected.owned_within_s * SECOND_US)
         if from_us >= self._end_us:
             return check
         for region in REGIONS:
             for shard in range(SHARDS_OF_A_REGION):
                 check.occasions += 1
-                gap_us = _uncovered(self.history.owned.get((region, shard), []), from_us, self._end_us)
+                gap_us = _first_gap_us(self.history.owned.get((region, shard), []), from_us, self._end_us)
                 if gap_us is not None:
-                    self._fault(check, gap_us, f"{region}/{shard}: nobody uses it")
+                    self._add_fault(check, gap_us, f"{region}/{shard}: no session uses it")
         return check
 
     def last_fault_us(self) -> int:
-        """When the nemesis did something for the last time, or a process came or went."""
+        """Returns the time of the last action of the nemesis, or of the last start or end of a process."""
         kinds = ("fault", "died", "started")
         return max(
             (r["at_us"] for r in self.rows if r["kind"] in kinds and r["at_us"] < self._end_us),
             default=self._begin_us,
         )
 
-    # ------------------------------------------------------------------ why it moves
+    # ------------------------------------------------------------------ causes of moves
 
     def moves_with_cause(self) -> Counted:
-        """A shard changes owner only as the former session has ended, or as one joined that scores higher.
-        Occasions: changes of owner.
+        """A shard changes owner only because the previous session has ended, or because a session with a
+        higher score joined. Occasions: changes of owner.
         """
         check = Counted("moved-only-with-cause", occasions=0)
         for key, spans in self.history.owned.items():
@@ -150,24 +158,24 @@
                     continue
                 check.occasions += 1
                 if not self._has_cause(key, before, after):
-                    what = f"{_shown(key)}: from {before.node} to {after.node} without a cause"
-                    self._fault(check, after.begin_us, what)
+                    message = f"{_format_shard(key)}: from {before.node} to {after.node} without a cause"
+                    self._add_fault(check, after.begin_us, message)
         return check
 
-    def _has_cause(self, key: ShardKey, before: Owned, after: Owned) -> bool:
-        then = self._sessions_of(key[0], after.generation)
-        if before.session not in then:
+    def _has_cause(self, key: ShardKey, before: OwnershipSpan, after: OwnershipSpan) -> bool:
+        sessions_after = self._sessions_of(key[0], after.generation)
+        if before.session not in sessions_after:
             return True
         joined = after.session not in self._sessions_of(key[0], before.generation)
-        return joined and _beats(key, after.node, before.node)
+        return joined and _scores_higher(key, after.node, before.node)
 
     def _sessions_of(self, region: str, generation: int) -> dict[int, str]:
         known = self.history.generations.get((region, generation))
         return known.sessions() if known is not None else {}
 
     def sessions_end_unused(self) -> Counted:
-        """A session is taken out of the table only once its node uses it no more. Occasions: sessions that
-        were used and are out.
+        """A session is removed from the table only after its node has stopped using it. Occasions: sessions
+        that were used and then removed.
         """
         check = Counted("sessions-end-unused", occasions=0)
         for region in REGIONS:
@@ -179,65 +187,69 @@
                     if used is None:
                         continue
                     check.occasions += 1
-                    if used.end_us > generation.first_us:
-                        what = f"{region}: session {number} of {used.node} is out and in use"
-                        self._fault(check, generation.first_us, what)
+                    if used.end_us > generation.first_applied_us:
+                        message = f"{region}: session {number} of {used.node} is removed while in use"
+                        self._add_fault(check, generation.first_applied_us, message)
                 in_force = sessions
         return check
 
     def nothing_moved(self) -> Counted:
-        """No generation follows once faults have begun. Occasions: faults that began something."""
+        """No new generation appears after the first fault. Occasions: beginnings of faults, and deaths of
+        processes.
+        """
         check = Counted("nothing-moved", occasions=0)
-        strikes = [r for r in self._of("fault") if r["what"] in STRIKES]
-        strikes += [r for r in self._of("died") if r["at_us"] < self._end_us]
-        check.occasions = len(strikes)
-        first_us = min((r["at_us"] for r in strikes), default=self._end_us)
+        beginnings = [r for r in self._rows_of_kind("fault") if r["what"] in FAULT_BEGINNINGS]
+        beginnings += [r for r in self._rows_of_kind("died") if r["at_us"] < self._end_us]
+        check.occasions = len(beginnings)
+        first_us = min((r["at_us"] for r in beginnings), default=self._end_us)
         for (region, number), generation in self.history.generations.items():
-            if generation.first_us > first_us:
-                self._fault(check, generation.first_us, f"{region}: generation {number} follows")
+            if generation.first_applied_us > first_us:
+                self._add_fault(
+                    check, generation.first_applied_us, f"{region}: generation {number} after the first fault"
+                )
         return check
 
     # ------------------------------------------------------------------ generations
 
     def one_content(self) -> Counted:
-        """A generation holds the same sessions wherever it is known. Occasions: nodes that go by one that
-        another went by before.
+        """A generation has the same sessions at all nodes. Occasions: `shards-generation` rows except the
+        first one of each generation.
         """
         check = Counted("one-content-of-a-generation", occasions=0)
         seen: set[tuple[str, int]] = set()
-        for row in self._of("shards-generation"):
+        for row in self._rows_of_kind("shards-generation"):
             key = (row["region"], int(row["generation"]))
             if key in seen:
                 check.occasions += 1
                 if str(row["sessions"]) != self.history.generations[key].text:
-                    what = f"{key[0]}: generation {key[1]} is another at {row['node']}"
-                    self._fault(check, row["at_us"], what)
+                    message = f"{key[0]}: generation {key[1]} has other sessions at {row['node']}"
+                    self._add_fault(check, row["at_us"], message)
             seen.add(key)
         return check
 
     def generations_grow_at_a_node(self) -> Counted:
-        """Within a session a node goes on only to higher generations. Occasions: steps."""
+        """Within a session a node applies increasing generations only. Occasions: changes of generation."""
         check = Counted("generations-grow-at-a-node", occasions=0)
         latest: dict[tuple[str, int], int] = {}
-        for row in self._of("shards-generation"):
+        for row in self._rows_of_kind("shards-generation"):
             key, generation = (row["node"], int(row["session"])), int(row["generation"])
             if key in latest:
                 check.occasions += 1
                 if generation <= latest[key]:
-                    what = f"{row['node']}: generation {generation} after {latest[key]}"
-                    self._fault(check, row["at_us"], what)
+                    message = f"{row['node']}: generation {generation} after {latest[key]}"
+                    self._add_fault(check, row["at_us"], message)
             latest[key] = max(generation, latest.get(key, 0))
         return check
 
     def _in_order(self, region: str) -> list[Generation]:
-        found = [g for (name, _), g in self.history.generations.items() if name == region]
-        return sorted(found, key=lambda g: g.number)
+        result = [g for (name, _), g in self.history.generations.items() if name == region]
+        return sorted(result, key=lambda g: g.number)
 
     # ------------------------------------------------------------------ tokens
 
     def no_lower_token_at_a_receiver(self) -> Counted:
-        """Whoever took an act takes none with a lower token for that shard, while its process lasts.
-        Occasions: tokens taken after another.
+        """A process that has accepted an act does not accept an act with a lower token for the same shard.
+        Occasions: acts accepted with another token than the highest one before.
         """
         check = Counted("no-lower-token-at-a-receiver", occasions=0)
         for row, highest in self._with_highest("shard-take"):
@@ -245,27 +257,31 @@
                 continue
             check.occasions += 1
             if token_of(row) < highest:
-                what = f"{_shown(shard_of(row))}: {row['node']} took {token_of(row)} after {highest}"
-                self._fault(check, row["at_us"], what)
+                message = (
+                    f"{_format_shard(shard_of(row))}: {row['node']} accepted {token_of(row)} after {highest}"
+                )
+                self._add_fault(check, row["at_us"], message)
         return check
 
     def only_the_past_is_refused(self) -> Counted:
-        """No act is refused but after a higher token. Occasions: refusals."""
+        """An act is rejected only after an act with a higher token was accepted. Occasions: rejections."""
         check = Counted("only-the-past-is-refused", occasions=0)
         for row, highest in self._with_highest("shard-refuse"):
             check.occasions += 1
             if highest is None or token_of(row) >= highest:
-                what = f"{_shown(shard_of(row))}: {row['node']} refused {token_of(row)}"
-                self._fault(check, row["at_us"], what)
+                message = f"{_format_shard(shard_of(row))}: {row['node']} rejected {token_of(row)}"
+                self._add_fault(check, row["at_us"], message)
         return check
 
     def _with_highest(self, kind: str) -> Iterator[tuple[Row, tuple[int, int] | None]]:
-        """Rows of a kind, each with the highest token its process had taken for the shard before."""
+        """Yields the rows of a kind, each with the highest token that its process has accepted for the shard
+        so far.
+        """
         highest: dict[tuple[str, ShardKey], tuple[int, int]] = {}
         for row in self.rows:
             if row["kind"] == "died":
-                for gone in [key for key in highest if key[0] == row["node"]]:
-                    del highest[gone]
+                for old_key in [key for key in highest if key[0] == row["node"]]:
+                    del highest[old_key]
             if row["kind"] not in ("shard-take", "shard-refuse"):
                 continue
             key = (row["node"], shard_of(row))
@@ -275,72 +291,78 @@
                 highest[key] = max(token_of(row), highest.get(key, (0, 0)))
 
     def tokens_grow(self) -> Counted:
-        """Of two acts for a shard the later one, by when they were made, has no lower token, whoever made
-        them. Occasions: acts under another token than the one before.
+        """In order of creation, the tokens of all acts for a shard never decrease, across all nodes.
+        Occasions: acts with another token than the highest one before.
         """
         check = Counted("tokens-grow", occasions=0)
         highest: dict[ShardKey, tuple[int, int]] = {}
-        for row in self._of("shard-act"):
+        for row in self._rows_of_kind("shard-act"):
             key, token = shard_of(row), token_of(row)
             before = highest.get(key)
             if before is not None and token != before:
                 check.occasions += 1
                 if token < before:
-                    self._fault(check, row["at_us"], f"{_shown(key)}: {row['node']} acts by {token}")
+                    self._add_fault(
+                        check, row["at_us"], f"{_format_shard(key)}: {row['node']} acts with token {token}"
+                    )
             highest[key] = max(token, before or token)
         return check
 
     # ------------------------------------------------------------------ figures
 
     def figures(self) -> dict[str, float]:
-        """How a day went. Seconds without owner are those between two owners, faults or none."""
+        """Returns the figures of a run. Seconds without an owner are the gaps between two owners, with or
+        without faults.
+        """
         gaps = [gap for spans in self.history.owned.values() for gap in _gaps_s(spans)]
-        found = {
+        result = {
             "generations": float(len(self.history.generations)),
             "changes_of_owner": float(self.one_owner().occasions),
             "changes_of_assigner": float(
-                sum(max(0, len(spans) - 1) for spans in self._leases.holds.values())
+                sum(max(0, len(spans) - 1) for spans in self._lease_checker.holds.values())
             ),
-            "acts_made": float(len(self._of("shard-act"))),
-            "acts_taken": float(len(self._of("shard-take"))),
-            "acts_refused": float(len(self._of("shard-refuse"))),
-            "acts_taken_after_a_higher_elsewhere": float(self._taken_late()),
+            "acts_made": float(len(self._rows_of_kind("shard-act"))),
+            "acts_taken": float(len(self._rows_of_kind("shard-take"))),
+            "acts_refused": float(len(self._rows_of_kind("shard-refuse"))),
+            "acts_taken_after_a_higher_elsewhere": float(self._count_taken_after_higher()),
         }
         if gaps:
-            found["s_without_owner_median"] = sorted(gaps)[len(gaps) // 2]
-            found["s_without_owner_most"] = max(gaps)
-        return found
+            result["s_without_owner_median"] = sorted(gaps)[len(gaps) // 2]
+            result["s_without_owner_most"] = max(gaps)
+        return result
 
-    def _taken_late(self) -> int:
-        """Acts that a member took though another one had taken a higher token: each has its own fence."""
+    def _count_taken_after_higher(self) -> int:
+        """Returns how many acts a member accepted although another member had accepted a higher token. These
+        are no violations, because each member has a fence of its own.
+        """
         highest: dict[ShardKey, tuple[int, int]] = {}
         late = 0
-        for row in self._of("shard-take"):
+        for row in self._rows_of_kind("shard-take"):
             key, token = shard_of(row), token_of(row)
             late += token < highest.get(key, token)
             highest[key] = max(token, highest.get(key, token))
         return late
 
-    def _of(self, kind: str) -> list[Row]:
+    def _rows_of_kind(self, kind: str) -> list[Row]:
         return [row for row in self.rows if row["kind"] == kind]
 
 
-# The checks of `history.py` that the leases on being the assigner are held to.
+# The checks of `history.py` that apply to the assigners' leases.
 LEASE_CHECKS = ("one-owner-at-a-time", "no-term-given-twice", "terms-grow")
-# Faults that begin something, as the nemesis tells of them.
-STRIKES = ("cut", "stop", "leave", "hold-back")
+# The names in `fault` rows that mark the beginning of a fault.
+FAULT_BEGINNINGS = ("cut", "stop", "leave", "hold-back")
 
 
-def _shown(key: ShardKey) -> str:
+def _format_shard(key: ShardKey) -> str:
     return f"{key[0]}/{key[1]}"
 
 
 @lru_cache(maxsize=65_536)
 def placed(region: str, shard: int, sessions: str) -> int:
-    """The session a shard is placed on among those (`NAME:NUMBER,...`); 0: there are none. Worked out score
-    by score, apart from the placement that nodes use.
+    """Returns the session (of `NAME:NUMBER,...`) that a shard is placed on, or 0 if there are no sessions.
+    Compares all scores, independently of the placement code that nodes use.
     """
-    pairs = [word.split(":") for word in sessions.split(",") if ":" in word]
+    pairs = [entry.split(":") for entry in sessions.split(",") if ":" in entry]
     if not pairs:
         return 0
     best = min(pairs, key=lambda pair: (-_score((region, shard), pair[0]), pair[0]))
@@ -352,12 +374,12 @@
     return (key_hash(shard_key(*key)) * node_hash(name)) & MASK
 
 
-def _beats(key: ShardKey, name: str, other: str) -> bool:
+def _scores_higher(key: ShardKey, name: str, other: str) -> bool:
     return (-_score(key, name), name) < (-_score(key, other), other)
 
 
-def _uncovered(spans: list[Owned], from_us: int, to_us: int) -> int | None:
-    """The first moment in which nobody uses it; None: there is none."""
+def _first_gap_us(spans: list[OwnershipSpan], from_us: int, to_us: int) -> int | None:
+    """Returns the first time from `from_us` to `to_us` that no span covers, or None if there is none."""
     reached_us = from_us
     for span in sorted(spans, key=lambda s: s.begin_us):
         if span.begin_us <= reached_us < span.end_us:
@@ -367,9 +389,9 @@
     return reached_us
 
 
-def _gaps_s(spans: list[Owned]) -> Iterator[float]:
-    """Between two users of one shard."""
+def _gaps_s(spans: list[OwnershipSpan]) -> Iterator[float]:
+    """Yields the lengths of the gaps between consecutive spans of a shard."""
     ordered = sorted(spans, key=lambda s: s.begin_us)
     for before, after in pairwise(ordered):
         if after.begin_us > before.end_us:
-            yield (after.begin_us - before.end_us) / SECOND
+            yield (after.begin_us - before.end_us) / SECOND_US
--- a/sailrun/lab/faults/shard_plans.py
+++ b/sailrun/lab/faults/shard_plans.py
@@ -1,4 +1,4 @@
-"""What goes wrong on the days of shards, and what each of them is held to."""
+"""The fault plans for shards, and the checks that each of them has to pass."""
 
 from __future__ import annotations
 
@@ -18,38 +18,40 @@
     place_of,
 )
 
-# A fleet that starts has no table that anybody remembers: one is begun a whole lease after its assigner is,
-# which takes the patience of voters without a memory in some starts.
-BEGIN_S = 18.0
-# The last faults end, and what is owed after them is waited for.
-CALM_S = 34.0
-# So long after the last fault every shard is owned: a lease, a change of assigner, and some heartbeats. Where
-# a majority of voters has lost its memory, the voters' patience and another lease come on top.
-OWNED_WITHIN_S, OWNED_AFTER_AMNESIA_S = 14.0, 20.0
-# On the short day no voter but the assigner is struck, and the last fault is a node that goes on.
-OWNED_SOON_S = 9.0
-SHORT_STOP_S = 1.2 * SHARD_LEASE_S
-SECOND = 1_000_000
+# In a fleet that starts no member remembers a shard table. An assigner begins one a whole lease after its own
+# election, and in some starts the election has to wait until voters without a memory stop abstaining.
+CALM_BEGIN_S = 18.0
+# The calm time at the end of a run, in which the last faults end and the fleet has to recover.
+CALM_END_S = 34.0
+# Within this time of the last fault every shard has an owner: it covers a lease, a change of assigner, and
+# some heartbeats. If a majority of voters has lost its memory, the abstention of voters and another lease are
+# added.
+OWNED_WITHIN_S, OWNED_WITHIN_AFTER_MEMORY_LOSS_S = 14.0, 20.0
+# In the short run the assigner is the only voter with faults, and the last fault is a paused node that
+# resumes.
+OWNED_WITHIN_SHORT_RUN_S = 9.0
+SHORT_PAUSE_S = 1.2 * SHARD_LEASE_S
+SECOND_US = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class ShardPlan(Plan):
-    """A plan among shards, and what it is held to."""
+    """A fault plan for shards, and the results that are expected of it."""
 
     expected: Expected = field(default_factory=Expected)
     nodes: int = NODES
 
 
-# ---------------------------------------------------------------------- the days
+# ---------------------------------------------------------------------- plans
 
 
-def _shards(nemesis: Nemesis) -> None:
-    shards, luck = ShardFaults(nemesis), nemesis.luck
-    nemesis.weather(luck.choice((0.0, 0.02, 0.05)), 1, luck.choice((3, 20)))
+def _mixed_faults(nemesis: Nemesis) -> None:
+    shards, rng = ShardFaults(nemesis), nemesis.luck
+    nemesis.weather(rng.choice((0.0, 0.02, 0.05)), 1, rng.choice((3, 20)))
     nemesis.every(
         3.0,
         6.0,
-        shards.one_of(
+        shards.choose_from(
             shards.kill_one,
             shards.kill_assigner,
             shards.leave_one,
@@ -63,37 +65,41 @@
     nemesis.at(nemesis.first_s + 4.0, shards.kill_assigner)
 
 
-def _stop_a_node(shards: ShardFaults, region: str) -> None:
-    shards.stop(shards.node(region), 2.0 * SHARD_LEASE_S, True)
+def _pause_node(shards: ShardFaults, region: str) -> None:
+    shards.stop(shards.random_node(region), 2.0 * SHARD_LEASE_S, True)
 
 
-def _stopped(nemesis: Nemesis) -> None:
+def _pauses(nemesis: Nemesis) -> None:
     shards = ShardFaults(nemesis)
     nemesis.weather(0.02, 1, 10)
     nemesis.every(2.5, 5.0, shards.stop_one)
     for at_s in (1.0, 10.0):
-        region = shards.region()
+        region = shards.random_region()
         nemesis.at(
             nemesis.first_s + at_s,
-            partial(_stop_a_node, shards, region),
+            partial(_pause_node, shards, region),
         )
     nemesis.at(nemesis.first_s - 1.0, shards.stale_acts)
     nemesis.at(nemesis.first_s + 12.0, shards.kill_assigner)
 
 
-def _cut(nemesis: Nemesis) -> None:
+def _partitions(nemesis: Nemesis) -> None:
     shards = ShardFaults(nemesis)
     nemesis.weather(0.02, 1, 20)
     nemesis.every(
-        3.0, 6.0, shards.one_of(shards.cut_assigner, shards.cut_node, shards.cut_in_parts, shards.cut_regions)
+        3.0,
+        6.0,
+        shards.choose_from(
+            shards.cut_assigner, shards.cut_node, shards.partition_region, shards.partition_regions
+        ),
     )
     nemesis.every(
         5.0,
         9.0,
-        shards.one_of(
-            shards.newcomer_past_a_cut,
-            shards.assigner_past_a_cut,
-            shards.voter_misses_writes,
+        shards.choose_from(
+            shards.return_node_during_cut,
+            shards.kill_assigner_during_cut,
+            shards.make_voter_miss_writes,
             shards.kill_one,
         ),
     )
@@ -101,59 +107,59 @@
     nemesis.at(nemesis.first_s + 6.0, shards.kill_assigner)
 
 
-def _regions(nemesis: Nemesis) -> None:
+def _region_partitions(nemesis: Nemesis) -> None:
     shards = ShardFaults(nemesis)
     nemesis.weather(0.01, 1, 20)
-    nemesis.every(5.0, 16.0, shards.once_begun(shards.cut_regions))
-    shards.once_owned(nemesis.first_s + 2.0, shards.cut_regions)
+    nemesis.every(5.0, 16.0, shards.if_all_were_owned(shards.partition_regions))
+    shards.when_all_owned(nemesis.first_s + 2.0, shards.partition_regions)
 
 
-def _assigner(nemesis: Nemesis) -> None:
-    """One region's at a time, and never so soon after another that leases end by it."""
+def _assigner_faults(nemesis: Nemesis) -> None:
+    """Injects faults into the assigner of one region at a time, so far apart that no shard lease expires."""
     shards = ShardFaults(nemesis)
 
-    def strike(region: str) -> None:
-        name, how = shards.assigner(region), shards.luck.random()
+    def inject(region: str) -> None:
+        name, draw = shards.assigner(region), shards.rng.random()
         others = [voter for voter in control_of(region) if voter != name]
-        if how < 0.4:
-            shards.kill(name, shards.luck.choice((0.05, 1.0, 4.0)))
-        elif how < 0.6:
+        if draw < 0.4:
+            shards.kill(name, shards.rng.choice((0.05, 1.0, 4.0)))
+        elif draw < 0.6:
             nemesis.fleet.leave(name)
             nemesis.later(2.0, nemesis.fleet.start, name)
-        elif how < 0.8:
-            shards.stop(name, shards.luck.uniform(1.0, 5.0))
+        elif draw < 0.8:
+            shards.stop(name, shards.rng.uniform(1.0, 5.0))
         else:
-            nemesis.cut_for(shards.luck.uniform(1.0, 5.0), [name], others, shards.luck.random() < 0.5)
+            nemesis.cut_for(shards.rng.uniform(1.0, 5.0), [name], others, shards.rng.random() < 0.5)
 
     nemesis.weather(0.01, 1, 10)
-    shards.once_owned(nemesis.first_s, lambda: None)
+    shards.when_all_owned(nemesis.first_s, lambda: None)
     for n, region in enumerate(REGIONS):
         at_s = nemesis.first_s + 1.0 + 3.0 * n
         while at_s < nemesis.last_s:
-            nemesis.at(at_s, shards.once_begun(partial(strike, region)))
-            at_s += shards.luck.uniform(12.0, 16.0)
+            nemesis.at(at_s, shards.if_all_were_owned(partial(inject, region)))
+            at_s += shards.rng.uniform(12.0, 16.0)
 
 
-def _restart(nemesis: Nemesis) -> None:
+def _voter_restarts(nemesis: Nemesis) -> None:
     shards = ShardFaults(nemesis)
     nemesis.weather(0.02, 1, 10)
     nemesis.every(
         5.0,
         9.0,
-        shards.one_of(
-            shards.voters_forget,
-            shards.majority_forgets_past_a_cut,
-            lambda: shards.voter_misses_writes(True),
+        shards.choose_from(
+            shards.restart_voters,
+            shards.restart_majority_during_cut,
+            lambda: shards.make_voter_miss_writes(True),
         ),
     )
-    nemesis.every(4.0, 8.0, shards.one_of(shards.kill_one, shards.leave_one))
+    nemesis.every(4.0, 8.0, shards.choose_from(shards.kill_one, shards.leave_one))
     nemesis.at(nemesis.first_s - 1.5, shards.leave_one_node)
     nemesis.at(nemesis.first_s - 1.0, shards.stale_acts)
     nemesis.at(nemesis.first_s + 8.0, shards.kill_assigner)
 
 
-def _roll(nemesis: Nemesis) -> None:
-    """Everybody is restarted in good order, one after another; then a zone is lost and comes back."""
+def _rolling_restart(nemesis: Nemesis) -> None:
+    """Restarts all members gracefully, one after another; then a zone is killed and started again."""
     shards = ShardFaults(nemesis)
     nemesis.weather(nemesis.luck.choice((0.0, 0.02)), 1, 10)
 
@@ -170,35 +176,35 @@
     nemesis.at(nemesis.last_s, shards.lose_zone)
 
 
-def _slow(nemesis: Nemesis) -> None:
-    shards, luck = ShardFaults(nemesis), nemesis.luck
+def _slow_network(nemesis: Nemesis) -> None:
+    shards, rng = ShardFaults(nemesis), nemesis.luck
 
-    def storm() -> None:
-        nemesis.weather(*luck.choice(((0.3, 1, 40), (0.0, 150, 250), (0.1, 5, 900), (0.05, 300, 2500))), 0.1)
-        nemesis.later(luck.uniform(2.0, 6.0), nemesis.weather, 0.02, 1, 20)
+    def degrade_network() -> None:
+        nemesis.weather(*rng.choice(((0.3, 1, 40), (0.0, 150, 250), (0.1, 5, 900), (0.05, 300, 2500))), 0.1)
+        nemesis.later(rng.uniform(2.0, 6.0), nemesis.weather, 0.02, 1, 20)
 
     nemesis.weather(0.02, 1, 20)
-    nemesis.every(6.0, 10.0, storm)
-    nemesis.every(4.0, 8.0, shards.one_of(shards.kill_one, shards.stop_one, shards.leave_one))
+    nemesis.every(6.0, 10.0, degrade_network)
+    nemesis.every(4.0, 8.0, shards.choose_from(shards.kill_one, shards.stop_one, shards.leave_one))
     nemesis.at(nemesis.first_s - 1.5, shards.leave_one_node)
     nemesis.at(nemesis.first_s - 1.0, shards.stale_acts)
     nemesis.at(nemesis.first_s + 8.0, shards.kill_assigner)
 
 
-def _short(nemesis: Nemesis) -> None:
-    """A stop over a lease, a cut, and the assigner killed: short enough for real processes in a test."""
+def _short_run(nemesis: Nemesis) -> None:
+    """A pause longer than a lease, a cut and a killed assigner: short enough for real processes in a test."""
     shards = ShardFaults(nemesis)
-    region = shards.region()
+    region = shards.random_region()
     names = shards.nodes(region)
     nemesis.weather(0.0, 0, 2)
 
     def begin() -> None:
-        shards.stop(names[0], SHORT_STOP_S)
-        nemesis.fleet.finish(int((SHORT_STOP_S + OWNED_SOON_S + 2.0) * SECOND))
+        shards.stop(names[0], SHORT_PAUSE_S)
+        nemesis.fleet.finish(int((SHORT_PAUSE_S + OWNED_WITHIN_SHORT_RUN_S + 2.0) * SECOND_US))
         nemesis.later(1.0, lambda: nemesis.cut_for(3.0, names[1:2], [shards.assigner(region)], False))
         nemesis.later(3.0, lambda: shards.kill(shards.assigner(region), 1.0))
 
-    shards.once_owned(nemesis.first_s, begin)
+    shards.when_all_owned(nemesis.first_s, begin)
 
 
 def _plan(
@@ -209,61 +215,79 @@
         about,
         script,
         seconds,
-        calm_begin_s=BEGIN_S,
-        calm_end_s=CALM_S,
+        calm_begin_s=CALM_BEGIN_S,
+        calm_end_s=CALM_END_S,
         expected=expected,
     )
 
 
-_AMNESIA = Expected(owned_within_s=OWNED_AFTER_AMNESIA_S)
-_REFUSALS = Expected(refusals=True, owned_within_s=OWNED_AFTER_AMNESIA_S)
+_MEMORY_LOSS = Expected(owned_within_s=OWNED_WITHIN_AFTER_MEMORY_LOSS_S)
+_REFUSALS = Expected(refusals=True, owned_within_s=OWNED_WITHIN_AFTER_MEMORY_LOSS_S)
 SHARD_PLANS = {
     plan.name: plan
     for plan in (
         _plan(
             "shards",
-            "Nodes with shards, voters and assigners are killed, leave, hand over, stop; zones are lost.",
-            _shards,
+            "Shard owners, voters and assigners are killed, leave, hand over or pause; zones are lost.",
+            _mixed_faults,
             87.0,
-            _AMNESIA,
+            _MEMORY_LOSS,
         ),
         _plan(
             "shards-stopped",
-            "Owners of shards and assigners stop for about a lease, also in the middle of sending.",
-            _stopped,
+            "Shard owners and assigners pause for about a lease, also while they are sending.",
+            _pauses,
             87.0,
             _REFUSALS,
         ),
         _plan(
             "shards-cut",
-            "Nodes, voters and assigners are cut off, one way too; regions in parts and from each other.",
-            _cut,
+            "Nodes, voters and assigners are cut off, also one way; regions are partitioned or separated.",
+            _partitions,
             87.0,
-            _AMNESIA,
+            _MEMORY_LOSS,
         ),
         _plan(
             "shards-regions",
-            "Regions are cut apart and healed; nothing moves.",
-            _regions,
+            "Regions are cut off from each other and reconnected; no shard moves.",
+            _region_partitions,
             77.0,
             Expected(False, False, owned_within_s=OWNED_WITHIN_S),
         ),
         _plan(
             "shards-assigner",
-            "Assigners are killed, leave, stop, are cut off; nothing moves.",
-            _assigner,
+            "Assigners are killed, leave, pause or are cut off; no shard moves.",
+            _assigner_faults,
             82.0,
             Expected(False, True, owned_within_s=OWNED_WITHIN_S),
         ),
-        _plan("shards-restart", "Voters lose their memory: one, a majority, all.", _restart, 92.0, _AMNESIA),
-        _plan("shards-roll", "All are restarted one after another; a zone is lost.", _roll, 112.0, _REFUSALS),
-        _plan("shards-slow", "Loss, delay, doubles, and owners that fail amid it.", _slow, 87.0, _AMNESIA),
+        _plan(
+            "shards-restart",
+            "Voters lose their memory: one, a majority, all.",
+            _voter_restarts,
+            92.0,
+            _MEMORY_LOSS,
+        ),
+        _plan(
+            "shards-roll",
+            "All members are restarted one after another; a zone is lost.",
+            _rolling_restart,
+            112.0,
+            _REFUSALS,
+        ),
+        _plan(
+            "shards-slow",
+            "Messages are lost, delayed and duplicated while owners fail.",
+            _slow_network,
+            87.0,
+            _MEMORY_LOSS,
+        ),
         ShardPlan(
             "shards-short",
-            "A stop over a lease, a cut, and the assigner killed, in about half a minute.",
-            _short,
+            "A pause longer than a lease, a cut and a killed assigner, in about half a minute.",
+            _short_run,
             60.0,
-            expected=Expected(owned_within_s=OWNED_SOON_S),
+            expected=Expected(owned_within_s=OWNED_WITHIN_SHORT_RUN_S),
         ),
     )
 }
--- a/sailrun/lab/faults/shard_strikes.py
+++ b/sailrun/lab/faults/shard_strikes.py
@@ -1,7 +1,8 @@
-"""Faults that strike where shards are owned or decided on: whom, how, and for how long.
+"""Faults for the members that own or assign shards: the choice of the target, of the fault and of its
+duration.
 
-As in `nemesis.py`, who that is shows when its time has come: the assigner of a region, one of its voters, or
-a node that owns shards.
+As in `nemesis.py`, the target is chosen when the fault begins: the assigner of a region, one of its voters,
+or a node that owns shards.
 """
 
 from __future__ import annotations
@@ -20,219 +21,230 @@
     region_of,
 )
 
-SECOND = 1_000_000
-LOOK_S = 0.2
-# Held back for long enough that another owner has acted for the shard meanwhile.
-STALE_S = 18.0
-# What an owner sends is held back so often, for half a second each time.
-STALE_TIMES = 4
+SECOND_US = 1_000_000
+POLL_INTERVAL_S = 0.2
+# Messages are delayed long enough for another owner to act for the shard in the meantime.
+STALE_DELAY_S = 18.0
+# The number of intervals, of half a second each, whose messages from an owner are held back.
+STALE_INTERVALS = 4
 
 
 class ShardFaults:
-    """The faults, struck where shards are owned or decided on."""
+    """Injects faults into the members that own or assign shards."""
 
     def __init__(self, nemesis: Nemesis) -> None:
-        self.nemesis, self.fleet, self.luck = nemesis, nemesis.fleet, nemesis.luck
-        self._begun = False
+        self.nemesis, self.fleet, self.rng = nemesis, nemesis.fleet, nemesis.luck
+        self._were_all_owned = False
 
-    # ------------------------------------------------------------------ when
+    # ------------------------------------------------------------------ timing
 
-    def once_owned(self, when_s: float, then: Callable[[], None]) -> None:
-        """At that time of the day, or as soon after it as every shard is owned for the first time."""
+    def when_all_owned(self, not_before_s: float, then: Callable[[], None]) -> None:
+        """Calls `then` at that time of the run, or later, as soon as every shard has an owner for the first
+        time.
+        """
 
-        def look() -> None:
-            self._begun = shards_in_use(self.fleet.rows) == len(REGIONS) * SHARDS_OF_A_REGION
-            if self._begun:
+        def poll() -> None:
+            self._were_all_owned = shards_in_use(self.fleet.rows) == len(REGIONS) * SHARDS_OF_A_REGION
+            if self._were_all_owned:
                 then()
             else:
-                self.nemesis.later(LOOK_S, look)
+                self.nemesis.later(POLL_INTERVAL_S, poll)
 
-        self.nemesis.at(when_s, look)
+        self.nemesis.at(not_before_s, poll)
 
-    def once_begun(self, strike: Callable[[], None]) -> Callable[[], None]:
-        """The strike, left out before what `once_owned` waits for."""
-        return lambda: strike() if self._begun else None
+    def if_all_were_owned(self, inject: Callable[[], None]) -> Callable[[], None]:
+        """Returns a function that injects the fault, or does nothing until the condition of `when_all_owned`
+        was met.
+        """
+        return lambda: inject() if self._were_all_owned else None
 
-    # ------------------------------------------------------------------ whom it strikes
+    # ------------------------------------------------------------------ targets
 
-    def region(self) -> str:
-        return self.luck.choice(REGIONS)
+    def random_region(self) -> str:
+        return self.rng.choice(REGIONS)
 
     def members(self, region: str) -> list[str]:
         return [name for name in self.fleet.names if region_of(name) == region]
 
     def nodes(self, region: str) -> list[str]:
-        """The ordinary ones, which own shards."""
+        """Returns the ordinary nodes of a region, which own shards."""
         return [name for name in self.members(region) if not place_of(index_of(name)).role]
 
-    def node(self, region: str) -> str:
-        return self.luck.choice(self.nodes(region))
+    def random_node(self, region: str) -> str:
+        return self.rng.choice(self.nodes(region))
 
     def assigner(self, region: str) -> str:
-        """Or, where there is none just now, a control member."""
-        return self.fleet.owner(f"shards/{region}") or self.luck.choice(control_of(region))
+        """Returns the assigner of a region, or a random control member if there is no assigner now."""
+        return self.fleet.owner(f"shards/{region}") or self.rng.choice(control_of(region))
 
-    def anybody(self) -> str:
-        region, how = self.region(), self.luck.random()
-        if how < 0.35:
+    def random_member(self) -> str:
+        region, draw = self.random_region(), self.rng.random()
+        if draw < 0.35:
             return self.assigner(region)
-        return self.node(region) if how < 0.85 else self.luck.choice(control_of(region))
+        return self.random_node(region) if draw < 0.85 else self.rng.choice(control_of(region))
 
     # ------------------------------------------------------------------ processes
 
-    def kill(self, name: str, for_s: float) -> None:
-        self.nemesis.kill_for(name, for_s)
+    def kill(self, name: str, duration_s: float) -> None:
+        self.nemesis.kill_for(name, duration_s)
 
     def kill_one(self) -> None:
-        self.kill(self.anybody(), self.luck.choice((0.05, 1.0, 4.0, 1.4 * SHARD_LEASE_S)))
+        self.kill(self.random_member(), self.rng.choice((0.05, 1.0, 4.0, 1.4 * SHARD_LEASE_S)))
 
     def kill_assigner(self) -> None:
-        self.kill(self.assigner(self.region()), self.luck.choice((0.05, 1.0, 4.0)))
+        self.kill(self.assigner(self.random_region()), self.rng.choice((0.05, 1.0, 4.0)))
 
     def leave_one(self) -> None:
-        name = self.anybody()
+        name = self.random_member()
         self.fleet.leave(name)
-        self.nemesis.later(self.luck.uniform(1.0, 4.0), self.fleet.start, name)
+        self.nemesis.later(self.rng.uniform(1.0, 4.0), self.fleet.start, name)
 
     def leave_one_node(self) -> None:
-        name = self.node(self.region())
+        name = self.random_node(self.random_region())
         self.fleet.leave(name)
         self.nemesis.later(1.0, self.fleet.start, name)
 
     def hand_over_one(self) -> None:
-        """A planned stop, which the assigner lets go ahead."""
-        self.hand_over(self.node(self.region()))
+        """Shuts a node down in a planned way: the assigner moves its shards before it leaves."""
+        self.hand_over(self.random_node(self.random_region()))
 
     def hand_over(self, name: str, wait_s: float = 2.5) -> None:
         self.fleet.hand_over(name)
         self.nemesis.later(wait_s, self.fleet.leave, name)
-        self.nemesis.later(wait_s + self.luck.uniform(0.8, 1.5), self.fleet.start, name)
+        self.nemesis.later(wait_s + self.rng.uniform(0.8, 1.5), self.fleet.start, name)
 
     def stop_one(self) -> None:
-        """For about a lease, less or more; half the time in the middle of sending."""
-        self.stop(self.anybody(), SHARD_LEASE_S * self.luck.uniform(0.4, 1.6), self.luck.random() < 0.5)
+        """Pauses a member for 0.4 to 1.6 leases; in half of the cases while it is sending."""
+        self.stop(self.random_member(), SHARD_LEASE_S * self.rng.uniform(0.4, 1.6), self.rng.random() < 0.5)
 
-    def stop(self, name: str, for_s: float, in_send: bool = False) -> None:
-        self.nemesis.later(for_s, self.fleet.go_on, name, self.fleet.stop(name, in_send))
+    def stop(self, name: str, duration_s: float, in_send: bool = False) -> None:
+        self.nemesis.later(duration_s, self.fleet.go_on, name, self.fleet.stop(name, in_send))
 
-    def lose_zone(self, part: float = 1.0) -> None:
-        """A zone, or a rack of it, loses its power, and is back some seconds later."""
-        zone = place_of(index_of(self.node(self.region()))).zone
+    def lose_zone(self, fraction: float = 1.0) -> None:
+        """Kills all members of a zone, or a fraction of them (a rack), and starts them again some seconds
+        later.
+        """
+        zone = place_of(index_of(self.random_node(self.random_region()))).zone
         names = [name for name in self.fleet.names if place_of(index_of(name)).zone == zone]
-        self.luck.shuffle(names)
-        for_s = self.luck.choice((1.0, 4.0, 1.2 * SHARD_LEASE_S))
-        for name in names[: max(1, round(part * len(names)))]:
-            self.kill(name, for_s)
+        self.rng.shuffle(names)
+        duration_s = self.rng.choice((1.0, 4.0, 1.2 * SHARD_LEASE_S))
+        for name in names[: max(1, round(fraction * len(names)))]:
+            self.kill(name, duration_s)
 
     def lose_rack(self) -> None:
         self.lose_zone(0.5)
 
-    # ------------------------------------------------------------------ acts that come late
+    # ------------------------------------------------------------------ late acts
 
     def stale_acts(self) -> None:
-        """What an owner has sent is under way for long; meanwhile it hears of nobody who decides, and others
-        act for its shards. It has to be a member still when it arrives: else nobody would listen.
+        """Delays the messages of a shard owner for a long time. In the meantime it is cut off from the
+        region's control members, and other nodes act for its shards. The owner must still be a member when
+        the messages arrive, because receivers ignore messages of other senders.
         """
         for region in REGIONS:
-            name = self.node(region)
-            for n in range(STALE_TIMES):
-                self.nemesis.later(0.5 * n, self.fleet.hold_back, name, int((STALE_S - 0.5 * n) * SECOND))
-            wait_s = 0.5 * STALE_TIMES + 0.1
+            name = self.random_node(region)
+            for n in range(STALE_INTERVALS):
+                self.nemesis.later(
+                    0.5 * n, self.fleet.hold_back, name, int((STALE_DELAY_S - 0.5 * n) * SECOND_US)
+                )
+            wait_s = 0.5 * STALE_INTERVALS + 0.1
             control = list(control_of(region))
             self.nemesis.later(wait_s, self.nemesis.cut_for, 1.2 * SHARD_LEASE_S, [name], control)
 
-    # ------------------------------------------------------------------ cuts
+    # ------------------------------------------------------------------ network partitions
 
     def cut_assigner(self) -> None:
-        """From one other voter, or from all."""
-        region = self.region()
+        """Cuts an assigner off from one other voter, or from all other voters."""
+        region = self.random_region()
         name = self.assigner(region)
         others = [voter for voter in control_of(region) if voter != name]
-        self.luck.shuffle(others)
-        self._cut([name], others if self.luck.random() < 0.6 else others[:1])
+        self.rng.shuffle(others)
+        self._cut([name], others if self.rng.random() < 0.6 else others[:1])
 
     def cut_node(self) -> None:
-        """A node from the region's control members, or from the assigner alone."""
-        region = self.region()
+        """Cuts a node off from the region's control members, or from the assigner alone."""
+        region = self.random_region()
         control = list(control_of(region))
-        self._cut([self.node(region)], control if self.luck.random() < 0.7 else [self.assigner(region)])
+        self._cut([self.random_node(region)], control if self.rng.random() < 0.7 else [self.assigner(region)])
 
-    def cut_in_parts(self) -> None:
-        """A region in two or in three."""
-        names = self.members(self.region())
-        self.luck.shuffle(names)
-        count = self.luck.choice((2, 2, 3))
+    def partition_region(self) -> None:
+        """Partitions a region into two or three parts."""
+        names = self.members(self.random_region())
+        self.rng.shuffle(names)
+        count = self.rng.choice((2, 2, 3))
         parts = [names[n::count] for n in range(count)]
-        for_s = self.luck.choice((1.0, 3.0, 1.5 * SHARD_LEASE_S))
-        for n, one in enumerate(parts):
-            for other in parts[n + 1 :]:
-                self.nemesis.cut_for(for_s, one, other)
-
-    def cut_regions(self) -> None:
-        one, other = (self.members(region) for region in REGIONS)
-        for_s = self.luck.choice((2.0, 5.0, 2.0 * SHARD_LEASE_S))
-        self.nemesis.cut_for(for_s, one, other, self.luck.random() < 0.7)
-
-    def _cut(self, one: list[str], other: list[str]) -> None:
-        for_s = self.luck.choice((1.0, 3.0, 5.0, 1.5 * SHARD_LEASE_S))
-        if self.luck.random() < 0.3:
-            one, other = other, one
-        self.nemesis.cut_for(for_s, one, other, self.luck.random() < 0.6)
-
-    def newcomer_past_a_cut(self) -> None:
-        """A node returns while another, whose shards it gets, hears nothing of it for less than a lease."""
-        region = self.region()
-        back, cut = self.luck.sample(self.nodes(region), 2)
-        self.kill(back, 1.4 * SHARD_LEASE_S)
+        duration_s = self.rng.choice((1.0, 3.0, 1.5 * SHARD_LEASE_S))
+        for n, side in enumerate(parts):
+            for other_side in parts[n + 1 :]:
+                self.nemesis.cut_for(duration_s, side, other_side)
+
+    def partition_regions(self) -> None:
+        side, other_side = (self.members(region) for region in REGIONS)
+        duration_s = self.rng.choice((2.0, 5.0, 2.0 * SHARD_LEASE_S))
+        self.nemesis.cut_for(duration_s, side, other_side, self.rng.random() < 0.7)
+
+    def _cut(self, side: list[str], other_side: list[str]) -> None:
+        duration_s = self.rng.choice((1.0, 3.0, 5.0, 1.5 * SHARD_LEASE_S))
+        if self.rng.random() < 0.3:
+            side, other_side = other_side, side
+        self.nemesis.cut_for(duration_s, side, other_side, self.rng.random() < 0.6)
+
+    def return_node_during_cut(self) -> None:
+        """A node returns while another node, whose shards it gets, is cut off from the control members for
+        less than a lease.
+        """
+        region = self.random_region()
+        returning, isolated = self.rng.sample(self.nodes(region), 2)
+        self.kill(returning, 1.4 * SHARD_LEASE_S)
         wait_s = 1.4 * SHARD_LEASE_S - 0.2
         control = list(control_of(region))
-        self.nemesis.later(wait_s, self.nemesis.cut_for, 0.7 * SHARD_LEASE_S, [cut], control)
+        self.nemesis.later(wait_s, self.nemesis.cut_for, 0.7 * SHARD_LEASE_S, [isolated], control)
 
-    def assigner_past_a_cut(self) -> None:
-        """The assigner dies while a node does not hear of the next one."""
-        region = self.region()
+    def kill_assigner_during_cut(self) -> None:
+        """Kills the assigner while a node is cut off, so that the node does not learn of the next one."""
+        region = self.random_region()
         control = list(control_of(region))
-        self.nemesis.cut_for(0.8 * SHARD_LEASE_S, [self.node(region)], control)
-        self.nemesis.later(0.2, self.kill, self.assigner(region), self.luck.choice((1.0, 4.0)))
+        self.nemesis.cut_for(0.8 * SHARD_LEASE_S, [self.random_node(region)], control)
+        self.nemesis.later(0.2, self.kill, self.assigner(region), self.rng.choice((1.0, 4.0)))
 
-    def voter_misses_writes(self, forgets: bool = False) -> None:
-        """One voter hears nothing of the assigner while the table changes; then the assigner dies, and with
-        `forgets` the voter that did hear of it is started anew.
+    def make_voter_miss_writes(self, restart_informed_voter: bool = False) -> None:
+        """Cuts one voter off from the assigner while the shard table changes, and then kills the assigner.
+        With `restart_informed_voter`, the voter that received the change is restarted and loses its memory.
         """
-        region = self.region()
+        region = self.random_region()
         name = self.assigner(region)
         others = [voter for voter in control_of(region) if voter != name]
-        self.luck.shuffle(others)
+        self.rng.shuffle(others)
         nodes = self.nodes(region)
-        self.luck.shuffle(nodes)
+        self.rng.shuffle(nodes)
         self.nemesis.cut_for(9.0, [name], others[:1])
         self.fleet.leave(nodes[0])
         self.nemesis.later(2.0, self.fleet.start, nodes[0])
-        # Past the change a node that owns shards hears of nobody who decides.
+        # After the change a node that owns shards is cut off from the region's control members.
         self.nemesis.later(5.0, self.nemesis.cut_for, 4.5, [nodes[-1]], list(control_of(region)))
         self.nemesis.later(5.2, self.kill, name, 5.0)
-        if forgets:
+        if restart_informed_voter:
             self.nemesis.later(5.2, self.kill, others[1], 0.05)
 
-    # ------------------------------------------------------------------ memory
+    # ------------------------------------------------------------------ loss of memory
 
-    def voters_forget(self) -> None:
-        """One voter, a majority or all of a region, at once or one after another."""
-        voters = list(control_of(self.region()))
-        self.luck.shuffle(voters)
-        at_once = self.luck.random() < 0.6
-        for n, name in enumerate(voters[: self.luck.choice((1, 2, 2, 3))]):
+    def restart_voters(self) -> None:
+        """Restarts one voter, a majority or all voters of a region, at the same time or one after another."""
+        voters = list(control_of(self.random_region()))
+        self.rng.shuffle(voters)
+        at_once = self.rng.random() < 0.6
+        for n, name in enumerate(voters[: self.rng.choice((1, 2, 2, 3))]):
             wait_s = 0.0 if at_once else 0.7 * n
-            self.nemesis.later(wait_s, self.kill, name, self.luck.choice((0.02, 0.5, 3.0)))
+            self.nemesis.later(wait_s, self.kill, name, self.rng.choice((0.02, 0.5, 3.0)))
 
-    def majority_forgets_past_a_cut(self) -> None:
-        """A majority forgets while a node hears of nobody who decides."""
-        region = self.region()
+    def restart_majority_during_cut(self) -> None:
+        """Restarts a majority of the voters while a node is cut off from all voters."""
+        region = self.random_region()
         voters = list(control_of(region))
-        self.luck.shuffle(voters)
-        self.nemesis.cut_for(0.9 * SHARD_LEASE_S, [self.node(region)], voters)
+        self.rng.shuffle(voters)
+        self.nemesis.cut_for(0.9 * SHARD_LEASE_S, [self.random_node(region)], voters)
         for name in voters[:2]:
             self.kill(name, 0.05)
 
-    def one_of(self, *faults: Callable[[], None]) -> Callable[[], None]:
-        return lambda: self.luck.choice(faults)()
+    def choose_from(self, *faults: Callable[[], None]) -> Callable[[], None]:
+        return lambda: self.rng.choice(faults)()
--- a/sailrun/lab/faults/shard_world.py
+++ b/sailrun/lab/faults/shard_world.py
@@ -1,4 +1,4 @@
-"""The world of the laboratory's days of shards: two regions, each with members that vote and with nodes."""
+"""The fleet of the laboratory's fault runs of sharding: two regions, each with voters and ordinary nodes."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 ZONES_OF_A_REGION = 3
 CONTROL_OF_A_REGION = 3
 CONTROL_MEMBERS = len(REGIONS) * CONTROL_OF_A_REGION
-# Of the control members of both regions, for what is owned fleet-wide.
+# The number of voters for fleet-wide tasks, taken from the control members of both regions.
 FLEET_VOTERS = 5
 SHARDS_OF_A_REGION = 48
 SHARD_LEASE_S, GATHER_S = 6.0, 0.3
-# Of owners and assigners: as long as a node's lease on its shards allows (`shard_faults`).
+# For leaders of tasks and assigners: the longest that a node's lease on its shards allows (`shard_faults`).
 LEASE_S, ORDER_S = 1.4, 0.7
 NODES = 12
-# Two ordinary nodes for each region: else there is nobody to take a shard over.
+# Each region needs two ordinary nodes, so that another node can take over a shard.
 FEWEST_NODES = CONTROL_MEMBERS + 2 * len(REGIONS)
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a member is, and whether it is set aside for control."""
+    """The region and zone of a member, and its role: `CONTROL` for a voter, empty for an ordinary node."""
 
     region: str
     zone: str
@@ -36,14 +36,16 @@
 
 
 def place_of(index: int) -> Place:
-    """Members take turns between the regions, then between a region's zones; the first are for control."""
+    """Returns the place of a member. Members alternate between the regions and then between the zones of a
+    region; the first ones of each region are its control members.
+    """
     region, nth = REGIONS[index % len(REGIONS)], index // len(REGIONS)
     role = CONTROL if nth < CONTROL_OF_A_REGION else ""
     return Place(region, f"{region}-z{nth % ZONES_OF_A_REGION}", role)
 
 
 def index_of(name: str) -> int:
-    """Of a member's name, `n` and its index."""
+    """Returns the index of a member from its name, which is `n` followed by the index."""
     return int(name[1:])
 
 
@@ -52,7 +54,7 @@
 
 
 def control_of(region: str) -> tuple[str, ...]:
-    """The names of a region's members that vote."""
+    """Returns the names of a region's voters."""
     return tuple(f"n{n}" for n in range(CONTROL_MEMBERS) if place_of(n).region == region)
 
 
@@ -65,7 +67,9 @@
 
 
 def shard_agent_terms(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
-    """Of one member: nothing but shards is owned."""
+    """Returns the settings of one member. Permits, the list reader and replication are off, so that sharding
+    is the only use of leadership.
+    """
     place = place_of(index)
     return AgentSettings(
         MembershipSettings(
