--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -105,11 +105,11 @@
     from sailrun.lab.faults.nemesis import PLANS
     from sailrun.lab.faults.play import NODES, RULES, FaultDay
     from sailrun.lab.faults.shard_plans import SHARD_PLANS
-    from sailrun.lab.faults.shard_world import FEWEST_NODES
+    from sailrun.lab.faults.shard_world import MIN_NODES
 
     if name not in PLANS and name not in SHARD_PLANS:
         return None
-    lowest, default_nodes = (FEWEST_NODES, SHARD_PLANS[name].nodes) if name in SHARD_PLANS else (3, NODES)
+    lowest, default_nodes = (MIN_NODES, SHARD_PLANS[name].nodes) if name in SHARD_PLANS else (3, NODES)
     for rule in off or ():
         if rule not in RULES:
             raise _usage_error(f"--off: '{rule}' is none of {', '.join(RULES)}")
--- a/sailrun/lab/faults/shard_days.py
+++ b/sailrun/lab/faults/shard_days.py
@@ -7,15 +7,15 @@
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.nemesis import Nemesis
 from sailrun.lab.faults.play import FaultDay, Played
-from sailrun.lab.faults.shard_judge import ShardJudge
+from sailrun.lab.faults.shard_judge import ShardChecker
 from sailrun.lab.faults.shard_plans import SHARD_PLANS, ShardPlan
-from sailrun.lab.faults.shard_world import FEWEST_NODES, FLEET_VOTERS, LEASE_S, shard_agent_terms
+from sailrun.lab.faults.shard_world import FLEET_VOTERS, LEASE_S, MIN_NODES, shard_agent_settings
 
 
 def _validate(run: FaultDay) -> None:
     """Raises ValueError if the run has too few nodes."""
-    if run.nodes < FEWEST_NODES:
-        raise ValueError(f"{run.nodes} nodes are fewer than {FEWEST_NODES}, the minimum for two regions")
+    if run.nodes < MIN_NODES:
+        raise ValueError(f"{run.nodes} nodes are fewer than {MIN_NODES}, the minimum for two regions")
 
 
 def play_shards_virtual(
@@ -57,7 +57,7 @@
         raise ValueError("safety rules can be disabled in virtual time only")
     plan = SHARD_PLANS[run.plan]
     seconds = run.seconds or plan.seconds
-    rig = Rig(run.nodes, FLEET_VOTERS, 1, shard_agent_terms, run.seed)
+    rig = Rig(run.nodes, FLEET_VOTERS, 1, shard_agent_settings, run.seed)
     for node in rig.nodes.values():
         node.zone = place_of(node.index).zone
     anyio.run(rig.play, seconds, lambda fleet: Nemesis(fleet, plan, run.seed, seconds, LEASE_S))
@@ -69,5 +69,5 @@
 
 def evaluate_shards(rows: list[Row], plan: ShardPlan, begin_us: int, end_us: int, seconds: float) -> Played:
     """Returns the checks and figures of a history."""
-    checker = ShardJudge(rows, begin_us, end_us, plan.expected)
+    checker = ShardChecker(rows, begin_us, end_us, plan.expected)
     return Played(rows, checker.checks(), checker.figures(), seconds)
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -5,9 +5,9 @@
 from sailrun.lab.faults.shard_world import (
     FLEET_VOTERS,
     REGIONS,
-    ZONES_OF_A_REGION,
+    ZONES_PER_REGION,
     place_of,
-    shard_agent_terms,
+    shard_agent_settings,
 )
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.leadership.agent import OutgoingEnvelope
@@ -21,7 +21,7 @@
     late_s = (4.0, 14.0)
 
     def __init__(self, nodes: int, seed: int, off: frozenset[str] = frozenset()) -> None:
-        super().__init__(nodes, FLEET_VOTERS, ZONES_OF_A_REGION, shard_agent_terms, seed, off)
+        super().__init__(nodes, FLEET_VOTERS, ZONES_PER_REGION, shard_agent_settings, seed, off)
         for node in self.nodes.values():
             node.zone = place_of(node.index).zone
         self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node; with its incarnation
--- a/sailrun/lab/faults/shard_judge.py
+++ b/sailrun/lab/faults/shard_judge.py
@@ -21,7 +21,7 @@
     shards_of,
     token_of,
 )
-from sailrun.lab.faults.shard_world import REGIONS, SHARDS_OF_A_REGION
+from sailrun.lab.faults.shard_world import REGIONS, SHARDS_PER_REGION
 from sailrun.sharding.placement import node_hash, shard_key
 
 SECOND_US = 1_000_000
@@ -37,7 +37,7 @@
     owned_within_s: float = 14.0  # after the last fault, until every shard has an owner
 
 
-class ShardJudge:
+class ShardChecker:
     def __init__(self, rows: list[Row], begin_us: int, end_us: int, expected: Expected) -> None:
         self.history = ShardHistory(rows)
         self.rows = self.history.rows
@@ -112,7 +112,7 @@
             generation = self.history.generations.get((row["region"], int(row["generation"])))
             for shard in shards_of(row):
                 check.occasions += 1
-                owner = placed(row["region"], shard, generation.text) if generation is not None else 0
+                owner = placed_session(row["region"], shard, generation.text) if generation is not None else 0
                 if owner != int(row["session"]):
                     message = (
                         f"{row['region']}/{shard}: {row['node']} uses the shard placed on session {owner}"
@@ -129,7 +129,7 @@
         if from_us >= self._end_us:
             return check
         for region in REGIONS:
-            for shard in range(SHARDS_OF_A_REGION):
+            for shard in range(SHARDS_PER_REGION):
                 check.occasions += 1
                 gap_us = _first_gap_us(self.history.owned.get((region, shard), []), from_us, self._end_us)
                 if gap_us is not None:
@@ -358,7 +358,7 @@
 
 
 @lru_cache(maxsize=65_536)
-def placed(region: str, shard: int, sessions: str) -> int:
+def placed_session(region: str, shard: int, sessions: str) -> int:
     """Returns the session (of `NAME:NUMBER,...`) that a shard is placed on, or 0 if there are no sessions.
     Compares all scores, independently of the placement code that nodes use.
     """
--- a/sailrun/lab/faults/shard_strikes.py
+++ b/sailrun/lab/faults/shard_strikes.py
@@ -14,7 +14,7 @@
 from sailrun.lab.faults.shard_world import (
     REGIONS,
     SHARD_LEASE_S,
-    SHARDS_OF_A_REGION,
+    SHARDS_PER_REGION,
     control_of,
     index_of,
     place_of,
@@ -44,7 +44,7 @@
         """
 
         def poll() -> None:
-            self._were_all_owned = shards_in_use(self.fleet.rows) == len(REGIONS) * SHARDS_OF_A_REGION
+            self._were_all_owned = shards_in_use(self.fleet.rows) == len(REGIONS) * SHARDS_PER_REGION
             if self._were_all_owned:
                 then()
             else:
--- a/sailrun/lab/faults/shard_world.py
+++ b/sailrun/lab/faults/shard_world.py
@@ -12,18 +12,18 @@
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 REGIONS = ("r0", "r1")
-ZONES_OF_A_REGION = 3
-CONTROL_OF_A_REGION = 3
-CONTROL_MEMBERS = len(REGIONS) * CONTROL_OF_A_REGION
+ZONES_PER_REGION = 3
+CONTROL_MEMBERS_PER_REGION = 3
+CONTROL_MEMBERS = len(REGIONS) * CONTROL_MEMBERS_PER_REGION
 # The number of voters for fleet-wide tasks, taken from the control members of both regions.
 FLEET_VOTERS = 5
-SHARDS_OF_A_REGION = 48
+SHARDS_PER_REGION = 48
 SHARD_LEASE_S, GATHER_S = 6.0, 0.3
 # For leaders of tasks and assigners: the longest that a node's lease on its shards allows (`shard_faults`).
 LEASE_S, ORDER_S = 1.4, 0.7
 NODES = 12
 # Each region needs two ordinary nodes, so that another node can take over a shard.
-FEWEST_NODES = CONTROL_MEMBERS + 2 * len(REGIONS)
+MIN_NODES = CONTROL_MEMBERS + 2 * len(REGIONS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +40,8 @@
     region; the first ones of each region are its control members.
     """
     region, nth = REGIONS[index % len(REGIONS)], index // len(REGIONS)
-    role = CONTROL if nth < CONTROL_OF_A_REGION else ""
-    return Place(region, f"{region}-z{nth % ZONES_OF_A_REGION}", role)
+    role = CONTROL if nth < CONTROL_MEMBERS_PER_REGION else ""
+    return Place(region, f"{region}-z{nth % ZONES_PER_REGION}", role)
 
 
 def index_of(name: str) -> int:
@@ -58,15 +58,14 @@
     return tuple(f"n{n}" for n in range(CONTROL_MEMBERS) if place_of(n).region == region)
 
 
-def shards_terms() -> ShardingSettings:
+def sharding_settings() -> ShardingSettings:
     regions = tuple(
-        RegionSettings(name=region, shards=SHARDS_OF_A_REGION, voters=control_of(region))
-        for region in REGIONS
+        RegionSettings(name=region, shards=SHARDS_PER_REGION, voters=control_of(region)) for region in REGIONS
     )
     return ShardingSettings(enabled=True, lease_s=SHARD_LEASE_S, gather_s=GATHER_S, regions=regions)
 
 
-def shard_agent_terms(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
+def shard_agent_settings(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
     """Returns the settings of one member. Permits, the list reader and replication are off, so that sharding
     is the only use of leadership.
     """
@@ -86,5 +85,5 @@
         PermitSettings(enabled=False),
         ListReaderSettings(enabled=False),
         replication=ReplicationSettings(enabled=False),
-        sharding=shards_terms(),
+        sharding=sharding_settings(),
     )
--- a/tests/test_sharding_days.py
+++ b/tests/test_sharding_days.py
@@ -12,9 +12,9 @@
 from sailrun.lab.faults.play import FaultDay, Played
 from sailrun.lab.faults.shard_days import play_shards_real, play_shards_virtual
 from sailrun.lab.faults.shard_history import ShardHistory, shards_in_use, shards_of
-from sailrun.lab.faults.shard_judge import Expected, ShardJudge, placed
+from sailrun.lab.faults.shard_judge import Expected, ShardChecker, placed_session
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
-from sailrun.lab.faults.shard_world import NODES, SHARDS_OF_A_REGION, control_of, place_of
+from sailrun.lab.faults.shard_world import NODES, SHARDS_PER_REGION, control_of, place_of
 from sailrun.sharding.messages import Session
 from sailrun.sharding.placement import Placement
 
@@ -107,8 +107,8 @@
     return row(kind, node, at_us, shard=shard, generation=token[0], session=token[1])
 
 
-def judge(*rows: Row, end_us: int = 100 * SECOND_US, expected: Expected | None = None) -> ShardJudge:
-    return ShardJudge(list(rows), 0, end_us, expected or Expected())
+def judge(*rows: Row, end_us: int = 100 * SECOND_US, expected: Expected | None = None) -> ShardChecker:
+    return ShardChecker(list(rows), 0, end_us, expected or Expected())
 
 
 def outcome(check: object) -> tuple[float, int | None]:
@@ -144,11 +144,11 @@
 
 def test_shards_are_placed_score_by_score_as_the_nodes_place_them() -> None:
     sessions = [Session(name, number, 0) for number, name in enumerate(("n6", "n8", "n10", "n12"), 1)]
-    placement = Placement("r0", SHARDS_OF_A_REGION)
+    placement = Placement("r0", SHARDS_PER_REGION)
     placement.place_all(1, sessions)
     text = ",".join(f"{s.name}:{s.number}" for s in sessions)
-    assert [placed("r0", n, text) for n in range(SHARDS_OF_A_REGION)] == placement.owner.tolist()
-    assert placed("r0", 0, "-") == 0
+    assert [placed_session("r0", n, text) for n in range(SHARDS_PER_REGION)] == placement.owner.tolist()
+    assert placed_session("r0", 0, "-") == 0
 
 
 def test_the_scenario_has_both_regions_and_their_control_members() -> None:
@@ -177,7 +177,7 @@
 
 
 def test_a_shard_used_where_it_is_not_placed_is_found() -> None:
-    owner = placed("r0", 3, SESSIONS)
+    owner = placed_session("r0", 3, SESSIONS)
     name, other_name = (ONE, OTHER) if owner == 1 else (OTHER, ONE)
     generation_row = applies(name, owner, 0, 1, SESSIONS)
     assert outcome(judge(generation_row, uses(name, owner, 1, 9, "3")).used_only_where_placed()) == (0, 1)
@@ -188,7 +188,7 @@
 
 
 def test_a_shard_without_an_owner_long_after_the_last_fault_is_found() -> None:
-    all_shards = ",".join(map(str, range(SHARDS_OF_A_REGION)))
+    all_shards = ",".join(map(str, range(SHARDS_PER_REGION)))
     end_us, expected = 30 * SECOND_US, Expected(owned_within_s=10.0)
     fault = row("fault", "", 5 * SECOND_US, what="heal")
     other_region = {**uses("n7", 2, 0, 40 * SECOND_US, all_shards), "region": "r1"}
@@ -198,22 +198,22 @@
             judge(fault, other_region, *rows, end_us=end_us, expected=expected).owned_after_the_faults()
         )
 
-    assert outcome_of(uses(ONE, 1, 14 * SECOND_US, 31 * SECOND_US, all_shards)) == (0, 2 * SHARDS_OF_A_REGION)
-    assert outcome_of(uses(ONE, 1, 16 * SECOND_US, 31 * SECOND_US, all_shards))[0] == SHARDS_OF_A_REGION
-    assert outcome_of(uses(ONE, 1, 14 * SECOND_US, 29 * SECOND_US, all_shards))[0] == SHARDS_OF_A_REGION
-    assert outcome_of(uses(ONE, 1, 14 * SECOND_US, 31 * SECOND_US, "3"))[0] == SHARDS_OF_A_REGION - 1
+    assert outcome_of(uses(ONE, 1, 14 * SECOND_US, 31 * SECOND_US, all_shards)) == (0, 2 * SHARDS_PER_REGION)
+    assert outcome_of(uses(ONE, 1, 16 * SECOND_US, 31 * SECOND_US, all_shards))[0] == SHARDS_PER_REGION
+    assert outcome_of(uses(ONE, 1, 14 * SECOND_US, 29 * SECOND_US, all_shards))[0] == SHARDS_PER_REGION
+    assert outcome_of(uses(ONE, 1, 14 * SECOND_US, 31 * SECOND_US, "3"))[0] == SHARDS_PER_REGION - 1
     gap = [
         uses(ONE, 1, 14 * SECOND_US, 20 * SECOND_US, all_shards),
         uses(ONE, 3, 21 * SECOND_US, 31 * SECOND_US, all_shards),
     ]
-    assert outcome_of(*gap)[0] == SHARDS_OF_A_REGION
+    assert outcome_of(*gap)[0] == SHARDS_PER_REGION
     # A run that ends before the check applies has no occasion, so the check does not hold.
     check = judge(fault, end_us=12 * SECOND_US, expected=expected).owned_after_the_faults()
     assert check.occasions == 0 and not check.holds
 
 
 def test_a_move_without_a_cause_is_found() -> None:
-    first = placed("r0", 3, SESSIONS)
+    first = placed_session("r0", 3, SESSIONS)
     winner, loser = (ONE, OTHER) if first == 1 else (OTHER, ONE)
 
     def outcome_of_move(from_node: str, to_node: str, before: str, after: str) -> tuple[float, int | None]:
--- a/tests/test_sharding_wire.py
+++ b/tests/test_sharding_wire.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from sailrun.lab.faults.shard_fleet import ShardFleet
-from sailrun.lab.faults.shard_world import SHARDS_OF_A_REGION, shards_terms
+from sailrun.lab.faults.shard_world import SHARDS_PER_REGION, sharding_settings
 from sailrun.lab.faults.virtual import VirtualNode
 from sailrun.leadership.agent import Agent, OutgoingEnvelope
 from sailrun.leadership.envelope import Body, Envelope, InvalidEnvelopeError, decode_envelope, encode_envelope
@@ -38,7 +38,7 @@
 )
 
 REGION, NODE, OTHER = "r0", "n6", "n8"
-DIGEST = shards_terms().digest(REGION)
+DIGEST = sharding_settings().digest(REGION)
 SESSION = Session("n8", 48, 5)
 STATE = TableState(3, 2, [SESSION], [GenerationChange(2, [SESSION], [24])])
 BODIES: list[ShardBody] = [
@@ -412,7 +412,7 @@
 def test_an_act_for_an_unknown_shard_is_counted_and_not_stored(running: RunningFleet) -> None:
     sharding_agent = running.sharding_agent("n0")
     taken = sharding_agent.acts.accepted_count
-    for shard in (SHARDS_OF_A_REGION, 2**40):
+    for shard in (SHARDS_PER_REGION, 2**40):
         assert running.answers("n0", NODE, ShardAct(REGION, shard, FencingToken(5, 5), 1)) == []
         assert sharding_agent.acts.fence.highest_token(REGION, shard) is None
     assert sharding_agent.acts.accepted_count == taken and sharding_agent.acts.unknown_shard_count == 2
