--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from sailrun.lab.faults.explore import Bounds, Explorer
-from sailrun.lab.faults.history import Judge
+from sailrun.lab.faults.history import HistoryChecker
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import agent_terms, voters_among
 from sailrun.lab.faults.virtual import VirtualFleet
@@ -57,7 +57,7 @@
         ends(owner)
         fleet.time.after(5 * SECOND, fleet.start, owner)
         fleet.run(40.0 + 30.0 * n)
-        gap_s = Judge(fleet.rows, {}, BEGIN_US, fleet.time.now_us).without_owner_s(task, at_us)
+        gap_s = HistoryChecker(fleet.rows, {}, BEGIN_US, fleet.time.now_us).without_owner_s(task, at_us)
         gaps.append(gap_s if gap_s is not None else float("inf"))
     return [gaps[0]], [gaps[1]]
 
--- a/sailrun/lab/faults/copies.py
+++ b/sailrun/lab/faults/copies.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.history import Counted, Row, fault
+from sailrun.lab.faults.history import Counted, Row, add_fault
 from sailrun.lab.faults.linear import Operation, TooMany, first_fault
 
 SECOND_US = 1_000_000
@@ -36,7 +36,7 @@
 REPAIR_US = 8 * SECOND_US
 
 
-class CopyJudge:
+class ReplicaChecker:
     def __init__(self, rows: list[Row], begin_us: int, end_us: int) -> None:
         # The end of all processes after the run does not count as a fault.
         self.rows = sorted((r for r in rows if r["at_us"] <= end_us), key=lambda row: row["at_us"])
@@ -69,7 +69,7 @@
         return Counted(name, occasions=0)
 
     def _add_fault(self, check: Check, at_us: int, message: str) -> None:
-        fault(check, at_us - self._begin_us, message)
+        add_fault(check, at_us - self._begin_us, message)
 
     # ------------------------------------------------------------------ marks acknowledged by a majority
 
@@ -313,14 +313,14 @@
         return first.rstrip("+") in self.calls and second.rstrip("+") in self.calls
 
 
-def shown(marks: list[dict[str, Any]]) -> dict[str, dict[str, bool]]:
+def marks_by_subject(marks: list[dict[str, Any]]) -> dict[str, dict[str, bool]]:
     """Returns, by subject, the ids of a replica's marks, each with whether it is on, from the records that
     `fleet state` prints.
     """
-    marks_by_subject: dict[str, dict[str, bool]] = {}
+    result: dict[str, dict[str, bool]] = {}
     for mark in marks:
         if "words" not in mark:
             continue  # a record of another kind
         versions = {w["id"]: bool(w["on"]) for w in mark["words"]}
-        marks_by_subject[f"{mark['kind']}/{mark['subject']}"] = versions
-    return marks_by_subject
+        result[f"{mark['kind']}/{mark['subject']}"] = versions
+    return result
--- a/sailrun/lab/faults/folders.py
+++ b/sailrun/lab/faults/folders.py
@@ -14,7 +14,7 @@
 from __future__ import annotations
 
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.history import Counted, Row, fault
+from sailrun.lab.faults.history import Counted, Row, add_fault
 from sailrun.lab.faults.nemesis import CALM_BEGIN_S
 
 # A voter that was killed at the fleet's very beginning begins so much later.
@@ -37,7 +37,7 @@
         return checks
 
     def _fault(self, check: Check, row: Row, what: str) -> None:
-        fault(check, row["at_us"] - self._begin_us, f"{row['node']}: {what}")
+        add_fault(check, row["at_us"] - self._begin_us, f"{row['node']}: {what}")
 
     def _nothing_begun_anew(self) -> Check:
         """Nobody begins as if all were forgotten, but once at the fleet's very beginning, and where so many
--- a/sailrun/lab/faults/history.py
+++ b/sailrun/lab/faults/history.py
@@ -32,7 +32,7 @@
     occasions: int = 0
 
 
-def fault(check: Check, after_us: int, message: str) -> None:
+def add_fault(check: Check, after_us: int, message: str) -> None:
     """Counts a violation, and adds a message for each of the first `MAX_MESSAGES`."""
     check.value += 1
     if len(check.faults) < MAX_MESSAGES:
@@ -49,7 +49,7 @@
     term: int = 0
 
 
-class Judge:
+class HistoryChecker:
     """Reads a history once, in order of time, and checks it."""
 
     def __init__(self, rows: list[Row], limits: dict[str, int], begin_us: int, end_us: int) -> None:
@@ -231,7 +231,7 @@
         return check
 
     def _add_fault(self, check: Check, at_us: int, message: str) -> None:
-        fault(check, at_us - self._begin_us, message)
+        add_fault(check, at_us - self._begin_us, message)
 
     # ------------------------------------------------------------------ figures
 
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.copies import CopyJudge
+from sailrun.lab.faults.copies import ReplicaChecker
 from sailrun.lab.faults.folders import FolderJudge
-from sailrun.lab.faults.history import Judge, Row
+from sailrun.lab.faults.history import HistoryChecker, Row
 from sailrun.lab.faults.nemesis import PLANS, Nemesis, Plan
 from sailrun.lab.figures import quantile
 from sailrun.leadership.agent import AgentSettings
@@ -163,7 +163,7 @@
 def judged(rows: list[Row], plan: Plan, begin_us: int, end_us: int, seconds: float, voters: int) -> Played:
     """The checks and figures of a history."""
     limits = {"drain": DRAINS, "out": OUT} if plan.permits else {}
-    judge = Judge(rows, limits, begin_us, end_us)
+    judge = HistoryChecker(rows, limits, begin_us, end_us)
     killed, left = _gaps(judge, rows)
     figures = {
         "changes_of_owner": float(sum(max(0, len(spans) - 1) for spans in judge.holds.values())),
@@ -176,7 +176,7 @@
             figures[f"s_without_owner_{name}_most"] = max(gaps)
     checks = judge.checks()
     if plan.copies:
-        checks += CopyJudge(rows, begin_us, end_us).checks(plan.apart)
+        checks += ReplicaChecker(rows, begin_us, end_us).checks(plan.apart)
         figures |= _of_copies(rows)
     if plan.lasting:
         checks += FolderJudge(rows, begin_us, end_us, voters).checks(plan.permits, plan.older)
@@ -200,7 +200,7 @@
     return figures
 
 
-def _gaps(judge: Judge, rows: list[Row]) -> tuple[list[float], list[float]]:
+def _gaps(judge: HistoryChecker, rows: list[Row]) -> tuple[list[float], list[float]]:
     """Times without an owner after its process was killed, and after it left in good order."""
     killed: list[float] = []
     left: list[float] = []
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -30,7 +30,7 @@
 from anyio.streams.buffered import BufferedByteReceiveStream
 
 from sailrun.control.cli import ANSWER_TIMEOUT_S
-from sailrun.lab.faults.copies import shown
+from sailrun.lab.faults.copies import marks_by_subject
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.relays import HOST, Address, Relays
 from sailrun.lab.settings import WorldSettings
@@ -385,7 +385,7 @@
                 "digest": state["digest"],
                 "epoch": state["epoch"],
                 "copies": state["copies"],
-                "marks": shown(state["records"]),
+                "marks": marks_by_subject(state["records"]),
             }
             self.row("copy", name, at_us, whole=state["whole"], behind_s=behind_s, **facts)
 
--- a/sailrun/lab/faults/shard_judge.py
+++ b/sailrun/lab/faults/shard_judge.py
@@ -11,7 +11,7 @@
 
 from sailrun.decisions.placement import MASK, key_hash
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.history import Counted, Judge, Row, fault
+from sailrun.lab.faults.history import Counted, HistoryChecker, Row, add_fault
 from sailrun.lab.faults.shard_history import (
     Generation,
     OwnershipSpan,
@@ -42,7 +42,7 @@
         self.history = ShardHistory(rows)
         self.rows = self.history.rows
         self._begin_us, self._end_us, self._expected = begin_us, end_us, expected
-        self._lease_checker = Judge(rows, {}, begin_us, end_us)
+        self._lease_checker = HistoryChecker(rows, {}, begin_us, end_us)
 
     def checks(self) -> list[Check]:
         expected = self._expected
@@ -71,7 +71,7 @@
         return result
 
     def _add_fault(self, check: Check, at_us: int, message: str) -> None:
-        fault(check, at_us - self._begin_us, message)
+        add_fault(check, at_us - self._begin_us, message)
 
     # ------------------------------------------------------------------ use of shards
 
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sailrun.lab.faults.copies import shown
+from sailrun.lab.faults.copies import marks_by_subject
 from sailrun.lab.faults.disk import SimFiles
 from sailrun.lab.faults.history import Row
 from sailrun.lab.scheduler import BEGIN_US, Scheduler
@@ -450,7 +450,7 @@
                     digest=state["digest"],
                     epoch=state["epoch"],
                     copies=state["copies"],
-                    marks=shown(state["records"]),
+                    marks=marks_by_subject(state["records"]),
                 )
         self.time.after(self._copies_us, self._look_at_copies)
 
--- a/sailrun/lab/scale/checks.py
+++ b/sailrun/lab/scale/checks.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 
-from sailrun.lab.faults.history import Judge, Row, Span
+from sailrun.lab.faults.history import HistoryChecker, Row, Span
 from sailrun.lab.figures import quantile
 from sailrun.lab.run import Outcome, finite
 from sailrun.lab.scale.host_messages import NodeReport
@@ -37,7 +37,7 @@
 
     The rows are `hold`, `lost`, `started` and `died`, as in `sailrun.lab.faults.history`.
     """
-    holds = Judge(rows, {}, begin_us, end_us).holds
+    holds = HistoryChecker(rows, {}, begin_us, end_us).holds
     faults = [fault for task, spans in sorted(holds.items()) for fault in _overlaps(task, spans, begin_us)]
     unowned = [task for task, spans in sorted(holds.items()) if not any(s.end_us >= end_us for s in spans)]
     return [
@@ -63,7 +63,7 @@
 def longest_gap_s(rows: list[Row], begin_us: int, end_us: int) -> float:
     """Returns the longest time that any task was without an owner between two ownerships."""
     longest_us = 0
-    for spans in Judge(rows, {}, begin_us, end_us).holds.values():
+    for spans in HistoryChecker(rows, {}, begin_us, end_us).holds.values():
         covered_us: int | None = None
         for span in sorted(spans, key=lambda s: s.begin_us):
             if covered_us is not None:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sailrun.lab.faults.explore import Bounds, Explorer
-from sailrun.lab.faults.history import Judge, Row
+from sailrun.lab.faults.history import HistoryChecker, Row
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import FaultDay, play_virtual
 
@@ -51,7 +51,7 @@
 
 
 def judged(*rows: Row) -> dict[str, tuple[float, int | None]]:
-    checks = Judge(list(rows), {"out": 1}, 0, 100_000_000).checks()
+    checks = HistoryChecker(list(rows), {"out": 1}, 0, 100_000_000).checks()
     return {check.name: (check.value, check.occasions) for check in checks}
 
 
@@ -89,5 +89,5 @@
 
 
 def test_a_check_without_an_occasion_does_not_hold() -> None:
-    checks = {c.name: c for c in Judge([hold("a", 0, 10, 1)], {}, 0, 100).checks()}
+    checks = {c.name: c for c in HistoryChecker([hold("a", 0, 10, 1)], {}, 0, 100).checks()}
     assert not checks["one-owner-at-a-time"].holds and checks["no-term-given-twice"].holds
