--- a/sailrun/lab/faults/shard_history.py
+++ b/sailrun/lab/faults/shard_history.py
@@ -69,9 +69,7 @@
 
 
 def shards_of(row: Row) -> frozenset[int]:
-    """Returns the shards that a `shards` row lists. A single shard may have been parsed from a log line as a
-    number.
-    """
+    """Returns the shards that a `shards` row lists; the log reader may parse a single one as a number."""
     text = str(row["shards"])
     return frozenset() if text == "-" else frozenset(map(int, text.split(",")))
 
--- a/sailrun/lab/faults/shard_judge.py
+++ b/sailrun/lab/faults/shard_judge.py
@@ -180,7 +180,7 @@
         check = Counted("sessions-end-unused", occasions=0)
         for region in REGIONS:
             in_force: set[int] = set()
-            for generation in self._in_order(region):
+            for generation in self._generations_in_order(region):
                 sessions = set(generation.sessions())
                 for number in in_force - sessions:
                     used = self.history.sessions.get((region, number))
@@ -228,7 +228,9 @@
         return check
 
     def generations_grow_at_a_node(self) -> Counted:
-        """Within a session a node applies increasing generations only. Occasions: changes of generation."""
+        """Within a session a node applies increasing generations only. Occasions: `shards-generation` rows
+        except the first one of each session.
+        """
         check = Counted("generations-grow-at-a-node", occasions=0)
         latest: dict[tuple[str, int], int] = {}
         for row in self._rows_of_kind("shards-generation"):
@@ -241,7 +243,7 @@
             latest[key] = max(generation, latest.get(key, 0))
         return check
 
-    def _in_order(self, region: str) -> list[Generation]:
+    def _generations_in_order(self, region: str) -> list[Generation]:
         result = [g for (name, _), g in self.history.generations.items() if name == region]
         return sorted(result, key=lambda g: g.number)
 
@@ -332,16 +334,16 @@
         return result
 
     def _count_taken_after_higher(self) -> int:
-        """Returns how many acts a member accepted although another member had accepted a higher token. These
-        are no violations, because each member has a fence of its own.
+        """Returns how many acts a member accepted after any member had accepted a higher token. At different
+        members these are no violations, because each member has a fence of its own.
         """
         highest: dict[ShardKey, tuple[int, int]] = {}
-        late = 0
+        count = 0
         for row in self._rows_of_kind("shard-take"):
             key, token = shard_of(row), token_of(row)
-            late += token < highest.get(key, token)
+            count += token < highest.get(key, token)
             highest[key] = max(token, highest.get(key, token))
-        return late
+        return count
 
     def _rows_of_kind(self, kind: str) -> list[Row]:
         return [row for row in self.rows if row["kind"] == kind]
--- a/sailrun/lab/faults/shard_strikes.py
+++ b/sailrun/lab/faults/shard_strikes.py
@@ -39,9 +39,7 @@
     # ------------------------------------------------------------------ timing
 
     def when_all_owned(self, not_before_s: float, then: Callable[[], None]) -> None:
-        """Calls `then` at that time of the run, or later, as soon as every shard has an owner for the first
-        time.
-        """
+        """Calls `then` once that time of the run has come and every shard has an owner."""
 
         def poll() -> None:
             self._were_all_owned = shards_in_use(self.fleet.rows) == len(REGIONS) * SHARDS_PER_REGION
@@ -53,9 +51,7 @@
         self.nemesis.at(not_before_s, poll)
 
     def if_all_were_owned(self, inject: Callable[[], None]) -> Callable[[], None]:
-        """Returns a function that injects the fault, or does nothing until the condition of `when_all_owned`
-        was met.
-        """
+        """Returns a function that injects the fault, but does nothing before `when_all_owned` calls back."""
         return lambda: inject() if self._were_all_owned else None
 
     # ------------------------------------------------------------------ targets
