--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.copies import CopyJudge
+from sailrun.lab.faults.copies import ReplicaChecker
 from sailrun.lab.faults.folders import FolderJudge
-from sailrun.lab.faults.history import Judge, Row
+from sailrun.lab.faults.history import HistoryChecker, Row
 from sailrun.lab.faults.nemesis import PLANS, Nemesis, Plan
 from sailrun.lab.figures import quantile
 from sailrun.leadership.agent import AgentSettings
@@ -165,7 +165,7 @@
 ) -> Played:
     """Returns the checks and figures of a recorded history."""
     limits = {"drain": MAX_DRAINS, "out": MAX_OUT} if plan.permits else {}
-    judge = Judge(rows, limits, begin_us, end_us)
+    judge = HistoryChecker(rows, limits, begin_us, end_us)
     after_kill, after_leave = _times_without_owner(judge, rows)
     figures = {
         "changes_of_owner": float(sum(max(0, len(spans) - 1) for spans in judge.holds.values())),
@@ -178,7 +178,7 @@
             figures[f"s_without_owner_{name}_most"] = max(gaps)
     checks = judge.checks()
     if plan.replicas:
-        checks += CopyJudge(rows, begin_us, end_us).checks(plan.conflicting_marks)
+        checks += ReplicaChecker(rows, begin_us, end_us).checks(plan.conflicting_marks)
         figures |= _mark_figures(rows)
     if plan.storage:
         checks += FolderJudge(rows, begin_us, end_us, voters).checks(plan.permits, plan.older_folders)
@@ -204,7 +204,7 @@
     return figures
 
 
-def _times_without_owner(judge: Judge, rows: list[Row]) -> tuple[list[float], list[float]]:
+def _times_without_owner(judge: HistoryChecker, rows: list[Row]) -> tuple[list[float], list[float]]:
     """Returns the times in seconds without an owner after a kill, and after a graceful leave."""
     after_kill: list[float] = []
     after_leave: list[float] = []
--- a/sailrun/lab/faults/shard_world.py
+++ b/sailrun/lab/faults/shard_world.py
@@ -1,4 +1,4 @@
-"""The world of the laboratory's days of shards: two regions, each with members that vote and with nodes."""
+"""The fleet of the laboratory's fault runs of sharding: two regions, each with voters and ordinary nodes."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 REGIONS = ("r0", "r1")
-ZONES_OF_A_REGION = 3
-CONTROL_OF_A_REGION = 3
-CONTROL_MEMBERS = len(REGIONS) * CONTROL_OF_A_REGION
-# Of the control members of both regions, for what is owned fleet-wide.
+ZONES_PER_REGION = 3
+CONTROL_MEMBERS_PER_REGION = 3
+CONTROL_MEMBERS = len(REGIONS) * CONTROL_MEMBERS_PER_REGION
+# The number of voters for fleet-wide tasks, taken from the control members of both regions.
 FLEET_VOTERS = 5
-SHARDS_OF_A_REGION = 48
+SHARDS_PER_REGION = 48
 SHARD_LEASE_S, GATHER_S = 6.0, 0.3
-# Of owners and assigners: as long as a node's lease on its shards allows (`shard_faults`).
+# For leaders of tasks and assigners: the longest that a node's lease on its shards allows (`shard_faults`).
 LEASE_S, ORDER_S = 1.4, 0.7
 NODES = 12
-# Two ordinary nodes for each region: else there is nobody to take a shard over.
-FEWEST_NODES = CONTROL_MEMBERS + 2 * len(REGIONS)
+# Each region needs two ordinary nodes, so that another node can take over a shard.
+MIN_NODES = CONTROL_MEMBERS + 2 * len(REGIONS)
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a member is, and whether it is set aside for control."""
+    """The region and zone of a member, and its role: `CONTROL` for a voter, empty for an ordinary node."""
 
     region: str
     zone: str
@@ -36,14 +36,16 @@
 
 
 def place_of(index: int) -> Place:
-    """Members take turns between the regions, then between a region's zones; the first are for control."""
+    """Returns the place of a member. Members alternate between the regions and then between the zones of a
+    region; the first ones of each region are its control members.
+    """
     region, nth = REGIONS[index % len(REGIONS)], index // len(REGIONS)
-    role = CONTROL if nth < CONTROL_OF_A_REGION else ""
-    return Place(region, f"{region}-z{nth % ZONES_OF_A_REGION}", role)
+    role = CONTROL if nth < CONTROL_MEMBERS_PER_REGION else ""
+    return Place(region, f"{region}-z{nth % ZONES_PER_REGION}", role)
 
 
 def index_of(name: str) -> int:
-    """Of a member's name, `n` and its index."""
+    """Returns the index of a member from its name, which is `n` followed by the index."""
     return int(name[1:])
 
 
@@ -52,20 +54,21 @@
 
 
 def control_of(region: str) -> tuple[str, ...]:
-    """The names of a region's members that vote."""
+    """Returns the names of a region's voters."""
     return tuple(f"n{n}" for n in range(CONTROL_MEMBERS) if place_of(n).region == region)
 
 
-def shards_terms() -> ShardingSettings:
+def sharding_settings() -> ShardingSettings:
     regions = tuple(
-        RegionSettings(name=region, shards=SHARDS_OF_A_REGION, voters=control_of(region))
-        for region in REGIONS
+        RegionSettings(name=region, shards=SHARDS_PER_REGION, voters=control_of(region)) for region in REGIONS
     )
     return ShardingSettings(enabled=True, lease_s=SHARD_LEASE_S, gather_s=GATHER_S, regions=regions)
 
 
-def shard_agent_terms(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
-    """Of one member: nothing but shards is owned."""
+def shard_agent_settings(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
+    """Returns the settings of one member. Permits, the list reader and replication are off, so that sharding
+    is the only use of leadership.
+    """
     place = place_of(index)
     return AgentSettings(
         MembershipSettings(
@@ -82,5 +85,5 @@
         PermitSettings(enabled=False),
         ListReaderSettings(enabled=False),
         replication=ReplicationSettings(enabled=False),
-        sharding=shards_terms(),
+        sharding=sharding_settings(),
     )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sailrun.lab.faults.explore import Bounds, Explorer
-from sailrun.lab.faults.history import Judge, Row
+from sailrun.lab.faults.history import HistoryChecker, Row
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import FaultDay, play_virtual
 
@@ -52,7 +52,7 @@
 
 
 def checked(*rows: Row) -> dict[str, tuple[float, int | None]]:
-    checks = Judge(list(rows), {"out": 1}, 0, 100_000_000).checks()
+    checks = HistoryChecker(list(rows), {"out": 1}, 0, 100_000_000).checks()
     return {check.name: (check.value, check.occasions) for check in checks}
 
 
@@ -90,5 +90,5 @@
 
 
 def test_a_check_that_needs_occasions_does_not_hold_without_one() -> None:
-    checks = {c.name: c for c in Judge([hold("a", 0, 10, 1)], {}, 0, 100).checks()}
+    checks = {c.name: c for c in HistoryChecker([hold("a", 0, 10, 1)], {}, 0, 100).checks()}
     assert not checks["one-owner-at-a-time"].holds and checks["no-term-given-twice"].holds
