--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -20,6 +20,8 @@
 
 import tomli_w
 
+from tests.free_ports import free_port as free_port  # under this name for importers of this module
+
 # Only a failing test waits this long.
 TIMEOUT_S = 20.0
 # The deadlines of the request classes in microseconds. They are long enough that a busy test machine is not
@@ -56,12 +58,6 @@
 }
 
 
-def free_port() -> int:
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        return int(sock.getsockname()[1])
-
-
 def connect(address: str) -> socket.socket:
     host, port = address.split(":")
     return socket.create_connection((host, int(port)), TIMEOUT_S)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,7 +18,8 @@
 
 from sailrun.control.calls import InvalidCallError, parse_call
 from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
-from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, connect, free_port, node
+from tests.free_ports import free_port
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, connect, node
 
 SECOND = 1_000_000
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -19,14 +19,10 @@
 import tomli_w
 
 from sailrun.lab.faults.play import FaultDay, Played, play_real
-from sailrun.lab.faults.rig import free_address
+from tests.free_ports import free_host_port
 from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
 
 
-def free_host_port() -> str:
-    return "{}:{}".format(*free_address())
-
-
 class LiveRoster(Roster):
     """A registry that answers with its current list; a watch waits for a newer list, for at most one
     second.
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,7 +11,8 @@
 
 import pytest
 
-from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, free_port, node, sidecar
+from tests.free_ports import free_port
+from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, node, sidecar
 
 
 @pytest.fixture
--- a/tests/test_sharding_processes.py
+++ b/tests/test_sharding_processes.py
@@ -15,7 +15,7 @@
 import pytest
 import tomli_w
 
-from sailrun.lab.faults.rig import free_address
+from tests.free_ports import free_host_port
 from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, node
 
 CONTROL, NODES = ("c1", "c2", "c3"), ("n1", "n2", "n3")
@@ -23,7 +23,7 @@
 
 
 def free() -> str:
-    return "{}:{}".format(*free_address())
+    return free_host_port()
 
 
 class Region:
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -19,8 +19,9 @@
 from sailrun.lab.faults.play import FaultDay, Played, play_real
 from sailrun.storage.files import OsFiles
 from sailrun.storage.folder_reader import FolderIntegrity, read_folder
-from tests.stand_ins import TIMEOUT_S, FormServer, Roster, free_port, node
-from tests.test_fleet_processes import Fleet, free_host_port, run_fleet_command
+from tests.free_ports import free_host_port, free_port
+from tests.stand_ins import TIMEOUT_S, FormServer, Roster, node
+from tests.test_fleet_processes import Fleet, run_fleet_command
 
 
 @pytest.fixture(scope="module", autouse=True)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -39,7 +39,8 @@
 from sailrun.node.restart_state import NodeSnapshot, ProcessLoad
 from sailrun.node.session import FormServer as ListedFormServer
 from sailrun.node.session import ServerListUpdate
-from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, free_port, node
+from tests.free_ports import free_port
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
 
 
 class SuccessiveProcesses:
