--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,10 +1,11 @@
-"""What each part of the program costs as a fleet grows, worked out at the size it is designed for.
+"""Capacity model: measures the cost of each part of the program at several fleet sizes and extrapolates it to
+the fleet size that the program is designed for.
 
-    python -m benchmarks.capacity measure [GROUP ...]   # runs measurements, keeps them in docs/capacity.json
+    python -m benchmarks.capacity measure [GROUP ...]   # runs measurements, stores them in docs/capacity.json
     python -m benchmarks.capacity page                  # writes the tables of docs/CAPACITY.md from that file
     python -m benchmarks.capacity rank                  # prints the ranking
 
-`measure_*.py` run something at several sizes and return samples; `rows_*.py` turn samples into rows by
-arithmetic alone; `page.py` renders rows. A new row is one function in a `rows_*.py` module, listed in
-`rows.py`.
+The `measure_*.py` modules run a scenario at several sizes and return measurements. The `rows_*.py` modules
+compute rows from these measurements without running anything. `page.py` renders the rows. To add a row, add a
+function to a `rows_*.py` module; a new module is listed in `rows.py`.
 """
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""The command: see the package."""
+"""Command line of the capacity model; the package's doc comment lists the subcommands."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from benchmarks.capacity.measure_shards import placements, region, without_assigner
 from benchmarks.capacity.page import write_page
 from benchmarks.capacity.record import ROOT, Machine, Measurement, Record, read_record, write_record
-from benchmarks.capacity.rows import all_rows, ranked
-from benchmarks.capacity.working import short
+from benchmarks.capacity.rows import all_rows, rank_rows
+from benchmarks.capacity.working import format_number
 
-ALONE: dict[str, Callable[[], list[Measurement]]] = {
+STANDALONE_GROUPS: dict[str, Callable[[], list[Measurement]]] = {
     **PURE,
     "leases": leases,
     "connections": connections,
@@ -33,70 +33,74 @@
     "assigner": without_assigner,
     "scale": scale,
 }
-GROUPS = [*ALONE, *PLAYS]
+GROUPS = [*STANDALONE_GROUPS, *PLAYS]
 USAGE = f"usage: python -m benchmarks.capacity measure [GROUP ...] | page | rank\ngroups: {' '.join(GROUPS)}"
 
 
-def this_machine() -> Machine:
+def describe_machine() -> Machine:
     lines = Path("/proc/cpuinfo").read_text().splitlines()
     model = next((line.partition(":")[2].strip() for line in lines if line.startswith("model name")), "")
     return Machine(os.cpu_count() or 0, model or platform.machine(), platform.python_version())
 
 
-def this_commit() -> str:
-    asked = ["git", "-C", str(ROOT), "rev-parse", "--short", "HEAD"]
-    return subprocess.run(asked, capture_output=True, text=True, check=True).stdout.strip()
+def current_commit() -> str:
+    command = ["git", "-C", str(ROOT), "rev-parse", "--short", "HEAD"]
+    return subprocess.run(command, capture_output=True, text=True, check=True).stdout.strip()
 
 
-def run(group: str) -> list[Measurement]:
-    return ALONE[group]() if group in ALONE else measured(group)
+def run_group(group: str) -> list[Measurement]:
+    return STANDALONE_GROUPS[group]() if group in STANDALONE_GROUPS else measured(group)
 
 
-def measure(groups: list[str]) -> None:
-    """Runs the groups one after another, and keeps each as soon as it has ended."""
+def measure_groups(groups: list[str]) -> None:
+    """Runs the groups one after another and stores the measurements of each group as soon as it ends."""
     for group in groups:
-        commit, date = this_commit(), datetime.now(UTC).isoformat(timespec="seconds")
-        load = os.getloadavg()[0]
-        found = run(group)
-        record = read_record() or Record(this_machine(), [], [])
-        for one in found:
+        commit, date = current_commit(), datetime.now(UTC).isoformat(timespec="seconds")
+        load_before = os.getloadavg()[0]
+        measurements = run_group(group)
+        record = read_record() or Record(describe_machine(), [], [])
+        for measurement in measurements:
             record.put(
-                structs.replace(one, commit=commit, date=date, load=round(max(load, os.getloadavg()[0]), 1))
+                structs.replace(
+                    measurement, commit=commit, date=date, load=round(max(load_before, os.getloadavg()[0]), 1)
+                )
             )
-            pairs = zip(one.sizes, one.values, strict=True)
-            samples = ", ".join(f"{short(size)}: {short(value)}" for size, value in pairs)
-            print(f"{one.name:32} {one.unit:12} {samples}", flush=True)
-        work_out(record)
+            pairs = zip(measurement.sizes, measurement.values, strict=True)
+            samples_text = ", ".join(
+                f"{format_number(size)}: {format_number(value)}" for size, value in pairs
+            )
+            print(f"{measurement.name:32} {measurement.unit:12} {samples_text}", flush=True)
+        update_rows(record)
         write_record(record)
 
 
-def work_out(record: Record) -> None:
-    """Rows and failures anew, from the measurements that there are."""
+def update_rows(record: Record) -> None:
+    """Recomputes the rows and failures of the record from its measurements."""
     record.rows, record.failures = all_rows(record), failures(record)
 
 
-def rank(record: Record) -> None:
-    for place, row in enumerate(ranked(record.rows), 1):
-        figure = f"{short(row.figures[1])} {row.unit}"
-        print(f"{place:3} {short(row.ratios[1]):>10}  {row.role}: {row.cost}: {figure}; {row.verdict}")
+def print_ranking(record: Record) -> None:
+    for rank, row in enumerate(rank_rows(record.rows), 1):
+        figure = f"{format_number(row.figures[1])} {row.unit}"
+        print(f"{rank:3} {format_number(row.ratios[1]):>10}  {row.role}: {row.cost}: {figure}; {row.verdict}")
     for row in record.rows:
         if not row.ratios:
-            figure = f"{short(row.figures[1])} {row.unit}" if row.figures else row.why
+            figure = f"{format_number(row.figures[1])} {row.unit}" if row.figures else row.why
             print(f"    {'':>10}  {row.role}: {row.cost}: {figure}; {row.verdict}")
 
 
-def main(words: list[str]) -> int:
-    command, groups = (words[0], words[1:]) if words else ("", [])
+def main(arguments: list[str]) -> int:
+    command, groups = (arguments[0], arguments[1:]) if arguments else ("", [])
     if command == "measure" and set(groups) <= set(GROUPS):
-        measure(groups or GROUPS)
+        measure_groups(groups or GROUPS)
         return 0
     record = read_record()
     if command not in ("page", "rank") or groups or record is None:
         print(USAGE, file=sys.stderr)
         return 2
-    work_out(record)
+    update_rows(record)
     if command == "rank":
-        rank(record)
+        print_ranking(record)
     else:
         write_record(record)
         write_page(record)
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Fits of few samples by least squares, and how far they miss."""
+"""Least-squares fits of a few samples, and their largest relative error."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 import msgspec
 
-# A straight line whose slope changes the value by less than this over the sizes measured is a constant.
-FLAT = 0.05
+# A line that rises by at most this part of the mean value over the measured sizes is taken as a constant.
+FLAT_RISE_RATIO = 0.05
 
 
 class Fit(msgspec.Struct, frozen=True):
     """y = intercept + slope * g(x), with g by `kind`: `constant` (slope 0), `line` (x), `log` (ln x),
-    `square` (x squared), `through` (x, intercept 0). `residual` is the largest miss as a part of the value
-    measured.
+    `square` (x squared), `through` (x, intercept 0). `residual` is the largest error relative to the measured
+    value.
     """
 
     kind: str
@@ -24,10 +24,10 @@
     residual: float
 
     def at(self, x: float) -> float:
-        return self.intercept + self.slope * SHAPES[self.kind](x)
+        return self.intercept + self.slope * BASIS_FUNCTIONS[self.kind](x)
 
 
-SHAPES: dict[str, Callable[[float], float]] = {
+BASIS_FUNCTIONS: dict[str, Callable[[float], float]] = {
     "constant": lambda x: 0.0,
     "line": lambda x: x,
     "through": lambda x: x,
@@ -36,32 +36,41 @@
 }
 
 
-def fitted(kind: str, sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Least squares. Raises ValueError for fewer than two samples or unequal counts."""
+def fit_curve(kind: str, sizes: Sequence[float], values: Sequence[float]) -> Fit:
+    """Fits a curve of this kind by least squares. Raises ValueError for fewer than two samples or unequal
+    counts.
+    """
     if len(sizes) != len(values) or len(sizes) < 2:
-        raise ValueError(f"{len(sizes)} sizes and {len(values)} values")
-    shaped = [SHAPES[kind](x) for x in sizes]
+        raise ValueError(
+            f"fit needs at least two sizes and a value for each: {len(sizes)} sizes, {len(values)} values"
+        )
+    basis = [BASIS_FUNCTIONS[kind](x) for x in sizes]
     if kind == "constant":
         intercept, slope = fmean(values), 0.0
     elif kind == "through":
         intercept = 0.0
-        slope = sum(x * y for x, y in zip(shaped, values, strict=True)) / sum(x * x for x in shaped)
+        slope = sum(x * y for x, y in zip(basis, values, strict=True)) / sum(x * x for x in basis)
     else:
-        middle, level = fmean(shaped), fmean(values)
-        spread = sum((x - middle) ** 2 for x in shaped)
-        slope = sum((x - middle) * (y - level) for x, y in zip(shaped, values, strict=True)) / spread
-        intercept = level - slope * middle
-    without = Fit(kind, intercept, slope, 0.0)
-    return Fit(kind, intercept, slope, residual(without, sizes, values))
-
-
-def residual(fit: Fit, sizes: Sequence[float], values: Sequence[float]) -> float:
-    """The largest miss, as a part of the value measured."""
+        mean_basis, mean_value = fmean(basis), fmean(values)
+        basis_variation = sum((x - mean_basis) ** 2 for x in basis)
+        slope = (
+            sum((x - mean_basis) * (y - mean_value) for x, y in zip(basis, values, strict=True))
+            / basis_variation
+        )
+        intercept = mean_value - slope * mean_basis
+    curve = Fit(kind, intercept, slope, 0.0)
+    return Fit(kind, intercept, slope, largest_relative_error(curve, sizes, values))
+
+
+def largest_relative_error(fit: Fit, sizes: Sequence[float], values: Sequence[float]) -> float:
+    """Returns the largest error relative to the measured value."""
     return max(abs(fit.at(x) - y) / max(abs(y), 1e-12) for x, y in zip(sizes, values, strict=True))
 
 
 def line_or_constant(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """A constant where the line's rise over the sizes measured is below `FLAT` of the mean, else the line."""
-    line = fitted("line", sizes, values)
+    """Fits a constant if the line rises by at most `FLAT_RISE_RATIO` of the mean over the sizes, else the
+    line.
+    """
+    line = fit_curve("line", sizes, values)
     rise = abs(line.slope) * (max(sizes) - min(sizes))
-    return fitted("constant", sizes, values) if rise <= FLAT * abs(fmean(values)) else line
+    return fit_curve("constant", sizes, values) if rise <= FLAT_RISE_RATIO * abs(fmean(values)) else line
--- a/benchmarks/capacity/record.py
+++ b/benchmarks/capacity/record.py
@@ -1,4 +1,7 @@
-"""What is kept in docs/capacity.json: samples as measured, and the rows worked out from them."""
+"""The stored record, docs/capacity.json: the measurements as taken and the rows computed from them.
+
+The field names of the structures are the keys of that file.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from benchmarks.capacity.fit import Fit
 
 ROOT = Path(__file__).resolve().parents[2]
-RECORD = ROOT / "docs" / "capacity.json"
+RECORD_PATH = ROOT / "docs" / "capacity.json"
 
 HOLDS, NOT_MEASURED = "holds", "not measured"
 
@@ -22,7 +25,9 @@
 
 
 class Measurement(msgspec.Struct, frozen=True):
-    """One quantity at several sizes. `size` says what the sizes count, `unit` what the values are."""
+    """One quantity measured at several sizes. `size` names the items counted by `sizes`, `unit` the unit of
+    the values.
+    """
 
     name: str
     size: str
@@ -32,17 +37,17 @@
     how: str
     commit: str = ""
     date: str = ""  # UTC, ISO 8601
-    load: float = 0.0  # of the machine (one-minute average) when it was measured
+    load: float = 0.0  # larger of the machine's one-minute load averages before and after
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """One cost at the three sizes of the fleet. `figures` and `ratios` follow `target.TARGETS`."""
+    """One cost at the three fleet sizes. `figures` and `ratios` are in the order of `target.TARGETS`."""
 
-    role: str  # who pays
-    cost: str  # what it pays
+    role: str  # the part of the fleet that bears the cost
+    cost: str  # name of the cost
     unit: str
-    mechanism: str  # what carries it, in the program or planned
-    slope: str = ""  # in words, with its unit
+    mechanism: str  # the code that causes the cost, existing or planned
+    slope: str = ""  # as text, with its unit
     sizes: list[float] = []
     values: list[float] = []
     fit: Fit | None = None
@@ -52,18 +57,18 @@
     limit_of: str = ""
     ratios: list[float] = []
     verdict: str = NOT_MEASURED
-    why: str = ""  # where it was not measured, or what else is to be known
+    why: str = ""  # reason why it was not measured, or a further note
     section: str = ""
-    replaced_by: str = ""  # what carries the same now; such a row breaks nothing any more
+    replaced_by: str = ""  # the mechanism that replaced this one; the row no longer limits the fleet size
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """What a failure does to the fleet. `reasoned`: it was not run as such."""
+    """The effect of a failure on the fleet. `reasoned`: the effect was derived, not run."""
 
     what: str
     seen: str
     how_long: str
-    never: str  # what is not broken
+    never: str  # invariant that the failure does not violate
     source: str
     reasoned: bool
 
@@ -75,22 +80,24 @@
     failures: list[Failure] = []
 
     def measurement(self, name: str) -> Measurement | None:
-        return next((one for one in self.measurements if one.name == name), None)
+        return next((each for each in self.measurements if each.name == name), None)
 
     def put(self, measurement: Measurement) -> None:
-        """Keeps one, in place of an older one of its name."""
-        kept = [one for one in self.measurements if one.name != measurement.name]
-        self.measurements = sorted([*kept, measurement], key=lambda one: one.name)
+        """Stores a measurement in place of an older one with the same name."""
+        others = [each for each in self.measurements if each.name != measurement.name]
+        self.measurements = sorted([*others, measurement], key=lambda each: each.name)
 
 
-def read_record(path: Path = RECORD) -> Record | None:
-    """None: there is no file yet."""
+def read_record(path: Path = RECORD_PATH) -> Record | None:
+    """Returns None if the file does not exist."""
     return msgspec.json.decode(path.read_bytes(), type=Record) if path.exists() else None
 
 
-def write_record(record: Record, path: Path = RECORD) -> None:
-    """Raises ValueError for a figure that is no finite number: what was not reached is not a sample."""
-    for one in record.measurements:
-        if not all(map(math.isfinite, one.values)):
-            raise ValueError(f"{one.name}: {one.values}")
+def write_record(record: Record, path: Path = RECORD_PATH) -> None:
+    """Raises ValueError if a value is not finite: a state that was not reached in time is not a sample."""
+    for measurement in record.measurements:
+        if not all(map(math.isfinite, measurement.values)):
+            raise ValueError(
+                f"measurement {measurement.name} has a value that is not finite: {measurement.values}"
+            )
     path.write_bytes(msgspec.json.format(msgspec.json.encode(record), indent=1) + b"\n")
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,4 +1,4 @@
-"""All rows, in the order of the page, and their ranking."""
+"""All rows in the order of the page, and their ranking."""
 
 from __future__ import annotations
 
@@ -36,12 +36,14 @@
 
 def all_rows(record: Record) -> list[Row]:
     return [
-        structs.replace(row, section=name) for name, section in SECTIONS.items() for row in section(record)
+        structs.replace(row, section=title)
+        for title, section_rows in SECTIONS.items()
+        for row in section_rows(record)
     ]
 
 
-def ranked(rows: list[Row], target: int = 1) -> list[Row]:
-    """By cost over limit, the worst first; `target` is the place in `target.TARGETS`. Rows without a ratio
-    are left out.
+def rank_rows(rows: list[Row], target_index: int = 1) -> list[Row]:
+    """Returns the rows with a ratio of cost to limit, highest ratio first. `target_index` is an index of
+    `target.TARGETS`.
     """
-    return sorted((row for row in rows if row.ratios), key=lambda row: -row.ratios[target])
+    return sorted((row for row in rows if row.ratios), key=lambda row: -row.ratios[target_index])
--- a/benchmarks/capacity/rows_connections.py
+++ b/benchmarks/capacity/rows_connections.py
@@ -1,106 +1,106 @@
-"""Rows of connections: what they keep, what set-ups cost, what a lost zone or a restart brings back."""
+"""Rows of connections: memory, cost of setting them up, and reconnections after a lost zone or a restart."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
-from benchmarks.capacity.working import AWARE, WHOLE_CORE, Bound, row
+from benchmarks.capacity.working import MEMBERSHIP_CONVERGENCE, WHOLE_CORE, CostLimit, make_row
 
 PROXY = "text_protocol/clients.py: a client's connection and one to its form server, one process"
-# The machine on which this is measured allows so many descriptors to a process.
-DESCRIPTORS, PER_CONNECTION = 20_000, 2
+# Limit of open descriptors of a process on the measuring machine, and descriptors that a connection uses.
+MAX_DESCRIPTORS, DESCRIPTORS_PER_CONNECTION = 20_000, 2
 
 
-def memory(record: Record) -> list[Row]:
+def standing_connection_rows(record: Record) -> list[Row]:
     return [
-        row(
+        make_row(
             record,
             "connections.memory_mb",
-            lambda fit, target: fit.slope * target.connections_node,
+            lambda fit, target: fit.slope * target.connections_per_node,
             role="every node",
             cost="memory of standing connections, in user space",
-            bound=Bound("MB"),
+            cost_limit=CostLimit("MB"),
             mechanism=PROXY,
             arithmetic="memory of a connection * 50,000",
             kind="line",
             why="the kernel's buffers are not in it",
         ),
-        row(
+        make_row(
             record,
             "connections.idle_cpu",
-            lambda fit, target: fit.at(target.connections_node),
+            lambda fit, target: fit.at(target.connections_per_node),
             role="every node",
             cost="standing connections on which nothing is said: processor time",
-            bound=WHOLE_CORE,
+            cost_limit=WHOLE_CORE,
             mechanism=PROXY,
             arithmetic="mean of the sizes measured: no rise was seen up to 4,000",
             kind="constant",
             why="ticks of 10 ms over 5 s: no finer",
         ),
-        row(
+        make_row(
             record,
             "connections.memory_mb",
-            lambda fit, target: PER_CONNECTION * target.connections_node,
+            lambda fit, target: DESCRIPTORS_PER_CONNECTION * target.connections_per_node,
             role="every node",
             cost="descriptors of one process",
-            bound=Bound("descriptors", float(DESCRIPTORS), "20,000, as on the machine measured"),
+            cost_limit=CostLimit("descriptors", float(MAX_DESCRIPTORS), "20,000, as on the machine measured"),
             mechanism=PROXY,
             arithmetic="2 * 50,000; counted, not measured; a setting of the machine",
             kind="line",
-            reckoned=True,
+            estimated=True,
         ),
     ]
 
 
-def returning(record: Record) -> list[Row]:
-    def of_zone(target: Target) -> float:
-        return target.connections_node * target.zone_nodes / (target.nodes - target.zone_nodes)
+def reconnection_rows(record: Record) -> list[Row]:
+    def reconnections_per_node(target: Target) -> float:
+        return target.connections_per_node * target.nodes_per_zone / (target.nodes - target.nodes_per_zone)
 
     return [
-        row(
+        make_row(
             record,
             "connections.set_up_cpu_s",
-            lambda fit, target: fit.slope * of_zone(target),
+            lambda fit, target: fit.slope * reconnections_per_node(target),
             role="every node that stays",
             cost="a zone goes: seconds of a core to set up what comes over",
-            bound=AWARE,
+            cost_limit=MEMBERSHIP_CONVERGENCE,
             mechanism=PROXY,
             arithmetic="processor time of a set-up * 50,000 * 165 nodes / 3,635 nodes that stay",
             kind="line",
-            reckoned=True,
+            estimated=True,
         ),
-        row(
+        make_row(
             record,
             "connections.set_up_cpu_s",
             lambda fit, target: (
                 fit.slope
-                * target.connections_node
-                * (target.restarts_day + target.failures_day)
+                * target.connections_per_node
+                * (target.restarts_per_day + target.failures_per_day)
                 / target.nodes
                 / 86_400
             ),
             role="every node",
             cost="restarts and failures of a day: processor time for set-ups, if every connection comes anew",
-            bound=WHOLE_CORE,
+            cost_limit=WHOLE_CORE,
             mechanism=f"{PROXY}; a replaced process hands its standing connections over",
             arithmetic="processor time of a set-up * 50,000 * (520 + 33) / nodes / 86,400 s",
             kind="line",
-            reckoned=True,
+            estimated=True,
         ),
-        row(
+        make_row(
             record,
             "connections.set_up_cpu_s",
-            lambda fit, target: fit.slope * target.connections_node,
+            lambda fit, target: fit.slope * target.connections_per_node,
             role="a node that comes back empty",
             cost="its 50,000 connections set up by one process: seconds of a core",
-            bound=AWARE,
+            cost_limit=MEMBERSHIP_CONVERGENCE,
             mechanism=PROXY,
             arithmetic="processor time of a set-up * 50,000",
             kind="line",
-            reckoned=True,
+            estimated=True,
         ),
     ]
 
 
 def rows(record: Record) -> list[Row]:
-    return memory(record) + returning(record)
+    return standing_connection_rows(record) + reconnection_rows(record)
--- a/benchmarks/capacity/rows_control.py
+++ b/benchmarks/capacity/rows_control.py
@@ -1,31 +1,31 @@
-"""Rows of restarts, and of the machines set aside for control."""
+"""Rows of the cost of restarts and of the machines reserved for control."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
-from benchmarks.capacity.working import BYTES, Bound, not_measured, row
+from benchmarks.capacity.working import BYTES, CostLimit, make_row, unmeasured_row
 
 
-def restarts(record: Record) -> Row:
-    return row(
+def restart_row(record: Record) -> Row:
+    return make_row(
         record,
         "restart.extra_bytes_node",
         lambda fit, target: (
-            max(0.0, fit.at(target.nodes)) * (target.restarts_day + target.failures_day) / 86_400
+            max(0.0, fit.at(target.nodes)) * (target.restarts_per_day + target.failures_per_day) / 86_400
         ),
         role="every other node",
         cost="restarts and failures of a day: bytes of members' news, on top of rest",
-        bound=BYTES,
+        cost_limit=BYTES,
         mechanism="membership/failure_detector.py",
         arithmetic="bytes that one restart costs each other node, by its fit * (520 + 33) / 86,400 s",
     )
 
 
-def machines() -> Row:
-    return not_measured(
+def control_machines_row() -> Row:
+    return unmeasured_row(
         "control machines",
         "47 machines in 6 regions and 23 zones: enough voters after any zone is lost",
-        Bound("machines", 47.0, "47 set aside"),
+        CostLimit("machines", 47.0, "47 set aside"),
         "sharding/settings.py: 5 voters a region; leadership/task_leadership.py: control work goes to "
         "members of that role",
         "reasoned, not run: 6 regions * 5 voters are 30 of the 47; a region has 3 or 4 zones, so "
@@ -35,4 +35,4 @@
 
 
 def rows(record: Record) -> list[Row]:
-    return [restarts(record), machines()]
+    return [restart_row(record), control_machines_row()]
--- a/benchmarks/capacity/rows_delivery.py
+++ b/benchmarks/capacity/rows_delivery.py
@@ -1,88 +1,94 @@
-"""Rows of deliveries: a line through one process, and a topic's fan-out to all its listeners."""
+"""Rows of deliveries: a line passed through one process, and the fan-out of a topic to all its listeners."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.fit import Fit
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
-from benchmarks.capacity.working import DELIVERED, WHOLE_CORE, row
+from benchmarks.capacity.working import DELIVERY_TIME, WHOLE_CORE, make_row
 
-LINE = "text_protocol/clients.py: a line from a form server passed to its client, one process"
-NONE = "none in the program yet: topics and their fan-out are not built"
-# Assumed: the longest way between two regions, and a hop within one; publisher to owner of the shard, owner
-# to a node of its region or of another, node to client.
-FAR_S, NEAR_S = 0.150, 0.001
+LINE_PROXY = "text_protocol/clients.py: a line from a form server passed to its client, one process"
+NOT_BUILT = "none in the program yet: topics and their fan-out are not built"
+# Assumed latencies: the longest between two regions, and one hop within a region. The hops are publisher to
+# shard owner, shard owner to a node of its region or of another, and node to client.
+INTER_REGION_LATENCY_S, HOP_LATENCY_S = 0.150, 0.001
 
 
-def _line_s(fit: Fit) -> float:
-    """Seconds of a core for a line, the mean of the sizes measured: they rise with the connections, and what
-    50,000 would make of it was not measured.
+def _line_cpu_s(fit: Fit) -> float:
+    """Returns the processor time of a line in seconds, the mean of the measured sizes. It rises with the
+    number of connections, and it was not measured at 50,000.
     """
     return fit.intercept / 1e6
 
 
-def _fan_out_s(fit: Fit, listeners: float, on_nodes: float) -> float:
-    """The owner sends to each node in turn, each node to its listeners in turn; the last waits longest."""
-    return FAR_S + 2 * NEAR_S + _line_s(fit) * (on_nodes + listeners / on_nodes)
+def _direct_fan_out_s(fit: Fit, listeners: float, nodes: float) -> float:
+    """Returns the time until the last listener is served: the owner sends to the nodes one after another, and
+    each node to its listeners one after another.
+    """
+    return INTER_REGION_LATENCY_S + 2 * HOP_LATENCY_S + _line_cpu_s(fit) * (nodes + listeners / nodes)
 
 
-def _fan_out_fewest(fit: Fit, target: Target) -> float:
-    return _fan_out_s(fit, target.largest_topic, max(1.0, target.largest_topic / target.connections_node))
+def _fewest_nodes_fan_out_s(fit: Fit, target: Target) -> float:
+    return _direct_fan_out_s(
+        fit, target.largest_topic, max(1.0, target.largest_topic / target.connections_per_node)
+    )
 
 
-def _by_regions_s(fit: Fit, target: Target) -> float:
-    """The owner sends to a node of each region, that one to all of its region."""
-    hops = target.regions + target.region_nodes + target.largest_topic / target.nodes
-    return FAR_S + 3 * NEAR_S + _line_s(fit) * hops
+def _regional_fan_out_s(fit: Fit, target: Target) -> float:
+    """Returns the fan-out time if the owner sends to one node per region, which sends to all nodes of its
+    region.
+    """
+    hops = target.regions + target.nodes_per_region + target.largest_topic / target.nodes
+    return INTER_REGION_LATENCY_S + 3 * HOP_LATENCY_S + _line_cpu_s(fit) * hops
 
 
 def rows(record: Record) -> list[Row]:
     return [
-        row(
+        make_row(
             record,
             "connections.line_cpu_us",
-            lambda fit, target: _line_s(fit) * target.deliveries_node_s,
+            lambda fit, target: _line_cpu_s(fit) * target.deliveries_per_node_per_s,
             role="every node",
             cost="deliveries: cores, so processes of one core each that a machine needs",
-            bound=WHOLE_CORE,
-            mechanism=LINE,
+            cost_limit=WHOLE_CORE,
+            mechanism=LINE_PROXY,
             arithmetic="processor time of a line * 100 million / nodes",
             kind="constant",
         ),
-        row(
+        make_row(
             record,
             "connections.line_cpu_us",
-            lambda fit, target: _fan_out_s(fit, target.largest_topic, target.nodes),
+            lambda fit, target: _direct_fan_out_s(fit, target.largest_topic, target.nodes),
             role="largest topic",
             cost="fan-out, listeners spread evenly, the owner sends to every node",
-            bound=DELIVERED,
-            mechanism=NONE,
+            cost_limit=DELIVERY_TIME,
+            mechanism=NOT_BUILT,
             arithmetic="150 ms between regions (assumed) + 2 ms + a line * (nodes + listeners / nodes)",
             kind="constant",
-            reckoned=True,
+            estimated=True,
         ),
-        row(
+        make_row(
             record,
             "connections.line_cpu_us",
-            _by_regions_s,
+            _regional_fan_out_s,
             role="largest topic",
             cost="fan-out, listeners spread evenly, by one node of each region",
-            bound=DELIVERED,
-            mechanism=NONE,
+            cost_limit=DELIVERY_TIME,
+            mechanism=NOT_BUILT,
             arithmetic="150 ms (assumed) + 3 ms + a line * (6 + nodes / 6 + listeners / nodes)",
             kind="constant",
-            reckoned=True,
+            estimated=True,
         ),
-        row(
+        make_row(
             record,
             "connections.line_cpu_us",
-            _fan_out_fewest,
+            _fewest_nodes_fan_out_s,
             role="largest topic",
             cost="fan-out, all listeners on as few nodes as hold them, one process each",
-            bound=DELIVERED,
-            mechanism=NONE,
+            cost_limit=DELIVERY_TIME,
+            mechanism=NOT_BUILT,
             arithmetic="150 ms (assumed) + 2 ms + a line * (2 nodes + 50,000 listeners)",
             kind="constant",
-            reckoned=True,
+            estimated=True,
         ),
     ]
--- a/benchmarks/capacity/rows_loads.py
+++ b/benchmarks/capacity/rows_loads.py
@@ -1,54 +1,54 @@
-"""Rows of the sums of loads that all nodes make together."""
+"""Rows of the aggregation of loads over all nodes."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
-from benchmarks.capacity.working import BYTES, IN_FORCE, Bound, by_nodes, row
+from benchmarks.capacity.working import BYTES, CONFIG_PROPAGATION, CostLimit, at_node_count, make_row
 from sailrun.load_gossip.datagram import MAX_DATAGRAM_BYTES
 
-ROUNDS = (
+AGGREGATION_ROUNDS = (
     "load_gossip/aggregation_rounds.py: one node adds up each round, 2 s long and 10 ms a node past 200 nodes"
 )
-# Up to so many nodes a round lasts 2 s.
-FULL_ROUNDS = 200.0
-STALE = Bound("s", IN_FORCE.limit, "8 s, assumed as for changes")
+# Up to this number of nodes a round lasts 2 s.
+MIN_ROUND_MAX_NODES = 200.0
+SUM_AGE = CostLimit("s", CONFIG_PROPAGATION.limit, "8 s, assumed as for changes")
 
 
 def rows(record: Record) -> list[Row]:
     return [
-        row(
+        make_row(
             record,
             "sum.bytes",
-            by_nodes,
+            at_node_count,
             role="collector of a round",
             cost="length of a sum that names one form server",
-            bound=Bound(
+            cost_limit=CostLimit(
                 "bytes", float(MAX_DATAGRAM_BYTES), f"{MAX_DATAGRAM_BYTES} bytes, the longest that is read"
             ),
             mechanism="load_gossip/datagram.py: a bit for each node that was heard, then form servers",
             arithmetic="fit at the number of nodes; a sum longer than that is refused by who hears it",
         ),
-        row(
+        make_row(
             record,
             "rounds.round_seconds",
-            lambda fit, target: max(fit.at(FULL_ROUNDS), fit.at(target.nodes)),
+            lambda fit, target: max(fit.at(MIN_ROUND_MAX_NODES), fit.at(target.nodes)),
             role="every node",
             cost="age of a sum when the next one comes",
-            bound=STALE,
-            mechanism=ROUNDS,
+            cost_limit=SUM_AGE,
+            mechanism=AGGREGATION_ROUNDS,
             arithmetic="10 ms * nodes, 2 s at least, from the program's constants",
             kind="through",
-            reckoned=True,
+            estimated=True,
             why="past some 1,900 nodes no sum fits its datagram, and there is no next one",
         ),
-        row(
+        make_row(
             record,
             "rounds.bytes_s",
-            by_nodes,
+            at_node_count,
             role="ordinary node",
             cost="bytes of rounds while something goes on",
-            bound=BYTES,
-            mechanism=ROUNDS,
+            cost_limit=BYTES,
+            mechanism=AGGREGATION_ROUNDS,
             arithmetic="mean of the sizes measured: it falls with the number of nodes",
             kind="constant",
         ),
--- a/benchmarks/capacity/rows_membership.py
+++ b/benchmarks/capacity/rows_membership.py
@@ -1,149 +1,162 @@
-"""Rows of the members: at rest, at a begin of all, when a rack or zone goes and comes back."""
+"""Rows of membership: at rest, when all nodes start at once, and when a rack or a zone fails and returns."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
-from benchmarks.capacity.working import AWARE, BYTES, CORE, LINK, MEMORY, by_nodes, fit_of, row
+from benchmarks.capacity.working import (
+    BYTES,
+    CORE,
+    LINK,
+    MEMBERSHIP_CONVERGENCE,
+    MEMORY,
+    at_node_count,
+    fit_by_name,
+    make_row,
+)
 
-SWIM = "membership/failure_detector.py: probes, hearsay that rides along, copies compared by digests"
-ALL = "members, leases, copies and the reader together"
-FIT = "fit at the number of nodes"
-LOST = "fit at the number of nodes, a 23rd of them lost"
+FAILURE_DETECTOR = (
+    "membership/failure_detector.py: probes, hearsay that rides along, copies compared by digests"
+)
+ALL_CONTROL = "members, leases, copies and the reader together"
+NODE_COUNT_FIT = "fit at the number of nodes"
+LOST_ZONE_FIT = "fit at the number of nodes, a 23rd of them lost"
 
 
-def at_rest(record: Record) -> list[Row]:
-    about = (
+def rest_rows(record: Record) -> list[Row]:
+    costs = (
         ("rest.bytes_s", "bytes at rest", BYTES),
         ("rest.cpu", "processor time at rest, without sockets", CORE),
         ("rest.memory_mb", "memory for members, leases and an empty copy", MEMORY),
     )
     return [
-        row(
+        make_row(
             record,
             name,
-            by_nodes,
+            at_node_count,
             role="ordinary node",
             cost=cost,
-            bound=bound,
-            mechanism=ALL,
-            arithmetic=FIT,
+            cost_limit=cost_limit,
+            mechanism=ALL_CONTROL,
+            arithmetic=NODE_COUNT_FIT,
         )
-        for name, cost, bound in about
+        for name, cost, cost_limit in costs
     ]
 
 
-def at_begin(record: Record) -> list[Row]:
-    def mean_bytes(target: Target) -> float:
-        seconds = max(1.0, fit_of(record, "begin.seconds").at(target.nodes))
-        return fit_of(record, "begin.bytes_node").at(target.nodes) / seconds
+def start_rows(record: Record) -> list[Row]:
+    def bytes_per_s(target: Target) -> float:
+        seconds = max(1.0, fit_by_name(record, "begin.seconds").at(target.nodes))
+        return fit_by_name(record, "begin.bytes_node").at(target.nodes) / seconds
 
     return [
-        row(
+        make_row(
             record,
             "begin.seconds",
-            by_nodes,
+            at_node_count,
             role="every node",
             cost="begin of all: until all know all",
-            bound=AWARE,
-            mechanism=SWIM,
-            arithmetic=FIT,
+            cost_limit=MEMBERSHIP_CONVERGENCE,
+            mechanism=FAILURE_DETECTOR,
+            arithmetic=NODE_COUNT_FIT,
         ),
-        row(
+        make_row(
             record,
             "begin.bytes_busiest_second",
-            by_nodes,
+            at_node_count,
             role="node that others join by",
             cost="begin of all: bytes in its busiest second",
-            bound=LINK,
-            mechanism=SWIM,
-            arithmetic=FIT,
+            cost_limit=LINK,
+            mechanism=FAILURE_DETECTOR,
+            arithmetic=NODE_COUNT_FIT,
             kind="square",
             why="one second, so against the link: every node joins by the same three",
         ),
-        row(
+        make_row(
             record,
             "begin.bytes_node",
-            lambda fit, target: mean_bytes(target),
+            lambda fit, target: bytes_per_s(target),
             role="ordinary node",
             cost="begin of all: bytes a second until all know all",
-            bound=BYTES,
-            mechanism=SWIM,
+            cost_limit=BYTES,
+            mechanism=FAILURE_DETECTOR,
             arithmetic="bytes of the begin / seconds of the begin, each by its fit",
         ),
     ]
 
 
-def zone(record: Record, what: str, words: str) -> list[Row]:
+def zone_rows(record: Record, prefix: str, event: str) -> list[Row]:
     return [
-        row(
+        make_row(
             record,
-            f"{what}.seconds_99",
-            by_nodes,
+            f"{prefix}.seconds_99",
+            at_node_count,
             role="every node",
-            cost=f"{words}: until 99 in 100 nodes know all of it",
-            bound=AWARE,
-            mechanism=SWIM,
-            arithmetic=LOST,
+            cost=f"{event}: until 99 in 100 nodes know all of it",
+            cost_limit=MEMBERSHIP_CONVERGENCE,
+            mechanism=FAILURE_DETECTOR,
+            arithmetic=LOST_ZONE_FIT,
         ),
-        row(
+        make_row(
             record,
-            f"{what}.seconds",
-            by_nodes,
+            f"{prefix}.seconds",
+            at_node_count,
             role="every node",
-            cost=f"{words}: until every node knows all of it",
-            bound=AWARE,
-            mechanism=SWIM,
-            arithmetic=LOST,
+            cost=f"{event}: until every node knows all of it",
+            cost_limit=MEMBERSHIP_CONVERGENCE,
+            mechanism=FAILURE_DETECTOR,
+            arithmetic=LOST_ZONE_FIT,
             why="one seed a size; the last few nodes hear by comparison only",
         ),
-        row(
+        make_row(
             record,
-            f"{what}.bytes_s",
-            by_nodes,
+            f"{prefix}.bytes_s",
+            at_node_count,
             role="ordinary node",
-            cost=f"{words}: bytes a second over the 40 s after",
-            bound=BYTES,
-            mechanism=SWIM,
-            arithmetic=LOST,
+            cost=f"{event}: bytes a second over the 40 s after",
+            cost_limit=BYTES,
+            mechanism=FAILURE_DETECTOR,
+            arithmetic=LOST_ZONE_FIT,
         ),
-        row(
+        make_row(
             record,
-            f"{what}.bytes_busiest_second",
-            by_nodes,
+            f"{prefix}.bytes_busiest_second",
+            at_node_count,
             role="busiest node",
-            cost=f"{words}: bytes in the busiest second",
-            bound=LINK,
-            mechanism=SWIM,
-            arithmetic=LOST,
+            cost=f"{event}: bytes in the busiest second",
+            cost_limit=LINK,
+            mechanism=FAILURE_DETECTOR,
+            arithmetic=LOST_ZONE_FIT,
             why="one second, so against the link",
         ),
     ]
 
 
-def rack(record: Record) -> Row:
-    def bytes_s(zone_bytes_s: float, target: Target) -> float:
-        rest = fit_of(record, "rest.bytes_s").at(target.nodes)
-        return rest + (zone_bytes_s - rest) * min(1.0, target.rack_nodes / target.zone_nodes)
+def rack_row(record: Record) -> Row:
+    def rack_bytes_per_s(zone_bytes_per_s: float, target: Target) -> float:
+        rest_bytes_per_s = fit_by_name(record, "rest.bytes_s").at(target.nodes)
+        return rest_bytes_per_s + (zone_bytes_per_s - rest_bytes_per_s) * min(
+            1.0, target.nodes_per_rack / target.nodes_per_zone
+        )
 
-    return row(
+    return make_row(
         record,
         "zone_goes.bytes_s",
-        lambda fit, target: bytes_s(fit.at(target.nodes), target),
+        lambda fit, target: rack_bytes_per_s(fit.at(target.nodes), target),
         role="ordinary node",
         cost="a rack goes: bytes a second over the 40 s after",
-        bound=BYTES,
-        mechanism=SWIM,
+        cost_limit=BYTES,
+        mechanism=FAILURE_DETECTOR,
         arithmetic="rest + (zone - rest) * 20 nodes of a rack / nodes of a zone",
-        reckoned=True,
+        estimated=True,
     )
 
 
 def rows(record: Record) -> list[Row]:
     return [
-        *at_rest(record),
-        *at_begin(record),
-        *zone(record, "zone_goes", "a zone goes"),
-        *zone(record, "zone_returns", "a zone returns"),
-        rack(record),
+        *rest_rows(record),
+        *start_rows(record),
+        *zone_rows(record, "zone_goes", "a zone goes"),
+        *zone_rows(record, "zone_returns", "a zone returns"),
+        rack_row(record),
     ]
--- a/benchmarks/capacity/rows_shards.py
+++ b/benchmarks/capacity/rows_shards.py
@@ -1,4 +1,4 @@
-"""Rows of who owns 750,000 shards: with a lease for each as tasks have them today."""
+"""Rows of the ownership of 750,000 shards with one lease per shard, as fleet tasks have it."""
 
 from __future__ import annotations
 
@@ -6,138 +6,149 @@
 
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
-from benchmarks.capacity.working import BYTES, CORE, IN_FORCE, LINK, WHOLE_CORE, Bound, Resized, row
+from benchmarks.capacity.working import (
+    BYTES,
+    CONFIG_PROPAGATION,
+    CORE,
+    LINK,
+    WHOLE_CORE,
+    CostLimit,
+    RescaledSize,
+    make_row,
+)
 
 VOTERS = 5
-LEASES = "leadership/leases.py and voter.py: a lease for each shard, 8 renewals in 2 s, 5 voters"
-SCORES = (
+SHARD_LEASES = "leadership/leases.py and voter.py: a lease for each shard, 8 renewals in 2 s, 5 voters"
+TASK_SCORING = (
     "leadership/agent.py `Agent.candidate_tasks`: every task is scored against every node at each change of "
     "members"
 )
-COUNTED = Bound("shards")
+SHARD_COUNT = CostLimit("shards")
 
 
-def holders(record: Record) -> list[Row]:
-    about = (
-        ("shard_leases.messages_s", "messages", Bound("messages/s"), "line"),
+def owner_rows(record: Record) -> list[Row]:
+    costs = (
+        ("shard_leases.messages_s", "messages", CostLimit("messages/s"), "line"),
         ("shard_leases.bytes_s", "bytes", BYTES, "line"),
         ("shard_leases.cpu", "processor time, without sockets", CORE, "square"),
     )
     return [
-        row(
+        make_row(
             record,
             name,
-            lambda fit, target: fit.at(target.shards_node),
+            lambda fit, target: fit.at(target.shards_per_node),
             role="every node that owns shards",
-            cost=f"a lease for each shard: {what}",
-            bound=bound,
-            mechanism=LEASES,
+            cost=f"a lease for each shard: {quantity}",
+            cost_limit=cost_limit,
+            mechanism=SHARD_LEASES,
             arithmetic="fit at shards / nodes (197): within the sizes measured",
             kind=kind,
         )
-        for name, what, bound, kind in about
+        for name, quantity, cost_limit, kind in costs
     ]
 
 
-def voters(record: Record) -> list[Row]:
-    about = (
-        ("shard_leases.voter_messages_s", "messages in and out", Bound("messages/s")),
+def voter_rows(record: Record) -> list[Row]:
+    costs = (
+        ("shard_leases.voter_messages_s", "messages in and out", CostLimit("messages/s")),
         ("shard_leases.voter_bytes_s", "bytes", LINK),
         ("shard_leases.voter_cpu", "processor time, without sockets", WHOLE_CORE),
     )
     return [
-        row(
+        make_row(
             record,
             name,
             lambda fit, target: fit.slope * target.shards,
             role="each of five voters",
-            cost=f"a lease for each shard: {what}",
-            bound=bound,
-            mechanism=LEASES,
+            cost=f"a lease for each shard: {quantity}",
+            cost_limit=cost_limit,
+            mechanism=SHARD_LEASES,
             arithmetic="cost of a lease at a voter * shards",
             kind="line",
             why="taken for a machine set aside for control: not held to the 2.4% and 8 KB/s of a node",
         )
-        for name, what, bound in about
+        for name, quantity, cost_limit in costs
     ]
 
 
-def scoring(record: Record) -> list[Row]:
-    def change_s(us: float, target: Target) -> float:
-        return us / 1e6 * target.shards
+def scoring_rows(record: Record) -> list[Row]:
+    def all_shards_s(task_us: float, target: Target) -> float:
+        return task_us / 1e6 * target.shards
 
     return [
-        row(
+        make_row(
             record,
             "placed.cpu_us",
-            lambda fit, target: change_s(fit.at(target.nodes), target),
+            lambda fit, target: all_shards_s(fit.at(target.nodes), target),
             role="every node",
             cost="shards scored after one change of members: seconds",
-            bound=IN_FORCE,
-            mechanism=SCORES,
+            cost_limit=CONFIG_PROPAGATION,
+            mechanism=TASK_SCORING,
             arithmetic="time to place one task by its fit * shards",
             kind="line",
         ),
-        row(
+        make_row(
             record,
             "placed.cpu_us",
-            lambda fit, target: change_s(fit.at(target.nodes), target) * target.member_changes_day / 86_400,
+            lambda fit, target: (
+                all_shards_s(fit.at(target.nodes), target) * target.member_changes_per_day / 86_400
+            ),
             role="every node",
             cost="shards scored after each change of members of a day: processor time",
-            bound=CORE,
-            mechanism=SCORES,
+            cost_limit=CORE,
+            mechanism=TASK_SCORING,
             arithmetic="the same * (33 + 520) * 2 changes of a day / 86,400 s",
             kind="line",
         ),
     ]
 
 
-def control(record: Record) -> list[Row]:
+def control_machine_rows(record: Record) -> list[Row]:
     return [
-        row(
+        make_row(
             record,
             "shard_leases.voter_cpu",
             lambda fit, target: fit.slope * target.shards * VOTERS,
             role="control machines",
             cost="cores for a lease for each shard, all voters together",
-            bound=Bound("cores", 47.0, "47 machines, one process of one core each (assumed)"),
+            cost_limit=CostLimit("cores", 47.0, "47 machines, one process of one core each (assumed)"),
             mechanism="leadership/voter.py: five voters share nothing: each is asked about every shard",
             arithmetic="processor time of a lease at a voter * shards * 5 voters",
             kind="line",
-            reckoned=True,
+            estimated=True,
             why="no more than 7 voters are allowed, so 47 machines would not help",
         )
     ]
 
 
-def moves(record: Record) -> list[Row]:
+def move_rows(record: Record) -> list[Row]:
     why = "no more than those of the nodes that go, by rendezvous; what a move costs is not known yet"
     return [
-        row(
+        make_row(
             record,
             "placement.moved",
-            lambda fit, target: fit.at(1 / target.nodes) * target.shards * target.member_changes_day,
+            lambda fit, target: fit.at(1 / target.nodes) * target.shards * target.member_changes_per_day,
             role="the fleet",
             cost="shards that change owner on an ordinary day",
-            bound=COUNTED,
+            cost_limit=SHARD_COUNT,
             mechanism="sharding/placement.py",
             arithmetic="share moved by a node that goes or comes, by its fit * shards * (33 + 520) * 2",
             kind="through",
-            by=Resized("1 / nodes of a region", lambda nodes: 1 / nodes),
-            reckoned=True,
+            rescale=RescaledSize("1 / nodes of a region", lambda nodes: 1 / nodes),
+            estimated=True,
             why=why,
         ),
-        row(
+        make_row(
             record,
             "shards.moved_by_zone",
             lambda fit, target: target.shards / target.zones,
             role="the fleet",
             cost="shards that change owner when a zone goes",
-            bound=COUNTED,
+            cost_limit=SHARD_COUNT,
             mechanism="leadership/leases.py `best_placed`",
             arithmetic="shards / 23; the share moved was measured",
             kind="constant",
-            reckoned=True,
+            estimated=True,
             why=why,
         ),
     ]
@@ -145,7 +156,10 @@
 
 def rows(record: Record) -> list[Row]:
     replaced = [
-        structs.replace(row, replaced_by="one lease per node")
-        for row in holders(record) + voters(record) + scoring(record) + control(record)
+        structs.replace(entry, replaced_by="one lease per node")
+        for entry in owner_rows(record)
+        + voter_rows(record)
+        + scoring_rows(record)
+        + control_machine_rows(record)
     ]
-    return replaced + moves(record)
+    return replaced + move_rows(record)
--- a/benchmarks/capacity/rows_shards_by_node.py
+++ b/benchmarks/capacity/rows_shards_by_node.py
@@ -1,4 +1,4 @@
-"""Rows of who owns 750,000 shards with one lease per node: what replaces a lease for each shard."""
+"""Rows of the ownership of 750,000 shards with one lease per node, which replaces one lease per shard."""
 
 from __future__ import annotations
 
@@ -7,44 +7,51 @@
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import DAY_S, Target
 from benchmarks.capacity.working import (
-    AWARE,
     BYTES,
+    CONFIG_PROPAGATION,
     CORE,
-    IN_FORCE,
     LINK,
+    MEMBERSHIP_CONVERGENCE,
     MEMORY,
     WHOLE_CORE,
-    Bound,
-    fit_of,
-    row,
+    CostLimit,
+    fit_by_name,
+    make_row,
 )
 
-SESSIONS = "sharding/session.py and assigner.py: a heartbeat four times in 10 s to the region's assigner"
-# Shards that were placed in the measurement.
-REGION_SHARDS = 125_000
-OF_REGION = "fit at the nodes of a region (633) * its shards / 125,000"
-PLACES = "sharding/placement.py: every node places its region's shards by itself, with numpy"
+NODE_SESSIONS = "sharding/session.py and assigner.py: a heartbeat four times in 10 s to the region's assigner"
+# Number of shards placed in the measurement.
+MEASURED_SHARDS = 125_000
+REGION_FIT = "fit at the nodes of a region (633) * its shards / 125,000"
+PLACEMENT = "sharding/placement.py: every node places its region's shards by itself, with numpy"
 
 
-def _in_region(target: Target) -> float:
-    return target.region_nodes
+def _region_nodes(target: Target) -> float:
+    return target.nodes_per_region
 
 
-def _shards(target: Target) -> float:
-    """How many times the shards that were placed a region has; placing and its memory go with them."""
-    return target.shards / target.regions / REGION_SHARDS
+def _shards_factor(target: Target) -> float:
+    """Returns the shards of a region relative to those placed in the measurement; the time and memory of a
+    placement are proportional to it.
+    """
+    return target.shards / target.regions / MEASURED_SHARDS
 
 
-def _changes_s(target: Target) -> float:
-    """Changes of a region's members a second."""
-    return target.member_changes_day / target.regions / DAY_S
+def _region_changes_per_s(target: Target) -> float:
+    """Returns the changes of members per second in a region."""
+    return target.member_changes_per_day / target.regions / DAY_S
 
 
-def sessions(record: Record) -> list[Row]:
-    about = (
+def session_rows(record: Record) -> list[Row]:
+    costs = (
         ("region.bytes_s", "every node that owns shards", "one lease per node: bytes", BYTES),
         ("region.assigner_bytes_s", "assigner of a region", "heartbeats of its nodes: bytes", LINK),
-        ("region.assigner_messages_s", "assigner of a region", "heartbeats: messages", Bound("messages/s")),
+        (
+            "region.assigner_messages_s",
+            "assigner of a region",
+            "heartbeats: messages",
+            CostLimit("messages/s"),
+        ),
         (
             "region.assigner_cpu",
             "assigner of a region",
@@ -54,115 +61,120 @@
         ("region.voter_bytes_s", "voter of a region", "the assigner's lease and its table: bytes", LINK),
     )
     return [
-        row(
+        make_row(
             record,
             name,
-            lambda fit, target: fit.at(_in_region(target)),
+            lambda fit, target: fit.at(_region_nodes(target)),
             role=role,
             cost=cost,
-            bound=bound,
-            mechanism=SESSIONS,
+            cost_limit=cost_limit,
+            mechanism=NODE_SESSIONS,
             arithmetic="fit at the nodes of a region (633)",
-            why="a control machine: not held to a node's limits" if bound in (LINK, WHOLE_CORE) else "",
+            why="a control machine: not held to a node's limits" if cost_limit in (LINK, WHOLE_CORE) else "",
         )
-        for name, role, cost, bound in about
+        for name, role, cost, cost_limit in costs
     ]
 
 
-def taken_over(record: Record) -> list[Row]:
-    about = (("node", "a node dies"), ("zone", "a quarter of a region's nodes die at once"))
+def takeover_rows(record: Record) -> list[Row]:
+    costs = (("node", "a node dies"), ("zone", "a quarter of a region's nodes die at once"))
     return [
-        row(
+        make_row(
             record,
-            f"region.{what}_goes.seconds",
-            lambda fit, target: fit.at(_in_region(target)),
+            f"region.{lost}_goes.seconds",
+            lambda fit, target: fit.at(_region_nodes(target)),
             role="its shards",
-            cost=f"{words}: until every shard may be used again",
-            bound=AWARE,
-            mechanism=SESSIONS,
+            cost=f"{event}: until every shard may be used again",
+            cost_limit=MEMBERSHIP_CONVERGENCE,
+            mechanism=NODE_SESSIONS,
             arithmetic="fit at the nodes of a region; a lease of 10 s is in it",
         )
-        for what, words in about
+        for lost, event in costs
     ]
 
 
-def without_assigner(record: Record) -> Row:
-    return row(
+def assigner_loss_row(record: Record) -> Row:
+    return make_row(
         record,
         "region.assigner_goes.unused_seconds",
-        lambda fit, target: fit.at(_in_region(target)),
+        lambda fit, target: fit.at(_region_nodes(target)),
         role="its shards",
         cost="the assigner dies: how long any shard may be used by nobody",
-        bound=AWARE,
-        mechanism=SESSIONS,
+        cost_limit=MEMBERSHIP_CONVERGENCE,
+        mechanism=NODE_SESSIONS,
         arithmetic="mean of the sizes measured",
         kind="constant",
         why="one seed a size; docs/design/shards.md names the rare cases",
     )
 
 
-def placing(record: Record) -> list[Row]:
-    def change_s(target: Target) -> float:
-        """A node left or joined, in equal parts."""
-        left, joined = fit_of(record, "placement.left_cpu_s"), fit_of(record, "placement.joined_cpu_s")
-        return (left.at(_in_region(target)) + joined.at(_in_region(target))) / 2 * _shards(target)
+def placement_rows(record: Record) -> list[Row]:
+    def placement_s(target: Target) -> float:
+        """Returns the mean time of a placement after a node left and after a node joined."""
+        left, joined = (
+            fit_by_name(record, "placement.left_cpu_s"),
+            fit_by_name(record, "placement.joined_cpu_s"),
+        )
+        return (
+            (left.at(_region_nodes(target)) + joined.at(_region_nodes(target))) / 2 * _shards_factor(target)
+        )
 
-    before = row(
+    scored = make_row(
         record,
         "placement.scored_cpu_s",
-        lambda fit, target: fit.at(_in_region(target)) * _shards(target),
+        lambda fit, target: fit.at(_region_nodes(target)) * _shards_factor(target),
         role="every node",
         cost="before: a region's shards scored one by one after one change: seconds",
-        bound=IN_FORCE,
+        cost_limit=CONFIG_PROPAGATION,
         mechanism="leadership/leases.py `best_placed`, as tasks are placed; same run as the next rows",
-        arithmetic=OF_REGION,
+        arithmetic=REGION_FIT,
     )
     return [
-        structs.replace(before, replaced_by="one lease per node"),
-        row(
+        structs.replace(scored, replaced_by="one lease per node"),
+        make_row(
             record,
             "placement.joined_cpu_s",
-            lambda fit, target: fit.at(_in_region(target)) * _shards(target),
+            lambda fit, target: fit.at(_region_nodes(target)) * _shards_factor(target),
             role="every node",
             cost="now: the same after a node joined: seconds",
-            bound=IN_FORCE,
-            mechanism=PLACES,
-            arithmetic=OF_REGION,
+            cost_limit=CONFIG_PROPAGATION,
+            mechanism=PLACEMENT,
+            arithmetic=REGION_FIT,
         ),
-        row(
+        make_row(
             record,
             "placement.left_cpu_s",
-            lambda fit, target: change_s(target) * _changes_s(target),
+            lambda fit, target: placement_s(target) * _region_changes_per_s(target),
             role="every node",
             cost="now: shards placed after each change of members of a day: processor time",
-            bound=CORE,
-            mechanism=PLACES,
+            cost_limit=CORE,
+            mechanism=PLACEMENT,
             arithmetic="mean of a node that left and one that joined * (33 + 520) * 2 / 6 regions / 86,400 s",
         ),
-        row(
+        make_row(
             record,
             "placement.begin_cpu_s",
-            lambda fit, target: fit.at(_in_region(target)) * _shards(target),
+            lambda fit, target: fit.at(_region_nodes(target)) * _shards_factor(target),
             role="every node",
             cost="now: a region's shards placed from nothing: seconds",
-            bound=IN_FORCE,
-            mechanism=PLACES,
-            arithmetic=OF_REGION,
+            cost_limit=CONFIG_PROPAGATION,
+            mechanism=PLACEMENT,
+            arithmetic=REGION_FIT,
         ),
     ]
 
 
-def memory(record: Record) -> list[Row]:
+def memory_rows(record: Record) -> list[Row]:
     return [
-        row(
+        make_row(
             record,
             name,
-            lambda fit, target: fit.at(_in_region(target)) * _shards(target),
+            lambda fit, target: fit.at(_region_nodes(target)) * _shards_factor(target),
             role="every node",
             cost=cost,
-            bound=MEMORY,
-            mechanism=PLACES,
-            arithmetic=OF_REGION,
+            cost_limit=MEMORY,
+            mechanism=PLACEMENT,
+            arithmetic=REGION_FIT,
         )
         for name, cost in (
             ("placement.memory_mb", "a region's placement: memory kept"),
@@ -172,5 +184,5 @@
 
 
 def rows(record: Record) -> list[Row]:
-    over = [*taken_over(record), without_assigner(record)]
-    return [*sessions(record), *over, *placing(record), *memory(record)]
+    takeovers = [*takeover_rows(record), assigner_loss_row(record)]
+    return [*session_rows(record), *takeovers, *placement_rows(record), *memory_rows(record)]
--- a/benchmarks/capacity/rows_sockets.py
+++ b/benchmarks/capacity/rows_sockets.py
@@ -1,53 +1,59 @@
-"""Rows of nodes at rest over real sockets: dearer than in virtual time, where no socket is."""
+"""Rows of nodes at rest over real sockets, which cost more than in virtual time, which has none."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
-from benchmarks.capacity.working import BYTES, CORE, MEMORY, Bound, by_nodes, fit_of, row
+from benchmarks.capacity.working import BYTES, CORE, MEMORY, CostLimit, at_node_count, fit_by_name, make_row
 
-RUN = "sailrun lab run scale, real time, all tables but shards"
+SCALE_RUN = "sailrun lab run scale, real time, all tables but shards"
 MEAN = "mean of the sizes measured, no rise was seen"
-ROLES = {"ordinary": "ordinary node", "voter": "voter", "owner_marks": "owner of marks"}
+ROLE_TITLES = {"ordinary": "ordinary node", "voter": "voter", "owner_marks": "owner of marks"}
 
 
-def _use(record: Record, role: str, what: str, cost: str, bound: Bound, kind: str = "constant") -> Row:
-    return row(
+def _usage_row(
+    record: Record, role: str, quantity: str, cost: str, cost_limit: CostLimit, kind: str = "constant"
+) -> Row:
+    return make_row(
         record,
-        f"scale.{role}.{what}",
-        by_nodes,
-        role=ROLES[role],
+        f"scale.{role}.{quantity}",
+        at_node_count,
+        role=ROLE_TITLES[role],
         cost=cost,
-        bound=bound,
-        mechanism=RUN,
+        cost_limit=cost_limit,
+        mechanism=SCALE_RUN,
         arithmetic=MEAN if kind == "constant" else "fit at the number of nodes",
         kind=kind,
     )
 
 
-def _bytes(record: Record, role: str) -> Row:
-    def both(target: Target) -> float:
+def _bytes_row(record: Record, role: str) -> Row:
+    def bytes_in_and_out(target: Target) -> float:
         return sum(
-            fit_of(record, f"scale.{role}.bytes_{way}", "constant").at(target.nodes) for way in ("in", "out")
+            fit_by_name(record, f"scale.{role}.bytes_{direction}", "constant").at(target.nodes)
+            for direction in ("in", "out")
         )
 
-    return row(
+    return make_row(
         record,
         f"scale.{role}.bytes_in",
-        lambda fit, target: both(target),
-        role=ROLES[role],
+        lambda fit, target: bytes_in_and_out(target),
+        role=ROLE_TITLES[role],
         cost="at rest over sockets: bytes, without headers",
-        bound=BYTES,
-        mechanism=RUN,
+        cost_limit=BYTES,
+        mechanism=SCALE_RUN,
         arithmetic=f"bytes in + bytes out; {MEAN}; samples are those in",
         kind="constant",
     )
 
 
 def rows(record: Record) -> list[Row]:
-    time, memory = "processor time, whole process shared out", "memory beside the process's own"
+    cpu_text, memory_text = "processor time, whole process shared out", "memory beside the process's own"
     return [
-        *(_bytes(record, role) for role in ROLES),
-        *(_use(record, role, "cpu_whole", f"at rest over sockets: {time}", CORE) for role in ROLES),
-        _use(record, "ordinary", "memory_mb", f"at rest over sockets: {memory}", MEMORY, "line"),
+        *(_bytes_row(record, role) for role in ROLE_TITLES),
+        *(
+            _usage_row(record, role, "cpu_whole", f"at rest over sockets: {cpu_text}", CORE)
+            for role in ROLE_TITLES
+        ),
+        _usage_row(record, "ordinary", "memory_mb", f"at rest over sockets: {memory_text}", MEMORY, "line"),
     ]
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -1,4 +1,4 @@
-"""The fleet that is designed for, what control may cost there, and the same fleet at other sizes."""
+"""The fleet size that the program is designed for, the cost limits of control there, and other sizes."""
 
 from __future__ import annotations
 
@@ -10,80 +10,84 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Sizes of a fleet. Rates are per second unless a field says otherwise."""
+    """Sizes and rates of a fleet."""
 
     name: str
     nodes: float
     connections: float
     shards: float
-    largest_topic: float  # listeners
-    deliveries_s: float
-    changes_day: float  # of configuration
+    largest_topic: float  # in listeners
+    deliveries_per_s: float
+    config_changes_per_day: float
     control_machines: float
-    failures_day: float  # machines that fail on an ordinary day
-    restarts_day: float  # machines that are restarted or replaced
+    failures_per_day: float  # machines that fail on a typical day
+    restarts_per_day: float  # machines that are restarted or replaced
     regions: int = 6
     zones: int = 23
-    rack_nodes: int = 20  # assumed; the operators state no size of a rack
+    nodes_per_rack: int = 20  # assumed; the operators do not state the size of a rack
 
     @property
-    def connections_node(self) -> float:
+    def connections_per_node(self) -> float:
         return self.connections / self.nodes
 
     @property
-    def shards_node(self) -> float:
+    def shards_per_node(self) -> float:
         return self.shards / self.nodes
 
     @property
-    def zone_nodes(self) -> float:
+    def nodes_per_zone(self) -> float:
         return self.nodes / self.zones
 
     @property
-    def region_nodes(self) -> float:
+    def nodes_per_region(self) -> float:
         return self.nodes / self.regions
 
     @property
-    def deliveries_node_s(self) -> float:
-        return self.deliveries_s / self.nodes
+    def deliveries_per_node_per_s(self) -> float:
+        return self.deliveries_per_s / self.nodes
 
     @property
-    def changes_s(self) -> float:
-        return self.changes_day / DAY_S
+    def config_changes_per_s(self) -> float:
+        return self.config_changes_per_day / DAY_S
 
     @property
-    def member_changes_day(self) -> float:
-        """Times a day that a member goes or comes: each failure and each restart is both."""
-        return 2.0 * (self.failures_day + self.restarts_day)
+    def member_changes_per_day(self) -> float:
+        """Returns the departures and arrivals of members per day; each failure and each restart is one
+        departure and one arrival.
+        """
+        return 2.0 * (self.failures_per_day + self.restarts_per_day)
 
     def scaled(self, factor: float, name: str) -> Target:
-        """The same fleet with every count multiplied; regions, zones and connections per node stay."""
+        """Returns the fleet with every count multiplied; regions, zones and connections per node stay the
+        same.
+        """
         return Target(
             name,
             self.nodes * factor,
             self.connections * factor,
             self.shards * factor,
             self.largest_topic * factor,
-            self.deliveries_s * factor,
-            self.changes_day * factor,
+            self.deliveries_per_s * factor,
+            self.config_changes_per_day * factor,
             self.control_machines * factor,
-            self.failures_day * factor,
-            self.restarts_day * factor,
+            self.failures_per_day * factor,
+            self.restarts_per_day * factor,
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What is allowed."""
+    """Limits that the operators state for the cost of control."""
 
-    core: float = 0.024  # of one core, for control, at a node
+    core: float = 0.024  # part of one core, for control, at a node
     memory_mb: float = 32.0  # for control, at a node
-    bytes_s: float = 8_000.0  # for control, in and out together, at a node
-    delivery_s: float = 0.390  # 99 in 100 deliveries
-    in_force_s: float = 8.0  # a change of configuration, everywhere
+    bytes_per_s: float = 8_000.0  # for control, in and out together, at a node
+    delivery_s: float = 0.390  # 99th percentile
+    config_propagation_s: float = 8.0  # until a change of configuration is effective at every node
 
 
 DESIGNED = Target("target", 3_800, 190e6, 750_000, 100_000, 100e6, 13_000, 47, 33, 520)
-TENTH = DESIGNED.scaled(0.1, "a tenth")
-THREE = DESIGNED.scaled(3.0, "three times")
-TARGETS = (TENTH, DESIGNED, THREE)
+TENTH_SIZE = DESIGNED.scaled(0.1, "a tenth")
+TRIPLE_SIZE = DESIGNED.scaled(3.0, "three times")
+TARGETS = (TENTH_SIZE, DESIGNED, TRIPLE_SIZE)
 LIMITS = Limits()
--- a/benchmarks/capacity/working.py
+++ b/benchmarks/capacity/working.py
@@ -1,4 +1,4 @@
-"""How a row is worked out of measurements: its fit, its figures at three sizes of the fleet, its verdict."""
+"""Computes a row from a measurement: the fit, the figures at the three fleet sizes and the verdict."""
 
 from __future__ import annotations
 
@@ -7,151 +7,157 @@
 
 from msgspec import structs
 
-from benchmarks.capacity.fit import Fit, fitted, line_or_constant
+from benchmarks.capacity.fit import Fit, fit_curve, line_or_constant
 from benchmarks.capacity.record import HOLDS, NOT_MEASURED, Measurement, Record, Row
 from benchmarks.capacity.target import LIMITS, TARGETS, Target
 
 NO_LIMIT = "no limit stated"
-BEST = "line or constant"
-# A fit that misses a sample by more than this part of it says little of sizes beyond.
-POOR_FIT = 0.5
-At = Callable[[Fit, Target], float]
+BEST_FIT = "line or constant"
+# A fit whose relative error at a sample exceeds this is a poor basis for extrapolation.
+POOR_FIT_RESIDUAL = 0.5
+FigureFunction = Callable[[Fit, Target], float]
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
-    """What a cost is counted in, and how much is allowed; `limit` 0: the operators state none."""
+class CostLimit:
+    """Unit and upper limit of a cost; `limit` 0 if the operators state none."""
 
     unit: str
     limit: float = 0.0
     limit_of: str = ""
 
 
-BYTES = Bound("bytes/s", LIMITS.bytes_s, "8 KB/s at a node, in and out")
-CORE = Bound("of a core", LIMITS.core, "2.4% of a core at a node")
-MEMORY = Bound("MB", LIMITS.memory_mb, "32 MB at a node")
-IN_FORCE = Bound("s", LIMITS.in_force_s, "8 s, everywhere")
-DELIVERED = Bound("s", LIMITS.delivery_s, "390 ms for 99 in 100")
-# The operators state no time for these; a fleet is to know itself again within a minute.
-AWARE = Bound("s", 60.0, "a minute, assumed")
-LINK = Bound("bytes/s", 125e6, "1 Gbit/s, assumed")
-# One process runs on one core.
-WHOLE_CORE = Bound("of a core", 1.0, "one core: a process runs on one")
+BYTES = CostLimit("bytes/s", LIMITS.bytes_per_s, "8 KB/s at a node, in and out")
+CORE = CostLimit("of a core", LIMITS.core, "2.4% of a core at a node")
+MEMORY = CostLimit("MB", LIMITS.memory_mb, "32 MB at a node")
+CONFIG_PROPAGATION = CostLimit("s", LIMITS.config_propagation_s, "8 s, everywhere")
+DELIVERY_TIME = CostLimit("s", LIMITS.delivery_s, "390 ms for 99 in 100")
+# The operators state no time for membership to converge; a minute is assumed.
+MEMBERSHIP_CONVERGENCE = CostLimit("s", 60.0, "a minute, assumed")
+LINK = CostLimit("bytes/s", 125e6, "1 Gbit/s, assumed")
+# A process runs on one core.
+WHOLE_CORE = CostLimit("of a core", 1.0, "one core: a process runs on one")
 
 
 @dataclass(frozen=True, slots=True)
-class Resized:
-    """Another size, as it follows from the one measured."""
+class RescaledSize:
+    """A different size, computed from the measured one."""
 
-    counted: str
-    of: Callable[[float], float]
+    size_name: str
+    convert: Callable[[float], float]
 
 
-class Missing(Exception):
-    """A measurement that is not in the file."""
+class MissingMeasurement(Exception):
+    """The record has no measurement of this name."""
 
 
-def fit_of(record: Record, name: str, kind: str = BEST) -> Fit:
-    """Raises Missing."""
-    return fit_samples(samples(record, name), kind)
+def fit_by_name(record: Record, name: str, kind: str = BEST_FIT) -> Fit:
+    """Returns the fit of a measurement. Raises MissingMeasurement."""
+    return fit_measurement(find_measurement(record, name), kind)
 
 
-def samples(record: Record, name: str) -> Measurement:
-    """Raises Missing."""
+def find_measurement(record: Record, name: str) -> Measurement:
+    """Returns the measurement of this name. Raises MissingMeasurement."""
     found = record.measurement(name)
     if found is None:
-        raise Missing(name)
+        raise MissingMeasurement(name)
     return found
 
 
-def fit_samples(measurement: Measurement, kind: str = BEST) -> Fit:
-    if kind == BEST:
+def fit_measurement(measurement: Measurement, kind: str = BEST_FIT) -> Fit:
+    if kind == BEST_FIT:
         return line_or_constant(measurement.sizes, measurement.values)
-    return fitted(kind, measurement.sizes, measurement.values)
+    return fit_curve(kind, measurement.sizes, measurement.values)
 
 
 def verdict(ratio: float | None) -> str:
     if ratio is None:
         return NO_LIMIT
-    return HOLDS if ratio <= 1.0 else f"short by {short(ratio)} times"
+    return HOLDS if ratio <= 1.0 else f"short by {format_number(ratio)} times"
 
 
-def short(number: float) -> str:
-    """Three digits that say something, never a power of ten for what is large."""
+def format_number(number: float) -> str:
+    """Formats a number with three significant digits, or as an integer without exponent from 100 on."""
     if number == 0 or abs(number) >= 100:
         return f"{number:,.0f}"
     return f"{number:.3g}"
 
 
-def row(
+def make_row(
     record: Record,
     measurement: str | Measurement,
-    at: At,
+    figure_at: FigureFunction,
     *,
     role: str,
     cost: str,
-    bound: Bound,
+    cost_limit: CostLimit,
     mechanism: str,
     arithmetic: str,
-    kind: str = BEST,
-    by: Resized | None = None,
-    reckoned: bool = False,
+    kind: str = BEST_FIT,
+    rescale: RescaledSize | None = None,
+    estimated: bool = False,
     why: str = "",
 ) -> Row:
-    """`at` gives the figure for a fit and a target. `by`: the fit is by this instead of the size measured.
-    `reckoned`: the parts were measured, the whole was not run.
+    """Returns the row of a measurement, or an unmeasured row if the record does not have the measurement.
+
+    `figure_at` computes the figure from a fit and a target. `rescale`: the fit is over this size instead of
+    the measured one. `estimated`: the parts were measured, but the whole was not run.
     """
     try:
-        found = samples(record, measurement) if isinstance(measurement, str) else measurement
-        if by is not None:
-            found = structs.replace(found, sizes=[by.of(size) for size in found.sizes], size=by.counted)
-        fit = fit_samples(found, kind)
-        figures = [at(fit, target) for target in TARGETS]
-    except Missing as missing:
-        return not_measured(role, cost, bound, mechanism, f"measurement {missing} is not in the file")
-    ratios = [figure / bound.limit for figure in figures] if bound.limit else []
-    said = verdict(ratios[1] if ratios else None)
-    if fit.residual > POOR_FIT:
-        said += f", by a fit that misses by {fit.residual:.0%}"
+        selected = find_measurement(record, measurement) if isinstance(measurement, str) else measurement
+        if rescale is not None:
+            selected = structs.replace(
+                selected, sizes=[rescale.convert(size) for size in selected.sizes], size=rescale.size_name
+            )
+        fit = fit_measurement(selected, kind)
+        figures = [figure_at(fit, target) for target in TARGETS]
+    except MissingMeasurement as error:
+        return unmeasured_row(role, cost, cost_limit, mechanism, f"measurement {error} is not in the file")
+    ratios = [figure / cost_limit.limit for figure in figures] if cost_limit.limit else []
+    verdict_text = verdict(ratios[1] if ratios else None)
+    if fit.residual > POOR_FIT_RESIDUAL:
+        verdict_text += f", by a fit that misses by {fit.residual:.0%}"
     return Row(
         role=role,
         cost=cost,
-        unit=bound.unit,
+        unit=cost_limit.unit,
         mechanism=mechanism,
-        slope=slope_in_words(fit, found),
-        sizes=found.sizes,
-        values=found.values,
+        slope=describe_slope(fit, selected),
+        sizes=selected.sizes,
+        values=selected.values,
         fit=fit,
         arithmetic=arithmetic,
         figures=figures,
-        limit=bound.limit,
-        limit_of=bound.limit_of,
+        limit=cost_limit.limit,
+        limit_of=cost_limit.limit_of,
         ratios=ratios,
-        verdict=f"{NOT_MEASURED} as a whole; reckoned: {said}" if reckoned else said,
+        verdict=f"{NOT_MEASURED} as a whole; reckoned: {verdict_text}" if estimated else verdict_text,
         why=why,
     )
 
 
-def by_nodes(fit: Fit, target: Target) -> float:
-    """The fit at the number of nodes."""
+def at_node_count(fit: Fit, target: Target) -> float:
+    """Returns the value of the fit at the number of nodes of the target."""
     return fit.at(target.nodes)
 
 
-def slope_in_words(fit: Fit, found: Measurement) -> str:
+def describe_slope(fit: Fit, measurement: Measurement) -> str:
     if fit.kind == "constant":
-        return f"{short(fit.intercept)} {found.unit}, flat"
-    shaped = {"log": f"ln({found.size})", "square": f"({found.size}) squared"}.get(fit.kind, found.size)
-    start = f"{short(fit.intercept)} + " if fit.intercept else ""
-    return f"{start}{short(fit.slope)} {found.unit} * {shaped}"
+        return f"{format_number(fit.intercept)} {measurement.unit}, flat"
+    variable = {"log": f"ln({measurement.size})", "square": f"({measurement.size}) squared"}.get(
+        fit.kind, measurement.size
+    )
+    offset = f"{format_number(fit.intercept)} + " if fit.intercept else ""
+    return f"{offset}{format_number(fit.slope)} {measurement.unit} * {variable}"
 
 
-def not_measured(role: str, cost: str, bound: Bound, mechanism: str, why: str) -> Row:
+def unmeasured_row(role: str, cost: str, cost_limit: CostLimit, mechanism: str, why: str) -> Row:
     return Row(
         role=role,
         cost=cost,
-        unit=bound.unit,
+        unit=cost_limit.unit,
         mechanism=mechanism,
-        limit=bound.limit,
-        limit_of=bound.limit_of,
+        limit=cost_limit.limit,
+        limit_of=cost_limit.limit_of,
         why=why,
     )
