--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -13,27 +13,27 @@
 from msgspec import structs
 
 from benchmarks.capacity.failures import failures
-from benchmarks.capacity.measure_fleet import PLAYS, measured
-from benchmarks.capacity.measure_leases import leases
-from benchmarks.capacity.measure_process import connections
-from benchmarks.capacity.measure_pure import PURE
-from benchmarks.capacity.measure_scale import scale
-from benchmarks.capacity.measure_shards import placements, region, without_assigner
+from benchmarks.capacity.measure_fleet import FLEET_SCENARIOS, measure_scenario
+from benchmarks.capacity.measure_leases import measure_leases
+from benchmarks.capacity.measure_process import measure_connections
+from benchmarks.capacity.measure_pure import MODULE_GROUPS
+from benchmarks.capacity.measure_scale import measure_scale
+from benchmarks.capacity.measure_shards import measure_assigner_loss, measure_placement, measure_region
 from benchmarks.capacity.page import write_page
 from benchmarks.capacity.record import ROOT, Machine, Measurement, Record, read_record, write_record
 from benchmarks.capacity.rows import all_rows, rank_rows
 from benchmarks.capacity.working import format_number
 
 STANDALONE_GROUPS: dict[str, Callable[[], list[Measurement]]] = {
-    **PURE,
-    "leases": leases,
-    "connections": connections,
-    "placements": placements,
-    "region": region,
-    "assigner": without_assigner,
-    "scale": scale,
+    **MODULE_GROUPS,
+    "leases": measure_leases,
+    "connections": measure_connections,
+    "placements": measure_placement,
+    "region": measure_region,
+    "assigner": measure_assigner_loss,
+    "scale": measure_scale,
 }
-GROUPS = [*STANDALONE_GROUPS, *PLAYS]
+GROUPS = [*STANDALONE_GROUPS, *FLEET_SCENARIOS]
 USAGE = f"usage: python -m benchmarks.capacity measure [GROUP ...] | page | rank\ngroups: {' '.join(GROUPS)}"
 
 
@@ -49,7 +49,7 @@
 
 
 def run_group(group: str) -> list[Measurement]:
-    return STANDALONE_GROUPS[group]() if group in STANDALONE_GROUPS else measured(group)
+    return STANDALONE_GROUPS[group]() if group in STANDALONE_GROUPS else measure_scenario(group)
 
 
 def measure_groups(groups: list[str]) -> None:
--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet in virtual time that counts, for each node, what it sends and receives and what that costs it.
+"""A fleet in virtual time that counts the messages, bytes and processor time of each node.
 
-Bytes are those of the datagrams on the wire: the packed envelope and `HEADER` bytes of IP and UDP. Processor
-time is that of the agent's calls, packing and unpacking, measured with the thread's own clock; sockets are
-not in it, and the time that the virtual network takes is left out.
+Bytes are those of the datagrams on the wire: the encoded envelope and `HEADER_BYTES` bytes of IP and UDP
+headers. Processor time covers the calls of the agent, encoding and decoding, measured with the clock of the
+thread. It includes neither sockets nor the time that the virtual network takes.
 """
 
 from __future__ import annotations
@@ -37,81 +37,83 @@
 from sailrun.sharding.messages import ShardBody
 
 SECOND = 1_000_000
-HEADER = 28
+HEADER_BYTES = 28
 VOTERS = 7
-MOST_OUT = 1_000
-MEMBERS, LEASES, COPIES, SHARDS, OTHER = "members", "leases", "copies", "shards", "other"
-_ASKED_OF_OWNERS = (LeaderRequest, LeaderResponse, NotLeader, ResponseRejection)
-_OF_LEASES = (LeaseRequest, LeaseGrant, LeaseDenial, LeaseRelease, LeaseHandover, TermQuery, TermReport)
+MAX_MARKED_OUT = 1_000
+MEMBERS, LEASES, REPLICATION, SHARDS, OTHER = "members", "leases", "copies", "shards", "other"
+_LEADER_MESSAGES = (LeaderRequest, LeaderResponse, NotLeader, ResponseRejection)
+_LEASE_MESSAGES = (LeaseRequest, LeaseGrant, LeaseDenial, LeaseRelease, LeaseHandover, TermQuery, TermReport)
 
 
-def terms_of_all(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
-    """Every table of the operator's file on, with the defaults of the program; as many form servers may be
-    out as there can be, so that no mark waits for a permit.
+def all_enabled_settings(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
+    """Returns settings with every table of the operator's file enabled and the program's defaults, except
+    that `MAX_MARKED_OUT` form servers may be marked out, so that no mark waits for a permit.
     """
     return AgentSettings(
         MembershipSettings(enabled=True, fleet="capacity", name=f"n{index}", join=tuple(joins)),
         LeadershipSettings(enabled=True, voters=tuple(voters)),
-        PermitSettings(enabled=True, out=MOST_OUT),
+        PermitSettings(enabled=True, out=MAX_MARKED_OUT),
         ListReaderSettings(enabled=True),
         shares_move_rate=True,
         replication=ReplicationSettings(enabled=True),
     )
 
 
-def group_of(body: Body) -> str:
-    """What a message is for: `members`, `leases`, `copies`, `shards`, or the task that is asked about."""
+def message_group(body: Body) -> str:
+    """Returns the group in which a message is counted: `members`, `leases`, `copies`, `shards`, `other`, or
+    the task of a message to or from a leader.
+    """
     if isinstance(body, MemberBody):
         return MEMBERS
-    if isinstance(body, _ASKED_OF_OWNERS):
+    if isinstance(body, _LEADER_MESSAGES):
         return body.task
-    if isinstance(body, _OF_LEASES):
+    if isinstance(body, _LEASE_MESSAGES):
         return LEASES
     if isinstance(body, ShardBody):
         return SHARDS
-    return COPIES if isinstance(body, ReplicationBody) else OTHER
+    return REPLICATION if isinstance(body, ReplicationBody) else OTHER
 
 
 @dataclass(slots=True)
-class Tally:
+class Traffic:
     messages: int = 0
     bytes: int = 0
 
-    def add(self, count: int) -> None:
+    def add(self, size: int) -> None:
         self.messages += 1
-        self.bytes += count
+        self.bytes += size
 
 
 @dataclass(slots=True)
 class NodeCounts:
-    """Of one node, in and out together."""
+    """Counts of one node, incoming and outgoing together."""
 
-    groups: defaultdict[str, Tally] = field(default_factory=lambda: defaultdict(Tally))
-    seconds: defaultdict[int, int] = field(default_factory=lambda: defaultdict(int))  # bytes by second
+    groups: defaultdict[str, Traffic] = field(default_factory=lambda: defaultdict(Traffic))
+    bytes_by_second: defaultdict[int, int] = field(default_factory=lambda: defaultdict(int))
     cpu_ns: int = 0
 
     @property
     def bytes(self) -> int:
-        return sum(tally.bytes for tally in self.groups.values())
+        return sum(traffic.bytes for traffic in self.groups.values())
 
     @property
     def messages(self) -> int:
-        return sum(tally.messages for tally in self.groups.values())
+        return sum(traffic.messages for traffic in self.groups.values())
 
-    def of(self, group: str) -> Tally:
-        return self.groups.get(group, Tally())
+    def group(self, name: str) -> Traffic:
+        return self.groups.get(name, Traffic())
 
 
 class CountingFleet(VirtualFleet):
     def __init__(self, nodes: int, seed: int = 1, zones: int = 1, voters: int = VOTERS) -> None:
-        super().__init__(nodes, voters, zones, terms_of_all, seed)
+        super().__init__(nodes, voters, zones, all_enabled_settings, seed)
         self.counts: dict[str, NodeCounts] = {}
-        self._aside_ns = 0  # time of the virtual network within a node's own
-        self.forget_counts()
+        self._excluded_ns = 0  # time of the virtual network within the time of a node
+        self.reset_counts()
 
-    # ------------------------------------------------------------------ looks
+    # ------------------------------------------------------------------ control and queries
 
-    def forget_counts(self) -> None:
+    def reset_counts(self) -> None:
         self.counts = {name: NodeCounts() for name in self.names}
 
     def now_s(self) -> float:
@@ -120,54 +122,58 @@
     def run_for(self, seconds: float) -> None:
         self.run(self.now_s() + seconds)
 
-    def running(self) -> list[VirtualNode]:
+    def running_nodes(self) -> list[VirtualNode]:
         return [node for node in self.nodes.values() if node.agent is not None]
 
-    def share_complete(self) -> float:
-        """How many of the nodes that run know as many to live as there run, 0 to 1."""
-        running = self.running()
-        know = sum(
-            node.agent is not None and len(node.agent.members.living_names) == len(running)
-            for node in running
+    def converged_share(self) -> float:
+        """Returns the share, 0 to 1, of the running nodes whose number of living members equals that of the
+        running nodes.
+        """
+        running_nodes = self.running_nodes()
+        converged = sum(
+            node.agent is not None and len(node.agent.members.living_names) == len(running_nodes)
+            for node in running_nodes
         )
-        return know / max(1, len(running))
+        return converged / max(1, len(running_nodes))
 
-    def run_until_complete(self, most_s: float, share: float = 1.0, step_s: float = 0.25) -> float:
-        """Seconds until so many nodes know all members; infinity if they do not within `most_s`."""
+    def run_until_converged(self, timeout_s: float, share: float = 1.0, step_s: float = 0.25) -> float:
+        """Runs until this share of the nodes knows all members. Returns the seconds taken, infinity after
+        `timeout_s`.
+        """
         began_s = self.now_s()
-        while self.share_complete() < share:
-            if self.now_s() - began_s >= most_s:
+        while self.converged_share() < share:
+            if self.now_s() - began_s >= timeout_s:
                 return float("inf")
             self.run_for(step_s)
         return self.now_s() - began_s
 
-    # ------------------------------------------------------------------ what is counted
+    # ------------------------------------------------------------------ counting
 
     def row(self, kind: str, node: str, **facts: Any) -> None:
-        """Nothing is kept: no judge looks at this fleet, and rows would be taken for memory of nodes."""
+        """Records nothing: no checker reads this history, and rows would count as memory of the nodes."""
 
     def _turn(self, node: VirtualNode, waking: int) -> None:
-        began_ns, self._aside_ns = time.thread_time_ns(), 0
+        began_ns, self._excluded_ns = time.thread_time_ns(), 0
         super()._turn(node, waking)
-        self.counts[node.name].cpu_ns += time.thread_time_ns() - began_ns - self._aside_ns
+        self.counts[node.name].cpu_ns += time.thread_time_ns() - began_ns - self._excluded_ns
 
     def _arrive(self, sender: str, address: str, to: VirtualNode, envelope: Envelope) -> None:
         if to.agent is None or self._is_cut(sender, to.name):
             return
         data = encode_envelope(envelope)
         self._count(to, envelope, len(data))
-        began_ns, self._aside_ns = time.thread_time_ns(), 0
+        began_ns, self._excluded_ns = time.thread_time_ns(), 0
         super()._arrive(sender, address, to, decode_envelope(data))
-        self.counts[to.name].cpu_ns += time.thread_time_ns() - began_ns - self._aside_ns
+        self.counts[to.name].cpu_ns += time.thread_time_ns() - began_ns - self._excluded_ns
 
     def _put(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
         length = len(encode_envelope(out.envelope))
-        packed_ns = time.thread_time_ns()
+        began_ns = time.thread_time_ns()
         self._count(node, out.envelope, length)
         super()._put(node, out)
-        self._aside_ns += time.thread_time_ns() - packed_ns
+        self._excluded_ns += time.thread_time_ns() - began_ns
 
     def _count(self, node: VirtualNode, envelope: Envelope, length: int) -> None:
         counts = self.counts[node.name]
-        counts.groups[group_of(envelope.body)].add(length + HEADER)
-        counts.seconds[self.time.now_us // SECOND] += length + HEADER
+        counts.groups[message_group(envelope.body)].add(length + HEADER_BYTES)
+        counts.bytes_by_second[self.time.now_us // SECOND] += length + HEADER_BYTES
--- a/benchmarks/capacity/measure_leases.py
+++ b/benchmarks/capacity/measure_leases.py
@@ -1,4 +1,6 @@
-"""A lease for each shard, as tasks have them today: one node of a small fleet in virtual time owns all."""
+"""Measures one lease per shard, as fleet tasks have it: one node of a small fleet in virtual time owns all
+shards.
+"""
 
 from __future__ import annotations
 
@@ -9,56 +11,60 @@
 
 NODES, VOTERS = 8, 5
 SIZES = (50, 100, 200, 400)
-SETTLE_S, LOOK_S = 15.0, 10.0
+SETTLE_S, OBSERVATION_S = 15.0, 10.0
 
 
-def _own(fleet: CountingFleet, name: str, shards: int) -> None:
-    """Has one node try for so many tasks more."""
+def _claim_shards(fleet: CountingFleet, name: str, shards: int) -> None:
+    """Makes a node a candidate for the leases of this number of shards, besides its own tasks."""
     agent = fleet.nodes[name].agent
     assert agent is not None
-    usual = agent.candidate_tasks
-    more = {f"shard/{n:06}": [name] for n in range(shards)}
-    agent.candidate_tasks = lambda: {**usual(), **more}  # type: ignore[method-assign]
+    default_candidate_tasks = agent.candidate_tasks
+    shard_tasks = {f"shard/{n:06}": [name] for n in range(shards)}
+    agent.candidate_tasks = lambda: {**default_candidate_tasks(), **shard_tasks}  # type: ignore[method-assign]
 
 
-def _play(shards: int) -> dict[str, float]:
+def _run_leases(shards: int) -> dict[str, float]:
     fleet = CountingFleet(NODES, voters=VOTERS)
     fleet.begin()
     fleet.run_for(SETTLE_S)
-    holder = fleet.names[-1]
-    fleet.forget_counts()
-    fleet.run_for(LOOK_S)
-    before = {name: one.cpu_ns for name, one in fleet.counts.items()}
-    _own(fleet, holder, shards)
+    owner = fleet.names[-1]
+    fleet.reset_counts()
+    fleet.run_for(OBSERVATION_S)
+    rest_cpu_ns = {name: node_counts.cpu_ns for name, node_counts in fleet.counts.items()}
+    _claim_shards(fleet, owner, shards)
     fleet.run_for(SETTLE_S)
-    owned = sum(fleet.owner(f"shard/{n:06}") == holder for n in range(shards))
+    owned = sum(fleet.owner(f"shard/{n:06}") == owner for n in range(shards))
     if owned < shards:
-        raise RuntimeError(f"{owned} of {shards} leases are held")
-    fleet.forget_counts()
-    fleet.run_for(LOOK_S)
+        raise RuntimeError(f"node owns {owned} of {shards} shards, expected all")
+    fleet.reset_counts()
+    fleet.run_for(OBSERVATION_S)
     counts = fleet.counts
-    cpu = {name: (one.cpu_ns - before[name]) / 1e9 / LOOK_S for name, one in counts.items()}
+    cpu = {
+        name: (node_counts.cpu_ns - rest_cpu_ns[name]) / 1e9 / OBSERVATION_S
+        for name, node_counts in counts.items()
+    }
     return {
-        "messages_s": counts[holder].of(LEASES).messages / LOOK_S,
-        "bytes_s": counts[holder].of(LEASES).bytes / LOOK_S,
-        "cpu": cpu[holder],
-        "voter_messages_s": median(counts[name].of(LEASES).messages for name in fleet.voters) / LOOK_S,
-        "voter_bytes_s": median(counts[name].of(LEASES).bytes for name in fleet.voters) / LOOK_S,
+        "messages_s": counts[owner].group(LEASES).messages / OBSERVATION_S,
+        "bytes_s": counts[owner].group(LEASES).bytes / OBSERVATION_S,
+        "cpu": cpu[owner],
+        "voter_messages_s": median(counts[name].group(LEASES).messages for name in fleet.voters)
+        / OBSERVATION_S,
+        "voter_bytes_s": median(counts[name].group(LEASES).bytes for name in fleet.voters) / OBSERVATION_S,
         "voter_cpu": median(cpu[name] for name in fleet.voters),
     }
 
 
-def leases() -> list[Measurement]:
-    found = [_play(size) for size in SIZES]
+def measure_leases() -> list[Measurement]:
+    results = [_run_leases(size) for size in SIZES]
     how = f"{NODES} nodes in virtual time, {VOTERS} voters; one node, no voter, owns all shards; over rest"
     return [
         Measurement(
-            f"shard_leases.{what}",
+            f"shard_leases.{quantity}",
             "shards",
-            "of a core" if "cpu" in what else "bytes/s" if "bytes" in what else "messages/s",
+            "of a core" if "cpu" in quantity else "bytes/s" if "bytes" in quantity else "messages/s",
             [float(size) for size in SIZES],
-            [one[what] for one in found],
+            [figures[quantity] for figures in results],
             how,
         )
-        for what in found[0]
+        for quantity in results[0]
     ]
--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -1,5 +1,5 @@
-"""One real node process between stand-ins on loopback: what a standing connection keeps in memory, what a
-set-up and a line cost in processor time. The descriptors that the machine allows are kept to.
+"""Measures one real node process between stand-ins on loopback: the memory of a standing connection, and the
+processor time of a connection set-up and of a line. The machine's limit of open descriptors bounds the sizes.
 """
 
 from __future__ import annotations
@@ -18,13 +18,14 @@
 from tests.stand_ins import Roster, free_port, node, roster_entry
 
 SIZES = (500, 1_000, 2_000, 4_000)
-FORM_SERVERS, AT_ONCE = 8, 50
-SETTLED_S, QUIET_S = 3.0, 5.0
-# Lines for clients, in all, at each size; so many a client before the next ones wait for these.
-LINES = 40_000
+FORM_SERVERS, CONCURRENT_SETUPS = 8, 50
+SETTLE_S, IDLE_S = 3.0, 5.0
+# Lines sent to clients in all at each size, in rounds of one line per client; a round starts when all lines
+# of the previous one have been read.
+TOTAL_LINES = 40_000
 LINE = b"STATE " + b"x" * 94 + b"\r\n"
-# Descriptors beside the two of a connection: listeners, the roster, logs.
-SPARE = 200
+# Descriptors besides the two of each connection: listeners, the registry, logs.
+SPARE_DESCRIPTORS = 200
 
 
 @dataclass(slots=True)
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class _FormServers:
-    """Accept whatever comes, and keep each connection by its session's id."""
+    """Form servers that accept every session and keep its connection by session id."""
 
     writers: dict[str, asyncio.StreamWriter] = field(default_factory=dict)
     addresses: list[str] = field(default_factory=list)
@@ -50,7 +51,7 @@
         first = await reader.readline()
         self.writers[first.split()[1].decode()] = writer
         writer.write(b"UP r1\r\n")
-        with suppress(asyncio.CancelledError, ConnectionError):  # the play is over
+        with suppress(asyncio.CancelledError, ConnectionError):  # the measurement has ended
             while await reader.readline():
                 pass
         writer.close()
@@ -65,30 +66,31 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * resource.getpagesize() / 1e6
 
 
-async def _client(host: str, port: int, number: int) -> _Client:
+async def _open_session(host: str, port: int, number: int) -> _Client:
     reader, writer = await asyncio.open_connection(host, port)
     identity = f"{number:016x}"
     writer.write(f"OPEN {identity} {identity} c=page-load,d=8000,g={identity}\r\n".encode())
-    answer = await asyncio.wait_for(reader.readline(), 20.0)
-    if not answer.startswith(b"UP"):
-        raise RuntimeError(f"connection {number} was answered {answer!r}")
+    response = await asyncio.wait_for(reader.readline(), 20.0)
+    if not response.startswith(b"UP"):
+        raise RuntimeError(f"connection {number} received {response!r}, expected a line that starts with UP")
     return _Client(reader, writer)
 
 
-async def _set_up(listen: str, count: int) -> list[_Client]:
+async def _open_sessions(listen: str, count: int) -> list[_Client]:
     host, port = listen.split(":")
     clients: list[_Client] = []
-    for first in range(0, count, AT_ONCE):
-        some: list[Awaitable[_Client]] = [
-            _client(host, int(port), number) for number in range(first, min(count, first + AT_ONCE))
+    for first in range(0, count, CONCURRENT_SETUPS):
+        batch: list[Awaitable[_Client]] = [
+            _open_session(host, int(port), number)
+            for number in range(first, min(count, first + CONCURRENT_SETUPS))
         ]
-        clients += await asyncio.gather(*some)
+        clients += await asyncio.gather(*batch)
     return clients
 
 
-async def _lines(servers: _FormServers, clients: list[_Client]) -> int:
-    """Every form server's end sends one line to its client, again and again; all are read."""
-    rounds = max(1, LINES // len(clients))
+async def _send_lines(servers: _FormServers, clients: list[_Client]) -> int:
+    """Sends lines from the form servers to all clients and reads them. Returns the number of lines."""
+    rounds = max(1, TOTAL_LINES // len(clients))
     for _ in range(rounds):
         for writer in servers.writers.values():
             writer.write(LINE)
@@ -97,31 +99,31 @@
     return rounds * len(clients)
 
 
-async def _play(count: int) -> dict[str, float]:
+async def _measure_size(count: int) -> dict[str, float]:
     servers = _FormServers()
     await servers.start()
     entries = [roster_entry(f"s-{n:08x}", address, "SERVING") for n, address in enumerate(servers.addresses)]
-    with tempfile.TemporaryDirectory() as folder, node(Path(folder), Roster(entries)) as running:
-        pid = running.process.pid
-        await asyncio.sleep(SETTLED_S)
-        empty_mb, idle_s = _memory_mb(pid), _cpu_s(pid)
-        clients = await _set_up(running.listen, count)
-        set_up_s = _cpu_s(pid) - idle_s
-        await asyncio.sleep(SETTLED_S)
-        held_mb, quiet_s, began = _memory_mb(pid), _cpu_s(pid), time.perf_counter()
-        await asyncio.sleep(QUIET_S)
-        idle = (_cpu_s(pid) - quiet_s) / (time.perf_counter() - began)
-        before_s, began = _cpu_s(pid), time.perf_counter()
-        passed = await _lines(servers, clients)
-        spent_s = _cpu_s(pid) - before_s - idle * (time.perf_counter() - began)
+    with tempfile.TemporaryDirectory() as folder, node(Path(folder), Roster(entries)) as running_node:
+        pid = running_node.process.pid
+        await asyncio.sleep(SETTLE_S)
+        empty_mb, empty_cpu_s = _memory_mb(pid), _cpu_s(pid)
+        clients = await _open_sessions(running_node.listen, count)
+        set_up_s = _cpu_s(pid) - empty_cpu_s
+        await asyncio.sleep(SETTLE_S)
+        held_mb, idle_start_cpu_s, start = _memory_mb(pid), _cpu_s(pid), time.perf_counter()
+        await asyncio.sleep(IDLE_S)
+        idle_cpu = (_cpu_s(pid) - idle_start_cpu_s) / (time.perf_counter() - start)
+        lines_start_cpu_s, start = _cpu_s(pid), time.perf_counter()
+        line_count = await _send_lines(servers, clients)
+        lines_cpu_s = _cpu_s(pid) - lines_start_cpu_s - idle_cpu * (time.perf_counter() - start)
         for client in clients:
             client.writer.close()
     return {
         "memory_mb": held_mb - empty_mb,
         "empty_mb": empty_mb,
         "set_up_cpu_s": set_up_s,
-        "idle_cpu": idle,
-        "line_cpu_us": spent_s / passed * 1e6,
+        "idle_cpu": idle_cpu,
+        "line_cpu_us": lines_cpu_s / line_count * 1e6,
     }
 
 
@@ -134,24 +136,26 @@
 }
 
 
-def connections() -> list[Measurement]:
-    """Raises RuntimeError where the machine's descriptors do not allow the largest size."""
-    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if 2 * max(SIZES) + SPARE > allowed:
-        raise RuntimeError(f"{max(SIZES)} connections take more descriptors than the {allowed} allowed")
-    found = [asyncio.run(_play(size)) for size in SIZES]
+def measure_connections() -> list[Measurement]:
+    """Raises RuntimeError if the limit of open descriptors is too low for the largest size."""
+    descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if 2 * max(SIZES) + SPARE_DESCRIPTORS > descriptor_limit:
+        raise RuntimeError(
+            f"{max(SIZES)} connections need more open descriptors than the limit of {descriptor_limit}"
+        )
+    results = [asyncio.run(_measure_size(size)) for size in SIZES]
     how = (
         f"one real node, {FORM_SERVERS} form servers and all clients in one other process, loopback; "
         f"lines of {len(LINE)} bytes from form server to client"
     )
     return [
         Measurement(
-            f"connections.{what}",
+            f"connections.{quantity}",
             "connections",
             unit,
-            [float(s) for s in SIZES],
-            [f[what] for f in found],
+            [float(count) for count in SIZES],
+            [figures[quantity] for figures in results],
             how,
         )
-        for what, unit in UNITS.items()
+        for quantity, unit in UNITS.items()
     ]
--- a/benchmarks/capacity/measure_scale.py
+++ b/benchmarks/capacity/measure_scale.py
@@ -1,7 +1,8 @@
-"""Nodes in real time over sockets, by the laboratory's scale run: what the virtual fleets leave out.
+"""Measures nodes in real time over sockets, which fleets in virtual time leave out, with the scale scenario
+of the laboratory.
 
-Hollow nodes run the agent that real nodes run, some hundred in a process. The processor time of a node is its
-share of its process's, by what its own task took.
+Hollow nodes run the same agent as real nodes, about a hundred per process. The processor time of a node is
+its share of the time of its process, in proportion to the time of its own task.
 """
 
 from __future__ import annotations
@@ -16,37 +17,51 @@
 from benchmarks.capacity.record import ROOT, Measurement
 
 SIZES = (50, 100, 200, 400)
-LOOK_S, MOST_S = 15, 400
+OBSERVATION_S, TIMEOUT_S = 15, 400
 ROLES = ("ordinary", "voter", "owner_marks")
-WHATS = {"cpu_whole": "of a core", "memory_mb": "MB", "bytes_in": "bytes/s", "bytes_out": "bytes/s"}
-ON_TIME = "hosts-on-time-ms"
+UNITS = {"cpu_whole": "of a core", "memory_mb": "MB", "bytes_in": "bytes/s", "bytes_out": "bytes/s"}
+ON_TIME_CHECK = "hosts-on-time-ms"
 
 
-def _run(hollow: int) -> dict[str, float]:
-    """The run's figures. Raises RuntimeError where its hosts were late: then they mean nothing."""
+def _run_scale(hollow: int) -> dict[str, float]:
+    """Returns the figures of a run. Raises RuntimeError if the hosts were late, which makes the figures
+    invalid.
+    """
     with tempfile.TemporaryDirectory() as folder:
-        words = ["--driver", "sockets", "--nodes", "1", "--hollow", str(hollow), "--seconds", str(LOOK_S)]
-        command = [sys.executable, "-m", "sailrun", "lab", "run", "scale", *words, "--out", folder]
-        subprocess.run(command, cwd=ROOT, timeout=MOST_S, capture_output=True, check=False)
+        options = [
+            "--driver",
+            "sockets",
+            "--nodes",
+            "1",
+            "--hollow",
+            str(hollow),
+            "--seconds",
+            str(OBSERVATION_S),
+        ]
+        command = [sys.executable, "-m", "sailrun", "lab", "run", "scale", *options, "--out", folder]
+        subprocess.run(command, cwd=ROOT, timeout=TIMEOUT_S, capture_output=True, check=False)
         summary: dict[str, Any] = json.loads((Path(folder) / "summary.json").read_text())
     for check in summary["checks"]:
-        if check["name"] == ON_TIME and not check["holds"]:
+        if check["name"] == ON_TIME_CHECK and not check["holds"]:
             raise RuntimeError(f"{hollow} hollow nodes: hosts were {check['value']} ms late")
     return dict(summary["figures"])
 
 
-def scale() -> list[Measurement]:
-    found = [_run(size) for size in SIZES]
-    how = f"`sailrun lab run scale`, one real process and so many hollow nodes, {LOOK_S} s at rest; medians"
+def measure_scale() -> list[Measurement]:
+    results = [_run_scale(size) for size in SIZES]
+    how = (
+        "`sailrun lab run scale`, one real process and so many hollow nodes, "
+        f"{OBSERVATION_S} s at rest; medians"
+    )
     return [
         Measurement(
-            f"scale.{role}.{what}",
+            f"scale.{role}.{quantity}",
             "nodes",
             unit,
             [float(size) for size in SIZES],
-            [one[f"{role}.{what}.median"] for one in found],
+            [figures[f"{role}.{quantity}.median"] for figures in results],
             how,
         )
         for role in ROLES
-        for what, unit in WHATS.items()
+        for quantity, unit in UNITS.items()
     ]
--- a/benchmarks/capacity/measure_shards.py
+++ b/benchmarks/capacity/measure_shards.py
@@ -1,5 +1,5 @@
-"""Shards of one region by one lease per node: who is in, kept by the region's control machines, and a
-placement that every node works out by itself.
+"""Measures the shards of one region with one lease per node: the region's control machines keep the sessions
+of the nodes, and every node computes the placement by itself.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from statistics import median
 
-from benchmarks.capacity.counting_fleet import SHARDS, CountingFleet, terms_of_all
+from benchmarks.capacity.counting_fleet import SHARDS, CountingFleet, all_enabled_settings
 from benchmarks.capacity.record import Measurement
 from sailrun.lab.faults.virtual import VirtualNode
 from sailrun.leadership.agent import AgentSettings
@@ -22,77 +22,84 @@
 from sailrun.sharding.settings import RegionSettings, ShardingSettings
 
 REGION, VOTERS, CONTROL_MACHINES = "r1", 5, 8
-# At the target: 125,000 shards among some 640 nodes.
+# A region of the target fleet has 125,000 shards on about 640 nodes.
 REGION_SHARDS = 125_000
-PLACED_SIZES, FLEET_SIZES = (80, 160, 320, 640), (50, 100, 200, 400)
-# What is scored one by one, as tasks are, for so many shards only; a change is applied so often.
-SCORED, CHANGES = 100, 5
-SETTLE_S, LOOK_S, MOST_S, ZONES_OF_REGION = 40.0, 20.0, 120.0, 4
+PLACEMENT_SIZES, FLEET_SIZES = (80, 160, 320, 640), (50, 100, 200, 400)
+# Shards that are scored one by one, as tasks are; repetitions of a change.
+SCORED_SHARDS, CHANGE_REPETITIONS = 100, 5
+SETTLE_S, OBSERVATION_S, TIMEOUT_S, ZONES_PER_REGION = 40.0, 20.0, 120.0, 4
 
 
-# ---------------------------------------------------------------------- placement, before and now
+# ---------------------------------------------------------------------- placement by scores and by table
 
 
 def _sessions(nodes: int) -> list[Session]:
     return [Session(f"node-{n:05}", n + 1, n) for n in range(nodes)]
 
 
-def _timed_s(act: Callable[[], object]) -> float:
+def _cpu_s(call: Callable[[], object]) -> float:
     began_ns = time.thread_time_ns()
-    act()
+    call()
     return (time.thread_time_ns() - began_ns) / 1e9
 
 
-def _scored_s(shard: int, names: list[str]) -> float:
-    return _timed_s(lambda: best_placed(f"{len(names)}/{shard}", names))
+def _scoring_cpu_s(shard: int, names: list[str]) -> float:
+    return _cpu_s(lambda: best_placed(f"{len(names)}/{shard}", names))
 
 
-def _placed(nodes: int) -> dict[str, float]:
-    """In one run: every shard scored as tasks are, and the table of numpy from nothing and for one change."""
+def _run_placement(nodes: int) -> dict[str, float]:
+    """Measures in one run the scoring of a sample of shards, as tasks are scored, and the numpy placement
+    table, built from nothing and after one change. The scoring time is extrapolated to all shards.
+    """
     names = [session.name for session in _sessions(nodes)]
-    scored_s = median(_scored_s(shard, names) for shard in range(SCORED))
+    scoring_cpu_s = median(_scoring_cpu_s(shard, names) for shard in range(SCORED_SHARDS))
     gc.collect()
     tracemalloc.start()
-    placement = Placement(f"kept-{nodes}", REGION_SHARDS)  # names not hashed before
+    placement = Placement(f"kept-{nodes}", REGION_SHARDS)  # a new name: no hashes cached
     placement.place_all(1, _sessions(nodes))
-    kept, most = tracemalloc.get_traced_memory()
+    kept_bytes, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    begin_s = _timed_s(lambda: Placement(f"timed-{nodes}", REGION_SHARDS).place_all(1, _sessions(nodes)))
-    left: list[float] = []
-    joined: list[float] = []
+    build_cpu_s = _cpu_s(lambda: Placement(f"timed-{nodes}", REGION_SHARDS).place_all(1, _sessions(nodes)))
+    left_cpu_s: list[float] = []
+    joined_cpu_s: list[float] = []
     moved: list[int] = []
 
-    def timed(change: GenerationChange) -> float:
-        return _timed_s(lambda: moved.append(len(placement.apply_change(change))))
+    def apply_cpu_s(change: GenerationChange) -> float:
+        return _cpu_s(lambda: moved.append(len(placement.apply_change(change))))
 
-    for n in range(CHANGES):
-        left.append(timed(GenerationChange(2 * n + 2, [], [n + 1])))
-        joined.append(timed(GenerationChange(2 * n + 3, [Session(f"new-{n}", nodes + n + 1, 1)], [])))
+    for n in range(CHANGE_REPETITIONS):
+        left_cpu_s.append(apply_cpu_s(GenerationChange(2 * n + 2, [], [n + 1])))
+        joined_cpu_s.append(
+            apply_cpu_s(GenerationChange(2 * n + 3, [Session(f"new-{n}", nodes + n + 1, 1)], []))
+        )
     return {
-        "scored_cpu_s": scored_s * REGION_SHARDS,
-        "begin_cpu_s": begin_s,
-        "left_cpu_s": median(left),
-        "joined_cpu_s": median(joined),
+        "scored_cpu_s": scoring_cpu_s * REGION_SHARDS,
+        "begin_cpu_s": build_cpu_s,
+        "left_cpu_s": median(left_cpu_s),
+        "joined_cpu_s": median(joined_cpu_s),
         "moved": median(moved) / REGION_SHARDS,
-        "memory_mb": kept / 1e6,
-        "memory_most_mb": most / 1e6,
+        "memory_mb": kept_bytes / 1e6,
+        "memory_most_mb": peak_bytes / 1e6,
     }
 
 
-def placements() -> list[Measurement]:
-    found = [_placed(size) for size in PLACED_SIZES]
-    how = f"`Placement` of {REGION_SHARDS:,} shards; scored: `best_placed` for {SCORED} of them, times all"
+def measure_placement() -> list[Measurement]:
+    results = [_run_placement(size) for size in PLACEMENT_SIZES]
+    how = (
+        f"`Placement` of {REGION_SHARDS:,} shards; "
+        f"scored: `best_placed` for {SCORED_SHARDS} of them, times all"
+    )
     units = {"moved": "of the region's shards", "memory_mb": "MB", "memory_most_mb": "MB"}
     return [
         Measurement(
-            f"placement.{what}",
+            f"placement.{quantity}",
             "nodes of a region",
-            units.get(what, "s"),
-            [float(size) for size in PLACED_SIZES],
-            [one[what] for one in found],
+            units.get(quantity, "s"),
+            [float(size) for size in PLACEMENT_SIZES],
+            [figures[quantity] for figures in results],
             how,
         )
-        for what in found[0]
+        for quantity in results[0]
     ]
 
 
@@ -100,23 +107,23 @@
 
 
 class RegionFleet(CountingFleet):
-    """One region: control machines first, of which some vote, then nodes that own shards."""
+    """One region. The first nodes are control machines, some of them voters; the others own shards."""
 
     def __init__(self, nodes: int, shards: int = REGION_SHARDS) -> None:
         super().__init__(CONTROL_MACHINES + nodes, voters=VOTERS)
         self._shards = shards
-        self._terms = self._terms_with_shards
+        self._terms = self._settings_with_shards
 
-    def _terms_with_shards(self, index: int, voters: list[str], joins: list[str]) -> AgentSettings:
-        usual = terms_of_all(index, voters, joins)
+    def _settings_with_shards(self, index: int, voters: list[str], joins: list[str]) -> AgentSettings:
+        defaults = all_enabled_settings(index, voters, joins)
         region = RegionSettings(name=REGION, shards=self._shards, voters=tuple(voters))
         return AgentSettings(
-            usual.membership,
-            usual.leadership,
-            usual.permits,
-            usual.list_reader,
-            usual.shares_move_rate,
-            usual.replication,
+            defaults.membership,
+            defaults.leadership,
+            defaults.permits,
+            defaults.list_reader,
+            defaults.shares_move_rate,
+            defaults.replication,
             ShardingSettings(enabled=True, regions=(region,)),
         )
 
@@ -125,41 +132,43 @@
         return MemberRecord(node.name, life, 1, MemberState.ALIVE, node.address, node.zone, REGION, role)
 
     @property
-    def owners(self) -> list[str]:
-        """The nodes that own shards."""
+    def shard_owners(self) -> list[str]:
+        """Returns the names of the nodes that own shards."""
         return self.names[CONTROL_MACHINES:]
 
-    def usable(self) -> int:
-        """Shards that some node may use now."""
+    def count_usable_shards(self) -> int:
+        """Returns the number of shards that a node may use now."""
         count = 0
-        for name in self.owners:
+        for name in self.shard_owners:
             node = self.nodes[name]
-            part = node.agent.shards if node.agent is not None else None
-            if part is not None and part.session is not None:
-                count += len(part.session.usable_shards(self.clock_us(node)))
+            sharding = node.agent.shards if node.agent is not None else None
+            if sharding is not None and sharding.session is not None:
+                count += len(sharding.session.usable_shards(self.clock_us(node)))
         return count
 
-    def until_usable(self, most_s: float, step_s: float = 0.25) -> float:
-        """Seconds until every shard may be used by somebody; infinity if not within `most_s`."""
+    def run_until_usable(self, timeout_s: float, step_s: float = 0.25) -> float:
+        """Runs until every shard may be used by a node. Returns the seconds taken, infinity after
+        `timeout_s`.
+        """
         began_s = self.now_s()
-        while self.usable() < self._shards:
-            if self.now_s() - began_s > most_s:
+        while self.count_usable_shards() < self._shards:
+            if self.now_s() - began_s > timeout_s:
                 return float("inf")
             self.run_for(step_s)
         return self.now_s() - began_s
 
     def assigner(self) -> str:
-        """Raises RuntimeError where there is none."""
-        for node in self.running():
-            part = node.agent.shards if node.agent is not None else None
-            if part is not None and part.is_assigner(self.clock_us(node)):
+        """Returns the name of the assigner. Raises RuntimeError if there is none."""
+        for node in self.running_nodes():
+            sharding = node.agent.shards if node.agent is not None else None
+            if sharding is not None and sharding.is_assigner(self.clock_us(node)):
                 return node.name
-        raise RuntimeError("no assigner")
+        raise RuntimeError("no running node is assigner")
 
 
-# Fewer shards in a fleet of many nodes in one process: each node keeps a placement of its own.
+# Fewer shards than in a real region: all nodes run in one process, and each keeps its own placement.
 FLEET_SHARDS = 12_500
-FLEET = (
+FLEET_CONDITIONS = (
     f"one region in virtual time: {CONTROL_MACHINES} control machines, {VOTERS} of them voters, "
     f"{FLEET_SHARDS:,} shards, lease {ShardingSettings().lease_s:g} s, all other tables on"
 )
@@ -172,89 +181,103 @@
         return int(file.read().split()[1]) * resource.getpagesize() / 1e6
 
 
-def _region(nodes: int) -> dict[str, float]:
-    """A region at rest; then one of its nodes dies, then a quarter of them at once; both come back."""
+def _run_region(nodes: int) -> dict[str, float]:
+    """Measures a region at rest, after one of its nodes dies, and after a quarter of them die at once. The
+    nodes are started again after each failure.
+    """
     fleet = RegionFleet(nodes, FLEET_SHARDS)
     fleet.begin()
     fleet.run_for(SETTLE_S)
-    if fleet.until_usable(MOST_S) == float("inf"):
-        raise RuntimeError(f"of {FLEET_SHARDS} shards {fleet.usable()} may be used")
+    if fleet.run_until_usable(TIMEOUT_S) == float("inf"):
+        raise RuntimeError(
+            f"of {FLEET_SHARDS} shards {fleet.count_usable_shards()} are usable after the start, expected all"
+        )
     assigner = fleet.assigner()
-    fleet.forget_counts()
-    fleet.run_for(LOOK_S)
+    fleet.reset_counts()
+    fleet.run_for(OBSERVATION_S)
     counts = fleet.counts
-    nodes_of = [counts[name] for name in fleet.owners]
+    owner_counts = [counts[name] for name in fleet.shard_owners]
     figures = {
-        "bytes_s": median(one.of(SHARDS).bytes for one in nodes_of) / LOOK_S,
-        "messages_s": median(one.of(SHARDS).messages for one in nodes_of) / LOOK_S,
-        "cpu": median(one.cpu_ns for one in nodes_of) / 1e9 / LOOK_S,
-        "assigner_bytes_s": counts[assigner].of(SHARDS).bytes / LOOK_S,
-        "assigner_messages_s": counts[assigner].of(SHARDS).messages / LOOK_S,
-        "assigner_cpu": counts[assigner].cpu_ns / 1e9 / LOOK_S,
-        "voter_bytes_s": median(counts[name].of(SHARDS).bytes for name in fleet.voters if name != assigner)
-        / LOOK_S,
+        "bytes_s": median(node_counts.group(SHARDS).bytes for node_counts in owner_counts) / OBSERVATION_S,
+        "messages_s": median(node_counts.group(SHARDS).messages for node_counts in owner_counts)
+        / OBSERVATION_S,
+        "cpu": median(node_counts.cpu_ns for node_counts in owner_counts) / 1e9 / OBSERVATION_S,
+        "assigner_bytes_s": counts[assigner].group(SHARDS).bytes / OBSERVATION_S,
+        "assigner_messages_s": counts[assigner].group(SHARDS).messages / OBSERVATION_S,
+        "assigner_cpu": counts[assigner].cpu_ns / 1e9 / OBSERVATION_S,
+        "voter_bytes_s": median(counts[name].group(SHARDS).bytes for name in fleet.voters if name != assigner)
+        / OBSERVATION_S,
     }
-    for what, lost in (
-        ("node", fleet.owners[-1:]),
-        ("zone", fleet.owners[-max(1, nodes // ZONES_OF_REGION) :]),
+    for event, lost in (
+        ("node", fleet.shard_owners[-1:]),
+        ("zone", fleet.shard_owners[-max(1, nodes // ZONES_PER_REGION) :]),
     ):
         for name in lost:
             fleet.kill(name)
-        figures[f"{what}_goes.seconds"] = fleet.until_usable(MOST_S)
+        figures[f"{event}_goes.seconds"] = fleet.run_until_usable(TIMEOUT_S)
         for name in lost:
             fleet.start(name)
         fleet.run_for(SETTLE_S)
-        if fleet.until_usable(MOST_S) == float("inf"):
-            raise RuntimeError(f"{fleet.usable()} of {FLEET_SHARDS} shards may be used after a return")
+        if fleet.run_until_usable(TIMEOUT_S) == float("inf"):
+            raise RuntimeError(
+                f"{fleet.count_usable_shards()} of {FLEET_SHARDS} shards are usable again, expected all"
+            )
     return figures
 
 
-def _without_assigner(nodes: int) -> dict[str, float]:
-    """The assigner dies: the largest part of the shards that nobody may use, and for how long any."""
+def _run_assigner_loss(nodes: int) -> dict[str, float]:
+    """Measures after the death of the assigner the largest share of shards that no node may use, and the time
+    during which there are such shards.
+    """
     fleet = RegionFleet(nodes, FLEET_SHARDS)
     fleet.begin()
     fleet.run_for(SETTLE_S)
-    if fleet.until_usable(MOST_S) == float("inf"):
-        raise RuntimeError(f"of {FLEET_SHARDS} shards {fleet.usable()} may be used")
+    if fleet.run_until_usable(TIMEOUT_S) == float("inf"):
+        raise RuntimeError(
+            f"of {FLEET_SHARDS} shards {fleet.count_usable_shards()} are usable after the start, expected all"
+        )
     fleet.kill(fleet.assigner())
-    unused: list[float] = []
-    for _ in range(int(LOOK_S / STEP_S)):
+    unused_shares: list[float] = []
+    for _ in range(int(OBSERVATION_S / STEP_S)):
         fleet.run_for(STEP_S)
-        unused.append(1 - fleet.usable() / FLEET_SHARDS)
-    return {"unused": max(unused), "unused_seconds": STEP_S * sum(share > 0 for share in unused)}
+        unused_shares.append(1 - fleet.count_usable_shards() / FLEET_SHARDS)
+    return {
+        "unused": max(unused_shares),
+        "unused_seconds": STEP_S * sum(share > 0 for share in unused_shares),
+    }
 
 
-def without_assigner() -> list[Measurement]:
-    found = [_without_assigner(size) for size in FLEET_SIZES]
+def measure_assigner_loss() -> list[Measurement]:
+    results = [_run_assigner_loss(size) for size in FLEET_SIZES]
     return [
         Measurement(
-            f"region.assigner_goes.{what}",
+            f"region.assigner_goes.{quantity}",
             "nodes of a region",
-            "s" if "seconds" in what else "of the region's shards",
+            "s" if "seconds" in quantity else "of the region's shards",
             [float(size) for size in FLEET_SIZES],
-            [one[what] for one in found],
-            f"{FLEET}; looked at every {STEP_S} s for {LOOK_S:.0f} s",
+            [figures[quantity] for figures in results],
+            f"{FLEET_CONDITIONS}; looked at every {STEP_S} s for {OBSERVATION_S:.0f} s",
         )
-        for what in found[0]
+        for quantity in results[0]
     ]
 
 
-def region() -> list[Measurement]:
-    found = [_region(size) for size in FLEET_SIZES]
+def measure_region() -> list[Measurement]:
+    results = [_run_region(size) for size in FLEET_SIZES]
     return [
         Measurement(
-            f"region.{what}",
+            f"region.{quantity}",
             "nodes of a region",
             "of a core"
-            if "cpu" in what
+            if "cpu" in quantity
             else "s"
-            if "seconds" in what
+            if "seconds" in quantity
             else "bytes/s"
-            if "bytes" in what
+            if "bytes" in quantity
             else "messages/s",
             [float(size) for size in FLEET_SIZES],
-            [one[what] for one in found],
-            FLEET,
+            [figures[quantity] for figures in results],
+            FLEET_CONDITIONS,
         )
-        for what in found[0]
+        for quantity in results[0]
     ]
