--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -36,23 +36,24 @@
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.sharding.messages import ShardBody
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 HEADER_BYTES = 28
 VOTERS = 7
-MAX_MARKED_OUT = 1_000
+MAX_OUT_OF_SERVICE = 1_000
 MEMBERS, LEASES, REPLICATION, SHARDS, OTHER = "members", "leases", "copies", "shards", "other"
 _LEADER_MESSAGES = (LeaderRequest, LeaderResponse, NotLeader, ResponseRejection)
 _LEASE_MESSAGES = (LeaseRequest, LeaseGrant, LeaseDenial, LeaseRelease, LeaseHandover, TermQuery, TermReport)
 
 
-def all_enabled_settings(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
-    """Returns settings with every table of the operator's file enabled and the program's defaults, except
-    that `MAX_MARKED_OUT` form servers may be marked out, so that no mark waits for a permit.
+def control_settings(index: int, voters: list[str], joins: list[str]) -> AgentSettings:
+    """Returns the program's default settings with membership, leadership, permits, list reader, move rate and
+    replication enabled. Sharding is off. Up to `MAX_OUT_OF_SERVICE` form servers may be out of service at a
+    time, so that no mark waits for a permit.
     """
     return AgentSettings(
         MembershipSettings(enabled=True, fleet="capacity", name=f"n{index}", join=tuple(joins)),
         LeadershipSettings(enabled=True, voters=tuple(voters)),
-        PermitSettings(enabled=True, out=MAX_MARKED_OUT),
+        PermitSettings(enabled=True, out=MAX_OUT_OF_SERVICE),
         ListReaderSettings(enabled=True),
         shares_move_rate=True,
         replication=ReplicationSettings(enabled=True),
@@ -60,8 +61,8 @@
 
 
 def message_group(body: Body) -> str:
-    """Returns the group in which a message is counted: `members`, `leases`, `copies`, `shards`, `other`, or
-    the task of a message to or from a leader.
+    """Returns the group in which a message is counted: `members`, `leases`, `copies` (replication),
+    `shards`, `other`, or the task of a message to or from a leader.
     """
     if isinstance(body, MemberBody):
         return MEMBERS
@@ -106,9 +107,11 @@
 
 class CountingFleet(VirtualFleet):
     def __init__(self, nodes: int, seed: int = 1, zones: int = 1, voters: int = VOTERS) -> None:
-        super().__init__(nodes, voters, zones, all_enabled_settings, seed)
+        super().__init__(nodes, voters, zones, control_settings, seed)
         self.counts: dict[str, NodeCounts] = {}
-        self._excluded_ns = 0  # time of the virtual network within the time of a node
+        # Time spent in the virtual network and in counting during a call of a node, which is subtracted from
+        # the node's processor time.
+        self._excluded_ns = 0
         self.reset_counts()
 
     # ------------------------------------------------------------------ control and queries
@@ -117,7 +120,7 @@
         self.counts = {name: NodeCounts() for name in self.names}
 
     def now_s(self) -> float:
-        return (self.time.now_us - BEGIN_US) / SECOND
+        return (self.time.now_us - BEGIN_US) / SECOND_US
 
     def run_for(self, seconds: float) -> None:
         self.run(self.now_s() + seconds)
@@ -126,7 +129,7 @@
         return [node for node in self.nodes.values() if node.agent is not None]
 
     def converged_share(self) -> float:
-        """Returns the share, 0 to 1, of the running nodes whose number of living members equals that of the
+        """Returns the share, 0 to 1, of the running nodes that know as many living members as there are
         running nodes.
         """
         running_nodes = self.running_nodes()
@@ -176,4 +179,4 @@
     def _count(self, node: VirtualNode, envelope: Envelope, length: int) -> None:
         counts = self.counts[node.name]
         counts.groups[message_group(envelope.body)].add(length + HEADER_BYTES)
-        counts.bytes_by_second[self.time.now_us // SECOND] += length + HEADER_BYTES
+        counts.bytes_by_second[self.time.now_us // SECOND_US] += length + HEADER_BYTES
--- a/benchmarks/capacity/failures.py
+++ b/benchmarks/capacity/failures.py
@@ -12,7 +12,10 @@
 
 
 def _seconds_at_target(
-    record: Record, name: str, kind: str = "line or constant", nodes: float = DESIGNED.nodes
+    record: Record,
+    name: str,
+    kind: str = "line or constant",  # the value of `working.BEST_FIT`
+    nodes: float = DESIGNED.nodes,
 ) -> str:
     try:
         return f"{format_number(fit_by_name(record, name, kind).at(nodes))} s"
@@ -31,7 +34,7 @@
 
 def failures(record: Record) -> list[Failure]:
     """Returns the failures and their effects. Times at the target are extrapolated by fits of
-    measurements that end at 400 to 800 nodes.
+    measurements at up to 400 nodes of the fleet or of a region.
     """
     zone_loss, zone_return = (
         _seconds_at_target(record, f"zone_{event}.seconds_99") for event in ("goes", "returns")
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -8,8 +8,9 @@
 
 import msgspec
 
-# A line that rises by at most this part of the mean value over the measured sizes is taken as a constant.
-FLAT_RISE_RATIO = 0.05
+# A line that changes by at most this fraction of the mean value over the measured sizes is replaced by a
+# constant.
+FLAT_CHANGE_RATIO = 0.05
 
 
 class Fit(msgspec.Struct, frozen=True):
@@ -37,12 +38,13 @@
 
 
 def fit_curve(kind: str, sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Fits a curve of this kind by least squares. Raises ValueError for fewer than two samples or unequal
-    counts.
+    """Fits a curve of this kind by least squares. Raises ValueError for fewer than two sizes or if the
+    number of values differs. At least two sizes must differ, except for `constant` and `through`.
     """
     if len(sizes) != len(values) or len(sizes) < 2:
         raise ValueError(
-            f"fit needs at least two sizes and a value for each: {len(sizes)} sizes, {len(values)} values"
+            f"{kind} fit needs at least two sizes and one value per size, "
+            f"got {len(sizes)} sizes and {len(values)} values"
         )
     basis = [BASIS_FUNCTIONS[kind](x) for x in sizes]
     if kind == "constant":
@@ -68,9 +70,9 @@
 
 
 def line_or_constant(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Fits a constant if the line rises by at most `FLAT_RISE_RATIO` of the mean over the sizes, else the
-    line.
+    """Fits a constant if the line changes by at most the fraction `FLAT_CHANGE_RATIO` of the mean value over
+    the sizes, else the line.
     """
     line = fit_curve("line", sizes, values)
-    rise = abs(line.slope) * (max(sizes) - min(sizes))
-    return fit_curve("constant", sizes, values) if rise <= FLAT_RISE_RATIO * abs(fmean(values)) else line
+    change = abs(line.slope) * (max(sizes) - min(sizes))
+    return fit_curve("constant", sizes, values) if change <= FLAT_CHANGE_RATIO * abs(fmean(values)) else line
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -24,23 +24,25 @@
 
 Figures = dict[str, float]
 MAX_PROCESSES = 2
-# Time after the start until all gossip about it has been sent; observation time at rest, and after a change
-# of members.
+# SETTLE_S: time until the gossip about a start or a change of members has ended. The others: how long
+# messages are counted, at rest and around a change of members.
 SETTLE_S, REST_OBSERVATION_S, CHANGE_OBSERVATION_S = 40.0, 20.0, 40.0
 CONVERGENCE_TIMEOUT_S = 300.0
-MARK_TIMEOUT_S = 30.0  # a mark is answered within this time
+OUTCOME_WAIT_S = 30.0  # time to wait for the outcomes after the last mark is written
 START_S = 0.35  # all nodes have started within this time
 MOST_NODES_SHARE = 0.99
 # Tasks whose leaders receive requests in a fleet at rest.
 LEADER_TASKS_AT_REST = ("marks", "roster")
 ZONES = 23
-# Marks of the scenarios: one after another, a second apart; at several rates for a time; and all at once.
+# Number of marks that are written one after another, a second apart; the rates, each kept for
+# RATE_DURATION_S; the number of marks written at once.
 SINGLE_MARKS, MARK_RATES_PER_S, RATE_DURATION_S, BURST_MARKS = 20, (1, 2, 5, 10), 10.0, 1_000
-# The cost of a mark is the difference between this number of marks per second and none.
+# The cost of one mark is the cost at this rate less the cost at rest, divided by the rate.
 COST_MARKS_PER_S = 5
+# The figures of `mark_cost`, and the figures of `mark_rates` from which they are computed.
 MARK_COSTS = {"bytes": "bytes_s", "cpu_s": "cpu", "owner_bytes": "owner_bytes_s", "owner_cpu_s": "owner_cpu"}
-# One region in six is cut off for this time instead of an hour; the changes of an hour are made during the
-# cut.
+# A region (1 / REGIONS of the nodes) is cut off for CUT_S instead of an hour. All changes of an hour are made
+# in that time.
 REGIONS, CUT_S, CHANGES_PER_HOUR = 6, 60.0, 542
 
 
@@ -58,15 +60,16 @@
 
 
 def _start_all(fleet: CountingFleet) -> float:
-    """Starts all nodes. Returns the seconds until every node knows all members. Raises RuntimeError after a
-    timeout.
+    """Starts all nodes. Returns the seconds until every node knows all members. Raises RuntimeError if they
+    do not within CONVERGENCE_TIMEOUT_S.
     """
     fleet.begin()
     fleet.run_for(START_S)
     took_s = START_S + fleet.run_until_converged(CONVERGENCE_TIMEOUT_S)
     if took_s == float("inf"):
         raise RuntimeError(
-            f"some of {len(fleet.names)} nodes do not know all members after {CONVERGENCE_TIMEOUT_S} s"
+            f"{fleet.converged_share():.0%} of {len(fleet.names)} nodes know all members "
+            f"{CONVERGENCE_TIMEOUT_S} s after the start, expected all"
         )
     return took_s
 
@@ -103,12 +106,13 @@
 
 
 def _role_figures(fleet: CountingFleet) -> Figures:
-    """Returns figures by role. A role counts only the messages of its own task, so that two roles of one node
-    stay separate; its processor time is that of the node beyond an ordinary node.
+    """Returns figures by role. Only the messages of the role's own task are counted, so that those of two
+    roles of one node stay separate. Processor time is that of the node less the median of ordinary nodes; it
+    is not divided between two roles of one node.
     """
     counts, leaders = fleet.counts, {task: fleet.owner(task) for task in fleet.tasks()}
-    special = {*fleet.voters, *leaders.values()}
-    ordinary = [node_counts for name, node_counts in counts.items() if name not in special]
+    nodes_with_roles = {*fleet.voters, *leaders.values()}
+    ordinary = [node_counts for name, node_counts in counts.items() if name not in nodes_with_roles]
     figures = {
         "rest.bytes_s": _median_bytes(ordinary) / REST_OBSERVATION_S,
         "rest.messages_s": median(node_counts.messages for node_counts in ordinary) / REST_OBSERVATION_S,
@@ -140,7 +144,7 @@
     rest_bytes = _median_bytes(list(fleet.counts.values()))
     fleet.reset_counts()
     fleet.leave(fleet.names[-1])
-    fleet.run_for(2.0)
+    fleet.run_for(2.0)  # the node stays stopped for 2 s
     fleet.start(fleet.names[-1])
     fleet.run_for(CHANGE_OBSERVATION_S - 2.0)
     others = [fleet.counts[name] for name in fleet.names[:-1]]
@@ -176,18 +180,24 @@
 def _write_mark(fleet: CountingFleet, name: str, subject: str, outcomes: list[MarkOutcome]) -> None:
     request = MarkRequest("mark", _replica(fleet, name).make_request_id(), 0, "out", subject, True)
     node = fleet.nodes[name]
+    # The mark itself times out after 60 s.
     _replica(fleet, name).write_mark(fleet.clock_us(node), request, outcomes.append, 60_000_000)
     fleet._soon(node)
 
 
 def _await_marks(fleet: CountingFleet, outcomes: list[MarkOutcome], count: int) -> None:
-    """Waits for the outcomes. Raises RuntimeError unless this number of marks is in force."""
-    until_s = fleet.now_s() + MARK_TIMEOUT_S
+    """Waits for the outcomes of marks. Raises RuntimeError unless this number of marks was written (state
+    `done`).
+    """
+    until_s = fleet.now_s() + OUTCOME_WAIT_S
     while len(outcomes) < count and fleet.now_s() < until_s:
         fleet.run_for(0.25)
     state_counts = Counter(outcome.state for outcome in outcomes)
     if state_counts["done"] < count:
-        raise RuntimeError(f"{count} marks expected as done, outcomes: {dict(state_counts)}")
+        raise RuntimeError(
+            f"{state_counts['done']} of {count} marks were written within {OUTCOME_WAIT_S} s, expected all; "
+            f"outcomes: {dict(state_counts)}"
+        )
 
 
 def _nodes_with_marks(fleet: CountingFleet, subjects: Sequence[str]) -> int:
@@ -197,9 +207,10 @@
     )
 
 
-def _seconds_until_everywhere(
+def _run_until_replicated(
     fleet: CountingFleet, subjects: Sequence[str], timeout_s: float, step_s: float
 ) -> float:
+    """Runs until every node has all of these marks. Returns the seconds taken, infinity after `timeout_s`."""
     began_s = fleet.now_s()
     while _nodes_with_marks(fleet, subjects) < len(fleet.names):
         if fleet.now_s() - began_s > timeout_s:
@@ -218,22 +229,23 @@
     outcomes: list[MarkOutcome] = []
     for n in range(SINGLE_MARKS):
         _write_mark(fleet, fleet.names[n * 7 % nodes], f"one-{n}", outcomes)
-        took.append(_seconds_until_everywhere(fleet, [f"one-{n}"], 60.0, 0.02))
+        took.append(_run_until_replicated(fleet, [f"one-{n}"], 60.0, 0.02))
         fleet.run_for(1.0)
     _await_marks(fleet, outcomes, SINGLE_MARKS)
     return {"mark.seconds_median": median(took), "mark.seconds_most": max(took)}
 
 
 def mark_rates(nodes: int, rates: Sequence[int] = (0, *MARK_RATES_PER_S)) -> Figures:
-    """Returns bytes per second and processor time of an ordinary node and of the leader of the marks task, by
-    marks per second.
+    """Returns, by marks per second, the median bytes per second of the nodes that are neither leader nor
+    voter, the median processor time of all nodes but the leader, and both figures of the leader of the marks
+    task.
     """
     fleet = _settled_fleet(nodes)
     leader = fleet.owner(MARKS_TASK) or fleet.names[0]
     figures: Figures = {}
     outcomes: list[MarkOutcome] = []
     for rate in rates:
-        fleet.run_for(10.0)
+        fleet.run_for(10.0)  # pause between two rates
         fleet.reset_counts()
         for n in range(int(rate * RATE_DURATION_S)):
             _write_mark(fleet, fleet.names[n * 7 % nodes], f"rate-{rate}-{n}", outcomes)
@@ -271,7 +283,7 @@
     began_s = fleet.now_s()
     for n in range(BURST_MARKS):
         _write_mark(fleet, fleet.names[-1], f"burst-{n:04}", outcomes)
-    took_s = _seconds_until_everywhere(fleet, [f"burst-{n:04}" for n in range(BURST_MARKS)], 120.0, 0.25)
+    took_s = _run_until_replicated(fleet, [f"burst-{n:04}" for n in range(BURST_MARKS)], 120.0, 0.25)
     _await_marks(fleet, outcomes, BURST_MARKS)
     return {
         "burst.seconds": took_s,
@@ -294,9 +306,7 @@
     fleet.reset_counts()
     fleet.heal(cut_number)
     began_s = fleet.now_s()
-    converged_s = _seconds_until_everywhere(
-        fleet, [f"cut-{n:04}" for n in range(CHANGES_PER_HOUR)], 120.0, 0.25
-    )
+    converged_s = _run_until_replicated(fleet, [f"cut-{n:04}" for n in range(CHANGES_PER_HOUR)], 120.0, 0.25)
     members_s = converged_s + fleet.run_until_converged(CONVERGENCE_TIMEOUT_S)
     return {
         "cut.alike_seconds": converged_s,
@@ -323,7 +333,7 @@
         assert agent is not None and agent.permit_holder is not None
         agent.permit_holder.request("drain", name)
         fleet._soon(fleet.nodes[name])
-    fleet.run_for(5.0)
+    fleet.run_for(5.0)  # pause before counting
     fleet.reset_counts()
     fleet.run_for(REST_OBSERVATION_S)
     traffic = fleet.counts[leader].group(PERMITS_TASK)
--- a/benchmarks/capacity/measure_leases.py
+++ b/benchmarks/capacity/measure_leases.py
@@ -1,5 +1,5 @@
-"""Measures one lease per shard, as fleet tasks have it: one node of a small fleet in virtual time owns all
-shards.
+"""Measures shard ownership with one lease per shard, the scheme used for fleet tasks: one node of a small
+fleet in virtual time owns all shards.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     fleet.run_for(SETTLE_S)
     owned = sum(fleet.owner(f"shard/{n:06}") == owner for n in range(shards))
     if owned < shards:
-        raise RuntimeError(f"node owns {owned} of {shards} shards, expected all")
+        raise RuntimeError(f"node {owner} owns {owned} of {shards} shards after {SETTLE_S} s, expected all")
     fleet.reset_counts()
     fleet.run_for(OBSERVATION_S)
     counts = fleet.counts
--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -1,5 +1,6 @@
-"""Measures one real node process between stand-ins on loopback: the memory of a standing connection, and the
-processor time of a connection set-up and of a line. The machine's limit of open descriptors bounds the sizes.
+"""Measures one real node process between stand-ins on loopback: the memory of an established connection, and
+the processor time of a connection set-up and of passing one line from a form server to a client. The
+machine's limit of open file descriptors bounds the sizes.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 SIZES = (500, 1_000, 2_000, 4_000)
 FORM_SERVERS, CONCURRENT_SETUPS = 8, 50
 SETTLE_S, IDLE_S = 3.0, 5.0
-# Lines sent to clients in all at each size, in rounds of one line per client; a round starts when all lines
-# of the previous one have been read.
+# Total number of lines sent to clients at each size, in rounds of one line per client; a round starts when
+# all lines of the previous one have been read.
 TOTAL_LINES = 40_000
 LINE = b"STATE " + b"x" * 94 + b"\r\n"
-# Descriptors besides the two of each connection: listeners, the registry, logs.
+# File descriptors besides the two of each connection: listeners, the registry, logs.
 SPARE_DESCRIPTORS = 200
 
 
@@ -137,11 +138,12 @@
 
 
 def measure_connections() -> list[Measurement]:
-    """Raises RuntimeError if the limit of open descriptors is too low for the largest size."""
+    """Raises RuntimeError if the limit of open file descriptors is too low for the largest size."""
     descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if 2 * max(SIZES) + SPARE_DESCRIPTORS > descriptor_limit:
         raise RuntimeError(
-            f"{max(SIZES)} connections need more open descriptors than the limit of {descriptor_limit}"
+            f"{max(SIZES)} connections need {2 * max(SIZES) + SPARE_DESCRIPTORS} open file descriptors, "
+            f"the limit (RLIMIT_NOFILE) is {descriptor_limit}"
         )
     results = [asyncio.run(_measure_size(size)) for size in SIZES]
     how = (
--- a/benchmarks/capacity/measure_pure.py
+++ b/benchmarks/capacity/measure_pure.py
@@ -1,5 +1,5 @@
 """Measures single modules without a fleet: task placement, the shares of the move rate, aggregation rounds of
-loads, load sums, lists of form servers, records in memory, and shards that move.
+loads, load summaries, lists of form servers, records in memory, and shards that move.
 """
 
 from __future__ import annotations
@@ -25,10 +25,11 @@
 from sailrun.replication.store import RecordStore
 from tests.stand_ins import roster_entry
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 # Tasks scored at each size, and requests for a share of the move rate at each size.
-SCORED_TASKS, MAX_REQUESTS = 20, 2_000
+SCORED_TASKS, SHARE_REQUESTS = 20, 2_000
 SHARDS, ZONES = 1_000, 23
+# With this number of nodes the load of a session is `LOAD` of the knowledge benchmark.
 REFERENCE_NODES = 50
 
 
@@ -83,11 +84,11 @@
 
 def _grant_shares(nodes: int) -> dict[str, float]:
     coordinator, request_numbers = MoveRateCoordinator(1, 0), count(1)
-    now_us = 10 * SECOND
+    now_us = 10 * SECOND_US
     for n in range(nodes):
         coordinator.grant_share(now_us, f"node-{n:05}")
     began_ns = time.thread_time_ns()
-    for n in range(MAX_REQUESTS):
+    for n in range(SHARE_REQUESTS):
         now_us += REQUEST_INTERVAL_US // nodes
         request = decode_envelope(
             encode_envelope(_envelope(LeaderRequest("pace", 1, next(request_numbers))))
@@ -95,9 +96,9 @@
         assert isinstance(request, LeaderRequest)
         share = coordinator.grant_share(now_us, f"node-{n % nodes:05}")
         response = encode_envelope(_envelope(LeaderResponse("pace", 1, request.number, share)))
-    took_us = (time.thread_time_ns() - began_ns) / 1e3 / MAX_REQUESTS
+    took_us = (time.thread_time_ns() - began_ns) / 1e3 / SHARE_REQUESTS
     length = len(encode_envelope(_envelope(LeaderRequest("pace", 1, 1)))) + len(response) + 2 * HEADER_BYTES
-    requests_per_s = nodes * SECOND / REQUEST_INTERVAL_US
+    requests_per_s = nodes * SECOND_US / REQUEST_INTERVAL_US
     return {"cpu_us": took_us, "bytes_s": requests_per_s * length, "messages_s": 2 * requests_per_s}
 
 
@@ -116,8 +117,8 @@
 
 
 def _run_rounds(nodes: int) -> dict[str, float]:
-    # The total load is the same at every size, because the scale of loads in a sum ends at about 2.8 s of
-    # work.
+    # The total load is the same at every size, because the largest load that a summary can encode is about
+    # 2.6 s of work per second.
     _, seconds_99, sent_per_s, bytes_per_s, _ = run_knowledge_benchmark(
         nodes, 0.0, 1, LOAD * REFERENCE_NODES / nodes
     )
@@ -125,7 +126,7 @@
         "seconds_99": seconds_99,
         "messages_s": 2 * sent_per_s,
         "bytes_s": 2 * (bytes_per_s + HEADER_BYTES * sent_per_s),
-        "round_seconds": max(MIN_ROUND_US, ROUND_US_PER_NODE * nodes) / SECOND,
+        "round_seconds": max(MIN_ROUND_US, ROUND_US_PER_NODE * nodes) / SECOND_US,
     }
 
 
@@ -134,22 +135,22 @@
     return _measure_sizes("rounds", "nodes", (200, 400, 600, 800), how, _run_rounds)
 
 
-def sum_bytes(nodes: int, servers: int = 1) -> int:
-    """Returns the length of a sum with contributions of all nodes that names this number of form servers. At
-    most `MAX_DATAGRAM_BYTES` are allowed.
+def summary_bytes(nodes: int, servers: int = 1) -> int:
+    """Returns the length in bytes of a summary of all nodes' reports that names `servers` form servers. It
+    may exceed `MAX_DATAGRAM_BYTES`, the longest that a receiver accepts.
     """
     loads = {n * 600: 1.0 for n in range(servers)}
     return len(encode_datagram(LoadDatagram(1, loads, 1, False, contributors=frozenset(range(nodes))), nodes))
 
 
-def _sum_figures(nodes: int) -> dict[str, float]:
-    return {"places": float(datagram_capacity(nodes)), "bytes": float(sum_bytes(nodes))}
+def _summary_figures(nodes: int) -> dict[str, float]:
+    return {"places": float(datagram_capacity(nodes)), "bytes": float(summary_bytes(nodes))}
 
 
-def measure_sums() -> list[Measurement]:
+def measure_summaries() -> list[Measurement]:
     functions = "`datagram_capacity`, and `encode_datagram` with one form server"
     how = f"{functions}; longest allowed: {MAX_DATAGRAM_BYTES} bytes"
-    return _measure_sizes("sum", "nodes", (200, 400, 1_000, 1_600, 3_800), how, _sum_figures)
+    return _measure_sizes("sum", "nodes", (200, 400, 1_000, 1_600, 3_800), how, _summary_figures)
 
 
 # ---------------------------------------------------------------------- records of a replica
@@ -208,7 +209,7 @@
     "placement": measure_task_placement,
     "pace": measure_move_rate,
     "rounds": measure_rounds,
-    "sums": measure_sums,
+    "sums": measure_summaries,
     "records": measure_records,
     "lists": measure_lists,
     "moved": measure_moved_shards,
--- a/benchmarks/capacity/measure_scale.py
+++ b/benchmarks/capacity/measure_scale.py
@@ -1,8 +1,9 @@
-"""Measures nodes in real time over sockets, which fleets in virtual time leave out, with the scale scenario
-of the laboratory.
+"""Measures nodes in real time, with real sockets, by the laboratory's scale scenario. Fleets in virtual time
+do not include the cost of sockets.
 
-Hollow nodes run the same agent as real nodes, about a hundred per process. The processor time of a node is
-its share of the time of its process, in proportion to the time of its own task.
+A hollow node is the agent of a real node without a process of its own; about a hundred run in one process.
+The processor time of the process is divided among its nodes in proportion to the processor time of each
+node's own calls.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 
 
 def _run_scale(hollow: int) -> dict[str, float]:
-    """Returns the figures of a run. Raises RuntimeError if the hosts were late, which makes the figures
-    invalid.
+    """Returns the figures of a run. Raises RuntimeError if the event loop of a host process ran late,
+    which makes the figures invalid.
     """
     with tempfile.TemporaryDirectory() as folder:
         options = [
@@ -43,7 +44,10 @@
         summary: dict[str, Any] = json.loads((Path(folder) / "summary.json").read_text())
     for check in summary["checks"]:
         if check["name"] == ON_TIME_CHECK and not check["holds"]:
-            raise RuntimeError(f"{hollow} hollow nodes: hosts were {check['value']} ms late")
+            raise RuntimeError(
+                f"scale run with {hollow} hollow nodes: event loops of the hosts ran {check['value']} ms "
+                f"late, expected at most {check['limit']} ms"
+            )
     return dict(summary["figures"])
 
 
--- a/benchmarks/capacity/measure_shards.py
+++ b/benchmarks/capacity/measure_shards.py
@@ -1,5 +1,5 @@
-"""Measures the shards of one region with one lease per node: the region's control machines keep the sessions
-of the nodes, and every node computes the placement by itself.
+"""Measures the cost of sharding in one region with one lease per node: the region's control machines keep the
+sessions of the nodes, and every node computes the placement by itself.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from statistics import median
 
-from benchmarks.capacity.counting_fleet import SHARDS, CountingFleet, all_enabled_settings
+from benchmarks.capacity.counting_fleet import SHARDS, CountingFleet, control_settings
 from benchmarks.capacity.record import Measurement
 from sailrun.lab.faults.virtual import VirtualNode
 from sailrun.leadership.agent import AgentSettings
@@ -25,7 +25,7 @@
 # A region of the target fleet has 125,000 shards on about 640 nodes.
 REGION_SHARDS = 125_000
 PLACEMENT_SIZES, FLEET_SIZES = (80, 160, 320, 640), (50, 100, 200, 400)
-# Shards that are scored one by one, as tasks are; repetitions of a change.
+# Number of shards whose scoring is measured, and number of repetitions of each change.
 SCORED_SHARDS, CHANGE_REPETITIONS = 100, 5
 SETTLE_S, OBSERVATION_S, TIMEOUT_S, ZONES_PER_REGION = 40.0, 20.0, 120.0, 4
 
@@ -48,14 +48,15 @@
 
 
 def _run_placement(nodes: int) -> dict[str, float]:
-    """Measures in one run the scoring of a sample of shards, as tasks are scored, and the numpy placement
-    table, built from nothing and after one change. The scoring time is extrapolated to all shards.
+    """Measures two ways to place shards in the same run: the scoring of a sample of shards one by one, as it
+    is done for tasks, and the numpy placement table, when built from scratch and when updated after one
+    change. The scoring time is extrapolated to all shards.
     """
     names = [session.name for session in _sessions(nodes)]
     scoring_cpu_s = median(_scoring_cpu_s(shard, names) for shard in range(SCORED_SHARDS))
     gc.collect()
     tracemalloc.start()
-    placement = Placement(f"kept-{nodes}", REGION_SHARDS)  # a new name: no hashes cached
+    placement = Placement(f"kept-{nodes}", REGION_SHARDS)  # a name without cached hashes
     placement.place_all(1, _sessions(nodes))
     kept_bytes, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -115,7 +116,7 @@
         self._terms = self._settings_with_shards
 
     def _settings_with_shards(self, index: int, voters: list[str], joins: list[str]) -> AgentSettings:
-        defaults = all_enabled_settings(index, voters, joins)
+        defaults = control_settings(index, voters, joins)
         region = RegionSettings(name=REGION, shards=self._shards, voters=tuple(voters))
         return AgentSettings(
             defaults.membership,
@@ -163,16 +164,18 @@
             sharding = node.agent.shards if node.agent is not None else None
             if sharding is not None and sharding.is_assigner(self.clock_us(node)):
                 return node.name
-        raise RuntimeError("no running node is assigner")
+        raise RuntimeError("no running node is the assigner of the region, expected one")
 
 
-# Fewer shards than in a real region: all nodes run in one process, and each keeps its own placement.
+# Fewer shards than in a real region: all nodes run in one process, and the placement of every node takes
+# memory.
 FLEET_SHARDS = 12_500
 FLEET_CONDITIONS = (
     f"one region in virtual time: {CONTROL_MACHINES} control machines, {VOTERS} of them voters, "
     f"{FLEET_SHARDS:,} shards, lease {ShardingSettings().lease_s:g} s, all other tables on"
 )
-STEP_S = 0.25
+# Interval at which usable shards are counted after the loss of the assigner.
+ASSIGNER_LOSS_STEP_S = 0.25
 
 
 def _memory_mb() -> float:
@@ -190,7 +193,8 @@
     fleet.run_for(SETTLE_S)
     if fleet.run_until_usable(TIMEOUT_S) == float("inf"):
         raise RuntimeError(
-            f"of {FLEET_SHARDS} shards {fleet.count_usable_shards()} are usable after the start, expected all"
+            f"region of {nodes} nodes: {fleet.count_usable_shards()} of {FLEET_SHARDS} shards are usable "
+            f"{SETTLE_S + TIMEOUT_S} s after the start, expected all"
         )
     assigner = fleet.assigner()
     fleet.reset_counts()
@@ -220,30 +224,32 @@
         fleet.run_for(SETTLE_S)
         if fleet.run_until_usable(TIMEOUT_S) == float("inf"):
             raise RuntimeError(
-                f"{fleet.count_usable_shards()} of {FLEET_SHARDS} shards are usable again, expected all"
+                f"region of {nodes} nodes: {fleet.count_usable_shards()} of {FLEET_SHARDS} shards are usable "
+                f"{SETTLE_S + TIMEOUT_S} s after the {event} returned, expected all"
             )
     return figures
 
 
 def _run_assigner_loss(nodes: int) -> dict[str, float]:
-    """Measures after the death of the assigner the largest share of shards that no node may use, and the time
-    during which there are such shards.
+    """After the assigner dies, measures the largest share of shards that no node may use, and for how long
+    there are such shards.
     """
     fleet = RegionFleet(nodes, FLEET_SHARDS)
     fleet.begin()
     fleet.run_for(SETTLE_S)
     if fleet.run_until_usable(TIMEOUT_S) == float("inf"):
         raise RuntimeError(
-            f"of {FLEET_SHARDS} shards {fleet.count_usable_shards()} are usable after the start, expected all"
+            f"region of {nodes} nodes: {fleet.count_usable_shards()} of {FLEET_SHARDS} shards are usable "
+            f"{SETTLE_S + TIMEOUT_S} s after the start, expected all"
         )
     fleet.kill(fleet.assigner())
     unused_shares: list[float] = []
-    for _ in range(int(OBSERVATION_S / STEP_S)):
-        fleet.run_for(STEP_S)
+    for _ in range(int(OBSERVATION_S / ASSIGNER_LOSS_STEP_S)):
+        fleet.run_for(ASSIGNER_LOSS_STEP_S)
         unused_shares.append(1 - fleet.count_usable_shards() / FLEET_SHARDS)
     return {
         "unused": max(unused_shares),
-        "unused_seconds": STEP_S * sum(share > 0 for share in unused_shares),
+        "unused_seconds": ASSIGNER_LOSS_STEP_S * sum(share > 0 for share in unused_shares),
     }
 
 
@@ -256,7 +262,7 @@
             "s" if "seconds" in quantity else "of the region's shards",
             [float(size) for size in FLEET_SIZES],
             [figures[quantity] for figures in results],
-            f"{FLEET_CONDITIONS}; looked at every {STEP_S} s for {OBSERVATION_S:.0f} s",
+            f"{FLEET_CONDITIONS}; looked at every {ASSIGNER_LOSS_STEP_S} s for {OBSERVATION_S:.0f} s",
         )
         for quantity in results[0]
     ]
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,8 @@
-"""Writes the tables of docs/CAPACITY.md from docs/capacity.json. Text outside the markers is left alone."""
+"""Writes the tables of docs/CAPACITY.md from docs/capacity.json.
+
+Only text between `<!-- table NAME -->` and `<!-- end -->` is replaced. Text outside these markers is written
+by hand and is not changed.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/capacity/record.py
+++ b/benchmarks/capacity/record.py
@@ -48,13 +48,13 @@
     unit: str
     mechanism: str  # the code that causes the cost, existing or planned
     slope: str = ""  # as text, with its unit
-    sizes: list[float] = []
-    values: list[float] = []
+    sizes: list[float] = []  # of the samples of the fit
+    values: list[float] = []  # of the samples of the fit
     fit: Fit | None = None
-    arithmetic: str = ""
+    arithmetic: str = ""  # how the figures follow from the fit, as text
     figures: list[float] = []
-    limit: float = 0.0
-    limit_of: str = ""
+    limit: float = 0.0  # 0: none stated
+    limit_of: str = ""  # text that explains the limit
     ratios: list[float] = []
     verdict: str = NOT_MEASURED
     why: str = ""  # reason why it was not measured, or a further note
@@ -66,8 +66,8 @@
     """The effect of a failure on the fleet. `reasoned`: the effect was derived, not run."""
 
     what: str
-    seen: str
-    how_long: str
+    seen: str  # effects during the failure
+    how_long: str  # duration of these effects
     never: str  # invariant that the failure does not violate
     source: str
     reasoned: bool
--- a/benchmarks/capacity/rows_connections.py
+++ b/benchmarks/capacity/rows_connections.py
@@ -4,14 +4,15 @@
 
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
-from benchmarks.capacity.working import MEMBERSHIP_CONVERGENCE, WHOLE_CORE, CostLimit, make_row
+from benchmarks.capacity.working import MEMBERSHIP_CONVERGENCE_LIMIT, WHOLE_CORE_LIMIT, CostLimit, make_row
 
 PROXY = "text_protocol/clients.py: a client's connection and one to its form server, one process"
-# Limit of open descriptors of a process on the measuring machine, and descriptors that a connection uses.
+# Limit of open file descriptors of a process on the machine on which the measurements ran, and descriptors
+# that a connection uses.
 MAX_DESCRIPTORS, DESCRIPTORS_PER_CONNECTION = 20_000, 2
 
 
-def standing_connection_rows(record: Record) -> list[Row]:
+def established_connection_rows(record: Record) -> list[Row]:
     return [
         make_row(
             record,
@@ -31,7 +32,7 @@
             lambda fit, target: fit.at(target.connections_per_node),
             role="every node",
             cost="standing connections on which nothing is said: processor time",
-            cost_limit=WHOLE_CORE,
+            cost_limit=WHOLE_CORE_LIMIT,
             mechanism=PROXY,
             arithmetic="mean of the sizes measured: no rise was seen up to 4,000",
             kind="constant",
@@ -63,7 +64,7 @@
             lambda fit, target: fit.slope * reconnections_per_node(target),
             role="every node that stays",
             cost="a zone goes: seconds of a core to set up what comes over",
-            cost_limit=MEMBERSHIP_CONVERGENCE,
+            cost_limit=MEMBERSHIP_CONVERGENCE_LIMIT,
             mechanism=PROXY,
             arithmetic="processor time of a set-up * 50,000 * 165 nodes / 3,635 nodes that stay",
             kind="line",
@@ -81,7 +82,7 @@
             ),
             role="every node",
             cost="restarts and failures of a day: processor time for set-ups, if every connection comes anew",
-            cost_limit=WHOLE_CORE,
+            cost_limit=WHOLE_CORE_LIMIT,
             mechanism=f"{PROXY}; a replaced process hands its standing connections over",
             arithmetic="processor time of a set-up * 50,000 * (520 + 33) / nodes / 86,400 s",
             kind="line",
@@ -93,7 +94,7 @@
             lambda fit, target: fit.slope * target.connections_per_node,
             role="a node that comes back empty",
             cost="its 50,000 connections set up by one process: seconds of a core",
-            cost_limit=MEMBERSHIP_CONVERGENCE,
+            cost_limit=MEMBERSHIP_CONVERGENCE_LIMIT,
             mechanism=PROXY,
             arithmetic="processor time of a set-up * 50,000",
             kind="line",
@@ -103,4 +104,4 @@
 
 
 def rows(record: Record) -> list[Row]:
-    return standing_connection_rows(record) + reconnection_rows(record)
+    return established_connection_rows(record) + reconnection_rows(record)
--- a/benchmarks/capacity/rows_control.py
+++ b/benchmarks/capacity/rows_control.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
-from benchmarks.capacity.working import BYTES, CostLimit, make_row, unmeasured_row
+from benchmarks.capacity.working import BYTES_LIMIT, CostLimit, make_row, unmeasured_row
 
 
 def restart_row(record: Record) -> Row:
@@ -15,7 +15,7 @@
         ),
         role="every other node",
         cost="restarts and failures of a day: bytes of members' news, on top of rest",
-        cost_limit=BYTES,
+        cost_limit=BYTES_LIMIT,
         mechanism="membership/failure_detector.py",
         arithmetic="bytes that one restart costs each other node, by its fit * (520 + 33) / 86,400 s",
     )
--- a/benchmarks/capacity/rows_loads.py
+++ b/benchmarks/capacity/rows_loads.py
@@ -3,15 +3,21 @@
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
-from benchmarks.capacity.working import BYTES, CONFIG_PROPAGATION, CostLimit, at_node_count, make_row
+from benchmarks.capacity.working import (
+    BYTES_LIMIT,
+    CONFIG_PROPAGATION_LIMIT,
+    CostLimit,
+    at_node_count,
+    make_row,
+)
 from sailrun.load_gossip.datagram import MAX_DATAGRAM_BYTES
 
 AGGREGATION_ROUNDS = (
     "load_gossip/aggregation_rounds.py: one node adds up each round, 2 s long and 10 ms a node past 200 nodes"
 )
-# Up to this number of nodes a round lasts 2 s.
-MIN_ROUND_MAX_NODES = 200.0
-SUM_AGE = CostLimit("s", CONFIG_PROPAGATION.limit, "8 s, assumed as for changes")
+# Rounds have their shortest length, 2 s, up to this number of nodes.
+MAX_NODES_OF_SHORTEST_ROUND = 200.0
+SUM_AGE_LIMIT = CostLimit("s", CONFIG_PROPAGATION_LIMIT.limit, "8 s, assumed as for changes")
 
 
 def rows(record: Record) -> list[Row]:
@@ -31,10 +37,10 @@
         make_row(
             record,
             "rounds.round_seconds",
-            lambda fit, target: max(fit.at(MIN_ROUND_MAX_NODES), fit.at(target.nodes)),
+            lambda fit, target: max(fit.at(MAX_NODES_OF_SHORTEST_ROUND), fit.at(target.nodes)),
             role="every node",
             cost="age of a sum when the next one comes",
-            cost_limit=SUM_AGE,
+            cost_limit=SUM_AGE_LIMIT,
             mechanism=AGGREGATION_ROUNDS,
             arithmetic="10 ms * nodes, 2 s at least, from the program's constants",
             kind="through",
@@ -47,7 +53,7 @@
             at_node_count,
             role="ordinary node",
             cost="bytes of rounds while something goes on",
-            cost_limit=BYTES,
+            cost_limit=BYTES_LIMIT,
             mechanism=AGGREGATION_ROUNDS,
             arithmetic="mean of the sizes measured: it falls with the number of nodes",
             kind="constant",
--- a/benchmarks/capacity/rows_replica.py
+++ b/benchmarks/capacity/rows_replica.py
@@ -6,11 +6,11 @@
 
 from benchmarks.capacity.record import Measurement, Record, Row
 from benchmarks.capacity.working import (
-    BYTES,
-    CONFIG_PROPAGATION,
-    CORE,
-    LINK,
-    MEMORY,
+    BYTES_LIMIT,
+    CONFIG_PROPAGATION_LIMIT,
+    CORE_LIMIT,
+    LINK_LIMIT,
+    MEMORY_LIMIT,
     MissingMeasurement,
     RescaledSize,
     at_node_count,
@@ -51,7 +51,7 @@
         interval = measured_comparison_interval(record)
     except MissingMeasurement as error:
         return unmeasured_row(
-            role, cost, CONFIG_PROPAGATION, mechanism, f"measurement {error} is not in the file"
+            role, cost, CONFIG_PROPAGATION_LIMIT, mechanism, f"measurement {error} is not in the file"
         )
     return make_row(
         record,
@@ -59,7 +59,7 @@
         lambda fit, target: fit.at(comparison_interval_factor(target.nodes)),
         role=role,
         cost=cost,
-        cost_limit=CONFIG_PROPAGATION,
+        cost_limit=CONFIG_PROPAGATION_LIMIT,
         mechanism=mechanism,
         arithmetic="time between two questions of a node by its fit at nodes // 200",
         kind="through",
@@ -85,7 +85,7 @@
             at_node_count,
             role="every node",
             cost=cost,
-            cost_limit=CONFIG_PROPAGATION,
+            cost_limit=CONFIG_PROPAGATION_LIMIT,
             mechanism=REPLICATION,
             arithmetic="fit at the number of nodes; nothing lost, 1 to 3 ms between nodes",
             kind=kind,
@@ -96,8 +96,8 @@
 
 def change_cost_rows(record: Record) -> list[Row]:
     costs = (
-        ("mark_cost.bytes", "bytes", BYTES),
-        ("mark_cost.cpu_s", "processor time, without sockets", CORE),
+        ("mark_cost.bytes", "bytes", BYTES_LIMIT),
+        ("mark_cost.cpu_s", "processor time, without sockets", CORE_LIMIT),
     )
     return [
         make_row(
@@ -116,8 +116,8 @@
 
 def leader_cost_rows(record: Record) -> list[Row]:
     costs = (
-        ("mark_cost.owner_bytes", "bytes", BYTES),
-        ("mark_cost.owner_cpu_s", "processor time, without sockets", CORE),
+        ("mark_cost.owner_bytes", "bytes", BYTES_LIMIT),
+        ("mark_cost.owner_cpu_s", "processor time, without sockets", CORE_LIMIT),
     )
     return [
         make_row(
@@ -144,7 +144,7 @@
         at_node_count,
         role="busiest node",
         cost="a thousand changes at once: bytes in the busiest second",
-        cost_limit=LINK,
+        cost_limit=LINK_LIMIT,
         mechanism=REPLICATION,
         arithmetic="fit at the number of nodes",
         why="one second, so against the link",
@@ -159,7 +159,7 @@
             lambda fit, target: fit.at(MAX_RECORDS),
             role="every node",
             cost=f"memory of a full copy ({MAX_RECORDS:,} records)",
-            cost_limit=MEMORY,
+            cost_limit=MEMORY_LIMIT,
             mechanism="replication/store.py",
             arithmetic="memory for a record * the most records allowed by default",
             kind="line",
@@ -170,7 +170,7 @@
             lambda fit, target: fit.at(target.config_changes_per_day * 30),
             role="every node",
             cost="memory of a copy that keeps a month's changes, each its own record",
-            cost_limit=MEMORY,
+            cost_limit=MEMORY_LIMIT,
             mechanism="replication/store.py",
             arithmetic="memory for a record * changes a day * 30 (assumed)",
             kind="line",
--- a/benchmarks/capacity/rows_shards.py
+++ b/benchmarks/capacity/rows_shards.py
@@ -1,4 +1,4 @@
-"""Rows of the ownership of 750,000 shards with one lease per shard, as fleet tasks have it."""
+"""Rows of the ownership of 750,000 shards with one lease per shard, the scheme used for fleet tasks."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
 from benchmarks.capacity.working import (
-    BYTES,
-    CONFIG_PROPAGATION,
-    CORE,
-    LINK,
-    WHOLE_CORE,
+    BYTES_LIMIT,
+    CONFIG_PROPAGATION_LIMIT,
+    CORE_LIMIT,
+    LINK_LIMIT,
+    WHOLE_CORE_LIMIT,
     CostLimit,
     RescaledSize,
     make_row,
@@ -23,14 +23,14 @@
     "leadership/agent.py `Agent.candidate_tasks`: every task is scored against every node at each change of "
     "members"
 )
-SHARD_COUNT = CostLimit("shards")
+NO_SHARD_LIMIT = CostLimit("shards")
 
 
 def owner_rows(record: Record) -> list[Row]:
     costs = (
         ("shard_leases.messages_s", "messages", CostLimit("messages/s"), "line"),
-        ("shard_leases.bytes_s", "bytes", BYTES, "line"),
-        ("shard_leases.cpu", "processor time, without sockets", CORE, "square"),
+        ("shard_leases.bytes_s", "bytes", BYTES_LIMIT, "line"),
+        ("shard_leases.cpu", "processor time, without sockets", CORE_LIMIT, "square"),
     )
     return [
         make_row(
@@ -51,8 +51,8 @@
 def voter_rows(record: Record) -> list[Row]:
     costs = (
         ("shard_leases.voter_messages_s", "messages in and out", CostLimit("messages/s")),
-        ("shard_leases.voter_bytes_s", "bytes", LINK),
-        ("shard_leases.voter_cpu", "processor time, without sockets", WHOLE_CORE),
+        ("shard_leases.voter_bytes_s", "bytes", LINK_LIMIT),
+        ("shard_leases.voter_cpu", "processor time, without sockets", WHOLE_CORE_LIMIT),
     )
     return [
         make_row(
@@ -82,7 +82,7 @@
             lambda fit, target: all_shards_s(fit.at(target.nodes), target),
             role="every node",
             cost="shards scored after one change of members: seconds",
-            cost_limit=CONFIG_PROPAGATION,
+            cost_limit=CONFIG_PROPAGATION_LIMIT,
             mechanism=TASK_SCORING,
             arithmetic="time to place one task by its fit * shards",
             kind="line",
@@ -95,7 +95,7 @@
             ),
             role="every node",
             cost="shards scored after each change of members of a day: processor time",
-            cost_limit=CORE,
+            cost_limit=CORE_LIMIT,
             mechanism=TASK_SCORING,
             arithmetic="the same * (33 + 520) * 2 changes of a day / 86,400 s",
             kind="line",
@@ -130,7 +130,7 @@
             lambda fit, target: fit.at(1 / target.nodes) * target.shards * target.member_changes_per_day,
             role="the fleet",
             cost="shards that change owner on an ordinary day",
-            cost_limit=SHARD_COUNT,
+            cost_limit=NO_SHARD_LIMIT,
             mechanism="sharding/placement.py",
             arithmetic="share moved by a node that goes or comes, by its fit * shards * (33 + 520) * 2",
             kind="through",
@@ -144,7 +144,7 @@
             lambda fit, target: target.shards / target.zones,
             role="the fleet",
             cost="shards that change owner when a zone goes",
-            cost_limit=SHARD_COUNT,
+            cost_limit=NO_SHARD_LIMIT,
             mechanism="leadership/leases.py `best_placed`",
             arithmetic="shards / 23; the share moved was measured",
             kind="constant",
--- a/benchmarks/capacity/rows_shards_by_node.py
+++ b/benchmarks/capacity/rows_shards_by_node.py
@@ -7,13 +7,13 @@
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import DAY_S, Target
 from benchmarks.capacity.working import (
-    BYTES,
-    CONFIG_PROPAGATION,
-    CORE,
-    LINK,
-    MEMBERSHIP_CONVERGENCE,
-    MEMORY,
-    WHOLE_CORE,
+    BYTES_LIMIT,
+    CONFIG_PROPAGATION_LIMIT,
+    CORE_LIMIT,
+    LINK_LIMIT,
+    MEMBERSHIP_CONVERGENCE_LIMIT,
+    MEMORY_LIMIT,
+    WHOLE_CORE_LIMIT,
     CostLimit,
     fit_by_name,
     make_row,
@@ -44,8 +44,8 @@
 
 def session_rows(record: Record) -> list[Row]:
     costs = (
-        ("region.bytes_s", "every node that owns shards", "one lease per node: bytes", BYTES),
-        ("region.assigner_bytes_s", "assigner of a region", "heartbeats of its nodes: bytes", LINK),
+        ("region.bytes_s", "every node that owns shards", "one lease per node: bytes", BYTES_LIMIT),
+        ("region.assigner_bytes_s", "assigner of a region", "heartbeats of its nodes: bytes", LINK_LIMIT),
         (
             "region.assigner_messages_s",
             "assigner of a region",
@@ -56,9 +56,14 @@
             "region.assigner_cpu",
             "assigner of a region",
             "processor time of the whole machine, without sockets",
-            WHOLE_CORE,
+            WHOLE_CORE_LIMIT,
+        ),
+        (
+            "region.voter_bytes_s",
+            "voter of a region",
+            "the assigner's lease and its table: bytes",
+            LINK_LIMIT,
         ),
-        ("region.voter_bytes_s", "voter of a region", "the assigner's lease and its table: bytes", LINK),
     )
     return [
         make_row(
@@ -70,7 +75,9 @@
             cost_limit=cost_limit,
             mechanism=NODE_SESSIONS,
             arithmetic="fit at the nodes of a region (633)",
-            why="a control machine: not held to a node's limits" if cost_limit in (LINK, WHOLE_CORE) else "",
+            why="a control machine: not held to a node's limits"
+            if cost_limit in (LINK_LIMIT, WHOLE_CORE_LIMIT)
+            else "",
         )
         for name, role, cost, cost_limit in costs
     ]
@@ -85,7 +92,7 @@
             lambda fit, target: fit.at(_region_nodes(target)),
             role="its shards",
             cost=f"{event}: until every shard may be used again",
-            cost_limit=MEMBERSHIP_CONVERGENCE,
+            cost_limit=MEMBERSHIP_CONVERGENCE_LIMIT,
             mechanism=NODE_SESSIONS,
             arithmetic="fit at the nodes of a region; a lease of 10 s is in it",
         )
@@ -100,7 +107,7 @@
         lambda fit, target: fit.at(_region_nodes(target)),
         role="its shards",
         cost="the assigner dies: how long any shard may be used by nobody",
-        cost_limit=MEMBERSHIP_CONVERGENCE,
+        cost_limit=MEMBERSHIP_CONVERGENCE_LIMIT,
         mechanism=NODE_SESSIONS,
         arithmetic="mean of the sizes measured",
         kind="constant",
@@ -125,7 +132,7 @@
         lambda fit, target: fit.at(_region_nodes(target)) * _shards_factor(target),
         role="every node",
         cost="before: a region's shards scored one by one after one change: seconds",
-        cost_limit=CONFIG_PROPAGATION,
+        cost_limit=CONFIG_PROPAGATION_LIMIT,
         mechanism="leadership/leases.py `best_placed`, as tasks are placed; same run as the next rows",
         arithmetic=REGION_FIT,
     )
@@ -137,7 +144,7 @@
             lambda fit, target: fit.at(_region_nodes(target)) * _shards_factor(target),
             role="every node",
             cost="now: the same after a node joined: seconds",
-            cost_limit=CONFIG_PROPAGATION,
+            cost_limit=CONFIG_PROPAGATION_LIMIT,
             mechanism=PLACEMENT,
             arithmetic=REGION_FIT,
         ),
@@ -147,7 +154,7 @@
             lambda fit, target: placement_s(target) * _region_changes_per_s(target),
             role="every node",
             cost="now: shards placed after each change of members of a day: processor time",
-            cost_limit=CORE,
+            cost_limit=CORE_LIMIT,
             mechanism=PLACEMENT,
             arithmetic="mean of a node that left and one that joined * (33 + 520) * 2 / 6 regions / 86,400 s",
         ),
@@ -157,7 +164,7 @@
             lambda fit, target: fit.at(_region_nodes(target)) * _shards_factor(target),
             role="every node",
             cost="now: a region's shards placed from nothing: seconds",
-            cost_limit=CONFIG_PROPAGATION,
+            cost_limit=CONFIG_PROPAGATION_LIMIT,
             mechanism=PLACEMENT,
             arithmetic=REGION_FIT,
         ),
@@ -172,7 +179,7 @@
             lambda fit, target: fit.at(_region_nodes(target)) * _shards_factor(target),
             role="every node",
             cost=cost,
-            cost_limit=MEMORY,
+            cost_limit=MEMORY_LIMIT,
             mechanism=PLACEMENT,
             arithmetic=REGION_FIT,
         )
--- a/benchmarks/capacity/rows_sockets.py
+++ b/benchmarks/capacity/rows_sockets.py
@@ -1,10 +1,18 @@
-"""Rows of nodes at rest over real sockets, which cost more than in virtual time, which has none."""
+"""Rows of nodes at rest over real sockets. They cost more than in virtual time, where nodes use none."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.target import Target
-from benchmarks.capacity.working import BYTES, CORE, MEMORY, CostLimit, at_node_count, fit_by_name, make_row
+from benchmarks.capacity.working import (
+    BYTES_LIMIT,
+    CORE_LIMIT,
+    MEMORY_LIMIT,
+    CostLimit,
+    at_node_count,
+    fit_by_name,
+    make_row,
+)
 
 SCALE_RUN = "sailrun lab run scale, real time, all tables but shards"
 MEAN = "mean of the sizes measured, no rise was seen"
@@ -40,7 +48,7 @@
         lambda fit, target: bytes_in_and_out(target),
         role=ROLE_TITLES[role],
         cost="at rest over sockets: bytes, without headers",
-        cost_limit=BYTES,
+        cost_limit=BYTES_LIMIT,
         mechanism=SCALE_RUN,
         arithmetic=f"bytes in + bytes out; {MEAN}; samples are those in",
         kind="constant",
@@ -52,8 +60,10 @@
     return [
         *(_bytes_row(record, role) for role in ROLE_TITLES),
         *(
-            _usage_row(record, role, "cpu_whole", f"at rest over sockets: {cpu_text}", CORE)
+            _usage_row(record, role, "cpu_whole", f"at rest over sockets: {cpu_text}", CORE_LIMIT)
             for role in ROLE_TITLES
         ),
-        _usage_row(record, "ordinary", "memory_mb", f"at rest over sockets: {memory_text}", MEMORY, "line"),
+        _usage_row(
+            record, "ordinary", "memory_mb", f"at rest over sockets: {memory_text}", MEMORY_LIMIT, "line"
+        ),
     ]
--- a/benchmarks/capacity/rows_tasks.py
+++ b/benchmarks/capacity/rows_tasks.py
@@ -5,10 +5,10 @@
 from benchmarks.capacity.record import Record, Row
 from benchmarks.capacity.rows_replica import comparisons_per_s
 from benchmarks.capacity.target import Target
-from benchmarks.capacity.working import BYTES, CORE, RescaledSize, make_row
+from benchmarks.capacity.working import BYTES_LIMIT, CORE_LIMIT, RescaledSize, make_row
 
-# The measured fleet has the tasks permits, pace and marks, and the list reader of one data centre. The target
-# fleet has the same three, and a list reader for each zone.
+# The measured fleet is one zone, with the tasks permits, pace and marks and one list reader. The target fleet
+# has the same three tasks and one list reader per zone.
 MEASURED_TASKS, FLEET_WIDE_TASKS = 4, 3
 TASK_LEASES = (
     "leadership/leases.py and voter.py: a lease for each task, renewed 8 times in 2 s with every voter"
@@ -26,7 +26,7 @@
             lambda fit, target: fit.at(target.nodes) / MEASURED_TASKS * target_tasks(target),
             role="voter",
             cost="leases of fleet tasks: bytes",
-            cost_limit=BYTES,
+            cost_limit=BYTES_LIMIT,
             mechanism=TASK_LEASES,
             arithmetic="fit at the number of nodes / 4 tasks measured * 26 tasks (3 and a reader a zone)",
         ),
@@ -36,7 +36,7 @@
             lambda fit, target: fit.slope * target_tasks(target),
             role="voter",
             cost="leases of fleet tasks: processor time, without sockets",
-            cost_limit=CORE,
+            cost_limit=CORE_LIMIT,
             mechanism=TASK_LEASES,
             arithmetic="processor time for a lease * 26 tasks",
             kind="line",
@@ -53,7 +53,7 @@
             lambda fit, target: fit.at(target.restarts_per_day * 600 / 86_400),
             role="owner of permits",
             cost="restarts of an ordinary day: bytes",
-            cost_limit=BYTES,
+            cost_limit=BYTES_LIMIT,
             mechanism=permit_mechanism,
             arithmetic="restarts a day * 600 s each with a permit or in line / 86,400 s = how many at a time",
         ),
@@ -63,7 +63,7 @@
             lambda fit, target: fit.at(target.nodes),
             role="owner of permits",
             cost="a rolling drain over all nodes: bytes",
-            cost_limit=BYTES,
+            cost_limit=BYTES_LIMIT,
             mechanism=permit_mechanism,
             arithmetic="fit with every node in line at once",
         ),
@@ -81,7 +81,7 @@
             lambda fit, target: fit.at(target.nodes),
             role="owner of the pace",
             cost="all nodes move clients: bytes",
-            cost_limit=BYTES,
+            cost_limit=BYTES_LIMIT,
             mechanism=move_rate_mechanism,
             arithmetic="fit at the number of nodes",
         ),
@@ -91,7 +91,7 @@
             lambda fit, target: fit.at(target.nodes) / 1e6 * 2.0 * target.nodes,
             role="owner of the pace",
             cost="all nodes move clients: processor time, without sockets",
-            cost_limit=CORE,
+            cost_limit=CORE_LIMIT,
             mechanism=f"{move_rate_mechanism}; each ask adds up all shares lent",
             arithmetic="time for an ask by its fit * 2 asks a second * nodes",
         ),
@@ -109,7 +109,7 @@
             lambda fit, target: fit.at(target.nodes_per_zone),
             role="reader of a zone",
             cost="an empty list that changes each second: bytes",
-            cost_limit=BYTES,
+            cost_limit=BYTES_LIMIT,
             mechanism=reader_mechanism,
             arithmetic="fit at the nodes of a zone (all nodes measured were one zone)",
         ),
@@ -119,7 +119,7 @@
             lambda fit, target: fit.at(target.nodes_per_zone),
             role="reader of a zone",
             cost="the same: processor time, without sockets",
-            cost_limit=CORE,
+            cost_limit=CORE_LIMIT,
             mechanism=reader_mechanism,
             arithmetic="fit at the nodes of a zone",
         ),
@@ -129,7 +129,7 @@
             lambda fit, target: fit.at(1_000) * target.nodes_per_zone * target.restarts_per_day / 86_400,
             role="reader of a zone",
             cost="whole lists of 1,000 form servers for the day's changes: bytes",
-            cost_limit=BYTES,
+            cost_limit=BYTES_LIMIT,
             mechanism="leadership/list_reader.py: the whole list goes to every node at each change",
             arithmetic="list of 1,000 (assumed) * nodes of a zone * 520 changes of a day / 86,400 s",
             estimated=True,
@@ -140,8 +140,8 @@
 def mark_rows(record: Record) -> list[Row]:
     comparison_mechanism = "replication/copy_lag.py: each node asks every second, past 200 nodes more seldom"
     costs = (
-        ("marks.bytes_s", "at rest, nodes ask whether they are behind: bytes", BYTES),
-        ("marks.cpu", "at rest, the same: processor time, without sockets", CORE),
+        ("marks.bytes_s", "at rest, nodes ask whether they are behind: bytes", BYTES_LIMIT),
+        ("marks.cpu", "at rest, the same: processor time, without sockets", CORE_LIMIT),
     )
     return [
         make_row(
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -19,7 +19,7 @@
     largest_topic: float  # in listeners
     deliveries_per_s: float
     config_changes_per_day: float
-    control_machines: float
+    control_machines: float  # machines reserved for voters, assigners and task leaders
     failures_per_day: float  # machines that fail on a typical day
     restarts_per_day: float  # machines that are restarted or replaced
     regions: int = 6
@@ -77,17 +77,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits that the operators state for the cost of control."""
+    """Limits that the operators state for the cost of control: what a node does besides serving clients, such
+    as membership, leases, replication, load gossip and sharding.
+    """
 
-    core: float = 0.024  # part of one core, for control, at a node
+    core: float = 0.024  # fraction of one core, for control, at a node
     memory_mb: float = 32.0  # for control, at a node
     bytes_per_s: float = 8_000.0  # for control, in and out together, at a node
-    delivery_s: float = 0.390  # 99th percentile
+    delivery_s: float = 0.390  # 99th percentile of the time from publishing to delivery
     config_propagation_s: float = 8.0  # until a change of configuration is effective at every node
 
 
+# Nodes, connections, shards, listeners of the largest topic, deliveries per second, changes of configuration
+# per day, control machines, failures and restarts per day.
 DESIGNED = Target("target", 3_800, 190e6, 750_000, 100_000, 100e6, 13_000, 47, 33, 520)
 TENTH_SIZE = DESIGNED.scaled(0.1, "a tenth")
 TRIPLE_SIZE = DESIGNED.scaled(3.0, "three times")
+# The fleet at index 1 is the one that the program is designed for; rows are ranked and judged by it.
 TARGETS = (TENTH_SIZE, DESIGNED, TRIPLE_SIZE)
 LIMITS = Limits()
--- a/benchmarks/capacity/working.py
+++ b/benchmarks/capacity/working.py
@@ -20,28 +20,33 @@
 
 @dataclass(frozen=True, slots=True)
 class CostLimit:
-    """Unit and upper limit of a cost; `limit` 0 if the operators state none."""
+    """Unit and upper limit of a cost; `limit` 0 if the operators state none. `limit_of`: text that explains
+    the limit.
+    """
 
     unit: str
     limit: float = 0.0
     limit_of: str = ""
 
 
-BYTES = CostLimit("bytes/s", LIMITS.bytes_per_s, "8 KB/s at a node, in and out")
-CORE = CostLimit("of a core", LIMITS.core, "2.4% of a core at a node")
-MEMORY = CostLimit("MB", LIMITS.memory_mb, "32 MB at a node")
-CONFIG_PROPAGATION = CostLimit("s", LIMITS.config_propagation_s, "8 s, everywhere")
-DELIVERY_TIME = CostLimit("s", LIMITS.delivery_s, "390 ms for 99 in 100")
+BYTES_LIMIT = CostLimit("bytes/s", LIMITS.bytes_per_s, "8 KB/s at a node, in and out")
+CORE_LIMIT = CostLimit("of a core", LIMITS.core, "2.4% of a core at a node")
+MEMORY_LIMIT = CostLimit("MB", LIMITS.memory_mb, "32 MB at a node")
+# Also the limit of the time in which shards are placed after a change.
+CONFIG_PROPAGATION_LIMIT = CostLimit("s", LIMITS.config_propagation_s, "8 s, everywhere")
+DELIVERY_TIME_LIMIT = CostLimit("s", LIMITS.delivery_s, "390 ms for 99 in 100")
 # The operators state no time for membership to converge; a minute is assumed.
-MEMBERSHIP_CONVERGENCE = CostLimit("s", 60.0, "a minute, assumed")
-LINK = CostLimit("bytes/s", 125e6, "1 Gbit/s, assumed")
+MEMBERSHIP_CONVERGENCE_LIMIT = CostLimit("s", 60.0, "a minute, assumed")
+LINK_LIMIT = CostLimit("bytes/s", 125e6, "1 Gbit/s, assumed")
 # A process runs on one core.
-WHOLE_CORE = CostLimit("of a core", 1.0, "one core: a process runs on one")
+WHOLE_CORE_LIMIT = CostLimit("of a core", 1.0, "one core: a process runs on one")
 
 
 @dataclass(frozen=True, slots=True)
 class RescaledSize:
-    """A different size, computed from the measured one."""
+    """Converts the measured sizes to another quantity over which the fit is made, for example requests per
+    second instead of nodes.
+    """
 
     size_name: str
     convert: Callable[[float], float]
@@ -77,7 +82,9 @@
 
 
 def format_number(number: float) -> str:
-    """Formats a number with three significant digits, or as an integer without exponent from 100 on."""
+    """Formats a number with three significant digits; numbers from 100 are rounded to integers with thousands
+    separators.
+    """
     if number == 0 or abs(number) >= 100:
         return f"{number:,.0f}"
     return f"{number:.3g}"
@@ -100,8 +107,8 @@
 ) -> Row:
     """Returns the row of a measurement, or an unmeasured row if the record does not have the measurement.
 
-    `figure_at` computes the figure from a fit and a target. `rescale`: the fit is over this size instead of
-    the measured one. `estimated`: the parts were measured, but the whole was not run.
+    `figure_at` computes the figure from a fit and a target. `rescale` converts the measured sizes
+    before the fit. `estimated`: the parts were measured, but the whole was not run.
     """
     try:
         selected = find_measurement(record, measurement) if isinstance(measurement, str) else measurement
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -8,13 +8,13 @@
 
 from benchmarks.capacity.failures import failures
 from benchmarks.capacity.fit import fit_curve, line_or_constant
-from benchmarks.capacity.measure_pure import sum_bytes
+from benchmarks.capacity.measure_pure import summary_bytes
 from benchmarks.capacity.page import PAGE, TABLES, UnknownTable, markdown_table, render_tables
 from benchmarks.capacity.record import NOT_MEASURED, Machine, Measurement, Record, read_record
 from benchmarks.capacity.rows import SECTIONS, all_rows, rank_rows
 from benchmarks.capacity.target import DESIGNED, LIMITS, TARGETS, TENTH_SIZE, TRIPLE_SIZE
 from benchmarks.capacity.working import (
-    BYTES,
+    BYTES_LIMIT,
     CostLimit,
     RescaledSize,
     at_node_count,
@@ -54,7 +54,7 @@
     assert record.failures == failures(record)
 
 
-def test_measured_rows_have_four_sizes_and_other_rows_a_reason() -> None:
+def test_measured_rows_have_at_least_four_sizes_and_other_rows_a_reason() -> None:
     for row in stored_record().rows:
         if row.figures:
             assert len(row.sizes) >= 4 and len(row.sizes) == len(row.values) and row.fit is not None, row.cost
@@ -130,7 +130,7 @@
 def test_row_has_figures_ratios_and_a_verdict() -> None:
     record = make_record(make_measurement([1_100, 1_200, 1_400, 1_800]))
     result = make_row(
-        record, "m", at_node_count, role="r", cost="c", cost_limit=BYTES, mechanism="x", arithmetic="a"
+        record, "m", at_node_count, role="r", cost="c", cost_limit=BYTES_LIMIT, mechanism="x", arithmetic="a"
     )
     assert result.figures == pytest.approx([1_380, 4_800, 12_400])
     assert result.ratios == pytest.approx([1_380 / 8_000, 0.6, 1.55])
@@ -142,7 +142,7 @@
         lambda fit, target: fit.slope * 1_000,
         role="r",
         cost="c",
-        cost_limit=BYTES,
+        cost_limit=BYTES_LIMIT,
         mechanism="x",
         arithmetic="a",
         rescale=rescale,
@@ -154,7 +154,14 @@
 
 def test_row_without_its_measurement_is_not_measured() -> None:
     result = make_row(
-        make_record(), "m", at_node_count, role="r", cost="c", cost_limit=BYTES, mechanism="x", arithmetic="a"
+        make_record(),
+        "m",
+        at_node_count,
+        role="r",
+        cost="c",
+        cost_limit=BYTES_LIMIT,
+        mechanism="x",
+        arithmetic="a",
     )
     assert result.verdict == NOT_MEASURED and "m is not in the file" in result.why and not result.figures
 
@@ -172,7 +179,7 @@
             mechanism="x",
             arithmetic="a",
         )
-        for name, cost_limit in (("low", BYTES), ("high", BYTES), ("low", CostLimit("MB")))
+        for name, cost_limit in (("low", BYTES_LIMIT), ("high", BYTES_LIMIT), ("low", CostLimit("MB")))
     ]
     assert [each.role for each in rank_rows(rows)] == ["high", "low"]
     assert rows[2].verdict == "no limit stated"
@@ -198,5 +205,5 @@
     assert markdown_table(["a"], [["x|y"]]) == "| a |\n| --- |\n| x\\|y |\n"
 
 
-def test_load_sum_exceeds_a_datagram_at_the_target_size() -> None:
-    assert sum_bytes(200) <= MAX_DATAGRAM_BYTES < sum_bytes(3_800)
+def test_load_summary_exceeds_a_datagram_at_the_target_size() -> None:
+    assert summary_bytes(200) <= MAX_DATAGRAM_BYTES < summary_bytes(3_800)
