--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -1,11 +1,18 @@
-"""What copies of the fleet's state cost, and how soon they are alike.
+"""Measures the cost of the replicas of the fleet's state and the time until they agree.
 
-`python benchmarks/copies.py [PART...]`, in virtual time but for `memory`.
+`python benchmarks/copies.py [PART...]`; all parts but `memory` run in virtual time.
 
-Parts: `write` (a mark until a majority and until all hold it, by loss), `return` (10,000 records taken over a
-link of 1 MB/s, and a hundred nodes at once), `cost` (bytes of a node in a second, at rest and at 100 writes a
-second), `memory` (of a thousand records), `known` (a bad form server until all others were told), `explore`
-(orders of messages, restarts and owners).
+Parts:
+
+- `write`: the time until a majority and until all nodes hold an operator mark, by the share of datagrams
+  that are lost;
+- `return`: the time until a restarted node has fetched 10,000 records at the default limit of 1 MB/s, and
+  until a hundred nodes that restart together have fetched 1,000 records each;
+- `cost`: the bytes that a node sends and the CPU time that it takes per second, when idle and at 100 writes
+  per second;
+- `memory`: the bytes that a record takes, measured over 5,000 records;
+- `known`: the time until all other nodes take reports of a bad form server into account;
+- `explore`: a search through orders of messages, restarts and changes of leader.
 """
 
 from __future__ import annotations
@@ -32,186 +39,216 @@
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.store import RecordStore
 
-SECOND = 1_000_000
-SETTLED_S = 8.0
+SECOND_US = 1_000_000
+SETTLE_TIME_S = 8.0
 
 
-def _fleet(nodes: int, seed: int) -> VirtualFleet:
-    made = VirtualFleet(
-        nodes,
-        voters_among(nodes),
+def _create_fleet(node_count: int, seed: int) -> VirtualFleet:
+    fleet = VirtualFleet(
+        node_count,
+        voters_among(node_count),
         1,
         lambda index, voters, joins: agent_terms(index, voters, joins, PLANS["copies"]),
         seed,
     )
-    made.begin()
-    made.run(SETTLED_S)
-    return made
+    fleet.begin()
+    fleet.run(SETTLE_TIME_S)
+    return fleet
 
 
 def _now_s(fleet: VirtualFleet) -> float:
-    return (fleet.time.now_us - BEGIN_US) / SECOND
+    return (fleet.time.now_us - BEGIN_US) / SECOND_US
 
 
-def _part(fleet: VirtualFleet, name: str) -> Replica:
+def _replica_of(fleet: VirtualFleet, name: str) -> Replica:
     agent = fleet.nodes[name].agent
     assert agent is not None and agent.replica is not None
     return agent.replica
 
 
-def _write(asked: tuple[float, int]) -> tuple[list[float], list[float]]:
-    """Marks at one node after another: until the answer, and until all nodes hold each."""
-    lost, seed = asked
-    fleet = _fleet(20, seed)
-    fleet.weather(lost, (1_000, 3_000), 0.0)
-    majority: list[float] = []
-    everywhere: list[float] = []
+def _measure_write(arguments: tuple[float, int]) -> tuple[list[float], list[float]]:
+    """Returns the seconds until a mark was acknowledged, and until all nodes held it.
+
+    Writes one mark at each node, one after another.
+    """
+    loss_rate, seed = arguments
+    fleet = _create_fleet(20, seed)
+    fleet.weather(loss_rate, (1_000, 3_000), 0.0)
+    majority_s: list[float] = []
+    all_nodes_s: list[float] = []
     for n in range(20):
-        name, began_s = fleet.names[n], _now_s(fleet)
+        name, start_s = fleet.names[n], _now_s(fleet)
         answers: list[MarkOutcome] = []
-        op = MarkRequest("mark", _part(fleet, name).make_request_id(), 0, "out", f"s-{n:08x}", True)
-        _part(fleet, name).write_mark(fleet.clock_us(fleet.nodes[name]), op, answers.append)
+        request = MarkRequest(
+            "mark", _replica_of(fleet, name).make_request_id(), 0, "out", f"s-{n:08x}", True
+        )
+        _replica_of(fleet, name).write_mark(fleet.clock_us(fleet.nodes[name]), request, answers.append)
         fleet._soon(fleet.nodes[name])
-        told = False
-        while _now_s(fleet) - began_s < 20.0:
+        is_answered = False
+        while _now_s(fleet) - start_s < 20.0:
             fleet.run(_now_s(fleet) + 0.01)
-            if answers and not told:
-                told = True
-                majority.append(_now_s(fleet) - began_s)
-            if all(_part(fleet, o).store.get(("out", f"s-{n:08x}", "")) for o in fleet.names):
-                everywhere.append(_now_s(fleet) - began_s)
+            if answers and not is_answered:
+                is_answered = True
+                majority_s.append(_now_s(fleet) - start_s)
+            if all(_replica_of(fleet, other).store.get(("out", f"s-{n:08x}", "")) for other in fleet.names):
+                all_nodes_s.append(_now_s(fleet) - start_s)
                 break
-    return majority, everywhere
+    return majority_s, all_nodes_s
 
 
-def _fill(fleet: VirtualFleet, count: int, but: set[str]) -> None:
+def _fill_replicas(fleet: VirtualFleet, record_count: int, excluded: set[str]) -> None:
     for name in fleet.names:
-        if name not in but:
-            store, now_us = _part(fleet, name).store, fleet.clock_us(fleet.nodes[name])
-            for n in range(count):
+        if name not in excluded:
+            store, now_us = _replica_of(fleet, name).store, fleet.clock_us(fleet.nodes[name])
+            for n in range(record_count):
                 store.put(now_us, apply_write(None, ("tides", f"s-{n}", ""), False, "x", (0, n), b"x" * 100))
 
 
-def _return(nodes: int, back: int, count: int) -> tuple[float, float, int]:
-    """Seconds until the first and the last of those that return have a whole copy, and refusals."""
-    fleet = _fleet(nodes, 1)
-    names = fleet.names[-back:]
-    for name in names:
+def _measure_return(node_count: int, returning_count: int, record_count: int) -> tuple[float, float, int]:
+    """Restarts nodes that have lost their replicas.
+
+    Returns the seconds until the first and until the last of them has a complete replica, and how many
+    requests for pages were rejected.
+    """
+    fleet = _create_fleet(node_count, 1)
+    returning = fleet.names[-returning_count:]
+    for name in returning:
         fleet.kill(name)
-    _fill(fleet, count, set(names))
-    began_s = _now_s(fleet)
-    for name in names:
+    _fill_replicas(fleet, record_count, set(returning))
+    start_s = _now_s(fleet)
+    for name in returning:
         fleet.start(name)
-    whole: dict[str, float] = {}
-    while len(whole) < back and _now_s(fleet) - began_s < 300:
+    completed_s: dict[str, float] = {}
+    while len(completed_s) < returning_count and _now_s(fleet) - start_s < 300:
         fleet.run(_now_s(fleet) + 0.1)
-        for name in names:
-            if fleet.nodes[name].agent is not None and _part(fleet, name).anti_entropy.copy.is_complete:
-                whole.setdefault(name, _now_s(fleet) - began_s)
-    refused = sum(_part(fleet, n).anti_entropy.sender.rejected_requests for n in fleet.names)
-    return min(whole.values(), default=float("inf")), max(whole.values(), default=float("inf")), refused
+        for name in returning:
+            if fleet.nodes[name].agent is not None and _replica_of(fleet, name).anti_entropy.copy.is_complete:
+                completed_s.setdefault(name, _now_s(fleet) - start_s)
+    rejected_count = sum(_replica_of(fleet, n).anti_entropy.sender.rejected_requests for n in fleet.names)
+    return (
+        min(completed_s.values(), default=float("inf")),
+        max(completed_s.values(), default=float("inf")),
+        rejected_count,
+    )
 
 
-def _cost(asked: tuple[int, int]) -> tuple[int, int, float, float]:
-    nodes, writes = asked
-    fleet = _fleet(nodes, 1)
-    for_s = 10.0 if nodes <= 200 else 3.0
+def _measure_cost(arguments: tuple[int, int]) -> tuple[int, int, float, float]:
+    node_count, writes_per_s = arguments
+    fleet = _create_fleet(node_count, 1)
+    duration_s = 10.0 if node_count <= 200 else 3.0
     fleet.weighed = fleet.bytes = 0
     fleet.by_body.clear()
-    began = time.process_time()
-    end_s = _now_s(fleet) + for_s
+    cpu_start_s = time.process_time()
+    end_s = _now_s(fleet) + duration_s
     n = 0
     while _now_s(fleet) < end_s:
-        if writes:
-            name = fleet.names[n % nodes]
+        if writes_per_s:
+            name = fleet.names[n % node_count]
             fleet.mark(name, f"s-{n % 500:08x}", n % 1000 < 500)
             n += 1
-            fleet.run(_now_s(fleet) + 1.0 / writes)
+            fleet.run(_now_s(fleet) + 1.0 / writes_per_s)
         else:
             fleet.run(end_s)
-    sent = sum(fleet.by_body.values())
-    cpu_s = time.process_time() - began
-    return nodes, writes, fleet.bytes / max(1, fleet.weighed) * sent / nodes / for_s, cpu_s / nodes / for_s
+    message_count = sum(fleet.by_body.values())
+    cpu_s = time.process_time() - cpu_start_s
+    return (
+        node_count,
+        writes_per_s,
+        fleet.bytes / max(1, fleet.weighed) * message_count / node_count / duration_s,
+        cpu_s / node_count / duration_s,
+    )
+
 
+def _measure_report_spread(node_count: int) -> tuple[int, float, float]:
+    """Has two nodes report a form server as bad.
 
-def _known(nodes: int) -> tuple[int, float, float]:
-    """A form server that two nodes found bad: until half of the others and all of them go by it."""
-    fleet = _fleet(nodes, 1)
+    Returns the number of nodes, and the seconds until half and until all of the others take the reports into
+    account.
+    """
+    fleet = _create_fleet(node_count, 1)
     content = msgspec.msgpack.encode(OutlierReport({"s-00000001": 10_000}))
     for name in fleet.names[:2]:
-        _part(fleet, name).publish_outlier_report(fleet.clock_us(fleet.nodes[name]), content)
-    began_s = _now_s(fleet)
-    knows: list[float] = []
-    left = set(fleet.names[2:])
-    while left and _now_s(fleet) - began_s < 30:
+        _replica_of(fleet, name).publish_outlier_report(fleet.clock_us(fleet.nodes[name]), content)
+    start_s = _now_s(fleet)
+    informed_s: list[float] = []
+    uninformed = set(fleet.names[2:])
+    while uninformed and _now_s(fleet) - start_s < 30:
         fleet.run(_now_s(fleet) + 0.05)
-        for name in sorted(left):
-            part, now_us = _part(fleet, name), fleet.clock_us(fleet.nodes[name])
-            told = ((r, part.store.age_us(now_us, r.key)) for r in part.store.iterate_records(OUTLIER_REPORT))
-            if combine_outlier_reports(told, set(fleet.names), name, 2)[0]:
-                left.discard(name)
-                knows.append(_now_s(fleet) - began_s)
-    return nodes, quantile(knows, 0.5), max(knows)
+        for name in sorted(uninformed):
+            replica, now_us = _replica_of(fleet, name), fleet.clock_us(fleet.nodes[name])
+            reports = (
+                (record, replica.store.age_us(now_us, record.key))
+                for record in replica.store.iterate_records(OUTLIER_REPORT)
+            )
+            if combine_outlier_reports(reports, set(fleet.names), name, 2)[0]:
+                uninformed.discard(name)
+                informed_s.append(_now_s(fleet) - start_s)
+    return node_count, quantile(informed_s, 0.5), max(informed_s)
 
 
-def _memory() -> float:
-    """Bytes for each record of a mark's size."""
+def _measure_record_bytes() -> float:
+    """Returns the bytes of memory that a record of a mark's size takes."""
     tracemalloc.start()
     store = RecordStore(ReplicationSettings(enabled=True), b"fleet")
-    before = tracemalloc.get_traced_memory()[0]
+    initial_bytes = tracemalloc.get_traced_memory()[0]
     for n in range(5000):
         store.put(0, apply_write(None, ("out", f"s-{n:08x}", ""), False, "x", (0, n), bytes(120)))
-    after = tracemalloc.get_traced_memory()[0]
+    final_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return (after - before) / 5000
+    return (final_bytes - initial_bytes) / 5000
 
 
-def lines(part: str) -> Iterator[str]:
+def run_part(part: str) -> Iterator[str]:
     with ProcessPoolExecutor() as pool:
         if part == "write":
-            for lost in (0.0, 0.1, 0.3):
-                majority: list[float] = []
-                everywhere: list[float] = []
-                for one, other in pool.map(_write, [(lost, seed) for seed in range(1, 11)]):
-                    majority += one
-                    everywhere += other
-                for what, took in (("majority", majority), ("all of 20", everywhere)):
+            for loss_rate in (0.0, 0.1, 0.3):
+                majority_s: list[float] = []
+                all_nodes_s: list[float] = []
+                for seed_majority_s, seed_all_nodes_s in pool.map(
+                    _measure_write, [(loss_rate, seed) for seed in range(1, 11)]
+                ):
+                    majority_s += seed_majority_s
+                    all_nodes_s += seed_all_nodes_s
+                for scope, durations_s in (("majority", majority_s), ("all of 20", all_nodes_s)):
                     yield (
-                        f"write  {lost:4.0%} lost  {what:10} median {quantile(took, 0.5):6.3f} s  "
-                        f"99 in 100 {quantile(took, 0.99):6.3f} s  of {len(took)}"
+                        f"write  {loss_rate:4.0%} lost  {scope:10} "
+                        f"median {quantile(durations_s, 0.5):6.3f} s  "
+                        f"99 in 100 {quantile(durations_s, 0.99):6.3f} s  of {len(durations_s)}"
                     )
         elif part == "return":
-            for nodes, back, count in ((5, 1, 10_000), (103, 100, 1_000)):
-                first, last, refused = _return(nodes, back, count)
+            for node_count, returning_count, record_count in ((5, 1, 10_000), (103, 100, 1_000)):
+                first_s, last_s, rejected_count = _measure_return(node_count, returning_count, record_count)
                 yield (
-                    f"return {back:4} of {nodes}, {count} records: first {first:6.1f} s, "
-                    f"last {last:6.1f} s, {refused} times refused"
+                    f"return {returning_count:4} of {node_count}, {record_count} records: "
+                    f"first {first_s:6.1f} s, last {last_s:6.1f} s, {rejected_count} times refused"
                 )
         elif part == "cost":
-            asked = [(n, w) for n in (5, 50, 200) for w in (0, 100)] + [(1000, 0)]
-            for nodes, writes, sent, cpu in pool.map(_cost, asked):
+            cases = [(size, rate) for size in (5, 50, 200) for rate in (0, 100)] + [(1000, 0)]
+            for node_count, writes_per_s, bytes_per_s, cpu_share in pool.map(_measure_cost, cases):
                 yield (
-                    f"cost   {nodes:5} nodes {writes:4} writes/s: {sent:9.0f} bytes "
-                    f"and {cpu * 1000:6.2f} ms of a core a node and second"
+                    f"cost   {node_count:5} nodes {writes_per_s:4} writes/s: {bytes_per_s:9.0f} bytes "
+                    f"and {cpu_share * 1000:6.2f} ms of a core a node and second"
                 )
         elif part == "memory":
-            yield f"memory {_memory():6.0f} bytes a record"
+            yield f"memory {_measure_record_bytes():6.0f} bytes a record"
         elif part == "known":
-            for nodes, median, most in pool.map(_known, (5, 50, 200)):
-                yield f"known  {nodes:5} nodes: median {median:5.2f} s, all {most:5.2f} s"
+            for node_count, median_s, max_s in pool.map(_measure_report_spread, (5, 50, 200)):
+                yield f"known  {node_count:5} nodes: median {median_s:5.2f} s, all {max_s:5.2f} s"
         elif part == "explore":
-            began = time.monotonic()
-            found = explore_copies(2000, first=100_000)
+            start_s = time.monotonic()
+            result = explore_copies(2000, first=100_000)
             yield (
-                f"explore {found.schedules} schedules, {found.acknowledged} acknowledged, "
-                f"{found.opened} owners opened, {found.restarts} restarts, "
-                f"{time.monotonic() - began:.0f} s: {found.fault or 'nothing'}"
+                f"explore {result.schedules} schedules, {result.acknowledged} acknowledged, "
+                f"{result.opened} owners opened, {result.restarts} restarts, "
+                f"{time.monotonic() - start_s:.0f} s: {result.fault or 'nothing'}"
             )
         else:
-            raise SystemExit(f"copies.py: no part '{part}'")
+            raise SystemExit(
+                f"copies.py: unknown part '{part}', expected write, return, cost, memory, known or explore"
+            )
 
 
 if __name__ == "__main__":
-    for chosen in sys.argv[1:] or ["write", "return", "cost", "memory", "known", "explore"]:
-        for line in lines(chosen):
+    for chosen_part in sys.argv[1:] or ["write", "return", "cost", "memory", "known", "explore"]:
+        for line in run_part(chosen_part):
             print(line, flush=True)
--- a/benchmarks/fuzz_folder.py
+++ b/benchmarks/fuzz_folder.py
@@ -1,9 +1,10 @@
-"""Fuzzes the reader of a node's folder, guided by what of it each input reaches.
+"""Fuzzes the reader of a node's storage folder, guided by the code coverage of each input.
 
-`pip install atheris` (it is not among the project's requirements: it has wheels for some versions of Python
-only), then `python benchmarks/fuzz_folder.py -max_total_time=60`. An input says which file of a sound folder
-is changed, where, and by what. Whatever it is: nothing but a later schema raises, and what is sound is a
-state that was.
+Run `pip install atheris` first (it is not among the project's requirements because it has wheels for some
+versions of Python only), then `python benchmarks/fuzz_folder.py -max_total_time=60`. An input selects one
+to three changes to an intact folder: the file, the position and the new bytes. For every input, the reader
+may raise an error only for a newer schema, and a folder that it reports as intact must hold a state that was
+written.
 """
 
 from __future__ import annotations
@@ -19,36 +20,41 @@
     from sailrun.storage.errors import NewerSchemaError
     from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 
-MOST = 60
+MAX_ENTRY = 60
 
 
-def _kept() -> SimFiles:
+def _create_folder() -> SimFiles:
     files = SimFiles()
-    write(files, random.Random(1), lambda number: None, MOST, frozenset())
+    write(files, random.Random(1), lambda number: None, MAX_ENTRY, frozenset())
     return files
 
 
-KEPT = {name: bytes(node.data) for name, node in sorted(_kept()._names.items())}
-FILES = _kept()
+ORIGINAL_CONTENTS = {name: bytes(node.data) for name, node in sorted(_create_folder()._names.items())}
+FILES = _create_folder()
 
 
-def one_input(data: bytes) -> None:
-    told = atheris.FuzzedDataProvider(data)
-    for name, content in KEPT.items():
+def run_input(data: bytes) -> None:
+    provider = atheris.FuzzedDataProvider(data)
+    for name, content in ORIGINAL_CONTENTS.items():
         FILES._names[name].data = bytearray(content)
-    for _ in range(told.ConsumeIntInRange(1, 3)):
-        name = told.PickValueInList(list(KEPT))
-        file = FILES._names[name].data
-        at = told.ConsumeIntInRange(0, len(file))
-        file[at : at + told.ConsumeIntInRange(0, 40)] = told.ConsumeBytes(told.ConsumeIntInRange(0, 80))
+    for _ in range(provider.ConsumeIntInRange(1, 3)):
+        name = provider.PickValueInList(list(ORIGINAL_CONTENTS))
+        file_data = FILES._names[name].data
+        offset = provider.ConsumeIntInRange(0, len(file_data))
+        file_data[offset : offset + provider.ConsumeIntInRange(0, 40)] = provider.ConsumeBytes(
+            provider.ConsumeIntInRange(0, 80)
+        )
     try:
-        found = read_folder(FILES)
+        contents = read_folder(FILES)
     except NewerSchemaError:
         return
-    if found.integrity is FolderIntegrity.INTACT and not 0 <= last_of(found.state) <= MOST + 10:
-        raise AssertionError(f"believed what never was: {last_of(found.state)}")
+    if contents.integrity is FolderIntegrity.INTACT and not 0 <= last_of(contents.state) <= MAX_ENTRY + 10:
+        raise AssertionError(
+            "read_folder reported a state as intact that was never written, "
+            f"up to entry {last_of(contents.state)}"
+        )
 
 
 if __name__ == "__main__":
-    atheris.Setup(sys.argv, one_input)
+    atheris.Setup(sys.argv, run_input)
     atheris.Fuzz()
--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -1,10 +1,10 @@
-"""What staff meet: answer times of the second address at a node's limit, and a replacement under a stream.
+"""Measures the control address of a node at its limit, and the replacement of a node's process under load.
 
     python -m benchmarks.in_service [PLAYS]
 
-The real program, between the tests' stand-ins. A play answers 300 calls of a node whose descriptors are used
-up and whose second address is held by silent callers, then replaces its process twice under eight streams of
-households that come one after another.
+Runs the real program with the tests' stand-ins. Each run first makes 300 calls to the control address of a
+node that has used up its file descriptors and whose control address has silent connections. It then replaces
+a node's process twice while each of eight streams opens one client connection after another.
 """
 
 from __future__ import annotations
@@ -21,36 +21,39 @@
 
 from tests.stand_ins import FormServer, Peer, Roster, RunningNode, connect, free_port, node
 
-CALLS, STREAMS, SILENT, DESCRIPTORS = 300, 8, 24, 128
+CALL_COUNT, STREAM_COUNT, SILENT_CONNECTIONS, DESCRIPTOR_LIMIT = 300, 8, 24, 128
 
 
-def _few() -> None:
-    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
+def _limit_descriptors() -> None:
+    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
 
 
-def answer_times(folder: Path, server: FormServer) -> list[float]:
-    """Milliseconds, of `check` and `vars` in turn."""
-    control = f"127.0.0.1:{free_port()}"
-    limits = {"sockets": DESCRIPTORS}
-    roster = Roster([server.entry()])
-    with node(folder, roster, _few, control=control, limits=limits) as running, ExitStack() as stack:
-        for n in range(DESCRIPTORS):
-            stack.callback(running.request_session(f"{n:016x}").close)
-        running.logged("out-of-descriptors")
-        times = []
-        for n in range(CALLS):
+def measure_answer_times(folder: Path, server: FormServer) -> list[float]:
+    """Returns the milliseconds that each call took; the calls alternate between `check` and `vars`."""
+    control_address = f"127.0.0.1:{free_port()}"
+    limits = {"sockets": DESCRIPTOR_LIMIT}
+    registry = Roster([server.entry()])
+    with (
+        node(folder, registry, _limit_descriptors, control=control_address, limits=limits) as running_node,
+        ExitStack() as stack,
+    ):
+        for n in range(DESCRIPTOR_LIMIT):
+            stack.callback(running_node.request_session(f"{n:016x}").close)
+        running_node.logged("out-of-descriptors")
+        times_ms = []
+        for n in range(CALL_COUNT):
             if n % 10 == 0:
-                for _ in range(SILENT):
-                    stack.callback(Peer(connect(control)).close)
-            began = time.perf_counter()
-            assert running.call(("check", "vars")[n % 2]).startswith("ok")
-            times.append((time.perf_counter() - began) * 1000)
-        return times
+                for _ in range(SILENT_CONNECTIONS):
+                    stack.callback(Peer(connect(control_address)).close)
+            start_s = time.perf_counter()
+            assert running_node.call(("check", "vars")[n % 2]).startswith("ok")
+            times_ms.append((time.perf_counter() - start_s) * 1000)
+        return times_ms
 
 
-def _memory_mb(running: RunningNode) -> float:
+def _resident_mb(running_node: RunningNode) -> float:
     try:
-        status = Path(f"/proc/{running.process.pid}/status").read_text()
+        status = Path(f"/proc/{running_node.process.pid}/status").read_text()
     except OSError:
         return 0.0
     return next(
@@ -58,63 +61,71 @@
     )
 
 
-def replacement(folder: Path, server: FormServer) -> tuple[Counter[str], float, float, float]:
-    """What households met, how many came a second, the most memory of both in MB, and seconds to `check`."""
-    roster, listen = Roster([server.entry()]), f"127.0.0.1:{free_port()}"
-    met: Counter[str] = Counter()
-    over = threading.Event()
-    most_mb = ready_s = 0.0
+def measure_replacement(folder: Path, server: FormServer) -> tuple[Counter[str], float, float, float]:
+    """Replaces a node's process twice under a stream of clients.
 
-    def stream(number: int) -> None:
-        count = 0
-        while not over.is_set():
-            count += 1
+    Returns the clients by outcome, the clients per second, the highest memory of both processes in MB, and
+    the longest time in seconds until a new process answered `check`.
+    """
+    registry, client_address = Roster([server.entry()]), f"127.0.0.1:{free_port()}"
+    outcomes: Counter[str] = Counter()
+    is_stopping = threading.Event()
+    max_mb = max_ready_s = 0.0
+
+    def run_stream(stream_number: int) -> None:
+        session_count = 0
+        while not is_stopping.is_set():
+            session_count += 1
             try:
-                peer = Peer(connect(listen))
-                peer.send_line(f"OPEN {number:04x}{count:012x} 7f3a9c c=page-load,d=8000,g={count:x}")
-                met[peer.read_line().split(" ")[0] or "ended"] += 1
+                peer = Peer(connect(client_address))
+                peer.send_line(
+                    f"OPEN {stream_number:04x}{session_count:012x} 7f3a9c "
+                    f"c=page-load,d=8000,g={session_count:x}"
+                )
+                outcomes[peer.read_line().split(" ")[0] or "ended"] += 1
                 peer.close()
             except OSError as error:
-                met[type(error).__name__] += 1
+                outcomes[type(error).__name__] += 1
 
     with ExitStack() as stack:
 
-        def start() -> RunningNode:
-            control = f"127.0.0.1:{free_port()}"
-            return stack.enter_context(node(folder, roster, listen=listen, control=control))
+        def start_node() -> RunningNode:
+            control_address = f"127.0.0.1:{free_port()}"
+            return stack.enter_context(node(folder, registry, listen=client_address, control=control_address))
 
-        first = start()
-        streams = [threading.Thread(target=stream, args=(n,)) for n in range(STREAMS)]
-        began = time.perf_counter()
-        for one in streams:
-            one.start()
+        current = start_node()
+        streams = [threading.Thread(target=run_stream, args=(n,)) for n in range(STREAM_COUNT)]
+        start_s = time.perf_counter()
+        for thread in streams:
+            thread.start()
         for _ in range(2):
-            asked = time.perf_counter()
-            second = start()
-            assert second.call("check") == "ok"
-            ready_s = max(ready_s, time.perf_counter() - asked)
-            most_mb = max(most_mb, _memory_mb(first) + _memory_mb(second))
-            first.terminate()
-            first.process.wait()
-            first = second
-        over.set()
-        for one in streams:
-            one.join()
-        return met, sum(met.values()) / (time.perf_counter() - began), most_mb, ready_s
+            requested_s = time.perf_counter()
+            successor = start_node()
+            assert successor.call("check") == "ok"
+            max_ready_s = max(max_ready_s, time.perf_counter() - requested_s)
+            max_mb = max(max_mb, _resident_mb(current) + _resident_mb(successor))
+            current.terminate()
+            current.process.wait()
+            current = successor
+        is_stopping.set()
+        for thread in streams:
+            thread.join()
+        return outcomes, sum(outcomes.values()) / (time.perf_counter() - start_s), max_mb, max_ready_s
 
 
 def main() -> None:
-    for play in range(int(sys.argv[1]) if len(sys.argv) > 1 else 3):
+    for run_number in range(int(sys.argv[1]) if len(sys.argv) > 1 else 3):
         server = FormServer("s-5be2a07c")
         with tempfile.TemporaryDirectory() as folder:
-            times = answer_times(Path(folder), server)
+            times_ms = measure_answer_times(Path(folder), server)
         with tempfile.TemporaryDirectory() as folder:
-            met, rate, most_mb, ready_s = replacement(Path(folder), server)
+            outcomes, clients_per_s, max_mb, max_ready_s = measure_replacement(Path(folder), server)
         server.stop()
         print(
-            f"play {play + 1}: answers {statistics.median(times):.1f} ms, highest {max(times):.1f} ms; "
-            f"{rate:.0f} households a second met {dict(met)}; "
-            f"both processes {most_mb:.0f} MB, yes after {ready_s:.2f} s"
+            f"play {run_number + 1}: answers {statistics.median(times_ms):.1f} ms, "
+            f"highest {max(times_ms):.1f} ms; "
+            f"{clients_per_s:.0f} households a second met {dict(outcomes)}; "
+            f"both processes {max_mb:.0f} MB, yes after {max_ready_s:.2f} s"
         )
 
 
--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -1,12 +1,12 @@
-"""How soon the nodes of a tier know of a change, and what that costs, by the number of nodes.
+"""Measures how fast and at what cost the nodes of a tier learn of a changed load, by the number of nodes.
 
     python -m benchmarks.knowledge [NODES ...]
 
-The rounds of `sailrun/load_gossip/`, in virtual time, while something goes on: 90 form servers, five
-sessions a node. In the middle of a round two nodes in five place one more session at one form server.
-Printed, for each number of nodes and share of datagrams lost: seconds until half and until 99 in 100 of the
-nodes know its new load to 15%, datagrams and bytes that a node sends a second, and what the rounds keep in
-memory a node.
+Runs the aggregation rounds of `sailrun/load_gossip/` in virtual time, with 90 form servers and five sessions
+at each node. In the middle of a round, two nodes in five place one more session at one form server. Prints,
+for each number of nodes and share of lost datagrams, the seconds until half and until 99 in 100 of the nodes
+know the server's new load to within 15%, the datagrams and bytes that a node sends per second, and the memory
+that the rounds take per node.
 """
 
 from __future__ import annotations
@@ -18,60 +18,73 @@
 
 from tests.test_load_gossip import SimulatedFleet, local_load
 
-SECOND = 1_000_000
-FORM_SERVERS, SESSIONS, LOAD = 90, 5, 30_000.0
-SETTLED_US, LOOK_US, MOST_US = 30 * SECOND, 50_000, 90 * SECOND
-SUBJECT = 7
+SECOND_US = 1_000_000
+FORM_SERVER_COUNT, SESSIONS_PER_NODE, LOAD = 90, 5, 30_000.0
+SETTLE_TIME_US, CHECK_INTERVAL_US, TIMEOUT_US = 30 * SECOND_US, 50_000, 90 * SECOND_US
+CHANGED_SERVER = 7
 
 
 def measure(
-    nodes: int, lost: float, seed: int, load: float = LOAD
+    nodes: int, loss_rate: float, seed: int, load: float = LOAD
 ) -> tuple[float, float, float, float, float]:
-    """Seconds until half and until 99 in 100 know; datagrams and bytes a node and second; KiB a node. `load`
-    is a session's, in us of work a second.
+    """Returns the seconds until half and until 99 in 100 of the nodes know the new load, the datagrams and
+    the bytes that a node sends per second, and the KiB of memory per node.
+
+    `load` is the load of one session, in microseconds of work per second.
     """
     random = Random(seed)
     tracemalloc.start()
-    loads = [dict.fromkeys(range(FORM_SERVERS), 0.0) for _ in range(nodes)]
-    for own in loads:
-        for _ in range(SESSIONS):
-            own[random.randrange(FORM_SERVERS)] += load
-    fleet = SimulatedFleet([local_load(own) for own in loads], seed, lost)
-    fleet.play(SETTLED_US)
-    kept = tracemalloc.get_traced_memory()[0] / nodes / 1024
+    loads = [dict.fromkeys(range(FORM_SERVER_COUNT), 0.0) for _ in range(nodes)]
+    for own_loads in loads:
+        for _ in range(SESSIONS_PER_NODE):
+            own_loads[random.randrange(FORM_SERVER_COUNT)] += load
+    fleet = SimulatedFleet([local_load(own_loads) for own_loads in loads], seed, loss_rate)
+    fleet.play(SETTLE_TIME_US)
+    memory_kib = tracemalloc.get_traced_memory()[0] / nodes / 1024
     tracemalloc.stop()
-    sent, bytes_ = fleet.sent, fleet.bytes
-    changed_us = SETTLED_US + random.randrange(2 * SECOND)
+    initial_sent, initial_bytes = fleet.sent, fleet.bytes
+    changed_us = SETTLE_TIME_US + random.randrange(2 * SECOND_US)
     fleet.play(changed_us)
-    for k in random.sample(range(nodes), max(1, 2 * nodes // 5)):
-        own = {**loads[k], SUBJECT: loads[k][SUBJECT] + load}
-        loads[k], fleet.local_loads[k] = own, replace(fleet.local_loads[k], loads=own)
-    whole = sum(own[SUBJECT] for own in loads)
-    half = most = float("inf")
+    for node in random.sample(range(nodes), max(1, 2 * nodes // 5)):
+        own_loads = {**loads[node], CHANGED_SERVER: loads[node][CHANGED_SERVER] + load}
+        loads[node], fleet.local_loads[node] = own_loads, replace(fleet.local_loads[node], loads=own_loads)
+    total_load = sum(own_loads[CHANGED_SERVER] for own_loads in loads)
+    half_s = p99_s = float("inf")
     now_us = changed_us
-    while most == float("inf") and now_us < changed_us + MOST_US:
-        now_us += LOOK_US
+    while p99_s == float("inf") and now_us < changed_us + TIMEOUT_US:
+        now_us += CHECK_INTERVAL_US
         fleet.play(now_us)
-        knows = 0
-        for k, others in fleet.estimates.items():
-            rest = whole - loads[k][SUBJECT]
-            knows += abs(others.loads.get(SUBJECT, 0.0) - rest) <= 0.15 * rest
-        took_s = (now_us - changed_us) / SECOND
-        half = min(half, took_s if knows >= nodes / 2 else half)
-        most = took_s if knows >= 0.99 * nodes else most
-    seconds = (now_us - SETTLED_US) / SECOND
-    return half, most, (fleet.sent - sent) / nodes / seconds, (fleet.bytes - bytes_) / nodes / seconds, kept
+        informed_count = 0
+        for node, estimate in fleet.estimates.items():
+            expected_load = total_load - loads[node][CHANGED_SERVER]
+            informed_count += (
+                abs(estimate.loads.get(CHANGED_SERVER, 0.0) - expected_load) <= 0.15 * expected_load
+            )
+        elapsed_s = (now_us - changed_us) / SECOND_US
+        half_s = min(half_s, elapsed_s if informed_count >= nodes / 2 else half_s)
+        p99_s = elapsed_s if informed_count >= 0.99 * nodes else p99_s
+    duration_s = (now_us - SETTLE_TIME_US) / SECOND_US
+    return (
+        half_s,
+        p99_s,
+        (fleet.sent - initial_sent) / nodes / duration_s,
+        (fleet.bytes - initial_bytes) / nodes / duration_s,
+        memory_kib,
+    )
 
 
 def main() -> None:
-    counts = [int(word) for word in sys.argv[1:]] or [4, 40, 200, 1_000]
+    node_counts = [int(argument) for argument in sys.argv[1:]] or [4, 40, 200, 1_000]
     print(f"{'nodes':>6} {'lost':>5} {'half s':>7} {'99% s':>7} {'sent/s':>7} {'bytes/s':>8} {'KiB':>6}")
-    for nodes in counts:
-        for lost in (0.0, 0.1, 0.3):
-            found = sorted(measure(nodes, lost, seed) for seed in range(1, 4))[1]  # the middle one of three
-            half, most, sent, bytes_, kept = found
+    for nodes in node_counts:
+        for loss_rate in (0.0, 0.1, 0.3):
+            median_run = sorted(measure(nodes, loss_rate, seed) for seed in range(1, 4))[
+                1
+            ]  # the median of three
+            half_s, p99_s, sent_per_s, bytes_per_s, memory_kib = median_run
             print(
-                f"{nodes:6} {lost:5.1f} {half:7.2f} {most:7.2f} {sent:7.2f} {bytes_:8.0f} {kept:6.0f}",
+                f"{nodes:6} {loss_rate:5.1f} {half_s:7.2f} {p99_s:7.2f} "
+                f"{sent_per_s:7.2f} {bytes_per_s:8.0f} {memory_kib:6.0f}",
                 flush=True,
             )
 
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -1,13 +1,19 @@
-"""What a node's own folder costs, and what it holds after whatever befell it.
-
-`python -m benchmarks.lasting [PART...]`, on this machine's disk, below the working folder.
-
-Parts: `kill` (a writer killed over and over, thousands of times), `cut` (a disk in memory that loses its
-power at every step, by many seeds), `write` (acknowledged writes a second by 1, 10 and 100 writers, with
-shared syncs and with one each, beside what the disk syncs), `start` (a node's start with 100,000 records and
-without), `cost` (a core's part at 1,000 changes a second; bytes on the disk and written in an hour),
-`attempts` (at a form server known to be bad, in the first 10 s after a restart, with what was learned and
-without), `days` (virtual days).
+"""Measures the cost of a node's storage folder, and checks its contents after crashes and power cuts.
+
+`python -m benchmarks.lasting [PART...]`; uses this machine's disk, below the working folder.
+
+Parts:
+
+- `kill`: kills a writer thousands of times;
+- `cut`: a disk in memory that loses its power at each step in turn, with many seeds;
+- `write`: the acknowledged writes per second of 1, 10 and 100 writers, with syncs that they share and with a
+  sync for each write, beside the number of syncs per second that the disk itself reaches;
+- `start`: the start of a node with 100,000 records and with none, with a storage folder and without one;
+- `cost`: the share of a core at 0, 10 and 1,000 changes per second, the bytes on the disk and the bytes
+  written per hour;
+- `attempts`: the attempts at a form server known to be bad in the first 10 s after a restart, with the
+  decision snapshot of the previous process and without it;
+- `days`: scenarios with faults, in virtual time.
 """
 
 from __future__ import annotations
@@ -24,7 +30,7 @@
 
 import tomli_w
 
-from benchmarks.startup import a_config
+from benchmarks.startup import make_config
 from sailrun.decisions.events import StateSnapshot
 from sailrun.lab.faults.days import occasions, sweep_days
 from sailrun.lab.faults.killing import cut_at, kill_often
@@ -42,22 +48,22 @@
 from sailrun.storage.write_ahead_log import WriteAheadLog
 from sailrun.storage.writer import BatchWriter
 
-SECOND = 1_000_000
-KILLS, FOR_S = 3000, 5.0
-RECORDS = 100_000
+SECOND_US = 1_000_000
+KILL_COUNT, MEASURE_TIME_S = 3000, 5.0
+RECORD_COUNT = 100_000
 
 
-def a_mark(number: int) -> e.Entry:
+def make_mark_entry(number: int) -> e.Entry:
     mark = OperatorMark(f"m{number:016x}", True, False, "staff", "a new disk, back tonight", 1.8e9, "n1", [])
     record = apply_write(None, ("out", f"s-{number:08x}", ""), False, "", (1, number), encode_mark(mark))
     return e.StoredRecord(record, hash_record(record, b"census"))
 
 
-def _folder(path: Path, generation_mb: float = 64.0) -> tuple[WriteAheadLog, BatchWriter]:
+def _open_storage(path: Path, generation_mb: float = 64.0) -> tuple[WriteAheadLog, BatchWriter]:
     files = OsFiles(path)
     files.make()
     wal = WriteAheadLog(
-        StorageSettings(folder=str(path), generation_mb=generation_mb), SECOND, 0, frozenset()
+        StorageSettings(folder=str(path), generation_mb=generation_mb), SECOND_US, 0, frozenset()
     )
     wal.begin_new_folder(os.urandom(16))
     writer = BatchWriter(FolderWriter(files, FolderContents(FolderIntegrity.EMPTY)), "n1", "fleet")
@@ -67,238 +73,288 @@
     return wal, writer
 
 
-def _shared(path: Path, writers: int) -> tuple[float, float]:
-    """Writers that each wait for the answer before the next write: acknowledged writes and syncs a second."""
-    wal, writer = _folder(path)
-    number = done = 0
-    waiting = list(range(writers))
-    syncs = writer.folder.sync_count
-    began = time.monotonic()
-    while time.monotonic() - began < FOR_S:
-        for client in waiting:
-            number += 1
-            wal.defer_reply(0, wal.append(a_mark(number)), client, client)
+def _measure_shared_syncs(path: Path, writer_count: int) -> tuple[float, float]:
+    """Returns the acknowledged writes and the syncs per second.
+
+    Each writer waits for the reply before its next write.
+    """
+    wal, writer = _open_storage(path)
+    entry_number = acknowledged_count = 0
+    waiting_ids = list(range(writer_count))
+    initial_sync_count = writer.folder.sync_count
+    start_s = time.monotonic()
+    while time.monotonic() - start_s < MEASURE_TIME_S:
+        for writer_id in waiting_ids:
+            entry_number += 1
+            wal.defer_reply(0, wal.append(make_mark_entry(entry_number)), writer_id, writer_id)
         work = wal.tick(0)
         assert work is not None
-        waiting = wal.complete_batch(0, writer.write(work))
-        done += len(waiting)
-    took = time.monotonic() - began
-    return done / took, (writer.folder.sync_count - syncs) / took
-
-
-def _each(path: Path) -> float:
-    """One sync for each write."""
-    _, writer = _folder(path)
-    number = 0
-    began = time.monotonic()
-    while time.monotonic() - began < FOR_S:
-        number += 1
-        writer.folder.append([a_mark(number)])
+        waiting_ids = wal.complete_batch(0, writer.write(work))
+        acknowledged_count += len(waiting_ids)
+    duration_s = time.monotonic() - start_s
+    return acknowledged_count / duration_s, (writer.folder.sync_count - initial_sync_count) / duration_s
+
+
+def _measure_individual_syncs(path: Path) -> float:
+    """Returns the writes per second with a sync for each write."""
+    _, writer = _open_storage(path)
+    entry_number = 0
+    start_s = time.monotonic()
+    while time.monotonic() - start_s < MEASURE_TIME_S:
+        entry_number += 1
+        writer.folder.append([make_mark_entry(entry_number)])
         writer.folder.sync()
-    return number / (time.monotonic() - began)
+    return entry_number / (time.monotonic() - start_s)
 
 
-def _syncs(path: Path) -> float:
-    """What the disk syncs in a second: 200 bytes appended each time."""
+def _measure_disk_syncs(path: Path) -> float:
+    """Returns the syncs per second that the disk reaches, with 200 bytes appended before each."""
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     count = 0
-    began = time.monotonic()
-    while time.monotonic() - began < FOR_S:
+    start_s = time.monotonic()
+    while time.monotonic() - start_s < MEASURE_TIME_S:
         os.write(fd, bytes(200))
         os.fdatasync(fd)
         count += 1
     os.close(fd)
-    return count / (time.monotonic() - began)
+    return count / (time.monotonic() - start_s)
 
 
-def _start_s(path: Path, kept: bool, records: int) -> float:
-    """From `exec` until the node says that it serves."""
-    (path / "config.json").write_text(json.dumps(a_config()))
-    members = f"127.0.0.1:{free_address()[1]}"
+def _measure_start_s(path: Path, has_folder: bool, record_count: int) -> float:
+    """Returns the seconds from `exec` until the node logs that it is serving."""
+    (path / "config.json").write_text(json.dumps(make_config()))
+    member_address = f"127.0.0.1:{free_address()[1]}"
     tables: dict[str, dict[str, object]] = {
-        "members": {"enabled": True, "name": "n1", "listen": members},
+        "members": {"enabled": True, "name": "n1", "listen": member_address},
         "owners": {"enabled": True, "voters": ["n1", "n2", "n3"]},
-        "replica": {"enabled": True, "records": max(100, 2 * records)},
+        "replica": {"enabled": True, "records": max(100, 2 * record_count)},
     }
-    if kept:
+    if has_folder:
         tables["lasting"] = {"folder": str(path / "kept")}
     (path / "operator.toml").write_text(tomli_w.dumps(tables))
     command = [sys.executable, "-m", "sailrun", "serve", "--config", str(path / "config.json")]
     command += ["--operator", str(path / "operator.toml")]
-    began = time.monotonic()
+    start_s = time.monotonic()
     with subprocess.Popen(command, stderr=subprocess.PIPE, text=True) as process:
         assert process.stderr is not None
         for line in process.stderr:
             if " serving " in line:
-                took = time.monotonic() - began
+                duration_s = time.monotonic() - start_s
                 process.kill()
-                return took
-    raise SystemExit("lasting.py: the node did not start")
+                return duration_s
+    raise SystemExit("lasting.py: the node ended before it logged that it is serving")
 
 
-def _filled(path: Path, records: int) -> None:
+def _fill_folder(path: Path, record_count: int) -> None:
     files = OsFiles(path / "kept")
     files.make()
     folder = FolderWriter(files, FolderContents(FolderIntegrity.EMPTY))
     folder.create("n1", "census", os.urandom(16))
-    held = [e.ReplicaStatus(0, True), *(a_mark(n) for n in range(records))]
-    folder.append(held)
-    folder.begin_generation(iter(held))
+    entries = [e.ReplicaStatus(0, True), *(make_mark_entry(n) for n in range(record_count))]
+    folder.append(entries)
+    folder.begin_generation(iter(entries))
     while not folder.write_snapshot_chunk():
         pass
     folder.close()
     files.unlock()
 
 
-def _cost(path: Path, per_s: int, for_s: float) -> tuple[float, float, float, int]:
-    """A core's part, changes a second, bytes written in an hour, and bytes on the disk at the end."""
-    wal, writer = _folder(path, 8.0)
-    marks = [a_mark(n) for n in range(5000)]
+def _measure_cost(path: Path, changes_per_s: int, duration_s: float) -> tuple[float, float, float, int]:
+    """Returns the share of a core, the changes per second, the bytes written per hour, and the bytes on the
+    disk at the end.
+    """
+    wal, writer = _open_storage(path, 8.0)
+    marks = [make_mark_entry(n) for n in range(5000)]
     wal.list_state_entries = lambda: marks
-    before, count = writer.folder.written_bytes, 0
-    cpu, began = time.process_time(), time.monotonic()
-    while (now := time.monotonic()) - began < for_s:
-        due = int((now - began) * per_s)
-        while count < due:
-            wal.append(marks[count % len(marks)])
-            count += 1
-        work = wal.tick(int(now * SECOND))
+    initial_bytes, change_count = writer.folder.written_bytes, 0
+    cpu_start_s, start_s = time.process_time(), time.monotonic()
+    while (now_s := time.monotonic()) - start_s < duration_s:
+        due_count = int((now_s - start_s) * changes_per_s)
+        while change_count < due_count:
+            wal.append(marks[change_count % len(marks)])
+            change_count += 1
+        work = wal.tick(int(now_s * SECOND_US))
         if work is not None:
-            wal.complete_batch(int(now * SECOND), writer.write(work))
+            wal.complete_batch(int(now_s * SECOND_US), writer.write(work))
             while writer.continue_snapshot():
                 pass
         time.sleep(0.05)
-    took = time.monotonic() - began
-    share = (time.process_time() - cpu) / took
-    on_disk = sum(f.stat().st_size for f in path.iterdir())
-    return share, count / took, (writer.folder.written_bytes - before) / took * 3600, on_disk
+    elapsed_s = time.monotonic() - start_s
+    cpu_share = (time.process_time() - cpu_start_s) / elapsed_s
+    disk_bytes = sum(file.stat().st_size for file in path.iterdir())
+    return (
+        cpu_share,
+        change_count / elapsed_s,
+        (writer.folder.written_bytes - initial_bytes) / elapsed_s * 3600,
+        disk_bytes,
+    )
 
 
-def _attempts(kept: bool, away_s: float) -> tuple[int, int, int]:
-    """One of twenty form servers times every attempt out. A node finds out, restarts, and goes on for 10 s:
-    its attempts there, households brought up at once, and attempts there had it not been restarted.
+def _measure_attempts(has_snapshot: bool, downtime_s: float) -> tuple[int, int, int]:
+    """Runs a node for 10 s, restarts it and runs it for 10 s more; one of twenty form servers times every
+    attempt out.
+
+    Returns, for the second 10 s, the attempts at that server, the requests that were established within
+    their interval, and the attempts at that server of a node that was not restarted.
     """
     from tests.support import InstanceHarness, full, run_ten_seconds
 
-    bad = 7
-    first = InstanceHarness(seed=3)
-    first.feed(full(*range(1, 21)))
-    run_ten_seconds(first, bad)
-    names = {n: f"s-{n}" for n in range(1, 21)}
-    content = decision_snapshot.encode_snapshot(first.now, first.balancer.snapshot(), names)
-    second = InstanceHarness(seed=4)
-    second.advance(first.now + int(away_s * SECOND) - second.now)
-    second.feed(full(*range(1, 21)))
-    if kept:
-        learned = decision_snapshot.decode_snapshot(
-            content, second.now, 120.0, {f"s-{n}": (n, 0) for n in range(1, 21)}
+    faulty = 7
+    original = InstanceHarness(seed=3)
+    original.feed(full(*range(1, 21)))
+    run_ten_seconds(original, faulty)
+    server_names = {n: f"s-{n}" for n in range(1, 21)}
+    content = decision_snapshot.encode_snapshot(original.now, original.balancer.snapshot(), server_names)
+    restarted = InstanceHarness(seed=4)
+    restarted.advance(original.now + int(downtime_s * SECOND_US) - restarted.now)
+    restarted.feed(full(*range(1, 21)))
+    if has_snapshot:
+        snapshot = decision_snapshot.decode_snapshot(
+            content, restarted.now, 120.0, {f"s-{n}": (n, 0) for n in range(1, 21)}
+        )
+        assert isinstance(snapshot, StateSnapshot)
+        restarted.feed(snapshot)
+    established_count = run_ten_seconds(restarted, faulty)
+    restarted.finish()
+    attempted_backends = [
+        backend for expected in restarted.expected_answers.values() for backend, _ in expected.sends
+    ]
+    initial_attempts = sum(
+        backend == faulty for answer in original.expected_answers.values() for backend, _ in answer.sends
+    )
+    run_ten_seconds(original, faulty)
+    total_attempts = sum(
+        backend == faulty for answer in original.expected_answers.values() for backend, _ in answer.sends
+    )
+    return attempted_backends.count(faulty), established_count, total_attempts - initial_attempts
+
+
+def _run_power_cuts(seed: int) -> tuple[int, list[str]]:
+    results = [cut_at(step, seed) for step in range(1, 600)]
+    return len(results), [fault for fault in results if fault]
+
+
+def _report_kills(base_folder: Path) -> Iterator[str]:
+    process_count = os.cpu_count() or 1
+    folders = [base_folder / f"kill-{n}" for n in range(process_count)]
+    with ProcessPoolExecutor(process_count) as pool:
+        results = list(
+            pool.map(
+                kill_often,
+                folders,
+                [KILL_COUNT // process_count] * process_count,
+                range(100, 100 + process_count),
+            )
         )
-        assert isinstance(learned, StateSnapshot)
-        second.feed(learned)
-    up = run_ten_seconds(second, bad)
-    second.finish()
-    sends = [backend for promise in second.expected_answers.values() for backend, _ in promise.sends]
-    before = sum(backend == bad for p in first.expected_answers.values() for backend, _ in p.sends)
-    run_ten_seconds(first, bad)
-    after = sum(backend == bad for p in first.expected_answers.values() for backend, _ in p.sends)
-    return sends.count(bad), up, after - before
-
-
-def _cuts(seed: int) -> tuple[int, list[str]]:
-    found = [cut_at(step, seed) for step in range(1, 600)]
-    return len(found), [f for f in found if f]
-
-
-def _of_kills(place: Path) -> Iterator[str]:
-    jobs = os.cpu_count() or 1
-    folders = [place / f"kill-{n}" for n in range(jobs)]
-    with ProcessPoolExecutor(jobs) as pool:
-        told = list(pool.map(kill_often, folders, [KILLS // jobs] * jobs, range(100, 100 + jobs)))
-    kills, acknowledged = sum(t.kills for t in told), sum(t.acknowledged for t in told)
-    torn, generations = sum(t.torn for t in told), sum(t.generations for t in told)
+    kills, acknowledged = (
+        sum(result.kills for result in results),
+        sum(result.acknowledged for result in results),
+    )
+    torn, generations = sum(result.torn for result in results), sum(result.generations for result in results)
     yield f"kill   {kills} times, {acknowledged} entries acknowledged, {torn} torn ends: none lost"
     yield f"kill   {generations} generations"
 
 
-def _of_cuts(place: Path) -> Iterator[str]:
+def _report_power_cuts(base_folder: Path) -> Iterator[str]:
     with ProcessPoolExecutor() as pool:
-        cuts = list(pool.map(_cuts, range(1000, 1040)))
-    faults = [fault for _, found in cuts for fault in found]
-    yield f"cut    {2 * sum(n for n, _ in cuts)} power cuts: {faults[:3] or 'nothing lost'}"
+        results = list(pool.map(_run_power_cuts, range(1000, 1040)))
+    faults = [fault for _, seed_faults in results for fault in seed_faults]
+    yield f"cut    {2 * sum(count for count, _ in results)} power cuts: {faults[:3] or 'nothing lost'}"
 
 
-def _of_writes(place: Path) -> Iterator[str]:
-    yield f"write  the disk alone:             {_syncs(place / 'syncs'):8.0f} syncs a second"
-    for writers in (1, 10, 100):
-        rate, syncs = _shared(place / f"shared-{writers}", writers)
-        yield f"write  {writers:4} writers, shared syncs: {rate:8.0f} a second with {syncs:6.0f} syncs"
-    yield f"write  any writers, a sync each:   {_each(place / 'each'):8.0f} a second"
+def _report_write_rates(base_folder: Path) -> Iterator[str]:
+    yield (
+        f"write  the disk alone:             {_measure_disk_syncs(base_folder / 'syncs'):8.0f} syncs a second"
+    )
+    for writer_count in (1, 10, 100):
+        writes_per_s, syncs_per_s = _measure_shared_syncs(
+            base_folder / f"shared-{writer_count}", writer_count
+        )
+        yield (
+            f"write  {writer_count:4} writers, shared syncs: {writes_per_s:8.0f} a second "
+            f"with {syncs_per_s:6.0f} syncs"
+        )
+    yield (
+        f"write  any writers, a sync each:   {_measure_individual_syncs(base_folder / 'each'):8.0f} a second"
+    )
 
 
-def _of_starts(place: Path) -> Iterator[str]:
-    for records in (0, RECORDS):
-        folder = place / f"start-{records}"
+def _report_start_times(base_folder: Path) -> Iterator[str]:
+    for record_count in (0, RECORD_COUNT):
+        folder = base_folder / f"start-{record_count}"
         folder.mkdir()
-        _filled(folder, records)
-        took, without = ([_start_s(folder, kept, records) for _ in range(5)] for kept in (True, False))
+        _fill_folder(folder, record_count)
+        with_folder_s, without_folder_s = (
+            [_measure_start_s(folder, has_folder, record_count) for _ in range(5)]
+            for has_folder in (True, False)
+        )
         yield (
-            f"start  {records:6} records: {quantile(took, 0.5):.2f} s, without a folder "
-            f"{quantile(without, 0.5):.2f} s (medians of 5)"
+            f"start  {record_count:6} records: {quantile(with_folder_s, 0.5):.2f} s, without a folder "
+            f"{quantile(without_folder_s, 0.5):.2f} s (medians of 5)"
         )
-    began = time.process_time()
-    found = read_folder(OsFiles(place / f"start-{RECORDS}" / "kept"))
-    yield f"start  {len(found.state.records)} records read in {time.process_time() - began:.2f} s of a core"
+    cpu_start_s = time.process_time()
+    contents = read_folder(OsFiles(base_folder / f"start-{RECORD_COUNT}" / "kept"))
+    yield (
+        f"start  {len(contents.state.records)} records read in "
+        f"{time.process_time() - cpu_start_s:.2f} s of a core"
+    )
 
 
-def _of_cost(place: Path) -> Iterator[str]:
-    for per_s in (0, 10, 1000):
-        share, rate, hour, held = _cost(place / f"cost-{per_s}", per_s, 20.0)
+def _report_cost(base_folder: Path) -> Iterator[str]:
+    for changes_per_s in (0, 10, 1000):
+        cpu_share, achieved_per_s, bytes_per_hour, disk_bytes = _measure_cost(
+            base_folder / f"cost-{changes_per_s}", changes_per_s, 20.0
+        )
         yield (
-            f"cost   {rate:6.0f} changes a second: {100 * share:5.2f}% of a core, "
-            f"{hour / 1e6:8.1f} MB written an hour, {held / 1e6:6.2f} MB on the disk"
+            f"cost   {achieved_per_s:6.0f} changes a second: {100 * cpu_share:5.2f}% of a core, "
+            f"{bytes_per_hour / 1e6:8.1f} MB written an hour, {disk_bytes / 1e6:6.2f} MB on the disk"
         )
 
 
-def _of_attempts(place: Path) -> Iterator[str]:
-    for away_s in (0.5, 5.0, 20.0):
-        without, up_without, never = _attempts(False, away_s)
-        with_, up_with, _ = _attempts(True, away_s)
+def _report_attempts(base_folder: Path) -> Iterator[str]:
+    for downtime_s in (0.5, 5.0, 20.0):
+        attempts_without, established_without, attempts_uninterrupted = _measure_attempts(False, downtime_s)
+        attempts_with, established_with, _ = _measure_attempts(True, downtime_s)
         yield (
-            f"attempts away for {away_s:4.1f} s: {without} without and {with_} with what was learned, "
-            f"{never} had it not restarted; brought up at once {up_without} and {up_with} of 600"
+            f"attempts away for {downtime_s:4.1f} s: {attempts_without} without and {attempts_with} "
+            f"with what was learned, {attempts_uninterrupted} had it not restarted; "
+            f"brought up at once {established_without} and {established_with} of 600"
         )
 
 
-def _of_days(place: Path) -> Iterator[str]:
+def _report_days(base_folder: Path) -> Iterator[str]:
     for plan in ("lasting", "lasting-all", "lasting-walk"):
         for nodes, seeds in ((5, range(5000, 5200)), (17, range(5000, 5020))):
-            day = FaultDay(plan, nodes=nodes)
-            sweep = sweep_days(day, "virtual", list(seeds), None, lambda share: None)
+            fault_day = FaultDay(plan, nodes=nodes)
+            sweep = sweep_days(fault_day, "virtual", list(seeds), None, lambda progress: None)
             checks = [(summary.seed, check) for summary in sweep.summaries for check in summary.checks]
-            broken = [
+            violations = [
                 (seed, check.name, check.faults[:1])
                 for seed, check in checks
                 if check.value is not None and check.limit is not None and check.value > check.limit
             ]
-            yield f"days   {plan} at {nodes} nodes, {len(seeds)} seeds: {broken or 'nothing broken'}"
+            yield f"days   {plan} at {nodes} nodes, {len(seeds)} seeds: {violations or 'nothing broken'}"
             yield from (f"days     {line}" for line in occasions(sweep))
 
 
 PARTS = {
-    "kill": _of_kills,
-    "cut": _of_cuts,
-    "write": _of_writes,
-    "start": _of_starts,
-    "cost": _of_cost,
-    "attempts": _of_attempts,
-    "days": _of_days,
+    "kill": _report_kills,
+    "cut": _report_power_cuts,
+    "write": _report_write_rates,
+    "start": _report_start_times,
+    "cost": _report_cost,
+    "attempts": _report_attempts,
+    "days": _report_days,
 }
 
 if __name__ == "__main__":
     unknown = [part for part in sys.argv[1:] if part not in PARTS]
     if unknown:
-        raise SystemExit(f"lasting.py: no part '{unknown[0]}'")
-    with tempfile.TemporaryDirectory(prefix="lasting-", dir=".") as made:
-        for chosen in sys.argv[1:] or PARTS:
-            for told_line in PARTS[chosen](Path(made).resolve()):
-                print(told_line, flush=True)
+        raise SystemExit(
+            f"lasting.py: unknown part '{unknown[0]}', "
+            "expected kill, cut, write, start, cost, attempts or days"
+        )
+    with tempfile.TemporaryDirectory(prefix="lasting-", dir=".") as temporary_name:
+        for chosen_part in sys.argv[1:] or PARTS:
+            for report_line in PARTS[chosen_part](Path(temporary_name).resolve()):
+                print(report_line, flush=True)
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -1,10 +1,15 @@
-"""What owners and members cost and how long they take.
+"""Measures leader election and membership: their network traffic and the time that they take.
 
 `python benchmarks/owners.py [PART...]`, in virtual time.
 
-Parts: `change` (time without an owner after SIGKILL and after an orderly leave), `false` (changes of owner
-in an hour in which nothing failed but the network), `known` (time until a dead node is known by all others),
-`cost` (bytes and messages of a node in a second, at rest), `explore` (every order of events in small cases).
+Parts:
+
+- `change`: the time without a leader after SIGKILL and after a graceful leave;
+- `false`: the changes of leader in an hour in which only the network has faults;
+- `known`: the time until all other nodes know that a node is dead;
+- `cost`: the bytes and messages that an idle node sends per second;
+- `explore`: a search through the orders of events in small cases, exhaustive unless it reaches its limit of
+  states.
 """
 
 from __future__ import annotations
@@ -22,8 +27,8 @@
 from sailrun.lab.figures import quantile
 from sailrun.lab.scheduler import BEGIN_US
 
-SECOND = 1_000_000
-WEATHERS = {
+SECOND_US = 1_000_000
+NETWORK_CONDITIONS = {
     "calm": (0.0, (1_000, 3_000)),
     "10% lost": (0.10, (1_000, 3_000)),
     "30% lost": (0.30, (1_000, 3_000)),
@@ -32,10 +37,10 @@
 }
 
 
-def _fleet(nodes: int, seed: int, zones: int = 1) -> VirtualFleet:
+def _create_fleet(node_count: int, seed: int, zones: int = 1) -> VirtualFleet:
     fleet = VirtualFleet(
-        nodes,
-        voters_among(nodes),
+        node_count,
+        voters_among(node_count),
         zones,
         lambda index, voters, joins: agent_terms(index, voters, joins, PLANS["owner"]),
         seed,
@@ -44,106 +49,136 @@
     return fleet
 
 
-def _changes(seed: int) -> tuple[list[float], list[float]]:
-    """One owner killed, another one told to leave: how long the task had none."""
-    fleet = _fleet(7, seed)
-    task, gaps = "roster/z0", []
-    for n, ends in enumerate((fleet.kill, fleet.leave)):
+def _measure_failover(seed: int) -> tuple[list[float], list[float]]:
+    """Kills a task's leader, and later has its next leader leave.
+
+    Returns for each of the two how many seconds the task had no leader, each in a list.
+    """
+    fleet = _create_fleet(7, seed)
+    task, gaps_s = "roster/z0", []
+    for n, stop in enumerate((fleet.kill, fleet.leave)):
         fleet.run(20.0 + 30.0 * n)
-        owner = fleet.owner(task)
-        if owner is None:
-            raise RuntimeError(f"seed {seed}: nobody owns {task}")
-        at_us = fleet.time.now_us
-        ends(owner)
-        fleet.time.after(5 * SECOND, fleet.start, owner)
+        leader = fleet.owner(task)
+        if leader is None:
+            raise RuntimeError(f"seed {seed}: task {task} has no leader, expected one")
+        stopped_us = fleet.time.now_us
+        stop(leader)
+        fleet.time.after(5 * SECOND_US, fleet.start, leader)
         fleet.run(40.0 + 30.0 * n)
-        gap_s = Judge(fleet.rows, {}, BEGIN_US, fleet.time.now_us).without_owner_s(task, at_us)
-        gaps.append(gap_s if gap_s is not None else float("inf"))
-    return [gaps[0]], [gaps[1]]
+        gap_s = Judge(fleet.rows, {}, BEGIN_US, fleet.time.now_us).without_owner_s(task, stopped_us)
+        gaps_s.append(gap_s if gap_s is not None else float("inf"))
+    return [gaps_s[0]], [gaps_s[1]]
 
 
-def _false(asked: tuple[str, int]) -> int:
-    weather, seed = asked
-    fleet = _fleet(5, seed)
+def _count_leader_changes(arguments: tuple[str, int]) -> int:
+    """Returns the changes of leader within an hour of a network condition."""
+    condition, seed = arguments
+    fleet = _create_fleet(5, seed)
     fleet.run(20.0)
-    lost, delay_us = WEATHERS[weather]
-    fleet.weather(lost, delay_us, 0.0)
+    loss_rate, delay_us = NETWORK_CONDITIONS[condition]
+    fleet.weather(loss_rate, delay_us, 0.0)
     fleet.rows.clear()
     fleet.run(3_620.0)
     return sum(1 for row in fleet.rows if row["kind"] == "lost")
 
 
-def _known(asked: tuple[int, int]) -> float:
-    """Seconds from a node's death until the last of the others took it for gone."""
-    nodes, seed = asked
-    fleet = _fleet(nodes, seed)
-    settled = 15.0 if nodes < 100 else 30.0 if nodes < 500 else 90.0
-    fleet.run(settled)
-    name = fleet.names[-1]
-    fleet.kill(name)
-    passed = settled
-    while any(n.agent is not None and n.agent.members.is_living(name) for n in fleet.nodes.values()):
-        passed += 0.25
-        fleet.run(passed)
-        if passed > settled + 60:
+def _measure_death_detection(arguments: tuple[int, int]) -> float:
+    """Returns the seconds from a node's death until none of the others regards it as alive any more."""
+    node_count, seed = arguments
+    fleet = _create_fleet(node_count, seed)
+    settle_time_s = 15.0 if node_count < 100 else 30.0 if node_count < 500 else 90.0
+    fleet.run(settle_time_s)
+    killed = fleet.names[-1]
+    fleet.kill(killed)
+    time_s = settle_time_s
+    while any(
+        node.agent is not None and node.agent.members.is_living(killed) for node in fleet.nodes.values()
+    ):
+        time_s += 0.25
+        fleet.run(time_s)
+        if time_s > settle_time_s + 60:
             return float("inf")
-    return passed - settled
+    return time_s - settle_time_s
 
 
-def _cost(nodes: int) -> tuple[float, float]:
-    fleet = _fleet(nodes, 1)
-    settled = 15.0 if nodes < 100 else 60.0 if nodes < 500 else 150.0
-    fleet.run(settled)
-    before, fleet.bytes, fleet.weighed = sum(fleet.by_body.values()), 0, 0
-    fleet.run(settled + 20.0)
-    sent = sum(fleet.by_body.values()) - before
-    return fleet.bytes / max(1, fleet.weighed) * sent / nodes / 20.0, sent / nodes / 20.0
+def _measure_traffic(node_count: int) -> tuple[float, float]:
+    """Returns the bytes and the messages that a node sends per second."""
+    fleet = _create_fleet(node_count, 1)
+    settle_time_s = 15.0 if node_count < 100 else 60.0 if node_count < 500 else 150.0
+    fleet.run(settle_time_s)
+    initial_messages, fleet.bytes, fleet.weighed = sum(fleet.by_body.values()), 0, 0
+    fleet.run(settle_time_s + 20.0)
+    message_count = sum(fleet.by_body.values()) - initial_messages
+    return fleet.bytes / max(
+        1, fleet.weighed
+    ) * message_count / node_count / 20.0, message_count / node_count / 20.0
 
 
-def _spread(values: list[float]) -> str:
-    return f"median {quantile(values, 0.5):.2f} s, 99 in 100 {quantile(values, 0.99):.2f} s"
+def _format_quantiles(values_s: list[float]) -> str:
+    return f"median {quantile(values_s, 0.5):.2f} s, 99 in 100 {quantile(values_s, 0.99):.2f} s"
 
 
-def change(pool: ProcessPoolExecutor) -> Iterator[str]:
-    found = list(pool.map(_changes, range(1, 201)))
-    for n, what in enumerate(("SIGKILL", "an orderly leave")):
-        yield f"without an owner after {what}: {_spread([gap for one in found for gap in one[n]])}, 200 seeds"
+def report_failover(pool: ProcessPoolExecutor) -> Iterator[str]:
+    results = list(pool.map(_measure_failover, range(1, 201)))
+    for n, stop_kind in enumerate(("SIGKILL", "an orderly leave")):
+        yield (
+            f"without an owner after {stop_kind}: "
+            f"{_format_quantiles([gap_s for gaps_s in results for gap_s in gaps_s[n]])}, 200 seeds"
+        )
 
 
-def false(pool: ProcessPoolExecutor) -> Iterator[str]:
-    asked = [(weather, seed) for weather in WEATHERS for seed in range(1, 9)]
-    found = list(zip(asked, pool.map(_false, asked), strict=True))
-    for weather in WEATHERS:
-        counts = [count for (its, _), count in found if its == weather]
-        yield f"{weather:18} {sum(counts)} changes of owner in {len(counts)} hours"
+def report_leader_changes(pool: ProcessPoolExecutor) -> Iterator[str]:
+    cases = [(condition, seed) for condition in NETWORK_CONDITIONS for seed in range(1, 9)]
+    results = list(zip(cases, pool.map(_count_leader_changes, cases), strict=True))
+    for condition in NETWORK_CONDITIONS:
+        change_counts = [
+            change_count for (case_condition, _), change_count in results if case_condition == condition
+        ]
+        yield f"{condition:18} {sum(change_counts)} changes of owner in {len(change_counts)} hours"
 
 
-def known(pool: ProcessPoolExecutor) -> Iterator[str]:
-    for nodes, seeds in ((5, 40), (50, 16), (200, 8), (1_000, 2)):
-        found = list(pool.map(_known, [(nodes, seed) for seed in range(1, seeds + 1)]))
-        yield f"{nodes:5} nodes: a dead one known by all, {_spread(found)}, {seeds} seeds"
+def report_death_detection(pool: ProcessPoolExecutor) -> Iterator[str]:
+    for node_count, seed_count in ((5, 40), (50, 16), (200, 8), (1_000, 2)):
+        detection_s = list(
+            pool.map(_measure_death_detection, [(node_count, seed) for seed in range(1, seed_count + 1)])
+        )
+        yield (
+            f"{node_count:5} nodes: a dead one known by all, {_format_quantiles(detection_s)}, "
+            f"{seed_count} seeds"
+        )
 
 
-def cost(pool: ProcessPoolExecutor) -> Iterator[str]:
-    sizes = (5, 50, 200, 1_000)
-    for nodes, (count, messages) in zip(sizes, pool.map(_cost, sizes), strict=True):
-        yield f"{nodes:5} nodes: {count:.0f} bytes and {messages:.1f} messages of a node in a second"
+def report_traffic(pool: ProcessPoolExecutor) -> Iterator[str]:
+    node_counts = (5, 50, 200, 1_000)
+    for node_count, (bytes_per_s, messages_per_s) in zip(
+        node_counts, pool.map(_measure_traffic, node_counts), strict=True
+    ):
+        yield (
+            f"{node_count:5} nodes: {bytes_per_s:.0f} bytes and {messages_per_s:.1f} messages "
+            "of a node in a second"
+        )
 
 
-def explore(pool: ProcessPoolExecutor) -> Iterator[str]:
+def report_exploration(pool: ProcessPoolExecutor) -> Iterator[str]:
     for bounds in (Bounds(4, 2, 2, 0), Bounds(5, 3, 2, 1), Bounds(8, 1, 2, 1, 400_000, True)):
-        began_s = time.monotonic()
-        found = Explorer(bounds).explore()
-        whole = "all" if found.complete else "stopped"
-        size = (bounds.deliveries, bounds.steps, bounds.turns, bounds.restarts)
+        start_s = time.monotonic()
+        result = Explorer(bounds).explore()
+        extent = "all" if result.complete else "stopped"
+        limits = (bounds.deliveries, bounds.steps, bounds.turns, bounds.restarts)
         yield (
-            f"{size} deliveries, steps, turns, restarts: {found.states} states ({whole}), "
-            f"{found.events} events, {found.owners} with an owner, {found.changes} changes; "
-            f"{found.fault or 'nothing broken'}; {time.monotonic() - began_s:.0f} s"
+            f"{limits} deliveries, steps, turns, restarts: {result.states} states ({extent}), "
+            f"{result.events} events, {result.owners} with an owner, {result.changes} changes; "
+            f"{result.fault or 'nothing broken'}; {time.monotonic() - start_s:.0f} s"
         )
 
 
-PARTS = {"change": change, "false": false, "known": known, "cost": cost, "explore": explore}
+PARTS = {
+    "change": report_failover,
+    "false": report_leader_changes,
+    "known": report_death_detection,
+    "cost": report_traffic,
+    "explore": report_exploration,
+}
 
 
 def main() -> None:
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -1,8 +1,9 @@
-"""What a node's start costs in processor time, beside what the interpreter and its event loop alone take.
+"""Measures the CPU time and memory of a node's start, beside those of the bare interpreter and event loop.
 
-`python benchmarks/startup.py [ROUNDS] [OTHER]`: OTHER is the folder of another version of the program,
-measured in turn with this one. Processor time of all threads from `exec` until the node says that it serves,
-from the kernel's count for the process, and what of memory is resident then; medians.
+`python benchmarks/startup.py [ROUNDS] [OTHER]`: OTHER is the folder of another version of the program, which
+is measured in turn with this one. Prints the medians of the CPU time of all threads from `exec` until the
+node logs that it is serving, as the kernel accounts it for the process, and of the memory that is resident at
+that point.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from sailrun.lab.figures import quantile
 from sailrun.lab.settings import WorldSettings
 
-LOOP = """
+EVENT_LOOP_PROGRAM = """
 import asyncio
 async def main():
     print("up", flush=True)
@@ -28,26 +29,35 @@
 """
 
 
-def _cost(command: list[str], environment: dict[str, str], place: Path, word: str) -> tuple[float, float]:
-    """Milliseconds of a core and megabytes, at the first line that has the word."""
-    told = {**os.environ, **environment}
+def _measure_start(
+    command: list[str], environment: dict[str, str], program_folder: Path, marker: str
+) -> tuple[float, float]:
+    """Returns the CPU time in milliseconds and the resident memory in megabytes at the first line of output
+    that contains `marker`.
+    """
+    full_environment = {**os.environ, **environment}
     with subprocess.Popen(
-        command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, env=told, cwd=place
+        command,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        text=True,
+        env=full_environment,
+        cwd=program_folder,
     ) as process:
         assert process.stdout is not None
         for line in process.stdout:
-            if word in line:
+            if marker in line:
                 break
-        on_core_ns = 0
-        for task in Path(f"/proc/{process.pid}/task").iterdir():
-            on_core_ns += int((task / "schedstat").read_text().split()[0])
-        pages = int(Path(f"/proc/{process.pid}/statm").read_text().split()[1])
+        cpu_ns = 0
+        for thread in Path(f"/proc/{process.pid}/task").iterdir():
+            cpu_ns += int((thread / "schedstat").read_text().split()[0])
+        page_count = int(Path(f"/proc/{process.pid}/statm").read_text().split()[1])
         process.kill()
-    return on_core_ns / 1e6, pages * os.sysconf("SC_PAGE_SIZE") / 1e6
+    return cpu_ns / 1e6, page_count * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-def a_config() -> dict[str, object]:
-    """What the platform would tell a node that has the machine for itself, and no form servers."""
+def make_config() -> dict[str, object]:
+    """Returns the platform's configuration for a node alone on its machine, without form servers."""
     listen, discovery = (f"127.0.0.1:{free_address()[1]}" for _ in range(2))
     return {
         "name": "n1",
@@ -60,32 +70,44 @@
     }
 
 
-def _node(place: Path, config: Path) -> tuple[float, float]:
-    config.write_text(json.dumps(a_config()))
+def _measure_node(program_folder: Path, config_path: Path) -> tuple[float, float]:
+    config_path.write_text(json.dumps(make_config()))
     command = [sys.executable, "-m", "sailrun"]
-    return _cost(command, {"RELAY_CONFIG": str(config), "PYTHONPATH": str(place)}, place, " serving ")
+    return _measure_start(
+        command,
+        {"RELAY_CONFIG": str(config_path), "PYTHONPATH": str(program_folder)},
+        program_folder,
+        " serving ",
+    )
 
 
-def lines(rounds: int, others: list[Path]) -> Iterator[str]:
-    here = Path(__file__).resolve().parent.parent
-    places = {"this version": here, **{str(other): other for other in others}}
-    found: dict[str, list[tuple[float, float]]] = {
+def run_rounds(round_count: int, other_folders: list[Path]) -> Iterator[str]:
+    this_folder = Path(__file__).resolve().parent.parent
+    program_folders = {
+        "this version": this_folder,
+        **{str(other_folder): other_folder for other_folder in other_folders},
+    }
+    samples: dict[str, list[tuple[float, float]]] = {
         "the event loop alone": [],
-        **{name: [] for name in places},
+        **{name: [] for name in program_folders},
     }
     with tempfile.TemporaryDirectory() as folder:
-        config = Path(folder) / "config.json"
-        for _ in range(rounds):
-            found["the event loop alone"].append(_cost([sys.executable, "-c", LOOP], {}, here, "up"))
-            for name, place in places.items():
-                found[name].append(_node(place, config))
-    alone = quantile([ms for ms, _ in found["the event loop alone"]], 0.5)
-    for name, costs in found.items():
-        ms, megabytes = (quantile([cost[n] for cost in costs], 0.5) for n in (0, 1))
-        yield f"{name:40} {ms:7.1f} ms of a core, {ms / alone:5.2f} times the loop's, {megabytes:6.1f} MB"
+        config_path = Path(folder) / "config.json"
+        for _ in range(round_count):
+            samples["the event loop alone"].append(
+                _measure_start([sys.executable, "-c", EVENT_LOOP_PROGRAM], {}, this_folder, "up")
+            )
+            for name, program_folder in program_folders.items():
+                samples[name].append(_measure_node(program_folder, config_path))
+    loop_ms = quantile([ms for ms, _ in samples["the event loop alone"]], 0.5)
+    for name, node_samples in samples.items():
+        ms, megabytes = (quantile([sample[n] for sample in node_samples], 0.5) for n in (0, 1))
+        yield f"{name:40} {ms:7.1f} ms of a core, {ms / loop_ms:5.2f} times the loop's, {megabytes:6.1f} MB"
 
 
 if __name__ == "__main__":
-    words = sys.argv[1:]
-    for told_line in lines(int(words[0]) if words else 15, [Path(word).resolve() for word in words[1:]]):
-        print(told_line, flush=True)
+    arguments = sys.argv[1:]
+    for report_line in run_rounds(
+        int(arguments[0]) if arguments else 15, [Path(argument).resolve() for argument in arguments[1:]]
+    ):
+        print(report_line, flush=True)
