--- a/benchmarks/event_streams.py
+++ b/benchmarks/event_streams.py
@@ -1,8 +1,9 @@
-"""Events of the simulator's form, made by seed, for the decision module's process (`sailrun.benchlink`).
+"""Generates events in the simulator's format from a seed, for the decision module's process
+(`sailrun.benchlink`).
 
-A small world answers the module's actions: attempts are opened, end or time out, timers fire, peers hear each
-other and lists of backends change. All chance comes from the scenario's seed, so that two versions that act
-alike see the same events. Times are whole microseconds.
+A small simulation responds to the module's actions: attempts are opened, end or time out, timers fire, peers
+receive each other's messages and lists of backends change. All random choices derive from the scenario's
+seed, so two versions that behave the same see the same events. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -16,26 +17,30 @@
 from pathlib import Path
 
 MILLISECOND_US, SECOND_US = 1_000, 1_000_000
-BEGIN_US = 50 * SECOND_US
+START_US = 50 * SECOND_US
 DEADLINE_US = 1_200_000
-COLD_US = 8 * SECOND_US
-# Of all events, so many a second and instance are arrivals of requests.
+SLOW_START_US = 8 * SECOND_US
+# Mean rate of arriving requests at each instance.
 ARRIVALS_PER_S = 12.0
-BACKENDS, MOST_HOSTED = 12, 4
-ZONES, GROUPS, KEYS = ("east", "west"), 12, 60
+BACKEND_COUNT, MAX_INSTANCES = 12, 4
+ZONES, GROUP_COUNT, KEY_COUNT = ("east", "west"), 12, 60
 GONE, READY, DRAINING = 0, 1, 2
 FAILED_LIST, DELTA, CACHED, FULL = 0, 1, 2, 3
-# How attempts end that were never opened, and their weights; `delivered` is the end of an open connection.
+# The outcomes of attempts that are never opened, with their weights; `delivered` is the end of an open
+# connection.
 EARLY_OUTCOMES = {"app_error": 3, "shed": 5, "expired": 3, "dial_failed": 4, "dropped": 3, "unused": 2}
-EARLY_SHARE, APP_LATE_SHARE, DROPPED_SHARE = 0.08, 0.05, 0.08
-# Of the attempts at the one backend that is faulty, so many fail; what a message takes there, in ms.
-FAULTY_SHARE, FAULTY_DELAY_MS, DELAY_MS = 0.7, 600.0, 60.0
-# While the store that all backends share is congested, so many attempts fail; from when, for how long.
-CONGESTED_SHARE, CONGESTED_FROM_US, CONGESTED_US = 0.85, 5 * SECOND_US, 6 * SECOND_US
-# What opening a connection takes, most of the time and else, at most.
-OPEN_US, SLOW_OPEN_US = 60_000, 500_000
+# Share of the attempts at other backends than the faulty one that are never opened, and shares of the open
+# connections that end with `app_error` and with `dropped`.
+EARLY_END_SHARE, LATE_APP_ERROR_SHARE, DROPPED_SHARE = 0.08, 0.05, 0.08
+# Share of the attempts at the faulty backend that fail, and the highest message delays there and elsewhere.
+FAULTY_FAILURE_SHARE, MAX_FAULTY_MESSAGE_MS, MAX_MESSAGE_MS = 0.7, 600.0, 60.0
+# Share of attempts that fail while the store that all backends share is congested, the start of the
+# congestion and its duration.
+CONGESTED_FAILURE_SHARE, CONGESTION_START_US, CONGESTION_TIME_US = 0.85, 5 * SECOND_US, 6 * SECOND_US
+# The longest that opening a connection takes: three times in four, and otherwise.
+MAX_OPEN_US, MAX_SLOW_OPEN_US = 60_000, 500_000
 CLASSES = (("feed", "idempotent", "all"), ("pay", "deduplicated", "cell"), ("once", "at_most_once", "zone"))
-REPEAT_MARK, MID_FLOW_MARK, RETURNING_MARK, HINT_MARK = 2, 8, 16, 1
+REPEAT_FLAG, MID_FLOW_FLAG, RETURNING_FLAG, HINT_FLAG = 2, 8, 16, 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,15 +49,15 @@
 
     seed: int
     discovery: str  # push or ask
-    instances: int  # of the tier; at most MOST_HOSTED of them are played
+    instances: int  # the size of the tier; at most MAX_INSTANCES of them are simulated
     is_pass_through: bool = False
     has_parallel_attempts: bool = False
-    has_congested_store: bool = False  # that all backends share: most attempts fail for a while
+    has_congested_store: bool = False  # shared by all backends; most attempts fail while it is congested
     seconds: float = 20.0
 
     @property
     def name(self) -> str:
-        """As the tool names the stream in what it prints."""
+        """The name of the stream in the output of `same_behaviour.py`."""
         mode = " pass-through" if self.is_pass_through else ""
         parallel = " parallel" if self.has_parallel_attempts else ""
         store = " congested" if self.has_congested_store else ""
@@ -61,7 +66,7 @@
 
 @dataclass(slots=True)
 class Backend:
-    """One backend of the world."""
+    """One simulated backend."""
 
     number: int
     zone: str
@@ -69,8 +74,8 @@
     state: int = READY
     started_us: int = 0
 
-    def line(self) -> str:
-        """As a list has it."""
+    def format_line(self) -> str:
+        """Returns the line of the backend in a list."""
         started = f"\tbootTimeUs={self.started_us}" if self.started_us else ""
         return (
             f"m\tbackend={self.number}\taz={self.zone}\ttype=k\tcohort={self.cell}\tlifecycle={self.state}"
@@ -80,78 +85,80 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request at one instance."""
+    """A client's request at one instance, with its attempts."""
 
-    who: int
+    instance: int
     name: str
     fields: str
-    ends_us: int
+    deadline_us: int
     attempts: int = 0
-    is_over: bool = False
+    is_finished: bool = False
     outstanding: set[int] = field(default_factory=set)
-    opened: dict[int, int] = field(default_factory=dict)  # backend by attempt
+    opened: dict[int, int] = field(default_factory=dict)  # backend by attempt, of open connections
     backends: dict[int, int] = field(default_factory=dict)
 
 
-Happening = Callable[[], None]
+Callback = Callable[[], None]
 
 
-class World:
-    """Clients, backends, discovery and timers around the hosted instances."""
+class Simulation:
+    """Simulates the clients, backends, discovery and timers of the simulated instances."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
-        self.now_us = BEGIN_US
-        self.lines: list[str] = []  # of the batch that is being made
-        self._random = random.Random(scenario.seed)
-        self._queue: list[tuple[int, int, Happening]] = []
-        self._scheduled = self._named = self._version = 0
-        self._hosted = range(min(MOST_HOSTED, scenario.instances))
+        self.now_us = START_US
+        self.pending_lines: list[str] = []  # of the next batch
+        self._rng = random.Random(scenario.seed)
+        self._queue: list[tuple[int, int, Callback]] = []
+        self._callback_count = self._request_count = self._list_version = 0
+        self._instances = range(min(MAX_INSTANCES, scenario.instances))
         self._subscribed: set[int] = set()
-        self._faulty = 0  # the backend that fails most attempts now
+        self._faulty_backend = 0  # number of the backend that currently fails most attempts
         self._requests: dict[tuple[int, str], Request] = {}
-        self._lives = dict.fromkeys(self._hosted, 0)
-        self._backends = [Backend(1000 + 37 * n, ZONES[n % len(ZONES)], n % 3) for n in range(BACKENDS)]
-        for who in self._hosted:
-            self._start(who)
-        self._after(SECOND_US, self._change_backends)
-        self._after(6 * SECOND_US, self._restart_instance)
+        self._process_numbers = dict.fromkeys(self._instances, 0)
+        self._backends = [Backend(1000 + 37 * n, ZONES[n % len(ZONES)], n % 3) for n in range(BACKEND_COUNT)]
+        for instance in self._instances:
+            self._start_instance(instance)
+        self._schedule(SECOND_US, self._change_backends)
+        self._schedule(6 * SECOND_US, self._restart_instance)
 
     # ------------------------------------------------------------------ time
 
-    def _after(self, wait_us: float, happening: Happening) -> None:
-        self._scheduled += 1
-        heapq.heappush(self._queue, (self.now_us + max(0, int(wait_us)), self._scheduled, happening))
+    def _schedule(self, wait_us: float, callback: Callback) -> None:
+        self._callback_count += 1
+        heapq.heappush(self._queue, (self.now_us + max(0, int(wait_us)), self._callback_count, callback))
 
-    def _after_in_life(self, wait_us: float, who: int, happening: Happening) -> None:
-        """Nothing reaches an instance from before its restart."""
-        life = self._lives[who]
-        self._after(wait_us, lambda: happening() if self._lives[who] == life else None)
+    def _schedule_for_instance(self, wait_us: float, instance: int, callback: Callback) -> None:
+        """Schedules a callback that is dropped if the instance restarts first."""
+        process_number = self._process_numbers[instance]
+        self._schedule(
+            wait_us, lambda: callback() if self._process_numbers[instance] == process_number else None
+        )
 
-    def batches(self) -> Iterator[list[str]]:
-        """The batches of the stream. `act` is to be called with the reply before the next one is taken."""
-        end_us = BEGIN_US + int(self.scenario.seconds * SECOND_US)
+    def generate_batches(self) -> Iterator[list[str]]:
+        """Yields the batches of the stream; call `apply_actions` with the reply before the next one."""
+        end_us = START_US + int(self.scenario.seconds * SECOND_US)
         while self._queue and self._queue[0][0] <= end_us:
             self.now_us = self._queue[0][0]
             while self._queue and self._queue[0][0] <= self.now_us:
                 heapq.heappop(self._queue)[2]()
-            if self.lines:
-                batch = [f"clock\tsimTimeUs={self.now_us}", *self.lines, "end"]
-                self.lines = []
+            if self.pending_lines:
+                batch = [f"clock\tsimTimeUs={self.now_us}", *self.pending_lines, "end"]
+                self.pending_lines = []
                 yield batch
 
     # ------------------------------------------------------------------ instances and lists
 
-    def _born_line(self, who: int) -> str:
+    def _format_instance_start(self, instance: int) -> str:
         scenario = self.scenario
         parts = [
-            f"born\twho={who}\tinitSeed={scenario.seed * 100 + who}\taz={ZONES[who % 2]}",
-            f"discovery={scenario.discovery}\tsiblings={scenario.instances}\tindex={who}",
+            f"born\twho={instance}\tinitSeed={scenario.seed * 100 + instance}\taz={ZONES[instance % 2]}",
+            f"discovery={scenario.discovery}\tsiblings={scenario.instances}\tindex={instance}",
             f"services.count={len(CLASSES)}\tfamilyInfo.messageAimUs=50000,null,80000",
             "orgs.count=2\torgs.0.name=t1\torgs.0.share=0.3\torgs.0.quotaPerS=9\torgs.1.name=t2",
             "orgs.1.share=0.7\torgs.1.quotaPerS=40\toverShareWorth=0.5",
             "familyInfo.tenantQuotaConnections=30,60\tfamilyInfo.tellsDelay=true\tfamilyInfo.parkUs=4000000",
-            f"obligations.drainGraceUs=500000\tobligations.coldFrom=0.2\tobligations.coldUs={COLD_US}",
+            f"obligations.drainGraceUs=500000\tobligations.coldFrom=0.2\tobligations.coldUs={SLOW_START_US}",
             "obligations.fallMultiple=3.0\tobligations.fallUs=1000000\tobligations.answerSlackUs=16000",
             "obligations.mustAskInUs=3000000\tlimits.maxAttempts=3\tlimits.connectTimeoutUs=250000",
             "limits.retryAfter=true\tlimits.maxRetryAfterUs=2000000\tlimits.cancel=true\tlimits.probes=true",
@@ -167,273 +174,295 @@
             parts.append(f"{prefix}.gain={1.0 + number}\t{prefix}.repeatWindowUs=5000000")
         return "\t".join(parts)
 
-    def _start(self, who: int) -> None:
-        self._lives[who] += 1
-        self.lines.append(self._born_line(who))
-        self._list(who, CACHED, self._backends)
-        for _ in range(self._random.randrange(4)):
-            backend = self._random.choice(self._backends)
-            request = self._new_request(who, "resumed", f"\tbackend={backend.number}")
+    def _start_instance(self, instance: int) -> None:
+        self._process_numbers[instance] += 1
+        self.pending_lines.append(self._format_instance_start(instance))
+        self._send_list(instance, CACHED, self._backends)
+        for _ in range(self._rng.randrange(4)):
+            backend = self._rng.choice(self._backends)
+            request = self._new_request(instance, "resumed", f"\tbackend={backend.number}")
             request.attempts = 1
             request.outstanding.add(0)
             request.backends[0] = request.opened[0] = backend.number
-            self._hold(request, 0)
-        self._after_in_life(0, who, lambda: self._arrive(who))
+            self._schedule_connection_events(request, 0)
+        self._schedule_for_instance(0, instance, lambda: self._add_arrival(instance))
 
     def _restart_instance(self) -> None:
-        who = self._random.choice(self._hosted)
-        self._lives[who] += 1
-        self._requests = {key: request for key, request in self._requests.items() if key[0] != who}
-        self._subscribed.discard(who)
-        self.lines.append(f"crash_now\twho={who}")
-        self._start(who)
-        self._after(self._random.uniform(4, 9) * SECOND_US, self._restart_instance)
-
-    def _list(self, who: int, kind: int, backends: list[Backend]) -> None:
-        self._version += 1
-        number = self._version % 16
+        instance = self._rng.choice(self._instances)
+        self._process_numbers[instance] += 1
+        self._requests = {key: request for key, request in self._requests.items() if key[0] != instance}
+        self._subscribed.discard(instance)
+        self.pending_lines.append(f"crash_now\twho={instance}")
+        self._start_instance(instance)
+        self._schedule(self._rng.uniform(4, 9) * SECOND_US, self._restart_instance)
+
+    def _send_list(self, instance: int, kind: int, backends: list[Backend]) -> None:
+        self._list_version += 1
+        number = self._list_version % 16
         if kind != FAILED_LIST:
-            self.lines.append(f"list\tsetId={number}\tlines={len(backends)}")
-            self.lines += [backend.line() for backend in backends]
-        self.lines.append(f"discovery\twho={who}\tkind={kind}\tindex={self._version}\tsetId={number}")
+            self.pending_lines.append(f"list\tsetId={number}\tlines={len(backends)}")
+            self.pending_lines += [backend.format_line() for backend in backends]
+        self.pending_lines.append(
+            f"discovery\twho={instance}\tkind={kind}\tindex={self._list_version}\tsetId={number}"
+        )
 
     def _change_backends(self) -> None:
-        changed = self._random.sample(self._backends, self._random.choice((1, 1, 2)))
+        changed = self._rng.sample(self._backends, self._rng.choice((1, 1, 2)))
         for backend in changed:
             if backend.state == READY:
-                backend.state = self._random.choice((DRAINING, GONE))
+                backend.state = self._rng.choice((DRAINING, GONE))
                 if backend.state == GONE:
-                    self._crash(backend)
+                    self._crash_backend(backend)
             elif backend.state == DRAINING:
                 backend.state = GONE
             else:
                 backend.state, backend.started_us = READY, self.now_us
-        self._faulty = self._random.choice(self._backends).number
-        for who in self._hosted:
-            if self.scenario.discovery == "push" or who in self._subscribed:
-                self._list(who, self._random.choice((DELTA, DELTA, FULL)), changed)
-                if self._random.random() < 0.1:
-                    self._list(who, FULL, self._backends)
-        self._after(self._random.uniform(1.0, 4.0) * SECOND_US, self._change_backends)
-
-    def _crash(self, backend: Backend) -> None:
-        """All attempts at a backend end at once."""
+        self._faulty_backend = self._rng.choice(self._backends).number
+        for instance in self._instances:
+            if self.scenario.discovery == "push" or instance in self._subscribed:
+                self._send_list(instance, self._rng.choice((DELTA, DELTA, FULL)), changed)
+                if self._rng.random() < 0.1:
+                    self._send_list(instance, FULL, self._backends)
+        self._schedule(self._rng.uniform(1.0, 4.0) * SECOND_US, self._change_backends)
+
+    def _crash_backend(self, backend: Backend) -> None:
+        """Ends all attempts at a backend."""
         for request in list(self._requests.values()):
             for attempt in sorted(request.outstanding):
                 if request.backends[attempt] == backend.number:
-                    self._end(request, attempt, "dropped" if attempt in request.opened else "dial_failed")
+                    self._end_attempt(
+                        request, attempt, "dropped" if attempt in request.opened else "dial_failed"
+                    )
 
-    def _answer_list(self, who: int, kind: int) -> None:
-        failed = self._random.random() < 0.2
-        self._list(who, FAILED_LIST if failed else kind, [] if failed else self._backends)
+    def _answer_list_request(self, instance: int, kind: int) -> None:
+        failed = self._rng.random() < 0.2
+        self._send_list(instance, FAILED_LIST if failed else kind, [] if failed else self._backends)
 
     # ------------------------------------------------------------------ requests
 
-    def _new_request(self, who: int, event: str, more: str = "", marks: int = 0) -> Request:
-        luck = self._random
-        self._named += 1
-        name = f"rq_{self._named}"
-        left_us = luck.choice((DEADLINE_US, DEADLINE_US, luck.randrange(20_000, DEADLINE_US)))
-        marks |= luck.choice((0, 0, 0, REPEAT_MARK, RETURNING_MARK)) | luck.choice((0, HINT_MARK))
-        if self.scenario.is_pass_through and luck.random() < 0.1:
-            marks |= MID_FLOW_MARK
-        fields = f"\tleftUs={left_us}\tmarks={marks}\ttierClass={luck.choice(CLASSES)[0]}{more}"
-        if luck.random() < 0.8:
-            fields += f"\tresource={luck.randrange(KEYS):016x}"
-        if luck.random() < 0.5:
-            fields += f"\tteamId={luck.randrange(GROUPS):016x}"
-        if marks & HINT_MARK:
-            fields += f"\tworkHintUs={luck.randrange(1_000, 40_000)}"
-        fields += f"\tbilling={luck.choice(('t1', 't2', '0'))}"
-        request = Request(who, name, fields, self.now_us + left_us)
-        self._requests[who, name] = request
-        self.lines.append(f"{event}\twho={who}\treq={name}{fields}")
+    def _new_request(self, instance: int, event: str, extra_fields: str = "", flags: int = 0) -> Request:
+        rng = self._rng
+        self._request_count += 1
+        name = f"rq_{self._request_count}"
+        remaining_us = rng.choice((DEADLINE_US, DEADLINE_US, rng.randrange(20_000, DEADLINE_US)))
+        flags |= rng.choice((0, 0, 0, REPEAT_FLAG, RETURNING_FLAG)) | rng.choice((0, HINT_FLAG))
+        if self.scenario.is_pass_through and rng.random() < 0.1:
+            flags |= MID_FLOW_FLAG
+        fields = f"\tleftUs={remaining_us}\tmarks={flags}\ttierClass={rng.choice(CLASSES)[0]}{extra_fields}"
+        if rng.random() < 0.8:
+            fields += f"\tresource={rng.randrange(KEY_COUNT):016x}"
+        if rng.random() < 0.5:
+            fields += f"\tteamId={rng.randrange(GROUP_COUNT):016x}"
+        if flags & HINT_FLAG:
+            fields += f"\tworkHintUs={rng.randrange(1_000, 40_000)}"
+        fields += f"\tbilling={rng.choice(('t1', 't2', '0'))}"
+        request = Request(instance, name, fields, self.now_us + remaining_us)
+        self._requests[instance, name] = request
+        self.pending_lines.append(f"{event}\twho={instance}\treq={name}{fields}")
         return request
 
-    def _arrive(self, who: int) -> None:
-        request = self._new_request(who, "request")
-        if self._random.random() < 0.05:
-            self._after_in_life(
-                self._random.uniform(1, 900) * MILLISECOND_US, who, lambda: self._leave(request)
+    def _add_arrival(self, instance: int) -> None:
+        request = self._new_request(instance, "request")
+        if self._rng.random() < 0.05:
+            self._schedule_for_instance(
+                self._rng.uniform(1, 900) * MILLISECOND_US, instance, lambda: self._cancel_request(request)
             )
-        wait_us = self._random.expovariate(ARRIVALS_PER_S) * SECOND_US
-        self._after_in_life(wait_us, who, lambda: self._arrive(who))
+        wait_us = self._rng.expovariate(ARRIVALS_PER_S) * SECOND_US
+        self._schedule_for_instance(wait_us, instance, lambda: self._add_arrival(instance))
 
-    def _leave(self, request: Request) -> None:
-        if not request.is_over:
-            request.is_over = True
-            self.lines.append(f"dropped\twho={request.who}\treq={request.name}")
+    def _cancel_request(self, request: Request) -> None:
+        if not request.is_finished:
+            request.is_finished = True
+            self.pending_lines.append(f"dropped\twho={request.instance}\treq={request.name}")
             for attempt in sorted(request.outstanding):
-                self._end(request, attempt, "revoked", is_over=True)
+                self._end_attempt(request, attempt, "revoked", is_final=True)
 
-    def _end(self, request: Request, attempt: int, outcome: str, is_over: bool = False) -> None:
-        """The one end of an attempt; nothing where it has ended already."""
+    def _end_attempt(self, request: Request, attempt: int, outcome: str, is_final: bool = False) -> None:
+        """Ends an attempt; does nothing if it has ended already."""
         if attempt not in request.outstanding:
             return
         request.outstanding.discard(attempt)
         request.opened.pop(attempt, None)
-        request.is_over |= is_over
-        luck = self._random
-        report = f"\thealthInfo={luck.randrange(9)},{luck.random():.3f}" if luck.random() < 0.3 else ""
-        self.lines.append(
-            f"reply\twho={request.who}\treq={request.name}\tcopy={attempt}\toutcome={outcome}"
-            f"\tover={int(is_over)}\tbackend={request.backends[attempt]}"
-            f"\tlatencyUs={luck.randrange(2_000, 300_000)}{report}"
+        request.is_finished |= is_final
+        rng = self._rng
+        report = f"\thealthInfo={rng.randrange(9)},{rng.random():.3f}" if rng.random() < 0.3 else ""
+        self.pending_lines.append(
+            f"reply\twho={request.instance}\treq={request.name}\tcopy={attempt}\toutcome={outcome}"
+            f"\tover={int(is_final)}\tbackend={request.backends[attempt]}"
+            f"\tlatencyUs={rng.randrange(2_000, 300_000)}{report}"
         )
 
-    def _open(self, request: Request, attempt: int, latency_us: int) -> None:
-        if attempt not in request.outstanding or request.is_over:
+    def _open_connection(self, request: Request, attempt: int, latency_us: int) -> None:
+        if attempt not in request.outstanding or request.is_finished:
             return
         backend = request.backends[attempt]
         request.opened[attempt] = backend
-        self.lines.append(
-            f"begun\twho={request.who}\treq={request.name}\tcopy={attempt}\tbackend={backend}"
+        self.pending_lines.append(
+            f"begun\twho={request.instance}\treq={request.name}\tcopy={attempt}\tbackend={backend}"
             f"\tlatencyUs={latency_us}"
         )
-        self._hold(request, attempt)
-
-    def _hold(self, request: Request, attempt: int) -> None:
-        """Notices on an open connection, and its end."""
-        luck, who = self._random, request.who
-        length_us = luck.uniform(0.2, 8.0) * SECOND_US
-        for _ in range(luck.randrange(4)):
-            wait_us = luck.random() * length_us
-            self._after_in_life(wait_us, who, lambda: self._notice(request, attempt))
-        chance = luck.random()
+        self._schedule_connection_events(request, attempt)
+
+    def _schedule_connection_events(self, request: Request, attempt: int) -> None:
+        """Schedules the interim reports of an open connection and its end."""
+        rng, instance = self._rng, request.instance
+        duration_us = rng.uniform(0.2, 8.0) * SECOND_US
+        for _ in range(rng.randrange(4)):
+            wait_us = rng.random() * duration_us
+            self._schedule_for_instance(wait_us, instance, lambda: self._report_interim(request, attempt))
+        draw = rng.random()
         outcome = "delivered"
-        if chance < DROPPED_SHARE:
+        if draw < DROPPED_SHARE:
             outcome = "dropped"
-        elif chance < DROPPED_SHARE + APP_LATE_SHARE:
+        elif draw < DROPPED_SHARE + LATE_APP_ERROR_SHARE:
             outcome = "app_error"
-        is_over = outcome != "dropped" or luck.random() < 0.5
-        self._after_in_life(length_us, who, lambda: self._end(request, attempt, outcome, is_over))
+        is_final = outcome != "dropped" or rng.random() < 0.5
+        self._schedule_for_instance(
+            duration_us, instance, lambda: self._end_attempt(request, attempt, outcome, is_final)
+        )
 
-    def _notice(self, request: Request, attempt: int) -> None:
+    def _report_interim(self, request: Request, attempt: int) -> None:
         if attempt in request.opened:
-            sort = self._random.choice((1, 2))
-            most_ms = FAULTY_DELAY_MS if request.opened[attempt] == self._faulty else DELAY_MS
-            value = self._random.uniform(100, 60_000) if sort == 1 else self._random.uniform(1, most_ms)
-            self.lines.append(
-                f"interim\twho={request.who}\treq={request.name}\tcopy={attempt}"
-                f"\tbackend={request.opened[attempt]}\tsort={sort}\tvalue={value:.3f}"
+            report_kind = self._rng.choice((1, 2))
+            max_ms = (
+                MAX_FAULTY_MESSAGE_MS if request.opened[attempt] == self._faulty_backend else MAX_MESSAGE_MS
+            )
+            value = self._rng.uniform(100, 60_000) if report_kind == 1 else self._rng.uniform(1, max_ms)
+            self.pending_lines.append(
+                f"interim\twho={request.instance}\treq={request.name}\tcopy={attempt}"
+                f"\tbackend={request.opened[attempt]}\tsort={report_kind}\tvalue={value:.3f}"
             )
 
     # ------------------------------------------------------------------ actions
 
-    def act(self, reply: list[str]) -> None:
-        """Takes the lines of one reply."""
-        for line in reply:
-            name, *parts = line.split("\t")
+    def apply_actions(self, reply_lines: list[str]) -> None:
+        """Responds to the actions in the lines of one reply."""
+        for line in reply_lines:
+            action_name, *parts = line.split("\t")
             fields = dict(part.partition("=")[::2] for part in parts)
-            handler = getattr(self, f"_on_{name}", None)
+            handler = getattr(self, f"_on_{action_name}", None)
             if handler is not None:
                 handler(int(fields["who"]), fields)
 
-    def _on_deliver(self, who: int, fields: dict[str, str]) -> None:
-        request = self._requests.get((who, fields["req"]))
-        if request is None or request.is_over:
+    def _on_deliver(self, instance: int, fields: dict[str, str]) -> None:
+        request = self._requests.get((instance, fields["req"]))
+        if request is None or request.is_finished:
             return
         attempt, request.attempts = request.attempts, request.attempts + 1
         request.outstanding.add(attempt)
         request.backends[attempt] = int(fields["backend"])
-        luck = self._random
-        until_us = int(fields["untilUs"]) or request.ends_us
-        latency_us = luck.randrange(2_000, luck.choice((OPEN_US, OPEN_US, OPEN_US, SLOW_OPEN_US)))
-        give_up_us = min(until_us, request.ends_us) - self.now_us
-        if latency_us >= give_up_us:
-            self._after_in_life(give_up_us, who, lambda: self._expire(request, attempt))
-        elif self._is_store_congested() and luck.random() < CONGESTED_SHARE:
-            self._after_in_life(latency_us, who, lambda: self._end(request, attempt, "app_error"))
-        elif luck.random() < (FAULTY_SHARE if request.backends[attempt] == self._faulty else EARLY_SHARE):
-            outcome = luck.choices(tuple(EARLY_OUTCOMES), tuple(EARLY_OUTCOMES.values()))[0]
-            is_over = outcome == "app_error" and luck.random() < 0.5
-            self._after_in_life(latency_us, who, lambda: self._end(request, attempt, outcome, is_over))
+        rng = self._rng
+        until_us = int(fields["untilUs"]) or request.deadline_us
+        latency_us = rng.randrange(
+            2_000, rng.choice((MAX_OPEN_US, MAX_OPEN_US, MAX_OPEN_US, MAX_SLOW_OPEN_US))
+        )
+        remaining_us = min(until_us, request.deadline_us) - self.now_us
+        if latency_us >= remaining_us:
+            self._schedule_for_instance(
+                remaining_us, instance, lambda: self._expire_attempt(request, attempt)
+            )
+        elif self._is_store_congested() and rng.random() < CONGESTED_FAILURE_SHARE:
+            self._schedule_for_instance(
+                latency_us, instance, lambda: self._end_attempt(request, attempt, "app_error")
+            )
+        elif rng.random() < (
+            FAULTY_FAILURE_SHARE if request.backends[attempt] == self._faulty_backend else EARLY_END_SHARE
+        ):
+            outcome = rng.choices(tuple(EARLY_OUTCOMES), tuple(EARLY_OUTCOMES.values()))[0]
+            is_final = outcome == "app_error" and rng.random() < 0.5
+            self._schedule_for_instance(
+                latency_us, instance, lambda: self._end_attempt(request, attempt, outcome, is_final)
+            )
         else:
-            self._after_in_life(latency_us, who, lambda: self._open(request, attempt, latency_us))
+            self._schedule_for_instance(
+                latency_us, instance, lambda: self._open_connection(request, attempt, latency_us)
+            )
 
     def _is_store_congested(self) -> bool:
-        since_us = self.now_us - BEGIN_US - CONGESTED_FROM_US
-        return self.scenario.has_congested_store and 0 <= since_us < CONGESTED_US
+        since_us = self.now_us - START_US - CONGESTION_START_US
+        return self.scenario.has_congested_store and 0 <= since_us < CONGESTION_TIME_US
 
-    def _expire(self, request: Request, attempt: int) -> None:
-        self._end(request, attempt, "expired")
+    def _expire_attempt(self, request: Request, attempt: int) -> None:
+        self._end_attempt(request, attempt, "expired")
 
-    def _on_overload_reply(self, who: int, fields: dict[str, str]) -> None:
-        request = self._requests.get((who, fields["req"]))
-        if request is not None and not request.is_over:
-            request.is_over = True
-            if self._random.random() < 0.5:
-                wait_us = int(fields["backoffUs"]) + self._random.randrange(100_000)
-                self._after_in_life(wait_us, who, lambda: self._try_again(who))
+    def _on_overload_reply(self, instance: int, fields: dict[str, str]) -> None:
+        request = self._requests.get((instance, fields["req"]))
+        if request is not None and not request.is_finished:
+            request.is_finished = True
+            if self._rng.random() < 0.5:
+                wait_us = int(fields["backoffUs"]) + self._rng.randrange(100_000)
+                self._schedule_for_instance(wait_us, instance, lambda: self._retry_request(instance))
 
-    def _try_again(self, who: int) -> None:
-        self._new_request(who, "request", marks=REPEAT_MARK)
+    def _retry_request(self, instance: int) -> None:
+        self._new_request(instance, "request", flags=REPEAT_FLAG)
 
-    def _on_respond_error(self, who: int, fields: dict[str, str]) -> None:
-        request = self._requests.get((who, fields["req"]))
+    def _on_respond_error(self, instance: int, fields: dict[str, str]) -> None:
+        request = self._requests.get((instance, fields["req"]))
         if request is not None:
-            request.is_over = True
+            request.is_finished = True
 
-    def _on_undo_send(self, who: int, fields: dict[str, str]) -> None:
-        request = self._requests.get((who, fields["req"]))
+    def _on_undo_send(self, instance: int, fields: dict[str, str]) -> None:
+        request = self._requests.get((instance, fields["req"]))
         if request is not None:
             attempt = int(fields["copy"])
-            self._after_in_life(3_000, who, lambda: self._end(request, attempt, "revoked"))
+            self._schedule_for_instance(
+                3_000, instance, lambda: self._end_attempt(request, attempt, "revoked")
+            )
 
-    def _on_shift(self, who: int, fields: dict[str, str]) -> None:
-        request = self._requests.get((who, fields["req"]))
-        if request is not None and not request.is_over:
+    def _on_shift(self, instance: int, fields: dict[str, str]) -> None:
+        request = self._requests.get((instance, fields["req"]))
+        if request is not None and not request.is_finished:
             for attempt in sorted(request.opened):
-                self._end(request, attempt, "delivered", is_over=True)
-            self._new_request(who, "request", marks=RETURNING_MARK)
+                self._end_attempt(request, attempt, "delivered", is_final=True)
+            self._new_request(instance, "request", flags=RETURNING_FLAG)
 
-    def _on_notify_me(self, who: int, fields: dict[str, str]) -> None:
-        line = f"alarm\twho={who}\tref={fields['ref']}"
-        self._after_in_life(int(fields["spanUs"]), who, lambda: self.lines.append(line))
+    def _on_notify_me(self, instance: int, fields: dict[str, str]) -> None:
+        line = f"alarm\twho={instance}\tref={fields['ref']}"
+        self._schedule_for_instance(int(fields["spanUs"]), instance, lambda: self.pending_lines.append(line))
 
-    def _on_observe(self, who: int, fields: dict[str, str]) -> None:
+    def _on_observe(self, instance: int, fields: dict[str, str]) -> None:
         if fields["active"] == "1":
-            self._subscribed.add(who)
-            self._after_in_life(20_000, who, lambda: self._answer_list(who, DELTA))
+            self._subscribed.add(instance)
+            self._schedule_for_instance(20_000, instance, lambda: self._answer_list_request(instance, DELTA))
         else:
-            self._subscribed.discard(who)
+            self._subscribed.discard(instance)
 
-    def _on_read_list(self, who: int, fields: dict[str, str]) -> None:
-        self._after_in_life(30_000, who, lambda: self._answer_list(who, FULL))
+    def _on_read_list(self, instance: int, fields: dict[str, str]) -> None:
+        self._schedule_for_instance(30_000, instance, lambda: self._answer_list_request(instance, FULL))
 
-    def _on_test(self, who: int, fields: dict[str, str]) -> None:
-        outcome = self._random.choice(("delivered", "delivered", "dial_failed", "expired"))
-        line = f"probe_result\twho={who}\tbackend={fields['backend']}\toutcome={outcome}\tlatencyUs=9000"
-        self._after_in_life(9_000, who, lambda: self.lines.append(line))
+    def _on_test(self, instance: int, fields: dict[str, str]) -> None:
+        outcome = self._rng.choice(("delivered", "delivered", "dial_failed", "expired"))
+        line = f"probe_result\twho={instance}\tbackend={fields['backend']}\toutcome={outcome}\tlatencyUs=9000"
+        self._schedule_for_instance(9_000, instance, lambda: self.pending_lines.append(line))
 
-    def _on_say(self, who: int, fields: dict[str, str]) -> None:
-        for peer in self._hosted:
-            if peer != who and fields["whom"] in ("*", str(peer)):
-                line = f"neighbour_says\twho={peer}\toriginPeer={who}\tcontent={fields['content']}"
-                self._after_in_life(4_000, peer, lambda line=line: self.lines.append(line))  # type: ignore[misc]
+    def _on_say(self, instance: int, fields: dict[str, str]) -> None:
+        for peer in self._instances:
+            if peer != instance and fields["whom"] in ("*", str(peer)):
+                line = f"neighbour_says\twho={peer}\toriginPeer={instance}\tcontent={fields['content']}"
+                self._schedule_for_instance(4_000, peer, lambda line=line: self.pending_lines.append(line))  # type: ignore[misc]
 
 
 def play_stream(tree: Path, environment: dict[str, str], scenario: Scenario) -> list[str]:
-    """Every line that the tree's decision module answers, each batch closed by its `end`."""
+    """Returns every line that the tree's decision module replies, with an `end` line after each batch."""
     command = [sys.executable, "-m", "sailrun.benchlink"]
-    world = World(scenario)
-    answered: list[str] = []
+    simulation = Simulation(scenario)
+    output_lines: list[str] = []
     with subprocess.Popen(
         command, cwd=tree, env=environment, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     ) as process:
         assert process.stdin is not None and process.stdout is not None
-        for batch in world.batches():
+        for batch in simulation.generate_batches():
             process.stdin.write("\n".join(batch) + "\n")
             process.stdin.flush()
-            reply = []
+            reply_lines = []
             for line in process.stdout:
                 if line == "end\n":
                     break
-                reply.append(line.rstrip("\n"))
+                reply_lines.append(line.rstrip("\n"))
             else:
-                answered += [*reply, f"the process ended at {world.now_us} us"]
+                output_lines += [*reply_lines, f"the process ended at {simulation.now_us} us"]
                 break
-            answered += [*reply, f"end {world.now_us}"]
-            world.act([line for line in reply if line])
+            output_lines += [*reply_lines, f"end {simulation.now_us}"]
+            simulation.apply_actions([line for line in reply_lines if line])
         process.stdin.close()
-    return answered
+    return output_lines
--- a/benchmarks/recorder.py
+++ b/benchmarks/recorder.py
@@ -1,16 +1,17 @@
-"""Runs one `sailrun` command of the tree that is first on PYTHONPATH and records what it encodes.
+"""Runs one `sailrun` command from the tree that is first on PYTHONPATH and records the data that it encodes.
 
     python -P benchmarks/recorder.py OUT lab run KIND --seed N --out OUT/records
 
-Used by `benchmarks/same_behaviour.py`, which starts it with two trees and compares what it leaves in OUT:
+`benchmarks/same_behaviour.py` runs it with two trees and compares the files that it writes to OUT:
 
-- `recorded.log`: a line for each byte string that crosses a library boundary (msgspec's encoders, packed
-  structs, datagrams scheduled for delivery) and for each action of a decision module, in order;
-- `folders/N/`: the files of every simulated node folder at the end of the run;
-- `printed.txt` and `exit_code`: what the command printed and how it ended.
+- `recorded.log`: one line for each byte string that crosses a library boundary (results of msgspec's
+  encoders, packed structs, datagrams scheduled for delivery) and for each action of a decision module, in
+  order;
+- `folders/N/`: the files of every simulated storage folder at the end of the run;
+- `printed.txt` and `exit_code`: the output and the exit code of the command.
 
-Library functions are replaced before `sailrun` is imported, so that no name inside it matters. The few names
-that are needed stand in `PLACES`, each with the names it may have in other versions.
+Library functions are replaced before `sailrun` is imported, so the recording does not depend on names inside
+`sailrun`. The exceptions are listed in `SYMBOLS`, each with the names that it has in different versions.
 """
 
 from __future__ import annotations
@@ -32,13 +33,14 @@
 
 PACKAGE = "sailrun"
 LOG_FILE, FOLDERS, PRINTED_FILE, EXIT_CODE_FILE = "recorded.log", "folders", "printed.txt", "exit_code"
-# Struct objects of the JSON report of a run hold measured times under this name.
+# The attribute with measured times of the struct objects that make up a run's JSON report.
 MEASURED_FIELD = "cost"
 READ_CHUNK_BYTES = 1 << 30
-# What the age of a stored entry is measured from, so that two runs print the same age. Seconds since 1970.
-FIXED_TIME_S = 2_000_000_000.0
-# module:attribute of what has to be found inside `sailrun`, oldest name first.
-PLACES: dict[str, tuple[str, ...]] = {
+# The current time, in seconds since 1970, for commands that print the age of stored entries: both versions
+# print the same age.
+FIXED_CLOCK_S = 2_000_000_000.0
+# The objects that are looked up inside `sailrun`, as module:attribute, oldest name first.
+SYMBOLS: dict[str, tuple[str, ...]] = {
     "decision module": ("sailrun.decide:Balancer", "sailrun.decisions.balancer:Balancer"),
     "action lines": ("sailrun.wire:action_line", "sailrun.benchlink.wire:action_line"),
     "simulated files": ("sailrun.lab.faults.disk:SimFiles",),
@@ -46,16 +48,18 @@
 }
 
 
-class PlaceNotFoundError(LookupError):
-    """None of the names of a place exists in this tree."""
+class SymbolNotFoundError(LookupError):
+    """None of the names of a symbol exists in this tree."""
 
-    def __init__(self, place: str) -> None:
-        super().__init__(f"{place}: none of {', '.join(PLACES[place])}; add its new name to PLACES")
+    def __init__(self, symbol: str) -> None:
+        super().__init__(
+            f"{symbol}: none of {', '.join(SYMBOLS[symbol])} exists; add its new name to SYMBOLS"
+        )
 
 
-def find(place: str) -> tuple[Any, str, Any]:
-    """The module, the attribute's name and its value. Raises PlaceNotFoundError."""
-    for name in PLACES[place]:
+def find_symbol(symbol: str) -> tuple[Any, str, Any]:
+    """Returns the module, the attribute's name and its value. Raises SymbolNotFoundError."""
+    for name in SYMBOLS[symbol]:
         module_name, _, attribute = name.partition(":")
         try:
             module = importlib.import_module(module_name)
@@ -63,36 +67,36 @@
             continue
         if hasattr(module, attribute):
             return module, attribute, getattr(module, attribute)
-    raise PlaceNotFoundError(place)
+    raise SymbolNotFoundError(symbol)
 
 
 class Recorder:
-    """The log of one run."""
+    """Writes the log of one run and keeps its simulated folders."""
 
     def __init__(self, log: TextIO) -> None:
         self._log = log
         self.simulated_files: list[Any] = []
 
     def add(self, channel: str, content: str) -> None:
-        """Appends a line: where it was recorded, and what."""
+        """Appends a line with the channel on which the content was recorded."""
         self._log.write(f"{channel}\t{content}\n")
 
     def add_bytes(self, channel: str, data: bytes) -> None:
-        """Appends a byte string in hex."""
+        """Appends a byte string in hexadecimal form."""
         self.add(channel, data.hex())
 
 
 def record_encoders(recorder: Recorder) -> None:
-    """Replaces the encoders of msgspec by ones that record what they return."""
+    """Replaces msgspec's encoders with ones that record the bytes that they return."""
     for protocol in ("msgpack", "json"):
         module = getattr(msgspec, protocol)
-        encoder = _recording_encoder(recorder, protocol, module.Encoder)
-        module.Encoder, module.encode = encoder, _recording_encode(recorder, protocol, module.encode)
+        encoder = _make_recording_encoder(recorder, protocol, module.Encoder)
+        module.Encoder, module.encode = encoder, _make_recording_encode(recorder, protocol, module.encode)
 
 
-def _recording_encoder(recorder: Recorder, protocol: str, original: type[Any]) -> type[Any]:
+def _make_recording_encoder(recorder: Recorder, protocol: str, original: type[Any]) -> type[Any]:
     class RecordingEncoder:
-        """As the encoder of msgspec, which cannot be a base class."""
+        """Wraps an encoder of msgspec, whose class cannot be subclassed."""
 
         def __init__(self, **options: Any) -> None:
             self._encoder = original(**options)
@@ -112,12 +116,12 @@
     return RecordingEncoder
 
 
-def _recording_encode(
+def _make_recording_encode(
     recorder: Recorder, protocol: str, original: Callable[..., bytes]
 ) -> Callable[..., bytes]:
     def encode(value: Any, **options: Any) -> bytes:
         data = original(value, **options)
-        # A run's summary has the times it took; it is compared from its file instead.
+        # A run's summary contains measured times; `same_behaviour.py` compares its file instead.
         if not hasattr(value, MEASURED_FIELD):
             recorder.add_bytes(protocol, data)
         return data
@@ -126,16 +130,16 @@
 
 
 def record_structs(recorder: Recorder) -> None:
-    """Replaces struct.Struct: objects that `sailrun` makes record what they pack."""
+    """Replaces struct.Struct: objects created by `sailrun` record the bytes that they pack."""
     original = struct.Struct
 
     class RecordingStruct(original):  # type: ignore[misc, valid-type]
-        """As struct.Struct; other packages' objects record nothing."""
+        """A struct.Struct that records packed bytes if a module of `sailrun` created it."""
 
         def __init__(self, layout: str) -> None:
             super().__init__(layout)
-            maker = sys._getframe(1).f_globals.get("__name__", "")
-            self._is_recorded = maker.partition(".")[0] == PACKAGE
+            caller_name = sys._getframe(1).f_globals.get("__name__", "")
+            self._is_recorded = caller_name.partition(".")[0] == PACKAGE
 
         def pack(self, *values: Any) -> bytes:
             data: bytes = super().pack(*values)
@@ -147,7 +151,7 @@
 
 
 def record_scheduled_bytes(recorder: Recorder) -> None:
-    """Replaces heapq.heappush: datagrams wait in the queue of simulated time until they arrive."""
+    """Replaces heapq.heappush to record datagrams, which wait in the event queue until their arrival time."""
     original = heapq.heappush
 
     def push(queue: list[Any], item: Any) -> None:
@@ -161,28 +165,28 @@
 
 
 def record_actions(recorder: Recorder) -> None:
-    """Wraps the decision module: every action as a line of the simulator's protocol."""
-    _, _, decision_class = find("decision module")
-    _, _, action_line = find("action lines")
+    """Wraps the decision module to record each action as a line of the simulator's protocol."""
+    _, _, decision_class = find_symbol("decision module")
+    _, _, action_line = find_symbol("action lines")
     original = decision_class.handle
-    numbers: dict[int, int] = {}
-    kept_alive: list[Any] = []  # an id is one object's only while that lives
+    instance_numbers: dict[int, int] = {}
+    kept_alive: list[Any] = []  # an id can be reused after its object is freed
 
     def handle(self: Any, now_us: int, event: Any) -> Any:
-        if id(self) not in numbers:
-            numbers[id(self)] = len(numbers)
+        if id(self) not in instance_numbers:
+            instance_numbers[id(self)] = len(instance_numbers)
             kept_alive.append(self)
         actions = original(self, now_us, event)
         for action in actions:
-            recorder.add("action", f"{now_us} {action_line(numbers[id(self)], action)}")
+            recorder.add("action", f"{now_us} {action_line(instance_numbers[id(self)], action)}")
         return actions
 
     decision_class.handle = handle
 
 
 def record_simulated_files(recorder: Recorder) -> None:
-    """Keeps every simulated folder that the run makes, and has every simulated message encoded."""
-    _, _, files_class = find("simulated files")
+    """Keeps every simulated folder that the run creates, and has every simulated message encoded."""
+    _, _, files_class = find_symbol("simulated files")
     original = files_class.__init__
 
     def initialize(self: Any, *arguments: Any, **options: Any) -> None:
@@ -190,78 +194,83 @@
         recorder.simulated_files.append(self)
 
     files_class.__init__ = initialize
-    module, attribute, _ = find("share of messages encoded")
+    module, attribute, _ = find_symbol("share of messages encoded")
     setattr(module, attribute, 1)
 
 
-def write_folders(recorder: Recorder, out: Path) -> None:
-    """Writes the simulated folders, in the order in which they were made."""
+def write_folders(recorder: Recorder, out_folder: Path) -> None:
+    """Writes the simulated folders, numbered in the order of their creation."""
     for number, files in enumerate(recorder.simulated_files):
-        folder = out / FOLDERS / str(number)
+        folder = out_folder / FOLDERS / str(number)
         folder.mkdir(parents=True)
         for name in files.names():
             (folder / name).write_bytes(files.read(name, 0, READ_CHUNK_BYTES))
 
 
-def run_command(words: list[str]) -> tuple[int, str]:
-    """Runs `python -m sailrun WORDS` in this process; returns its exit code and what it printed."""
-    printed = io.StringIO()
-    code = 0
-    sys.argv = [PACKAGE, *words]
-    with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(printed):
+def run_command(arguments: list[str]) -> tuple[int, str]:
+    """Runs `python -m sailrun ARGUMENTS` in this process; returns its exit code and its output."""
+    output = io.StringIO()
+    exit_code = 0
+    sys.argv = [PACKAGE, *arguments]
+    with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
         try:
             runpy.run_module(PACKAGE, run_name="__main__")
-        except SystemExit as ended:
-            code = ended.code if isinstance(ended.code, int) else int(ended.code is not None)
-    return code, printed.getvalue()
-
-
-def record_run(out: Path, words: list[str]) -> None:
-    """One run of the laboratory, recorded."""
-    with (out / LOG_FILE).open("w") as log:
+        except SystemExit as exit_request:
+            exit_code = (
+                exit_request.code
+                if isinstance(exit_request.code, int)
+                else int(exit_request.code is not None)
+            )
+    return exit_code, output.getvalue()
+
+
+def record_run(out_folder: Path, arguments: list[str]) -> None:
+    """Records one run of the laboratory."""
+    with (out_folder / LOG_FILE).open("w") as log:
         recorder = Recorder(log)
         record_encoders(recorder)
         record_structs(recorder)
         record_scheduled_bytes(recorder)
         record_actions(recorder)
         record_simulated_files(recorder)
-        code, printed = run_command(words)
-    write_folders(recorder, out)
-    (out / PRINTED_FILE).write_text(printed)
-    (out / EXIT_CODE_FILE).write_text(f"{code}\n")
+        exit_code, output = run_command(arguments)
+    write_folders(recorder, out_folder)
+    (out_folder / PRINTED_FILE).write_text(output)
+    (out_folder / EXIT_CODE_FILE).write_text(f"{exit_code}\n")
 
 
 FOLDER_COMMANDS = (("show",), ("show", "--json"), ("check",), ("check", "--json"), ("export",))
 
 
-def read_folders(out: Path, folders: list[str]) -> None:
-    """What the commands for stored folders print, for each folder.
+def record_folder_commands(out_folder: Path, folders: list[str]) -> None:
+    """Records the output of the commands for storage folders, for each folder.
 
-    Each command runs in a fork of its own, because the command line grows each time it is built; the command
-    for help loads the program first, once for all of them.
+    Each command runs in a separate forked process, because building the command line a second time in one
+    process adds its commands again. The help command runs first in this process, so that the program is
+    loaded only once.
     """
-    time.time = lambda: FIXED_TIME_S
+    time.time = lambda: FIXED_CLOCK_S
     run_command(["lasting", "--help"])
     commands = [
         ["lasting", command, folder, *options] for folder in folders for command, *options in FOLDER_COMMANDS
     ]
     with (
         multiprocessing.get_context("fork").Pool(1, maxtasksperchild=1) as pool,
-        (out / PRINTED_FILE).open("w") as file,
+        (out_folder / PRINTED_FILE).open("w") as file,
     ):
-        for words, (code, printed) in zip(
+        for arguments, (exit_code, output) in zip(
             commands, pool.imap(run_command, commands, chunksize=1), strict=True
         ):
-            file.write(f"== {' '.join(words)}: exit code {code}\n{printed}")
+            file.write(f"== {' '.join(arguments)}: exit code {exit_code}\n{output}")
 
 
 def main() -> None:
-    """OUT WORDS...: a recorded run; OUT --folders FOLDER...: what a version reads in folders."""
-    out, *words = sys.argv[1:]
-    if words[0] == "--folders":
-        read_folders(Path(out), words[1:])
+    """Records a run (OUT ARGUMENTS...) or the output of the folder commands (OUT --folders FOLDER...)."""
+    out_folder, *arguments = sys.argv[1:]
+    if arguments[0] == "--folders":
+        record_folder_commands(Path(out_folder), arguments[1:])
     else:
-        record_run(Path(out), words)
+        record_run(Path(out_folder), arguments)
 
 
 if __name__ == "__main__":
