--- a/deploy/sites/lay_out.py
+++ b/deploy/sites/lay_out.py
@@ -1,10 +1,11 @@
-"""Lays out sites of other shapes beside what the bench wants to find there.
+"""Writes site folders for the bench that differ from a given site.
 
     python deploy/sites/lay_out.py BASE
 
-BASE is a site's file as the operators give it. Each TOML file here states what its site has otherwise: a
-table's keys take the place of BASE's, a list that of BASE's list, and '-' takes a key out. Each site becomes
-a folder of its own under laid-out/, with copies of the bench's files from BASE's folder.
+BASE is the file of a site. Each TOML file in this folder contains the settings in which its site differs: a
+table's keys replace those of BASE, a list replaces the whole list of BASE, and the value '-' removes a key.
+Each site is written to a folder of its own under laid-out/, with copies of the bench's files from the folder
+of BASE.
 """
 
 from __future__ import annotations
@@ -20,34 +21,34 @@
 BENCH_FILES = ("real.json", "wire.json", "unlock.txt")
 
 
-def with_changes(base: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
-    """The settings of a deployment; a value of `-` takes a setting away."""
+def merge_settings(base: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
+    """Returns the settings of a site: `base` with `changes` applied; the value `-` removes a setting."""
     merged = dict(base)
     for name, value in changes.items():
         if value == "-":
             merged.pop(name, None)
         elif isinstance(value, dict) and isinstance(merged.get(name), dict):
-            merged[name] = with_changes(merged[name], value)
+            merged[name] = merge_settings(merged[name], value)
         else:
             merged[name] = value
     return merged
 
 
 def main() -> None:
-    """Writes each deployment beside this file as changes to the one named on the command line."""
+    """Writes a folder for each TOML file beside this one, based on the site named on the command line."""
     if len(sys.argv) != 2:
         sys.exit("usage: python deploy/sites/lay_out.py BASE")
-    base, here = Path(sys.argv[1]), Path(__file__).parent
-    document = tomllib.loads(base.read_text())
-    for changes in sorted(here.glob("*.toml")):
-        folder = here / "laid-out" / changes.stem
-        folder.mkdir(parents=True, exist_ok=True)
-        site = with_changes(document, tomllib.loads(changes.read_text()))
-        (folder / changes.name).write_text(tomli_w.dumps(site))
+    base_path, sites_folder = Path(sys.argv[1]), Path(__file__).parent
+    base_settings = tomllib.loads(base_path.read_text())
+    for changes_path in sorted(sites_folder.glob("*.toml")):
+        site_folder = sites_folder / "laid-out" / changes_path.stem
+        site_folder.mkdir(parents=True, exist_ok=True)
+        site_settings = merge_settings(base_settings, tomllib.loads(changes_path.read_text()))
+        (site_folder / changes_path.name).write_text(tomli_w.dumps(site_settings))
         for name in BENCH_FILES:
-            (folder / name).unlink(missing_ok=True)
-            shutil.copyfile(base.parent / name, folder / name)
-        print(folder / changes.name)
+            (site_folder / name).unlink(missing_ok=True)
+            shutil.copyfile(base_path.parent / name, site_folder / name)
+        print(site_folder / changes_path.name)
 
 
 if __name__ == "__main__":
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to fail: what it lets pass, and what it does not."""
+"""Tests of the list of known failing tests: which failures it tolerates, and which lists fail the run."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 WORSE = "test_cases.py::test_worse | pytest | another | issue 2"
 
 
-def play(folder: Path, *listed: str) -> tuple[int, str]:
+def run_pytest(folder: Path, *listed: str) -> tuple[int, str]:
     (folder / "test_cases.py").write_text(CASES)
     if listed:
         (folder / "KNOWN-RED.txt").write_text("\n".join(listed) + "\n")
-    words = ["-p", "tests.known_red", "-p", "no:cacheprovider", "-c", str(folder / "none.ini")]
+    arguments = ["-p", "tests.known_red", "-p", "no:cacheprovider", "-c", str(folder / "none.ini")]
     (folder / "none.ini").write_text("[pytest]\n")
-    done = subprocess.run(
-        [sys.executable, "-m", "pytest", *words, "--rootdir", str(folder), str(folder)],
+    process = subprocess.run(
+        [sys.executable, "-m", "pytest", *arguments, "--rootdir", str(folder), str(folder)],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    return done.returncode, done.stdout + done.stderr
+    return process.returncode, process.stdout + process.stderr
 
 
-def test_listed_failures_are_printed_and_passed_over(tmp_path: Path) -> None:
-    code, told = play(tmp_path, BAD, WORSE)
-    assert code == 0 and "1 passed, 2 xfailed" in told
-    assert "known red: test_cases.py::test_bad: a fault (pytest, seed 1), issue 1" in told
+def test_listed_failures_are_printed_and_do_not_fail_the_run(tmp_path: Path) -> None:
+    code, output = run_pytest(tmp_path, BAD, WORSE)
+    assert code == 0 and "1 passed, 2 xfailed" in output
+    assert "known red: test_cases.py::test_bad: a fault (pytest, seed 1), issue 1" in output
 
 
 def test_without_a_list_a_failure_fails_the_run(tmp_path: Path) -> None:
-    code, told = play(tmp_path)
-    assert code == 1 and "2 failed, 1 passed" in told
+    code, output = run_pytest(tmp_path)
+    assert code == 1 and "2 failed, 1 passed" in output
 
 
 @pytest.mark.parametrize(
-    ("more", "why"),
+    ("extra_lines", "message"),
     [
         (["test_cases.py::test_good | pytest | none | issue 3"], "test_good"),
         (["test_cases.py::test_gone | pytest | none | issue 3"], "there is no test"),
@@ -57,6 +57,6 @@
     ],
     ids=["passes", "gone", "file-gone", "no-cause", "no-command", "twice", "too-many"],
 )
-def test_a_list_that_is_not_true_fails_the_run(tmp_path: Path, more: list[str], why: str) -> None:
-    code, told = play(tmp_path, BAD, WORSE, *more)
-    assert code != 0 and why in told
+def test_invalid_list_fails_the_run(tmp_path: Path, extra_lines: list[str], message: str) -> None:
+    code, output = run_pytest(tmp_path, BAD, WORSE, *extra_lines)
+    assert code != 0 and message in output
