--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -19,6 +19,7 @@
 from tests.test_load_gossip import SimulatedFleet, local_load
 
 SECOND_US = 1_000_000
+# LOAD is the load of one session, in microseconds of work per second.
 FORM_SERVER_COUNT, SESSIONS_PER_NODE, LOAD = 90, 5, 30_000.0
 SETTLE_TIME_US, CHECK_INTERVAL_US, TIMEOUT_US = 30 * SECOND_US, 50_000, 90 * SECOND_US
 CHANGED_SERVER = 7
