--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -6,18 +6,10 @@
 
 import pytest
 
-from benchmarks.external_names import (
-    LIST,
-    LITERALS,
-    ROOT,
-    ExternalName,
-    MissingModuleError,
-    Source,
-    differences,
-    external_names,
-    read_source,
-    show,
-)
+from benchmarks.external_names.external_name import ExternalName
+from benchmarks.external_names.listing import LIST, differences, external_names, show
+from benchmarks.external_names.source import ROOT, MissingModuleError, Source, read_source
+from benchmarks.external_names.tables import LITERALS
 
 SOURCE = read_source(ROOT)
 NAMES = external_names(SOURCE)
