--- a/benchmarks/external_names/__main__.py
+++ b/benchmarks/external_names/__main__.py
@@ -1,22 +1,22 @@
-"""Prints the list or writes its file."""
+"""Prints the list of external names or writes it to its file."""
 
 from __future__ import annotations
 
 import argparse
 
-from benchmarks.external_names.listing import LIST, external_names, show
+from benchmarks.external_names.listing import LIST_FILE, external_names, format_list
 from benchmarks.external_names.source import ROOT, read_source
 
 
 def main() -> None:
-    """Prints the list, or writes it."""
+    """Prints the list, or writes it with `--write`."""
     parser = argparse.ArgumentParser(
         prog="external_names.py", description="Lists every name that leaves the process."
     )
-    parser.add_argument("--write", action="store_true", help=f"write {LIST.name} instead of printing")
-    text = show(external_names(read_source(ROOT)))
+    parser.add_argument("--write", action="store_true", help=f"write {LIST_FILE.name} instead of printing")
+    text = format_list(external_names(read_source(ROOT)))
     if parser.parse_args().write:
-        LIST.write_text(text)
+        LIST_FILE.write_text(text)
     else:
         print(text, end="")
 
--- a/benchmarks/external_names/commands.py
+++ b/benchmarks/external_names/commands.py
@@ -10,19 +10,19 @@
 from benchmarks.external_names.external_name import ExternalName
 from benchmarks.external_names.scopes import scopes
 from benchmarks.external_names.source import Source
-from benchmarks.external_names.syntax import called, calls, nodes, text_of
+from benchmarks.external_names.syntax import called_name, calls_in, literal_text, nodes
 
 
 @dataclass(slots=True)
-class CommandGroups:
-    """The words before a module's commands, by module and variable."""
+class CommandPrefixes:
+    """The words before the commands of each Typer application, by module path and variable."""
 
-    words: dict[tuple[str, str], str] = field(default_factory=dict)
+    by_application: dict[tuple[str, str], str] = field(default_factory=dict)
 
 
-def command_groups(source: Source) -> CommandGroups:
-    """Where `add_typer` puts the commands of each variable."""
-    groups = CommandGroups()
+def command_prefixes(source: Source) -> CommandPrefixes:
+    """Finds the words that `add_typer` puts before the commands of each Typer application."""
+    prefixes = CommandPrefixes()
     for path, module in source.modules.items():
         imported = {
             alias.asname or alias.name: (f"{node.module.partition('.')[2].replace('.', '/')}.py", alias.name)
@@ -30,60 +30,68 @@
             if isinstance(node, ast.ImportFrom) and node.module
             for alias in node.names
         }
-        for call in calls(module):
-            if called(call) == "add_typer" and isinstance(call.args[0], ast.Name):
-                names = [text_of(k.value) for k in call.keywords if k.arg == "name"]
+        for call in calls_in(module):
+            if called_name(call) == "add_typer" and isinstance(call.args[0], ast.Name):
+                names = [literal_text(k.value) for k in call.keywords if k.arg == "name"]
                 variable = call.args[0].id
-                groups.words[imported.get(variable, (path, variable))] = f"{names[0]} " if names else ""
-    return groups
+                prefixes.by_application[imported.get(variable, (path, variable))] = (
+                    f"{names[0]} " if names else ""
+                )
+    return prefixes
 
 
 def parameter_names(module: ast.Module, arg: ast.arg, has_default: bool) -> Iterator[tuple[str, str]]:
-    """The flags of a command's parameter, or its name as an argument; with their kinds."""
+    """Yields each flag of a command's parameter as `flag`, or the parameter's name as `argument`."""
     annotation = arg.annotation
     if isinstance(annotation, ast.Name):
         annotation = next(iter(scopes(module)[0].assigned(annotation.id)), annotation)
-    shown = ast.unparse(annotation) if annotation is not None else ""
-    if "typer.Context" in shown:
+    annotation_text = ast.unparse(annotation) if annotation is not None else ""
+    if "typer.Context" in annotation_text:
         return
-    declared = [c for c in calls(annotation) if called(c) in ("Option", "Argument")] if annotation else []
-    is_option = called(declared[0]) == "Option" if declared else has_default
+    declarations = (
+        [c for c in calls_in(annotation) if called_name(c) in ("Option", "Argument")] if annotation else []
+    )
+    is_option = called_name(declarations[0]) == "Option" if declarations else has_default
     if not is_option:
         yield "argument", arg.arg
         return
-    given = [name for call in declared for a in call.args if (name := text_of(a)) and name.startswith("-")]
-    plain = arg.arg.replace("_", "-")
-    if not given:
-        given = [f"--{plain}"] + ([f"--no-{plain}"] if re.match(r"(Annotated\[)?bool\b", shown) else [])
-    yield from (("flag", name) for name in given)
+    flags = [
+        name for call in declarations for a in call.args if (name := literal_text(a)) and name.startswith("-")
+    ]
+    flag_name = arg.arg.replace("_", "-")
+    if not flags:
+        flags = [f"--{flag_name}"] + (
+            [f"--no-{flag_name}"] if re.match(r"(Annotated\[)?bool\b", annotation_text) else []
+        )
+    yield from (("flag", name) for name in flags)
 
 
-def command_name(node: ast.FunctionDef, call: ast.Call, group: str) -> str:
-    """The words of the command that a decorator makes of a function; empty for the callback of all."""
-    own = node.name.replace("_", "-") if called(call) == "command" else ""
-    return group + (text_of(call.args[0]) or own if call.args else own)
+def command_name(node: ast.FunctionDef, call: ast.Call, prefix: str) -> str:
+    """Returns the command that a decorator makes of a function; empty for the main callback."""
+    default_name = node.name.replace("_", "-") if called_name(call) == "command" else ""
+    return prefix + (literal_text(call.args[0]) or default_name if call.args else default_name)
 
 
 def names_of_command(module: ast.Module, node: ast.FunctionDef, name: str) -> Iterator[ExternalName]:
-    """One command with its flags and its arguments."""
+    """Yields one command with its flags and arguments."""
     if name:
         yield ExternalName("command", name)
-    least = len(node.args.args) - len(node.args.defaults)
-    for n, arg in enumerate(node.args.args):
-        for kind, flag in parameter_names(module, arg, n >= least):
+    first_optional = len(node.args.args) - len(node.args.defaults)
+    for index, arg in enumerate(node.args.args):
+        for kind, flag in parameter_names(module, arg, index >= first_optional):
             yield ExternalName(kind, f"{name} {flag}".strip())
 
 
 def command_names(source: Source) -> Iterator[ExternalName]:
-    """Commands, their flags and their arguments."""
-    groups = command_groups(source)
+    """Yields all commands with their flags and arguments."""
+    prefixes = command_prefixes(source)
     for path, module in source.modules.items():
         for node in nodes(module):
             if not isinstance(node, ast.FunctionDef):
                 continue
             for call in node.decorator_list:
-                if not (isinstance(call, ast.Call) and called(call) in ("command", "callback")):
+                if not (isinstance(call, ast.Call) and called_name(call) in ("command", "callback")):
                     continue
                 assert isinstance(call.func, ast.Attribute)
-                group = groups.words.get((path, ast.unparse(call.func.value)), "")
-                yield from names_of_command(module, node, command_name(node, call, group))
+                prefix = prefixes.by_application.get((path, ast.unparse(call.func.value)), "")
+                yield from names_of_command(module, node, command_name(node, call, prefix))
--- a/benchmarks/external_names/external_name.py
+++ b/benchmarks/external_names/external_name.py
@@ -1,4 +1,4 @@
-"""One line of the list."""
+"""Defines an external name, which is one line of the list."""
 
 from __future__ import annotations
 
@@ -8,19 +8,23 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ExternalName:
-    """One name; `seen`: where a log event is matched on, for other kinds empty."""
+    """One external name. `mentioned_in` says where a log event is mentioned: `test`, `page`, `test+page` or
+    `-` for nowhere. It is empty for other kinds.
+    """
 
     kind: str
     name: str
-    seen: str = ""
+    mentioned_in: str = ""
 
     def line(self) -> str:
-        """The line of the list."""
-        return "\t".join(filter(None, (self.kind, self.name, self.seen)))
+        """Returns the line of this name in the list."""
+        return "\t".join(filter(None, (self.kind, self.name, self.mentioned_in)))
 
 
 def qualified(kind: str, owners: Iterable[str], names: Iterable[str]) -> Iterator[ExternalName]:
-    """Names with those of what they belong to before them, so that a change in one place is seen."""
-    parts = list(names)
+    """Yields each name with each of its owners before it, so that a change for one owner is found even if the
+    name remains for another.
+    """
+    all_names = list(names)
     for owner in list(owners) or [""]:
-        yield from (ExternalName(kind, f"{owner} {name}".strip()) for name in parts)
+        yield from (ExternalName(kind, f"{owner} {name}".strip()) for name in all_names)
--- a/benchmarks/external_names/records.py
+++ b/benchmarks/external_names/records.py
@@ -6,62 +6,66 @@
 from collections.abc import Iterator, Mapping
 
 from benchmarks.external_names.external_name import ExternalName, qualified
-from benchmarks.external_names.scopes import Scope, call_fields, names_in, scopes
+from benchmarks.external_names.scopes import Scope, call_fields, possible_names, scopes
 from benchmarks.external_names.source import Source
-from benchmarks.external_names.syntax import called, dict_keys
+from benchmarks.external_names.syntax import called_name, dict_keys
 from benchmarks.external_names.tables import NAMED_CALLS, RECORD_CALLS
 
 
 def record_names(module: ast.Module) -> Iterator[ExternalName]:
-    """Kinds of records with their facts, tables, and what is judged."""
+    """Yields record kinds with their columns, and the names of tables, experiments, checks and plans."""
     for scope in scopes(module):
         for call in scope.calls:
-            names = names_in(scope, call.args[0]) if call.args else []
-            if called(call) in RECORD_CALLS and names:
+            names = possible_names(scope, call.args[0]) if call.args else []
+            if called_name(call) in RECORD_CALLS and names:
                 yield from (ExternalName("record-kind", name) for name in names)
                 yield from qualified("record-column", names, call_fields(scope, call))
-            elif called(call) in NAMED_CALLS:
+            elif called_name(call) in NAMED_CALLS:
                 yield from (ExternalName("record-value", name) for name in names)
-            elif called(call) == "Table":
+            elif called_name(call) == "Table":
                 yield from (ExternalName("record-table", name) for name in names)
 
 
 def table_columns(source: Source) -> Iterator[ExternalName]:
-    """The columns of the tables, and what else the laboratory writes as dicts."""
+    """Yields the columns of the tables, and the keys of all dict literals in
+    `lab/faults` and `lab/scale`, which are columns as well.
+    """
     tables = {
         target.rpartition(".")[2]: name
-        for module in source.under(("lab",))
+        for module in source.modules_in(("lab",))
         for scope in scopes(module)
         for target, name in table_attributes(scope)
     }
-    for module in source.under(("lab",)):
+    for module in source.modules_in(("lab",)):
         for scope in scopes(module):
             yield from added_columns(scope, tables)
-    for module in source.under(("lab/faults", "lab/scale")):
+    for module in source.modules_in(("lab/faults", "lab/scale")):
         yield from (ExternalName("record-column", key) for key in dict_keys(module))
 
 
 def added_columns(scope: Scope, tables: Mapping[str, str]) -> Iterator[ExternalName]:
-    """The columns of the rows that a function adds to tables."""
+    """Yields the columns of the rows that a function adds to tables."""
     for call in scope.calls:
-        if called(call) == "add" and not call.args and isinstance(call.func, ast.Attribute):
+        if called_name(call) == "add" and not call.args and isinstance(call.func, ast.Attribute):
             table = tables.get(ast.unparse(call.func.value).rpartition(".")[2], "")
             yield from qualified("record-column", [table], call_fields(scope, call))
 
 
 def table_attributes(scope: Scope) -> Iterator[tuple[str, str]]:
-    """Attributes that hold a table, with the table's name."""
+    """Yields each attribute that holds a table, with the table's name."""
     for node in scope.nodes:
         if not isinstance(node, ast.Assign):
             continue
         for target in node.targets:
             for attribute, value in assigned_pairs(target, node.value):
-                if isinstance(value, ast.Call) and called(value) == "Table":
-                    yield from ((ast.unparse(attribute), text) for text in names_in(scope, value.args[0]))
+                if isinstance(value, ast.Call) and called_name(value) == "Table":
+                    yield from (
+                        (ast.unparse(attribute), text) for text in possible_names(scope, value.args[0])
+                    )
 
 
 def assigned_pairs(target: ast.expr, value: ast.expr) -> list[tuple[ast.expr, ast.expr]]:
-    """A target and its value, one pair for each element where both are tuples."""
+    """Returns a target with its value; if both are tuples, one pair for each element."""
     if isinstance(target, ast.Tuple) and isinstance(value, ast.Tuple):
         return list(zip(target.elts, value.elts, strict=True))
     return [(target, value)]
--- a/benchmarks/external_names/scopes.py
+++ b/benchmarks/external_names/scopes.py
@@ -8,19 +8,19 @@
 from dataclasses import dataclass
 from functools import cache, cached_property
 
-from benchmarks.external_names.syntax import NAME, nodes, text_of
+from benchmarks.external_names.syntax import NAME, literal_text, nodes
 
 
 @dataclass(frozen=True, eq=False)
 class Scope:
-    """One function, or what a module has outside of its functions: where variables are looked up."""
+    """One function, or the code of a module outside its functions, in which variables are looked up."""
 
     nodes: tuple[ast.AST, ...]
     outer: Scope | None = None
 
     @cached_property
     def values(self) -> dict[str, list[ast.expr]]:
-        """Every value that is assigned to a variable here."""
+        """The values that are assigned to each variable in this scope."""
         values: dict[str, list[ast.expr]] = {}
         for node in self.nodes:
             if isinstance(node, ast.AugAssign):
@@ -32,81 +32,87 @@
 
     @cached_property
     def calls(self) -> tuple[ast.Call, ...]:
-        """All calls."""
+        """All calls in this scope."""
         return tuple(node for node in self.nodes if isinstance(node, ast.Call))
 
     def assigned(self, name: str) -> list[ast.expr]:
-        """What the variable is assigned here, else in the module."""
+        """Returns the values assigned to a variable in this scope or, if there are none, in the module."""
         return self.values.get(name) or (self.outer.assigned(name) if self.outer is not None else [])
 
     def keys_set(self, name: str) -> Iterator[str]:
-        """The keys that are set in a dict, as `name[key] = value`."""
+        """Yields the keys that are set in a dict by `name[key] = value`."""
         for target in self.values:
-            if target.startswith(f"{name}[") and (found := re.fullmatch(r"\w+\['(\w+)'\]", target)):
-                yield found[1]
+            if target.startswith(f"{name}[") and (match := re.fullmatch(r"\w+\['(\w+)'\]", target)):
+                yield match[1]
 
 
 @cache
 def scopes(module: ast.Module) -> tuple[Scope, ...]:
-    """The module itself first, then its functions and methods; a function inside one is part of it."""
-    own: list[ast.AST] = []
+    """Returns the scope of the module first, then those of its functions and methods. A nested function is
+    part of the scope of its outer function.
+    """
+    module_nodes: list[ast.AST] = []
     functions: list[ast.AST] = []
-    waiting: list[ast.AST] = [module]
-    while waiting:
-        node = waiting.pop()
-        own.append(node)
-        for inner in ast.iter_child_nodes(node):
-            is_function = isinstance(inner, ast.FunctionDef | ast.AsyncFunctionDef)
-            (functions if is_function else waiting).append(inner)
-    outer = Scope(tuple(own))
+    pending: list[ast.AST] = [module]
+    while pending:
+        node = pending.pop()
+        module_nodes.append(node)
+        for child in ast.iter_child_nodes(node):
+            is_function = isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef)
+            (functions if is_function else pending).append(child)
+    outer = Scope(tuple(module_nodes))
     return (outer, *(Scope(nodes(function), outer) for function in functions))
 
 
-def texts_of(scope: Scope, node: ast.expr, depth: int = 2) -> Iterator[str]:
-    """The strings that an expression may be: of both branches, and what a variable is assigned."""
-    literal = text_of(node)
+def possible_texts(scope: Scope, node: ast.expr, depth: int = 2) -> Iterator[str]:
+    """Yields the strings that an expression can evaluate to, from both branches of a conditional expression
+    and from the values assigned to a variable, through at most `depth` variables.
+    """
+    literal = literal_text(node)
     if literal is not None:
         yield literal
     elif isinstance(node, ast.IfExp):
-        yield from texts_of(scope, node.body, depth)
-        yield from texts_of(scope, node.orelse, depth)
+        yield from possible_texts(scope, node.body, depth)
+        yield from possible_texts(scope, node.orelse, depth)
     elif isinstance(node, ast.Name) and depth:
         for value in scope.assigned(node.id):
-            yield from texts_of(scope, value, depth - 1)
+            yield from possible_texts(scope, value, depth - 1)
 
 
-def names_in(scope: Scope, node: ast.expr) -> list[str]:
-    """The strings that an expression may be, without prose."""
-    return [text for text in texts_of(scope, node) if NAME.fullmatch(text)]
+def possible_names(scope: Scope, node: ast.expr) -> list[str]:
+    """Returns the strings that an expression can evaluate to and that have the form of a name."""
+    return [text for text in possible_texts(scope, node) if NAME.fullmatch(text)]
 
 
-def keys_of(scope: Scope, node: ast.expr) -> Iterator[str]:
-    """The keys of a dict literal, also where a variable has it, with those that are set one by one."""
+def possible_keys(scope: Scope, node: ast.expr) -> Iterator[str]:
+    """Yields the keys of the dict literals that an expression can evaluate to, with the keys that are set one
+    by one in a variable.
+    """
     if isinstance(node, ast.Dict):
         for key, value in zip(node.keys, node.values, strict=True):
             if key is None:
-                yield from keys_of(scope, value)
-            elif (literal := text_of(key)) is not None:
+                yield from possible_keys(scope, value)
+            elif (literal := literal_text(key)) is not None:
                 yield literal
     elif isinstance(node, ast.Name):
         for value in scope.assigned(node.id):
             if not isinstance(value, ast.Name):
-                yield from keys_of(scope, value)
+                yield from possible_keys(scope, value)
         yield from scope.keys_set(node.id)
     elif isinstance(node, ast.IfExp):
-        yield from keys_of(scope, node.body)
-        yield from keys_of(scope, node.orelse)
+        yield from possible_keys(scope, node.body)
+        yield from possible_keys(scope, node.orelse)
     elif isinstance(node, ast.BinOp) and isinstance(node.op, ast.BitOr):
-        yield from keys_of(scope, node.left)
-        yield from keys_of(scope, node.right)
+        yield from possible_keys(scope, node.left)
+        yield from possible_keys(scope, node.right)
 
 
 def call_fields(scope: Scope, call: ast.Call) -> Iterator[str]:
-    """The fields that a call of the log states: its keywords, and the keys of dicts that it is given."""
+    """Yields the fields that a call writes: its keywords, and the keys of the dicts passed to it."""
     for keyword in call.keywords:
         if keyword.arg is not None:
             yield keyword.arg
         else:
-            yield from keys_of(scope, keyword.value)
+            yield from possible_keys(scope, keyword.value)
     for argument in call.args[1:]:
-        yield from keys_of(scope, argument)
+        yield from possible_keys(scope, argument)
--- a/benchmarks/external_names/settings.py
+++ b/benchmarks/external_names/settings.py
@@ -1,4 +1,4 @@
-"""Reads the keys of the operator's settings and of the files that are deployed."""
+"""Reads the keys of the operator's settings file and of the deployed settings files."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 from benchmarks.external_names.external_name import ExternalName
 from benchmarks.external_names.source import Source
 from benchmarks.external_names.structures import fields_of, structures
-from benchmarks.external_names.tables import OPERATOR
+from benchmarks.external_names.tables import OPERATOR_CLASS
 
 
 def settings_keys(source: Source) -> Iterator[ExternalName]:
-    """The keys of the operator's file, with their tables."""
-    known = {node.name: found for m in source.modules.values() for node, found in structures(m)}
+    """Yields the keys of the operator's settings file, each with the path of its table."""
+    forms = {node.name: form for m in source.modules.values() for node, form in structures(m)}
 
-    def walk(fields: dict[str, str], prefix: str) -> Iterator[str]:
-        for name, kind in fields.items():
+    def key_paths(fields: dict[str, str], prefix: str) -> Iterator[str]:
+        for name, type_name in fields.items():
             yield f"{prefix}{name}"
-            for inner in set(re.findall(r"\w+", kind)) & known.keys():
-                yield from walk(known[inner].fields, f"{prefix}{name}.")
+            for struct_name in set(re.findall(r"\w+", type_name)) & forms.keys():
+                yield from key_paths(forms[struct_name].fields, f"{prefix}{name}.")
 
-    for path in walk(fields_of(source.class_at(*OPERATOR)), ""):
+    for path in key_paths(fields_of(source.class_at(*OPERATOR_CLASS)), ""):
         yield ExternalName("settings", path)
 
 
 def toml_keys(value: Any, prefix: str = "") -> Iterator[str]:
-    """The paths of a TOML document."""
+    """Yields the paths of all keys in a TOML document."""
     if isinstance(value, dict):
-        for name, inner in value.items():
+        for name, content in value.items():
             yield f"{prefix}{name}"
-            yield from toml_keys(inner, f"{prefix}{name}.")
+            yield from toml_keys(content, f"{prefix}{name}.")
     elif isinstance(value, list):
-        for inner in value:
-            yield from toml_keys(inner, prefix)
+        for content in value:
+            yield from toml_keys(content, prefix)
 
 
 def deployed_keys(source: Source) -> Iterator[ExternalName]:
-    """The keys of the files that are deployed."""
+    """Yields the keys of the TOML files in `deploy/`."""
     for path, text in source.texts.items():
         if path.startswith("deploy/") and path.endswith(".toml"):
             name = PurePosixPath(path).relative_to("deploy")
--- a/benchmarks/external_names/source.py
+++ b/benchmarks/external_names/source.py
@@ -1,4 +1,4 @@
-"""The files that the names are read from."""
+"""Reads and parses the files that external names are read from."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class MissingModuleError(Exception):
-    """A table above names a module or a class that the source does not have."""
+    """`tables.py` lists a module or a class that the source does not contain."""
 
 
 @dataclass(frozen=True)
 class Source:
-    """The texts that names are read from, by their path from the root of the repository."""
+    """The contents of the files that names are read from, by path relative to the root of the repository."""
 
     texts: Mapping[str, str]
 
     @cached_property
     def modules(self) -> dict[str, ast.Module]:
-        """The parsed package, by path from the package's folder."""
+        """The parsed modules of the package, by path relative to the package's folder."""
         prefix = f"{PACKAGE}/"
         return {
             path.removeprefix(prefix): parse(path, text)
@@ -32,31 +32,31 @@
             if path.startswith(prefix) and path.endswith(".py")
         }
 
-    def under(self, paths: Iterable[str]) -> Iterator[ast.Module]:
-        """The modules at these paths, and in these folders. Raises MissingModuleError."""
+    def modules_in(self, paths: Iterable[str]) -> Iterator[ast.Module]:
+        """Yields the modules at these paths and in these folders. Raises MissingModuleError."""
         for path in paths:
-            found = [m for p, m in self.modules.items() if p == path or p.startswith(f"{path}/")]
-            if not found:
-                raise MissingModuleError(f"{PACKAGE}/{path} is named in a table, but does not exist")
-            yield from found
+            modules = [m for p, m in self.modules.items() if p == path or p.startswith(f"{path}/")]
+            if not modules:
+                raise MissingModuleError(f"{PACKAGE}/{path} is listed in tables.py but does not exist")
+            yield from modules
 
     def class_at(self, path: str, name: str) -> ast.ClassDef:
-        """A class by its module and name. Raises MissingModuleError."""
-        for module in self.under((path,)):
+        """Returns a class by its module and name. Raises MissingModuleError."""
+        for module in self.modules_in((path,)):
             for statement in module.body:
                 if isinstance(statement, ast.ClassDef) and statement.name == name:
                     return statement
-        raise MissingModuleError(f"{PACKAGE}/{path} has no class {name}, which a table names")
+        raise MissingModuleError(f"{PACKAGE}/{path} has no class {name}, which tables.py lists")
 
 
 @cache
 def parse(path: str, text: str) -> ast.Module:
-    """A module's tree; the same text is parsed once."""
+    """Returns a module's syntax tree; the result is cached, so that the same text is parsed only once."""
     return ast.parse(text, path)
 
 
 def read_source(root: Path) -> Source:
-    """The texts of the package, of the tests, of the pages and of the files that are deployed."""
+    """Reads the package, the tests, the documentation pages and the deployed settings files."""
     patterns = (f"{PACKAGE}/**/*.py", "deploy/**/*.toml", "tests/*.py", "docs/*.md")
     paths = (path for pattern in patterns for path in root.glob(pattern))
     return Source({path.relative_to(root).as_posix(): path.read_text() for path in sorted(paths)})
--- a/benchmarks/external_names/structures.py
+++ b/benchmarks/external_names/structures.py
@@ -9,13 +9,15 @@
 
 from benchmarks.external_names.external_name import ExternalName, qualified
 from benchmarks.external_names.source import Source
-from benchmarks.external_names.syntax import called, nodes, text_of
-from benchmarks.external_names.tables import FIELDS, SHOWN_STRUCTS, STRUCTS
+from benchmarks.external_names.syntax import called_name, literal_text, nodes
+from benchmarks.external_names.tables import FIELD_CLASSES, PRINTED_STRUCT_MODULES, STRUCT_MODULES
 
 
 @dataclass(frozen=True, slots=True)
 class Structure:
-    """A msgspec structure: its tag and, where it is no array, the names of its fields and their types."""
+    """The encoded form of a msgspec structure: its tag, whether it is packed as an array, and its fields with
+    their types.
+    """
 
     tag: str | None
     is_array: bool
@@ -23,16 +25,16 @@
 
 
 def field_name(statement: ast.AnnAssign) -> str:
-    """The name of a field as it is written: `field(name=...)`, else that of the attribute."""
-    if isinstance(statement.value, ast.Call) and called(statement.value) == "field":
+    """Returns the encoded name of a field: that in `field(name=...)`, else that of the attribute."""
+    if isinstance(statement.value, ast.Call) and called_name(statement.value) == "field":
         for keyword in statement.value.keywords:
             if keyword.arg == "name":
-                return text_of(keyword.value) or ""
+                return literal_text(keyword.value) or ""
     return ast.unparse(statement.target)
 
 
 def fields_of(node: ast.ClassDef) -> dict[str, str]:
-    """The fields of a class with their types."""
+    """Returns the encoded names of the fields of a class, with their types."""
     return {
         field_name(statement): ast.unparse(statement.annotation)
         for statement in node.body
@@ -40,50 +42,50 @@
     }
 
 
-def structure(node: ast.ClassDef) -> Structure | None:
-    """What a class says of its written form; None: it is no structure."""
+def parse_structure(node: ast.ClassDef) -> Structure | None:
+    """Returns the encoded form of a msgspec structure; None for any other class."""
     if not any(ast.unparse(base).split(".")[-1] == "Struct" for base in node.bases):
         return None
     keywords = {keyword.arg: keyword.value for keyword in node.keywords}
     if "rename" in keywords or "tag_field" in keywords:
-        raise NotImplementedError(f"{node.name}: rename and tag_field are not read yet")
+        raise NotImplementedError(f"{node.name}: the msgspec options rename and tag_field are not supported")
     is_array = "array_like" in keywords and ast.unparse(keywords["array_like"]) == "True"
-    tag = text_of(keywords["tag"]) if "tag" in keywords else None
+    tag = literal_text(keywords["tag"]) if "tag" in keywords else None
     return Structure(tag, is_array, fields_of(node))
 
 
 @cache
 def structures(module: ast.Module) -> tuple[tuple[ast.ClassDef, Structure], ...]:
-    """The structures of a module."""
+    """Returns the classes of a module that are msgspec structures, each with its encoded form."""
     classes = [node for node in nodes(module) if isinstance(node, ast.ClassDef)]
-    return tuple((node, found) for node in classes if (found := structure(node)) is not None)
+    return tuple((node, form) for node in classes if (form := parse_structure(node)) is not None)
 
 
-def written_names(module: ast.Module, kind: str) -> Iterator[ExternalName]:
-    """Tags, and the fields that are written by name, of one module."""
-    for node, found in structures(module):
+def encoded_names(module: ast.Module, kind: str) -> Iterator[ExternalName]:
+    """Yields the tags of a module's structures, and the fields of those that are not packed as arrays."""
+    for node, form in structures(module):
         if node.name.endswith("Settings"):
-            continue  # of the operator's file, listed with its table
-        if found.tag is not None:
-            yield ExternalName(kind, found.tag)
-        if not found.is_array:
-            yield from qualified(kind, [found.tag or ""], found.fields)
+            continue  # a table of the operator's settings, which `settings_keys` lists
+        if form.tag is not None:
+            yield ExternalName(kind, form.tag)
+        if not form.is_array:
+            yield from qualified(kind, [form.tag or ""], form.fields)
 
 
-def shown_names(module: ast.Module, kind: str) -> Iterator[ExternalName]:
-    """The fields of every structure of a module, arrays as well."""
-    for _, found in structures(module):
-        yield from qualified(kind, [found.tag or ""], found.fields)
+def printed_field_names(module: ast.Module, kind: str) -> Iterator[ExternalName]:
+    """Yields the fields of every structure of a module, including those packed as arrays."""
+    for _, form in structures(module):
+        yield from qualified(kind, [form.tag or ""], form.fields)
 
 
 def struct_names(source: Source) -> Iterator[ExternalName]:
-    """Tags, and the fields that are written by name."""
-    for kind, paths in STRUCTS.items():
-        for module in source.under(paths):
-            yield from written_names(module, kind)
-    for kind, path in SHOWN_STRUCTS.items():
-        for module in source.under((path,)):
-            yield from shown_names(module, kind)
-    for kind, places in FIELDS.items():
-        for label, path, name in places:
+    """Yields the tags and fields of structures, and the fields of other classes, that are written by name."""
+    for kind, paths in STRUCT_MODULES.items():
+        for module in source.modules_in(paths):
+            yield from encoded_names(module, kind)
+    for kind, path in PRINTED_STRUCT_MODULES.items():
+        for module in source.modules_in((path,)):
+            yield from printed_field_names(module, kind)
+    for kind, classes in FIELD_CLASSES.items():
+        for label, path, name in classes:
             yield from qualified(kind, [label], fields_of(source.class_at(path, name)))
--- a/benchmarks/external_names/syntax.py
+++ b/benchmarks/external_names/syntax.py
@@ -11,13 +11,13 @@
 
 
 @cache
-def nodes(module: ast.AST) -> tuple[ast.AST, ...]:
-    """All nodes of a tree."""
-    return tuple(ast.walk(module))
+def nodes(tree: ast.AST) -> tuple[ast.AST, ...]:
+    """Returns all nodes of a tree."""
+    return tuple(ast.walk(tree))
 
 
-def text_of(node: ast.expr) -> str | None:
-    """A string literal, with `{}` for what is filled in; None for any other expression."""
+def literal_text(node: ast.expr) -> str | None:
+    """Returns the text of a literal, with `{}` for each interpolated value; None for other expressions."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         return node.value
     if isinstance(node, ast.Constant) and isinstance(node.value, bytes):
@@ -27,26 +27,28 @@
     return None
 
 
-def words_of(text: str) -> Iterator[str]:
-    """The names in a literal: words between tabs, the name of a name=value. Prose has none."""
+def names_in_text(text: str) -> Iterator[str]:
+    """Yields the names in a literal: the name of each `name=value`, and single words between tabs, commas or
+    line ends. Prose contains none.
+    """
     for cell in re.split(r"[\t\r\n,]+", text):
         if (pair := re.match(r"([A-Za-z][\w.-]*)=", cell)) is not None:
             yield pair[1]
             continue
         words = [word.strip(":=()|'\"") for word in cell.split()]
-        named = [w for w in words if NAME.fullmatch(w) and re.search("[A-Za-z]", w.replace("{}", ""))]
-        if len(named) == 1 and all(w in named or not re.search(r"(?<!%)[A-Za-z]", w) for w in words):
-            yield named[0]
+        names = [w for w in words if NAME.fullmatch(w) and re.search("[A-Za-z]", w.replace("{}", ""))]
+        if len(names) == 1 and all(w in names or not re.search(r"(?<!%)[A-Za-z]", w) for w in words):
+            yield names[0]
 
 
 def dict_keys(module: ast.Module) -> Iterator[str]:
-    """The keys of all dict literals of a module."""
+    """Yields the string keys of all dict literals of a module."""
     literals = (key for node in nodes(module) if isinstance(node, ast.Dict) for key in node.keys if key)
-    return (literal for key in literals if (literal := text_of(key)) is not None)
+    return (literal for key in literals if (literal := literal_text(key)) is not None)
 
 
-def called(node: ast.Call) -> str:
-    """The last part of what is called."""
+def called_name(node: ast.Call) -> str:
+    """Returns the name of the called function or method without its qualifiers; empty if it has no name."""
     match node.func:
         case ast.Attribute(attr=name) | ast.Name(id=name):
             return name
@@ -54,13 +56,13 @@
 
 
 @cache
-def calls(module: ast.AST) -> tuple[ast.Call, ...]:
-    """All calls in a module."""
-    return tuple(node for node in nodes(module) if isinstance(node, ast.Call))
+def calls_in(tree: ast.AST) -> tuple[ast.Call, ...]:
+    """Returns all calls in a tree."""
+    return tuple(node for node in nodes(tree) if isinstance(node, ast.Call))
 
 
 @cache
-def string_nodes(module: ast.Module) -> frozenset[str]:
-    """All string literals of a module."""
-    texts = (text_of(node) for node in nodes(module) if isinstance(node, ast.expr))
+def string_literals(module: ast.Module) -> frozenset[str]:
+    """Returns all string literals of a module."""
+    texts = (literal_text(node) for node in nodes(module) if isinstance(node, ast.expr))
     return frozenset(text for text in texts if text is not None)
--- a/benchmarks/external_names/tables.py
+++ b/benchmarks/external_names/tables.py
@@ -1,9 +1,9 @@
-"""Which modules, classes and calls of the package are read for which kind of name."""
+"""States which modules, classes and calls of the package are read for each kind of external name."""
 
 from __future__ import annotations
 
-# Codecs whose names are string literals, by kind. A folder stands for all of its modules.
-LITERALS: dict[str, tuple[str, ...]] = {
+# Modules whose string literals are external names, by kind. A folder means all of its modules.
+LITERAL_MODULES: dict[str, tuple[str, ...]] = {
     "text-protocol": ("text_protocol/lines.py", "text_protocol/clients.py", "text_protocol/neighbours.py"),
     "amqp": ("amqp",),
     "xds": ("xds",),
@@ -46,46 +46,49 @@
         "lab/scale/stretches.py",
     ),
 }
-# Modules of which only string constants and values of enumerations are written.
-CONSTANTS: dict[str, tuple[str, ...]] = {
+# Modules of which only the string constants and the values of enumerations are external names.
+CONSTANT_MODULES: dict[str, tuple[str, ...]] = {
     "simulator": ("decisions/events.py", "decisions/actions.py", "decisions/settings.py"),
     "log-value": ("errors.py", "discovery.py"),
 }
-# Modules of binary formats: what `struct` is told.
-FORMATS = ("load_gossip", "rebalance/gossip.py", "storage/frames.py")
-# Enumerations whose members are written by their names, and not by their values.
-MEMBERS: dict[str, tuple[tuple[str, str], ...]] = {
+# Modules that define binary formats as format strings of `struct`.
+BINARY_FORMAT_MODULES = ("load_gossip", "rebalance/gossip.py", "storage/frames.py")
+# Enumerations of which the names of the members are written, not their values: module and class.
+ENUM_CLASSES: dict[str, tuple[tuple[str, str], ...]] = {
     "log-value": (("decisions/events.py", "ListKind"), ("membership/messages.py", "MemberState")),
 }
-# Modules of msgspec structures.
-STRUCTS: dict[str, tuple[str, ...]] = {
+# Modules that define msgspec structures.
+STRUCT_MODULES: dict[str, tuple[str, ...]] = {
     "fleet-message": ("membership", "leadership", "replication", "sharding", "storage/messages.py"),
     "stored": ("storage/entries.py", "storage/decision_snapshot.py"),
     "laboratory-message": ("lab/scale/host_messages.py",),
     "record-column": ("lab/run.py", "lab/sweep.py"),
 }
-# Classes whose fields are written by their names, with the event or table that has them.
-FIELDS: dict[str, tuple[tuple[str, str, str], ...]] = {
+# Classes whose field names are written: the log event or table that they belong to, module and class.
+FIELD_CLASSES: dict[str, tuple[tuple[str, str, str], ...]] = {
     "log-value": (("reloaded", "config.py", "NodeConfig"),),
     "record-column": (
         ("uses", "lab/scale/roles.py", "NodeUse"),
         ("world", "lab/scale/plan.py", "ScalePlan"),
     ),
 }
-# Modules whose every structure is shown with the names of its fields.
-SHOWN_STRUCTS: dict[str, str] = {"stored": "storage/entries.py"}
-# Modules whose classes are named in log lines and records.
-WRITTEN_CLASSES: dict[str, tuple[str, ...]] = {
+# Modules of which every structure is printed with its field names, even if it is packed as an array.
+PRINTED_STRUCT_MODULES: dict[str, str] = {"stored": "storage/entries.py"}
+# Modules whose class names appear in log lines and records.
+CLASS_MODULES: dict[str, tuple[str, ...]] = {
     "log-value": ("decisions/events.py", "decisions/actions.py", "errors.py"),
     "record-value": ("lab/scale/faults.py",),
 }
-# Modules that state log events as pairs of a name and a dict, or only the dict of the fields.
-LOG_PAIRS = ("sharding", "replication", "leadership", "storage", "membership")
-LOG_FIELDS = ("rebalance/balance.py", "sharding/log_events.py", "sharding/agent.py")
-OPERATOR = ("operator_settings.py", "Operator")
-LAYOUT = "storage/folder_layout.py"
-# The test of this list names events on purpose: it is none that relies on them.
+# Modules that represent a log event as a pair of its name and a dict of its fields.
+LOG_PAIR_MODULES = ("sharding", "replication", "leadership", "storage", "membership")
+# Modules in which the keys of all dict literals are fields of log events.
+LOG_FIELD_MODULES = ("rebalance/balance.py", "sharding/log_events.py", "sharding/agent.py")
+# The class of the operator's settings file, and the module with the file names of a storage folder.
+OPERATOR_CLASS = ("operator_settings.py", "Operator")
+FOLDER_LAYOUT_MODULE = "storage/folder_layout.py"
+# The test of this list contains names of log events as test data, so it does not count as mentioning them.
 OWN_TEST = "tests/test_external_names.py"
+# Calls that write a log event or a record.
 LOG_CALLS = {"log", "_log", "log_event", "_log_event", "LogEvent", "add"}
 RECORD_CALLS = {
     "record",
@@ -100,7 +103,7 @@
 }
 # Calls whose first argument names an experiment, a check or a plan in the records.
 NAMED_CALLS = {"Check", "Counted", "Experiment", "Plan", "ShardPlan"}
-# Calls whose string arguments are no names outside the process.
+# Calls whose string arguments are not external names.
 INTERNAL_CALLS = {
     *("log", "_log", "getattr", "setattr", "hasattr", "encode", "decode", "TypeVar", "NewType", "compile"),
     *(
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,4 +1,4 @@
-"""The names that leave the process are those of the committed list, and no change of one goes unseen."""
+"""Compares the external names with the committed list, and checks that a change of any kind is found."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 import pytest
 
 from benchmarks.external_names.external_name import ExternalName
-from benchmarks.external_names.listing import LIST, differences, external_names, show
+from benchmarks.external_names.listing import LIST_FILE, differences, external_names, format_list
 from benchmarks.external_names.source import ROOT, MissingModuleError, Source, read_source
-from benchmarks.external_names.tables import LITERALS
+from benchmarks.external_names.tables import LITERAL_MODULES
 
 SOURCE = read_source(ROOT)
 NAMES = external_names(SOURCE)
 
-# For each kind a file, a name in it with what stands around it, and the same changed on purpose.
+# By kind: a file, a name in it with the text around it, and the same text with the name changed.
 CHANGES = {
     "amqp": ("sailrun/amqp/clients.py", '"sailrun:key"', '"sailrun:changed"'),
     "argument": ("sailrun/control/cli.py", "def drain_on(node:", "def drain_on(changed:"),
@@ -55,32 +55,32 @@
 
 
 def test_the_source_has_the_names_of_the_committed_list() -> None:
-    found = differences(LIST.read_text(), show(NAMES))
+    found = differences(LIST_FILE.read_text(), format_list(NAMES))
     assert not found, (
-        f"names that leave the process have changed:\n{found}\nIf every change is meant: "
+        f"the external names have changed:\n{found}\nif every change is intended, run "
         "python -m benchmarks.external_names --write"
     )
 
 
-def test_every_kind_is_changed_on_purpose_below() -> None:
+def test_every_kind_has_a_change_to_find() -> None:
     assert {name.kind for name in NAMES} == CHANGES.keys()
 
 
 @pytest.mark.parametrize("kind", sorted(CHANGES))
 def test_a_change_of_a_name_is_found(kind: str) -> None:
     path, before, after = CHANGES[kind]
-    assert before in SOURCE.texts[path], f"{path} has no {before} any more: name another place above"
+    assert before in SOURCE.texts[path], f"{path} has no {before} any more: choose another text in CHANGES"
     changed = external_names(with_text(path, SOURCE.texts[path].replace(before, after)))
-    was, now = lines(NAMES, kind), lines(changed, kind)
-    assert was - now, "the name that is gone was not found"
-    assert now - was, "the name that came was not found"
-    shown = differences(show(NAMES), show(changed))
-    assert all(f"gone: {line}" in shown for line in was - now)
-    assert all(f"added: {line}" in shown for line in now - was)
+    lines_before, lines_after = lines(NAMES, kind), lines(changed, kind)
+    assert lines_before - lines_after, "the removed name was not found"
+    assert lines_after - lines_before, "the added name was not found"
+    printed = differences(format_list(NAMES), format_list(changed))
+    assert all(f"gone: {line}" in printed for line in lines_before - lines_after)
+    assert all(f"added: {line}" in printed for line in lines_after - lines_before)
 
 
 def test_a_module_that_was_moved_is_an_error() -> None:
-    path = f"sailrun/{LITERALS['simulator'][0]}"
+    path = f"sailrun/{LITERAL_MODULES['simulator'][0]}"
     rest = {other: text for other, text in SOURCE.texts.items() if other != path}
     with pytest.raises(MissingModuleError, match=path):
         external_names(Source(rest))
@@ -93,7 +93,7 @@
         external_names(with_text(path, text))
 
 
-def test_identifiers_and_comments_are_no_names() -> None:
+def test_identifiers_and_comments_are_not_listed() -> None:
     path = "sailrun/leadership/status.py"
     text = SOURCE.texts[path].replace("agent_counters", "renamed") + "\n# a comment\n"
     text = text.replace('"""Returns counts since the process started', '"""Reworded')
@@ -102,16 +102,16 @@
     assert external_names(with_text(path, text)) == NAMES
 
 
-def test_a_log_event_is_marked_with_what_matches_it() -> None:
+def test_a_log_event_is_marked_with_where_it_is_mentioned() -> None:
     code = 'from sailrun.node.clock import log\nlog("never-seen-before", some_field=1)\n'
-    both = {
+    added_files = {
         "sailrun/node/added.py": code,
         "tests/test_added.py": 'assert "never-seen-before" in line',
         "docs/added.md": "| `never-seen-before some_field=…` |",
     }
-    marks = []
-    for kept in ((0,), (0, 1), (0, 2), (0, 1, 2)):
-        added = {path: text for n, (path, text) in enumerate(both.items()) if n in kept}
+    mentions = []
+    for chosen in ((0,), (0, 1), (0, 2), (0, 1, 2)):
+        added = {path: text for n, (path, text) in enumerate(added_files.items()) if n in chosen}
         names = external_names(Source({**SOURCE.texts, **added}))
-        marks += [name.seen for name in names if name.name == "never-seen-before"]
-    assert marks == ["-", "test", "page", "test+page"]
+        mentions += [name.mentioned_in for name in names if name.name == "never-seen-before"]
+    assert mentions == ["-", "test", "page", "test+page"]
