--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -1,7 +1,7 @@
-"""Processes of two versions of this program in one fleet on loopback, driven from outside.
+"""Runs processes of two versions of this program in one fleet on loopback.
 
-A process gets its version by its working directory. Everything it is asked goes by the command line, by the
-control address or by the platform's lines, and what it does is read from its log.
+The working directory of a process decides its version. Processes are controlled only through the command
+line, the control address and the platform's line protocol, and are observed through these and their logs.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 from tests.test_sharding_processes import free
 
 COMMAND_TIMEOUT_S = 40.0
-# What is waited for takes a few seconds; only a check that fails waits so long.
-PATIENCE_S = 30.0
+# Conditions are expected within a few seconds; only a failing check waits this long.
+WAIT_TIMEOUT_S = 30.0
 POLL_S = 0.05
-LONGEST_SEEN = 900
-# Log events that a node writes when what another version has written or sent is not usable.
-NOT_READ = (
+MAX_RESULT_CHARACTERS = 900
+# Words in the log events that a node writes when it cannot use data that another version has written or sent.
+REJECTION_EVENTS = (
     "bad-frame",
     "datagram-rejected",
     "passage-dropped",
@@ -46,36 +46,42 @@
 )
 SERVER_NAMES = ("s-5be2a07c", "s-00000002", "s-00000003")
 NAMES = ("n1", "n2", "n3", "n4")
-# It runs until the fleet has first leaders, and is then gone for good: a majority of the five voters is
-# three, so that from then on no lease is granted by processes of one version alone.
+# The fifth voter runs only until the fleet has its first leaders. A majority of the five voters is three, so
+# that afterwards the two nodes of one version alone cannot grant a lease.
 FIFTH_VOTER = "n5"
 TASKS = ("marks", "pace", "permits", "roster/daejeon-1")
 
-Found = TypeVar("Found")
+Value = TypeVar("Value")
 
 
-def wait_for(what: str, look: Callable[[], Found | None], patience_s: float = PATIENCE_S) -> Found:
-    """Looks until something is found; raises AssertionError, naming what was waited for, if nothing is."""
-    until = time.monotonic() + patience_s
-    while not (found := look()):
-        assert time.monotonic() < until, f"{what}: not within {patience_s:g} s"
+def wait_for(
+    description: str, condition: Callable[[], Value | None], timeout_s: float = WAIT_TIMEOUT_S
+) -> Value:
+    """Polls a condition and returns its first true value. Raises AssertionError with the description on
+    timeout.
+    """
+    deadline_s = time.monotonic() + timeout_s
+    while not (value := condition()):
+        assert time.monotonic() < deadline_s, f"{description}: not within {timeout_s:g} s"
         time.sleep(POLL_S)
-    return found
+    return value
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One of the two versions, by the tree it runs from."""
+    """One of the two versions, with the tree that it runs from."""
 
     label: str
     tree: Path
 
     def enter(self) -> None:
-        """Makes the process that calls it, which is about to become a node, one of this version."""
+        """Changes the working directory of the calling process, which is about to run a node, to this
+        version's tree.
+        """
         os.chdir(self.tree)
 
     def run(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """A command of this version."""
+        """Runs a command of this version."""
         return subprocess.run(
             [sys.executable, "-m", "sailrun", *arguments],
             cwd=self.tree,
@@ -86,16 +92,18 @@
             check=False,
         )
 
-    def printed(self, *arguments: str) -> str:
-        """What a command prints that has to succeed."""
-        done = self.run(*arguments)
-        assert done.returncode == 0, f"{self.label}: {' '.join(arguments)}: {done.stdout}{done.stderr}"
-        return done.stdout
+    def output_of(self, *arguments: str) -> str:
+        """Runs a command that must succeed, and returns its output."""
+        completed = self.run(*arguments)
+        assert completed.returncode == 0, (
+            f"{self.label}: {' '.join(arguments)}: {completed.stdout}{completed.stderr}"
+        )
+        return completed.stdout
 
-    def package(self) -> Path:
-        """Where this version's package is loaded from."""
+    def package_folder(self) -> Path:
+        """Returns the folder that this version's package is loaded from."""
         code = "import sailrun; print(sailrun.__file__)"
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", code],
             cwd=self.tree,
             env=environment_of(self.tree),
@@ -104,7 +112,7 @@
             timeout=COMMAND_TIMEOUT_S,
             check=True,
         )
-        return Path(done.stdout.strip()).parent
+        return Path(completed.stdout.strip()).parent
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,53 +123,55 @@
     new: Version
 
     def both(self) -> tuple[Version, Version]:
-        """The earlier one first."""
+        """Returns both versions, the earlier one first."""
         return self.old, self.new
 
     def other(self, version: Version) -> Version:
-        """The one that this one is not."""
+        """Returns the other one of the two versions."""
         return self.new if version is self.old else self.old
 
 
 class Report:
-    """Carries checks out, and prints and counts how they end."""
+    """Runs checks, and prints and counts their results."""
 
     def __init__(self) -> None:
         self.outcomes: Counter[bool] = Counter()
 
-    def check(self, name: str, look: Callable[[], str]) -> bool:
-        """Prints what `look` has seen, or why it failed: it raises an exception of any kind."""
+    def check(self, name: str, run_check: Callable[[], str]) -> bool:
+        """Runs one check, which returns the text of its result, or fails by raising any exception; prints
+        either.
+        """
         try:
-            is_ok, seen = True, look()
-        except Exception as error:  # whatever it was, the other checks go on
-            is_ok, seen = False, f"{type(error).__name__}: {error}"[:LONGEST_SEEN]
+            is_ok, result = True, run_check()
+        except Exception as error:  # the remaining checks run in any case
+            is_ok, result = False, f"{type(error).__name__}: {error}"[:MAX_RESULT_CHARACTERS]
         self.outcomes[is_ok] += 1
-        print(f"{'ok    ' if is_ok else 'FAILED'} {name}: {' '.join(seen.split())}", flush=True)
+        print(f"{'ok    ' if is_ok else 'FAILED'} {name}: {' '.join(result.split())}", flush=True)
         return is_ok
 
     def conclude(self) -> int:
         """Prints the totals; returns the exit status."""
-        held, failed = self.outcomes[True], self.outcomes[False]
-        print(f"mixed versions: {held + failed} checks, {held} ok, {failed} FAILED")
-        return 1 if failed or not held else 0
+        succeeded, failed = self.outcomes[True], self.outcomes[False]
+        print(f"mixed versions: {succeeded + failed} checks, {succeeded} ok, {failed} FAILED")
+        return 1 if failed or not succeeded else 0
 
 
 # --------------------------------------------------------------------------- the fleet
 
 
-def _show_views(task: str, views: dict[str, dict[str, dict[str, Any]]]) -> str:
-    """Whom each node names as the leader of a task, in which term, and whether it holds that itself."""
+def _format_views(task: str, views: dict[str, dict[str, dict[str, Any]]]) -> str:
+    """Formats the leader and term of a task as each node knows them, and which node holds the task."""
     rows = {name: view.get(task, {}) for name, view in views.items()}
-    seen = [
+    parts = [
         f"{name} names {row.get('holder')} term {row.get('term')}{' and holds' if row.get('held') else ''}"
         for name, row in rows.items()
     ]
-    return ", ".join(seen)
+    return ", ".join(parts)
 
 
 @dataclass(slots=True)
 class Member:
-    """A running node, and what another process of its own name needs."""
+    """A running node, with the folder and address that another process of the same name needs."""
 
     name: str
     version: Version
@@ -170,14 +180,14 @@
     running: RunningNode
 
     @property
-    def shown(self) -> str:
-        """As the checks name it."""
+    def label(self) -> str:
+        """The name of the node in the output of the checks."""
         return f"{self.name} ({self.version.label})"
 
 
 class MixedFleet:
-    """Four nodes, of which two are of either version, each with a folder of its own, with all tables of an
-    operator's file switched on that need no region.
+    """Four nodes, two of each version. Each has its own storage folder, and all tables of the operator's
+    settings that do not need a region are enabled.
     """
 
     def __init__(
@@ -186,18 +196,18 @@
         self.versions = versions
         self.roster = Roster([server.entry() for server in servers])
         self.members: dict[str, Member] = {}
-        self.lives: Counter[str] = Counter()  # processes started so far, by name
+        self.started_count: Counter[str] = Counter()  # number of processes started so far, by node name
         self._folder, self._stack = folder, stack
-        self._listens = {name: free() for name in (*NAMES, FIFTH_VOTER)}
-        self._peer_listens = {name: free() for name in NAMES}
-        self.relay = DatagramRelay(list(self._peer_listens.values()))
+        self._listen_addresses = {name: free() for name in (*NAMES, FIFTH_VOTER)}
+        self._peer_addresses = {name: free() for name in NAMES}
+        self.relay = DatagramRelay(list(self._peer_addresses.values()))
         stack.callback(self.relay.close)
         for index, name in enumerate(NAMES):
             self.start(name, versions.both()[index % 2])
-        self._found_terms()
+        self._elect_first_leaders()
 
-    def _found_terms(self) -> None:
-        """Waits for first leaders, which need every voter once, and ends the fifth."""
+    def _elect_first_leaders(self) -> None:
+        """Waits for the first leaders, whose election needs every voter once, and ends the fifth voter."""
         self.start(FIFTH_VOTER, self.versions.new)
         self.leaders()
         self.end(FIFTH_VOTER, signal.SIGKILL)
@@ -205,54 +215,54 @@
 
     # ------------------------------------------------------------------ processes
 
-    def kept(self, name: str) -> Path:
-        """The folder that outlasts the node's processes."""
+    def storage_folder(self, name: str) -> Path:
+        """Returns the storage folder of a node, which successive processes of the node share."""
         return self._folder / f"{name}-kept"
 
     def start(self, name: str, version: Version) -> Member:
-        """Starts a process that shares nothing with an earlier one but its name and its kept folder."""
+        """Starts a process that shares only its name and its storage folder with an earlier one."""
         folder = self._folder / f"{name}-{time.monotonic_ns()}"
         folder.mkdir()
         return self._launch(name, version, folder, free())
 
     def replace(self, name: str, version: Version) -> Member:
-        """Starts a process beside the one that runs, which it succeeds."""
+        """Starts a process that succeeds the running one."""
         member = self.members[name]
         return self._launch(name, version, member.folder, member.listen)
 
     def _launch(self, name: str, version: Version, folder: Path, listen: str) -> Member:
         operator = folder / "operator.toml"
         operator.write_text(tomli_w.dumps(self._tables(name)))
-        exchange = self._exchange_of(NAMES.index(name)) if name in NAMES else {}
+        load_exchange = self._load_exchange_settings(NAMES.index(name)) if name in NAMES else {}
         addresses = {"listen": listen, "control": free()}
-        started = node(folder, self.roster, version.enter, operator, name=name, **addresses, **exchange)
+        started = node(folder, self.roster, version.enter, operator, name=name, **addresses, **load_exchange)
         running = self._stack.enter_context(started)
-        self.lives[name] += 1
+        self.started_count[name] += 1
         self.members[name] = Member(name, version, folder, listen, running)
         return self.members[name]
 
-    def _exchange_of(self, index: int) -> dict[str, Any]:
-        """What the platform tells a node of the others with which it exchanges load."""
+    def _load_exchange_settings(self, index: int) -> dict[str, Any]:
+        """Returns the platform settings of the other nodes with which a node exchanges load datagrams."""
         return {
-            "peer_listen": self._peer_listens[NAMES[index]],
-            "peers": self.relay.peers_of(index),
-            "peers_all": self.relay.everyone_of(index),
+            "peer_listen": self._peer_addresses[NAMES[index]],
+            "peers": self.relay.peer_addresses_of(index),
+            "peers_all": self.relay.broadcast_address_of(index),
             "settings": {**SETTINGS, "siblings": len(NAMES), "index": index},
         }
 
     def _tables(self, name: str) -> dict[str, Any]:
-        joins = [listen for other, listen in self._listens.items() if other != name]
+        join_addresses = [listen for other, listen in self._listen_addresses.items() if other != name]
         return {
             "members": {
                 "enabled": True,
                 "name": name,
-                "listen": self._listens[name],
-                "join": joins,
+                "listen": self._listen_addresses[name],
+                "join": join_addresses,
                 "probe_s": 0.3,
             },
             "owners": {
                 "enabled": True,
-                "voters": list(self._listens),
+                "voters": list(self._listen_addresses),
                 "lease_s": 1.0,
                 "order_s": 0.5,
             },
@@ -260,111 +270,114 @@
             "reader": {"enabled": True},
             "replica": {"enabled": True, "sync_s": 0.2, "stale_s": 5.0},
             "rebalance": {"enabled": True, "tell_s": 0.5},
-            "lasting": {"folder": str(self.kept(name)), "idle_sync_s": 0.2},
+            "lasting": {"folder": str(self.storage_folder(name)), "idle_sync_s": 0.2},
         }
 
-    def end(self, name: str, number: signal.Signals) -> None:
-        """Ends a node's process, and waits until it has ended."""
+    def end(self, name: str, signal_number: signal.Signals) -> None:
+        """Sends a signal to a node's process and waits until the process has ended."""
         process = self.members[name].running.process
-        process.send_signal(number)
-        process.wait(PATIENCE_S)
+        process.send_signal(signal_number)
+        process.wait(WAIT_TIMEOUT_S)
 
-    # ------------------------------------------------------------------ what is asked of it
+    # ------------------------------------------------------------------ queries
 
-    def living(self) -> list[Member]:
-        """The nodes whose process runs."""
+    def running_members(self) -> list[Member]:
+        """Returns the nodes whose process is running."""
         return [member for member in self.members.values() if member.running.process.poll() is None]
 
-    def one_of(self, version: Version) -> Member:
-        """The first living node of a version."""
-        return next(member for member in self.living() if member.version is version)
+    def first_of(self, version: Version) -> Member:
+        """Returns the first running node of a version."""
+        return next(member for member in self.running_members() if member.version is version)
 
-    def ask(self, name: str, what: str) -> Any:
-        """A call at the node's control address, answered with JSON."""
-        answer = self.members[name].running.call(f"fleet {what}")
-        assert answer.startswith("ok "), f"{name}: {what}: {answer}"
+    def query(self, name: str, query: str) -> Any:
+        """Sends a `fleet` command to a node's control address and returns the decoded JSON answer."""
+        answer = self.members[name].running.call(f"fleet {query}")
+        assert answer.startswith("ok "), f"{name}: {query}: {answer}"
         return json.loads(answer.removeprefix("ok "))
 
     def command(self, version: Version, at: Member, *words: str) -> str:
-        """What a version's `sailrun fleet` prints, asked at a node."""
-        return version.printed("fleet", *words, "--at", at.running.control).strip()
+        """Runs `sailrun fleet` of a version against a node and returns its output."""
+        return version.output_of("fleet", *words, "--at", at.running.control).strip()
 
-    def alive_in(self, name: str) -> set[str]:
-        """Who is alive as this node sees it."""
-        return {row["name"] for row in self.ask(name, "members") if row["state"] == "alive"}
+    def alive_members_of(self, name: str) -> set[str]:
+        """Returns the names of the members that this node sees alive."""
+        return {row["name"] for row in self.query(name, "members") if row["state"] == "alive"}
 
     def await_members(self) -> None:
-        """Waits until every living node sees just the living ones alive."""
-        living = {member.name for member in self.living()}
+        """Waits until every running node sees exactly the running nodes alive."""
+        running_names = {member.name for member in self.running_members()}
         wait_for(
-            f"all of {', '.join(sorted(living))} see each other alive",
-            lambda: all(self.alive_in(name) == living for name in living),
+            f"all of {', '.join(sorted(running_names))} see each other alive",
+            lambda: all(self.alive_members_of(name) == running_names for name in running_names),
         )
 
     def leaders(self) -> dict[str, tuple[str, int]]:
-        """The leader and the term of each task, once one living node alone holds the task, and none knows of
-        a higher term. Whom the others name, and in which term, are hints that may come late.
+        """Waits until exactly one running node holds each task and no node knows a higher term, and returns
+        the leader and term of each task. The leaders and terms that other nodes report are hints that can be
+        out of date.
         """
         try:
             return wait_for("one leader for each task", self._agreed_leaders)
         except AssertionError as error:
-            views = {m.name: self._leases_seen_by(m.name) for m in self.living()}
-            shown = "; ".join(f"{task}: {_show_views(task, views)}" for task in TASKS)
-            raise AssertionError(f"{error}; {shown}") from None
+            views = {m.name: self._leases_known_to(m.name) for m in self.running_members()}
+            details = "; ".join(f"{task}: {_format_views(task, views)}" for task in TASKS)
+            raise AssertionError(f"{error}; {details}") from None
 
-    def _leases_seen_by(self, name: str) -> dict[str, dict[str, Any]]:
-        return {row["task"]: row for row in self.ask(name, "owners")}
+    def _leases_known_to(self, name: str) -> dict[str, dict[str, Any]]:
+        return {row["task"]: row for row in self.query(name, "owners")}
 
     def _agreed_leaders(self) -> dict[str, tuple[str, int]] | None:
-        views = {member.name: self._leases_seen_by(member.name) for member in self.living()}
+        views = {member.name: self._leases_known_to(member.name) for member in self.running_members()}
         agreed = {}
         for task in TASKS:
             rows = {name: view[task] for name, view in views.items() if task in view}
             held = [name for name, row in rows.items() if row["held"]]
-            highest = max((int(row["term"]) for row in rows.values()), default=0)
-            if len(held) != 1 or rows[held[0]]["term"] != highest:
+            highest_term = max((int(row["term"]) for row in rows.values()), default=0)
+            if len(held) != 1 or rows[held[0]]["term"] != highest_term:
                 return None
-            agreed[task] = held[0], highest
+            agreed[task] = held[0], highest_term
         return agreed
 
-    def show_leaders(self) -> str:
-        """For each task its leader, with version and term."""
+    def format_leaders(self) -> str:
+        """Formats the leader of each task with its version and term."""
         return ", ".join(
-            f"{task} {self.members[name].shown} term {term}" for task, (name, term) in self.leaders().items()
+            f"{task} {self.members[name].label} term {term}" for task, (name, term) in self.leaders().items()
         )
 
     def has_one_digest(self) -> bool:
-        """Whether the copies of all living nodes are the same, by their digests."""
-        return len({self.ask(member.name, "state")["digest"] for member in self.living()}) == 1
+        """Whether the replicas of all running nodes have the same digest."""
+        return len({self.query(member.name, "state")["digest"] for member in self.running_members()}) == 1
 
-    def miscounted(self) -> list[str]:
-        """Messages that living nodes could not read, or took for another fleet's."""
-        counts = {member.shown: self.ask(member.name, "counts") for member in self.living()}
+    def rejected_counts(self) -> list[str]:
+        """Lists the nonzero counts of messages that running nodes could not read or attributed to another
+        fleet.
+        """
+        counts = {member.label: self.query(member.name, "counts") for member in self.running_members()}
         return [
-            f"{shown}: {count[what]} {what}"
-            for shown, count in counts.items()
+            f"{label}: {count[what]} {what}"
+            for label, count in counts.items()
             for what in ("bad_messages", "wrong_fleet")
             if count[what]
         ]
 
-    def logged(self) -> list[str]:
-        """The log lines of all present processes, each with the node that wrote it."""
-        return [f"{m.shown}: {line}" for m in self.members.values() for line in m.running.lines]
+    def log_lines(self) -> list[str]:
+        """Returns the log lines of the latest process of each node, with the node's label."""
+        return [f"{m.label}: {line}" for m in self.members.values() for line in m.running.lines]
 
 
-def refused_in(lines: Iterable[str]) -> list[str]:
-    """The log lines that say that something was not usable."""
-    return [line for line in lines if any(word in line for word in NOT_READ)]
+def rejection_lines(lines: Iterable[str]) -> list[str]:
+    """Returns the log lines that report unusable data."""
+    return [line for line in lines if any(word in line for word in REJECTION_EVENTS)]
 
 
-def all_read(lines: list[str]) -> str:
-    """That no log line says that something was not usable."""
+def check_no_rejections(lines: list[str]) -> str:
+    """Raises AssertionError if there are log lines that report unusable data."""
     assert not lines, "; ".join(lines[:3])
     return "nothing refused in the logs"
 
 
-def see_counts(fleet: MixedFleet) -> str:
-    """No node has met a message that it could not read."""
-    miscounted = fleet.miscounted()
-    assert not miscounted, ", ".join(miscounted)
-    return all_read(refused_in(fleet.logged()))
+def check_counts(fleet: MixedFleet) -> str:
+    """Checks that no running node received a message that it could not read."""
+    rejected_counts = fleet.rejected_counts()
+    assert not rejected_counts, ", ".join(rejected_counts)
+    return check_no_rejections(rejection_lines(fleet.log_lines()))
--- a/benchmarks/mixed_restarts.py
+++ b/benchmarks/mixed_restarts.py
@@ -1,6 +1,6 @@
-"""Checks of two versions that follow one another: in a kept folder, and as processes that are replaced.
+"""Checks that a process can follow one of the other version: with its storage folder, or as its successor.
 
-Every function returns what it has seen, or raises.
+Every check function returns the text of its result, or raises an exception.
 """
 
 from __future__ import annotations
@@ -22,89 +22,101 @@
     Report,
     Version,
     Versions,
-    all_read,
-    refused_in,
-    see_counts,
+    check_counts,
+    check_no_rejections,
+    rejection_lines,
     wait_for,
 )
 from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
 from tests.test_sharding_processes import free
 
-# Facts of `sailrun lasting show` that depend on when it is asked.
+# Facts in the output of `sailrun lasting show` that depend on the time of the call.
 TIME_DEPENDENT = ("learned_age_s", "learned_weight", "kept_away_from_s")
-HOUSEHOLDS = 24
+CLIENTS = 24
 
 
 # --------------------------------------------------------------------------- folders
 
 
 def read_by_both(versions: Versions, folder: Path) -> dict[str, Any]:
-    """What a folder comes to: a sound one, of which both versions print the same."""
+    """Checks that both versions find a storage folder sound and print the same for it; returns the facts that
+    do not depend on the time.
+    """
     printed = [
-        [version.printed("lasting", *words, str(folder)) for words in (["check"], ["export"])]
+        [version.output_of("lasting", *words, str(folder)) for words in (["check"], ["export"])]
         for version in versions.both()
     ]
     assert printed[0] == printed[1], f"{folder.name}: {printed}"
     assert ": sound;" in printed[0][0], printed[0][0]
-    shown = [json.loads(v.printed("lasting", "show", "--json", str(folder))) for v in versions.both()]
-    steady = [{k: value for k, value in facts.items() if k not in TIME_DEPENDENT} for facts in shown]
-    assert steady[0] == steady[1], f"{folder.name}: {steady}"
-    return steady[0]
+    facts_shown = [json.loads(v.output_of("lasting", "show", "--json", str(folder))) for v in versions.both()]
+    lasting_facts = [
+        {k: value for k, value in facts.items() if k not in TIME_DEPENDENT} for facts in facts_shown
+    ]
+    assert lasting_facts[0] == lasting_facts[1], f"{folder.name}: {lasting_facts}"
+    return lasting_facts[0]
 
 
 def mark_of(facts: dict[str, Any], server: str) -> list[Any]:
-    """Whether a form server is marked out, and the marks' ids, by what a folder comes to."""
+    """Returns whether a form server is marked out in the facts of a folder, and the ids of its marks that are
+    not deleted.
+    """
     mark = next(mark for mark in facts["marks"] if mark["subject"] == server)
     return [mark["on"], sorted(word["id"] for word in mark["words"] if not word["gone"])]
 
 
 def stop_all(fleet: MixedFleet) -> None:
-    """Ends one node of each version by a planned stop, and kills the others."""
-    for name, number in zip(NAMES, (signal.SIGTERM,) * 2 + (signal.SIGKILL,) * 2, strict=True):
-        fleet.end(name, number)
+    """Shuts down one node of each version gracefully and kills the others."""
+    for name, signal_number in zip(NAMES, (signal.SIGTERM,) * 2 + (signal.SIGKILL,) * 2, strict=True):
+        fleet.end(name, signal_number)
 
 
-def see_folders(fleet: MixedFleet, server: str, kept: dict[str, dict[str, Any]]) -> str:
-    """Ends the fleet, with a form server out, and reads its folders, into `kept`, with both versions."""
+def check_folders(fleet: MixedFleet, server: str, facts_by_name: dict[str, dict[str, Any]]) -> str:
+    """Marks a form server as out, ends the fleet, and reads its storage folders with both versions into
+    `facts_by_name`.
+    """
     writer = fleet.versions.old
-    fleet.command(writer, fleet.one_of(writer), "set-down", server, "--wait", "all", "--why", "kept")
+    fleet.command(writer, fleet.first_of(writer), "set-down", server, "--wait", "all", "--why", "kept")
     stop_all(fleet)
     for name, member in fleet.members.items():
-        kept[name] = read_by_both(fleet.versions, fleet.kept(name))
-        # A voter that began without a folder may have counted more lives than processes, never fewer.
-        kept[name]["lives_ahead"] = kept[name]["life"] - fleet.lives[name]
-        assert kept[name]["lives_ahead"] >= 0, f"{member.shown}: life {kept[name]['life']}"
-        assert mark_of(kept[name], server)[0], f"{member.shown}: {kept[name]['marks']}"
-    marks = {str(mark_of(facts, server)) for facts in kept.values()}
+        facts_by_name[name] = read_by_both(fleet.versions, fleet.storage_folder(name))
+        # A voter that started without a folder may have counted more lives than processes, but never fewer.
+        facts_by_name[name]["lives_ahead"] = facts_by_name[name]["life"] - fleet.started_count[name]
+        assert facts_by_name[name]["lives_ahead"] >= 0, f"{member.label}: life {facts_by_name[name]['life']}"
+        assert mark_of(facts_by_name[name], server)[0], f"{member.label}: {facts_by_name[name]['marks']}"
+    marks = {str(mark_of(facts, server)) for facts in facts_by_name.values()}
     assert len(marks) == 1, marks
-    entries = ", ".join(f"{m.shown} {kept[m.name]['entries']} entries" for m in fleet.members.values())
+    entries = ", ".join(
+        f"{m.label} {facts_by_name[m.name]['entries']} entries" for m in fleet.members.values()
+    )
     return f"{entries}; read alike by both, {server} out in all"
 
 
-def see_swapped(fleet: MixedFleet, server: str, kept: dict[str, dict[str, Any]]) -> str:
-    """Every node goes on with its folder as the other version, and knows what it knew."""
+def check_folders_swapped(fleet: MixedFleet, server: str, facts_by_name: dict[str, dict[str, Any]]) -> str:
+    """Checks that every node, started as the other version, continues with its storage folder and the state
+    in it.
+    """
     for name, member in list(fleet.members.items()):
         fleet.start(name, fleet.versions.other(member.version))
     for name, member in fleet.members.items():
-        life = f"life={fleet.lives[name] + kept[name]['lives_ahead']}"
+        life = f"life={fleet.started_count[name] + facts_by_name[name]['lives_ahead']}"
         member.running.logged("lasting ", "found=sound", life)
         member.running.logged("lasting-trusted", life)
         member.running.logged("by-hand", f"server={server}", "out=True")
     fleet.await_members()
     leaders = fleet.leaders()
     for task, (_, term) in leaders.items():
-        before = max(facts["terms"].get(task, 0) for facts in kept.values())
+        before = max(facts["terms"].get(task, 0) for facts in facts_by_name.values())
         assert term > before, f"{task}: term {term} after {before}"
     wait_for("one digest of all copies", fleet.has_one_digest)
-    return f"{fleet.show_leaders()}; {server} out at all; {see_counts(fleet)}"
+    return f"{fleet.format_leaders()}; {server} out at all; {check_counts(fleet)}"
 
 
-def see_folders_again(fleet: MixedFleet, server: str, kept: dict[str, dict[str, Any]]) -> str:
-    """Folders that both versions have written in turn come to the same state."""
+def check_folders_of_both(fleet: MixedFleet, server: str, facts_by_name: dict[str, dict[str, Any]]) -> str:
+    """Checks that folders that both versions have written in turn still contain the same state."""
     stop_all(fleet)
-    for name, before in kept.items():
-        after = read_by_both(fleet.versions, fleet.kept(name))
-        lives = fleet.lives[name] + before["lives_ahead"]
+    for name, before in facts_by_name.items():
+        after = read_by_both(fleet.versions, fleet.storage_folder(name))
+        lives = fleet.started_count[name] + before["lives_ahead"]
         assert after["life"] == lives, f"{name}: life {after['life']}, not {lives}"
         assert after["identity"] == before["identity"], f"{name}: another identity"
         assert mark_of(after, server) == mark_of(before, server), f"{name}: {after['marks']}"
@@ -112,41 +124,46 @@
     return "read alike by both; the same identities and marks, no promise taken back"
 
 
-def check_folders(report: Report, fleet: MixedFleet) -> None:
-    """Folders that one version has written and the other goes on with."""
-    kept: dict[str, dict[str, Any]] = {}
+def run_folder_checks(report: Report, fleet: MixedFleet) -> None:
+    """Runs the checks of storage folders that one version has written and the other continues with."""
+    facts_by_name: dict[str, dict[str, Any]] = {}
     server = SERVER_NAMES[2]
-    report.check("folders", partial(see_folders, fleet, server, kept))
-    report.check("folders gone on with by the other version", partial(see_swapped, fleet, server, kept))
-    report.check("member with a folder replaced", partial(see_member_replaced, fleet))
-    report.check("folders written by both", partial(see_folders_again, fleet, server, kept))
-
-
-def see_member_replaced(fleet: MixedFleet) -> str:
-    """A member's folder passes to a process of the other version that succeeds it, either way."""
-    seen = []
-    for before in [fleet.one_of(version) for version in fleet.versions.both()]:
+    report.check("folders", partial(check_folders, fleet, server, facts_by_name))
+    report.check(
+        "folders gone on with by the other version",
+        partial(check_folders_swapped, fleet, server, facts_by_name),
+    )
+    report.check("member with a folder replaced", partial(check_member_replaced, fleet))
+    report.check("folders written by both", partial(check_folders_of_both, fleet, server, facts_by_name))
+
+
+def check_member_replaced(fleet: MixedFleet) -> str:
+    """Checks that a member's storage folder passes to a successor of the other version, both ways."""
+    results = []
+    for before in [fleet.first_of(version) for version in fleet.versions.both()]:
         after = fleet.replace(before.name, fleet.versions.other(before.version))
         after.running.logged("lasting-trusted")
         before.running.terminate()
         assert before.running.process.wait(TIMEOUT_S) == 0
         fleet.await_members()
-        seen.append(f"{before.shown} by {after.shown}")
-    return f"{', '.join(seen)}; {see_counts(fleet)}"
+        results.append(f"{before.label} by {after.label}")
+    return f"{', '.join(results)}; {check_counts(fleet)}"
 
 
-def see_overrides(versions: Versions, folder: Path, writer: Version) -> str:
-    """Without a fleet, what an operator has taken out is out for the other version."""
-    server, kept = FormServer(SERVER_NAMES[0]), folder / "kept"
+def check_overrides(versions: Versions, folder: Path, writer: Version) -> str:
+    """Checks that, without a fleet, a form server that an operator excluded stays excluded in the other
+    version.
+    """
+    server, storage_folder = FormServer(SERVER_NAMES[0]), folder / "kept"
     operator = folder / "operator.toml"
-    operator.write_text(tomli_w.dumps({"lasting": {"folder": str(kept)}}))
+    operator.write_text(tomli_w.dumps({"lasting": {"folder": str(storage_folder)}}))
     roster = Roster([server.entry()])
     with node(folder, roster, writer.enter, operator, control=free()) as running:
         assert running.call(f"set-down {server.name}") == "ok"
-        wait_for("the override in the folder", lambda: overrides_in(writer, kept) == [server.name])
+        wait_for("the override in the folder", lambda: overrides_in(writer, storage_folder) == [server.name])
         running.process.kill()
         running.process.wait()
-    assert read_by_both(versions, kept)["out_by_hand_here"] == [server.name]
+    assert read_by_both(versions, storage_folder)["out_by_hand_here"] == [server.name]
     reader = versions.other(writer)
     with node(folder, roster, reader.enter, operator, control=free()) as running:
         running.logged("lasting ", "found=sound")
@@ -156,74 +173,76 @@
 
 
 def overrides_in(version: Version, folder: Path) -> list[str]:
-    """What a folder says that an operator has taken out at this node; nothing where it is not written yet."""
-    shown = version.run("lasting", "show", "--json", str(folder))
-    return list(json.loads(shown.stdout)["out_by_hand_here"]) if shown.returncode == 0 else []
+    """Returns the form servers that an operator excluded at this node, from its folder; empty if there is
+    none yet.
+    """
+    completed = version.run("lasting", "show", "--json", str(folder))
+    return list(json.loads(completed.stdout)["out_by_hand_here"]) if completed.returncode == 0 else []
 
 
 # --------------------------------------------------------------------------- replaced processes
 
 
 @dataclass(slots=True)
-class Succession:
-    """Processes of one node, one after another, and the sessions that stay."""
+class ReplacedNode:
+    """A node whose processes replace one another, with the client sessions that continue."""
 
     versions: Versions
     folder: Path
     servers: list[FormServer]
     stack: ExitStack
-    households: list[Peer] = field(default_factory=list)
+    clients: list[Peer] = field(default_factory=list)
     listen: str = field(default_factory=free)
 
     def start(self, version: Version) -> RunningNode:
-        """A process that succeeds the one that runs, if there is one."""
+        """Starts a process, which succeeds the running one if there is one."""
         roster = Roster([server.entry() for server in self.servers])
         started = node(self.folder, roster, version.enter, listen=self.listen, control=free())
         return self.stack.enter_context(started)
 
     def open_sessions(self, at: RunningNode) -> None:
-        """Households whose sessions are to outlast the process."""
-        for n in range(HOUSEHOLDS):
-            household = at.request_session(f"{n:016x}", group=f"{n:016x}")
-            assert household.read_line() == "UP r1"
-            self.households.append(household)
+        """Opens the client sessions that must survive the replacement of the process."""
+        for n in range(CLIENTS):
+            client = at.request_session(f"{n:016x}", group=f"{n:016x}")
+            assert client.read_line() == "UP r1"
+            self.clients.append(client)
 
     def replace(self, first: RunningNode, version: Version) -> tuple[RunningNode, str]:
-        """The process that has taken over all sessions, one of them in the middle of its line, and what was
-        seen.
+        """Replaces a process, and returns its successor and the text of the result. The successor must adopt
+        all sessions, one of them in the middle of a line.
         """
-        self.households[0].sock.sendall(b"half a ")
+        self.clients[0].sock.sendall(b"half a ")
         second = self.start(version)
-        for n in range(HOUSEHOLDS):
+        for n in range(CLIENTS):
             second.logged("adopted", f"id={n:016x}")
         first.terminate()
         assert first.process.wait(TIMEOUT_S) == 0
-        self.households[0].sock.sendall(b"page\r\n")
-        assert self.households[0].read_line() == "half a page"
-        for n, household in enumerate(self.households):
-            household.send_line(f"page {n}")
-            assert household.read_line() == f"page {n}"
+        self.clients[0].sock.sendall(b"page\r\n")
+        assert self.clients[0].read_line() == "half a page"
+        for n, client in enumerate(self.clients):
+            client.send_line(f"page {n}")
+            assert client.read_line() == f"page {n}"
         assert all(server.ends.empty() for server in self.servers), "a form server's connection ended"
         figures = second.read_metrics()
-        assert figures["inflight"] == HOUSEHOLDS and figures["hosts_down"] == 1, figures
-        all_read(refused_in([*first.lines, *second.lines]))
+        assert figures["inflight"] == CLIENTS and figures["hosts_down"] == 1, figures
+        check_no_rejections(rejection_lines([*first.lines, *second.lines]))
         return second, f"{figures['inflight']} sessions adopted and alive, the operator's exclusion as well"
 
 
-def check_succession(report: Report, versions: Versions, folder: Path, stack: ExitStack) -> None:
-    """An old process is replaced by a new one, and that by an old one."""
+def run_replacement_checks(report: Report, versions: Versions, folder: Path, stack: ExitStack) -> None:
+    """Runs the checks in which an old process is replaced by a new one, and that by an old one."""
     servers = [FormServer(name) for name in SERVER_NAMES]
-    succession = Succession(versions, folder, servers, stack)
+    replaced_node = ReplacedNode(versions, folder, servers, stack)
     old, new = versions.both()
-    present = succession.start(old)
-    # Taken out before anybody comes: nobody stands there.
-    assert present.call(f"set-down {servers[0].name}") == "ok"
-    succession.open_sessions(present)
+    running_process = replaced_node.start(old)
+    # The form server is excluded before any client connects, so that it has no sessions.
+    assert running_process.call(f"set-down {servers[0].name}") == "ok"
+    replaced_node.open_sessions(running_process)
 
     def replace(version: Version) -> str:
-        nonlocal present
-        present, seen = succession.replace(present, version)
-        return seen
+        nonlocal running_process
+        running_process, result = replaced_node.replace(running_process, version)
+        return result
 
     report.check("replaced: old by new", partial(replace, new))
     report.check("replaced: new by old", partial(replace, old))
--- a/benchmarks/mixed_settings.py
+++ b/benchmarks/mixed_settings.py
@@ -1,6 +1,6 @@
-"""Checks that two versions of this program read one another's settings files alike.
+"""Checks that two versions of this program read each other's settings files in the same way.
 
-Every function returns what it has seen, or raises.
+Every check function returns the text of its result, or raises an exception.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 from tests.stand_ins import SETTINGS, FormServer, Roster, RunningNode, node
 from tests.test_sharding_processes import free
 
-SHIPPED = {"operator.toml": ["--operator"], "sidecar.toml": []}
+SHIPPED_FILES = {"operator.toml": ["--operator"], "sidecar.toml": []}
 SCHEMA_FILE = "operator.schema.json"
-DEPLOYED = "deploy"
-WRITTEN_CLASSES = ("page-load:500:2000:50", "answer-save:300:1800:250")
-# What an operator's file needs besides `enabled` for all of its tables to be on.
-ALL_ON: dict[str, dict[str, Any]] = {
+DEPLOY_FOLDER = "deploy"
+REQUEST_CLASSES = ("page-load:500:2000:50", "answer-save:300:1800:250")
+# The settings, besides `enabled`, that tables of an operator's file require when they are enabled.
+REQUIRED_SETTINGS: dict[str, dict[str, Any]] = {
     "members": {"name": "n1", "listen": "127.0.0.1:9700", "join": ["127.0.0.1:9701"], "region": "east"},
     "owners": {"voters": ["n1", "n2", "n3"], "voters_before": ["n1", "n2", "n4"], "revision": 2},
     "lasting": {"folder": "kept"},
     "shards": {"regions": [{"name": "east", "shards": 24, "voters": ["n1", "n2", "n3"]}]},
 }
-# Every setting that a sidecar's file may have, beyond those of the stand-ins.
-MORE_SETTINGS: dict[str, dict[str, Any]] = {
+# All settings that a sidecar's file can have besides those of the test stand-ins.
+OPTIONAL_SETTINGS: dict[str, dict[str, Any]] = {
     "familyInfo": {"parkUs": 40_000, "tellsDelay": True, "tenantQuotaConnections": [10.0, 20.0]},
     "limits": {"parallelTries": True, "cancel": True, "probes": True},
 }
 TENANTS = [{"name": name, "share": 0.5, "quotaPerS": 3.0} for name in ("north", "south")]
 CLASS_KEYS = {"effect": "deduplicated", "group": "zone", "repeatWindowUs": 700_000}
-# One fault each, and the words that a complaint about it needs to have.
-FAULTS = {
+# By text of an operator's file with one fault: the key that the error message must contain.
+FAULTY_FILES = {
     'rebalance = { enabled = "yes" }': "rebalance.enabled",
     "members = { enabled = true }": "members.name",
     "owners = { enabled = true }": "owners.enabled",
@@ -51,56 +51,61 @@
 }
 
 
-def agreed(versions: Versions, *arguments: str) -> tuple[int, str]:
-    """The exit status and the output of a command, which are the same with both versions."""
-    done = [version.run(*arguments) for version in versions.both()]
-    old, new = ((ended.returncode, ended.stdout + ended.stderr) for ended in done)
+def run_with_both(versions: Versions, *arguments: str) -> tuple[int, str]:
+    """Runs a command with both versions, whose exit status and output must be the same, and returns these."""
+    completed = [version.run(*arguments) for version in versions.both()]
+    old, new = ((process.returncode, process.stdout + process.stderr) for process in completed)
     assert old == new, f"{' '.join(arguments)}: old {old}, new {new}"
     return new
 
 
-def accepted(versions: Versions, path: Path, *options: str) -> str:
-    """What both versions say of a file that they accept."""
-    status, printed = agreed(versions, "config", "check", *options, str(path))
+def check_accepted(versions: Versions, path: Path, *options: str) -> str:
+    """Checks that both versions accept a settings file; returns their output without the path."""
+    status, printed = run_with_both(versions, "config", "check", *options, str(path))
     assert status == 0, printed
     return printed.strip().removeprefix(f"{path}: ")
 
 
-def see_shipped(versions: Versions, owner: Version) -> str:
-    """The files that a version ships."""
-    deployed = owner.tree / DEPLOYED
-    seen = [f"{name}: {accepted(versions, deployed / name, *words)}" for name, words in SHIPPED.items()]
-    return "; ".join(seen)
+def check_shipped_files(versions: Versions, version: Version) -> str:
+    """Checks that both versions accept the settings files that a version ships."""
+    deployed = version.tree / DEPLOY_FOLDER
+    results = [
+        f"{name}: {check_accepted(versions, deployed / name, *options)}"
+        for name, options in SHIPPED_FILES.items()
+    ]
+    return "; ".join(results)
 
 
-def see_all_on(versions: Versions, owner: Version, folder: Path) -> str:
-    """The operator's file that a version ships, with every table switched on."""
-    document = tomllib.loads((owner.tree / DEPLOYED / "operator.toml").read_text())
+def check_all_tables(versions: Versions, version: Version, folder: Path) -> str:
+    """Checks that both versions accept the operator's file that a version ships, with every table enabled."""
+    document = tomllib.loads((version.tree / DEPLOY_FOLDER / "operator.toml").read_text())
     for name, table in document.items():
-        table |= ({"enabled": True} if "enabled" in table else {}) | ALL_ON.get(name, {})
-    path = folder / f"operator-{owner.label}.toml"
+        table |= ({"enabled": True} if "enabled" in table else {}) | REQUIRED_SETTINGS.get(name, {})
+    path = folder / f"operator-{version.label}.toml"
     path.write_text(tomli_w.dumps(document))
-    said = accepted(versions, path, "--operator")
-    missing = [name for name, table in document.items() if "enabled" in table and name not in said]
-    assert not missing, f"{said}: without {', '.join(missing)}"
-    return said
-
-
-def see_written(versions: Versions, owner: Version, folder: Path) -> str:
-    """The sidecar's file that a version writes."""
-    path = folder / f"sidecar-{owner.label}.toml"
-    classes = [word for stated in WRITTEN_CLASSES for word in ("--class", stated)]
-    owner.printed("config", "write", "answers", "--out", str(path), *classes)
-    other = folder / f"sidecar-again-{owner.label}.toml"
-    versions.other(owner).printed("config", "write", "answers", "--out", str(other), *classes)
-    assert path.read_text() == other.read_text(), "the two versions write different files"
-    return f"{path.name} {accepted(versions, path)}, the same as the other version writes"
-
-
-def see_every_setting(versions: Versions, folder: Path) -> str:
-    """A sidecar's file with every setting, and one with a setting that nothing reads."""
+    summary = check_accepted(versions, path, "--operator")
+    missing = [name for name, table in document.items() if "enabled" in table and name not in summary]
+    assert not missing, f"{summary}: without {', '.join(missing)}"
+    return summary
+
+
+def check_written_file(versions: Versions, version: Version, folder: Path) -> str:
+    """Checks that both versions write the same sidecar's file and accept it."""
+    path = folder / f"sidecar-{version.label}.toml"
+    classes = [argument for request_class in REQUEST_CLASSES for argument in ("--class", request_class)]
+    version.output_of("config", "write", "answers", "--out", str(path), *classes)
+    other_path = folder / f"sidecar-again-{version.label}.toml"
+    versions.other(version).output_of("config", "write", "answers", "--out", str(other_path), *classes)
+    assert path.read_text() == other_path.read_text(), "the two versions write different files"
+    return f"{path.name} {check_accepted(versions, path)}, the same as the other version writes"
+
+
+def check_every_setting(versions: Versions, folder: Path) -> str:
+    """Checks a sidecar's file with every setting, and one with an unknown setting, which both versions must
+    reject.
+    """
     settings = copy.deepcopy(SETTINGS)
-    for name, table in MORE_SETTINGS.items():
+    for name, table in OPTIONAL_SETTINGS.items():
         settings[name] |= table
     settings |= {"overShareWorth": 0.5, "weightSource": "told", "orgs": TENANTS}
     settings["services"][0] |= CLASS_KEYS
@@ -113,44 +118,46 @@
     }
     path = folder / "every-setting.toml"
     path.write_text(tomli_w.dumps(document))
-    said = accepted(versions, path)
+    summary = check_accepted(versions, path)
     path.write_text(tomli_w.dumps({**document, "settings": {**settings, "tickUS": 1}}))
-    status, printed = agreed(versions, "config", "check", str(path))
+    status, printed = run_with_both(versions, "config", "check", str(path))
     assert status == 2 and "settings.tickUS" in printed, printed
-    return f"{said}; with a slip, both: {printed.strip().removeprefix(f'sailrun: {path}: ')}"
+    return f"{summary}; with a slip, both: {printed.strip().removeprefix(f'sailrun: {path}: ')}"
 
 
-def see_faults(versions: Versions, folder: Path) -> str:
-    """Operator's files that are not usable: refused by both versions with the same words."""
+def check_faulty_files(versions: Versions, folder: Path) -> str:
+    """Checks that both versions reject unusable operator's files with the same message."""
     path = folder / "faulty.toml"
-    for text, key in FAULTS.items():
+    for text, key in FAULTY_FILES.items():
         path.write_text(text)
-        status, printed = agreed(versions, "config", "check", "--operator", str(path))
+        status, printed = run_with_both(versions, "config", "check", "--operator", str(path))
         assert status == 2 and key in printed, f"{text}: {status} {printed}"
-    return f"{len(FAULTS)} faults, each named alike"
+    return f"{len(FAULTY_FILES)} faults, each named alike"
 
 
-def inlined(schema: Any, definitions: dict[str, Any]) -> Any:
-    """A schema with its references carried out, without what names or describes classes of the source."""
+def resolve_references(schema: Any, definitions: dict[str, Any]) -> Any:
+    """Returns a schema with its references resolved, without the titles and descriptions of classes."""
     if isinstance(schema, list):
-        return [inlined(part, definitions) for part in schema]
+        return [resolve_references(part, definitions) for part in schema]
     if not isinstance(schema, dict):
         return schema
     if "$ref" in schema:
-        return inlined(definitions[schema["$ref"].rpartition("/")[2]], definitions)
+        return resolve_references(definitions[schema["$ref"].rpartition("/")[2]], definitions)
     return {
-        key: inlined(part, definitions)
+        key: resolve_references(part, definitions)
         for key, part in schema.items()
         if key != "$defs" and not (key in ("title", "description") and isinstance(part, str))
     }
 
 
-def see_schema(versions: Versions) -> str:
-    """The printed and the shipped schemas come to the same, but for the names of classes."""
-    texts = [version.printed("config", "schema") for version in versions.both()]
-    texts += [(version.tree / DEPLOYED / SCHEMA_FILE).read_text() for version in versions.both()]
+def check_schema(versions: Versions) -> str:
+    """Checks that the printed and the shipped schemas of both versions are equal, except for names of
+    classes.
+    """
+    texts = [version.output_of("config", "schema") for version in versions.both()]
+    texts += [(version.tree / DEPLOY_FOLDER / SCHEMA_FILE).read_text() for version in versions.both()]
     documents = [json.loads(text) for text in texts]
-    schemas = [inlined(document, document["$defs"]) for document in documents]
+    schemas = [resolve_references(document, document["$defs"]) for document in documents]
     assert all(schema == schemas[0] for schema in schemas), "printed or shipped schemas differ"
     tables = schemas[0]["properties"]
     return f"{sum(len(table['properties']) for table in tables.values())} keys in {len(tables)} tables"
@@ -161,20 +168,20 @@
 
 @contextmanager
 def platform_node(version: Version, folder: Path, roster: Roster) -> Iterator[RunningNode]:
-    """A node started as the platform does, by the JSON file that RELAY_CONFIG names."""
+    """Runs a node as the platform does, with the JSON file that RELAY_CONFIG names."""
     folder.mkdir()
-    more: dict[str, Any] = {
+    more_settings: dict[str, Any] = {
         "peer_listen": free(),
         "peers": [free()],
         "limits": {"sockets": 4096},
         "unknown": {"to": "us"},
     }
-    with node(folder, roster, version.enter, control=free(), **more) as running:
+    with node(folder, roster, version.enter, control=free(), **more_settings) as running:
         yield running
 
 
-def reloaded(version: Version, folder: Path, roster: Roster) -> str:
-    """What a version logs when every key of the platform's file is another one."""
+def reload_log(version: Version, folder: Path, roster: Roster) -> str:
+    """Returns a version's `serving` log line, and its `reloaded` line after all known keys have changed."""
     with platform_node(version, folder, roster) as running:
         path = folder / "config.json"
         document = json.loads(path.read_text())
@@ -191,24 +198,26 @@
     return f"{serving}; {line}"
 
 
-def see_platform_file(versions: Versions, folder: Path) -> str:
-    """One platform's file starts both versions, and they tell the same of what changes in it."""
+def check_platform_file(versions: Versions, folder: Path) -> str:
+    """Checks that the same platform's file starts both versions, and that both log the same changes on a
+    reload.
+    """
     servers = [FormServer("s-5be2a07c")]
     roster = Roster([server.entry() for server in servers])
-    old, new = (reloaded(version, folder / version.label, roster) for version in versions.both())
+    old, new = (reload_log(version, folder / version.label, roster) for version in versions.both())
     assert old == new, f"old {old}, new {new}"
     return new
 
 
-def check_settings_files(report: Report, versions: Versions, scratch: Path) -> None:
-    """Every file that either version ships or writes."""
+def run_settings_checks(report: Report, versions: Versions, scratch: Path) -> None:
+    """Runs the checks of every settings file that either version ships or writes."""
     folder = scratch / "settings"
     folder.mkdir()
-    for owner in versions.both():
-        report.check(f"shipped by {owner.label}", partial(see_shipped, versions, owner))
-        report.check(f"all tables of {owner.label}", partial(see_all_on, versions, owner, folder))
-        report.check(f"written by {owner.label}", partial(see_written, versions, owner, folder))
-    report.check("every setting of a sidecar", partial(see_every_setting, versions, folder))
-    report.check("faults in an operator's file", partial(see_faults, versions, folder))
-    report.check("schema", partial(see_schema, versions))
-    report.check("platform's file", partial(see_platform_file, versions, folder))
+    for version in versions.both():
+        report.check(f"shipped by {version.label}", partial(check_shipped_files, versions, version))
+        report.check(f"all tables of {version.label}", partial(check_all_tables, versions, version, folder))
+        report.check(f"written by {version.label}", partial(check_written_file, versions, version, folder))
+    report.check("every setting of a sidecar", partial(check_every_setting, versions, folder))
+    report.check("faults in an operator's file", partial(check_faulty_files, versions, folder))
+    report.check("schema", partial(check_schema, versions))
+    report.check("platform's file", partial(check_platform_file, versions, folder))
--- a/benchmarks/same_behaviour.py
+++ b/benchmarks/same_behaviour.py
@@ -1,18 +1,18 @@
-"""Says whether an earlier version of this program and the tree at hand do the same, byte for byte.
+"""Checks that an earlier version of this program and this tree behave the same, byte for byte.
 
     python -m benchmarks.same_behaviour BASE [--quick]
 
-BASE is a revision, for which a worktree is made and removed again, or the path of a worktree. Both versions
-run on the same seeds in processes of their own, with one interpreter. Compared are:
+BASE is a revision, for which a temporary worktree is created, or the path of a worktree. Both versions run
+with the same seeds and the same interpreter, in separate processes. Compared are:
 
 - the actions of the decision module on streams of events (`event_streams.py`);
-- virtual days of the laboratory: their records, figures and checks, every action of every decision module,
+- laboratory runs in virtual time: their records, figures and checks, every action of every decision module,
   every message, datagram and stored entry that is encoded, and the files of all simulated folders;
-- what `sailrun lasting show|check|export` of either version prints for the folders of both.
+- the output of `sailrun lasting show|check|export` of both versions for the folders that either has written.
 
-Records and printed figures of BASE are compared after the names in `RENAMED` and the texts in `REWORDED` are
-mapped. Printed: the first
-difference of each run that differs, then one line of totals. Exit status: 0 identical, 1 not.
+Records and printed figures are compared after the names in `RENAMED` and the texts in `REWORDED` are
+replaced. The program prints the first difference of each run that differs, then one line of totals. Exit
+status: 0 if all runs are identical, 1 if not.
 """
 
 from __future__ import annotations
@@ -38,30 +38,30 @@
 from benchmarks.event_streams import Scenario, play_stream
 from benchmarks.recorder import EXIT_CODE_FILE, FOLDERS, LOG_FILE, MEASURED_FIELD, PRINTED_FILE
 
-HERE = Path(__file__).resolve().parent.parent
-RECORDER = HERE / "benchmarks" / "recorder.py"
+THIS_TREE = Path(__file__).resolve().parent.parent
+RECORDER = THIS_TREE / "benchmarks" / "recorder.py"
 RECORDS, SUMMARY_FILE = "records", "summary.json"
-# Old name -> new name of table columns, figures, checks, kinds of events and the keys of their facts: names
-# at the edge that a version of this program may have changed.
+# Old name -> new name of table columns, figures, checks, kinds of events and the keys of their facts:
+# external names that this version may have changed.
 RENAMED: dict[str, str] = {}
-# Old text -> new text of the reasons in log lines and of what `sailrun lasting` prints.
+# Old text -> new text of the reasons in log lines and of the output of `sailrun lasting`.
 REWORDED: dict[str, str] = {
     "a load that is none": "a load is negative or not finite",
     "copied or restored from elsewhere": (
         "the folder was copied or restored: the inode of its identity file differs"
     ),
 }
-# Columns whose text is a JSON object of facts.
+# The column whose text is a JSON object of facts.
 FACTS_COLUMN = "facts"
 DEFAULT_WORKERS = 3
-SHOWN_CHARACTERS = 240
-FEWEST_FOLDERS = 2
+EXCERPT_CHARACTERS = 240
+MIN_FOLDERS = 2
 RUN_TIMEOUT_S = 300
 
 
 @dataclass(frozen=True, slots=True)
-class Day:
-    """A virtual day and its size."""
+class LabRun:
+    """A laboratory run and its options."""
 
     kind: str
     seed: int
@@ -69,16 +69,16 @@
 
     @property
     def name(self) -> str:
-        """As the tool names the day in what it prints."""
+        """The name of the run in the output."""
         return f"{self.kind} seed {self.seed}"
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What came of comparing one run."""
+    """The result of comparing one run."""
 
     name: str
-    difference: str = ""  # the first one; empty: none
+    difference: str = ""  # the first difference; empty if there is none
     counts: Counter[str] = field(default_factory=Counter)
 
 
@@ -97,58 +97,72 @@
     Scenario(9, "push", 1, has_congested_store=True, seconds=30.0),
     Scenario(10, "push", 40, has_congested_store=True, seconds=30.0),
 )
-DAYS = (
-    *(Day(kind, seed, SMALL) for kind, seed in (("calm", 1), ("rebalance", 2), ("rebalance-outage", 3))),
+LAB_RUNS = (
+    *(LabRun(kind, seed, SMALL) for kind, seed in (("calm", 1), ("rebalance", 2), ("rebalance-outage", 3))),
     *(
-        Day(kind, seed, SMALL)
+        LabRun(kind, seed, SMALL)
         for kind, seed in (("in-service", 4), ("troubled", 5), ("rebalance-troubled", 6))
     ),
-    *(Day(kind, seed, MANY_NODES) for kind, seed in (("herd", 7), ("zone", 8), ("join", 9))),
-    *(Day(kind, seed, MANY_NODES) for kind, seed in (("fleet-roll", 10), ("fleet-split", 11))),
-    *(Day(kind, seed, FAULTS) for kind, seed in (("owner", 12), ("owner-stopped", 13), ("owner-cut", 14))),
-    *(Day(kind, seed, FAULTS) for kind, seed in (("owner-slow", 15), ("owner-restart", 16), ("permits", 17))),
-    *(Day(kind, seed, FAULTS) for kind, seed in (("copies", 18), ("copies-cut", 19), ("copies-return", 20))),
-    *(Day(kind, seed, FAULTS) for kind, seed in (("copies-differ", 21), ("copies-roll", 22))),
-    *(Day(kind, seed, FAULTS) for kind, seed in (("lasting", 23), ("lasting-all", 24), ("lasting-walk", 25))),
-    *(Day(kind, seed, SHARDS) for kind, seed in (("shards", 26), ("shards-stopped", 27), ("shards-cut", 28))),
-    *(Day(kind, seed, SHARDS) for kind, seed in (("shards-assigner", 29), ("shards-restart", 30))),
-    *(Day(kind, seed, SHARDS) for kind, seed in (("shards-roll", 31), ("shards-short", 32))),
+    *(LabRun(kind, seed, MANY_NODES) for kind, seed in (("herd", 7), ("zone", 8), ("join", 9))),
+    *(LabRun(kind, seed, MANY_NODES) for kind, seed in (("fleet-roll", 10), ("fleet-split", 11))),
+    *(LabRun(kind, seed, FAULTS) for kind, seed in (("owner", 12), ("owner-stopped", 13), ("owner-cut", 14))),
+    *(
+        LabRun(kind, seed, FAULTS)
+        for kind, seed in (("owner-slow", 15), ("owner-restart", 16), ("permits", 17))
+    ),
+    *(
+        LabRun(kind, seed, FAULTS)
+        for kind, seed in (("copies", 18), ("copies-cut", 19), ("copies-return", 20))
+    ),
+    *(LabRun(kind, seed, FAULTS) for kind, seed in (("copies-differ", 21), ("copies-roll", 22))),
+    *(
+        LabRun(kind, seed, FAULTS)
+        for kind, seed in (("lasting", 23), ("lasting-all", 24), ("lasting-walk", 25))
+    ),
+    *(
+        LabRun(kind, seed, SHARDS)
+        for kind, seed in (("shards", 26), ("shards-stopped", 27), ("shards-cut", 28))
+    ),
+    *(LabRun(kind, seed, SHARDS) for kind, seed in (("shards-assigner", 29), ("shards-restart", 30))),
+    *(LabRun(kind, seed, SHARDS) for kind, seed in (("shards-roll", 31), ("shards-short", 32))),
 )
 QUICK_STREAMS = STREAMS[:2]
 QUICK_KINDS = frozenset({"in-service", "fleet-split", "owner-restart", "lasting", "shards-short"})
 
-# How the kinds of recorded lines are counted. A stored entry is packed under this head in a folder's file.
-COUNTED_AS = {
+# The total that each kind of recorded line is counted in. `<IIQQQ` is the header of a stored entry.
+TOTAL_BY_KIND = {
     "action": "actions",
     "msgpack": "messages",
     "json": "messages",
     "datagram": "datagrams",
     "struct <IIQQQ": "stored entries",
 }
-REPORTED = ("actions", "messages", "datagrams", "stored entries", "folders")
+REPORTED_TOTALS = ("actions", "messages", "datagrams", "stored entries", "folders")
 
 
 # --------------------------------------------------------------------------- comparison
 
 
-def renamed(value: Any) -> Any:
-    """A value of BASE with the names of `RENAMED` mapped, at any depth."""
+def replace_names(value: Any) -> Any:
+    """Returns a value with the names in `RENAMED` and the texts in `REWORDED` replaced, at any depth."""
     if isinstance(value, dict):
-        return {renamed(key): renamed(content) for key, content in value.items()}
+        return {replace_names(key): replace_names(content) for key, content in value.items()}
     if isinstance(value, list):
-        return [renamed(content) for content in value]
-    return reworded(RENAMED.get(value, value)) if isinstance(value, str) else value
+        return [replace_names(content) for content in value]
+    return replace_texts(RENAMED.get(value, value)) if isinstance(value, str) else value
 
 
-def reworded(text: str) -> str:
-    """A text of BASE with the texts of `REWORDED` replaced."""
+def replace_texts(text: str) -> str:
+    """Returns a text with the texts in `REWORDED` replaced."""
     for old, new in REWORDED.items():
         text = text.replace(old, new)
     return text
 
 
 def first_difference(base: Iterable[str], ours: Iterable[str]) -> str:
-    """The first line in which two texts differ, from shortly before the difference; empty: none."""
+    """Returns the first line in which two texts differ, from shortly before the difference; empty if there is
+    none.
+    """
     for number, (before, after) in enumerate(itertools.zip_longest(base, ours), 1):
         if before != after:
             at = _difference_at(before or "", after or "")
@@ -166,12 +180,12 @@
         return "(nothing more)"
     line = line.rstrip("\n")
     label = line.partition("\t")[0]
-    begin = max(0, at - SHOWN_CHARACTERS // 2)
-    return f"[{label}] {'...' if begin else ''}{line[begin : begin + SHOWN_CHARACTERS]!r}"
+    begin = max(0, at - EXCERPT_CHARACTERS // 2)
+    return f"[{label}] {'...' if begin else ''}{line[begin : begin + EXCERPT_CHARACTERS]!r}"
 
 
 def table_rows(path: Path) -> tuple[list[str], list[list[Any]]]:
-    """The columns of a Parquet file and its rows, with JSON facts decoded."""
+    """Returns the columns of a Parquet file and its rows, with JSON facts decoded."""
     table = pyarrow.parquet.read_table(path)
     columns = [
         [json.loads(fact) for fact in values] if name == FACTS_COLUMN else values
@@ -181,45 +195,48 @@
 
 
 def compare_tables(base: Path, ours: Path) -> str:
-    """The first difference of two Parquet files, after names are mapped."""
+    """Returns the first difference between two Parquet files, after names are replaced."""
     if not ours.exists():
         return f"{ours.name}: missing in this tree"
     (base_names, base_rows), (names, rows) = table_rows(base), table_rows(ours)
-    if renamed(base_names) != names:
-        return f"{ours.name}: columns {renamed(base_names)}, this tree {names}"
-    shown = [
-        [json.dumps(row, sort_keys=True, default=str) for row in part] for part in (renamed(base_rows), rows)
+    if replace_names(base_names) != names:
+        return f"{ours.name}: columns {replace_names(base_names)}, this tree {names}"
+    texts = [
+        [json.dumps(row, sort_keys=True, default=str) for row in part]
+        for part in (replace_names(base_rows), rows)
     ]
-    found = first_difference(*shown)
+    found = first_difference(*texts)
     return f"{ours.name}: {found}" if found else ""
 
 
-def summary_lines(folder: Path) -> tuple[dict[str, Any], set[str]]:
-    """A run's summary without `cost`, the time and memory that the run took on this machine, and the names of
-    what was left out.
+def read_summary(folder: Path) -> tuple[dict[str, Any], set[str]]:
+    """Returns a run's summary without `cost`, which is the time and memory that the run took on this machine,
+    and the names of the figures that were left out.
     """
     summary: dict[str, Any] = json.loads((folder / SUMMARY_FILE).read_text())
     return summary, set(summary.pop(MEASURED_FIELD))
 
 
 def compare_summaries(base: Path, ours: Path) -> str:
-    """The first difference of two runs' figures and checks, after names are mapped."""
-    before, after = renamed(summary_lines(base)[0]), summary_lines(ours)[0]
-    shown = [json.dumps(summary, indent=1, sort_keys=True).splitlines() for summary in (before, after)]
-    found = first_difference(*shown)
+    """Returns the first difference between the figures and checks of two runs, after names are replaced."""
+    before, after = replace_names(read_summary(base)[0]), read_summary(ours)[0]
+    texts = [json.dumps(summary, indent=1, sort_keys=True).splitlines() for summary in (before, after)]
+    found = first_difference(*texts)
     return f"{SUMMARY_FILE}: {found}" if found else ""
 
 
 def printed_lines(run: Path) -> list[str]:
-    """What a run printed, without measured figures and its own path; names are mapped, spaces are one."""
-    measured = summary_lines(run / RECORDS)[1]
+    """Returns the lines that a run printed, without measured figures. The run's path becomes `OUT`, names are
+    replaced, and consecutive spaces become one.
+    """
+    measured = read_summary(run / RECORDS)[1]
     lines = (run / PRINTED_FILE).read_text().replace(str(run), "OUT").splitlines()
     words = [line.split() for line in lines if line.split()[:1] and line.split()[0] not in measured]
-    return [" ".join(renamed(line)) for line in words]
+    return [" ".join(replace_names(line)) for line in words]
 
 
 def compare_printed(base: Path, ours: Path) -> str:
-    """The first difference in what two runs printed and in how they ended."""
+    """Returns the first difference between the output or the exit codes of two runs."""
     if found := first_difference(printed_lines(base), printed_lines(ours)):
         return f"printed: {found}"
     codes = [(run / EXIT_CODE_FILE).read_text().strip() for run in (base, ours)]
@@ -227,7 +244,7 @@
 
 
 def compare_records(base: Path, ours: Path) -> str:
-    """The first difference of the records of two runs."""
+    """Returns the first difference between the records of two runs."""
     tables = sorted(path.name for path in base.glob("*.parquet"))
     if tables != sorted(path.name for path in ours.glob("*.parquet")):
         return f"records: base wrote {', '.join(tables)}"
@@ -238,20 +255,20 @@
 
 
 def compare_logs(base: Path, ours: Path) -> str:
-    """The first difference in what two runs encoded and decided."""
+    """Returns the first difference between the encoded bytes or the actions of two runs."""
     with base.open() as one, ours.open() as two:
         found = first_difference(one, two)
     return f"encoded bytes and actions: {found}" if found else ""
 
 
 def folder_contents(folder: Path) -> dict[str, bytes]:
-    """Files by their path under the folder."""
+    """Returns the content of every file by its path in the folder."""
     files = sorted(path for path in folder.rglob("*") if path.is_file())
     return {str(path.relative_to(folder)): path.read_bytes() for path in files}
 
 
 def compare_folders(base: Path, ours: Path) -> str:
-    """The first stored file that differs."""
+    """Returns the first stored file that differs."""
     before, after = folder_contents(base), folder_contents(ours)
     for name in sorted({*before, *after}):
         if before.get(name) != after.get(name):
@@ -264,26 +281,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Trees:
-    """The two versions, and a scratch folder for what they leave."""
+    """The trees of the two versions, and a scratch folder for the files that their runs write."""
 
     base: Path
     ours: Path
     scratch: Path
 
-    def each(self) -> Iterator[tuple[Path, Path]]:
-        """Every tree with its part of the scratch folder."""
+    def with_scratch(self) -> Iterator[tuple[Path, Path]]:
+        """Yields each tree with its own folder in the scratch folder."""
         yield self.base, self.scratch / "base"
         yield self.ours, self.scratch / "ours"
 
 
 def environment_of(tree: Path) -> dict[str, str]:
-    """That a process needs to run this tree, with the same order of sets each time."""
+    """Returns the environment variables of a process that runs this tree, with a fixed order of sets."""
     return {**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": "0", "PYTHONDONTWRITEBYTECODE": "1"}
 
 
 def run_recorder(tree: Path, words: list[str]) -> str:
-    """Runs the recorder with a tree; returns why that failed, or nothing."""
-    ended = subprocess.run(
+    """Runs the recorder with a tree; returns the reason if that fails, else an empty string."""
+    completed = subprocess.run(
         [sys.executable, "-P", str(RECORDER), *words],
         cwd=tree,
         env=environment_of(tree),
@@ -292,29 +309,33 @@
         timeout=RUN_TIMEOUT_S,
         check=False,
     )
-    return "" if ended.returncode == 0 else f"cannot be recorded: {ended.stderr.strip()[-SHOWN_CHARACTERS:]}"
+    return (
+        ""
+        if completed.returncode == 0
+        else f"cannot be recorded: {completed.stderr.strip()[-EXCERPT_CHARACTERS:]}"
+    )
 
 
 def compare_stream(trees: Trees, scenario: Scenario) -> Outcome:
-    """Plays a stream of events to both decision modules."""
-    base, ours = (play_stream(tree, environment_of(tree), scenario) for tree, _ in trees.each())
+    """Runs a stream of events through the decision modules of both trees and compares their actions."""
+    base, ours = (play_stream(tree, environment_of(tree), scenario) for tree, _ in trees.with_scratch())
     outcome = Outcome(scenario.name, first_difference(base, ours))
     outcome.counts["actions"] = sum(1 for line in ours if line and not line.startswith("end "))
     return outcome
 
 
-def compare_day(trees: Trees, day: Day) -> Outcome:
-    """Plays a virtual day with both trees and compares all that it left."""
+def compare_lab_run(trees: Trees, lab_run: LabRun) -> Outcome:
+    """Carries out a laboratory run with both trees and compares their records, stored files and output."""
     runs = []
-    for tree, scratch in trees.each():
-        run = scratch / day.name.replace(" ", "-")
+    for tree, scratch in trees.with_scratch():
+        run = scratch / lab_run.name.replace(" ", "-")
         run.mkdir(parents=True)
-        command = ["lab", "run", day.kind, "--seed", str(day.seed), *day.options]
+        command = ["lab", "run", lab_run.kind, "--seed", str(lab_run.seed), *lab_run.options]
         if failed := run_recorder(tree, [str(run), *command, "--out", str(run / RECORDS)]):
-            return Outcome(day.name, f"{tree}: {failed}")
+            return Outcome(lab_run.name, f"{tree}: {failed}")
         if not (run / RECORDS / SUMMARY_FILE).exists():
             printed = (run / PRINTED_FILE).read_text().strip()
-            return Outcome(day.name, f"{tree}: no records: {printed[-SHOWN_CHARACTERS:]}")
+            return Outcome(lab_run.name, f"{tree}: no records: {printed[-EXCERPT_CHARACTERS:]}")
         runs.append(run)
     base, ours = runs
     difference = (
@@ -323,20 +344,20 @@
         or compare_folders(base / FOLDERS, ours / FOLDERS)
         or compare_printed(base, ours)
     )
-    return Outcome(day.name, difference, count_recorded(ours / LOG_FILE))
+    return Outcome(lab_run.name, difference, count_recorded(ours / LOG_FILE))
 
 
 def count_recorded(log: Path) -> Counter[str]:
-    """How many lines of each kind a run recorded."""
+    """Counts the lines of each kind that a run recorded."""
     counts: Counter[str] = Counter()
     with log.open() as file:
         for line in file:
-            counts[COUNTED_AS.get(line.partition("\t")[0], "packed heads")] += 1
+            counts[TOTAL_BY_KIND.get(line.partition("\t")[0], "other structs")] += 1
     return counts
 
 
-def compare_reading(trees: Trees, writer: str) -> Outcome:
-    """What both trees print for all the folders that one of them wrote."""
+def compare_folder_output(trees: Trees, writer: str) -> Outcome:
+    """Compares the output of both trees for all folders that one of them wrote."""
     folders = sorted(
         path
         for run in (trees.scratch / writer).glob(f"*/{FOLDERS}/*")
@@ -346,7 +367,7 @@
     outcome = Outcome(f"folders written by {writer}")
     outcome.counts["folders"] = len(folders)
     printed = []
-    for tree, scratch in trees.each():
+    for tree, scratch in trees.with_scratch():
         out = scratch / f"reading-{writer}"
         out.mkdir(parents=True)
         if failed := run_recorder(tree, [str(out), "--folders", *map(str, folders)]):
@@ -354,22 +375,22 @@
             return outcome
         printed.append((out / PRINTED_FILE).read_text().splitlines())
     base, ours = printed
-    outcome.difference = first_difference(map(reworded, base), ours)
-    if len(folders) < FEWEST_FOLDERS:
+    outcome.difference = first_difference(map(replace_texts, base), ours)
+    if len(folders) < MIN_FOLDERS:
         outcome.difference = f"only {len(folders)} folders were written"
     return outcome
 
 
 def compare_all(trees: Trees, is_quick: bool, workers: int) -> list[Outcome]:
-    """Every run, several side by side; the folders once they are all written."""
+    """Compares all runs, several in parallel, and then the output for the folders that they wrote."""
     streams = QUICK_STREAMS if is_quick else STREAMS
-    days = [day for day in DAYS if not is_quick or day.kind in QUICK_KINDS]
+    lab_runs = [lab_run for lab_run in LAB_RUNS if not is_quick or lab_run.kind in QUICK_KINDS]
     with ThreadPoolExecutor(workers) as pool:
-        played = [pool.submit(compare_day, trees, day) for day in days]
-        played += [pool.submit(compare_stream, trees, scenario) for scenario in streams]
-        outcomes = [future.result() for future in played]
-        read = [pool.submit(compare_reading, trees, writer) for writer in ("base", "ours")]
-        return outcomes + [future.result() for future in read]
+        played_runs = [pool.submit(compare_lab_run, trees, lab_run) for lab_run in lab_runs]
+        played_runs += [pool.submit(compare_stream, trees, scenario) for scenario in streams]
+        outcomes = [future.result() for future in played_runs]
+        folder_outputs = [pool.submit(compare_folder_output, trees, writer) for writer in ("base", "ours")]
+        return outcomes + [future.result() for future in folder_outputs]
 
 
 # --------------------------------------------------------------------------- the command
@@ -377,12 +398,14 @@
 
 @contextmanager
 def base_tree(base: str, scratch: Path) -> Iterator[Path]:
-    """The earlier version's tree: the path as given, or a worktree of the revision while it is used."""
+    """Yields the tree of the earlier version: the given path, or a worktree of the revision that is removed
+    at the end.
+    """
     if Path(base).is_dir():
         yield Path(base).resolve()
         return
     tree = scratch / "worktree"
-    git = ["git", "-C", str(HERE), "worktree"]
+    git = ["git", "-C", str(THIS_TREE), "worktree"]
     subprocess.run([*git, "add", "--quiet", "--detach", str(tree), base], check=True)
     try:
         yield tree
@@ -390,18 +413,18 @@
         subprocess.run([*git, "remove", "--force", str(tree)], check=True)
 
 
-def report(outcomes: list[Outcome]) -> int:
+def print_report(outcomes: list[Outcome]) -> int:
     """Prints each difference and the totals; returns the exit status."""
     totals: Counter[str] = Counter()
     for outcome in outcomes:
         totals += outcome.counts
         if outcome.difference:
             print(f"{outcome.name}: {outcome.difference}")
-    differing = sum(1 for outcome in outcomes if outcome.difference)
-    counted = ", ".join(f"{totals[name]:,} {name}" for name in REPORTED)
-    verdict = f"{differing} runs differ" if differing else "identical"
-    print(f"same behaviour: {len(outcomes)} runs, {counted}: {verdict}")
-    return 1 if differing else 0
+    different = sum(1 for outcome in outcomes if outcome.difference)
+    counts = ", ".join(f"{totals[name]:,} {name}" for name in REPORTED_TOTALS)
+    result = f"{different} runs differ" if different else "identical"
+    print(f"same behaviour: {len(outcomes)} runs, {counts}: {result}")
+    return 1 if different else 0
 
 
 def main(
@@ -414,7 +437,7 @@
     scratch = Path(tempfile.mkdtemp(prefix="same-behaviour-"))
     try:
         with base_tree(base, scratch) as tree:
-            status = report(compare_all(Trees(tree, HERE, scratch), quick, workers))
+            status = print_report(compare_all(Trees(tree, THIS_TREE, scratch), quick, workers))
         if keep is not None:
             shutil.copytree(scratch, keep)
     finally:
--- a/tests/test_same_behaviour.py
+++ b/tests/test_same_behaviour.py
@@ -1,4 +1,4 @@
-"""The comparison of two versions finds differences, and finds none between a tree and itself."""
+"""Checks that the comparison of two versions finds differences, and none between a tree and itself."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     compare_stream,
     compare_tables,
     first_difference,
-    report,
+    print_report,
 )
 
 ROOT = Path(__file__).parent.parent
 
 
-def test_first_difference_names_the_line_and_shows_both() -> None:
+def test_first_difference_contains_the_number_and_text_of_both_lines() -> None:
     assert first_difference(["a", "b"], ["a", "b"]) == ""
     assert first_difference(["x\t1", "x\t2"], ["x\t1", "x\t3"]) == (
         "line 2: base [x] 'x\\t2', this tree [x] 'x\\t3'"
@@ -38,7 +38,9 @@
     return path
 
 
-def test_tables_are_compared_after_names_are_mapped(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tables_are_compared_after_names_are_replaced(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     base = write_table(tmp_path / "base.parquet", "at_us", "walked", "walk")
     ours = write_table(tmp_path / "ours.parquet", "time_us", "drained", "drain")
     assert compare_tables(base, ours).startswith("ours.parquet: columns")
@@ -57,12 +59,12 @@
 
 
 def test_a_difference_sets_the_exit_status(capsys: pytest.CaptureFixture[str]) -> None:
-    assert report([Outcome("one")]) == 0
-    assert report([Outcome("one"), Outcome("two", "line 1")]) == 1
+    assert print_report([Outcome("one")]) == 0
+    assert print_report([Outcome("one"), Outcome("two", "line 1")]) == 1
     assert "two: line 1\n" in capsys.readouterr().out
 
 
-def test_a_tree_behaves_as_itself(tmp_path: Path) -> None:
+def test_a_tree_does_not_differ_from_itself(tmp_path: Path) -> None:
     outcome = compare_stream(Trees(ROOT, ROOT, tmp_path), Scenario(9, "push", 40, seconds=3.0))
     assert outcome.difference == ""
     assert outcome.counts["actions"] > 50
