--- a/benchmarks/datagram_relay.py
+++ b/benchmarks/datagram_relay.py
@@ -12,8 +12,8 @@
 # How long the relay takes at most to notice that it was closed.
 POLL_S = 0.2
 MAX_DATAGRAM_BYTES = 512
-# In the status line, which a node logs every ten seconds: the number of nodes in the last sum, and the number
-# of datagrams refused.
+# Matches a node's status line, which is logged every ten seconds: the number of nodes whose load is in the
+# last fleet-wide sum, and the number of datagrams that the node refused.
 STATUS_SUMS = re.compile(r" pulse .*fleet=(\d+)/(\d+)")
 
 
@@ -30,8 +30,9 @@
 
 
 class DatagramRelay:
-    """Forwards load datagrams. A node reaches each other node at a separate address of the relay, and all of
-    them at one more. It receives a datagram from the address at which it reaches the sender.
+    """Forwards load datagrams. A node reaches each other node at a separate address of the relay. A datagram
+    to one further address is forwarded to all other nodes. A node receives a datagram from the address at
+    which it reaches the sender.
     """
 
     def __init__(self, listen_addresses: Sequence[str]) -> None:
@@ -83,7 +84,7 @@
                 self._pair_sockets[recipient][sender].sendto(content, self._listen_addresses[recipient])
                 self.forwarded[sender, recipient] += 1
         except OSError:
-            pass  # the recipient is down: the datagram is lost
+            pass  # as on a network, a datagram that cannot be forwarded is lost
 
 
 class LoadSumWatch:
@@ -102,28 +103,31 @@
         self._lines_read = 0  # number of status lines read
         self._counts_before = self._sent_counts()
         self._refused_before = -1  # count in the last status line; -1 before the first one
-        self.nodes = 0  # number of nodes in the last sum
+        self.node_count = 0  # number of nodes in the last sum
         self.accepted: set[int] = set()
 
     def _sent_counts(self) -> dict[int, int]:
         return {sender: self._relay.forwarded[sender, self._index] for sender in self._senders}
 
-    def has_accepted_all(self, nodes: int) -> bool:
+    def has_accepted_all(self, node_count: int) -> bool:
         """Reads new status lines; returns whether all senders were accepted and the last sum is of this
         number of nodes.
         """
         sums = [found for line in list(self._lines) if (found := STATUS_SUMS.search(line))]
         if len(sums) > self._lines_read:
             self._lines_read, counts = len(sums), self._sent_counts()
-            self.nodes, refused = (int(number) for number in sums[-1].groups())
+            self.node_count, refused = (int(number) for number in sums[-1].groups())
             if refused == self._refused_before:
                 self.accepted |= {
                     sender for sender, count in counts.items() if count > self._counts_before[sender]
                 }
             self._refused_before, self._counts_before = refused, counts
-        return self.accepted >= self._senders and self.nodes == nodes
+        return self.accepted >= self._senders and self.node_count == node_count
 
     def __str__(self) -> str:
         missing = sorted(self._senders - self.accepted)
-        not_accepted = f", none taken of nodes {missing}" if missing else ""
-        return f"{self.nodes} in the last sum, {max(0, self._refused_before)} refused{not_accepted}"
+        not_accepted = f", no datagram accepted from nodes {missing}" if missing else ""
+        return (
+            f"{self.node_count} nodes in the last sum, "
+            f"{max(0, self._refused_before)} datagrams refused{not_accepted}"
+        )
--- a/benchmarks/external_names/__main__.py
+++ b/benchmarks/external_names/__main__.py
@@ -11,7 +11,9 @@
 def main() -> None:
     """Prints the list, or writes it with `--write`."""
     parser = argparse.ArgumentParser(
-        prog="external_names.py", description="Lists every name that leaves the process."
+        prog="python -m benchmarks.external_names",
+        description="Lists the external names of the process: those that clients, other nodes, files and "
+        "scripts depend on.",
     )
     parser.add_argument("--write", action="store_true", help=f"write {LIST_FILE.name} instead of printing")
     text = format_list(external_names(read_source(ROOT)))
--- a/benchmarks/external_names/commands.py
+++ b/benchmarks/external_names/commands.py
@@ -41,7 +41,9 @@
 
 
 def parameter_names(module: ast.Module, arg: ast.arg, has_default: bool) -> Iterator[tuple[str, str]]:
-    """Yields each flag of a command's parameter as `flag`, or the parameter's name as `argument`."""
+    """Yields the external names of a command's parameter as pairs of kind and name: `flag` with each flag of
+    an option, or `argument` with the parameter's name.
+    """
     annotation = arg.annotation
     if isinstance(annotation, ast.Name):
         annotation = next(iter(scopes(module)[0].assigned(annotation.id)), annotation)
@@ -67,7 +69,9 @@
 
 
 def command_name(node: ast.FunctionDef, call: ast.Call, prefix: str) -> str:
-    """Returns the command that a decorator makes of a function; empty for the main callback."""
+    """Returns the words that call the command that a decorator makes of a function, with the prefix of its
+    application. Empty for the callback of the main application.
+    """
     default_name = node.name.replace("_", "-") if called_name(call) == "command" else ""
     return prefix + (literal_text(call.args[0]) or default_name if call.args else default_name)
 
@@ -78,8 +82,8 @@
         yield ExternalName("command", name)
     first_optional = len(node.args.args) - len(node.args.defaults)
     for index, arg in enumerate(node.args.args):
-        for kind, flag in parameter_names(module, arg, index >= first_optional):
-            yield ExternalName(kind, f"{name} {flag}".strip())
+        for kind, parameter in parameter_names(module, arg, index >= first_optional):
+            yield ExternalName(kind, f"{name} {parameter}".strip())
 
 
 def command_names(source: Source) -> Iterator[ExternalName]:
--- a/benchmarks/external_names/constants.py
+++ b/benchmarks/external_names/constants.py
@@ -59,7 +59,7 @@
 
 
 def class_names(source: Source) -> Iterator[ExternalName]:
-    """Yields the names of the classes that appear in log lines and records."""
+    """Yields the names of the classes, except enumerations, whose names appear in log lines and records."""
     for kind, paths in CLASS_MODULES.items():
         for module in source.modules_in(paths):
             for statement in module.body:
--- a/benchmarks/external_names/environment.py
+++ b/benchmarks/external_names/environment.py
@@ -15,7 +15,7 @@
 
 VARIABLE_NAME = re.compile(r"(RELAY|SAILRUN)_[A-Z0-9_]*")
 FILE_NAME = re.compile(r"[\w{}-][\w{}.-]*\.(json|toml|log|parquet|html|sock|new|txt)")
-METRIC_LINE = re.compile(r"(?P<name>[\w.{}-]+):\{\}\|(?P<sort>[a-z]+)")
+METRIC_LINE = re.compile(r"(?P<name>[\w.{}-]+):\{\}\|(?P<type>[a-z]+)")
 
 
 def environment_names(module: ast.Module) -> Iterator[ExternalName]:
@@ -36,7 +36,9 @@
 
 
 def path_names(module: ast.Module) -> Iterator[ExternalName]:
-    """Yields the names of files and folders: literals that are joined to a path or have a known extension."""
+    """Yields the names of files and folders: literals that are the right operand of `/` or have a known
+    extension.
+    """
     for node in nodes(module):
         if isinstance(node, ast.BinOp) and isinstance(node.op, ast.Div):
             yield from (ExternalName("path", text) for text in [literal_text(node.right)] if text)
@@ -56,7 +58,7 @@
             isinstance(node, ast.JoinedStr)
             and (match := METRIC_LINE.fullmatch(with_constants(module, node))) is not None
         ):
-            yield ExternalName("metric", f"{match['name']}|{match['sort']}")
+            yield ExternalName("metric", f"{match['name']}|{match['type']}")
 
 
 def with_constants(module: ast.Module, node: ast.JoinedStr) -> str:
--- a/benchmarks/external_names/external_name.py
+++ b/benchmarks/external_names/external_name.py
@@ -21,10 +21,10 @@
         return "\t".join(filter(None, (self.kind, self.name, self.mentioned_in)))
 
 
-def qualified(kind: str, owners: Iterable[str], names: Iterable[str]) -> Iterator[ExternalName]:
-    """Yields each name with each of its owners before it, so that a change for one owner is found even if the
-    name remains for another.
+def qualified(kind: str, contexts: Iterable[str], names: Iterable[str]) -> Iterator[ExternalName]:
+    """Yields each name after each of its contexts (a log event, message tag, record kind or table), so that a
+    change in one context is found even if the name remains in another.
     """
     all_names = list(names)
-    for owner in list(owners) or [""]:
-        yield from (ExternalName(kind, f"{owner} {name}".strip()) for name in all_names)
+    for context in list(contexts) or [""]:
+        yield from (ExternalName(kind, f"{context} {name}".strip()) for name in all_names)
--- a/benchmarks/external_names/listing.py
+++ b/benchmarks/external_names/listing.py
@@ -11,7 +11,7 @@
 from benchmarks.external_names.environment import environment_names, layout_names, metric_names, path_names
 from benchmarks.external_names.external_name import ExternalName
 from benchmarks.external_names.literals import literal_names
-from benchmarks.external_names.logs import log_names, log_names_in_pairs, mark_events, mentioning_texts
+from benchmarks.external_names.logs import add_mentions, log_names, log_names_in_pairs, texts_to_search
 from benchmarks.external_names.records import record_names, table_columns
 from benchmarks.external_names.settings import deployed_keys, settings_keys
 from benchmarks.external_names.source import ROOT, Source
@@ -34,10 +34,10 @@
 
 
 def external_names(source: Source) -> list[ExternalName]:
-    """Returns all external names, sorted. Raises MissingModuleError."""
+    """Returns all external names, sorted. Raises MissingFromSourceError."""
     names = {name for read in SOURCE_READERS for name in read(source)}
     names = names.union(*map(names_of_module, source.modules.values()))
-    return sorted(mark_events((name for name in names if name.name.strip()), *mentioning_texts(source)))
+    return sorted(add_mentions((name for name in names if name.name.strip()), *texts_to_search(source)))
 
 
 def format_list(names: Iterable[ExternalName]) -> str:
--- a/benchmarks/external_names/literals.py
+++ b/benchmarks/external_names/literals.py
@@ -1,4 +1,4 @@
-"""Reads the names in string literals, most of them in codecs."""
+"""Reads the names in the string literals of the modules in `LITERAL_MODULES`, most of which are codecs."""
 
 from __future__ import annotations
 
@@ -41,6 +41,8 @@
         fields.
         """
         is_struct_call = isinstance(node.func, ast.Attribute) and ast.unparse(node.func.value) == "struct"
+        # `add` is also a method of sets and other classes, so its arguments are visited like those of any
+        # call.
         if called_name(node) in LOG_CALLS - {"add"}:
             for keyword in node.keywords:
                 self.visit(keyword.value)
--- a/benchmarks/external_names/logs.py
+++ b/benchmarks/external_names/logs.py
@@ -33,7 +33,7 @@
 
 
 def log_names(module: ast.Module) -> Iterator[ExternalName]:
-    """Yields log events and their fields; `mark_events` adds where an event is mentioned."""
+    """Yields log events and their fields; `add_mentions` adds where an event is mentioned."""
     for scope in scopes(module):
         for call in filter(is_log_call, scope.calls):
             events = possible_names(scope, call.args[0])
@@ -54,8 +54,10 @@
         yield from (ExternalName("log-field", key) for key in dict_keys(module))
 
 
-def mentioning_texts(source: Source) -> tuple[str, str]:
-    """Returns the string literals of the tests, and the code spans and blocks of the documentation pages."""
+def texts_to_search(source: Source) -> tuple[str, str]:
+    """Returns the texts in which mentions of log events are searched: the string literals of the tests, and
+    the code spans and blocks of the documentation pages.
+    """
     tests = [
         parse(path, t) for path, t in source.texts.items() if path.startswith("tests/") and path != OWN_TEST
     ]
@@ -65,8 +67,8 @@
     return "\n".join(literals), "\n".join(code)
 
 
-def mark_events(names: Iterable[ExternalName], tests: str, pages: str) -> Iterator[ExternalName]:
-    """Yields the names, each log event with where it is mentioned."""
+def add_mentions(names: Iterable[ExternalName], tests: str, pages: str) -> Iterator[ExternalName]:
+    """Yields the names, with `mentioned_in` filled in for log events."""
     for name in names:
         if name.kind != "log-event":
             yield name
--- a/benchmarks/external_names/records.py
+++ b/benchmarks/external_names/records.py
@@ -9,7 +9,7 @@
 from benchmarks.external_names.scopes import Scope, call_fields, possible_names, scopes
 from benchmarks.external_names.source import Source
 from benchmarks.external_names.syntax import called_name, dict_keys
-from benchmarks.external_names.tables import NAMED_CALLS, RECORD_CALLS
+from benchmarks.external_names.tables import NAMED_CALLS, RECORD_CALLS, RECORD_COLUMN_MODULES, TABLE_MODULES
 
 
 def record_names(module: ast.Module) -> Iterator[ExternalName]:
@@ -27,24 +27,26 @@
 
 
 def table_columns(source: Source) -> Iterator[ExternalName]:
-    """Yields the columns of the tables, and the keys of all dict literals in
-    `lab/faults` and `lab/scale`, which are columns as well.
+    """Yields the columns of the tables, and the keys of all dict literals in the modules in
+    `RECORD_COLUMN_MODULES`, which are columns as well.
     """
     tables = {
         target.rpartition(".")[2]: name
-        for module in source.modules_in(("lab",))
+        for module in source.modules_in(TABLE_MODULES)
         for scope in scopes(module)
         for target, name in table_attributes(scope)
     }
-    for module in source.modules_in(("lab",)):
+    for module in source.modules_in(TABLE_MODULES):
         for scope in scopes(module):
             yield from added_columns(scope, tables)
-    for module in source.modules_in(("lab/faults", "lab/scale")):
+    for module in source.modules_in(RECORD_COLUMN_MODULES):
         yield from (ExternalName("record-column", key) for key in dict_keys(module))
 
 
 def added_columns(scope: Scope, tables: Mapping[str, str]) -> Iterator[ExternalName]:
-    """Yields the columns of the rows that a function adds to tables."""
+    """Yields the columns of the rows that a function adds to tables. `tables`: the names of the tables by the
+    last part of the attribute that holds them. Columns of an unknown table are listed without a table.
+    """
     for call in scope.calls:
         if called_name(call) == "add" and not call.args and isinstance(call.func, ast.Attribute):
             table = tables.get(ast.unparse(call.func.value).rpartition(".")[2], "")
--- a/benchmarks/external_names/scopes.py
+++ b/benchmarks/external_names/scopes.py
@@ -39,7 +39,7 @@
         """Returns the values assigned to a variable in this scope or, if there are none, in the module."""
         return self.values.get(name) or (self.outer.assigned(name) if self.outer is not None else [])
 
-    def keys_set(self, name: str) -> Iterator[str]:
+    def assigned_keys(self, name: str) -> Iterator[str]:
         """Yields the keys that are set in a dict by `name[key] = value`."""
         for target in self.values:
             if target.startswith(f"{name}[") and (match := re.fullmatch(r"\w+\['(\w+)'\]", target)):
@@ -98,7 +98,7 @@
         for value in scope.assigned(node.id):
             if not isinstance(value, ast.Name):
                 yield from possible_keys(scope, value)
-        yield from scope.keys_set(node.id)
+        yield from scope.assigned_keys(node.id)
     elif isinstance(node, ast.IfExp):
         yield from possible_keys(scope, node.body)
         yield from possible_keys(scope, node.orelse)
--- a/benchmarks/external_names/settings.py
+++ b/benchmarks/external_names/settings.py
@@ -16,13 +16,15 @@
 
 def settings_keys(source: Source) -> Iterator[ExternalName]:
     """Yields the keys of the operator's settings file, each with the path of its table."""
-    forms = {node.name: form for m in source.modules.values() for node, form in structures(m)}
+    structures_by_class = {
+        node.name: structure for m in source.modules.values() for node, structure in structures(m)
+    }
 
     def key_paths(fields: dict[str, str], prefix: str) -> Iterator[str]:
-        for name, type_name in fields.items():
+        for name, annotation in fields.items():
             yield f"{prefix}{name}"
-            for struct_name in set(re.findall(r"\w+", type_name)) & forms.keys():
-                yield from key_paths(forms[struct_name].fields, f"{prefix}{name}.")
+            for struct_name in set(re.findall(r"\w+", annotation)) & structures_by_class.keys():
+                yield from key_paths(structures_by_class[struct_name].fields, f"{prefix}{name}.")
 
     for path in key_paths(fields_of(source.class_at(*OPERATOR_CLASS)), ""):
         yield ExternalName("settings", path)
--- a/benchmarks/external_names/source.py
+++ b/benchmarks/external_names/source.py
@@ -12,7 +12,7 @@
 PACKAGE = "sailrun"
 
 
-class MissingModuleError(Exception):
+class MissingFromSourceError(Exception):
     """`tables.py` lists a module or a class that the source does not contain."""
 
 
@@ -33,20 +33,20 @@
         }
 
     def modules_in(self, paths: Iterable[str]) -> Iterator[ast.Module]:
-        """Yields the modules at these paths and in these folders. Raises MissingModuleError."""
+        """Yields the modules at these paths and in these folders. Raises MissingFromSourceError."""
         for path in paths:
             modules = [m for p, m in self.modules.items() if p == path or p.startswith(f"{path}/")]
             if not modules:
-                raise MissingModuleError(f"{PACKAGE}/{path} is listed in tables.py but does not exist")
+                raise MissingFromSourceError(f"{PACKAGE}/{path} is listed in tables.py but does not exist")
             yield from modules
 
     def class_at(self, path: str, name: str) -> ast.ClassDef:
-        """Returns a class by its module and name. Raises MissingModuleError."""
+        """Returns a class by its module and name. Raises MissingFromSourceError."""
         for module in self.modules_in((path,)):
             for statement in module.body:
                 if isinstance(statement, ast.ClassDef) and statement.name == name:
                     return statement
-        raise MissingModuleError(f"{PACKAGE}/{path} has no class {name}, which tables.py lists")
+        raise MissingFromSourceError(f"{PACKAGE}/{path} has no class {name}, which tables.py lists")
 
 
 @cache
--- a/benchmarks/external_names/structures.py
+++ b/benchmarks/external_names/structures.py
@@ -48,7 +48,9 @@
         return None
     keywords = {keyword.arg: keyword.value for keyword in node.keywords}
     if "rename" in keywords or "tag_field" in keywords:
-        raise NotImplementedError(f"{node.name}: the msgspec options rename and tag_field are not supported")
+        raise NotImplementedError(
+            f"class {node.name} uses the msgspec option rename or tag_field, which cannot be read"
+        )
     is_array = "array_like" in keywords and ast.unparse(keywords["array_like"]) == "True"
     tag = literal_text(keywords["tag"]) if "tag" in keywords else None
     return Structure(tag, is_array, fields_of(node))
@@ -58,28 +60,30 @@
 def structures(module: ast.Module) -> tuple[tuple[ast.ClassDef, Structure], ...]:
     """Returns the classes of a module that are msgspec structures, each with its encoded form."""
     classes = [node for node in nodes(module) if isinstance(node, ast.ClassDef)]
-    return tuple((node, form) for node in classes if (form := parse_structure(node)) is not None)
+    return tuple((node, structure) for node in classes if (structure := parse_structure(node)) is not None)
 
 
 def encoded_names(module: ast.Module, kind: str) -> Iterator[ExternalName]:
     """Yields the tags of a module's structures, and the fields of those that are not packed as arrays."""
-    for node, form in structures(module):
+    for node, structure in structures(module):
         if node.name.endswith("Settings"):
             continue  # a table of the operator's settings, which `settings_keys` lists
-        if form.tag is not None:
-            yield ExternalName(kind, form.tag)
-        if not form.is_array:
-            yield from qualified(kind, [form.tag or ""], form.fields)
+        if structure.tag is not None:
+            yield ExternalName(kind, structure.tag)
+        if not structure.is_array:
+            yield from qualified(kind, [structure.tag or ""], structure.fields)
 
 
 def printed_field_names(module: ast.Module, kind: str) -> Iterator[ExternalName]:
     """Yields the fields of every structure of a module, including those packed as arrays."""
-    for _, form in structures(module):
-        yield from qualified(kind, [form.tag or ""], form.fields)
+    for _, structure in structures(module):
+        yield from qualified(kind, [structure.tag or ""], structure.fields)
 
 
 def struct_names(source: Source) -> Iterator[ExternalName]:
-    """Yields the tags and fields of structures, and the fields of other classes, that are written by name."""
+    """Yields the tags of structures, and those fields of structures and other classes that are written with
+    their names.
+    """
     for kind, paths in STRUCT_MODULES.items():
         for module in source.modules_in(paths):
             yield from encoded_names(module, kind)
--- a/benchmarks/external_names/syntax.py
+++ b/benchmarks/external_names/syntax.py
@@ -7,6 +7,8 @@
 from collections.abc import Iterator
 from functools import cache
 
+# The form of an external name: one word without spaces. `{}` in it is an interpolated value. A name that
+# begins with `/` is a path, one that begins with `@` a key in JSON such as `@type`.
 NAME = re.compile(r"[A-Za-z@{/][\w.:{}\[\]/-]*")
 
 
@@ -29,7 +31,8 @@
 
 def names_in_text(text: str) -> Iterator[str]:
     """Yields the names in a literal: the name of each `name=value`, and single words between tabs, commas or
-    line ends. Prose contains none.
+    line ends. Such a cell contains a name if exactly one of its words has that form, and the others are only
+    punctuation, numbers and `%` formats. Prose contains none.
     """
     for cell in re.split(r"[\t\r\n,]+", text):
         if (pair := re.match(r"([A-Za-z][\w.-]*)=", cell)) is not None:
--- a/benchmarks/external_names/tables.py
+++ b/benchmarks/external_names/tables.py
@@ -1,4 +1,6 @@
-"""States which modules, classes and calls of the package are read for each kind of external name."""
+"""States which modules and classes are read for the kinds of external names that are not read from every
+module, and which calls write names.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +55,7 @@
 }
 # Modules that define binary formats as format strings of `struct`.
 BINARY_FORMAT_MODULES = ("load_gossip", "rebalance/gossip.py", "storage/frames.py")
-# Enumerations of which the names of the members are written, not their values: module and class.
+# Enumerations whose members are written by name instead of by value, as pairs of module and class.
 ENUM_CLASSES: dict[str, tuple[tuple[str, str], ...]] = {
     "log-value": (("decisions/events.py", "ListKind"), ("membership/messages.py", "MemberState")),
 }
@@ -79,6 +81,10 @@
     "log-value": ("decisions/events.py", "decisions/actions.py", "errors.py"),
     "record-value": ("lab/scale/faults.py",),
 }
+# Modules that hold the tables of records and add rows to them.
+TABLE_MODULES = ("lab",)
+# Modules in which the keys of all dict literals are columns of records.
+RECORD_COLUMN_MODULES = ("lab/faults", "lab/scale")
 # Modules that represent a log event as a pair of its name and a dict of its fields.
 LOG_PAIR_MODULES = ("sharding", "replication", "leadership", "storage", "membership")
 # Modules in which the keys of all dict literals are fields of log events.
@@ -88,7 +94,8 @@
 FOLDER_LAYOUT_MODULE = "storage/folder_layout.py"
 # The test of this list contains names of log events as test data, so it does not count as mentioning them.
 OWN_TEST = "tests/test_external_names.py"
-# Calls that write a log event or a record.
+# Calls that write a log event, and calls that write a record. `add` writes a log event only with a name and
+# keyword arguments (`is_log_call`).
 LOG_CALLS = {"log", "_log", "log_event", "_log_event", "LogEvent", "add"}
 RECORD_CALLS = {
     "record",
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -32,7 +32,7 @@
 POLL_S = 0.05
 MAX_RESULT_CHARACTERS = 900
 # Words in the log events that a node writes when it cannot use data that another version has written or sent.
-REJECTION_EVENTS = (
+REJECTION_WORDS = (
     "bad-frame",
     "datagram-rejected",
     "passage-dropped",
@@ -49,6 +49,8 @@
 # The fifth voter runs only until the fleet has its first leaders. A majority of the five voters is three, so
 # that afterwards the two nodes of one version alone cannot grant a lease.
 FIFTH_VOTER = "n5"
+# The tasks for which this fleet elects leaders. The one that reads the server lists is named after the zone
+# in `SETTINGS`.
 TASKS = ("marks", "pace", "permits", "roster/daejeon-1")
 
 Value = TypeVar("Value")
@@ -74,7 +76,7 @@
     label: str
     tree: Path
 
-    def enter(self) -> None:
+    def change_to_tree(self) -> None:
         """Changes the working directory of the calling process, which is about to run a node, to this
         version's tree.
         """
@@ -160,10 +162,11 @@
 
 
 def _format_views(task: str, views: dict[str, dict[str, dict[str, Any]]]) -> str:
-    """Formats the leader and term of a task as each node knows them, and which node holds the task."""
+    """Formats the leader and term of a task as each node knows them, and which node leads the task."""
     rows = {name: view.get(task, {}) for name, view in views.items()}
     parts = [
-        f"{name} names {row.get('holder')} term {row.get('term')}{' and holds' if row.get('held') else ''}"
+        f"{name} reports leader {row.get('holder')} in term {row.get('term')}"
+        f"{', and leads' if row.get('held') else ''}"
         for name, row in rows.items()
     ]
     return ", ".join(parts)
@@ -207,7 +210,9 @@
         self._elect_first_leaders()
 
     def _elect_first_leaders(self) -> None:
-        """Waits for the first leaders, whose election needs every voter once, and ends the fifth voter."""
+        """Waits for the first leaders, and ends the fifth voter. While no voter remembers any grant, a voter
+        grants the first lease only after all voters have reported their terms, or after a longer wait.
+        """
         self.start(FIFTH_VOTER, self.versions.new)
         self.leaders()
         self.end(FIFTH_VOTER, signal.SIGKILL)
@@ -220,13 +225,17 @@
         return self._folder / f"{name}-kept"
 
     def start(self, name: str, version: Version) -> Member:
-        """Starts a process that shares only its name and its storage folder with an earlier one."""
+        """Starts a process with a new configuration folder and a new client address, so that it is no
+        successor of an earlier process of this node. It has the storage folder of the earlier one.
+        """
         folder = self._folder / f"{name}-{time.monotonic_ns()}"
         folder.mkdir()
         return self._launch(name, version, folder, free())
 
     def replace(self, name: str, version: Version) -> Member:
-        """Starts a process that succeeds the running one."""
+        """Starts a successor beside the running process, with its folder and client address; the caller ends
+        the predecessor.
+        """
         member = self.members[name]
         return self._launch(name, version, member.folder, member.listen)
 
@@ -235,14 +244,18 @@
         operator.write_text(tomli_w.dumps(self._tables(name)))
         load_exchange = self._load_exchange_settings(NAMES.index(name)) if name in NAMES else {}
         addresses = {"listen": listen, "control": free()}
-        started = node(folder, self.roster, version.enter, operator, name=name, **addresses, **load_exchange)
+        started = node(
+            folder, self.roster, version.change_to_tree, operator, name=name, **addresses, **load_exchange
+        )
         running = self._stack.enter_context(started)
         self.started_count[name] += 1
         self.members[name] = Member(name, version, folder, listen, running)
         return self.members[name]
 
     def _load_exchange_settings(self, index: int) -> dict[str, Any]:
-        """Returns the platform settings of the other nodes with which a node exchanges load datagrams."""
+        """Returns the platform's settings for the exchange of load datagrams: the node's own address and
+        those of the other nodes at the relay.
+        """
         return {
             "peer_listen": self._peer_addresses[NAMES[index]],
             "peers": self.relay.peer_addresses_of(index),
@@ -295,9 +308,9 @@
         assert answer.startswith("ok "), f"{name}: {query}: {answer}"
         return json.loads(answer.removeprefix("ok "))
 
-    def command(self, version: Version, at: Member, *words: str) -> str:
+    def command(self, version: Version, at: Member, *arguments: str) -> str:
         """Runs `sailrun fleet` of a version against a node and returns its output."""
-        return version.output_of("fleet", *words, "--at", at.running.control).strip()
+        return version.output_of("fleet", *arguments, "--at", at.running.control).strip()
 
     def alive_members_of(self, name: str) -> set[str]:
         """Returns the names of the members that this node sees alive."""
@@ -312,7 +325,7 @@
         )
 
     def leaders(self) -> dict[str, tuple[str, int]]:
-        """Waits until exactly one running node holds each task and no node knows a higher term, and returns
+        """Waits until exactly one running node leads each task and no node knows a higher term, and returns
         the leader and term of each task. The leaders and terms that other nodes report are hints that can be
         out of date.
         """
@@ -349,8 +362,8 @@
         return len({self.query(member.name, "state")["digest"] for member in self.running_members()}) == 1
 
     def rejected_counts(self) -> list[str]:
-        """Lists the nonzero counts of messages that running nodes could not read or attributed to another
-        fleet.
+        """Lists the nonzero counts of messages that running nodes could not read, and of those that they
+        attributed to another fleet.
         """
         counts = {member.label: self.query(member.name, "counts") for member in self.running_members()}
         return [
@@ -367,17 +380,17 @@
 
 def rejection_lines(lines: Iterable[str]) -> list[str]:
     """Returns the log lines that report unusable data."""
-    return [line for line in lines if any(word in line for word in REJECTION_EVENTS)]
+    return [line for line in lines if any(word in line for word in REJECTION_WORDS)]
 
 
-def check_no_rejections(lines: list[str]) -> str:
-    """Raises AssertionError if there are log lines that report unusable data."""
-    assert not lines, "; ".join(lines[:3])
-    return "nothing refused in the logs"
+def check_no_rejections(rejections: list[str]) -> str:
+    """Raises AssertionError if the result of `rejection_lines` is not empty."""
+    assert not rejections, "; ".join(rejections[:3])
+    return "no log line reports unusable data"
 
 
 def check_counts(fleet: MixedFleet) -> str:
-    """Checks that no running node received a message that it could not read."""
+    """Checks the message counts of all running nodes, and that no log line reports unusable data."""
     rejected_counts = fleet.rejected_counts()
     assert not rejected_counts, ", ".join(rejected_counts)
     return check_no_rejections(rejection_lines(fleet.log_lines()))
--- a/benchmarks/mixed_restarts.py
+++ b/benchmarks/mixed_restarts.py
@@ -1,4 +1,5 @@
-"""Checks that a process can follow one of the other version: with its storage folder, or as its successor.
+"""Checks that a process can take over from one of the other version: by its storage folder, or as its
+successor.
 
 Every check function returns the text of its result, or raises an exception.
 """
@@ -43,17 +44,21 @@
     do not depend on the time.
     """
     printed = [
-        [version.output_of("lasting", *words, str(folder)) for words in (["check"], ["export"])]
+        [version.output_of("lasting", *arguments, str(folder)) for arguments in (["check"], ["export"])]
         for version in versions.both()
     ]
-    assert printed[0] == printed[1], f"{folder.name}: {printed}"
+    assert printed[0] == printed[1], (
+        f"{folder.name}: the versions print differently, the old one first: {printed}"
+    )
     assert ": sound;" in printed[0][0], printed[0][0]
     facts_shown = [json.loads(v.output_of("lasting", "show", "--json", str(folder))) for v in versions.both()]
-    lasting_facts = [
+    stable_facts = [
         {k: value for k, value in facts.items() if k not in TIME_DEPENDENT} for facts in facts_shown
     ]
-    assert lasting_facts[0] == lasting_facts[1], f"{folder.name}: {lasting_facts}"
-    return lasting_facts[0]
+    assert stable_facts[0] == stable_facts[1], (
+        f"{folder.name}: the versions show different facts, the old one first: {stable_facts}"
+    )
+    return stable_facts[0]
 
 
 def mark_of(facts: dict[str, Any], server: str) -> list[Any]:
@@ -79,16 +84,22 @@
     stop_all(fleet)
     for name, member in fleet.members.items():
         facts_by_name[name] = read_by_both(fleet.versions, fleet.storage_folder(name))
-        # A voter that started without a folder may have counted more lives than processes, but never fewer.
-        facts_by_name[name]["lives_ahead"] = facts_by_name[name]["life"] - fleet.started_count[name]
-        assert facts_by_name[name]["lives_ahead"] >= 0, f"{member.label}: life {facts_by_name[name]['life']}"
-        assert mark_of(facts_by_name[name], server)[0], f"{member.label}: {facts_by_name[name]['marks']}"
+        # A voter that starts without a reliable folder chooses an incarnation above all that a majority of
+        # the voters knows (`freshness.py`). So its incarnation may be above the number of processes started,
+        # but never below.
+        facts_by_name[name]["incarnation_offset"] = facts_by_name[name]["life"] - fleet.started_count[name]
+        assert facts_by_name[name]["incarnation_offset"] >= 0, (
+            f"{member.label}: incarnation below the number of processes: {facts_by_name[name]['life']}"
+        )
+        assert mark_of(facts_by_name[name], server)[0], (
+            f"{member.label}: the server is not marked out: {facts_by_name[name]['marks']}"
+        )
     marks = {str(mark_of(facts, server)) for facts in facts_by_name.values()}
     assert len(marks) == 1, marks
     entries = ", ".join(
         f"{m.label} {facts_by_name[m.name]['entries']} entries" for m in fleet.members.values()
     )
-    return f"{entries}; read alike by both, {server} out in all"
+    return f"{entries}; both versions print the same for each folder, {server} marked out in all"
 
 
 def check_folders_swapped(fleet: MixedFleet, server: str, facts_by_name: dict[str, dict[str, Any]]) -> str:
@@ -98,17 +109,17 @@
     for name, member in list(fleet.members.items()):
         fleet.start(name, fleet.versions.other(member.version))
     for name, member in fleet.members.items():
-        life = f"life={fleet.started_count[name] + facts_by_name[name]['lives_ahead']}"
-        member.running.logged("lasting ", "found=sound", life)
-        member.running.logged("lasting-trusted", life)
+        incarnation = f"life={fleet.started_count[name] + facts_by_name[name]['incarnation_offset']}"
+        member.running.logged("lasting ", "found=sound", incarnation)
+        member.running.logged("lasting-trusted", incarnation)
         member.running.logged("by-hand", f"server={server}", "out=True")
     fleet.await_members()
     leaders = fleet.leaders()
     for task, (_, term) in leaders.items():
         before = max(facts["terms"].get(task, 0) for facts in facts_by_name.values())
-        assert term > before, f"{task}: term {term} after {before}"
-    wait_for("one digest of all copies", fleet.has_one_digest)
-    return f"{fleet.format_leaders()}; {server} out at all; {check_counts(fleet)}"
+        assert term > before, f"{task}: term {term}, expected above {before}"
+    wait_for("the same digest of all replicas", fleet.has_one_digest)
+    return f"{fleet.format_leaders()}; {server} marked out at all nodes; {check_counts(fleet)}"
 
 
 def check_folders_of_both(fleet: MixedFleet, server: str, facts_by_name: dict[str, dict[str, Any]]) -> str:
@@ -116,12 +127,16 @@
     stop_all(fleet)
     for name, before in facts_by_name.items():
         after = read_by_both(fleet.versions, fleet.storage_folder(name))
-        lives = fleet.started_count[name] + before["lives_ahead"]
-        assert after["life"] == lives, f"{name}: life {after['life']}, not {lives}"
-        assert after["identity"] == before["identity"], f"{name}: another identity"
-        assert mark_of(after, server) == mark_of(before, server), f"{name}: {after['marks']}"
-        assert after["promised"] >= before["promised"], f"{name}: {after['promised']}"
-    return "read alike by both; the same identities and marks, no promise taken back"
+        incarnation = fleet.started_count[name] + before["incarnation_offset"]
+        assert after["life"] == incarnation, f"{name}: incarnation {after['life']}, expected {incarnation}"
+        assert after["identity"] == before["identity"], f"{name}: the identity of the folder has changed"
+        assert mark_of(after, server) == mark_of(before, server), (
+            f"{name}: the marks have changed: {after['marks']}"
+        )
+        assert after["promised"] >= before["promised"], (
+            f"{name}: promised term below the earlier one: {after['promised']}"
+        )
+    return "both versions print the same; identities and marks unchanged, no promised term lower"
 
 
 def run_folder_checks(report: Report, fleet: MixedFleet) -> None:
@@ -130,10 +145,10 @@
     server = SERVER_NAMES[2]
     report.check("folders", partial(check_folders, fleet, server, facts_by_name))
     report.check(
-        "folders gone on with by the other version",
+        "folders continued by the other version",
         partial(check_folders_swapped, fleet, server, facts_by_name),
     )
-    report.check("member with a folder replaced", partial(check_member_replaced, fleet))
+    report.check("member with a storage folder, process replaced", partial(check_member_replaced, fleet))
     report.check("folders written by both", partial(check_folders_of_both, fleet, server, facts_by_name))
 
 
@@ -158,23 +173,23 @@
     operator = folder / "operator.toml"
     operator.write_text(tomli_w.dumps({"lasting": {"folder": str(storage_folder)}}))
     roster = Roster([server.entry()])
-    with node(folder, roster, writer.enter, operator, control=free()) as running:
+    with node(folder, roster, writer.change_to_tree, operator, control=free()) as running:
         assert running.call(f"set-down {server.name}") == "ok"
         wait_for("the override in the folder", lambda: overrides_in(writer, storage_folder) == [server.name])
         running.process.kill()
         running.process.wait()
     assert read_by_both(versions, storage_folder)["out_by_hand_here"] == [server.name]
     reader = versions.other(writer)
-    with node(folder, roster, reader.enter, operator, control=free()) as running:
+    with node(folder, roster, reader.change_to_tree, operator, control=free()) as running:
         running.logged("lasting ", "found=sound")
         running.logged("by-hand", f"server={server.name}", "out=True")
     server.stop()
-    return f"{server.name} taken out at {writer.label} is out at {reader.label}"
+    return f"{server.name}, excluded at {writer.label}, is still excluded at {reader.label}"
 
 
 def overrides_in(version: Version, folder: Path) -> list[str]:
-    """Returns the form servers that an operator excluded at this node, from its folder; empty if there is
-    none yet.
+    """Returns the form servers that an operator excluded at this node, from its folder; empty if the
+    folder cannot be read yet.
     """
     completed = version.run("lasting", "show", "--json", str(folder))
     return list(json.loads(completed.stdout)["out_by_hand_here"]) if completed.returncode == 0 else []
@@ -197,7 +212,7 @@
     def start(self, version: Version) -> RunningNode:
         """Starts a process, which succeeds the running one if there is one."""
         roster = Roster([server.entry() for server in self.servers])
-        started = node(self.folder, roster, version.enter, listen=self.listen, control=free())
+        started = node(self.folder, roster, version.change_to_tree, listen=self.listen, control=free())
         return self.stack.enter_context(started)
 
     def open_sessions(self, at: RunningNode) -> None:
@@ -224,9 +239,10 @@
             assert client.read_line() == f"page {n}"
         assert all(server.ends.empty() for server in self.servers), "a form server's connection ended"
         figures = second.read_metrics()
+        # The one that is down is the form server that the operator excluded.
         assert figures["inflight"] == CLIENTS and figures["hosts_down"] == 1, figures
         check_no_rejections(rejection_lines([*first.lines, *second.lines]))
-        return second, f"{figures['inflight']} sessions adopted and alive, the operator's exclusion as well"
+        return second, f"{figures['inflight']} sessions adopted, and the operator's exclusion still in effect"
 
 
 def run_replacement_checks(report: Report, versions: Versions, folder: Path, stack: ExitStack) -> None:
--- a/benchmarks/mixed_settings.py
+++ b/benchmarks/mixed_settings.py
@@ -22,9 +22,11 @@
 from tests.stand_ins import SETTINGS, FormServer, Roster, RunningNode, node
 from tests.test_sharding_processes import free
 
+# The settings files that a version ships, with the options of `sailrun config check` for each.
 SHIPPED_FILES = {"operator.toml": ["--operator"], "sidecar.toml": []}
 SCHEMA_FILE = "operator.schema.json"
 DEPLOY_FOLDER = "deploy"
+# Arguments of `sailrun config write --class`: NAME:OBJECTIVE_MS:DEADLINE_MS:MESSAGE_MS.
 REQUEST_CLASSES = ("page-load:500:2000:50", "answer-save:300:1800:250")
 # The settings, besides `enabled`, that tables of an operator's file require when they are enabled.
 REQUIRED_SETTINGS: dict[str, dict[str, Any]] = {
@@ -33,12 +35,13 @@
     "lasting": {"folder": "kept"},
     "shards": {"regions": [{"name": "east", "shards": 24, "voters": ["n1", "n2", "n3"]}]},
 }
-# All settings that a sidecar's file can have besides those of the test stand-ins.
+# The optional settings in these tables of a sidecar file. `check_every_setting` adds those outside of them.
 OPTIONAL_SETTINGS: dict[str, dict[str, Any]] = {
     "familyInfo": {"parkUs": 40_000, "tellsDelay": True, "tenantQuotaConnections": [10.0, 20.0]},
     "limits": {"parallelTries": True, "cancel": True, "probes": True},
 }
 TENANTS = [{"name": name, "share": 0.5, "quotaPerS": 3.0} for name in ("north", "south")]
+# The optional settings of a request class.
 CLASS_KEYS = {"effect": "deduplicated", "group": "zone", "repeatWindowUs": 700_000}
 # By text of an operator's file with one fault: the key that the error message must contain.
 FAULTY_FILES = {
@@ -52,7 +55,7 @@
 
 
 def run_with_both(versions: Versions, *arguments: str) -> tuple[int, str]:
-    """Runs a command with both versions, whose exit status and output must be the same, and returns these."""
+    """Runs a command with both versions and checks that exit status and output are equal. Returns both."""
     completed = [version.run(*arguments) for version in versions.both()]
     old, new = ((process.returncode, process.stdout + process.stderr) for process in completed)
     assert old == new, f"{' '.join(arguments)}: old {old}, new {new}"
@@ -85,12 +88,14 @@
     path.write_text(tomli_w.dumps(document))
     summary = check_accepted(versions, path, "--operator")
     missing = [name for name, table in document.items() if "enabled" in table and name not in summary]
-    assert not missing, f"{summary}: without {', '.join(missing)}"
+    assert not missing, (
+        f"{summary}: this output of `config check` lacks the enabled tables {', '.join(missing)}"
+    )
     return summary
 
 
 def check_written_file(versions: Versions, version: Version, folder: Path) -> str:
-    """Checks that both versions write the same sidecar's file and accept it."""
+    """Checks that both versions write the same sidecar file and accept it."""
     path = folder / f"sidecar-{version.label}.toml"
     classes = [argument for request_class in REQUEST_CLASSES for argument in ("--class", request_class)]
     version.output_of("config", "write", "answers", "--out", str(path), *classes)
@@ -101,8 +106,8 @@
 
 
 def check_every_setting(versions: Versions, folder: Path) -> str:
-    """Checks a sidecar's file with every setting, and one with an unknown setting, which both versions must
-    reject.
+    """Checks that both versions accept a sidecar file with every setting and reject one with an unknown
+    setting.
     """
     settings = copy.deepcopy(SETTINGS)
     for name, table in OPTIONAL_SETTINGS.items():
@@ -122,17 +127,22 @@
     path.write_text(tomli_w.dumps({**document, "settings": {**settings, "tickUS": 1}}))
     status, printed = run_with_both(versions, "config", "check", str(path))
     assert status == 2 and "settings.tickUS" in printed, printed
-    return f"{summary}; with a slip, both: {printed.strip().removeprefix(f'sailrun: {path}: ')}"
+    return (
+        f"{summary}; with an unknown setting, both versions print: "
+        f"{printed.strip().removeprefix(f'sailrun: {path}: ')}"
+    )
 
 
 def check_faulty_files(versions: Versions, folder: Path) -> str:
-    """Checks that both versions reject unusable operator's files with the same message."""
+    """Checks that both versions reject invalid operator files with the same message."""
     path = folder / "faulty.toml"
     for text, key in FAULTY_FILES.items():
         path.write_text(text)
         status, printed = run_with_both(versions, "config", "check", "--operator", str(path))
-        assert status == 2 and key in printed, f"{text}: {status} {printed}"
-    return f"{len(FAULTY_FILES)} faults, each named alike"
+        assert status == 2 and key in printed, (
+            f"{text}: exit status {status}, expected 2 and an error about the key: {printed}"
+        )
+    return f"{len(FAULTY_FILES)} faults, each with the same message from both versions"
 
 
 def resolve_references(schema: Any, definitions: dict[str, Any]) -> Any:
@@ -174,14 +184,16 @@
         "peer_listen": free(),
         "peers": [free()],
         "limits": {"sockets": 4096},
-        "unknown": {"to": "us"},
+        "unknown": {"to": "us"},  # an entry that no version knows, which must be ignored
     }
-    with node(folder, roster, version.enter, control=free(), **more_settings) as running:
+    with node(folder, roster, version.change_to_tree, control=free(), **more_settings) as running:
         yield running
 
 
 def reload_log(version: Version, folder: Path, roster: Roster) -> str:
-    """Returns a version's `serving` log line, and its `reloaded` line after all known keys have changed."""
+    """Returns a version's `serving` log line, and its `reloaded` line after every key that the versions read
+    has changed.
+    """
     with platform_node(version, folder, roster) as running:
         path = folder / "config.json"
         document = json.loads(path.read_text())
@@ -199,7 +211,7 @@
 
 
 def check_platform_file(versions: Versions, folder: Path) -> str:
-    """Checks that the same platform's file starts both versions, and that both log the same changes on a
+    """Checks that the same platform file starts both versions, and that both log the same changes on a
     reload.
     """
     servers = [FormServer("s-5be2a07c")]
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -6,10 +6,13 @@
 here, and this tree "new". Real processes of both run on loopback with the same interpreter. Checked are:
 
 - a fleet with two nodes of each version, in which no lease is granted without votes of both versions:
-  members, leaders and their successors, marks and drains of operators, load datagrams (`mixed_fleet.py`); and
-  a region of shards;
+  members, leaders and their successors, marks and drains of operators, load datagrams; and a region of shards
+  (processes: `mixed_fleet.py`);
 - storage folders written by one version, which the other reads and continues (`mixed_restarts.py`);
-- nodes whose process is replaced by one of the other version while sessions are established;
+- nodes whose process is replaced by one of the other version while sessions are established
+  (`mixed_restarts.py`);
+- form servers that an operator excluded at a node without a fleet, which stay excluded in the other version
+  (`mixed_restarts.py`);
 - settings files that one version ships or writes, which the other reads (`mixed_settings.py`).
 
 The program prints one line for each check, `ok` or `FAILED` with the observed result or the failure, then a
@@ -53,7 +56,8 @@
 from tests.test_sharding_processes import NODES as REGION_NODES
 
 # The status line is logged every ten seconds, and a node hears from each other node in only some of the
-# rounds.
+# rounds: in a round of load gossip, all nodes send to one collector, which sends the sum to all. A node
+# receives a datagram of another node only if one of the two is the collector.
 STATUS_TIMEOUT_S = 120.0
 
 # --------------------------------------------------------------------------- a mixed fleet
@@ -63,7 +67,7 @@
     """Checks that each version runs from its own tree."""
     for version in versions.both():
         assert version.package_folder() == version.tree / "sailrun", (
-            f"{version.label}: {version.package_folder()}"
+            f"{version.label}: expected to run from its own tree, runs from {version.package_folder()}"
         )
     return ", ".join(f"{version.label} {version.package_folder()}" for version in versions.both())
 
@@ -115,14 +119,19 @@
     assert marked.startswith(f"done {len(NAMES)} of "), marked
     for member in fleet.running_members():
         member.running.logged("by-hand", f"server={server}", "out=True")
-    wait_for("one digest of all copies", fleet.has_one_digest)
+    wait_for("the same digest of all replicas", fleet.has_one_digest)
     pair = (at.running.control, fleet.first_of(other).running.control)
     for version in fleet.versions.both():
-        wait_for("no difference of two copies", partial(prints_no_difference, version, *pair))
+        wait_for(
+            "no difference between the replicas of two nodes", partial(prints_no_difference, version, *pair)
+        )
     unmarked = fleet.command(other, fleet.first_of(other), "set-up", server, "--wait", "all")
     for member in fleet.running_members():
         member.running.logged("by-hand", f"server={server}", "out=False")
-    return f"out at {at.label}: {marked}, one digest; back at {fleet.first_of(other).label}: {unmarked}"
+    return (
+        f"marked out at {at.label}: {marked}, same digest at all nodes; "
+        f"mark revoked at {fleet.first_of(other).label}: {unmarked}"
+    )
 
 
 def prints_no_difference(version: Version, one: str, other: str) -> bool:
@@ -131,13 +140,13 @@
 
 
 def check_drain(fleet: MixedFleet, writer: Version) -> str:
-    """Checks that marks written at a node of the other version drain a node and end the drain."""
+    """Checks that marks written at a node of `writer` drain a node of the other version and end its drain."""
     at, drained = fleet.first_of(writer), fleet.first_of(fleet.versions.other(writer))
     fleet.command(writer, at, "drain-on", drained.name)
     drained.running.logged("leaving", "reason=drain")
     fleet.command(writer, at, "drain-off", drained.name)
     drained.running.logged("drain-over")
-    return f"{drained.label} drained and back by {at.label}"
+    return f"{drained.label} drained and resumed by marks at {at.label}"
 
 
 def check_rolling_drain(fleet: MixedFleet, writer: Version) -> str:
@@ -148,18 +157,23 @@
     names = [fleet.first_of(fleet.versions.other(writer)).name, at.name]
     printed = fleet.command(writer, at, "drain", *names).splitlines()
     assert [f"{name} done" in printed for name in names] == [True, True], printed
+    # The first line is the name of the rolling drain.
     return f"asked at {at.label}: {', '.join(printed[1:])}"
 
 
 def check_leader_killed(fleet: MixedFleet, killed: Version) -> str:
-    """Checks that a killed leader of a version is succeeded under a higher term."""
+    """Checks that a killed leader of a version is succeeded under a higher term. While no task is led by a
+    node of this version, kills the leader of the marks, until one is; at most one kill for each node.
+    """
     for _ in NAMES:
         leaders = fleet.leaders()
         leaders_of_version = [name for name, _ in leaders.values() if fleet.members[name].version is killed]
         result = kill_and_restart(fleet, leaders_of_version[0] if leaders_of_version else leaders["marks"][0])
         if leaders_of_version:
             return result
-    raise AssertionError(f"nothing was ever led by a node of {killed.label}")
+    raise AssertionError(
+        f"no node of {killed.label} led a task, after {len(NAMES)} leaders of the other version were killed"
+    )
 
 
 def kill_and_restart(fleet: MixedFleet, name: str) -> str:
@@ -169,7 +183,7 @@
     fleet.end(name, signal.SIGKILL)
     after = fleet.leaders()
     for task, term in led_tasks.items():
-        assert after[task][1] > term, f"{task}: term {after[task][1]} after {term}"
+        assert after[task][1] > term, f"{task}: term {after[task][1]}, expected above {term}"
     successors = ", ".join(
         f"{task} term {term} -> {fleet.members[after[task][0]].label} term {after[task][1]}"
         for task, term in led_tasks.items()
@@ -214,7 +228,7 @@
         folder.mkdir()
         operator = self.operators[name] = folder / "operator.toml"
         operator.write_text(tomli_w.dumps(self.tables(name, shards)))
-        prepare = self.version_of(name).enter
+        prepare = self.version_of(name).change_to_tree
         started_node = node(folder, self._roster, prepare, operator, name=name, listen=free(), control=free())
         self.running[name] = self._stack.enter_context(started_node)
         return self.running[name]
@@ -259,8 +273,13 @@
     region.until(lambda: region.owned_by(*rest))
     region.start(name)
     region.until(lambda: region.owned_by(*REGION_NODES))
-    assert region.usable(name) == shards, f"{region.usable(name)} after {shards}"
-    return f"{len(shards)} of {region.label_of(name)} to {', '.join(map(region.label_of, rest))} and back"
+    assert region.usable(name) == shards, (
+        f"{region.usable(name)} are the shards owned after the restart, expected {shards}"
+    )
+    return (
+        f"{len(shards)} shards of {region.label_of(name)} moved to "
+        f"{', '.join(map(region.label_of, rest))} and back"
+    )
 
 
 def check_region_counts(region: MixedRegion) -> str:
@@ -325,14 +344,14 @@
     run_check_group(report, "a mixed fleet", scratch, fleet_and_folders)
     run_check_group(report, "a mixed region", scratch, region)
     run_check_group(report, "a node without a fleet", scratch, overrides)
-    run_check_group(report, "a succession", scratch, partial(run_replacement_checks, report, versions))
+    run_check_group(report, "a replaced node", scratch, partial(run_replacement_checks, report, versions))
     run_settings_checks(report, versions, scratch)
 
 
 def main(
     base: Annotated[str, typer.Argument(help="A revision, or the path of an earlier version's worktree.")],
 ) -> None:
-    """Run the tree at hand together with an earlier version. Exit 0: every check held; 1: not."""
+    """Run this tree and an earlier version in one fleet. Exit status: 0 if all checks succeeded, 1 if not."""
     report = Report()
     with tempfile.TemporaryDirectory(prefix="mixed-versions-") as folder, ExitStack() as stack:
         scratch = Path(folder)
--- a/benchmarks/same_behaviour.py
+++ b/benchmarks/same_behaviour.py
@@ -1,18 +1,20 @@
 """Checks that an earlier version of this program and this tree behave the same, byte for byte.
 
-    python -m benchmarks.same_behaviour BASE [--quick]
+    python -m benchmarks.same_behaviour BASE [--quick] [--workers N] [--keep FOLDER]
 
 BASE is a revision, for which a temporary worktree is created, or the path of a worktree. Both versions run
 with the same seeds and the same interpreter, in separate processes. Compared are:
 
-- the actions of the decision module on streams of events (`event_streams.py`);
+- the actions that the decision module takes in response to streams of events (`event_streams.py`);
 - laboratory runs in virtual time: their records, figures and checks, every action of every decision module,
-  every message, datagram and stored entry that is encoded, and the files of all simulated folders;
-- the output of `sailrun lasting show|check|export` of both versions for the folders that either has written.
-
-Records and printed figures are compared after the names in `RENAMED` and the texts in `REWORDED` are
-replaced. The program prints the first difference of each run that differs, then one line of totals. Exit
-status: 0 if all runs are identical, 1 if not.
+  every message, datagram and stored entry that is encoded, and the files of all storage folders;
+- the output of `sailrun lasting show|check|export` of both versions for the storage folders that either has
+  written.
+
+The names in `RENAMED` and the texts in `REWORDED` are replaced in the records of BASE, in its output for the
+storage folders, and in the printed figures of both versions before these are compared. Encoded bytes, actions
+and stored files are compared as they are. The program prints the first difference of each run that differs,
+then one line of totals. Exit status: 0 if all runs are identical, 1 if not.
 """
 
 from __future__ import annotations
@@ -55,6 +57,7 @@
 FACTS_COLUMN = "facts"
 DEFAULT_WORKERS = 3
 EXCERPT_CHARACTERS = 240
+# With fewer storage folders, the runs did not write what this comparison needs.
 MIN_FOLDERS = 2
 RUN_TIMEOUT_S = 300
 
@@ -82,9 +85,9 @@
     counts: Counter[str] = field(default_factory=Counter)
 
 
-SMALL = ("--form-servers", "8", "--nodes", "3", "--households", "400", "--seconds", "20")
-MANY_NODES = ("--form-servers", "20", "--nodes", "24", "--households", "200", "--seconds", "10")
-FAULTS, SHARDS = ("--seconds", "40"), ("--seconds", "40")
+SMALL_OPTIONS = ("--form-servers", "8", "--nodes", "3", "--households", "400", "--seconds", "20")
+MANY_NODES_OPTIONS = ("--form-servers", "20", "--nodes", "24", "--households", "200", "--seconds", "10")
+FAULT_RUN_OPTIONS, SHARD_RUN_OPTIONS = ("--seconds", "40"), ("--seconds", "40")
 STREAMS = (
     Scenario(1, "push", 1),
     Scenario(2, "ask", 40),
@@ -98,33 +101,42 @@
     Scenario(10, "push", 40, has_congested_store=True, seconds=30.0),
 )
 LAB_RUNS = (
-    *(LabRun(kind, seed, SMALL) for kind, seed in (("calm", 1), ("rebalance", 2), ("rebalance-outage", 3))),
     *(
-        LabRun(kind, seed, SMALL)
+        LabRun(kind, seed, SMALL_OPTIONS)
+        for kind, seed in (("calm", 1), ("rebalance", 2), ("rebalance-outage", 3))
+    ),
+    *(
+        LabRun(kind, seed, SMALL_OPTIONS)
         for kind, seed in (("in-service", 4), ("troubled", 5), ("rebalance-troubled", 6))
     ),
-    *(LabRun(kind, seed, MANY_NODES) for kind, seed in (("herd", 7), ("zone", 8), ("join", 9))),
-    *(LabRun(kind, seed, MANY_NODES) for kind, seed in (("fleet-roll", 10), ("fleet-split", 11))),
-    *(LabRun(kind, seed, FAULTS) for kind, seed in (("owner", 12), ("owner-stopped", 13), ("owner-cut", 14))),
+    *(LabRun(kind, seed, MANY_NODES_OPTIONS) for kind, seed in (("herd", 7), ("zone", 8), ("join", 9))),
+    *(LabRun(kind, seed, MANY_NODES_OPTIONS) for kind, seed in (("fleet-roll", 10), ("fleet-split", 11))),
+    *(
+        LabRun(kind, seed, FAULT_RUN_OPTIONS)
+        for kind, seed in (("owner", 12), ("owner-stopped", 13), ("owner-cut", 14))
+    ),
     *(
-        LabRun(kind, seed, FAULTS)
+        LabRun(kind, seed, FAULT_RUN_OPTIONS)
         for kind, seed in (("owner-slow", 15), ("owner-restart", 16), ("permits", 17))
     ),
     *(
-        LabRun(kind, seed, FAULTS)
+        LabRun(kind, seed, FAULT_RUN_OPTIONS)
         for kind, seed in (("copies", 18), ("copies-cut", 19), ("copies-return", 20))
     ),
-    *(LabRun(kind, seed, FAULTS) for kind, seed in (("copies-differ", 21), ("copies-roll", 22))),
+    *(LabRun(kind, seed, FAULT_RUN_OPTIONS) for kind, seed in (("copies-differ", 21), ("copies-roll", 22))),
     *(
-        LabRun(kind, seed, FAULTS)
+        LabRun(kind, seed, FAULT_RUN_OPTIONS)
         for kind, seed in (("lasting", 23), ("lasting-all", 24), ("lasting-walk", 25))
     ),
     *(
-        LabRun(kind, seed, SHARDS)
+        LabRun(kind, seed, SHARD_RUN_OPTIONS)
         for kind, seed in (("shards", 26), ("shards-stopped", 27), ("shards-cut", 28))
     ),
-    *(LabRun(kind, seed, SHARDS) for kind, seed in (("shards-assigner", 29), ("shards-restart", 30))),
-    *(LabRun(kind, seed, SHARDS) for kind, seed in (("shards-roll", 31), ("shards-short", 32))),
+    *(
+        LabRun(kind, seed, SHARD_RUN_OPTIONS)
+        for kind, seed in (("shards-assigner", 29), ("shards-restart", 30))
+    ),
+    *(LabRun(kind, seed, SHARD_RUN_OPTIONS) for kind, seed in (("shards-roll", 31), ("shards-short", 32))),
 )
 QUICK_STREAMS = STREAMS[:2]
 QUICK_KINDS = frozenset({"in-service", "fleet-split", "owner-restart", "lasting", "shards-short"})
@@ -144,7 +156,9 @@
 
 
 def replace_names(value: Any) -> Any:
-    """Returns a value with the names in `RENAMED` and the texts in `REWORDED` replaced, at any depth."""
+    """Returns a value of BASE, or a printed value, with the names in `RENAMED` and the texts in `REWORDED`
+    replaced, at any depth.
+    """
     if isinstance(value, dict):
         return {replace_names(key): replace_names(content) for key, content in value.items()}
     if isinstance(value, list):
@@ -153,15 +167,15 @@
 
 
 def replace_texts(text: str) -> str:
-    """Returns a text with the texts in `REWORDED` replaced."""
+    """Returns a text of BASE, or a printed text, with the texts in `REWORDED` replaced."""
     for old, new in REWORDED.items():
         text = text.replace(old, new)
     return text
 
 
 def first_difference(base: Iterable[str], ours: Iterable[str]) -> str:
-    """Returns the first line in which two texts differ, from shortly before the difference; empty if there is
-    none.
+    """Describes the first line in which two texts differ: its number and an excerpt of both versions around
+    the difference; empty if there is none.
     """
     for number, (before, after) in enumerate(itertools.zip_longest(base, ours), 1):
         if before != after:
@@ -179,9 +193,9 @@
     if line is None:
         return "(nothing more)"
     line = line.rstrip("\n")
-    label = line.partition("\t")[0]
+    kind = line.partition("\t")[0]  # the first column of a recorded line; the whole line if it has no columns
     begin = max(0, at - EXCERPT_CHARACTERS // 2)
-    return f"[{label}] {'...' if begin else ''}{line[begin : begin + EXCERPT_CHARACTERS]!r}"
+    return f"[{kind}] {'...' if begin else ''}{line[begin : begin + EXCERPT_CHARACTERS]!r}"
 
 
 def table_rows(path: Path) -> tuple[list[str], list[list[Any]]]:
@@ -200,7 +214,7 @@
         return f"{ours.name}: missing in this tree"
     (base_names, base_rows), (names, rows) = table_rows(base), table_rows(ours)
     if replace_names(base_names) != names:
-        return f"{ours.name}: columns {replace_names(base_names)}, this tree {names}"
+        return f"{ours.name}: columns: base {replace_names(base_names)}, this tree {names}"
     texts = [
         [json.dumps(row, sort_keys=True, default=str) for row in part]
         for part in (replace_names(base_rows), rows)
@@ -247,7 +261,7 @@
     """Returns the first difference between the records of two runs."""
     tables = sorted(path.name for path in base.glob("*.parquet"))
     if tables != sorted(path.name for path in ours.glob("*.parquet")):
-        return f"records: base wrote {', '.join(tables)}"
+        return f"records: this tree wrote other tables than base, which wrote {', '.join(tables)}"
     for name in tables:
         if found := compare_tables(base / name, ours / name):
             return found
@@ -298,10 +312,10 @@
     return {**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": "0", "PYTHONDONTWRITEBYTECODE": "1"}
 
 
-def run_recorder(tree: Path, words: list[str]) -> str:
-    """Runs the recorder with a tree; returns the reason if that fails, else an empty string."""
+def run_recorder(tree: Path, arguments: list[str]) -> str:
+    """Records a command of a tree; returns the error if the recorder fails, else an empty string."""
     completed = subprocess.run(
-        [sys.executable, "-P", str(RECORDER), *words],
+        [sys.executable, "-P", str(RECORDER), *arguments],
         cwd=tree,
         env=environment_of(tree),
         capture_output=True,
@@ -312,7 +326,7 @@
     return (
         ""
         if completed.returncode == 0
-        else f"cannot be recorded: {completed.stderr.strip()[-EXCERPT_CHARACTERS:]}"
+        else f"the recorder failed: {completed.stderr.strip()[-EXCERPT_CHARACTERS:]}"
     )
 
 
@@ -320,6 +334,7 @@
     """Runs a stream of events through the decision modules of both trees and compares their actions."""
     base, ours = (play_stream(tree, environment_of(tree), scenario) for tree, _ in trees.with_scratch())
     outcome = Outcome(scenario.name, first_difference(base, ours))
+    # An `end` line closes each batch of answers and is no action.
     outcome.counts["actions"] = sum(1 for line in ours if line and not line.startswith("end "))
     return outcome
 
@@ -335,7 +350,10 @@
             return Outcome(lab_run.name, f"{tree}: {failed}")
         if not (run / RECORDS / SUMMARY_FILE).exists():
             printed = (run / PRINTED_FILE).read_text().strip()
-            return Outcome(lab_run.name, f"{tree}: no records: {printed[-EXCERPT_CHARACTERS:]}")
+            return Outcome(
+                lab_run.name,
+                f"{tree}: the run wrote no summary; its output ends with: {printed[-EXCERPT_CHARACTERS:]}",
+            )
         runs.append(run)
     base, ours = runs
     difference = (
@@ -357,12 +375,14 @@
 
 
 def compare_folder_output(trees: Trees, writer: str) -> Outcome:
-    """Compares the output of both trees for all folders that one of them wrote."""
+    """Compares the output of `sailrun lasting show|check|export` of both trees for all storage folders that
+    one of them wrote.
+    """
     folders = sorted(
         path
-        for run in (trees.scratch / writer).glob(f"*/{FOLDERS}/*")
-        for path in [run]
-        if any(run.iterdir())
+        for folder in (trees.scratch / writer).glob(f"*/{FOLDERS}/*")
+        for path in [folder]
+        if any(folder.iterdir())
     )
     outcome = Outcome(f"folders written by {writer}")
     outcome.counts["folders"] = len(folders)
@@ -377,7 +397,7 @@
     base, ours = printed
     outcome.difference = first_difference(map(replace_texts, base), ours)
     if len(folders) < MIN_FOLDERS:
-        outcome.difference = f"only {len(folders)} folders were written"
+        outcome.difference = f"only {len(folders)} storage folders were written, too few for a comparison"
     return outcome
 
 
@@ -429,11 +449,18 @@
 
 def main(
     base: Annotated[str, typer.Argument(help="A revision, or the path of an earlier version's worktree.")],
-    quick: Annotated[bool, typer.Option("--quick", help="A few seeds only.")] = False,
-    workers: Annotated[int, typer.Option(min=1, help="Runs side by side.")] = DEFAULT_WORKERS,
-    keep: Annotated[Path | None, typer.Option(help="A new folder for all that the runs left.")] = None,
+    quick: Annotated[
+        bool, typer.Option("--quick", help="Compare only a few streams and laboratory runs.")
+    ] = False,
+    workers: Annotated[
+        int, typer.Option(min=1, help="Number of runs that are compared in parallel.")
+    ] = DEFAULT_WORKERS,
+    keep: Annotated[
+        Path | None,
+        typer.Option(help="A folder that does not exist yet, to which all files of the runs are copied."),
+    ] = None,
 ) -> None:
-    """Compare the tree at hand with an earlier version. Exit 0: identical; 1: not."""
+    """Compare this tree with an earlier version. Exit status: 0 if all runs are identical, 1 if not."""
     scratch = Path(tempfile.mkdtemp(prefix="same-behaviour-"))
     try:
         with base_tree(base, scratch) as tree:
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,4 +1,6 @@
-"""Compares the external names with the committed list, and checks that a change of any kind is found."""
+"""Compares the external names with the committed list, and checks that a change to a name of each kind is
+found.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +10,7 @@
 
 from benchmarks.external_names.external_name import ExternalName
 from benchmarks.external_names.listing import LIST_FILE, differences, external_names, format_list
-from benchmarks.external_names.source import ROOT, MissingModuleError, Source, read_source
+from benchmarks.external_names.source import ROOT, MissingFromSourceError, Source, read_source
 from benchmarks.external_names.tables import LITERAL_MODULES
 
 SOURCE = read_source(ROOT)
@@ -62,7 +64,7 @@
     )
 
 
-def test_every_kind_has_a_change_to_find() -> None:
+def test_changes_has_an_entry_for_every_kind() -> None:
     assert {name.kind for name in NAMES} == CHANGES.keys()
 
 
@@ -82,14 +84,14 @@
 def test_a_module_that_was_moved_is_an_error() -> None:
     path = f"sailrun/{LITERAL_MODULES['simulator'][0]}"
     rest = {other: text for other, text in SOURCE.texts.items() if other != path}
-    with pytest.raises(MissingModuleError, match=path):
+    with pytest.raises(MissingFromSourceError, match=path):
         external_names(Source(rest))
 
 
 def test_a_class_that_was_renamed_is_an_error() -> None:
     path = "sailrun/config.py"
     text = SOURCE.texts[path].replace("class NodeConfig:", "class Renamed:")
-    with pytest.raises(MissingModuleError, match="NodeConfig"):
+    with pytest.raises(MissingFromSourceError, match="NodeConfig"):
         external_names(with_text(path, text))
 
 
@@ -102,7 +104,7 @@
     assert external_names(with_text(path, text)) == NAMES
 
 
-def test_a_log_event_is_marked_with_where_it_is_mentioned() -> None:
+def test_a_log_event_states_where_it_is_mentioned() -> None:
     code = 'from sailrun.node.clock import log\nlog("never-seen-before", some_field=1)\n'
     added_files = {
         "sailrun/node/added.py": code,
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -89,6 +89,7 @@
     watch = LoadSumWatch(lines, 0, {1, 3}, relay)
 
     def accepts_all(sums: str, *senders: int) -> bool:
+        """Forwards one datagram from each sender to node 0, logs a status line, and reads it."""
         relay.forwarded.update((sender, 0) for sender in senders)
         lines.append(f"1.0 pulse waiting=0 standing=none fleet={sums}")
         return watch.has_accepted_all(4)
@@ -101,4 +102,4 @@
         assert accepts_all("4/2", 1)
     finally:
         relay.close()
-    assert str(watch) == "4 in the last sum, 2 refused"
+    assert str(watch) == "4 nodes in the last sum, 2 datagrams refused"
