--- a/benchmarks/external_names/tables.py
+++ b/benchmarks/external_names/tables.py
@@ -103,9 +103,8 @@
     "_record_event",
     "row",
     "_row",
-    "note",
     "record_event",
-    "told",
+    "record_fault",
     "log_act",
 }
 # Calls whose first argument names an experiment, a check or a plan in the records.
