--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 
 from benchmarks.capacity.record import Measurement
-from tests.stand_ins import Roster, free_port, node, roster_entry
+from tests.free_ports import free_port
+from tests.stand_ins import Roster, node, roster_entry
 
 SIZES = (500, 1_000, 2_000, 4_000)
 FORM_SERVERS, CONCURRENT_SETUPS = 8, 50
--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -19,7 +19,8 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from tests.stand_ins import FormServer, Peer, Roster, RunningNode, connect, free_port, node
+from tests.free_ports import free_port
+from tests.stand_ins import FormServer, Peer, Roster, RunningNode, connect, node
 
 CALLS, STREAMS, SILENT, DESCRIPTORS = 300, 8, 24, 128
 
--- a/tests/free_ports.py
+++ b/tests/free_ports.py
@@ -2,7 +2,8 @@
 
 Each process of the tests hands out ports from blocks that it alone has reserved. All blocks lie below the
 ephemeral range, from which the system takes ports for binds to port 0 and for outgoing connections, and below
-the range of `sailrun.lab.faults.rig.free_address`, which draws at random without a reservation.
+the range of `sailrun.lab.faults.rig.free_address`, which draws at random without a reservation. Each worker
+of pytest-xdist draws from a slice of that range that no other worker draws from.
 """
 
 from __future__ import annotations
@@ -12,6 +13,7 @@
 import threading
 from collections.abc import Iterator
 from contextlib import suppress
+from functools import cache
 from pathlib import Path
 
 HOST = "127.0.0.1"
@@ -91,3 +93,35 @@
 def free_host_port() -> str:
     """Returns the address, `host:port`, of a free port."""
     return f"{HOST}:{free_port()}"
+
+
+@cache
+def whole_rig_range() -> tuple[int, int]:
+    """Returns the range of `rig.free_address` as it was before `limit_rig_ports` narrowed it."""
+    from sailrun.lab.faults import rig
+
+    return rig.PORTS
+
+
+def worker_slice(ports: tuple[int, int], worker: int, workers: int) -> tuple[int, int]:
+    """Returns the slice of the range that belongs to the worker, counted from 0. The end is exclusive."""
+    start, end = ports
+    size = end - start
+    return start + size * worker // workers, start + size * (worker + 1) // workers
+
+
+def limit_rig_ports() -> None:
+    """Makes `rig.free_address` draw from the slice of this worker of pytest-xdist, if this process is one.
+
+    It knows only the ports that its own process has drawn. Two workers that draw from the same range can be
+    given the same port before a node of either binds it, and the later node then ends with EADDRINUSE.
+    """
+    worker = os.environ.get("PYTEST_XDIST_WORKER")
+    if worker is None:
+        return
+    # Imported here because it takes long: only workers need it.
+    from sailrun.lab.faults import rig
+
+    workers = int(os.environ["PYTEST_XDIST_WORKER_COUNT"])
+    # A worker that replaces a crashed one has a number beyond the count, and shares the slice of another.
+    rig.PORTS = worker_slice(whole_rig_range(), int(worker.removeprefix("gw")) % workers, workers)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -20,7 +20,7 @@
 
 import tomli_w
 
-from tests.free_ports import free_port as free_port  # under this name for importers of this module
+from tests.free_ports import free_port
 
 # Only a failing test waits this long.
 TIMEOUT_S = 20.0
