--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -20,7 +20,8 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from tests.stand_ins import FormServer, Peer, Roster, RunningNode, connect, free_port, node
+from tests.free_ports import free_port
+from tests.stand_ins import FormServer, Peer, Roster, RunningNode, connect, node
 
 CALL_COUNT, STREAM_COUNT, SILENT_CONNECTIONS, DESCRIPTOR_LIMIT = 300, 8, 24, 128
 
