--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from sailrun.lab.faults.explore_copies import explore_copies
+from sailrun.lab.faults.explore_copies import explore_replicas
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import agent_terms, voters_among
 from sailrun.lab.faults.virtual import VirtualFleet
@@ -241,11 +241,11 @@
                 yield f"known  {node_count:5} nodes: median {median_s:5.2f} s, all {max_s:5.2f} s"
         elif part == "explore":
             start_s = time.monotonic()
-            result = explore_copies(2000, first=100_000)
+            result = explore_replicas(2000, first=100_000)
             yield (
                 f"explore {result.schedules} schedules, {result.acknowledged} writes acknowledged, "
                 f"{result.opened} leaders ready for writes, {result.restarts} restarts, "
-                f"{time.monotonic() - start_s:.0f} s: {result.fault or 'no fault found'}"
+                f"{time.monotonic() - start_s:.0f} s: {result.violation or 'no fault found'}"
             )
         else:
             raise SystemExit(
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -67,7 +67,9 @@
         stop(leader)
         fleet.time.after(5 * SECOND_US, fleet.start, leader)
         fleet.run(40.0 + 30.0 * n)
-        gap_s = HistoryChecker(fleet.rows, {}, BEGIN_US, fleet.time.now_us).without_owner_s(task, stopped_us)
+        gap_s = HistoryChecker(fleet.rows, {}, BEGIN_US, fleet.time.now_us).seconds_without_leader(
+            task, stopped_us
+        )
         gaps_s.append(gap_s if gap_s is not None else float("inf"))
     return [gaps_s[0]], [gaps_s[1]]
 
@@ -173,8 +175,8 @@
         yield (
             f"{limits} deliveries, time steps, candidate turns, restarts at most: "
             f"{result.states} states ({extent}), {result.events} events, "
-            f"{result.owners} with a leader, {result.changes} changes of leader; "
-            f"{result.fault or 'no fault found'}; {time.monotonic() - start_s:.0f} s"
+            f"{result.led_states} with a leader, {result.changes} changes of leader; "
+            f"{result.violation or 'no fault found'}; {time.monotonic() - start_s:.0f} s"
         )
 
 
--- a/sailrun/lab/faults/copies.py
+++ b/sailrun/lab/faults/copies.py
@@ -1,18 +1,23 @@
-"""Checks replicas: compares the answers to operators and the content of each node's replica with what can
-have happened. The checker never asks a node whether its state is correct.
+"""Checks replicas: compares the answers to operators and the content of each node's replica with the results
+that some valid order of the recorded operations allows. The checker never asks a node whether its state is
+correct.
 
 Rows, in addition to those of `history.py`:
 
-- `call` id, what (mark or look), subject, on: an operator sent a request to the leader of the marks through
-  that node;
-- `answer` id, state, value: the answer; `done` and `waits` mean that a majority has acknowledged the request;
-- `weak` id, subject, on, saw: a mark that the node wrote without the leader, and the ids that it had seen of
-  the subject;
-- `copy` whole, behind_s, digest, epoch, copies, marks: the state of a node's replica; `marks` has, by
-  subject, the ids, each with whether it is on; `copies` is the number of replicas discarded since the node's
-  start;
-- `fault` with the name `apart` and facts: from then on, operators write different marks on the two sides of a
-  partition; with `spoil` and subject: a byte of that node's replica was changed.
+- `call` id, what, subject, on: an operator sent a request to the leader of the marks through that node;
+  `what` is `mark` (write) or `look` (read), `subject` the form server, `on` whether a write marks it or
+  removes the mark;
+- `answer` id, state, value: the answer; `done` and `waits` mean that a majority has acknowledged the request,
+  `waits` also that the mark is not active until there is capacity; `refused` means that nothing was written;
+  for any other state, or without an answer, the outcome is unknown;
+- `weak` id, subject, on, saw: a local mark, which the node wrote without the leader, and the ids that it had
+  seen of the subject;
+- `copy` whole, behind_s, digest, epoch, copies, marks: the state of a node's replica: whether it is complete,
+  its reported lag (None: unknown), the digest of all records, and its epoch; `marks` has, by subject, the
+  ids, each with whether it is on; `copies` is the number of replicas discarded since the node's start;
+- `fault` with `what` = `apart` and facts (a text that contains the subject in quotes): from then on,
+  operators write different marks on the two sides of a partition; with `what` = `spoil` and subject: a byte
+  of that node's replica was changed.
 """
 
 from __future__ import annotations
@@ -22,17 +27,17 @@
 from typing import Any
 
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.history import Counted, Row, add_fault
+from sailrun.lab.faults.history import Counted, Row, add_violation
 from sailrun.lab.faults.linear import Operation, SearchLimitError, first_fault
 
 SECOND_US = 1_000_000
 NO_MARK = "none"
-# Replicas are equal this long after the last fault and the last request of an operator.
+# Replicas have to be equal from this time after the last fault and the last request of an operator on.
 CONVERGENCE_US = 5 * SECOND_US
 # Replicas that report at most this lag are checked, with a tolerance for the time to write a row.
 MAX_CHECKED_LAG_S, ROW_TOLERANCE_US = 3.0, 100_000
 # Corrupted bytes are detected and repaired within this time: the laboratory's interval for scrubbing all
-# records, and some votes.
+# records, plus the time to fetch a record again or to poll the voters for it.
 REPAIR_US = 8 * SECOND_US
 
 
@@ -52,9 +57,9 @@
             (r["at_us"] for r in self.rows if r["kind"] in change_kinds), default=begin_us
         )
 
-    def checks(self, apart: bool) -> list[Check]:
-        """Returns the checks. `apart`: in this run operators wrote different marks on the two sides of a
-        partition.
+    def checks(self, has_partition_marks: bool) -> list[Check]:
+        """Returns the checks. `has_partition_marks`: in this run operators wrote different marks on the two
+        sides of a partition.
         """
         checks = [
             self._linearizable(),
@@ -63,18 +68,20 @@
             self._only_real_conflicts(),
             self._reported_lag_holds(),
         ]
-        return [*checks, self._out_wins_over_back()] if apart else checks
+        return [*checks, self._out_of_service_wins()] if has_partition_marks else checks
 
     def _check(self, name: str) -> Counted:
         return Counted(name, occasions=0)
 
-    def _add_fault(self, check: Check, at_us: int, message: str) -> None:
-        add_fault(check, at_us - self._begin_us, message)
+    def _add_violation(self, check: Check, at_us: int, message: str) -> None:
+        add_violation(check, at_us - self._begin_us, message)
 
     # ------------------------------------------------------------------ marks acknowledged by a majority
 
     def _operations_by_subject(self) -> dict[str, list[Operation]]:
-        """Returns the writes and reads of the leader, and a final read of each replica, by subject."""
+        """Returns by subject the operators' writes and reads through the leader, and a final read of each
+        replica; only for subjects with such a request.
+        """
         operations_by_subject: dict[str, list[Operation]] = defaultdict(list)
         for id_, call in self.calls.items():
             answer = self.answers.get(id_)
@@ -103,7 +110,7 @@
         return operations_by_subject
 
     def _final_replica_rows(self) -> list[Row]:
-        """Returns the last row of the replica of each node that runs at the end."""
+        """Returns, for each node that runs at the end, the last row of its replica after convergence."""
         last: dict[str, Row] = {}
         for row in self.rows:
             if row["kind"] == "died":
@@ -122,15 +129,21 @@
             try:
                 at = first_fault(operations, NO_MARK)
             except SearchLimitError:
+                # The search was given up, so nothing is known: the check must not hold.
                 check.occasions = 0
                 continue
             if at is not None:
-                self._add_fault(check, int(at.end_us), f"{subject}: {at.label} returned {at.value}")
+                self._add_violation(
+                    check,
+                    int(at.end_us),
+                    f"{subject}: no order of the operations explains {at.label} with the value {at.value}",
+                )
         return check
 
     def _reported_lag_holds(self) -> Check:
-        """A replica contains all marks that were acknowledged before now minus its reported lag. Occasions:
-        subjects with an acknowledged mark, at each replica with a small lag.
+        """A replica shows, for each subject, a value that was possible at the time of the row minus the
+        reported lag, or later. Occasions: subjects with an acknowledged write, at each replica with a small
+        lag.
         """
         check = self._check("no-older-than-it-says")
         writes_by_subject: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
@@ -149,20 +162,23 @@
                     continue
                 check.occasions += 1
                 latest_call = max(w[0] for w in done)
-                # The values that are possible at that time or later: no acknowledged write began after the
-                # end of their own write.
+                # A value is possible at that time or later unless an acknowledged write began after the write
+                # of the value had ended.
                 possible_values = {w[2] for w in writes if w[1] >= latest_call}
                 on = [i for i, is_on in row["marks"].get(subject, {}).items() if is_on]
                 shown = ",".join(sorted(on)) or NO_MARK
                 if shown not in possible_values:
                     message = (
-                        f"{row['node']} has {shown} for {subject} with a reported lag of {behind_s:.1f} s"
+                        f"{row['node']} has the impossible value {shown} for {subject} with a "
+                        f"reported lag of {behind_s:.1f} s"
                     )
-                    self._add_fault(check, row["at_us"], message)
+                    self._add_violation(check, row["at_us"], message)
         return check
 
     def _recently_corrupted(self, node: str, subject: str, at_us: int) -> bool:
-        """Returns whether the node's record was corrupted so recently that it may not be repaired yet."""
+        """Returns whether the node's record of the subject was corrupted so recently that it may not be
+        repaired yet.
+        """
         return any(
             r["node"] == node and r["subject"] == subject and at_us - REPAIR_US <= r["at_us"] <= at_us
             for r in self._corruptions
@@ -173,7 +189,8 @@
     def _replicas_converge(self) -> Check:
         """From some time after the last fault, all replicas of an epoch are equal, and all have the same
         epoch except briefly while deleted marks are purged. A violation is a difference in two consecutive
-        rounds, or several epochs in three consecutive rounds. Occasions: replicas compared.
+        rounds, or several epochs in three consecutive rounds; a round is the rows of one second. Occasions:
+        replicas compared.
         """
         check = self._check("copies-alike-at-rest")
         rounds: dict[int, dict[str, Row]] = defaultdict(dict)
@@ -191,7 +208,7 @@
                 message = ", ".join(
                     f"{n} {r['epoch']}/{r['digest'] if r['whole'] else '-'}" for n, r in sorted(rows.items())
                 )
-                self._add_fault(check, next(iter(rows.values()))["at_us"], message)
+                self._add_violation(check, next(iter(rows.values()))["at_us"], message)
         return check
 
     def _removed_marks_stay_removed(self) -> Check:
@@ -221,9 +238,9 @@
                     continue
                 shown = {i for i, on in row["marks"].get(subject, {}).items() if on}
                 for reappeared in sorted(shown & removed_us[node].keys()):
-                    if self._acknowledged_after(reappeared, removed_us[node][reappeared]):
+                    if self._was_unacknowledged_at(reappeared, removed_us[node][reappeared]):
                         continue
-                    self._add_fault(check, row["at_us"], f"{node}: {subject} {reappeared} reappeared")
+                    self._add_violation(check, row["at_us"], f"{node}: {subject} {reappeared} reappeared")
                 gone = held[node][subject] - shown
                 check.occasions += len(gone)
                 for id_ in gone:
@@ -233,7 +250,7 @@
                 held[node][subject] = shown
         return check
 
-    def _acknowledged_after(self, id_: str, removed_us: int) -> bool:
+    def _was_unacknowledged_at(self, id_: str, removed_us: int) -> bool:
         """Returns whether a leader's mark had not been acknowledged when it disappeared. Such a mark may
         reappear: if no majority received it from its leader, the next leader may have written it again.
         """
@@ -242,18 +259,21 @@
 
     # ------------------------------------------------------------------ marks on two sides of a partition
 
-    def _out_wins_over_back(self) -> Check:
-        """A form server that was marked out on one side of a partition and back in service on the other stays
-        out until operators write another mark. Occasions: such pairs, at each replica.
+    def _out_of_service_wins(self) -> Check:
+        """A form server that was marked out of service on one side of a partition and put back into service
+        on the other stays out of service until operators write another mark. Occasions: such pairs, at each
+        replica.
         """
         check = self._check("safe-side-kept")
         for apart in (r for r in self.rows if r["kind"] == "fault" and r["what"] == "apart"):
             marks_by_id = {i: r for i, r in self.local_marks.items() if f"'{r['subject']}'" in apart["facts"]}
             out = [i for i, r in marks_by_id.items() if r["on"] in (True, "True")]
-            back = [i for i in marks_by_id if i not in out]
+            back_in_service = [i for i in marks_by_id if i not in out]
             # The check applies only if no mark of one side had been seen by the other.
-            had_contact = any(self._had_seen(a, b) or self._had_seen(b, a) for a in out for b in back)
-            if not out or not back or had_contact:
+            has_seen_other_side = any(
+                self._had_seen(a, b) or self._had_seen(b, a) for a in out for b in back_in_service
+            )
+            if not out or not back_in_service or has_seen_other_side:
                 continue
             subject = marks_by_id[out[0]]["subject"]
             if all(
@@ -264,11 +284,18 @@
             for row in self._final_replica_rows():
                 check.occasions += 1
                 if not any(row["marks"].get(subject, {}).get(i) for i in out):
-                    self._add_fault(check, row["at_us"], f"{row['node']}: {subject} is not marked out")
+                    self._add_violation(
+                        check,
+                        row["at_us"],
+                        f"{row['node']}: {subject} is not marked out of service, expected "
+                        "one of the marks of that side",
+                    )
         return check
 
     def _lost_before_spread(self, node: str, subject: str, at_us: int) -> bool:
-        """Returns whether the node died, or its record was corrupted, before its mark had time to spread."""
+        """Returns whether the node died within CONVERGENCE_US after it wrote its mark, or its record was
+        corrupted shortly before or after the write, so that the mark may not have spread.
+        """
         until_us = at_us + CONVERGENCE_US
         died = any(
             r["kind"] == "died" and r["node"] == node and at_us <= r["at_us"] <= until_us for r in self.rows
@@ -277,7 +304,7 @@
 
     def _only_real_conflicts(self) -> Check:
         """If a replica contains two concurrent marks of a subject, the writer of neither had seen the other
-        one. Occasions: subjects with marks, at each replica.
+        one, and leaders did not write both. Occasions: subjects with marks, at each replica.
         """
         check = self._check("only-real-conflicts")
         for row in self.replica_rows:
@@ -291,8 +318,11 @@
                             or self._had_seen(second, first)
                             or self._both_by_leaders(first, second)
                         ):
-                            message = f"{row['node']}: {subject} has {first} concurrent with {second}"
-                            self._add_fault(check, row["at_us"], message)
+                            message = (
+                                f"{row['node']}: {subject} has {first} concurrent, expected "
+                                f"ordered, with {second}"
+                            )
+                            self._add_violation(check, row["at_us"], message)
         return check
 
     def _had_seen(self, first: str, second: str) -> bool:
@@ -309,18 +339,21 @@
         return False
 
     def _both_by_leaders(self, first: str, second: str) -> bool:
-        """Returns whether leaders wrote both marks; such marks are totally ordered, never concurrent."""
+        """Returns whether leaders wrote both marks; such marks are totally ordered, never concurrent. A
+        leader appends `+` to the id of a waiting mark when it activates it.
+        """
         return first.rstrip("+") in self.calls and second.rstrip("+") in self.calls
 
 
 def marks_by_subject(marks: list[dict[str, Any]]) -> dict[str, dict[str, bool]]:
-    """Returns, by subject, the ids of a replica's marks, each with whether it is on, from the records that
-    `fleet state` prints.
+    """Returns, by subject, the ids of a replica's marks, each with whether it is on, from the records of
+    `describe_state`, which `fleet state` prints too.
     """
     result: dict[str, dict[str, bool]] = {}
     for mark in marks:
         if "words" not in mark:
             continue  # a record of another kind
+        # `words` are the versions of a mark.
         versions = {w["id"]: bool(w["on"]) for w in mark["words"]}
         result[f"{mark['kind']}/{mark['subject']}"] = versions
     return result
--- a/sailrun/lab/faults/explore.py
+++ b/sailrun/lab/faults/explore.py
@@ -1,9 +1,10 @@
-"""Explores every order of events for small cases: three voters, two candidates and one task, with the real
-modules.
+"""Model checking of leases: explores every order of events within bounds, for three voters, two candidates
+and one task, with the modules `leases` and `voter` of `sailrun.leadership`.
 
-A message that was not delivered is lost or late. It stays deliverable forever, so the orders of deliveries,
-steps of time and restarts cover loss, delay and reordering. States that were seen before are not explored
-again. The invariants are checked after every event.
+A message that was not delivered is lost or late. It stays deliverable, except that messages to a voter
+are lost when it restarts, and denials are never delivered. The orders of deliveries, steps of time and
+restarts therefore cover loss, delay and reordering. States that were seen before are not explored again. The
+invariants are checked after every event.
 """
 
 from __future__ import annotations
@@ -28,8 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The limits of one path: deliveries, steps of time (each half a lease), turns of candidates (in which
-    they request, renew or give up a lease, or notice that it expired), and restarts of voters.
+    """`states` limits the whole exploration. The other numbers limit one path: deliveries, steps of time
+    (each half a lease), turns of candidates (in which they request, renew or give up a lease, or notice that
+    it expired), and restarts of voters.
     """
 
     deliveries: int = 8
@@ -44,10 +46,10 @@
 class ExplorationResult:
     states: int = 0
     events: int = 0
-    complete: bool = True  # all within the bounds was explored, below the limit of states
-    owners: int = 0  # how often a candidate held the lease after an event
+    complete: bool = True  # False: the exploration ended at the limit `states`
+    led_states: int = 0  # how often a candidate held the lease after an event
     changes: int = 0  # how often the lease passed from one candidate to the other
-    fault: str = ""  # the violated invariant; `path` has the events that led to it
+    violation: str = ""  # the violated invariant; `path` has the events that led to it
     path: tuple[str, ...] = ()
 
 
@@ -72,9 +74,9 @@
     voters: dict[str, Voter] = field(default_factory=dict)
     incarnations: dict[str, int] = field(default_factory=dict)
     in_flight: list[tuple[str, str, Any]] = field(default_factory=list)
-    holder_by_term: dict[int, str] = field(default_factory=dict)  # the holder of each term
+    leader_by_term: dict[int, str] = field(default_factory=dict)  # the leader of each term
     highest_term: int = 0
-    holder: str = ""
+    leader: str = ""
     deliveries: int = 0
     steps: int = 0
     turns: int = 0
@@ -83,11 +85,13 @@
 
 
 def _copy_world(world: World) -> World:
-    """Returns a copy of the mutable parts; messages are immutable. A deep copy takes fifty times as long."""
+    """Returns a copy whose mutable parts are copied; the immutable messages are shared. A deep copy takes
+    fifty times as long.
+    """
     after = copy.copy(world)
-    after.in_flight, after.holder_by_term, after.incarnations = (
+    after.in_flight, after.leader_by_term, after.incarnations = (
         world.in_flight[:],
-        dict(world.holder_by_term),
+        dict(world.leader_by_term),
         dict(world.incarnations),
     )
     after.leases = {}
@@ -117,13 +121,18 @@
 
 
 class Explorer:
-    def __init__(self, bounds: Bounds, off: frozenset[str] = frozenset()) -> None:
-        self._bounds, self._off = bounds, off
+    """Explores all paths within bounds. `disabled_rules` contains the safety rules that are disabled, to test
+    that violations are found.
+    """
+
+    def __init__(self, bounds: Bounds, disabled_rules: frozenset[str] = frozenset()) -> None:
+        self._bounds, self._disabled_rules = bounds, disabled_rules
         self._settings = LeadershipSettings(enabled=True, voters=VOTERS, lease_s=LEASE_S)
-        self._quorum = Voters(self._settings, off)
+        self._quorum = Voters(self._settings, disabled_rules)
 
     def _voter(self, name: str, now_us: int) -> Voter:
-        return Voter(name, self._quorum, self._settings, now_us, lambda: 1_000 + now_us, self._off)
+        # The initial term of a voter without memory is above all terms of a path.
+        return Voter(name, self._quorum, self._settings, now_us, lambda: 1_000 + now_us, self._disabled_rules)
 
     def begin(self) -> World:
         """Returns the first state: voters that may vote, and candidates that have not requested a lease."""
@@ -133,7 +142,7 @@
             voter.remembers = True
             world.voters[name], world.incarnations[name] = voter, 0
         for name in CANDIDATES:
-            leases = Leases(name, self._quorum, self._settings, 1, world.now_us, self._off)
+            leases = Leases(name, self._quorum, self._settings, 1, world.now_us, self._disabled_rules)
             leases._random = _ConstantRandom()  # type: ignore[assignment]
             leases._last_request_number = 0
             world.leases[name] = leases
@@ -152,9 +161,9 @@
                 self._apply(after, event)
                 result.events += 1
                 after.path = (*world.path, str(event))
-                fault = self._find_violation(after, result)
-                if fault:
-                    result.fault, result.path = fault, after.path
+                violation = self._find_violation(after, result)
+                if violation:
+                    result.violation, result.path = violation, after.path
                     return result
                 key = self._state_hash(after)
                 if key not in seen:
@@ -225,25 +234,30 @@
 
     def _find_violation(self, world: World, result: ExplorationResult) -> str:
         """Checks the invariants of a state. Returns the violation, or an empty string."""
-        held_terms = {n: lease.held_term(TASK, world.now_us) for n, lease in world.leases.items()}
-        terms_by_holder = {n: term for n, term in held_terms.items() if term}
-        if len(terms_by_holder) > 1:
-            return f"two owners at {world.now_us} us: {terms_by_holder}"
-        for name, term in terms_by_holder.items():
-            result.owners += 1
-            if world.holder_by_term.setdefault(term, name) != name:
-                return f"term {term} was granted to {world.holder_by_term[term]} and to {name}"
+        terms = {n: leases.held_term(TASK, world.now_us) for n, leases in world.leases.items()}
+        terms_by_leader = {n: term for n, term in terms.items() if term}
+        if len(terms_by_leader) > 1:
+            return f"two owners at {world.now_us} us, expected one (term by candidate): {terms_by_leader}"
+        for name, term in terms_by_leader.items():
+            result.led_states += 1
+            if world.leader_by_term.setdefault(term, name) != name:
+                return f"term {term} was granted to {world.leader_by_term[term]} and to {name}"
             if term < world.highest_term:
-                return f"term {term} after {world.highest_term}"
-            if world.holder and name != world.holder:
+                return f"a candidate leads in term {term} after a candidate led in term {world.highest_term}"
+            if world.leader and name != world.leader:
                 result.changes += 1
-            world.highest_term, world.holder = term, name
+            world.highest_term, world.leader = term, name
         return ""
 
     def _state_hash(self, world: World) -> int:
         """Returns a hash of everything that later states depend on: times relative to now, but not the path.
-        Voters are distinguished by their state and by the messages in flight to and from them, and by name
-        only if messages between voters are in flight.
+        `leader_by_term` is left out because a state with a leader in a lower term than the highest one is a
+        violation anyway, and the leader of the highest term is included. Of the modules, fields are left
+        out that no event here reads, such as those of gossip and of denials and `last_contact_us`;
+        `_next_query_us` of voters, because a step of time is longer than the interval of queries; and
+        `better_candidate_since_us` and a voter's waiting time after it abstained, because the paths of the
+        tests and benchmarks end before they have an effect. Voters are distinguished by their state and by
+        the messages in flight to and from them, and by name only if messages between voters are in flight.
         """
         now_us = world.now_us
         state: list[Any] = [
@@ -252,7 +266,7 @@
             world.turns,
             world.restarts,
             world.highest_term,
-            world.holder,
+            world.leader,
         ]
         for leases in world.leases.values():
             for lease in leases.by_task.values():
--- a/sailrun/lab/faults/explore_copies.py
+++ b/sailrun/lab/faults/explore_copies.py
@@ -1,6 +1,6 @@
 """Random schedules of leaders, voters and one record: late, duplicated and lost messages, voters that restart
-without memory, and changes of leader. The schedules run the real modules, are determined by a seed, and
-advance time only in explicit steps.
+without memory, and changes of leader. The schedules run the modules of `sailrun.replication` without a
+network, are determined by a seed, and advance time only in explicit steps.
 
 Replicas exchange only the messages that leaders and returning voters request: safety must not depend on
 gossip or anti-entropy.
@@ -27,7 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The length of one schedule and the maximum number of events of each kind in it."""
+    """The members of one schedule, its number of steps, and the maximum number of restarts and of changes of
+    leader.
+    """
 
     voters: int = 3
     candidates: int = 2  # nodes that may become leader and do not vote
@@ -37,13 +39,15 @@
 
 
 @dataclass(slots=True)
-class ScheduleResult:
+class ExplorationResult:
+    """The result of one schedule, or the sums of several."""
+
     schedules: int = 0
     acknowledged: int = 0
     changes: int = 0
     restarts: int = 0
-    opened: int = 0
-    fault: str = ""
+    opened: int = 0  # terms whose leader began to serve requests (`Coordinator.is_open`)
+    violation: str = ""
     seed: int = -1
     events: list[str] = field(default_factory=list)
 
@@ -59,16 +63,17 @@
         self.messages: list[tuple[str, str, object, int]] = []  # sender, receiver, body, sender's incarnation
         self.term = 0
         self.leader = ""
-        self.acked: list[str] = []  # ids in order of acknowledgement
+        # Ids that were acknowledged, or returned by a leader, in this order.
+        self.acked: list[str] = []
         self.creation_order: dict[str, int] = {}  # ids, each with its position in order of creation
-        self.result = ScheduleResult(schedules=1, seed=seed)
+        self.result = ExplorationResult(schedules=1, seed=seed)
         self._reported_ids: set[str] = set()
         self._isolated: set[str] = set()  # nodes that neither receive nor send messages now
         self._opened_terms: set[int] = set()
         for name in self.incarnations:
             self._start(name)
             acceptor = self.nodes[name].acceptor
-            if acceptor is not None:  # all voters have recovered long ago
+            if acceptor is not None:  # all voters recovered long ago
                 acceptor.state.incarnation, acceptor.state.is_recovered = 1, True
 
     def _start(self, name: str) -> None:
@@ -102,7 +107,7 @@
 
     # ------------------------------------------------------------------ steps
 
-    def run(self) -> ScheduleResult:
+    def run(self) -> ExplorationResult:
         restarts, changes = self.bounds.restarts, self.bounds.changes
         for _ in range(self.bounds.steps):
             draw = self.rng.random()
@@ -126,7 +131,7 @@
                 self._send_operator_request()
             elif self.messages:
                 self._deliver()
-            if self.result.fault:
+            if self.result.violation:
                 break
         self.result.acknowledged = len(self.acked)
         return self.result
@@ -135,8 +140,8 @@
         self.result.events.append(message)
 
     def _restart(self, name: str) -> None:
-        """Restarts a voter, unless another voter has not recovered yet: a majority must remember at all
-        times.
+        """Restarts a voter, unless another voter has not recovered yet: a majority of the three must remember
+        at all times. Without the rule `lives` the voter is always restarted.
         """
         if "lives" not in self.off and any(
             (acceptor := self.nodes[v].acceptor) is not None and not acceptor.state.is_recovered
@@ -149,7 +154,7 @@
         self._start(name)
 
     def _change_leader(self) -> None:
-        """Elects a candidate as leader with a higher term; the previous leader does not learn of it."""
+        """Makes a random candidate the leader in the next term; a previous leader is not told."""
         self.term += 1
         self.leader = self.rng.choice(self.candidates)
         self.result.changes += 1
@@ -163,6 +168,7 @@
         node.leader_requests.clear()
         coordinator = node.coordinator
         if coordinator is not None:
+            # Polls the state of each mark at this leader.
             for id_ in list(self.creation_order):
                 answer = coordinator.answer_request(self.now_us, MarkRequest("poll", id_))
                 if answer is not None and answer.state == "done" and id_ not in self._reported_ids:
@@ -182,8 +188,8 @@
         )
 
     def _check_fencing(self, term: int, id_: str) -> None:
-        """Checks that an open leader of a higher term knows each mark that was acknowledged in the given
-        term.
+        """Checks that each open leader of a higher term knows the mark `id_`, which was acknowledged in
+        `term`, or one that was created later.
         """
         for name, node in self.nodes.items():
             coordinator = node.coordinator
@@ -193,21 +199,24 @@
                 max((self.creation_order.get(i, -1) for i in self._held_ids(node)), default=-1)
                 < self.creation_order[id_]
             ):
-                self.result.fault = (
-                    f"{id_} was acknowledged in term {term}, {name} in term {coordinator.term} lacks it"
+                self.result.violation = (
+                    f"{id_} was acknowledged in term {term}, but the open leader {name} of "
+                    f"term {coordinator.term} lacks it"
                 )
 
     def _check_opened_leader(self, name: str, node: Replica) -> None:
         """Checks that a new leader knows every mark that was acknowledged, or returned by a leader, before
-        the new leader opened: its record contains the mark, or one that was created later.
+        the new leader began to serve requests: its record contains the mark, or one that was created later.
         """
         held = self._held_ids(node)
         coordinator = node.coordinator
         assert coordinator is not None
         latest = max((self.creation_order[i] for i in self.acked), default=-1)
         if self.acked and max((self.creation_order.get(i, -1) for i in held), default=-1) < latest:
-            message = f"{name} opened in term {coordinator.term} with {held or 'nothing'}"
-            self.result.fault = f"{message}, but {self.acked[-1]} was acknowledged before"
+            message = f"{name} began to serve requests in term {coordinator.term} with {held or 'nothing'}"
+            self.result.violation = (
+                f"{message}, but a later mark was known before (the last known one is {self.acked[-1]})"
+            )
 
     def _send_operator_request(self) -> None:
         name = self.rng.choice(self.candidates)  # may be a former leader
@@ -216,7 +225,8 @@
         if coordinator is None or not coordinator.is_open:
             return
         if self.rng.random() < 0.4:
-            is_latest = coordinator.term == self.term  # the lease prevents answers of former leaders
+            # In a fleet the lease prevents answers of former leaders, so they are ignored here.
+            is_latest = coordinator.term == self.term
             answer = coordinator.answer_request(
                 self.now_us, MarkRequest("look", "", coordinator.term, "out", SUBJECT)
             )
@@ -244,7 +254,10 @@
         self.messages.append((sender, to, body, self.incarnations[sender]))
 
     def _deliver(self) -> None:
-        """Delivers one message, mostly the oldest one; some messages are lost or delivered again."""
+        """Delivers one message, mostly the oldest one; 8 % of the messages are kept, to be delivered
+        again, and 8 % of the deliveries fail, as do half of those from an earlier incarnation of the sender.
+        At most 150 messages are in flight: if there are more, random ones are lost.
+        """
         deliverable = [
             n for n, m in enumerate(self.messages) if m[0] == m[1] or not self._isolated & {m[0], m[1]}
         ]
@@ -264,13 +277,13 @@
             del self.messages[self.rng.randrange(len(self.messages))]
 
 
-def explore_copies(
+def explore_replicas(
     schedules: int, bounds: Bounds | None = None, off: frozenset[str] = frozenset(), first: int = 0
-) -> ScheduleResult:
+) -> ExplorationResult:
     """Runs `schedules` schedules, with seeds from `first` on. Stops at the first violation, and returns its
     seed and the events before it.
     """
-    bounds, total = bounds or Bounds(), ScheduleResult()
+    bounds, total = bounds or Bounds(), ExplorationResult()
     for seed in range(first, first + schedules):
         result = _Schedule(seed, bounds, off).run()
         total.schedules += 1
@@ -278,7 +291,7 @@
         total.changes += result.changes
         total.restarts += result.restarts
         total.opened += result.opened
-        if result.fault:
-            total.fault, total.seed, total.events = result.fault, seed, result.events
+        if result.violation:
+            total.violation, total.seed, total.events = result.violation, seed, result.events
             break
     return total
--- a/sailrun/lab/faults/folders.py
+++ b/sailrun/lab/faults/folders.py
@@ -15,7 +15,7 @@
 from __future__ import annotations
 
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.history import Counted, Row, add_fault
+from sailrun.lab.faults.history import Counted, Row, add_violation
 from sailrun.lab.faults.nemesis import CALM_BEGIN_S
 
 # A voter that was killed at the start of the fleet may begin this much later.
@@ -41,7 +41,7 @@
         return checks
 
     def _fault(self, check: Check, row: Row, fault_text: str) -> None:
-        add_fault(check, row["at_us"] - self._begin_us, f"{row['node']}: {fault_text}")
+        add_violation(check, row["at_us"] - self._begin_us, f"{row['node']}: {fault_text}")
 
     def _no_empty_start(self) -> Check:
         """No voter begins with an empty state, except once at the start of the fleet, and when so many voters
--- a/sailrun/lab/faults/history.py
+++ b/sailrun/lab/faults/history.py
@@ -1,14 +1,18 @@
-"""The recorded history of all processes, and its checker. The checker never queries the present state of a
-node: each process wrote its rows as events happened, with timestamps of a clock that all processes share.
+"""The recorded history of all processes, and the checker of leases, responses and permits. The checker never
+queries the present state of a node: each process wrote its rows as events happened, with timestamps of a
+clock that all processes share.
 
 Rows have `at_us` (the shared time), `node` and `kind`; the other fields depend on the kind:
 
-- `act` task, term, number: an order was created; `at_us` is the clock reading that was used for it;
+- `act` task, term, number: a leader created a response; `at_us` is the time at which it checked its lease;
 - `hold` task, term, until_us (shared time): the node considers itself the leader of the task until then;
 - `lost` task, term: the node no longer considers itself the leader;
-- `take`, `refuse` task, term, number: the receiver accepted or rejected an order;
-- `use` subject, until_us, `unuse` subject: a permit is in use until then, or no longer in use;
-- `died`: the process was killed, which ends its leases and permits; `fault`: an action of the nemesis.
+- `take` task, term, number, of (the leader), `refuse` task, term, number, late: the receiver accepted or
+  rejected a response;
+- `use` subject, until_us, `unuse` subject (`KIND/NAME` of the permit): a permit is in use until then, or no
+  longer in use;
+- `died`: the process was killed, which ends its leases and permits; `started`: a process started;
+- `fault` what, facts: the nemesis (the fault injection, `nemesis.py`) did something, or ended it.
 """
 
 from __future__ import annotations
@@ -20,8 +24,9 @@
 from sailrun.lab.checks import Check
 
 Row = dict[str, Any]
-MAX_MESSAGES = 20
-# Permits whose use began this shortly before the end of the run may last beyond it.
+MAX_DESCRIBED_VIOLATIONS = 20
+# Permits whose use began this shortly before the end of the run may last beyond it. In the plans a use lasts
+# up to 6 s, and so does the lease of a permit.
 PERMIT_END_GRACE_US = 16_000_000
 
 
@@ -32,11 +37,11 @@
     occasions: int = 0
 
 
-def add_fault(check: Check, after_us: int, message: str) -> None:
-    """Counts a violation, and adds a message for each of the first `MAX_MESSAGES`."""
+def add_violation(check: Check, since_begin_us: int, message: str) -> None:
+    """Counts a violation, and adds a message for each of the first `MAX_DESCRIBED_VIOLATIONS`."""
     check.value += 1
-    if len(check.faults) < MAX_MESSAGES:
-        check.faults.append(f"{after_us / 1e6:.3f} s: {message}")
+    if len(check.faults) < MAX_DESCRIBED_VIOLATIONS:
+        check.faults.append(f"{since_begin_us / 1e6:.3f} s: {message}")
 
 
 @dataclass(slots=True)
@@ -97,7 +102,7 @@
     def checks(self) -> list[Check]:
         return [
             self._one_leader(),
-            self._orders_within_lease(),
+            self._responses_within_lease(),
             self._no_lower_term(),
             self._no_term_granted_twice(),
             self._terms_grow(),
@@ -111,7 +116,9 @@
         return Counted(name, occasions=0)
 
     def _one_leader(self) -> Check:
-        """At no time does a task have two leaders. Occasions: changes of leader."""
+        """At no time does a task have two leaders. Occasions: spans after the first one of each
+        task.
+        """
         check = self._check("one-owner-at-a-time")
         for task, spans in self.holds.items():
             spans = sorted(spans, key=lambda s: s.begin_us)
@@ -120,15 +127,17 @@
                 if latest is not None:
                     check.occasions += 1
                     if span.begin_us < latest.end_us and span.node != latest.node:
-                        self._add_fault(
-                            check, span.begin_us, f"{task}: {span.node} and {latest.node} both lead it"
+                        self._add_violation(
+                            check,
+                            span.begin_us,
+                            f"{task}: {span.node} and {latest.node} lead it at the same time",
                         )
                 if latest is None or span.end_us > latest.end_us:
                     latest = span
         return check
 
-    def _orders_within_lease(self) -> Check:
-        """Orders are created only while their sender holds the lease of their term. Occasions: orders
+    def _responses_within_lease(self) -> Check:
+        """Responses are created only while their sender holds the lease of their term. Occasions: responses
         created.
         """
         check = self._check("orders-only-while-owner")
@@ -141,14 +150,17 @@
                 s.node == row["node"] and s.term == row["term"] and s.begin_us <= row["at_us"] <= s.end_us
                 for s in spans
             ):
-                self._add_fault(
-                    check, row["at_us"], f"{row['task']}: {row['node']} acts under term {row['term']}"
+                self._add_violation(
+                    check,
+                    row["at_us"],
+                    f"{row['task']}: {row['node']} created a response without holding the "
+                    f"lease of term {row['term']}",
                 )
         return check
 
     def _no_lower_term(self) -> Check:
-        """After an order of a term was accepted by any node, no order of a lower term is accepted. Occasions:
-        orders accepted with another term than the highest one before.
+        """After a response of a term was accepted by any node, no response of a lower term is accepted.
+        Occasions: responses accepted with another term than the highest one before.
         """
         check = self._check("no-lower-term-after-a-higher")
         highest: dict[str, int] = {}
@@ -160,8 +172,11 @@
             if before is not None and term != before:
                 check.occasions += 1
                 if term < before:
-                    self._add_fault(
-                        check, row["at_us"], f"{task}: {row['node']} accepted term {term} after {before}"
+                    self._add_violation(
+                        check,
+                        row["at_us"],
+                        f"{task}: {row['node']} accepted a response of term {term} after "
+                        f"one of term {before}",
                     )
             highest[task] = max(before or 0, term)
         return check
@@ -175,7 +190,9 @@
                 holder = (span.node, self._incarnation_at(span.node, span.begin_us))
                 check.occasions += 1
                 if holders.setdefault((task, span.term), holder) != holder:
-                    self._add_fault(check, span.begin_us, f"{task}: term {span.term} was granted twice")
+                    self._add_violation(
+                        check, span.begin_us, f"{task}: term {span.term} was granted to two incarnations"
+                    )
         return check
 
     def _terms_grow(self) -> Check:
@@ -187,7 +204,11 @@
                 if highest and span.term != highest:
                     check.occasions += 1
                     if span.term < highest:
-                        self._add_fault(check, span.begin_us, f"{task}: term {span.term} after {highest}")
+                        self._add_violation(
+                            check,
+                            span.begin_us,
+                            f"{task}: a node leads in term {span.term} after a node led in term {highest}",
+                        )
                 highest = max(highest, span.term)
         return check
 
@@ -209,7 +230,12 @@
             if is_begin:
                 used[kind].add(subject)
                 if len(used[kind]) > self._limits.get(kind, 0):
-                    self._add_fault(check, at_us, f"{kind}: {', '.join(sorted(used[kind]))} simultaneously")
+                    self._add_violation(
+                        check,
+                        at_us,
+                        f"{kind}: {', '.join(sorted(used[kind]))} are in use "
+                        "simultaneously, more than the limit",
+                    )
             else:
                 used[kind].discard(subject)
         return check
@@ -225,17 +251,17 @@
                     continue
                 check.occasions += 1
                 if span.end_us > self._end_us:
-                    self._add_fault(
+                    self._add_violation(
                         check, span.begin_us, f"{subject}: {span.node} still uses the permit at the end"
                     )
         return check
 
-    def _add_fault(self, check: Check, at_us: int, message: str) -> None:
-        add_fault(check, at_us - self._begin_us, message)
+    def _add_violation(self, check: Check, at_us: int, message: str) -> None:
+        add_violation(check, at_us - self._begin_us, message)
 
     # ------------------------------------------------------------------ figures
 
-    def without_owner_s(self, task: str, at_us: int) -> float | None:
+    def seconds_without_leader(self, task: str, at_us: int) -> float | None:
         """Returns for how many seconds the task had no leader after `at_us`, the time at which its leader
         ended, or None if no leader followed.
         """
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -214,7 +214,7 @@
         for span in spans:
             times = after_kill if (span.node, span.end_us) in died else None
             times = after_leave if (span.node, span.end_us) in leaving else times
-            gap = judge.without_owner_s(task, span.end_us)
+            gap = judge.seconds_without_leader(task, span.end_us)
             if times is not None and gap is not None:
                 times.append(gap)
     return after_kill, after_leave
--- a/sailrun/lab/faults/shard_days.py
+++ b/sailrun/lab/faults/shard_days.py
@@ -30,23 +30,26 @@
     seconds = run.seconds or plan.seconds
     fleet = ShardFleet(run.nodes, run.seed, run.off)
     fleet.begin()
-    Nemesis(fleet, plan, run.seed, seconds, LEASE_S)
+    Nemesis(fleet, plan, run.seed, seconds, LEASE_S)  # schedules the faults of the plan
     for tenths in range(1, 11):
         fleet.run(seconds * tenths / 10)
         report_progress(tenths / 10)
-    played = evaluate_shards(fleet.rows, plan, BEGIN_US, fleet.time.now_us, seconds)
+    result = check_shard_history(fleet.rows, plan, BEGIN_US, fleet.time.now_us, seconds)
+    # Only a sample of the messages is encoded; its size is extrapolated to all messages.
     sampled_messages = max(1, fleet.encoded_count)
     sent = sum(fleet.by_body.values())
-    played.figures["bytes_a_node_and_s"] = fleet.bytes / sampled_messages * sent / run.nodes / seconds
-    played.figures["messages_a_node_and_s"] = sent / run.nodes / seconds
-    played.figures["events"] = float(fleet.time.done)
-    return played
+    result.figures["bytes_a_node_and_s"] = fleet.bytes / sampled_messages * sent / run.nodes / seconds
+    result.figures["messages_a_node_and_s"] = sent / run.nodes / seconds
+    result.figures["events"] = float(fleet.time.done)
+    return result
 
 
 def play_shards_real(
     run: FaultDay, report_progress: Callable[[float], None] = lambda progress: None
 ) -> Played:
-    """Runs the plan on real processes in real time. Raises ValueError for too few nodes or disabled rules."""
+    """Runs the plan on real processes in real time. Raises ValueError for too few nodes, or if safety rules
+    are disabled (`run.off`).
+    """
     import anyio
 
     from sailrun.lab.faults.rig import Rig
@@ -54,20 +57,25 @@
 
     _validate(run)
     if run.off:
-        raise ValueError("safety rules can be disabled in virtual time only")
+        raise ValueError(
+            "safety rules (`off`) can be disabled in virtual time only, expected none for real processes"
+        )
     plan = SHARD_PLANS[run.plan]
     seconds = run.seconds or plan.seconds
+    # One zone; the zones are set from `place_of` below.
     rig = Rig(run.nodes, FLEET_VOTERS, 1, shard_agent_settings, run.seed)
     for node in rig.nodes.values():
         node.zone = place_of(node.index).zone
     anyio.run(rig.play, seconds, lambda fleet: Nemesis(fleet, plan, run.seed, seconds, LEASE_S))
     report_progress(1.0)
-    played = evaluate_shards(rig.rows, plan, rig.begin_us, rig.end_us, seconds)
-    played.figures["messages_a_node_and_s"] = rig.relays.delivered / run.nodes / seconds
-    return played
+    result = check_shard_history(rig.rows, plan, rig.begin_us, rig.end_us, seconds)
+    result.figures["messages_a_node_and_s"] = rig.relays.delivered / run.nodes / seconds
+    return result
 
 
-def evaluate_shards(rows: list[Row], plan: ShardPlan, begin_us: int, end_us: int, seconds: float) -> Played:
-    """Returns the checks and figures of a history."""
+def check_shard_history(
+    rows: list[Row], plan: ShardPlan, begin_us: int, end_us: int, seconds: float
+) -> Played:
+    """Checks a history against the expectations of the plan; returns the checks and the run's figures."""
     checker = ShardChecker(rows, begin_us, end_us, plan.expected)
     return Played(rows, checker.checks(), checker.figures(), seconds)
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -1,4 +1,6 @@
-"""The members of two regions in virtual time. Shard owners periodically send acts for their shards."""
+"""The members of two regions in virtual time. Shard owners periodically send acts for their shards:
+messages to other members, each with the shard's fencing token.
+"""
 
 from __future__ import annotations
 
@@ -17,19 +19,20 @@
 
 
 class ShardFleet(VirtualFleet):
-    # The range extends beyond a shard's lease, so that some late messages are sent after the lease expired.
+    # How long, in seconds, a node is paused between checking its lease and sending. The range extends beyond
+    # a shard's lease, so that some of these messages are sent after the lease has expired.
     send_pause_s = (4.0, 14.0)
 
     def __init__(self, nodes: int, seed: int, off: frozenset[str] = frozenset()) -> None:
         super().__init__(nodes, FLEET_VOTERS, ZONES_PER_REGION, shard_agent_settings, seed, off)
         for node in self.nodes.values():
             node.zone = place_of(node.index).zone
-        self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node; with its incarnation
+        self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node: its incarnation and exerciser
 
     def begin(self) -> None:
         super().begin()
         for index, name in enumerate(self.names):
-            self.time.after(ACT_INTERVAL_US * index // len(self.names), self._act_for_shards, name)
+            self.time.after(ACT_INTERVAL_US * index // len(self.names), self._send_acts, name)
 
     def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         place = place_of(node.index)
@@ -39,8 +42,8 @@
 
     # ------------------------------------------------------------------ acts
 
-    def _act_for_shards(self, name: str) -> None:
-        self.time.after(ACT_INTERVAL_US, self._act_for_shards, name)
+    def _send_acts(self, name: str) -> None:
+        self.time.after(ACT_INTERVAL_US, self._send_acts, name)
         node = self.nodes[name]
         agent = node.agent
         if agent is None or node.stopped:
@@ -49,11 +52,12 @@
         self._send(node, agent.send_shard_messages(now_us, self._exerciser(node).tick(now_us)))
 
     def _exerciser(self, node: VirtualNode) -> ActExerciser:
-        life, exerciser = self._exercisers.get(node.name, (0, None))
-        if exerciser is None or life != node.life:
+        incarnation, exerciser = self._exercisers.get(node.name, (0, None))
+        if exerciser is None or incarnation != node.life:
             agent = node.agent
             assert agent is not None and agent.shards is not None
             seed = self._random.getrandbits(32)
+            # The interval is 0: `_send_acts` is called once per ACT_INTERVAL_US.
             exerciser = ActExerciser(agent.shards, agent.members, node.name, seed, 0)
             self._exercisers[node.name] = node.life, exerciser
         return exerciser
--- a/sailrun/lab/faults/shard_history.py
+++ b/sailrun/lab/faults/shard_history.py
@@ -1,15 +1,17 @@
-"""Derives from the rows that nodes record which session used which shard at what time, on the shared clock.
+"""Derives from the rows that nodes record which session used which shard at what time, on the shared clock. A
+session is the membership of a node in the shard table of its region; it has a number and a lease.
 
 The rows are those described in `history.py`. The following kinds are about shards:
 
 - `shards` region, generation, session, until_us, shards: the node uses these shards (`0,3,7`, or `-` for
   none) from now until `until_us`; the row replaces the node's previous one;
-- `shards-lost` region, session, why: the node uses no more shards under that session;
+- `shards-lost` region, session, why (the reason): the node uses no more shards under that session;
 - `shards-generation` region, generation, session, sessions: the node applies that generation, which contains
   these sessions (`NAME:NUMBER,...`);
-- `shard-act` shard, generation, session, to: an act was created; `at_us` is the clock reading that was used
-  for it;
-- `shard-take`, `shard-refuse` shard, generation, session, of: the receiver accepted or rejected an act.
+- `shard-act` shard, generation, session, to (the recipient): an act was created; `at_us` is the time at which
+  the sender checked that it may use the shard;
+- `shard-take`, `shard-refuse` shard, generation, session, of (the sender): the receiver accepted or rejected
+  an act.
 """
 
 from __future__ import annotations
@@ -38,7 +40,7 @@
 
 @dataclass(slots=True, eq=False)
 class SessionSpan:
-    """The span of time in which a node used a session, according to the node's own rows."""
+    """The span of time in which a node's own rows show it using shards, possibly none, under a session."""
 
     node: str
     begin_us: int
@@ -69,7 +71,9 @@
 
 
 def shards_of(row: Row) -> frozenset[int]:
-    """Returns the shards that a `shards` row lists; the log reader may parse a single one as a number."""
+    """Returns the shards that a `shards` row lists; the driver for real processes (`rig.py`)
+    parses the field of a single shard as an int.
+    """
     text = str(row["shards"])
     return frozenset() if text == "-" else frozenset(map(int, text.split(",")))
 
@@ -83,11 +87,14 @@
 
 
 def shard_of(row: Row) -> ShardKey:
-    """Returns the shard that an act, or its outcome, is about. Acts stay within the region of their node."""
+    """Returns the shard that an act, or its outcome, is about. Sender and receiver of an act are in the
+    same region, so the region of the row's node is that of the shard.
+    """
     return region_of(row["node"]), int(row["shard"])
 
 
 def token_of(row: Row) -> tuple[int, int]:
+    """Returns the fencing token of an act, or of its outcome: generation, then session number."""
     return int(row["generation"]), int(row["session"])
 
 
@@ -138,7 +145,7 @@
         session_span.end_us = until_us
 
     def _end_session(self, node: str, at_us: int) -> None:
-        """Ends all spans of the session that the node used."""
+        """Ends the spans of the node's current session."""
         current = self._current_uses.pop(node, None)
         if current is None:
             return
--- a/sailrun/lab/faults/shard_judge.py
+++ b/sailrun/lab/faults/shard_judge.py
@@ -1,5 +1,5 @@
-"""The checks of the fault runs of sharding. Each check counts its violations and its occasions, and does not
-hold without an occasion.
+"""The checks of the fault runs with shards. Each check counts violations, and occasions: the cases in which a
+violation would have been found. A check without occasions tested nothing, so it does not hold.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from sailrun.decisions.placement import MASK, key_hash
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.history import Counted, HistoryChecker, Row, add_fault
+from sailrun.lab.faults.history import Counted, HistoryChecker, Row, add_violation
 from sailrun.lab.faults.shard_history import (
     Generation,
     OwnershipSpan,
@@ -31,10 +31,16 @@
 class Expected:
     """The results expected of one plan, in addition to the checks of every run."""
 
-    moves: bool = True  # shards move; otherwise no new generation is allowed after the first fault
+    # True: shards change owners, and the checks of such moves apply. False: no new generation is allowed
+    # after the first fault.
+    moves: bool = True
+    # True: the checks of the assigners' leases apply. They need a change of assigner, so there has to be one.
     assigner_changes: bool = True
-    refusals: bool = False  # late acts are rejected in each run of the plan; without it they may be rejected
-    owned_within_s: float = 14.0  # after the last fault, until every shard has an owner
+    # True: in every run of the plan acts are rejected, because they arrive after an act with a higher token.
+    # False: a run may have no rejected act.
+    rejections_required: bool = False
+    # From this time after the last fault on, every shard has an owner.
+    owned_within_s: float = 14.0
 
 
 class ShardChecker:
@@ -63,15 +69,15 @@
             ]
         else:
             result.append(self.nothing_moved())
-        refused = self.only_the_past_is_refused()
-        if expected.refusals or refused.occasions:
-            result.append(refused)
+        rejected = self.only_lower_tokens_rejected()
+        if expected.rejections_required or rejected.occasions:
+            result.append(rejected)
         if expected.assigner_changes:
             result += [check for check in self._lease_checker.checks() if check.name in LEASE_CHECKS]
         return result
 
-    def _add_fault(self, check: Check, at_us: int, message: str) -> None:
-        add_fault(check, at_us - self._begin_us, message)
+    def _add_violation(self, check: Check, at_us: int, message: str) -> None:
+        add_violation(check, at_us - self._begin_us, message)
 
     # ------------------------------------------------------------------ use of shards
 
@@ -84,8 +90,11 @@
                 if latest is not None and span.session != latest.session:
                     check.occasions += 1
                     if span.begin_us < latest.end_us:
-                        message = f"{_format_shard(key)}: {span.node} and {latest.node} both use it"
-                        self._add_fault(check, span.begin_us, message)
+                        message = (
+                            f"{_format_shard(key)}: {span.node} and {latest.node} use it at "
+                            "the same time under two sessions"
+                        )
+                        self._add_violation(check, span.begin_us, message)
                 if latest is None or span.end_us > latest.end_us:
                     latest = span
         return check
@@ -98,8 +107,11 @@
             key, at_us, session = shard_of(row), row["at_us"], int(row["session"])
             spans = self.history.owned.get(key, ())
             if not any(s.session == session and s.begin_us <= at_us <= s.end_us for s in spans):
-                self._add_fault(
-                    check, at_us, f"{_format_shard(key)}: {row['node']} acts under session {session}"
+                self._add_violation(
+                    check,
+                    at_us,
+                    f"{_format_shard(key)}: {row['node']} created an act without using "
+                    f"the shard, under session {session}",
                 )
         return check
 
@@ -115,9 +127,10 @@
                 owner = placed_session(row["region"], shard, generation.text) if generation is not None else 0
                 if owner != int(row["session"]):
                     message = (
-                        f"{row['region']}/{shard}: {row['node']} uses the shard placed on session {owner}"
+                        f"{row['region']}/{shard}: {row['node']} uses the shard, but it is "
+                        f"placed on session (0: unknown) {owner}"
                     )
-                    self._add_fault(check, row["at_us"], message)
+                    self._add_violation(check, row["at_us"], message)
         return check
 
     def owned_after_the_faults(self) -> Counted:
@@ -133,7 +146,11 @@
                 check.occasions += 1
                 gap_us = _first_gap_us(self.history.owned.get((region, shard), []), from_us, self._end_us)
                 if gap_us is not None:
-                    self._add_fault(check, gap_us, f"{region}/{shard}: no session uses it")
+                    self._add_violation(
+                        check,
+                        gap_us,
+                        f"{region}/{shard}: no session uses it, expected one without a gap until the end",
+                    )
         return check
 
     def last_fault_us(self) -> int:
@@ -158,8 +175,11 @@
                     continue
                 check.occasions += 1
                 if not self._has_cause(key, before, after):
-                    message = f"{_format_shard(key)}: from {before.node} to {after.node} without a cause"
-                    self._add_fault(check, after.begin_us, message)
+                    message = (
+                        f"{_format_shard(key)}: moved from {before.node}, whose session has not ended, "
+                        f"to {after.node} without a new session with a higher score"
+                    )
+                    self._add_violation(check, after.begin_us, message)
         return check
 
     def _has_cause(self, key: ShardKey, before: OwnershipSpan, after: OwnershipSpan) -> bool:
@@ -189,7 +209,7 @@
                     check.occasions += 1
                     if used.end_us > generation.first_applied_us:
                         message = f"{region}: session {number} of {used.node} is removed while in use"
-                        self._add_fault(check, generation.first_applied_us, message)
+                        self._add_violation(check, generation.first_applied_us, message)
                 in_force = sessions
         return check
 
@@ -204,8 +224,10 @@
         first_us = min((r["at_us"] for r in beginnings), default=self._end_us)
         for (region, number), generation in self.history.generations.items():
             if generation.first_applied_us > first_us:
-                self._add_fault(
-                    check, generation.first_applied_us, f"{region}: generation {number} after the first fault"
+                self._add_violation(
+                    check,
+                    generation.first_applied_us,
+                    f"{region}: generation {number} is new after the first fault",
                 )
         return check
 
@@ -222,8 +244,11 @@
             if key in seen:
                 check.occasions += 1
                 if str(row["sessions"]) != self.history.generations[key].text:
-                    message = f"{key[0]}: generation {key[1]} has other sessions at {row['node']}"
-                    self._add_fault(check, row["at_us"], message)
+                    message = (
+                        f"{key[0]}: generation {key[1]} has other sessions than at the first "
+                        f"node at {row['node']}"
+                    )
+                    self._add_violation(check, row["at_us"], message)
             seen.add(key)
         return check
 
@@ -238,8 +263,11 @@
             if key in latest:
                 check.occasions += 1
                 if generation <= latest[key]:
-                    message = f"{row['node']}: generation {generation} after {latest[key]}"
-                    self._add_fault(check, row["at_us"], message)
+                    message = (
+                        f"{row['node']}: applied generation {generation} in the same session "
+                        f"after {latest[key]}"
+                    )
+                    self._add_violation(check, row["at_us"], message)
             latest[key] = max(generation, latest.get(key, 0))
         return check
 
@@ -260,19 +288,23 @@
             check.occasions += 1
             if token_of(row) < highest:
                 message = (
-                    f"{_format_shard(shard_of(row))}: {row['node']} accepted {token_of(row)} after {highest}"
+                    f"{_format_shard(shard_of(row))}: {row['node']} accepted the token "
+                    f"(generation, session) {token_of(row)} after {highest}"
                 )
-                self._add_fault(check, row["at_us"], message)
+                self._add_violation(check, row["at_us"], message)
         return check
 
-    def only_the_past_is_refused(self) -> Counted:
+    def only_lower_tokens_rejected(self) -> Counted:
         """An act is rejected only after an act with a higher token was accepted. Occasions: rejections."""
         check = Counted("only-the-past-is-refused", occasions=0)
         for row, highest in self._with_highest("shard-refuse"):
             check.occasions += 1
             if highest is None or token_of(row) >= highest:
-                message = f"{_format_shard(shard_of(row))}: {row['node']} rejected {token_of(row)}"
-                self._add_fault(check, row["at_us"], message)
+                message = (
+                    f"{_format_shard(shard_of(row))}: {row['node']} accepted no higher token "
+                    f"but rejected (generation, session) {token_of(row)}"
+                )
+                self._add_violation(check, row["at_us"], message)
         return check
 
     def _with_highest(self, kind: str) -> Iterator[tuple[Row, tuple[int, int] | None]]:
@@ -304,8 +336,11 @@
             if before is not None and token != before:
                 check.occasions += 1
                 if token < before:
-                    self._add_fault(
-                        check, row["at_us"], f"{_format_shard(key)}: {row['node']} acts with token {token}"
+                    self._add_violation(
+                        check,
+                        row["at_us"],
+                        f"{_format_shard(key)}: {row['node']} created an act after one "
+                        f"with a higher token (generation, session) than {token}",
                     )
             highest[key] = max(token, before or token)
         return check
@@ -313,8 +348,8 @@
     # ------------------------------------------------------------------ figures
 
     def figures(self) -> dict[str, float]:
-        """Returns the figures of a run. Seconds without an owner are the gaps between two owners, with or
-        without faults.
+        """Returns the figures of a run. `s_without_owner_*` are the gaps between consecutive spans of a
+        shard, whether or not a fault caused them.
         """
         gaps = [gap for spans in self.history.owned.values() for gap in _gaps_s(spans)]
         result = {
@@ -351,7 +386,7 @@
 
 # The checks of `history.py` that apply to the assigners' leases.
 LEASE_CHECKS = ("one-owner-at-a-time", "no-term-given-twice", "terms-grow")
-# The names in `fault` rows that mark the beginning of a fault.
+# The values of `what` in `fault` rows after which no new generation is allowed.
 FAULT_BEGINNINGS = ("cut", "stop", "leave", "hold-back")
 
 
@@ -362,7 +397,8 @@
 @lru_cache(maxsize=65_536)
 def placed_session(region: str, shard: int, sessions: str) -> int:
     """Returns the session (of `NAME:NUMBER,...`) that a shard is placed on, or 0 if there are no sessions.
-    Compares all scores, independently of the placement code that nodes use.
+    Compares the scores of all sessions one by one instead of using `Placement`, as nodes do; only the hash
+    functions are shared.
     """
     pairs = [entry.split(":") for entry in sessions.split(",") if ":" in entry]
     if not pairs:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -42,13 +42,13 @@
 
 def test_all_event_orders_of_a_small_case_are_safe() -> None:
     found = Explorer(Bounds(deliveries=4, steps=2, turns=2, restarts=0)).explore()
-    assert found.complete and not found.fault, found
-    assert found.states > 3_000 and found.owners > 50
+    assert found.complete and not found.violation, found
+    assert found.states > 3_000 and found.led_states > 50
 
 
 @pytest.mark.parametrize("rule, bounds", [("majority", Bounds(4, 0, 2, 0)), ("abstain", Bounds(8, 0, 2, 1))])
 def test_the_exploration_detects_two_owners_without_a_safety_rule(rule: str, bounds: Bounds) -> None:
-    assert "two owners" in Explorer(bounds, frozenset({rule})).explore().fault
+    assert "two owners" in Explorer(bounds, frozenset({rule})).explore().violation
 
 
 def checked(*rows: Row) -> dict[str, tuple[float, int | None]]:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from sailrun.decisions.events import ListKind
-from sailrun.lab.faults.explore_copies import explore_copies
+from sailrun.lab.faults.explore_copies import explore_replicas
 from sailrun.lab.faults.linear import Operation, first_fault, linearizable
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import FaultDay, agent_terms, play_virtual
@@ -645,15 +645,15 @@
 
 
 def test_no_order_of_messages_restarts_and_leaders_loses_an_acknowledged_mark() -> None:
-    found = explore_copies(120, first=50_000)
-    assert not found.fault, (found.seed, found.fault, found.events[-20:])
+    found = explore_replicas(120, first=50_000)
+    assert not found.violation, (found.seed, found.violation, found.events[-20:])
     assert found.acknowledged > 50 and found.opened > 100 and found.restarts > 100
 
 
 @pytest.mark.parametrize(("rule", "first"), [("fence", 0), ("majority", 90), ("lives", 780), ("level", 0)])
 def test_the_exploration_detects_each_disabled_rule(rule: str, first: int) -> None:
-    found = explore_copies(100, off=frozenset((rule,)), first=first)
-    assert found.fault
+    found = explore_replicas(100, off=frozenset((rule,)), first=first)
+    assert found.violation
 
 
 def simulate_new_node(report_interval_us: int | None) -> tuple[int, int]:
--- a/tests/test_sharding_days.py
+++ b/tests/test_sharding_days.py
@@ -14,7 +14,7 @@
 from sailrun.lab.faults.shard_history import ShardHistory, shards_in_use, shards_of
 from sailrun.lab.faults.shard_judge import Expected, ShardChecker, placed_session
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
-from sailrun.lab.faults.shard_world import NODES, SHARDS_PER_REGION, control_of, place_of
+from sailrun.lab.faults.shard_world import NODES, SHARDS_PER_REGION, place_of, voters_of
 from sailrun.sharding.messages import Session
 from sailrun.sharding.placement import Placement
 
@@ -152,7 +152,7 @@
 
 
 def test_the_scenario_has_both_regions_and_their_control_members() -> None:
-    assert control_of("r0") == ("n0", "n2", "n4") and control_of("r1") == ("n1", "n3", "n5")
+    assert voters_of("r0") == ("n0", "n2", "n4") and voters_of("r1") == ("n1", "n3", "n5")
     assert {place_of(n).region for n in range(2)} == {"r0", "r1"} and place_of(6).role == ""
 
 
@@ -280,9 +280,9 @@
 
 def test_a_rejection_of_a_token_that_is_not_outdated_is_found() -> None:
     taken = act("shard-take", "n0", 1, (2, 9))
-    assert outcome(judge(taken, act("shard-refuse", "n0", 2, (1, 4))).only_the_past_is_refused()) == (0, 1)
-    assert outcome(judge(taken, act("shard-refuse", "n0", 2, (2, 9))).only_the_past_is_refused()) == (1, 1)
-    assert outcome(judge(act("shard-refuse", "n0", 2, (1, 4))).only_the_past_is_refused()) == (1, 1)
+    assert outcome(judge(taken, act("shard-refuse", "n0", 2, (1, 4))).only_lower_tokens_rejected()) == (0, 1)
+    assert outcome(judge(taken, act("shard-refuse", "n0", 2, (2, 9))).only_lower_tokens_rejected()) == (1, 1)
+    assert outcome(judge(act("shard-refuse", "n0", 2, (1, 4))).only_lower_tokens_rejected()) == (1, 1)
 
 
 def test_tokens_that_decrease_from_owner_to_owner_are_found() -> None:
