--- a/benchmarks/capacity/counting_fleet.py
+++ b/benchmarks/capacity/counting_fleet.py
@@ -155,9 +155,9 @@
     def row(self, kind: str, node: str, **facts: Any) -> None:
         """Records nothing: no checker reads this history, and rows would count as memory of the nodes."""
 
-    def _turn(self, node: VirtualNode, waking: int) -> None:
+    def _turn(self, node: VirtualNode, turn_number: int) -> None:
         began_ns, self._excluded_ns = time.thread_time_ns(), 0
-        super()._turn(node, waking)
+        super()._turn(node, turn_number)
         self.counts[node.name].cpu_ns += time.thread_time_ns() - began_ns - self._excluded_ns
 
     def _arrive(self, sender: str, address: str, to: VirtualNode, envelope: Envelope) -> None:
@@ -169,11 +169,11 @@
         super()._arrive(sender, address, to, decode_envelope(data))
         self.counts[to.name].cpu_ns += time.thread_time_ns() - began_ns - self._excluded_ns
 
-    def _put(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
+    def _transmit(self, node: VirtualNode, out: OutgoingEnvelope) -> None:
         length = len(encode_envelope(out.envelope))
         began_ns = time.thread_time_ns()
         self._count(node, out.envelope, length)
-        super()._put(node, out)
+        super()._transmit(node, out)
         self._excluded_ns += time.thread_time_ns() - began_ns
 
     def _count(self, node: VirtualNode, envelope: Envelope, length: int) -> None:
--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -1,13 +1,15 @@
-"""The members of two regions in virtual time, whose owners of shards act for them again and again."""
+"""The members of two regions in virtual time. Shard owners periodically send acts for their shards:
+messages to other members, each with the shard's fencing token.
+"""
 
 from __future__ import annotations
 
 from sailrun.lab.faults.shard_world import (
     FLEET_VOTERS,
     REGIONS,
-    ZONES_OF_A_REGION,
+    ZONES_PER_REGION,
     place_of,
-    shard_agent_terms,
+    shard_agent_settings,
 )
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.leadership.agent import OutgoingEnvelope
@@ -17,19 +19,20 @@
 
 
 class ShardFleet(VirtualFleet):
-    # Longer than a shard's lease, now and then.
-    late_s = (4.0, 14.0)
+    # How long, in seconds, a node is paused between checking its lease and sending. The range extends beyond
+    # a shard's lease, so that some of these messages are sent after the lease has expired.
+    send_pause_s = (4.0, 14.0)
 
     def __init__(self, nodes: int, seed: int, off: frozenset[str] = frozenset()) -> None:
-        super().__init__(nodes, FLEET_VOTERS, ZONES_OF_A_REGION, shard_agent_terms, seed, off)
+        super().__init__(nodes, FLEET_VOTERS, ZONES_PER_REGION, shard_agent_settings, seed, off)
         for node in self.nodes.values():
             node.zone = place_of(node.index).zone
-        self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node, in which of its lives
+        self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node: its incarnation and exerciser
 
     def begin(self) -> None:
         super().begin()
-        for n, name in enumerate(self.names):
-            self.time.after(ACT_INTERVAL_US * n // len(self.names), self._act_for_shards, name)
+        for index, name in enumerate(self.names):
+            self.time.after(ACT_INTERVAL_US * index // len(self.names), self._send_acts, name)
 
     def _record_of(self, node: VirtualNode, life: int) -> MemberRecord:
         place = place_of(node.index)
@@ -39,42 +42,43 @@
 
     # ------------------------------------------------------------------ acts
 
-    def _act_for_shards(self, name: str) -> None:
-        self.time.after(ACT_INTERVAL_US, self._act_for_shards, name)
+    def _send_acts(self, name: str) -> None:
+        self.time.after(ACT_INTERVAL_US, self._send_acts, name)
         node = self.nodes[name]
         agent = node.agent
-        if agent is None or node.stopped:
+        if agent is None or node.paused:
             return
         now_us = self.clock_us(node)
         self._send(node, agent.send_shard_messages(now_us, self._exerciser(node).tick(now_us)))
 
     def _exerciser(self, node: VirtualNode) -> ActExerciser:
-        life, exerciser = self._exercisers.get(node.name, (0, None))
-        if exerciser is None or life != node.life:
+        start_count, exerciser = self._exercisers.get(node.name, (0, None))
+        if exerciser is None or start_count != node.start_count:
             agent = node.agent
             assert agent is not None and agent.shards is not None
-            seed = self._luck.getrandbits(32)
+            seed = self._random.getrandbits(32)
+            # The interval is 0: `_send_acts` is called once per ACT_INTERVAL_US.
             exerciser = ActExerciser(agent.shards, agent.members, node.name, seed, 0)
-            self._exercisers[node.name] = node.life, exerciser
+            self._exercisers[node.name] = node.start_count, exerciser
         return exerciser
 
-    def _is_act(self, out: OutgoingEnvelope) -> bool:
+    def _is_pause_point(self, out: OutgoingEnvelope) -> bool:
         return isinstance(out.envelope.body, ShardAct)
 
     def hand_over(self, name: str) -> None:
         node = self.nodes[name]
-        if node.agent is None or node.agent.shards is None or node.stopped:
+        if node.agent is None or node.agent.shards is None or node.paused:
             return
-        self.told("hand-over", node=name)
+        self.record_fault("hand-over", node=name)
         node.agent.shards.set_leaving(self.clock_us(node), True)
-        self._wake(node, 0)
+        self._schedule_turn(node, 0)
 
-    # ------------------------------------------------------------------ what the nemesis asks
+    # ------------------------------------------------------------------ queries of the nemesis
 
-    def owner(self, task: str) -> str | None:
+    def leader_of(self, task: str) -> str | None:
         for node in self.nodes.values():
-            part = node.agent.shards if node.agent is not None else None
-            if part is not None and part.task == task and part.is_assigner(self.clock_us(node)):
+            sharding = node.agent.shards if node.agent is not None else None
+            if sharding is not None and sharding.task == task and sharding.is_assigner(self.clock_us(node)):
                 return node.name
         return None
 
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -22,7 +22,7 @@
 
 from sailrun.control.cli import ANSWER_TIMEOUT_S
 from sailrun.lab.faults.relays import Address
-from sailrun.lab.faults.rig import FORM_SERVERS, LONGEST_LINE, RigRoster, free_address
+from sailrun.lab.faults.rig import FORM_SERVERS, MAX_LINE_BYTES, RosterStandIn, free_address
 from sailrun.lab.scale.hollow_host import rss_mb
 from sailrun.lab.scale.hollow_node import names_crc, roster_revision
 from sailrun.lab.scale.host_messages import Look, NodeReport
@@ -37,7 +37,7 @@
 _LIVING = ("alive", "suspect")
 
 
-class SteadyRoster(RigRoster):
+class SteadyRoster(RosterStandIn):
     """A registry that changes the revision of its endpoint list every `ROSTER_CHANGE_INTERVAL_S`.
 
     Hollow list readers report the same revisions.
@@ -47,7 +47,7 @@
         super().__init__()
         self._began_us = began_us
 
-    async def _change(self) -> None:
+    async def _change_periodically(self) -> None:
         while True:
             self.revision = roster_revision(self._began_us, boot_us())
             await anyio.sleep(1.0)
@@ -90,7 +90,7 @@
             with suppress(*STREAM_ERRORS, anyio.IncompleteRead, anyio.DelimiterNotFound):
                 while True:
                     self._on_log_line(
-                        (await lines.receive_until(b"\n", LONGEST_LINE)).decode("utf-8", "replace")
+                        (await lines.receive_until(b"\n", MAX_LINE_BYTES)).decode("utf-8", "replace")
                     )
             await process.wait()
         finally:
@@ -173,7 +173,7 @@
 
 
 def write_files(
-    folder: Path, process: RealProcess, plan: ScalePlan, agent_settings: AgentSettings, roster: RigRoster
+    folder: Path, process: RealProcess, plan: ScalePlan, agent_settings: AgentSettings, roster: RosterStandIn
 ) -> ProcessFiles:
     """Writes the platform's file and the operator's file of one process."""
     place = process.place
@@ -186,7 +186,7 @@
         "discovery": _address_text(roster.address),
         "seed": f"{plan.seed * 10_000 + place.index:x}",
         "peers": [],
-        "known": roster.whole(),
+        "known": roster.list_document(),
         "settings": settings,
     }
     tables: dict[str, Any] = {
