--- a/sailrun/lab/clients.py
+++ b/sailrun/lab/clients.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from sailrun.lab.chance import Stream
+from sailrun.lab.random_streams import Stream
 from sailrun.lab.settings import SECOND, RequestClassSettings, WorldSettings
 
 # Maximum delay before a client reconnects after repeated failures, unless it follows advice.
--- a/sailrun/lab/seeing.py
+++ b/sailrun/lab/seeing.py
@@ -16,8 +16,8 @@
 
 from sailrun.decisions.actions import MoveReason
 from sailrun.decisions.events import AttemptOutcome, BackendState
-from sailrun.lab.chance import Stream
 from sailrun.lab.form_servers import FormServerModel, Phase
+from sailrun.lab.random_streams import Stream
 from sailrun.lab.scheduler import Scheduler
 from sailrun.lab.settings import SECOND
 from sailrun.node.session import FormServer, FormSession, Placement
--- a/sailrun/lab/world.py
+++ b/sailrun/lab/world.py
@@ -9,11 +9,11 @@
 
 from sailrun.decisions.events import BackendState
 from sailrun.decisions.placement import backend_hash, key_hash
-from sailrun.lab.chance import Stream
 from sailrun.lab.checks import Check, RuleBook
 from sailrun.lab.clients import Client, Population
 from sailrun.lab.figures import fewest_moves
 from sailrun.lab.form_servers import FormServerModel, Phase
+from sailrun.lab.random_streams import Stream
 from sailrun.lab.records import Records
 from sailrun.lab.settings import SECOND, WorldSettings
 from sailrun.node.session import FormServer
