--- a/sailrun/lab/faults/folders.py
+++ b/sailrun/lab/faults/folders.py
@@ -1,6 +1,6 @@
 """Checks how nodes use their storage folders, from the recorded history.
 
-Rows, besides those of `history.py` and `copies.py`:
+Rows, besides those of `history.py` and `replica_checks.py`:
 
 - `folder` with `what`: `found` (with `sound`: new, sound, doubtful); `trusted`: the voter uses the state of
   the folder; `old`: the other voters know a newer position; `learning` with `of` (terms or marks): the voter
--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.copies import ReplicaChecker
 from sailrun.lab.faults.folders import FolderChecker
 from sailrun.lab.faults.history import HistoryChecker, Row
 from sailrun.lab.faults.nemesis import PLANS, Nemesis, Plan
+from sailrun.lab.faults.replica_checks import ReplicaChecker
 from sailrun.lab.figures import quantile
 from sailrun.leadership.agent import AgentSettings
 from sailrun.leadership.settings import LeadershipSettings, ListReaderSettings, PermitSettings
--- a/sailrun/lab/faults/rig.py
+++ b/sailrun/lab/faults/rig.py
@@ -30,9 +30,9 @@
 from anyio.streams.buffered import BufferedByteReceiveStream
 
 from sailrun.control.cli import ANSWER_TIMEOUT_S
-from sailrun.lab.faults.copies import marks_by_subject
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.relays import HOST, Address, Relays
+from sailrun.lab.faults.replica_checks import marks_by_subject
 from sailrun.lab.settings import WorldSettings
 from sailrun.leadership.agent import AgentSettings
 from sailrun.storage.files import OsFiles
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sailrun.lab.faults.copies import marks_by_subject
 from sailrun.lab.faults.disk import SimFiles
 from sailrun.lab.faults.history import Row
+from sailrun.lab.faults.replica_checks import marks_by_subject
 from sailrun.lab.scheduler import BEGIN_US, Scheduler
 from sailrun.leadership.agent import READER_TASK_PREFIX, Agent, AgentSettings, OutgoingEnvelope
 from sailrun.leadership.envelope import Envelope, encode_envelope
