--- a/sailrun/lab/faults/shard_plans.py
+++ b/sailrun/lab/faults/shard_plans.py
@@ -8,7 +8,7 @@
 
 from sailrun.lab.faults.nemesis import Nemesis, Plan
 from sailrun.lab.faults.shard_checks import Expected
-from sailrun.lab.faults.shard_strikes import ShardFaults
+from sailrun.lab.faults.shard_faults import ShardFaults
 from sailrun.lab.faults.shard_world import (
     NODES,
     REGIONS,
