--- a/sailrun/lab/faults/play.py
+++ b/sailrun/lab/faults/play.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from sailrun.lab.checks import Check
-from sailrun.lab.faults.folders import FolderChecker
+from sailrun.lab.faults.folder_checks import FolderChecker
 from sailrun.lab.faults.history import HistoryChecker, Row
 from sailrun.lab.faults.nemesis import PLANS, Nemesis, Plan
 from sailrun.lab.faults.replica_checks import ReplicaChecker
