--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from sailrun.lab.faults.explore_copies import explore_replicas
+from sailrun.lab.faults.explore_replicas import explore_replicas
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import agent_settings, voters_among
 from sailrun.lab.faults.virtual import VirtualFleet
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from sailrun.decisions.events import ListKind
-from sailrun.lab.faults.explore_copies import explore_replicas
+from sailrun.lab.faults.explore_replicas import explore_replicas
 from sailrun.lab.faults.linear import Operation, first_fault, linearizable
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.play import FaultDay, agent_settings, play_virtual
