--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -35,7 +35,7 @@
 
 from benchmarks.startup import make_config
 from sailrun.decisions.events import StateSnapshot
-from sailrun.lab.faults.days import describe_occasions, sweep_days
+from sailrun.lab.faults.commands import describe_occasions, sweep_days
 from sailrun.lab.faults.killing import find_power_cut_fault, kill_repeatedly
 from sailrun.lab.faults.play import FaultDay
 from sailrun.lab.faults.rig import free_address
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -65,7 +65,7 @@
             f"{settings.form_servers} form servers, {settings.nodes} nodes, {settings.households} households"
         )
         print(f"{experiment.name:20} {experiment.about} ({size}, {settings.seconds:g} s)")
-    from sailrun.lab.faults.days import describe_plans
+    from sailrun.lab.faults.commands import describe_plans
 
     for line in describe_plans():
         print(line)
@@ -134,7 +134,7 @@
 
 
 def _run_faults(day: FaultDay, driver: str, out: Path) -> None:
-    from sailrun.lab.faults.days import play_day
+    from sailrun.lab.faults.commands import play_day
     from sailrun.lab.run import write
 
     _check_driver(day, driver)
@@ -152,7 +152,7 @@
 def _sweep_faults(
     day: FaultDay, driver: str, seeds: list[int], out: Path | None, workers: int | None
 ) -> None:
-    from sailrun.lab.faults.days import describe_occasions, sweep_days
+    from sailrun.lab.faults.commands import describe_occasions, sweep_days
 
     _check_driver(day, driver)
     with _progress(day.plan) as report_progress:
