--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -27,7 +27,7 @@
 
 from sailrun.lab.faults.explore_replicas import explore_replicas
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.play import agent_settings, voters_among
+from sailrun.lab.faults.runs import agent_settings, voters_among
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.figures import quantile
 from sailrun.lab.scheduler import BEGIN_US
--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -37,8 +37,8 @@
 from sailrun.decisions.events import StateSnapshot
 from sailrun.lab.faults.commands import describe_occasions, sweep_days
 from sailrun.lab.faults.killing import find_power_cut_fault, kill_repeatedly
-from sailrun.lab.faults.play import FaultDay
 from sailrun.lab.faults.rig import free_address
+from sailrun.lab.faults.runs import FaultDay
 from sailrun.lab.figures import quantile
 from sailrun.replication.operator_marks import OperatorMark, encode_mark
 from sailrun.replication.records import apply_write, hash_record
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -22,7 +22,7 @@
 from sailrun.lab.faults.explore import Bounds, Explorer
 from sailrun.lab.faults.history import HistoryChecker
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.play import agent_settings, voters_among
+from sailrun.lab.faults.runs import agent_settings, voters_among
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.figures import quantile
 from sailrun.lab.scheduler import BEGIN_US
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -10,7 +10,7 @@
 import typer
 
 if TYPE_CHECKING:
-    from sailrun.lab.faults.play import FaultDay
+    from sailrun.lab.faults.runs import FaultDay
     from sailrun.lab.run import Request, Summary
 
 app = typer.Typer(help="Run real nodes against stand-ins and measure the effect of a change.")
@@ -103,7 +103,7 @@
 def _fault_day(name: str, off: list[str] | None, nodes: int | None, seconds: float | None) -> FaultDay | None:
     """Returns the fault run of this name, or None if the name is not that of a fault plan."""
     from sailrun.lab.faults.nemesis import PLANS
-    from sailrun.lab.faults.play import NODES, SAFETY_RULES, FaultDay
+    from sailrun.lab.faults.runs import NODES, SAFETY_RULES, FaultDay
     from sailrun.lab.faults.shard_plans import SHARD_PLANS
     from sailrun.lab.faults.shard_world import MIN_NODES
 
--- a/sailrun/lab/faults/commands.py
+++ b/sailrun/lab/faults/commands.py
@@ -11,7 +11,7 @@
 
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.play import FaultDay, RunResult, play_real, play_virtual
+from sailrun.lab.faults.runs import FaultDay, RunResult, play_real, play_virtual
 from sailrun.lab.faults.shard_days import play_shards_real, play_shards_virtual
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
 from sailrun.lab.records import Records, Table
--- a/sailrun/lab/faults/nemesis.py
+++ b/sailrun/lab/faults/nemesis.py
@@ -393,7 +393,7 @@
     def isolate_or_pause_one() -> None:
         name = rng.choice(fleet.names)
         others = [n for n in fleet.names if n != name]
-        # Longer than DELETION_RETENTION_S and ABSENT_MEMBER_WAIT_S (`play.py`) together.
+        # Longer than DELETION_RETENTION_S and ABSENT_MEMBER_WAIT_S (`runs.py`) together.
         for_s = rng.uniform(9.0, 13.0)
         if rng.random() < 0.6:
             nemesis.cut_for(for_s, [name], others)
--- a/sailrun/lab/faults/shard_days.py
+++ b/sailrun/lab/faults/shard_days.py
@@ -6,7 +6,7 @@
 
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.nemesis import Nemesis
-from sailrun.lab.faults.play import FaultDay, RunResult
+from sailrun.lab.faults.runs import FaultDay, RunResult
 from sailrun.lab.faults.shard_checks import ShardChecker
 from sailrun.lab.faults.shard_plans import SHARD_PLANS, ShardPlan
 from sailrun.lab.faults.shard_world import FLEET_VOTERS, LEASE_S, MIN_NODES, shard_agent_settings
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -9,7 +9,7 @@
 from sailrun.lab.faults.explore import Bounds, Explorer
 from sailrun.lab.faults.history import HistoryChecker, Row
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.play import FaultDay, play_virtual
+from sailrun.lab.faults.runs import FaultDay, play_virtual
 
 
 @pytest.mark.parametrize("plan", PLANS)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -18,7 +18,7 @@
 import pytest
 import tomli_w
 
-from sailrun.lab.faults.play import FaultDay, RunResult, play_real
+from sailrun.lab.faults.runs import FaultDay, RunResult, play_real
 from tests.free_ports import free_host_port
 from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.play import agent_settings
+from sailrun.lab.faults.runs import agent_settings
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.leadership.envelope import MAX_DATAGRAM_BYTES, InvalidEnvelopeError, decode_envelope
 from sailrun.membership.membership import Membership
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -17,7 +17,7 @@
 from sailrun.lab.faults.explore_replicas import explore_replicas
 from sailrun.lab.faults.linear import Operation, first_fault, linearizable
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.play import FaultDay, agent_settings, play_virtual
+from sailrun.lab.faults.runs import FaultDay, agent_settings, play_virtual
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.scheduler import BEGIN_US
 from sailrun.leadership.envelope import Envelope, InvalidEnvelopeError, decode_envelope, encode_envelope
--- a/tests/test_sharding_days.py
+++ b/tests/test_sharding_days.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sailrun.lab.faults.history import Row
-from sailrun.lab.faults.play import FaultDay, RunResult
+from sailrun.lab.faults.runs import FaultDay, RunResult
 from sailrun.lab.faults.shard_checks import Expected, ShardChecker, placed_session
 from sailrun.lab.faults.shard_days import play_shards_real, play_shards_virtual
 from sailrun.lab.faults.shard_history import ShardHistory, shards_in_use, shards_of
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -32,7 +32,7 @@
     write_entries,
 )
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.play import STORAGE_SETTINGS, FaultDay, agent_settings, play_virtual
+from sailrun.lab.faults.runs import STORAGE_SETTINGS, FaultDay, agent_settings, play_virtual
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.lab.scheduler import BEGIN_US
 from sailrun.leadership.agent import OutgoingEnvelope
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -16,7 +16,7 @@
 import pytest
 import tomli_w
 
-from sailrun.lab.faults.play import FaultDay, RunResult, play_real
+from sailrun.lab.faults.runs import FaultDay, RunResult, play_real
 from sailrun.storage.files import OsFiles
 from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 from tests.free_ports import free_host_port, free_port
