--- a/sailrun/lab/faults/commands.py
+++ b/sailrun/lab/faults/commands.py
@@ -12,8 +12,8 @@
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.nemesis import PLANS
 from sailrun.lab.faults.runs import FaultDay, RunResult, play_real, play_virtual
-from sailrun.lab.faults.shard_days import play_shards_real, play_shards_virtual
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
+from sailrun.lab.faults.shard_runs import play_shards_real, play_shards_virtual
 from sailrun.lab.records import Records, Table
 from sailrun.lab.run import Outcome, Summary, finite
 from sailrun.lab.sweep import Sweep
--- a/tests/test_sharding_days.py
+++ b/tests/test_sharding_days.py
@@ -11,9 +11,9 @@
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.runs import FaultDay, RunResult
 from sailrun.lab.faults.shard_checks import Expected, ShardChecker, placed_session
-from sailrun.lab.faults.shard_days import play_shards_real, play_shards_virtual
 from sailrun.lab.faults.shard_history import ShardHistory, shards_in_use, shards_of
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
+from sailrun.lab.faults.shard_runs import play_shards_real, play_shards_virtual
 from sailrun.lab.faults.shard_world import NODES, SHARDS_PER_REGION, place_of, voters_of
 from sailrun.sharding.messages import Session
 from sailrun.sharding.placement import Placement
