--- a/tests/test_crossings.py
+++ b/tests/test_race_conditions.py
@@ -259,7 +259,7 @@
 
 
 def test_a_descriptor_is_reserved_for_discovery() -> None:
-    run = "from tests.test_crossings import connect_without_free_descriptors as run; run()"
+    run = "from tests.test_race_conditions import connect_without_free_descriptors as run; run()"
     subprocess.run([sys.executable, "-c", run], cwd=Path(__file__).parent.parent, check=True)
 
 
