--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -38,7 +38,7 @@
 from sailrun.lab.faults.commands import describe_occasions, sweep_days
 from sailrun.lab.faults.killing import find_power_cut_fault, kill_repeatedly
 from sailrun.lab.faults.rig import free_address
-from sailrun.lab.faults.runs import FaultDay
+from sailrun.lab.faults.runs import FaultRun
 from sailrun.lab.figures import quantile
 from sailrun.replication.operator_marks import OperatorMark, encode_mark
 from sailrun.replication.records import apply_write, hash_record
@@ -339,8 +339,8 @@
 def _report_days(base_folder: Path) -> Iterator[str]:
     for plan in ("lasting", "lasting-all", "lasting-walk"):
         for nodes, seeds in ((5, range(5000, 5200)), (17, range(5000, 5020))):
-            fault_day = FaultDay(plan, nodes=nodes)
-            sweep = sweep_days(fault_day, "virtual", list(seeds), None, lambda progress: None)
+            fault_run = FaultRun(plan, nodes=nodes)
+            sweep = sweep_days(fault_run, "virtual", list(seeds), None, lambda progress: None)
             checks = [(summary.seed, check) for summary in sweep.summaries for check in summary.checks]
             violations = [
                 (seed, check.name, check.faults[:1])
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -10,7 +10,7 @@
 import typer
 
 if TYPE_CHECKING:
-    from sailrun.lab.faults.runs import FaultDay
+    from sailrun.lab.faults.runs import FaultRun
     from sailrun.lab.run import Request, Summary
 
 app = typer.Typer(help="Run real nodes against stand-ins and measure the effect of a change.")
@@ -100,10 +100,10 @@
     raise typer.Exit(0 if summary.holds else 1)
 
 
-def _fault_day(name: str, off: list[str] | None, nodes: int | None, seconds: float | None) -> FaultDay | None:
+def _fault_run(name: str, off: list[str] | None, nodes: int | None, seconds: float | None) -> FaultRun | None:
     """Returns the fault run of this name, or None if the name is not that of a fault plan."""
     from sailrun.lab.faults.nemesis import PLANS
-    from sailrun.lab.faults.runs import NODES, SAFETY_RULES, FaultDay
+    from sailrun.lab.faults.runs import NODES, SAFETY_RULES, FaultRun
     from sailrun.lab.faults.shard_plans import SHARD_PLANS
     from sailrun.lab.faults.shard_world import MIN_NODES
 
@@ -117,30 +117,32 @@
         raise _usage_error(f"--nodes: {nodes} is not from {lowest} to 1000")
     if seconds is not None and not 20 <= seconds <= 3_600:
         raise _usage_error(f"--seconds: {seconds:g} is not from 20 to 3600")
-    return FaultDay(name, 1, nodes or default_nodes, seconds, frozenset(off or ()))
+    return FaultRun(name, 1, nodes or default_nodes, seconds, frozenset(off or ()))
 
 
-def _check_driver(day: FaultDay, driver: str) -> None:
+def _check_driver(fault_run: FaultRun, driver: str) -> None:
     from sailrun.lab.faults.rig import MAX_NODES
 
     if driver not in DRIVERS:
         raise _usage_error(f"--driver: '{driver}' is none of {', '.join(DRIVERS)}")
-    if driver == "sockets" and day.nodes > MAX_NODES:
-        raise _usage_error(f"--nodes: {day.nodes} is more than {MAX_NODES}, the limit for real processes")
-    if driver == "sockets" and day.off:
+    if driver == "sockets" and fault_run.nodes > MAX_NODES:
+        raise _usage_error(
+            f"--nodes: {fault_run.nodes} is more than {MAX_NODES}, the limit for real processes"
+        )
+    if driver == "sockets" and fault_run.off:
         raise _usage_error(
             "--off: rules can be switched off only with --driver virtual, not in real processes"
         )
 
 
-def _run_faults(day: FaultDay, driver: str, out: Path) -> None:
+def _run_faults(fault_run: FaultRun, driver: str, out: Path) -> None:
     from sailrun.lab.faults.commands import play_day
     from sailrun.lab.run import write
 
-    _check_driver(day, driver)
+    _check_driver(fault_run, driver)
     try:
-        with _progress(day.plan) as report_progress:
-            summary, history = play_day(day, driver, report_progress)
+        with _progress(fault_run.plan) as report_progress:
+            summary, history = play_day(fault_run, driver, report_progress)
         write(out, summary, history)
     except OSError as error:
         raise _usage_error(f"{out}: {error.strerror or error}") from None
@@ -150,13 +152,13 @@
 
 
 def _sweep_faults(
-    day: FaultDay, driver: str, seeds: list[int], out: Path | None, workers: int | None
+    fault_run: FaultRun, driver: str, seeds: list[int], out: Path | None, workers: int | None
 ) -> None:
     from sailrun.lab.faults.commands import describe_occasions, sweep_days
 
-    _check_driver(day, driver)
-    with _progress(day.plan) as report_progress:
-        result = sweep_days(day, driver, seeds, workers, report_progress)
+    _check_driver(fault_run, driver)
+    with _progress(fault_run.plan) as report_progress:
+        result = sweep_days(fault_run, driver, seeds, workers, report_progress)
     try:
         if out is not None:
             out.mkdir(parents=True, exist_ok=True)
@@ -208,8 +210,8 @@
     for option, value in (("hollow", hollow), ("faults", faults), ("shards", shards)):
         if value is not None:
             raise _usage_error(f"--{option}: only '{SCALE}' takes it")
-    if (day := _fault_day(name, off, nodes, seconds)) is not None:
-        _run_faults(replace(day, seed=seed), driver or "virtual", out)
+    if (fault_run := _fault_run(name, off, nodes, seconds)) is not None:
+        _run_faults(replace(fault_run, seed=seed), driver or "virtual", out)
     request = _request(
         name,
         off,
@@ -353,8 +355,8 @@
         raise _usage_error(
             f"--seeds: '{seeds}' is not a range of seeds; expected FIRST..LAST, for example 1..200"
         )
-    if (day := _fault_day(name, off, nodes, seconds)) is not None:
-        _sweep_faults(day, driver or "virtual", list(range(int(first), int(last) + 1)), out, workers)
+    if (fault_run := _fault_run(name, off, nodes, seconds)) is not None:
+        _sweep_faults(fault_run, driver or "virtual", list(range(int(first), int(last) + 1)), out, workers)
     if driver not in (None, "virtual"):
         raise _usage_error(f"--driver: '{name}' is swept in virtual time only")
     request = _request(
--- a/sailrun/lab/faults/commands.py
+++ b/sailrun/lab/faults/commands.py
@@ -11,14 +11,14 @@
 
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.runs import FaultDay, RunResult, play_real, play_virtual
+from sailrun.lab.faults.runs import FaultRun, RunResult, play_real, play_virtual
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
 from sailrun.lab.faults.shard_runs import play_shards_real, play_shards_virtual
 from sailrun.lab.records import Records, Table
 from sailrun.lab.run import Outcome, Summary, finite
 from sailrun.lab.sweep import Sweep
 
-Driver = Callable[[FaultDay, Callable[[float], None]], RunResult]
+Driver = Callable[[FaultRun, Callable[[float], None]], RunResult]
 DRIVERS: dict[str, Driver] = {"virtual": play_virtual, "sockets": play_real}
 SHARD_DRIVERS: dict[str, Driver] = {"virtual": play_shards_virtual, "sockets": play_shards_real}
 # Limit of parallel runs on real processes, each of which starts up to MAX_NODES processes (`rig.py`).
@@ -45,18 +45,18 @@
 
 
 def play_day(
-    day: FaultDay, driver: str, on_progress: Callable[[float], None] = lambda share: None
+    run: FaultRun, driver: str, on_progress: Callable[[float], None] = lambda share: None
 ) -> tuple[Summary, History]:
     start_s = time.monotonic()
-    drivers = SHARD_DRIVERS if day.plan in SHARD_PLANS else DRIVERS
-    result = drivers[driver](day, on_progress)
+    drivers = SHARD_DRIVERS if run.plan in SHARD_PLANS else DRIVERS
+    result = drivers[driver](run, on_progress)
     begin_us = min((row["at_us"] for row in result.rows), default=0)
     summary = Summary(
-        day.plan,
+        run.plan,
         driver,
-        day.seed,
-        {"nodes": day.nodes, "seconds": result.seconds},
-        sorted(day.off),
+        run.seed,
+        {"nodes": run.nodes, "seconds": result.seconds},
+        sorted(run.off),
         {name: finite(value) for name, value in result.figures.items()},
         [Outcome(c.name, c.value, c.limit, c.holds, c.faults, c.occasions) for c in result.checks],
         {"wall_s": round(time.monotonic() - start_s, 2)},
@@ -64,17 +64,17 @@
     return summary, History(result.rows, begin_us)
 
 
-def _run_job(job: tuple[FaultDay, str]) -> Summary:
+def _run_job(job: tuple[FaultRun, str]) -> Summary:
     return play_day(*job)[0]
 
 
 def sweep_days(
-    day: FaultDay, driver: str, seeds: list[int], workers: int | None, on_progress: Callable[[float], None]
+    run: FaultRun, driver: str, seeds: list[int], workers: int | None, on_progress: Callable[[float], None]
 ) -> Sweep:
     """Runs the same plan with many seeds: in threads with real processes, as these runs mostly wait, else in
     worker processes.
     """
-    jobs = [(replace(day, seed=seed), driver) for seed in seeds]
+    jobs = [(replace(run, seed=seed), driver) for seed in seeds]
     real = driver == "sockets"
     pool = (
         ThreadPoolExecutor(workers or MAX_PARALLEL_REAL_RUNS)
@@ -86,7 +86,7 @@
         for summary in pool.map(_run_job, jobs):
             summaries.append(summary)
             on_progress(len(summaries) / len(jobs))
-    return Sweep(day.plan, None, summaries, [])
+    return Sweep(run.plan, None, summaries, [])
 
 
 def describe_occasions(sweep: Sweep) -> Iterator[str]:
--- a/sailrun/lab/faults/runs.py
+++ b/sailrun/lab/faults/runs.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FaultDay:
+class FaultRun:
     """The parameters of one run."""
 
     plan: str
@@ -98,64 +98,64 @@
     )
 
 
-def play_virtual(day: FaultDay, on_progress: Callable[[float], None] = lambda share: None) -> RunResult:
+def play_virtual(run: FaultRun, on_progress: Callable[[float], None] = lambda share: None) -> RunResult:
     from sailrun.lab.faults.virtual import VirtualFleet
     from sailrun.lab.scheduler import BEGIN_US
 
-    plan = PLANS[day.plan]
-    seconds = day.seconds or plan.seconds
-    zones = min(MAX_ZONES, max(1, day.nodes // 3))
+    plan = PLANS[run.plan]
+    seconds = run.seconds or plan.seconds
+    zones = min(MAX_ZONES, max(1, run.nodes // 3))
     fleet = VirtualFleet(
-        day.nodes,
-        voters_among(day.nodes),
+        run.nodes,
+        voters_among(run.nodes),
         zones,
         lambda index, voters, join_addresses: agent_settings(index, voters, join_addresses, plan),
-        day.seed,
-        day.off,
+        run.seed,
+        run.off,
         1.0 if plan.replicas else 0.0,
         STORAGE_SETTINGS if plan.storage else None,
     )
     fleet.begin()
-    Nemesis(fleet, plan, day.seed, seconds, LEASE_S)
+    Nemesis(fleet, plan, run.seed, seconds, LEASE_S)
     for tenth in range(1, 11):
         fleet.run(seconds * tenth / 10)
         on_progress(tenth / 10)
     end_us = fleet.time.now_us
-    result = check_history(fleet.rows, plan, BEGIN_US, end_us, seconds, voters_among(day.nodes))
+    result = check_history(fleet.rows, plan, BEGIN_US, end_us, seconds, voters_among(run.nodes))
     encoded = max(1, fleet.encoded_count)
     sent = sum(fleet.message_counts.values())
-    result.figures["bytes_a_node_and_s"] = fleet.bytes / encoded * sent / day.nodes / seconds
-    result.figures["messages_a_node_and_s"] = sent / day.nodes / seconds
+    result.figures["bytes_a_node_and_s"] = fleet.bytes / encoded * sent / run.nodes / seconds
+    result.figures["messages_a_node_and_s"] = sent / run.nodes / seconds
     result.figures["events"] = float(fleet.time.done)
     result.figures["agree_on_members"] = float(_members_agree(fleet))
     return result
 
 
-def play_real(day: FaultDay, on_progress: Callable[[float], None] = lambda share: None) -> RunResult:
+def play_real(run: FaultRun, on_progress: Callable[[float], None] = lambda share: None) -> RunResult:
     """Runs the plan on real processes, in real time. Raises ValueError if a safety rule is switched off."""
     import anyio
 
     from sailrun.lab.faults.rig import RealFleet
 
-    if day.off:
+    if run.off:
         raise ValueError("safety rules are switched off in virtual time only")
-    plan = PLANS[day.plan]
-    seconds = day.seconds or plan.seconds
+    plan = PLANS[run.plan]
+    seconds = run.seconds or plan.seconds
     fleet = RealFleet(
-        day.nodes,
-        voters_among(day.nodes),
-        min(MAX_ZONES, max(1, day.nodes // 3)),
+        run.nodes,
+        voters_among(run.nodes),
+        min(MAX_ZONES, max(1, run.nodes // 3)),
         lambda index, voters, join_addresses: agent_settings(index, voters, join_addresses, plan),
-        day.seed,
+        run.seed,
         1.0 if plan.replicas else 0.0,
         STORAGE_SETTINGS if plan.storage else None,
     )
     # On the default event loop: parallel runs start processes from several threads, which uvloop does not
     # support.
-    anyio.run(fleet.run, seconds, lambda fleet: Nemesis(fleet, plan, day.seed, seconds, LEASE_S))
+    anyio.run(fleet.run, seconds, lambda fleet: Nemesis(fleet, plan, run.seed, seconds, LEASE_S))
     on_progress(1.0)
-    result = check_history(fleet.rows, plan, fleet.begin_us, fleet.end_us, seconds, voters_among(day.nodes))
-    result.figures["messages_a_node_and_s"] = fleet.relays.delivered / day.nodes / seconds
+    result = check_history(fleet.rows, plan, fleet.begin_us, fleet.end_us, seconds, voters_among(run.nodes))
+    result.figures["messages_a_node_and_s"] = fleet.relays.delivered / run.nodes / seconds
     result.figures["roster_calls_a_s"] = fleet.roster.request_count / seconds
     return result
 
--- a/sailrun/lab/faults/shard_runs.py
+++ b/sailrun/lab/faults/shard_runs.py
@@ -6,20 +6,20 @@
 
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.nemesis import Nemesis
-from sailrun.lab.faults.runs import FaultDay, RunResult
+from sailrun.lab.faults.runs import FaultRun, RunResult
 from sailrun.lab.faults.shard_checks import ShardChecker
 from sailrun.lab.faults.shard_plans import SHARD_PLANS, ShardPlan
 from sailrun.lab.faults.shard_world import FLEET_VOTERS, LEASE_S, MIN_NODES, shard_agent_settings
 
 
-def _validate(run: FaultDay) -> None:
+def _validate(run: FaultRun) -> None:
     """Raises ValueError if the run has too few nodes."""
     if run.nodes < MIN_NODES:
         raise ValueError(f"{run.nodes} nodes are fewer than {MIN_NODES}, the minimum for two regions")
 
 
 def play_shards_virtual(
-    run: FaultDay, report_progress: Callable[[float], None] = lambda progress: None
+    run: FaultRun, report_progress: Callable[[float], None] = lambda progress: None
 ) -> RunResult:
     """Runs the plan in virtual time. Raises ValueError for too few nodes."""
     from sailrun.lab.faults.shard_fleet import ShardFleet
@@ -45,7 +45,7 @@
 
 
 def play_shards_real(
-    run: FaultDay, report_progress: Callable[[float], None] = lambda progress: None
+    run: FaultRun, report_progress: Callable[[float], None] = lambda progress: None
 ) -> RunResult:
     """Runs the plan on real processes in real time. Raises ValueError for too few nodes, or if safety rules
     are disabled (`run.off`).
--- a/tests/test_sharding_fault_runs.py
+++ b/tests/test_sharding_fault_runs.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sailrun.lab.faults.history import Row
-from sailrun.lab.faults.runs import FaultDay, RunResult
+from sailrun.lab.faults.runs import FaultRun, RunResult
 from sailrun.lab.faults.shard_checks import Expected, ShardChecker, placed_session
 from sailrun.lab.faults.shard_history import ShardHistory, shards_in_use, shards_of
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
@@ -27,7 +27,7 @@
     that its relays are not delayed by those tests.
     """
     with ProcessPoolExecutor(1, get_context("spawn")) as pool:
-        yield pool.submit(play_shards_real, FaultDay("shards-short", 5, NODES))
+        yield pool.submit(play_shards_real, FaultRun("shards-short", 5, NODES))
 
 
 def failed_checks(result: RunResult) -> list[tuple[str, int | None, list[str]]]:
@@ -40,15 +40,15 @@
 @pytest.mark.parametrize("plan", SHARD_PLANS)
 @pytest.mark.parametrize("seed", [1, 31_337])
 def test_all_checks_hold(plan: str, seed: int) -> None:
-    assert failed_checks(play_shards_virtual(FaultDay(plan, seed, NODES))) == []
+    assert failed_checks(play_shards_virtual(FaultRun(plan, seed, NODES))) == []
 
 
 def test_all_checks_hold_with_twenty_nodes() -> None:
-    assert failed_checks(play_shards_virtual(FaultDay("shards", 3, 20))) == []
+    assert failed_checks(play_shards_virtual(FaultRun("shards", 3, 20))) == []
 
 
 def test_a_seed_determines_the_history() -> None:
-    rows = [play_shards_virtual(FaultDay("shards-short", 4, NODES)).rows for _ in range(2)]
+    rows = [play_shards_virtual(FaultRun("shards-short", 4, NODES)).rows for _ in range(2)]
     assert [{k: str(v) for k, v in row.items()} for row in rows[0]] == [
         {k: str(v) for k, v in row.items()} for row in rows[1]
     ]
@@ -71,15 +71,15 @@
 @pytest.mark.parametrize("rule", DETECTING_RUNS)
 def test_the_checks_detect_each_disabled_rule(rule: str) -> None:
     plan, first_seed = DETECTING_RUNS[rule]
-    runs = (FaultDay(plan, seed, NODES, off=frozenset({rule})) for seed in range(first_seed, first_seed + 12))
+    runs = (FaultRun(plan, seed, NODES, off=frozenset({rule})) for seed in range(first_seed, first_seed + 12))
     assert any(check.value > check.limit for run in runs for check in play_shards_virtual(run).checks)
 
 
 def test_too_few_nodes_for_two_regions_are_rejected() -> None:
     with pytest.raises(ValueError, match="fewer than 10"):
-        play_shards_virtual(FaultDay("shards", 1, 9))
+        play_shards_virtual(FaultRun("shards", 1, 9))
     with pytest.raises(ValueError, match="virtual time only"):
-        play_shards_real(FaultDay("shards", 1, NODES, off=frozenset({"token"})))
+        play_shards_real(FaultRun("shards", 1, NODES, off=frozenset({"token"})))
 
 
 # ---------------------------------------------------------------------- records that the checks read
