--- a/benchmarks/lasting.py
+++ b/benchmarks/lasting.py
@@ -35,7 +35,7 @@
 
 from benchmarks.startup import make_config
 from sailrun.decisions.events import StateSnapshot
-from sailrun.lab.faults.commands import describe_occasions, sweep_days
+from sailrun.lab.faults.commands import describe_occasions, sweep_seeds
 from sailrun.lab.faults.killing import find_power_cut_fault, kill_repeatedly
 from sailrun.lab.faults.rig import free_address
 from sailrun.lab.faults.runs import FaultRun
@@ -340,7 +340,7 @@
     for plan in ("lasting", "lasting-all", "lasting-walk"):
         for nodes, seeds in ((5, range(5000, 5200)), (17, range(5000, 5020))):
             fault_run = FaultRun(plan, nodes=nodes)
-            sweep = sweep_days(fault_run, "virtual", list(seeds), None, lambda progress: None)
+            sweep = sweep_seeds(fault_run, "virtual", list(seeds), None, lambda progress: None)
             checks = [(summary.seed, check) for summary in sweep.summaries for check in summary.checks]
             violations = [
                 (seed, check.name, check.faults[:1])
--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -136,13 +136,13 @@
 
 
 def _run_faults(fault_run: FaultRun, driver: str, out: Path) -> None:
-    from sailrun.lab.faults.commands import play_day
+    from sailrun.lab.faults.commands import run_plan
     from sailrun.lab.run import write
 
     _check_driver(fault_run, driver)
     try:
         with _progress(fault_run.plan) as report_progress:
-            summary, history = play_day(fault_run, driver, report_progress)
+            summary, history = run_plan(fault_run, driver, report_progress)
         write(out, summary, history)
     except OSError as error:
         raise _usage_error(f"{out}: {error.strerror or error}") from None
@@ -154,11 +154,11 @@
 def _sweep_faults(
     fault_run: FaultRun, driver: str, seeds: list[int], out: Path | None, workers: int | None
 ) -> None:
-    from sailrun.lab.faults.commands import describe_occasions, sweep_days
+    from sailrun.lab.faults.commands import describe_occasions, sweep_seeds
 
     _check_driver(fault_run, driver)
     with _progress(fault_run.plan) as report_progress:
-        result = sweep_days(fault_run, driver, seeds, workers, report_progress)
+        result = sweep_seeds(fault_run, driver, seeds, workers, report_progress)
     try:
         if out is not None:
             out.mkdir(parents=True, exist_ok=True)
--- a/sailrun/lab/faults/commands.py
+++ b/sailrun/lab/faults/commands.py
@@ -11,16 +11,16 @@
 
 from sailrun.lab.faults.history import Row
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.runs import FaultRun, RunResult, play_real, play_virtual
+from sailrun.lab.faults.runs import FaultRun, RunResult, run_real, run_virtual
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
-from sailrun.lab.faults.shard_runs import play_shards_real, play_shards_virtual
+from sailrun.lab.faults.shard_runs import run_shards_real, run_shards_virtual
 from sailrun.lab.records import Records, Table
 from sailrun.lab.run import Outcome, Summary, finite
 from sailrun.lab.sweep import Sweep
 
 Driver = Callable[[FaultRun, Callable[[float], None]], RunResult]
-DRIVERS: dict[str, Driver] = {"virtual": play_virtual, "sockets": play_real}
-SHARD_DRIVERS: dict[str, Driver] = {"virtual": play_shards_virtual, "sockets": play_shards_real}
+DRIVERS: dict[str, Driver] = {"virtual": run_virtual, "sockets": run_real}
+SHARD_DRIVERS: dict[str, Driver] = {"virtual": run_shards_virtual, "sockets": run_shards_real}
 # Limit of parallel runs on real processes, each of which starts up to MAX_NODES processes (`rig.py`).
 MAX_PARALLEL_REAL_RUNS = 4
 
@@ -44,7 +44,7 @@
         return (self.history,)
 
 
-def play_day(
+def run_plan(
     run: FaultRun, driver: str, on_progress: Callable[[float], None] = lambda share: None
 ) -> tuple[Summary, History]:
     start_s = time.monotonic()
@@ -65,10 +65,10 @@
 
 
 def _run_job(job: tuple[FaultRun, str]) -> Summary:
-    return play_day(*job)[0]
+    return run_plan(*job)[0]
 
 
-def sweep_days(
+def sweep_seeds(
     run: FaultRun, driver: str, seeds: list[int], workers: int | None, on_progress: Callable[[float], None]
 ) -> Sweep:
     """Runs the same plan with many seeds: in threads with real processes, as these runs mostly wait, else in
--- a/sailrun/lab/faults/runs.py
+++ b/sailrun/lab/faults/runs.py
@@ -98,7 +98,7 @@
     )
 
 
-def play_virtual(run: FaultRun, on_progress: Callable[[float], None] = lambda share: None) -> RunResult:
+def run_virtual(run: FaultRun, on_progress: Callable[[float], None] = lambda share: None) -> RunResult:
     from sailrun.lab.faults.virtual import VirtualFleet
     from sailrun.lab.scheduler import BEGIN_US
 
@@ -131,7 +131,7 @@
     return result
 
 
-def play_real(run: FaultRun, on_progress: Callable[[float], None] = lambda share: None) -> RunResult:
+def run_real(run: FaultRun, on_progress: Callable[[float], None] = lambda share: None) -> RunResult:
     """Runs the plan on real processes, in real time. Raises ValueError if a safety rule is switched off."""
     import anyio
 
--- a/sailrun/lab/faults/shard_runs.py
+++ b/sailrun/lab/faults/shard_runs.py
@@ -18,7 +18,7 @@
         raise ValueError(f"{run.nodes} nodes are fewer than {MIN_NODES}, the minimum for two regions")
 
 
-def play_shards_virtual(
+def run_shards_virtual(
     run: FaultRun, report_progress: Callable[[float], None] = lambda progress: None
 ) -> RunResult:
     """Runs the plan in virtual time. Raises ValueError for too few nodes."""
@@ -44,7 +44,7 @@
     return result
 
 
-def play_shards_real(
+def run_shards_real(
     run: FaultRun, report_progress: Callable[[float], None] = lambda progress: None
 ) -> RunResult:
     """Runs the plan on real processes in real time. Raises ValueError for too few nodes, or if safety rules
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -9,18 +9,18 @@
 from sailrun.lab.faults.explore import Bounds, Explorer
 from sailrun.lab.faults.history import HistoryChecker, Row
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.runs import FaultRun, play_virtual
+from sailrun.lab.faults.runs import FaultRun, run_virtual
 
 
 @pytest.mark.parametrize("plan", PLANS)
 @pytest.mark.parametrize("seed", [1, 2, 31_337])
 def test_all_checks_hold(plan: str, seed: int) -> None:
-    result = play_virtual(FaultRun(plan, seed))
+    result = run_virtual(FaultRun(plan, seed))
     assert [(c.name, c.occasions, c.faults) for c in result.checks if not c.holds] == []
 
 
 def test_all_checks_hold_with_thirteen_nodes_and_five_voters() -> None:
-    result = play_virtual(FaultRun("permits", 5, nodes=13))
+    result = run_virtual(FaultRun("permits", 5, nodes=13))
     assert [(c.name, c.occasions, c.faults) for c in result.checks if not c.holds] == []
 
 
@@ -40,7 +40,7 @@
 def test_checks_detect_that_a_safety_rule_is_off(rule: str) -> None:
     plan, first_seed = RULE_RUNS[rule]
     runs = (FaultRun(plan, seed, off=frozenset({rule})) for seed in range(first_seed, first_seed + 12))
-    assert any(check.value > check.limit for run in runs for check in play_virtual(run).checks)
+    assert any(check.value > check.limit for run in runs for check in run_virtual(run).checks)
 
 
 def test_all_event_orders_of_a_small_case_are_safe() -> None:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -18,7 +18,7 @@
 import pytest
 import tomli_w
 
-from sailrun.lab.faults.runs import FaultRun, RunResult, play_real
+from sailrun.lab.faults.runs import FaultRun, RunResult, run_real
 from tests.free_ports import free_host_port
 from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
 
@@ -129,7 +129,7 @@
     """Fault runs on real processes, in parallel to the other tests of this module, most of which wait."""
     fault_kinds = ("owner-stopped", "owner-cut", "copies")
     with ThreadPoolExecutor(len(fault_kinds)) as pool:
-        yield [pool.submit(play_real, FaultRun(kind, 3, seconds=26.0)) for kind in fault_kinds]
+        yield [pool.submit(run_real, FaultRun(kind, 3, seconds=26.0)) for kind in fault_kinds]
 
 
 @pytest.fixture
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -17,7 +17,7 @@
 from sailrun.lab.faults.explore_replicas import explore_replicas
 from sailrun.lab.faults.linear import Operation, first_fault, linearizable
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.runs import FaultRun, agent_settings, play_virtual
+from sailrun.lab.faults.runs import FaultRun, agent_settings, run_virtual
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.scheduler import BEGIN_US
 from sailrun.leadership.envelope import Envelope, InvalidEnvelopeError, decode_envelope, encode_envelope
@@ -624,7 +624,7 @@
     # The last seeds found an empty replica that counted as complete, and a version whose context was lost
     # with its discarded replica. With 17 nodes, a record had more concurrent versions than its bound allowed.
     for seed, nodes in ((7001, 5), (1059, 5), (1033, 5), (6, 17)):
-        run = play_virtual(FaultRun(kind, seed, nodes=nodes))
+        run = run_virtual(FaultRun(kind, seed, nodes=nodes))
         assert not [(c.name, c.faults) for c in run.checks if c.value > c.limit]
 
 
@@ -638,7 +638,7 @@
 )
 def test_checks_detect_a_disabled_rule(kind: str, rule: str, check: str, first: int) -> None:
     for seed in range(first, first + 29):
-        run = play_virtual(FaultRun(kind, seed, off=frozenset((rule,))))
+        run = run_virtual(FaultRun(kind, seed, off=frozenset((rule,))))
         if any(c.name == check and c.value for c in run.checks):
             return
     raise AssertionError(f"check {check} did not fail in 29 runs with the rule {rule} disabled")
--- a/tests/test_sharding_fault_runs.py
+++ b/tests/test_sharding_fault_runs.py
@@ -13,7 +13,7 @@
 from sailrun.lab.faults.shard_checks import Expected, ShardChecker, placed_session
 from sailrun.lab.faults.shard_history import ShardHistory, shards_in_use, shards_of
 from sailrun.lab.faults.shard_plans import SHARD_PLANS
-from sailrun.lab.faults.shard_runs import play_shards_real, play_shards_virtual
+from sailrun.lab.faults.shard_runs import run_shards_real, run_shards_virtual
 from sailrun.lab.faults.shard_world import NODES, SHARDS_PER_REGION, place_of, voters_of
 from sailrun.sharding.messages import Session
 from sailrun.sharding.placement import Placement
@@ -27,7 +27,7 @@
     that its relays are not delayed by those tests.
     """
     with ProcessPoolExecutor(1, get_context("spawn")) as pool:
-        yield pool.submit(play_shards_real, FaultRun("shards-short", 5, NODES))
+        yield pool.submit(run_shards_real, FaultRun("shards-short", 5, NODES))
 
 
 def failed_checks(result: RunResult) -> list[tuple[str, int | None, list[str]]]:
@@ -40,15 +40,15 @@
 @pytest.mark.parametrize("plan", SHARD_PLANS)
 @pytest.mark.parametrize("seed", [1, 31_337])
 def test_all_checks_hold(plan: str, seed: int) -> None:
-    assert failed_checks(play_shards_virtual(FaultRun(plan, seed, NODES))) == []
+    assert failed_checks(run_shards_virtual(FaultRun(plan, seed, NODES))) == []
 
 
 def test_all_checks_hold_with_twenty_nodes() -> None:
-    assert failed_checks(play_shards_virtual(FaultRun("shards", 3, 20))) == []
+    assert failed_checks(run_shards_virtual(FaultRun("shards", 3, 20))) == []
 
 
 def test_a_seed_determines_the_history() -> None:
-    rows = [play_shards_virtual(FaultRun("shards-short", 4, NODES)).rows for _ in range(2)]
+    rows = [run_shards_virtual(FaultRun("shards-short", 4, NODES)).rows for _ in range(2)]
     assert [{k: str(v) for k, v in row.items()} for row in rows[0]] == [
         {k: str(v) for k, v in row.items()} for row in rows[1]
     ]
@@ -72,14 +72,14 @@
 def test_the_checks_detect_each_disabled_rule(rule: str) -> None:
     plan, first_seed = DETECTING_RUNS[rule]
     runs = (FaultRun(plan, seed, NODES, off=frozenset({rule})) for seed in range(first_seed, first_seed + 12))
-    assert any(check.value > check.limit for run in runs for check in play_shards_virtual(run).checks)
+    assert any(check.value > check.limit for run in runs for check in run_shards_virtual(run).checks)
 
 
 def test_too_few_nodes_for_two_regions_are_rejected() -> None:
     with pytest.raises(ValueError, match="fewer than 10"):
-        play_shards_virtual(FaultRun("shards", 1, 9))
+        run_shards_virtual(FaultRun("shards", 1, 9))
     with pytest.raises(ValueError, match="virtual time only"):
-        play_shards_real(FaultRun("shards", 1, NODES, off=frozenset({"token"})))
+        run_shards_real(FaultRun("shards", 1, NODES, off=frozenset({"token"})))
 
 
 # ---------------------------------------------------------------------- records that the checks read
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -32,7 +32,7 @@
     write_entries,
 )
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.runs import STORAGE_SETTINGS, FaultRun, agent_settings, play_virtual
+from sailrun.lab.faults.runs import STORAGE_SETTINGS, FaultRun, agent_settings, run_virtual
 from sailrun.lab.faults.virtual import VirtualFleet, VirtualNode
 from sailrun.lab.scheduler import BEGIN_US
 from sailrun.leadership.agent import OutgoingEnvelope
@@ -489,7 +489,7 @@
 def test_the_checks_detect_each_disabled_folder_rule(rule: str) -> None:
     plan = "lasting" if rule == "generation" else "lasting-all"
     for seed in range(1, 20):
-        result = play_virtual(FaultRun(plan, seed, off=frozenset([rule])))
+        result = run_virtual(FaultRun(plan, seed, off=frozenset([rule])))
         if any(check.value > 0 for check in result.checks):
             return
     pytest.fail(f"no check detected a fault without the rule {rule}")
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -16,7 +16,7 @@
 import pytest
 import tomli_w
 
-from sailrun.lab.faults.runs import FaultRun, RunResult, play_real
+from sailrun.lab.faults.runs import FaultRun, RunResult, run_real
 from sailrun.storage.files import OsFiles
 from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 from tests.free_ports import free_host_port, free_port
@@ -28,7 +28,7 @@
 def fault_runs() -> Iterator[list[Future[RunResult]]]:
     """Fault runs on real processes, in parallel to the other tests of this module, which mostly wait."""
     with ThreadPoolExecutor(2) as pool:
-        yield [pool.submit(play_real, FaultRun(kind, 5, seconds=36.0)) for kind in ("lasting", "lasting-all")]
+        yield [pool.submit(run_real, FaultRun(kind, 5, seconds=36.0)) for kind in ("lasting", "lasting-all")]
 
 
 @pytest.fixture
