--- a/sailrun/lab/cli.py
+++ b/sailrun/lab/cli.py
@@ -75,7 +75,7 @@
 def _run_scale(out: Path, driver: str | None, faults: str | None, **sizes: Any) -> None:
     """Runs the scale experiment. A plan that does not fit is rejected before anything is started."""
     from sailrun.lab.run import write
-    from sailrun.lab.scale.command import play_scale
+    from sailrun.lab.scale.command import run_scale
     from sailrun.lab.scale.plan import FAULTS, DoesNotFit, ScalePlan
 
     for option, value, allowed in (("driver", driver, DRIVERS), ("faults", faults, FAULTS)):
@@ -89,7 +89,7 @@
     plan = ScalePlan(**{option: value for option, value in options.items() if value is not None})
     try:
         with _progress(SCALE) as report_progress:
-            summary, records = play_scale(plan, report_progress)
+            summary, records = run_scale(plan, report_progress)
         write(out, summary, records)
     except DoesNotFit as error:
         raise _usage_error(f"{SCALE}: {error}") from None
--- a/sailrun/lab/scale/command.py
+++ b/sailrun/lab/scale/command.py
@@ -9,12 +9,12 @@
 from sailrun.lab.run import Summary
 from sailrun.lab.scale.faults import Step, fault_steps
 from sailrun.lab.scale.plan import ScalePlan, check_fit, place_nodes
-from sailrun.lab.scale.real_run import play_sockets
+from sailrun.lab.scale.real_run import run_sockets
 from sailrun.lab.scale.results import ScaleRecords, summary_of
-from sailrun.lab.scale.virtual_run import play_virtual
+from sailrun.lab.scale.virtual_run import run_virtual
 
 
-def play_scale(
+def run_scale(
     plan: ScalePlan,
     on_progress: Callable[[float], None] = lambda share: None,
     steps: list[Step] | None = None,
@@ -28,8 +28,8 @@
     began_s, cpu_s = time.monotonic(), time.process_time()
     if steps is None:
         steps = fault_steps(plan, place_nodes(plan))
-    play = play_sockets if plan.driver == "sockets" else play_virtual
-    measured = play(plan, steps, on_progress)
+    run = run_sockets if plan.driver == "sockets" else run_virtual
+    measured = run(plan, steps, on_progress)
     cost = {
         "wall_s": round(time.monotonic() - began_s, 2),
         "cpu_s": round(time.process_time() - cpu_s, 2),  # of this process, excluding the host processes
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -29,12 +29,12 @@
 OnProgress = Callable[[float], None]
 
 
-def play_sockets(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
-    """Plays the plan. Raises OSError if addresses are not available."""
-    return anyio.run(_play, plan, steps, on_progress)
+def run_sockets(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
+    """Runs the plan. Raises OSError if addresses are not available."""
+    return anyio.run(_run, plan, steps, on_progress)
 
 
-async def _play(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
+async def _run(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
     with (
         tempfile.TemporaryDirectory(prefix="sailrun-scale-") as folder,
         loopback_block(plan.seed) as block,
@@ -65,7 +65,7 @@
 
 
 class _RealRun:
-    """Plays the stretches of a run and measures each."""
+    """Runs the stretches of a run and measures each."""
 
     def __init__(self, fleet: SocketFleet, steps: list[Step], on_progress: OnProgress) -> None:
         self._fleet, self._steps, self._on_progress = fleet, steps, on_progress
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -249,7 +249,7 @@
         ]
 
 
-def play_virtual(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
+def run_virtual(plan: ScalePlan, steps: list[Step], on_progress: OnProgress) -> Measured:
     base_mb = rss_mb(os.getpid())
     fleet = VirtualScaleFleet(plan)
     try:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,7 +22,7 @@
     owner_checks,
     shards_check,
 )
-from sailrun.lab.scale.command import play_scale
+from sailrun.lab.scale.command import run_scale
 from sailrun.lab.scale.fault_watch import FaultWatch
 from sailrun.lab.scale.faults import (
     CutRegions,
@@ -121,7 +121,7 @@
 )
 def test_a_run_that_does_not_fit_is_rejected_before_it_starts(plan: ScalePlan, message: str) -> None:
     with pytest.raises(DoesNotFit, match=message):
-        play_scale(plan)
+        run_scale(plan)
 
 
 def test_the_largest_runs_that_are_allowed_fit() -> None:
@@ -388,7 +388,7 @@
 
 def test_a_zone_is_killed_and_restarted_in_virtual_time() -> None:
     plan = ScalePlan(nodes=0, hollow=60, zones=6, regions=3, seconds=5.0, faults="zone", driver="virtual")
-    summary, records = play_scale(plan)
+    summary, records = run_scale(plan)
     _assert_all_checks_hold(summary)
     figures = summary.figures
     assert figures["ordinary.nodes"] and figures["voter.nodes"] == 7 and figures["reader.nodes"] == 6
@@ -403,21 +403,21 @@
 
 def test_all_shards_are_owned_again_after_a_zone_was_lost_in_virtual_time() -> None:
     plan = ScalePlan(nodes=0, hollow=60, seconds=5.0, faults="zone", driver="virtual", shards=1_200)
-    summary, _ = play_scale(plan)
+    summary, _ = run_scale(plan)
     assert summary.holds, [check for check in summary.checks if not check.holds]
     assert summary.figures["assigner.nodes"] == 6 and summary.figures["control.nodes"] == 18
 
 
 def test_the_same_seed_gives_the_same_traffic_in_virtual_time() -> None:
     plan = ScalePlan(nodes=0, hollow=30, zones=6, regions=3, seconds=5.0, driver="virtual")
-    runs = [play_scale(plan)[0].figures for _ in range(2)]
+    runs = [run_scale(plan)[0].figures for _ in range(2)]
     same = [name for name in runs[0] if ".bytes_" in name or ".messages_" in name]
     assert same and all(runs[0][name] == runs[1][name] for name in same)
 
 
 def test_all_nodes_start_at_once_in_virtual_time() -> None:
     plan = ScalePlan(nodes=0, hollow=40, zones=6, regions=3, seconds=2.0, faults="begin", driver="virtual")
-    summary, _ = play_scale(plan)
+    summary, _ = run_scale(plan)
     _assert_all_checks_hold(summary)
     assert summary.figures["known_after_begin_s"] and "begin.ordinary.bytes_in.most" in summary.figures
 
@@ -435,7 +435,7 @@
         Step(1.5, CutRegions("r0", "r1")),
         Step(5.0, HealRegions()),
     ]
-    summary, _ = play_scale(SMALL, steps=steps)
+    summary, _ = run_scale(SMALL, steps=steps)
     on_time = [check for check in summary.checks if check.name == "hosts-on-time-ms"]
     assert len(on_time) == 1
     # The lateness of the hosts depends on the machine, not on the program: this check only has to exist.
