--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -17,7 +17,7 @@
 
 from benchmarks.capacity.record import Measurement
 from tests.free_ports import free_port
-from tests.stand_ins import Roster, node, roster_entry
+from tests.stand_ins import RegistryStandIn, node, roster_entry
 
 SIZES = (500, 1_000, 2_000, 4_000)
 FORM_SERVERS, CONCURRENT_SETUPS = 8, 50
@@ -105,7 +105,10 @@
     servers = _FormServers()
     await servers.start()
     entries = [roster_entry(f"s-{n:08x}", address, "SERVING") for n, address in enumerate(servers.addresses)]
-    with tempfile.TemporaryDirectory() as folder, node(Path(folder), Roster(entries)) as running_node:
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        node(Path(folder), RegistryStandIn(entries)) as running_node,
+    ):
         pid = running_node.process.pid
         await asyncio.sleep(SETTLE_S)
         empty_mb, empty_cpu_s = _memory_mb(pid), _cpu_s(pid)
--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 
 from tests.free_ports import free_port
-from tests.stand_ins import FormServer, Peer, Roster, RunningNode, connect, node
+from tests.stand_ins import FormServer, Peer, RegistryStandIn, RunningNode, connect, node
 
 CALL_COUNT, STREAM_COUNT, SILENT_CONNECTIONS, DESCRIPTOR_LIMIT = 300, 8, 24, 128
 
@@ -34,7 +34,7 @@
     """Returns the milliseconds that each call took; the calls alternate between `check` and `vars`."""
     control_address = f"127.0.0.1:{free_port()}"
     limits = {"sockets": DESCRIPTOR_LIMIT}
-    registry = Roster([server.entry()])
+    registry = RegistryStandIn([server.entry()])
     with (
         node(folder, registry, _limit_descriptors, control=control_address, limits=limits) as running_node,
         ExitStack() as stack,
@@ -70,7 +70,7 @@
     processes in MB, and the longest time in seconds until a new process answered `check`. An outcome is the
     first word of the answer, `ended` if there was none, or the class of the OSError.
     """
-    registry, client_address = Roster([server.entry()]), f"127.0.0.1:{free_port()}"
+    registry, client_address = RegistryStandIn([server.entry()]), f"127.0.0.1:{free_port()}"
     outcomes: Counter[str] = Counter()
     is_stopping = threading.Event()
     max_mb = max_ready_s = 0.0
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -23,7 +23,7 @@
 
 from benchmarks.datagram_relay import DatagramRelay
 from benchmarks.same_behaviour import environment_of
-from tests.stand_ins import SETTINGS, FormServer, Roster, RunningNode, node
+from tests.stand_ins import SETTINGS, FormServer, RegistryStandIn, RunningNode, node
 from tests.test_sharding_processes import free
 
 COMMAND_TIMEOUT_S = 40.0
@@ -197,7 +197,7 @@
         self, versions: Versions, folder: Path, servers: Iterable[FormServer], stack: ExitStack
     ) -> None:
         self.versions = versions
-        self.roster = Roster([server.entry() for server in servers])
+        self.roster = RegistryStandIn([server.entry() for server in servers])
         self.members: dict[str, Member] = {}
         self.started_count: Counter[str] = Counter()  # number of processes started so far, by node name
         self._folder, self._stack = folder, stack
--- a/benchmarks/mixed_restarts.py
+++ b/benchmarks/mixed_restarts.py
@@ -28,7 +28,7 @@
     rejection_lines,
     wait_for,
 )
-from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, RegistryStandIn, RunningNode, node
 from tests.test_sharding_processes import free
 
 # Facts in the output of `sailrun lasting show` that depend on the time of the call.
@@ -172,7 +172,7 @@
     server, storage_folder = FormServer(SERVER_NAMES[0]), folder / "kept"
     operator = folder / "operator.toml"
     operator.write_text(tomli_w.dumps({"lasting": {"folder": str(storage_folder)}}))
-    roster = Roster([server.entry()])
+    roster = RegistryStandIn([server.entry()])
     with node(folder, roster, writer.change_to_tree, operator, control=free()) as running:
         assert running.call(f"set-down {server.name}") == "ok"
         wait_for("the override in the folder", lambda: overrides_in(writer, storage_folder) == [server.name])
@@ -211,7 +211,7 @@
 
     def start(self, version: Version) -> RunningNode:
         """Starts a process, which succeeds the running one if there is one."""
-        roster = Roster([server.entry() for server in self.servers])
+        roster = RegistryStandIn([server.entry() for server in self.servers])
         started = node(self.folder, roster, version.change_to_tree, listen=self.listen, control=free())
         return self.stack.enter_context(started)
 
--- a/benchmarks/mixed_settings.py
+++ b/benchmarks/mixed_settings.py
@@ -19,7 +19,7 @@
 import tomli_w
 
 from benchmarks.mixed_fleet import Report, Version, Versions
-from tests.stand_ins import SETTINGS, FormServer, Roster, RunningNode, node
+from tests.stand_ins import SETTINGS, FormServer, RegistryStandIn, RunningNode, node
 from tests.test_sharding_processes import free
 
 # The settings files that a version ships, with the options of `sailrun config check` for each.
@@ -177,7 +177,7 @@
 
 
 @contextmanager
-def platform_node(version: Version, folder: Path, roster: Roster) -> Iterator[RunningNode]:
+def platform_node(version: Version, folder: Path, roster: RegistryStandIn) -> Iterator[RunningNode]:
     """Runs a node as the platform does, with the JSON file that RELAY_CONFIG names."""
     folder.mkdir()
     more_settings: dict[str, Any] = {
@@ -190,7 +190,7 @@
         yield running
 
 
-def reload_log(version: Version, folder: Path, roster: Roster) -> str:
+def reload_log(version: Version, folder: Path, roster: RegistryStandIn) -> str:
     """Returns a version's `serving` log line, and its `reloaded` line after every key that the versions read
     has changed.
     """
@@ -215,7 +215,7 @@
     reload.
     """
     servers = [FormServer("s-5be2a07c")]
-    roster = Roster([server.entry() for server in servers])
+    roster = RegistryStandIn([server.entry() for server in servers])
     old, new = (reload_log(version, folder / version.label, roster) for version in versions.both())
     assert old == new, f"old {old}, new {new}"
     return new
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -51,7 +51,7 @@
 from benchmarks.mixed_restarts import check_overrides, run_folder_checks, run_replacement_checks
 from benchmarks.mixed_settings import run_settings_checks
 from benchmarks.same_behaviour import THIS_TREE, base_tree
-from tests.stand_ins import FormServer, Roster, RunningNode, node
+from tests.stand_ins import FormServer, RegistryStandIn, RunningNode, node
 from tests.test_sharding_processes import CONTROL, SHARDS, Region, free
 from tests.test_sharding_processes import NODES as REGION_NODES
 
@@ -212,7 +212,7 @@
 class MixedRegion(Region):
     """A region of three control members and three nodes, whose versions alternate."""
 
-    def __init__(self, versions: Versions, folder: Path, roster: Roster, stack: ExitStack) -> None:
+    def __init__(self, versions: Versions, folder: Path, roster: RegistryStandIn, stack: ExitStack) -> None:
         self.versions = versions
         super().__init__(folder, roster, stack)
 
@@ -331,7 +331,7 @@
         run_folder_checks(report, fleet)
 
     def region(folder: Path, stack: ExitStack) -> None:
-        roster = Roster([FormServer(name).entry() for name in SERVER_NAMES])
+        roster = RegistryStandIn([FormServer(name).entry() for name in SERVER_NAMES])
         run_region_checks(report, MixedRegion(versions, folder, roster, stack))
 
     def overrides(folder: Path, _stack: ExitStack) -> None:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -159,7 +159,7 @@
         return roster_entry(self.name, self.address, phase)
 
 
-class Roster(Listener):
+class RegistryStandIn(Listener):
     """The registry of form servers, which the settings call the roster. Answers each request, whether a watch
     or a fetch, with the next body from `answers`, and waits until there is one.
     """
@@ -265,7 +265,7 @@
 @contextmanager
 def node(
     folder: Path,
-    roster: Roster,
+    roster: RegistryStandIn,
     prepare: Callable[[], None] | None = None,
     operator: Path | None = None,
     **changes: Any,
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.amqp_stand_ins import REQUEST, AmqpConnection, AmqpFormServer, send
-from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, connect, sidecar
+from tests.stand_ins import TIMEOUT_S, FormServer, RegistryStandIn, RunningNode, connect, sidecar
 
 LARGE_BODY = bytes(200_000)  # many frames of the 4,096 bytes that the node states
 
@@ -19,7 +19,7 @@
 class SidecarSetup:
     """A sidecar with one AMQP form server, and the connection of one client."""
 
-    def __init__(self, node: RunningNode, server: AmqpFormServer, roster: Roster) -> None:
+    def __init__(self, node: RunningNode, server: AmqpFormServer, roster: RegistryStandIn) -> None:
         self.node, self.server, self.roster = node, server, roster
         self.client = AmqpConnection(connect(node.amqp))
 
@@ -32,7 +32,7 @@
 @pytest.fixture
 def sidecar_setup(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[SidecarSetup]:
     server = AmqpFormServer("s-5be2a07c", **getattr(request, "param", {}))
-    roster = Roster([])
+    roster = RegistryStandIn([])
     roster.publish(server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as node:
         roster.requests.get(timeout=TIMEOUT_S)
@@ -210,7 +210,7 @@
 
 
 def test_an_idle_client_is_disconnected(tmp_path: Path) -> None:
-    roster = Roster([])
+    roster = RegistryStandIn([])
     with sidecar(tmp_path, {"source": "http", "address": roster.address}, idle_ms=1000) as node:
         client = AmqpConnection(connect(node.amqp))
         client.amqp_connection.open()
@@ -221,7 +221,7 @@
 
 def test_both_fronts_share_one_core(tmp_path: Path) -> None:
     text_server, amqp_server = FormServer("s-00000001"), AmqpFormServer("s-00000002")
-    roster = Roster([])
+    roster = RegistryStandIn([])
     roster.publish(text_server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}) as node:
         for _ in range(2):
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.stand_ins import FormServer, Peer, Roster, RunningNode, node
+from tests.stand_ins import FormServer, Peer, RegistryStandIn, RunningNode, node
 
 TIME_LIMIT_S = 3.0
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def running(tmp_path: Path, form_server: FormServer) -> Iterator[RunningNode]:
-    with node(tmp_path, Roster([form_server.entry()])) as running:
+    with node(tmp_path, RegistryStandIn([form_server.entry()])) as running:
         yield running
         assert not any("fault" in line or "Traceback" in line for line in running.lines)
 
@@ -119,7 +119,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
     server = FormServer("s-5be2a07c")
-    with node(tmp_path, Roster([server.entry()]), prepare=limit_descriptors) as running:
+    with node(tmp_path, RegistryStandIn([server.entry()]), prepare=limit_descriptors) as running:
         silent = [running.connect() for _ in range(300)]
         began = time.monotonic()
         late_client = running.request_session()
--- a/tests/test_both_fronts.py
+++ b/tests/test_both_fronts.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.amqp_stand_ins import AmqpConnection, AmqpFormServer, send
-from tests.stand_ins import TIMEOUT_S, Peer, Roster, RunningNode, connect, sidecar
+from tests.stand_ins import TIMEOUT_S, Peer, RegistryStandIn, RunningNode, connect, sidecar
 
 CLIENT_COUNT = 24
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("full", [False, True], ids=["all with capacity", "one without capacity"])
 def test_both_fronts_give_the_same_results_and_follow_the_same_rules(tmp_path: Path, full: bool) -> None:
     servers = [DualProtocolFormServer(f"s-0000000{n}", full and n == 1) for n in range(1, 5)]
-    roster = Roster([])
+    roster = RegistryStandIn([])
     roster.publish(*(s.entry() for s in servers))
     keys = [f"{n:016x}" for n in range(CLIENT_COUNT)]
     results: dict[str, list[Any]] = {name: [None] * CLIENT_COUNT for name in FRONTS}
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -19,14 +19,14 @@
 from sailrun.control.calls import InvalidCallError, parse_call
 from sailrun.node.shutdown import ShutdownPlans, ShutdownReason
 from tests.free_ports import free_port
-from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, connect, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, RegistryStandIn, RunningNode, connect, node
 
 SECOND = 1_000_000
 
 
 @pytest.fixture
 def running(tmp_path: Path, servers: list[FormServer]) -> Iterator[RunningNode]:
-    roster = Roster([s.entry() for s in servers])
+    roster = RegistryStandIn([s.entry() for s in servers])
     with node(tmp_path, roster, control=f"127.0.0.1:{free_port()}") as running:
         yield running
 
@@ -90,7 +90,7 @@
 def test_excluded_form_server_gets_no_sessions_even_if_it_is_listed_again(
     tmp_path: Path, servers: list[FormServer]
 ) -> None:
-    roster = Roster([s.entry() for s in servers])
+    roster = RegistryStandIn([s.entry() for s in servers])
     with node(tmp_path, roster, control=f"127.0.0.1:{free_port()}") as running:
         clients = [establish(running, n) for n in range(12)]
         excluded = next(s for s in servers if s.first_lines.qsize())
@@ -194,7 +194,7 @@
     def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
-    roster = Roster([s.entry() for s in servers])
+    roster = RegistryStandIn([s.entry() for s in servers])
     control = f"127.0.0.1:{free_port()}"
     with (
         node(tmp_path, roster, limit_descriptors, control=control, limits={"sockets": 64}) as running,
@@ -211,7 +211,7 @@
 
 @pytest.mark.parametrize("control", ["nowhere", "127.0.0.1:5000"])
 def test_invalid_control_address_is_reported_in_one_line_with_exit_2(tmp_path: Path, control: str) -> None:
-    roster = Roster([])
+    roster = RegistryStandIn([])
     with node(tmp_path, roster, listen=f"127.0.0.1:{free_port()}"):
         pass
     config = json.loads((tmp_path / "config.json").read_text())
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.stand_ins import SETTINGS, TIMEOUT_S, FormServer, Roster, node
+from tests.stand_ins import SETTINGS, TIMEOUT_S, FormServer, RegistryStandIn, node
 
 ROOT = Path(__file__).parent.parent
 SITES = [tomllib.loads(path.read_text()) for path in sorted((ROOT / "deploy" / "sites").glob("*.toml"))]
@@ -52,7 +52,7 @@
     settings = SETTINGS_BY_SITE[name]
     classes = {service["name"]: service["deadlineUs"] for service in settings["services"]}
     serving_server, draining_server = FormServer("s-5be2a07c"), FormServer("s-00000002")
-    roster = Roster([serving_server.entry(), draining_server.entry()])
+    roster = RegistryStandIn([serving_server.entry(), draining_server.entry()])
     with node(tmp_path, roster, settings=settings) as running:
         clients = []
         for n in range(4 * len(classes)):
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -20,10 +20,10 @@
 
 from sailrun.lab.faults.runs import FaultRun, RunResult, run_real
 from tests.free_ports import free_host_port
-from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, RegistryStandIn, RunningNode, node
 
 
-class LiveRoster(Roster):
+class LiveRegistryStandIn(RegistryStandIn):
     """A registry that answers with its current list; a watch waits for a newer list, for at most one
     second.
     """
@@ -46,7 +46,7 @@
     def __init__(
         self,
         folder: Path,
-        roster: Roster,
+        roster: RegistryStandIn,
         stack: ExitStack,
         has_replica: bool = False,
         has_storage_folder: bool = False,
@@ -134,7 +134,7 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path, servers: list[FormServer]) -> Iterator[Fleet]:
-    roster = Roster([s.entry() for s in servers])
+    roster = RegistryStandIn([s.entry() for s in servers])
     with ExitStack() as stack:
         yield Fleet(tmp_path, roster, stack)
 
@@ -236,7 +236,7 @@
     servers = [FormServer("s-5be2a07c"), FormServer("s-00000002")]
     # The list is long enough to be sent by links, not by datagrams.
     others = [{**servers[0].entry(), "id": f"s-{n:08x}"} for n in range(16, 76)]
-    roster = LiveRoster([servers[0].entry(), *others])
+    roster = LiveRegistryStandIn([servers[0].entry(), *others])
     with ExitStack() as stack:
         fleet = Fleet(tmp_path, roster, stack)
         reader = str(fleet.leader_of("roster/daejeon-1"))
@@ -263,7 +263,7 @@
 @pytest.fixture
 def replicated_fleet(tmp_path: Path, servers: list[FormServer]) -> Iterator[Fleet]:
     with ExitStack() as stack:
-        yield Fleet(tmp_path, Roster([s.entry() for s in servers]), stack, has_replica=True)
+        yield Fleet(tmp_path, RegistryStandIn([s.entry() for s in servers]), stack, has_replica=True)
 
 
 def run_fleet_command(fleet: Fleet, name: str, *words: str) -> subprocess.CompletedProcess[str]:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.stand_ins import SETTINGS, TIMEOUT_S, FormServer, Roster, node
+from tests.stand_ins import SETTINGS, TIMEOUT_S, FormServer, RegistryStandIn, node
 
 
 @pytest.fixture
@@ -23,14 +23,14 @@
 
 
 @pytest.fixture
-def roster(form_server: FormServer) -> Iterator[Roster]:
-    roster = Roster([form_server.entry()])
+def roster(form_server: FormServer) -> Iterator[RegistryStandIn]:
+    roster = RegistryStandIn([form_server.entry()])
     yield roster
     roster.stop()
 
 
 def test_a_session_is_placed_and_its_lines_are_forwarded_unchanged(
-    tmp_path: Path, form_server: FormServer, roster: Roster
+    tmp_path: Path, form_server: FormServer, roster: RegistryStandIn
 ) -> None:
     with node(tmp_path, roster) as running:
         check = running.connect()
@@ -57,7 +57,7 @@
 
 
 def test_message_latency_is_reported_in_the_same_line_as_a_load(
-    tmp_path: Path, form_server: FormServer, roster: Roster
+    tmp_path: Path, form_server: FormServer, roster: RegistryStandIn
 ) -> None:
     changed = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], "tellsDelay": True}}
     changed["familyInfo"]["messageAimUs"] = [50_000.0, 50_000.0]
@@ -72,7 +72,7 @@
 
 
 def test_when_a_form_server_ends_the_session_the_client_connection_ends_too(
-    tmp_path: Path, form_server: FormServer, roster: Roster
+    tmp_path: Path, form_server: FormServer, roster: RegistryStandIn
 ) -> None:
     with node(tmp_path, roster) as running:
         client = running.request_session()
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("line", ["HELLO", "OPEN a b", "OPEN a b c=page-load", "OPEN a b c=x,d=no", "\x00"])
 def test_an_invalid_first_line_is_answered_with_the_error_of_the_protocol(
-    tmp_path: Path, roster: Roster, line: str
+    tmp_path: Path, roster: RegistryStandIn, line: str
 ) -> None:
     with node(tmp_path, roster) as running:
         client = running.connect()
@@ -97,7 +97,7 @@
 
 
 def test_the_next_watch_follows_at_once_and_a_bad_list_changes_nothing(
-    tmp_path: Path, form_server: FormServer, roster: Roster
+    tmp_path: Path, form_server: FormServer, roster: RegistryStandIn
 ) -> None:
     with node(tmp_path, roster) as running:
         assert "after=41&wait_ms=" in roster.requests.get(timeout=TIMEOUT_S)[1]
@@ -113,7 +113,7 @@
 
 
 def test_clients_are_moved_before_the_node_shuts_down(
-    tmp_path: Path, form_server: FormServer, roster: Roster
+    tmp_path: Path, form_server: FormServer, roster: RegistryStandIn
 ) -> None:
     with node(tmp_path, roster) as running:
         established = [running.request_session(f"{n:016x}") for n in range(3)]
@@ -133,7 +133,7 @@
 
 
 def test_new_clients_are_answered_after_sigterm_even_with_short_deadlines(
-    tmp_path: Path, roster: Roster
+    tmp_path: Path, roster: RegistryStandIn
 ) -> None:
     services = [{**service, "deadlineUs": 1_200_000} for service in SETTINGS["services"]]
     with node(tmp_path, roster, settings={**SETTINGS, "services": services}) as running:
@@ -146,7 +146,7 @@
         assert time.monotonic() - began > 0.4
 
 
-def test_the_node_survives_running_out_of_descriptors(tmp_path: Path, roster: Roster) -> None:
+def test_the_node_survives_running_out_of_descriptors(tmp_path: Path, roster: RegistryStandIn) -> None:
     def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (32, 32))
 
@@ -162,7 +162,7 @@
 
 def test_a_rejection_by_a_full_form_server_is_retried_at_the_next_one(tmp_path: Path) -> None:
     busy, other = FormServer("s-00000001", "BUSY"), FormServer("s-00000002", "BUSY")
-    roster = Roster([busy.entry(), other.entry()])
+    roster = RegistryStandIn([busy.entry(), other.entry()])
     with node(tmp_path, roster) as running:
         requested_at = time.monotonic()
         answer, _, wait_ms = running.request_session().read_line().partition(" ")
@@ -178,14 +178,14 @@
     tmp_path: Path, answer: str | None, expected: str
 ) -> None:
     server = FormServer("s-00000001", answer)
-    with node(tmp_path, Roster([server.entry()])) as running:
+    with node(tmp_path, RegistryStandIn([server.entry()])) as running:
         assert running.request_session(wait_ms=700).read_line() == expected
         assert server.first_lines.qsize() == 1
 
 
 def test_a_session_from_before_the_start_is_resumed_at_its_form_server(tmp_path: Path) -> None:
     servers = [FormServer(f"s-0000000{n}", f"UP r{n}") for n in range(1, 4)]
-    with node(tmp_path, Roster([s.entry() for s in servers])) as running:
+    with node(tmp_path, RegistryStandIn([s.entry() for s in servers])) as running:
         for n in range(1, 4):
             assert (
                 running.request_session(f"{n:016x}", 999_999_999, f",at=s-0000000{n}").read_line()
@@ -195,7 +195,7 @@
 
 
 def test_clients_of_an_unresponsive_form_server_are_moved(
-    tmp_path: Path, form_server: FormServer, roster: Roster
+    tmp_path: Path, form_server: FormServer, roster: RegistryStandIn
 ) -> None:
     with node(tmp_path, roster) as running:
         clients = [running.request_session(f"{n:016x}") for n in range(10)]
@@ -210,7 +210,9 @@
         assert form_server.ends.get(timeout=TIMEOUT_S)
 
 
-def test_a_client_is_moved_between_two_lines(tmp_path: Path, form_server: FormServer, roster: Roster) -> None:
+def test_a_client_is_moved_between_two_lines(
+    tmp_path: Path, form_server: FormServer, roster: RegistryStandIn
+) -> None:
     with node(tmp_path, roster) as running:
         client = running.request_session()
         assert client.read_line() == "UP r1"
@@ -223,7 +225,7 @@
 
 
 def test_clients_are_moved_off_a_draining_form_server(
-    tmp_path: Path, form_server: FormServer, roster: Roster
+    tmp_path: Path, form_server: FormServer, roster: RegistryStandIn
 ) -> None:
     with node(tmp_path, roster) as running:
         roster.requests.get(timeout=TIMEOUT_S)
@@ -236,7 +238,7 @@
 
 
 def test_a_client_whose_connection_breaks_during_a_session_is_released(
-    tmp_path: Path, form_server: FormServer, roster: Roster
+    tmp_path: Path, form_server: FormServer, roster: RegistryStandIn
 ) -> None:
     with node(tmp_path, roster) as running:
         for reply in (None, b"page 3\r\n"):
@@ -253,7 +255,9 @@
         assert sum("reason=household-broke" in line for line in running.lines) == 2
 
 
-def test_a_line_longer_than_the_protocol_allows_causes_no_fault(tmp_path: Path, roster: Roster) -> None:
+def test_a_line_longer_than_the_protocol_allows_causes_no_fault(
+    tmp_path: Path, roster: RegistryStandIn
+) -> None:
     with node(tmp_path, roster) as running:
         client = running.connect()
         client.sock.sendall(b"OPEN " + b"a" * 9000)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -13,7 +13,7 @@
 
 from sailrun.operator_settings import Operator, read_operator, schema
 from sailrun.rebalance.settings import RebalanceSettings
-from tests.stand_ins import TIMEOUT_S, Roster, RunningNode, sidecar
+from tests.stand_ins import TIMEOUT_S, RegistryStandIn, RunningNode, sidecar
 from tests.test_both_fronts import FRONTS, DualProtocolFormServer
 
 # Short times for tests; all other settings have their defaults.
@@ -21,7 +21,7 @@
 CLIENT_COUNT = 10
 
 
-def add_form_servers(running: RunningNode, roster: Roster) -> list[DualProtocolFormServer]:
+def add_form_servers(running: RunningNode, roster: RegistryStandIn) -> list[DualProtocolFormServer]:
     """Adds form servers beside the one that has all sessions."""
     added = [DualProtocolFormServer(f"s-0000000{n}") for n in range(2, 5)]
     roster.publish(*(server.entry() for server in added))
@@ -33,7 +33,7 @@
     path = tmp_path / "operator.toml"
     path.write_text(FAST_REBALANCE)
     first_server = DualProtocolFormServer("s-00000001")
-    roster = Roster([])
+    roster = RegistryStandIn([])
     roster.publish(first_server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}, operator=path) as running:
         running.logged("roster", "form_servers=1")
@@ -56,7 +56,7 @@
     path = tmp_path / "operator.toml"
     path.write_text("")
     first_server = DualProtocolFormServer("s-00000001")
-    roster = Roster([])
+    roster = RegistryStandIn([])
     roster.publish(first_server.entry())
     with sidecar(tmp_path, {"source": "http", "address": roster.address}, operator=path) as running:
         running.logged("roster", "form_servers=1")
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -29,7 +29,7 @@
     TIMEOUT_S,
     FormServer,
     Peer,
-    Roster,
+    RegistryStandIn,
     RunningNode,
     node,
     roster_entry,
@@ -130,7 +130,7 @@
 def test_a_form_server_that_drains_or_is_removed_while_connecting_receives_no_request(
     tmp_path: Path, unreachable: UnreachableFormServer, form_server: FormServer, phase: str
 ) -> None:
-    roster = Roster([unreachable.entry(), form_server.entry()])
+    roster = RegistryStandIn([unreachable.entry(), form_server.entry()])
     with node(tmp_path, roster, settings=LONG_TIMEOUT_SETTINGS) as running:
         client = running.request_session(group=find_group_that_prefers(unreachable.name, form_server.name))
         unreachable.wait_for_connection_attempt(running.process.pid)
@@ -150,7 +150,7 @@
     form_server.answer = "ERR"  # the request may have had an effect there
     effect = {"effect": "deduplicated", "group": "all", "repeatWindowUs": 900_000}
     services = [{**service, **effect} for service in LONG_TIMEOUT_SETTINGS["services"]]
-    roster = Roster([unreachable.entry(), form_server.entry()])
+    roster = RegistryStandIn([unreachable.entry(), form_server.entry()])
     with node(tmp_path, roster, settings={**LONG_TIMEOUT_SETTINGS, "services": services}) as running:
         client = running.request_session(group=find_group_that_prefers(form_server.name, unreachable.name))
         form_server.first_lines.get(timeout=TIMEOUT_S)
@@ -164,7 +164,7 @@
 def test_a_request_whose_client_leaves_as_the_connection_opens_is_not_forwarded(
     tmp_path: Path, unreachable: UnreachableFormServer, form_server: FormServer
 ) -> None:
-    roster = Roster([unreachable.entry(), form_server.entry()])
+    roster = RegistryStandIn([unreachable.entry(), form_server.entry()])
     with node(tmp_path, roster, settings=LONG_TIMEOUT_SETTINGS) as running:
         client = running.request_session(group=find_group_that_prefers(unreachable.name, form_server.name))
         unreachable.wait_for_connection_attempt(running.process.pid)
@@ -180,7 +180,7 @@
 def test_a_line_that_crosses_a_move_does_not_reset_the_connection(
     tmp_path: Path, form_server: FormServer
 ) -> None:
-    roster = Roster([form_server.entry()])
+    roster = RegistryStandIn([form_server.entry()])
     with node(tmp_path, roster) as running:
         client = running.request_session()
         assert client.read_line() == "UP r1"
@@ -196,7 +196,7 @@
 
 
 def test_nothing_is_read_from_a_form_server_after_its_end(tmp_path: Path, form_server: FormServer) -> None:
-    roster = Roster([form_server.entry()])
+    roster = RegistryStandIn([form_server.entry()])
     with node(tmp_path, roster) as running:
         client = running.request_session()
         assert client.read_line() == "UP r1"
@@ -216,7 +216,7 @@
 def test_idle_connections_are_answered_busy_when_the_node_exits(
     tmp_path: Path, form_server: FormServer
 ) -> None:
-    roster = Roster([form_server.entry()])
+    roster = RegistryStandIn([form_server.entry()])
     services = [{**service, "deadlineUs": 1_200_000} for service in SETTINGS["services"]]
     with node(tmp_path, roster, settings={**SETTINGS, "services": services}) as running:
         running.terminate()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.free_ports import free_port
-from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, node, sidecar
+from tests.stand_ins import TIMEOUT_S, FormServer, RegistryStandIn, RunningNode, node, sidecar
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
 def test_a_new_roster_address_is_requested_at_once_and_the_old_one_no_longer(
     tmp_path: Path, form_server: FormServer
 ) -> None:
-    old, new = Roster([form_server.entry()]), Roster([form_server.entry()])
+    old, new = RegistryStandIn([form_server.entry()]), RegistryStandIn([form_server.entry()])
     path = tmp_path / "config.json"
     with node(tmp_path, old) as running:
         old.requests.get(timeout=TIMEOUT_S)
@@ -52,7 +52,7 @@
 
 def test_an_unusable_file_leaves_the_old_one_in_use(tmp_path: Path, form_server: FormServer) -> None:
     path = tmp_path / "config.json"
-    with node(tmp_path, Roster([form_server.entry()])) as running:
+    with node(tmp_path, RegistryStandIn([form_server.entry()])) as running:
         good = path.read_text()
         bad = ["{", "[]", "[" * 100_000, good.replace('"discovery": "', '"discovery": "nowhere'), ""]
         bad.append(good.replace('"settings": {', '"settings": [], "x": {'))
@@ -73,7 +73,7 @@
     tmp_path: Path, form_server: FormServer
 ) -> None:
     path = tmp_path / "config.json"
-    with node(tmp_path, Roster([form_server.entry()])) as running:
+    with node(tmp_path, RegistryStandIn([form_server.entry()])) as running:
         established, silent = running.request_session(), running.connect()
         assert established.read_line() == "UP r1"
         form_server.answer = None
@@ -101,18 +101,18 @@
 
 def test_a_restart_during_a_reload_moves_all_clients(tmp_path: Path, form_server: FormServer) -> None:
     path = tmp_path / "config.json"
-    with node(tmp_path, Roster([form_server.entry()])) as running:
+    with node(tmp_path, RegistryStandIn([form_server.entry()])) as running:
         client = running.request_session()
         assert client.read_line() == "UP r1"
         config = json.loads(path.read_text())
         running.terminate()
-        write_and_send_sighup(running, path, json.dumps({**config, "discovery": Roster([]).address}))
+        write_and_send_sighup(running, path, json.dumps({**config, "discovery": RegistryStandIn([]).address}))
         assert [client.read_line(), client.read_line()] == ["MOVE", ""]
         assert running.process.wait(TIMEOUT_S) == 0
 
 
 def test_a_sidecar_applies_its_new_file_too(tmp_path: Path, form_server: FormServer) -> None:
-    old, new = Roster([form_server.entry()]), Roster([form_server.entry()])
+    old, new = RegistryStandIn([form_server.entry()]), RegistryStandIn([form_server.entry()])
     path = tmp_path / "sidecar.toml"
     with sidecar(tmp_path, {"source": "http", "address": old.address}) as running:
         text = path.read_text()
--- a/tests/test_sharding_processes.py
+++ b/tests/test_sharding_processes.py
@@ -16,7 +16,7 @@
 import tomli_w
 
 from tests.free_ports import free_host_port
-from tests.stand_ins import TIMEOUT_S, FormServer, Roster, RunningNode, node
+from tests.stand_ins import TIMEOUT_S, FormServer, RegistryStandIn, RunningNode, node
 
 CONTROL, NODES = ("c1", "c2", "c3"), ("n1", "n2", "n3")
 SHARDS = 24
@@ -29,7 +29,7 @@
 class Region:
     """Three control members, which are the voters, and three nodes."""
 
-    def __init__(self, folder: Path, roster: Roster, stack: ExitStack) -> None:
+    def __init__(self, folder: Path, roster: RegistryStandIn, stack: ExitStack) -> None:
         self._folder, self._roster, self._stack = folder, roster, stack
         self.listens = {name: free() for name in (*CONTROL, *NODES, "n4")}
         self.running: dict[str, RunningNode] = {}
@@ -97,7 +97,7 @@
 
 @pytest.fixture
 def region(tmp_path: Path, servers: list[FormServer]) -> Iterator[Region]:
-    roster = Roster([s.entry() for s in servers])
+    roster = RegistryStandIn([s.entry() for s in servers])
     with ExitStack() as stack:
         yield Region(tmp_path, roster, stack)
 
--- a/tests/test_slow_start_log.py
+++ b/tests/test_slow_start_log.py
@@ -5,12 +5,12 @@
 import time
 from pathlib import Path
 
-from tests.stand_ins import TIMEOUT_S, FormServer, Roster, node
+from tests.stand_ins import TIMEOUT_S, FormServer, RegistryStandIn, node
 
 
 def test_sends_to_a_form_server_in_slow_start_are_logged_with_the_allowance(tmp_path: Path) -> None:
     established, starting = FormServer("s-5be2a07c"), FormServer("s-00000002")
-    registry = Roster([established.entry()])
+    registry = RegistryStandIn([established.entry()])
     with node(tmp_path, registry) as running:
         clients = [running.request_session(f"{n:016x}", group=f"{n:016x}") for n in range(16)]
         assert all(client.read_line() == "UP r1" for client in clients)
@@ -38,7 +38,7 @@
 
 def test_rejections_log_the_reason_and_failed_attempts_the_outcome(tmp_path: Path) -> None:
     full = FormServer("s-5be2a07c", answer="BUSY")
-    with node(tmp_path, Roster([full.entry()])) as running:
+    with node(tmp_path, RegistryStandIn([full.entry()])) as running:
         assert running.request_session().read_line().startswith("BUSY")
         failed_line = running.logged("attempt-failed", "server=s-5be2a07c")
         assert (
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -28,7 +28,7 @@
 
 import pytest
 
-from tests.stand_ins import SETTINGS, FormServer, Peer, Roster, RunningNode, node
+from tests.stand_ins import SETTINGS, FormServer, Peer, RegistryStandIn, RunningNode, node
 
 SERVERS, SESSIONS_PER_SERVER = 4, 48  # established form servers, and their sessions each
 SLOW_START_S, WINDOW_S, INITIAL_SHARE, OVERLOAD_MULTIPLE = 60, 1.0, 0.13, 3.0
@@ -62,7 +62,7 @@
             folder.mkdir()
             settings = {**SETTINGS, "siblings": nodes, "index": n}
             settings["obligations"] = {**SETTINGS["obligations"], **obligations}
-            registries.append(Roster([server.entry() for server in established]))
+            registries.append(RegistryStandIn([server.entry() for server in established]))
             nodes_running.append(
                 stack.enter_context(node(folder, registries[-1], name=f"n{n}", settings=settings))
             )
--- a/tests/test_storage_processes.py
+++ b/tests/test_storage_processes.py
@@ -20,7 +20,7 @@
 from sailrun.storage.files import OsFiles
 from sailrun.storage.folder_reader import FolderIntegrity, read_folder
 from tests.free_ports import free_host_port, free_port
-from tests.stand_ins import TIMEOUT_S, FormServer, Roster, node
+from tests.stand_ins import TIMEOUT_S, FormServer, RegistryStandIn, node
 from tests.test_fleet_processes import Fleet, run_fleet_command
 
 
@@ -35,7 +35,11 @@
 def fleet(tmp_path: Path, servers: list[FormServer]) -> Iterator[Fleet]:
     with ExitStack() as stack:
         yield Fleet(
-            tmp_path, Roster([s.entry() for s in servers]), stack, has_replica=True, has_storage_folder=True
+            tmp_path,
+            RegistryStandIn([s.entry() for s in servers]),
+            stack,
+            has_replica=True,
+            has_storage_folder=True,
         )
 
 
@@ -101,7 +105,7 @@
 def test_a_node_without_a_fleet_restores_operator_overrides(
     tmp_path: Path, servers: list[FormServer]
 ) -> None:
-    roster = Roster([s.entry() for s in servers])
+    roster = RegistryStandIn([s.entry() for s in servers])
     operator = write_operator_file(tmp_path, tmp_path / "kept")
     control = free_host_port()
     name = servers[0].name
@@ -130,7 +134,7 @@
         time.sleep(0.05)
 
 
-def serve_error(tmp_path: Path, roster: Roster, storage_folder: Path) -> str:
+def serve_error(tmp_path: Path, roster: RegistryStandIn, storage_folder: Path) -> str:
     """Runs `sailrun serve` with an unusable folder; returns the last line of its error output."""
     config = tmp_path / "config.json"
     with node(tmp_path, roster) as running:  # writes the config file
@@ -146,7 +150,7 @@
 
 
 def test_an_unusable_folder_is_reported_in_one_line(tmp_path: Path, servers: list[FormServer]) -> None:
-    roster = Roster([s.entry() for s in servers])
+    roster = RegistryStandIn([s.entry() for s in servers])
     error = serve_error(tmp_path, roster, tmp_path / "none" / "kept")
     assert error.endswith("lasting.folder: No such file or directory")
     storage_folder = tmp_path / "kept"
@@ -169,7 +173,7 @@
 ) -> None:
     (tmp_path / "kept" / "lock").mkdir(parents=True)  # locking fails for every user, including root
     operator = write_operator_file(tmp_path, tmp_path / "kept")
-    with node(tmp_path, Roster([s.entry() for s in servers]), operator=operator) as running:
+    with node(tmp_path, RegistryStandIn([s.entry() for s in servers]), operator=operator) as running:
         running.logged("lasting-failed", "Is a directory")
         assert running.request_session().read_line()
         running.process.send_signal(signal.SIGTERM)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -40,7 +40,7 @@
 from sailrun.node.session import FormServer as ListedFormServer
 from sailrun.node.session import ServerListUpdate
 from tests.free_ports import free_port
-from tests.stand_ins import TIMEOUT_S, FormServer, Peer, Roster, RunningNode, node
+from tests.stand_ins import TIMEOUT_S, FormServer, Peer, RegistryStandIn, RunningNode, node
 
 
 class SuccessiveProcesses:
@@ -48,7 +48,7 @@
 
     def __init__(self, folder: Path, servers: list[FormServer], stack: ExitStack) -> None:
         self.folder, self._stack = folder, stack
-        self.roster = Roster([s.entry() for s in servers])
+        self.roster = RegistryStandIn([s.entry() for s in servers])
         self.listen = f"127.0.0.1:{free_port()}"
 
     def start(self, **changes: Any) -> RunningNode:
