--- a/benchmarks/recorder.py
+++ b/benchmarks/recorder.py
@@ -50,7 +50,10 @@
     "decision module": ("sailrun.decide:Balancer", "sailrun.decisions.balancer:Balancer"),
     "action lines": ("sailrun.wire:action_line", "sailrun.benchlink.wire:action_line"),
     "simulated files": ("sailrun.lab.faults.disk:SimFiles",),
-    "message encoding interval": ("sailrun.lab.faults.virtual:WEIGHED",),
+    "message encoding interval": (
+        "sailrun.lab.faults.virtual:WEIGHED",
+        "sailrun.lab.faults.virtual:MESSAGE_ENCODING_INTERVAL",
+    ),
 }
 
 
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -35,7 +35,7 @@
 # Messages that a paused node finds in its sockets when it resumes; further ones are dropped.
 MAX_QUEUED_MESSAGES = 2_000
 # One message in this many is encoded, to estimate the traffic in bytes.
-WEIGHED = 8
+MESSAGE_ENCODING_INTERVAL = 8
 # Range of the duration of a write with its sync, unless the disk is stalled.
 WRITE_DURATION_US = (500, 8_000)
 # Time limit of an operator's command about a mark.
@@ -539,7 +539,7 @@
         self._sent_count += 1
         kind = type(outgoing.envelope.body).__name__
         self.message_counts[kind] = self.message_counts.get(kind, 0) + 1
-        if self._sent_count % WEIGHED == 0:
+        if self._sent_count % MESSAGE_ENCODING_INTERVAL == 0:
             self.encoded_count += 1
             self.bytes += len(encode_envelope(outgoing.envelope))
         receiver = self._nodes_by_address.get(outgoing.address)
