--- a/sailrun/lab/faults/shard_fleet.py
+++ b/sailrun/lab/faults/shard_fleet.py
@@ -27,7 +27,7 @@
         super().__init__(nodes, FLEET_VOTERS, ZONES_PER_REGION, shard_agent_settings, seed, off)
         for node in self.nodes.values():
             node.zone = place_of(node.index).zone
-        self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node: its incarnation and exerciser
+        self._exercisers: dict[str, tuple[int, ActExerciser]] = {}  # by node: its start count and exerciser
 
     def begin(self) -> None:
         super().begin()
