--- a/sailrun/lab/scale/command.py
+++ b/sailrun/lab/scale/command.py
@@ -1,4 +1,4 @@
-"""Plays a scale run with either driver."""
+"""Runs a plan of the `scale` run with either driver."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     on_progress: Callable[[float], None] = lambda share: None,
     steps: list[Step] | None = None,
 ) -> tuple[Summary, ScaleRecords]:
-    """Plays the plan. `steps` replaces the faults of the plan.
+    """Runs the plan. `steps` replaces the faults of the plan.
 
     Raises DoesNotFit before anything is started if the plan does not fit, and OSError if addresses are not
     available.
--- a/sailrun/lab/scale/real_run.py
+++ b/sailrun/lab/scale/real_run.py
@@ -1,4 +1,4 @@
-"""Plays a scale run in real time over loopback sockets."""
+"""Runs a plan of the `scale` run in real time over loopback sockets."""
 
 from __future__ import annotations
 
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -1,4 +1,4 @@
-"""Plays a scale run in virtual time: the same agents, the same network model, in one process.
+"""Runs a plan of the `scale` run in virtual time: the same agents, the same network model, in one process.
 
 There are no event loop and no sockets, so `cpu` excludes decoding and sending. All nodes share the member
 records with which they start, so they use less memory than nodes with records of their own.
@@ -274,7 +274,7 @@
     after, watch = None, FaultWatch()
     if steps:
         stretch = _Stretch(fleet, base_mb)
-        after = _play_steps(fleet, steps, watch)
+        after = _run_steps(fleet, steps, watch)
         uses[FAULT] = stretch.uses()
     on_progress(1.0)
     figures = {"memory_expected_mb": memory_mb(fleet.plan), "memory_mb": rss_mb(os.getpid())}
@@ -285,7 +285,7 @@
     return measured
 
 
-def _play_steps(fleet: VirtualScaleFleet, steps: list[Step], watch: FaultWatch) -> Convergence:
+def _run_steps(fleet: VirtualScaleFleet, steps: list[Step], watch: FaultWatch) -> Convergence:
     began_s = fleet.now_s
     for step in steps:
         while (left_s := began_s + step.at_s - fleet.now_s) > 0:
