--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -25,9 +25,9 @@
 
 import msgspec
 
-from sailrun.lab.faults.explore_copies import explore_replicas
+from sailrun.lab.faults.explore_replicas import explore_replicas
 from sailrun.lab.faults.nemesis import PLANS
-from sailrun.lab.faults.play import agent_settings, voters_among
+from sailrun.lab.faults.runs import agent_settings, voters_among
 from sailrun.lab.faults.virtual import VirtualFleet
 from sailrun.lab.figures import quantile
 from sailrun.lab.scheduler import BEGIN_US
