--- a/sailrun/rebalance/balance.py
+++ b/sailrun/rebalance/balance.py
@@ -19,7 +19,7 @@
 from sailrun.decisions.settings import Settings
 from sailrun.rebalance.connection_table import ConnectionTable, GroupKey, TrackedConnection
 from sailrun.rebalance.gossip import InvalidGossipError, LoadReporter, NeighbourLoads, decode_report
-from sailrun.rebalance.pace import MoveRate
+from sailrun.rebalance.move_rate import MoveRate
 from sailrun.rebalance.settings import RebalanceSettings
 
 SECOND = 1_000_000
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -24,7 +24,7 @@
     decode_report,
     encode_report,
 )
-from sailrun.rebalance.pace import MoveRate
+from sailrun.rebalance.move_rate import MoveRate
 from sailrun.rebalance.settings import RebalanceSettings
 
 SECOND = 1_000_000
