--- a/benchmarks/external_names/tables.py
+++ b/benchmarks/external_names/tables.py
@@ -88,7 +88,7 @@
 # Modules that represent a log event as a pair of its name and a dict of its fields.
 LOG_PAIR_MODULES = ("sharding", "replication", "leadership", "storage", "membership")
 # Modules in which the keys of all dict literals are fields of log events.
-LOG_FIELD_MODULES = ("rebalance/balance.py", "sharding/log_events.py", "sharding/agent.py")
+LOG_FIELD_MODULES = ("rebalance/rebalancer.py", "sharding/log_events.py", "sharding/agent.py")
 # The class of the operator's settings file, and the module with the file names of a storage folder.
 OPERATOR_CLASS = ("operator_settings.py", "Operator")
 FOLDER_LAYOUT_MODULE = "storage/folder_layout.py"
--- a/sailrun/lab/virtual.py
+++ b/sailrun/lab/virtual.py
@@ -26,7 +26,7 @@
 from sailrun.node.restart_state import NodeSnapshot
 from sailrun.node.session import FormSession, Placement, ServerListUpdate
 from sailrun.node.session_transfer import SendTransfer
-from sailrun.rebalance.balance import ChooseElsewhere, Orders, Rebalancer
+from sailrun.rebalance.rebalancer import ChooseElsewhere, Orders, Rebalancer
 from sailrun.rebalance.settings import RebalanceSettings
 
 # Bounds of the delay until a restarted node receives clients again.
--- a/sailrun/node/core.py
+++ b/sailrun/node/core.py
@@ -42,7 +42,7 @@
 from sailrun.node.timers import TimerQueue
 
 if TYPE_CHECKING:
-    from sailrun.rebalance.balance import Rebalancer
+    from sailrun.rebalance.rebalancer import Rebalancer
 
 SWEEP_INTERVAL_US = 100_000
 # A form server from which anything was received within this time is not ejected because of other nodes'
--- a/sailrun/node/rebalancer_port.py
+++ b/sailrun/node/rebalancer_port.py
@@ -17,7 +17,7 @@
 from sailrun.node.session import FormSession
 
 if TYPE_CHECKING:
-    from sailrun.rebalance.balance import Rebalancer
+    from sailrun.rebalance.rebalancer import Rebalancer
 
 
 class RebalancerPort:
--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -133,7 +133,7 @@
             self.node.set_rebalancer(None)
             return
         # Loaded only where it is enabled.
-        from sailrun.rebalance.balance import Rebalancer
+        from sailrun.rebalance.rebalancer import Rebalancer
 
         rebalance, now_us = config.operator.rebalance, self.node.clock.now_us()
         self.node.set_rebalancer(Rebalancer(rebalance, config.settings, now_us))
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -11,7 +11,6 @@
 
 from sailrun.decisions.events import AttemptOutcome, Backend, BackendState, ListKind
 from sailrun.decisions.settings import RequestClass, Settings
-from sailrun.rebalance.balance import Orders, Rebalancer
 from sailrun.rebalance.connection_table import ConnectionTable, TrackedConnection
 from sailrun.rebalance.gossip import (
     MAX_DATAGRAM_BYTES,
@@ -25,6 +24,7 @@
     encode_report,
 )
 from sailrun.rebalance.move_rate import MoveRate
+from sailrun.rebalance.rebalancer import Orders, Rebalancer
 from sailrun.rebalance.settings import RebalanceSettings
 
 SECOND = 1_000_000
