--- a/sailrun/hot_restart/handover.py
+++ b/sailrun/hot_restart/handover.py
@@ -24,7 +24,6 @@
     receive_with_sockets,
     send_with_sockets,
 )
-from sailrun.hot_restart.rules import Succession
 from sailrun.hot_restart.state import (
     InvalidHandoverError,
     pack,
@@ -34,6 +33,7 @@
     write_process_load,
     write_state,
 )
+from sailrun.hot_restart.succession import Succession
 from sailrun.node.clock import log
 from sailrun.node.core import Node
 from sailrun.node.queries import send_query
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -26,7 +26,6 @@
     SetupRateSnapshot,
     StateSnapshot,
 )
-from sailrun.hot_restart.rules import Role, Succession
 from sailrun.hot_restart.state import (
     InvalidHandoverError,
     pack,
@@ -36,6 +35,7 @@
     write_process_load,
     write_state,
 )
+from sailrun.hot_restart.succession import Role, Succession
 from sailrun.node.restart_state import NodeSnapshot, ProcessLoad
 from sailrun.node.session import FormServer as ListedFormServer
 from sailrun.node.session import ServerListUpdate
