--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -18,7 +18,6 @@
 from sailrun.node.core import Node
 from sailrun.node.session import FormServer, FormSession, Placement
 from sailrun.node.session_transfer import SendTransfer, SessionTransfer
-from sailrun.text_protocol.figures import Load, LoadLineClassifier
 from sailrun.text_protocol.lines import (
     ANSWER_OUTCOMES,
     END_OUTCOMES,
@@ -28,6 +27,7 @@
     parse_load,
     parse_open_request,
 )
+from sailrun.text_protocol.load_lines import Load, LoadLineClassifier
 
 SECOND = 1_000_000
 # A connection that has not sent a request within this time is closed, so that silent connections do not use
--- a/tests/test_figures.py
+++ b/tests/test_load_lines.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailrun.text_protocol.figures import INTERVAL_TOLERANCE_US, SECOND, Delay, Load, LoadLineClassifier
+from sailrun.text_protocol.load_lines import INTERVAL_TOLERANCE_US, SECOND, Delay, Load, LoadLineClassifier
 
 MIN_DELAY_MS = 50 / 3
 
