--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -19,7 +19,7 @@
 from sailrun.node.clock import Clock, log
 from sailrun.node.core import Node
 from sailrun.text_protocol.clients import LINGER_US, ClientFront
-from sailrun.text_protocol.neighbours import Datagrams, Probes
+from sailrun.text_protocol.peers import Datagrams, Probes
 
 if TYPE_CHECKING:
     from sailrun.hot_restart.handover import Inherited
