--- a/sailrun/lab/scale/hollow_node.py
+++ b/sailrun/lab/scale/hollow_node.py
@@ -25,7 +25,7 @@
 from sailrun.leadership.envelope import Envelope
 from sailrun.leadership.initial_term import new_initial_term
 from sailrun.leadership.list_reader import SharedList
-from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.traffic_counters import TrafficCounters
 from sailrun.leadership.transport import Transport
 from sailrun.membership.messages import MemberRecord
 
--- a/sailrun/lab/scale/host_messages.py
+++ b/sailrun/lab/scale/host_messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sailrun.lab.scale.plan import ScalePlan
-from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.traffic_counters import TrafficCounters
 
 # ------------------------------------------------------------------ commands
 
--- a/sailrun/lab/scale/real_process.py
+++ b/sailrun/lab/scale/real_process.py
@@ -30,7 +30,7 @@
 from sailrun.lab.settings import WorldSettings
 from sailrun.leadership.agent import AgentSettings
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.traffic_counters import TrafficCounters
 
 STREAM_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
 OWNERSHIP_ACTS = ("hold", "lost")
--- a/sailrun/lab/scale/socket_fleet.py
+++ b/sailrun/lab/scale/socket_fleet.py
@@ -54,7 +54,7 @@
 from sailrun.lab.scale.roles import NodeUse, use_between
 from sailrun.lab.scale.settings import node_settings
 from sailrun.leadership.clock import boot_us
-from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.traffic_counters import TrafficCounters
 
 # Blocks of loopback addresses, by their second octet, that a run may take.
 BLOCKS = range(16, 240)
--- a/sailrun/lab/scale/virtual_run.py
+++ b/sailrun/lab/scale/virtual_run.py
@@ -47,7 +47,7 @@
 from sailrun.lab.scheduler import BEGIN_US
 from sailrun.leadership.agent import OutgoingEnvelope
 from sailrun.leadership.envelope import MAX_DATAGRAM_BYTES, Envelope, encode_envelope
-from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.traffic_counters import TrafficCounters
 from sailrun.membership.messages import MemberRecord
 
 SECOND = 1_000_000
--- a/sailrun/leadership/status.py
+++ b/sailrun/leadership/status.py
@@ -9,7 +9,7 @@
 
 from sailrun.leadership.agent import Agent
 from sailrun.leadership.permits import PERMITS_TASK
-from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.traffic_counters import TrafficCounters
 
 SECOND = 1_000_000
 Rows = list[dict[str, Any]]
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -36,7 +36,7 @@
     decode_envelope,
     encode_envelope,
 )
-from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.traffic_counters import TrafficCounters
 from sailrun.node.clock import log
 
 SECOND = 1_000_000
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -52,7 +52,7 @@
 from sailrun.lab.scale.role_table import is_role_figure, role_lines
 from sailrun.lab.scale.roles import MEASURES, NodeUse, role_figures, roles_of, use_between
 from sailrun.lab.scale.settings import node_settings
-from sailrun.leadership.traffic import TrafficCounters
+from sailrun.leadership.traffic_counters import TrafficCounters
 
 SECOND = 1_000_000
 SMALL = ScalePlan(nodes=3, hollow=60, seconds=3.0)
