--- a/sailrun/replication/copy_transfer.py
+++ b/sailrun/replication/copy_transfer.py
@@ -13,11 +13,11 @@
 
 from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberState
-from sailrun.replication.copy_state import CopyState
 from sailrun.replication.epochs import extract_local_writes
 from sailrun.replication.messages import DigestReply
 from sailrun.replication.range_digests import RANGE_COUNT
 from sailrun.replication.records import Key, Record
+from sailrun.replication.replica_state import CopyState
 from sailrun.replication.state_transfer import TransferReceiver, ignore_end
 from sailrun.replication.store import RecordStore
 
--- a/sailrun/replication/epochs.py
+++ b/sailrun/replication/epochs.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from sailrun.replication.copy_state import CopyState
 from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.records import STRONG, Count, Key, Record, covers
+from sailrun.replication.replica_state import CopyState
 from sailrun.replication.store import RecordStore
 
 EPOCH_RECORD_KEY: Key = ("fleet", "forgotten", "")
