--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -13,7 +13,6 @@
 from collections.abc import Callable, Collection
 
 from sailrun.membership.membership import Membership
-from sailrun.replication.copy_transfer import MAX_SENDERS, CopyTransfer
 from sailrun.replication.epochs import EpochTracker
 from sailrun.replication.gossip import FANOUT, MAX_SENDS, GossipQueue
 from sailrun.replication.journal import ReplicaJournal
@@ -32,6 +31,7 @@
 from sailrun.replication.records import InvalidRecordError, Key, Record
 from sailrun.replication.repair import RecordRepair
 from sailrun.replication.replica_state import CopyState
+from sailrun.replication.replica_transfer import MAX_SENDERS, CopyTransfer
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.state_transfer import TransferReceiver, TransferSender, ignore_end
 from sailrun.replication.store import PutResult, RecordStore
