--- a/sailrun/leadership/member_journal.py
+++ b/sailrun/leadership/member_journal.py
@@ -51,7 +51,7 @@
         """Journals the deletion of a record of the replica."""
         self._add(e.DeletedRecord(key))
 
-    def write_copy_state(self, epoch: int, is_complete: bool, cleared: bool = False) -> None:
+    def write_replica_state(self, epoch: int, is_complete: bool, cleared: bool = False) -> None:
         """Journals the replica's epoch, whether it is complete, and whether it was cleared."""
         self._add(e.ReplicaStatus(epoch, is_complete, cleared))
 
--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -30,7 +30,7 @@
 from sailrun.replication.range_digests import list_ranges
 from sailrun.replication.records import InvalidRecordError, Key, Record
 from sailrun.replication.repair import RecordRepair
-from sailrun.replication.replica_state import CopyState
+from sailrun.replication.replica_state import ReplicaState
 from sailrun.replication.replica_transfer import MAX_SENDERS, CopyTransfer
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.state_transfer import TransferReceiver, TransferSender, ignore_end
@@ -70,7 +70,7 @@
         self._last_request_id = self._rng.getrandbits(30) << 20
         self._checks_epochs = "forget" not in disabled_rules
         self._checks_hashes = "mend" not in disabled_rules
-        self.copy = CopyState()
+        self.copy = ReplicaState()
         # Events for the operator's log, each with its fields; the caller writes them and empties the list.
         self.log_events: list[tuple[str, dict[str, object]]] = []
         # Called when the replica or a record of it was discarded, with the time and whether a majority may
@@ -297,12 +297,12 @@
         self.store.clear()
         self._gossip.clear()
         self._digest_requests.clear()  # replies under way refer to the discarded replica
-        self._journal.write_copy_state(epoch, False, cleared=True)
+        self._journal.write_replica_state(epoch, False, cleared=True)
         self.on_discarded(now_us, was_counted)
 
     def _complete_copy(self, now_us: int) -> None:
         self.copy.is_complete = True
-        self._journal.write_copy_state(self.copy.epoch, True)
+        self._journal.write_replica_state(self.copy.epoch, True)
         self.log_event(
             "copy-whole", records=len(self.store), epoch=self.copy.epoch, pieces=self.receiver.pages
         )
--- a/sailrun/replication/epochs.py
+++ b/sailrun/replication/epochs.py
@@ -13,7 +13,7 @@
 
 from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.records import STRONG, Count, Key, Record, covers
-from sailrun.replication.replica_state import CopyState
+from sailrun.replication.replica_state import ReplicaState
 from sailrun.replication.store import RecordStore
 
 EPOCH_RECORD_KEY: Key = ("fleet", "forgotten", "")
@@ -65,7 +65,7 @@
     def __init__(
         self,
         store: RecordStore,
-        copy: CopyState,
+        copy: ReplicaState,
         journal: ReplicaJournal,
         on_removed: Callable[[Key], None],
         log_event: Callable[..., None],
@@ -92,7 +92,7 @@
         for key, actor, count in epoch_record.deleted_versions:
             self._remove_deletion(key, actor, count)
         self._copy.epoch = epoch_record.epoch
-        self._journal.write_copy_state(self._copy.epoch, True)
+        self._journal.write_replica_state(self._copy.epoch, True)
         if self.get_record() != record:
             self._store.put(now_us, record)
         records = len(epoch_record.deleted_versions)
--- a/sailrun/replication/journal.py
+++ b/sailrun/replication/journal.py
@@ -16,7 +16,7 @@
     def write_removal(self, key: Key) -> None:
         """Stores that the record was removed by a decision of the fleet."""
 
-    def write_copy_state(self, epoch: int, is_complete: bool, cleared: bool = False) -> None:
+    def write_replica_state(self, epoch: int, is_complete: bool, cleared: bool = False) -> None:
         """Stores the replica's epoch and whether it is complete. `cleared`: all records were discarded."""
 
     def write_acceptor_state(
--- a/sailrun/replication/replica_state.py
+++ b/sailrun/replication/replica_state.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class CopyState:
+class ReplicaState:
     """`epoch` counts how often the fleet has removed deleted records; replicas of different epochs are never
     merged. Times are in microseconds of this node's clock.
     """
--- a/sailrun/replication/replica_transfer.py
+++ b/sailrun/replication/replica_transfer.py
@@ -17,7 +17,7 @@
 from sailrun.replication.messages import DigestReply
 from sailrun.replication.range_digests import RANGE_COUNT
 from sailrun.replication.records import Key, Record
-from sailrun.replication.replica_state import CopyState
+from sailrun.replication.replica_state import ReplicaState
 from sailrun.replication.state_transfer import TransferReceiver, ignore_end
 from sailrun.replication.store import RecordStore
 
@@ -39,7 +39,7 @@
         self,
         name: str,
         store: RecordStore,
-        copy: CopyState,
+        copy: ReplicaState,
         members: Membership,
         voters: Callable[[], list[str]],
         receiver: TransferReceiver,
