--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -31,7 +31,7 @@
 from sailrun.replication.records import InvalidRecordError, Key, Record
 from sailrun.replication.repair import RecordRepair
 from sailrun.replication.replica_state import ReplicaState
-from sailrun.replication.replica_transfer import MAX_SENDERS, CopyTransfer
+from sailrun.replication.replica_transfer import MAX_SENDERS, ReplicaTransfer
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.state_transfer import TransferReceiver, TransferSender, ignore_end
 from sailrun.replication.store import PutResult, RecordStore
@@ -83,7 +83,7 @@
         self._gossip = GossipQueue(store)
         self.epochs = EpochTracker(store, self.copy, self._journal, self._gossip.discard, self.log_event)
         self._repair = self._make_repair(voters, is_majority)
-        self._copy_transfer = CopyTransfer(
+        self._replica_transfer = ReplicaTransfer(
             name, store, self.copy, members, voters, self.receiver, self._rng, self._complete_copy
         )
         self._digest_requests: dict[int, str] = {}  # the receivers of digest requests, by request id
@@ -118,7 +118,7 @@
     def restore(self, epoch: int) -> None:
         """Sets the epoch of a complete replica that was loaded at the start; its lag is determined later."""
         self.copy.epoch, self.copy.is_complete = epoch, True
-        self._copy_transfer.set_complete()
+        self._replica_transfer.set_complete()
 
     def make_request_id(self) -> int:
         """Returns an id that no other request of this process has."""
@@ -230,7 +230,7 @@
                 return messages
         differing = self.store.digests.find_differing_ranges(reply.range_digests)
         if not self.copy.is_complete:
-            self._copy_transfer.on_digest_reply(now_us, sender, reply, differing)
+            self._replica_transfer.on_digest_reply(now_us, sender, reply, differing)
         elif (
             differing
             and self.receiver.find_background_transfer(sender) is None
@@ -277,7 +277,7 @@
         if transfer is None:
             return
         retry_at_us = now_us + busy.retry_after_us
-        self._copy_transfer.back_off(sender, retry_at_us)
+        self._replica_transfer.back_off(sender, retry_at_us)
         if transfer.urgent or self.copy.is_complete:
             transfer.request_at_us, transfer.attempts = retry_at_us, 0
         else:
@@ -292,7 +292,7 @@
         self.copy.discard_count += 1
         self.copy.is_complete, self.copy.epoch, self.copy.begun_us = False, epoch, now_us
         self.receiver.end_all(now_us)
-        self._copy_transfer.restart()
+        self._replica_transfer.restart()
         self._repair.clear()
         self.store.clear()
         self._gossip.clear()
@@ -307,7 +307,7 @@
             "copy-whole", records=len(self.store), epoch=self.copy.epoch, pieces=self.receiver.pages
         )
         self.copy.missing_records = 0
-        local_writes = self._copy_transfer.take_local_writes()
+        local_writes = self._replica_transfer.take_local_writes()
         for record in self.epochs.drop_removed_versions(local_writes):
             self.merge_received(now_us, [record])
 
@@ -347,7 +347,7 @@
     def _gossip_or_transfer(self, now_us: int) -> list[OutgoingMessage]:
         messages: list[OutgoingMessage] = []
         if not self.copy.is_complete:
-            for name in self._copy_transfer.choose_senders(now_us):
+            for name in self._replica_transfer.choose_senders(now_us):
                 messages += self.request_digests(name)
             return messages
         messages += self._send_rumor()
--- a/sailrun/replication/replica_transfer.py
+++ b/sailrun/replication/replica_transfer.py
@@ -32,7 +32,7 @@
 MIN_REQUEST_INTERVAL_US = SECOND_US // 2
 
 
-class CopyTransfer:
+class ReplicaTransfer:
     """Tracks the missing ranges of this replica and the sender of each."""
 
     def __init__(
