--- a/sailrun/replication/copy_lag.py
+++ b/sailrun/replication/copy_lag.py
@@ -17,7 +17,7 @@
 COMPARE_INTERVAL_US, COMPARE_NODES = SECOND_US, 200
 
 
-class CopyLag:
+class ReplicaLag:
     """Compares this replica with the leader's and fetches missing records."""
 
     def __init__(
--- a/sailrun/replication/replica.py
+++ b/sailrun/replication/replica.py
@@ -18,7 +18,7 @@
 from sailrun.replication.acceptor import Acceptor
 from sailrun.replication.anti_entropy import AntiEntropy
 from sailrun.replication.coordinator import MarkCoordinator
-from sailrun.replication.copy_lag import CopyLag
+from sailrun.replication.copy_lag import ReplicaLag
 from sailrun.replication.journal import ReplicaJournal
 from sailrun.replication.mark_client import (
     DEFAULT_TIMEOUT_US,
@@ -118,7 +118,7 @@
         self.leader_requests: list[LeaderRequest] = []
         self._client = MarkClient(self.leader_requests.append, record_event)
         self._effects = MarkEffects(self.anti_entropy)
-        self._lag = CopyLag(name, self.anti_entropy, members, self.leader_requests.append, now_us)
+        self._lag = ReplicaLag(name, self.anti_entropy, members, self.leader_requests.append, now_us)
         self.anti_entropy.on_discarded = self._on_discarded
         self.anti_entropy.on_lost = self._effects.touch
         self.acceptor: Acceptor | None = None
