--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -19,7 +19,7 @@
 from sailrun.node.clock import Clock, log
 from sailrun.node.core import Node
 from sailrun.text_protocol.clients import LINGER_US, ClientFront
-from sailrun.text_protocol.peers import Datagrams, Probes
+from sailrun.text_protocol.peers import Probes, UdpPeerTransport
 
 if TYPE_CHECKING:
     from sailrun.hot_restart.handover import Inherited
@@ -96,9 +96,9 @@
         self.node.discovery = self._discovery
         self._discovery.watch(True)  # in push mode too: the agent's data counts as announced at once
         self._apply_rebalance(config)
-        self._datagrams: Datagrams | None = None
+        self._peer_transport: UdpPeerTransport | None = None
         if config.settings.peer_messages and config.peer_listen is not None:
-            self._datagrams = Datagrams(
+            self._peer_transport = UdpPeerTransport(
                 self.node,
                 config.peer_listen,
                 config.peers,
@@ -106,7 +106,7 @@
                 config.control is not None,
                 self._inherited_socket("peer", config.peer_listen),
             )
-            self.node.peer_transport = self._datagrams
+            self.node.peer_transport = self._peer_transport
 
     def _open_storage(self, config: NodeConfig, wait_for_predecessor: bool) -> StorageService | None:
         if config.operator is None or not config.operator.lasting.enabled:
@@ -181,8 +181,8 @@
     def _shared_sockets(self) -> dict[str, socket.socket]:
         """Returns the sockets that a successor inherits."""
         sockets = {key: acceptor.listener for key, acceptor in self._front_acceptors()}
-        if self._datagrams is not None:
-            sockets["peer"] = self._datagrams.socket
+        if self._peer_transport is not None:
+            sockets["peer"] = self._peer_transport.socket
         return sockets
 
     def _front_acceptors(self) -> list[tuple[str, FrontAcceptor]]:
@@ -207,8 +207,8 @@
         """
         for _, acceptor in self._front_acceptors():
             acceptor.pause() if paused else acceptor.resume()
-        if self._datagrams is not None:
-            self._datagrams.pause() if paused else self._datagrams.resume()
+        if self._peer_transport is not None:
+            self._peer_transport.pause() if paused else self._peer_transport.resume()
         if paused and self._fleet is None:
             self._writing_scope.cancel()  # from now on the successor writes the storage folder
         elif paused and self._fleet is not None:
@@ -248,8 +248,8 @@
             group.start_soon(acceptor.run)
         if self._config.settings.probes:
             self.node.health_checker = Probes(self.node, group)
-        if self._datagrams is not None:
-            group.start_soon(self._datagrams.run)
+        if self._peer_transport is not None:
+            group.start_soon(self._peer_transport.run)
         if self._fleet is not None:
             group.start_soon(self._fleet.run)
         else:
--- a/sailrun/text_protocol/peers.py
+++ b/sailrun/text_protocol/peers.py
@@ -18,7 +18,7 @@
 Address = tuple[str, int]
 
 
-class Datagrams:
+class UdpPeerTransport:
     """The node's `PeerTransport`: sends and receives datagrams over UDP."""
 
     def __init__(
