--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -19,7 +19,7 @@
 from sailrun.node.clock import Clock, log
 from sailrun.node.core import Node
 from sailrun.text_protocol.clients import LINGER_US, ClientFront
-from sailrun.text_protocol.peers import Probes, UdpPeerTransport
+from sailrun.text_protocol.peers import PingHealthChecker, UdpPeerTransport
 
 if TYPE_CHECKING:
     from sailrun.hot_restart.handover import Inherited
@@ -247,7 +247,7 @@
         for acceptor in self._acceptors.values():
             group.start_soon(acceptor.run)
         if self._config.settings.probes:
-            self.node.health_checker = Probes(self.node, group)
+            self.node.health_checker = PingHealthChecker(self.node, group)
         if self._peer_transport is not None:
             group.start_soon(self._peer_transport.run)
         if self._fleet is not None:
--- a/sailrun/text_protocol/peers.py
+++ b/sailrun/text_protocol/peers.py
@@ -91,7 +91,7 @@
                 self._node.peer_message_received(self._peers.index(sender), content)
 
 
-class Probes:
+class PingHealthChecker:
     """The node's `HealthChecker`: sends PING to a form server on a separate connection, and expects PONG."""
 
     def __init__(self, node: Node, group: TaskGroup) -> None:
