--- a/sailrun/serve.py
+++ b/sailrun/serve.py
@@ -159,7 +159,7 @@
         shared = config.control is not None
         if key == "listen" and config.listen is not None:
             listener = self._inherited_socket(key, config.listen) or listen(config.listen, shared)
-            return self._client_front.door(listener)
+            return self._client_front.create_acceptor(listener)
         if key == "amqp" and config.amqp is not None:
             # Loaded only where it is enabled: the platform's nodes have neither proton nor its codec.
             from sailrun.amqp.clients import amqp_acceptor
--- a/sailrun/text_protocol/clients.py
+++ b/sailrun/text_protocol/clients.py
@@ -67,8 +67,8 @@
         """Adopts a session that a predecessor transfers; raises ValueError if the content is not valid."""
         return ClientConnection.from_transfer(self, content, sockets)
 
-    def door(self, listener: socket.socket) -> FrontAcceptor:
-        """Creates the front door that accepts clients of the text protocol."""
+    def create_acceptor(self, listener: socket.socket) -> FrontAcceptor:
+        """Creates the acceptor of clients of the text protocol."""
 
         def make_connection(sock: socket.socket) -> ClientConnection:
             return ClientConnection(self, Connection(sock))
