--- a/benchmarks/external_names/tables.py
+++ b/benchmarks/external_names/tables.py
@@ -120,6 +120,7 @@
         "Argument",
         "namedtuple",
         "print",
+        "exit_with_error",
         "complain",
         "environ",
         "HasField",
--- a/sailrun/cli.py
+++ b/sailrun/cli.py
@@ -9,7 +9,7 @@
 import typer
 
 from sailrun.errors import ConfigError
-from sailrun.start import complain, paths_from_environment, start
+from sailrun.start import exit_with_error, paths_from_environment, start
 
 app = typer.Typer(
     help="A node that places census form sessions on form servers.",
@@ -66,7 +66,7 @@
             return
         node_config = read_sidecar(path)
     except ConfigError as error:
-        complain(error)
+        exit_with_error(error)
     print(f"{path}: fit to serve '{node_config.name}'")
 
 
@@ -102,7 +102,7 @@
     for class_text in classes or [DEFAULT_CLASS]:
         name, *numbers = class_text.split(":")
         if not name or len(numbers) != 3 or not all(f.isdigit() and int(f) > 0 for f in numbers):
-            complain(
+            exit_with_error(
                 f"--class: '{class_text}' is not NAME:OBJECTIVE_MS:DEADLINE_MS:MESSAGE_MS with integers > 0"
             )
         objective, deadline, message_aim = (int(f) * 1000 for f in numbers)
@@ -120,10 +120,10 @@
             file.write(tomli_w.dumps(draft(application, amqp_listen, zone, services)))
         read_sidecar(out)
     except OSError as error:
-        complain(f"{out}: {error.strerror}")
+        exit_with_error(f"{out}: {error.strerror}")
     except ConfigError as error:
         out.unlink()
-        complain(error)
+        exit_with_error(error)
     print(f"{out}: written for '{application}'")
 
 
--- a/sailrun/start.py
+++ b/sailrun/start.py
@@ -16,7 +16,7 @@
     from sailrun.config import NodeConfig
 
 
-def complain(error: object) -> NoReturn:
+def exit_with_error(error: object) -> NoReturn:
     """Prints an error of the caller as one line and exits with code 2."""
     print(f"sailrun: {error}", file=sys.stderr)
     raise SystemExit(2)
@@ -46,7 +46,7 @@
 
             return read_sidecar(sidecar)
         if config is None:
-            complain(
+            exit_with_error(
                 "RELAY_CONFIG is not set, and neither --config nor --sidecar was given; to run nodes without "
                 "a platform, use: sailrun lab run quickstart --out FOLDER"
             )
@@ -57,6 +57,6 @@
     try:
         run(read_config)
     except ConfigError as error:
-        complain(error)
+        exit_with_error(error)
     except (OSError, ImportError) as error:
-        complain(f"{sidecar or config}: {error}")
+        exit_with_error(f"{sidecar or config}: {error}")
--- a/sailrun/storage/cli.py
+++ b/sailrun/storage/cli.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from sailrun.start import complain
+from sailrun.start import exit_with_error
 
 # The modules that read a folder are imported in the functions, because every command of `sailrun` imports
 # this module.
@@ -37,9 +37,9 @@
     try:
         return read_folder(OsFiles(folder))
     except NewerSchemaError as error:
-        complain(f"{folder}: {error}")
+        exit_with_error(f"{folder}: {error}")
     except OSError as error:
-        complain(f"{folder}: {error.strerror or error}")
+        exit_with_error(f"{folder}: {error.strerror or error}")
 
 
 def _describe_contents(contents: FolderContents) -> Fields:
@@ -193,13 +193,13 @@
     try:
         names = [name for name in files.names() if is_storage_file(name)]
         if not yes:
-            complain(f"{folder}: {len(names)} files would be removed; pass --yes to remove them")
+            exit_with_error(f"{folder}: {len(names)} files would be removed; pass --yes to remove them")
         if not files.lock():
-            complain(f"{folder}: the folder is in use by a running node")
+            exit_with_error(f"{folder}: the folder is in use by a running node")
         for name in names:
             files.remove(name)
         files.sync_folder()
         files.unlock()
     except OSError as error:
-        complain(f"{folder}: {error.strerror or error}")
+        exit_with_error(f"{folder}: {error.strerror or error}")
     print(f"{folder}: {len(names)} files removed")
