--- a/benchmarks/external_names/tables.py
+++ b/benchmarks/external_names/tables.py
@@ -121,7 +121,7 @@
         "namedtuple",
         "print",
         "exit_with_error",
-        "complain",
+        "config_error",
         "environ",
         "HasField",
         "command",
--- a/sailrun/config.py
+++ b/sailrun/config.py
@@ -128,7 +128,7 @@
         self.path = path
         self.values = _read_json_object(path)
 
-    def complain(self, key: str, problem: str) -> ConfigError:
+    def config_error(self, key: str, problem: str) -> ConfigError:
         """Returns the error for an invalid value of a key."""
         return ConfigError(self.path, key, problem)
 
@@ -143,7 +143,7 @@
         """Returns the value of a key. Raises ConfigError if it is missing."""
         value = self.find(key)
         if value is None:
-            raise self.complain(key, "is missing")
+            raise self.config_error(key, "is missing")
         return value
 
     def address(self, key: str, value: Any) -> Address:
@@ -151,7 +151,7 @@
         try:
             return split_address(str(value))
         except ValueError as error:
-            raise self.complain(key, str(error)) from None
+            raise self.config_error(key, str(error)) from None
 
     def optional_address(self, key: str, value: Any) -> Address | None:
         """Returns a key's value as an address, or None if the value is missing or empty."""
@@ -178,13 +178,13 @@
     server_list = _read_known_list(document)
     peers = document.values.get("peers", [])
     if not isinstance(peers, list):
-        raise document.complain("peers", "is not a list")
+        raise document.config_error("peers", "is not a list")
     family_info = document.values["settings"].get("familyInfo")
     descriptors = _read_descriptors(document)
     listen = document.address("listen", document.require("listen"))
     control = document.optional_address("control", document.find("control"))
     if control == listen:
-        raise document.complain("control", "is the address of 'listen', at which clients connect")
+        raise document.config_error("control", "is the address of 'listen', at which clients connect")
     return NodeConfig(
         name=str(document.require("name")),
         listen=listen,
@@ -205,7 +205,7 @@
     try:
         return int(str(document.require("seed")), 16)
     except ValueError:
-        raise document.complain(
+        raise document.config_error(
             "seed", f"is '{document.values['seed']}', expected a hexadecimal number"
         ) from None
 
@@ -214,19 +214,21 @@
     try:
         return read_settings(document.require("settings"))
     except ValueError as error:
-        raise document.complain("settings", str(error)) from None
+        raise document.config_error("settings", str(error)) from None
 
 
 def _read_known_list(document: _Document) -> ServerListUpdate:
     try:
         return read_server_list(document.require("known"), cached=True)
     except InvalidServerListError as error:
-        raise document.complain("known", str(error)) from None
+        raise document.config_error("known", str(error)) from None
 
 
 def _read_descriptors(document: _Document) -> int | None:
     limits = document.values.get("limits")
     descriptors = limits.get("sockets") if isinstance(limits, dict) else None
     if descriptors is not None and (not isinstance(descriptors, int) or descriptors < 1):
-        raise document.complain("limits.sockets", f"is {descriptors!r}, expected an integer of at least 1")
+        raise document.config_error(
+            "limits.sockets", f"is {descriptors!r}, expected an integer of at least 1"
+        )
     return descriptors
