--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -84,7 +84,7 @@
         self.epochs = EpochTracker(store, self.copy, self._journal, self._gossip.discard, self.log_event)
         self._repair = self._make_repair(voters, is_majority)
         self._replica_transfer = ReplicaTransfer(
-            name, store, self.copy, members, voters, self.receiver, self._rng, self._complete_copy
+            name, store, self.copy, members, voters, self.receiver, self._rng, self._complete_replica
         )
         self._digest_requests: dict[int, str] = {}  # the receivers of digest requests, by request id
         self._compare_next: list[str] = []  # members whose replicas are known to differ
@@ -100,7 +100,7 @@
             voters,
             is_majority,
             self.make_request_id,
-            lambda now_us, reason: self._discard_copy(now_us, self.copy.epoch, reason),
+            lambda now_us, reason: self._discard_replica(now_us, self.copy.epoch, reason),
             self.log_event,
             self._checks_hashes,
         )
@@ -250,7 +250,7 @@
         if record is None and self.copy.is_complete and not reply.complete:
             return []  # the sender has only begun to transfer that epoch; other members have its record
         if not self.copy.is_complete or record is None or not self.epochs.advance(now_us, record):
-            self._discard_copy(now_us, reply.epoch, "too far behind")
+            self._discard_replica(now_us, reply.epoch, "too far behind")
             return self.request_digests(sender)
         return []
 
@@ -285,7 +285,7 @@
 
     # ------------------------------------------------------------------ the replica as a whole
 
-    def _discard_copy(self, now_us: int, epoch: int, reason: str) -> None:
+    def _discard_replica(self, now_us: int, epoch: int, reason: str) -> None:
         """Discards this replica and begins to fetch a complete one of that epoch."""
         self.log_event("copy-begins", why=reason, epoch=epoch, records=len(self.store))
         was_counted = self.copy.is_complete and epoch == self.copy.epoch
@@ -300,7 +300,7 @@
         self._journal.write_replica_state(epoch, False, cleared=True)
         self.on_discarded(now_us, was_counted)
 
-    def _complete_copy(self, now_us: int) -> None:
+    def _complete_replica(self, now_us: int) -> None:
         self.copy.is_complete = True
         self._journal.write_replica_state(self.copy.epoch, True)
         self.log_event(
--- a/sailrun/replication/coordinator.py
+++ b/sailrun/replication/coordinator.py
@@ -107,10 +107,10 @@
     @property
     def is_open(self) -> bool:
         """Whether requests are served: a majority has promised and holds all records of this node."""
-        return self._phase is Phase.OPEN and self._is_same_copy
+        return self._phase is Phase.OPEN and self._is_same_replica
 
     @property
-    def _is_same_copy(self) -> bool:
+    def _is_same_replica(self) -> bool:
         copy = self._anti_entropy.copy
         return copy.is_complete and self._discard_count == copy.discard_count
 
@@ -320,7 +320,7 @@
         copy = self._anti_entropy.copy
         if not copy.is_complete:
             return []
-        if not self._is_same_copy or (copy.epoch != self._epoch and not self._is_ending_epoch):
+        if not self._is_same_replica or (copy.epoch != self._epoch and not self._is_ending_epoch):
             self._begin(now_us)  # the replica was discarded, or another leader began an epoch
         messages = self._rounds.tick(now_us)
         if now_us >= self._housekeeping_at_us:
--- a/sailrun/replication/repair.py
+++ b/sailrun/replication/repair.py
@@ -46,16 +46,16 @@
         voters: Callable[[], list[str]],
         is_majority: Callable[[set[str]], bool],
         make_request_id: Callable[[], int],
-        discard_copy: Callable[[int, str], None],
+        discard_replica: Callable[[int, str], None],
         log_event: Callable[..., None],
         is_enabled: bool = True,
     ) -> None:
-        """`discard_copy` is called with the time and the reason if repairing single records is
+        """`discard_replica` is called with the time and the reason if repairing single records is
         not possible.
         """
         self._name, self._store = name, store
         self._voters, self._is_majority, self._make_request_id = voters, is_majority, make_request_id
-        self._discard_copy, self._log_event, self._is_enabled = discard_copy, log_event, is_enabled
+        self._discard_replica, self._log_event, self._is_enabled = discard_replica, log_event, is_enabled
         self._polls: dict[Key, _Poll] = {}
         self._lost_at_us: dict[Key, int] = {}  # when each corrupted record counts as lost
         self.repaired = 0  # records repaired since the process started
@@ -83,7 +83,7 @@
         """
         corrupted, self._store.corrupted = self._store.corrupted, []
         if len(corrupted) > MAX_CORRUPTED:
-            self._discard_copy(now_us, f"{len(corrupted)} records are corrupted")
+            self._discard_replica(now_us, f"{len(corrupted)} records are corrupted")
             return []
         for key in corrupted:
             self._log_event("copy-spoilt", kind=key[0], subject=key[1], observer=key[2] or None)
@@ -131,7 +131,7 @@
             if now_us < poll.deadline_us:
                 continue
             if poll.deadline_us and poll.attempts >= MAX_POLLS:
-                self._discard_copy(now_us, f"{'/'.join(poll.key)} cannot be mended")
+                self._discard_replica(now_us, f"{'/'.join(poll.key)} cannot be mended")
                 return []
             poll.attempts += poll.deadline_us > 0
             poll.deadline_us = now_us + POLL_US
