--- a/sailrun/text_protocol/neighbours.py
+++ b/sailrun/text_protocol/peers.py
@@ -18,7 +18,7 @@
 Address = tuple[str, int]
 
 
-class Datagrams:
+class UdpPeerTransport:
     """The node's `PeerTransport`: sends and receives datagrams over UDP."""
 
     def __init__(
@@ -91,7 +91,7 @@
                 self._node.peer_message_received(self._peers.index(sender), content)
 
 
-class Probes:
+class PingHealthChecker:
     """The node's `HealthChecker`: sends PING to a form server on a separate connection, and expects PONG."""
 
     def __init__(self, node: Node, group: TaskGroup) -> None:
