--- a/sailrun/lab/faults/explore.py
+++ b/sailrun/lab/faults/explore.py
@@ -200,10 +200,10 @@
                 world.steps += 1
                 world.now_us += int(LEASE_S * SECOND_US) // 2
                 for name, voter in world.voters.items():
-                    self._send(world, name, voter.turn(world.now_us))
+                    self._send(world, name, voter.tick(world.now_us))
             case "turn", str(name):
                 world.turns += 1
-                messages = world.leases[name].turn(world.now_us, {TASK: list(CANDIDATES)})
+                messages = world.leases[name].tick(world.now_us, {TASK: list(CANDIDATES)})
                 self._send(world, name, messages)
             case "restart", str(name):
                 world.restarts += 1
--- a/sailrun/lab/faults/virtual.py
+++ b/sailrun/lab/faults/virtual.py
@@ -58,7 +58,7 @@
     pause_number: int = 0  # incremented by each pause and kill, so that an earlier resume has no effect
     inbox: list[tuple[str, Envelope]] = field(default_factory=list)
     delayed_until_us: int = 0  # until then, half of what it sends is delayed, to arrive then
-    # A turn is one call of `Agent.turn`, which makes the messages that are due. The number is that of the
+    # A turn is one call of `Agent.tick`, which makes the messages that are due. The number is that of the
     # next turn; turns with an older number are skipped.
     turn_number: int = 0
     next_turn_us: int = 0  # the virtual time of its next turn
@@ -389,7 +389,7 @@
         if turn_number != node.turn_number or agent is None or node.paused:
             return
         now_us = self.clock_us(node)
-        envelopes = agent.turn(now_us)
+        envelopes = agent.tick(now_us)
         if node.shared_list is not None:
             envelopes += self._query_list(node, agent, node.shared_list, now_us)
         self._send(node, envelopes)
--- a/sailrun/lab/scale/metered_agent.py
+++ b/sailrun/lab/scale/metered_agent.py
@@ -22,9 +22,9 @@
         self.cpu_s += thread_time() - began_s
         return outs
 
-    def turn(self, now_us: int) -> list[OutgoingEnvelope]:
+    def tick(self, now_us: int) -> list[OutgoingEnvelope]:
         began_s = thread_time()
-        outs = super().turn(now_us)
+        outs = super().tick(now_us)
         self.log_events.clear()  # the log events of hundreds of nodes are not used
         self.cpu_s += thread_time() - began_s
         return outs
--- a/sailrun/leadership/agent.py
+++ b/sailrun/leadership/agent.py
@@ -210,7 +210,7 @@
     # ------------------------------------------------------------------ durable state
 
     def restore(self, now_us: int, folder: MemberFolder) -> None:
-        """Restores the state from a storage folder as far as it is valid; called before the first turn."""
+        """Restores the state from a storage folder as far as it is valid; called before the first tick."""
         self.durable_state.restore(now_us, folder)
 
     def on_written(self, now_us: int, result: WriteResult) -> list[OutgoingEnvelope]:
@@ -334,7 +334,7 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int) -> int:
-        """Returns when `turn` has to be called next if no message arrives before."""
+        """Returns when `tick` has to be called next if no message arrives before."""
         due_us = self.members.due_us(now_us)
         if not self.members.has_joined:
             return due_us
@@ -350,18 +350,18 @@
         durable_state_due_us = self.durable_state.due_us()
         return due_us if durable_state_due_us is None else min(due_us, durable_state_due_us)
 
-    def turn(self, now_us: int) -> list[OutgoingEnvelope]:
+    def tick(self, now_us: int) -> list[OutgoingEnvelope]:
         """Runs everything that is due by the clock; returns the envelopes to send."""
         self._now_us = now_us
         envelopes = self._envelopes.address_messages(self.members.tick(now_us))
         if self.voter is not None and self.members.has_joined:
-            envelopes += self._post_all(self.voter.turn(now_us))
-            envelopes += self._post_all(self.durable_state.turn(now_us))
+            envelopes += self._post_all(self.voter.tick(now_us))
+            envelopes += self._post_all(self.durable_state.tick(now_us))
         if self.members.has_joined and not self.members.is_leaving:
             envelopes += self._turn_leases(now_us)
         self._requests.drop_expired(now_us)
         envelopes += self._turn_permits(now_us)
-        envelopes += self._post_all(self.rolling_drains.turn(now_us))
+        envelopes += self._post_all(self.rolling_drains.tick(now_us))
         if self.replica is not None and self.members.has_joined and not self.members.is_leaving:
             envelopes += self._turn_replica(now_us, self.replica)
         if self.shards is not None and self.members.has_joined and not self.members.is_leaving:
@@ -369,7 +369,7 @@
         return envelopes + self._publish_changes(now_us)
 
     def _turn_leases(self, now_us: int) -> list[OutgoingEnvelope]:
-        return self._post_all(self.leases.turn(now_us, self.candidate_tasks()))
+        return self._post_all(self.leases.tick(now_us, self.candidate_tasks()))
 
     def _turn_permits(self, now_us: int) -> list[OutgoingEnvelope]:
         requests = self._permit_role.due_requests(now_us)
@@ -445,7 +445,7 @@
     # ------------------------------------------------------------------ outgoing messages
 
     def send_shard_messages(self, now_us: int, messages: list[ShardPeerMessage]) -> list[OutgoingEnvelope]:
-        """Sends messages of sharding outside of a turn, such as acts on behalf of a shard."""
+        """Sends messages of sharding outside of a tick, such as acts on behalf of a shard."""
         self._now_us = now_us
         return self._post_all(messages) if self.members.has_joined else []
 
--- a/sailrun/leadership/durable_state.py
+++ b/sailrun/leadership/durable_state.py
@@ -110,7 +110,7 @@
     # ------------------------------------------------------------------ restoring
 
     def restore(self, now_us: int, folder: MemberFolder) -> None:
-        """Restores the state from a folder as far as it is valid; called before the first turn. A voter asks
+        """Restores the state from a folder as far as it is valid; called before the first tick. A voter asks
         the other voters whether they know a newer version of the folder, and grants nothing before a majority
         has replied.
         """
@@ -214,12 +214,12 @@
         return not self.freshness.is_querying or self.is_durable(self._incarnation_position)
 
     def due_us(self) -> int | None:
-        """Returns when `turn` has to be called next; None: no call is needed."""
+        """Returns when `tick` has to be called next; None: no call is needed."""
         if self._folder is None or self._voter() is None or not self._may_send_queries():
             return None
         return self.freshness.due_us()
 
-    def turn(self, now_us: int) -> list[Message]:
+    def tick(self, now_us: int) -> list[Message]:
         """Queries the other voters about this folder if that is due; returns messages by recipient."""
         own = self.freshness.own
         if own is None or self._voter() is None or not self._may_send_queries():
--- a/sailrun/leadership/leases.py
+++ b/sailrun/leadership/leases.py
@@ -189,7 +189,7 @@
     # ------------------------------------------------------------------ time
 
     def due_us(self, now_us: int, tasks: dict[str, list[str]]) -> int:
-        """Returns when `turn` has to be called next."""
+        """Returns when `tick` has to be called next."""
         due_us = now_us + self._lease_us
         for task, names in tasks.items():
             lease = self.lease_of(task)
@@ -201,7 +201,7 @@
                 due_us = min(due_us, lease.next_attempt_us)
         return due_us
 
-    def turn(self, now_us: int, tasks: dict[str, list[str]]) -> list[Message]:
+    def tick(self, now_us: int, tasks: dict[str, list[str]]) -> list[Message]:
         """Ends expired leases, and returns the lease requests and releases that are due.
 
         `tasks` maps each task to the living members that may lead it, the best placed first.
--- a/sailrun/leadership/move_rate_service.py
+++ b/sailrun/leadership/move_rate_service.py
@@ -43,7 +43,7 @@
             return None
         return self._coordinator.grant_share(now_us, sender)
 
-    def turn(self, now_us: int) -> list[OutgoingEnvelope]:
+    def tick(self, now_us: int) -> list[OutgoingEnvelope]:
         """Passes the current share to the core, and requests one from the leader if the core needs it."""
         share = self._granted_share.current_share(now_us)
         if not self._granted_share.take_due_request(now_us):
--- a/sailrun/leadership/permit_role.py
+++ b/sailrun/leadership/permit_role.py
@@ -57,7 +57,7 @@
 
     def due_requests(self, now_us: int) -> list[tuple[Any, OnResponse]]:
         """Returns the requests that are due now, each with the handler of its response."""
-        requests = self.holder.turn(now_us) if self.holder is not None else []
+        requests = self.holder.tick(now_us) if self.holder is not None else []
         return [(msgspec.to_builtins(request), self._response_handler(request)) for request in requests]
 
     def _response_handler(self, request: PermitRequest) -> OnResponse:
--- a/sailrun/leadership/permits.py
+++ b/sailrun/leadership/permits.py
@@ -23,7 +23,7 @@
 RENEWALS_PER_LEASE = 6
 # The limit of requests that wait at the coordinator; further ones are denied.
 MAX_QUEUE_ENTRIES = 10_000
-# Requests in excess of this number are left for the next turn.
+# Requests in excess of this number are left for the next tick.
 MAX_REQUESTS_PER_TURN = 64
 # The kind and the subject of a permit.
 Key = tuple[str, str]
@@ -244,13 +244,13 @@
         return permit is not None and permit.state == "held" and now_us < permit.expires_us
 
     def due_us(self, now_us: int) -> int:
-        """Returns when `turn` has to be called next."""
+        """Returns when `tick` has to be called next."""
         due_us = now_us + SECOND
         for permit in self.permits.values():
             due_us = min(due_us, permit.next_request_us, permit.expires_us or due_us)
         return due_us
 
-    def turn(self, now_us: int) -> list[PermitRequest]:
+    def tick(self, now_us: int) -> list[PermitRequest]:
         """Ends expired permits, and returns the requests to the leader that are due now."""
         requests: list[PermitRequest] = []
         for key, permit in list(self.permits.items()):
--- a/sailrun/leadership/response_gate.py
+++ b/sailrun/leadership/response_gate.py
@@ -90,7 +90,7 @@
         )
         if not needs_majority or own is None or self._freshness.is_position_acknowledged(position):
             return False
-        own.synced_position = log.synced_position  # reported to the other voters at the next turn
+        own.synced_position = log.synced_position  # reported to the other voters at the next tick
         self._queue_for_majority(position, recipient, body)
         return True
 
--- a/sailrun/leadership/rolling_drain.py
+++ b/sailrun/leadership/rolling_drain.py
@@ -124,7 +124,7 @@
             name, stay_empty_us, [NodeProgress(node, last_contact_us=now_us) for node in nodes]
         )
 
-    def turn(self, now_us: int) -> list[tuple[str, DrainRequest]]:
+    def tick(self, now_us: int) -> list[tuple[str, DrainRequest]]:
         """Returns the requests that are due. A node is requested to drain once the previous node of the list
         is queued for its permit, has got further, or was skipped.
         """
--- a/sailrun/leadership/service.py
+++ b/sailrun/leadership/service.py
@@ -207,17 +207,17 @@
         """See `DurableState.call_when_durable`."""
         self.agent.durable_state.call_when_durable(now_us, call)
 
-    # ------------------------------------------------------------------ after each turn of the agent
+    # ------------------------------------------------------------------ after each tick of the agent
 
     def _after_turn(self, now_us: int) -> list[OutgoingEnvelope]:
         envelopes: list[OutgoingEnvelope] = []
         if self._shared_discovery is not None:
-            envelopes += self._shared_discovery.turn(now_us)
+            envelopes += self._shared_discovery.tick(now_us)
         self._turn_rolling_drain(now_us)
         if self.agent.shards is not None:
             self._follow_core_drain(now_us, self.agent.shards)
         if self.agent.settings.shares_move_rate:
-            envelopes += self._move_rate.turn(now_us)
+            envelopes += self._move_rate.tick(now_us)
         if self.replication is not None:
             self.replication.tick(now_us)
         if self._exerciser is not None:
--- a/sailrun/leadership/shared_discovery.py
+++ b/sailrun/leadership/shared_discovery.py
@@ -113,8 +113,8 @@
 
     # ------------------------------------------------------------------ updates from the reader
 
-    def turn(self, now_us: int) -> list[OutgoingEnvelope]:
-        """Runs after each turn of the agent; returns the requests to send."""
+    def tick(self, now_us: int) -> list[OutgoingEnvelope]:
+        """Runs after each tick of the agent; returns the requests to send."""
         self._shared_list.is_leader = bool(self._agent.leases.held_term(self._task, now_us))
         replica, revision = self._agent.replica, self._shared_list.revision
         if (
--- a/sailrun/leadership/transport.py
+++ b/sailrun/leadership/transport.py
@@ -67,7 +67,7 @@
         self._sockets: tuple[socket.socket, socket.socket] | None = None
         # Whether to close the sockets once the envelopes of the queued calls were sent.
         self.closes_after_send = False
-        # Called after each turn of the agent, to act on changes; returns envelopes to send.
+        # Called after each tick of the agent, to act on changes; returns envelopes to send.
         self.after_turn: Callable[[int], list[OutgoingEnvelope]] = lambda now_us: []
         try:
             self._sockets = self._bind()
@@ -128,7 +128,7 @@
             if self.closes_after_send:
                 return
             now_us = boot_us()
-            self._send(datagrams, self.agent.turn(now_us))
+            self._send(datagrams, self.agent.tick(now_us))
             self._send(datagrams, self.after_turn(now_us))
             for event in self.agent.log_events:
                 log(event.name, **event.fields)
--- a/sailrun/leadership/voter.py
+++ b/sailrun/leadership/voter.py
@@ -258,11 +258,11 @@
     # ------------------------------------------------------------------ recovery of the terms after a start
 
     def due_us(self) -> int | None:
-        """Returns when `turn` has to be called next; None: the voter needs no call."""
+        """Returns when `tick` has to be called next; None: the voter needs no call."""
         is_idle = self.remembers or self.may_remember or not self.is_folder_established()
         return None if is_idle else self._next_query_us
 
-    def turn(self, now_us: int) -> list[tuple[str, TermQuery]]:
+    def tick(self, now_us: int) -> list[tuple[str, TermQuery]]:
         """Requests the terms that this voter may have forgotten from the other voters, until it may grant."""
         # A query states that its sender has no memory, which makes any earlier folder of the sender outdated.
         # Therefore the other voters have to know the current folder first.
--- a/sailrun/sharding/assigner_election.py
+++ b/sailrun/sharding/assigner_election.py
@@ -165,11 +165,11 @@
 
     def tick_leases(self, now_us: int) -> list[PeerMessage]:
         """Requests or renews the lease if that is due."""
-        return self._wrap(self._leases.turn(now_us, self.candidates()))
+        return self._wrap(self._leases.tick(now_us, self.candidates()))
 
     def tick_voter(self, now_us: int) -> list[PeerMessage]:
         """Performs the voter's work that is due."""
-        return self._wrap(self._voter.turn(now_us)) if self._voter is not None else []
+        return self._wrap(self._voter.tick(now_us)) if self._voter is not None else []
 
     def leave(self, now_us: int) -> list[PeerMessage]:
         """Releases the lease so that the next candidate can take it."""
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -88,7 +88,7 @@
     voter.on_term_report(1, "b", TermReport(1, True, {"t": 7}))
     denied = voter.on_lease_request(abstention_end_us - 1, "x", 1, lease_request(9))
     assert isinstance(denied, LeaseDenial) and denied.reason == "abstains"
-    voter.turn(abstention_end_us)
+    voter.tick(abstention_end_us)
     assert not voter.remembers
     voter.on_term_report(abstention_end_us, "c", TermReport(1, True, {"t": 5}))
     assert voter.remembers and not voter.began_new_terms and voter.highest_term("t") == 7
@@ -110,7 +110,7 @@
 
 def test_a_single_voter_does_not_start_new_terms() -> None:
     voter = new_voter(remembers=False)
-    voter.turn(100 * SECOND)
+    voter.tick(100 * SECOND)
     assert not voter.remembers
 
 
@@ -144,7 +144,7 @@
 
 def start_lease_request(now_us: int) -> tuple[Leases, int]:
     leases = Leases("x", Voters(LEADERSHIP), LEADERSHIP, 1, now_us)
-    requests = leases.turn(now_us, {"t": ["x"]})
+    requests = leases.tick(now_us, {"t": ["x"]})
     assert [recipient for recipient, _ in requests] == ["a", "b", "c"]
     return leases, requests[0][1].number  # type: ignore[union-attr]
 
@@ -259,7 +259,7 @@
     def pass_time(self, twentieths: int) -> None:
         self.now_us += twentieths * SECOND // 20
         for name, holder in self.holders.items():
-            self.in_flight += [(name, self.now_us, request) for request in holder.turn(self.now_us)]
+            self.in_flight += [(name, self.now_us, request) for request in holder.tick(self.now_us)]
         # Stands for the rest of the protocol, which rejects a response that is too old.
         self.in_flight = [message for message in self.in_flight if self.now_us - message[1] <= SECOND]
 
@@ -302,10 +302,10 @@
     drained: list[str] = []
 
     def exchange_messages(now_us: int) -> None:
-        for recipient, message in drains["a"].turn(now_us):
+        for recipient, message in drains["a"].tick(now_us):
             drains["a"].on_status(now_us, recipient, drains[recipient].on_request(now_us, message))
         for name, holder in holders.items():
-            for permit_request in holder.turn(now_us):
+            for permit_request in holder.tick(now_us):
                 holder.on_response(
                     now_us, now_us, permit_request, coordinator.on_request(now_us, name, 1, permit_request)
                 )
--- a/tests/test_sharding_wire.py
+++ b/tests/test_sharding_wire.py
@@ -250,7 +250,7 @@
     node, agent = shared_fleet.node(recipient), shared_fleet.agent(recipient)
     now_us = shared_fleet.fleet.clock_us(node)
     outgoing = agent.on_envelope(now_us, shared_fleet.node(sender).address, envelope)
-    outgoing += agent.turn(now_us)
+    outgoing += agent.tick(now_us)
     for message in outgoing:
         decode_envelope(encode_envelope(message.envelope))
 
