--- a/sailrun/replication/anti_entropy.py
+++ b/sailrun/replication/anti_entropy.py
@@ -13,8 +13,6 @@
 from collections.abc import Callable, Collection
 
 from sailrun.membership.membership import Membership
-from sailrun.replication.copy_state import CopyState
-from sailrun.replication.copy_transfer import MAX_SENDERS, CopyTransfer
 from sailrun.replication.epochs import EpochTracker
 from sailrun.replication.gossip import FANOUT, MAX_SENDS, GossipQueue
 from sailrun.replication.journal import ReplicaJournal
@@ -32,6 +30,8 @@
 from sailrun.replication.range_digests import list_ranges
 from sailrun.replication.records import InvalidRecordError, Key, Record
 from sailrun.replication.repair import RecordRepair
+from sailrun.replication.replica_state import ReplicaState
+from sailrun.replication.replica_transfer import MAX_SENDERS, ReplicaTransfer
 from sailrun.replication.settings import ReplicationSettings
 from sailrun.replication.state_transfer import TransferReceiver, TransferSender, ignore_end
 from sailrun.replication.store import PutResult, RecordStore
@@ -70,7 +70,7 @@
         self._last_request_id = self._rng.getrandbits(30) << 20
         self._checks_epochs = "forget" not in disabled_rules
         self._checks_hashes = "mend" not in disabled_rules
-        self.copy = CopyState()
+        self.copy = ReplicaState()
         # Events for the operator's log, each with its fields; the caller writes them and empties the list.
         self.log_events: list[tuple[str, dict[str, object]]] = []
         # Called when the replica or a record of it was discarded, with the time and whether a majority may
@@ -83,8 +83,8 @@
         self._gossip = GossipQueue(store)
         self.epochs = EpochTracker(store, self.copy, self._journal, self._gossip.discard, self.log_event)
         self._repair = self._make_repair(voters, is_majority)
-        self._copy_transfer = CopyTransfer(
-            name, store, self.copy, members, voters, self.receiver, self._rng, self._complete_copy
+        self._replica_transfer = ReplicaTransfer(
+            name, store, self.copy, members, voters, self.receiver, self._rng, self._complete_replica
         )
         self._digest_requests: dict[int, str] = {}  # the receivers of digest requests, by request id
         self._compare_next: list[str] = []  # members whose replicas are known to differ
@@ -100,7 +100,7 @@
             voters,
             is_majority,
             self.make_request_id,
-            lambda now_us, reason: self._discard_copy(now_us, self.copy.epoch, reason),
+            lambda now_us, reason: self._discard_replica(now_us, self.copy.epoch, reason),
             self.log_event,
             self._checks_hashes,
         )
@@ -118,7 +118,7 @@
     def restore(self, epoch: int) -> None:
         """Sets the epoch of a complete replica that was loaded at the start; its lag is determined later."""
         self.copy.epoch, self.copy.is_complete = epoch, True
-        self._copy_transfer.set_complete()
+        self._replica_transfer.set_complete()
 
     def make_request_id(self) -> int:
         """Returns an id that no other request of this process has."""
@@ -230,7 +230,7 @@
                 return messages
         differing = self.store.digests.find_differing_ranges(reply.range_digests)
         if not self.copy.is_complete:
-            self._copy_transfer.on_digest_reply(now_us, sender, reply, differing)
+            self._replica_transfer.on_digest_reply(now_us, sender, reply, differing)
         elif (
             differing
             and self.receiver.find_background_transfer(sender) is None
@@ -250,7 +250,7 @@
         if record is None and self.copy.is_complete and not reply.complete:
             return []  # the sender has only begun to transfer that epoch; other members have its record
         if not self.copy.is_complete or record is None or not self.epochs.advance(now_us, record):
-            self._discard_copy(now_us, reply.epoch, "too far behind")
+            self._discard_replica(now_us, reply.epoch, "too far behind")
             return self.request_digests(sender)
         return []
 
@@ -277,7 +277,7 @@
         if transfer is None:
             return
         retry_at_us = now_us + busy.retry_after_us
-        self._copy_transfer.back_off(sender, retry_at_us)
+        self._replica_transfer.back_off(sender, retry_at_us)
         if transfer.urgent or self.copy.is_complete:
             transfer.request_at_us, transfer.attempts = retry_at_us, 0
         else:
@@ -285,29 +285,29 @@
 
     # ------------------------------------------------------------------ the replica as a whole
 
-    def _discard_copy(self, now_us: int, epoch: int, reason: str) -> None:
+    def _discard_replica(self, now_us: int, epoch: int, reason: str) -> None:
         """Discards this replica and begins to fetch a complete one of that epoch."""
         self.log_event("copy-begins", why=reason, epoch=epoch, records=len(self.store))
         was_counted = self.copy.is_complete and epoch == self.copy.epoch
         self.copy.discard_count += 1
         self.copy.is_complete, self.copy.epoch, self.copy.begun_us = False, epoch, now_us
         self.receiver.end_all(now_us)
-        self._copy_transfer.restart()
+        self._replica_transfer.restart()
         self._repair.clear()
         self.store.clear()
         self._gossip.clear()
         self._digest_requests.clear()  # replies under way refer to the discarded replica
-        self._journal.write_copy_state(epoch, False, cleared=True)
+        self._journal.write_replica_state(epoch, False, cleared=True)
         self.on_discarded(now_us, was_counted)
 
-    def _complete_copy(self, now_us: int) -> None:
+    def _complete_replica(self, now_us: int) -> None:
         self.copy.is_complete = True
-        self._journal.write_copy_state(self.copy.epoch, True)
+        self._journal.write_replica_state(self.copy.epoch, True)
         self.log_event(
             "copy-whole", records=len(self.store), epoch=self.copy.epoch, pieces=self.receiver.pages
         )
         self.copy.missing_records = 0
-        local_writes = self._copy_transfer.take_local_writes()
+        local_writes = self._replica_transfer.take_local_writes()
         for record in self.epochs.drop_removed_versions(local_writes):
             self.merge_received(now_us, [record])
 
@@ -347,7 +347,7 @@
     def _gossip_or_transfer(self, now_us: int) -> list[OutgoingMessage]:
         messages: list[OutgoingMessage] = []
         if not self.copy.is_complete:
-            for name in self._copy_transfer.choose_senders(now_us):
+            for name in self._replica_transfer.choose_senders(now_us):
                 messages += self.request_digests(name)
             return messages
         messages += self._send_rumor()
--- a/sailrun/replication/copy_transfer.py
+++ b/sailrun/replication/replica_transfer.py
@@ -13,11 +13,11 @@
 
 from sailrun.membership.membership import Membership
 from sailrun.membership.messages import MemberState
-from sailrun.replication.copy_state import CopyState
 from sailrun.replication.epochs import extract_local_writes
 from sailrun.replication.messages import DigestReply
 from sailrun.replication.range_digests import RANGE_COUNT
 from sailrun.replication.records import Key, Record
+from sailrun.replication.replica_state import ReplicaState
 from sailrun.replication.state_transfer import TransferReceiver, ignore_end
 from sailrun.replication.store import RecordStore
 
@@ -32,14 +32,14 @@
 MIN_REQUEST_INTERVAL_US = SECOND_US // 2
 
 
-class CopyTransfer:
+class ReplicaTransfer:
     """Tracks the missing ranges of this replica and the sender of each."""
 
     def __init__(
         self,
         name: str,
         store: RecordStore,
-        copy: CopyState,
+        copy: ReplicaState,
         members: Membership,
         voters: Callable[[], list[str]],
         receiver: TransferReceiver,
