--- a/deploy/sites/lay_out.py
+++ b/deploy/sites/lay_out.py
@@ -1,11 +1,11 @@
-"""Writes site folders for the bench that differ from a given site.
+"""Writes a folder with a site file for the bench for each set of changes to a given site.
 
     python deploy/sites/lay_out.py BASE
 
-BASE is the file of a site. Each TOML file in this folder contains the settings in which its site differs: a
-table's keys replace those of BASE, a list replaces the whole list of BASE, and the value '-' removes a key.
-Each site is written to a folder of its own under laid-out/, with copies of the bench's files from the folder
-of BASE.
+BASE is the settings file of a site as the operators provide it. Each TOML file in this folder contains the
+settings in which its site differs: a table's keys replace those of BASE, a list replaces the whole list of
+BASE, and the value '-' removes a key. Each site is written to a folder of its own under laid-out/, with
+copies of the bench's files from the folder of BASE.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 
 import tomli_w
 
+# Files that the bench expects beside the site file.
 BENCH_FILES = ("real.json", "wire.json", "unlock.txt")
 
 
